--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -94,6 +94,8 @@
 	caller   *Host
 	adjust   func(cluster *Cluster, settings *controlplane.Settings)
 	held     int64
+	// adjustReplica, if set, changes the settings of the groups of each node that starts.
+	adjustReplica func(settings *replica.Settings)
 }
 
 func domain(index int) string { return []string{"east", "middle", "west"}[index%3] }
@@ -103,6 +105,29 @@
 //	cluster, err := simulator.Start(7, simulator.Small, configSource)
 //	defer cluster.Stop()
 func Start(seed uint64, shape Shape, rules string) (*Cluster, error) {
+	cluster, err := assemble(seed, shape)
+	if err != nil {
+		return cluster, err
+	}
+	return cluster, cluster.found(rules)
+}
+
+// found starts all nodes on their empty disks, and waits until they serve.
+func (cluster *Cluster) found(rules string) error {
+	for _, machine := range cluster.Machines() {
+		if err := machine.Start(); err != nil {
+			return err
+		}
+	}
+	if err := cluster.PutConfig(rules); err != nil {
+		return err
+	}
+	return cluster.AwaitServing(20 * time.Second)
+}
+
+// assemble makes a cluster whose runners are started and whose nodes are not, on empty
+// disks.
+func assemble(seed uint64, shape Shape) (*Cluster, error) {
 	cluster := &Cluster{Network: NewNetwork(seed), Seed: seed, groups: max(shape.Groups, 8), copies: shape.Copies, enrols: shape.AutoEnrol, Platform: &standin.Platform{}, adjust: shape.Adjust, held: shape.HeldBytes}
 	if shape.Engines+shape.Tools > 0 {
 		cluster.Roster = &Roster{}
@@ -126,15 +151,7 @@
 	for index := range shape.Fronts {
 		cluster.Fronts = append(cluster.Fronts, cluster.addFront(index))
 	}
-	for _, machine := range cluster.Machines() {
-		if err := machine.Start(); err != nil {
-			return cluster, err
-		}
-	}
-	if err := cluster.PutConfig(rules); err != nil {
-		return cluster, err
-	}
-	return cluster, cluster.AwaitServing(20 * time.Second)
+	return cluster, nil
 }
 
 // Random draws from the cluster's seed, for what a test does to it.
@@ -156,6 +173,9 @@
 	if cluster.Seed%2 == 1 {
 		pace.CheckpointEvery = 48 // so that checkpoints are made and sent within a test
 	}
+	if cluster.adjustReplica != nil {
+		cluster.adjustReplica(&pace)
+	}
 	return pace
 }
 
