--- a/system/feed/configdelta.go
+++ b/system/feed/configdelta.go
@@ -20,10 +20,10 @@
 // ConfigDelta is a config as the difference from the one of the number Base. Digest is that
 // of the config it gives. The zero value is no difference.
 type ConfigDelta struct {
-	Base     uint64
-	Source   []byte
-	Compiled []byte
-	Digest   []byte
+	Base     uint64 `capnp:"base"`
+	Source   []byte `capnp:"source"`
+	Compiled []byte `capnp:"compiled"`
+	Digest   []byte `capnp:"digest"`
 }
 
 // digestSize is how much of a SHA-256 sum tells configs apart.
--- a/system/feed/feed.go
+++ b/system/feed/feed.go
@@ -32,31 +32,31 @@
 
 // Member is one node of the fleet.
 type Member struct {
-	Name           string
-	Role           string
-	Address        string
-	Domain         string
-	State          string
-	Administration string
+	Name           string `capnp:"name"`
+	Role           string `capnp:"role"`
+	Address        string `capnp:"address"`
+	Domain         string `capnp:"domain"`
+	State          string `capnp:"state"`
+	Administration string `capnp:"administration"`
 	// Machine is what the operator calls the node's machine; it may be empty.
-	Machine string
+	Machine string `capnp:"machine"`
 }
 
 // Runner is one model or application runner of the platform's list. Since is a wall
 // clock's word, for people; Warmed tells that it has served for its group's ramp.
 type Runner struct {
 	// Life names this start of the runner; every start has a new one. It may be empty.
-	Life    string
-	Address string
-	Group   string
-	Domain  string
-	State   string
-	Since   int64
-	Warmed  bool
-	Slots   uint32
+	Life    string `capnp:"life"`
+	Address string `capnp:"address"`
+	Group   string `capnp:"group"`
+	Domain  string `capnp:"domain"`
+	State   string `capnp:"state"`
+	Since   int64  `capnp:"since"`
+	Warmed  bool   `capnp:"warmed"`
+	Slots   uint32 `capnp:"slots"`
 	// ColdFor is how long the runner stayed cold yet when the list was read.
-	ColdFor  time.Duration
-	Revision string // of its software
+	ColdFor  time.Duration `capnp:"coldFor"`
+	Revision string        `capnp:"revision"` // of its software
 }
 
 // Identity is what a runner is known by: its life, or its address if lives are not told.
@@ -66,16 +66,16 @@
 
 // Domain is a zone, and whether it takes work.
 type Domain struct {
-	Name  string
-	State string
-	Since int64
+	Name  string `capnp:"name"`
+	State string `capnp:"state"`
+	Since int64  `capnp:"since"`
 }
 
 // Assignment is a single-node assignment: its owner holds it under a fence number.
 type Assignment struct {
-	Key   string
-	Owner string
-	Fence uint64
+	Key   string `capnp:"key"`
+	Owner string `capnp:"owner"`
+	Fence uint64 `capnp:"fence"`
 }
 
 // ChangeKind selects how a change folds.
@@ -97,61 +97,61 @@
 // writer: the change is refused unless the part it replaces is of that number. The
 // Member of a change of the store list is the one that left it emptied, if any.
 type Change struct {
-	Number     uint64
-	Kind       ChangeKind
-	At         int64
-	By         string
-	Expects    bool
-	Expected   uint64
-	Source     string
-	Compiled   []byte
-	Domain     Domain
-	Runners    []Runner
-	Member     Member
-	Members    []Member
-	Assignment Assignment
-	View       View
-	Query      string
+	Number     uint64     `capnp:"number"`
+	Kind       ChangeKind `capnp:"kind"`
+	At         int64      `capnp:"at"`
+	By         string     `capnp:"by"`
+	Expects    bool       `capnp:"expects"`
+	Expected   uint64     `capnp:"expected"`
+	Source     string     `capnp:"source"`
+	Compiled   []byte     `capnp:"compiled"`
+	Domain     Domain     `capnp:"domain"`
+	Runners    []Runner   `capnp:"runners"`
+	Member     Member     `capnp:"member"`
+	Members    []Member   `capnp:"members"`
+	Assignment Assignment `capnp:"assignment"`
+	View       View       `capnp:"view"`
+	Query      string     `capnp:"query"`
 	// Partial tells that Runners are only those that are new or other than before, and
 	// Gone the identities of those that are no longer listed.
-	Partial bool
-	Gone    []string
+	Partial bool     `capnp:"partial"`
+	Gone    []string `capnp:"gone"`
 	// FeedOrder is the digest of the operator's order that brought the change, 0 if none did.
-	FeedOrder uint64
+	FeedOrder uint64 `capnp:"feedOrder"`
 	// RoutingOrders are the orders of the routing that the change carries out, and those
 	// that were remembered elsewhere until then; their numbers are revisions.
-	RoutingOrders []TakenOrder
+	RoutingOrders []TakenOrder `capnp:"routingOrders"`
 	// RoutingForgotten is the highest revision whose order was forgotten elsewhere.
-	RoutingForgotten uint64
+	RoutingForgotten uint64 `capnp:"routingForgotten"`
 	// Delta is the config of a config change as a difference, in place of Source and
 	// Compiled.
-	Delta ConfigDelta
+	Delta ConfigDelta `capnp:"delta"`
 }
 
 // View is everything in force at one number.
 type View struct {
-	Fleet          string
-	Number         uint64
-	ConfigNumber   uint64
-	Source         string
-	Compiled       []byte
-	Domains        []Domain
-	Runners        []Runner
-	FoundingStores []Member
-	Stores         []Member
-	Controls       []Member
-	Assignments    []Assignment
-	Groups         uint32
+	Fleet          string       `capnp:"fleet"`
+	Number         uint64       `capnp:"number"`
+	ConfigNumber   uint64       `capnp:"configNumber"`
+	Source         string       `capnp:"source"`
+	Compiled       []byte       `capnp:"compiled"`
+	Domains        []Domain     `capnp:"domains"`
+	Runners        []Runner     `capnp:"runners"`
+	FoundingStores []Member     `capnp:"foundingStores"`
+	Stores         []Member     `capnp:"stores"`
+	Controls       []Member     `capnp:"controls"`
+	Assignments    []Assignment `capnp:"assignments"`
+	Groups         uint32       `capnp:"groups"`
 	// Copies is how many replicas a group has, fixed when the fleet is founded; 0 is
 	// placement.Factor.
-	Copies   uint32
-	Founding []string
+	Copies   uint32   `capnp:"copies"`
+	Founding []string `capnp:"founding"`
 	// Retired are the stores that were emptied and have left the list, the last of them.
-	Retired []Member
+	Retired []Member `capnp:"retired"`
 	// RoutingOrders are the last orders of the routing, numbered by its revisions;
 	// FeedOrders the last others, numbered by the changes that they became.
-	RoutingOrders OrderHistory
-	FeedOrders    OrderHistory
+	RoutingOrders OrderHistory `capnp:"routingOrders"`
+	FeedOrders    OrderHistory `capnp:"feedOrders"`
 }
 
 // retiredKept is how many retired stores are remembered.
--- a/system/feed/history.go
+++ b/system/feed/history.go
@@ -16,8 +16,8 @@
 // EarlierConfig is a config that was in force before, as the difference from the one that
 // replaced it, whose number is the Base of the difference.
 type EarlierConfig struct {
-	Number uint64
-	Delta  ConfigDelta
+	Number uint64      `capnp:"number"`
+	Delta  ConfigDelta `capnp:"delta"`
 }
 
 // History is how a view came about: its last changes, which bring followers up to date, and
--- a/system/feed/orders.go
+++ b/system/feed/orders.go
@@ -14,8 +14,8 @@
 // TakenOrder is an order that was carried out: a digest of what its operator sent, and
 // the number that it was given.
 type TakenOrder struct {
-	Digest uint64
-	Number uint64
+	Digest uint64 `capnp:"digest"`
+	Number uint64 `capnp:"number"`
 }
 
 // OrderHistory remembers the last orders that were carried out, so that one which is sent
@@ -24,9 +24,9 @@
 type OrderHistory struct {
 	// Packed holds the orders, oldest first, of packedOrder bytes each: it is part of
 	// every view that is sent whole, and thousands of structs would take long to encode.
-	Packed []byte
+	Packed []byte `capnp:"packed"`
 	// Forgotten is the highest number of the orders that are no longer remembered.
-	Forgotten uint64
+	Forgotten uint64 `capnp:"forgotten"`
 }
 
 // packedOrder is how many bytes one order takes: the digest, then the number.
--- a/system/line/openings.go
+++ b/system/line/openings.go
@@ -48,10 +48,10 @@
 
 // OpeningRecord is an opening as checkpoints carry it.
 type OpeningRecord struct {
-	Name  string
-	Scope string
-	Data  []byte
-	Until int64
+	Name  string `capnp:"name"`
+	Scope string `capnp:"scope"`
+	Data  []byte `capnp:"data"`
+	Until int64  `capnp:"until"`
 }
 
 // OpeningName names an opening by its scope, its length and a digest.
--- a/system/line/types.go
+++ b/system/line/types.go
@@ -128,8 +128,8 @@
 // AdoptedTurn is a turn that was answered whole in another line: its input with its
 // output.
 type AdoptedTurn struct {
-	Name string
-	Data []byte
+	Name string `capnp:"name"`
+	Data []byte `capnp:"data"`
 }
 
 // Status tells how a command ended.
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -25,30 +25,30 @@
 
 // Query is what one process asks another. Which tells the filled field.
 type Query struct {
-	Version   uint32
-	Fleet     string
+	Version   uint32 `capnp:"version"`
+	Fleet     string `capnp:"fleet"`
 	Which     schema.Query_Which
-	Status    *StatusQuery
-	Agreement *AgreementBatch
-	Command   *CommandQuery
-	Read      *ReadQuery
-	Follow    *FollowQuery
-	Hold      *HoldQuery
-	Newest    *NewestQuery
-	Sessions  *SessionBatch
-	PutCold   *ColdChunkBatch
-	Change    *ChangeQuery
-	Digests   *DigestQuery
-	GetCold   *GetColdQuery
-	Runner    *RunnerNote
-	Find      *FindQuery
-	Opening   *OpeningQuery
+	Status    *StatusQuery    `capnp:"status"`
+	Agreement *AgreementBatch `capnp:"agreement"`
+	Command   *CommandQuery   `capnp:"command"`
+	Read      *ReadQuery      `capnp:"read"`
+	Follow    *FollowQuery    `capnp:"follow"`
+	Hold      *HoldQuery      `capnp:"hold"`
+	Newest    *NewestQuery    `capnp:"newest"`
+	Sessions  *SessionBatch   `capnp:"sessions"`
+	PutCold   *ColdChunkBatch `capnp:"putCold"`
+	Change    *ChangeQuery    `capnp:"change"`
+	Digests   *DigestQuery    `capnp:"digests"`
+	GetCold   *GetColdQuery   `capnp:"getCold"`
+	Runner    *RunnerNote     `capnp:"runner"`
+	Find      *FindQuery      `capnp:"find"`
+	Opening   *OpeningQuery   `capnp:"opening"`
 	// Forwarded tells that a process passes on what it was asked itself; it is not passed
 	// on again.
-	Forwarded bool
+	Forwarded bool `capnp:"forwarded"`
 	// To is the name of the process that is meant; another one that listens at its address
 	// refuses. "" means whoever listens there.
-	To string
+	To string `capnp:"to"`
 }
 
 // Misaddressed gives the refusal of a query that is meant for another process, or nil.
@@ -65,27 +65,27 @@
 
 // Reply answers a Query; a Error with a Kind says that it failed.
 type Reply struct {
-	Failure  Failure
+	Failure  Failure `capnp:"failure"`
 	Which    schema.Reply_Which
-	Status   *StatusReply
-	Outcomes *OutcomeList
-	Read     *ReadReply
-	Follow   *FollowReply
-	Newest   *NewestReply
-	Change   *ChangeReply
-	Digests  *DigestReply
-	Chunks   *ColdChunkBatch
-	Found    *FindReply
-	Opening  *line.OpeningRecord
+	Status   *StatusReply        `capnp:"status"`
+	Outcomes *OutcomeList        `capnp:"outcomes"`
+	Read     *ReadReply          `capnp:"read"`
+	Follow   *FollowReply        `capnp:"follow"`
+	Newest   *NewestReply        `capnp:"newest"`
+	Change   *ChangeReply        `capnp:"change"`
+	Digests  *DigestReply        `capnp:"digests"`
+	Chunks   *ColdChunkBatch     `capnp:"chunks"`
+	Found    *FindReply          `capnp:"found"`
+	Opening  *line.OpeningRecord `capnp:"opening"`
 }
 
 // Failure is a typed failure on its way.
 type Failure struct {
-	Kind       string
-	Message    string
-	Remedy     string
-	Leader     string
-	RetryAfter time.Duration
+	Kind       string        `capnp:"kind"`
+	Message    string        `capnp:"message"`
+	Remedy     string        `capnp:"remedy"`
+	Leader     string        `capnp:"leader"`
+	RetryAfter time.Duration `capnp:"retryAfter"`
 }
 
 // AgreementBatch carries messages of many groups, all of one node to one other.
@@ -103,71 +103,71 @@
 
 // StatusQuery asks a process who it is, and, if Traffic is set, what it said so far.
 type StatusQuery struct {
-	Address string
-	Traffic bool
+	Address string `capnp:"address"`
+	Traffic bool   `capnp:"traffic"`
 	// Openings asks for the openings that the groups led there hold.
-	Openings bool
+	Openings bool `capnp:"openings"`
 }
 
 // KindTraffic counts the queries of one kind that a process asked and answered since
 // it started, and the bytes of their messages, queries and replies, both ways.
 type KindTraffic struct {
-	Kind     string
-	Asked    uint64
-	Answered uint64
-	BytesOut uint64
-	BytesIn  uint64
+	Kind     string `capnp:"kind"`
+	Asked    uint64 `capnp:"asked"`
+	Answered uint64 `capnp:"answered"`
+	BytesOut uint64 `capnp:"bytesOut"`
+	BytesIn  uint64 `capnp:"bytesIn"`
 }
 
 // StatusReply tells who a process is.
 type StatusReply struct {
-	Name     string
-	Role     string
-	Address  string
-	Domain   string
-	Empty    bool
-	Fleet    string
-	Number   uint64
-	Leader   string
-	Controls []feed.Member
-	Founding []string
-	Groups   []GroupStatus
-	Demand   []RunnerDemand
-	Waiting  uint32
-	Traffic  []KindTraffic
+	Name     string         `capnp:"name"`
+	Role     string         `capnp:"role"`
+	Address  string         `capnp:"address"`
+	Domain   string         `capnp:"domain"`
+	Empty    bool           `capnp:"empty"`
+	Fleet    string         `capnp:"fleet"`
+	Number   uint64         `capnp:"number"`
+	Leader   string         `capnp:"leader"`
+	Controls []feed.Member  `capnp:"controls"`
+	Founding []string       `capnp:"founding"`
+	Groups   []GroupStatus  `capnp:"groups"`
+	Demand   []RunnerDemand `capnp:"demand"`
+	Waiting  uint32         `capnp:"waiting"`
+	Traffic  []KindTraffic  `capnp:"traffic"`
 }
 
 // RunnerDemand is what a front has out to a runner, and whether it takes the runner
 // for just started.
 type RunnerDemand struct {
-	Address string
-	Out     uint32
-	Cooled  bool
+	Address string `capnp:"address"`
+	Out     uint32 `capnp:"out"`
+	Cooled  bool   `capnp:"cooled"`
 }
 
 // GroupStatus is a replica's word on one group; only a leader's counts.
 type GroupStatus struct {
-	Group    uint32
-	Leading  bool
-	Voters   []string
-	Learners []string
-	Openings []OpeningStatus
+	Group    uint32          `capnp:"group"`
+	Leading  bool            `capnp:"leading"`
+	Voters   []string        `capnp:"voters"`
+	Learners []string        `capnp:"learners"`
+	Openings []OpeningStatus `capnp:"openings"`
 }
 
 // OpeningStatus tells of an opening that a group holds once for many lines; Size is in
 // bytes. It never carries its content.
 type OpeningStatus struct {
-	Name    string
-	Scope   string
-	Size    uint64
-	Lines   uint64
-	Damaged bool
+	Name    string `capnp:"name"`
+	Scope   string `capnp:"scope"`
+	Size    uint64 `capnp:"size"`
+	Lines   uint64 `capnp:"lines"`
+	Damaged bool   `capnp:"damaged"`
 }
 
 // OpeningQuery asks a replica for its copy of an opening.
 type OpeningQuery struct {
-	Group uint32
-	Name  string
+	Group uint32 `capnp:"group"`
+	Name  string `capnp:"name"`
 }
 
 // CommandQuery asks a group's leader to commit commands.
@@ -184,16 +184,18 @@
 }
 
 // FindQuery asks a store whether a group that it leads knows a turn of a program.
-type FindQuery struct{ Name string }
+type FindQuery struct {
+	Name string `capnp:"name"`
+}
 
 // FindReply answers a FindQuery for the groups that a quorum confirmed the store to
 // lead. Chain is the turn found with all that it follows, oldest first; Open tells of
 // a turn that has not ended.
 type FindReply struct {
-	Covered []uint32
-	Found   bool
-	Open    bool
-	Chain   []line.AdoptedTurn
+	Covered []uint32           `capnp:"covered"`
+	Found   bool               `capnp:"found"`
+	Open    bool               `capnp:"open"`
+	Chain   []line.AdoptedTurn `capnp:"chain"`
 }
 
 // ReadQuery asks a group's leader for a line, or for a tally. With Wait it holds
@@ -249,49 +251,49 @@
 // DigestQuery asks a store for the sums of a group's cold lines, one a bucket; with
 // buckets named, for the digests of the ranges in these.
 type DigestQuery struct {
-	Group   uint32
-	Buckets []uint32
+	Group   uint32   `capnp:"group"`
+	Buckets []uint32 `capnp:"buckets"`
 }
 
 // RangeDigest is the digest of one cold range.
 type RangeDigest struct {
-	Line   string
-	First  uint64
-	Last   uint64
-	Digest []byte
+	Line   string `capnp:"line"`
+	First  uint64 `capnp:"first"`
+	Last   uint64 `capnp:"last"`
+	Digest []byte `capnp:"digest"`
 }
 
 // DigestReply answers a DigestQuery.
 type DigestReply struct {
-	Ranges []RangeDigest
-	Sums   []uint64
+	Ranges []RangeDigest `capnp:"ranges"`
+	Sums   []uint64      `capnp:"sums"`
 }
 
 // GetColdQuery asks a store for its own cold events of a line.
 type GetColdQuery struct {
-	Line    string
-	After   uint64
-	Through uint64
+	Line    string `capnp:"line"`
+	After   uint64 `capnp:"after"`
+	Through uint64 `capnp:"through"`
 }
 
 // RunnerNote tells the other fronts that a runner looks just started, or that it
 // has answered again since.
 type RunnerNote struct {
-	Address string
-	Cooled  bool
+	Address string `capnp:"address"`
+	Cooled  bool   `capnp:"cooled"`
 }
 
 // FollowQuery renews a node's session and asks for changes after a number. The
 // answer counts as confirmed by a control quorum. With Wait it is held so long while
 // nothing changes. Known is the digest of the members that the asker knows.
 type FollowQuery struct {
-	Member      feed.Member
-	After       uint64
-	SessionOnly bool
-	Wait        time.Duration
-	Known       uint64
+	Member      feed.Member   `capnp:"member"`
+	After       uint64        `capnp:"after"`
+	SessionOnly bool          `capnp:"sessionOnly"`
+	Wait        time.Duration `capnp:"wait"`
+	Known       uint64        `capnp:"known"`
 	// Packed tells that the asker reads packed views and config differences.
-	Packed bool
+	Packed bool `capnp:"packed"`
 }
 
 // FollowReply answers a FollowQuery. Held is how long after the query came the
@@ -300,18 +302,18 @@
 // content is in force at Newest; it is negative if the list was read later than that, and
 // means nothing without RosterRead.
 type FollowReply struct {
-	Newest  uint64
-	Reset   bool
-	View    feed.View
-	Changes []feed.Change
-	Members []feed.Member
-	Held    time.Duration
-	Known   uint64
-
-	RosterRead bool
-	RosterAge  time.Duration
+	Newest  uint64        `capnp:"newest"`
+	Reset   bool          `capnp:"reset"`
+	View    feed.View     `capnp:"view"`
+	Changes []feed.Change `capnp:"changes"`
+	Members []feed.Member `capnp:"members"`
+	Held    time.Duration `capnp:"held"`
+	Known   uint64        `capnp:"known"`
+
+	RosterRead bool          `capnp:"rosterRead"`
+	RosterAge  time.Duration `capnp:"rosterAge"`
 	// PackedView is the View, packed; the same bytes go to all who ask.
-	PackedView []byte
+	PackedView []byte `capnp:"packedView"`
 }
 
 // Whole gives the view that an answer brings in place of changes.
@@ -331,9 +333,9 @@
 // HoldQuery gives a store a view to sync: whole, or as the Changes that follow on what it
 // holds.
 type HoldQuery struct {
-	View       feed.View
-	PackedView []byte
-	Changes    []feed.Change
+	View       feed.View     `capnp:"view"`
+	PackedView []byte        `capnp:"packedView"`
+	Changes    []feed.Change `capnp:"changes"`
 }
 
 // From gives the view to hold, to one who holds a view.
@@ -350,17 +352,17 @@
 // NewestQuery asks a store for the newest view it has synced. Packed tells that the asker
 // reads packed views.
 type NewestQuery struct {
-	After  uint64
-	Packed bool
+	After  uint64 `capnp:"after"`
+	Packed bool   `capnp:"packed"`
 }
 
 // NewestReply answers a NewestQuery; View is filled if it is newer than asked.
 type NewestReply struct {
-	Number uint64
-	View   feed.View
+	Number uint64    `capnp:"number"`
+	View   feed.View `capnp:"view"`
 	// Controlled tells that a control quorum of this fleet was heard lately.
-	Controlled bool
-	PackedView []byte
+	Controlled bool   `capnp:"controlled"`
+	PackedView []byte `capnp:"packedView"`
 }
 
 // Whole gives the view that is newer than asked, or an empty one.
@@ -372,37 +374,37 @@
 
 // SessionBatch tells the sessions that a control node holds.
 type SessionBatch struct {
-	From     string
-	Sessions []SessionNote
+	From     string        `capnp:"from"`
+	Sessions []SessionNote `capnp:"sessions"`
 }
 
 // SessionNote is one session and how long ago it was renewed.
 type SessionNote struct {
-	Member feed.Member
-	Age    time.Duration
+	Member feed.Member   `capnp:"member"`
+	Age    time.Duration `capnp:"age"`
 }
 
 // ChangeQuery asks the control leader for a change of the feed. With Await it asks only
 // that the view of this number, or a newer one, be held by a store majority.
 type ChangeQuery struct {
-	Change feed.Change
-	Await  uint64
+	Change feed.Change `capnp:"change"`
+	Await  uint64      `capnp:"await"`
 }
 
 // ChangeReply tells a change's number and whether it is acknowledged.
 type ChangeReply struct {
-	Number       uint64
-	Acknowledged bool
+	Number       uint64 `capnp:"number"`
+	Acknowledged bool   `capnp:"acknowledged"`
 }
 
 // ControlImage is the control group's snapshot. In the first version it has a View and
 // whole Changes, since then a PackedView and a feed.History.
 type ControlImage struct {
-	Version    uint32
-	View       feed.View
-	Changes    []feed.Change
-	PackedView []byte
-	Earlier    []feed.EarlierConfig
+	Version    uint32               `capnp:"version"`
+	View       feed.View            `capnp:"view"`
+	Changes    []feed.Change        `capnp:"changes"`
+	PackedView []byte               `capnp:"packedView"`
+	Earlier    []feed.EarlierConfig `capnp:"earlier"`
 }
 
 // rooted adapts a generated constructor of a root struct.
