--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -72,7 +72,7 @@
 // slowDisk is a real folder whose syncs take as long as those of a slow disk, and
 // are counted.
 type slowDisk struct {
-	files.Folder
+	files.Directory
 	syncs *atomic.Int64
 	takes time.Duration
 }
@@ -81,7 +81,7 @@
 func (disk slowDisk) Sync(name string) error {
 	disk.syncs.Add(1)
 	time.Sleep(disk.takes)
-	return disk.Folder.Sync(name)
+	return disk.Directory.Sync(name)
 }
 
 // bytesOut are the bytes of messages that all nodes sent so far, by kind of query.
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	fleet := &storesOnLoopback{network: &counted{}, syncs: &atomic.Int64{}, folder: folder, ends: []func(){func() { os.RemoveAll(folder) }}}
-	open := func(name string) files.Folder {
+	open := func(name string) files.Directory {
 		made, failed := files.Open(filepath.Join(folder, name))
 		err = errors.Join(err, failed)
 		return slowDisk{made, fleet.syncs, takes}
@@ -144,13 +144,13 @@
 	seeds := free[:3]
 	for index, address := range seeds {
 		name := []string{"east", "middle", "west"}[index]
-		control, failed := controlplane.Start(controlplane.Settings{Address: address, Administration: free[3+index], Domain: name, Seeds: seeds, FoundingStores: 3, Groups: 32, MostControls: 3, Replica: replica.Usual(uint64(index))},
+		control, failed := controlplane.Start(controlplane.Settings{Address: address, Administration: free[3+index], Domain: name, Seeds: seeds, FoundingStores: 3, Groups: 32, MostControls: 3, Replica: replica.DefaultSettings(uint64(index))},
 			open("control"+name), fleet.network)
 		if failed != nil {
 			return fleet, failed
 		}
 		fleet.ends = append(fleet.ends, control.Close)
-		node, failed := store.Start(store.Settings{Address: free[6+index], Domain: name, Seeds: seeds, Replica: replica.Usual(uint64(10 + index))}, open("store"+name), open("cold"+name), fleet.network)
+		node, failed := store.Start(store.Settings{Address: free[6+index], Domain: name, Seeds: seeds, Replica: replica.DefaultSettings(uint64(10 + index))}, open("store"+name), open("cold"+name), fleet.network)
 		if failed != nil {
 			return fleet, failed
 		}
--- a/proof/modelcheck/enabled.go
+++ b/proof/modelcheck/enabled.go
@@ -53,10 +53,10 @@
 			found = append(found, Action{Kind: ActionCrash, Replica: one.name, Count: stored})
 		}
 	}
-	if world.allowed(limits, ActionWipe) && one.disk.Checkpoint.Index > 0 {
+	if world.allowed(limits, ActionWipe) && one.disk.Snapshot.Index > 0 {
 		found = append(found, Action{Kind: ActionWipe, Replica: one.name})
 	}
-	if world.allowed(limits, ActionCompact) && one.core.SinceCheckpoint() > 0 {
+	if world.allowed(limits, ActionCompact) && one.core.EntriesSinceSnapshot() > 0 {
 		found = append(found, Action{Kind: ActionCompact, Replica: one.name})
 	}
 	if leader := one.status.Leader; world.allowed(limits, ActionSuspect) && leader != "" && leader != one.name {
@@ -77,7 +77,7 @@
 		found = append(found, Action{Kind: ActionRead, Replica: one.name})
 	}
 	if world.allowed(limits, ActionHandOver) {
-		for _, peer := range one.status.Replicas.Voters {
+		for _, peer := range one.status.Membership.Voters {
 			if peer != one.name {
 				found = append(found, Action{Kind: ActionHandOver, Replica: one.name, Peer: peer})
 			}
@@ -90,7 +90,7 @@
 }
 
 func (world *World) addChanges(found []Action, leader *replica) []Action {
-	members := leader.status.Replicas
+	members := leader.status.Membership
 	for _, peer := range world.replicas {
 		action := Action{Kind: ActionChange, Replica: leader.name, Peer: peer.name}
 		isVoter := slices.Contains(members.Voters, peer.name)
--- a/proof/modelcheck/forged_test.go
+++ b/proof/modelcheck/forged_test.go
@@ -24,7 +24,7 @@
 				script.Propose("a")
 				script.DropAll()
 				last := script.world.replica("a").status
-				script.arrivesLate(agreement.Message{Kind: agreement.MessageAppendReply, From: "b", To: "a", Term: last.Term, Index: last.Last})
+				script.arrivesLate(agreement.Message{Kind: agreement.MessageAppendReply, From: "b", To: "a", Term: last.Term, Index: last.LastIndex})
 			},
 		},
 		{
--- a/proof/modelcheck/history.go
+++ b/proof/modelcheck/history.go
@@ -10,7 +10,7 @@
 // history is what happened so far, as far as the invariants speak of it. No replica
 // sees it.
 type history struct {
-	founding  agreement.Replicas
+	founding  agreement.Membership
 	leaders   []leadership
 	committed []commitment // of the indices from foundingIndex+1 on
 	reads     []question   // that are not answered yet
@@ -36,7 +36,7 @@
 	committed uint64
 }
 
-func (history *history) found(replicas agreement.Replicas) { history.founding = replicas }
+func (history *history) found(replicas agreement.Membership) { history.founding = replicas }
 
 func (history *history) fork() history {
 	copied := *history
@@ -67,11 +67,11 @@
 }
 
 // replicasAt gives the membership as of a committed index.
-func (history *history) replicasAt(index uint64) agreement.Replicas {
+func (history *history) replicasAt(index uint64) agreement.Membership {
 	for ; index > foundingIndex; index-- {
 		found, known := history.committedAt(index)
-		if known && found.entry.Kind == agreement.EntryReplicas {
-			return found.entry.Replicas
+		if known && found.entry.Kind == agreement.EntryMembership {
+			return found.entry.Membership
 		}
 	}
 	return history.founding
--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -45,7 +45,7 @@
 // view is what the checks compare a replica's next state with.
 type view struct {
 	status agreement.Status
-	image  agreement.Stored
+	image  agreement.PersistentState
 }
 
 func (world *World) violate(broken Invariant, format string, arguments ...any) {
@@ -59,7 +59,7 @@
 	world.checkProgress(stepped, before)
 	world.checkApplied(stepped, before, output)
 	world.checkKept(stepped.name+"'s log", before.image, stepped.image)
-	world.checkCheckpoint(stepped.name, stepped.image.Checkpoint)
+	world.checkCheckpoint(stepped.name, stepped.image.Snapshot)
 	world.checkLeader(stepped, before)
 	for _, other := range world.replicas {
 		if other != stepped {
@@ -71,41 +71,41 @@
 	for _, message := range output.Messages {
 		world.checkPromise(stepped, message)
 	}
-	for _, answer := range output.Reads {
+	for _, answer := range output.ReadResults {
 		world.checkRead(stepped, answer)
 	}
 }
 
 func (world *World) checkProgress(stepped *replica, before view) {
 	now := stepped.status
-	if now.Term < before.status.Term || now.Commit < before.status.Commit {
+	if now.Term < before.status.Term || now.CommitIndex < before.status.CommitIndex {
 		world.violate(NothingGoesBack, "%s went from term %d commit %d to term %d commit %d", stepped.name,
-			before.status.Term, before.status.Commit, now.Term, now.Commit)
+			before.status.Term, before.status.CommitIndex, now.Term, now.CommitIndex)
 	}
 	world.checkState(stepped.name, before.image, stepped.image)
 }
 
 // checkState looks at the term, vote and checkpoint of a core or of a disk.
-func (world *World) checkState(name string, before, after agreement.Stored) {
-	if after.State.Term < before.State.Term || after.Checkpoint.Index < before.Checkpoint.Index {
+func (world *World) checkState(name string, before, after agreement.PersistentState) {
+	if after.HardState.Term < before.HardState.Term || after.Snapshot.Index < before.Snapshot.Index {
 		world.violate(NothingGoesBack, "%s went from term %d checkpoint %d to term %d checkpoint %d", name,
-			before.State.Term, before.Checkpoint.Index, after.State.Term, after.Checkpoint.Index)
+			before.HardState.Term, before.Snapshot.Index, after.HardState.Term, after.Snapshot.Index)
 	}
-	if after.State.Term == before.State.Term && before.State.Voted != "" && after.State.Voted != before.State.Voted {
-		world.violate(NothingGoesBack, "%s voted for %s and then for %q in term %d", name, before.State.Voted, after.State.Voted, after.State.Term)
+	if after.HardState.Term == before.HardState.Term && before.HardState.VotedFor != "" && after.HardState.VotedFor != before.HardState.VotedFor {
+		world.violate(NothingGoesBack, "%s voted for %s and then for %q in term %d", name, before.HardState.VotedFor, after.HardState.VotedFor, after.HardState.Term)
 	}
 }
 
 // checkDisk checks what a write did to a disk.
-func (world *World) checkDisk(owner *replica, before agreement.Stored) {
+func (world *World) checkDisk(owner *replica, before agreement.PersistentState) {
 	world.checkState(owner.name+"'s disk", before, owner.disk)
 	world.checkKept(owner.name+"'s disk", before, owner.disk)
 }
 
 func (world *World) checkRestart(restarted *replica) {
-	world.checkCheckpoint(restarted.name, restarted.image.Checkpoint)
-	if restarted.status.Term != restarted.disk.State.Term {
-		world.violate(NothingGoesBack, "%s restarted in term %d with term %d on its disk", restarted.name, restarted.status.Term, restarted.disk.State.Term)
+	world.checkCheckpoint(restarted.name, restarted.image.Snapshot)
+	if restarted.status.Term != restarted.disk.HardState.Term {
+		world.violate(NothingGoesBack, "%s restarted in term %d with term %d on its disk", restarted.name, restarted.status.Term, restarted.disk.HardState.Term)
 	}
 	for _, other := range world.replicas {
 		if other != restarted {
@@ -116,26 +116,26 @@
 
 // checkApplied takes the entries that a step committed into the history.
 func (world *World) checkApplied(stepped *replica, before view, output agreement.Output) {
-	applied := before.status.Commit
-	if output.Restore != nil {
+	applied := before.status.CommitIndex
+	if output.Snapshot != nil {
 		world.outcomes.Restores++
-		world.checkRestore(stepped, *output.Restore)
-		applied = output.Restore.Index
+		world.checkRestore(stepped, *output.Snapshot)
+		applied = output.Snapshot.Index
 	}
-	for _, entry := range output.Committed {
+	for _, entry := range output.CommittedEntries {
 		if entry.Index != applied+1 {
 			world.violate(StateMachineSafety, "%s applied %d after %d", stepped.name, entry.Index, applied)
 		}
 		applied = entry.Index
 		world.checkCommitted(stepped, before, entry)
 	}
-	if applied != stepped.core.Applied() || applied != stepped.status.Commit {
+	if applied != stepped.core.Applied() || applied != stepped.status.CommitIndex {
 		world.violate(StateMachineSafety, "%s gave entries up to %d for applying, tells %d and has committed %d", stepped.name,
-			applied, stepped.core.Applied(), stepped.status.Commit)
+			applied, stepped.core.Applied(), stepped.status.CommitIndex)
 	}
 }
 
-func (world *World) checkRestore(stepped *replica, point agreement.Checkpoint) {
+func (world *World) checkRestore(stepped *replica, point agreement.Snapshot) {
 	world.checkCheckpoint(stepped.name, point)
 	if !world.model.isImage(point.Data, point.Index) {
 		world.violate(StateMachineSafety, "%s restores %q at index %d", stepped.name, point.Data, point.Index)
@@ -154,7 +154,7 @@
 		world.violate(StateMachineSafety, "%s, which does not lead, applies %s before any leader has committed it", stepped.name, describeEntry(entry))
 	}
 	world.outcomes.Commits++
-	if entry.Kind == agreement.EntryReplicas {
+	if entry.Kind == agreement.EntryMembership {
 		world.outcomes.Changes++
 	}
 	world.history.committed = append(world.history.committed, commitment{entry: entry, term: before.status.Term})
@@ -163,7 +163,7 @@
 
 // checkMajority wants a newly committed entry on the disks of a majority.
 func (world *World) checkMajority(leader *replica, entry agreement.Entry) {
-	voters := leader.status.Replicas.Voters
+	voters := leader.status.Membership.Voters
 	holders := []string{}
 	for _, name := range voters {
 		if voter := world.replica(name); voter != nil && holds(voter.disk, entry) {
@@ -176,7 +176,7 @@
 }
 
 // checkKept wants every committed entry that was there before a step to be there after it.
-func (world *World) checkKept(where string, before, after agreement.Stored) {
+func (world *World) checkKept(where string, before, after agreement.PersistentState) {
 	for _, known := range world.history.committed {
 		if holds(before, known.entry) && !holds(after, known.entry) {
 			world.violate(CommittedStays, "%s loses %s, which is committed", where, describeEntry(known.entry))
@@ -184,7 +184,7 @@
 	}
 }
 
-func (world *World) checkCheckpoint(name string, point agreement.Checkpoint) {
+func (world *World) checkCheckpoint(name string, point agreement.Snapshot) {
 	if point.Index == 0 {
 		return
 	}
@@ -193,8 +193,8 @@
 		world.violate(StateMachineSafety, "%s has a checkpoint at %d of term %d, where term %d is committed", name, point.Index, point.Term, term)
 		return
 	}
-	if want := world.history.replicasAt(point.Index); !sameReplicas(want, point.Replicas) {
-		world.violate(StateMachineSafety, "%s has a checkpoint at %d with the members %v, where %v are committed", name, point.Index, point.Replicas, want)
+	if want := world.history.replicasAt(point.Index); !sameReplicas(want, point.Membership) {
+		world.violate(StateMachineSafety, "%s has a checkpoint at %d with the members %v, where %v are committed", name, point.Index, point.Membership, want)
 	}
 }
 
@@ -219,9 +219,9 @@
 // checkLogsMatch compares two logs from the top: below an index at which both have the
 // same term, they are equal.
 func (world *World) checkLogsMatch(one, other *replica) {
-	lowest := max(one.image.Checkpoint.Index, other.image.Checkpoint.Index)
+	lowest := max(one.image.Snapshot.Index, other.image.Snapshot.Index)
 	matching := false
-	for index := min(one.status.Last, other.status.Last); index >= lowest && index > 0; index-- {
+	for index := min(one.status.LastIndex, other.status.LastIndex); index >= lowest && index > 0; index-- {
 		same := termAt(one.image, index) == termAt(other.image, index)
 		if matching && !same {
 			world.violate(LogMatching, "%s and %s differ at %d though they agree on the term of a later index", one.name, other.name, index)
@@ -237,22 +237,22 @@
 
 // checkVoters looks at the voter sets of one log, in their order.
 func (world *World) checkVoters(stepped *replica) {
-	before := stepped.image.Checkpoint.Replicas.Voters
+	before := stepped.image.Snapshot.Membership.Voters
 	uncommitted := 0
 	for _, entry := range stepped.image.Entries {
-		if entry.Kind != agreement.EntryReplicas {
+		if entry.Kind != agreement.EntryMembership {
 			continue
 		}
 		if entry.Index > world.history.highest() {
 			uncommitted++
 		}
-		if len(before) > 0 && !majoritiesOverlap(before, entry.Replicas.Voters) {
-			world.violate(MajoritiesOverlap, "the log of %s goes from voters %v to %v at %d", stepped.name, before, entry.Replicas.Voters, entry.Index)
+		if len(before) > 0 && !majoritiesOverlap(before, entry.Membership.Voters) {
+			world.violate(MajoritiesOverlap, "the log of %s goes from voters %v to %v at %d", stepped.name, before, entry.Membership.Voters, entry.Index)
 		}
-		if voters := slices.Sorted(slices.Values(entry.Replicas.Voters)); len(slices.Compact(voters)) < len(entry.Replicas.Voters) {
-			world.violate(MajoritiesOverlap, "the log of %s names a voter twice in %v at %d", stepped.name, entry.Replicas.Voters, entry.Index)
+		if voters := slices.Sorted(slices.Values(entry.Membership.Voters)); len(slices.Compact(voters)) < len(entry.Membership.Voters) {
+			world.violate(MajoritiesOverlap, "the log of %s names a voter twice in %v at %d", stepped.name, entry.Membership.Voters, entry.Index)
 		}
-		before = entry.Replicas.Voters
+		before = entry.Membership.Voters
 	}
 	if uncommitted > 1 {
 		world.violate(MajoritiesOverlap, "the log of %s has %d membership changes that are not committed", stepped.name, uncommitted)
@@ -261,10 +261,10 @@
 
 // checkChange looks at a membership change that a leader took on.
 func (world *World) checkChange(stepped *replica, before view, input agreement.Input, output agreement.Output) {
-	if input.Kind != agreement.InputReplicas || output.ProposedIndex == 0 {
+	if input.Kind != agreement.InputChangeMembership || output.ProposedIndex == 0 {
 		return
 	}
-	if termAt(before.image, before.status.Commit) != before.status.Term {
+	if termAt(before.image, before.status.CommitIndex) != before.status.Term {
 		world.violate(MajoritiesOverlap, "%s takes a membership change before it has committed an entry of its term %d", stepped.name, before.status.Term)
 	}
 }
@@ -285,21 +285,21 @@
 	disk := sender.disk
 	term := message.Term
 	switch {
-	case message.Kind == agreement.MessagePreVote, message.Kind == agreement.MessagePreVoteReply && !message.Refused:
+	case message.Kind == agreement.MessagePreVote, message.Kind == agreement.MessagePreVoteReply && !message.Rejected:
 		return // they speak of a term that nobody has entered
-	case disk.State.Term < term:
-		world.violate(PromisesAreStored, "%s sends %q with term %d on its disk", sender.name, describeMessage(&message), disk.State.Term)
-	case disk.State.Term > term || message.Refused:
+	case disk.HardState.Term < term:
+		world.violate(PromisesAreStored, "%s sends %q with term %d on its disk", sender.name, describeMessage(&message), disk.HardState.Term)
+	case disk.HardState.Term > term || message.Rejected:
 		return // the promise was overtaken by a later term, or is none
 	}
 	switch message.Kind {
 	case agreement.MessageVote:
-		if disk.State.Voted != sender.name {
-			world.violate(PromisesAreStored, "%s stands in term %d with a vote for %q on its disk", sender.name, term, disk.State.Voted)
+		if disk.HardState.VotedFor != sender.name {
+			world.violate(PromisesAreStored, "%s stands in term %d with a vote for %q on its disk", sender.name, term, disk.HardState.VotedFor)
 		}
 	case agreement.MessageVoteReply:
-		if disk.State.Voted != message.To {
-			world.violate(PromisesAreStored, "%s votes for %s in term %d with a vote for %q on its disk", sender.name, message.To, term, disk.State.Voted)
+		if disk.HardState.VotedFor != message.To {
+			world.violate(PromisesAreStored, "%s votes for %s in term %d with a vote for %q on its disk", sender.name, message.To, term, disk.HardState.VotedFor)
 		}
 	case agreement.MessageAppendReply:
 		if lastOf(disk) < message.Index {
@@ -308,9 +308,9 @@
 	}
 }
 
-func (world *World) checkRead(stepped *replica, answer agreement.ReadAnswer) {
+func (world *World) checkRead(stepped *replica, answer agreement.ReadResult) {
 	asked, known := world.history.answer(answer.Context)
-	if !known || answer.Refused {
+	if !known || answer.Rejected {
 		return
 	}
 	world.outcomes.ConfirmedReads++
@@ -319,31 +319,31 @@
 	}
 }
 
-func lastOf(stored agreement.Stored) uint64 {
+func lastOf(stored agreement.PersistentState) uint64 {
 	if count := len(stored.Entries); count > 0 {
 		return stored.Entries[count-1].Index
 	}
-	return stored.Checkpoint.Index
+	return stored.Snapshot.Index
 }
 
-func entryAt(stored agreement.Stored, index uint64) (agreement.Entry, bool) {
+func entryAt(stored agreement.PersistentState, index uint64) (agreement.Entry, bool) {
 	if len(stored.Entries) == 0 || index < stored.Entries[0].Index || index > lastOf(stored) {
 		return agreement.Entry{}, false
 	}
 	return stored.Entries[index-stored.Entries[0].Index], true
 }
 
-func termAt(stored agreement.Stored, index uint64) uint64 {
-	if index == stored.Checkpoint.Index {
-		return stored.Checkpoint.Term
+func termAt(stored agreement.PersistentState, index uint64) uint64 {
+	if index == stored.Snapshot.Index {
+		return stored.Snapshot.Term
 	}
 	entry, _ := entryAt(stored, index)
 	return entry.Term
 }
 
 // holds tells that a log has an entry, or a checkpoint that stands for it.
-func holds(stored agreement.Stored, entry agreement.Entry) bool {
-	if stored.Checkpoint.Index >= entry.Index {
+func holds(stored agreement.PersistentState, entry agreement.Entry) bool {
+	if stored.Snapshot.Index >= entry.Index {
 		return true
 	}
 	found, there := entryAt(stored, entry.Index)
@@ -352,9 +352,9 @@
 
 func sameEntry(one, other agreement.Entry) bool {
 	return one.Index == other.Index && one.Term == other.Term && one.Kind == other.Kind &&
-		bytes.Equal(one.Data, other.Data) && sameReplicas(one.Replicas, other.Replicas)
+		bytes.Equal(one.Data, other.Data) && sameReplicas(one.Membership, other.Membership)
 }
 
-func sameReplicas(one, other agreement.Replicas) bool {
+func sameReplicas(one, other agreement.Membership) bool {
 	return slices.Equal(one.Voters, other.Voters) && slices.Equal(one.Learners, other.Learners)
 }
--- a/proof/modelcheck/message.go
+++ b/proof/modelcheck/message.go
@@ -24,8 +24,8 @@
 	agreement.MessageVoteReply:    "vote reply",
 	agreement.MessageAppend:       "append",
 	agreement.MessageAppendReply:  "append reply",
-	agreement.MessageCheckpoint:   "checkpoint",
-	agreement.MessageElectNow:     "elect now",
+	agreement.MessageSnapshot:     "checkpoint",
+	agreement.MessageTimeoutNow:   "elect now",
 
 	agreement.MessageSnapshotChunk: "snapshot chunk",
 	agreement.MessageSnapshotReply: "snapshot reply",
@@ -39,14 +39,14 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s->%s term %d index %d/%d commit %d round %d", name, message.From, message.To,
 		message.Term, message.Index, message.LogTerm, message.Commit, message.Round)
-	if message.Refused {
+	if message.Rejected {
 		text.WriteString(" refused")
 	}
 	for _, entry := range message.Entries {
 		fmt.Fprintf(&text, " [%s]", describeEntry(entry))
 	}
-	if message.Checkpoint.Index > 0 {
-		fmt.Fprintf(&text, " checkpoint %d/%d", message.Checkpoint.Index, message.Checkpoint.Term)
+	if message.Snapshot.Index > 0 {
+		fmt.Fprintf(&text, " checkpoint %d/%d", message.Snapshot.Index, message.Snapshot.Term)
 	}
 	if message.Chunk.Total > 0 {
 		fmt.Fprintf(&text, " bytes from %d of %d", message.Chunk.Offset, message.Chunk.Total)
@@ -56,9 +56,9 @@
 
 func describeEntry(entry agreement.Entry) string {
 	switch entry.Kind {
-	case agreement.EntryReplicas:
-		return fmt.Sprintf("%d/%d voters %v learners %v", entry.Index, entry.Term, entry.Replicas.Voters, entry.Replicas.Learners)
-	case agreement.EntryEmpty:
+	case agreement.EntryMembership:
+		return fmt.Sprintf("%d/%d voters %v learners %v", entry.Index, entry.Term, entry.Membership.Voters, entry.Membership.Learners)
+	case agreement.EntryNoOp:
 		return fmt.Sprintf("%d/%d empty", entry.Index, entry.Term)
 	}
 	return fmt.Sprintf("%d/%d %s", entry.Index, entry.Term, bytes.TrimRight(entry.Data, "\x00"))
--- a/proof/modelcheck/scenarios.go
+++ b/proof/modelcheck/scenarios.go
@@ -203,7 +203,7 @@
 	script.Settle("a", "b", "c")
 	script.Propose("a")
 	script.Commit("a", "b", "c")
-	script.wantCommit("c", script.world.replica("a").status.Commit)
+	script.wantCommit("c", script.world.replica("a").status.CommitIndex)
 	for _, chunk := range chunks {
 		script.arrivesLate(chunk)
 	}
@@ -214,7 +214,7 @@
 // the first of the two entries by a snapshot; b and a have committed both.
 func needlessSnapshot(script *Script) {
 	steady(script)
-	first := script.world.replica("a").status.Last + 1
+	first := script.world.replica("a").status.LastIndex + 1
 	script.Propose("a")
 	script.Propose("a")
 	script.Do(script.appendAt("b", first))
@@ -229,7 +229,7 @@
 	script.Do(script.appendAt("c", first))
 	script.Do(script.appendAt("c", first+1))
 	script.Settle("c")
-	script.drop(func(message *agreement.Message) bool { return !message.Refused })
+	script.drop(func(message *agreement.Message) bool { return !message.Rejected })
 }
 
 // behind has a and b commit a command that c lacks.
--- a/proof/modelcheck/script.go
+++ b/proof/modelcheck/script.go
@@ -79,7 +79,7 @@
 
 // wantCommit makes sure that a replica has come as far as the scenario needs it.
 func (script *Script) wantCommit(name string, index uint64) {
-	if reached := script.world.replica(name).status.Commit; reached != index {
+	if reached := script.world.replica(name).status.CommitIndex; reached != index {
 		panic(fmt.Sprintf("the scenario's script has %s commit %d, not %d", name, reached, index))
 	}
 }
@@ -141,14 +141,14 @@
 	}
 }
 
-// Commit has a leader commit all it has with the help of others.
+// CommitIndex has a leader commit all it has with the help of others.
 func (script *Script) Commit(name string, helpers ...string) {
 	among := append([]string{name}, helpers...)
 	script.Settle(among...)
 	script.Tick(name)
 	script.Settle(among...)
 	status := script.world.replica(name).status
-	if status.Commit != status.Last {
-		panic(fmt.Sprintf("the scenario's script has %s commit %d of %d", name, status.Commit, status.Last))
+	if status.CommitIndex != status.LastIndex {
+		panic(fmt.Sprintf("the scenario's script has %s commit %d of %d", name, status.CommitIndex, status.LastIndex))
 	}
 }
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -56,17 +56,17 @@
 type replica struct {
 	name    string
 	core    *agreement.Core
-	disk    agreement.Stored
+	disk    agreement.PersistentState
 	pending []*agreement.Write
 	// gone tells that the disk was wiped: the name stays a member, but never answers.
 	gone bool
 
 	// begin and inputs rebuild the core when the World is forked.
-	begin  agreement.Stored
+	begin  agreement.PersistentState
 	inputs []*agreement.Input
 
 	status agreement.Status
-	image  agreement.Stored
+	image  agreement.PersistentState
 	print  fingerprint
 	hashed bool
 }
@@ -87,22 +87,22 @@
 // NewWorld founds a group as a Model says.
 func NewWorld(model *Model) *World {
 	world := &World{model: model, outcomes: &Outcomes{}}
-	founding := agreement.Replicas{Voters: model.Voters, Learners: model.Learners}
+	founding := agreement.Membership{Voters: model.Voters, Learners: model.Learners}
 	world.history.found(founding)
-	stored := agreement.Stored{
-		State:      agreement.State{Term: foundingTerm},
-		Checkpoint: agreement.Checkpoint{Index: foundingIndex, Term: foundingTerm, Replicas: founding, Data: model.imageAt(foundingIndex, founder)},
+	stored := agreement.PersistentState{
+		HardState: agreement.HardState{Term: foundingTerm},
+		Snapshot:  agreement.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: founding, Data: model.imageAt(foundingIndex, founder)},
 	}
 	for _, name := range slices.Concat(model.Voters, model.Learners) {
 		world.add(name, stored)
 	}
 	for _, name := range model.Spares {
-		world.add(name, agreement.Stored{})
+		world.add(name, agreement.PersistentState{})
 	}
 	return world
 }
 
-func (world *World) add(name string, disk agreement.Stored) {
+func (world *World) add(name string, disk agreement.PersistentState) {
 	added := &replica{name: name, disk: disk}
 	added.start(world.model)
 	world.owned |= 1 << len(world.replicas)
@@ -129,7 +129,7 @@
 // look refreshes what the checks read of the core.
 func (replica *replica) look() {
 	replica.status = replica.core.Status()
-	replica.image = replica.core.Image()
+	replica.image = replica.core.PersistentState()
 	replica.hashed = false
 }
 
@@ -145,7 +145,7 @@
 	return &copied
 }
 
-func cloneStored(stored agreement.Stored) agreement.Stored {
+func cloneStored(stored agreement.PersistentState) agreement.PersistentState {
 	stored.Entries = slices.Clone(stored.Entries)
 	return stored
 }
@@ -218,7 +218,7 @@
 	case ActionPropose:
 		world.step(chosen, agreement.Input{Kind: agreement.InputPropose, Data: world.history.nextCommand(world.model.CommandBytes)})
 	case ActionRead:
-		world.step(chosen, agreement.Input{Kind: agreement.InputRead, Context: world.history.ask()})
+		world.step(chosen, agreement.Input{Kind: agreement.InputReadIndex, Context: world.history.ask()})
 	case ActionCrash:
 		world.crash(chosen, action.Count)
 	case ActionWipe:
@@ -226,9 +226,9 @@
 	case ActionCompact:
 		world.step(chosen, agreement.Input{Kind: agreement.InputCompact, Index: chosen.core.Applied(), Data: world.model.imageAt(chosen.core.Applied(), chosen.name)})
 	case ActionHandOver:
-		world.step(chosen, agreement.Input{Kind: agreement.InputHandOver, Peer: action.Peer})
+		world.step(chosen, agreement.Input{Kind: agreement.InputTransferLeadership, Peer: action.Peer})
 	case ActionChange:
-		world.step(chosen, agreement.Input{Kind: agreement.InputReplicas, Replicas: chosen.changed(action)})
+		world.step(chosen, agreement.Input{Kind: agreement.InputChangeMembership, Membership: chosen.changed(action)})
 	case ActionSuspect:
 		world.step(chosen, agreement.Input{Kind: agreement.InputSuspect, Peer: action.Peer})
 	}
@@ -251,7 +251,7 @@
 	case ActionCrash:
 		return action.Count <= len(chosen.pending)
 	case ActionCompact:
-		return chosen.core.SinceCheckpoint() > 0
+		return chosen.core.EntriesSinceSnapshot() > 0
 	case ActionChange:
 		return chosen.status.Leading
 	}
@@ -318,13 +318,13 @@
 	wiped.hashed = false
 	world.flying = slices.DeleteFunc(world.flying, func(one packet) bool { return one.message.To == wiped.name })
 	world.generation++
-	world.add(fmt.Sprintf("%s%d", wiped.name[:1], world.generation+1), agreement.Stored{})
+	world.add(fmt.Sprintf("%s%d", wiped.name[:1], world.generation+1), agreement.PersistentState{})
 }
 
 // changed gives the membership that a change asks for.
-func (replica *replica) changed(action Action) agreement.Replicas {
-	now := replica.status.Replicas
-	next := agreement.Replicas{Voters: slices.Clone(now.Voters), Learners: agreement.Without(now.Learners, action.Peer)}
+func (replica *replica) changed(action Action) agreement.Membership {
+	now := replica.status.Membership
+	next := agreement.Membership{Voters: slices.Clone(now.Voters), Learners: agreement.Without(now.Learners, action.Peer)}
 	switch action.Change {
 	case ChangeAddLearner:
 		next.Learners = append(next.Learners, action.Peer)
--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -214,8 +214,8 @@
 		err := cluster.Await(60*time.Second, "healed store", func() error {
 			for _, machine := range cluster.Stores {
 				for group, status := range machine.Store.Host().Statuses() {
-					if status.Confirmed && (!slices.Contains(status.Replicas.Voters, wiped.Store.Name()) || len(status.Replicas.Voters) != 3) {
-						return fmt.Errorf("group %d has %v", group, status.Replicas)
+					if status.CommittedInTerm && (!slices.Contains(status.Membership.Voters, wiped.Store.Name()) || len(status.Membership.Voters) != 3) {
+						return fmt.Errorf("group %d has %v", group, status.Membership)
 					}
 				}
 			}
@@ -301,8 +301,8 @@
 		old.Kill()
 		for _, machine := range cluster.Stores[1:] {
 			for group, status := range machine.Store.Host().Statuses() {
-				if status.Confirmed && (slices.Contains(status.Replicas.Voters, name) || len(status.Replicas.Voters) != 3) {
-					t.Fatalf("group %d still has %v", group, status.Replicas)
+				if status.CommittedInTerm && (slices.Contains(status.Membership.Voters, name) || len(status.Membership.Voters) != 3) {
+					t.Fatalf("group %d still has %v", group, status.Membership)
 				}
 			}
 		}
@@ -319,7 +319,7 @@
 		said := cluster.dialogues(t, 4)
 		<-time.After(6 * time.Second)
 		rotten := cluster.Stores[0]
-		names, err := rotten.Cold.Names()
+		names, err := rotten.Cold.List()
 		if err != nil || len(names) == 0 {
 			t.Fatalf("nothing was archived: %v", err)
 		}
@@ -332,7 +332,7 @@
 		}
 		<-time.After(25 * time.Second) // a scrub, and a repair round after it
 		for _, other := range cluster.Stores[1:] {
-			for _, name := range func() []string { names, _ := other.Cold.Names(); return names }() {
+			for _, name := range func() []string { names, _ := other.Cold.List(); return names }() {
 				other.Cold.FlipBit(name, -30)
 			}
 		}
@@ -396,7 +396,7 @@
 		// It may stand for election in vain, but not keep the others from theirs.
 		err = cluster.Await(5*time.Second, "leaders of all groups", func() error {
 			for group := range uint32(8) {
-				led := slices.ContainsFunc(cluster.Stores[1:], func(machine *Machine) bool { return machine.Store.Host().Statuses()[group].Confirmed })
+				led := slices.ContainsFunc(cluster.Stores[1:], func(machine *Machine) bool { return machine.Store.Host().Statuses()[group].CommittedInTerm })
 				if !led {
 					return fmt.Errorf("group %d is not led", group)
 				}
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -169,9 +169,9 @@
 }
 
 func (cluster *Cluster) pace(index int) replica.Settings {
-	pace := replica.Usual(cluster.Seed*1000 + uint64(index))
+	pace := replica.DefaultSettings(cluster.Seed*1000 + uint64(index))
 	if cluster.Seed%2 == 1 {
-		pace.CheckpointEvery = 48 // so that checkpoints are made and sent within a test
+		pace.SnapshotEntries = 48 // so that checkpoints are made and sent within a test
 	}
 	if cluster.adjustReplica != nil {
 		cluster.adjustReplica(&pace)
--- a/proof/simulator/disk.go
+++ b/proof/simulator/disk.go
@@ -19,7 +19,7 @@
 	random  *rand.Rand
 	live    map[string][]byte
 	lasting map[string][]byte
-	pending map[string][]files.Unsynced
+	pending map[string][]files.PendingWrite
 	stalled chan struct{} // non-nil while syncs hang
 	slow    time.Duration
 	full    bool
@@ -31,7 +31,7 @@
 //
 //	disk := simulator.NewDisk(7)
 func NewDisk(seed uint64) *Disk {
-	return &Disk{random: rand.New(rand.NewPCG(seed, 3)), live: map[string][]byte{}, lasting: map[string][]byte{}, pending: map[string][]files.Unsynced{}}
+	return &Disk{random: rand.New(rand.NewPCG(seed, 3)), live: map[string][]byte{}, lasting: map[string][]byte{}, pending: map[string][]files.PendingWrite{}}
 }
 
 var errFull = errors.New("no space left on device")
@@ -48,8 +48,8 @@
 	return slices.Clone(data), nil
 }
 
-// ReadPart gives a part of a file.
-func (disk *Disk) ReadPart(name string, offset int64, length int) ([]byte, error) {
+// ReadRange gives a part of a file.
+func (disk *Disk) ReadRange(name string, offset int64, length int) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	data, found := disk.live[name]
@@ -70,8 +70,8 @@
 	if disk.full && len(data) > 0 {
 		return errFull
 	}
-	write := files.Unsynced{Offset: offset, Data: append([]byte{}, data...)}
-	disk.live[name] = write.On(disk.live[name])
+	write := files.PendingWrite{Offset: offset, Data: append([]byte{}, data...)}
+	disk.live[name] = write.ApplyTo(disk.live[name])
 	disk.pending[name] = append(disk.pending[name], write)
 	return nil
 }
@@ -84,8 +84,8 @@
 	if !found {
 		return fs.ErrNotExist
 	}
-	cut := files.Unsynced{Offset: size}
-	disk.live[name] = cut.On(data)
+	cut := files.PendingWrite{Offset: size}
+	disk.live[name] = cut.ApplyTo(data)
 	disk.pending[name] = append(disk.pending[name], cut)
 	return nil
 }
@@ -107,7 +107,7 @@
 	if _, found := disk.live[name]; found {
 		lasting := disk.lasting[name]
 		for _, write := range disk.pending[name] {
-			lasting = write.On(lasting)
+			lasting = write.ApplyTo(lasting)
 		}
 		disk.lasting[name] = lasting
 		delete(disk.pending, name)
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// Names lists the files.
-func (disk *Disk) Names() ([]string, error) {
+// List lists the files.
+func (disk *Disk) List() ([]string, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	return slices.Sorted(maps.Keys(disk.live)), nil
--- a/proof/simulator/durable_test.go
+++ b/proof/simulator/durable_test.go
@@ -51,7 +51,7 @@
 				for group, value := range model {
 					image = append(image, durablelog.Record{Group: group, Kind: 1, Data: []byte(value)})
 				}
-				if err := log.WriteSlot(slices.Values(image)); err != nil {
+				if err := log.WriteSnapshot(slices.Values(image)); err != nil {
 					return err.Error()
 				}
 			case step < 200: // a write that fails and is written again
@@ -88,7 +88,7 @@
 
 // Tear writes a frame without syncing it, as a process does that dies between.
 func (disk *Disk) Tear(log *durablelog.Log) {
-	names, _ := disk.Names()
+	names, _ := disk.List()
 	last := names[0]
 	for _, name := range names {
 		if name[:3] == "log" {
@@ -125,7 +125,7 @@
 		for group := range uint32(4) {
 			append1(group, fmt.Sprintf("round %d", round))
 		}
-		if err := log.WriteSlot(slices.Values(image())); err != nil {
+		if err := log.WriteSnapshot(slices.Values(image())); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -161,13 +161,13 @@
 	} {
 		disk, model := filled(t)
 		one.harm(disk)
-		before, _ := disk.Names()
+		before, _ := disk.List()
 		_, records, err := durablelog.Open(disk, "store")
 		if one.refused != "" {
 			if !apierror.Is(err, one.refused) || apierror.Of(err).Remedy == "" {
 				t.Errorf("%s: %v", name, err)
 			}
-			if after, _ := disk.Names(); !slices.Equal(before, after) {
+			if after, _ := disk.List(); !slices.Equal(before, after) {
 				t.Errorf("%s: files changed from %v to %v", name, before, after)
 			}
 			continue
--- a/proof/simulator/leaving_test.go
+++ b/proof/simulator/leaving_test.go
@@ -35,7 +35,7 @@
 func (machine *Machine) led(other *Machine) int {
 	count := 0
 	for _, status := range machine.Store.Host().Statuses() {
-		if status.Confirmed && slices.Contains(status.Replicas.Voters, other.Store.Name()) {
+		if status.CommittedInTerm && slices.Contains(status.Membership.Voters, other.Store.Name()) {
 			count++
 		}
 	}
@@ -99,7 +99,7 @@
 	groups := map[uint32]bool{}
 	for _, machine := range cluster.Stores {
 		for group, status := range machine.Store.Host().Statuses() {
-			if status.Confirmed && slices.Contains(status.Replicas.Voters, name) {
+			if status.CommittedInTerm && slices.Contains(status.Membership.Voters, name) {
 				groups[group] = true
 			}
 		}
@@ -125,11 +125,11 @@
 	lacking := map[uint32]string{}
 	for _, leader := range cluster.Stores {
 		for group, status := range leader.Store.Host().Statuses() {
-			if !status.Confirmed {
+			if !status.CommittedInTerm {
 				continue
 			}
 			for _, machine := range cluster.Stores {
-				if slices.Contains(status.Replicas.Voters, machine.Store.Name()) && !slices.Equal(sums(machine, group), sums(leader, group)) {
+				if slices.Contains(status.Membership.Voters, machine.Store.Name()) && !slices.Equal(sums(machine, group), sums(leader, group)) {
 					lacking[group] = machine.Host + " and " + leader.Host
 				}
 			}
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -145,16 +145,16 @@
 			continue
 		}
 		for group, status := range machine.Store.Host().Statuses() {
-			if !status.Confirmed {
+			if !status.CommittedInTerm {
 				continue
 			}
 			led++
-			if status.Changing || len(status.Replicas.Learners) > 0 || len(status.Replicas.Voters) != 3 {
-				return fmt.Errorf("group %d has %v, changing: %v", group, status.Replicas, status.Changing)
+			if status.MembershipChangePending || len(status.Membership.Learners) > 0 || len(status.Membership.Voters) != 3 {
+				return fmt.Errorf("group %d has %v, changing: %v", group, status.Membership, status.MembershipChangePending)
 			}
-			for _, voter := range status.Replicas.Voters {
+			for _, voter := range status.Membership.Voters {
 				if !slices.Contains(names, voter) {
-					return fmt.Errorf("group %d, led by %s in term %d, is kept by %s of %v", group, machine.Host, status.Term, voter, status.Replicas)
+					return fmt.Errorf("group %d, led by %s in term %d, is kept by %s of %v", group, machine.Host, status.Term, voter, status.Membership)
 				}
 			}
 		}
--- a/proof/simulator/stored_test.go
+++ b/proof/simulator/stored_test.go
@@ -259,7 +259,7 @@
 			<-time.After(time.Minute)
 		}()
 		// Snapshots and slots are made after little.
-		cluster.adjustReplica = func(settings *replica.Settings) { settings.CheckpointEvery, settings.SlotBytes = 5, 64<<10 }
+		cluster.adjustReplica = func(settings *replica.Settings) { settings.SnapshotEntries, settings.CompactionBytes = 5, 64<<10 }
 		if err := cluster.found(strings.Replace(storedRules, "allowance: 60", "allowance: 61", 1)); err != nil {
 			t.Fatal(err)
 		}
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -88,7 +88,7 @@
 				take(program, name+"-beside", "a", whole("a"))
 			}
 			<-time.After(25 * time.Second)
-			if names, err := cluster.Stores[0].Cold.Names(); err != nil || len(names) == 0 {
+			if names, err := cluster.Stores[0].Cold.List(); err != nil || len(names) == 0 {
 				t.Fatalf("nothing was archived: %v", err)
 			}
 		}
@@ -358,7 +358,7 @@
 		<-time.After(25 * time.Second)
 		rot := func(stores []*Machine) {
 			for _, store := range stores {
-				names, err := store.Cold.Names()
+				names, err := store.Cold.List()
 				if err != nil || len(names) == 0 {
 					t.Fatalf("nothing was archived: %v", err)
 				}
--- a/system/agreement/start_test.go
+++ b/system/agreement/election_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestAGroupThatStartsAnewHasALeaderSoonAfterItsSecondReplica lets three replicas start one
+// TestRestartedGroupElectsALeaderSoonAfterItsSecondReplicaStarts lets three replicas start one
 // after another, as machines do after an outage. Messages arrive and disks sync in the tick
 // in which they are sent.
-func TestAGroupThatStartsAnewHasALeaderSoonAfterItsSecondReplica(t *testing.T) {
+func TestRestartedGroupElectsALeaderSoonAfterItsSecondReplicaStarts(t *testing.T) {
 	const between, most = 4, 8
 	names := []string{"a", "b", "c"}
-	founding := Stored{State: State{Term: 1}, Checkpoint: Checkpoint{Index: 1, Term: 1, Replicas: Replicas{Voters: names}}}
+	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}
 	sum := 0
 	for seed := range uint64(200) {
 		cores := map[string]*Core{}
--- a/system/agreement/membership.go
+++ b/system/agreement/membership.go
@@ -4,25 +4,25 @@
 	"slices"
 )
 
-func (core *Core) findReplicas() {
-	core.replicas = core.checkpoint.Replicas
+func (core *Core) refreshMembership() {
+	core.membership = core.snapshot.Membership
 	for position := len(core.entries) - 1; position >= 0; position-- {
-		if core.entries[position].Kind == EntryReplicas {
-			core.replicas = core.entries[position].Replicas
+		if core.entries[position].Kind == EntryMembership {
+			core.membership = core.entries[position].Membership
 			return
 		}
 	}
 }
 
-func (core *Core) isVoter(name string) bool { return slices.Contains(core.replicas.Voters, name) }
+func (core *Core) isVoter(name string) bool { return slices.Contains(core.membership.Voters, name) }
 
-func (core *Core) quorum() int { return len(core.replicas.Voters)/2 + 1 }
+func (core *Core) quorum() int { return len(core.membership.Voters)/2 + 1 }
 
 func (core *Core) trackPeers() {
-	members := slices.Concat(core.replicas.Voters, core.replicas.Learners)
+	members := slices.Concat(core.membership.Voters, core.membership.Learners)
 	for _, name := range members {
 		if name != core.settings.Name && core.peers[name] == nil {
-			core.peers[name] = &progress{next: core.last() + 1, active: true}
+			core.peers[name] = &progress{nextIndex: core.lastIndex() + 1, recentlyActive: true}
 		}
 	}
 	for name := range core.peers {
@@ -42,47 +42,47 @@
 	return names
 }
 
-func (core *Core) changePending() bool {
-	if core.termAt(core.commit) != core.state.Term {
+func (core *Core) membershipChangePending() bool {
+	if core.termAt(core.commitIndex) != core.hardState.Term {
 		return true
 	}
-	for _, entry := range core.from(core.commit + 1) {
-		if entry.Kind == EntryReplicas {
+	for _, entry := range core.entriesFrom(core.commitIndex + 1) {
+		if entry.Kind == EntryMembership {
 			return true
 		}
 	}
 	return false
 }
 
-// namesTwice tells that a replica is named more than once. Its vote would count as often.
-func (replicas Replicas) namesTwice() bool {
+// hasDuplicates tells that a replica is named more than once. Its vote would count as often.
+func (replicas Membership) hasDuplicates() bool {
 	names := slices.Concat(replicas.Voters, replicas.Learners)
 	slices.Sort(names)
 	return len(slices.Compact(names)) < len(replicas.Voters)+len(replicas.Learners)
 }
 
-// changeReplicas takes one step only: at most one voter joins or leaves.
-func (core *Core) changeReplicas(next Replicas) {
-	if core.role != leader || core.handOver != "" || core.changePending() || len(next.Voters) == 0 || next.namesTwice() {
+// changeMembership takes one step only: at most one voter joins or leaves.
+func (core *Core) changeMembership(next Membership) {
+	if core.role != roleLeader || core.transferTarget != "" || core.membershipChangePending() || len(next.Voters) == 0 || next.hasDuplicates() {
 		return
 	}
 	changed := 0
-	for _, name := range core.replicas.Voters {
+	for _, name := range core.membership.Voters {
 		if !slices.Contains(next.Voters, name) {
 			changed++
 		}
 	}
 	for _, name := range next.Voters {
-		if !slices.Contains(core.replicas.Voters, name) {
+		if !slices.Contains(core.membership.Voters, name) {
 			changed++
 		}
 	}
 	if changed > 1 {
 		return
 	}
-	core.output.ProposedIndex = core.appendEntry(Entry{Kind: EntryReplicas, Replicas: next})
-	core.output.ProposedTerm = core.state.Term
-	core.replicas = next
+	core.output.ProposedIndex = core.appendEntry(Entry{Kind: EntryMembership, Membership: next})
+	core.output.ProposedTerm = core.hardState.Term
+	core.membership = next
 	core.trackPeers()
 	core.broadcast(false)
 }
--- a/system/agreement/simulated_test.go
+++ b/system/agreement/raft_simulation_test.go
@@ -18,7 +18,7 @@
 	random    *rand.Rand
 	names     []string
 	cores     map[string]*Core
-	disks     map[string]Stored
+	disks     map[string]PersistentState
 	unsynced  map[string][]*Write
 	flying    []Message
 	leaders   map[uint64]string
@@ -34,14 +34,14 @@
 
 func newSimulatedGroup(seed uint64, size int) *simulatedGroup {
 	group := &simulatedGroup{
-		random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, disks: map[string]Stored{},
+		random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, disks: map[string]PersistentState{},
 		unsynced: map[string][]*Write{}, leaders: map[uint64]string{}, committed: map[uint64]Entry{},
 		applied: map[string]uint64{}, confirmed: map[string]bool{}, reads: map[uint64]uint64{}, cut: map[string]bool{},
 	}
 	for index := range size {
 		group.names = append(group.names, fmt.Sprintf("node%d", index))
 	}
-	founding := Stored{State: State{Term: 1}, Checkpoint: Checkpoint{Index: 1, Term: 1, Replicas: Replicas{Voters: group.names[:3]}}}
+	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: group.names[:3]}}}
 	for index, name := range group.names {
 		if index < 3 {
 			group.disks[name] = founding
@@ -57,7 +57,7 @@
 		group.failure = fmt.Errorf("%s starts on a disk that is refused: %w", name, err)
 	}
 	group.cores[name] = New(Settings{Name: name, ElectionTicks: 10, HeartbeatTicks: 2, Seed: group.random.Uint64(), ChunkBytes: 3}, group.disks[name])
-	group.applied[name] = group.disks[name].Checkpoint.Index
+	group.applied[name] = group.disks[name].Snapshot.Index
 }
 
 // snapshotAt is the content of every replica's snapshot of an index.
@@ -66,13 +66,13 @@
 func (group *simulatedGroup) step(name string, input Input) Output {
 	core := group.cores[name]
 	output := core.Step(input)
-	if output.Restore != nil {
-		if !bytes.Equal(output.Restore.Data, snapshotAt(output.Restore.Index)) && output.Restore.Index > 1 {
-			group.failure = fmt.Errorf("%s took %q as the snapshot of %d", name, output.Restore.Data, output.Restore.Index)
+	if output.Snapshot != nil {
+		if !bytes.Equal(output.Snapshot.Data, snapshotAt(output.Snapshot.Index)) && output.Snapshot.Index > 1 {
+			group.failure = fmt.Errorf("%s took %q as the snapshot of %d", name, output.Snapshot.Data, output.Snapshot.Index)
 		}
-		group.applied[name] = output.Restore.Index
+		group.applied[name] = output.Snapshot.Index
 	}
-	for _, entry := range output.Committed {
+	for _, entry := range output.CommittedEntries {
 		if entry.Index != group.applied[name]+1 {
 			group.failure = fmt.Errorf("%s applied %d after %d", name, entry.Index, group.applied[name])
 		}
@@ -92,8 +92,8 @@
 		}
 		group.leaders[term] = name
 	}
-	for _, answer := range output.Reads {
-		if !answer.Refused {
+	for _, answer := range output.ReadResults {
+		if !answer.Rejected {
 			group.readsSeen++
 			if answer.Index < group.reads[answer.Context] {
 				group.failure = fmt.Errorf("read %d at %d misses %d", answer.Context, answer.Index, group.reads[answer.Context])
@@ -158,13 +158,13 @@
 		group.proposed++
 		context := uint64(group.proposed)
 		group.reads[context] = group.highest()
-		group.step(name, Input{Kind: InputRead, Context: context})
+		group.step(name, Input{Kind: InputReadIndex, Context: context})
 	case chance < 890:
 		group.step(name, Input{Kind: InputCompact, Index: group.applied[name], Data: snapshotAt(group.applied[name])})
 	case chance < 900:
 		group.changeOneReplica(name)
 	case chance < 903:
-		group.step(name, Input{Kind: InputHandOver, Peer: group.names[group.random.IntN(3)]})
+		group.step(name, Input{Kind: InputTransferLeadership, Peer: group.names[group.random.IntN(3)]})
 	case unhealthy && chance < 930 && len(group.flying) > 0:
 		position := group.random.IntN(len(group.flying))
 		group.flying = slices.Delete(group.flying, position, position+1)
@@ -179,9 +179,9 @@
 }
 
 func (group *simulatedGroup) changeOneReplica(name string) {
-	replicas := group.cores[name].Status().Replicas
+	replicas := group.cores[name].Status().Membership
 	other := group.names[group.random.IntN(len(group.names))]
-	next := Replicas{Voters: slices.Clone(replicas.Voters), Learners: slices.Clone(replicas.Learners)}
+	next := Membership{Voters: slices.Clone(replicas.Voters), Learners: slices.Clone(replicas.Learners)}
 	if at := slices.Index(next.Voters, other); at >= 0 && len(next.Voters) > 2 {
 		next.Voters = slices.Delete(next.Voters, at, at+1)
 	} else if at := slices.Index(next.Learners, other); at >= 0 {
@@ -190,7 +190,7 @@
 	} else if at < 0 {
 		next.Learners = append(next.Learners, other)
 	}
-	group.step(name, Input{Kind: InputReplicas, Replicas: next})
+	group.step(name, Input{Kind: InputChangeMembership, Membership: next})
 }
 
 // heal ends all faults and lets the group run evenly until a new command is
@@ -216,12 +216,12 @@
 		if name == "" {
 			continue
 		}
-		if target == 0 || target > group.cores[name].Status().Last { // a former leader's proposal was lost
+		if target == 0 || target > group.cores[name].Status().LastIndex { // a former leader's proposal was lost
 			target = group.step(name, Input{Kind: InputPropose, Data: []byte("last")}).ProposedIndex
 			continue
 		}
 		reached := true
-		for _, voter := range group.cores[name].Status().Replicas.Voters {
+		for _, voter := range group.cores[name].Status().Membership.Voters {
 			reached = reached && group.applied[voter] >= target
 		}
 		if reached {
@@ -231,7 +231,7 @@
 	return false
 }
 
-func TestSeededSchedulesKeepOneLeaderATermAndLoseNothingCommitted(t *testing.T) {
+func TestRandomSchedulesElectOneLeaderPerTermAndLoseNoCommittedEntry(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260101)
 	parameters.MinSuccessfulTests = 1500
 	properties := gopter.NewProperties(parameters)
--- a/system/agreement/replication.go
+++ b/system/agreement/replication.go
@@ -5,47 +5,47 @@
 )
 
 const (
-	entriesPerMessage = 256
-	bytesPerMessage   = 256 << 10
-	// mostUnconfirmed bounds the entries that are on their way to one peer.
-	mostUnconfirmed = 512
-	checkpointTicks = 100
+	maxEntriesPerMessage = 256
+	maxBytesPerMessage   = 256 << 10
+	// maxInflightEntries bounds the entries that are on their way to one peer.
+	maxInflightEntries = 512
+	checkpointTicks    = 100
 )
 
 type progress struct {
-	matched uint64
-	next    uint64
-	round   uint64
-	active  bool
+	matchIndex     uint64
+	nextIndex      uint64
+	ackedReadRound uint64
+	recentlyActive bool
 	// transfer is set while the peer is sent a snapshot.
-	transfer *transfer
+	outgoing *outgoingSnapshot
 	// probing tells that it is not known up to where the peer holds the log: it is
 	// asked with empty appends, and gets entries only once it has agreed to one.
 	probing bool
-	// silent counts the ticks since the peer was heard.
-	silent int
+	// ticksSinceHeard counts the ticks since the peer was heard.
+	ticksSinceHeard int
 }
 
-func (core *Core) onAppend(message Message) {
-	core.follow(message.From)
-	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.state.Term, Round: message.Round}
+func (core *Core) handleAppend(message Message) {
+	core.followLeader(message.From)
+	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Round: message.Round}
 	previous, entries := message.Index, message.Entries
-	if previous < core.checkpoint.Index {
+	if previous < core.snapshot.Index {
 		// The checkpoint stands for committed entries; skip what it covers.
-		for len(entries) > 0 && entries[0].Index <= core.checkpoint.Index {
+		for len(entries) > 0 && entries[0].Index <= core.snapshot.Index {
 			entries = entries[1:]
 		}
-		if len(message.Entries) == 0 || len(entries) == 0 && message.Entries[len(message.Entries)-1].Index < core.checkpoint.Index {
+		if len(message.Entries) == 0 || len(entries) == 0 && message.Entries[len(message.Entries)-1].Index < core.snapshot.Index {
 			reply.Index = previous
 			core.send(reply)
 			return
 		}
-		previous = core.checkpoint.Index
-	} else if core.termAt(previous) != message.LogTerm || previous > core.last() {
-		reply.Refused = true
+		previous = core.snapshot.Index
+	} else if core.termAt(previous) != message.LogTerm || previous > core.lastIndex() {
+		reply.Rejected = true
 		reply.Index = previous
-		reply.Hint = min(core.last(), previous-1)
-		for reply.Hint > core.commit && reply.Hint > core.checkpoint.Index && core.termAt(reply.Hint) > message.LogTerm {
+		reply.Hint = min(core.lastIndex(), previous-1)
+		for reply.Hint > core.commitIndex && reply.Hint > core.snapshot.Index && core.termAt(reply.Hint) > message.LogTerm {
 			reply.Hint--
 		}
 		core.send(reply)
@@ -53,13 +53,13 @@
 	}
 	lastNew := previous + uint64(len(entries))
 	for position, entry := range entries {
-		if entry.Index <= core.last() && core.termAt(entry.Index) == entry.Term {
+		if entry.Index <= core.lastIndex() && core.termAt(entry.Index) == entry.Term {
 			continue
 		}
 		core.truncate(entry.Index)
 		core.entries = append(core.entries, entries[position:]...)
-		core.markDirty(entry.Index)
-		core.findReplicas()
+		core.markUnwritten(entry.Index)
+		core.refreshMembership()
 		break
 	}
 	core.commitTo(min(message.Commit, lastNew))
@@ -68,70 +68,70 @@
 }
 
 func (core *Core) truncate(from uint64) {
-	if from > core.last() {
+	if from > core.lastIndex() {
 		return
 	}
-	core.entries = slices.Clone(core.entries[:from-core.checkpoint.Index-1])
-	core.stable = min(core.stable, from-1)
+	core.entries = slices.Clone(core.entries[:from-core.snapshot.Index-1])
+	core.stableIndex = min(core.stableIndex, from-1)
 }
 
-func (core *Core) markDirty(from uint64) {
-	if core.dirtyFrom == 0 || from < core.dirtyFrom {
-		core.dirtyFrom = from
+func (core *Core) markUnwritten(from uint64) {
+	if core.firstUnwritten == 0 || from < core.firstUnwritten {
+		core.firstUnwritten = from
 	}
 }
 
-func (core *Core) onAppendReply(message Message) {
+func (core *Core) handleAppendReply(message Message) {
 	peer := core.peers[message.From]
-	if core.role != leader || peer == nil {
+	if core.role != roleLeader || peer == nil {
 		return
 	}
-	peer.active, peer.silent = true, 0
-	peer.round = max(peer.round, message.Round)
-	core.answerReads()
-	if message.Refused {
+	peer.recentlyActive, peer.ticksSinceHeard = true, 0
+	peer.ackedReadRound = max(peer.ackedReadRound, message.Round)
+	core.confirmReads()
+	if message.Rejected {
 		// While probing, only the answer to the last probe counts: each append that was
 		// on its way is refused, and each would have all entries sent anew.
-		stale := message.Index < peer.matched || peer.probing && message.Index != peer.next-1
-		if peer.transfer == nil && !stale {
-			peer.probe(max(peer.matched+1, min(message.Hint+1, core.last()+1)))
+		stale := message.Index < peer.matchIndex || peer.probing && message.Index != peer.nextIndex-1
+		if peer.outgoing == nil && !stale {
+			peer.probe(max(peer.matchIndex+1, min(message.Hint+1, core.lastIndex()+1)))
 			core.sendAppend(message.From, peer, true)
 		}
 		return
 	}
-	if message.Index > peer.matched {
-		peer.matched = message.Index
+	if message.Index > peer.matchIndex {
+		peer.matchIndex = message.Index
 		core.advanceCommit()
 	}
-	if message.Index+1 >= peer.next {
+	if message.Index+1 >= peer.nextIndex {
 		peer.probing = false
 	}
-	peer.next = max(peer.next, peer.matched+1)
-	if peer.next > core.checkpoint.Index {
-		peer.transfer = nil
+	peer.nextIndex = max(peer.nextIndex, peer.matchIndex+1)
+	if peer.nextIndex > core.snapshot.Index {
+		peer.outgoing = nil
 	}
-	if core.role == leader && peer.next <= core.last() {
+	if core.role == roleLeader && peer.nextIndex <= core.lastIndex() {
 		core.sendAppend(message.From, peer, false)
 	}
-	if core.role == leader && core.handOver == message.From && peer.matched == core.last() {
-		core.send(Message{Kind: MessageElectNow, To: message.From, Term: core.state.Term})
+	if core.role == roleLeader && core.transferTarget == message.From && peer.matchIndex == core.lastIndex() {
+		core.send(Message{Kind: MessageTimeoutNow, To: message.From, Term: core.hardState.Term})
 	}
 }
 
 func (core *Core) appendEntry(entry Entry) uint64 {
-	entry.Index = core.last() + 1
-	entry.Term = core.state.Term
+	entry.Index = core.lastIndex() + 1
+	entry.Term = core.hardState.Term
 	core.entries = append(core.entries, entry)
-	core.markDirty(entry.Index)
+	core.markUnwritten(entry.Index)
 	return entry.Index
 }
 
 func (core *Core) propose(entry Entry) {
-	if core.role != leader || core.handOver != "" {
+	if core.role != roleLeader || core.transferTarget != "" {
 		return
 	}
 	core.output.ProposedIndex = core.appendEntry(entry)
-	core.output.ProposedTerm = core.state.Term
+	core.output.ProposedTerm = core.hardState.Term
 	core.broadcast(false)
 }
 
@@ -146,19 +146,19 @@
 
 // probe has the peer asked up to where it holds the log, from an index downwards.
 func (peer *progress) probe(next uint64) {
-	peer.probing, peer.next = true, next
+	peer.probing, peer.nextIndex = true, next
 }
 
 func (core *Core) sendAppend(name string, peer *progress, heartbeat bool) {
-	if peer.next <= core.checkpoint.Index {
+	if peer.nextIndex <= core.snapshot.Index {
 		core.sendSnapshot(name, peer)
 		if heartbeat {
-			core.send(Message{Kind: MessageAppend, To: name, Term: core.state.Term, Round: core.round})
+			core.send(Message{Kind: MessageAppend, To: name, Term: core.hardState.Term, Round: core.readRound})
 		}
 		return
 	}
-	entries := core.from(peer.next)
-	if peer.probing || peer.next > peer.matched+mostUnconfirmed {
+	entries := core.entriesFrom(peer.nextIndex)
+	if peer.probing || peer.nextIndex > peer.matchIndex+maxInflightEntries {
 		entries = nil
 	}
 	if len(entries) == 0 && !heartbeat {
@@ -167,49 +167,49 @@
 	size := 0
 	for position, entry := range entries {
 		size += len(entry.Data) + 32
-		if position >= entriesPerMessage || (position > 0 && size > bytesPerMessage) {
+		if position >= maxEntriesPerMessage || (position > 0 && size > maxBytesPerMessage) {
 			entries = entries[:position]
 			break
 		}
 	}
-	previous := peer.next - 1
-	core.send(Message{Kind: MessageAppend, To: name, Term: core.state.Term, Index: previous, LogTerm: core.termAt(previous),
-		Commit: core.commit, Round: core.round, Entries: slices.Clone(entries)})
-	peer.next += uint64(len(entries))
+	previous := peer.nextIndex - 1
+	core.send(Message{Kind: MessageAppend, To: name, Term: core.hardState.Term, Index: previous, LogTerm: core.termAt(previous),
+		Commit: core.commitIndex, Round: core.readRound, Entries: slices.Clone(entries)})
+	peer.nextIndex += uint64(len(entries))
 }
 
 func (core *Core) advanceCommit() {
-	if core.role != leader {
+	if core.role != roleLeader {
 		return
 	}
-	matched := make([]uint64, 0, len(core.replicas.Voters))
-	for _, name := range core.replicas.Voters {
+	matched := make([]uint64, 0, len(core.membership.Voters))
+	for _, name := range core.membership.Voters {
 		if name == core.settings.Name {
-			matched = append(matched, core.stable)
+			matched = append(matched, core.stableIndex)
 		} else if peer := core.peers[name]; peer != nil {
-			matched = append(matched, peer.matched)
+			matched = append(matched, peer.matchIndex)
 		}
 	}
 	slices.Sort(matched)
 	index := matched[len(matched)-core.quorum()]
-	if index > core.commit && core.termAt(index) == core.state.Term {
+	if index > core.commitIndex && core.termAt(index) == core.hardState.Term {
 		core.commitTo(index)
-		if !core.isVoter(core.settings.Name) && !core.changePending() {
-			core.become(follower, "")
+		if !core.isVoter(core.settings.Name) && !core.membershipChangePending() {
+			core.become(roleFollower, "")
 		}
 	}
 }
 
 func (core *Core) commitTo(index uint64) {
-	if index <= core.commit {
+	if index <= core.commitIndex {
 		return
 	}
-	core.commit = index
-	if core.incoming != nil && index >= core.incoming.point.Index {
+	core.commitIndex = index
+	if core.incoming != nil && index >= core.incoming.snapshot.Index {
 		core.incoming = nil
 	}
-	ready := core.from(core.applied + 1)
-	ready = ready[:index-core.applied]
-	core.output.Committed = append(core.output.Committed, ready...)
-	core.applied = index
+	ready := core.entriesFrom(core.lastApplied + 1)
+	ready = ready[:index-core.lastApplied]
+	core.output.CommittedEntries = append(core.output.CommittedEntries, ready...)
+	core.lastApplied = index
 }
--- a/system/agreement/reconnect_test.go
+++ b/system/agreement/replication_test.go
@@ -4,7 +4,7 @@
 
 // A peer that comes back after a cut gets what it missed about once, though every
 // append that waited for it is refused.
-func TestAPeerThatComesBackGetsWhatItMissedOnce(t *testing.T) {
+func TestReconnectedPeerReceivesMissedEntriesOnce(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	cores := map[string]*Core{}
 	waiting := map[string][]Message{} // for peers that are cut off
@@ -41,8 +41,8 @@
 		}
 	}
 	for position, name := range names {
-		cores[name] = New(Settings{Name: name, ElectionTicks: 10, HeartbeatTicks: 2, Seed: uint64(position)}, Stored{
-			Checkpoint: Checkpoint{Index: 1, Term: 1, Replicas: Replicas{Voters: names}}, State: State{Term: 1}})
+		cores[name] = New(Settings{Name: name, ElectionTicks: 10, HeartbeatTicks: 2, Seed: uint64(position)}, PersistentState{
+			Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}, HardState: HardState{Term: 1}})
 	}
 	for range 40 {
 		step("a", Input{Kind: InputTick})
@@ -70,7 +70,7 @@
 	for range 30 {
 		step("a", Input{Kind: InputTick})
 	}
-	if matched, last := cores["a"].Status().Matched["c"], cores["a"].Status().Last; matched != last {
+	if matched, last := cores["a"].Status().MatchIndex["c"], cores["a"].Status().LastIndex; matched != last {
 		t.Fatalf("c holds the log up to %d of %d", matched, last)
 	}
 	if sent > 2*logged || before > logged/4 {
--- a/system/agreement/lonevoter_test.go
+++ b/system/agreement/single_voter_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestLoneVoterStoresItsTermBeforeItSendsEntries has a voter that needs nobody's vote lose
+// TestSingleVoterPersistsItsTermBeforeSendingEntries has a voter that needs nobody's vote lose
 // its power before the write of its term is synced. Entries of that term that had left
 // before would be replaced by others of the same index and term after its restart.
-func TestLoneVoterStoresItsTermBeforeItSendsEntries(t *testing.T) {
-	founding := Stored{State: State{Term: 1}, Checkpoint: Checkpoint{Index: 1, Term: 1, Replicas: Replicas{Voters: []string{"a"}, Learners: []string{"b"}}}}
+func TestSingleVoterPersistsItsTermBeforeSendingEntries(t *testing.T) {
+	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: []string{"a"}, Learners: []string{"b"}}}}
 	settings := Settings{Name: "a", ElectionTicks: 1, HeartbeatTicks: 1}
 	core := New(settings, founding)
 	output := core.Step(Input{Kind: InputTick})
--- a/system/agreement/snapshot.go
+++ b/system/agreement/snapshot.go
@@ -4,93 +4,93 @@
 	"slices"
 )
 
-// SinceCheckpoint counts the applied entries that the log still carries.
+// EntriesSinceSnapshot counts the applied entries that the log still carries.
 //
-//	if core.SinceCheckpoint() >= 2048 {
+//	if core.EntriesSinceSnapshot() >= 2048 {
 //		core.Step(agreement.Input{Kind: agreement.InputCompact, Index: core.Applied(), Data: image})
 //	}
-func (core *Core) SinceCheckpoint() uint64 { return core.applied - core.checkpoint.Index }
+func (core *Core) EntriesSinceSnapshot() uint64 { return core.lastApplied - core.snapshot.Index }
 
-// Covers tells whether the log still carries the applied entry of that index, so that a
+// CanCompact tells whether the log still carries the applied entry of that index, so that a
 // snapshot of it may replace the log up to there.
 //
-//	if core.Covers(index) {
+//	if core.CanCompact(index) {
 //		core.Step(agreement.Input{Kind: agreement.InputCompact, Index: index, Data: image})
 //	}
-func (core *Core) Covers(index uint64) bool {
-	return index > core.checkpoint.Index && index <= core.applied
+func (core *Core) CanCompact(index uint64) bool {
+	return index > core.snapshot.Index && index <= core.lastApplied
 }
 
-// Image is everything that a disk slot must hold for this replica.
+// PersistentState is everything that a disk slot must hold for this replica.
 //
-//	stored := core.Image()
-func (core *Core) Image() Stored {
-	return Stored{State: core.state, Checkpoint: core.checkpoint, Entries: slices.Clone(core.entries)}
+//	stored := core.PersistentState()
+func (core *Core) PersistentState() PersistentState {
+	return PersistentState{HardState: core.hardState, Snapshot: core.snapshot, Entries: slices.Clone(core.entries)}
 }
 
-// onCheckpoint takes a whole snapshot in one message.
-func (core *Core) onCheckpoint(message Message) {
-	core.follow(message.From)
-	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.state.Term, Round: message.Round}
-	point := message.Checkpoint
-	if point.Index <= core.commit {
-		reply.Index = core.commit
+// handleSnapshot takes a whole snapshot in one message.
+func (core *Core) handleSnapshot(message Message) {
+	core.followLeader(message.From)
+	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Round: message.Round}
+	snapshot := message.Snapshot
+	if snapshot.Index <= core.commitIndex {
+		reply.Index = core.commitIndex
 		core.send(reply)
 		return
 	}
-	if err := core.install(point); err != nil {
-		core.output.SnapshotRefused = &SnapshotError{From: message.From, Index: point.Index, Reason: SnapshotUnreadable, Cause: err}
-		reply.Refused, reply.Hint = true, core.last()
+	if err := core.installSnapshot(snapshot); err != nil {
+		core.output.SnapshotRejected = &SnapshotError{From: message.From, Index: snapshot.Index, Reason: SnapshotUnreadable, Cause: err}
+		reply.Rejected, reply.Hint = true, core.lastIndex()
 		core.send(reply)
 		return
 	}
-	core.takeSnapshot(point)
-	reply.Index = point.Index
+	core.restoreSnapshot(snapshot)
+	reply.Index = snapshot.Index
 	core.send(reply)
 }
 
-func (core *Core) install(point Checkpoint) error {
-	if core.settings.Install == nil {
+func (core *Core) installSnapshot(snapshot Snapshot) error {
+	if core.settings.InstallSnapshot == nil {
 		return nil
 	}
-	return core.settings.Install(point)
+	return core.settings.InstallSnapshot(snapshot)
 }
 
-// takeSnapshot makes a snapshot that the state machine holds the replica's own. Entries
+// restoreSnapshot makes a snapshot that the state machine holds the replica's own. Entries
 // after it stay only if the log agrees with it.
-func (core *Core) takeSnapshot(point Checkpoint) {
-	if core.termAt(point.Index) == point.Term && point.Index <= core.last() {
-		core.entries = slices.Clone(core.entries[point.Index-core.checkpoint.Index:])
+func (core *Core) restoreSnapshot(snapshot Snapshot) {
+	if core.termAt(snapshot.Index) == snapshot.Term && snapshot.Index <= core.lastIndex() {
+		core.entries = slices.Clone(core.entries[snapshot.Index-core.snapshot.Index:])
 	} else {
 		core.entries = nil
 	}
-	core.checkpoint = point
-	core.commit = point.Index
-	core.applied = point.Index
-	core.stable = max(min(core.stable, core.last()), point.Index)
-	core.dirtyPoint = true
+	core.snapshot = snapshot
+	core.commitIndex = snapshot.Index
+	core.lastApplied = snapshot.Index
+	core.stableIndex = max(min(core.stableIndex, core.lastIndex()), snapshot.Index)
+	core.snapshotChanged = true
 	if len(core.entries) > 0 {
-		core.markDirty(point.Index + 1)
+		core.markUnwritten(snapshot.Index + 1)
 	}
-	core.findReplicas()
-	core.output.Restore = &point
+	core.refreshMembership()
+	core.output.Snapshot = &snapshot
 }
 
 func (core *Core) compact(index uint64, data []byte) {
-	if !core.Covers(index) {
+	if !core.CanCompact(index) {
 		return
 	}
-	point := Checkpoint{Index: index, Term: core.termAt(index), Replicas: core.checkpoint.Replicas, Data: data}
-	for _, entry := range core.entries[:index-core.checkpoint.Index] {
-		if entry.Kind == EntryReplicas {
-			point.Replicas = entry.Replicas
+	snapshot := Snapshot{Index: index, Term: core.termAt(index), Membership: core.snapshot.Membership, Data: data}
+	for _, entry := range core.entries[:index-core.snapshot.Index] {
+		if entry.Kind == EntryMembership {
+			snapshot.Membership = entry.Membership
 		}
 	}
-	core.entries = slices.Clone(core.from(index + 1))
-	core.checkpoint = point
-	core.stable = max(core.stable, index)
-	core.dirtyPoint = true
+	core.entries = slices.Clone(core.entriesFrom(index + 1))
+	core.snapshot = snapshot
+	core.stableIndex = max(core.stableIndex, index)
+	core.snapshotChanged = true
 	if len(core.entries) > 0 {
-		core.markDirty(index + 1)
+		core.markUnwritten(index + 1)
 	}
 }
--- a/system/agreement/refusal.go
+++ b/system/agreement/snapshot_errors.go
@@ -2,43 +2,43 @@
 
 import "fmt"
 
-// SnapshotRefusal tells why a snapshot, or a part of one, was not taken.
-type SnapshotRefusal uint16
+// SnapshotRejection tells why a snapshot, or a part of one, was not taken.
+type SnapshotRejection uint16
 
 const (
 	// SnapshotAccepted is the zero value: nothing was refused.
-	SnapshotAccepted SnapshotRefusal = iota
+	SnapshotAccepted SnapshotRejection = iota
 	// SnapshotUnreadable: the state machine cannot read the content.
 	SnapshotUnreadable
 	// SnapshotDamaged: a checksum does not match.
 	SnapshotDamaged
 	// SnapshotOutOfOrder: the chunk does not continue what is held.
 	SnapshotOutOfOrder
-	// SnapshotOfOtherTerm: the sender leads an older term.
-	SnapshotOfOtherTerm
-	// SnapshotOfOtherGroup: the chunk belongs to another group.
-	SnapshotOfOtherGroup
+	// SnapshotStaleTerm: the sender leads an older term.
+	SnapshotStaleTerm
+	// SnapshotWrongGroup: the chunk belongs to another group.
+	SnapshotWrongGroup
 	// SnapshotTooLarge: the snapshot is longer than a replica takes.
 	SnapshotTooLarge
 	// SnapshotSuperseded: a newer snapshot of the same leader is being received.
 	SnapshotSuperseded
 )
 
-var refusalNames = map[SnapshotRefusal]string{
+var rejectionNames = map[SnapshotRejection]string{
 	SnapshotAccepted: "accepted", SnapshotUnreadable: "unreadable", SnapshotDamaged: "damaged",
-	SnapshotOutOfOrder: "out of order", SnapshotOfOtherTerm: "of another term",
-	SnapshotOfOtherGroup: "of another group", SnapshotTooLarge: "too large",
+	SnapshotOutOfOrder: "out of order", SnapshotStaleTerm: "of another term",
+	SnapshotWrongGroup: "of another group", SnapshotTooLarge: "too large",
 	SnapshotSuperseded: "superseded",
 }
 
 // String names the reason.
 //
 //	fmt.Println(agreement.SnapshotDamaged) // damaged
-func (refusal SnapshotRefusal) String() string {
-	if name, known := refusalNames[refusal]; known {
+func (rejection SnapshotRejection) String() string {
+	if name, known := rejectionNames[rejection]; known {
 		return name
 	}
-	return fmt.Sprintf("refusal %d", uint16(refusal))
+	return fmt.Sprintf("refusal %d", uint16(rejection))
 }
 
 // SnapshotError is a snapshot, or a part of one, that was refused. The replica that
@@ -47,17 +47,17 @@
 	From   string
 	Index  uint64
 	Offset uint64
-	Reason SnapshotRefusal
+	Reason SnapshotRejection
 	Cause  error
 }
 
 // Error tells what was refused, and why.
 //
 //	log.Error(output.SnapshotRefused.Error())
-func (refused *SnapshotError) Error() string {
-	text := fmt.Sprintf("snapshot %d at byte %d from %s refused: %s", refused.Index, refused.Offset, refused.From, refused.Reason)
-	if refused.Cause != nil {
-		text += ": " + refused.Cause.Error()
+func (rejected *SnapshotError) Error() string {
+	text := fmt.Sprintf("snapshot %d at byte %d from %s refused: %s", rejected.Index, rejected.Offset, rejected.From, rejected.Reason)
+	if rejected.Cause != nil {
+		text += ": " + rejected.Cause.Error()
 	}
 	return text
 }
@@ -65,4 +65,4 @@
 // Unwrap gives the state machine's own error, if there is one.
 //
 //	errors.Is(output.SnapshotRefused, errDecode)
-func (refused *SnapshotError) Unwrap() error { return refused.Cause }
+func (rejected *SnapshotError) Unwrap() error { return rejected.Cause }
--- a/system/agreement/transfer_test.go
+++ b/system/agreement/snapshot_transfer_test.go
@@ -15,7 +15,7 @@
 	t        *testing.T
 	random   *rand.Rand
 	cores    map[string]*Core
-	disks    map[string]Stored
+	disks    map[string]PersistentState
 	settings Settings
 	due      []dueMessage
 	now      int
@@ -28,7 +28,7 @@
 	seen       func(*Message)
 	chunks     int
 	heartbeats []int // when "c" got appends
-	refusals   []SnapshotRefusal
+	rejections []SnapshotRejection
 }
 
 type dueMessage struct {
@@ -39,17 +39,17 @@
 // newDelayedGroup has a lead and a snapshot of that size at a high index.
 func newDelayedGroup(t *testing.T, seed uint64, size int) *delayedGroup {
 	t.Helper()
-	group := &delayedGroup{t: t, random: rand.New(rand.NewPCG(seed, 2)), cores: map[string]*Core{}, disks: map[string]Stored{}, last: map[[2]string]int{}}
+	group := &delayedGroup{t: t, random: rand.New(rand.NewPCG(seed, 2)), cores: map[string]*Core{}, disks: map[string]PersistentState{}, last: map[[2]string]int{}}
 	group.settings = Settings{Group: 4, ElectionTicks: 14, HeartbeatTicks: 4, Seed: seed}
 	names := []string{"a", "b", "c"}
-	founding := Stored{State: State{Term: 1}, Checkpoint: Checkpoint{Index: 1, Term: 1, Replicas: Replicas{Voters: names}}}
+	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}
 	for _, name := range names {
 		group.disks[name] = founding
 		if name != "c" {
 			group.start(name)
 		}
 	}
-	for !group.cores["a"].Status().Leading || !group.cores["a"].Status().Confirmed {
+	for !group.cores["a"].Status().Leading || !group.cores["a"].Status().CommittedInTerm {
 		group.tick("a")
 		if group.now > 500 {
 			t.Fatal("a was not elected")
@@ -82,12 +82,12 @@
 
 func (group *delayedGroup) step(name string, input Input) {
 	output := group.cores[name].Step(input)
-	for output.Write != nil || len(output.Messages) > 0 || output.Restore != nil || output.SnapshotRefused != nil {
-		if output.SnapshotRefused != nil {
-			group.refusals = append(group.refusals, output.SnapshotRefused.Reason)
+	for output.Write != nil || len(output.Messages) > 0 || output.Snapshot != nil || output.SnapshotRejected != nil {
+		if output.SnapshotRejected != nil {
+			group.rejections = append(group.rejections, output.SnapshotRejected.Reason)
 		}
-		if point := output.Restore; point != nil && !bytes.Equal(point.Data, group.content(point.Index, len(point.Data))) {
-			group.t.Fatalf("%s took a snapshot of %d that nobody made", name, point.Index)
+		if snapshot := output.Snapshot; snapshot != nil && !bytes.Equal(snapshot.Data, group.content(snapshot.Index, len(snapshot.Data))) {
+			group.t.Fatalf("%s took a snapshot of %d that nobody made", name, snapshot.Index)
 		}
 		for _, message := range output.Messages {
 			group.post(message)
@@ -160,21 +160,21 @@
 			each(tick)
 		}
 		group.tick("a", "b", "c")
-		if group.cores["c"].Status().Commit == group.cores["a"].Status().Last {
+		if group.cores["c"].Status().CommitIndex == group.cores["a"].Status().LastIndex {
 			return tick
 		}
 	}
-	group.t.Fatalf("c holds %d of %d after %d ticks; %d chunks were sent", group.cores["c"].Status().Commit, group.cores["a"].Status().Last, limit, group.chunks)
+	group.t.Fatalf("c holds %d of %d after %d ticks; %d chunks were sent", group.cores["c"].Status().CommitIndex, group.cores["a"].Status().LastIndex, limit, group.chunks)
 	return 0
 }
 
-func TestReplicaFarBehindCatchesUpWithHeartbeatsMeanwhile(t *testing.T) {
+func TestLaggingReplicaCatchesUpWhileHeartbeatsContinue(t *testing.T) {
 	const size = 5 << 20 // 40 chunks
 	group := newDelayedGroup(t, 1, size)
 	group.latest = 1
 	ticks := group.caughtUp(120, nil)
-	if most := 2 * (size/usualChunk + 1); group.chunks > most {
-		t.Errorf("%d chunks were sent for a snapshot of %d", group.chunks, size/usualChunk)
+	if most := 2 * (size/defaultChunkBytes + 1); group.chunks > most {
+		t.Errorf("%d chunks were sent for a snapshot of %d", group.chunks, size/defaultChunkBytes)
 	}
 	for position := 1; position < len(group.heartbeats); position++ {
 		if gap := group.heartbeats[position] - group.heartbeats[position-1]; gap > group.settings.HeartbeatTicks+group.latest+1 {
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestReplicaFarBehindCatchesUpOverALossyNetwork(t *testing.T) {
+func TestLaggingReplicaCatchesUpOverALossyNetwork(t *testing.T) {
 	worst := 0
 	for seed := range uint64(20) {
 		group := newDelayedGroup(t, seed, 1<<20) // 8 chunks
@@ -202,7 +202,7 @@
 	t.Logf("caught up after %d ticks at worst", worst)
 }
 
-func TestReceiverThatRestartsMidTransferBeginsAnewAtOnce(t *testing.T) {
+func TestReceiverRestartedMidTransferStartsOverAtOnce(t *testing.T) {
 	const size = 4 << 20 // 32 chunks
 	undisturbed := newDelayedGroup(t, 1, size)
 	undisturbed.latest = 1
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestReceiverThatIsCutOffMidTransferGoesOnWhereItWas(t *testing.T) {
+func TestReceiverPartitionedMidTransferResumesAtItsOffset(t *testing.T) {
 	const size = 4 << 20
 	group := newDelayedGroup(t, 1, size)
 	group.latest = 1
@@ -238,12 +238,12 @@
 			group.lost = 0
 		}
 	})
-	if most := size/usualChunk + 8; group.chunks > most {
+	if most := size/defaultChunkBytes + 8; group.chunks > most {
 		t.Errorf("%d chunks were sent, the limit is %d", group.chunks, most)
 	}
 }
 
-func TestNewSnapshotMidTransferReplacesTheOld(t *testing.T) {
+func TestNewSnapshotReplacesTheTransferInProgress(t *testing.T) {
 	group := newDelayedGroup(t, 1, 4<<20)
 	group.latest = 1
 	group.caughtUp(400, func(tick int) {
@@ -265,12 +265,12 @@
 	}
 }
 
-func TestSnapshotOfOneLeaderIsNotContinuedWithAnothers(t *testing.T) {
+func TestSnapshotOfOneLeaderIsNotContinuedWithAnotherLeadersChunks(t *testing.T) {
 	core, chunks := chunksOf(t, "the content that one leader made")
 	core.Step(Input{Kind: InputMessage, Message: chunks[0]})
 	_, others := chunksOf(t, "the content that another made..")
 	output := core.Step(Input{Kind: InputMessage, Message: others[1]})
-	if output.SnapshotRefused == nil || output.SnapshotRefused.Reason != SnapshotOutOfOrder || output.Messages[0].Chunk.Offset != 0 {
+	if output.SnapshotRejected == nil || output.SnapshotRejected.Reason != SnapshotOutOfOrder || output.Messages[0].Chunk.Offset != 0 {
 		t.Fatalf("answered %+v", output.Messages)
 	}
 }
@@ -280,22 +280,22 @@
 // chunksOf gives a replica that waits for a snapshot, and the chunks for it.
 func chunksOf(t *testing.T, content string) (*Core, []Message) {
 	t.Helper()
-	settings := Settings{Group: 4, Name: "b", ElectionTicks: 10, HeartbeatTicks: 2, ChunkBytes: testChunk, Install: func(point Checkpoint) error {
-		if len(point.Data) == 0 || point.Data[0] == '!' {
+	settings := Settings{Group: 4, Name: "b", ElectionTicks: 10, HeartbeatTicks: 2, ChunkBytes: testChunk, InstallSnapshot: func(snapshot Snapshot) error {
+		if len(snapshot.Data) == 0 || snapshot.Data[0] == '!' {
 			return errUnreadable
 		}
 		return nil
 	}}
-	point := Checkpoint{Index: 7, Term: 2, Replicas: Replicas{Voters: []string{"a", "b"}}, Data: []byte(content)}
-	leader := New(Settings{Group: 4, Name: "a", ElectionTicks: 10, HeartbeatTicks: 2, ChunkBytes: testChunk}, Stored{State: State{Term: 3}, Checkpoint: point})
-	sending := &transfer{index: 7, sum: leader.contentSum()}
-	for sending.sent < uint64(len(content)) {
+	snapshot := Snapshot{Index: 7, Term: 2, Membership: Membership{Voters: []string{"a", "b"}}, Data: []byte(content)}
+	leader := New(Settings{Group: 4, Name: "a", ElectionTicks: 10, HeartbeatTicks: 2, ChunkBytes: testChunk}, PersistentState{HardState: HardState{Term: 3}, Snapshot: snapshot})
+	sending := &outgoingSnapshot{index: 7, contentChecksum: leader.contentChecksum()}
+	for sending.sentOffset < uint64(len(content)) {
 		leader.sendChunk("b", sending)
 	}
-	return New(settings, Stored{State: State{Term: 3}}), leader.undelivered
+	return New(settings, PersistentState{HardState: HardState{Term: 3}}), leader.outbox
 }
 
-func TestBadChunkIsRefusedAndChangesNothing(t *testing.T) {
+func TestInvalidChunkIsRejectedAndChangesNothing(t *testing.T) {
 	resealed := func(change func(*Message)) func(*Message) {
 		return func(message *Message) {
 			change(message)
@@ -303,88 +303,88 @@
 		}
 	}
 	for name, one := range map[string]struct {
-		harm    func(*Message)
-		refused SnapshotRefusal
+		harm     func(*Message)
+		rejected SnapshotRejection
 	}{
-		"a bit is flipped":        {func(message *Message) { message.Checkpoint.Data[1] ^= 1 }, SnapshotDamaged},
-		"it is cut":               {func(message *Message) { message.Checkpoint.Data = message.Checkpoint.Data[:2] }, SnapshotDamaged},
+		"a bit is flipped":        {func(message *Message) { message.Snapshot.Data[1] ^= 1 }, SnapshotDamaged},
+		"it is cut":               {func(message *Message) { message.Snapshot.Data = message.Snapshot.Data[:2] }, SnapshotDamaged},
 		"its offset is damaged":   {func(message *Message) { message.Chunk.Offset += testChunk }, SnapshotDamaged},
-		"its voters are damaged":  {func(message *Message) { message.Checkpoint.Replicas.Voters = []string{"a", "x"} }, SnapshotDamaged},
+		"its voters are damaged":  {func(message *Message) { message.Snapshot.Membership.Voters = []string{"a", "x"} }, SnapshotDamaged},
 		"its term is damaged":     {func(message *Message) { message.Term += 9 }, SnapshotDamaged},
-		"it is of an older term":  {resealed(func(message *Message) { message.Term-- }), SnapshotOfOtherTerm},
-		"it is of another group":  {resealed(func(message *Message) { message.Group++ }), SnapshotOfOtherGroup},
+		"it is of an older term":  {resealed(func(message *Message) { message.Term-- }), SnapshotStaleTerm},
+		"it is of another group":  {resealed(func(message *Message) { message.Group++ }), SnapshotWrongGroup},
 		"it is out of order":      {resealed(func(message *Message) { message.Chunk.Offset += testChunk }), SnapshotOutOfOrder},
 		"it runs over its end":    {resealed(func(message *Message) { message.Chunk.Offset = message.Chunk.Total - 1 }), SnapshotDamaged},
-		"it is of a later one":    {resealed(func(message *Message) { message.Checkpoint.Index++ }), SnapshotOutOfOrder},
-		"it is of an earlier one": {resealed(func(message *Message) { message.Checkpoint.Index--; message.Chunk.Offset = 0 }), SnapshotSuperseded},
-		"it is of other content":  {resealed(func(message *Message) { message.Chunk.ContentSum++ }), SnapshotOutOfOrder},
-		"it is endless":           {resealed(func(message *Message) { message.Chunk.Total = longestSnapshot + 1 }), SnapshotTooLarge},
+		"it is of a later one":    {resealed(func(message *Message) { message.Snapshot.Index++ }), SnapshotOutOfOrder},
+		"it is of an earlier one": {resealed(func(message *Message) { message.Snapshot.Index--; message.Chunk.Offset = 0 }), SnapshotSuperseded},
+		"it is of other content":  {resealed(func(message *Message) { message.Chunk.ContentChecksum++ }), SnapshotOutOfOrder},
+		"it is endless":           {resealed(func(message *Message) { message.Chunk.Total = maxSnapshotBytes + 1 }), SnapshotTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const content = "twelve bytes"
 			core, chunks := chunksOf(t, content)
 			core.Step(Input{Kind: InputMessage, Message: chunks[0]})
 			bad := chunks[1]
-			bad.Checkpoint.Data = bytes.Clone(bad.Checkpoint.Data)
+			bad.Snapshot.Data = bytes.Clone(bad.Snapshot.Data)
 			one.harm(&bad)
 			before := core.Status()
 			output := core.Step(Input{Kind: InputMessage, Message: bad})
 			after := core.Status()
-			if output.SnapshotRefused == nil || output.SnapshotRefused.Reason != one.refused {
-				t.Fatalf("refused as %v", output.SnapshotRefused)
+			if output.SnapshotRejected == nil || output.SnapshotRejected.Reason != one.rejected {
+				t.Fatalf("refused as %v", output.SnapshotRejected)
 			}
-			if len(output.Messages) != 1 || !output.Messages[0].Refused || output.Messages[0].Kind != MessageSnapshotReply {
+			if len(output.Messages) != 1 || !output.Messages[0].Rejected || output.Messages[0].Kind != MessageSnapshotReply {
 				t.Fatalf("answered %+v", output.Messages)
 			}
-			if before.Term != after.Term || before.Commit != after.Commit || output.Write != nil || output.Restore != nil {
+			if before.Term != after.Term || before.CommitIndex != after.CommitIndex || output.Write != nil || output.Snapshot != nil {
 				t.Fatalf("changed from %+v to %+v", before, after)
 			}
 			for _, chunk := range chunks[1:] {
 				output = core.Step(Input{Kind: InputMessage, Message: chunk})
 			}
-			if output.Restore == nil || string(output.Restore.Data) != content {
+			if output.Snapshot == nil || string(output.Snapshot.Data) != content {
 				t.Fatalf("the right chunks were not taken after it: %+v", output)
 			}
 		})
 	}
 }
 
-func TestUnreadableTransferredSnapshotIsNotTaken(t *testing.T) {
+func TestUnreadableTransferredSnapshotIsNotInstalled(t *testing.T) {
 	core, chunks := chunksOf(t, "!nreadable")
 	var output Output
 	for _, chunk := range chunks {
 		output = core.Step(Input{Kind: InputMessage, Message: chunk})
 	}
-	if output.Restore != nil || output.Write != nil || core.Applied() != 0 || core.incoming != nil {
+	if output.Snapshot != nil || output.Write != nil || core.Applied() != 0 || core.incoming != nil {
 		t.Fatalf("an unreadable snapshot left %+v", core.Status())
 	}
-	if output.SnapshotRefused == nil || output.SnapshotRefused.Reason != SnapshotUnreadable || !errors.Is(output.SnapshotRefused, errUnreadable) {
-		t.Fatalf("refused as %v", output.SnapshotRefused)
+	if output.SnapshotRejected == nil || output.SnapshotRejected.Reason != SnapshotUnreadable || !errors.Is(output.SnapshotRejected, errUnreadable) {
+		t.Fatalf("refused as %v", output.SnapshotRejected)
 	}
-	if reply := output.Messages[0]; !reply.Refused || reply.Chunk.Offset != 0 {
+	if reply := output.Messages[0]; !reply.Rejected || reply.Chunk.Offset != 0 {
 		t.Fatalf("answered %+v", reply)
 	}
 }
 
 // One damaged chunk in ten, and then a snapshot that is refused at first.
-func TestSenderGoesOnAfterRefusals(t *testing.T) {
+func TestSenderContinuesAfterRejections(t *testing.T) {
 	group := newDelayedGroup(t, 3, 2<<20)
 	group.latest = 1
 	group.seen = func(message *Message) {
 		if message.Kind == MessageSnapshotChunk && group.random.IntN(10) == 0 {
-			message.Checkpoint.Data = bytes.Clone(message.Checkpoint.Data)
-			message.Checkpoint.Data[0] ^= 1
+			message.Snapshot.Data = bytes.Clone(message.Snapshot.Data)
+			message.Snapshot.Data[0] ^= 1
 		}
 	}
 	refuse := 2
-	group.settings.Install = func(Checkpoint) error {
+	group.settings.InstallSnapshot = func(Snapshot) error {
 		if refuse--; refuse >= 0 {
 			return errUnreadable
 		}
 		return nil
 	}
 	group.caughtUp(400, nil)
-	if !slices.Contains(group.refusals, SnapshotDamaged) || !slices.Contains(group.refusals, SnapshotUnreadable) {
-		t.Fatalf("nothing was refused: %v", group.refusals)
+	if !slices.Contains(group.rejections, SnapshotDamaged) || !slices.Contains(group.rejections, SnapshotUnreadable) {
+		t.Fatalf("nothing was refused: %v", group.rejections)
 	}
 }
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return daemon.Running{}, err
 	}
-	node, err := store.Start(store.Settings{Address: loaded.Address, Domain: loaded.Domain, Seeds: loaded.Seeds, Replica: replica.Usual(rand.Uint64())}, folder, coldFolder, loaded.Network())
+	node, err := store.Start(store.Settings{Address: loaded.Address, Domain: loaded.Domain, Seeds: loaded.Seeds, Replica: replica.DefaultSettings(rand.Uint64())}, folder, coldFolder, loaded.Network())
 	if err != nil {
 		return daemon.Running{}, err
 	}
--- a/system/coldstore/coldstore.go
+++ b/system/coldstore/coldstore.go
@@ -43,7 +43,7 @@
 
 // Store is an open cold store.
 type Store struct {
-	folder files.Folder
+	folder files.Directory
 	// writing lets one Put write at a time, and guards next; mutex guards what is known,
 	// and is never held while the disk works, so that reads go on while a sync is slow.
 	writing sync.Mutex
@@ -63,9 +63,9 @@
 // confirmed and is left out; what it should hold is fetched anew by repair.
 //
 //	cold, err := coldstore.Open(folder)
-func Open(folder files.Folder) (*Store, error) {
+func Open(folder files.Directory) (*Store, error) {
 	store := &Store{folder: folder, lines: map[string][]place{}, living: map[uint64]int{}, sums: map[uint32]*line.Sums{}, byGroup: map[uint32]map[string]bool{}, next: 1}
-	names, err := folder.Names()
+	names, err := folder.List()
 	if err != nil {
 		return nil, err
 	}
@@ -87,11 +87,11 @@
 func fileName(number uint64) string { return fmt.Sprintf("%s%020d", prefix, number) }
 
 func (store *Store) readIndex(name string) []wire.ColdPlace {
-	header, err := store.folder.ReadPart(name, 0, frameHeader)
+	header, err := store.folder.ReadRange(name, 0, frameHeader)
 	if err != nil {
 		return nil
 	}
-	body, err := store.folder.ReadPart(name, frameHeader, int(binary.LittleEndian.Uint32(header)))
+	body, err := store.folder.ReadRange(name, frameHeader, int(binary.LittleEndian.Uint32(header)))
 	if err != nil || crc32.Checksum(body, checksums) != binary.LittleEndian.Uint32(header[4:]) {
 		return nil
 	}
@@ -157,7 +157,7 @@
 
 // readChunk reads a chunk's events; a damaged or missing one is a gap.
 func (store *Store) readChunk(at place) (wire.ColdChunk, bool) {
-	body, err := store.folder.ReadPart(fileName(at.file), at.offset, at.length)
+	body, err := store.folder.ReadRange(fileName(at.file), at.offset, at.length)
 	if err != nil || crc32.Checksum(body, checksums) != at.sum {
 		return wire.ColdChunk{}, false
 	}
--- a/system/controlplane/assignments.go
+++ b/system/controlplane/assignments.go
@@ -53,7 +53,7 @@
 // It tells when it is due again.
 func (node *Node) runAssignments() time.Duration {
 	view := node.View()
-	if view.Number == 0 || !node.host.Statuses()[controlGroup].Confirmed {
+	if view.Number == 0 || !node.host.Statuses()[controlGroup].CommittedInTerm {
 		return assignmentInterval
 	}
 	ctx, cancel := context.WithTimeout(node.context, callTimeout+rosterTimeout)
--- a/system/controlplane/history_bench_test.go
+++ b/system/controlplane/history_bench_test.go
@@ -91,7 +91,7 @@
 					machine := newFeedMachine()
 					logged := historyOf(b, machine, routes, changes)
 					held := heapBytes() - before
-					image := machine.Image()()
+					image := machine.Snapshot()()
 					began := time.Now()
 					if err := newFeedMachine().Restore(image); err != nil {
 						b.Fatal(err)
--- a/system/controlplane/machine.go
+++ b/system/controlplane/machine.go
@@ -138,8 +138,8 @@
 	})
 }
 
-// Image is the snapshot of the control group.
-func (machine *feedMachine) Image() func() []byte {
+// Snapshot is the snapshot of the control group.
+func (machine *feedMachine) Snapshot() func() []byte {
 	state := machine.state()
 	return func() []byte { return controlImage(state.view, state.history) }
 }
--- a/system/controlplane/machine_test.go
+++ b/system/controlplane/machine_test.go
@@ -25,7 +25,7 @@
 		logged := historyOf(t, machine, test.routes, test.changes)
 		view := machine.state().view
 		config := len(view.Compiled) + len(view.Source)
-		if image := machine.Image()(); len(image) > config+snapshotSlack {
+		if image := machine.Snapshot()(); len(image) > config+snapshotSlack {
 			t.Errorf("%d changes of %d routes: a snapshot of %d bytes for a config of %d", test.changes, test.routes, len(image), config)
 		}
 		if most := 2*config + test.changes*2048; logged > most {
@@ -45,7 +45,7 @@
 		view := machine.state().view
 		applyChange(t, machine, proposable(view, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Compiled: compiled}))
 	}
-	if image := machine.Image()(); len(image) > 2*size+snapshotSlack {
+	if image := machine.Snapshot()(); len(image) > 2*size+snapshotSlack {
 		t.Errorf("a snapshot of %d bytes for a config of %d", len(image), size)
 	}
 }
@@ -53,7 +53,7 @@
 func TestSnapshotsAreReadBack(t *testing.T) {
 	machine, restored := newFeedMachine(), newFeedMachine()
 	historyOf(t, machine, 20, 50)
-	if err := restored.Restore(machine.Image()()); err != nil {
+	if err := restored.Restore(machine.Snapshot()()); err != nil {
 		t.Fatal(err)
 	}
 	before, after := machine.state(), restored.state()
--- a/system/controlplane/members.go
+++ b/system/controlplane/members.go
@@ -18,34 +18,34 @@
 // It tells whether a change is under way.
 func (node *Node) enrolControls(ctx context.Context) bool {
 	status, _ := node.host.Status(controlGroup)
-	if !status.Leading || status.Changing {
+	if !status.Leading || status.MembershipChangePending {
 		return status.Leading
 	}
-	voters, learners := status.Replicas.Voters, status.Replicas.Learners
+	voters, learners := status.Membership.Voters, status.Membership.Learners
 	live := node.Live()
-	change := func(event, name string, next agreement.Replicas) bool {
+	change := func(event, name string, next agreement.Membership) bool {
 		log.WithFields(log.Fields{"node": node.Name(), "control": name}).Info(event)
-		return node.host.ChangeReplicas(controlGroup, next)
+		return node.host.ChangeMembership(controlGroup, next)
 	}
 	if gone := node.goneVoter(voters, learners, status); gone != "" {
-		return change("control_removed", gone, agreement.Replicas{Voters: agreement.Without(voters, gone), Learners: learners})
+		return change("control_removed", gone, agreement.Membership{Voters: agreement.Without(voters, gone), Learners: learners})
 	}
 	doubtful := slices.ContainsFunc(voters, func(name string) bool { return node.silent(name, doubtTimeout) })
 	for _, learner := range learners {
 		if !doubtful && node.ready(status, learner) {
-			return change("control_votes", learner, agreement.Replicas{Voters: append(slices.Clone(voters), learner), Learners: agreement.Without(learners, learner)})
+			return change("control_votes", learner, agreement.Membership{Voters: append(slices.Clone(voters), learner), Learners: agreement.Without(learners, learner)})
 		}
 	}
 	for _, learner := range learners {
 		if node.silent(learner, silenceTimeout) {
-			return change("control_removed", learner, agreement.Replicas{Voters: voters, Learners: agreement.Without(learners, learner)})
+			return change("control_removed", learner, agreement.Membership{Voters: voters, Learners: agreement.Without(learners, learner)})
 		}
 	}
 	members := slices.Concat(voters, learners)
 	silent := slices.DeleteFunc(slices.Clone(voters), func(name string) bool { return !node.silent(name, silenceTimeout) })
 	for _, member := range live {
 		if member.Role == feed.RoleControl && !slices.Contains(members, member.Name) && !node.silent(member.Name, doubtTimeout) && len(members)-len(silent) < node.settings.MostControls {
-			return change("control_enrolled", member.Name, agreement.Replicas{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
+			return change("control_enrolled", member.Name, agreement.Membership{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
 		}
 	}
 	node.listControls(ctx, voters, live)
@@ -67,8 +67,8 @@
 
 // ready tells that a learner is heard, and holds the log but for what is on its way.
 func (node *Node) ready(status agreement.Status, learner string) bool {
-	matched := status.Matched[learner]
-	holdsLog := matched > 0 && matched+agreement.CaughtUp >= status.Commit
+	matched := status.MatchIndex[learner]
+	holdsLog := matched > 0 && matched+agreement.MaxLearnerLag >= status.CommitIndex
 	return holdsLog && !node.silent(learner, silenceTimeout)
 }
 
@@ -142,7 +142,7 @@
 // measuring.
 //
 //	names := node.Voters()
-func (node *Node) Voters() []string { return node.host.Statuses()[controlGroup].Replicas.Voters }
+func (node *Node) Voters() []string { return node.host.Statuses()[controlGroup].Membership.Voters }
 
 // succeeded tells that another node of the same role was heard at a node's address later
 // than that node itself.
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -57,7 +57,7 @@
 	Copies       uint32
 	MostControls int
 	Replica      replica.Settings
-	// Machine is what the operator calls this machine; it may be empty.
+	// StateMachine is what the operator calls this machine; it may be empty.
 	Machine string
 	// Joins tells that the fleet has started before: with an empty disk, this node
 	// joins it and never founds another.
@@ -118,7 +118,7 @@
 //
 //	node, err := controlplane.Start(settings, folder, link.TCP{})
 //	defer node.Close()
-func Start(settings Settings, folder files.Folder, network link.Network) (*Node, error) {
+func Start(settings Settings, folder files.Directory, network link.Network) (*Node, error) {
 	durable, records, err := durablelog.Open(folder, feed.RoleControl)
 	if err != nil {
 		return nil, err
@@ -129,12 +129,12 @@
 	}
 	node.SetSeeds(settings.Seeds)
 	node.context, node.stop = context.WithCancel(context.Background())
-	courier := replica.NewCourier(node.caller, node.addressOf, func() string { return node.View().Fleet })
-	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.Machine { return node.machine }, courier)
+	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.View().Fleet })
+	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.machine }, courier)
 	if err != nil {
 		return nil, err
 	}
-	if data := node.host.Pinned(controlsPin); data != nil {
+	if data := node.host.StoredValue(controlsPin); data != nil {
 		var noted feed.View
 		if err := wire.Decode(schema.View_TypeID, data, &noted); err != nil {
 			node.host.Close()
@@ -214,7 +214,7 @@
 // Drain gives up leadership before a stop.
 //
 //	node.Drain()
-func (node *Node) Drain() { node.host.HandOverAll() }
+func (node *Node) Drain() { node.host.TransferAllLeaderships() }
 
 func (node *Node) self() feed.Member {
 	return feed.Member{Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Administration: node.settings.Administration, Machine: node.settings.Machine}
@@ -277,7 +277,7 @@
 	}
 }
 
-func (node *Node) empty() bool { return node.host.Statuses()[controlGroup].Last == 0 }
+func (node *Node) empty() bool { return node.host.Statuses()[controlGroup].LastIndex == 0 }
 
 func (node *Node) answerStatus(_ context.Context, _ *wire.Query) (*wire.Reply, error) {
 	view := node.View()
@@ -338,7 +338,7 @@
 }
 
 func (node *Node) foundWith(view feed.View) {
-	node.host.Found(controlGroup, view.Founding, controlImage(&view, feed.History{}))
+	node.host.Bootstrap(controlGroup, view.Founding, controlImage(&view, feed.History{}))
 	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet_founded")
 }
 
@@ -506,7 +506,7 @@
 	}
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
-	if err := node.host.Pin(ctx, controlsPin, wire.MustEncode(schema.View_TypeID, &feed.View{Controls: view.Controls})); err == nil {
+	if err := node.host.StoreValue(ctx, controlsPin, wire.MustEncode(schema.View_TypeID, &feed.View{Controls: view.Controls})); err == nil {
 		node.controls = view.Controls
 	}
 }
--- a/system/controlplane/orders_model_test.go
+++ b/system/controlplane/orders_model_test.go
@@ -193,7 +193,7 @@
 
 // restore replaces the machine by one that starts from its image.
 func (model *ordersModel) restore() {
-	image := model.machine.Image()()
+	image := model.machine.Snapshot()()
 	model.machine = newFeedMachine()
 	if err := model.machine.Restore(image); err != nil {
 		model.t.Fatal(err)
--- a/system/durablelog/durablelog.go
+++ b/system/durablelog/durablelog.go
@@ -21,17 +21,17 @@
 const (
 	// formatVersion 2: the first log is made before the identity, and a slot's log before
 	// the slot, so that a missing log is always a loss.
-	formatVersion = 2
-	loggedFormat  = 2
-	identityFile  = "identity"
-	logPrefix     = "log-"
-	slotPrefix    = "slot-"
+	formatVersion  = 2
+	logFirstFormat = 2
+	identityFile   = "identity"
+	logPrefix      = "log-"
+	snapshotPrefix = "slot-"
 )
 
-const emptyTheFolder = "empty the data folder so that the node joins as a new one and is healed from its peers"
+const emptyDirectoryRemedy = "empty the data folder so that the node joins as a new one and is healed from its peers"
 
-func damaged(format string, values ...any) error {
-	return apierror.New(apierror.Damaged, fmt.Sprintf(format, values...), emptyTheFolder)
+func damagedError(format string, values ...any) error {
+	return apierror.New(apierror.Damaged, fmt.Sprintf(format, values...), emptyDirectoryRemedy)
 }
 
 // Record is one group-tagged piece of state.
@@ -51,19 +51,19 @@
 
 // Log is an open data folder.
 type Log struct {
-	folder     files.Folder
-	identity   Identity
-	generation uint64
-	offset     int64
-	sequence   uint64
-	slotBytes  int64
-	synced     uint64
-	broken     bool
-	// newestSlot is the generation of the newest whole slot, in slotFile; 0 if there is none.
-	newestSlot uint64
-	slotFile   string
-	// oldestLog is the generation of the oldest log that is kept.
-	oldestLog uint64
+	directory     files.Directory
+	identity      Identity
+	generation    uint64
+	offset        int64
+	sequence      uint64
+	snapshotBytes int64
+	syncs         uint64
+	appendFailed  bool
+	// snapshotGeneration is the generation of the newest whole slot, in snapshotFile; 0 if there is none.
+	snapshotGeneration uint64
+	snapshotFile       string
+	// oldestLogGeneration is the generation of the oldest log that is kept.
+	oldestLogGeneration uint64
 }
 
 func logName(generation uint64) string { return fmt.Sprintf("%s%020d", logPrefix, generation) }
@@ -72,29 +72,29 @@
 // the records in the order in which they are to be replayed.
 //
 //	log, records, err := durablelog.Open(folder, "store")
-func Open(folder files.Folder, role string) (*Log, []Record, error) {
-	log := &Log{folder: folder}
-	names, err := folder.Names()
+func Open(directory files.Directory, role string) (*Log, []Record, error) {
+	log := &Log{directory: directory}
+	names, err := directory.List()
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := log.openIdentity(names, role); err != nil {
+	if err := log.loadIdentity(names, role); err != nil {
 		return nil, nil, err
 	}
-	if names, err = folder.Names(); err != nil { // a new folder got its first log
+	if names, err = directory.List(); err != nil { // a new folder got its first log
 		return nil, nil, err
 	}
 	records, err := log.replay(names)
 	return log, records, err
 }
 
-func (log *Log) openIdentity(names []string, role string) error {
-	data, err := log.folder.ReadFile(identityFile)
+func (log *Log) loadIdentity(names []string, role string) error {
+	data, err := log.directory.ReadFile(identityFile)
 	if errors.Is(err, fs.ErrNotExist) {
-		if err := log.checkStateless(names); err != nil {
+		if err := log.checkNoState(names); err != nil {
 			return err
 		}
-		if err := log.makeLog(0); err != nil {
+		if err := log.createLog(0); err != nil {
 			return err
 		}
 		log.identity = Identity{Name: role + "-" + uuid.NewString(), Format: formatVersion, Role: role}
@@ -109,14 +109,14 @@
 	}
 	if json.Unmarshal(data, &log.identity) != nil {
 		others := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == identityFile })
-		if log.checkStateless(others) != nil || slices.ContainsFunc(others, func(name string) bool { return name != logName(0) }) {
+		if log.checkNoState(others) != nil || slices.ContainsFunc(others, func(name string) bool { return name != logName(0) }) {
 			return apierror.New(apierror.Damaged, "the identity file cannot be read", "empty the data folder so that the node joins as a new one")
 		}
 		// Power was lost while an empty disk got its first file: still empty.
-		if err := log.folder.Remove(identityFile); err != nil {
+		if err := log.directory.Remove(identityFile); err != nil {
 			return err
 		}
-		return log.openIdentity(nil, role)
+		return log.loadIdentity(nil, role)
 	}
 	if log.identity.Format > formatVersion {
 		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("the data folder has format %d, this program knows up to %d", log.identity.Format, formatVersion), "run the newer version of the program that wrote it")
@@ -127,40 +127,40 @@
 	return nil
 }
 
-// checkStateless refuses a folder without identity that has state. Only the first log may
+// checkNoState refuses a folder without identity that has state. Only the first log may
 // be there, still empty: it is made before the identity.
-func (log *Log) checkStateless(names []string) error {
+func (log *Log) checkNoState(names []string) error {
 	for _, name := range names {
 		if name == logName(0) {
-			if data, err := log.folder.ReadFile(name); err == nil && len(data) == 0 {
+			if data, err := log.directory.ReadFile(name); err == nil && len(data) == 0 {
 				continue
 			}
 		}
-		if strings.HasPrefix(name, logPrefix) || strings.HasPrefix(name, slotPrefix) {
+		if strings.HasPrefix(name, logPrefix) || strings.HasPrefix(name, snapshotPrefix) {
 			return apierror.New(apierror.Damaged, "the data folder has state but no identity file", "restore the folder from this machine, or empty it so that the node joins as a new one")
 		}
 	}
 	return nil
 }
 
-func (log *Log) makeLog(generation uint64) error {
-	if err := log.folder.WriteAt(logName(generation), 0, nil); err != nil {
+func (log *Log) createLog(generation uint64) error {
+	if err := log.directory.WriteAt(logName(generation), 0, nil); err != nil {
 		return err
 	}
-	if err := log.folder.Truncate(logName(generation), 0); err != nil {
+	if err := log.directory.Truncate(logName(generation), 0); err != nil {
 		return err
 	}
-	return log.folder.Sync(logName(generation))
+	return log.directory.Sync(logName(generation))
 }
 
 func (log *Log) writeSynced(name string, data []byte) error {
-	if err := log.folder.WriteAt(name, 0, data); err != nil {
+	if err := log.directory.WriteAt(name, 0, data); err != nil {
 		return err
 	}
-	if err := log.folder.Truncate(name, int64(len(data))); err != nil {
+	if err := log.directory.Truncate(name, int64(len(data))); err != nil {
 		return err
 	}
-	return log.folder.Sync(name)
+	return log.directory.Sync(name)
 }
 
 // Identity tells the disk's name.
@@ -171,7 +171,7 @@
 // Syncs counts the syncs of frames so far.
 //
 //	before := log.Syncs()
-func (log *Log) Syncs() uint64 { return log.synced }
+func (log *Log) Syncs() uint64 { return log.syncs }
 
 // Append writes records as one frame and returns once they last. After a
 // failure the same call may be made again: it writes over what did not last.
@@ -179,23 +179,23 @@
 //	err := log.Append([]durablelog.Record{{Group: 3, Kind: 1, Data: data}})
 func (log *Log) Append(records []Record) error {
 	name := logName(log.generation)
-	if log.broken {
-		if err := log.folder.Truncate(name, log.offset); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if log.appendFailed {
+		if err := log.directory.Truncate(name, log.offset); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return diskError(err)
 		}
 	}
-	log.broken = true
-	writer := &partWriter{folder: log.folder, file: name, offset: log.offset}
+	log.appendFailed = true
+	writer := &bufferedWriter{directory: log.directory, file: name, offset: log.offset}
 	if err := writer.writeFrame(log.sequence+1, records); err != nil {
 		return diskError(err)
 	}
-	if err := log.folder.Sync(name); err != nil {
+	if err := log.directory.Sync(name); err != nil {
 		return diskError(err)
 	}
-	log.broken = false
+	log.appendFailed = false
 	log.offset = writer.offset
 	log.sequence++
-	log.synced++
+	log.syncs++
 	return nil
 }
 
@@ -208,7 +208,7 @@
 //	if log.LogBytes() > 8<<20 { ... }
 func (log *Log) LogBytes() int64 { return log.offset }
 
-// SlotBytes tells the size of the newest slot.
+// SnapshotBytes tells the size of the newest slot.
 //
-//	limit := max(8<<20, 2*log.SlotBytes())
-func (log *Log) SlotBytes() int64 { return log.slotBytes }
+//	limit := max(8<<20, 2*log.SnapshotBytes())
+func (log *Log) SnapshotBytes() int64 { return log.snapshotBytes }
--- a/system/durablelog/durablelog_test.go
+++ b/system/durablelog/durablelog_test.go
@@ -14,7 +14,7 @@
 
 const testRole = "store"
 
-func openFolder(t *testing.T, path string) (*Log, []Record, error) {
+func openDirectory(t *testing.T, path string) (*Log, []Record, error) {
 	t.Helper()
 	folder, err := files.Open(path)
 	if err != nil {
@@ -43,41 +43,41 @@
 	return fmt.Sprint(held)
 }
 
-// filledFolder has slot 1 in slot-0, slot 2 in slot-1, and logs 1 and 2.
-func filledFolder(t *testing.T) (path, want string) {
+// filledDirectory has slot 1 in slot-0, slot 2 in slot-1, and logs 1 and 2.
+func filledDirectory(t *testing.T) (path, want string) {
 	t.Helper()
 	path = t.TempDir()
-	log, _, err := openFolder(t, path)
+	log, _, err := openDirectory(t, path)
 	must(t, err)
 	must(t, log.Append([]Record{record(1, "first"), record(2, "two")}))
-	must(t, log.WriteSlot(slices.Values([]Record{record(1, "first"), record(2, "two")})))
+	must(t, log.WriteSnapshot(slices.Values([]Record{record(1, "first"), record(2, "two")})))
 	must(t, log.Append([]Record{record(1, "second")}))
-	must(t, log.WriteSlot(slices.Values([]Record{record(1, "second"), record(2, "two")})))
+	must(t, log.WriteSnapshot(slices.Values([]Record{record(1, "second"), record(2, "two")})))
 	must(t, log.Append([]Record{record(3, "last")}))
 	return path, content([]Record{record(1, "second"), record(2, "two"), record(3, "last")})
 }
 
-func TestSlotDamagedAnywhereFallsBackToTheOlderSlot(t *testing.T) {
-	path, want := filledFolder(t)
-	slotPath := filepath.Join(path, slotFiles[1])
-	whole, err := os.ReadFile(slotPath)
+func TestDamagedSnapshotFallsBackToTheOlderOne(t *testing.T) {
+	path, want := filledDirectory(t)
+	snapshotPath := filepath.Join(path, snapshotFiles[1])
+	complete, err := os.ReadFile(snapshotPath)
 	must(t, err)
 	check := func(name string, data []byte) {
-		must(t, os.WriteFile(slotPath, data, 0o600))
-		if _, records, err := openFolder(t, path); err != nil || content(records) != want {
+		must(t, os.WriteFile(snapshotPath, data, 0o600))
+		if _, records, err := openDirectory(t, path); err != nil || content(records) != want {
 			t.Errorf("%s: %v, %s instead of %s", name, err, content(records), want)
 		}
 	}
-	for size := range whole {
-		check(fmt.Sprintf("cut to %d bytes", size), whole[:size])
-		flipped := slices.Clone(whole)
+	for size := range complete {
+		check(fmt.Sprintf("cut to %d bytes", size), complete[:size])
+		flipped := slices.Clone(complete)
 		flipped[size] ^= 0x10
 		check(fmt.Sprintf("bit flipped at %d", size), flipped)
 	}
-	check("something follows its end", append(slices.Clone(whole), 0))
+	check("something follows its end", append(slices.Clone(complete), 0))
 }
 
-func TestFolderThatLostAFileIsRefused(t *testing.T) {
+func TestDirectoryMissingAFileIsRejected(t *testing.T) {
 	remove := func(names ...string) func(*testing.T, string) {
 		return func(t *testing.T, path string) {
 			for _, name := range names {
@@ -89,32 +89,32 @@
 	for name, harm := range map[string]func(*testing.T, string){
 		"newest log is missing":        remove(logName(2)),
 		"all logs are missing":         remove(logName(1), logName(2)),
-		"all but the identity missing": remove(logName(1), logName(2), slotFiles[0], slotFiles[1]),
-		"slots are missing":            remove(slotFiles[0], slotFiles[1]),
+		"all but the identity missing": remove(logName(1), logName(2), snapshotFiles[0], snapshotFiles[1]),
+		"slots are missing":            remove(snapshotFiles[0], snapshotFiles[1]),
 		"newest slot torn, its log missing": func(t *testing.T, path string) {
-			must(t, tear(path, slotFiles[1]))
+			must(t, tear(path, snapshotFiles[1]))
 			must(t, os.Remove(filepath.Join(path, logName(2))))
 		},
 		"newest slot torn, older log missing": func(t *testing.T, path string) {
-			must(t, tear(path, slotFiles[1]))
+			must(t, tear(path, snapshotFiles[1]))
 			must(t, os.Remove(filepath.Join(path, logName(1))))
 		},
 		"both slots torn": func(t *testing.T, path string) {
-			must(t, tear(path, slotFiles[0]))
-			must(t, tear(path, slotFiles[1]))
+			must(t, tear(path, snapshotFiles[0]))
+			must(t, tear(path, snapshotFiles[1]))
 		},
 		"log renamed": func(t *testing.T, path string) {
 			must(t, os.Rename(filepath.Join(path, logName(2)), filepath.Join(path, logName(2)+".old")))
 		},
 		"slot renamed": func(t *testing.T, path string) {
-			must(t, os.Rename(filepath.Join(path, slotFiles[1]), filepath.Join(path, slotFiles[1]+".new")))
+			must(t, os.Rename(filepath.Join(path, snapshotFiles[1]), filepath.Join(path, snapshotFiles[1]+".new")))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			path, _ := filledFolder(t)
+			path, _ := filledDirectory(t)
 			harm(t, path)
 			for range 2 { // a refusal mends nothing by itself
-				_, records, err := openFolder(t, path)
+				_, records, err := openDirectory(t, path)
 				if !apierror.Is(err, apierror.Damaged) || apierror.Of(err).Remedy == "" {
 					t.Fatalf("opened with %v and %s", err, content(records))
 				}
@@ -123,19 +123,19 @@
 	}
 }
 
-func TestFirstLogMissingIsRefused(t *testing.T) {
+func TestMissingFirstLogIsRejected(t *testing.T) {
 	path := t.TempDir()
-	log, _, err := openFolder(t, path)
+	log, _, err := openDirectory(t, path)
 	must(t, err)
 	must(t, log.Append([]Record{record(1, "a vote")}))
 	must(t, os.Remove(filepath.Join(path, logName(0))))
-	if _, _, err := openFolder(t, path); !apierror.Is(err, apierror.Damaged) {
+	if _, _, err := openDirectory(t, path); !apierror.Is(err, apierror.Damaged) {
 		t.Fatalf("a folder that lost its only log: %v", err)
 	}
 }
 
 // Power may go while a new folder gets its first files; it is still empty then.
-func TestInterruptedFirstStartBeginsAnew(t *testing.T) {
+func TestInterruptedFirstStartStartsOver(t *testing.T) {
 	for name, files := range map[string][]string{
 		"only the first log":      {logName(0)},
 		"identity torn":           {logName(0), identityFile},
@@ -145,7 +145,7 @@
 		for _, file := range files {
 			must(t, os.WriteFile(filepath.Join(path, file), nil, 0o600))
 		}
-		log, records, err := openFolder(t, path)
+		log, records, err := openDirectory(t, path)
 		if err != nil || len(records) != 0 || log.Identity().Name == "" {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -153,40 +153,40 @@
 }
 
 // A slot that is interrupted again and again must never be written over the whole one.
-func TestInterruptedSlotsLeaveTheWholeOne(t *testing.T) {
-	path, want := filledFolder(t)
+func TestInterruptedSnapshotsKeepTheCompleteOne(t *testing.T) {
+	path, want := filledDirectory(t)
 	for attempt := range 5 {
-		log, records, err := openFolder(t, path)
+		log, records, err := openDirectory(t, path)
 		must(t, err)
 		if content(records) != want {
 			t.Fatalf("attempt %d: %s instead of %s", attempt, content(records), want)
 		}
-		kept := log.slotFile
+		kept := log.snapshotFile
 		interrupted := func(yield func(Record) bool) {
-			yield(Record{Group: 9, Kind: 1, Data: make([]byte, 2*partBuffer)})
+			yield(Record{Group: 9, Kind: 1, Data: make([]byte, 2*writeBufferBytes)})
 			panic("power is lost")
 		}
 		func() {
 			defer func() { _ = recover() }()
-			_ = log.WriteSlot(interrupted)
+			_ = log.WriteSnapshot(interrupted)
 		}()
-		for _, name := range slotFiles {
+		for _, name := range snapshotFiles {
 			if name != kept {
 				must(t, os.WriteFile(filepath.Join(path, name), []byte("RSry torn"), 0o600))
 			}
 		}
 	}
-	log, _, err := openFolder(t, path)
+	log, _, err := openDirectory(t, path)
 	must(t, err)
 	for round := range 3 {
-		must(t, log.WriteSlot(slices.Values([]Record{record(1, fmt.Sprint("round ", round))})))
+		must(t, log.WriteSnapshot(slices.Values([]Record{record(1, fmt.Sprint("round ", round))})))
 	}
-	names, err := log.folder.Names()
+	names, err := log.directory.List()
 	must(t, err)
 	if len(names) != 5 { // identity, two slots, two logs
 		t.Fatalf("files are left over: %v", names)
 	}
-	if _, records, err := openFolder(t, path); err != nil || content(records) != content([]Record{record(1, "round 2")}) {
+	if _, records, err := openDirectory(t, path); err != nil || content(records) != content([]Record{record(1, "round 2")}) {
 		t.Fatalf("%v, %s", err, content(records))
 	}
 }
@@ -195,48 +195,48 @@
 func encodeFrame(sequence uint64, records []Record) []byte {
 	size := 0
 	for _, record := range records {
-		size += recordHeader + len(record.Data)
+		size += recordHeaderBytes + len(record.Data)
 	}
-	frame := make([]byte, frameHeader, frameHeader+size)
+	frame := make([]byte, frameHeaderBytes, frameHeaderBytes+size)
 	for _, record := range records {
 		frame = append(appendRecordHeader(frame, record), record.Data...)
 	}
-	putFrameHeader(frame, frameMagic, sequence, size, frame[frameHeader:])
+	putFrameHeader(frame, frameMagic, sequence, size, frame[frameHeaderBytes:])
 	return frame
 }
 
 // A folder of format 1 has slots of one frame, and its newest log may not be made yet.
-func TestFolderOfFormatOneIsRead(t *testing.T) {
+func TestDirectoryOfFormatOneIsRead(t *testing.T) {
 	path := t.TempDir()
 	write := func(name string, data []byte) { must(t, os.WriteFile(filepath.Join(path, name), data, 0o600)) }
 	identity, err := json.Marshal(Identity{Name: "store-1", Format: 1, Role: testRole})
 	must(t, err)
 	write(identityFile, identity)
 	write(logName(0), encodeFrame(1, []Record{record(1, "first")}))
-	write(slotFiles[1], encodeFrame(1, []Record{record(1, "first"), record(2, "two")}))
+	write(snapshotFiles[1], encodeFrame(1, []Record{record(1, "first"), record(2, "two")}))
 	want := content([]Record{record(1, "first"), record(2, "two")})
 	for range 3 {
-		log, records, err := openFolder(t, path)
+		log, records, err := openDirectory(t, path)
 		must(t, err)
 		if content(records) != want || log.Identity().Name != "store-1" {
 			t.Fatalf("%s instead of %s", content(records), want)
 		}
 		must(t, log.Append([]Record{record(3, "more")}))
 		want = content([]Record{record(1, "first"), record(2, "two"), record(3, "more")})
-		must(t, log.WriteSlot(slices.Values([]Record{record(1, "first"), record(2, "two"), record(3, "more")})))
+		must(t, log.WriteSnapshot(slices.Values([]Record{record(1, "first"), record(2, "two"), record(3, "more")})))
 	}
 }
 
-func TestSlotOfManyRecordsIsStreamed(t *testing.T) {
+func TestSnapshotOfManyRecordsIsStreamed(t *testing.T) {
 	path := t.TempDir()
-	log, _, err := openFolder(t, path)
+	log, _, err := openDirectory(t, path)
 	must(t, err)
 	records := []Record{}
 	for group := range uint32(40) {
 		records = append(records, Record{Group: group, Kind: 1, Data: make([]byte, int(group)*7000)})
 	}
-	must(t, log.WriteSlot(slices.Values(records)))
-	_, read, err := openFolder(t, path)
+	must(t, log.WriteSnapshot(slices.Values(records)))
+	_, read, err := openDirectory(t, path)
 	must(t, err)
 	if len(read) != len(records) {
 		t.Fatalf("%d records of %d", len(read), len(records))
@@ -246,8 +246,8 @@
 			t.Fatalf("record %d is of group %d with %d bytes", position, one.Group, len(one.Data))
 		}
 	}
-	must(t, log.WriteSlot(slices.Values([]Record{})))
-	if _, read, err = openFolder(t, path); err != nil || len(read) != 0 {
+	must(t, log.WriteSnapshot(slices.Values([]Record{})))
+	if _, read, err = openDirectory(t, path); err != nil || len(read) != 0 {
 		t.Fatalf("an empty slot: %d records, %v", len(read), err)
 	}
 }
--- a/system/durablelog/frame.go
+++ b/system/durablelog/frame.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	frameMagic   = 0x79724652 // "yrFR": records of the log, or a whole slot of format 1
-	slotMagic    = 0x79725352 // "yrSR": one record of a slot
-	slotEndMagic = 0x79725345 // "yrSE": the end of a slot
-	frameHeader  = 20
-	recordHeader = 10
+	frameMagic          = 0x79724652 // "yrFR": records of the log, or a whole slot of format 1
+	snapshotRecordMagic = 0x79725352 // "yrSR": one record of a slot
+	snapshotEndMagic    = 0x79725345 // "yrSE": the end of a slot
+	frameHeaderBytes    = 20
+	recordHeaderBytes   = 10
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func appendRecordHeader(target []byte, record Record) []byte {
 	target = binary.LittleEndian.AppendUint32(target, record.Group)
@@ -27,9 +27,9 @@
 	binary.LittleEndian.PutUint32(header[0:], magic)
 	binary.LittleEndian.PutUint32(header[4:], uint32(size))
 	binary.LittleEndian.PutUint64(header[8:], sequence)
-	checksum := crc32.Checksum(header[4:16], checksums)
+	checksum := crc32.Checksum(header[4:16], castagnoli)
 	for _, part := range body {
-		checksum = crc32.Update(checksum, checksums, part)
+		checksum = crc32.Update(checksum, castagnoli, part)
 	}
 	binary.LittleEndian.PutUint32(header[16:], checksum)
 	return checksum
@@ -37,29 +37,29 @@
 
 // frameBody gives the body of the frame at the start of data; false means there is none
 // of that kind, or it is damaged.
-func frameBody(data []byte, magic uint32) (sequence uint64, body []byte, whole bool) {
-	if len(data) < frameHeader || binary.LittleEndian.Uint32(data) != magic {
+func frameBody(data []byte, magic uint32) (sequence uint64, body []byte, complete bool) {
+	if len(data) < frameHeaderBytes || binary.LittleEndian.Uint32(data) != magic {
 		return 0, nil, false
 	}
 	length := int(binary.LittleEndian.Uint32(data[4:]))
-	if length > len(data)-frameHeader {
+	if length > len(data)-frameHeaderBytes {
 		return 0, nil, false
 	}
-	body = data[frameHeader : frameHeader+length]
-	if crc32.Update(crc32.Checksum(data[4:16], checksums), checksums, body) != binary.LittleEndian.Uint32(data[16:]) {
+	body = data[frameHeaderBytes : frameHeaderBytes+length]
+	if crc32.Update(crc32.Checksum(data[4:16], castagnoli), castagnoli, body) != binary.LittleEndian.Uint32(data[16:]) {
 		return 0, nil, false
 	}
 	return binary.LittleEndian.Uint64(data[8:]), body, true
 }
 
 // decodeRecords splits a frame's body; false means that a record is cut.
-func decodeRecords(body []byte) (records []Record, whole bool) {
-	for len(body) >= recordHeader {
-		end := recordHeader + int(binary.LittleEndian.Uint32(body[6:]))
+func decodeRecords(body []byte) (records []Record, complete bool) {
+	for len(body) >= recordHeaderBytes {
+		end := recordHeaderBytes + int(binary.LittleEndian.Uint32(body[6:]))
 		if end > len(body) {
 			return nil, false
 		}
-		records = append(records, Record{Group: binary.LittleEndian.Uint32(body), Kind: binary.LittleEndian.Uint16(body[4:]), Data: body[recordHeader:end]})
+		records = append(records, Record{Group: binary.LittleEndian.Uint32(body), Kind: binary.LittleEndian.Uint16(body[4:]), Data: body[recordHeaderBytes:end]})
 		body = body[end:]
 	}
 	return records, true
@@ -67,12 +67,12 @@
 
 // decodeFrame gives the frame at the start of data; size 0 means there is none.
 func decodeFrame(data []byte) (sequence uint64, records []Record, size int) {
-	sequence, body, whole := frameBody(data, frameMagic)
-	if !whole {
+	sequence, body, complete := frameBody(data, frameMagic)
+	if !complete {
 		return 0, nil, 0
 	}
-	if records, whole = decodeRecords(body); !whole {
+	if records, complete = decodeRecords(body); !complete {
 		return 0, nil, 0
 	}
-	return sequence, records, frameHeader + len(body)
+	return sequence, records, frameHeaderBytes + len(body)
 }
--- a/system/durablelog/replay.go
+++ b/system/durablelog/replay.go
@@ -10,25 +10,25 @@
 
 // replay gives the records of the newest whole slot and of all logs from it on.
 func (log *Log) replay(names []string) ([]Record, error) {
-	slot, err := log.newestWholeSlot(names)
+	snapshot, err := log.newestCompleteSnapshot(names)
 	if err != nil {
 		return nil, err
 	}
-	logs, err := logsAmong(names)
+	logs, err := logGenerations(names)
 	if err != nil {
 		return nil, err
 	}
-	if err := log.checkLogs(slot, logs); err != nil {
+	if err := log.checkLogs(snapshot, logs); err != nil {
 		return nil, err
 	}
-	log.newestSlot, log.slotFile, log.slotBytes = slot.generation, slot.file, slot.size
-	log.generation, log.oldestLog = slot.generation, slot.generation
+	log.snapshotGeneration, log.snapshotFile, log.snapshotBytes = snapshot.generation, snapshot.fileName, snapshot.size
+	log.generation, log.oldestLogGeneration = snapshot.generation, snapshot.generation
 	if len(logs) > 0 {
-		log.generation = max(slot.generation, logs[len(logs)-1])
-		log.oldestLog = min(slot.generation, logs[0])
+		log.generation = max(snapshot.generation, logs[len(logs)-1])
+		log.oldestLogGeneration = min(snapshot.generation, logs[0])
 	}
-	records := slot.records
-	for generation := slot.generation; generation <= log.generation; generation++ {
+	records := snapshot.records
+	for generation := snapshot.generation; generation <= log.generation; generation++ {
 		more, err := log.replayLog(generation, generation == log.generation)
 		if err != nil {
 			return nil, err
@@ -38,21 +38,21 @@
 	return records, nil
 }
 
-// logsAmong gives the generations of the logs, in order. A file that is named like
+// logGenerations gives the generations of the logs, in order. A file that is named like
 // state, but is none, shows that the folder was meddled with.
-func logsAmong(names []string) ([]uint64, error) {
+func logGenerations(names []string) ([]uint64, error) {
 	logs := []uint64{}
 	for _, name := range names {
 		number, isLog := strings.CutPrefix(name, logPrefix)
-		if strings.HasPrefix(name, slotPrefix) && !slices.Contains(slotFiles, name) {
-			return nil, damaged("the data folder has a file %s, which is no slot", name)
+		if strings.HasPrefix(name, snapshotPrefix) && !slices.Contains(snapshotFiles, name) {
+			return nil, damagedError("the data folder has a file %s, which is no slot", name)
 		}
 		if !isLog {
 			continue
 		}
 		generation, err := strconv.ParseUint(number, 10, 64)
 		if err != nil || logName(generation) != name {
-			return nil, damaged("the data folder has a file %s, which is no log", name)
+			return nil, damagedError("the data folder has a file %s, which is no log", name)
 		}
 		logs = append(logs, generation)
 	}
@@ -63,27 +63,27 @@
 // checkLogs refuses a folder that lacks a log that must be there. A log is made before
 // the slot that it follows, so its absence is a loss; only folders of format 1 and their
 // slots leave it open whether the newest log was ever made.
-func (log *Log) checkLogs(slot slot, logs []uint64) error {
-	first := slot.generation
-	strict := slot.streamed || !slot.found && log.identity.Format >= loggedFormat
-	later := len(logs) > 0 && (logs[len(logs)-1] > first || !slot.found)
+func (log *Log) checkLogs(snapshot snapshot, logs []uint64) error {
+	first := snapshot.generation
+	strict := snapshot.streamed || !snapshot.found && log.identity.Format >= logFirstFormat
+	later := len(logs) > 0 && (logs[len(logs)-1] > first || !snapshot.found)
 	if !slices.Contains(logs, first) && (strict || later) {
-		return damaged("no readable slot precedes the logs that are left (log %d is missing)", first)
+		return damagedError("no readable slot precedes the logs that are left (log %d is missing)", first)
 	}
-	if strict && slot.tornBeside && !slices.Contains(logs, first+1) {
-		return damaged("a slot cannot be read, and the log that was made before it (log %d) is missing", first+1)
+	if strict && snapshot.otherTorn && !slices.Contains(logs, first+1) {
+		return damagedError("a slot cannot be read, and the log that was made before it (log %d) is missing", first+1)
 	}
 	return nil
 }
 
 func (log *Log) replayLog(generation uint64, newest bool) ([]Record, error) {
-	data, err := log.folder.ReadFile(logName(generation))
+	data, err := log.directory.ReadFile(logName(generation))
 	if errors.Is(err, fs.ErrNotExist) && newest {
 		log.offset, log.sequence = 0, 0
 		return nil, nil
 	}
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, damaged("%s is missing although a later log exists", logName(generation))
+		return nil, damagedError("%s is missing although a later log exists", logName(generation))
 	}
 	if err != nil {
 		return nil, err
@@ -100,18 +100,18 @@
 		next++
 	}
 	if offset < len(data) {
-		for at := offset; at+frameHeader <= len(data); at++ {
+		for at := offset; at+frameHeaderBytes <= len(data); at++ {
 			if sequence, _, size := decodeFrame(data[at:]); size > 0 && sequence > next {
-				return nil, damaged("%s is damaged at byte %d, before later records that are whole", logName(generation), offset)
+				return nil, damagedError("%s is damaged at byte %d, before later records that are whole", logName(generation), offset)
 			}
 		}
 		if !newest {
-			return nil, damaged("%s is cut at byte %d although a later log exists", logName(generation), offset)
+			return nil, damagedError("%s is cut at byte %d although a later log exists", logName(generation), offset)
 		}
-		if err := log.folder.Truncate(logName(generation), int64(offset)); err != nil {
+		if err := log.directory.Truncate(logName(generation), int64(offset)); err != nil {
 			return nil, err
 		}
-		if err := log.folder.Sync(logName(generation)); err != nil {
+		if err := log.directory.Sync(logName(generation)); err != nil {
 			return nil, err
 		}
 	}
--- /dev/null
+++ b/system/durablelog/snapshot.go
@@ -0,0 +1,182 @@
+package durablelog
+
+import (
+	"encoding/binary"
+	"errors"
+	"hash/crc32"
+	"io/fs"
+	"iter"
+	"slices"
+
+	"yardrock.example/system/apierror"
+)
+
+var snapshotFiles = []string{snapshotPrefix + "0", snapshotPrefix + "1"}
+
+const snapshotEndBytes = 12
+
+// snapshot is what is read of the newest whole slot; found is false if there is none.
+type snapshot struct {
+	found      bool
+	fileName   string
+	generation uint64
+	size       int64
+	records    []Record
+	// streamed tells that the slot has a frame for each record, and that its log was made
+	// before it.
+	streamed bool
+	// otherTorn tells that the other slot is there but cannot be read.
+	otherTorn bool
+}
+
+// newestCompleteSnapshot looks at the headers of both slots and reads the newer one; the other
+// only if that one is damaged.
+func (log *Log) newestCompleteSnapshot(names []string) (snapshot, error) {
+	type candidate struct {
+		file       string
+		generation uint64
+	}
+	candidates, torn := []candidate{}, false
+	for _, file := range snapshotFiles {
+		if !slices.Contains(names, file) {
+			continue
+		}
+		header, err := log.directory.ReadRange(file, 0, frameHeaderBytes)
+		if err != nil || !isSnapshotHeader(header) {
+			torn = true
+			continue
+		}
+		candidates = append(candidates, candidate{file, binary.LittleEndian.Uint64(header[8:])})
+	}
+	slices.SortFunc(candidates, func(left, right candidate) int {
+		if left.generation > right.generation {
+			return -1
+		}
+		return 1
+	})
+	for _, one := range candidates {
+		data, err := log.directory.ReadFile(one.file)
+		if err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return snapshot{}, err
+		}
+		if read := decodeSnapshot(data); read.found {
+			read.fileName, read.otherTorn = one.file, torn
+			return read, nil
+		}
+		torn = true
+	}
+	return snapshot{otherTorn: torn}, nil
+}
+
+func isSnapshotHeader(header []byte) bool {
+	magic := binary.LittleEndian.Uint32(header)
+	return magic == frameMagic || magic == snapshotRecordMagic || magic == snapshotEndMagic
+}
+
+func decodeSnapshot(data []byte) snapshot {
+	if generation, records, size := decodeFrame(data); size > 0 {
+		return snapshot{found: true, generation: generation, records: records, size: int64(size)}
+	}
+	return decodeStreamedSnapshot(data)
+}
+
+// decodeStreamedSnapshot reads a slot of one frame a record. It is whole only if its end
+// tells the count of records and the checksum of all their checksums.
+func decodeStreamedSnapshot(data []byte) snapshot {
+	read := snapshot{size: int64(len(data)), streamed: true}
+	chain := uint32(0)
+	for rest := data; ; {
+		if generation, end, isEnd := frameBody(rest, snapshotEndMagic); isEnd {
+			same := len(read.records) == 0 || generation == read.generation
+			complete := same && len(end) == snapshotEndBytes && len(rest) == frameHeaderBytes+snapshotEndBytes
+			complete = complete && binary.LittleEndian.Uint64(end) == uint64(len(read.records)) && binary.LittleEndian.Uint32(end[8:]) == chain
+			read.generation, read.found = generation, complete
+			return read
+		}
+		generation, body, isRecord := frameBody(rest, snapshotRecordMagic)
+		records, complete := decodeRecords(body)
+		if !isRecord || !complete || len(records) != 1 || len(read.records) > 0 && generation != read.generation {
+			return snapshot{}
+		}
+		read.generation = generation
+		read.records = append(read.records, records[0])
+		chain = crc32.Update(chain, castagnoli, rest[16:frameHeaderBytes])
+		rest = rest[frameHeaderBytes+len(body):]
+	}
+}
+
+// snapshotWriter writes a slot's records one after the other, so that no two of them need be
+// in memory.
+type snapshotWriter struct {
+	bufferedWriter
+	generation uint64
+	records    uint64
+	chain      uint32
+}
+
+func (writer *snapshotWriter) add(record Record) error {
+	header := make([]byte, frameHeaderBytes, frameHeaderBytes+recordHeaderBytes)
+	header = appendRecordHeader(header, record)
+	checksum := putFrameHeader(header, snapshotRecordMagic, writer.generation, recordHeaderBytes+len(record.Data), header[frameHeaderBytes:], record.Data)
+	writer.chain = crc32.Update(writer.chain, castagnoli, binary.LittleEndian.AppendUint32(nil, checksum))
+	writer.records++
+	if err := writer.write(header); err != nil {
+		return err
+	}
+	return writer.write(record.Data)
+}
+
+// finish writes the slot's end, cuts off what an older slot left behind it, and syncs.
+func (writer *snapshotWriter) finish() error {
+	end := make([]byte, frameHeaderBytes, frameHeaderBytes+snapshotEndBytes)
+	end = binary.LittleEndian.AppendUint64(end, writer.records)
+	end = binary.LittleEndian.AppendUint32(end, writer.chain)
+	putFrameHeader(end, snapshotEndMagic, writer.generation, snapshotEndBytes, end[frameHeaderBytes:])
+	if err := writer.write(end); err != nil {
+		return err
+	}
+	if err := writer.flush(); err != nil {
+		return err
+	}
+	if err := writer.directory.Truncate(writer.file, writer.offset); err != nil {
+		return err
+	}
+	return writer.directory.Sync(writer.file)
+}
+
+// WriteSnapshot starts a new log and stores the whole state, which it takes record by record,
+// in the slot that is not the newest. The newest slot and its logs stay until the slot
+// after, so that one bad slot is survived. After a failure it may be called again.
+//
+//	err := log.WriteSnapshot(slices.Values(records))
+func (log *Log) WriteSnapshot(records iter.Seq[Record]) error {
+	if log.appendFailed {
+		return apierror.New(apierror.DiskUnavailable, "the log's last write is not settled", "append again first")
+	}
+	next := log.generation + 1
+	if err := log.createLog(next); err != nil {
+		return diskError(err)
+	}
+	file := snapshotFiles[0]
+	if log.snapshotFile == file {
+		file = snapshotFiles[1]
+	}
+	writer := &snapshotWriter{bufferedWriter: bufferedWriter{directory: log.directory, file: file}, generation: next}
+	for record := range records {
+		if err := writer.add(record); err != nil {
+			return diskError(err)
+		}
+	}
+	if err := writer.finish(); err != nil {
+		return diskError(err)
+	}
+	kept := log.snapshotGeneration
+	log.generation, log.snapshotGeneration, log.snapshotFile = next, next, file
+	log.offset, log.sequence, log.snapshotBytes = 0, 0, writer.offset
+	for ; log.oldestLogGeneration < kept; log.oldestLogGeneration++ {
+		if err := log.directory.Remove(logName(log.oldestLogGeneration)); err != nil {
+			return diskError(err)
+		}
+	}
+	return nil
+}
--- a/system/link/link_test.go
+++ b/system/link/link_test.go
@@ -50,7 +50,7 @@
 	if found := apierror.Of(err); found.Kind != apierror.Conflict || found.Message != "busy" || found.Remedy != "read again" {
 		t.Fatalf("command: %v", err)
 	}
-	batch := agreement.Message{Kind: agreement.MessageAppend, Entries: []agreement.Entry{{Index: 1}, {Index: 2, Kind: agreement.EntryReplicas, Replicas: agreement.Replicas{Voters: []string{"a"}}}}}
+	batch := agreement.Message{Kind: agreement.MessageAppend, Entries: []agreement.Entry{{Index: 1}, {Index: 2, Kind: agreement.EntryMembership, Membership: agreement.Membership{Voters: []string{"a"}}}}}
 	if _, err = caller.Call(ctx, address, &wire.Query{Which: schema.Query_Which_agreement, Agreement: &wire.AgreementBatch{Messages: []agreement.Message{batch}}}); err != nil {
 		t.Fatal(err)
 	}
--- a/system/replica/host.go
+++ b/system/replica/host.go
@@ -13,12 +13,12 @@
 	"yardrock.example/system/wire"
 )
 
-// Machine is the state machine of one group. Apply, Restore and Image are called
+// StateMachine is the state machine of one group. Apply, Restore and Image are called
 // from the host's loop only. What Image gives encodes the content as it is now, and
 // may be called at leisure elsewhere.
-type Machine interface {
+type StateMachine interface {
 	Apply(entry agreement.Entry) any
-	Image() func() []byte
+	Snapshot() func() []byte
 	Restore(data []byte) error
 }
 
@@ -27,8 +27,8 @@
 	Tick            time.Duration
 	ElectionTicks   int
 	HeartbeatTicks  int
-	CheckpointEvery uint64
-	SlotBytes       int64
+	SnapshotEntries uint64
+	CompactionBytes int64
 	// DiskBytes is the size of the disk that the data folder is on; 0 is not known.
 	DiskBytes int64
 	Seed      uint64
@@ -36,49 +36,49 @@
 	StallTimeout time.Duration
 }
 
-// Usual gives the settings that daemons run with.
+// DefaultSettings gives the settings that daemons run with.
 //
-//	settings := replica.Usual(seed)
-func Usual(seed uint64) Settings {
-	return Settings{Tick: 50 * time.Millisecond, ElectionTicks: 14, HeartbeatTicks: 4, CheckpointEvery: 2048, SlotBytes: 16 << 20, Seed: seed, StallTimeout: time.Second}
+//	settings := replica.DefaultSettings(seed)
+func DefaultSettings(seed uint64) Settings {
+	return Settings{Tick: 50 * time.Millisecond, ElectionTicks: 14, HeartbeatTicks: 4, SnapshotEntries: 2048, CompactionBytes: 16 << 20, Seed: seed, StallTimeout: time.Second}
 }
 
-type group struct {
-	core      *agreement.Core
-	machine   Machine
-	proposals map[uint64]proposal
-	reads     map[uint64]chan error
-	// logged counts the bytes applied since the last checkpoint, pointed the bytes of
+type raftGroup struct {
+	core         *agreement.Core
+	stateMachine StateMachine
+	proposals    map[uint64]proposal
+	reads        map[uint64]chan error
+	// bytesSinceSnapshot counts the bytes applied since the last checkpoint, pointed the bytes of
 	// that checkpoint; imaging tells that the next is being made.
-	logged  int
-	pointed int
-	imaging bool
+	bytesSinceSnapshot int
+	snapshotBytes      int
+	snapshotting       bool
 }
 
 // Host runs the replicas of one node.
 type Host struct {
-	settings Settings
-	name     string
-	log      *durablelog.Log
-	machines func(group uint32) Machine
-	courier  *Courier
+	settings        Settings
+	name            string
+	durableLog      *durablelog.Log
+	newStateMachine func(group uint32) StateMachine
+	transport       *Transport
 
-	inbox    chan func()
-	jobs     chan *diskJob
-	finished chan *diskJob
-	stopping chan struct{}
-	stopped  chan struct{}
+	actions      chan func()
+	diskJobs     chan *diskJob
+	finishedJobs chan *diskJob
+	stopping     chan struct{}
+	stopped      chan struct{}
 
-	groups   map[uint32]*group
-	pinned   map[uint32][]byte
-	pending  []durablelog.Record
-	waiting  []func()
-	busy     *diskJob
-	outgoing map[string][]agreement.Message
-	reading  uint64
-	ticks    uint64
-	removed  map[uint32]bool
-	statuses atomic.Pointer[map[uint32]agreement.Status]
+	groups           map[uint32]*raftGroup
+	values           map[uint32][]byte
+	pendingRecords   []durablelog.Record
+	pendingCallbacks []func()
+	runningJob       *diskJob
+	outbox           map[string][]agreement.Message
+	lastReadID       uint64
+	ticks            uint64
+	removed          map[uint32]bool
+	statuses         atomic.Pointer[map[uint32]agreement.Status]
 	// connections are those on which peers' messages came, with the peer.
 	connections sync.Map
 }
@@ -88,11 +88,11 @@
 //	name := host.Name()
 func (host *Host) Name() string { return host.name }
 
-// do runs a function on the loop; false means that the host has stopped.
-func (host *Host) do(action func()) bool {
+// runOnLoop runs a function on the loop; false means that the host has stopped.
+func (host *Host) runOnLoop(action func()) bool {
 	done := make(chan struct{})
 	select {
-	case host.inbox <- func() { action(); close(done) }:
+	case host.actions <- func() { action(); close(done) }:
 	case <-host.stopped:
 		return false
 	}
@@ -104,42 +104,42 @@
 	}
 }
 
-// post has a function run on the loop some time.
-func (host *Host) post(action func()) {
+// enqueue has a function run on the loop some time.
+func (host *Host) enqueue(action func()) {
 	select {
-	case host.inbox <- action:
+	case host.actions <- action:
 	case <-host.stopped:
 	}
 }
 
-func (host *Host) run() {
+func (host *Host) loop() {
 	defer close(host.stopped)
 	ticker := time.NewTicker(host.settings.Tick)
 	defer ticker.Stop()
 	for {
 		select {
-		case action := <-host.inbox:
+		case action := <-host.actions:
 			action()
-			host.drain()
+			host.runQueuedActions()
 		case <-ticker.C:
 			host.tick()
-		case job := <-host.finished:
-			host.busy = nil
-			for _, done := range job.done {
+		case job := <-host.finishedJobs:
+			host.runningJob = nil
+			for _, done := range job.callbacks {
 				done()
 			}
 		case <-host.stopping:
-			host.refuseAll()
+			host.failPending()
 			return
 		}
-		host.settle()
+		host.flush()
 	}
 }
 
-func (host *Host) drain() {
-	for range cap(host.inbox) {
+func (host *Host) runQueuedActions() {
+	for range cap(host.actions) {
 		select {
-		case action := <-host.inbox:
+		case action := <-host.actions:
 			action()
 		default:
 			return
@@ -149,102 +149,102 @@
 
 func (host *Host) tick() {
 	host.ticks++
-	stalled := host.busy != nil && time.Since(host.busy.began) > host.settings.StallTimeout
-	for number, member := range host.groups {
-		host.step(number, agreement.Input{Kind: agreement.InputTick, Number: host.ticks})
-		if _, leading := member.core.Leading(); stalled && leading {
-			host.handOver(number, member)
+	stalled := host.runningJob != nil && time.Since(host.runningJob.started) > host.settings.StallTimeout
+	for groupID, group := range host.groups {
+		host.step(groupID, agreement.Input{Kind: agreement.InputTick, Number: host.ticks})
+		if _, leading := group.core.Leading(); stalled && leading {
+			host.transferLeadership(groupID, group)
 		}
 	}
-	host.publish()
+	host.publishStatuses()
 }
 
-// settle hands the disk its next job and the courier its messages.
-func (host *Host) settle() {
-	for to, messages := range host.outgoing {
-		host.courier.Send(to, messages)
+// flush hands the disk its next job and the courier its messages.
+func (host *Host) flush() {
+	for to, messages := range host.outbox {
+		host.transport.Send(to, messages)
 	}
-	clear(host.outgoing)
-	if host.busy == nil && (len(host.pending) > 0 || len(host.waiting) > 0) {
-		job := &diskJob{records: host.pending, done: host.waiting, began: time.Now()}
-		if host.log.LogBytes() > host.settings.logLimit(host.log.SlotBytes()) {
-			job.slot, job.records = host.image(), nil
+	clear(host.outbox)
+	if host.runningJob == nil && (len(host.pendingRecords) > 0 || len(host.pendingCallbacks) > 0) {
+		job := &diskJob{records: host.pendingRecords, callbacks: host.pendingCallbacks, started: time.Now()}
+		if host.durableLog.LogBytes() > host.settings.compactionThreshold(host.durableLog.SnapshotBytes()) {
+			job.snapshot, job.records = host.snapshotRecords(), nil
 		}
-		host.pending, host.waiting, host.busy = nil, nil, job
-		host.jobs <- job
+		host.pendingRecords, host.pendingCallbacks, host.runningJob = nil, nil, job
+		host.diskJobs <- job
 	}
 }
 
-func (host *Host) publish() {
+func (host *Host) publishStatuses() {
 	statuses := make(map[uint32]agreement.Status, len(host.groups))
-	for number, member := range host.groups {
-		statuses[number] = member.core.Status()
+	for groupID, group := range host.groups {
+		statuses[groupID] = group.core.Status()
 	}
 	host.statuses.Store(&statuses)
 }
 
-func (host *Host) step(number uint32, input agreement.Input) agreement.Output {
-	member := host.groups[number]
-	output := member.core.Step(input)
-	if output.Restore != nil {
-		member.onRestored(output.Restore)
+func (host *Host) step(groupID uint32, input agreement.Input) agreement.Output {
+	group := host.groups[groupID]
+	output := group.core.Step(input)
+	if output.Snapshot != nil {
+		group.handleRestored(output.Snapshot)
 	}
-	if output.SnapshotRefused != nil {
-		host.logRefusal(number, output.SnapshotRefused)
+	if output.SnapshotRejected != nil {
+		host.logSnapshotRejection(groupID, output.SnapshotRejected)
 	}
-	for _, entry := range output.Committed {
-		host.commit(member, entry)
+	for _, entry := range output.CommittedEntries {
+		host.applyEntry(group, entry)
 	}
 	if output.Write != nil {
-		kept := wire.StoredWrite{State: output.Write.State, Entries: output.Write.Entries}
-		if output.Write.Checkpoint != nil {
-			kept.Pointed, kept.Checkpoint = true, *output.Write.Checkpoint
+		kept := wire.StoredWrite{State: output.Write.HardState, Entries: output.Write.Entries}
+		if output.Write.Snapshot != nil {
+			kept.Pointed, kept.Checkpoint = true, *output.Write.Snapshot
 		}
-		host.pending = append(host.pending, storedRecords(number, kept)...)
+		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, kept)...)
 		written := output.Write.Number
-		host.waiting = append(host.waiting, func() {
-			if host.groups[number] == member {
-				host.step(number, agreement.Input{Kind: agreement.InputSynced, Number: written})
+		host.pendingCallbacks = append(host.pendingCallbacks, func() {
+			if host.groups[groupID] == group {
+				host.step(groupID, agreement.Input{Kind: agreement.InputSynced, Number: written})
 			}
 		})
 	}
 	for _, message := range output.Messages {
-		host.outgoing[message.To] = append(host.outgoing[message.To], message)
+		host.outbox[message.To] = append(host.outbox[message.To], message)
 	}
-	for _, answer := range output.Reads {
-		waiting := member.reads[answer.Context]
-		delete(member.reads, answer.Context)
-		if waiting != nil && answer.Refused {
-			waiting <- host.notLeader(member)
+	for _, answer := range output.ReadResults {
+		waiting := group.reads[answer.Context]
+		delete(group.reads, answer.Context)
+		if waiting != nil && answer.Rejected {
+			waiting <- host.notLeader(group)
 		} else if waiting != nil {
 			waiting <- nil
 		}
 	}
-	host.checkpoint(number, member)
+	host.maybeSnapshot(groupID, group)
 	return output
 }
 
-func (host *Host) commit(member *group, entry agreement.Entry) {
+func (host *Host) applyEntry(group *raftGroup, entry agreement.Entry) {
 	var outcome any
-	member.logged += len(entry.Data) + entryOverhead
+	group.bytesSinceSnapshot += len(entry.Data) + entryOverheadBytes
 	if entry.Kind == agreement.EntryCommand {
-		outcome = member.machine.Apply(entry)
+		outcome = group.stateMachine.Apply(entry)
 	}
-	waiting, found := member.proposals[entry.Index]
+	waiting, found := group.proposals[entry.Index]
 	if !found {
 		return
 	}
-	delete(member.proposals, entry.Index)
-	answer := proposalAnswer{position: waiting.position, outcome: outcome}
+	delete(group.proposals, entry.Index)
+	answer := proposalResult{commandIndex: waiting.commandIndex, outcome: outcome}
 	if waiting.term != entry.Term {
-		answer = proposalAnswer{position: waiting.position, err: host.notLeader(member)}
+		answer = proposalResult{commandIndex: waiting.commandIndex, err: host.notLeader(group)}
 	}
-	waiting.answer <- answer
+	waiting.result <- answer
 }
 
-// speaksOfGroup tells whether only a leader sends messages of this kind.
-func speaksOfGroup(kind agreement.MessageKind) bool {
-	return kind == agreement.MessageAppend || kind == agreement.MessageCheckpoint || kind == agreement.MessageSnapshotChunk
+// isFromLeader tells whether only a leader sends messages of this kind.
+func isFromLeader(kind agreement.MessageKind) bool {
+	return kind == agreement.MessageAppend || kind == agreement.MessageSnapshot || kind == agreement.MessageSnapshotChunk
 }
 
 // Receive takes a peer's messages, and does not wait until they are worked off. A
@@ -263,16 +263,16 @@
 			host.suspect(peer)
 		})
 	}
-	host.post(func() {
+	host.enqueue(func() {
 		for _, message := range messages {
 			if message.To != host.name {
 				continue
 			}
 			if host.groups[message.Group] == nil {
-				if !speaksOfGroup(message.Kind) {
+				if !isFromLeader(message.Kind) {
 					continue
 				}
-				if err := host.startGroup(message.Group, agreement.Stored{}); err != nil {
+				if err := host.addGroup(message.Group, agreement.PersistentState{}); err != nil {
 					continue
 				}
 				delete(host.removed, message.Group)
@@ -283,9 +283,9 @@
 }
 
 func (host *Host) suspect(peer string) {
-	host.post(func() {
-		for number := range host.groups {
-			host.step(number, agreement.Input{Kind: agreement.InputSuspect, Peer: peer})
+	host.enqueue(func() {
+		for groupID := range host.groups {
+			host.step(groupID, agreement.Input{Kind: agreement.InputSuspect, Peer: peer})
 		}
 	})
 }
@@ -298,26 +298,26 @@
 // Status gives what one group here believes right now; false tells that it is not here.
 //
 //	status, here := host.Status(7)
-func (host *Host) Status(number uint32) (status agreement.Status, here bool) {
-	host.do(func() {
-		if member := host.groups[number]; member != nil {
-			status, here = member.core.Status(), true
+func (host *Host) Status(groupID uint32) (status agreement.Status, here bool) {
+	host.runOnLoop(func() {
+		if group := host.groups[groupID]; group != nil {
+			status, here = group.core.Status(), true
 		}
 	})
 	return status, here
 }
 
-// Machine gives a group's state machine, or nil.
+// StateMachine gives a group's state machine, or nil.
 //
-//	machine := host.Machine(7)
-func (host *Host) Machine(number uint32) Machine {
-	var machine Machine
-	host.do(func() {
-		if member := host.groups[number]; member != nil {
-			machine = member.machine
+//	machine := host.StateMachine(7)
+func (host *Host) StateMachine(groupID uint32) StateMachine {
+	var stateMachine StateMachine
+	host.runOnLoop(func() {
+		if group := host.groups[groupID]; group != nil {
+			stateMachine = group.stateMachine
 		}
 	})
-	return machine
+	return stateMachine
 }
 
 // Close stops the loop. What was not synced may be lost.
@@ -326,5 +326,5 @@
 func (host *Host) Close() {
 	close(host.stopping)
 	<-host.stopped
-	host.courier.Close()
+	host.transport.Close()
 }
--- /dev/null
+++ b/system/replica/host_membership.go
@@ -0,0 +1,94 @@
+package replica
+
+import (
+	"github.com/apex/log"
+
+	"yardrock.example/system/agreement"
+	"yardrock.example/system/durablelog"
+	"yardrock.example/system/wire"
+)
+
+// transferLeadership gives leadership to the voter that holds most.
+func (host *Host) transferLeadership(groupID uint32, group *raftGroup) {
+	status := group.core.Status()
+	best := ""
+	for _, name := range status.Membership.Voters {
+		if name != host.name && (best == "" || status.MatchIndex[name] > status.MatchIndex[best]) {
+			best = name
+		}
+	}
+	if best != "" {
+		host.step(groupID, agreement.Input{Kind: agreement.InputTransferLeadership, Peer: best})
+	}
+}
+
+// TransferAllLeaderships gives up leadership of every group, as a node does that drains.
+//
+//	host.TransferAllLeaderships()
+func (host *Host) TransferAllLeaderships() {
+	host.runOnLoop(func() {
+		for groupID, group := range host.groups {
+			if _, leading := group.core.Leading(); leading {
+				host.transferLeadership(groupID, group)
+			}
+		}
+	})
+}
+
+// Bootstrap starts a group with its founding voters, unless it is here already or
+// was moved away from here.
+// Every founder must name the same voters and content.
+//
+//	host.Bootstrap(7, []string{"a", "b", "c"}, nil)
+func (host *Host) Bootstrap(groupID uint32, voters []string, content []byte) {
+	host.runOnLoop(func() {
+		if host.groups[groupID] != nil || host.removed[groupID] {
+			return
+		}
+		snapshot := agreement.Snapshot{Index: 1, Term: 1, Membership: agreement.Membership{Voters: voters}, Data: content}
+		stored := agreement.PersistentState{HardState: agreement.HardState{Term: 1}, Snapshot: snapshot}
+		if err := host.addGroup(groupID, stored); err != nil {
+			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("founding_failed")
+			return
+		}
+		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, wire.StoredWrite{State: stored.HardState, Pointed: true, Checkpoint: snapshot})...)
+	})
+}
+
+// Remove forgets a group that has moved away.
+//
+//	host.Remove(7)
+func (host *Host) Remove(groupID uint32) {
+	host.runOnLoop(func() {
+		if host.groups[groupID] == nil {
+			return
+		}
+		delete(host.groups, groupID)
+		host.removed[groupID] = true
+		host.pendingRecords = append(host.pendingRecords, durablelog.Record{Group: groupID, Kind: recordGroupRemoved})
+	})
+}
+
+// ChangeMembership asks a group that is led here for a one-member change.
+//
+//	changed := host.ChangeMembership(7, next)
+func (host *Host) ChangeMembership(groupID uint32, next agreement.Membership) bool {
+	index := uint64(0)
+	host.runOnLoop(func() {
+		if host.groups[groupID] != nil {
+			index = host.step(groupID, agreement.Input{Kind: agreement.InputChangeMembership, Membership: next}).ProposedIndex
+		}
+	})
+	return index != 0
+}
+
+// TransferLeadership asks a group that is led here to follow another voter.
+//
+//	host.TransferLeadership(7, "store-b")
+func (host *Host) TransferLeadership(groupID uint32, peer string) {
+	host.runOnLoop(func() {
+		if host.groups[groupID] != nil {
+			host.step(groupID, agreement.Input{Kind: agreement.InputTransferLeadership, Peer: peer})
+		}
+	})
+}
--- a/system/replica/proposals.go
+++ b/system/replica/host_proposals.go
@@ -9,36 +9,36 @@
 )
 
 type proposal struct {
-	term     uint64
-	position int
-	answer   chan<- proposalAnswer
+	term         uint64
+	commandIndex int
+	result       chan<- proposalResult
 }
 
-type proposalAnswer struct {
-	position int
-	outcome  any
-	err      error
+type proposalResult struct {
+	commandIndex int
+	outcome      any
+	err          error
 }
 
-func unclear() error {
+func outcomeUnknown() error {
 	return apierror.New(apierror.Unclear, "the commit was not seen to its end", "ask again with the same producer pair; it is deduped")
 }
 
-func (host *Host) notLeader(member *group) error {
+func (host *Host) notLeader(group *raftGroup) error {
 	leader := ""
-	if member != nil {
-		leader = member.core.Status().Leader
+	if group != nil {
+		leader = group.core.Status().Leader
 	}
 	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica does not lead the group", Remedy: "ask its leader", Leader: leader, RetryAfter: 200 * time.Millisecond}
 }
 
-func (host *Host) refuseAll() {
-	close(host.jobs)
-	for _, member := range host.groups {
-		for _, waiting := range member.proposals {
-			waiting.answer <- proposalAnswer{position: waiting.position, err: unclear()}
+func (host *Host) failPending() {
+	close(host.diskJobs)
+	for _, group := range host.groups {
+		for _, waiting := range group.proposals {
+			waiting.result <- proposalResult{commandIndex: waiting.commandIndex, err: outcomeUnknown()}
 		}
-		for _, waiting := range member.reads {
+		for _, waiting := range group.reads {
 			waiting <- host.notLeader(nil)
 		}
 	}
@@ -48,28 +48,28 @@
 // answered. NotLeader proves that none ran; Unclear leaves it open.
 //
 //	outcomes, err := host.Propose(ctx, 7, [][]byte{data})
-func (host *Host) Propose(ctx context.Context, number uint32, commands [][]byte) ([]any, error) {
-	answers := make(chan proposalAnswer, len(commands))
+func (host *Host) Propose(ctx context.Context, groupID uint32, commands [][]byte) ([]any, error) {
+	answers := make(chan proposalResult, len(commands))
 	var refused error
 	accepted := 0
-	running := host.do(func() {
-		member := host.groups[number]
+	running := host.runOnLoop(func() {
+		group := host.groups[groupID]
 		for position, data := range commands {
 			index, term := uint64(0), uint64(0)
-			if member != nil {
-				output := host.step(number, agreement.Input{Kind: agreement.InputPropose, Data: data})
+			if group != nil {
+				output := host.step(groupID, agreement.Input{Kind: agreement.InputPropose, Data: data})
 				index, term = output.ProposedIndex, output.ProposedTerm
 			}
 			if index == 0 {
-				refused = host.notLeader(member)
+				refused = host.notLeader(group)
 				return
 			}
-			member.proposals[index] = proposal{term: term, position: position, answer: answers}
+			group.proposals[index] = proposal{term: term, commandIndex: position, result: answers}
 			accepted++
 		}
 	})
 	if !running {
-		return nil, unclear()
+		return nil, outcomeUnknown()
 	}
 	if refused != nil && accepted == 0 {
 		return nil, refused
@@ -79,18 +79,18 @@
 	for range accepted {
 		select {
 		case answer := <-answers:
-			outcomes[answer.position] = answer.outcome
+			outcomes[answer.commandIndex] = answer.outcome
 			if answer.err != nil {
 				failed = answer.err
 			}
 		case <-ctx.Done():
-			return nil, unclear()
+			return nil, outcomeUnknown()
 		case <-host.stopped:
-			return nil, unclear()
+			return nil, outcomeUnknown()
 		}
 	}
 	if accepted < len(commands) || (failed != nil && len(commands) > 1) {
-		return nil, unclear()
+		return nil, outcomeUnknown()
 	}
 	return outcomes, failed
 }
@@ -100,17 +100,17 @@
 //
 //	if err := host.Read(ctx, 7); err != nil { return err }
 //	session, found := machine.View().Session(name)
-func (host *Host) Read(ctx context.Context, number uint32) error {
+func (host *Host) Read(ctx context.Context, groupID uint32) error {
 	answer := make(chan error, 1)
-	running := host.do(func() {
-		member := host.groups[number]
-		if member == nil {
+	running := host.runOnLoop(func() {
+		group := host.groups[groupID]
+		if group == nil {
 			answer <- host.notLeader(nil)
 			return
 		}
-		host.reading++
-		member.reads[host.reading] = answer
-		host.step(number, agreement.Input{Kind: agreement.InputRead, Context: host.reading})
+		host.lastReadID++
+		group.reads[host.lastReadID] = answer
+		host.step(groupID, agreement.Input{Kind: agreement.InputReadIndex, Context: host.lastReadID})
 	})
 	if !running {
 		return host.notLeader(nil)
--- a/system/replica/snapshots_test.go
+++ b/system/replica/host_snapshots_test.go
@@ -15,13 +15,13 @@
 
 const testTimeout = 20 * time.Second
 
-// leadAlone founds group 1 with this host alone, and waits until it leads.
-func leadAlone(t *testing.T, host *Host) {
+// bootstrapAlone founds group 1 with this host alone, and waits until it leads.
+func bootstrapAlone(t *testing.T, host *Host) {
 	t.Helper()
-	host.Found(1, []string{host.Name()}, nil)
+	host.Bootstrap(1, []string{host.Name()}, nil)
 	await(t, "the host leads", func() bool {
 		status, _ := host.Status(1)
-		return status.Confirmed
+		return status.CommittedInTerm
 	})
 }
 
@@ -36,8 +36,8 @@
 	}
 }
 
-func (host *Host) sinceCheckpoint() (entries uint64, bytes int) {
-	host.do(func() { entries, bytes = host.groups[1].core.SinceCheckpoint(), host.groups[1].logged })
+func (host *Host) logSinceSnapshot() (entries uint64, bytes int) {
+	host.runOnLoop(func() { entries, bytes = host.groups[1].core.EntriesSinceSnapshot(), host.groups[1].bytesSinceSnapshot })
 	return entries, bytes
 }
 
@@ -50,66 +50,66 @@
 	}
 }
 
-// quick has hosts decide in milliseconds, and make no snapshot by the count of entries.
-func quick() Settings {
-	settings := Usual(1)
-	settings.Tick, settings.CheckpointEvery = 2*time.Millisecond, 1<<40
+// fastSettings has hosts decide in milliseconds, and make no snapshot by the count of entries.
+func fastSettings() Settings {
+	settings := DefaultSettings(1)
+	settings.Tick, settings.SnapshotEntries = 2*time.Millisecond, 1<<40
 	return settings
 }
 
 func TestLogIsBoundedByBytes(t *testing.T) {
-	path, machine := t.TempDir(), &textMachine{}
-	host, err := openHost(t, path, quick(), machine)
+	path, machine := t.TempDir(), &textStateMachine{}
+	host, err := openHost(t, path, fastSettings(), machine)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leadAlone(t, host)
+	bootstrapAlone(t, host)
 	const each = 100 << 10
-	for number := range 100 { // 10 MB in all
-		propose(t, host, bytes.Repeat([]byte{byte(number)}, each))
-		_, logged := host.sinceCheckpoint()
+	for proposal := range 100 { // 10 MB in all
+		propose(t, host, bytes.Repeat([]byte{byte(proposal)}, each))
+		_, logged := host.logSinceSnapshot()
 		// What comes while a snapshot is encoded is over the budget; it is not much.
-		if most := max(smallestBudget, len(machine.content)) + 10*each; logged > most {
-			t.Fatalf("the log has %d bytes after %d proposals, the limit is %d", logged, number+1, most)
+		if most := max(minSnapshotLogBytes, len(machine.content)) + 10*each; logged > most {
+			t.Fatalf("the log has %d bytes after %d proposals, the limit is %d", logged, proposal+1, most)
 		}
 	}
-	await(t, "a snapshot by bytes", func() bool { entries, _ := host.sinceCheckpoint(); return entries < 80 })
+	await(t, "a snapshot by bytes", func() bool { entries, _ := host.logSinceSnapshot(); return entries < 80 })
 	want := bytes.Clone(machine.content)
 	host.Close()
-	again := &textMachine{}
-	reopened, err := openHost(t, path, quick(), again)
+	again := &textStateMachine{}
+	reopened, err := openHost(t, path, fastSettings(), again)
 	if err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the log is applied anew", func() bool {
 		status, _ := reopened.Status(1)
-		return status.Confirmed
+		return status.CommittedInTerm
 	})
-	reopened.do(func() {
+	reopened.runOnLoop(func() {
 		if !bytes.Equal(again.content, want) {
 			t.Errorf("%d bytes came back of %d", len(again.content), len(want))
 		}
 	})
 }
 
-func TestLogIsBoundedByCountToo(t *testing.T) {
-	settings := quick()
-	settings.CheckpointEvery = 20
-	host, err := openHost(t, t.TempDir(), settings, &textMachine{})
+func TestLogIsBoundedByEntryCount(t *testing.T) {
+	settings := fastSettings()
+	settings.SnapshotEntries = 20
+	host, err := openHost(t, t.TempDir(), settings, &textStateMachine{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	leadAlone(t, host)
+	bootstrapAlone(t, host)
 	for range 100 {
 		propose(t, host, []byte("few bytes"))
 	}
-	await(t, "a snapshot by count", func() bool { entries, _ := host.sinceCheckpoint(); return entries < 60 })
+	await(t, "a snapshot by count", func() bool { entries, _ := host.logSinceSnapshot(); return entries < 60 })
 }
 
-// lastMachine keeps the last command only.
-type lastMachine struct{ textMachine }
+// lastCommandStateMachine keeps the last command only.
+type lastCommandStateMachine struct{ textStateMachine }
 
-func (machine *lastMachine) Apply(entry agreement.Entry) any {
+func (machine *lastCommandStateMachine) Apply(entry agreement.Entry) any {
 	machine.content = entry.Data
 	return nil
 }
@@ -122,23 +122,23 @@
 }
 
 // What a host keeps in memory is bounded by its state, not by what led there.
-func TestLargeProposalsLeaveOnlyTheStateInMemory(t *testing.T) {
+func TestLargeProposalsAreNotRetainedInMemory(t *testing.T) {
 	const size, count, most = 4 << 20, 20, 10 // times the state
 	path, before := t.TempDir(), heapInUse()
-	host, err := openHost(t, path, quick(), &lastMachine{})
+	host, err := openHost(t, path, fastSettings(), &lastCommandStateMachine{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	leadAlone(t, host)
-	for number := range count {
-		propose(t, host, bytes.Repeat([]byte{byte(number)}, size))
+	bootstrapAlone(t, host)
+	for proposal := range count {
+		propose(t, host, bytes.Repeat([]byte{byte(proposal)}, size))
 	}
 	if kept := heapInUse() - before; kept > most*size {
 		t.Errorf("%d bytes are kept for a state of %d", kept, size)
 	}
 	host.Close()
 	before = heapInUse()
-	reopened, err := openHost(t, path, quick(), &lastMachine{})
+	reopened, err := openHost(t, path, fastSettings(), &lastCommandStateMachine{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,33 +148,33 @@
 	runtime.KeepAlive(reopened)
 }
 
-func TestLargeContentIsStoredApartAndDemandedBack(t *testing.T) {
-	point := agreement.Checkpoint{Index: 5, Term: 2, Replicas: agreement.Replicas{Voters: []string{"a", "b"}}, Data: append([]byte(readable), make([]byte, contentApart)...)}
-	records := storedRecords(1, wire.StoredWrite{State: agreement.State{Term: 3}, Pointed: true, Checkpoint: point})
-	if len(records) != 2 || records[0].Kind != recordContent || len(records[1].Data) > 1000 {
+func TestLargeSnapshotContentIsStoredSeparatelyAndRequired(t *testing.T) {
+	snapshot := agreement.Snapshot{Index: 5, Term: 2, Membership: agreement.Membership{Voters: []string{"a", "b"}}, Data: append([]byte(textPrefix), make([]byte, separateContentBytes)...)}
+	records := encodeWrite(1, wire.StoredWrite{State: agreement.HardState{Term: 3}, Pointed: true, Checkpoint: snapshot})
+	if len(records) != 2 || records[0].Kind != recordSnapshotContent || len(records[1].Data) > 1000 {
 		t.Fatalf("%d records", len(records))
 	}
-	machine := &textMachine{}
-	host, err := openHost(t, t.TempDir(), Usual(1), machine, records...)
+	machine := &textStateMachine{}
+	host, err := openHost(t, t.TempDir(), DefaultSettings(1), machine, records...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := host.Status(1); status.Commit != 5 || len(machine.content) != contentApart {
+	if status, _ := host.Status(1); status.CommitIndex != 5 || len(machine.content) != separateContentBytes {
 		t.Fatalf("%+v with %d bytes", status, len(machine.content))
 	}
 	for name, bad := range map[string][]durablelog.Record{
 		"the content is missing":  {records[1]},
 		"the content is used up":  {records[0], records[1], records[1]},
-		"it is of a former group": {records[0], {Group: 1, Kind: recordRemoved}, records[1]},
+		"it is of a former group": {records[0], {Group: 1, Kind: recordGroupRemoved}, records[1]},
 	} {
-		if _, err := openHost(t, t.TempDir(), Usual(1), &textMachine{}, bad...); err == nil {
+		if _, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, bad...); err == nil {
 			t.Errorf("%s: the host starts", name)
 		}
 	}
 }
 
 // A core leads and sends its snapshot to a host, which answers over a connection.
-func TestSnapshotInChunksIsTakenByAHost(t *testing.T) {
+func TestHostInstallsAChunkedSnapshot(t *testing.T) {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -187,14 +187,14 @@
 		return &wire.Reply{}
 	})
 	defer server.Close()
-	machine := &textMachine{}
-	host, err := openHostTo(t, t.TempDir(), Usual(1), machine, listener.Addr().String())
+	machine := &textStateMachine{}
+	host, err := openHostTo(t, t.TempDir(), DefaultSettings(1), machine, listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	content := append([]byte(readable), bytes.Repeat([]byte("0123456789abcdef"), 1<<20/16)...)
-	point := agreement.Checkpoint{Index: 5, Term: 1, Replicas: agreement.Replicas{Voters: []string{"a"}, Learners: []string{host.Name()}}, Data: content}
-	leader := agreement.New(agreement.Settings{Group: 1, Name: "a", ElectionTicks: 10, HeartbeatTicks: 2}, agreement.Stored{State: agreement.State{Term: 1}, Checkpoint: point})
+	content := append([]byte(textPrefix), bytes.Repeat([]byte("0123456789abcdef"), 1<<20/16)...)
+	snapshot := agreement.Snapshot{Index: 5, Term: 1, Membership: agreement.Membership{Voters: []string{"a"}, Learners: []string{host.Name()}}, Data: content}
+	leader := agreement.New(agreement.Settings{Group: 1, Name: "a", ElectionTicks: 10, HeartbeatTicks: 2}, agreement.PersistentState{HardState: agreement.HardState{Term: 1}, Snapshot: snapshot})
 	feed := func(input agreement.Input) {
 		for output := leader.Step(input); ; output = leader.Step(agreement.Input{Kind: agreement.InputSynced, Number: output.Write.Number}) {
 			host.Receive(t.Context(), output.Messages)
@@ -205,7 +205,7 @@
 	}
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
-	for until := time.Now().Add(testTimeout); leader.Status().Matched[host.Name()] < leader.Status().Last || !leader.Status().Leading; {
+	for until := time.Now().Add(testTimeout); leader.Status().MatchIndex[host.Name()] < leader.Status().LastIndex || !leader.Status().Leading; {
 		select {
 		case answer := <-answers:
 			feed(agreement.Input{Kind: agreement.InputMessage, Message: answer})
@@ -213,11 +213,11 @@
 			feed(agreement.Input{Kind: agreement.InputTick})
 		}
 		if time.Now().After(until) {
-			t.Fatalf("the host holds %v of %d", leader.Status().Matched, leader.Status().Last)
+			t.Fatalf("the host holds %v of %d", leader.Status().MatchIndex, leader.Status().LastIndex)
 		}
 	}
-	host.do(func() {
-		if want := content[len(readable):]; !bytes.Equal(machine.content, want) {
+	host.runOnLoop(func() {
+		if want := content[len(textPrefix):]; !bytes.Equal(machine.content, want) {
 			t.Errorf("%d bytes were restored of %d", len(machine.content), len(want))
 		}
 	})
--- a/system/replica/disk_test.go
+++ b/system/replica/host_storage_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-func TestLogLimitFitsTheDisk(t *testing.T) {
+func TestCompactionThresholdFitsTheDisk(t *testing.T) {
 	for _, one := range []struct{ disk, slot, want int64 }{
 		{0, 40 << 20, 80 << 20},
 		{128 << 20, 1 << 20, 16 << 20},
 		{128 << 20, 24 << 20, 16 << 20},
 		{128 << 20, 36 << 20, 8 << 20},
-		{128 << 20, 60 << 20, leastLog},
+		{128 << 20, 60 << 20, minLogBytes},
 	} {
-		if got := Usual(1).OnDisk(one.disk).logLimit(one.slot); got != one.want {
+		if got := DefaultSettings(1).WithDiskSize(one.disk).compactionThreshold(one.slot); got != one.want {
 			t.Errorf("disk %d, slot %d: a slot is due at %d, want %d", one.disk, one.slot, got, one.want)
 		}
 	}
 }
 
-// folderBytes adds up the files below a folder.
-func folderBytes(t *testing.T, path string) (total int64) {
+// directoryBytes adds up the files below a folder.
+func directoryBytes(t *testing.T, path string) (total int64) {
 	t.Helper()
 	err := filepath.Walk(path, func(_ string, file os.FileInfo, err error) error {
 		if err == nil && !file.IsDir() {
@@ -36,20 +36,20 @@
 	return total
 }
 
-// TestDataFolderFitsASmallDisk: on a disk that is smaller than what the log may usually
+// TestDataDirectoryFitsASmallDisk: on a disk that is smaller than what the log may usually
 // grow to, slots are written early enough.
-func TestDataFolderFitsASmallDisk(t *testing.T) {
+func TestDataDirectoryFitsASmallDisk(t *testing.T) {
 	const disk, each = 12 << 20, 1 << 20
 	path := t.TempDir()
-	host, err := openHost(t, path, quick().OnDisk(disk), &lastMachine{})
+	host, err := openHost(t, path, fastSettings().WithDiskSize(disk), &lastCommandStateMachine{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	leadAlone(t, host)
-	for number := range 60 {
-		propose(t, host, bytes.Repeat([]byte{byte(number)}, each))
-		if held := folderBytes(t, path); held > disk {
-			t.Fatalf("the folder has %d bytes after %d proposals, on a disk of %d", held, number+1, disk)
+	bootstrapAlone(t, host)
+	for proposal := range 60 {
+		propose(t, host, bytes.Repeat([]byte{byte(proposal)}, each))
+		if held := directoryBytes(t, path); held > disk {
+			t.Fatalf("the folder has %d bytes after %d proposals, on a disk of %d", held, proposal+1, disk)
 		}
 	}
 }
--- a/system/replica/host_test.go
+++ b/system/replica/host_test.go
@@ -15,24 +15,24 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// readable is what the content of a snapshot begins with that textMachine reads.
-const readable = "text:"
+// textPrefix is what the content of a snapshot begins with that textStateMachine reads.
+const textPrefix = "text:"
 
-// textMachine keeps all commands, one after the other.
-type textMachine struct{ content []byte }
+// textStateMachine keeps all commands, one after the other.
+type textStateMachine struct{ content []byte }
 
-func (machine *textMachine) Apply(entry agreement.Entry) any {
+func (machine *textStateMachine) Apply(entry agreement.Entry) any {
 	machine.content = append(machine.content, entry.Data...)
 	return len(machine.content)
 }
 
-func (machine *textMachine) Image() func() []byte {
+func (machine *textStateMachine) Snapshot() func() []byte {
 	content := bytes.Clone(machine.content)
-	return func() []byte { return append([]byte(readable), content...) }
+	return func() []byte { return append([]byte(textPrefix), content...) }
 }
 
-func (machine *textMachine) Restore(data []byte) error {
-	content, known := bytes.CutPrefix(data, []byte(readable))
+func (machine *textStateMachine) Restore(data []byte) error {
+	content, known := bytes.CutPrefix(data, []byte(textPrefix))
 	if !known {
 		return errors.New("no text")
 	}
@@ -50,13 +50,13 @@
 }
 
 // openHost starts a host, which nobody answers, in a folder on what records hold.
-func openHost(t *testing.T, path string, settings Settings, machine Machine, extra ...durablelog.Record) (*Host, error) {
+func openHost(t *testing.T, path string, settings Settings, machine StateMachine, extra ...durablelog.Record) (*Host, error) {
 	t.Helper()
 	return openHostTo(t, path, settings, machine, "", extra...)
 }
 
 // openHostTo is openHost with all peers at one address.
-func openHostTo(t *testing.T, path string, settings Settings, machine Machine, peers string, extra ...durablelog.Record) (*Host, error) {
+func openHostTo(t *testing.T, path string, settings Settings, machine StateMachine, peers string, extra ...durablelog.Record) (*Host, error) {
 	t.Helper()
 	folder, err := files.Open(path)
 	if err != nil {
@@ -66,8 +66,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	courier := NewCourier(link.NewCaller(link.TCP{}), func(string) string { return peers }, func() string { return "" })
-	host, err := Open(settings, log, append(records, extra...), func(uint32) Machine { return machine }, courier)
+	transport := NewTransport(link.NewCaller(link.TCP{}), func(string) string { return peers }, func() string { return "" })
+	host, err := Open(settings, log, append(records, extra...), func(uint32) StateMachine { return machine }, transport)
 	if err == nil {
 		t.Cleanup(func() {
 			select {
@@ -80,14 +80,14 @@
 	return host, err
 }
 
-func TestStoredStateThatCannotBeReadIsRefused(t *testing.T) {
-	voters := agreement.Replicas{Voters: []string{"a", "b", "c"}}
-	point := agreement.Checkpoint{Index: 5, Term: 2, Replicas: voters, Data: []byte(readable)}
-	state := agreement.State{Term: 3, Voted: "a"}
-	whole := testRecord(t, wire.StoredWrite{State: state, Pointed: true, Checkpoint: point})
+func TestUnreadablePersistentStateIsRejected(t *testing.T) {
+	voters := agreement.Membership{Voters: []string{"a", "b", "c"}}
+	snapshot := agreement.Snapshot{Index: 5, Term: 2, Membership: voters, Data: []byte(textPrefix)}
+	state := agreement.HardState{Term: 3, VotedFor: "a"}
+	whole := testRecord(t, wire.StoredWrite{State: state, Pointed: true, Checkpoint: snapshot})
 	cut := whole
 	cut.Data = cut.Data[:len(cut.Data)/2]
-	unreadable := point
+	unreadable := snapshot
 	unreadable.Data = []byte("no such form")
 	entry := func(index, term uint64) []agreement.Entry { return []agreement.Entry{{Index: index, Term: term}} }
 	for name, records := range map[string][]durablelog.Record{
@@ -98,39 +98,39 @@
 		"log is of a term to come":  {whole, testRecord(t, wire.StoredWrite{State: state, Entries: entry(6, 9)})},
 		"record is of another kind": {{Group: 1, Kind: 77}},
 	} {
-		_, err := openHost(t, t.TempDir(), Usual(1), &textMachine{}, records...)
+		_, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, records...)
 		if !apierror.Is(err, apierror.Damaged) && !apierror.Is(err, apierror.FormatTooNew) || apierror.Of(err).Remedy == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	host, err := openHost(t, t.TempDir(), Usual(1), &textMachine{}, whole)
+	host, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, whole)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, here := host.Status(1); !here || status.Commit != 5 || status.Term != 3 {
+	if status, here := host.Status(1); !here || status.CommitIndex != 5 || status.Term != 3 {
 		t.Fatalf("the whole record gives %+v", status)
 	}
 }
 
-func TestUnreadableSnapshotFromAPeerChangesNothing(t *testing.T) {
-	machine := &textMachine{}
-	host, err := openHost(t, t.TempDir(), Usual(1), machine)
+func TestUnreadableSnapshotFromPeerChangesNothing(t *testing.T) {
+	machine := &textStateMachine{}
+	host, err := openHost(t, t.TempDir(), DefaultSettings(1), machine)
 	if err != nil {
 		t.Fatal(err)
 	}
 	send := func(data string) agreement.Status {
-		point := agreement.Checkpoint{Index: 9, Term: 2, Replicas: agreement.Replicas{Voters: []string{"a", host.Name()}}, Data: []byte(data)}
-		host.Receive(context.Background(), []agreement.Message{{Group: 1, Kind: agreement.MessageCheckpoint, From: "a", To: host.Name(), Term: 2, Checkpoint: point}})
+		snapshot := agreement.Snapshot{Index: 9, Term: 2, Membership: agreement.Membership{Voters: []string{"a", host.Name()}}, Data: []byte(data)}
+		host.Receive(context.Background(), []agreement.Message{{Group: 1, Kind: agreement.MessageSnapshot, From: "a", To: host.Name(), Term: 2, Snapshot: snapshot}})
 		status, _ := host.Status(1)
 		return status
 	}
-	if status := send("no such form"); status.Commit != 0 || status.Last != 0 || len(status.Replicas.Voters) != 0 || len(machine.content) != 0 {
+	if status := send("no such form"); status.CommitIndex != 0 || status.LastIndex != 0 || len(status.Membership.Voters) != 0 || len(machine.content) != 0 {
 		t.Fatalf("after an unreadable snapshot: %+v, %q", status, machine.content)
 	}
-	if status := send(readable + "hello"); status.Commit != 9 || string(machine.content) != "hello" {
+	if status := send(textPrefix + "hello"); status.CommitIndex != 9 || string(machine.content) != "hello" {
 		t.Fatalf("after a readable snapshot: %+v, %q", status, machine.content)
 	}
-	if status := send("no such form"); status.Commit != 9 || string(machine.content) != "hello" {
+	if status := send("no such form"); status.CommitIndex != 9 || string(machine.content) != "hello" {
 		t.Fatalf("after the second unreadable snapshot: %+v, %q", status, machine.content)
 	}
 }
--- a/system/replica/courier_test.go
+++ b/system/replica/transport_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestChunksNeverHoldUpHeartbeats has a peer that answers no chunk: one batch is out, the
+// TestSnapshotChunksDoNotDelayHeartbeats has a peer that answers no chunk: one batch is out, the
 // others wait, none of them twice, and heartbeats pass.
-func TestChunksNeverHoldUpHeartbeats(t *testing.T) {
+func TestSnapshotChunksDoNotDelayHeartbeats(t *testing.T) {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,35 +46,35 @@
 	defer answer()
 	caller := link.NewCaller(link.TCP{})
 	defer caller.Close()
-	courier := NewCourier(caller, func(string) string { return listener.Addr().String() }, func() string { return "" })
-	defer courier.Close()
+	transport := NewTransport(caller, func(string) string { return listener.Addr().String() }, func() string { return "" })
+	defer transport.Close()
 	chunk := func(group uint32, offset uint64) agreement.Message {
 		return agreement.Message{Group: group, Kind: agreement.MessageSnapshotChunk, From: "a", To: "b", Chunk: agreement.SnapshotChunk{Offset: offset}}
 	}
-	courier.Send("b", []agreement.Message{chunk(1, 0)})
+	transport.Send("b", []agreement.Message{chunk(1, 0)})
 	if first := next(t, chunks); first.Group != 1 {
 		t.Fatalf("came first: %+v", first)
 	}
 	for round := range uint64(3) {
-		for offset := range uint64(chunksAtOnce) {
-			courier.Send("b", []agreement.Message{chunk(1, offset), chunk(2, offset), {Group: 3, Kind: agreement.MessageAppend, Round: round + 1, From: "a", To: "b"}})
+		for offset := range uint64(maxInflightChunks) {
+			transport.Send("b", []agreement.Message{chunk(1, offset), chunk(2, offset), {Group: 3, Kind: agreement.MessageAppend, Round: round + 1, From: "a", To: "b"}})
 		}
 	}
-	for range 3 * chunksAtOnce {
+	for range 3 * maxInflightChunks {
 		next(t, heartbeats)
 	}
 	if len(chunks) > 0 {
 		t.Fatalf("a second batch was sent before the first was answered: %+v", <-chunks)
 	}
 	answer()
-	for offset := range uint64(chunksAtOnce) {
+	for offset := range uint64(maxInflightChunks) {
 		for _, group := range []uint32{1, 2} {
 			if came := next(t, chunks); came.Group != group || came.Chunk.Offset != offset {
 				t.Fatalf("instead of chunk %d of group %d came %+v", offset, group, came)
 			}
 		}
 	}
-	if rest := courier.boxes["b"].takeChunks(); len(rest) > 0 {
+	if rest := transport.queues["b"].dequeueChunks(); len(rest) > 0 {
 		t.Fatalf("chunks wait twice: %+v", rest)
 	}
 }
--- a/system/settings/settings.go
+++ b/system/settings/settings.go
@@ -61,12 +61,12 @@
 // OpenFolder opens the data folder, or one below it.
 //
 //	folder, err := loaded.OpenFolder("cold")
-func (common *Common) OpenFolder(below string) (files.Folder, error) {
+func (common *Common) OpenFolder(below string) (files.Directory, error) {
 	folder, err := files.Open(filepath.Join(common.Folder, below))
 	if err != nil || common.TrialDisk == "" {
 		return folder, err
 	}
-	return files.NewTrial(folder, common.TrialDisk), nil
+	return files.NewFaultDirectory(folder, common.TrialDisk), nil
 }
 
 // DataPlane is what yardrock-data-plane is told.
--- a/system/store/archive.go
+++ b/system/store/archive.go
@@ -29,7 +29,7 @@
 func (node *Node) archiveAll() {
 	for group, status := range node.host.Statuses() {
 		if status.Leading {
-			node.archive(group, status.Replicas.Voters)
+			node.archive(group, status.Membership.Voters)
 		}
 	}
 	if err := node.cold.Expire(node.clock, node.keeps); err != nil {
--- a/system/store/archived.go
+++ b/system/store/archived.go
@@ -29,7 +29,7 @@
 // undecided tells whether an acknowledgement may still be committed that is not applied
 // here. A leader that has committed an entry of a later term has decided all before it.
 func (guard *archiveGuard) undecided(status agreement.Status) bool {
-	return status.Term == guard.undecidedTerm && status.Commit < guard.undecidedThrough
+	return status.Term == guard.undecidedTerm && status.CommitIndex < guard.undecidedThrough
 }
 
 func (node *Node) archiveGuard(group uint32) *archiveGuard {
@@ -63,20 +63,20 @@
 	}
 	defer guard.release()
 	status, _ := node.host.Status(group)
-	if len(acks) > 0 && !isMajority(holders, status.Replicas.Voters) {
+	if len(acks) > 0 && !isMajority(holders, status.Membership.Voters) {
 		return
 	}
 	command := line.Command{Kind: line.AckArchived, Now: node.clock(group), Acks: acks}
 	if _, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)}); err != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).Warn("archive_not_acknowledged")
 		status, _ = node.host.Status(group)
-		guard.undecidedTerm, guard.undecidedThrough = status.Term, status.Last
+		guard.undecidedTerm, guard.undecidedThrough = status.Term, status.LastIndex
 	}
 }
 
 // changeReplicas asks for a one-member change that was decided on the archived ranges with
 // these sums. It does nothing if others have been acknowledged since, or may have been.
-func (node *Node) changeReplicas(group uint32, decidedOn line.Sums, next agreement.Replicas) bool {
+func (node *Node) changeReplicas(group uint32, decidedOn line.Sums, next agreement.Membership) bool {
 	guard := node.archiveGuard(group)
 	select {
 	case guard.held <- struct{}{}:
@@ -85,10 +85,10 @@
 	}
 	defer guard.release()
 	status, _ := node.host.Status(group)
-	if !status.Confirmed || guard.undecided(status) || node.machine(group).View().Sums() != decidedOn {
+	if !status.CommittedInTerm || guard.undecided(status) || node.machine(group).View().Sums() != decidedOn {
 		return false
 	}
-	return node.host.ChangeReplicas(group, next)
+	return node.host.ChangeMembership(group, next)
 }
 
 // behindInterval is how soon a replica is mended that is known to lack an archived range,
@@ -113,11 +113,11 @@
 	looked := map[uint32]uint64{} // the term in which the replicas of a group were noted
 	return func() {
 		for group, status := range node.host.Statuses() {
-			if !status.Confirmed || looked[group] == status.Term {
+			if !status.CommittedInTerm || looked[group] == status.Term {
 				continue
 			}
 			looked[group] = status.Term
-			for _, voter := range status.Replicas.Voters {
+			for _, voter := range status.Membership.Voters {
 				node.noteBehind(group, voter)
 			}
 		}
@@ -134,7 +134,7 @@
 // mendBehind tells whether nothing is left to do for a replica that may lack ranges.
 func (node *Node) mendBehind(replica replicaKey) bool {
 	status := node.host.Statuses()[replica.group]
-	if !status.Confirmed || !slices.Contains(status.Replicas.Voters, replica.name) {
+	if !status.CommittedInTerm || !slices.Contains(status.Membership.Voters, replica.name) {
 		return true
 	}
 	return node.live(replica.name) && node.mendReplica(replica.group, node.machine(replica.group).View(), replica.name)
--- a/system/store/moves.go
+++ b/system/store/moves.go
@@ -55,7 +55,7 @@
 	var steps sync.WaitGroup
 	for group, status := range node.host.Statuses() {
 		target := placement.ReplicasOf(group, places, view.Factor())
-		if !status.Confirmed {
+		if !status.CommittedInTerm {
 			node.leaveIfRemoved(group, status, target)
 			continue
 		}
@@ -71,8 +71,8 @@
 // movable tells that a group is not where it should be, and that a step towards there can
 // be taken now.
 func (node *Node) movable(status agreement.Status, target []string) bool {
-	voters, learners := status.Replicas.Voters, status.Replicas.Learners
-	if status.Changing {
+	voters, learners := status.Membership.Voters, status.Membership.Learners
+	if status.MembershipChangePending {
 		return true
 	}
 	if len(learners) > 0 {
@@ -103,44 +103,44 @@
 // store is gone goes before the learner votes, so that it is never counted beside it.
 func (node *Node) moveOne(group uint32, target []string, view *feed.View) {
 	status, _ := node.host.Status(group)
-	if !status.Confirmed || status.Changing {
+	if !status.CommittedInTerm || status.MembershipChangePending {
 		return
 	}
-	unwanted := slices.DeleteFunc(slices.Clone(status.Replicas.Voters), func(voter string) bool { return slices.Contains(target, voter) })
+	unwanted := slices.DeleteFunc(slices.Clone(status.Membership.Voters), func(voter string) bool { return slices.Contains(target, voter) })
 	move := &groupMove{node: node, group: group, status: status, content: node.machine(group).View(), target: target, unwanted: unwanted}
-	if len(status.Replicas.Learners) > 0 {
-		move.settleLearner(status.Replicas.Learners[0])
+	if len(status.Membership.Learners) > 0 {
+		move.settleLearner(status.Membership.Learners[0])
 		return
 	}
 	for _, wanted := range target {
-		if !slices.Contains(status.Replicas.Voters, wanted) && view.AddressOf(wanted) != "" && node.live(wanted) {
+		if !slices.Contains(status.Membership.Voters, wanted) && view.AddressOf(wanted) != "" && node.live(wanted) {
 			move.enrol(wanted)
 			return
 		}
 	}
-	if len(unwanted) > 0 && len(status.Replicas.Voters) > len(target) {
+	if len(unwanted) > 0 && len(status.Membership.Voters) > len(target) {
 		move.release(unwanted[0])
 	}
 }
 
-func (move *groupMove) change(event, name string, next agreement.Replicas) {
+func (move *groupMove) change(event, name string, next agreement.Membership) {
 	if move.node.changeReplicas(move.group, move.content.Sums(), next) {
 		log.WithFields(log.Fields{"node": move.node.Name(), "group": move.group, "replica": name}).Info(event)
 	}
 }
 
 func (move *groupMove) enrol(name string) {
-	replicas := move.status.Replicas
-	move.change("replica_enrolled", name, agreement.Replicas{Voters: replicas.Voters, Learners: append(slices.Clone(replicas.Learners), name)})
+	replicas := move.status.Membership
+	move.change("replica_enrolled", name, agreement.Membership{Voters: replicas.Voters, Learners: append(slices.Clone(replicas.Learners), name)})
 }
 
 // settleLearner lets a learner vote once it holds the log and the archived ranges, or lets
 // it go if it is not wanted any more.
 func (move *groupMove) settleLearner(learner string) {
-	replicas := move.status.Replicas
+	replicas := move.status.Membership
 	without := agreement.Without(replicas.Learners, learner)
 	if !slices.Contains(move.target, learner) {
-		move.change("replica_removed", learner, agreement.Replicas{Voters: replicas.Voters, Learners: without})
+		move.change("replica_removed", learner, agreement.Membership{Voters: replicas.Voters, Learners: without})
 		return
 	}
 	if !move.holdsLog(learner) || !move.node.mendReplica(move.group, move.content, learner) {
@@ -150,21 +150,21 @@
 		move.releaseGone(move.unwanted[at])
 		return
 	}
-	move.change("replica_votes", learner, agreement.Replicas{Voters: append(slices.Clone(replicas.Voters), learner), Learners: without})
+	move.change("replica_votes", learner, agreement.Membership{Voters: append(slices.Clone(replicas.Voters), learner), Learners: without})
 }
 
 // holdsLog tells whether a replica holds the group's log but for what is on its way.
 func (move *groupMove) holdsLog(name string) bool {
-	matched := move.status.Matched[name]
-	return matched > 0 && matched+agreement.CaughtUp >= move.status.Commit
+	matched := move.status.MatchIndex[name]
+	return matched > 0 && matched+agreement.MaxLearnerLag >= move.status.CommitIndex
 }
 
 // releaseGone lets a voter go whose store has left the list and has no session, once a
 // majority of those that are left hold all that is archived.
 func (move *groupMove) releaseGone(name string) {
-	next := agreement.Without(move.status.Replicas.Voters, name)
+	next := agreement.Without(move.status.Membership.Voters, name)
 	if move.countWhole(next) >= len(next)/2+1 {
-		move.change("replica_removed", name, agreement.Replicas{Voters: next, Learners: move.status.Replicas.Learners})
+		move.change("replica_removed", name, agreement.Membership{Voters: next, Learners: move.status.Membership.Learners})
 	}
 }
 
@@ -172,18 +172,18 @@
 // to be free: each of those that stay must hold all that it holds. A leader that is not
 // wanted has one of them lead first.
 func (move *groupMove) release(name string) {
-	next := agreement.Without(move.status.Replicas.Voters, name)
+	next := agreement.Without(move.status.Membership.Voters, name)
 	behind := func(voter string) bool { return !move.holdsLog(voter) }
 	if slices.ContainsFunc(move.target, behind) || move.countWhole(move.target) < len(move.target) {
 		return
 	}
 	if name == move.node.Name() {
-		matched := move.status.Matched
+		matched := move.status.MatchIndex
 		best := slices.MaxFunc(move.target, func(left, right string) int { return cmp.Compare(matched[left], matched[right]) })
-		move.node.host.HandOver(move.group, best)
+		move.node.host.TransferLeadership(move.group, best)
 		return
 	}
-	move.change("replica_removed", name, agreement.Replicas{Voters: next, Learners: move.status.Replicas.Learners})
+	move.change("replica_removed", name, agreement.Membership{Voters: next, Learners: move.status.Membership.Learners})
 }
 
 // countWhole counts the replicas that hold all that is archived, and mends the others.
@@ -223,7 +223,7 @@
 		for _, told := range reply.Status.Groups {
 			if told.Group == group && told.Leading && !slices.Contains(told.Voters, node.Name()) && !slices.Contains(told.Learners, node.Name()) {
 				// It may have been taken in again meanwhile.
-				if now, _ := node.host.Status(group); now.Leader == "" && now.Last == status.Last && now.Term == status.Term {
+				if now, _ := node.host.Status(group); now.Leader == "" && now.LastIndex == status.LastIndex && now.Term == status.Term {
 					log.WithFields(log.Fields{"node": node.Name(), "group": group}).Info("replica_left")
 					node.host.Remove(group)
 				}
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -49,7 +49,7 @@
 	Replica replica.Settings
 	// Wall is the machine's clock, which may be wrong; nil is the real one.
 	Wall func() time.Time
-	// Machine is what the operator calls this machine; it may be empty.
+	// StateMachine is what the operator calls this machine; it may be empty.
 	Machine string
 }
 
@@ -106,8 +106,8 @@
 	view    *line.View
 }
 
-// Image gives the checkpoint of what the view holds now.
-func (machine *lineMachine) Image() func() []byte {
+// Snapshot gives the checkpoint of what the view holds now.
+func (machine *lineMachine) Snapshot() func() []byte {
 	view := machine.View()
 	return func() []byte {
 		image := view.Image()
@@ -128,7 +128,7 @@
 //
 //	node, err := store.Start(settings, folder, coldFolder, link.TCP{})
 //	defer node.Close()
-func Start(settings Settings, folder, coldFolder files.Folder, network link.Network) (*Node, error) {
+func Start(settings Settings, folder, coldFolder files.Directory, network link.Network) (*Node, error) {
 	durable, records, err := durablelog.Open(folder, feed.RoleStore)
 	if err != nil {
 		return nil, err
@@ -144,13 +144,13 @@
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.held.Store(&feed.View{})
 	node.lines = storeorigin.New(node.caller, node.held.Load)
-	courier := replica.NewCourier(node.caller, node.addressOf, func() string { return node.held.Load().Bound() })
+	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.held.Load().Bound() })
 	node.host, err = replica.Open(settings.Replica, durable, records, node.newMachine, courier)
 	if err != nil {
 		return nil, err
 	}
 	held := &feed.View{}
-	if data := node.host.Pinned(feedPin); data != nil {
+	if data := node.host.StoredValue(feedPin); data != nil {
 		if held, err = wire.UnpackView(data); err != nil {
 			node.host.Close()
 			return nil, apierror.New(apierror.Damaged, "the held view cannot be read: "+err.Error(), "run the version of the program that wrote it")
@@ -176,7 +176,7 @@
 	return node, nil
 }
 
-func (node *Node) newMachine(group uint32) replica.Machine {
+func (node *Node) newMachine(group uint32) replica.StateMachine {
 	machine := &lineMachine{Machine: line.NewMachine(), applied: node.wake}
 	node.machines.Store(group, machine)
 	return machine
@@ -227,7 +227,7 @@
 // Drain gives up leadership before a stop.
 //
 //	node.Drain()
-func (node *Node) Drain() { node.host.HandOverAll() }
+func (node *Node) Drain() { node.host.TransferAllLeaderships() }
 
 // Close stops the node at once; what is not synced may be lost.
 //
@@ -277,7 +277,7 @@
 	}
 	ctx, cancel := context.WithTimeout(node.context, pinTimeout)
 	defer cancel()
-	if err := node.host.Pin(ctx, feedPin, node.views.Pack(view)); err != nil {
+	if err := node.host.StoreValue(ctx, feedPin, node.views.Pack(view)); err != nil {
 		return err
 	}
 	node.held.Store(view)
@@ -294,7 +294,7 @@
 	for group := uint32(0); len(founders) > 0 && group < view.Groups; group++ {
 		voters := placement.ReplicasOf(group, founders, view.Factor())
 		if slices.Contains(voters, node.Name()) {
-			node.host.Found(group, voters, nil)
+			node.host.Bootstrap(group, voters, nil)
 		}
 	}
 }
@@ -523,7 +523,7 @@
 	for _, event := range found {
 		bySeq[event.Seq] = event
 	}
-	for _, peer := range node.host.Statuses()[group].Replicas.Voters {
+	for _, peer := range node.host.Statuses()[group].Membership.Voters {
 		if peer == node.Name() || uint64(len(bySeq)) == through-after {
 			continue
 		}
--- a/system/store/openings.go
+++ b/system/store/openings.go
@@ -101,7 +101,7 @@
 	if !found {
 		return nil, apierror.New(apierror.Gap, "no opening "+name+" is held", "ask again")
 	}
-	for _, peer := range node.host.Statuses()[group].Replicas.Voters {
+	for _, peer := range node.host.Statuses()[group].Membership.Voters {
 		if peer == node.Name() {
 			continue
 		}
--- a/system/store/repair.go
+++ b/system/store/repair.go
@@ -22,11 +22,11 @@
 func (node *Node) repairAll() {
 	node.cold.Scrub(scrubAtOnce)
 	for group, status := range node.host.Statuses() {
-		if !status.Confirmed {
+		if !status.CommittedInTerm {
 			continue
 		}
 		view := node.machine(group).View()
-		for _, voter := range status.Replicas.Voters {
+		for _, voter := range status.Membership.Voters {
 			node.mendReplica(group, view, voter)
 		}
 	}
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -28,8 +28,8 @@
 	for number, status := range statuses {
 		told := &groups[position]
 		position++
-		*told = wire.GroupStatus{Group: number, Voters: status.Replicas.Voters, Learners: status.Replicas.Learners}
-		if !status.Confirmed {
+		*told = wire.GroupStatus{Group: number, Voters: status.Membership.Voters, Learners: status.Membership.Learners}
+		if !status.CommittedInTerm {
 			continue
 		}
 		confirming.Go(func() {
@@ -53,7 +53,7 @@
 		return told
 	}
 	status, _ := node.host.Status(told.Group)
-	told.Leading = status.Confirmed && !status.Changing
-	told.Voters, told.Learners = status.Replicas.Voters, status.Replicas.Learners
+	told.Leading = status.CommittedInTerm && !status.MembershipChangePending
+	told.Voters, told.Learners = status.Membership.Voters, status.Membership.Learners
 	return told
 }
--- a/system/store/tallies.go
+++ b/system/store/tallies.go
@@ -21,7 +21,7 @@
 	return func() {
 		out := map[string]bool{}
 		for group, status := range node.host.Statuses() {
-			if !status.Confirmed {
+			if !status.CommittedInTerm {
 				continue
 			}
 			clock := node.clock(group)
