--- a/system/wire/agreement.go
+++ b/system/wire/agreement.go
@@ -10,7 +10,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-func putReplicas(target schema.Replicas, value *agreement.Replicas) error {
+func putReplicas(target schema.Replicas, value *agreement.Membership) error {
 	voters, err := target.NewVoters(int32(len(value.Voters)))
 	if err := putTexts(voters, err, value.Voters); err != nil {
 		return err
@@ -19,7 +19,7 @@
 	return putTexts(learners, err, value.Learners)
 }
 
-func takeReplicas(source schema.Replicas, value *agreement.Replicas) (err error) {
+func takeReplicas(source schema.Replicas, value *agreement.Membership) (err error) {
 	if value.Voters, err = takeTexts(source.Voters()); err != nil {
 		return err
 	}
@@ -31,19 +31,19 @@
 	target.SetIndex(value.Index)
 	target.SetTerm(value.Term)
 	target.SetKind(uint16(value.Kind))
-	if value.Kind != agreement.EntryReplicas {
+	if value.Kind != agreement.EntryMembership {
 		return target.SetData(value.Data)
 	}
 	replicas, err := target.NewReplicas()
 	if err != nil {
 		return err
 	}
-	return putReplicas(replicas, &value.Replicas)
+	return putReplicas(replicas, &value.Membership)
 }
 
 func takeEntry(source schema.Entry, value *agreement.Entry) (err error) {
 	value.Index, value.Term, value.Kind = source.Index(), source.Term(), agreement.EntryKind(source.Kind())
-	if value.Kind != agreement.EntryReplicas {
+	if value.Kind != agreement.EntryMembership {
 		value.Data, err = source.Data()
 		return err
 	}
@@ -51,10 +51,10 @@
 	if err != nil {
 		return err
 	}
-	return takeReplicas(replicas, &value.Replicas)
+	return takeReplicas(replicas, &value.Membership)
 }
 
-func putCheckpoint(target schema.Checkpoint, value *agreement.Checkpoint) error {
+func putCheckpoint(target schema.Checkpoint, value *agreement.Snapshot) error {
 	target.SetIndex(value.Index)
 	target.SetTerm(value.Term)
 	if err := target.SetData(value.Data); err != nil {
@@ -64,10 +64,10 @@
 	if err != nil {
 		return err
 	}
-	return putReplicas(replicas, &value.Replicas)
+	return putReplicas(replicas, &value.Membership)
 }
 
-func takeCheckpoint(source schema.Checkpoint, value *agreement.Checkpoint) (err error) {
+func takeCheckpoint(source schema.Checkpoint, value *agreement.Snapshot) (err error) {
 	value.Index, value.Term = source.Index(), source.Term()
 	if value.Data, err = source.Data(); err != nil {
 		return err
@@ -76,24 +76,24 @@
 	if err != nil {
 		return err
 	}
-	return takeReplicas(replicas, &value.Replicas)
+	return takeReplicas(replicas, &value.Membership)
 }
 
 func carriesSnapshot(kind agreement.MessageKind) bool {
-	return kind == agreement.MessageCheckpoint || kind == agreement.MessageSnapshotChunk
+	return kind == agreement.MessageSnapshot || kind == agreement.MessageSnapshotChunk
 }
 
 func putSnapshotChunk(target schema.SnapshotChunk, value *agreement.SnapshotChunk) {
 	target.SetOffset(value.Offset)
 	target.SetTotal(value.Total)
-	target.SetContentSum(value.ContentSum)
+	target.SetContentSum(value.ContentChecksum)
 	target.SetChecksum(value.Checksum)
 	target.SetReason(uint16(value.Reason))
 }
 
 func takeSnapshotChunk(source schema.SnapshotChunk) agreement.SnapshotChunk {
-	return agreement.SnapshotChunk{Offset: source.Offset(), Total: source.Total(), ContentSum: source.ContentSum(),
-		Checksum: source.Checksum(), Reason: agreement.SnapshotRefusal(source.Reason())}
+	return agreement.SnapshotChunk{Offset: source.Offset(), Total: source.Total(), ContentChecksum: source.ContentSum(),
+		Checksum: source.Checksum(), Reason: agreement.SnapshotRejection(source.Reason())}
 }
 
 func putMessage(target schema.AgreementMessage, value *agreement.Message) error {
@@ -104,7 +104,7 @@
 	target.SetLogTerm(value.LogTerm)
 	target.SetCommit(value.Commit)
 	target.SetRound(value.Round)
-	target.SetRefused(value.Refused)
+	target.SetRefused(value.Rejected)
 	target.SetHint(value.Hint)
 	target.SetForced(value.Forced)
 	if value.Kind == agreement.MessageSnapshotChunk || value.Kind == agreement.MessageSnapshotReply {
@@ -119,7 +119,7 @@
 		if err != nil {
 			return err
 		}
-		return putCheckpoint(point, &value.Checkpoint)
+		return putCheckpoint(point, &value.Snapshot)
 	}
 	entries, err := target.NewEntries(int32(len(value.Entries)))
 	return putList(entries, err, value.Entries, putEntry)
@@ -127,7 +127,7 @@
 
 func takeMessage(source schema.AgreementMessage, value *agreement.Message) error {
 	*value = agreement.Message{Group: source.Group(), Kind: agreement.MessageKind(source.Kind()),
-		Term: source.Term(), Index: source.Index(), LogTerm: source.LogTerm(), Commit: source.Commit(), Round: source.Round(), Refused: source.Refused(), Hint: source.Hint(), Forced: source.Forced()}
+		Term: source.Term(), Index: source.Index(), LogTerm: source.LogTerm(), Commit: source.Commit(), Round: source.Round(), Rejected: source.Refused(), Hint: source.Hint(), Forced: source.Forced()}
 	if value.Kind == agreement.MessageSnapshotChunk || value.Kind == agreement.MessageSnapshotReply {
 		chunk, err := source.Chunk()
 		if err != nil {
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		return takeCheckpoint(point, &value.Checkpoint)
+		return takeCheckpoint(point, &value.Snapshot)
 	}
 	list, err := source.Entries()
 	value.Entries, err = takeList(list, err, takeEntry)
@@ -152,12 +152,12 @@
 
 func beatOf(value *agreement.Message) (index uint64, isBeat bool) {
 	quiet := value.Kind == agreement.MessageAppend && len(value.Entries) == 0 && value.LogTerm == value.Term && value.Index == value.Commit && value.Hint == 0
-	return value.Index, quiet && !value.Refused && !value.Forced && value.Term <= math.MaxUint32
+	return value.Index, quiet && !value.Rejected && !value.Forced && value.Term <= math.MaxUint32
 }
 
 func answerOf(value *agreement.Message) (index uint64, isAnswer bool) {
 	quiet := value.Kind == agreement.MessageAppendReply && len(value.Entries) == 0 && value.LogTerm == 0 && value.Commit == 0 && value.Hint == 0
-	return value.Index, quiet && !value.Refused && !value.Forced && value.Term <= math.MaxUint32
+	return value.Index, quiet && !value.Rejected && !value.Forced && value.Term <= math.MaxUint32
 }
 
 func putBeats(made capnp.StructList[schema.Beat], err error, messages []agreement.Message, short func(*agreement.Message) (uint64, bool)) error {
@@ -253,7 +253,7 @@
 		return err
 	}
 	state.SetTerm(value.State.Term)
-	if err := state.SetVoted(value.State.Voted); err != nil {
+	if err := state.SetVoted(value.State.VotedFor); err != nil {
 		return err
 	}
 	entries, err := target.NewEntries(int32(len(value.Entries)))
@@ -278,7 +278,7 @@
 		return err
 	}
 	value.State.Term = state.Term()
-	if value.State.Voted, err = state.Voted(); err != nil {
+	if value.State.VotedFor, err = state.Voted(); err != nil {
 		return err
 	}
 	list, err := source.Entries()
--- a/system/wire/hot_test.go
+++ b/system/wire/hot_test.go
@@ -91,21 +91,21 @@
 		message.From, message.To = "store-a", "store-b"
 		return message
 	}
-	entries := []agreement.Entry{{Index: 5, Term: 3, Data: []byte("five")}, {Index: 6, Term: 3, Kind: agreement.EntryReplicas, Replicas: agreement.Replicas{Voters: []string{"a", "b"}}}}
+	entries := []agreement.Entry{{Index: 5, Term: 3, Data: []byte("five")}, {Index: 6, Term: 3, Kind: agreement.EntryMembership, Membership: agreement.Membership{Voters: []string{"a", "b"}}}}
 	messages := []agreement.Message{
 		of(agreement.Message{Group: 1, Kind: agreement.MessageAppend, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 9, Entries: entries}),
 		of(agreement.Message{Group: 2, Kind: agreement.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 4, Round: 9}),
 		of(agreement.Message{Group: 3, Kind: agreement.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 3}),
 		of(agreement.Message{Group: 4, Kind: agreement.MessageAppend, Term: 1 << 33, Index: 4, LogTerm: 1 << 33, Commit: 4}),
 		of(agreement.Message{Group: 5, Kind: agreement.MessageAppendReply, Term: 3, Index: 4, Round: 9}),
-		of(agreement.Message{Group: 6, Kind: agreement.MessageAppendReply, Term: 3, Index: 4, Refused: true, Hint: 2}),
+		of(agreement.Message{Group: 6, Kind: agreement.MessageAppendReply, Term: 3, Index: 4, Rejected: true, Hint: 2}),
 		of(agreement.Message{Group: 7, Kind: agreement.MessagePreVote, Term: 3, Index: 4, LogTerm: 3}),
 		of(agreement.Message{Group: 8, Kind: agreement.MessageVote, Term: 3, Index: 4, LogTerm: 3, Forced: true}),
-		of(agreement.Message{Group: 9, Kind: agreement.MessageCheckpoint, Term: 3, Checkpoint: agreement.Checkpoint{Index: 4, Term: 2, Data: []byte("image")}}),
-		of(agreement.Message{Group: 10, Kind: agreement.MessageSnapshotChunk, Term: 3, Checkpoint: agreement.Checkpoint{Index: 4, Term: 2, Data: []byte("part")},
-			Chunk: agreement.SnapshotChunk{Offset: 9, Total: 13, ContentSum: 5, Checksum: 6}}),
-		of(agreement.Message{Group: 11, Kind: agreement.MessageSnapshotReply, Term: 3, Index: 4, Hint: 9, Refused: true,
-			Chunk: agreement.SnapshotChunk{Offset: 7, ContentSum: 5, Reason: agreement.SnapshotOutOfOrder}}),
+		of(agreement.Message{Group: 9, Kind: agreement.MessageSnapshot, Term: 3, Snapshot: agreement.Snapshot{Index: 4, Term: 2, Data: []byte("image")}}),
+		of(agreement.Message{Group: 10, Kind: agreement.MessageSnapshotChunk, Term: 3, Snapshot: agreement.Snapshot{Index: 4, Term: 2, Data: []byte("part")},
+			Chunk: agreement.SnapshotChunk{Offset: 9, Total: 13, ContentChecksum: 5, Checksum: 6}}),
+		of(agreement.Message{Group: 11, Kind: agreement.MessageSnapshotReply, Term: 3, Index: 4, Hint: 9, Rejected: true,
+			Chunk: agreement.SnapshotChunk{Offset: 7, ContentChecksum: 5, Reason: agreement.SnapshotOutOfOrder}}),
 	}
 	data, err := AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Agreement: &AgreementBatch{Messages: messages}})
 	if err != nil {
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -76,20 +76,20 @@
 	return image
 }
 
-func storedSnapshot() agreement.Checkpoint {
-	return agreement.Checkpoint{Index: 4, Term: 2, Replicas: agreement.Replicas{Voters: []string{"a", "b"}, Learners: []string{"c"}}, Data: []byte("content")}
+func storedSnapshot() agreement.Snapshot {
+	return agreement.Snapshot{Index: 4, Term: 2, Membership: agreement.Membership{Voters: []string{"a", "b"}, Learners: []string{"c"}}, Data: []byte("content")}
 }
 
 func storedWrite() StoredWrite {
-	return StoredWrite{State: agreement.State{Term: 3, Voted: "a"}, Pointed: true, Checkpoint: storedSnapshot(), Entries: []agreement.Entry{
+	return StoredWrite{State: agreement.HardState{Term: 3, VotedFor: "a"}, Pointed: true, Checkpoint: storedSnapshot(), Entries: []agreement.Entry{
 		{Index: 5, Term: 3, Data: []byte("five")},
-		{Index: 6, Term: 3, Kind: agreement.EntryReplicas, Replicas: agreement.Replicas{Voters: []string{"a", "b", "c"}, Learners: []string{"d"}}}}}
+		{Index: 6, Term: 3, Kind: agreement.EntryMembership, Membership: agreement.Membership{Voters: []string{"a", "b", "c"}, Learners: []string{"d"}}}}}
 }
 
 func storedApart() StoredWrite {
 	point := storedSnapshot()
 	point.Data = nil
-	return StoredWrite{State: agreement.State{Term: 3, Voted: "a"}, Pointed: true, Checkpoint: point, ContentApart: true}
+	return StoredWrite{State: agreement.HardState{Term: 3, VotedFor: "a"}, Pointed: true, Checkpoint: point, ContentApart: true}
 }
 
 func storedChunks() ColdChunkBatch {
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -93,10 +93,10 @@
 
 // StoredWrite is an agreement write as the disk keeps it.
 type StoredWrite struct {
-	State      agreement.State
+	State      agreement.HardState
 	Entries    []agreement.Entry
 	Pointed    bool
-	Checkpoint agreement.Checkpoint
+	Checkpoint agreement.Snapshot
 	// ContentApart tells that the checkpoint's content is stored beside this.
 	ContentApart bool
 }
