--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -144,7 +144,7 @@
 	seeds := free[:3]
 	for index, address := range seeds {
 		name := []string{"east", "middle", "west"}[index]
-		control, failed := controlplane.Start(controlplane.Settings{Address: address, Administration: free[3+index], Domain: name, Seeds: seeds, FoundingStores: 3, Groups: 32, MostControls: 3, Replica: replica.DefaultSettings(uint64(index))},
+		control, failed := controlplane.Start(controlplane.Settings{Address: address, Administration: free[3+index], Domain: name, Seeds: seeds, FoundingStores: 3, Groups: 32, MaxControls: 3, Replica: replica.DefaultSettings(uint64(index))},
 			open("control"+name), fleet.network)
 		if failed != nil {
 			return fleet, failed
--- a/proof/scale/hollow_test.go
+++ b/proof/scale/hollow_test.go
@@ -88,7 +88,7 @@
 			t.Fatal(err)
 		}
 		for _, control := range cluster.Controls {
-			if control.Control.Leading() {
+			if control.Control.IsLeader() {
 				control.Kill()
 				break
 			}
--- a/proof/scale/load.go
+++ b/proof/scale/load.go
@@ -28,7 +28,7 @@
 	for position := range size {
 		list = append(list, standin.ListedRunner{
 			Address: fmt.Sprintf("127.77.%d.%d:8000", position/250, position%250+1),
-			Group:   groups[position%len(groups)], Domain: domains[position%len(domains)], State: feed.Serving,
+			Group:   groups[position%len(groups)], Domain: domains[position%len(domains)], State: feed.StateServing,
 		})
 	}
 	return list
@@ -116,9 +116,9 @@
 // domainChange is the smallest change: whether a domain takes work. Nobody's runners
 // are in this one.
 func domainChange(emptied bool) feed.Change {
-	state := feed.Serving
+	state := feed.StateServing
 	if emptied {
-		state = feed.Emptied
+		state = feed.StateDrained
 	}
 	return feed.Change{Kind: feed.ChangeDomain, By: "scale", Domain: feed.Domain{Name: "nowhere", State: state, Since: time.Now().UnixNano()}}
 }
--- a/proof/scale/run.go
+++ b/proof/scale/run.go
@@ -396,7 +396,7 @@
 // hollow node has it so. The platform's lag and the poll of its list are in it.
 func (trial *trial) runnerLeaves(ctx context.Context) error {
 	list := Roster(trial.step.Runners)
-	list[0].State = feed.Leaving
+	list[0].State = feed.StateDraining
 	asked := time.Now()
 	if err := putRoster(ctx, trial.fleet.Platform, list); err != nil {
 		return err
@@ -404,7 +404,7 @@
 	err := trial.herd.Await(ctx, "told of the runner", func(node *Hollow) bool {
 		for _, runner := range node.View().Runners {
 			if runner.Address == list[0].Address {
-				return runner.State == feed.Leaving
+				return runner.State == feed.StateDraining
 			}
 		}
 		return false
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -260,14 +260,14 @@
 				machine.Front.SetSeeds(cluster.seeds)
 			}
 		}
-		if answer, err := cluster.Administer(http.MethodPost, "/v1/domains/middle", map[string]any{"state": feed.Emptied}); err != nil || answer.Status != http.StatusOK {
+		if answer, err := cluster.Administer(http.MethodPost, "/v1/domains/middle", map[string]any{"state": feed.StateDrained}); err != nil || answer.Status != http.StatusOK {
 			t.Errorf("%s, %v", answer, err)
 		}
 		leaving := []feed.Runner{}
 		for position, machine := range cluster.Engines {
 			listed := machine.Runner()
 			if position%3 == 0 {
-				listed.State = feed.Leaving
+				listed.State = feed.StateDraining
 			}
 			leaving = append(leaving, listed)
 		}
--- a/proof/simulator/bounds_test.go
+++ b/proof/simulator/bounds_test.go
@@ -275,7 +275,7 @@
 			}
 			acknowledged = append(acknowledged, won...)
 			if round%4 == 3 {
-				leader := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Leading() })
+				leader := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.IsLeader() })
 				cluster.Controls[leader].LosePower()
 				if err := cluster.Controls[leader].Start(); err != nil {
 					t.Fatal(err)
--- a/proof/simulator/catchup_test.go
+++ b/proof/simulator/catchup_test.go
@@ -60,13 +60,15 @@
 // catchUpShape is a fleet of three control nodes that take in new ones by themselves.
 func catchUpShape() Shape {
 	return Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1, AutoEnrol: true,
-		Adjust: func(_ *Cluster, settings *controlplane.Settings) { settings.MostControls = 3 }}
+		Adjust: func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }}
 }
 
 // changes gives a function that puts a routing of so many routes over the last one, and
 // tells its revision.
 func (cluster *Cluster) changes(t *testing.T) func(routes int) uint64 {
-	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.MostControls, settings.Joins = 3, true }
+	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
+		settings.MaxControls, settings.JoinExisting = 3, true
+	}
 	revision := uint64(0)
 	return func(routes int) uint64 {
 		t.Helper()
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -34,7 +34,7 @@
 // Shape is how many nodes a cluster has, over three domains.
 type Shape struct {
 	Controls, Stores, Fronts, Models, Applications int
-	// Copies of each group of lines; 0 means three.
+	// ReplicationFactor of each group of lines; 0 means three.
 	Copies uint32
 	// Groups of lines; 0 means 8.
 	Groups uint32
@@ -187,10 +187,10 @@
 	machine.start = func() (err error) {
 		settings := controlplane.Settings{
 			Address: machine.Host + ":7000", Administration: machine.Host + ":7200", Domain: machine.Domain, Seeds: cluster.seeds,
-			FoundingStores: 3, Groups: cluster.groups, Copies: cluster.copies, MostControls: 5, Replica: cluster.pace(index), AutoEnrol: cluster.enrols,
+			FoundingStores: 3, Groups: cluster.groups, ReplicationFactor: cluster.copies, MaxControls: 5, Replica: cluster.pace(index), AutoEnrol: cluster.enrols,
 		}
 		if cluster.Roster != nil {
-			settings.Roster = cluster.Roster
+			settings.RunnerSource = cluster.Roster
 		}
 		if cluster.adjust != nil {
 			cluster.adjust(cluster, &settings)
@@ -199,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		machine.admin, err = controlplane.Serve(machine.Control, config.Hash(RootToken))
+		machine.admin, err = controlplane.ServeAdmin(machine.Control, config.Hash(RootToken))
 		return err
 	}
 	return machine
--- a/proof/simulator/coldlist_test.go
+++ b/proof/simulator/coldlist_test.go
@@ -91,7 +91,7 @@
 		hunt.coolAll()
 		<-time.After(huntColdFor - 700*time.Millisecond)
 		for _, control := range cluster.Controls {
-			if control.Control.Leading() {
+			if control.Control.IsLeader() {
 				control.LosePower()
 				defer hunt.must(control)
 			}
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -117,9 +117,9 @@
 		{"a stale order", func(ctx context.Context) error {
 			return node.ReplaceRouting(ctx, "root", 0, oneRoute(1<<40, time.Second), "stale")
 		}},
-		{"a domain", func(ctx context.Context) error { return node.SetDomainState(ctx, "root", "nowhere", feed.Serving) }},
-		{"retire an unknown machine", func(ctx context.Context) error { return node.BeginRetire(ctx, "root", "unknown", 0) }},
-		{"how an unknown machine retires", func(ctx context.Context) error { _, err := node.RetireState(ctx, "unknown"); return err }},
+		{"a domain", func(ctx context.Context) error { return node.SetDomainState(ctx, "root", "nowhere", feed.StateServing) }},
+		{"retire an unknown machine", func(ctx context.Context) error { return node.BeginDecommission(ctx, "root", "unknown", 0) }},
+		{"how an unknown machine retires", func(ctx context.Context) error { _, err := node.DecommissionState(ctx, "unknown"); return err }},
 		{"the config", through(http.MethodGet, "/v1/config", RootToken, nil)},
 		{"an unknown token", through(http.MethodGet, "/v1/config", "unknown", nil)},
 		{"the fleet", through(http.MethodGet, "/v1/fleet", RootToken, nil)},
@@ -227,7 +227,7 @@
 	victim := cluster.leader()
 	if !cut.leads {
 		for _, machine := range cluster.Controls {
-			if !machine.Control.Leading() {
+			if !machine.Control.IsLeader() {
 				victim = machine
 			}
 		}
--- a/proof/simulator/controlshared_test.go
+++ b/proof/simulator/controlshared_test.go
@@ -56,7 +56,7 @@
 				<-time.After(5 * time.Millisecond)
 			}
 		})
-		states := []string{feed.Emptied, feed.Serving}
+		states := []string{feed.StateDrained, feed.StateServing}
 		for turn := range orders {
 			ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 			err := leader.Control.SetDomainState(ctx, "root", "east", states[turn%len(states)])
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -68,7 +68,7 @@
 		if left := runner.ColdFor - time.Since(roster.put); runner.ColdFor > 0 && left > 0 {
 			runners[position].ColdFor = left
 		} else if runner.ColdFor > 0 {
-			runners[position].State, runners[position].ColdFor = feed.Serving, 0
+			runners[position].State, runners[position].ColdFor = feed.StateServing, 0
 		}
 	}
 	return runners, roster.failing
@@ -105,7 +105,7 @@
 //
 //	cluster.Roster.Put([]feed.Runner{machine.Runner()})
 func (machine *EngineMachine) Runner() feed.Runner {
-	return feed.Runner{Life: machine.Engine.Life, Address: machine.Host + ":8000", Group: machine.Group, Domain: machine.Domain, State: feed.Serving, Slots: 32}
+	return feed.Runner{Life: machine.Engine.Life, Address: machine.Host + ":8000", Group: machine.Group, Domain: machine.Domain, State: feed.StateServing, Slots: 32}
 }
 
 // Leave ends the engine's process.
@@ -155,7 +155,7 @@
 		if strings.HasPrefix(machine.Host, "10.0.4.") {
 			group = "application"
 		}
-		listed = append(listed, feed.Runner{Address: machine.Host + ":8000", Group: group, Domain: machine.Domain, State: feed.Serving})
+		listed = append(listed, feed.Runner{Address: machine.Host + ":8000", Group: group, Domain: machine.Domain, State: feed.StateServing})
 	}
 	cluster.Roster.Put(listed)
 }
--- a/proof/simulator/hunt_test.go
+++ b/proof/simulator/hunt_test.go
@@ -344,7 +344,7 @@
 // huntShape is the fleet of a hunted day.
 func huntShape() Shape {
 	shape := Shape{Controls: 3, Stores: 3, Fronts: 4, Models: 1, Applications: 1, Engines: 3, Tools: 3, AutoEnrol: true}
-	shape.Adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.MostControls = 3 }
+	shape.Adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }
 	return shape
 }
 
@@ -352,7 +352,7 @@
 func startHunt(t *testing.T, cluster *Cluster) *hunt {
 	hunt := &hunt{t: t, cluster: cluster, asked: map[string]*askedQuery{}, budgets: map[string]uint64{}, hosts: 50}
 	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
-		settings.MostControls, settings.Joins = 3, !hunt.founds.Load()
+		settings.MaxControls, settings.JoinExisting = 3, !hunt.founds.Load()
 	}
 	hunt.begin()
 	return hunt
--- a/proof/simulator/huntorders_test.go
+++ b/proof/simulator/huntorders_test.go
@@ -134,7 +134,7 @@
 		}) == nil
 	}
 	span := &emptiedSpan{domain: name}
-	if set(feed.Emptied) {
+	if set(feed.StateDrained) {
 		span.acked = time.Now()
 		hunt.mutex.Lock()
 		hunt.emptied = append(hunt.emptied, span)
@@ -150,7 +150,7 @@
 	}
 	hunt.mutex.Unlock()
 	hunt.list()
-	for !set(feed.Serving) {
+	for !set(feed.StateServing) {
 		<-time.After(200 * time.Millisecond)
 	}
 }
--- a/proof/simulator/huntrunners_test.go
+++ b/proof/simulator/huntrunners_test.go
@@ -18,14 +18,14 @@
 		if !life.listed {
 			continue
 		}
-		runner := feed.Runner{Life: life.engine.Life, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.Serving, Slots: 32}
+		runner := feed.Runner{Life: life.engine.Life, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.StateServing, Slots: 32}
 		if len(life.cold) > 0 {
 			if left := time.Until(life.cold[len(life.cold)-1].until); left > 0 {
-				runner.State, runner.ColdFor = feed.Cold, left
+				runner.State, runner.ColdFor = feed.StateWarmingUp, left
 			}
 		}
 		if !life.leavingAt.IsZero() {
-			runner.State, runner.ColdFor = feed.Leaving, 0
+			runner.State, runner.ColdFor = feed.StateDraining, 0
 		}
 		listed = append(listed, runner)
 	}
@@ -34,7 +34,7 @@
 		if strings.HasPrefix(machine.Host, "10.0.4.") {
 			group = "application"
 		}
-		listed = append(listed, feed.Runner{Address: machine.Host + ":8000", Group: group, Domain: machine.Domain, State: feed.Serving})
+		listed = append(listed, feed.Runner{Address: machine.Host + ":8000", Group: group, Domain: machine.Domain, State: feed.StateServing})
 	}
 	hunt.mutex.Unlock()
 	hunt.cluster.Roster.Put(listed)
--- a/proof/simulator/leaving_test.go
+++ b/proof/simulator/leaving_test.go
@@ -71,9 +71,9 @@
 		<-time.After(3500 * time.Millisecond)
 		cluster.Network.Rejoin(cut.Host)
 		returned := time.Now()
-		state := feed.Retiring
+		state := feed.StateDecommissioning
 		for time.Since(returned) < successorTime {
-			if told, err := cluster.retireState(1, machine); err == nil && told == feed.Retired && state == feed.Retiring {
+			if told, err := cluster.retireState(1, machine); err == nil && told == feed.StateDecommissioned && state == feed.StateDecommissioning {
 				t.Logf("retired %s after the cut", time.Since(returned))
 				state = told
 				leaving.LosePower()
@@ -82,7 +82,7 @@
 			<-time.After(50 * time.Millisecond)
 		}
 		lose(t, stays)
-		if state == feed.Retiring {
+		if state == feed.StateDecommissioning {
 			cluster.awaitRetired(t, machine)
 			leaving.LosePower()
 			leaving.Wipe()
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -178,7 +178,7 @@
 // another takes it under the next fence, and what the old one puts is refused.
 func TestAFrozenAssignmentOwnerThatWakesDoesNoHarm(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		held := cluster.Controls[0].Control.View().AssignmentOf("roster")
+		held := cluster.Controls[0].Control.View().RoleLeaseOf("roster")
 		var owner *Machine
 		for _, machine := range cluster.Controls {
 			if machine.Control.Name() == held.Owner {
@@ -191,7 +191,7 @@
 		cluster.Network.Isolate(owner.Host)
 		err := cluster.Await(20*time.Second, "new owner", func() error {
 			for _, machine := range cluster.Controls {
-				if now := machine.Control.View().AssignmentOf("roster"); machine != owner && now.Fence > held.Fence && now.Owner != held.Owner {
+				if now := machine.Control.View().RoleLeaseOf("roster"); machine != owner && now.Fence > held.Fence && now.Owner != held.Owner {
 					return nil
 				}
 			}
@@ -204,7 +204,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		err = cluster.Await(10*time.Second, "refusal", func() error {
-			_, err := owner.Control.Change(ctx, feed.Change{Kind: feed.ChangeRoster, Assignment: held, Runners: []feed.Runner{}})
+			_, err := owner.Control.Change(ctx, feed.Change{Kind: feed.ChangeRunners, RoleLease: held, Runners: []feed.Runner{}})
 			if apierror.Is(err, apierror.Conflict) {
 				return nil
 			}
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -64,10 +64,12 @@
 		runner := func(life, state string, cold time.Duration) feed.Runner {
 			return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, ColdFor: cold, Slots: 4}
 		}
-		other := feed.Runner{Life: "other", Address: "10.0.3.2:8000", Group: "small", Domain: "west", State: feed.Serving}
+		other := feed.Runner{Life: "other", Address: "10.0.3.2:8000", Group: "small", Domain: "west", State: feed.StateServing}
 		watching := cluster.watch(t, 6)
-		source.Put([]feed.Runner{other, runner("one", feed.Cold, 4*time.Second)})
-		until(t, soon, watching, "a cold runner", func(view *feed.View) bool { return stateOf(view, "one") == feed.Cold && stateOf(view, "other") != "" })
+		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 4*time.Second)})
+		until(t, soon, watching, "a cold runner", func(view *feed.View) bool {
+			return stateOf(view, "one") == feed.StateWarmingUp && stateOf(view, "other") != ""
+		})
 		number, asks := cluster.Controls[0].Control.View().Number, source.Asks()
 		<-time.After(2 * time.Second)
 		if now := cluster.Controls[0].Control.View().Number; now != number {
@@ -76,20 +78,22 @@
 		if asks = source.Asks() - asks; asks < 3 || asks > 5 {
 			t.Fatalf("the list was asked for %d times in 2 s", asks)
 		}
-		source.Put([]feed.Runner{other, runner("one", feed.Cold, 6*time.Second)}) // colder than it was
+		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 6*time.Second)}) // colder than it was
 		until(t, soon, watching, "a runner that is cold for longer", func(view *feed.View) bool {
 			return slices.ContainsFunc(view.Runners, func(runner feed.Runner) bool { return runner.ColdFor > 5*time.Second })
 		})
 		<-time.After(4500 * time.Millisecond)
-		until(t, soon+500*time.Millisecond, watching, "a runner that is warm", func(view *feed.View) bool { return stateOf(view, "one") == feed.Serving })
+		until(t, soon+500*time.Millisecond, watching, "a runner that is warm", func(view *feed.View) bool { return stateOf(view, "one") == feed.StateServing })
 		// Nobody waits for the stores, nor for their majority.
 		for _, store := range cluster.Stores[:2] {
 			cluster.Network.Isolate(store.Host)
 		}
-		source.Put([]feed.Runner{other, runner("one", feed.Leaving, 0)})
-		t.Logf("leaving without stores: %s", until(t, soon, watching, "a leaving runner", func(view *feed.View) bool { return stateOf(view, "one") == feed.Leaving }))
-		source.Put([]feed.Runner{runner("two", feed.Serving, 0), other})
-		until(t, soon, watching, "another life at the same address", func(view *feed.View) bool { return stateOf(view, "one") == "" && stateOf(view, "two") == feed.Serving })
+		source.Put([]feed.Runner{other, runner("one", feed.StateDraining, 0)})
+		t.Logf("leaving without stores: %s", until(t, soon, watching, "a leaving runner", func(view *feed.View) bool { return stateOf(view, "one") == feed.StateDraining }))
+		source.Put([]feed.Runner{runner("two", feed.StateServing, 0), other})
+		until(t, soon, watching, "another life at the same address", func(view *feed.View) bool {
+			return stateOf(view, "one") == "" && stateOf(view, "two") == feed.StateServing
+		})
 		for _, store := range cluster.Stores[:2] {
 			cluster.Network.Rejoin(store.Host)
 		}
@@ -98,14 +102,14 @@
 		<-time.After(time.Second)
 		asks = source.Asks()
 		<-time.After(3 * time.Second)
-		if source.Asks() != asks || stateOf(cluster.Controls[0].Control.View(), "two") != feed.Serving {
+		if source.Asks() != asks || stateOf(cluster.Controls[0].Control.View(), "two") != feed.StateServing {
 			t.Fatalf("asked %d times in spite of the refusal, or the list is gone: %+v", source.Asks()-asks, cluster.Controls[0].Control.View().Runners)
 		}
 		source.Fail(nil)
 		<-time.After(5 * time.Second)
 		// The owner of the assignment dies as the list changes.
 		for round := range 3 {
-			held := cluster.Controls[0].Control.View().AssignmentOf(controlplane.RosterAssignment)
+			held := cluster.Controls[0].Control.View().RoleLeaseOf(controlplane.RunnerDiscoveryRole)
 			at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Name() == held.Owner })
 			owner := cluster.Controls[at]
 			if round == 0 {
@@ -114,8 +118,8 @@
 				cluster.Network.Isolate(owner.Host)
 			}
 			life := fmt.Sprintf("after-%d", round)
-			source.Put([]feed.Runner{runner(life, feed.Leaving, 0)})
-			t.Logf("round %d: leaving after the owner's end: %s", round, until(t, 2700*time.Millisecond, watching, "a change as the assignment's owner ends", func(view *feed.View) bool { return stateOf(view, life) == feed.Leaving }))
+			source.Put([]feed.Runner{runner(life, feed.StateDraining, 0)})
+			t.Logf("round %d: leaving after the owner's end: %s", round, until(t, 2700*time.Millisecond, watching, "a change as the assignment's owner ends", func(view *feed.View) bool { return stateOf(view, life) == feed.StateDraining }))
 			if round == 0 {
 				if err := owner.Start(); err != nil {
 					t.Fatal(err)
@@ -239,7 +243,7 @@
 // votingControls gives the control nodes that vote, by the leader's word.
 func (cluster *Cluster) votingControls() []string {
 	for _, machine := range cluster.Controls {
-		if machine.Control != nil && machine.Control.Leading() {
+		if machine.Control != nil && machine.Control.IsLeader() {
 			view := machine.Control.View()
 			hosts := []string{}
 			for _, member := range view.Controls {
@@ -258,12 +262,12 @@
 		t.Run(fmt.Sprintf("of-%d", size), func(t *testing.T) {
 			shape := byThemselves(size, 3)
 			shape.Adjust = func(_ *Cluster, settings *controlplane.Settings) {
-				settings.MostControls = size
+				settings.MaxControls = size
 			}
 			simulate(t, shape, func(t *testing.T, cluster *Cluster) {
 				joins := false
 				cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
-					settings.MostControls, settings.Joins = size, joins
+					settings.MaxControls, settings.JoinExisting = size, joins
 				}
 				joins = true
 				random := cluster.Random(33)
@@ -274,7 +278,7 @@
 					}
 					at := random.IntN(size)
 					if round == 1 { // the leader
-						at = slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Leading() })
+						at = slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.IsLeader() })
 					}
 					lost := cluster.Controls[at]
 					lost.LosePower()
@@ -354,7 +358,7 @@
 // told that the fleet has started before: they wait, rather than found another.
 func TestAnEmptyFleetThatHasStartedBeforeIsNotFoundedAnew(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
-		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.Joins = true }
+		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.JoinExisting = true }
 		for _, machine := range cluster.Controls {
 			machine.LosePower()
 			machine.Wipe()
--- a/proof/simulator/ordersrepeat_test.go
+++ b/proof/simulator/ordersrepeat_test.go
@@ -336,7 +336,7 @@
 			"confirm":        {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true}},
 			"confirm shared": {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true, Wait: 200 * time.Millisecond}},
 			"await":          {Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Await: 1}},
-			"change":         {Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.Emptied}}}},
+			"change":         {Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.StateDrained}}}},
 		}
 		for name, query := range queries {
 			for _, machine := range cluster.Controls {
--- a/proof/simulator/outage_test.go
+++ b/proof/simulator/outage_test.go
@@ -14,7 +14,7 @@
 func TestAFleetServesSoonAfterATotalOutage(t *testing.T) {
 	shape := Shape{Controls: 5, Stores: 3, Fronts: 3, Models: 3, Applications: 3, Groups: 32, AutoEnrol: true}
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
-		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.Joins = true }
+		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.JoinExisting = true }
 		random := cluster.Random(41)
 		for round := range 5 {
 			said := cluster.dialogues(t, 6)
@@ -36,7 +36,7 @@
 			returned := startWithin(t, random, cluster.Machines(), 1500*time.Millisecond)
 			led := func() error {
 				for _, machine := range cluster.Controls {
-					if machine.Control.Leading() {
+					if machine.Control.IsLeader() {
 						return nil
 					}
 				}
--- a/proof/simulator/retire_test.go
+++ b/proof/simulator/retire_test.go
@@ -17,13 +17,13 @@
 
 func (cluster *Cluster) beginRetire(from int, machine string) error {
 	return cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
-		return node.BeginRetire(ctx, "root", machine, 10*time.Second)
+		return node.BeginDecommission(ctx, "root", machine, 10*time.Second)
 	})
 }
 
 func (cluster *Cluster) retireState(from int, machine string) (state string, err error) {
 	err = cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) (err error) {
-		state, err = node.RetireState(ctx, machine)
+		state, err = node.DecommissionState(ctx, machine)
 		return err
 	})
 	return state, err
@@ -49,7 +49,7 @@
 	began := time.Now()
 	err := cluster.Await(30*time.Second, "retired machine", func() error {
 		state, err := cluster.retireState(int(time.Since(began)/time.Second), machine)
-		if err == nil && state != feed.Retired {
+		if err == nil && state != feed.StateDecommissioned {
 			err = errors.New(state)
 		}
 		if apierror.Is(err, apierror.NotFound) {
@@ -112,7 +112,7 @@
 		if err := cluster.beginRetire(2, machine); err != nil {
 			t.Fatalf("the same order after its end: %v", err)
 		}
-		if state, err := cluster.retireState(0, machine); err != nil || state != feed.Retired {
+		if state, err := cluster.retireState(0, machine); err != nil || state != feed.StateDecommissioned {
 			t.Fatalf("at the end: %s %v", state, err)
 		}
 		if err := others[1].Start(); err != nil {
@@ -173,7 +173,7 @@
 			t.Fatal(err)
 		}
 		for range 15 {
-			if state, err := cluster.retireState(1, machine); err != nil || state != feed.Retiring {
+			if state, err := cluster.retireState(1, machine); err != nil || state != feed.StateDecommissioning {
 				t.Fatalf("without the third store: %s %v", state, err)
 			}
 			<-time.After(time.Second)
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -83,7 +83,7 @@
 }
 
 func (cluster *Cluster) leader() *Machine {
-	at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control != nil && machine.Control.Leading() })
+	at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control != nil && machine.Control.IsLeader() })
 	if at < 0 {
 		return cluster.Controls[0]
 	}
@@ -226,7 +226,7 @@
 				return node.SetDomainState(ctx, "root", name, state)
 			})
 		}
-		for _, state := range []string{feed.Emptied, feed.Serving, feed.Emptied} {
+		for _, state := range []string{feed.StateDrained, feed.StateServing, feed.StateDrained} {
 			killed := cluster.leader()
 			killed.Kill()
 			for from := range cluster.Controls {
@@ -241,7 +241,7 @@
 			if err := killed.Start(); err != nil {
 				t.Fatal(err)
 			}
-			if view := cluster.leader().Control.View(); view.DomainEmptied("east") != (state == feed.Emptied) {
+			if view := cluster.leader().Control.View(); view.DomainDrained("east") != (state == feed.StateDrained) {
 				t.Fatalf("%s: %+v", state, view.Domains)
 			}
 		}
--- a/proof/simulator/stored_test.go
+++ b/proof/simulator/stored_test.go
@@ -47,12 +47,14 @@
 // storedShape is a fleet that takes in control nodes with empty disks by itself.
 func storedShape() Shape {
 	return Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 2, Engines: 2, Tools: 2, AutoEnrol: true,
-		Adjust: func(_ *Cluster, settings *controlplane.Settings) { settings.MostControls = 3 }}
+		Adjust: func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }}
 }
 
 // joining has control nodes that start from now on join the fleet that is there.
 func (cluster *Cluster) joining() {
-	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.MostControls, settings.Joins = 3, true }
+	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
+		settings.MaxControls, settings.JoinExisting = 3, true
+	}
 }
 
 var storedRules = strings.ReplaceAll(sharingRules, `keep: "60s"`, `keep: "1h"`)
@@ -299,7 +301,7 @@
 	if err := cluster.sendAmendment(0, uint64(len(storedRevisions)), 0, storedRevisions[len(storedRevisions)-1]); err != nil {
 		t.Fatal(err)
 	}
-	if answer, err := cluster.Administer(http.MethodPost, "/v1/domains/west", map[string]any{"state": feed.Emptied}); err != nil || answer.Status != http.StatusOK {
+	if answer, err := cluster.Administer(http.MethodPost, "/v1/domains/west", map[string]any{"state": feed.StateDrained}); err != nil || answer.Status != http.StatusOK {
 		t.Fatalf("%v %s", err, answer)
 	}
 	cluster.repeatAmendments(t)
--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -200,7 +200,7 @@
 		one.cold.note(runner, into.service, fresh, refilled[runner.Domain], now)
 		one.cold.share.set(balancer.fronts.now.shareOf(one.hash, into.service.ColdRate, balancer.seed), now)
 		one.seen, one.listed = now, true
-		if runner.State == feed.Leaving || state.View.DomainEmptied(runner.Domain) || one.misdirected {
+		if runner.State == feed.StateDraining || state.View.DomainDrained(runner.Domain) || one.misdirected {
 			continue
 		}
 		slots := int(runner.Slots)
@@ -256,8 +256,8 @@
 	refilled := map[string]bool{}
 	for _, domain := range view.Domains {
 		before, known := balancer.domains[domain.Name]
-		changed := before.State == feed.Emptied || known && before.Since != domain.Since || !known && domain.Since != 0
-		if domain.State != feed.Emptied && changed {
+		changed := before.State == feed.StateDrained || known && before.Since != domain.Since || !known && domain.Since != 0
+		if domain.State != feed.StateDrained && changed {
 			refilled[domain.Name] = true
 		}
 		balancer.domains[domain.Name] = domain
--- a/system/balancer/balancer_test.go
+++ b/system/balancer/balancer_test.go
@@ -44,7 +44,7 @@
 	for at := range runners {
 		runners[at] = feed.Runner{
 			Life: fmt.Sprintf("%s-%d", group, at), Address: fmt.Sprintf("10.0.0.%d:80", at), Group: group,
-			Domain: domains[at%len(domains)], State: feed.Serving, Slots: uint32(slots),
+			Domain: domains[at%len(domains)], State: feed.StateServing, Slots: uint32(slots),
 		}
 	}
 	return runners
@@ -81,9 +81,9 @@
 		allowed map[string]bool
 	}{
 		{"all", func(*State) {}, nil, map[string]bool{"plain-0": true, "plain-1": true, "plain-2": true}},
-		{"one leaves", func(state *State) { state.View.Runners[0].State = feed.Leaving }, nil, map[string]bool{"plain-1": true, "plain-2": true}},
+		{"one leaves", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, nil, map[string]bool{"plain-1": true, "plain-2": true}},
 		{"a domain is emptied", func(state *State) {
-			state.View.Domains = []feed.Domain{{Name: "north", State: feed.Emptied}}
+			state.View.Domains = []feed.Domain{{Name: "north", State: feed.StateDrained}}
 		}, nil, map[string]bool{"plain-0": true, "plain-2": true}},
 		{"two were tried", func(*State) {}, []string{"plain-0", "plain-1"}, map[string]bool{"plain-2": true}},
 		{"all were tried", func(*State) {}, []string{"plain-0", "plain-1", "plain-2"}, map[string]bool{}},
@@ -126,10 +126,10 @@
 		stands bool
 	}{
 		{"nothing changed", func(*State) {}, true},
-		{"the runner leaves", func(state *State) { state.View.Runners[0].State = feed.Leaving }, false},
+		{"the runner leaves", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, false},
 		{"the runner is gone", func(state *State) { state.View.Runners = nil }, false},
 		{"another life has its address", func(state *State) { state.View.Runners[0].Life = "other" }, false},
-		{"its domain is emptied", func(state *State) { state.View.Domains = []feed.Domain{{Name: "east", State: feed.Emptied}} }, false},
+		{"its domain is emptied", func(state *State) { state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}} }, false},
 		{"the route goes elsewhere", func(state *State) { state.Routes.Routes[0].Shares = []config.Share{{Service: "other", Weight: 1}} }, false},
 		{"the weight is zero", func(state *State) { state.Routes.Routes[0].Shares = []config.Share{{Service: "plain"}} }, false},
 		{"the route is gone", func(state *State) { state.Routes.Routes = nil }, false},
@@ -284,7 +284,7 @@
 			}
 			if step%50 == 0 {
 				changed := state
-				changed.View = &feed.View{Runners: runners[at%5:], Domains: []feed.Domain{{Name: domains[at%3], State: feed.Emptied}}}
+				changed.View = &feed.View{Runners: runners[at%5:], Domains: []feed.Domain{{Name: domains[at%3], State: feed.StateDrained}}}
 				choices.Update(changed)
 			}
 		}
--- a/system/balancer/cold.go
+++ b/system/balancer/cold.go
@@ -190,7 +190,7 @@
 	}
 	was, reported := cold.is(now), reading{true, runner.State, runner.ColdFor, runner.Since}
 	listed := runner.ColdFor
-	if runner.State == feed.Cold && listed <= 0 {
+	if runner.State == feed.StateWarmingUp && listed <= 0 {
 		listed = time.Duration(service.ColdFor)
 	}
 	if refilled || fresh && listed <= 0 {
--- a/system/balancer/cold_test.go
+++ b/system/balancer/cold_test.go
@@ -40,7 +40,7 @@
 	route := routeTo(config.Share{Service: "model", Weight: 1})
 	runners := runnersOf("model", 3, 32)
 	for at := range runners {
-		runners[at].State, runners[at].ColdFor = feed.Cold, time.Minute
+		runners[at].State, runners[at].ColdFor = feed.StateWarmingUp, time.Minute
 	}
 	live := []string{}
 	for at := range fronts {
@@ -143,28 +143,28 @@
 	}{
 		{"nothing", func(*State) {}, func(*State) {}, false},
 		{"the list says so", func(*State) {}, func(state *State) { state.View.Runners[0].ColdFor = time.Second }, true},
-		{"its state says so", func(*State) {}, func(state *State) { state.View.Runners[0].State = feed.Cold }, true},
+		{"its state says so", func(*State) {}, func(state *State) { state.View.Runners[0].State = feed.StateWarmingUp }, true},
 		{"it has a new life", func(*State) {}, func(state *State) { state.View.Runners[0].Life = "new" }, true},
 		{"its domain was refilled", func(state *State) {
-			state.View.Domains = []feed.Domain{{Name: "east", State: feed.Emptied}}
+			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
 		}, func(state *State) {
-			state.View.Domains = []feed.Domain{{Name: "east", State: feed.Serving}}
+			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateServing}}
 		}, true},
 		{"its domain was emptied and refilled between two views", func(state *State) {
-			state.View.Domains = []feed.Domain{{Name: "east", State: feed.Serving, Since: 1}}
+			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateServing, Since: 1}}
 		}, func(state *State) {
-			state.View.Domains = []feed.Domain{{Name: "east", State: feed.Serving, Since: 9}}
+			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateServing, Since: 9}}
 		}, true},
 		{"another domain was refilled", func(state *State) {
-			state.View.Domains = []feed.Domain{{Name: "west", State: feed.Emptied}}
+			state.View.Domains = []feed.Domain{{Name: "west", State: feed.StateDrained}}
 		}, func(state *State) {
-			state.View.Domains = []feed.Domain{{Name: "west", State: feed.Serving}}
+			state.View.Domains = []feed.Domain{{Name: "west", State: feed.StateServing}}
 		}, false},
 		{"it left the list for a while", func(state *State) {}, func(state *State) {
 			state.View.Runners = state.View.Runners[1:]
 		}, false},
 		{"its service bears any rate", func(*State) {}, func(state *State) {
-			state.View.Runners[0].State = feed.Cold
+			state.View.Runners[0].State = feed.StateWarmingUp
 			state.Routes.Services[0].ColdRate = 0
 		}, false},
 	}
@@ -224,25 +224,25 @@
 		steps []step
 	}{
 		{"the same again is nothing new", []step{
-			{0, listed(feed.Cold, 3*time.Second, 1), true},
-			{2 * time.Second, listed(feed.Cold, 3*time.Second, 1), true},
-			{1100 * time.Millisecond, listed(feed.Cold, 3*time.Second, 1), false},
+			{0, listed(feed.StateWarmingUp, 3*time.Second, 1), true},
+			{2 * time.Second, listed(feed.StateWarmingUp, 3*time.Second, 1), true},
+			{1100 * time.Millisecond, listed(feed.StateWarmingUp, 3*time.Second, 1), false},
 		}},
 		{"it serves", []step{
-			{0, listed(feed.Cold, 30*time.Second, 1), true},
-			{2 * time.Second, listed(feed.Serving, 0, 2), false},
+			{0, listed(feed.StateWarmingUp, 30*time.Second, 1), true},
+			{2 * time.Second, listed(feed.StateServing, 0, 2), false},
 		}},
 		{"it is cold again", []step{
-			{0, listed(feed.Cold, 3*time.Second, 1), true},
-			{2 * time.Second, listed(feed.Cold, 2900*time.Millisecond, 1), true},
-			{2800 * time.Millisecond, listed(feed.Cold, 2900*time.Millisecond, 1), true},
-			{200 * time.Millisecond, listed(feed.Cold, 2900*time.Millisecond, 1), false},
+			{0, listed(feed.StateWarmingUp, 3*time.Second, 1), true},
+			{2 * time.Second, listed(feed.StateWarmingUp, 2900*time.Millisecond, 1), true},
+			{2800 * time.Millisecond, listed(feed.StateWarmingUp, 2900*time.Millisecond, 1), true},
+			{200 * time.Millisecond, listed(feed.StateWarmingUp, 2900*time.Millisecond, 1), false},
 		}},
 		{"after a refill the list is behind", []step{
-			{0, domain(feed.Emptied, 1), false},
-			{time.Second, both(domain(feed.Serving, 2), listed(feed.Cold, time.Second, 1)), true},
-			{time.Second, both(domain(feed.Serving, 2), listed(feed.Serving, 0, 2)), true},
-			{2100 * time.Millisecond, both(domain(feed.Serving, 2), listed(feed.Serving, 0, 2)), false},
+			{0, domain(feed.StateDrained, 1), false},
+			{time.Second, both(domain(feed.StateServing, 2), listed(feed.StateWarmingUp, time.Second, 1)), true},
+			{time.Second, both(domain(feed.StateServing, 2), listed(feed.StateServing, 0, 2)), true},
+			{2100 * time.Millisecond, both(domain(feed.StateServing, 2), listed(feed.StateServing, 0, 2)), false},
 		}},
 	} {
 		t.Run(one.name, func(t *testing.T) {
--- a/system/cmd/yardrock-control-plane/main.go
+++ b/system/cmd/yardrock-control-plane/main.go
@@ -33,12 +33,12 @@
 	}
 	node, err := controlplane.Start(controlplane.Settings{
 		Address: loaded.Address, Administration: loaded.Administration, Domain: loaded.Domain, Seeds: loaded.Seeds,
-		FoundingStores: loaded.FoundingStores, Groups: loaded.Groups, Copies: loaded.Copies, MostControls: loaded.MostControls, Replica: replica.DefaultSettings(rand.Uint64()),
+		FoundingStores: loaded.FoundingStores, Groups: loaded.Groups, ReplicationFactor: loaded.Copies, MaxControls: loaded.MostControls, Replica: replica.DefaultSettings(rand.Uint64()),
 	}, folder, loaded.Network())
 	if err != nil {
 		return err
 	}
-	server, err := controlplane.Serve(node, loaded.RootTokenHash)
+	server, err := controlplane.ServeAdmin(node, loaded.RootTokenHash)
 	if err != nil {
 		node.Close()
 		return err
--- a/system/controlplane/query.go
+++ b/system/controlplane/admin_query.go
@@ -20,21 +20,21 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// tableSource gives a table's columns and rows.
-type tableSource func(service Administration, ctx context.Context, view *feed.View, made *config.Config) ([]string, [][]string)
+// tableFunc gives a table's columns and rows.
+type tableFunc func(service adminService, ctx context.Context, view *feed.View, made *config.Config) ([]string, [][]string)
 
 const changesTable = "changes"
 
-func moment(nanoseconds int64) string {
+func formatTime(nanoseconds int64) string {
 	return time.Unix(0, nanoseconds).UTC().Format(time.RFC3339)
 }
 
-func members(listed []feed.Member) [][]string {
+func memberRows(listed []feed.Member) [][]string {
 	rows := [][]string{}
 	for _, member := range listed {
 		state := member.State
 		if state == "" {
-			state = feed.Serving
+			state = feed.StateServing
 		}
 		rows = append(rows, []string{member.Name, member.Role, member.Domain, member.Address, state})
 	}
@@ -43,28 +43,28 @@
 
 var memberColumns = []string{"name", "role", "domain", "address", "state"}
 
-var tableSources = map[string]tableSource{
-	"nodes": func(service Administration, _ context.Context, _ *feed.View, _ *config.Config) ([]string, [][]string) {
-		return memberColumns, members(service.node.Live())
+var tables = map[string]tableFunc{
+	"nodes": func(service adminService, _ context.Context, _ *feed.View, _ *config.Config) ([]string, [][]string) {
+		return memberColumns, memberRows(service.node.LiveMembers())
 	},
-	"stores": func(_ Administration, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
-		return memberColumns, members(view.Stores)
+	"stores": func(_ adminService, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
+		return memberColumns, memberRows(view.Stores)
 	},
-	"controls": func(_ Administration, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
-		return memberColumns, members(view.Controls)
+	"controls": func(_ adminService, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
+		return memberColumns, memberRows(view.Controls)
 	},
-	"runners": func(_ Administration, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
+	"runners": func(_ adminService, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
 		for _, runner := range view.Runners {
 			state := runner.State
-			if view.DomainEmptied(runner.Domain) {
-				state = feed.Emptied
+			if view.DomainDrained(runner.Domain) {
+				state = feed.StateDrained
 			}
-			rows = append(rows, []string{runner.Address, runner.Group, runner.Domain, state, moment(runner.Since)})
+			rows = append(rows, []string{runner.Address, runner.Group, runner.Domain, state, formatTime(runner.Since)})
 		}
 		return []string{"address", "group", "domain", "state", "since"}, rows
 	},
-	"domains": func(_ Administration, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
+	"domains": func(_ adminService, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
 		counts := map[string]int{}
 		for _, runner := range view.Runners {
 			counts[runner.Domain]++
@@ -74,67 +74,67 @@
 		}
 		rows := [][]string{}
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
-			state := feed.Serving
-			if view.DomainEmptied(name) {
-				state = feed.Emptied
+			state := feed.StateServing
+			if view.DomainDrained(name) {
+				state = feed.StateDrained
 			}
 			rows = append(rows, []string{name, state, strconv.Itoa(counts[name])})
 		}
 		return []string{"name", "state", "runners"}, rows
 	},
-	"weights": func(_ Administration, _ context.Context, _ *feed.View, made *config.Config) ([]string, [][]string) {
+	"weights": func(_ adminService, _ context.Context, _ *feed.View, decoded *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
-		for _, table := range slices.Sorted(maps.Keys(made.Tables)) {
-			for _, group := range slices.Sorted(maps.Keys(made.Tables[table])) {
-				rows = append(rows, []string{table, group, strconv.FormatFloat(made.Tables[table][group], 'g', -1, 64)})
+		for _, table := range slices.Sorted(maps.Keys(decoded.Tables)) {
+			for _, group := range slices.Sorted(maps.Keys(decoded.Tables[table])) {
+				rows = append(rows, []string{table, group, strconv.FormatFloat(decoded.Tables[table][group], 'g', -1, 64)})
 			}
 		}
 		return []string{"table", "group", "weight"}, rows
 	},
-	"routes": func(_ Administration, _ context.Context, _ *feed.View, made *config.Config) ([]string, [][]string) {
+	"routes": func(_ adminService, _ context.Context, _ *feed.View, decoded *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
-		if made.Routing != nil {
-			for _, route := range made.Routing.Routes {
+		if decoded.Routing != nil {
+			for _, route := range decoded.Routing.Routes {
 				shares := []string{}
 				for _, share := range route.Shares {
 					shares = append(shares, share.Service+":"+strconv.FormatFloat(share.Weight, 'g', -1, 64))
 				}
 				rows = append(rows, []string{route.Name, route.Host, route.Prefix, string(route.Kind), time.Duration(route.Timeout).String(),
-					strconv.Itoa(route.Urgency), strings.Join(shares, " "), strconv.FormatUint(made.Routing.Revision, 10)})
+					strconv.Itoa(route.Urgency), strings.Join(shares, " "), strconv.FormatUint(decoded.Routing.Revision, 10)})
 			}
 		}
 		return []string{"name", "host", "prefix", "kind", "patience", "urgency", "shares", "revision"}, rows
 	},
-	"services": func(_ Administration, _ context.Context, view *feed.View, made *config.Config) ([]string, [][]string) {
+	"services": func(_ adminService, _ context.Context, view *feed.View, decoded *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
-		if made.Routing != nil {
+		if decoded.Routing != nil {
 			counts := map[string]int{}
 			for _, runner := range view.Runners {
 				counts[runner.Group]++
 			}
-			for _, service := range made.Routing.Services {
+			for _, service := range decoded.Routing.Services {
 				rows = append(rows, []string{service.Name, service.HealthPath, strconv.Itoa(service.MostConnections), time.Duration(service.ColdFor).String(),
 					strconv.FormatFloat(service.ColdRate, 'g', -1, 64), strconv.Itoa(counts[service.Name])})
 			}
 		}
 		return []string{"name", "health_path", "most_connections", "cold_for", "cold_rate", "runners"}, rows
 	},
-	"programs": func(_ Administration, _ context.Context, _ *feed.View, made *config.Config) ([]string, [][]string) {
+	"programs": func(_ adminService, _ context.Context, _ *feed.View, decoded *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
-		for _, name := range slices.Sorted(maps.Keys(made.Programs)) {
-			program := made.Programs[name]
+		for _, name := range slices.Sorted(maps.Keys(decoded.Programs)) {
+			program := decoded.Programs[name]
 			rows = append(rows, []string{name, program.Team, strconv.FormatUint(program.Allowance, 10), strconv.FormatUint(program.TurnLimit, 10), program.Period})
 		}
 		return []string{"name", "team", "allowance", "turn_limit", "period"}, rows
 	},
-	"assignments": func(_ Administration, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
+	"assignments": func(_ adminService, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
-		for _, assignment := range view.Assignments {
+		for _, assignment := range view.RoleLeases {
 			rows = append(rows, []string{assignment.Key, assignment.Owner, strconv.FormatUint(assignment.Fence, 10)})
 		}
 		return []string{"key", "owner", "fence"}, rows
 	},
-	"groups": func(service Administration, ctx context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
+	"groups": func(service adminService, ctx context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
 		leaders := service.node.groupLeaders(ctx, view)
 		rows := [][]string{}
 		for group := range view.Groups {
@@ -143,12 +143,12 @@
 		}
 		return []string{"group", "leader", "voters", "learners"}, rows
 	},
-	"openings": showOpenings,
-	"tallies": func(service Administration, ctx context.Context, view *feed.View, made *config.Config) ([]string, [][]string) {
+	"openings": showSharedPrefixes,
+	"tallies": func(service adminService, ctx context.Context, view *feed.View, decoded *config.Config) ([]string, [][]string) {
 		stores := storeorigin.New(service.node.caller, func() *feed.View { return view })
 		rows := [][]string{}
-		for _, name := range slices.Sorted(maps.Keys(made.Programs)) {
-			program := made.Programs[name]
+		for _, name := range slices.Sorted(maps.Keys(decoded.Programs)) {
+			program := decoded.Programs[name]
 			limited, cancel := context.WithTimeout(ctx, callTimeout)
 			reply, err := stores.Read(limited, wire.ReadQuery{Line: line.TallyName(program.Team, name, program.Period), Tally: true})
 			cancel()
@@ -160,9 +160,9 @@
 		}
 		return []string{"program", "team", "period", "spent", "reserved", "allowance"}, rows
 	},
-	"demand": func(service Administration, ctx context.Context, _ *feed.View, _ *config.Config) ([]string, [][]string) {
+	"demand": func(service adminService, ctx context.Context, _ *feed.View, _ *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
-		for _, member := range service.node.Live() {
+		for _, member := range service.node.LiveMembers() {
 			if member.Role != feed.RoleFront {
 				continue
 			}
@@ -183,36 +183,36 @@
 		}
 		return []string{"front", "runner", "out", "cooled", "waiting"}, rows
 	},
-	"config": func(_ Administration, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
+	"config": func(_ adminService, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
 		return []string{"number", "newest", "fleet"}, [][]string{{strconv.FormatUint(view.ConfigNumber, 10), strconv.FormatUint(view.Number, 10), view.Fleet}}
 	},
 }
 
-// farBehind answers what can't be told from a state without its changes.
-func farBehind() error {
+// farBehindError answers what can't be told from a state without its changes.
+func farBehindError() error {
 	return apierror.Later(apierror.NoQuorum, "this control node does not hold the last changes yet", "ask again, or another control node", time.Second)
 }
 
 // showChanges lists the last changes of a confirmed state.
 func showChanges(state *feedState) ([]string, [][]string, error) {
-	if state.withoutChanges {
-		return nil, nil, farBehind()
+	if state.lacksHistory {
+		return nil, nil, farBehindError()
 	}
 	rows := [][]string{}
 	for _, change := range state.history.Changes {
-		rows = append(rows, []string{strconv.FormatUint(change.Number, 10), changeNames[change.Kind], change.By, moment(change.At), change.Query})
+		rows = append(rows, []string{strconv.FormatUint(change.Number, 10), changeKindNames[change.Kind], change.By, formatTime(change.At), change.Statement})
 	}
 	return []string{"number", "kind", "by", "at", "command"}, rows, nil
 }
 
-var changeNames = map[feed.ChangeKind]string{
-	feed.ChangeFounded: "founded", feed.ChangeConfig: "config", feed.ChangeDomain: "domain", feed.ChangeRoster: "roster",
-	feed.ChangeStores: "stores", feed.ChangeControls: "controls", feed.ChangeAssignment: "assignment", feed.ChangeRecovered: "recovered",
+var changeKindNames = map[feed.ChangeKind]string{
+	feed.ChangeFounded: "founded", feed.ChangeConfig: "config", feed.ChangeDomain: "domain", feed.ChangeRunners: "roster",
+	feed.ChangeStores: "stores", feed.ChangeControls: "controls", feed.ChangeRoleLease: "assignment", feed.ChangeRecovered: "recovered",
 }
 
-// Query runs one line of the query language.
-func (service Administration) Query(ctx context.Context, payload *administration.QueryPayload) (*administration.QueryResult, error) {
-	ctx, cancel, from, err := service.asked(ctx, payload.Authorization, retireTimeout)
+// Statement runs one line of the query language.
+func (service adminService) Query(ctx context.Context, payload *administration.QueryPayload) (*administration.QueryResult, error) {
+	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, decommissionTimeout)
 	defer cancel()
 	if err != nil {
 		return nil, err
@@ -222,11 +222,11 @@
 		return nil, err
 	}
 	if statement.Show == nil {
-		return service.command(ctx, from, statement)
+		return service.execute(ctx, from, statement)
 	}
 	reading, stop := context.WithTimeout(ctx, administrationTimeout)
 	defer stop()
-	columns, rows, err := service.show(reading, from.state, statement.Show.What)
+	columns, rows, err := service.readTable(reading, from.state, statement.Show.What)
 	if err != nil {
 		return nil, err
 	}
@@ -234,32 +234,32 @@
 	return &administration.QueryResult{Columns: columns, Rows: rows}, err
 }
 
-func (service Administration) show(ctx context.Context, state *feedState, table string) ([]string, [][]string, error) {
+func (service adminService) readTable(ctx context.Context, state *feedState, table string) ([]string, [][]string, error) {
 	if table == changesTable {
 		return showChanges(state)
 	}
-	made, err := service.node.configOf(state.view)
+	decoded, err := service.node.decodeConfig(state.view)
 	if err != nil {
 		return nil, nil, err
 	}
-	columns, rows := tableSources[table](service, ctx, state.view, made)
+	columns, rows := tables[table](service, ctx, state.view, decoded)
 	return columns, rows, nil
 }
 
-// plan finds the change of a statement on a view, none if all is as it asks, and tells
+// planFunc finds the change of a statement on a view, none if all is as it asks, and tells
 // what it would do.
-type plan func(view *feed.View) (change *feed.Change, would string, err error)
+type planFunc func(view *feed.View) (change *feed.Change, would string, err error)
 
-// command carries out a statement that changes something.
-func (service Administration) command(ctx context.Context, from asker, statement *querylanguage.Statement) (*administration.QueryResult, error) {
-	plan := service.planOf(from.state, statement)
+// execute carries out a statement that changes something.
+func (service adminService) execute(ctx context.Context, from authenticatedOperator, statement *querylanguage.Statement) (*administration.QueryResult, error) {
+	plan := service.planFor(from.state, statement)
 	expected := statement.Expect
-	order := newOrder(from.by, expected, statement.String())
-	order.query = statement.String()
+	request := newAdminRequest(from.name, expected, statement.String())
+	request.statement = statement.String()
 	inForce := func(view *feed.View) []uint64 { return []uint64{view.Number, view.ConfigNumber} }
 	result := &administration.QueryResult{Columns: []string{}, Rows: [][]string{}}
 	if statement.DryRun {
-		if err := order.check(from.state.view, inForce(from.state.view)); err != nil {
+		if err := request.checkExpected(from.state.view, inForce(from.state.view)); err != nil {
 			return nil, err
 		}
 		_, would, err := plan(from.state.view)
@@ -268,16 +268,16 @@
 	}
 	changing, cancel := context.WithTimeout(ctx, administrationTimeout)
 	defer cancel()
-	reply, err := service.node.carryOut(changing, func(view *feed.View) (decision, error) {
-		return order.decide(view, inForce(view), func() (*feed.Change, error) {
+	reply, err := service.node.execute(changing, func(view *feed.View) (decision, error) {
+		return request.decide(view, inForce(view), func() (*feed.Change, error) {
 			change, _, err := plan(view)
 			return change, err
 		})
 	})
 	if err == nil && statement.Retire != nil {
-		reply, err = service.node.awaitRetired(ctx, statement.Retire.Name)
+		reply, err = service.node.awaitDecommissioned(ctx, statement.Retire.Name)
 	}
-	changed, err := changedBy(reply, err)
+	changed, err := changeResult(reply, err)
 	if err != nil {
 		return nil, err
 	}
@@ -285,24 +285,24 @@
 	return result, nil
 }
 
-// planOf finds the plan of a statement that changes something.
-func (service Administration) planOf(state *feedState, statement *querylanguage.Statement) plan {
+// planFor finds the plan of a statement that changes something.
+func (service adminService) planFor(state *feedState, statement *querylanguage.Statement) planFunc {
 	switch {
 	case statement.Set != nil:
-		return func(view *feed.View) (*feed.Change, string, error) { return service.setValue(view, statement.Set) }
+		return func(view *feed.View) (*feed.Change, string, error) { return service.planSet(view, statement.Set) }
 	case statement.Restore != nil:
 		return func(view *feed.View) (*feed.Change, string, error) {
-			change, err := service.restored(view, state, statement.Restore.Number)
+			change, err := service.planRestore(view, state, statement.Restore.Number)
 			return change, fmt.Sprintf("config %d would be in force again under a new number", statement.Restore.Number), err
 		}
 	case statement.Empty != nil:
 		return func(view *feed.View) (*feed.Change, string, error) {
-			change, err := planDomain(view, statement.Empty.Name, feed.Emptied, statement.Empty.Force)
+			change, err := planDomain(view, statement.Empty.Name, feed.StateDrained, statement.Empty.Force)
 			return change, "domain " + statement.Empty.Name + " would get no new work", err
 		}
 	case statement.Refill != nil:
 		return func(view *feed.View) (*feed.Change, string, error) {
-			change, err := planDomain(view, statement.Refill.Name, feed.Serving, false)
+			change, err := planDomain(view, statement.Refill.Name, feed.StateServing, false)
 			return change, "domain " + statement.Refill.Name + " would get work again", err
 		}
 	case statement.Enrol != nil:
@@ -313,23 +313,23 @@
 	default:
 		return func(view *feed.View) (*feed.Change, string, error) {
 			name := statement.Retire.Name
-			change, err := planRetire(view, name, isNamed(name))
+			change, err := planDecommission(view, name, hasName(name))
 			return change, "store " + name + " would be emptied and leave the store list", err
 		}
 	}
 }
 
-func domainChange(view *feed.View, name, state string) feed.Change {
+func newDomainChange(view *feed.View, name, state string) feed.Change {
 	return feed.Change{Kind: feed.ChangeDomain, Expects: true, Expected: view.Number, Domain: feed.Domain{Name: name, State: state, Since: time.Now().UnixNano()}}
 }
 
-// setValue makes the config change of a set command; the name must be there.
-func (service Administration) setValue(view *feed.View, set *querylanguage.Set) (*feed.Change, string, error) {
+// planSet makes the config change of a set command; the name must be there.
+func (service adminService) planSet(view *feed.View, set *querylanguage.Set) (*feed.Change, string, error) {
 	path, err := set.Path()
 	if err != nil {
 		return nil, "", err
 	}
-	made, err := service.node.configOf(view)
+	decoded, err := service.node.decodeConfig(view)
 	if err != nil {
 		return nil, "", err
 	}
@@ -337,15 +337,15 @@
 		return apierror.New(apierror.Invalid, "no "+kind+" is named "+strconv.Quote(name)+querylanguage.Near(name, known), "name one of "+strings.Join(known, ", "))
 	}
 	if set.Weight != nil {
-		if tables := slices.Sorted(maps.Keys(made.Tables)); !slices.Contains(tables, set.Weight.First) {
+		if tables := slices.Sorted(maps.Keys(decoded.Tables)); !slices.Contains(tables, set.Weight.First) {
 			return nil, "", missing("table", set.Weight.First, tables)
 		}
-		if groups := slices.Sorted(maps.Keys(made.Groups)); !slices.Contains(groups, set.Weight.Second) {
+		if groups := slices.Sorted(maps.Keys(decoded.Groups)); !slices.Contains(groups, set.Weight.Second) {
 			return nil, "", missing("group", set.Weight.Second, groups)
 		}
 	}
 	if set.Allowance != nil {
-		if programs := slices.Sorted(maps.Keys(made.Programs)); !slices.Contains(programs, set.Allowance.First) {
+		if programs := slices.Sorted(maps.Keys(decoded.Programs)); !slices.Contains(programs, set.Allowance.First) {
 			return nil, "", missing("program", set.Allowance.First, programs)
 		}
 	}
@@ -353,15 +353,15 @@
 	if number, err := strconv.ParseFloat(set.Value, 64); err == nil {
 		value = number
 	}
-	change, err := service.node.valueChange(view, path, value)
+	change, err := service.node.planValue(view, path, value)
 	return change, path + " would be " + set.Value, err
 }
 
-// restored finds an earlier config that a confirmed state keeps. The routing in force stays:
+// planRestore finds an earlier config that a confirmed state keeps. The routing in force stays:
 // its revisions never fall.
-func (service Administration) restored(view *feed.View, state *feedState, number uint64) (*feed.Change, error) {
-	if state.withoutChanges {
-		return nil, farBehind()
+func (service adminService) planRestore(view *feed.View, state *feedState, number uint64) (*feed.Change, error) {
+	if state.lacksHistory {
+		return nil, farBehindError()
 	}
 	source, compiled, kept, err := state.history.ConfigAt(state.view, number)
 	if err != nil {
@@ -370,10 +370,10 @@
 	if !kept {
 		return nil, apierror.New(apierror.NotFound, fmt.Sprintf("no config of number %d is kept: it was never in force, or too much has changed since", number), "show changes where kind = config")
 	}
-	made, err := config.Decode(compiled)
+	decoded, err := config.Decode(compiled)
 	if err != nil {
 		return nil, err
 	}
-	made.Routing = nil
-	return service.node.configChange(view, source, made)
+	decoded.Routing = nil
+	return service.node.planConfig(view, source, decoded)
 }
--- a/system/controlplane/history_bench_test.go
+++ b/system/controlplane/config_history_bench_test.go
@@ -15,52 +15,52 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// routingOf makes a routing of so many routes, each with about 300 bytes as its operator
+// newRouting makes a routing of so many routes, each with about 300 bytes as its operator
 // wrote it.
-func routingOf(routes int) config.Routing {
+func newRouting(routes int) config.Routing {
 	routing := config.Routing{Services: []config.Service{{Name: "chat", HealthPath: "/", MostConnections: 8}}}
 	for number := range routes {
-		routing.Routes = append(routing.Routes, routeOf(number, 0))
+		routing.Routes = append(routing.Routes, newRoute(number, 0))
 	}
 	return routing
 }
 
-func routeOf(number, version int) config.Route {
+func newRoute(number, version int) config.Route {
 	written := fmt.Sprintf(`{"name":"route-%d","host":"host-%d.example","version":%d,"note":%q}`, number, number, version, strings.Repeat("n", 200))
 	return config.Route{Name: fmt.Sprintf("route-%d", number), Host: fmt.Sprintf("host-%d.example", number), Prefix: "/", Kind: config.Repeatable,
 		Timeout: config.Duration(time.Second), Tries: 1 + version%5, Shares: []config.Share{{Service: "chat", Weight: 1}}, Written: json.RawMessage(written)}
 }
 
-// historyOf applies changes to a machine, each of which replaces one route, in the form in
+// applyRouteChanges applies changes to a machine, each of which replaces one route, in the form in
 // which a leader puts them into the log. It gives the bytes of the log entries.
-func historyOf(tb testing.TB, machine *feedMachine, routes, changes int) (logged int) {
+func applyRouteChanges(tb testing.TB, machine *feedStateMachine, routes, changes int) (logged int) {
 	tb.Helper()
-	made, _, err := config.Compile("")
+	decoded, _, err := config.Compile("")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	routing := routingOf(routes)
+	routing := newRouting(routes)
 	for number := range changes {
 		if number > 0 {
-			routing, err = made.Routing.Amended(config.Amendment{Routes: []config.Route{routeOf(number%routes, number)}})
+			routing, err = decoded.Routing.Amended(config.Amendment{Routes: []config.Route{newRoute(number%routes, number)}})
 			if err != nil {
 				tb.Fatal(err)
 			}
 		}
 		routing.Revision = uint64(number + 1)
-		next, compiled, err := made.WithRouting(routing, fmt.Sprintf("%064d", number))
+		next, compiled, err := decoded.WithRouting(routing, fmt.Sprintf("%064d", number))
 		if err != nil {
 			tb.Fatal(err)
 		}
-		made = next
+		decoded = next
 		view := machine.state().view
 		change := feed.Change{Kind: feed.ChangeConfig, By: "root", Expects: true, Expected: view.ConfigNumber, Compiled: compiled}
-		logged += applyChange(tb, machine, proposable(view, change))
+		logged += applyChange(tb, machine, compactForLog(view, change))
 	}
 	return logged
 }
 
-func applyChange(tb testing.TB, machine *feedMachine, change feed.Change) int {
+func applyChange(tb testing.TB, machine *feedStateMachine, change feed.Change) int {
 	tb.Helper()
 	data := wire.MustEncode(schema.Change_TypeID, &change)
 	if outcome := machine.Apply(agreement.Entry{Data: data}).(changeOutcome); outcome.err != nil {
@@ -88,12 +88,12 @@
 			b.Run(fmt.Sprintf("routes=%d/changes=%d", routes, changes), func(b *testing.B) {
 				for range b.N {
 					before := heapBytes()
-					machine := newFeedMachine()
-					logged := historyOf(b, machine, routes, changes)
+					machine := newFeedStateMachine()
+					logged := applyRouteChanges(b, machine, routes, changes)
 					held := heapBytes() - before
 					image := machine.Snapshot()()
 					began := time.Now()
-					if err := newFeedMachine().Restore(image); err != nil {
+					if err := newFeedStateMachine().Restore(image); err != nil {
 						b.Fatal(err)
 					}
 					restored := time.Since(began)
--- a/system/controlplane/members.go
+++ b/system/controlplane/control_membership.go
@@ -11,131 +11,131 @@
 	"yardrock.example/system/feed"
 )
 
-// enrolControls takes live control nodes in: first as learners, then, once they
+// reconcileVoters takes live control nodes in: first as learners, then, once they
 // hold the log, as voters; one step at a time. A voter that is lost goes as long as
 // enough are left, or when a learner is ready to take its place; if it comes back it is
 // taken in again. It goes before the learner votes, so that it is never counted beside it.
 // It tells whether a change is under way.
-func (node *Node) enrolControls(ctx context.Context) bool {
+func (node *Node) reconcileVoters(ctx context.Context) bool {
 	status, _ := node.host.Status(controlGroup)
 	if !status.Leading || status.MembershipChangePending {
 		return status.Leading
 	}
 	voters, learners := status.Membership.Voters, status.Membership.Learners
-	live := node.Live()
+	live := node.LiveMembers()
 	change := func(event, name string, next agreement.Membership) bool {
 		log.WithFields(log.Fields{"node": node.Name(), "control": name}).Info(event)
 		return node.host.ChangeMembership(controlGroup, next)
 	}
-	if gone := node.goneVoter(voters, learners, status); gone != "" {
-		return change("control_removed", gone, agreement.Membership{Voters: agreement.Without(voters, gone), Learners: learners})
+	if lost := node.removableVoter(voters, learners, status); lost != "" {
+		return change("control_removed", lost, agreement.Membership{Voters: agreement.Without(voters, lost), Learners: learners})
 	}
-	doubtful := slices.ContainsFunc(voters, func(name string) bool { return node.silent(name, doubtTimeout) })
+	suspected := slices.ContainsFunc(voters, func(name string) bool { return node.isSilent(name, suspectTimeout) })
 	for _, learner := range learners {
-		if !doubtful && node.ready(status, learner) {
+		if !suspected && node.isCaughtUp(status, learner) {
 			return change("control_votes", learner, agreement.Membership{Voters: append(slices.Clone(voters), learner), Learners: agreement.Without(learners, learner)})
 		}
 	}
 	for _, learner := range learners {
-		if node.silent(learner, silenceTimeout) {
+		if node.isSilent(learner, replaceableTimeout) {
 			return change("control_removed", learner, agreement.Membership{Voters: voters, Learners: agreement.Without(learners, learner)})
 		}
 	}
 	members := slices.Concat(voters, learners)
-	silent := slices.DeleteFunc(slices.Clone(voters), func(name string) bool { return !node.silent(name, silenceTimeout) })
+	silent := slices.DeleteFunc(slices.Clone(voters), func(name string) bool { return !node.isSilent(name, replaceableTimeout) })
 	for _, member := range live {
-		if member.Role == feed.RoleControl && !slices.Contains(members, member.Name) && !node.silent(member.Name, doubtTimeout) && len(members)-len(silent) < node.settings.MostControls {
+		if member.Role == feed.RoleControl && !slices.Contains(members, member.Name) && !node.isSilent(member.Name, suspectTimeout) && len(members)-len(silent) < node.settings.MaxControls {
 			return change("control_enrolled", member.Name, agreement.Membership{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
 		}
 	}
-	node.listControls(ctx, voters, live)
+	node.publishControls(ctx, voters, live)
 	return len(learners) > 0
 }
 
-// goneVoter finds a voter to let go: one whose place a caught-up learner is ready to take,
+// removableVoter finds a voter to let go: one whose place a caught-up learner is ready to take,
 // one that makes the voters an even number, which bears no more losses than one less, or
 // one that is lost while enough are left.
-func (node *Node) goneVoter(voters, learners []string, status agreement.Status) string {
-	ready := slices.ContainsFunc(learners, func(name string) bool { return node.ready(status, name) })
+func (node *Node) removableVoter(voters, learners []string, status agreement.Status) string {
+	ready := slices.ContainsFunc(learners, func(name string) bool { return node.isCaughtUp(status, name) })
 	for _, name := range voters {
-		if node.silent(name, silenceTimeout) && (ready || (len(voters) > fewestControls && (len(voters)%2 == 0 || node.silent(name, lostTimeout)))) {
+		if node.isSilent(name, replaceableTimeout) && (ready || (len(voters) > minVoters && (len(voters)%2 == 0 || node.isSilent(name, lostTimeout)))) {
 			return name
 		}
 	}
 	return ""
 }
 
-// ready tells that a learner is heard, and holds the log but for what is on its way.
-func (node *Node) ready(status agreement.Status, learner string) bool {
+// isCaughtUp tells that a learner is heard, and holds the log but for what is on its way.
+func (node *Node) isCaughtUp(status agreement.Status, learner string) bool {
 	matched := status.MatchIndex[learner]
 	holdsLog := matched > 0 && matched+agreement.MaxLearnerLag >= status.CommitIndex
-	return holdsLog && !node.silent(learner, silenceTimeout)
+	return holdsLog && !node.isSilent(learner, replaceableTimeout)
 }
 
-// silent tells that a node has had no session for so long, or that another has its
+// isSilent tells that a node has had no session for so long, or that another has its
 // address now: its disk was lost, and nobody will be heard under its name any more.
-func (node *Node) silent(name string, timeout time.Duration) bool {
+func (node *Node) isSilent(name string, timeout time.Duration) bool {
 	if name == node.Name() {
 		return false
 	}
 	node.mutex.Lock()
-	known, found := node.sessions[name]
+	known, found := node.liveness[name]
 	node.mutex.Unlock()
-	if found && node.succeeded(known.member) {
+	if found && node.wasReplaced(known.member) {
 		return true
 	}
 	if !found {
 		for member := range node.View().Members() {
-			if member.Name == name && node.succeeded(member) {
+			if member.Name == name && node.wasReplaced(member) {
 				return true
 			}
 		}
 	}
-	return node.inContactFor() > timeout && (!found || time.Since(known.heard) > timeout)
+	return node.quorumContactFor() > timeout && (!found || time.Since(known.lastHeard) > timeout)
 }
 
-// contact is what a node knows of its own contact with the control group. A node that was
+// quorumContact is what a node knows of its own contact with the control group. A node that was
 // cut off, frozen or only just started has heard nobody, which tells nothing of the others.
-type contact struct {
-	looked time.Time // when it last looked
-	since  time.Time // from when on it has heard a majority of the voters all the time
+type quorumContact struct {
+	lastChecked time.Time // when it last looked
+	since       time.Time // from when on it has heard a majority of the voters all the time
 }
 
-// note takes that so many of the voters were heard lately.
-func (contact *contact) note(now time.Time, heard, voters int) {
-	frozen := now.Sub(contact.looked) > doubtTimeout
+// record takes that so many of the voters were heard lately.
+func (contact *quorumContact) record(now time.Time, heard, voters int) {
+	frozen := now.Sub(contact.lastChecked) > suspectTimeout
 	if frozen || heard < voters/2+1 {
 		contact.since = now
 	}
-	contact.looked = now
+	contact.lastChecked = now
 }
 
-// lasts tells for how long the contact has lasted without a pause.
-func (contact *contact) lasts(now time.Time) time.Duration {
-	if now.Sub(contact.looked) > doubtTimeout {
+// duration tells for how long the contact has lasted without a pause.
+func (contact *quorumContact) duration(now time.Time) time.Duration {
+	if now.Sub(contact.lastChecked) > suspectTimeout {
 		return 0
 	}
 	return now.Sub(contact.since)
 }
 
-// noteContact looks whether this node hears a majority of the control group.
-func (node *Node) noteContact() {
+// recordQuorumContact looks whether this node hears a majority of the control group.
+func (node *Node) recordQuorumContact() {
 	voters := node.Voters()
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	now, heard := time.Now(), 0
 	for _, name := range voters {
-		if name == node.Name() || now.Sub(node.sessions[name].heard) <= doubtTimeout {
+		if name == node.Name() || now.Sub(node.liveness[name].lastHeard) <= suspectTimeout {
 			heard++
 		}
 	}
-	node.contact.note(now, heard, len(voters))
+	node.contact.record(now, heard, len(voters))
 }
 
-func (node *Node) inContactFor() time.Duration {
+func (node *Node) quorumContactFor() time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	return node.contact.lasts(time.Now())
+	return node.contact.duration(time.Now())
 }
 
 // Voters gives the members of the control group that vote, as this node knows them, for
@@ -144,22 +144,22 @@
 //	names := node.Voters()
 func (node *Node) Voters() []string { return node.host.Statuses()[controlGroup].Membership.Voters }
 
-// succeeded tells that another node of the same role was heard at a node's address later
+// wasReplaced tells that another node of the same role was heard at a node's address later
 // than that node itself.
-func (node *Node) succeeded(member feed.Member) bool {
+func (node *Node) wasReplaced(member feed.Member) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	last := node.sessions[member.Name].heard
-	for name, other := range node.sessions {
-		if name != member.Name && other.member.Role == member.Role && other.member.Address == member.Address && other.since.After(last) {
+	last := node.liveness[member.Name].lastHeard
+	for name, other := range node.liveness {
+		if name != member.Name && other.member.Role == member.Role && other.member.Address == member.Address && other.firstHeard.After(last) {
 			return true
 		}
 	}
 	return member.Name != node.Name() && member.Address == node.settings.Address && member.Role == feed.RoleControl
 }
 
-// listControls carries the voters of the control group into the feed.
-func (node *Node) listControls(ctx context.Context, voters []string, live []feed.Member) {
+// publishControls carries the voters of the control group into the feed.
+func (node *Node) publishControls(ctx context.Context, voters []string, live []feed.Member) {
 	view := node.View()
 	listed := []feed.Member{}
 	for _, member := range view.Controls {
@@ -174,6 +174,6 @@
 		}
 	}
 	if !slices.Equal(listed, view.Controls) {
-		node.propose(ctx, feed.Change{Kind: feed.ChangeControls, By: node.Name(), Expects: true, Expected: view.Number, Members: listed})
+		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeControls, By: node.Name(), Expects: true, Expected: view.Number, Members: listed})
 	}
 }
--- a/system/controlplane/changes.go
+++ b/system/controlplane/feed_changes.go
@@ -20,34 +20,34 @@
 //
 //	reply, err := node.Change(ctx, feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.Emptied}})
 func (node *Node) Change(ctx context.Context, change feed.Change) (*wire.ChangeReply, error) {
-	reply, err := node.answerChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: change}})
+	reply, err := node.handleChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: change}})
 	if err != nil {
 		return nil, err
 	}
 	return reply.Change, nil
 }
 
-func (node *Node) answerChange(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+func (node *Node) handleChange(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	if query.Change.Await == 0 {
 		compact := *query
-		compact.Change = &wire.ChangeQuery{Change: proposable(node.View(), query.Change.Change)}
+		compact.Change = &wire.ChangeQuery{Change: compactForLog(node.View(), query.Change.Change)}
 		query = &compact
 	}
-	if !node.Leading() {
-		reply, err := node.viaLeader(ctx, query)
+	if !node.IsLeader() {
+		reply, err := node.forwardToLeader(ctx, query)
 		if apierror.Is(err, apierror.Unavailable) && !apierror.Of(err).NeverSent {
-			return nil, unclearChange()
+			return nil, unclearChangeError()
 		}
 		return reply, err
 	}
 	if query.Change.Await > 0 {
-		return node.answerAwait(ctx, query.Change.Await)
+		return node.handleAwait(ctx, query.Change.Await)
 	}
 	change := query.Change.Change
 	change.At = time.Now().UnixNano()
 	outcomes, err := node.host.Propose(ctx, controlGroup, [][]byte{wire.MustEncode(schema.Change_TypeID, &change)})
 	if apierror.Is(err, apierror.Unclear) {
-		return nil, unclearChange()
+		return nil, unclearChangeError()
 	}
 	if err != nil {
 		return nil, err
@@ -57,39 +57,39 @@
 		return nil, outcome.err
 	}
 	answer := &wire.ChangeReply{Number: outcome.number}
-	if change.Kind.Observed() {
+	if change.Kind.IsObservation() {
 		answer.Acknowledged = true
 		return &wire.Reply{Which: schema.Reply_Which_change, Change: answer}, nil
 	}
-	answer.Acknowledged = node.awaitStores(ctx, outcome.number, feed.Keepers(outcome.before)) && node.awaitStores(ctx, outcome.number, feed.Keepers(node.View().Stores))
+	answer.Acknowledged = node.awaitStores(ctx, outcome.number, feed.ViewReplicas(outcome.storesBefore)) && node.awaitStores(ctx, outcome.number, feed.ViewReplicas(node.View().Stores))
 	return &wire.Reply{Which: schema.Reply_Which_change, Change: answer}, nil
 }
 
-// Await waits until a change that was taken is acknowledged: a control majority and a
+// AwaitAcknowledged waits until a change that was taken is acknowledged: a control majority and a
 // store majority hold the view of its number, or a newer one.
 //
-//	reply, err := node.Await(ctx, view.ConfigNumber)
-func (node *Node) Await(ctx context.Context, number uint64) (*wire.ChangeReply, error) {
-	reply, err := node.answerChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Await: number}})
+//	reply, err := node.AwaitAcknowledged(ctx, view.ConfigNumber)
+func (node *Node) AwaitAcknowledged(ctx context.Context, number uint64) (*wire.ChangeReply, error) {
+	reply, err := node.handleChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Await: number}})
 	if err != nil {
 		return nil, err
 	}
 	return reply.Change, nil
 }
 
-func (node *Node) answerAwait(ctx context.Context, number uint64) (*wire.Reply, error) {
+func (node *Node) handleAwait(ctx context.Context, number uint64) (*wire.Reply, error) {
 	if err := node.host.Read(ctx, controlGroup); err != nil {
 		return nil, err
 	}
-	state := node.machine.state()
+	state := node.stateMachine.state()
 	if state.view.Number < number {
 		return nil, apierror.New(apierror.Conflict, fmt.Sprintf("number %d was never given", number), "read what is in force and decide anew")
 	}
-	answer := &wire.ChangeReply{Number: number, Acknowledged: node.awaitStores(ctx, min(number, state.ordered), feed.Keepers(state.view.Stores))}
+	answer := &wire.ChangeReply{Number: number, Acknowledged: node.awaitStores(ctx, min(number, state.newestCommand), feed.ViewReplicas(state.view.Stores))}
 	return &wire.Reply{Which: schema.Reply_Which_change, Change: answer}, nil
 }
 
-func unclearChange() error {
+func unclearChangeError() error {
 	return apierror.New(apierror.Unclear, "the change may or may not have been taken", "read back what is in force, then decide whether to send it again with the number expected")
 }
 
@@ -97,9 +97,9 @@
 func (node *Node) awaitStores(ctx context.Context, number uint64, stores []feed.Member) bool {
 	for {
 		node.mutex.Lock()
-		changed, synced := node.changed, 0
+		changed, synced := node.syncedChanged, 0
 		for _, store := range stores {
-			if node.acked[store.Name] >= number {
+			if node.syncedNumbers[store.Name] >= number {
 				synced++
 			}
 		}
@@ -107,49 +107,49 @@
 		if len(stores) == 0 || synced >= len(stores)/2+1 {
 			return true
 		}
-		go node.pushStores()
+		go node.pushViews()
 		select {
 		case <-changed:
-		case <-time.After(steerInterval):
+		case <-time.After(reconcileInterval):
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// pushStores gives the newest view to every store that is not known to have synced the
+// pushViews gives the newest view to every store that is not known to have synced the
 // newest order. Stores follow the feed themselves, and tell so how far they are.
-func (node *Node) pushStores() {
-	state := node.machine.state()
-	var told sync.WaitGroup
+func (node *Node) pushViews() {
+	state := node.stateMachine.state()
+	var pushes sync.WaitGroup
 	for _, store := range state.view.Stores {
 		node.mutex.Lock()
-		acked := node.acked[store.Name]
+		synced := node.syncedNumbers[store.Name]
 		node.mutex.Unlock()
-		if acked < state.ordered {
-			told.Go(func() { node.pushStore(state, store.Name, acked) })
+		if synced < state.newestCommand {
+			pushes.Go(func() { node.pushView(state, store.Name, synced) })
 		}
 	}
-	told.Wait()
+	pushes.Wait()
 }
 
-// pushStore gives a store the changes since the number that it holds, or the whole view if
+// pushView gives a store the changes since the number that it holds, or the whole view if
 // they are not kept or do not fit.
-func (node *Node) pushStore(state *feedState, store string, acked uint64) {
+func (node *Node) pushView(state *feedState, store string, synced uint64) {
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
-	changes, complete := state.history.Since(state.view, acked)
-	if acked > 0 && complete && len(changes) > 0 {
-		err := node.hold(ctx, state, store, &wire.HoldQuery{Changes: changes})
+	changes, complete := state.history.Since(state.view, synced)
+	if synced > 0 && complete && len(changes) > 0 {
+		err := node.sendView(ctx, state, store, &wire.HoldQuery{Changes: changes})
 		if !apierror.Is(err, apierror.Conflict) {
 			return
 		}
 	}
-	_ = node.hold(ctx, state, store, &wire.HoldQuery{PackedView: node.views.Pack(state.view)})
+	_ = node.sendView(ctx, state, store, &wire.HoldQuery{PackedView: node.views.Pack(state.view)})
 }
 
-// hold has a store sync a view.
-func (node *Node) hold(ctx context.Context, state *feedState, store string, query *wire.HoldQuery) error {
+// sendView has a store sync a view.
+func (node *Node) sendView(ctx context.Context, state *feedState, store string, query *wire.HoldQuery) error {
 	address := node.addressOf(store)
 	_, err := node.caller.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, Hold: query})
 	switch {
@@ -165,45 +165,45 @@
 func (node *Node) noteSynced(store string, number uint64) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	if node.acked[store] < number {
-		node.acked[store] = number
-		close(node.changed)
-		node.changed = make(chan struct{})
+	if node.syncedNumbers[store] < number {
+		node.syncedNumbers[store] = number
+		close(node.syncedChanged)
+		node.syncedChanged = make(chan struct{})
 	}
 }
 
-// steer is what the control leader does for the fleet. It tells when it is due again:
+// reconcileFleet is what the control leader does for the fleet. It tells when it is due again:
 // soon, while something is being changed.
-func (node *Node) steer() time.Duration {
-	if !node.Leading() {
-		return steerInterval
+func (node *Node) reconcileFleet() time.Duration {
+	if !node.IsLeader() {
+		return reconcileInterval
 	}
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
-	busy := node.enrolControls(ctx)
-	node.foundStores(ctx)
-	node.replaceStores(ctx)
+	busy := node.reconcileVoters(ctx)
+	node.foundStoreList(ctx)
+	node.replaceWipedStores(ctx)
 	if node.settings.AutoEnrol {
-		node.tendStores(ctx)
+		node.autoEnrolStores(ctx)
 	}
-	node.followAddresses(ctx)
-	node.pushStores()
+	node.updateAddresses(ctx)
+	node.pushViews()
 	if busy {
 		return busyInterval
 	}
-	return steerInterval
+	return reconcileInterval
 }
 
-func (node *Node) propose(ctx context.Context, change feed.Change) {
+func (node *Node) proposeOrLog(ctx context.Context, change feed.Change) {
 	if _, err := node.Change(ctx, change); err != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "kind": change.Kind, "error": err.Error()}).Warn("change_refused")
 	}
 }
 
-// followAddresses carries a member's new address into the lists.
-func (node *Node) followAddresses(ctx context.Context) {
+// updateAddresses carries a member's new address into the lists.
+func (node *Node) updateAddresses(ctx context.Context) {
 	live := map[string]feed.Member{}
-	for _, member := range node.Live() {
+	for _, member := range node.LiveMembers() {
 		live[member.Name] = member
 	}
 	view := node.View()
@@ -216,7 +216,7 @@
 			}
 		}
 		if len(next) > 0 && !slices.Equal(next, members) {
-			node.propose(ctx, feed.Change{Kind: kind, By: node.Name(), Expects: true, Expected: view.Number, Members: next})
+			node.proposeOrLog(ctx, feed.Change{Kind: kind, By: node.Name(), Expects: true, Expected: view.Number, Members: next})
 			return
 		}
 	}
--- a/system/controlplane/follow.go
+++ b/system/controlplane/feed_serving.go
@@ -22,61 +22,61 @@
 	confirmInterval       = 100 * time.Millisecond
 	leaderConfirmInterval = 200 * time.Millisecond
 	confirmTimeout        = 500 * time.Millisecond
-	longestWait           = 2 * time.Second
-	// liveAge is how old the list of live members that followers are told may be.
-	liveAge = 200 * time.Millisecond
+	maxFollowWait         = 2 * time.Second
+	// liveMembersMaxAge is how old the list of live members that followers are told may be.
+	liveMembersMaxAge = 200 * time.Millisecond
 )
 
-// answerFollow renews the session here and has the leader confirm the number. While
+// handleFollow renews the session here and has the leader confirm the number. While
 // nothing changes the answer is held for as long as the follower says.
-func (node *Node) answerFollow(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
-	follow, came := query.Follow, time.Now()
+func (node *Node) handleFollow(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+	follow, receivedAt := query.Follow, time.Now()
 	if follow.SessionOnly {
-		return node.answerConfirm(ctx, query, came)
+		return node.handleConfirm(ctx, query, receivedAt)
 	}
-	node.renew(follow.Member, 0, true)
-	if state := node.machine.state(); follow.Wait > 0 && follow.After == state.view.Number {
-		node.awaitNews(ctx, state, min(follow.Wait, longestWait))
+	node.recordHeard(follow.Member, 0, true)
+	if state := node.stateMachine.state(); follow.Wait > 0 && follow.After == state.view.Number {
+		node.awaitNewState(ctx, state, min(follow.Wait, maxFollowWait))
 	}
-	state, began, err := node.confirmShared(ctx, false)
+	state, began, err := node.confirmBatched(ctx, false)
 	if err != nil {
 		return nil, err
 	}
 	if query.Fleet == state.view.Fleet && follow.Member.Role == feed.RoleStore {
 		node.noteSynced(follow.Member.Name, follow.After)
 	}
-	answer := node.answerAfter(state, query, came)
-	answer.Held = max(0, began.Sub(came))
-	if live := node.liveList(); live.digest != follow.Known {
+	answer := node.followReply(state, query, receivedAt)
+	answer.Held = max(0, began.Sub(receivedAt))
+	if live := node.cachedLiveMembers(); live.digest != follow.Known {
 		answer.Members, answer.Known = live.members, live.digest
 	}
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: answer}, nil
 }
 
-// answerConfirm confirms the newest number for another control node. What that one passes
+// handleConfirm confirms the newest number for another control node. What that one passes
 // on is not passed on again.
-func (node *Node) answerConfirm(ctx context.Context, query *wire.Query, came time.Time) (*wire.Reply, error) {
+func (node *Node) handleConfirm(ctx context.Context, query *wire.Query, receivedAt time.Time) (*wire.Reply, error) {
 	var state *confirmedState
 	var err error
 	switch {
 	case query.Follow.Wait > 0:
-		state, _, err = node.confirmShared(ctx, query.Forwarded)
+		state, _, err = node.confirmBatched(ctx, query.Forwarded)
 	case query.Forwarded:
-		state, err = node.confirmHere(ctx)
+		state, err = node.confirmAsLeader(ctx)
 	default:
 		state, err = node.confirmNow(ctx)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: node.answerAfter(state, query, came)}, nil
+	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: node.followReply(state, query, receivedAt)}, nil
 }
 
-func (node *Node) awaitNews(ctx context.Context, state *feedState, timeout time.Duration) {
+func (node *Node) awaitNewState(ctx context.Context, state *feedState, timeout time.Duration) {
 	tick := time.NewTimer(timeout)
 	defer tick.Stop()
 	select {
-	case <-state.passed:
+	case <-state.superseded:
 	case <-tick.C:
 	case <-ctx.Done():
 	case <-node.context.Done():
@@ -86,19 +86,19 @@
 // confirmedState is a state that a quorum confirmed as the newest.
 type confirmedState struct {
 	*feedState
-	// rosterRead is when the leader read the runner list whose content is in force in this
+	// runnersReadAt is when the leader read the runner list whose content is in force in this
 	// state, by this node's clock; zero if that is not known.
-	rosterRead time.Time
+	runnersReadAt time.Time
 }
 
-// answerAfter tells one who holds the view of a number what is newer: the changes since, if
+// followReply tells one who holds the view of a number what is newer: the changes since, if
 // they are kept, else the whole view. Its query came at a time. Numbers mean nothing to one
 // who does not name this fleet.
-func (node *Node) answerAfter(state *confirmedState, query *wire.Query, came time.Time) *wire.FollowReply {
+func (node *Node) followReply(state *confirmedState, query *wire.Query, receivedAt time.Time) *wire.FollowReply {
 	follow := query.Follow
 	answer := &wire.FollowReply{Newest: state.view.Number}
-	if !state.rosterRead.IsZero() {
-		answer.RosterRead, answer.RosterAge = true, came.Sub(state.rosterRead)
+	if !state.runnersReadAt.IsZero() {
+		answer.RosterRead, answer.RosterAge = true, receivedAt.Sub(state.runnersReadAt)
 	}
 	if follow.After > state.view.Number {
 		// Nothing here is newer; the fleet's name shows whether it is the asker's.
@@ -110,12 +110,12 @@
 	case follow.After > 0 && complete && query.Fleet == state.view.Fleet && (follow.Packed || len(changes) == 0):
 		answer.Changes = changes
 	case follow.Packed && follow.Member.Role == feed.RoleFront:
-		bare := state.view.WithoutOrders()
-		answer.Reset, answer.PackedView = true, node.bareViews.Pack(&bare)
+		bare := state.view.WithoutRequests()
+		answer.Reset, answer.PackedView = true, node.viewsWithoutRequests.Pack(&bare)
 	case follow.Packed:
 		answer.Reset, answer.PackedView = true, node.views.Pack(state.view)
 	case follow.Member.Role == feed.RoleFront:
-		answer.Reset, answer.View = true, state.view.WithoutOrders()
+		answer.Reset, answer.View = true, state.view.WithoutRequests()
 	default:
 		answer.Reset, answer.View = true, *state.view
 	}
@@ -131,78 +131,78 @@
 // control group: its leader's, wherever that is. The leader may wait so long for others who
 // ask.
 func (node *Node) confirm(ctx context.Context, wait time.Duration) (*confirmedState, error) {
-	if node.Leading() {
-		return node.confirmHere(ctx)
+	if node.IsLeader() {
+		return node.confirmAsLeader(ctx)
 	}
-	return node.confirmAtLeader(ctx, wait)
+	return node.confirmThroughLeader(ctx, wait)
 }
 
-// confirmHere is confirm as leader; NotLeader tells that this node is not, or no longer.
-func (node *Node) confirmHere(ctx context.Context) (*confirmedState, error) {
+// confirmAsLeader is confirm as leader; NotLeader tells that this node is not, or no longer.
+func (node *Node) confirmAsLeader(ctx context.Context) (*confirmedState, error) {
 	if err := node.host.Read(ctx, controlGroup); err != nil {
 		return nil, err
 	}
-	return node.leaderState(), nil
+	return node.stateAsLeader(), nil
 }
 
-// leaderState is the state of the leader that a quorum has just confirmed. The time of the
+// stateAsLeader is the state of the leader that a quorum has just confirmed. The time of the
 // list is taken first: what the list changed was committed before that time was noted.
-func (node *Node) leaderState() *confirmedState {
-	read := node.rosterReading.Load()
-	state := &confirmedState{feedState: node.machine.state()}
-	if held := state.view.AssignmentOf(RosterAssignment); read != nil && held.Owner == node.Name() && held.Fence == read.fence {
-		state.rosterRead = read.asked
+func (node *Node) stateAsLeader() *confirmedState {
+	read := node.runnersReading.Load()
+	state := &confirmedState{feedState: node.stateMachine.state()}
+	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); read != nil && lease.Owner == node.Name() && lease.Fence == read.fencingToken {
+		state.runnersReadAt = read.requestedAt
 	}
 	return state
 }
 
-// confirmAtLeader has the leader confirm its newest number, and tell what this node has
+// confirmThroughLeader has the leader confirm its newest number, and tell what this node has
 // not applied yet.
-func (node *Node) confirmAtLeader(ctx context.Context, wait time.Duration) (*confirmedState, error) {
-	own := node.machine.state()
-	newest, err := node.askNewer(ctx, own, own.view.Number, wait)
-	if errors.Is(err, feed.ErrMismatch) || errors.Is(err, feed.ErrGap) {
+func (node *Node) confirmThroughLeader(ctx context.Context, wait time.Duration) (*confirmedState, error) {
+	own := node.stateMachine.state()
+	newest, err := node.fetchNewer(ctx, own, own.view.Number, wait)
+	if errors.Is(err, feed.ErrBaseMismatch) || errors.Is(err, feed.ErrGap) {
 		log.WithFields(log.Fields{"node": node.Name(), "number": own.view.Number, "error": err.Error()}).Warn("whole_view_asked_for")
-		newest, err = node.askNewer(ctx, own, 0, wait)
+		newest, err = node.fetchNewer(ctx, own, 0, wait)
 	}
 	return newest, err
 }
 
-// askNewer has the leader tell what is newer than a number that this replica holds, if
+// fetchNewer has the leader tell what is newer than a number that this replica holds, if
 // anything.
-func (node *Node) askNewer(ctx context.Context, own *feedState, number uint64, wait time.Duration) (*confirmedState, error) {
-	asked := time.Now()
-	reply, err := node.viaLeader(ctx, &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true, After: number, Wait: wait, Packed: true}})
+func (node *Node) fetchNewer(ctx context.Context, own *feedState, number uint64, wait time.Duration) (*confirmedState, error) {
+	sentAt := time.Now()
+	reply, err := node.forwardToLeader(ctx, &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true, After: number, Wait: wait, Packed: true}})
 	if err != nil {
 		return nil, err
 	}
 	if reply.Follow == nil {
-		return nil, noQuorum()
+		return nil, noQuorumError()
 	}
-	var rosterRead time.Time
+	var runnersReadAt time.Time
 	if reply.Follow.RosterRead {
-		rosterRead = asked.Add(-reply.Follow.RosterAge)
+		runnersReadAt = sentAt.Add(-reply.Follow.RosterAge)
 	}
-	if now := node.machine.state(); now.view.Number >= reply.Follow.Newest {
-		return &confirmedState{now, rosterRead}, nil
+	if now := node.stateMachine.state(); now.view.Number >= reply.Follow.Newest {
+		return &confirmedState{now, runnersReadAt}, nil
 	}
 	// This replica has not heard yet that the newest changes are committed.
 	if reply.Follow.Reset {
 		view, err := reply.Follow.Whole()
 		if err != nil || view.Number < reply.Follow.Newest {
-			return nil, noQuorum()
+			return nil, noQuorumError()
 		}
-		return &confirmedState{&feedState{view: view, withoutChanges: true}, rosterRead}, nil
+		return &confirmedState{&feedState{view: view, lacksHistory: true}, runnersReadAt}, nil
 	}
-	next, err := own.advanced(reply.Follow.Changes)
+	next, err := own.advance(reply.Follow.Changes)
 	if err == nil && next.view.Number < reply.Follow.Newest {
-		return nil, noQuorum()
+		return nil, noQuorumError()
 	}
-	return &confirmedState{next, rosterRead}, err
+	return &confirmedState{next, runnersReadAt}, err
 }
 
-// advanced gives the state after changes that follow on it.
-func (state *feedState) advanced(changes []feed.Change) (*feedState, error) {
+// advance gives the state after changes that follow on it.
+func (state *feedState) advance(changes []feed.Change) (*feedState, error) {
 	view, history := *state.view, state.history
 	for _, change := range changes {
 		if change.Number <= view.Number {
@@ -218,25 +218,25 @@
 	return &feedState{view: &view, history: history}, nil
 }
 
-// confirmations lets all who ask at about the same time share one confirmation.
-type confirmations struct {
+// confirmationBatch lets all who ask at about the same time share one confirmation.
+type confirmationBatch struct {
 	mutex sync.Mutex
 	next  *confirmation // has not begun yet; nil if nobody waits for one
 	last  time.Time     // when the last one began
 }
 
 type confirmation struct {
-	done  chan struct{}
-	began time.Time
-	state *confirmedState
-	err   error
+	done      chan struct{}
+	startedAt time.Time
+	state     *confirmedState
+	err       error
 	// forwarded tells that another control node asks, so that it is not passed on.
 	forwarded bool
 }
 
-// confirmShared is confirm for many; it tells when the confirmation began, which is after
+// confirmBatched is confirm for many; it tells when the confirmation began, which is after
 // each of them asked.
-func (node *Node) confirmShared(ctx context.Context, forwarded bool) (*confirmedState, time.Time, error) {
+func (node *Node) confirmBatched(ctx context.Context, forwarded bool) (*confirmedState, time.Time, error) {
 	shared := &node.confirmations
 	shared.mutex.Lock()
 	joined := shared.next
@@ -244,7 +244,7 @@
 		joined = &confirmation{done: make(chan struct{})}
 		shared.next = joined
 		pause := confirmInterval
-		if node.Leading() {
+		if node.IsLeader() {
 			pause = leaderConfirmInterval
 		}
 		pause = max(0, pause-time.Since(shared.last))
@@ -254,45 +254,45 @@
 	shared.mutex.Unlock()
 	select {
 	case <-joined.done:
-		return joined.state, joined.began, joined.err
+		return joined.state, joined.startedAt, joined.err
 	case <-ctx.Done():
-		return nil, time.Time{}, noQuorum()
+		return nil, time.Time{}, noQuorumError()
 	case <-node.context.Done():
-		return nil, time.Time{}, noQuorum()
+		return nil, time.Time{}, noQuorumError()
 	}
 }
 
 func (node *Node) runConfirmation(shared *confirmation) {
 	node.confirmations.mutex.Lock()
-	shared.began = time.Now()
-	node.confirmations.next, node.confirmations.last = nil, shared.began
+	shared.startedAt = time.Now()
+	node.confirmations.next, node.confirmations.last = nil, shared.startedAt
 	forwarded := shared.forwarded
 	node.confirmations.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(node.context, confirmTimeout)
 	defer cancel()
 	if forwarded {
-		shared.state, shared.err = node.confirmHere(ctx)
+		shared.state, shared.err = node.confirmAsLeader(ctx)
 	} else {
 		shared.state, shared.err = node.confirm(ctx, leaderConfirmInterval)
 	}
 	if shared.err != nil && ctx.Err() != nil && !apierror.Is(shared.err, apierror.NoQuorum) {
-		shared.err = noQuorum()
+		shared.err = noQuorumError()
 	}
 	close(shared.done)
 }
 
 // liveList is Live as it was told to followers, with a digest that tells lists apart.
-type liveList struct {
-	members []feed.Member
-	digest  uint64
-	made    time.Time
+type liveMembers struct {
+	members  []feed.Member
+	digest   uint64
+	listedAt time.Time
 }
 
-func (node *Node) liveList() *liveList {
-	if last := node.listed.Load(); last != nil && time.Since(last.made) < liveAge {
+func (node *Node) cachedLiveMembers() *liveMembers {
+	if last := node.lastLiveMembers.Load(); last != nil && time.Since(last.listedAt) < liveMembersMaxAge {
 		return last
 	}
-	next := &liveList{members: node.Live(), made: time.Now()}
+	next := &liveMembers{members: node.LiveMembers(), listedAt: time.Now()}
 	hash := fnv.New64a()
 	for _, member := range next.members {
 		for _, part := range []string{member.Name, member.Role, member.Address, member.Domain, member.State, member.Administration, member.Machine} {
@@ -301,6 +301,6 @@
 		}
 	}
 	next.digest = max(hash.Sum64(), 1) // 0 is the digest of who knows none
-	node.listed.Store(next)
+	node.lastLiveMembers.Store(next)
 	return next
 }
--- a/system/controlplane/machine_test.go
+++ b/system/controlplane/feed_state_machine_test.go
@@ -21,8 +21,8 @@
 
 func TestSnapshotSizeDependsOnWhatIsInForce(t *testing.T) {
 	for _, test := range []struct{ routes, changes int }{{8, 600}, {300, 20}, {300, 600}} {
-		machine := newFeedMachine()
-		logged := historyOf(t, machine, test.routes, test.changes)
+		machine := newFeedStateMachine()
+		logged := applyRouteChanges(t, machine, test.routes, test.changes)
 		view := machine.state().view
 		config := len(view.Compiled) + len(view.Source)
 		if image := machine.Snapshot()(); len(image) > config+snapshotSlack {
@@ -35,7 +35,7 @@
 }
 
 func TestSnapshotSizeIsBoundedForLargeConfigs(t *testing.T) {
-	random, machine := rand.New(rand.NewPCG(1, 2)), newFeedMachine()
+	random, machine := rand.New(rand.NewPCG(1, 2)), newFeedStateMachine()
 	const size = 600 << 10
 	for range 12 {
 		compiled := make([]byte, size)
@@ -43,22 +43,22 @@
 			compiled[at] = byte(random.Uint32())
 		}
 		view := machine.state().view
-		applyChange(t, machine, proposable(view, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Compiled: compiled}))
+		applyChange(t, machine, compactForLog(view, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Compiled: compiled}))
 	}
 	if image := machine.Snapshot()(); len(image) > 2*size+snapshotSlack {
 		t.Errorf("a snapshot of %d bytes for a config of %d", len(image), size)
 	}
 }
 
-func TestSnapshotsAreReadBack(t *testing.T) {
-	machine, restored := newFeedMachine(), newFeedMachine()
-	historyOf(t, machine, 20, 50)
+func TestSnapshotRoundTrip(t *testing.T) {
+	machine, restored := newFeedStateMachine(), newFeedStateMachine()
+	applyRouteChanges(t, machine, 20, 50)
 	if err := restored.Restore(machine.Snapshot()()); err != nil {
 		t.Fatal(err)
 	}
 	before, after := machine.state(), restored.state()
-	if after.ordered != before.ordered || after.view.Number != before.view.Number || !bytes.Equal(after.view.Compiled, before.view.Compiled) {
-		t.Errorf("number %d, ordered %d; restored %d, %d", before.view.Number, before.ordered, after.view.Number, after.ordered)
+	if after.newestCommand != before.newestCommand || after.view.Number != before.view.Number || !bytes.Equal(after.view.Compiled, before.view.Compiled) {
+		t.Errorf("number %d, ordered %d; restored %d, %d", before.view.Number, before.newestCommand, after.view.Number, after.newestCommand)
 	}
 	for number := range before.view.Number {
 		source, compiled, kept, err := before.history.ConfigAt(before.view, number)
@@ -74,10 +74,10 @@
 	}
 }
 
-// TestSnapshotsOfTheFirstFormatAreRead holds for folders and peers of older versions: a
+// TestRestoreReadsFirstSnapshotFormat holds for folders and peers of older versions: a
 // whole view, and changes with whole configs.
-func TestSnapshotsOfTheFirstFormatAreRead(t *testing.T) {
-	image := wire.ControlImage{Version: wholeChangesFormat}
+func TestRestoreReadsFirstSnapshotFormat(t *testing.T) {
+	image := wire.ControlImage{Version: fullConfigsFormat}
 	for number := range uint64(30) {
 		change := feed.Change{Number: number + 1, Kind: feed.ChangeConfig, By: "root", Source: fmt.Sprint("source ", number), Compiled: bytes.Repeat([]byte{byte(number)}, 500)}
 		view, err := feed.Fold(image.View, change)
@@ -86,12 +86,12 @@
 		}
 		image.View, image.Changes = view, append(image.Changes, change)
 	}
-	machine := newFeedMachine()
+	machine := newFeedStateMachine()
 	if err := machine.Restore(wire.MustEncode(schema.ControlImage_TypeID, &image)); err != nil {
 		t.Fatal(err)
 	}
 	state := machine.state()
-	if state.view.Number != 30 || state.ordered != 30 || state.view.Source != image.View.Source || !bytes.Equal(state.view.Compiled, image.View.Compiled) {
+	if state.view.Number != 30 || state.newestCommand != 30 || state.view.Source != image.View.Source || !bytes.Equal(state.view.Compiled, image.View.Compiled) {
 		t.Errorf("%+v", state.view)
 	}
 	for _, change := range image.Changes[1:] {
@@ -101,27 +101,27 @@
 	}
 }
 
-// TestWholeConfigsInTheLogAreApplied holds for log entries of older versions, and for those
+// TestApplyAcceptsFullConfigs holds for log entries of older versions, and for those
 // that expect no number: they lead to the same state as differences do.
-func TestWholeConfigsInTheLogAreApplied(t *testing.T) {
-	whole, differences := newFeedMachine(), newFeedMachine()
+func TestApplyAcceptsFullConfigs(t *testing.T) {
+	full, differences := newFeedStateMachine(), newFeedStateMachine()
 	for number := range 20 {
 		compiled := bytes.Repeat([]byte(fmt.Sprintf(`{"route":%d}`, number/3)), 100)
-		view := whole.state().view
+		view := full.state().view
 		change := feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Source: "a", Compiled: compiled}
-		applyChange(t, whole, change)
-		applyChange(t, differences, proposable(differences.state().view, change))
+		applyChange(t, full, change)
+		applyChange(t, differences, compactForLog(differences.state().view, change))
 	}
-	if left, right := whole.state(), differences.state(); !reflect.DeepEqual(left.view, right.view) || len(left.history.Changes) != len(right.history.Changes) {
+	if left, right := full.state(), differences.state(); !reflect.DeepEqual(left.view, right.view) || len(left.history.Changes) != len(right.history.Changes) {
 		t.Errorf("%+v\n%+v", left.view, right.view)
 	}
 }
 
-// TestADifferenceOnAConfigOfTheSameLengthIsRefused: only the digest of the result tells such
+// TestApplyRejectsDeltaOnConfigOfSameLength: only the digest of the result tells such
 // a base apart.
-func TestADifferenceOnAConfigOfTheSameLengthIsRefused(t *testing.T) {
-	machine := newFeedMachine()
-	historyOf(t, machine, 50, 3)
+func TestApplyRejectsDeltaOnConfigOfSameLength(t *testing.T) {
+	machine := newFeedStateMachine()
+	applyRouteChanges(t, machine, 50, 3)
 	before := machine.state().view
 	base := *before
 	base.Compiled = bytes.Clone(base.Compiled)
@@ -136,12 +136,12 @@
 	}
 }
 
-func TestADifferenceOnAnotherConfigIsRefused(t *testing.T) {
-	machine, other := newFeedMachine(), newFeedMachine()
-	historyOf(t, machine, 5, 3)
-	historyOf(t, other, 6, 3) // the same numbers with another content
+func TestApplyRejectsDeltaOnAnotherConfig(t *testing.T) {
+	machine, other := newFeedStateMachine(), newFeedStateMachine()
+	applyRouteChanges(t, machine, 5, 3)
+	applyRouteChanges(t, other, 6, 3) // the same numbers with another content
 	base := other.state().view
-	change := proposable(base, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: 3, Compiled: append([]byte(" "), base.Compiled...)})
+	change := compactForLog(base, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: 3, Compiled: append([]byte(" "), base.Compiled...)})
 	before := machine.state().view
 	outcome := machine.Apply(agreement.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)}).(changeOutcome)
 	if !apierror.Is(outcome.err, apierror.Conflict) || machine.state().view != before {
@@ -149,9 +149,9 @@
 	}
 }
 
-func TestAnswersToFollowers(t *testing.T) {
-	machine, node := newFeedMachine(), &Node{}
-	historyOf(t, machine, 20, 40)
+func TestFollowReplies(t *testing.T) {
+	machine, node := newFeedStateMachine(), &Node{}
+	applyRouteChanges(t, machine, 20, 40)
 	state := &confirmedState{feedState: machine.state()}
 	state.view.Fleet = "fleet"
 	for name, test := range map[string]struct {
@@ -169,7 +169,7 @@
 		"older and up to date": {"fleet", wire.FollowQuery{After: 40}, false, false, 0},
 		"of no fleet yet":      {"", wire.FollowQuery{After: 37, Packed: true}, true, true, 0},
 	} {
-		answer := node.answerAfter(state, &wire.Query{Fleet: test.fleet, Follow: &test.follow}, time.Now())
+		answer := node.followReply(state, &wire.Query{Fleet: test.fleet, Follow: &test.follow}, time.Now())
 		if answer.Newest != 40 || answer.Reset != test.reset || (len(answer.PackedView) > 0) != test.packed || len(answer.Changes) != test.changes {
 			t.Errorf("%s: %d, reset %v, %d bytes, %d changes", name, answer.Newest, answer.Reset, len(answer.PackedView), len(answer.Changes))
 		}
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -24,25 +24,25 @@
 )
 
 const (
-	sessionTimeout = 3 * time.Second
+	livenessTimeout = 3 * time.Second
 	// lostTimeout is how long a node may be silent before it is no longer waited for;
-	// silenceTimeout, if another is ready to take its place. One that is given up and
+	// replaceableTimeout, if another is ready to take its place. One that is given up and
 	// comes back is taken in again, so the shorter time risks copying for nothing only.
-	lostTimeout    = 10 * time.Second
-	silenceTimeout = 2 * time.Second
-	// doubtTimeout is how long a voter may be silent while another becomes one.
-	doubtTimeout   = 1200 * time.Millisecond
-	fewestControls = 3
-	gossipInterval = 500 * time.Millisecond
-	gossipLook     = 4 // one gossip of so many wants an answer
-	steerInterval  = 300 * time.Millisecond
-	busyInterval   = 50 * time.Millisecond // while the fleet is being steered
-	// foundingSettle is how long no other store may have come before the list is made.
-	foundingSettle   = 700 * time.Millisecond
-	foundingInterval = 500 * time.Millisecond
-	callTimeout      = 2 * time.Second
-	// controlsPin is the number under which the disk keeps where the control nodes are.
-	controlsPin = 1 << 31
+	lostTimeout        = 10 * time.Second
+	replaceableTimeout = 2 * time.Second
+	// suspectTimeout is how long a voter may be silent while another becomes one.
+	suspectTimeout    = 1200 * time.Millisecond
+	minVoters         = 3
+	gossipInterval    = 500 * time.Millisecond
+	gossipsPerCall    = 4 // one gossip of so many wants an answer
+	reconcileInterval = 300 * time.Millisecond
+	busyInterval      = 50 * time.Millisecond // while the fleet is being steered
+	// foundingQuietPeriod is how long no other store may have come before the list is made.
+	foundingQuietPeriod = 700 * time.Millisecond
+	foundingInterval    = 500 * time.Millisecond
+	callTimeout         = 2 * time.Second
+	// controlAddressesPin is the number under which the disk keeps where the control nodes are.
+	controlAddressesPin = 1 << 31
 )
 
 // Settings place a control node.
@@ -54,64 +54,64 @@
 	FoundingStores int
 	Groups         uint32
 	// Copies is how many replicas a group of lines has; 0 is placement.Factor.
-	Copies       uint32
-	MostControls int
-	Replica      replica.Settings
+	ReplicationFactor uint32
+	MaxControls       int
+	Replica           replica.Settings
 	// StateMachine is what the operator calls this machine; it may be empty.
 	Machine string
-	// Joins tells that the fleet has started before: with an empty disk, this node
+	// JoinExisting tells that the fleet has started before: with an empty disk, this node
 	// joins it and never founds another.
-	Joins bool
+	JoinExisting bool
 	// AutoEnrol lets live stores into the store list, and lost ones out of it, without
 	// an operator's command.
 	AutoEnrol bool
-	// Roster gives the list of runners; nil reads the list that the config names.
-	Roster RosterSource
+	// RunnerSource gives the list of runners; nil reads the list that the config names.
+	RunnerSource RunnerSource
 }
 
-type session struct {
-	member feed.Member
-	since  time.Time // when it was first heard of
-	heard  time.Time
-	direct bool
+type nodeLiveness struct {
+	member     feed.Member
+	firstHeard time.Time // when it was first heard of
+	lastHeard  time.Time
+	direct     bool
 }
 
 // Node is a running control node.
 type Node struct {
-	settings Settings
-	network  link.Network
-	caller   *link.Caller
-	host     *replica.Host
-	machine  *feedMachine
-	server   *link.Server
-	seeds    atomic.Pointer[[]string]
-	began    time.Time
-
-	mutex    sync.Mutex
-	sessions map[string]session
-	acked    map[string]uint64
-	contact  contact
-	// controls is where the control nodes were when this one last noted it on its disk.
-	controls []feed.Member
-	changed  chan struct{} // closed and replaced whenever acked grows
-
-	context context.Context
-	stop    context.CancelFunc
-	tasks   sync.WaitGroup
-	roster  rosterState
-	// rosterReading is the last list whose content this node put in force; nil before any.
-	rosterReading atomic.Pointer[rosterReading]
-	decoded       atomic.Pointer[decodedConfig]
-	// views and bareViews pack the newest view for all who ask, bareViews without the
+	settings     Settings
+	network      link.Network
+	caller       *link.Caller
+	host         *replica.Host
+	stateMachine *feedStateMachine
+	server       *link.Server
+	seeds        atomic.Pointer[[]string]
+	startedAt    time.Time
+
+	mutex         sync.Mutex
+	liveness      map[string]nodeLiveness
+	syncedNumbers map[string]uint64
+	contact       quorumContact
+	// savedControls is where the control nodes were when this one last noted it on its disk.
+	savedControls []feed.Member
+	syncedChanged chan struct{} // closed and replaced whenever acked grows
+
+	context   context.Context
+	stop      context.CancelFunc
+	tasks     sync.WaitGroup
+	discovery runnerDiscovery
+	// runnersReading is the last list whose content this node put in force; nil before any.
+	runnersReading atomic.Pointer[runnersReading]
+	decodedConfig  atomic.Pointer[decodedConfig]
+	// views and viewsWithoutRequests pack the newest view for all who ask, viewsWithoutRequests without the
 	// orders, which fronts don't need.
-	views     wire.ViewPacker
-	bareViews wire.ViewPacker
+	views                wire.ViewPacker
+	viewsWithoutRequests wire.ViewPacker
 	// configRoster is the source that is used if none is given.
-	configRoster  configRoster
-	confirmations confirmations
-	telling       sync.Map // addresses of control nodes that are being told sessions
-	gossips       int
-	listed        atomic.Pointer[liveList]
+	configRunners   configRunnerSource
+	confirmations   confirmationBatch
+	gossiping       sync.Map // addresses of control nodes that are being told sessions
+	gossipCount     int
+	lastLiveMembers atomic.Pointer[liveMembers]
 }
 
 // Start opens the data folder and runs a control node until Close.
@@ -124,42 +124,42 @@
 		return nil, err
 	}
 	node := &Node{
-		settings: settings, network: network, caller: link.NewCaller(network), machine: newFeedMachine(), began: time.Now(),
-		sessions: map[string]session{}, acked: map[string]uint64{}, changed: make(chan struct{}), configRoster: newConfigRoster(network),
+		settings: settings, network: network, caller: link.NewCaller(network), stateMachine: newFeedStateMachine(), startedAt: time.Now(),
+		liveness: map[string]nodeLiveness{}, syncedNumbers: map[string]uint64{}, syncedChanged: make(chan struct{}), configRunners: newConfigRunnerSource(network),
 	}
 	node.SetSeeds(settings.Seeds)
 	node.context, node.stop = context.WithCancel(context.Background())
 	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.View().Fleet })
-	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.machine }, courier)
+	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.stateMachine }, courier)
 	if err != nil {
 		return nil, err
 	}
-	if data := node.host.StoredValue(controlsPin); data != nil {
+	if data := node.host.StoredValue(controlAddressesPin); data != nil {
 		var noted feed.View
 		if err := wire.Decode(schema.View_TypeID, data, &noted); err != nil {
 			node.host.Close()
 			return nil, apierror.New(apierror.Damaged, "the noted control nodes cannot be read: "+err.Error(), "run the version of the program that wrote them")
 		}
-		node.controls = noted.Controls
+		node.savedControls = noted.Controls
 	}
 	listener, err := network.Listen(settings.Address)
 	if err != nil {
 		node.host.Close()
 		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
-	node.server = link.Serve(listener, node.Answer)
+	node.server = link.Serve(listener, node.Handle)
 	every := func(interval time.Duration, task func()) func() time.Duration {
 		return func() time.Duration { task(); return interval }
 	}
-	for _, task := range []func() time.Duration{every(foundingInterval, node.found), every(gossipInterval, node.gossip), node.steer, node.runAssignments, every(gossipInterval, node.noteContact), every(steerInterval, node.finishRetiring)} {
-		node.tasks.Go(func() { node.repeat(task) })
+	for _, task := range []func() time.Duration{every(foundingInterval, node.foundFleet), every(gossipInterval, node.gossip), node.reconcileFleet, node.runRoleLeases, every(gossipInterval, node.recordQuorumContact), every(reconcileInterval, node.finishDecommissions)} {
+		node.tasks.Go(func() { node.runPeriodically(task) })
 	}
 	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("control_started")
 	return node, nil
 }
 
-// repeat does a task until the node stops; the task tells when it is due again.
-func (node *Node) repeat(task func() time.Duration) {
+// runPeriodically does a task until the node stops; the task tells when it is due again.
+func (node *Node) runPeriodically(task func() time.Duration) {
 	tick := time.NewTimer(0)
 	defer tick.Stop()
 	for {
@@ -188,12 +188,12 @@
 // View gives the newest view this replica has applied.
 //
 //	view := node.View()
-func (node *Node) View() *feed.View { return node.machine.state().view }
+func (node *Node) View() *feed.View { return node.stateMachine.state().view }
 
-// Leading tells whether this node leads the control group.
+// IsLeader tells whether this node leads the control group.
 //
-//	if node.Leading() { ... }
-func (node *Node) Leading() bool { return node.host.Statuses()[controlGroup].Leading }
+//	if node.IsLeader() { ... }
+func (node *Node) IsLeader() bool { return node.host.Statuses()[controlGroup].Leading }
 
 // Ready tells whether the control group has a leader that this node knows.
 //
@@ -222,7 +222,7 @@
 
 func (node *Node) addressOf(name string) string {
 	node.mutex.Lock()
-	known, found := node.sessions[name]
+	known, found := node.liveness[name]
 	node.mutex.Unlock()
 	if found && known.member.Address != "" {
 		return known.member.Address
@@ -230,72 +230,72 @@
 	return node.View().AddressOf(name)
 }
 
-var answers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
-	schema.Query_Which_status:    (*Node).answerStatus,
-	schema.Query_Which_agreement: (*Node).answerAgreement,
-	schema.Query_Which_follow:    (*Node).answerFollow,
-	schema.Query_Which_sessions:  (*Node).answerSessions,
-	schema.Query_Which_change:    (*Node).answerChange,
+var queryHandlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
+	schema.Query_Which_status:    (*Node).handleStatus,
+	schema.Query_Which_agreement: (*Node).handleRaft,
+	schema.Query_Which_follow:    (*Node).handleFollow,
+	schema.Query_Which_sessions:  (*Node).handleGossip,
+	schema.Query_Which_change:    (*Node).handleChange,
 }
 
-// fleetless queries are taken whatever fleet the asker names: replicas know each
+// anyFleetQueries queries are taken whatever fleet the asker names: replicas know each
 // other by their disks, and a fleet that recovers changes its name back.
-var fleetless = map[schema.Query_Which]bool{schema.Query_Which_status: true, schema.Query_Which_agreement: true, schema.Query_Which_sessions: true}
+var anyFleetQueries = map[schema.Query_Which]bool{schema.Query_Which_status: true, schema.Query_Which_agreement: true, schema.Query_Which_sessions: true}
 
-// Answer answers one query of another process.
+// Handle answers one query of another process.
 //
-//	reply := node.Answer(ctx, query)
-func (node *Node) Answer(ctx context.Context, query *wire.Query) *wire.Reply {
-	answer, known := answers[query.Which]
+//	reply := node.Handle(ctx, query)
+func (node *Node) Handle(ctx context.Context, query *wire.Query) *wire.Reply {
+	handler, known := queryHandlers[query.Which]
 	if !known {
 		return wire.Failed(apierror.New(apierror.Invalid, "a control node does not answer this query", "ask a store node"))
 	}
-	if fleet := node.View().Fleet; !fleetless[query.Which] && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
-		node.noteLost(query)
-		if node.View().Bound() == "" {
+	if fleet := node.View().Fleet; !anyFleetQueries[query.Which] && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
+		node.noteForeignStore(query)
+		if node.View().BoundFleet() == "" {
 			// This control plane may have lost its disks, and yet find that it is the one
 			// of the asking process's fleet.
-			return wire.Failed(noQuorum())
+			return wire.Failed(noQuorumError())
 		}
 		return wire.Failed(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
 	}
-	if refusal := query.Misaddressed(node.Name()); refusal != nil {
-		return refusal
+	if rejection := query.Misaddressed(node.Name()); rejection != nil {
+		return rejection
 	}
-	reply, err := answer(node, ctx, query)
+	reply, err := handler(node, ctx, query)
 	if err != nil {
 		return wire.Failed(err)
 	}
 	return reply
 }
 
-// noteLost keeps the session of a store that names another fleet, while this one
+// noteForeignStore keeps the session of a store that names another fleet, while this one
 // has no store list: it may hold what this control plane has lost.
-func (node *Node) noteLost(query *wire.Query) {
+func (node *Node) noteForeignStore(query *wire.Query) {
 	if query.Follow != nil && !query.Follow.SessionOnly && len(node.View().Stores) == 0 && query.Follow.Member.Role == feed.RoleStore {
-		node.renew(query.Follow.Member, 0, true)
+		node.recordHeard(query.Follow.Member, 0, true)
 	}
 }
 
-func (node *Node) empty() bool { return node.host.Statuses()[controlGroup].LastIndex == 0 }
+func (node *Node) isEmpty() bool { return node.host.Statuses()[controlGroup].LastIndex == 0 }
 
-func (node *Node) answerStatus(_ context.Context, _ *wire.Query) (*wire.Reply, error) {
+func (node *Node) handleStatus(_ context.Context, _ *wire.Query) (*wire.Reply, error) {
 	view := node.View()
 	return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
-		Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Empty: node.empty(),
+		Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Empty: node.isEmpty(),
 		Fleet: view.Fleet, Number: view.Number, Leader: node.host.Statuses()[controlGroup].Leader, Controls: view.Controls, Founding: view.Founding,
 	}}, nil
 }
 
-func (node *Node) answerAgreement(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	node.host.Receive(link.Connection(ctx), query.Agreement.Messages)
 	return &wire.Reply{}, nil
 }
 
 // found founds the fleet when all seeds answer and all are empty, unless it has started
 // before, or takes its part when another seed has founded it with this disk's name in it.
-func (node *Node) found() {
-	if !node.empty() || !slices.Contains(*node.seeds.Load(), node.settings.Address) {
+func (node *Node) foundFleet() {
+	if !node.isEmpty() || !slices.Contains(*node.seeds.Load(), node.settings.Address) {
 		return
 	}
 	statuses := []*wire.StatusReply{}
@@ -307,14 +307,14 @@
 			continue
 		}
 		if !reply.Status.Empty && slices.Contains(reply.Status.Founding, node.Name()) {
-			node.foundWith(foundingView(reply.Status.Founding, reply.Status.Controls, node.settings))
+			node.foundFleetWith(foundingView(reply.Status.Founding, reply.Status.Controls, node.settings))
 			return
 		}
 		if reply.Status.Role == feed.RoleControl && reply.Status.Empty {
 			statuses = append(statuses, reply.Status)
 		}
 	}
-	if node.settings.Joins || len(statuses) != len(*node.seeds.Load()) {
+	if node.settings.JoinExisting || len(statuses) != len(*node.seeds.Load()) {
 		return
 	}
 	members, names := []feed.Member{}, []string{}
@@ -325,7 +325,7 @@
 		names = append(names, status.Name)
 		members = append(members, feed.Member{Name: status.Name, Role: feed.RoleControl, Address: status.Address, Domain: status.Domain})
 	}
-	node.foundWith(foundingView(names, members, node.settings))
+	node.foundFleetWith(foundingView(names, members, node.settings))
 }
 
 // foundingView is the same on every founder.
@@ -334,11 +334,11 @@
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(left, right feed.Member) int { return strings.Compare(left.Name, right.Name) })
 	sum := sha256.Sum256([]byte(strings.Join(names, " ")))
-	return feed.View{Fleet: hex.EncodeToString(sum[:8]), Number: 1, Controls: members, Groups: settings.Groups, Copies: settings.Copies, Founding: names}
+	return feed.View{Fleet: hex.EncodeToString(sum[:8]), Number: 1, Controls: members, Groups: settings.Groups, Replicas: settings.ReplicationFactor, Founding: names}
 }
 
-func (node *Node) foundWith(view feed.View) {
-	node.host.Bootstrap(controlGroup, view.Founding, controlImage(&view, feed.History{}))
+func (node *Node) foundFleetWith(view feed.View) {
+	node.host.Bootstrap(controlGroup, view.Founding, encodeControlSnapshot(&view, feed.History{}))
 	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet_founded")
 }
 
@@ -351,29 +351,29 @@
 	return node.addressOf(leader)
 }
 
-// viaLeader asks the leader to answer what only it can. A query that was passed on
+// forwardToLeader asks the leader to answer what only it can. A query that was passed on
 // already goes no further: its sender is told who leads, as far as it is known here, and
 // asks there.
-func (node *Node) viaLeader(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+func (node *Node) forwardToLeader(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	if query.Forwarded {
-		return nil, node.notLeader()
+		return nil, node.notLeaderError()
 	}
 	forwarded := *query
 	forwarded.Fleet, forwarded.Forwarded = node.View().Fleet, true
-	asked := map[string]bool{}
-	for address := node.leaderAddress(); address != "" && !asked[address]; {
-		asked[address] = true
+	tried := map[string]bool{}
+	for address := node.leaderAddress(); address != "" && !tried[address]; {
+		tried[address] = true
 		reply, err := node.caller.Call(ctx, address, &forwarded)
 		if !apierror.Is(err, apierror.NotLeader) {
 			return reply, err
 		}
 		address = node.addressOf(apierror.Of(err).Leader)
 	}
-	return nil, noQuorum()
+	return nil, noQuorumError()
 }
 
-// notLeader points to the leader that this node knows of, if any.
-func (node *Node) notLeader() error {
+// notLeaderError points to the leader that this node knows of, if any.
+func (node *Node) notLeaderError() error {
 	leader := node.host.Statuses()[controlGroup].Leader
 	if leader == node.Name() {
 		leader = ""
@@ -381,63 +381,63 @@
 	return &apierror.Error{Kind: apierror.NotLeader, Message: "this control node does not lead", Remedy: "ask the leader that is named, or another control node", Leader: leader, RetryAfter: attemptPause}
 }
 
-func noQuorum() error {
+func noQuorumError() error {
 	return apierror.Later(apierror.NoQuorum, "the control plane has no leader with a quorum now", "ask again in a second; if it stays, start the missing control nodes", time.Second)
 }
 
-func (node *Node) renew(member feed.Member, age time.Duration, direct bool) {
+func (node *Node) recordHeard(member feed.Member, age time.Duration, direct bool) {
 	if member.Name == "" {
 		return
 	}
 	heard := time.Now().Add(-age)
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	known, found := node.sessions[member.Name]
+	entry, found := node.liveness[member.Name]
 	if !found {
-		known.since = heard
+		entry.firstHeard = heard
 	}
-	if !found || heard.After(known.heard) {
-		node.sessions[member.Name] = session{member: member, since: known.since, heard: heard, direct: direct}
+	if !found || heard.After(entry.lastHeard) {
+		node.liveness[member.Name] = nodeLiveness{member: member, firstHeard: entry.firstHeard, lastHeard: heard, direct: direct}
 	}
 }
 
-// Live gives the members whose sessions stand, by name; of those that were heard at one
+// LiveMembers gives the members whose sessions stand, by name; of those that were heard at one
 // address one after another, the last.
 //
-//	for _, member := range node.Live() { ... }
-func (node *Node) Live() []feed.Member {
+//	for _, member := range node.LiveMembers() { ... }
+func (node *Node) LiveMembers() []feed.Member {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	live := []feed.Member{node.self()}
-	for name, known := range node.sessions {
-		switch age := time.Since(known.heard); {
-		case age > 10*sessionTimeout:
-			delete(node.sessions, name)
-		case age < sessionTimeout && name != node.Name():
-			live = append(live, known.member)
+	for name, entry := range node.liveness {
+		switch age := time.Since(entry.lastHeard); {
+		case age > 10*livenessTimeout:
+			delete(node.liveness, name)
+		case age < livenessTimeout && name != node.Name():
+			live = append(live, entry.member)
 		}
 	}
-	span := func(member feed.Member) session {
+	livenessOf := func(member feed.Member) nodeLiveness {
 		if member.Name == node.Name() {
-			return session{since: node.began, heard: time.Now()}
+			return nodeLiveness{firstHeard: node.startedAt, lastHeard: time.Now()}
 		}
-		return node.sessions[member.Name]
+		return node.liveness[member.Name]
 	}
 	slices.SortFunc(live, func(left, right feed.Member) int {
-		return cmp.Or(strings.Compare(left.Address, right.Address), strings.Compare(left.Role, right.Role), span(left).since.Compare(span(right).since))
+		return cmp.Or(strings.Compare(left.Address, right.Address), strings.Compare(left.Role, right.Role), livenessOf(left).firstHeard.Compare(livenessOf(right).firstHeard))
 	})
 	next := 0
 	live = slices.DeleteFunc(live, func(member feed.Member) bool {
 		next++
-		return next < len(live) && live[next].Address == member.Address && live[next].Role == member.Role && span(live[next]).since.After(span(member).heard)
+		return next < len(live) && live[next].Address == member.Address && live[next].Role == member.Role && livenessOf(live[next]).firstHeard.After(livenessOf(member).lastHeard)
 	})
 	slices.SortFunc(live, func(left, right feed.Member) int { return strings.Compare(left.Name, right.Name) })
 	return live
 }
 
-func (node *Node) answerSessions(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+func (node *Node) handleGossip(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	for _, note := range query.Sessions.Sessions {
-		node.renew(note.Member, note.Age, false)
+		node.recordHeard(note.Member, note.Age, false)
 	}
 	return &wire.Reply{}, nil
 }
@@ -447,9 +447,9 @@
 func (node *Node) gossip() {
 	notes := []wire.SessionNote{{Member: node.self()}}
 	node.mutex.Lock()
-	for _, known := range node.sessions {
-		if age := time.Since(known.heard); known.direct && age < sessionTimeout {
-			notes = append(notes, wire.SessionNote{Member: known.member, Age: age})
+	for _, entry := range node.liveness {
+		if age := time.Since(entry.lastHeard); entry.direct && age < livenessTimeout {
+			notes = append(notes, wire.SessionNote{Member: entry.member, Age: age})
 		}
 	}
 	node.mutex.Unlock()
@@ -458,7 +458,7 @@
 	for _, member := range node.View().Controls {
 		targets[member.Address] = true
 	}
-	for _, member := range node.Live() {
+	for _, member := range node.LiveMembers() {
 		if member.Role == feed.RoleControl {
 			targets[member.Address] = true
 		}
@@ -466,57 +466,57 @@
 	// Until it has heard from a leader, what this node has applied may be as old as its
 	// last checkpoint, with machines in it that are long gone.
 	if len(node.View().Controls) == 0 || !node.Ready() {
-		for _, address := range node.knownControls() {
+		for _, address := range node.discoverControls() {
 			targets[address] = true
 		}
 	}
 	delete(targets, node.settings.Address)
-	node.gossips++
-	look := node.gossips%gossipLook == 0
+	node.gossipCount++
+	wantReply := node.gossipCount%gossipsPerCall == 0
 	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, Sessions: batch}
 	for address := range targets {
-		if _, telling := node.telling.LoadOrStore(address, true); telling {
+		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
 			continue // it is not there, or slow
 		}
 		go func() {
-			defer node.telling.Delete(address)
-			node.tell(address, *query, look)
+			defer node.gossiping.Delete(address)
+			node.sendGossip(address, *query, wantReply)
 		}()
 	}
-	node.noteControls()
+	node.saveControlAddresses()
 }
 
-// tell sends sessions to a control node; now and then it looks whether that node answers.
-func (node *Node) tell(address string, query wire.Query, look bool) {
+// sendGossip sends sessions to a control node; now and then it looks whether that node answers.
+func (node *Node) sendGossip(address string, query wire.Query, wantReply bool) {
 	ctx, cancel := context.WithTimeout(node.context, gossipInterval)
 	defer cancel()
-	if !look {
+	if !wantReply {
 		node.caller.Tell(ctx, address, &query)
 	} else if _, err := node.caller.Call(ctx, address, &query); err != nil && ctx.Err() != nil {
 		node.caller.Drop(address)
 	}
 }
 
-// noteControls keeps on disk where the control nodes are, so that they find each other
+// saveControlAddresses keeps on disk where the control nodes are, so that they find each other
 // when all start again, whatever their seeds say.
-func (node *Node) noteControls() {
+func (node *Node) saveControlAddresses() {
 	view := node.View()
-	if !node.Ready() || len(view.Controls) == 0 || slices.Equal(view.Controls, node.controls) {
+	if !node.Ready() || len(view.Controls) == 0 || slices.Equal(view.Controls, node.savedControls) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
-	if err := node.host.StoreValue(ctx, controlsPin, wire.MustEncode(schema.View_TypeID, &feed.View{Controls: view.Controls})); err == nil {
-		node.controls = view.Controls
+	if err := node.host.StoreValue(ctx, controlAddressesPin, wire.MustEncode(schema.View_TypeID, &feed.View{Controls: view.Controls})); err == nil {
+		node.savedControls = view.Controls
 	}
 }
 
-// knownControls lists where control nodes may be: as noted on disk, and as the seeds
+// discoverControls lists where control nodes may be: as noted on disk, and as the seeds
 // tell.
-func (node *Node) knownControls() []string {
-	found := []string{}
-	for _, member := range node.controls {
-		found = append(found, member.Address)
+func (node *Node) discoverControls() []string {
+	addresses := []string{}
+	for _, member := range node.savedControls {
+		addresses = append(addresses, member.Address)
 	}
 	for _, seed := range *node.seeds.Load() {
 		ctx, cancel := context.WithTimeout(node.context, gossipInterval)
@@ -526,11 +526,11 @@
 			continue
 		}
 		if reply.Status.Role == feed.RoleControl {
-			found = append(found, reply.Status.Address)
+			addresses = append(addresses, reply.Status.Address)
 		}
 		for _, member := range reply.Status.Controls {
-			found = append(found, member.Address)
+			addresses = append(addresses, member.Address)
 		}
 	}
-	return found
+	return addresses
 }
--- a/system/controlplane/orders.go
+++ b/system/controlplane/routing_requests.go
@@ -22,47 +22,47 @@
 type decodedConfig struct {
 	fleet  string
 	number uint64
-	made   *config.Config
+	config *config.Config
 }
 
-// configOf decodes a view's config, or takes the one that was decoded last.
-func (node *Node) configOf(view *feed.View) (*config.Config, error) {
-	if last := node.decoded.Load(); last != nil && last.fleet == view.Fleet && last.number == view.ConfigNumber {
-		return last.made, nil
+// decodeConfig decodes a view's config, or takes the one that was decoded last.
+func (node *Node) decodeConfig(view *feed.View) (*config.Config, error) {
+	if last := node.decodedConfig.Load(); last != nil && last.fleet == view.Fleet && last.number == view.ConfigNumber {
+		return last.config, nil
 	}
-	made, err := config.Decode(view.Compiled)
+	decoded, err := config.Decode(view.Compiled)
 	if err != nil {
 		return nil, err
 	}
-	node.decoded.Store(&decodedConfig{view.Fleet, view.ConfigNumber, made})
-	return made, nil
+	node.decodedConfig.Store(&decodedConfig{view.Fleet, view.ConfigNumber, decoded})
+	return decoded, nil
 }
 
-// keepRouting compiles a config that an operator wrote with the routing in force.
-func (node *Node) keepRouting(view *feed.View, made *config.Config) ([]byte, error) {
-	inForce, err := node.configOf(view)
+// compileWithRouting compiles a config that an operator wrote with the routing in force.
+func (node *Node) compileWithRouting(view *feed.View, decoded *config.Config) ([]byte, error) {
+	inForce, err := node.decodeConfig(view)
 	if err != nil {
 		return nil, err
 	}
-	next := *made // the same order may be decided again on another view
+	next := *decoded // the same order may be decided again on another view
 	return next.KeepRouting(inForce)
 }
 
 // decision is what an order comes to on a view: the change to make, or, if nothing is
 // left to change, the number whose acknowledgement to wait for.
 type decision struct {
-	change *feed.Change
-	taken  uint64
+	change     *feed.Change
+	acceptedAs uint64
 }
 
-// decide looks at what a quorum confirmed as in force since the order came. An error
+// decideFunc looks at what a quorum confirmed as in force since the order came. An error
 // refuses the order.
-type decide func(view *feed.View) (decision, error)
+type decideFunc func(view *feed.View) (decision, error)
 
-// carryOut brings an order to its acknowledgement, over changes of the leader, until the
+// execute brings an order to its acknowledgement, over changes of the leader, until the
 // context ends.
-func (node *Node) carryOut(ctx context.Context, decide decide) (*wire.ChangeReply, error) {
-	failed := noQuorum()
+func (node *Node) execute(ctx context.Context, decide decideFunc) (*wire.ChangeReply, error) {
+	failed := noQuorumError()
 	for {
 		reply, refused, err := node.attempt(ctx, decide)
 		switch {
@@ -71,50 +71,50 @@
 		case err == nil && reply.Acknowledged:
 			return reply, nil
 		case err == nil:
-			failed = unclearChange()
+			failed = unclearChangeError()
 		case !apierror.Is(failed, apierror.Unclear):
 			failed = err
 		}
 		select {
 		case <-time.After(attemptPause):
 		case <-ctx.Done():
-			return nil, unacknowledged(failed)
+			return nil, unacknowledgedError(failed)
 		}
 	}
 }
 
 // attempt looks at what is in force, and makes the change that it asks for.
-func (node *Node) attempt(ctx context.Context, decide decide) (reply *wire.ChangeReply, refused, err error) {
+func (node *Node) attempt(ctx context.Context, decide decideFunc) (reply *wire.ChangeReply, refused, err error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	view, err := node.confirmedView(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	made, refused := decide(view)
+	decided, refused := decide(view)
 	if refused != nil {
 		return nil, refused, nil
 	}
-	if made.change == nil {
-		reply, err = node.Await(ctx, made.taken)
+	if decided.change == nil {
+		reply, err = node.AwaitAcknowledged(ctx, decided.acceptedAs)
 	} else {
-		reply, err = node.Change(ctx, *made.change)
+		reply, err = node.Change(ctx, *decided.change)
 	}
 	return reply, nil, err
 }
 
-// unacknowledged tells that an order may be sent again: only what was decided on a view
+// unacknowledgedError tells that an order may be sent again: only what was decided on a view
 // refuses it for good.
-func unacknowledged(err error) error {
+func unacknowledgedError(err error) error {
 	if failed := apierror.Of(err); failed.Kind == apierror.Unclear || failed.Kind == apierror.NoQuorum {
 		return err
 	}
 	return apierror.Later(apierror.NoQuorum, "the order was not acknowledged in time: "+apierror.Of(err).Message, "send the same order again, to any control node", time.Second)
 }
 
-// forgotten answers an order that may have been carried out so long ago that it is no
+// forgottenRequestError answers an order that may have been carried out so long ago that it is no
 // longer remembered: it is neither acknowledged nor refused.
-func forgotten() error {
+func forgottenRequestError() error {
 	return apierror.Later(apierror.NoQuorum, "the order builds on what was replaced long ago, and may have been carried out then", "read what is in force; send a new order if it is not what you want", time.Second)
 }
 
@@ -130,8 +130,8 @@
 	if err := next.Check(); err != nil {
 		return err
 	}
-	order := routingOrder{by: by, base: base, revision: next.Revision, digest: digest}
-	return node.changeRouting(ctx, order, func(*config.Routing) (config.Routing, error) { return next, nil })
+	request := routingRequest{operator: by, base: base, revision: next.Revision, digest: digest}
+	return node.changeRouting(ctx, request, func(*config.Routing) (config.Routing, error) { return next, nil })
 }
 
 // AmendRouting changes the routing of the revision base by names, and returns once that
@@ -139,31 +139,31 @@
 //
 //	err := node.AmendRouting(ctx, "root", 7, config.Amendment{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
 func (node *Node) AmendRouting(ctx context.Context, by string, base uint64, amendment config.Amendment, digest string) error {
-	order := routingOrder{by: by, base: base, revision: amendment.Revision, digest: digest}
-	return node.changeRouting(ctx, order, func(inForce *config.Routing) (config.Routing, error) { return inForce.Amended(amendment) })
+	request := routingRequest{operator: by, base: base, revision: amendment.Revision, digest: digest}
+	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Amended(amendment) })
 }
 
-// routingOrder is an order to replace the routing of one revision by that of another.
-type routingOrder struct {
-	by       string
+// routingRequest is an order to replace the routing of one revision by that of another.
+type routingRequest struct {
+	operator string
 	base     uint64
 	revision uint64
 	digest   string
 }
 
-func (order routingOrder) taken() feed.TakenOrder {
-	return feed.TakenOrder{Digest: feed.OrderDigest(order.digest), Number: order.revision}
+func (request routingRequest) accepted() feed.AcceptedRequest {
+	return feed.AcceptedRequest{Digest: feed.RequestDigest(request.digest), Number: request.revision}
 }
 
-// routingOrders gives the orders of the routing that are remembered. Those of a fleet
+// acceptedRoutingRequests gives the orders of the routing that are remembered. Those of a fleet
 // whose version kept them only in the routing are taken over from there.
-func routingOrders(view *feed.View, routing *config.Routing) feed.OrderHistory {
-	history := view.RoutingOrders
-	if !history.Empty() || routing == nil || len(routing.Taken) == 0 {
+func acceptedRoutingRequests(view *feed.View, routing *config.Routing) feed.RequestHistory {
+	history := view.RoutingRequests
+	if !history.IsEmpty() || routing == nil || len(routing.Taken) == 0 {
 		return history
 	}
 	for _, taken := range routing.Taken {
-		history = history.With(feed.TakenOrder{Digest: feed.OrderDigest(taken.Digest), Number: taken.Revision})
+		history = history.With(feed.AcceptedRequest{Digest: feed.RequestDigest(taken.Digest), Number: taken.Revision})
 	}
 	if len(routing.Taken) >= config.TakenKept {
 		history.Forgotten = max(history.Forgotten, routing.Taken[0].Revision)
@@ -171,48 +171,48 @@
 	return history
 }
 
-// amendRouting makes a routing from the one in force.
-type amendRouting func(inForce *config.Routing) (config.Routing, error)
+// amendFunc makes a routing from the one in force.
+type amendFunc func(inForce *config.Routing) (config.Routing, error)
 
-func (node *Node) changeRouting(ctx context.Context, order routingOrder, amend amendRouting) error {
-	_, err := node.carryOut(ctx, func(view *feed.View) (decision, error) { return node.decideRouting(view, order, amend) })
+func (node *Node) changeRouting(ctx context.Context, request routingRequest, amend amendFunc) error {
+	_, err := node.execute(ctx, func(view *feed.View) (decision, error) { return node.decideRouting(view, request, amend) })
 	return err
 }
 
 // decideRouting finds what is left to do for an order of the routing on a view.
-func (node *Node) decideRouting(view *feed.View, order routingOrder, amend amendRouting) (decision, error) {
-	made, err := node.configOf(view)
+func (node *Node) decideRouting(view *feed.View, request routingRequest, amend amendFunc) (decision, error) {
+	decoded, err := node.decodeConfig(view)
 	if err != nil {
 		return decision{}, err
 	}
-	history := routingOrders(view, made.Routing)
-	if _, taken := history.Took(order.taken().Digest); taken {
-		return decision{taken: view.Number}, nil
+	history := acceptedRoutingRequests(view, decoded.Routing)
+	if _, taken := history.NumberOf(request.accepted().Digest); taken {
+		return decision{acceptedAs: view.Number}, nil
 	}
-	if inForce := made.Routing.Revised(); inForce != order.base {
-		if history.MayHaveForgotten(order.revision) {
-			return decision{}, forgotten()
+	if inForce := decoded.Routing.Revised(); inForce != request.base {
+		if history.MayHaveForgotten(request.revision) {
+			return decision{}, forgottenRequestError()
 		}
-		return decision{}, apierror.New(apierror.Conflict, fmt.Sprintf("the routing builds on revision %d, but %d is in force", order.base, inForce), "read what is in force and decide anew")
+		return decision{}, apierror.New(apierror.Conflict, fmt.Sprintf("the routing builds on revision %d, but %d is in force", request.base, inForce), "read what is in force and decide anew")
 	}
 	if len(view.Compiled) == 0 {
-		if made, _, err = config.Compile(""); err != nil {
+		if decoded, _, err = config.Compile(""); err != nil {
 			return decision{}, err
 		}
 	}
-	next, err := amend(made.Routing)
+	next, err := amend(decoded.Routing)
 	if err != nil {
 		return decision{}, err
 	}
-	_, compiled, err := made.WithRouting(next, order.digest)
+	_, compiled, err := decoded.WithRouting(next, request.digest)
 	if err != nil {
 		return decision{}, err
 	}
-	change := &feed.Change{Kind: feed.ChangeConfig, By: order.by, Expects: true, Expected: view.ConfigNumber, Source: view.Source, Compiled: compiled}
-	if view.RoutingOrders.Empty() {
-		change.RoutingOrders, change.RoutingForgotten = slices.Collect(history.All()), history.Forgotten
+	change := &feed.Change{Kind: feed.ChangeConfig, By: request.operator, Expects: true, Expected: view.ConfigNumber, Source: view.Source, Compiled: compiled}
+	if view.RoutingRequests.IsEmpty() {
+		change.RoutingRequests, change.RoutingForgotten = slices.Collect(history.All()), history.Forgotten
 	}
-	change.RoutingOrders = append(change.RoutingOrders, order.taken())
+	change.RoutingRequests = append(change.RoutingRequests, request.accepted())
 	return decision{change: change}, nil
 }
 
@@ -226,19 +226,19 @@
 		view, err := node.confirmedView(limited)
 		cancel()
 		if err == nil {
-			made, err := node.configOf(view)
+			decoded, err := node.decodeConfig(view)
 			if err != nil {
 				return nil, err
 			}
-			if made.Routing == nil {
+			if decoded.Routing == nil {
 				return &config.Routing{}, nil
 			}
-			return made.Routing, nil
+			return decoded.Routing, nil
 		}
 		select {
 		case <-time.After(attemptPause):
 		case <-ctx.Done():
-			return nil, unacknowledged(err)
+			return nil, unacknowledgedError(err)
 		}
 	}
 }
@@ -246,16 +246,16 @@
 // SetDomainState empties or refills a domain and returns once that is acknowledged; if it
 // is in that state already, once it is known that this was.
 //
-//	err := node.SetDomainState(ctx, "root", "east", feed.Emptied)
+//	err := node.SetDomainState(ctx, "root", "east", feed.StateDrained)
 func (node *Node) SetDomainState(ctx context.Context, by, name, state string) error {
-	if state != feed.Serving && state != feed.Emptied {
+	if state != feed.StateServing && state != feed.StateDrained {
 		return apierror.New(apierror.Invalid, fmt.Sprintf("%q is no state of a domain", state), "use serving or emptied")
 	}
-	_, err := node.carryOut(ctx, func(view *feed.View) (decision, error) {
-		if view.DomainEmptied(name) == (state == feed.Emptied) {
-			return decision{taken: view.Number}, nil
+	_, err := node.execute(ctx, func(view *feed.View) (decision, error) {
+		if view.DomainDrained(name) == (state == feed.StateDrained) {
+			return decision{acceptedAs: view.Number}, nil
 		}
-		change := domainChange(view, name, state)
+		change := newDomainChange(view, name, state)
 		change.By = by
 		return decision{change: &change}, nil
 	})
--- a/system/controlplane/assignments_test.go
+++ b/system/controlplane/runner_discovery_test.go
@@ -9,20 +9,20 @@
 	"yardrock.example/system/feed"
 )
 
-// TestOnlyWhatChangedOfTheRosterIsTold compares lists that follow one another, each so long
+// TestRunnerDiffReportsOnlyChanges compares lists that follow one another, each so long
 // after the last, and names the runners that are told as changed and as gone.
-func TestOnlyWhatChangedOfTheRosterIsTold(t *testing.T) {
+func TestRunnerDiffReportsOnlyChanges(t *testing.T) {
 	runner := func(life, state string, cold time.Duration) feed.Runner {
 		return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, ColdFor: cold}
 	}
-	a, b := runner("a", feed.Serving, 0), runner("b", feed.Serving, 0)
+	a, b := runner("a", feed.StateServing, 0), runner("b", feed.StateServing, 0)
 	moved := a
 	moved.Address = "10.0.3.9:8000"
 	type step struct {
 		after   time.Duration
 		listed  []feed.Runner
 		changed []string
-		gone    []string
+		removed []string
 	}
 	for name, steps := range map[string][]step{
 		"new, the same, gone": {
@@ -41,37 +41,37 @@
 			{time.Second, []feed.Runner{moved}, []string{"a"}, nil},
 		},
 		"cold that counts down, and is over": {
-			{0, []feed.Runner{runner("a", feed.Cold, 3*time.Second)}, []string{"a"}, nil},
-			{time.Second, []feed.Runner{runner("a", feed.Cold, 2*time.Second)}, nil, nil},
-			{time.Second, []feed.Runner{runner("a", feed.Cold, 900*time.Millisecond)}, nil, nil},
+			{0, []feed.Runner{runner("a", feed.StateWarmingUp, 3*time.Second)}, []string{"a"}, nil},
+			{time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 2*time.Second)}, nil, nil},
+			{time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 900*time.Millisecond)}, nil, nil},
 			{time.Second, []feed.Runner{a}, []string{"a"}, nil},
 		},
 		"cold again while cold": {
-			{0, []feed.Runner{runner("a", feed.Cold, 3*time.Second)}, []string{"a"}, nil},
-			{2 * time.Second, []feed.Runner{runner("a", feed.Cold, 2800*time.Millisecond)}, []string{"a"}, nil},
-			{time.Second, []feed.Runner{runner("a", feed.Cold, 1900*time.Millisecond)}, nil, nil},
+			{0, []feed.Runner{runner("a", feed.StateWarmingUp, 3*time.Second)}, []string{"a"}, nil},
+			{2 * time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 2800*time.Millisecond)}, []string{"a"}, nil},
+			{time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 1900*time.Millisecond)}, nil, nil},
 		},
 		"leaving": {
 			{0, []feed.Runner{a, b}, []string{"a", "b"}, nil},
-			{time.Second, []feed.Runner{a, runner("b", feed.Leaving, 0)}, []string{"b"}, nil},
+			{time.Second, []feed.Runner{a, runner("b", feed.StateDraining, 0)}, []string{"b"}, nil},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			roster := rosterState{serving: map[string]time.Time{}, cold: map[string]time.Time{}}
+			discovery := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 			view, now := feed.View{}, time.Unix(1000, 0)
 			for position, step := range steps {
 				now = now.Add(step.after)
-				changed, gone := roster.compare(view.Runners, step.listed, nil, now)
+				changed, removed := discovery.diff(view.Runners, step.listed, nil, now)
 				names := []string{}
 				for _, one := range changed {
 					names = append(names, one.Life)
 				}
 				slices.Sort(names)
-				if !slices.Equal(names, step.changed) || !slices.Equal(gone, step.gone) {
-					t.Fatalf("step %d tells %v and gone %v, not %v and %v", position, names, gone, step.changed, step.gone)
+				if !slices.Equal(names, step.changed) || !slices.Equal(removed, step.removed) {
+					t.Fatalf("step %d tells %v and gone %v, not %v and %v", position, names, removed, step.changed, step.removed)
 				}
-				roster.report(changed, gone, now)
-				view = folded(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRoster, Partial: true, Runners: changed, Gone: gone})
+				discovery.recordPublished(changed, removed, now)
+				view = fold(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRunners, Partial: true, Runners: changed, Removed: removed})
 				if len(view.Runners) > len(step.listed) {
 					t.Fatalf("step %d: the view has %v", position, view.Runners)
 				}
@@ -80,24 +80,24 @@
 	}
 }
 
-// TestANewOwnerReportsColdRunnersAgain has a runner become cold again while it is cold, and
+// TestNewLeaseHolderReportsWarmingRunnersAgain has a runner become cold again while it is cold, and
 // the assignment change hands before that is reported: the new owner can't know that the
 // feed's time was nearly over. What it has reported itself it doesn't repeat.
-func TestANewOwnerReportsColdRunnersAgain(t *testing.T) {
-	cold := feed.Runner{Life: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.Cold, ColdFor: 3 * time.Second}
-	earlier := rosterState{serving: map[string]time.Time{}, cold: map[string]time.Time{}}
+func TestNewLeaseHolderReportsWarmingRunnersAgain(t *testing.T) {
+	cold := feed.Runner{Life: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.StateWarmingUp, ColdFor: 3 * time.Second}
+	earlier := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 	now, view := time.Unix(1000, 0), feed.View{}
-	take := func(owner *rosterState, left time.Duration) int {
+	take := func(owner *runnerDiscovery, left time.Duration) int {
 		cold.ColdFor = left
-		changed, gone := owner.compare(view.Runners, []feed.Runner{cold}, nil, now)
-		owner.report(changed, gone, now)
-		view = folded(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRoster, Partial: true, Runners: changed, Gone: gone})
+		changed, removed := owner.diff(view.Runners, []feed.Runner{cold}, nil, now)
+		owner.recordPublished(changed, removed, now)
+		view = fold(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRunners, Partial: true, Runners: changed, Removed: removed})
 		return len(changed)
 	}
 	take(&earlier, 3*time.Second)
 	since := view.Runners[0].Since
 	now = now.Add(2800 * time.Millisecond)
-	later := rosterState{serving: map[string]time.Time{}, cold: map[string]time.Time{}}
+	later := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 	if take(&later, 2200*time.Millisecond) != 1 || view.Runners[0].ColdFor != 2200*time.Millisecond || view.Runners[0].Since == since {
 		t.Fatalf("the new owner leaves %+v", view.Runners)
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-func folded(t *testing.T, view feed.View, change feed.Change) feed.View {
+func fold(t *testing.T, view feed.View, change feed.Change) feed.View {
 	t.Helper()
 	next, err := feed.Fold(view, change)
 	if err != nil {
@@ -121,15 +121,15 @@
 	return next
 }
 
-// TestARunnerIsWarmOnceItHasServedForTheRamp holds for lists that don't tell it.
-func TestARunnerIsWarmOnceItHasServedForTheRamp(t *testing.T) {
-	roster := rosterState{serving: map[string]time.Time{}, cold: map[string]time.Time{}}
+// TestRunnerIsWarmAfterSlowStart holds for lists that don't tell it.
+func TestRunnerIsWarmAfterSlowStart(t *testing.T) {
+	discovery := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 	groups := map[string]config.Group{"small": {Ramp: config.Duration(2 * time.Second)}}
-	listed := []feed.Runner{{Address: "10.0.3.1:8000", Group: "small", State: feed.Serving}}
+	listed := []feed.Runner{{Address: "10.0.3.1:8000", Group: "small", State: feed.StateServing}}
 	now, view := time.Unix(1000, 0), feed.View{}
 	for position, warm := range []bool{false, false, true, true} {
-		changed, gone := roster.compare(view.Runners, listed, groups, now.Add(time.Duration(position)*time.Second))
-		view = folded(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRoster, Partial: true, Runners: changed, Gone: gone})
+		changed, removed := discovery.diff(view.Runners, listed, groups, now.Add(time.Duration(position)*time.Second))
+		view = fold(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRunners, Partial: true, Runners: changed, Removed: removed})
 		if len(view.Runners) != 1 || view.Runners[0].Warmed != warm || view.Runners[0].Since != now.UnixNano() {
 			t.Fatalf("after %d s: %+v, not warm: %v", position, view.Runners, warm)
 		}
--- a/system/controlplane/roster.go
+++ b/system/controlplane/runner_source.go
@@ -15,19 +15,19 @@
 	"yardrock.example/system/link"
 )
 
-// configRoster reads the list that the config names.
-type configRoster struct {
+// configRunnerSource reads the list that the config names.
+type configRunnerSource struct {
 	client *http.Client
 	url    string
 }
 
-func newConfigRoster(network link.Network) configRoster {
-	return configRoster{client: &http.Client{Timeout: rosterTimeout, Transport: &http.Transport{
+func newConfigRunnerSource(network link.Network) configRunnerSource {
+	return configRunnerSource{client: &http.Client{Timeout: runnerListTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return network.Dial(ctx, address) },
 	}}}
 }
 
-type rosterList struct {
+type runnerListDocument struct {
 	Runners []struct {
 		Address string `json:"address"`
 		Group   string `json:"group"`
@@ -36,25 +36,25 @@
 	} `json:"runners"`
 }
 
-const largestRoster = 4 << 20
+const maxRunnerListBytes = 4 << 20
 
 // List asks once for the whole list.
-func (roster *configRoster) List(ctx context.Context) ([]feed.Runner, error) {
-	query, err := http.NewRequestWithContext(ctx, http.MethodGet, roster.url, nil)
+func (source *configRunnerSource) List(ctx context.Context) ([]feed.Runner, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, source.url, nil)
 	if err != nil {
 		return nil, apierror.New(apierror.Invalid, "the runner list's address cannot be used: "+err.Error(), "correct platform.runner_list in the config")
 	}
-	answer, err := roster.client.Do(query)
+	response, err := source.client.Do(request)
 	if err != nil {
 		return nil, apierror.New(apierror.Unavailable, "the runner list cannot be reached: "+err.Error(), "check platform.runner_list in the config; the last list stays in force")
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		seconds, _ := strconv.Atoi(answer.Header.Get("Retry-After"))
-		return nil, apierror.Later(apierror.Unavailable, fmt.Sprintf("the runner list answered %d", answer.StatusCode), "ask again later; the last list stays in force", time.Duration(seconds)*time.Second)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
+		return nil, apierror.Later(apierror.Unavailable, fmt.Sprintf("the runner list answered %d", response.StatusCode), "ask again later; the last list stays in force", time.Duration(seconds)*time.Second)
 	}
-	var list rosterList
-	if err := json.NewDecoder(io.LimitReader(answer.Body, largestRoster)).Decode(&list); err != nil {
+	var list runnerListDocument
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxRunnerListBytes)).Decode(&list); err != nil {
 		return nil, apierror.New(apierror.Invalid, "the runner list cannot be read: "+err.Error(), "mend the list; the last one stays in force")
 	}
 	runners := make([]feed.Runner, 0, len(list.Runners))
--- a/system/controlplane/retire_test.go
+++ b/system/controlplane/store_decommission_test.go
@@ -8,9 +8,9 @@
 	"yardrock.example/system/feed"
 )
 
-// TestRetireRepeatedAfterManyOthersIsNotRefused folds more retirements than a view lists,
+// TestRepeatedDecommissionAfterManyOthersIsAccepted folds more retirements than a view lists,
 // and decides on the first order again.
-func TestRetireRepeatedAfterManyOthersIsNotRefused(t *testing.T) {
+func TestRepeatedDecommissionAfterManyOthersIsAccepted(t *testing.T) {
 	stores := []feed.Member{}
 	for position := range 104 {
 		stores = append(stores, feed.Member{Name: fmt.Sprint("store-", position), Role: feed.RoleStore, Machine: fmt.Sprint("machine-", position), Domain: fmt.Sprint(position % 3)})
@@ -27,24 +27,24 @@
 	commit(feed.Change{Kind: feed.ChangeStores, Members: stores})
 	for position := range 100 {
 		machine := fmt.Sprint("machine-", position)
-		change, err := planRetire(&view, machine, onMachine(machine))
+		change, err := planDecommission(&view, machine, onMachine(machine))
 		if err != nil || change == nil {
 			t.Fatalf("%s: %v, %v", machine, change, err)
 		}
 		commit(*change)
 		left := view.Stores[0]
-		left.State = feed.Retired
+		left.State = feed.StateDecommissioned
 		commit(feed.Change{Kind: feed.ChangeStores, Members: view.Stores[1:], Member: left})
 	}
 	for _, machine := range []string{"machine-0", "machine-99"} {
-		if change, err := planRetire(&view, machine, onMachine(machine)); change != nil || err != nil {
+		if change, err := planDecommission(&view, machine, onMachine(machine)); change != nil || err != nil {
 			t.Errorf("%s again: %v, %v", machine, change, err)
 		}
 	}
-	if _, err := planRetire(&view, "unknown", onMachine("unknown")); !apierror.Is(err, apierror.NotFound) {
+	if _, err := planDecommission(&view, "unknown", onMachine("unknown")); !apierror.Is(err, apierror.NotFound) {
 		t.Errorf("an unknown machine: %v", err)
 	}
-	if _, err := planRetire(&view, "machine-102", onMachine("machine-102")); err != nil {
+	if _, err := planDecommission(&view, "machine-102", onMachine("machine-102")); err != nil {
 		t.Errorf("one that is listed: %v", err)
 	}
 }
--- a/system/controlplane/stores.go
+++ b/system/controlplane/store_membership.go
@@ -16,46 +16,46 @@
 )
 
 const (
-	// recoveredStep is how far a recovered feed jumps ahead, so that no number
+	// recoveredNumberStep is how far a recovered feed jumps ahead, so that no number
 	// that was given out but not acknowledged is ever given out again.
-	recoveredStep = 1_000_000
+	recoveredNumberStep = 1_000_000
 )
 
-// foundStores makes the first store list once enough stores have sessions. If a
+// foundStoreList makes the first store list once enough stores have sessions. If a
 // store already holds a view, this control plane has lost its disks, and takes
 // what a majority of that view's stores hold instead.
-func (node *Node) foundStores(ctx context.Context) {
+func (node *Node) foundStoreList(ctx context.Context) {
 	view := node.View()
 	if len(view.Stores) > 0 || view.Number == 0 {
 		return
 	}
 	stores := []feed.Member{}
-	for _, member := range node.Live() {
+	for _, member := range node.LiveMembers() {
 		if member.Role == feed.RoleStore {
 			stores = append(stores, member)
 		}
 	}
-	held, answered := node.askHeld(ctx, stores)
-	if held.Number > 0 {
-		node.recover(ctx, held, answered)
+	synced, answered := node.fetchNewestForeignView(ctx, stores)
+	if synced.Number > 0 {
+		node.recoverFeed(ctx, synced, answered)
 		return
 	}
-	if node.settings.AutoEnrol && !node.settled(stores) {
+	if node.settings.AutoEnrol && !node.storesSettled(stores) {
 		return
 	}
 	if len(stores) >= node.settings.FoundingStores && len(answered) == len(stores) {
-		node.propose(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: stores})
+		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: stores})
 	}
 }
 
-// askHeld asks stores for the newest view that each has synced of a fleet that is
+// fetchNewestForeignView asks stores for the newest view that each has synced of a fleet that is
 // not this one's. A store whose own control plane is alive is left out.
-func (node *Node) askHeld(ctx context.Context, stores []feed.Member) (feed.View, []string) {
+func (node *Node) fetchNewestForeignView(ctx context.Context, stores []feed.Member) (feed.View, []string) {
 	var mutex sync.Mutex
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	newest, answered := feed.View{}, []string{}
 	for _, store := range stores {
-		asked.Go(func() {
+		calls.Go(func() {
 			reply, err := node.caller.Call(ctx, store.Address, &wire.Query{To: store.Name, Which: schema.Query_Which_newest, Newest: &wire.NewestQuery{Packed: true}})
 			if err != nil || reply.Newest == nil {
 				return
@@ -76,44 +76,44 @@
 			}
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return newest, answered
 }
 
-func (node *Node) recover(ctx context.Context, held feed.View, answered []string) {
-	heard, keepers := 0, feed.Keepers(held.Stores)
-	for _, store := range keepers {
+func (node *Node) recoverFeed(ctx context.Context, recovered feed.View, answered []string) {
+	heard, replicas := 0, feed.ViewReplicas(recovered.Stores)
+	for _, store := range replicas {
 		if slices.Contains(answered, store.Name) {
 			heard++
 		}
 	}
-	if heard < len(keepers)/2+1 {
-		log.WithFields(log.Fields{"node": node.Name(), "number": held.Number, "heard": heard, "of": len(keepers)}).Warn("recovery_waits_for_stores")
+	if heard < len(replicas)/2+1 {
+		log.WithFields(log.Fields{"node": node.Name(), "number": recovered.Number, "heard": heard, "of": len(replicas)}).Warn("recovery_waits_for_stores")
 		return
 	}
 	view := node.View()
-	held.Number += recoveredStep
-	held.Controls, held.Founding = view.Controls, view.Founding
-	log.WithFields(log.Fields{"node": node.Name(), "fleet": held.Fleet, "number": held.Number}).Info("feed_recovered")
-	node.propose(ctx, feed.Change{Kind: feed.ChangeRecovered, By: node.Name(), View: held})
+	recovered.Number += recoveredNumberStep
+	recovered.Controls, recovered.Founding = view.Controls, view.Founding
+	log.WithFields(log.Fields{"node": node.Name(), "fleet": recovered.Fleet, "number": recovered.Number}).Info("feed_recovered")
+	node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeRecovered, By: node.Name(), View: recovered})
 }
 
-// ready refuses while there is no store list: until then nothing can be
+// requireStoreList refuses while there is no store list: until then nothing can be
 // acknowledged, and what was acknowledged before may not be recovered yet.
-func ready(view *feed.View) error {
+func requireStoreList(view *feed.View) error {
 	if len(view.Stores) == 0 {
 		return apierror.Later(apierror.NoQuorum, "the fleet has no store list yet", "wait until its stores have sessions, or start the stores that are missing", time.Second)
 	}
 	return nil
 }
 
-// settled tells that no store has come lately, so that a list that is made now need not be
+// storesSettled tells that no store has come lately, so that a list that is made now need not be
 // changed at once.
-func (node *Node) settled(stores []feed.Member) bool {
+func (node *Node) storesSettled(stores []feed.Member) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	return !slices.ContainsFunc(stores, func(store feed.Member) bool {
-		return time.Since(node.sessions[store.Name].since) < foundingSettle
+		return time.Since(node.liveness[store.Name].firstHeard) < foundingQuietPeriod
 	})
 }
 
@@ -121,29 +121,29 @@
 func (node *Node) knownFor(name string) time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	return time.Since(node.sessions[name].since)
+	return time.Since(node.liveness[name].firstHeard)
 }
 
-// newStores gives the stores that were heard just now and are not in the list.
-func (node *Node) newStores(view *feed.View) []feed.Member {
-	return slices.DeleteFunc(node.Live(), func(member feed.Member) bool {
+// unlistedStores gives the stores that were heard just now and are not in the list.
+func (node *Node) unlistedStores(view *feed.View) []feed.Member {
+	return slices.DeleteFunc(node.LiveMembers(), func(member feed.Member) bool {
 		listed := slices.ContainsFunc(view.Stores, func(store feed.Member) bool { return store.Name == member.Name })
-		return member.Role != feed.RoleStore || listed || view.WasRetired(member) || node.silent(member.Name, doubtTimeout)
+		return member.Role != feed.RoleStore || listed || view.WasDecommissioned(member) || node.isSilent(member.Name, suspectTimeout)
 	})
 }
 
-// replaceStores puts a wiped machine's new identity into the place of its lost
+// replaceWipedStores puts a wiped machine's new identity into the place of its lost
 // one: same address, another disk.
-func (node *Node) replaceStores(ctx context.Context) {
+func (node *Node) replaceWipedStores(ctx context.Context) {
 	view := node.View()
 	next := slices.Clone(view.Stores)
-	for _, fresh := range node.newStores(view) {
+	for _, fresh := range node.unlistedStores(view) {
 		at := slices.IndexFunc(next, func(store feed.Member) bool { return store.Address == fresh.Address })
-		if at >= 0 && node.silent(next[at].Name, sessionTimeout) {
+		if at >= 0 && node.isSilent(next[at].Name, livenessTimeout) {
 			node.replaceStore(next, at, fresh)
 		}
 	}
-	node.listStores(ctx, view, next)
+	node.proposeStores(ctx, view, next)
 }
 
 func (node *Node) replaceStore(stores []feed.Member, at int, fresh feed.Member) {
@@ -152,54 +152,54 @@
 	stores[at] = fresh
 }
 
-func (node *Node) listStores(ctx context.Context, view *feed.View, next []feed.Member) {
+func (node *Node) proposeStores(ctx context.Context, view *feed.View, next []feed.Member) {
 	if !slices.Equal(next, view.Stores) {
-		node.propose(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: next})
+		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: next})
 	}
 }
 
-// tendStores keeps the store list by itself: a new store takes the place of one of its
+// autoEnrolStores keeps the store list by itself: a new store takes the place of one of its
 // domain that is silent, or, once there has been time to notice such a one, is added; one that is lost goes, as long as enough others are
 // there. Groups then move by their own leaders, who give nothing up before they have made
 // up for it; so a store that was given up too early has cost no more than some copying.
-func (node *Node) tendStores(ctx context.Context) {
+func (node *Node) autoEnrolStores(ctx context.Context) {
 	view := node.View()
 	if len(view.Stores) == 0 {
 		return
 	}
 	next := slices.Clone(view.Stores)
-	for _, fresh := range node.newStores(view) {
+	for _, fresh := range node.unlistedStores(view) {
 		if slices.ContainsFunc(next, func(store feed.Member) bool { return store.Address == fresh.Address }) {
-			continue // replaceStores decides
+			continue // replaceWipedStores decides
 		}
 		silent := func(timeout time.Duration) int {
 			return slices.IndexFunc(next, func(store feed.Member) bool {
-				return store.Domain == fresh.Domain && store.State != feed.Retiring && node.silent(store.Name, timeout)
+				return store.Domain == fresh.Domain && store.State != feed.StateDecommissioning && node.isSilent(store.Name, timeout)
 			})
 		}
-		if at := silent(silenceTimeout); at >= 0 {
+		if at := silent(replaceableTimeout); at >= 0 {
 			node.replaceStore(next, at, fresh)
-		} else if node.knownFor(fresh.Name) >= doubtTimeout && silent(doubtTimeout) < 0 {
+		} else if node.knownFor(fresh.Name) >= suspectTimeout && silent(suspectTimeout) < 0 {
 			log.WithFields(log.Fields{"node": node.Name(), "store": fresh.Name}).Info("store_enrolled")
 			next = append(next, fresh)
 		}
 	}
-	there := 0
-	for _, place := range feed.Places(next) {
-		if !node.silent(place.Name, silenceTimeout) {
-			there++
+	reachable := 0
+	for _, candidate := range feed.PlacementCandidates(next) {
+		if !node.isSilent(candidate.Name, replaceableTimeout) {
+			reachable++
 		}
 	}
-	if there >= view.Factor() {
+	if reachable >= view.ReplicationFactor() {
 		next = slices.DeleteFunc(next, func(store feed.Member) bool {
-			lost := store.State != feed.Retiring && node.silent(store.Name, lostTimeout)
+			lost := store.State != feed.StateDecommissioning && node.isSilent(store.Name, lostTimeout)
 			if lost {
 				log.WithFields(log.Fields{"node": node.Name(), "store": store.Name}).Info("store_removed")
 			}
 			return lost
 		})
 	}
-	node.listStores(ctx, view, next)
+	node.proposeStores(ctx, view, next)
 }
 
 // EnrolStore puts a live store that has a session into the store list, and returns once
@@ -207,19 +207,19 @@
 //
 //	reply, err := node.EnrolStore(ctx, "root", "store-…")
 func (node *Node) EnrolStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
-	order := newOrder(by, nil, "enrol", name)
-	return node.carryOut(ctx, func(view *feed.View) (decision, error) {
-		return order.decide(view, nil, func() (*feed.Change, error) { return node.planEnrol(view, name) })
+	request := newAdminRequest(by, nil, "enrol", name)
+	return node.execute(ctx, func(view *feed.View) (decision, error) {
+		return request.decide(view, nil, func() (*feed.Change, error) { return node.planEnrol(view, name) })
 	})
 }
 
 // planEnrol makes the change that lists a store, none if it is listed already.
 func (node *Node) planEnrol(view *feed.View, name string) (*feed.Change, error) {
-	at := slices.IndexFunc(view.Stores, isNamed(name))
-	if at >= 0 && view.Stores[at].State != feed.Retiring {
+	at := slices.IndexFunc(view.Stores, hasName(name))
+	if at >= 0 && view.Stores[at].State != feed.StateDecommissioning {
 		return nil, nil
 	}
-	live := node.Live()
+	live := node.LiveMembers()
 	found := slices.IndexFunc(live, func(member feed.Member) bool { return member.Name == name && member.Role == feed.RoleStore })
 	if found < 0 {
 		return nil, apierror.New(apierror.NotFound, "no store named "+name+" has a session", "start it with the seeds of this fleet; the fleet query lists who is there")
@@ -235,14 +235,14 @@
 	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: append(next, member)}, nil
 }
 
-// unhealed counts the groups that have no confirmed leader, or whose replicas are not, or
+// countUnhealedGroups counts the groups that have no confirmed leader, or whose replicas are not, or
 // not yet all, those that the store list wants.
-func (node *Node) unhealed(ctx context.Context, view *feed.View) int {
+func (node *Node) countUnhealedGroups(ctx context.Context, view *feed.View) int {
 	leaders := node.groupLeaders(ctx, view)
 	count := 0
 	for group := range view.Groups {
 		led := leaders[group]
-		if len(led.Learners) > 0 || !sameNames(led.Voters, placement.ReplicasOf(group, view.StorePlaces(), view.Factor())) {
+		if len(led.Learners) > 0 || !sameNames(led.Voters, placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())) {
 			count++
 		}
 	}
@@ -253,26 +253,26 @@
 	return slices.Equal(slices.Sorted(slices.Values(left)), slices.Sorted(slices.Values(right)))
 }
 
-// ledGroup is what a group's leader says of it.
-type ledGroup struct {
+// leaderStatus is what a group's leader says of it.
+type leaderStatus struct {
 	wire.GroupStatus
 	leader string
 }
 
 // groupLeaders asks all stores and keeps what each group's leader says.
-func (node *Node) groupLeaders(ctx context.Context, view *feed.View) map[uint32]ledGroup {
-	return node.askLeaders(ctx, view, wire.StatusQuery{})
+func (node *Node) groupLeaders(ctx context.Context, view *feed.View) map[uint32]leaderStatus {
+	return node.queryGroupLeaders(ctx, view, wire.StatusQuery{})
 }
 
-func (node *Node) askLeaders(ctx context.Context, view *feed.View, asking wire.StatusQuery) map[uint32]ledGroup {
+func (node *Node) queryGroupLeaders(ctx context.Context, view *feed.View, query wire.StatusQuery) map[uint32]leaderStatus {
 	var mutex sync.Mutex
-	var asked sync.WaitGroup
-	leaders := map[uint32]ledGroup{}
+	var calls sync.WaitGroup
+	leaders := map[uint32]leaderStatus{}
 	for _, store := range view.Stores {
-		asked.Go(func() {
+		calls.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			reply, err := node.caller.Call(limited, node.addressOf(store.Name), &wire.Query{Which: schema.Query_Which_status, Status: &asking})
+			reply, err := node.caller.Call(limited, node.addressOf(store.Name), &wire.Query{Which: schema.Query_Which_status, Status: &query})
 			if err != nil || reply.Status == nil {
 				return
 			}
@@ -280,12 +280,12 @@
 			defer mutex.Unlock()
 			for _, status := range reply.Status.Groups {
 				if status.Leading {
-					leaders[status.Group] = ledGroup{status, store.Name}
+					leaders[status.Group] = leaderStatus{status, store.Name}
 				}
 			}
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return leaders
 }
 
@@ -303,14 +303,14 @@
 func (node *Node) confirmedState(ctx context.Context) (*confirmedState, error) {
 	state, err := node.confirmNow(ctx)
 	if err != nil {
-		return nil, unreachable(err)
+		return nil, leaderlessAsNoQuorum(err)
 	}
-	return state, ready(state.view)
+	return state, requireStoreList(state.view)
 }
 
-func unreachable(err error) error {
+func leaderlessAsNoQuorum(err error) error {
 	if failed := apierror.Of(err); failed.Kind == apierror.NotLeader || failed.Kind == apierror.Unavailable {
-		return noQuorum()
+		return noQuorumError()
 	}
 	return err
 }
--- a/system/feed/history.go
+++ b/system/feed/change_history.go
@@ -5,12 +5,12 @@
 // Limits of a History. It is bounded by bytes, so that what a control node holds depends on
 // what is in force and not on how many changes led there.
 const (
-	changesBudget  = 1 << 20
-	changesKept    = 512
-	earlierBudget  = 1 << 20
-	changeOverhead = 512 // of the fixed fields of a change
-	orderSize      = 16
-	itemOverhead   = 128 // of a runner or member beside its texts
+	maxChangesBytes = 1 << 20
+	maxChanges      = 512
+	maxEarlierBytes = 1 << 20
+	changeOverhead  = 512 // of the fixed fields of a change
+	requestSize     = 16
+	itemOverhead    = 128 // of a runner or member beside its texts
 )
 
 // EarlierConfig is a config that was in force before, as the difference from the one that
@@ -37,49 +37,49 @@
 		return History{}
 	}
 	next := History{Earlier: history.Earlier}
-	next.Changes = newest(append(slices.Clip(history.Changes), change.Compact(before)), changesBudget, Change.size)
-	next.Changes = next.Changes[max(0, len(next.Changes)-changesKept):]
+	next.Changes = newestWithin(append(slices.Clip(history.Changes), change.Compact(before)), maxChangesBytes, Change.size)
+	next.Changes = next.Changes[max(0, len(next.Changes)-maxChanges):]
 	if change.Kind == ChangeConfig {
-		next.Earlier = history.earlierWith(before, after)
+		next.Earlier = history.earlierConfigsWith(before, after)
 	}
 	return next
 }
 
-// earlierWith adds the config that was replaced. If its difference does not fit, those
+// earlierConfigsWith adds the config that was replaced. If its difference does not fit, those
 // before it cannot be reached any more.
-func (history History) earlierWith(before, after *View) []EarlierConfig {
-	difference, fits := DeltaWithin(after, before.Source, before.Compiled, earlierBudget)
+func (history History) earlierConfigsWith(before, after *View) []EarlierConfig {
+	difference, fits := NewConfigDelta(after, before.Source, before.Compiled, maxEarlierBytes)
 	if !fits {
 		return nil
 	}
 	earlier := EarlierConfig{Number: before.ConfigNumber, Delta: difference}
-	return newest(append(slices.Clip(history.Earlier), earlier), earlierBudget, EarlierConfig.size)
+	return newestWithin(append(slices.Clip(history.Earlier), earlier), maxEarlierBytes, EarlierConfig.size)
 }
 
-// newest gives the last items that fit a budget, in memory of their own.
-func newest[Item any](items []Item, budget int, size func(Item) int) []Item {
-	kept := len(items)
-	for kept > 0 && size(items[kept-1]) <= budget {
-		budget -= size(items[kept-1])
-		kept--
+// newestWithin gives the last items that fit a budget, in memory of their own.
+func newestWithin[Item any](items []Item, budget int, size func(Item) int) []Item {
+	first := len(items)
+	for first > 0 && size(items[first-1]) <= budget {
+		budget -= size(items[first-1])
+		first--
 	}
-	if kept == 0 {
+	if first == 0 {
 		return items
 	}
-	return slices.Clone(items[kept:])
+	return slices.Clone(items[first:])
 }
 
 // size is about how many bytes a change takes in memory.
 func (change Change) size() int {
-	size := changeOverhead + len(change.Source) + len(change.Compiled) + change.Delta.size() + len(change.By) + len(change.Query)
-	size += orderSize * len(change.RoutingOrders)
+	size := changeOverhead + len(change.Source) + len(change.Compiled) + change.Delta.size() + len(change.By) + len(change.Statement)
+	size += requestSize * len(change.RoutingRequests)
 	for _, runner := range change.Runners {
 		size += itemOverhead + len(runner.Life) + len(runner.Address) + len(runner.Group) + len(runner.Domain) + len(runner.State) + len(runner.Revision)
 	}
 	for _, member := range change.Members {
 		size += itemOverhead + len(member.Name) + len(member.Address) + len(member.Domain) + len(member.Administration) + len(member.Machine)
 	}
-	for _, name := range change.Gone {
+	for _, name := range change.Removed {
 		size += itemOverhead/8 + len(name)
 	}
 	return size
@@ -105,12 +105,12 @@
 	return at.Source, at.Compiled, at.ConfigNumber == number && number > 0, nil
 }
 
-// NewestOrder is the number of the newest change that stores must have synced.
+// NewestCommand is the number of the newest change that stores must have synced.
 //
-//	ordered := history.NewestOrder(view)
-func (history History) NewestOrder(view *View) uint64 {
+//	ordered := history.NewestCommand(view)
+func (history History) NewestCommand(view *View) uint64 {
 	for _, change := range slices.Backward(history.Changes) {
-		if !change.Kind.Observed() {
+		if !change.Kind.IsObservation() {
 			return change.Number
 		}
 	}
@@ -135,24 +135,24 @@
 	return history.Changes[at:], true
 }
 
-// FromWhole makes a history of changes as older versions kept them, with whole configs. The
+// HistoryFromFullConfigs makes a history of changes as older versions kept them, with whole configs. The
 // config before the first of them is not known, so that one is dropped with all before it.
 //
-//	history := feed.FromWhole(image.Changes)
-func FromWhole(changes []Change) History {
-	history, held := History{}, View{}
+//	history := feed.HistoryFromFullConfigs(image.Changes)
+func HistoryFromFullConfigs(changes []Change) History {
+	history, current := History{}, View{}
 	for _, change := range changes {
 		if change.Kind != ChangeConfig {
-			history = history.With(&held, &held, change)
+			history = history.With(&current, &current, change)
 			continue
 		}
 		after := View{ConfigNumber: change.Number, Source: change.Source, Compiled: change.Compiled}
-		if held.ConfigNumber == 0 {
+		if current.ConfigNumber == 0 {
 			history = History{}
 		} else {
-			history = history.With(&held, &after, change)
+			history = history.With(&current, &after, change)
 		}
-		held = after
+		current = after
 	}
 	return history
 }
--- a/system/feed/history_test.go
+++ b/system/feed/change_history_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// noise is text that has nothing in common with other noise.
-func noise(random *rand.Rand, size int) []byte {
+// randomText is text that has nothing in common with other noise.
+func randomText(random *rand.Rand, size int) []byte {
 	data := make([]byte, size)
 	for at := range data {
 		data[at] = byte('!' + random.IntN(90))
@@ -18,11 +18,11 @@
 	return data
 }
 
-func changeTo(view *View, compiled []byte) Change {
+func configChange(view *View, compiled []byte) Change {
 	return Change{Number: view.Number + 1, Kind: ChangeConfig, Source: fmt.Sprint("config ", view.Number), Compiled: compiled}
 }
 
-func (history History) total() (changes, earlier int) {
+func (history History) totalSizes() (changes, earlier int) {
 	for _, change := range history.Changes {
 		changes += change.size()
 	}
@@ -32,13 +32,13 @@
 	return changes, earlier
 }
 
-// grown gives views one after another, and the history at the end.
-func grown(t *testing.T, changes int, next func(compiled []byte) []byte) ([]View, History) {
+// growHistory gives views one after another, and the history at the end.
+func growHistory(t *testing.T, changes int, next func(compiled []byte) []byte) ([]View, History) {
 	t.Helper()
 	views, history := []View{{}}, History{}
 	for range changes {
 		before := views[len(views)-1]
-		change := changeTo(&before, next(before.Compiled))
+		change := configChange(&before, next(before.Compiled))
 		after := fold(t, before, change)
 		history = history.With(&before, &after, change)
 		views = append(views, after)
@@ -48,20 +48,20 @@
 
 func TestHistoryIsBoundedByBytes(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	base := noise(random, 20<<10)
+	base := randomText(random, 20<<10)
 	for name, test := range map[string]struct {
 		changes int
 		next    func(compiled []byte) []byte
 		kept    int
 	}{
-		"small differences":     {700, func([]byte) []byte { return bytes.Replace(base, base[:100], noise(random, 100), 1) }, 300},
-		"other content":         {30, func([]byte) []byte { return noise(random, 200<<10) }, 4},
-		"larger than its limit": {4, func([]byte) []byte { return noise(random, 2*changesBudget) }, 0},
+		"small differences":     {700, func([]byte) []byte { return bytes.Replace(base, base[:100], randomText(random, 100), 1) }, 300},
+		"other content":         {30, func([]byte) []byte { return randomText(random, 200<<10) }, 4},
+		"larger than its limit": {4, func([]byte) []byte { return randomText(random, 2*maxChangesBytes) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			views, history := grown(t, test.changes, test.next)
-			changes, earlier := history.total()
-			if changes > changesBudget || earlier > earlierBudget || len(history.Changes) > changesKept {
+			views, history := growHistory(t, test.changes, test.next)
+			changes, earlier := history.totalSizes()
+			if changes > maxChangesBytes || earlier > maxEarlierBytes || len(history.Changes) > maxChanges {
 				t.Errorf("%d changes of %d bytes and earlier configs of %d bytes are kept", len(history.Changes), changes, earlier)
 			}
 			if len(history.Changes) < test.kept || len(history.Earlier) < test.kept {
@@ -69,14 +69,14 @@
 			}
 			newest := views[len(views)-1]
 			for at := 0; at < len(views); at += 1 + len(views)/8 {
-				checkKept(t, history, &newest, &views[at])
+				checkHistory(t, history, &newest, &views[at])
 			}
 		})
 	}
 }
 
-// checkKept follows a history from an earlier view to the newest, and back.
-func checkKept(t *testing.T, history History, newest, view *View) {
+// checkHistory follows a history from an earlier view to the newest, and back.
+func checkHistory(t *testing.T, history History, newest, view *View) {
 	t.Helper()
 	if changes, complete := history.Since(newest, view.Number); complete {
 		reached, err := FoldAll(*view, changes)
@@ -90,9 +90,9 @@
 	}
 }
 
-func TestDifferencesAreRefusedOnAnotherBase(t *testing.T) {
+func TestConfigDeltaIsRejectedOnAnotherBase(t *testing.T) {
 	base := View{Number: 4, ConfigNumber: 4, Source: "a", Compiled: []byte(strings.Repeat("abcdefgh", 100))}
-	change := changeTo(&base, append([]byte("new"), base.Compiled...)).Compact(&base)
+	change := configChange(&base, append([]byte("new"), base.Compiled...)).Compact(&base)
 	if change.Delta.IsZero() || len(change.Compiled) > 0 {
 		t.Fatalf("not a difference: %+v", change)
 	}
@@ -101,7 +101,7 @@
 	older.ConfigNumber = 3
 	for name, held := range map[string]View{"another config of its number": other, "an older config": older} {
 		next, err := FoldAll(held, []Change{change})
-		if !errors.Is(err, ErrMismatch) || next.Number != held.Number || !bytes.Equal(next.Compiled, held.Compiled) {
+		if !errors.Is(err, ErrBaseMismatch) || next.Number != held.Number || !bytes.Equal(next.Compiled, held.Compiled) {
 			t.Errorf("%s: %v, %d", name, err, next.Number)
 		}
 	}
@@ -111,19 +111,19 @@
 	}
 }
 
-func TestWholeChangesOfOlderVersionsAreTakenOver(t *testing.T) {
+func TestHistoryFromFullConfigsOfOlderVersions(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	whole, views := []Change{}, []View{{}}
+	full, views := []Change{}, []View{{}}
 	for range 20 {
 		before := views[len(views)-1]
-		change := changeTo(&before, noise(random, 100))
-		whole, views = append(whole, change), append(views, fold(t, before, change))
+		change := configChange(&before, randomText(random, 100))
+		full, views = append(full, change), append(views, fold(t, before, change))
 	}
-	newest, history := views[len(views)-1], FromWhole(whole)
+	newest, history := views[len(views)-1], HistoryFromFullConfigs(full)
 	if len(history.Changes) < 19 || len(history.Earlier) < 19 {
 		t.Errorf("%d changes and %d earlier configs were taken over", len(history.Changes), len(history.Earlier))
 	}
 	for _, view := range views {
-		checkKept(t, history, &newest, &view)
+		checkHistory(t, history, &newest, &view)
 	}
 }
--- a/system/feed/configdelta.go
+++ b/system/feed/config_delta.go
@@ -10,9 +10,9 @@
 	"yardrock.example/system/delta"
 )
 
-// ErrMismatch tells that a config difference does not fit the config that is held: whoever
+// ErrBaseMismatch tells that a config difference does not fit the config that is held: whoever
 // holds it needs a whole view.
-var ErrMismatch = errors.New("the difference of the config does not fit the config held")
+var ErrBaseMismatch = errors.New("the difference of the config does not fit the config held")
 
 // ErrGap tells that changes do not follow on the view held.
 var ErrGap = errors.New("the changes do not follow on the view held")
@@ -26,8 +26,8 @@
 	Digest   []byte `capnp:"digest"`
 }
 
-// digestSize is how much of a SHA-256 sum tells configs apart.
-const digestSize = 16
+// configDigestSize is how much of a SHA-256 sum tells configs apart.
+const configDigestSize = 16
 
 // ConfigDigest tells configs apart.
 //
@@ -37,14 +37,14 @@
 	hash.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(source))))
 	hash.Write([]byte(source))
 	hash.Write(compiled)
-	return hash.Sum(nil)[:digestSize]
+	return hash.Sum(nil)[:configDigestSize]
 }
 
-// DeltaWithin gives the difference from a view's config to another, unless it would be
+// NewConfigDelta gives the difference from a view's config to another, unless it would be
 // longer than a limit.
 //
-//	difference, fits := feed.DeltaWithin(view, source, compiled, limit)
-func DeltaWithin(base *View, source string, compiled []byte, limit int) (difference ConfigDelta, fits bool) {
+//	difference, fits := feed.NewConfigDelta(view, source, compiled, limit)
+func NewConfigDelta(base *View, source string, compiled []byte, limit int) (difference ConfigDelta, fits bool) {
 	difference.Base = base.ConfigNumber
 	if difference.Source, fits = delta.MakeWithin([]byte(base.Source), []byte(source), limit); !fits {
 		return ConfigDelta{}, false
@@ -68,18 +68,18 @@
 // apply gives the config that the difference makes of a view's.
 func (difference *ConfigDelta) apply(base *View) (source string, compiled []byte, err error) {
 	if difference.Base != base.ConfigNumber {
-		return "", nil, fmt.Errorf("%w: it builds on config %d, not %d", ErrMismatch, difference.Base, base.ConfigNumber)
+		return "", nil, fmt.Errorf("%w: it builds on config %d, not %d", ErrBaseMismatch, difference.Base, base.ConfigNumber)
 	}
-	written, err := delta.Apply([]byte(base.Source), difference.Source)
+	decodedSource, err := delta.Apply([]byte(base.Source), difference.Source)
 	if err != nil {
-		return "", nil, fmt.Errorf("%w: its source: %w", ErrMismatch, err)
+		return "", nil, fmt.Errorf("%w: its source: %w", ErrBaseMismatch, err)
 	}
 	if compiled, err = delta.Apply(base.Compiled, difference.Compiled); err != nil {
-		return "", nil, fmt.Errorf("%w: its compiled form: %w", ErrMismatch, err)
+		return "", nil, fmt.Errorf("%w: its compiled form: %w", ErrBaseMismatch, err)
 	}
-	source = string(written)
+	source = string(decodedSource)
 	if !bytes.Equal(ConfigDigest(source, compiled), difference.Digest) {
-		return "", nil, fmt.Errorf("%w: it gives another config", ErrMismatch)
+		return "", nil, fmt.Errorf("%w: it gives another config", ErrBaseMismatch)
 	}
 	return source, compiled, nil
 }
@@ -93,7 +93,7 @@
 		return change
 	}
 	limit := (len(change.Source) + len(change.Compiled)) / 2
-	if difference, fits := DeltaWithin(base, change.Source, change.Compiled, limit); fits {
+	if difference, fits := NewConfigDelta(base, change.Source, change.Compiled, limit); fits {
 		change.Source, change.Compiled, change.Delta = "", nil, difference
 	}
 	return change
