--- a/system/feed/feed.go
+++ b/system/feed/feed.go
@@ -15,12 +15,12 @@
 
 // The states of domains, runners and stores.
 const (
-	Serving  = "serving"
-	Emptied  = "emptied"
-	Leaving  = "leaving"
-	Cold     = "cold"
-	Retiring = "retiring"
-	Retired  = "retired"
+	StateServing         = "serving"
+	StateDrained         = "emptied"
+	StateDraining        = "leaving"
+	StateWarmingUp       = "cold"
+	StateDecommissioning = "retiring"
+	StateDecommissioned  = "retired"
 )
 
 // The roles of nodes.
@@ -71,8 +71,8 @@
 	Since int64  `capnp:"since"`
 }
 
-// Assignment is a single-node assignment: its owner holds it under a fence number.
-type Assignment struct {
+// RoleLease is a single-node assignment: its owner holds it under a fence number.
+type RoleLease struct {
 	Key   string `capnp:"key"`
 	Owner string `capnp:"owner"`
 	Fence uint64 `capnp:"fence"`
@@ -86,10 +86,10 @@
 	ChangeFounded ChangeKind = iota + 1
 	ChangeConfig
 	ChangeDomain
-	ChangeRoster
+	ChangeRunners
 	ChangeStores
 	ChangeControls
-	ChangeAssignment
+	ChangeRoleLease
 	ChangeRecovered
 )
 
@@ -97,30 +97,30 @@
 // writer: the change is refused unless the part it replaces is of that number. The
 // Member of a change of the store list is the one that left it emptied, if any.
 type Change struct {
-	Number     uint64     `capnp:"number"`
-	Kind       ChangeKind `capnp:"kind"`
-	At         int64      `capnp:"at"`
-	By         string     `capnp:"by"`
-	Expects    bool       `capnp:"expects"`
-	Expected   uint64     `capnp:"expected"`
-	Source     string     `capnp:"source"`
-	Compiled   []byte     `capnp:"compiled"`
-	Domain     Domain     `capnp:"domain"`
-	Runners    []Runner   `capnp:"runners"`
-	Member     Member     `capnp:"member"`
-	Members    []Member   `capnp:"members"`
-	Assignment Assignment `capnp:"assignment"`
-	View       View       `capnp:"view"`
-	Query      string     `capnp:"query"`
+	Number    uint64     `capnp:"number"`
+	Kind      ChangeKind `capnp:"kind"`
+	At        int64      `capnp:"at"`
+	By        string     `capnp:"by"`
+	Expects   bool       `capnp:"expects"`
+	Expected  uint64     `capnp:"expected"`
+	Source    string     `capnp:"source"`
+	Compiled  []byte     `capnp:"compiled"`
+	Domain    Domain     `capnp:"domain"`
+	Runners   []Runner   `capnp:"runners"`
+	Member    Member     `capnp:"member"`
+	Members   []Member   `capnp:"members"`
+	RoleLease RoleLease  `capnp:"assignment"`
+	View      View       `capnp:"view"`
+	Statement string     `capnp:"query"`
 	// Partial tells that Runners are only those that are new or other than before, and
 	// Gone the identities of those that are no longer listed.
 	Partial bool     `capnp:"partial"`
-	Gone    []string `capnp:"gone"`
-	// FeedOrder is the digest of the operator's order that brought the change, 0 if none did.
-	FeedOrder uint64 `capnp:"feedOrder"`
-	// RoutingOrders are the orders of the routing that the change carries out, and those
+	Removed []string `capnp:"gone"`
+	// AdminRequest is the digest of the operator's order that brought the change, 0 if none did.
+	AdminRequest uint64 `capnp:"feedOrder"`
+	// RoutingRequests are the orders of the routing that the change carries out, and those
 	// that were remembered elsewhere until then; their numbers are revisions.
-	RoutingOrders []TakenOrder `capnp:"routingOrders"`
+	RoutingRequests []AcceptedRequest `capnp:"routingOrders"`
 	// RoutingForgotten is the highest revision whose order was forgotten elsewhere.
 	RoutingForgotten uint64 `capnp:"routingForgotten"`
 	// Delta is the config of a config change as a difference, in place of Source and
@@ -130,45 +130,45 @@
 
 // View is everything in force at one number.
 type View struct {
-	Fleet          string       `capnp:"fleet"`
-	Number         uint64       `capnp:"number"`
-	ConfigNumber   uint64       `capnp:"configNumber"`
-	Source         string       `capnp:"source"`
-	Compiled       []byte       `capnp:"compiled"`
-	Domains        []Domain     `capnp:"domains"`
-	Runners        []Runner     `capnp:"runners"`
-	FoundingStores []Member     `capnp:"foundingStores"`
-	Stores         []Member     `capnp:"stores"`
-	Controls       []Member     `capnp:"controls"`
-	Assignments    []Assignment `capnp:"assignments"`
-	Groups         uint32       `capnp:"groups"`
-	// Copies is how many replicas a group has, fixed when the fleet is founded; 0 is
+	Fleet          string      `capnp:"fleet"`
+	Number         uint64      `capnp:"number"`
+	ConfigNumber   uint64      `capnp:"configNumber"`
+	Source         string      `capnp:"source"`
+	Compiled       []byte      `capnp:"compiled"`
+	Domains        []Domain    `capnp:"domains"`
+	Runners        []Runner    `capnp:"runners"`
+	FoundingStores []Member    `capnp:"foundingStores"`
+	Stores         []Member    `capnp:"stores"`
+	Controls       []Member    `capnp:"controls"`
+	RoleLeases     []RoleLease `capnp:"assignments"`
+	Groups         uint32      `capnp:"groups"`
+	// Replicas is how many replicas a group has, fixed when the fleet is founded; 0 is
 	// placement.Factor.
-	Copies   uint32   `capnp:"copies"`
+	Replicas uint32   `capnp:"copies"`
 	Founding []string `capnp:"founding"`
 	// Retired are the stores that were emptied and have left the list, the last of them.
-	Retired []Member `capnp:"retired"`
-	// RoutingOrders are the last orders of the routing, numbered by its revisions;
-	// FeedOrders the last others, numbered by the changes that they became.
-	RoutingOrders OrderHistory `capnp:"routingOrders"`
-	FeedOrders    OrderHistory `capnp:"feedOrders"`
+	Decommissioned []Member `capnp:"retired"`
+	// RoutingRequests are the last orders of the routing, numbered by its revisions;
+	// AdminRequests the last others, numbered by the changes that they became.
+	RoutingRequests RequestHistory `capnp:"routingOrders"`
+	AdminRequests   RequestHistory `capnp:"feedOrders"`
 }
 
-// retiredKept is how many retired stores are remembered.
-const retiredKept = 64
+// maxDecommissioned is how many retired stores are remembered.
+const maxDecommissioned = 64
 
-var folds = map[ChangeKind]func(*View, Change){
+var foldFuncs = map[ChangeKind]func(*View, Change){
 	ChangeFounded:   func(view *View, change Change) { *view = change.View },
 	ChangeRecovered: func(view *View, change Change) { *view = change.View },
 	ChangeConfig: func(view *View, change Change) {
 		view.Source, view.Compiled, view.ConfigNumber = change.Source, change.Compiled, change.Number
 	},
 	ChangeDomain: func(view *View, change Change) {
-		view.Domains = replace(view.Domains, change.Domain, func(domain Domain) bool { return domain.Name == change.Domain.Name })
+		view.Domains = replaceOrAppend(view.Domains, change.Domain, func(domain Domain) bool { return domain.Name == change.Domain.Name })
 	},
-	ChangeRoster: func(view *View, change Change) {
+	ChangeRunners: func(view *View, change Change) {
 		if change.Partial {
-			view.Runners = amended(view.Runners, change.Runners, change.Gone)
+			view.Runners = mergeRunners(view.Runners, change.Runners, change.Removed)
 		} else {
 			view.Runners = change.Runners
 		}
@@ -179,33 +179,33 @@
 		}
 		view.Stores = change.Members
 		// One that an operator enrols again is not retired any more.
-		retired := slices.DeleteFunc(slices.Clone(view.Retired), func(store Member) bool {
-			return slices.ContainsFunc(change.Members, func(listed Member) bool { return listed.succeeds(store) })
+		retired := slices.DeleteFunc(slices.Clone(view.Decommissioned), func(store Member) bool {
+			return slices.ContainsFunc(change.Members, func(listed Member) bool { return listed.replaces(store) })
 		})
 		if change.Member.Name != "" {
 			retired = append(retired, change.Member)
 		}
-		view.Retired = retired[max(0, len(retired)-retiredKept):]
+		view.Decommissioned = retired[max(0, len(retired)-maxDecommissioned):]
 	},
 	ChangeControls: func(view *View, change Change) { view.Controls = change.Members },
-	ChangeAssignment: func(view *View, change Change) {
-		view.Assignments = replace(view.Assignments, change.Assignment, func(assignment Assignment) bool { return assignment.Key == change.Assignment.Key })
+	ChangeRoleLease: func(view *View, change Change) {
+		view.RoleLeases = replaceOrAppend(view.RoleLeases, change.RoleLease, func(assignment RoleLease) bool { return assignment.Key == change.RoleLease.Key })
 	},
 }
 
-// amended gives a list of runners with some replaced or added and some taken out, in the
+// mergeRunners gives a list of runners with some replaced or added and some taken out, in the
 // lists' order.
-func amended(runners, changed []Runner, gone []string) []Runner {
-	out := make(map[string]bool, len(changed)+len(gone))
+func mergeRunners(runners, changed []Runner, removed []string) []Runner {
+	omitted := make(map[string]bool, len(changed)+len(removed))
 	for _, runner := range changed {
-		out[runner.Identity()] = true
+		omitted[runner.Identity()] = true
 	}
-	for _, name := range gone {
-		out[name] = true
+	for _, name := range removed {
+		omitted[name] = true
 	}
 	next := make([]Runner, 0, len(runners)+len(changed))
 	for _, runner := range runners {
-		if !out[runner.Identity()] {
+		if !omitted[runner.Identity()] {
 			next = append(next, runner)
 		}
 	}
@@ -223,7 +223,7 @@
 	})
 }
 
-func replace[Item any](items []Item, item Item, same func(Item) bool) []Item {
+func replaceOrAppend[Item any](items []Item, item Item, same func(Item) bool) []Item {
 	items = slices.Clone(items)
 	if at := slices.IndexFunc(items, same); at >= 0 {
 		items[at] = item
@@ -237,7 +237,7 @@
 //
 //	view, err := feed.Fold(view, change)
 func Fold(view View, change Change) (View, error) {
-	fold, known := folds[change.Kind]
+	fold, known := foldFuncs[change.Kind]
 	if !known || change.Number <= view.Number {
 		return view, nil
 	}
@@ -249,7 +249,7 @@
 		change.Source, change.Compiled = source, compiled
 	}
 	fold(&view, change)
-	view.recordOrders(change)
+	view.recordRequests(change)
 	view.Number = change.Number
 	return view, nil
 }
@@ -273,102 +273,104 @@
 	return view, nil
 }
 
-// Observed tells whether a kind of change only tells what was seen, as against what was
+// IsObservation tells whether a kind of change only tells what was seen, as against what was
 // ordered: it is not acknowledged to anyone, and can be seen again after any loss.
 //
-//	if change.Kind.Observed() { ... }
-func (kind ChangeKind) Observed() bool { return kind == ChangeRoster || kind == ChangeAssignment }
+//	if change.Kind.IsObservation() { ... }
+func (kind ChangeKind) IsObservation() bool { return kind == ChangeRunners || kind == ChangeRoleLease }
 
-// SameOrders tells whether two views differ at most in what observed changes bring.
+// EqualExceptObservations tells whether two views differ at most in what observed changes bring.
 //
-//	if view.SameOrders(held) { ... }
-func (view *View) SameOrders(other *View) bool {
-	return view.RoutingOrders.same(&other.RoutingOrders) && view.FeedOrders.same(&other.FeedOrders) &&
+//	if view.EqualExceptObservations(held) { ... }
+func (view *View) EqualExceptObservations(other *View) bool {
+	return view.RoutingRequests.equal(&other.RoutingRequests) && view.AdminRequests.equal(&other.AdminRequests) &&
 		view.Fleet == other.Fleet && view.ConfigNumber == other.ConfigNumber && view.Groups == other.Groups && view.Source == other.Source &&
 		bytes.Equal(view.Compiled, other.Compiled) && slices.Equal(view.Domains, other.Domains) && slices.Equal(view.Founding, other.Founding) &&
-		slices.Equal(view.Retired, other.Retired) && slices.Equal(view.FoundingStores, other.FoundingStores) && slices.Equal(view.Stores, other.Stores) && slices.Equal(view.Controls, other.Controls)
+		slices.Equal(view.Decommissioned, other.Decommissioned) && slices.Equal(view.FoundingStores, other.FoundingStores) && slices.Equal(view.Stores, other.Stores) && slices.Equal(view.Controls, other.Controls)
 }
 
-// DomainEmptied tells whether a domain takes no new work.
+// DomainDrained tells whether a domain takes no new work.
 //
-//	if view.DomainEmptied(runner.Domain) { continue }
-func (view *View) DomainEmptied(name string) bool {
+//	if view.DomainDrained(runner.Domain) { continue }
+func (view *View) DomainDrained(name string) bool {
 	for _, domain := range view.Domains {
 		if domain.Name == name {
-			return domain.State == Emptied
+			return domain.State == StateDrained
 		}
 	}
 	return false
 }
 
-// WasRetired tells whether a store, or another one of its machine, was emptied and has left
+// WasDecommissioned tells whether a store, or another one of its machine, was emptied and has left
 // the list: its machine may be switched off, and is not to be enrolled again by itself.
 //
-//	if view.WasRetired(member) { continue }
-func (view *View) WasRetired(store Member) bool {
-	return slices.ContainsFunc(view.Retired, store.succeeds)
+//	if view.WasDecommissioned(member) { continue }
+func (view *View) WasDecommissioned(store Member) bool {
+	return slices.ContainsFunc(view.Decommissioned, store.replaces)
 }
 
-// succeeds tells whether a store is the same as another, or on the same machine.
-func (member Member) succeeds(earlier Member) bool {
+// replaces tells whether a store is the same as another, or on the same machine.
+func (member Member) replaces(earlier Member) bool {
 	return member.Name == earlier.Name || (member.Machine != "" && member.Machine == earlier.Machine)
 }
 
-// Bound names the fleet that a node with this view belongs to for good. Until there
+// BoundFleet names the fleet that a node with this view belongs to for good. Until there
 // is a store list nothing was acknowledged, and the control plane that founded the
 // fleet may still find that it is the one of an older fleet that lost its disks.
 //
-//	query.Fleet = view.Bound()
-func (view *View) Bound() string {
+//	query.Fleet = view.BoundFleet()
+func (view *View) BoundFleet() string {
 	if len(view.Stores) == 0 {
 		return ""
 	}
 	return view.Fleet
 }
 
-// AssignmentOf finds who holds an assignment.
+// RoleLeaseOf finds who holds an assignment.
 //
-//	assignment := view.AssignmentOf("roster")
-func (view *View) AssignmentOf(key string) Assignment {
-	for _, assignment := range view.Assignments {
-		if assignment.Key == key {
-			return assignment
+//	assignment := view.RoleLeaseOf("roster")
+func (view *View) RoleLeaseOf(key string) RoleLease {
+	for _, lease := range view.RoleLeases {
+		if lease.Key == key {
+			return lease
 		}
 	}
-	return Assignment{Key: key}
+	return RoleLease{Key: key}
 }
 
-// Factor is how many replicas a group has.
+// ReplicationFactor is how many replicas a group has.
 //
-//	names := placement.ReplicasOf(group, view.StorePlaces(), view.Factor())
-func (view *View) Factor() int {
-	if view.Copies == 0 {
+//	names := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
+func (view *View) ReplicationFactor() int {
+	if view.Replicas == 0 {
 		return placement.Factor
 	}
-	return int(view.Copies)
+	return int(view.Replicas)
 }
 
-// StorePlaces lists the stores that replicas may be put on.
+// PlacementCandidates lists the stores that replicas may be put on.
 //
-//	names := placement.ReplicasOf(group, view.StorePlaces(), view.Factor())
-func (view *View) StorePlaces() []placement.Place { return Places(view.Stores) }
+//	names := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
+func (view *View) PlacementCandidates() []placement.Place { return PlacementCandidates(view.Stores) }
 
-// Places turns members into places, leaving out those that go away.
+// PlacementCandidates turns members into places, leaving out those that go away.
 //
-//	places := feed.Places(view.FoundingStores)
-func Places(members []Member) []placement.Place {
-	places := []placement.Place{}
-	for _, member := range Keepers(members) {
-		places = append(places, placement.Place{Name: member.Name, Domain: member.Domain})
+//	places := feed.PlacementCandidates(view.FoundingStores)
+func PlacementCandidates(members []Member) []placement.Place {
+	candidates := []placement.Place{}
+	for _, member := range ViewReplicas(members) {
+		candidates = append(candidates, placement.Place{Name: member.Name, Domain: member.Domain})
 	}
-	return places
+	return candidates
 }
 
-// Keepers are the stores of which a majority keeps what was ordered: those that stay.
+// ViewReplicas are the stores of which a majority keeps what was ordered: those that stay.
 //
-//	majority := len(feed.Keepers(view.Stores))/2 + 1
-func Keepers(stores []Member) []Member {
-	return slices.DeleteFunc(slices.Clone(stores), func(store Member) bool { return store.State == Retiring || store.State == Retired })
+//	majority := len(feed.ViewReplicas(view.Stores))/2 + 1
+func ViewReplicas(stores []Member) []Member {
+	return slices.DeleteFunc(slices.Clone(stores), func(store Member) bool {
+		return store.State == StateDecommissioning || store.State == StateDecommissioned
+	})
 }
 
 // AddressOf finds a store's or control node's address.
--- a/system/feed/feed_test.go
+++ b/system/feed/feed_test.go
@@ -11,12 +11,12 @@
 	return next
 }
 
-func TestAStoreIsRetiredUntilItsMachineIsEnrolledAgain(t *testing.T) {
+func TestStoreStaysDecommissionedUntilItsMachineIsEnrolledAgain(t *testing.T) {
 	east, west := Member{Name: "a", Machine: "east-1"}, Member{Name: "b", Machine: "west-1"}
 	plain := Member{Name: "c"}
 	view := fold(t, View{}, Change{Number: 1, Kind: ChangeStores, Members: []Member{east, west, plain}})
 	left := east
-	left.State = Retired
+	left.State = StateDecommissioned
 	view = fold(t, view, Change{Number: 2, Kind: ChangeStores, Members: []Member{west, plain}, Member: left})
 	for _, test := range []struct {
 		store   Member
@@ -25,20 +25,20 @@
 		{east, true}, {Member{Name: "d", Machine: "east-1"}, true}, {Member{Name: "a"}, true},
 		{west, false}, {plain, false}, {Member{Name: "d"}, false},
 	} {
-		if view.WasRetired(test.store) != test.retired {
-			t.Errorf("%+v: %+v", test.store, view.Retired)
+		if view.WasDecommissioned(test.store) != test.retired {
+			t.Errorf("%+v: %+v", test.store, view.Decommissioned)
 		}
 	}
 	before := view
 	again := Member{Name: "d", Machine: "east-1"}
 	view = fold(t, view, Change{Number: 3, Kind: ChangeStores, Members: []Member{west, plain, again}})
-	if view.WasRetired(east) || len(view.Retired) != 0 || !before.WasRetired(east) {
-		t.Errorf("%+v, before %+v", view.Retired, before.Retired)
+	if view.WasDecommissioned(east) || len(view.Decommissioned) != 0 || !before.WasDecommissioned(east) {
+		t.Errorf("%+v, before %+v", view.Decommissioned, before.Decommissioned)
 	}
 	for number := uint64(4); number < 200; number++ {
 		view = fold(t, view, Change{Number: number, Kind: ChangeStores, Members: []Member{west}, Member: Member{Name: "n" + string(rune(number))}})
 	}
-	if len(view.Retired) != retiredKept {
-		t.Errorf("%d are remembered", len(view.Retired))
+	if len(view.Decommissioned) != maxDecommissioned {
+		t.Errorf("%d are remembered", len(view.Decommissioned))
 	}
 }
--- a/system/follower/follower.go
+++ b/system/follower/follower.go
@@ -202,7 +202,7 @@
 		return false
 	}
 	held := follower.view.Load()
-	if held.Bound() != "" && held.Bound() != view.Fleet {
+	if held.BoundFleet() != "" && held.BoundFleet() != view.Fleet {
 		return false
 	}
 	if view.Number <= held.Number {
@@ -316,7 +316,7 @@
 	if follower.needsWhole.Load() {
 		query.After = 0
 	}
-	reply, err := follower.caller.Call(ctx, address, &wire.Query{Fleet: view.Bound(), Which: schema.Query_Which_follow, Follow: query})
+	reply, err := follower.caller.Call(ctx, address, &wire.Query{Fleet: view.BoundFleet(), Which: schema.Query_Which_follow, Follow: query})
 	if err != nil || reply.Follow == nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			follower.caller.Drop(address)
@@ -462,7 +462,7 @@
 // one that a change was acknowledged by.
 func (follower *Follower) askStores() {
 	asked, view := time.Now(), follower.view.Load()
-	stores := feed.Keepers(view.Stores)
+	stores := feed.ViewReplicas(view.Stores)
 	if len(stores) == 0 {
 		return
 	}
@@ -471,7 +471,7 @@
 	answers := make(chan *wire.NewestReply, len(stores))
 	for _, store := range stores {
 		go func() {
-			reply, err := follower.caller.Call(ctx, store.Address, &wire.Query{Fleet: view.Bound(), To: store.Name, Which: schema.Query_Which_newest, Newest: &wire.NewestQuery{After: view.Number, Packed: true}})
+			reply, err := follower.caller.Call(ctx, store.Address, &wire.Query{Fleet: view.BoundFleet(), To: store.Name, Which: schema.Query_Which_newest, Newest: &wire.NewestQuery{After: view.Number, Packed: true}})
 			if err != nil {
 				answers <- nil
 				return
--- a/system/scheduling/board.go
+++ b/system/scheduling/board.go
@@ -134,9 +134,9 @@
 //	if !scheduling.Usable(view, slot.Runner) { ... }
 func Usable(view *feed.View, runner feed.Runner) bool {
 	listed := slices.ContainsFunc(view.Runners, func(one feed.Runner) bool {
-		return one.Address == runner.Address && one.State != feed.Leaving
+		return one.Address == runner.Address && one.State != feed.StateDraining
 	})
-	return listed && !view.DomainEmptied(runner.Domain)
+	return listed && !view.DomainDrained(runner.Domain)
 }
 
 // limit is how many queries a runner bears now, over all fronts. All times are by
@@ -144,7 +144,7 @@
 func (use *runnerUse) limit(runner feed.Runner, bears config.Group, now time.Time) int {
 	ramp := time.Duration(bears.Ramp)
 	switch {
-	case runner.State == feed.Cold:
+	case runner.State == feed.StateWarmingUp:
 		use.ramped = time.Time{}
 		return bears.ColdConcurrency
 	case !use.cooled.IsZero() && use.ramped.IsZero() && now.Sub(use.cooled) < cooledLongest:
--- a/system/scheduling/board_test.go
+++ b/system/scheduling/board_test.go
@@ -28,7 +28,7 @@
 	}
 	for group := range weights {
 		state.Config.Groups[group] = config.Group{Concurrency: concurrency, ColdConcurrency: 1}
-		state.View.Runners = append(state.View.Runners, feed.Runner{Address: group + ":1", Group: group, Domain: "east", State: feed.Serving})
+		state.View.Runners = append(state.View.Runners, feed.Runner{Address: group + ":1", Group: group, Domain: "east", State: feed.StateServing})
 	}
 	return state
 }
@@ -111,7 +111,7 @@
 			t.Fatalf("after its patience: %s in %s", got, time.Since(began))
 		}
 		held.Release(Answered)
-		state.View.Domains = []feed.Domain{{Name: "east", State: feed.Emptied}}
+		state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
 		if _, err := board.Acquire(t.Context(), talk, "depot"); !apierror.Is(err, apierror.NotRun) {
 			t.Fatalf("an emptied domain got work: %v", err)
 		}
--- a/system/store/archive.go
+++ b/system/store/archive.go
@@ -146,7 +146,7 @@
 		chunk.Events = nil
 		ranges[position] = chunk
 	}
-	fleet, address := node.held.Load().Bound(), node.addressOf(peer)
+	fleet, address := node.held.Load().BoundFleet(), node.addressOf(peer)
 	reply, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutCold: &wire.ColdChunkBatch{Chunks: ranges}})
 	if err != nil || reply.Chunks == nil {
 		return err
--- a/system/store/moves.go
+++ b/system/store/moves.go
@@ -51,10 +51,10 @@
 	if len(view.Stores) == 0 {
 		return false
 	}
-	places, moving := view.StorePlaces(), 0
+	places, moving := view.PlacementCandidates(), 0
 	var steps sync.WaitGroup
 	for group, status := range node.host.Statuses() {
-		target := placement.ReplicasOf(group, places, view.Factor())
+		target := placement.ReplicasOf(group, places, view.ReplicationFactor())
 		if !status.CommittedInTerm {
 			node.leaveIfRemoved(group, status, target)
 			continue
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -144,7 +144,7 @@
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.held.Store(&feed.View{})
 	node.lines = storeorigin.New(node.caller, node.held.Load)
-	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.held.Load().Bound() })
+	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.held.Load().BoundFleet() })
 	node.host, err = replica.Open(settings.Replica, durable, records, node.newMachine, courier)
 	if err != nil {
 		return nil, err
@@ -271,7 +271,7 @@
 // take syncs a newer view before anyone may count on it, then founds the groups
 // that belong here. What was only observed is not worth a sync.
 func (node *Node) take(view *feed.View) error {
-	if view.SameOrders(node.held.Load()) {
+	if view.EqualExceptObservations(node.held.Load()) {
 		node.held.Store(view)
 		return nil
 	}
@@ -290,9 +290,9 @@
 }
 
 func (node *Node) foundGroups(view *feed.View) {
-	founders := feed.Places(view.FoundingStores)
+	founders := feed.PlacementCandidates(view.FoundingStores)
 	for group := uint32(0); len(founders) > 0 && group < view.Groups; group++ {
-		voters := placement.ReplicasOf(group, founders, view.Factor())
+		voters := placement.ReplicasOf(group, founders, view.ReplicationFactor())
 		if slices.Contains(voters, node.Name()) {
 			node.host.Bootstrap(group, voters, nil)
 		}
@@ -322,7 +322,7 @@
 		return wire.Failed(apierror.New(apierror.Invalid, "a store node does not answer this query", "ask a control node"))
 	}
 	exempt := query.Which == schema.Query_Which_newest || query.Which == schema.Query_Which_status
-	if fleet := node.held.Load().Bound(); !exempt && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
+	if fleet := node.held.Load().BoundFleet(); !exempt && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
 		return wire.Failed(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
 	}
 	if refusal := query.Misaddressed(node.Name()); refusal != nil {
@@ -345,7 +345,7 @@
 	held := node.held.Load()
 	view, err := query.Hold.From(held)
 	if len(query.Hold.Changes) > 0 && query.Fleet != held.Fleet {
-		err = feed.ErrMismatch
+		err = feed.ErrBaseMismatch
 	}
 	if err != nil {
 		return nil, apierror.New(apierror.Conflict, "the view to hold cannot be made: "+err.Error(), "send a whole view")
@@ -528,7 +528,7 @@
 			continue
 		}
 		asked, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := node.caller.Call(asked, node.addressOf(peer), &wire.Query{Fleet: node.held.Load().Bound(), Which: schema.Query_Which_getCold, GetCold: &wire.GetColdQuery{Line: name, After: after, Through: through}})
+		reply, err := node.caller.Call(asked, node.addressOf(peer), &wire.Query{Fleet: node.held.Load().BoundFleet(), Which: schema.Query_Which_getCold, GetCold: &wire.GetColdQuery{Line: name, After: after, Through: through}})
 		cancel()
 		if err != nil || reply.Read == nil {
 			continue
--- a/system/store/openings.go
+++ b/system/store/openings.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		asked, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := node.caller.Call(asked, node.addressOf(peer), &wire.Query{Fleet: node.held.Load().Bound(), Which: schema.Query_Which_opening, Opening: &wire.OpeningQuery{Group: group, Name: name}})
+		reply, err := node.caller.Call(asked, node.addressOf(peer), &wire.Query{Fleet: node.held.Load().BoundFleet(), Which: schema.Query_Which_opening, Opening: &wire.OpeningQuery{Group: group, Name: name}})
 		cancel()
 		if err != nil || reply.Opening == nil || line.OpeningName(damaged.Scope, reply.Opening.Data) != name {
 			continue
--- a/system/store/repair.go
+++ b/system/store/repair.go
@@ -130,7 +130,7 @@
 func (node *Node) mend(group uint32, view *line.View, peer string) bool {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	fleet, address := node.held.Load().Bound(), node.addressOf(peer)
+	fleet, address := node.held.Load().BoundFleet(), node.addressOf(peer)
 	ask := func(buckets []uint32) (*wire.DigestReply, error) {
 		reply, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, Which: schema.Query_Which_digests, Digests: &wire.DigestQuery{Group: group, Buckets: buckets}})
 		if err != nil {
--- a/system/storeorigin/storeorigin.go
+++ b/system/storeorigin/storeorigin.go
@@ -103,7 +103,7 @@
 	if target := asking.origin.hinted(group); target != "" && !asking.out[target] && view.AddressOf(target) != "" {
 		return target
 	}
-	replicas := placement.ReplicasOf(group, view.StorePlaces(), view.Factor())
+	replicas := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
 	for range replicas {
 		target := replicas[asking.turn%len(replicas)]
 		asking.turn++
--- a/system/wire/packedview_test.go
+++ b/system/wire/packedview_test.go
@@ -12,8 +12,8 @@
 
 func packedExample() *feed.View {
 	return &feed.View{Fleet: "fleet", Number: 7, ConfigNumber: 5, Source: "a: 1", Compiled: bytes.Repeat([]byte(`{"route":1}`), 1000),
-		Domains: []feed.Domain{}, Runners: []feed.Runner{{Address: "10.0.0.1:80", State: feed.Serving}}, FoundingStores: []feed.Member{},
-		Stores: []feed.Member{{Name: "a"}}, Controls: []feed.Member{}, Assignments: []feed.Assignment{}, Founding: []string{}, Retired: []feed.Member{}}
+		Domains: []feed.Domain{}, Runners: []feed.Runner{{Address: "10.0.0.1:80", State: feed.StateServing}}, FoundingStores: []feed.Member{},
+		Stores: []feed.Member{{Name: "a"}}, Controls: []feed.Member{}, RoleLeases: []feed.RoleLease{}, Founding: []string{}, Decommissioned: []feed.Member{}}
 }
 
 func TestPackedViewsAreReadBack(t *testing.T) {
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -20,26 +20,26 @@
 const storedFolder = "testdata/stored"
 
 func storedMember(name string) feed.Member {
-	return feed.Member{Name: name, Role: feed.RoleStore, Address: "10.0.1.1:7000", Domain: "east", State: feed.Serving, Administration: "10.0.1.1:7200", Machine: "rack 4"}
+	return feed.Member{Name: name, Role: feed.RoleStore, Address: "10.0.1.1:7000", Domain: "east", State: feed.StateServing, Administration: "10.0.1.1:7200", Machine: "rack 4"}
 }
 
 func storedView() feed.View {
 	return feed.View{
 		Fleet: "fleet-1", Number: 7, ConfigNumber: 5, Source: "a: 1", Compiled: []byte(`{"route":1}`),
-		Domains:        []feed.Domain{{Name: "east", State: feed.Emptied, Since: 11}},
-		Runners:        []feed.Runner{{Life: "life-1", Address: "10.0.0.1:80", Group: "engines", Domain: "east", State: feed.Cold, Since: 12, Warmed: true, Slots: 32, ColdFor: 3 * time.Second, Revision: "r7"}},
+		Domains:        []feed.Domain{{Name: "east", State: feed.StateDrained, Since: 11}},
+		Runners:        []feed.Runner{{Life: "life-1", Address: "10.0.0.1:80", Group: "engines", Domain: "east", State: feed.StateWarmingUp, Since: 12, Warmed: true, Slots: 32, ColdFor: 3 * time.Second, Revision: "r7"}},
 		FoundingStores: []feed.Member{storedMember("founding")}, Stores: []feed.Member{storedMember("store")}, Controls: []feed.Member{storedMember("control")},
-		Assignments: []feed.Assignment{{Key: "list", Owner: "control", Fence: 3}}, Groups: 8, Copies: 5, Founding: []string{"one", "two"}, Retired: []feed.Member{storedMember("retired")},
-		RoutingOrders: feed.OrderHistory{Packed: bytes.Repeat([]byte{1, 2}, 8), Forgotten: 2}, FeedOrders: feed.OrderHistory{Packed: bytes.Repeat([]byte{3, 4}, 8), Forgotten: 1},
+		RoleLeases: []feed.RoleLease{{Key: "list", Owner: "control", Fence: 3}}, Groups: 8, Replicas: 5, Founding: []string{"one", "two"}, Decommissioned: []feed.Member{storedMember("retired")},
+		RoutingRequests: feed.RequestHistory{Packed: bytes.Repeat([]byte{1, 2}, 8), Forgotten: 2}, AdminRequests: feed.RequestHistory{Packed: bytes.Repeat([]byte{3, 4}, 8), Forgotten: 1},
 	}
 }
 
 func storedChange(kind feed.ChangeKind) feed.Change {
 	return feed.Change{
-		Number: 8, Kind: kind, At: 13, By: "root", Expects: true, Expected: 7, Source: "b: 2", Compiled: []byte(`{"route":2}`), Domain: feed.Domain{Name: "west", State: feed.Serving, Since: 14},
-		Runners: storedView().Runners, Member: storedMember("left"), Members: []feed.Member{storedMember("a"), storedMember("b")}, Assignment: feed.Assignment{Key: "list", Owner: "other", Fence: 4},
-		View: storedView(), Query: "empty domain west", Partial: true, Gone: []string{"life-0"}, FeedOrder: 77,
-		RoutingOrders: []feed.TakenOrder{{Digest: 5, Number: 6}}, RoutingForgotten: 3,
+		Number: 8, Kind: kind, At: 13, By: "root", Expects: true, Expected: 7, Source: "b: 2", Compiled: []byte(`{"route":2}`), Domain: feed.Domain{Name: "west", State: feed.StateServing, Since: 14},
+		Runners: storedView().Runners, Member: storedMember("left"), Members: []feed.Member{storedMember("a"), storedMember("b")}, RoleLease: feed.RoleLease{Key: "list", Owner: "other", Fence: 4},
+		View: storedView(), Statement: "empty domain west", Partial: true, Removed: []string{"life-0"}, AdminRequest: 77,
+		RoutingRequests: []feed.AcceptedRequest{{Digest: 5, Number: 6}}, RoutingForgotten: 3,
 		Delta: feed.ConfigDelta{Base: 5, Source: []byte("source"), Compiled: []byte("compiled"), Digest: []byte("digest")},
 	}
 }
@@ -130,7 +130,7 @@
 		"view-packed":      {value: view, encode: func() []byte { return PackView(&view) }, decode: unpack},
 		"view-unpacked":    {value: view, encode: func() []byte { return MustEncode(schema.View_TypeID, &view) }, decode: unpack},
 		"control-image-1":  storedAs(schema.ControlImage_TypeID, ControlImage{Version: 1, View: view, Changes: []feed.Change{storedChange(feed.ChangeConfig)}}),
-		"control-image-2":  storedAs(schema.ControlImage_TypeID, ControlImage{Version: 2, PackedView: []byte("packed"), Changes: []feed.Change{storedChange(feed.ChangeRoster)}, Earlier: earlier}),
+		"control-image-2":  storedAs(schema.ControlImage_TypeID, ControlImage{Version: 2, PackedView: []byte("packed"), Changes: []feed.Change{storedChange(feed.ChangeRunners)}, Earlier: earlier}),
 		"line-image-1":     storedAs(schema.LineImage_TypeID, storedImage(1)),
 		"line-image-2":     storedAs(schema.LineImage_TypeID, storedImage(2)),
 		"line-image-3":     storedAs(schema.LineImage_TypeID, storedImage(3)),
