--- a/proof/cmd/measure/openings.go
+++ b/proof/cmd/measure/openings.go
@@ -152,23 +152,23 @@
 func (fleet *storesOnLoopback) held(name string) (data int64, checkpoint int) {
 	for _, node := range fleet.nodes {
 		for group := range uint32(32) {
-			machine := node.Machine(group)
+			machine := node.StateMachine(group)
 			if machine == nil {
 				continue
 			}
-			image, needed := machine.View().Image(), map[string]bool{}
-			image.Sessions = slices.DeleteFunc(image.Sessions, func(session line.Session) bool { return !strings.HasPrefix(session.Line, "program/"+name+"-") })
-			image.Turns = slices.DeleteFunc(image.Turns, func(turn line.TurnRecord) bool { return !strings.HasPrefix(turn.Line, "program/"+name+"-") })
+			image, needed := machine.View().Snapshot(), map[string]bool{}
+			image.Sessions = slices.DeleteFunc(image.Sessions, func(session line.Session) bool { return !strings.HasPrefix(session.Name, "program/"+name+"-") })
+			image.Turns = slices.DeleteFunc(image.Turns, func(turn line.TurnRecord) bool { return !strings.HasPrefix(turn.Session, "program/"+name+"-") })
 			for _, session := range image.Sessions {
-				for _, opening := range session.Openings {
+				for _, opening := range session.Prefixes {
 					needed[opening] = true
 				}
-				for _, event := range session.Hot {
+				for _, event := range session.Unarchived {
 					data += int64(len(event.Data))
 				}
 			}
-			image.Openings = slices.DeleteFunc(image.Openings, func(opening line.OpeningRecord) bool { return !needed[opening.Name] })
-			for _, opening := range image.Openings {
+			image.Prefixes = slices.DeleteFunc(image.Prefixes, func(opening line.SharedPrefixRecord) bool { return !needed[opening.Name] })
+			for _, opening := range image.Prefixes {
 				data += int64(len(opening.Data))
 			}
 			checkpoint += len(wire.MustEncode(schema.LineImage_TypeID, &image))
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -211,7 +211,7 @@
 func (cluster *Cluster) AddStore(index int) *Machine {
 	machine := &Machine{Host: fmt.Sprintf("10.0.1.%d", index+1), Domain: domain(index), Disk: NewDisk(cluster.Seed + 100 + uint64(index)), Cold: NewDisk(cluster.Seed + 200 + uint64(index))}
 	machine.start = func() (err error) {
-		machine.Store, err = store.Start(store.Settings{Address: machine.Host + ":7000", Domain: machine.Domain, Machine: "storage " + machine.Host, Seeds: cluster.seeds, Replica: cluster.pace(100 + index), Wall: machine.wall},
+		machine.Store, err = store.Start(store.Settings{Address: machine.Host + ":7000", Domain: machine.Domain, Machine: "storage " + machine.Host, Seeds: cluster.seeds, Replica: cluster.pace(100 + index), WallClock: machine.wall},
 			machine.Disk, machine.Cold, cluster.Network.At(machine.Host))
 		return err
 	}
--- a/proof/simulator/durable_test.go
+++ b/proof/simulator/durable_test.go
@@ -190,7 +190,7 @@
 	for file := range 20 {
 		events := []line.Event{}
 		for seq := range uint64(200) {
-			events = append(events, line.Event{Seq: seq + 1, Words: strings.Repeat("word ", 20)})
+			events = append(events, line.Event{Seq: seq + 1, Text: strings.Repeat("word ", 20)})
 			stored += 100
 		}
 		if err := cold.Put([]wire.ColdChunk{{Line: fmt.Sprintf("depot/c-%d", file), First: 1, Last: 200, Events: events}}); err != nil {
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -159,14 +159,14 @@
 		}
 		words := ""
 		for _, event := range reply.Events {
-			words += event.Words + ","
+			words += event.Text + ","
 		}
 		seen[input.line] = reply.Session.Head
 		return lineOutput{words: words}
 	}
 	outcomes, err := client.Command(ctx, input.line,
-		line.Command{Kind: line.CreateSession, KeepFor: time.Hour},
-		line.Command{Kind: line.AppendEvent, Producer: input.word, ProducerSeq: 1, Expects: input.expects, ExpectedSeq: input.expected, Events: []line.Event{{Kind: line.HelperStarted, Words: input.word}}})
+		line.Command{Kind: line.CreateSession, Retention: time.Hour},
+		line.Command{Kind: line.AppendEvent, Producer: input.word, ProducerSeq: 1, HasExpectedSeq: input.expects, ExpectedSeq: input.expected, Events: []line.Event{{Kind: line.HelperStarted, Text: input.word}}})
 	if err != nil {
 		return lineOutput{unknown: true}
 	}
@@ -249,7 +249,7 @@
 					name := fmt.Sprintf("depot/deposed-%d", number)
 					for until := time.Now().Add(3500 * time.Millisecond); time.Now().Before(until); {
 						ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
-						outcomes, err := client.Command(ctx, name, line.Command{Kind: line.CreateSession, KeepFor: time.Hour},
+						outcomes, err := client.Command(ctx, name, line.Command{Kind: line.CreateSession, Retention: time.Hour},
 							line.Command{Kind: line.AppendEvent, Producer: fmt.Sprintf("%d-%d", round, time.Now().UnixNano()), ProducerSeq: 1, Events: []line.Event{{Kind: line.HelperStarted}}})
 						cancel()
 						<-time.After(15 * time.Millisecond)
--- a/proof/simulator/openings_test.go
+++ b/proof/simulator/openings_test.go
@@ -377,10 +377,10 @@
 		}
 		leader := cluster.leaderOf("program/" + names[0])
 		damage := func(machine *Machine) {
-			held := machine.Store.Machine(group)
-			image := held.View().Image()
-			for position := range image.Openings {
-				image.Openings[position].Data[100] ^= 1
+			held := machine.Store.StateMachine(group)
+			image := held.View().Snapshot()
+			for position := range image.Prefixes {
+				image.Prefixes[position].Data[100] ^= 1
 			}
 			if err := held.Restore(image); err != nil {
 				t.Fatal(err)
--- a/proof/simulator/stored_test.go
+++ b/proof/simulator/stored_test.go
@@ -117,14 +117,14 @@
 // describedSession tells what a quorum read gives of a session, all but how far it is
 // archived, which goes on.
 func describedSession(session line.Session) string {
-	return fmt.Sprintf("%s team %q program %q kind %q created %d keep %s touched %d until %d spent %d reserved %d openings %v", session.Line, session.Team, session.Program, session.WorkKind,
-		session.CreatedAt, session.KeepFor, session.TouchedAt, session.Until, session.Spent, session.Reserved, session.Openings)
+	return fmt.Sprintf("%s team %q program %q kind %q created %d keep %s touched %d until %d spent %d reserved %d openings %v", session.Name, session.Team, session.Program, session.WorkKind,
+		session.CreatedAt, session.Retention, session.UpdatedAt, session.RetainUntil, session.Spent, session.Reserved, session.Prefixes)
 }
 
 func describedEvent(event line.Event) string {
 	return fmt.Sprintf("%d at %d kind %d turn %d follows %d words %q outcome %q runner %q dispatch %q digest %q name %q part %d producer %q %d config %d deadline %d opening %q data %x",
-		event.Seq, event.At, event.Kind, event.Turn, event.Follows, event.Words, event.Outcome, event.Runner, event.Dispatch, event.Digest, event.Name, event.Part, event.Producer, event.ProducerSeq,
-		event.Config, event.Deadline, event.Opening, sha256.Sum256(event.Data))
+		event.Seq, event.At, event.Kind, event.Turn, event.Follows, event.Text, event.Outcome, event.Runner, event.Dispatch, event.Digest, event.Name, event.Part, event.Producer, event.ProducerSeq,
+		event.Config, event.Deadline, event.Prefix, sha256.Sum256(event.Data))
 }
 
 // storedLines reads lines whole, as a client does.
--- a/system/coldstore/coldstore.go
+++ b/system/coldstore/store.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	prefix      = "cold-"
+	filePrefix  = "cold-"
 	frameHeader = 8
 )
 
 var checksums = crc32.MakeTable(crc32.Castagnoli)
 
-type place struct {
+type chunkLocation struct {
 	file    uint64
 	offset  int64
 	length  int
@@ -44,19 +44,19 @@
 // Store is an open cold store.
 type Store struct {
 	folder files.Directory
-	// writing lets one Put write at a time, and guards next; mutex guards what is known,
+	// writeMutex lets one Put write at a time, and guards next; mutex guards what is known,
 	// and is never held while the disk works, so that reads go on while a sync is slow.
-	writing sync.Mutex
-	mutex   sync.RWMutex
-	lines   map[string][]place
-	living  map[uint64]int // how many chunks of each file still count
-	// sums are digests of how far each line is here without a hole, by group; byGroup
+	writeMutex sync.Mutex
+	mutex      sync.RWMutex
+	locations  map[string][]chunkLocation
+	liveChunks map[uint64]int // how many chunks of each file still count
+	// digests are digests of how far each line is here without a hole, by group; sessionsByGroup
 	// names the lines of a group.
-	sums    map[uint32]*line.Sums
-	byGroup map[uint32]map[string]bool
-	next    uint64
-	// scrubbed is the line that Scrub came to; only Scrub's caller touches it.
-	scrubbed string
+	digests         map[uint32]*line.BucketDigests
+	sessionsByGroup map[uint32]map[string]bool
+	nextFile        uint64
+	// scrubCursor is the line that Scrub came to; only Scrub's caller touches it.
+	scrubCursor string
 }
 
 // Open reads the index of each file. A file whose index was torn was never
@@ -64,27 +64,27 @@
 //
 //	cold, err := coldstore.Open(folder)
 func Open(folder files.Directory) (*Store, error) {
-	store := &Store{folder: folder, lines: map[string][]place{}, living: map[uint64]int{}, sums: map[uint32]*line.Sums{}, byGroup: map[uint32]map[string]bool{}, next: 1}
+	store := &Store{folder: folder, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{}, digests: map[uint32]*line.BucketDigests{}, sessionsByGroup: map[uint32]map[string]bool{}, nextFile: 1}
 	names, err := folder.List()
 	if err != nil {
 		return nil, err
 	}
 	for _, name := range names {
-		digits, isCold := strings.CutPrefix(name, prefix)
+		digits, isArchiveFile := strings.CutPrefix(name, filePrefix)
 		number, err := strconv.ParseUint(digits, 10, 64)
-		if !isCold || err != nil {
+		if !isArchiveFile || err != nil {
 			continue
 		}
-		store.next = max(store.next, number+1)
-		store.living[number] = 0
-		for _, at := range store.readIndex(name) {
-			store.add(number, at)
+		store.nextFile = max(store.nextFile, number+1)
+		store.liveChunks[number] = 0
+		for _, location := range store.readIndex(name) {
+			store.addLocation(number, location)
 		}
 	}
 	return store, nil
 }
 
-func fileName(number uint64) string { return fmt.Sprintf("%s%020d", prefix, number) }
+func fileName(number uint64) string { return fmt.Sprintf("%s%020d", filePrefix, number) }
 
 func (store *Store) readIndex(name string) []wire.ColdPlace {
 	header, err := store.folder.ReadRange(name, 0, frameHeader)
@@ -102,63 +102,63 @@
 	return index.Places
 }
 
-func (store *Store) add(file uint64, at wire.ColdPlace) {
-	made := place{file: file, offset: int64(at.Offset), length: int(at.Length), group: at.Group, first: at.First, last: at.Last, expires: at.Expires, sum: at.Checksum}
-	copy(made.digest[:], at.Digest)
-	store.setPlaces(at.Line, at.Group, append(slices.Clip(store.lines[at.Line]), made))
-	store.living[file]++
+func (store *Store) addLocation(file uint64, location wire.ColdPlace) {
+	made := chunkLocation{file: file, offset: int64(location.Offset), length: int(location.Length), group: location.Group, first: location.First, last: location.Last, expires: location.Expires, sum: location.Checksum}
+	copy(made.digest[:], location.Digest)
+	store.setLocations(location.Line, location.Group, append(slices.Clip(store.locations[location.Line]), made))
+	store.liveChunks[file]++
 }
 
-// setPlaces replaces where a line's chunks are, and brings its group's sums up to date.
-func (store *Store) setPlaces(name string, group uint32, places []place) {
-	sums, found := store.sums[group]
+// setLocations replaces where a line's chunks are, and brings its group's sums up to date.
+func (store *Store) setLocations(name string, group uint32, locations []chunkLocation) {
+	sums, found := store.digests[group]
 	if !found {
-		sums = &line.Sums{}
-		store.sums[group], store.byGroup[group] = sums, map[string]bool{}
+		sums = &line.BucketDigests{}
+		store.digests[group], store.sessionsByGroup[group] = sums, map[string]bool{}
 	}
-	sums.Toggle(name, reached(store.lines[name]))
-	if len(places) == 0 {
-		delete(store.lines, name)
-		delete(store.byGroup[group], name)
+	sums.Toggle(name, contiguousThrough(store.locations[name]))
+	if len(locations) == 0 {
+		delete(store.locations, name)
+		delete(store.sessionsByGroup[group], name)
 		return
 	}
-	store.lines[name] = places
-	store.byGroup[group][name] = true
-	sums.Toggle(name, reached(places))
+	store.locations[name] = locations
+	store.sessionsByGroup[group][name] = true
+	sums.Toggle(name, contiguousThrough(locations))
 }
 
-// reached tells up to which seq places hold a line without a hole.
-func reached(places []place) uint64 {
-	sorted, through := places, uint64(0)
-	byFirst := func(left, right place) int { return cmp.Compare(left.first, right.first) }
+// contiguousThrough tells up to which seq places hold a line without a hole.
+func contiguousThrough(locations []chunkLocation) uint64 {
+	sorted, through := locations, uint64(0)
+	byFirst := func(left, right chunkLocation) int { return cmp.Compare(left.first, right.first) }
 	if !slices.IsSortedFunc(sorted, byFirst) {
-		sorted = slices.SortedFunc(slices.Values(places), byFirst)
+		sorted = slices.SortedFunc(slices.Values(locations), byFirst)
 	}
-	for _, at := range sorted {
-		if at.first > through+1 {
+	for _, location := range sorted {
+		if location.first > through+1 {
 			break
 		}
-		through = max(through, at.last)
+		through = max(through, location.last)
 	}
 	return through
 }
 
-// Sums gives the digests of how far a group's lines are here, one a bucket.
+// BucketDigests gives the digests of how far a group's lines are here, one a bucket.
 //
-//	if cold.Sums(7) == view.Sums() { ... }
-func (store *Store) Sums(group uint32) line.Sums {
+//	if cold.BucketDigests(7) == view.BucketDigests() { ... }
+func (store *Store) BucketDigests(group uint32) line.BucketDigests {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
-	if sums, found := store.sums[group]; found {
+	if sums, found := store.digests[group]; found {
 		return *sums
 	}
-	return line.Sums{}
+	return line.BucketDigests{}
 }
 
 // readChunk reads a chunk's events; a damaged or missing one is a gap.
-func (store *Store) readChunk(at place) (wire.ColdChunk, bool) {
-	body, err := store.folder.ReadRange(fileName(at.file), at.offset, at.length)
-	if err != nil || crc32.Checksum(body, checksums) != at.sum {
+func (store *Store) readChunk(location chunkLocation) (wire.ColdChunk, bool) {
+	body, err := store.folder.ReadRange(fileName(location.file), location.offset, location.length)
+	if err != nil || crc32.Checksum(body, checksums) != location.sum {
 		return wire.ColdChunk{}, false
 	}
 	var batch wire.ColdChunkBatch
@@ -174,7 +174,7 @@
 func (store *Store) Covers(chunk wire.ColdChunk) bool {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
-	return slices.ContainsFunc(store.lines[chunk.Line], func(at place) bool { return at.first <= chunk.First && at.last >= chunk.Last })
+	return slices.ContainsFunc(store.locations[chunk.Line], func(location chunkLocation) bool { return location.first <= chunk.First && location.last >= chunk.Last })
 }
 
 // Put stores chunks and returns once they last. What is there already is not
@@ -182,8 +182,8 @@
 //
 //	err := cold.Put([]wire.ColdChunk{{Line: "team/c-1", First: 1, Last: 9, Events: events}})
 func (store *Store) Put(chunks []wire.ColdChunk) error {
-	store.writing.Lock()
-	defer store.writing.Unlock()
+	store.writeMutex.Lock()
+	defer store.writeMutex.Unlock()
 	var bodies []byte
 	index := wire.ColdIndex{}
 	for _, chunk := range chunks {
@@ -207,12 +207,12 @@
 	for position := range index.Places {
 		index.Places[position].Offset += size
 	}
-	head := wire.MustEncode(schema.ColdIndex_TypeID, &index)
-	data := binary.LittleEndian.AppendUint32(nil, uint32(len(head)))
-	data = binary.LittleEndian.AppendUint32(data, crc32.Checksum(head, checksums))
-	data = append(append(data, head...), bodies...)
-	number := store.next
-	store.next++
+	encodedIndex := wire.MustEncode(schema.ColdIndex_TypeID, &index)
+	data := binary.LittleEndian.AppendUint32(nil, uint32(len(encodedIndex)))
+	data = binary.LittleEndian.AppendUint32(data, crc32.Checksum(encodedIndex, checksums))
+	data = append(append(data, encodedIndex...), bodies...)
+	number := store.nextFile
+	store.nextFile++
 	if err := store.folder.WriteAt(fileName(number), 0, data); err != nil {
 		return apierror.New(apierror.DiskUnavailable, "the cold store took no write: "+err.Error(), "free space on the disk or replace it")
 	}
@@ -221,8 +221,8 @@
 	}
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	for _, at := range index.Places {
-		store.add(number, at)
+	for _, location := range index.Places {
+		store.addLocation(number, location)
 	}
 	return nil
 }
@@ -233,15 +233,15 @@
 //	events, err := cold.Read("team/c-1", 0, 9)
 func (store *Store) Read(name string, after, through uint64) ([]line.Event, error) {
 	store.mutex.RLock()
-	places := store.lines[name]
+	locations := store.locations[name]
 	store.mutex.RUnlock()
 	found := map[uint64]line.Event{}
-	for _, at := range places {
-		if at.last <= after || at.first > through {
+	for _, location := range locations {
+		if location.last <= after || location.first > through {
 			continue
 		}
-		chunk, whole := store.readChunk(at)
-		if !whole {
+		chunk, intact := store.readChunk(location)
+		if !intact {
 			continue
 		}
 		for _, event := range chunk.Events {
@@ -258,19 +258,19 @@
 	return events, nil
 }
 
-// Digests lists the ranges of some buckets of a group with their digests.
+// RangeDigests lists the ranges of some buckets of a group with their digests.
 //
-//	ranges := cold.Digests(7, []uint32{0, 12})
-func (store *Store) Digests(group uint32, buckets []uint32) []wire.RangeDigest {
+//	ranges := cold.RangeDigests(7, []uint32{0, 12})
+func (store *Store) RangeDigests(group uint32, buckets []uint32) []wire.RangeDigest {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
 	ranges := []wire.RangeDigest{}
-	for name := range store.byGroup[group] {
+	for name := range store.sessionsByGroup[group] {
 		if !slices.Contains(buckets, uint32(line.BucketOf(name))) {
 			continue
 		}
-		for _, at := range store.lines[name] {
-			ranges = append(ranges, wire.RangeDigest{Line: name, First: at.first, Last: at.last, Digest: at.digest[:]})
+		for _, location := range store.locations[name] {
+			ranges = append(ranges, wire.RangeDigest{Line: name, First: location.first, Last: location.last, Digest: location.digest[:]})
 		}
 	}
 	return ranges
@@ -281,33 +281,33 @@
 // kept by its group. A group that has no clock here keeps what it has.
 //
 //	err := cold.Expire(clock, func(name string) bool { return known(name) })
-func (store *Store) Expire(clock func(group uint32) int64, live func(name string) bool) error {
+func (store *Store) Expire(clock func(group uint32) int64, retained func(name string) bool) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	clocks := map[uint32]int64{}
-	kept := func(at place) bool {
-		now, known := clocks[at.group]
+	unexpired := func(location chunkLocation) bool {
+		now, known := clocks[location.group]
 		if !known {
-			now = clock(at.group)
-			clocks[at.group] = now
+			now = clock(location.group)
+			clocks[location.group] = now
 		}
-		return at.expires > now
+		return location.expires > now
 	}
-	for name, places := range store.lines {
-		if slices.ContainsFunc(places, kept) || live(name) {
+	for name, locations := range store.locations {
+		if slices.ContainsFunc(locations, unexpired) || retained(name) {
 			continue
 		}
-		for _, at := range places {
-			store.living[at.file]--
+		for _, location := range locations {
+			store.liveChunks[location.file]--
 		}
-		store.setPlaces(name, places[0].group, nil)
+		store.setLocations(name, locations[0].group, nil)
 	}
-	for number, count := range store.living {
+	for number, count := range store.liveChunks {
 		if count == 0 {
 			if err := store.folder.Remove(fileName(number)); err != nil {
 				return err
 			}
-			delete(store.living, number)
+			delete(store.liveChunks, number)
 		}
 	}
 	return nil
@@ -317,35 +317,35 @@
 // rotted, so that repair finds the hole.
 //
 //	dropped := cold.Scrub(256)
-func (store *Store) Scrub(most int) int {
+func (store *Store) Scrub(maxChunks int) int {
 	store.mutex.RLock()
-	names := slices.Sorted(maps.Keys(store.lines))
+	names := slices.Sorted(maps.Keys(store.locations))
 	store.mutex.RUnlock()
-	from, found := slices.BinarySearch(names, store.scrubbed)
+	from, found := slices.BinarySearch(names, store.scrubCursor)
 	if found {
 		from++
 	}
-	dropped, read := 0, 0
+	dropped, checked := 0, 0
 	for _, name := range names[from:] {
-		if read >= most {
+		if checked >= maxChunks {
 			return dropped
 		}
-		store.scrubbed = name
+		store.scrubCursor = name
 		store.mutex.RLock()
-		places := store.lines[name]
+		locations := store.locations[name]
 		store.mutex.RUnlock()
-		for _, at := range places {
-			read++
-			if _, whole := store.readChunk(at); whole {
+		for _, location := range locations {
+			checked++
+			if _, intact := store.readChunk(location); intact {
 				continue
 			}
 			dropped++
 			store.mutex.Lock()
-			store.setPlaces(name, at.group, slices.DeleteFunc(slices.Clone(store.lines[name]), func(one place) bool { return one == at }))
-			store.living[at.file]--
+			store.setLocations(name, location.group, slices.DeleteFunc(slices.Clone(store.locations[name]), func(one chunkLocation) bool { return one == location }))
+			store.liveChunks[location.file]--
 			store.mutex.Unlock()
 		}
 	}
-	store.scrubbed = "" // begin anew with the next call
+	store.scrubCursor = "" // begin anew with the next call
 	return dropped
 }
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -150,7 +150,7 @@
 		for _, name := range slices.Sorted(maps.Keys(decoded.Programs)) {
 			program := decoded.Programs[name]
 			limited, cancel := context.WithTimeout(ctx, callTimeout)
-			reply, err := stores.Read(limited, wire.ReadQuery{Line: line.TallyName(program.Team, name, program.Period), Tally: true})
+			reply, err := stores.Read(limited, wire.ReadQuery{Line: line.QuotaName(program.Team, name, program.Period), Tally: true})
 			cancel()
 			spent, reserved := "unknown", "unknown"
 			if err == nil {
--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -11,17 +11,17 @@
 	"yardrock.example/system/runnerorigin"
 )
 
-// Turn is one run of a line: a turn, a tool call, or work that runs once.
-type Turn struct {
-	Begun  line.Event
-	Pieces []line.Event
-	Ended  *line.Event
+// Run is one run of a line: a turn, a tool call, or work that runs once.
+type Run struct {
+	Begun line.Event
+	Parts []line.Event
+	Ended *line.Event
 }
 
 // Complete tells whether the turn ended as it should.
 //
 //	if !turn.Complete() { ... }
-func (turn *Turn) Complete() bool {
+func (turn *Run) Complete() bool {
 	return turn.Ended != nil && turn.Ended.Outcome == line.OutcomeComplete
 }
 
@@ -29,7 +29,7 @@
 // clock of the line's group.
 //
 //	if turn.Overdue(reply.Clock) { ... }
-func (turn *Turn) Overdue(clock int64) bool {
+func (turn *Run) Overdue(clock int64) bool {
 	return turn.Ended == nil && clock > turn.Begun.Deadline
 }
 
@@ -37,31 +37,31 @@
 type View struct {
 	Head uint64
 	// Clock is the time of the line's group when the events were read.
-	Clock  int64
-	turns  map[uint64]*Turn
-	order  []*Turn
-	opened map[string]line.Event
+	Clock            int64
+	runsBySeq        map[uint64]*Run
+	runs             []*Run
+	startsByProducer map[string]line.Event
 }
 
 // Fold makes the view of a line's events, which must be all from the first on.
 //
 //	view := conversation.Fold(events)
 func Fold(events []line.Event) *View {
-	view := &View{turns: map[uint64]*Turn{}, opened: map[string]line.Event{}}
+	view := &View{runsBySeq: map[uint64]*Run{}, startsByProducer: map[string]line.Event{}}
 	for _, event := range events {
 		view.Head = event.Seq
 		switch event.Kind {
 		case line.TurnBegun, line.ToolCalled:
-			turn := &Turn{Begun: event}
-			view.turns[event.Seq] = turn
-			view.opened[event.Producer] = event
-			view.order = append(view.order, turn)
+			turn := &Run{Begun: event}
+			view.runsBySeq[event.Seq] = turn
+			view.startsByProducer[event.Producer] = event
+			view.runs = append(view.runs, turn)
 		case line.Fenced:
-			view.opened[event.Producer] = event
-		case line.Piece:
-			view.turns[event.Turn].Pieces = append(view.turns[event.Turn].Pieces, event)
+			view.startsByProducer[event.Producer] = event
+		case line.OutputPart:
+			view.runsBySeq[event.Turn].Parts = append(view.runsBySeq[event.Turn].Parts, event)
 		case line.TurnEnded, line.ToolAnswered:
-			view.turns[event.Turn].Ended = &event
+			view.runsBySeq[event.Turn].Ended = &event
 		}
 	}
 	return view
@@ -70,34 +70,34 @@
 // Run finds a turn, tool call or work by the seq of its first event.
 //
 //	run, found := view.Run(7)
-func (view *View) Run(name uint64) (*Turn, bool) {
-	run, found := view.turns[name]
+func (view *View) Run(seq uint64) (*Run, bool) {
+	run, found := view.runsBySeq[seq]
 	return run, found
 }
 
-// Spent counts the words of a turn: those that were new, and those of its answer as
+// WordCount counts the words of a turn: those that were new, and those of its answer as
 // far as it is recorded.
 //
-//	words := turn.Spent()
-func (turn *Turn) Spent() uint64 {
-	return CountWords(turn.Begun.Words) + CountWords(turn.Words())
+//	words := turn.WordCount()
+func (turn *Run) WordCount() uint64 {
+	return CountWords(turn.Begun.Text) + CountWords(turn.Output())
 }
 
-// Turn finds a turn by its name, the seq of its first event.
+// Run finds a turn by its name, the seq of its first event.
 //
-//	turn, found := view.Turn(7)
-func (view *View) Turn(name uint64) (*Turn, bool) {
-	turn, found := view.turns[name]
+//	turn, found := view.Run(7)
+func (view *View) Turn(seq uint64) (*Run, bool) {
+	turn, found := view.runsBySeq[seq]
 	return turn, found && turn.Begun.Kind == line.TurnBegun
 }
 
-// Said gives what was said up to and with a turn: the chain of turns that it
+// Messages gives what was said up to and with a turn: the chain of turns that it
 // follows, with the tools that those called, in the order of the line.
 //
-//	history := view.Said(7)
-func (view *View) Said(name uint64) []runnerorigin.Message {
+//	history := view.Messages(7)
+func (view *View) Messages(seq uint64) []runnerorigin.Message {
 	chain := map[uint64]bool{}
-	for at := name; at != 0; {
+	for at := seq; at != 0; {
 		turn, found := view.Turn(at)
 		if !found {
 			break
@@ -105,54 +105,54 @@
 		chain[at] = true
 		at = turn.Begun.Follows
 	}
-	said := []runnerorigin.Message{}
-	for _, turn := range view.order {
+	messages := []runnerorigin.Message{}
+	for _, turn := range view.runs {
 		switch {
 		case turn.Begun.Kind == line.TurnBegun && chain[turn.Begun.Seq]:
-			said = append(said, runnerorigin.Message{Role: "caller", Words: turn.Begun.Words}, runnerorigin.Message{Role: "model", Words: turn.Words()})
+			messages = append(messages, runnerorigin.Message{Role: "caller", Words: turn.Begun.Text}, runnerorigin.Message{Role: "model", Words: turn.Output()})
 		case turn.Begun.Kind == line.ToolCalled && chain[turn.Begun.Follows] && turn.Complete():
-			said = append(said, runnerorigin.Message{Role: "tool_call", Name: turn.Begun.Name, Words: turn.Begun.Words}, runnerorigin.Message{Role: "tool_result", Name: turn.Begun.Name, Words: turn.Ended.Words})
+			messages = append(messages, runnerorigin.Message{Role: "tool_call", Name: turn.Begun.Name, Words: turn.Begun.Text}, runnerorigin.Message{Role: "tool_result", Name: turn.Begun.Name, Words: turn.Ended.Text})
 		}
 	}
-	return said
+	return messages
 }
 
 // Words joins a turn's pieces.
 //
 //	answer := turn.Words()
-func (turn *Turn) Words() string {
+func (turn *Run) Output() string {
 	var text strings.Builder
-	pieces := slices.Clone(turn.Pieces)
-	slices.SortFunc(pieces, func(left, right line.Event) int { return int(left.Part) - int(right.Part) })
-	for _, piece := range pieces {
-		text.WriteString(piece.Words)
+	parts := slices.Clone(turn.Parts)
+	slices.SortFunc(parts, func(left, right line.Event) int { return int(left.Part) - int(right.Part) })
+	for _, part := range parts {
+		text.WriteString(part.Text)
 	}
 	return text.String()
 }
 
-// Counter counts words over pieces that may split them. A word is a longest run
+// WordCounter counts words over pieces that may split them. A word is a longest run
 // of characters that are no white space.
-type Counter struct {
+type WordCounter struct {
 	Count  uint64
-	inside bool
+	inWord bool
 }
 
-// Take counts a piece as far as a limit allows and gives that part of it; false
+// CountUpTo counts a piece as far as a limit allows and gives that part of it; false
 // tells that the piece was cut.
 //
-//	kept, whole := counter.Take(piece, 500)
-func (counter *Counter) Take(piece string, limit uint64) (string, bool) {
-	for position, character := range piece {
+//	kept, whole := counter.CountUpTo(piece, 500)
+func (counter *WordCounter) CountUpTo(text string, limit uint64) (string, bool) {
+	for position, character := range text {
 		space := unicode.IsSpace(character)
-		if !space && !counter.inside {
+		if !space && !counter.inWord {
 			if counter.Count == limit {
-				return piece[:position], false
+				return text[:position], false
 			}
 			counter.Count++
 		}
-		counter.inside = !space
+		counter.inWord = !space
 	}
-	return piece, true
+	return text, true
 }
 
 // CountWords counts the words of a whole text.
@@ -162,10 +162,10 @@
 	return uint64(len(strings.Fields(text)))
 }
 
-// ByProducer finds the event that opened a run for a producer, or fenced it off.
+// StartByProducer finds the event that opened a run for a producer, or fenced it off.
 //
-//	event, found := view.ByProducer("manifest/once/key-7")
-func (view *View) ByProducer(name string) (line.Event, bool) {
-	event, found := view.opened[name]
+//	event, found := view.StartByProducer("manifest/once/key-7")
+func (view *View) StartByProducer(producer string) (line.Event, bool) {
+	event, found := view.startsByProducer[producer]
 	return event, found
 }
--- a/system/front/plain.go
+++ b/system/front/plain.go
@@ -69,7 +69,7 @@
 
 func (node *Node) dispatchOnce(query *query) (any, error) {
 	answer, failed := node.ask(node.context, query)
-	ended := line.Event{Outcome: line.OutcomeComplete, Words: string(answer)}
+	ended := line.Event{Outcome: line.OutcomeComplete, Text: string(answer)}
 	switch {
 	case failed == nil:
 	case apierror.Of(failed).NeverSent || apierror.Is(failed, apierror.NotRun):
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
-	if _, err := node.closeRun(ctx, query, 2, ended.Outcome, ended.Words, ended.Name); err != nil {
+	if _, err := node.closeRun(ctx, query, 2, ended.Outcome, ended.Text, ended.Name); err != nil {
 		return nil, apierror.Later(apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
 	}
 	return node.told(query, ended, false)
@@ -91,7 +91,7 @@
 	switch ended.Outcome {
 	case line.OutcomeComplete:
 		name := query.conversation
-		return &work.Outcome{Outcome: ended.Outcome, Line: &name, Answer: json.RawMessage(ended.Words), Repeated: &repeated}, nil
+		return &work.Outcome{Outcome: ended.Outcome, Line: &name, Answer: json.RawMessage(ended.Text), Repeated: &repeated}, nil
 	case line.OutcomeNotRun:
 		return nil, query.notRun("the work did not run: " + ended.Name)
 	default:
--- a/system/front/query.go
+++ b/system/front/query.go
@@ -266,7 +266,7 @@
 	}
 	for attempt := 0; ; attempt++ {
 		query.producer = query.program + "/turn/" + strconv.FormatUint(query.follows, 10) + "#" + strconv.Itoa(attempt)
-		begun, found := query.said.ByProducer(query.producer)
+		begun, found := query.said.StartByProducer(query.producer)
 		if !found {
 			return nil, nil
 		}
@@ -326,7 +326,7 @@
 }
 
 func (query *query) tallyName() string {
-	return line.TallyName(query.team, query.program, query.terms.Period)
+	return line.QuotaName(query.team, query.program, query.terms.Period)
 }
 
 // reserveWords reserves the new words and the longest answer before anything is
@@ -339,8 +339,8 @@
 	query.answerLimit = query.terms.TurnLimit
 	query.reserved, query.reservedAt = line.ReservationName(query.line(), query.dispatch), time.Now()
 	outcomes, err := node.stores.Command(ctx, query.tallyName(), line.Command{
-		Kind: line.Reserve, Reservation: query.reserved, Words: conversation.CountWords(query.words) + query.answerLimit, Allowance: query.terms.Allowance,
-		Life: reservationUse + time.Duration(query.work.Timeout) + deadlineMargin + reservationMargin,
+		Kind: line.Reserve, Reservation: query.reserved, Words: conversation.CountWords(query.words) + query.answerLimit, Quota: query.terms.Allowance,
+		Lifetime: reservationUse + time.Duration(query.work.Timeout) + deadlineMargin + reservationMargin,
 	})
 	query.undo = append(query.undo, func() { node.settle(query, 0) })
 	if err != nil {
@@ -349,7 +349,7 @@
 	switch outcomes[0].Status {
 	case line.Done:
 		return nil, nil
-	case line.AllowanceExhausted:
+	case line.QuotaExceeded:
 		query.reserved = ""
 		return nil, apierror.New(apierror.Exhausted, "program "+query.program+" has "+strconv.FormatUint(outcomes[0].Spent, 10)+" words spent and "+strconv.FormatUint(outcomes[0].Reserved, 10)+" out, of "+strconv.FormatUint(query.terms.Allowance, 10),
 			"wait for the turns under way, or have an operator raise the allowance")
--- a/system/front/record.go
+++ b/system/front/record.go
@@ -15,7 +15,7 @@
 // record is committed and this query's own. A repeat that lost the race gets the
 // event that won.
 func (node *Node) begin(ctx context.Context, query *query, event line.Event, expects bool) (*line.Event, error) {
-	event.Words, event.Digest, event.Follows = query.words, query.digest(), query.follows
+	event.Text, event.Digest, event.Follows = query.words, query.digest(), query.follows
 	if query.dispatch == "" {
 		query.dispatch = node.newDispatch()
 	}
@@ -23,9 +23,9 @@
 	event.Deadline = int64(time.Duration(query.work.Timeout) + deadlineMargin)
 	commands := []line.Command{}
 	if !query.existed {
-		commands = append(commands, line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, KeepFor: time.Duration(query.terms.Keep)})
+		commands = append(commands, line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, Retention: time.Duration(query.terms.Keep)})
 	}
-	commands = append(commands, line.Command{Kind: line.AppendEvent, Producer: query.producer, ProducerSeq: 1, Expects: expects, ExpectedSeq: query.said.Head, Events: []line.Event{event}})
+	commands = append(commands, line.Command{Kind: line.AppendEvent, Producer: query.producer, ProducerSeq: 1, HasExpectedSeq: expects, ExpectedSeq: query.said.Head, Events: []line.Event{event}})
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	outcomes, err := node.stores.Command(committing, query.line(), commands...)
@@ -86,7 +86,7 @@
 	defer cancel()
 	unknown := apierror.Later(apierror.Unknown, "whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")", "ask again with the same query key", time.Second)
 	outcomes, err := node.stores.Command(ctx, query.line(),
-		line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, KeepFor: time.Duration(query.terms.Keep)},
+		line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, Retention: time.Duration(query.terms.Keep)},
 		line.Command{Kind: line.AppendEvent, Producer: query.producer, ProducerSeq: 1, Events: []line.Event{{Kind: line.Fenced, Digest: query.digest()}}})
 	if err != nil {
 		return nil, unknown
@@ -142,7 +142,7 @@
 // committed; TurnClosed means that another node has closed it.
 func (node *Node) closeRun(ctx context.Context, query *query, producerSeq uint64, outcome, words, detail string) (uint64, error) {
 	outcomes, err := node.stores.Command(ctx, query.line(), line.Command{Kind: line.AppendEvent, Producer: query.producer, ProducerSeq: producerSeq, Events: []line.Event{{
-		Kind: line.ClosingKind(query.begun.Kind), Turn: query.begun.Seq, Outcome: outcome, Words: words, Name: detail,
+		Kind: line.ClosingKind(query.begun.Kind), Turn: query.begun.Seq, Outcome: outcome, Text: words, Name: detail,
 	}}})
 	if err != nil {
 		return 0, err
@@ -211,7 +211,7 @@
 }
 
 func (node *Node) checkRecorded(ctx context.Context, query *query) (any, error) {
-	if event, found := query.said.ByProducer(query.producer); found {
+	if event, found := query.said.StartByProducer(query.producer); found {
 		return node.repeatedOnce(ctx, query, event)
 	}
 	return nil, nil
--- a/system/front/run.go
+++ b/system/front/run.go
@@ -70,7 +70,7 @@
 	node    *Node
 	query   *query
 	journal *journal
-	counter conversation.Counter
+	counter conversation.WordCounter
 	pieces  chan string
 	next    uint64 // producer seq of the next append
 	parts   uint64
@@ -120,7 +120,7 @@
 // nothing was sent.
 func (running *run) dispatch(ctx context.Context) error {
 	query, node := running.query, running.node
-	history := query.said.Said(query.follows)
+	history := query.said.Messages(query.follows)
 	for dial := 1; ; dial++ {
 		asked := runnerorigin.TurnQuery{Conversation: query.conversation, Turn: query.begun.Seq, History: history, Words: query.words, Limit: query.limit()}
 		began := time.Now()
@@ -129,7 +129,7 @@
 				running.first = time.Since(began)
 				query.slot.First(running.first)
 			}
-			kept, whole := running.counter.Take(words, query.limit())
+			kept, whole := running.counter.CountUpTo(words, query.limit())
 			if kept != "" {
 				select {
 				case running.pieces <- kept:
@@ -181,7 +181,7 @@
 	events := make([]line.Event, len(batch))
 	for position, words := range batch {
 		running.parts++
-		events[position] = line.Event{Kind: line.Piece, Turn: query.begun.Seq, Words: words, Part: running.parts}
+		events[position] = line.Event{Kind: line.OutputPart, Turn: query.begun.Seq, Text: words, Part: running.parts}
 	}
 	ctx, cancel := context.WithTimeout(running.node.context, commitTimeout)
 	defer cancel()
@@ -320,7 +320,7 @@
 }
 
 var eventNames = map[line.EventKind]string{
-	line.TurnBegun: "turn_begun", line.Piece: "piece", line.TurnEnded: "turn_ended", line.ToolCalled: "tool_called",
+	line.TurnBegun: "turn_begun", line.OutputPart: "piece", line.TurnEnded: "turn_ended", line.ToolCalled: "tool_called",
 	line.ToolAnswered: "tool_answered", line.HelperStarted: "helper_started", line.Fenced: "fenced",
 }
 
@@ -361,7 +361,7 @@
 }
 
 func toStreamed(event line.Event) streamed {
-	told := streamed{Seq: event.Seq, Event: eventNames[event.Kind], Turn: event.Turn, Follows: event.Follows, Name: event.Name, Words: event.Words}
+	told := streamed{Seq: event.Seq, Event: eventNames[event.Kind], Turn: event.Turn, Follows: event.Follows, Name: event.Name, Words: event.Text}
 	if event.Kind == line.TurnEnded {
 		told.End, told.Reason, told.Name = event.Outcome, event.Name, ""
 	}
--- a/system/front/service.go
+++ b/system/front/service.go
@@ -139,7 +139,7 @@
 
 func toRecord(event line.Event) *work.Record {
 	record := &work.Record{Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind]}
-	for target, value := range map[**string]string{&record.Words: event.Words, &record.Outcome: event.Outcome, &record.Name: event.Name} {
+	for target, value := range map[**string]string{&record.Words: event.Text, &record.Outcome: event.Outcome, &record.Name: event.Name} {
 		if value != "" {
 			*target = &value
 		}
--- a/system/line/turns_test.go
+++ b/system/line/turns_test.go
@@ -13,13 +13,13 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func begin(name, follows string) Command {
-	return Command{Kind: BeginTurn, Line: "program/a", Now: 1, KeepFor: time.Hour, Producer: name, ProducerSeq: 1, Follows: follows, Dispatch: "front/" + name, Keeps: true,
-		Data: []byte("in " + name + "\n"), Budgeted: true, Tokens: 10, Allowance: 35, Life: time.Minute}
+func beginCommand(name, follows string) Command {
+	return Command{Kind: BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: name, ProducerSeq: 1, Follows: follows, Dispatch: "front/" + name, KeepData: true,
+		Data: []byte("in " + name + "\n"), HasQuota: true, Tokens: 10, Quota: 35, Lifetime: time.Minute}
 }
 
-func end(name, outcome string, tokens uint64) Command {
-	return Command{Kind: EndTurn, Line: "program/a", Now: 1, KeepFor: time.Hour, Producer: name, ProducerSeq: 2, Outcome: outcome, Keeps: true, Data: []byte("out " + name + "\n"), Tokens: tokens}
+func endCommand(name, outcome string, tokens uint64) Command {
+	return Command{Kind: EndTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: name, ProducerSeq: 2, Outcome: outcome, KeepData: true, Data: []byte("out " + name + "\n"), Tokens: tokens}
 }
 
 func with(command Command, change func(*Command)) Command {
@@ -27,48 +27,48 @@
 	return command
 }
 
-func TestTurnsBeginAndEndAtOnceAndOnlyOnce(t *testing.T) {
-	machine := NewMachine()
+func TestTurnBeginsAndEndsAtomicallyAndOnce(t *testing.T) {
+	machine := NewStateMachine()
 	for position, step := range []struct {
 		command Command
 		want    Outcome
 	}{
-		{end("one", OutcomeComplete, 3), Outcome{Status: UnknownTurn}},
-		{begin("one", "none"), Outcome{Status: UnknownTurn}},
-		{begin("one", "one"), Outcome{Status: BadCommand}},
-		{begin("", ""), Outcome{Status: BadCommand}},
-		{with(begin("one", ""), func(command *Command) { command.Tokens = 36 }), Outcome{Status: AllowanceExhausted}},
-		{with(begin("one", ""), func(command *Command) { command.Tokens = math.MaxUint64 }), Outcome{Status: AllowanceExhausted}},
-		{begin("one", ""), Outcome{Seq: 1, Head: 1, Reserved: 10}},
-		{begin("one", ""), Outcome{Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
-		{with(begin("one", ""), func(command *Command) { command.Dispatch = "another" }), Outcome{Status: TurnTaken, Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
-		{begin("two", "one"), Outcome{Status: TurnOpen, Head: 1, Reserved: 10}},
-		{with(end("one", "", 3), func(*Command) {}), Outcome{Status: BadCommand, Head: 1, Reserved: 10}},
-		{end("one", OutcomeComplete, 7), Outcome{Seq: 2, Head: 2, Spent: 7}},
-		{end("one", OutcomeComplete, 7), Outcome{Seq: 2, Head: 2, Spent: 7, Deduped: true}},
-		{end("one", OutcomeCut, 7), Outcome{Status: TurnClosed, Seq: 2, Head: 2, Spent: 7, Deduped: true}},
-		{begin("one", ""), Outcome{Status: TurnTaken, Seq: 1, Head: 2, Spent: 7, Deduped: true}},
-		{with(begin("two", "one"), func(command *Command) { command.Expects, command.ExpectedSeq = true, 1 }), Outcome{Status: UnexpectedSeq, Head: 2, Spent: 7}},
-		{with(begin("two", "one"), func(command *Command) { command.Expects, command.ExpectedSeq = true, 2 }), Outcome{Seq: 3, Head: 3, Spent: 7, Reserved: 10}},
-		{begin("three", "one"), Outcome{Seq: 4, Head: 4, Spent: 7, Reserved: 20}},
-		{begin("four", "one"), Outcome{Status: AllowanceExhausted, Head: 4, Spent: 7, Reserved: 20}},
-		{end("two", OutcomeCut, 4), Outcome{Seq: 5, Head: 5, Spent: 11, Reserved: 10}},
-		{begin("four", "two"), Outcome{Status: TurnCut, Head: 5, Spent: 11, Reserved: 10}},
-		{end("three", OutcomeNotRun, 0), Outcome{Seq: 6, Head: 6, Spent: 11}},
-		{begin("three", "one"), Outcome{Status: TurnClosed, Seq: 4, Head: 6, Spent: 11, Deduped: true}},
-		{end("fenced", OutcomeNotRun, 0), Outcome{Seq: 7, Head: 7, Spent: 11}},
-		{begin("fenced", "one"), Outcome{Status: TurnClosed, Seq: 7, Head: 7, Spent: 11, Deduped: true}},
-		{with(begin("late", "one"), func(command *Command) { command.Budgeted = false }), Outcome{Seq: 8, Head: 8, Spent: 11}},
-		{with(begin("after", "late"), func(command *Command) { command.Now = int64(time.Hour) }), Outcome{Status: TurnCut, Head: 8, Spent: 11}},
-		{end("late", OutcomeComplete, 0), Outcome{Seq: 9, Head: 9, Spent: 11}},
-		{begin("after", "late"), Outcome{Seq: 10, Head: 10, Spent: 11, Reserved: 10}},
+		{endCommand("one", OutcomeComplete, 3), Outcome{Status: UnknownTurn}},
+		{beginCommand("one", "none"), Outcome{Status: UnknownTurn}},
+		{beginCommand("one", "one"), Outcome{Status: BadCommand}},
+		{beginCommand("", ""), Outcome{Status: BadCommand}},
+		{with(beginCommand("one", ""), func(command *Command) { command.Tokens = 36 }), Outcome{Status: QuotaExceeded}},
+		{with(beginCommand("one", ""), func(command *Command) { command.Tokens = math.MaxUint64 }), Outcome{Status: QuotaExceeded}},
+		{beginCommand("one", ""), Outcome{Seq: 1, Head: 1, Reserved: 10}},
+		{beginCommand("one", ""), Outcome{Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
+		{with(beginCommand("one", ""), func(command *Command) { command.Dispatch = "another" }), Outcome{Status: TurnTaken, Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
+		{beginCommand("two", "one"), Outcome{Status: TurnOpen, Head: 1, Reserved: 10}},
+		{with(endCommand("one", "", 3), func(*Command) {}), Outcome{Status: BadCommand, Head: 1, Reserved: 10}},
+		{endCommand("one", OutcomeComplete, 7), Outcome{Seq: 2, Head: 2, Spent: 7}},
+		{endCommand("one", OutcomeComplete, 7), Outcome{Seq: 2, Head: 2, Spent: 7, Deduped: true}},
+		{endCommand("one", OutcomeCut, 7), Outcome{Status: TurnClosed, Seq: 2, Head: 2, Spent: 7, Deduped: true}},
+		{beginCommand("one", ""), Outcome{Status: TurnTaken, Seq: 1, Head: 2, Spent: 7, Deduped: true}},
+		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 1 }), Outcome{Status: UnexpectedSeq, Head: 2, Spent: 7}},
+		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 2 }), Outcome{Seq: 3, Head: 3, Spent: 7, Reserved: 10}},
+		{beginCommand("three", "one"), Outcome{Seq: 4, Head: 4, Spent: 7, Reserved: 20}},
+		{beginCommand("four", "one"), Outcome{Status: QuotaExceeded, Head: 4, Spent: 7, Reserved: 20}},
+		{endCommand("two", OutcomeCut, 4), Outcome{Seq: 5, Head: 5, Spent: 11, Reserved: 10}},
+		{beginCommand("four", "two"), Outcome{Status: TurnIncomplete, Head: 5, Spent: 11, Reserved: 10}},
+		{endCommand("three", OutcomeNotRun, 0), Outcome{Seq: 6, Head: 6, Spent: 11}},
+		{beginCommand("three", "one"), Outcome{Status: TurnClosed, Seq: 4, Head: 6, Spent: 11, Deduped: true}},
+		{endCommand("fenced", OutcomeNotRun, 0), Outcome{Seq: 7, Head: 7, Spent: 11}},
+		{beginCommand("fenced", "one"), Outcome{Status: TurnClosed, Seq: 7, Head: 7, Spent: 11, Deduped: true}},
+		{with(beginCommand("late", "one"), func(command *Command) { command.HasQuota = false }), Outcome{Seq: 8, Head: 8, Spent: 11}},
+		{with(beginCommand("after", "late"), func(command *Command) { command.Now = int64(time.Hour) }), Outcome{Status: TurnIncomplete, Head: 8, Spent: 11}},
+		{endCommand("late", OutcomeComplete, 0), Outcome{Seq: 9, Head: 9, Spent: 11}},
+		{beginCommand("after", "late"), Outcome{Seq: 10, Head: 10, Spent: 11, Reserved: 10}},
 	} {
-		before := machine.View().Image()
+		before := machine.View().Snapshot()
 		got := machine.Apply(&step.command)
 		if got != step.want {
 			t.Errorf("step %d: got %+v, want %+v", position, got, step.want)
 		}
-		after := machine.View().Image()
+		after := machine.View().Snapshot()
 		before.Clock, after.Clock = 0, 0
 		if unchanged := got.Status != Done || got.Deduped; unchanged && !reflect.DeepEqual(before, after) {
 			t.Errorf("step %d answered %+v and changed the group", position, got)
@@ -76,41 +76,41 @@
 	}
 }
 
-// said is what a line remembers of a turn's chain, read from its hot events.
-func said(view *View, lineName, name string) string {
-	turn, found := view.Turn(lineName, name)
-	session, _ := view.Session(lineName)
+// historyOf is what a line remembers of a turn's chain, read from its hot events.
+func historyOf(view *View, sessionName, name string) string {
+	turn, found := view.Turn(sessionName, name)
+	session, _ := view.Session(sessionName)
 	if !found {
 		return "no turn"
 	}
 	text := ""
 	for _, one := range turn.Chain() {
-		text += string(session.Hot[one.Seq-session.ArchivedSeq-1].Data)
-		if one.Ended != 0 && one.Ended != one.Seq {
-			text += string(session.Hot[one.Ended-session.ArchivedSeq-1].Data)
+		text += string(session.Unarchived[one.Seq-session.ArchivedSeq-1].Data)
+		if one.EndSeq != 0 && one.EndSeq != one.Seq {
+			text += string(session.Unarchived[one.EndSeq-session.ArchivedSeq-1].Data)
 		}
 	}
 	return text
 }
 
-func TestAdoptedTurnsMakeTheLineWhole(t *testing.T) {
-	machine := NewMachine()
+func TestAdoptedTurnsCompleteTheHistory(t *testing.T) {
+	machine := NewStateMachine()
 	adopted := []AdoptedTurn{{Name: "x", Data: []byte("in x\nout x\n")}, {Name: "y", Data: []byte("in y\nout y\n")}}
 	adopting := func(name string) Command {
-		return with(begin(name, "y"), func(command *Command) { command.Adopted = adopted })
+		return with(beginCommand(name, "y"), func(command *Command) { command.Adopted = adopted })
 	}
 	for position, step := range []struct {
 		command Command
 		want    Outcome
 	}{
-		{with(begin("one", "z"), func(command *Command) { command.Adopted = adopted }), Outcome{Status: UnknownTurn}},
-		{with(adopting("one"), func(command *Command) { command.Tokens = 40 }), Outcome{Status: AllowanceExhausted}},
+		{with(beginCommand("one", "z"), func(command *Command) { command.Adopted = adopted }), Outcome{Status: UnknownTurn}},
+		{with(adopting("one"), func(command *Command) { command.Tokens = 40 }), Outcome{Status: QuotaExceeded}},
 		{adopting("one"), Outcome{Seq: 3, Head: 3, Reserved: 10}},
 		{adopting("one"), Outcome{Seq: 3, Head: 3, Reserved: 10, Deduped: true}},
 		{adopting("two"), Outcome{Seq: 4, Head: 4, Reserved: 20}},
-		{end("two", OutcomeComplete, 1), Outcome{Seq: 5, Head: 5, Spent: 1, Reserved: 10}},
-		{begin("three", "x"), Outcome{Seq: 6, Head: 6, Spent: 1, Reserved: 20}},
-		{with(begin("four", "two"), func(command *Command) { command.Budgeted = false }), Outcome{Seq: 7, Head: 7, Spent: 1, Reserved: 20}},
+		{endCommand("two", OutcomeComplete, 1), Outcome{Seq: 5, Head: 5, Spent: 1, Reserved: 10}},
+		{beginCommand("three", "x"), Outcome{Seq: 6, Head: 6, Spent: 1, Reserved: 20}},
+		{with(beginCommand("four", "two"), func(command *Command) { command.HasQuota = false }), Outcome{Seq: 7, Head: 7, Spent: 1, Reserved: 20}},
 	} {
 		if got := machine.Apply(&step.command); got != step.want {
 			t.Errorf("step %d: got %+v, want %+v", position, got, step.want)
@@ -120,12 +120,12 @@
 		"one": "in x\nout x\nin y\nout y\nin one\n", "three": "in x\nout x\nin three\n",
 		"four": "in x\nout x\nin y\nout y\nin two\nout two\nin four\n",
 	} {
-		if got := said(machine.View(), "program/a", name); got != want {
+		if got := historyOf(machine.View(), "program/a", name); got != want {
 			t.Errorf("%s goes on from %q, want %q", name, got, want)
 		}
 	}
 	// The same turn may be known in more lines; each is forgotten with its line.
-	other := with(adopting("five"), func(command *Command) { command.Line, command.KeepFor = "program/b", 2*time.Hour })
+	other := with(adopting("five"), func(command *Command) { command.Session, command.Retention = "program/b", 2*time.Hour })
 	if got := machine.Apply(&other); got.Status != Done {
 		t.Fatalf("%+v", got)
 	}
@@ -133,24 +133,24 @@
 	if _, found := machine.View().Turn("program/a", "x"); found {
 		t.Fatal("a turn is known after its line was forgotten")
 	}
-	if found, known := machine.View().TurnAnywhere("x"); !known || found.Line != "program/b" {
+	if found, known := machine.View().TurnInAnySession("x"); !known || found.Session != "program/b" {
 		t.Fatal("a turn that another line adopted was forgotten")
 	}
 	machine.Apply(&Command{Kind: AckArchived, Now: int64(5 * time.Hour)})
-	if image := machine.View().Image(); len(image.Sessions)+len(image.Turns)+machine.View().turns.Len()+machine.View().expiries.Len() != 0 {
-		t.Fatalf("something is left: %+v", image)
+	if snapshot := machine.View().Snapshot(); len(snapshot.Sessions)+len(snapshot.Turns)+machine.View().turns.Len()+machine.View().expiries.Len() != 0 {
+		t.Fatalf("something is left: %+v", snapshot)
 	}
 }
 
-// TestProgramsKeepTheirAllowanceAndTheirHistories drives many turns of one program in
+// TestProgramsKeepTheirQuotaAndTheirHistories drives many turns of one program in
 // any order, repeats and fences among them, against a simple model.
-func TestProgramsKeepTheirAllowanceAndTheirHistories(t *testing.T) {
+func TestProgramsKeepTheirQuotaAndTheirHistories(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 200
 	properties := gopter.NewProperties(parameters)
 	properties.Property("allowance, dedupe and histories", prop.ForAll(func(steps []uint16) string {
-		const allowance, most = 200, 30
-		machine := NewMachine()
+		const quota, most = 200, 30
+		machine := NewStateMachine()
 		type turn struct {
 			follows string
 			open    bool
@@ -160,12 +160,12 @@
 		whole := []string{""}
 		for position, step := range steps {
 			if step%97 == 0 { // a replica starts anew from a checkpoint
-				image := machine.View().Image()
-				machine = NewMachine()
-				if err := machine.Restore(image); err != nil {
+				snapshot := machine.View().Snapshot()
+				machine = NewStateMachine()
+				if err := machine.Restore(snapshot); err != nil {
 					return err.Error()
 				}
-				if again := machine.View().Image(); !reflect.DeepEqual(image, again) {
+				if again := machine.View().Snapshot(); !reflect.DeepEqual(snapshot, again) {
 					return "a restored group is another"
 				}
 			}
@@ -178,8 +178,8 @@
 				if known, repeat := turns[name]; repeat {
 					follows = known.follows
 				}
-				command := with(begin(name, follows), func(command *Command) { command.Tokens, command.Allowance = most, allowance })
-				fits := machine.View().spentAndReserved()+most <= allowance
+				command := with(beginCommand(name, follows), func(command *Command) { command.Tokens, command.Quota = most, quota })
+				fits := machine.View().spentAndReserved()+most <= quota
 				outcome := machine.Apply(&command)
 				known, repeat := turns[name]
 				switch {
@@ -201,7 +201,7 @@
 					tokens = 0
 				}
 				for range 2 {
-					command := end(name, outcome, tokens)
+					command := endCommand(name, outcome, tokens)
 					got := machine.Apply(&command)
 					if ended := !known.open; ended != got.Deduped || ended && known.outcome != outcome && got.Status != TurnClosed {
 						return fmt.Sprintf("step %d: the end answered %+v of %+v", position, got, known)
@@ -221,7 +221,7 @@
 					open += most
 				}
 			}
-			if out := machine.View().spentAndReserved(); out != handed+open || out > allowance+most {
+			if out := machine.View().spentAndReserved(); out != handed+open || out > quota+most {
 				return fmt.Sprintf("step %d: %d count, %d were handed out and %d may be", position, out, handed, open)
 			}
 		}
@@ -233,7 +233,7 @@
 			for at := one.follows; at != ""; at = turns[at].follows {
 				want = "in " + at + "\nout " + at + "\n" + want
 			}
-			if got := said(machine.View(), "program/a", name); got != want {
+			if got := historyOf(machine.View(), "program/a", name); got != want {
 				return fmt.Sprintf("%s goes on from %q, want %q", name, got, want)
 			}
 		}
@@ -250,15 +250,15 @@
 	return session.Spent + session.Reserved
 }
 
-func TestAProgramsLineIsKeptFromTheEndOfItsLastAnswer(t *testing.T) {
-	machine := NewMachine()
+func TestProgramSessionIsRetainedFromTheEndOfItsLastTurn(t *testing.T) {
+	machine := NewStateMachine()
 	at := func(now time.Duration, command Command) Outcome {
 		command.Now = int64(now)
 		return machine.Apply(&command)
 	}
-	at(time.Second, begin("one", ""))
-	at(2*time.Second, end("one", OutcomeComplete, 1))
-	at(59*time.Minute, begin("two", "one"))
+	at(time.Second, beginCommand("one", ""))
+	at(2*time.Second, endCommand("one", OutcomeComplete, 1))
+	at(59*time.Minute, beginCommand("two", "one"))
 	for _, step := range []struct {
 		now   time.Duration
 		known bool
@@ -277,15 +277,15 @@
 	for _, turns := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(turns), func(b *testing.B) {
 			input := []byte(strings.Repeat("x", 500))
-			machine := NewMachine()
+			machine := NewStateMachine()
 			for number := range b.N {
 				name, follows := fmt.Sprintf("p%d-%d", number/turns, number%turns), ""
 				if number%turns > 0 {
 					follows = fmt.Sprintf("p%d-%d", number/turns, number%turns-1)
 				}
-				lineName := fmt.Sprintf("program/%d", number/turns)
-				machine.Apply(&Command{Kind: BeginTurn, Line: lineName, Now: 1, KeepFor: time.Hour, Producer: name, ProducerSeq: 1, Follows: follows, Keeps: true, Data: input, Budgeted: true, Tokens: 1, Allowance: 10000, Life: time.Minute})
-				machine.Apply(&Command{Kind: EndTurn, Line: lineName, Now: 1, KeepFor: time.Hour, Producer: name, ProducerSeq: 2, Outcome: OutcomeComplete, Keeps: true, Data: input, Tokens: 1})
+				sessionName := fmt.Sprintf("program/%d", number/turns)
+				machine.Apply(&Command{Kind: BeginTurn, Session: sessionName, Now: 1, Retention: time.Hour, Producer: name, ProducerSeq: 1, Follows: follows, KeepData: true, Data: input, HasQuota: true, Tokens: 1, Quota: 10000, Lifetime: time.Minute})
+				machine.Apply(&Command{Kind: EndTurn, Session: sessionName, Now: 1, Retention: time.Hour, Producer: name, ProducerSeq: 2, Outcome: OutcomeComplete, KeepData: true, Data: input, Tokens: 1})
 			}
 		})
 	}
--- a/system/line/types.go
+++ b/system/line/types.go
@@ -14,7 +14,7 @@
 // The kinds of event.
 const (
 	TurnBegun EventKind = iota + 1
-	Piece
+	OutputPart
 	TurnEnded
 	ToolCalled
 	ToolAnswered
@@ -41,7 +41,7 @@
 	Kind        EventKind
 	Turn        uint64
 	Follows     uint64
-	Words       string
+	Text        string
 	Outcome     string
 	Runner      string
 	Dispatch    string
@@ -54,8 +54,8 @@
 	Deadline    int64
 	// Data is a turn's input in its beginning, and its output in its end.
 	Data []byte
-	// Opening names what comes before Data; "" is nothing.
-	Opening string
+	// Prefix names what comes before Data; "" is nothing.
+	Prefix string
 }
 
 // CommandKind selects what a command does.
@@ -72,42 +72,42 @@
 	Settle
 	BeginTurn
 	EndTurn
-	// ShareOpening lets a group hold an opening once, and refers the lines to it that
+	// SharePrefix lets a group hold an opening once, and refers the lines to it that
 	// are named in Acks and still hold it whole.
-	ShareOpening
-	// BeginSharedTurn is BeginTurn whose Data comes after an opening that the group holds.
+	SharePrefix
+	// BeginTurnWithPrefix is BeginTurn whose Data comes after an opening that the group holds.
 	// It has a number of its own, so that a program that knows no openings refuses it.
-	BeginSharedTurn
+	BeginTurnWithPrefix
 )
 
 // Ack tells how far a line's events are in the cold store.
 type Ack struct {
-	Line        string
+	Session     string
 	ArchivedSeq uint64
 }
 
 // Command is what the leader puts into the log. Now is the group's clock as its
 // leader carries it on: it never runs ahead of the time that went by.
 type Command struct {
-	Kind        CommandKind
-	Line        string
-	Now         int64
-	KeepFor     time.Duration
-	Team        string
-	Program     string
-	WorkKind    string
-	Producer    string
-	ProducerSeq uint64
-	Expects     bool
-	ExpectedSeq uint64
-	Events      []Event
-	Reservation string
-	Words       uint64
-	Allowance   uint64
-	Acks        []Ack
-	// Life is how long a reservation may be out before it is looked into, or a turn be
+	Kind           CommandKind
+	Session        string
+	Now            int64
+	Retention      time.Duration
+	Team           string
+	Program        string
+	WorkKind       string
+	Producer       string
+	ProducerSeq    uint64
+	HasExpectedSeq bool
+	ExpectedSeq    uint64
+	Events         []Event
+	Reservation    string
+	Words          uint64
+	Quota          uint64
+	Acks           []Ack
+	// Lifetime is how long a reservation may be out before it is looked into, or a turn be
 	// open.
-	Life time.Duration
+	Lifetime time.Duration
 
 	// What follows is for turns of programs, whose name is Producer. Data is the input
 	// or the output, Tokens what may be or was put out.
@@ -116,13 +116,13 @@
 	Outcome  string
 	Data     []byte
 	Tokens   uint64
-	Budgeted bool
-	Keeps    bool
+	HasQuota bool
+	KeepData bool
 	Adopted  []AdoptedTurn
 	// Scope is whose opening may be shared; "" shares none. Opening names the one that
 	// Data follows.
-	Scope   string
-	Opening string
+	Scope  string
+	Prefix string
 }
 
 // AdoptedTurn is a turn that was answered whole in another line: its input with its
@@ -138,24 +138,24 @@
 // The ways a command can end.
 const (
 	Done Status = iota
-	UnknownLine
+	UnknownSession
 	UnexpectedSeq
 	TurnClosed
 	StaleProducer
-	AllowanceExhausted
+	QuotaExceeded
 	BadCommand
 	// UnknownTurn: the line knows no turn of the name that was given.
 	UnknownTurn
 	// TurnOpen: the turn to go on from has not ended yet.
 	TurnOpen
-	// TurnCut: the turn to go on from was not answered whole, and never will be.
-	TurnCut
+	// TurnIncomplete: the turn to go on from was not answered whole, and never will be.
+	TurnIncomplete
 	// TurnTaken: another dispatch began the turn, or it has ended.
 	TurnTaken
-	// UnknownOpening: the group holds no such opening for that scope (any more).
-	UnknownOpening
-	// OpeningsFull: the scope has as many openings as it may.
-	OpeningsFull
+	// UnknownPrefix: the group holds no such opening for that scope (any more).
+	UnknownPrefix
+	// TooManyPrefixes: the scope has as many openings as it may.
+	TooManyPrefixes
 )
 
 // Outcome is what applying a command answers.
@@ -178,73 +178,73 @@
 
 // Session is one line as of a view. It is never changed once published.
 type Session struct {
-	Line        string
+	Name        string
 	Team        string
 	Program     string
 	WorkKind    string
 	CreatedAt   int64
-	KeepFor     time.Duration
-	TouchedAt   int64
+	Retention   time.Duration
+	UpdatedAt   int64
 	Head        uint64
 	ArchivedSeq uint64
 	Producers   []Producer
-	Hot         []Event
+	Unarchived  []Event
 	OpenTurns   []uint64
 	// Until is the least time to which the line is kept, by the group's clock.
-	Until int64
+	RetainUntil int64
 	// Spent and Reserved are the tokens of a program's turns: those that were put out,
 	// and those that open turns may still put out.
 	Spent    uint64
 	Reserved uint64
 	// Turns names the line's turns in the order in which they began.
 	Turns []string
-	// Openings names those that events of the line refer to, archived ones too.
-	Openings []string
+	// Prefixes names those that events of the line refer to, archived ones too.
+	Prefixes []string
 }
 
-// Expires tells when the line's keeping time ends.
+// ExpiresAt tells when the line's keeping time ends.
 //
-//	if session.Expires().Before(now) { ... }
-func (session *Session) Expires() time.Time {
-	return time.Unix(0, max(session.TouchedAt+int64(session.KeepFor), session.Until))
+//	if session.ExpiresAt().Before(now) { ... }
+func (session *Session) ExpiresAt() time.Time {
+	return time.Unix(0, max(session.UpdatedAt+int64(session.Retention), session.RetainUntil))
 }
 
 // Reservation is what a running turn may still speak, and until when by the
 // group's clock it may be out.
 type Reservation struct {
-	Name  string
-	Words uint64
-	Until int64
+	Name      string
+	Words     uint64
+	ExpiresAt int64
 }
 
 // ReservationName names a turn's reservation after its line and its dispatch, so
 // that whoever finds it can look what became of the turn.
 //
 //	name := line.ReservationName("team/c-1", dispatch)
-func ReservationName(lineName, dispatch string) string {
-	return lineName + reservationSeparator + dispatch
+func ReservationName(sessionName, dispatch string) string {
+	return sessionName + reservationSeparator + dispatch
 }
 
 const reservationSeparator = "|"
 
 // Turn gives the line and the dispatch that a reservation is for.
 //
-//	lineName, dispatch := reservation.Turn()
+//	sessionName, dispatch := reservation.Turn()
 func (reservation Reservation) Turn() (string, string) {
-	lineName, dispatch, _ := strings.Cut(reservation.Name, reservationSeparator)
-	return lineName, dispatch
+	sessionName, dispatch, _ := strings.Cut(reservation.Name, reservationSeparator)
+	return sessionName, dispatch
 }
 
-// TallyName names the tally of a team's program for a period.
+// QuotaName names the tally of a team's program for a period.
 //
-//	name := line.TallyName("depot", "dialogue", "first")
-func TallyName(team, program, period string) string {
+//	name := line.QuotaName("depot", "dialogue", "first")
+func QuotaName(team, program, period string) string {
 	return "tally:" + team + "/" + program + "/" + period
 }
 
-// Tally is a program's spending. What is reserved counts as spent. Settled holds,
+// QuotaUsage is a program's spending. What is reserved counts as spent. Settled holds,
 // for a while, what was settled, so that a late Reserve can't reserve it again.
-type Tally struct {
+type QuotaUsage struct {
 	Name         string
 	Spent        uint64
 	Reservations []Reservation
@@ -254,20 +254,20 @@
 // Reserved sums what running turns may still speak.
 //
 //	used := tally.Spent + tally.Reserved()
-func (tally *Tally) Reserved() uint64 {
+func (usage *QuotaUsage) Reserved() uint64 {
 	total := uint64(0)
-	for _, reservation := range tally.Reservations {
+	for _, reservation := range usage.Reservations {
 		total += reservation.Words
 	}
 	return total
 }
 
-// Image is a group's whole content, as checkpoints carry it.
-type Image struct {
-	Version  uint32
-	Clock    int64
-	Sessions []Session
-	Tallies  []Tally
-	Turns    []TurnRecord
-	Openings []OpeningRecord
+// Snapshot is a group's whole content, as checkpoints carry it.
+type Snapshot struct {
+	Version     uint32
+	Clock       int64
+	Sessions    []Session
+	QuotaUsages []QuotaUsage
+	Turns       []TurnRecord
+	Prefixes    []SharedPrefixRecord
 }
--- a/system/link/link_test.go
+++ b/system/link/link_test.go
@@ -29,7 +29,7 @@
 			return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{Name: query.Status.Address, Controls: []feed.Member{{Name: "a"}}}}
 		},
 		schema.Query_Which_command: func(query *wire.Query) *wire.Reply {
-			return wire.Failed(apierror.New(apierror.Conflict, query.Command.Commands[0].Events[0].Words, "read again"))
+			return wire.Failed(apierror.New(apierror.Conflict, query.Command.Commands[0].Events[0].Text, "read again"))
 		},
 		schema.Query_Which_agreement: func(query *wire.Query) *wire.Reply {
 			if len(query.Agreement.Messages[0].Entries) != 2 {
@@ -46,7 +46,7 @@
 	if err != nil || reply.Status.Name != "here" || reply.Status.Controls[0].Name != "a" {
 		t.Fatalf("status: %+v, %v", reply, err)
 	}
-	_, err = caller.Call(ctx, address, &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Commands: []line.Command{{Events: []line.Event{{Words: "busy"}}}}}})
+	_, err = caller.Call(ctx, address, &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Commands: []line.Command{{Events: []line.Event{{Text: "busy"}}}}}})
 	if found := apierror.Of(err); found.Kind != apierror.Conflict || found.Message != "busy" || found.Remedy != "read again" {
 		t.Fatalf("command: %v", err)
 	}
--- /dev/null
+++ b/system/openings/detector_test.go
@@ -0,0 +1,86 @@
+package openings
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// prose makes text of some length that a seed alone decides.
+func prose(seed uint64, length int) string {
+	random, made := rand.New(rand.NewPCG(seed, 1)), &strings.Builder{}
+	for made.Len() < length {
+		fmt.Fprintf(made, "word%d ", random.IntN(100000))
+	}
+	return made.String()[:length]
+}
+
+func TestPrefixThatEnoughSessionsShareIsDetected(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		detector, head := &Detector{}, prose(1, 2560)
+		input := func(number uint64) []byte { return []byte(head + prose(100+number, 900)) }
+		for position, step := range []struct {
+			group          uint32
+			scope, session string
+			words          uint64
+			found          bool
+		}{
+			{1, "identity", "a", 1, false},
+			{1, "identity", "a", 2, false}, // the same line counts once
+			{1, "identity", "b", 3, false},
+			{1, "permits", "c", 4, false}, // another scope does not count
+			{2, "identity", "c", 5, false},
+			{1, "", "c", 6, false},
+			{1, "identity", "c", 7, true},
+			{1, "identity", "d", 8, false}, // told already
+		} {
+			candidate, found := detector.Observe(step.group, step.scope, step.session, input(step.words))
+			if found != step.found {
+				t.Fatalf("step %d: %+v %t", position, candidate, found)
+			}
+			if found && (candidate.Length > len(head) || candidate.Length < len(head)-maxChunkBytes || len(candidate.Sessions) != MinSessions) {
+				t.Fatalf("step %d: %+v of %d bytes", position, candidate, len(head))
+			}
+		}
+		time.Sleep(reportInterval)
+		if candidate, found := detector.Observe(1, "identity", "e", input(9)); !found || len(candidate.Sessions) != MinSessions || candidate.Sessions[MinSessions-1] != "e" {
+			t.Fatalf("it is not told again: %+v", candidate)
+		}
+	})
+}
+
+func TestInputsWithoutCommonPrefixAreNotDetected(t *testing.T) {
+	detector := &Detector{}
+	for number := range uint64(50) {
+		name := fmt.Sprint(number)
+		for _, input := range []string{"", "short", prose(1000+number, 3000), prose(1, 255)} {
+			if candidate, found := detector.Observe(1, "identity", name, []byte(input)); found {
+				t.Fatalf("%+v", candidate)
+			}
+		}
+	}
+}
+
+func TestTrackedPrefixesAreBounded(t *testing.T) {
+	detector := &Detector{}
+	for number := range uint64(2000) {
+		detector.Observe(1, "identity", fmt.Sprint(number), []byte(prose(number, 3000)))
+	}
+	if len(detector.seen) > maxTracked+1000 {
+		t.Fatalf("%d are remembered", len(detector.seen))
+	}
+}
+
+func BenchmarkObserve(b *testing.B) {
+	detector, head := &Detector{}, prose(1, 2560)
+	inputs := [][]byte{}
+	for number := range uint64(64) {
+		inputs = append(inputs, []byte(head+prose(100+number, 1500)))
+	}
+	for number := range b.N {
+		detector.Observe(1, "identity", "program/x", inputs[number%64])
+	}
+}
--- a/system/store/archived.go
+++ b/system/store/archive_guard.go
@@ -19,35 +19,35 @@
 // together: one acknowledges ranges by the voters that it knows, the other changes the
 // voters by the ranges that it knows. An archiveGuard lets one of them act at a time.
 type archiveGuard struct {
-	// held takes a token while one of them acts, which may have to wait for a commit.
-	held chan struct{}
-	// undecidedTerm and undecidedThrough bound the log entries of one term among which may
+	// token takes a token while one of them acts, which may have to wait for a commit.
+	token chan struct{}
+	// inDoubtTerm and inDoubtThrough bound the log entries of one term among which may
 	// be an acknowledgement whose outcome is not known.
-	undecidedTerm, undecidedThrough uint64
+	inDoubtTerm, inDoubtThrough uint64
 }
 
-// undecided tells whether an acknowledgement may still be committed that is not applied
+// inDoubt tells whether an acknowledgement may still be committed that is not applied
 // here. A leader that has committed an entry of a later term has decided all before it.
-func (guard *archiveGuard) undecided(status agreement.Status) bool {
-	return status.Term == guard.undecidedTerm && status.CommitIndex < guard.undecidedThrough
+func (guard *archiveGuard) inDoubt(status agreement.Status) bool {
+	return status.Term == guard.inDoubtTerm && status.CommitIndex < guard.inDoubtThrough
 }
 
 func (node *Node) archiveGuard(group uint32) *archiveGuard {
-	guard, _ := node.archiveGuards.LoadOrStore(group, &archiveGuard{held: make(chan struct{}, 1)})
+	guard, _ := node.archiveGuards.LoadOrStore(group, &archiveGuard{token: make(chan struct{}, 1)})
 	return guard.(*archiveGuard)
 }
 
 // acquire waits for its turn; false tells that the context ended before.
 func (guard *archiveGuard) acquire(ctx context.Context) bool {
 	select {
-	case guard.held <- struct{}{}:
+	case guard.token <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (guard *archiveGuard) release() { <-guard.held }
+func (guard *archiveGuard) release() { <-guard.token }
 
 func isMajority(some, all []string) bool {
 	counted := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return !slices.Contains(some, name) })
@@ -70,30 +70,30 @@
 	if _, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)}); err != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).Warn("archive_not_acknowledged")
 		status, _ = node.host.Status(group)
-		guard.undecidedTerm, guard.undecidedThrough = status.Term, status.LastIndex
+		guard.inDoubtTerm, guard.inDoubtThrough = status.Term, status.LastIndex
 	}
 }
 
 // changeReplicas asks for a one-member change that was decided on the archived ranges with
 // these sums. It does nothing if others have been acknowledged since, or may have been.
-func (node *Node) changeReplicas(group uint32, decidedOn line.Sums, next agreement.Membership) bool {
+func (node *Node) changeReplicas(group uint32, decidedOn line.BucketDigests, next agreement.Membership) bool {
 	guard := node.archiveGuard(group)
 	select {
-	case guard.held <- struct{}{}:
+	case guard.token <- struct{}{}:
 	default:
 		return false // it is tried again soon
 	}
 	defer guard.release()
 	status, _ := node.host.Status(group)
-	if !status.CommittedInTerm || guard.undecided(status) || node.machine(group).View().Sums() != decidedOn {
+	if !status.CommittedInTerm || guard.inDoubt(status) || node.stateMachine(group).View().ArchiveDigests() != decidedOn {
 		return false
 	}
 	return node.host.ChangeMembership(group, next)
 }
 
-// behindInterval is how soon a replica is mended that is known to lack an archived range,
+// laggingRepairInterval is how soon a replica is mended that is known to lack an archived range,
 // or may lack one, from when it is heard again.
-const behindInterval = time.Second
+const laggingRepairInterval = time.Second
 
 // replicaKey names one replica of a group.
 type replicaKey struct {
@@ -101,41 +101,41 @@
 	name  string
 }
 
-// noteBehind remembers that a replica may lack archived ranges.
-func (node *Node) noteBehind(group uint32, name string) {
-	node.behind.Store(replicaKey{group, name}, true)
+// markLagging remembers that a replica may lack archived ranges.
+func (node *Node) markLagging(group uint32, name string) {
+	node.laggingReplicas.Store(replicaKey{group, name}, true)
 }
 
-// behindMender gives the task that mends the replicas that may lack archived ranges as
+// laggingRepairer gives the task that mends the replicas that may lack archived ranges as
 // soon as they are heard again. A node that has come to lead a group does not know which
 // of its replicas do, so it looks at all of them once.
-func (node *Node) behindMender() func() {
-	looked := map[uint32]uint64{} // the term in which the replicas of a group were noted
+func (node *Node) laggingRepairer() func() {
+	checkedTerm := map[uint32]uint64{} // the term in which the replicas of a group were noted
 	return func() {
 		for group, status := range node.host.Statuses() {
-			if !status.CommittedInTerm || looked[group] == status.Term {
+			if !status.CommittedInTerm || checkedTerm[group] == status.Term {
 				continue
 			}
-			looked[group] = status.Term
+			checkedTerm[group] = status.Term
 			for _, voter := range status.Membership.Voters {
-				node.noteBehind(group, voter)
+				node.markLagging(group, voter)
 			}
 		}
-		node.behind.Range(func(key, _ any) bool {
+		node.laggingReplicas.Range(func(key, _ any) bool {
 			replica := key.(replicaKey)
-			if node.mendBehind(replica) {
-				node.behind.Delete(key)
+			if node.repairLagging(replica) {
+				node.laggingReplicas.Delete(key)
 			}
 			return node.context.Err() == nil
 		})
 	}
 }
 
-// mendBehind tells whether nothing is left to do for a replica that may lack ranges.
-func (node *Node) mendBehind(replica replicaKey) bool {
+// repairLagging tells whether nothing is left to do for a replica that may lack ranges.
+func (node *Node) repairLagging(replica replicaKey) bool {
 	status := node.host.Statuses()[replica.group]
 	if !status.CommittedInTerm || !slices.Contains(status.Membership.Voters, replica.name) {
 		return true
 	}
-	return node.live(replica.name) && node.mendReplica(replica.group, node.machine(replica.group).View(), replica.name)
+	return node.isLive(replica.name) && node.repairReplica(replica.group, node.stateMachine(replica.group).View(), replica.name)
 }
--- a/system/store/archive.go
+++ b/system/store/archiver.go
@@ -12,7 +12,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-func (node *Node) repeat(interval time.Duration, task func()) {
+func (node *Node) runEvery(interval time.Duration, task func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -29,43 +29,43 @@
 func (node *Node) archiveAll() {
 	for group, status := range node.host.Statuses() {
 		if status.Leading {
-			node.archive(group, status.Membership.Voters)
+			node.archiveGroup(group, status.Membership.Voters)
 		}
 	}
-	if err := node.cold.Expire(node.clock, node.keeps); err != nil {
+	if err := node.archiveStore.Expire(node.clock, node.retained); err != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cold_expiry_failed")
 	}
 }
 
-func (node *Node) keeps(name string) bool {
-	group := placement.GroupOf(name, node.held.Load().Groups)
-	machine := node.machine(group)
+func (node *Node) retained(name string) bool {
+	group := placement.GroupOf(name, node.view.Load().Groups)
+	machine := node.stateMachine(group)
 	if machine == nil {
 		return false
 	}
 	session, kept := machine.View().Session(name)
-	return kept && session.Expires().UnixNano() >= node.clock(group)
+	return kept && session.ExpiresAt().UnixNano() >= node.clock(group)
 }
 
-// archive flushes one group's pending events to the cold stores of a majority of
+// archiveGroup flushes one group's pending events to the cold stores of a majority of
 // its replicas, and only then commits how far they may be evicted.
-func (node *Node) archive(group uint32, voters []string) {
-	view := node.machine(group).View()
+func (node *Node) archiveGroup(group uint32, voters []string) {
+	view := node.stateMachine(group).View()
 	chunks, acks := []wire.ColdChunk{}, []line.Ack{}
 	budget, now := archiveBatch, node.clock(group)
-	expired, full := view.AnyExpired(now) || view.AnyIdleOpening(now), hotBytes(view) > mostHotBytes
-	for session := range view.Hot() {
+	expired, full := view.HasExpired(now) || view.HasIdlePrefix(now), unarchivedBytes(view) > maxUnarchivedBytes
+	for session := range view.Unarchived() {
 		if budget <= 0 {
 			break
 		}
-		if session.Expires().UnixNano() < now || (!full && underWay(session, now)) {
+		if session.ExpiresAt().UnixNano() < now || (!full && isActive(session, now)) {
 			continue
 		}
-		events := session.Hot[:min(len(session.Hot), budget)]
+		events := session.Unarchived[:min(len(session.Unarchived), budget)]
 		budget -= len(events)
 		first, last := events[0].Seq, events[len(events)-1].Seq
-		chunks = append(chunks, wire.ColdChunk{Group: group, Line: session.Line, First: first, Last: last, Expires: session.Expires().UnixNano(), Events: events})
-		acks = append(acks, line.Ack{Line: session.Line, ArchivedSeq: last})
+		chunks = append(chunks, wire.ColdChunk{Group: group, Line: session.Name, First: first, Last: last, Expires: session.ExpiresAt().UnixNano(), Events: events})
+		acks = append(acks, line.Ack{Session: session.Name, ArchivedSeq: last})
 	}
 	if len(chunks) == 0 && !expired {
 		return
@@ -74,7 +74,7 @@
 	defer cancel()
 	holders := []string{}
 	if len(chunks) > 0 {
-		holders = node.putOnVoters(ctx, group, voters, chunks)
+		holders = node.replicateChunks(ctx, group, voters, chunks)
 	}
 	node.acknowledgeArchived(ctx, group, holders, acks)
 }
@@ -82,19 +82,19 @@
 // A program's turns follow each other soon, and each goes on from all before it. So its
 // line stays in memory while it is under way, as long as there is room.
 const (
-	quietFor     = 15 * time.Second
-	mostHot      = 512
-	mostHotBytes = 1 << 20
+	activeWindow        = 15 * time.Second
+	maxUnarchivedEvents = 512
+	maxUnarchivedBytes  = 1 << 20
 )
 
-func underWay(session *line.Session, now int64) bool {
-	return len(session.Turns) > 0 && len(session.Hot) < mostHot && now-session.TouchedAt < int64(quietFor)
+func isActive(session *line.Session, now int64) bool {
+	return len(session.Turns) > 0 && len(session.Unarchived) < maxUnarchivedEvents && now-session.UpdatedAt < int64(activeWindow)
 }
 
-func hotBytes(view *line.View) int {
+func unarchivedBytes(view *line.View) int {
 	size := 0
-	for session := range view.Hot() {
-		for _, event := range session.Hot {
+	for session := range view.Unarchived() {
+		for _, event := range session.Unarchived {
 			size += len(event.Data)
 		}
 	}
@@ -105,9 +105,9 @@
 // stored what is archived. Those that are late are mended.
 const stragglerTimeout = 300 * time.Millisecond
 
-// putOnVoters has the replicas put chunks into their cold stores, and gives the names of
+// replicateChunks has the replicas put chunks into their cold stores, and gives the names of
 // those that have. Peers hold the events themselves, as a rule, and are only told which.
-func (node *Node) putOnVoters(ctx context.Context, group uint32, voters []string, chunks []wire.ColdChunk) (holders []string) {
+func (node *Node) replicateChunks(ctx context.Context, group uint32, voters []string, chunks []wire.ColdChunk) (holders []string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type stored struct {
@@ -118,16 +118,16 @@
 	for _, voter := range voters {
 		go func() {
 			if voter == node.Name() {
-				results <- stored{voter, node.cold.Put(chunks)}
+				results <- stored{voter, node.archiveStore.Put(chunks)}
 				return
 			}
-			results <- stored{voter, node.putOn(ctx, voter, chunks)}
+			results <- stored{voter, node.sendChunks(ctx, voter, chunks)}
 		}()
 	}
 	for range voters {
 		result := <-results
 		if result.err != nil {
-			node.noteBehind(group, result.voter)
+			node.markLagging(group, result.voter)
 			continue
 		}
 		holders = append(holders, result.voter)
@@ -139,14 +139,14 @@
 	return holders
 }
 
-// putOn has one peer put chunks from what it holds, then sends those that it lacks.
-func (node *Node) putOn(ctx context.Context, peer string, chunks []wire.ColdChunk) error {
+// sendChunks has one peer put chunks from what it holds, then sends those that it lacks.
+func (node *Node) sendChunks(ctx context.Context, peer string, chunks []wire.ColdChunk) error {
 	ranges := make([]wire.ColdChunk, len(chunks))
 	for position, chunk := range chunks {
 		chunk.Events = nil
 		ranges[position] = chunk
 	}
-	fleet, address := node.held.Load().BoundFleet(), node.addressOf(peer)
+	fleet, address := node.view.Load().BoundFleet(), node.addressOf(peer)
 	reply, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutCold: &wire.ColdChunkBatch{Chunks: ranges}})
 	if err != nil || reply.Chunks == nil {
 		return err
@@ -155,12 +155,12 @@
 		name  string
 		first uint64
 	}
-	lacking, missing := map[key]bool{}, []wire.ColdChunk{}
+	isMissing, missing := map[key]bool{}, []wire.ColdChunk{}
 	for _, one := range reply.Chunks.Chunks {
-		lacking[key{one.Line, one.First}] = true
+		isMissing[key{one.Line, one.First}] = true
 	}
 	for _, chunk := range chunks {
-		if lacking[key{chunk.Line, chunk.First}] {
+		if isMissing[key{chunk.Line, chunk.First}] {
 			missing = append(missing, chunk)
 		}
 	}
@@ -168,26 +168,26 @@
 	return err
 }
 
-// filled gives chunks with their events: those that come without are filled from what
+// fillChunks gives chunks with their events: those that come without are filled from what
 // this replica has applied. It tells which it lacks.
-func (node *Node) filled(chunks []wire.ColdChunk) (whole, lacking []wire.ColdChunk) {
+func (node *Node) fillChunks(chunks []wire.ColdChunk) (complete, missing []wire.ColdChunk) {
 	for _, chunk := range chunks {
-		if len(chunk.Events) == 0 && !node.fill(&chunk) {
-			lacking = append(lacking, chunk)
+		if len(chunk.Events) == 0 && !node.fillChunk(&chunk) {
+			missing = append(missing, chunk)
 		} else if len(chunk.Events) > 0 {
-			whole = append(whole, chunk)
+			complete = append(complete, chunk)
 		}
 	}
-	return whole, lacking
+	return complete, missing
 }
 
-// fill puts the events of a range into a chunk, unless its line has them in its cold
+// fillChunk puts the events of a range into a chunk, unless its line has them in its cold
 // store. What is applied is the same at all replicas.
-func (node *Node) fill(chunk *wire.ColdChunk) bool {
-	if node.cold.Covers(*chunk) {
+func (node *Node) fillChunk(chunk *wire.ColdChunk) bool {
+	if node.archiveStore.Covers(*chunk) {
 		return true
 	}
-	machine := node.machine(chunk.Group)
+	machine := node.stateMachine(chunk.Group)
 	if machine == nil {
 		return false
 	}
@@ -195,6 +195,6 @@
 	if !found || chunk.First <= session.ArchivedSeq || chunk.Last < chunk.First || chunk.Last > session.Head {
 		return false
 	}
-	chunk.Events = session.Hot[chunk.First-session.ArchivedSeq-1 : chunk.Last-session.ArchivedSeq]
+	chunk.Events = session.Unarchived[chunk.First-session.ArchivedSeq-1 : chunk.Last-session.ArchivedSeq]
 	return true
 }
--- a/system/store/clock.go
+++ b/system/store/group_clock.go
@@ -14,15 +14,15 @@
 // So a group's clock may fall behind, by what went by while nobody was there to
 // carry it on, but never runs ahead: no keeping time or deadline ends early.
 func (node *Node) clock(group uint32) int64 {
-	machine := node.machine(group)
+	machine := node.stateMachine(group)
 	if machine == nil {
 		return 0
 	}
 	applied := machine.View().Clock()
 	if applied == 0 {
-		return node.settings.Wall().UnixNano()
+		return node.settings.WallClock().UnixNano()
 	}
-	anchored, _ := node.clocks.LoadOrStore(group, clockAnchor{clock: applied, at: time.Now()})
+	anchored, _ := node.clockAnchors.LoadOrStore(group, clockAnchor{clock: applied, at: time.Now()})
 	anchor := anchored.(clockAnchor)
 	return max(applied, anchor.clock+int64(time.Since(anchor.at)))
 }
--- a/system/store/moves.go
+++ b/system/store/group_placement.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	moveInterval = time.Second
-	busyInterval = 50 * time.Millisecond // while groups led here are moving
-	// movesAtOnce bounds the groups that one leader lets catch up at a time.
-	movesAtOnce = 4
+	placementInterval = time.Second
+	movingInterval    = 50 * time.Millisecond // while groups led here are moving
+	// maxConcurrentMoves bounds the groups that one leader lets catch up at a time.
+	maxConcurrentMoves = 4
 )
 
-// runMoves moves groups whenever the view changes, and goes on while any is moving.
-func (node *Node) runMoves() {
-	tick := time.NewTimer(moveInterval)
+// runPlacement moves groups whenever the view changes, and goes on while any is moving.
+func (node *Node) runPlacement() {
+	tick := time.NewTimer(placementInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-node.context.Done():
 			return
-		case <-node.viewed:
+		case <-node.viewChanged:
 		case <-tick.C:
 		}
-		next := moveInterval
-		if node.moveAll() {
-			next = busyInterval
+		next := placementInterval
+		if node.reconcilePlacement() {
+			next = movingInterval
 		}
 		tick.Reset(next)
 	}
 }
 
-// moveAll brings the groups led here one step nearer to where the store list
+// reconcilePlacement brings the groups led here one step nearer to where the store list
 // wants them, and tells whether any is under way. The leader of a group does this
 // alone; its term is the fence.
-func (node *Node) moveAll() bool {
-	view := node.held.Load()
+func (node *Node) reconcilePlacement() bool {
+	view := node.view.Load()
 	if len(view.Stores) == 0 {
 		return false
 	}
@@ -59,30 +59,30 @@
 			node.leaveIfRemoved(group, status, target)
 			continue
 		}
-		if moving < movesAtOnce && node.movable(status, target) {
+		if moving < maxConcurrentMoves && node.canMove(status, target) {
 			moving++
-			steps.Go(func() { node.moveOne(group, target, view) })
+			steps.Go(func() { node.moveGroup(group, target, view) })
 		}
 	}
 	steps.Wait()
 	return moving > 0
 }
 
-// movable tells that a group is not where it should be, and that a step towards there can
+// canMove tells that a group is not where it should be, and that a step towards there can
 // be taken now.
-func (node *Node) movable(status agreement.Status, target []string) bool {
+func (node *Node) canMove(status agreement.Status, target []string) bool {
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	if status.MembershipChangePending {
 		return true
 	}
 	if len(learners) > 0 {
-		return slices.ContainsFunc(learners, func(name string) bool { return !slices.Contains(target, name) || node.live(name) })
+		return slices.ContainsFunc(learners, func(name string) bool { return !slices.Contains(target, name) || node.isLive(name) })
 	}
 	missing := slices.DeleteFunc(slices.Clone(target), func(name string) bool { return slices.Contains(voters, name) })
 	if len(missing) > 0 {
-		return slices.ContainsFunc(missing, node.live)
+		return slices.ContainsFunc(missing, node.isLive)
 	}
-	return len(voters) > len(target) && !slices.ContainsFunc(target, func(name string) bool { return !node.live(name) })
+	return len(voters) > len(target) && !slices.ContainsFunc(target, func(name string) bool { return !node.isLive(name) })
 }
 
 // groupMove is one look at a group led here that is not where it should be.
@@ -94,87 +94,87 @@
 	// archived is judged by it.
 	content *line.View
 	target  []string
-	// unwanted are the voters that the store list does not want there.
-	unwanted []string
+	// surplus are the voters that the store list does not want there.
+	surplus []string
 }
 
-// moveOne takes one step for a group: enrol a missing replica as learner, make a
+// moveGroup takes one step for a group: enrol a missing replica as learner, make a
 // learner that holds everything a voter, or let a voter go that is not wanted. One whose
 // store is gone goes before the learner votes, so that it is never counted beside it.
-func (node *Node) moveOne(group uint32, target []string, view *feed.View) {
+func (node *Node) moveGroup(group uint32, target []string, view *feed.View) {
 	status, _ := node.host.Status(group)
 	if !status.CommittedInTerm || status.MembershipChangePending {
 		return
 	}
-	unwanted := slices.DeleteFunc(slices.Clone(status.Membership.Voters), func(voter string) bool { return slices.Contains(target, voter) })
-	move := &groupMove{node: node, group: group, status: status, content: node.machine(group).View(), target: target, unwanted: unwanted}
+	surplus := slices.DeleteFunc(slices.Clone(status.Membership.Voters), func(voter string) bool { return slices.Contains(target, voter) })
+	move := &groupMove{node: node, group: group, status: status, content: node.stateMachine(group).View(), target: target, surplus: surplus}
 	if len(status.Membership.Learners) > 0 {
-		move.settleLearner(status.Membership.Learners[0])
+		move.promoteOrRemoveLearner(status.Membership.Learners[0])
 		return
 	}
 	for _, wanted := range target {
-		if !slices.Contains(status.Membership.Voters, wanted) && view.AddressOf(wanted) != "" && node.live(wanted) {
-			move.enrol(wanted)
+		if !slices.Contains(status.Membership.Voters, wanted) && view.AddressOf(wanted) != "" && node.isLive(wanted) {
+			move.addLearner(wanted)
 			return
 		}
 	}
-	if len(unwanted) > 0 && len(status.Membership.Voters) > len(target) {
-		move.release(unwanted[0])
+	if len(surplus) > 0 && len(status.Membership.Voters) > len(target) {
+		move.removeVoter(surplus[0])
 	}
 }
 
 func (move *groupMove) change(event, name string, next agreement.Membership) {
-	if move.node.changeReplicas(move.group, move.content.Sums(), next) {
+	if move.node.changeReplicas(move.group, move.content.ArchiveDigests(), next) {
 		log.WithFields(log.Fields{"node": move.node.Name(), "group": move.group, "replica": name}).Info(event)
 	}
 }
 
-func (move *groupMove) enrol(name string) {
+func (move *groupMove) addLearner(name string) {
 	replicas := move.status.Membership
 	move.change("replica_enrolled", name, agreement.Membership{Voters: replicas.Voters, Learners: append(slices.Clone(replicas.Learners), name)})
 }
 
-// settleLearner lets a learner vote once it holds the log and the archived ranges, or lets
+// promoteOrRemoveLearner lets a learner vote once it holds the log and the archived ranges, or lets
 // it go if it is not wanted any more.
-func (move *groupMove) settleLearner(learner string) {
+func (move *groupMove) promoteOrRemoveLearner(learner string) {
 	replicas := move.status.Membership
 	without := agreement.Without(replicas.Learners, learner)
 	if !slices.Contains(move.target, learner) {
 		move.change("replica_removed", learner, agreement.Membership{Voters: replicas.Voters, Learners: without})
 		return
 	}
-	if !move.holdsLog(learner) || !move.node.mendReplica(move.group, move.content, learner) {
+	if !move.isCaughtUp(learner) || !move.node.repairReplica(move.group, move.content, learner) {
 		return
 	}
-	if at := slices.IndexFunc(move.unwanted, move.node.gone); at >= 0 && len(replicas.Voters) >= len(move.target) {
-		move.releaseGone(move.unwanted[at])
+	if at := slices.IndexFunc(move.surplus, move.node.hasDeparted); at >= 0 && len(replicas.Voters) >= len(move.target) {
+		move.removeDepartedVoter(move.surplus[at])
 		return
 	}
 	move.change("replica_votes", learner, agreement.Membership{Voters: append(slices.Clone(replicas.Voters), learner), Learners: without})
 }
 
-// holdsLog tells whether a replica holds the group's log but for what is on its way.
-func (move *groupMove) holdsLog(name string) bool {
+// isCaughtUp tells whether a replica holds the group's log but for what is on its way.
+func (move *groupMove) isCaughtUp(name string) bool {
 	matched := move.status.MatchIndex[name]
 	return matched > 0 && matched+agreement.MaxLearnerLag >= move.status.CommitIndex
 }
 
-// releaseGone lets a voter go whose store has left the list and has no session, once a
+// removeDepartedVoter lets a voter go whose store has left the list and has no session, once a
 // majority of those that are left hold all that is archived.
-func (move *groupMove) releaseGone(name string) {
+func (move *groupMove) removeDepartedVoter(name string) {
 	next := agreement.Without(move.status.Membership.Voters, name)
-	if move.countWhole(next) >= len(next)/2+1 {
+	if move.countComplete(next) >= len(next)/2+1 {
 		move.change("replica_removed", name, agreement.Membership{Voters: next, Learners: move.status.Membership.Learners})
 	}
 }
 
-// release lets a voter go that may be switched off, with its disk, as soon as it is told
+// removeVoter lets a voter go that may be switched off, with its disk, as soon as it is told
 // to be free: each of those that stay must hold all that it holds. A leader that is not
 // wanted has one of them lead first.
-func (move *groupMove) release(name string) {
+func (move *groupMove) removeVoter(name string) {
 	next := agreement.Without(move.status.Membership.Voters, name)
-	behind := func(voter string) bool { return !move.holdsLog(voter) }
-	if slices.ContainsFunc(move.target, behind) || move.countWhole(move.target) < len(move.target) {
+	behind := func(voter string) bool { return !move.isCaughtUp(voter) }
+	if slices.ContainsFunc(move.target, behind) || move.countComplete(move.target) < len(move.target) {
 		return
 	}
 	if name == move.node.Name() {
@@ -186,24 +186,24 @@
 	move.change("replica_removed", name, agreement.Membership{Voters: next, Learners: move.status.Membership.Learners})
 }
 
-// countWhole counts the replicas that hold all that is archived, and mends the others.
-func (move *groupMove) countWhole(names []string) int {
-	whole := 0
+// countComplete counts the replicas that hold all that is archived, and mends the others.
+func (move *groupMove) countComplete(names []string) int {
+	complete := 0
 	for _, name := range names {
-		if move.node.live(name) && move.node.mendReplica(move.group, move.content, name) {
-			whole++
+		if move.node.isLive(name) && move.node.repairReplica(move.group, move.content, name) {
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
-// gone tells that a store has left the list and has no session.
-func (node *Node) gone(name string) bool {
-	return !slices.ContainsFunc(node.held.Load().Stores, func(member feed.Member) bool { return member.Name == name }) && !node.live(name)
+// hasDeparted tells that a store has left the list and has no session.
+func (node *Node) hasDeparted(name string) bool {
+	return !slices.ContainsFunc(node.view.Load().Stores, func(member feed.Member) bool { return member.Name == name }) && !node.isLive(name)
 }
 
-// live tells that a store has a session.
-func (node *Node) live(name string) bool {
+// isLive tells that a store has a session.
+func (node *Node) isLive(name string) bool {
 	return name == node.Name() || slices.ContainsFunc(node.members(), func(member feed.Member) bool { return member.Name == name })
 }
 
@@ -220,8 +220,8 @@
 		if err != nil || reply.Status == nil {
 			continue
 		}
-		for _, told := range reply.Status.Groups {
-			if told.Group == group && told.Leading && !slices.Contains(told.Voters, node.Name()) && !slices.Contains(told.Learners, node.Name()) {
+		for _, reported := range reply.Status.Groups {
+			if reported.Group == group && reported.Leading && !slices.Contains(reported.Voters, node.Name()) && !slices.Contains(reported.Learners, node.Name()) {
 				// It may have been taken in again meanwhile.
 				if now, _ := node.host.Status(group); now.Leader == "" && now.LastIndex == status.LastIndex && now.Term == status.Term {
 					log.WithFields(log.Fields{"node": node.Name(), "group": group}).Info("replica_left")
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -29,16 +29,16 @@
 )
 
 const (
-	feedPin         = 1 << 31
+	pinnedViewKey   = 1 << 31
 	archiveInterval = 5 * time.Second
 	archiveBatch    = 5000
-	// CatchUp is how long a tail reader waits at most before it reads again.
-	CatchUp        = 5 * time.Second
-	callTimeout    = 2 * time.Second
-	commandTimeout = 3 * time.Second
-	pinTimeout     = 5 * time.Second
-	mostEvents     = 4096
-	controlledFor  = 5 * time.Second
+	// CatchUpInterval is how long a tail reader waits at most before it reads again.
+	CatchUpInterval      = 5 * time.Second
+	callTimeout          = 2 * time.Second
+	commandTimeout       = 3 * time.Second
+	pinTimeout           = 5 * time.Second
+	maxReadEvents        = 4096
+	controlContactWindow = 5 * time.Second
 )
 
 // Settings place a store node.
@@ -47,147 +47,147 @@
 	Domain  string
 	Seeds   []string
 	Replica replica.Settings
-	// Wall is the machine's clock, which may be wrong; nil is the real one.
-	Wall func() time.Time
+	// WallClock is the machine's clock, which may be wrong; nil is the real one.
+	WallClock func() time.Time
 	// StateMachine is what the operator calls this machine; it may be empty.
 	Machine string
 }
 
 // Node is a running store node.
 type Node struct {
-	settings Settings
-	caller   *link.Caller
-	host     *replica.Host
-	cold     *coldstore.Store
-	server   *link.Server
-	follow   *follower.Follower
-	// following is follow, for those who ask while the node still starts.
-	following atomic.Pointer[follower.Follower]
-	machines  sync.Map // group number to *lineMachine
-	clocks    sync.Map // group number to clockAnchor
-	lines     *storeorigin.Origin
-	noticer   openings.Noticer
+	settings     Settings
+	caller       *link.Caller
+	host         *replica.Host
+	archiveStore *coldstore.Store
+	server       *link.Server
+	feedClient   *follower.Follower
+	// startedFeedClient is follow, for those who ask while the node still starts.
+	startedFeedClient atomic.Pointer[follower.Follower]
+	stateMachines     sync.Map // group number to *groupStateMachine
+	clockAnchors      sync.Map // group number to clockAnchor
+	storeClient       *storeorigin.Origin
+	prefixDetector    openings.Detector
 	// archiveGuards holds an *archiveGuard by group number, behind a replicaKey for each
 	// replica of a group led here that may lack archived ranges.
-	archiveGuards sync.Map
-	behind        sync.Map
-	held          atomic.Pointer[feed.View]
-	views         wire.ViewPacker
-	viewed        chan struct{} // holds one token after a view with other orders was taken
+	archiveGuards   sync.Map
+	laggingReplicas sync.Map
+	view            atomic.Pointer[feed.View]
+	viewPacker      wire.ViewPacker
+	viewChanged     chan struct{} // holds one token after a view with other orders was taken
 
-	mutex   sync.Mutex
-	waiters map[string]chan struct{}
+	tailMutex   sync.Mutex
+	tailWaiters map[string]chan struct{}
 
 	context context.Context
 	stop    context.CancelFunc
 	tasks   sync.WaitGroup
 }
 
-// lineMachine puts a line.Machine under the host.
-type lineMachine struct {
-	*line.Machine
-	applied func(name string)
+// groupStateMachine puts a line.Machine under the host.
+type groupStateMachine struct {
+	*line.StateMachine
+	onApplied func(name string)
 }
 
 // Apply carries out a committed command.
-func (machine *lineMachine) Apply(entry agreement.Entry) any {
+func (machine *groupStateMachine) Apply(entry agreement.Entry) any {
 	var command line.Command
 	if err := wire.Decode(schema.Command_TypeID, entry.Data, &command); err != nil {
-		return applied{line.Outcome{Status: line.BadCommand}, machine.View()}
+		return applyResult{line.Outcome{Status: line.BadCommand}, machine.View()}
 	}
-	outcome := machine.Machine.Apply(&command)
-	machine.applied(command.Line)
-	return applied{outcome, machine.View()}
+	outcome := machine.StateMachine.Apply(&command)
+	machine.onApplied(command.Session)
+	return applyResult{outcome, machine.View()}
 }
 
 // applied is what a command answered, and the view right after it.
-type applied struct {
+type applyResult struct {
 	outcome line.Outcome
 	view    *line.View
 }
 
 // Snapshot gives the checkpoint of what the view holds now.
-func (machine *lineMachine) Snapshot() func() []byte {
+func (machine *groupStateMachine) Snapshot() func() []byte {
 	view := machine.View()
 	return func() []byte {
-		image := view.Image()
-		return wire.MustEncode(schema.LineImage_TypeID, &image)
+		snapshot := view.Snapshot()
+		return wire.MustEncode(schema.LineImage_TypeID, &snapshot)
 	}
 }
 
 // Restore takes a checkpoint.
-func (machine *lineMachine) Restore(data []byte) error {
-	var image line.Image
-	if err := wire.Decode(schema.LineImage_TypeID, data, &image); err != nil {
+func (machine *groupStateMachine) Restore(data []byte) error {
+	var snapshot line.Snapshot
+	if err := wire.Decode(schema.LineImage_TypeID, data, &snapshot); err != nil {
 		return err
 	}
-	return machine.Machine.Restore(image)
+	return machine.StateMachine.Restore(snapshot)
 }
 
 // Start opens the data folder and runs a store node until Close.
 //
-//	node, err := store.Start(settings, folder, coldFolder, link.TCP{})
+//	node, err := store.Start(settings, folder, archiveFolder, link.TCP{})
 //	defer node.Close()
-func Start(settings Settings, folder, coldFolder files.Directory, network link.Network) (*Node, error) {
+func Start(settings Settings, folder, archiveFolder files.Directory, network link.Network) (*Node, error) {
 	durable, records, err := durablelog.Open(folder, feed.RoleStore)
 	if err != nil {
 		return nil, err
 	}
-	cold, err := coldstore.Open(coldFolder)
+	archiveStore, err := coldstore.Open(archiveFolder)
 	if err != nil {
 		return nil, err
 	}
-	if settings.Wall == nil {
-		settings.Wall = time.Now
+	if settings.WallClock == nil {
+		settings.WallClock = time.Now
 	}
-	node := &Node{settings: settings, caller: link.NewCaller(network), cold: cold, viewed: make(chan struct{}, 1), waiters: map[string]chan struct{}{}}
+	node := &Node{settings: settings, caller: link.NewCaller(network), archiveStore: archiveStore, viewChanged: make(chan struct{}, 1), tailWaiters: map[string]chan struct{}{}}
 	node.context, node.stop = context.WithCancel(context.Background())
-	node.held.Store(&feed.View{})
-	node.lines = storeorigin.New(node.caller, node.held.Load)
-	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.held.Load().BoundFleet() })
-	node.host, err = replica.Open(settings.Replica, durable, records, node.newMachine, courier)
+	node.view.Store(&feed.View{})
+	node.storeClient = storeorigin.New(node.caller, node.view.Load)
+	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.view.Load().BoundFleet() })
+	node.host, err = replica.Open(settings.Replica, durable, records, node.newStateMachine, courier)
 	if err != nil {
 		return nil, err
 	}
-	held := &feed.View{}
-	if data := node.host.StoredValue(feedPin); data != nil {
-		if held, err = wire.UnpackView(data); err != nil {
+	view := &feed.View{}
+	if data := node.host.StoredValue(pinnedViewKey); data != nil {
+		if view, err = wire.UnpackView(data); err != nil {
 			node.host.Close()
 			return nil, apierror.New(apierror.Damaged, "the held view cannot be read: "+err.Error(), "run the version of the program that wrote it")
 		}
 	}
-	node.held.Store(held)
+	node.view.Store(view)
 	listener, err := network.Listen(settings.Address)
 	if err != nil {
 		node.host.Close()
 		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
 	member := feed.Member{Name: node.Name(), Role: feed.RoleStore, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
-	node.follow = follower.Start(node.caller, member, settings.Seeds, held, node.take)
-	node.following.Store(node.follow)
+	node.feedClient = follower.Start(node.caller, member, settings.Seeds, view, node.acceptView)
+	node.startedFeedClient.Store(node.feedClient)
 	node.server = link.Serve(listener, node.Answer)
-	node.foundGroups(held)
-	node.tasks.Go(func() { node.repeat(archiveInterval, node.archiveAll) })
-	node.tasks.Go(func() { node.repeat(archiveInterval, node.settler()) })
-	node.tasks.Go(node.runMoves)
-	node.tasks.Go(func() { node.repeat(repairInterval, node.repairAll) })
-	node.tasks.Go(func() { node.repeat(behindInterval, node.behindMender()) })
+	node.bootstrapGroups(view)
+	node.tasks.Go(func() { node.runEvery(archiveInterval, node.archiveAll) })
+	node.tasks.Go(func() { node.runEvery(archiveInterval, node.quotaSettler()) })
+	node.tasks.Go(node.runPlacement)
+	node.tasks.Go(func() { node.runEvery(repairInterval, node.repairAll) })
+	node.tasks.Go(func() { node.runEvery(laggingRepairInterval, node.laggingRepairer()) })
 	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("store_started")
 	return node, nil
 }
 
-func (node *Node) newMachine(group uint32) replica.StateMachine {
-	machine := &lineMachine{Machine: line.NewMachine(), applied: node.wake}
-	node.machines.Store(group, machine)
+func (node *Node) newStateMachine(group uint32) replica.StateMachine {
+	machine := &groupStateMachine{StateMachine: line.NewStateMachine(), onApplied: node.wakeTailReaders}
+	node.stateMachines.Store(group, machine)
 	return machine
 }
 
-func (node *Node) machine(group uint32) *lineMachine {
-	machine, found := node.machines.Load(group)
+func (node *Node) stateMachine(group uint32) *groupStateMachine {
+	machine, found := node.stateMachines.Load(group)
 	if !found {
 		return nil
 	}
-	return machine.(*lineMachine)
+	return machine.(*groupStateMachine)
 }
 
 // Name is the identity of the node's disk.
@@ -198,13 +198,13 @@
 // SetSeeds replaces the seed addresses, as SIGHUP does.
 //
 //	node.SetSeeds(settings.Seeds)
-func (node *Node) SetSeeds(seeds []string) { node.follow.SetSeeds(seeds) }
+func (node *Node) SetSeeds(seeds []string) { node.feedClient.SetSeeds(seeds) }
 
 // Foreign gives the reason why a node that has just started can't go on: its data
 // folder belongs to another fleet than its seeds.
 //
 //	err := <-node.Foreign()
-func (node *Node) Foreign() <-chan error { return node.follow.Foreign() }
+func (node *Node) Foreign() <-chan error { return node.feedClient.Foreign() }
 
 // Ready tells whether every group that has a replica here knows a leader.
 //
@@ -234,7 +234,7 @@
 //	node.Close()
 func (node *Node) Close() {
 	node.stop()
-	node.follow.Stop()
+	node.feedClient.Stop()
 	node.server.Close()
 	node.caller.Close()
 	node.tasks.Wait()
@@ -244,7 +244,7 @@
 // addressOf finds a peer: by the store list, or, as groups move off a store that has
 // left the list, by the sessions.
 func (node *Node) addressOf(name string) string {
-	if address := node.held.Load().AddressOf(name); address != "" {
+	if address := node.view.Load().AddressOf(name); address != "" {
 		return address
 	}
 	for _, member := range node.members() {
@@ -257,7 +257,7 @@
 
 // members gives the nodes that have sessions.
 func (node *Node) members() []feed.Member {
-	if following := node.following.Load(); following != nil {
+	if following := node.startedFeedClient.Load(); following != nil {
 		return following.Members()
 	}
 	return nil
@@ -266,30 +266,30 @@
 // View gives the newest view held here.
 //
 //	view := node.View()
-func (node *Node) View() *feed.View { return node.held.Load() }
+func (node *Node) View() *feed.View { return node.view.Load() }
 
-// take syncs a newer view before anyone may count on it, then founds the groups
+// acceptView syncs a newer view before anyone may count on it, then founds the groups
 // that belong here. What was only observed is not worth a sync.
-func (node *Node) take(view *feed.View) error {
-	if view.EqualExceptObservations(node.held.Load()) {
-		node.held.Store(view)
+func (node *Node) acceptView(view *feed.View) error {
+	if view.EqualExceptObservations(node.view.Load()) {
+		node.view.Store(view)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(node.context, pinTimeout)
 	defer cancel()
-	if err := node.host.StoreValue(ctx, feedPin, node.views.Pack(view)); err != nil {
+	if err := node.host.StoreValue(ctx, pinnedViewKey, node.viewPacker.Pack(view)); err != nil {
 		return err
 	}
-	node.held.Store(view)
-	node.foundGroups(view)
+	node.view.Store(view)
+	node.bootstrapGroups(view)
 	select {
-	case node.viewed <- struct{}{}:
+	case node.viewChanged <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-func (node *Node) foundGroups(view *feed.View) {
+func (node *Node) bootstrapGroups(view *feed.View) {
 	founders := feed.PlacementCandidates(view.FoundingStores)
 	for group := uint32(0); len(founders) > 0 && group < view.Groups; group++ {
 		voters := placement.ReplicasOf(group, founders, view.ReplicationFactor())
@@ -299,69 +299,69 @@
 	}
 }
 
-var answers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
-	schema.Query_Which_status:    (*Node).answerStatus,
-	schema.Query_Which_agreement: (*Node).answerAgreement,
-	schema.Query_Which_command:   (*Node).answerCommand,
-	schema.Query_Which_read:      (*Node).answerRead,
-	schema.Query_Which_hold:      (*Node).answerHold,
-	schema.Query_Which_newest:    (*Node).answerNewest,
-	schema.Query_Which_putCold:   (*Node).answerPutCold,
-	schema.Query_Which_getCold:   (*Node).answerGetCold,
-	schema.Query_Which_digests:   (*Node).answerDigests,
-	schema.Query_Which_find:      (*Node).answerFind,
-	schema.Query_Which_opening:   (*Node).answerOpening,
+var handlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
+	schema.Query_Which_status:    (*Node).handleStatus,
+	schema.Query_Which_agreement: (*Node).handleRaft,
+	schema.Query_Which_command:   (*Node).handleCommand,
+	schema.Query_Which_read:      (*Node).handleRead,
+	schema.Query_Which_hold:      (*Node).handleHold,
+	schema.Query_Which_newest:    (*Node).handleNewest,
+	schema.Query_Which_putCold:   (*Node).handlePutArchived,
+	schema.Query_Which_getCold:   (*Node).handleGetArchived,
+	schema.Query_Which_digests:   (*Node).handleDigests,
+	schema.Query_Which_find:      (*Node).handleFind,
+	schema.Query_Which_opening:   (*Node).handleSharedPrefix,
 }
 
 // Answer answers one query of another process.
 //
 //	reply := node.Answer(ctx, query)
 func (node *Node) Answer(ctx context.Context, query *wire.Query) *wire.Reply {
-	answer, known := answers[query.Which]
+	handle, known := handlers[query.Which]
 	if !known {
 		return wire.Failed(apierror.New(apierror.Invalid, "a store node does not answer this query", "ask a control node"))
 	}
 	exempt := query.Which == schema.Query_Which_newest || query.Which == schema.Query_Which_status
-	if fleet := node.held.Load().BoundFleet(); !exempt && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
+	if fleet := node.view.Load().BoundFleet(); !exempt && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
 		return wire.Failed(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
 	}
 	if refusal := query.Misaddressed(node.Name()); refusal != nil {
 		return refusal
 	}
-	reply, err := answer(node, ctx, query)
+	reply, err := handle(node, ctx, query)
 	if err != nil {
 		return wire.Failed(err)
 	}
 	return reply
 }
 
-func (node *Node) answerAgreement(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	node.host.Receive(link.Connection(ctx), query.Agreement.Messages)
 	return &wire.Reply{}, nil
 }
 
-// answerHold returns only once the view, or a newer one, is synced here.
-func (node *Node) answerHold(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	held := node.held.Load()
-	view, err := query.Hold.From(held)
-	if len(query.Hold.Changes) > 0 && query.Fleet != held.Fleet {
+// handleHold returns only once the view, or a newer one, is synced here.
+func (node *Node) handleHold(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	current := node.view.Load()
+	view, err := query.Hold.From(current)
+	if len(query.Hold.Changes) > 0 && query.Fleet != current.Fleet {
 		err = feed.ErrBaseMismatch
 	}
 	if err != nil {
 		return nil, apierror.New(apierror.Conflict, "the view to hold cannot be made: "+err.Error(), "send a whole view")
 	}
-	if !node.follow.Adopt(view) {
+	if !node.feedClient.Adopt(view) {
 		return nil, apierror.Later(apierror.DiskUnavailable, "the view was not synced here", "ask again", time.Second)
 	}
 	return &wire.Reply{}, nil
 }
 
-func (node *Node) answerNewest(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	view := node.held.Load()
-	answer := &wire.NewestReply{Number: view.Number, Controlled: node.follow.ControlledWithin(controlledFor)}
+func (node *Node) handleNewest(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	view := node.view.Load()
+	answer := &wire.NewestReply{Number: view.Number, Controlled: node.feedClient.ControlledWithin(controlContactWindow)}
 	if view.Number > query.Newest.After {
 		if query.Newest.Packed {
-			answer.PackedView = node.views.Pack(view)
+			answer.PackedView = node.viewPacker.Pack(view)
 		} else {
 			answer.View = *view
 		}
@@ -369,15 +369,15 @@
 	return &wire.Reply{Which: schema.Reply_Which_newest, Newest: answer}, nil
 }
 
-// answerCommand stamps the leader's time on commands and commits them in order.
-func (node *Node) answerCommand(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+// handleCommand stamps the leader's time on commands and commits them in order.
+func (node *Node) handleCommand(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	commands := make([][]byte, len(query.Command.Commands))
 	for position, command := range query.Command.Commands {
 		command.Now = node.clock(query.Command.Group)
-		node.expect(query.Command.Group, &command)
-		node.share(query.Command.Group, &command)
+		node.setExpectedSeq(query.Command.Group, &command)
+		node.usePrefix(query.Command.Group, &command)
 		commands[position] = wire.MustEncode(schema.Command_TypeID, &command)
 	}
 	outcomes, err := node.host.Propose(ctx, query.Command.Group, commands)
@@ -386,15 +386,15 @@
 	}
 	list := &wire.OutcomeList{}
 	for position, outcome := range outcomes {
-		told := outcome.(applied)
-		if told.outcome.Status == line.UnknownOpening {
-			if told, err = node.beginWhole(ctx, query.Command.Group, query.Command.Commands[position]); err != nil {
+		result := outcome.(applyResult)
+		if result.outcome.Status == line.UnknownPrefix {
+			if result, err = node.beginWithFullInput(ctx, query.Command.Group, query.Command.Commands[position]); err != nil {
 				return nil, err
 			}
 		}
-		list.Outcomes = append(list.Outcomes, told.outcome)
-		if command := &query.Command.Commands[position]; command.Kind == line.BeginTurn && command.Keeps && told.outcome.Status == line.Done {
-			if list.History, err = node.history(ctx, query.Command.Group, told.view, command.Line, command.Producer); err != nil {
+		list.Outcomes = append(list.Outcomes, result.outcome)
+		if command := &query.Command.Commands[position]; command.Kind == line.BeginTurn && command.KeepData && result.outcome.Status == line.Done {
+			if list.History, err = node.history(ctx, query.Command.Group, result.view, command.Session, command.Producer); err != nil {
 				return nil, err
 			}
 		}
@@ -402,54 +402,54 @@
 	return &wire.Reply{Which: schema.Reply_Which_outcomes, Outcomes: list}, nil
 }
 
-// wake is the cursor update: it lets the tail readers of a line look again.
-func (node *Node) wake(name string) {
-	node.mutex.Lock()
-	if waiting, found := node.waiters[name]; found {
+// wakeTailReaders is the cursor update: it lets the tail readers of a line look again.
+func (node *Node) wakeTailReaders(name string) {
+	node.tailMutex.Lock()
+	if waiting, found := node.tailWaiters[name]; found {
 		close(waiting)
-		delete(node.waiters, name)
+		delete(node.tailWaiters, name)
 	}
-	node.mutex.Unlock()
+	node.tailMutex.Unlock()
 }
 
-func (node *Node) waiter(name string) chan struct{} {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	if _, found := node.waiters[name]; !found {
-		node.waiters[name] = make(chan struct{})
+func (node *Node) tailWaiter(name string) chan struct{} {
+	node.tailMutex.Lock()
+	defer node.tailMutex.Unlock()
+	if _, found := node.tailWaiters[name]; !found {
+		node.tailWaiters[name] = make(chan struct{})
 	}
-	return node.waiters[name]
+	return node.tailWaiters[name]
 }
 
-// answerRead serves a quorum read. With Wait, it holds the answer until there is
+// handleRead serves a quorum read. With Wait, it holds the answer until there is
 // news or the catch-up time is over, and then confirms again.
-func (node *Node) answerRead(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+func (node *Node) handleRead(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	read := query.Read
-	group := placement.GroupOf(read.Line, node.held.Load().Groups)
+	group := placement.GroupOf(read.Line, node.view.Load().Groups)
 	var woken chan struct{}
 	if read.Wait > 0 {
-		woken = node.waiter(read.Line)
+		woken = node.tailWaiter(read.Line)
 	}
-	view, err := node.confirmed(ctx, group)
+	view, err := node.linearizableView(ctx, group)
 	if err != nil {
 		return nil, err
 	}
 	if read.Tally {
-		tally := view.Tally(read.Line)
-		return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Spent: tally.Spent, Reserved: tally.Reserved()}}, nil
+		usage := view.QuotaUsage(read.Line)
+		return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Spent: usage.Spent, Reserved: usage.Reserved()}}, nil
 	}
 	session, found := view.Session(read.Line)
 	if read.Wait > 0 && found && session.Head <= read.After {
-		tick := time.NewTimer(min(read.Wait, CatchUp))
+		tick := time.NewTimer(min(read.Wait, CatchUpInterval))
 		defer tick.Stop()
 		select {
 		case <-woken:
 		case <-tick.C:
-			node.wake(read.Line)
+			node.wakeTailReaders(read.Line)
 		case <-ctx.Done():
 		case <-node.context.Done():
 		}
-		if view, err = node.confirmed(ctx, group); err != nil {
+		if view, err = node.linearizableView(ctx, group); err != nil {
 			return nil, err
 		}
 		session, found = view.Session(read.Line)
@@ -457,9 +457,9 @@
 	if !found {
 		return nil, apierror.New(apierror.NotFound, "no line is named "+read.Line, "check the name; a line is forgotten when its keeping time is over")
 	}
-	events, err := node.merged(ctx, group, session, read.After, read.Limit)
+	events, err := node.readEvents(ctx, group, session, read.After, read.Limit)
 	if err == nil {
-		err = node.allWhole(ctx, group, view, events)
+		err = node.expandPrefixes(ctx, group, view, events)
 	}
 	if err != nil {
 		return nil, err
@@ -467,20 +467,20 @@
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Session: *session, Events: events, Clock: node.clock(group)}}, nil
 }
 
-func (node *Node) confirmed(ctx context.Context, group uint32) (*line.View, error) {
+func (node *Node) linearizableView(ctx context.Context, group uint32) (*line.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	if err := node.host.Read(ctx, group); err != nil {
 		return nil, err
 	}
-	return node.machine(group).View(), nil
+	return node.stateMachine(group).View(), nil
 }
 
-// merged joins hot events with cold ones, asks peers for cold events that are
+// readEvents joins hot events with cold ones, asks peers for cold events that are
 // missing here, and refuses a range that still has a gap.
-func (node *Node) merged(ctx context.Context, group uint32, session *line.Session, after, limit uint64) ([]line.Event, error) {
-	if limit == 0 || limit > mostEvents {
-		limit = mostEvents
+func (node *Node) readEvents(ctx context.Context, group uint32, session *line.Session, after, limit uint64) ([]line.Event, error) {
+	if limit == 0 || limit > maxReadEvents {
+		limit = maxReadEvents
 	}
 	if after >= session.Head {
 		return nil, nil
@@ -489,27 +489,27 @@
 	events := []line.Event{}
 	if after < session.ArchivedSeq {
 		last := min(session.ArchivedSeq, through)
-		found, err := node.cold.Read(session.Line, after, last)
+		found, err := node.archiveStore.Read(session.Name, after, last)
 		if err != nil {
 			return nil, err
 		}
 		if uint64(len(found)) != last-after {
-			found = node.coldFromPeers(ctx, group, session.Line, after, last, found)
+			found = node.archivedFromPeers(ctx, group, session.Name, after, last, found)
 		}
 		events = found
 	}
-	for _, event := range session.Hot {
+	for _, event := range session.Unarchived {
 		if event.Seq > after && event.Seq <= through {
 			events = append(events, event)
 		}
 	}
 	for position, event := range events {
 		if event.Seq != after+uint64(position)+1 {
-			return nil, gapError(session.Line)
+			return nil, gapError(session.Name)
 		}
 	}
 	if uint64(len(events)) != through-after {
-		return nil, gapError(session.Line)
+		return nil, gapError(session.Name)
 	}
 	return events, nil
 }
@@ -518,7 +518,7 @@
 	return apierror.Later(apierror.Gap, "a part of "+name+" cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
 }
 
-func (node *Node) coldFromPeers(ctx context.Context, group uint32, name string, after, through uint64, found []line.Event) []line.Event {
+func (node *Node) archivedFromPeers(ctx context.Context, group uint32, name string, after, through uint64, found []line.Event) []line.Event {
 	bySeq := map[uint64]line.Event{}
 	for _, event := range found {
 		bySeq[event.Seq] = event
@@ -527,8 +527,8 @@
 		if peer == node.Name() || uint64(len(bySeq)) == through-after {
 			continue
 		}
-		asked, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := node.caller.Call(asked, node.addressOf(peer), &wire.Query{Fleet: node.held.Load().BoundFleet(), Which: schema.Query_Which_getCold, GetCold: &wire.GetColdQuery{Line: name, After: after, Through: through}})
+		callContext, cancel := context.WithTimeout(ctx, callTimeout)
+		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_getCold, GetCold: &wire.GetColdQuery{Line: name, After: after, Through: through}})
 		cancel()
 		if err != nil || reply.Read == nil {
 			continue
@@ -546,23 +546,23 @@
 	return events
 }
 
-func (node *Node) answerPutCold(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	whole, lacking := node.filled(query.PutCold.Chunks)
-	if err := node.cold.Put(whole); err != nil {
+func (node *Node) handlePutArchived(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	complete, missing := node.fillChunks(query.PutCold.Chunks)
+	if err := node.archiveStore.Put(complete); err != nil {
 		return nil, err
 	}
-	if len(lacking) == 0 {
+	if len(missing) == 0 {
 		return &wire.Reply{}, nil
 	}
-	return &wire.Reply{Which: schema.Reply_Which_chunks, Chunks: &wire.ColdChunkBatch{Chunks: lacking}}, nil
+	return &wire.Reply{Which: schema.Reply_Which_chunks, Chunks: &wire.ColdChunkBatch{Chunks: missing}}, nil
 }
 
-func (node *Node) answerGetCold(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	events, err := node.cold.Read(query.GetCold.Line, query.GetCold.After, query.GetCold.Through)
+func (node *Node) handleGetArchived(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	events, err := node.archiveStore.Read(query.GetCold.Line, query.GetCold.After, query.GetCold.Through)
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, err
 }
 
-func (node *Node) answerDigests(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	sums := node.cold.Sums(query.Digests.Group)
-	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{Sums: sums[:], Ranges: node.cold.Digests(query.Digests.Group, query.Digests.Buckets)}}, nil
+func (node *Node) handleDigests(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	digests := node.archiveStore.BucketDigests(query.Digests.Group)
+	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{Sums: digests[:], Ranges: node.archiveStore.RangeDigests(query.Digests.Group, query.Digests.Buckets)}}, nil
 }
--- a/system/store/tallies.go
+++ b/system/store/quota.go
@@ -12,55 +12,55 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// settler gives the task that settles what fronts left behind: reservations of
+// quotaSettler gives the task that settles what fronts left behind: reservations of
 // turns that are closed, overdue, or never began. It looks only at those that were
 // out at the round before, so that what is under way is left alone. The leader of
 // the tally's group does this alone; its commands are fenced by its term.
-func (node *Node) settler() func() {
-	before := map[string]bool{}
+func (node *Node) quotaSettler() func() {
+	seenBefore := map[string]bool{}
 	return func() {
-		out := map[string]bool{}
+		outstanding := map[string]bool{}
 		for group, status := range node.host.Statuses() {
 			if !status.CommittedInTerm {
 				continue
 			}
 			clock := node.clock(group)
-			for tally := range node.machine(group).View().Tallies() {
-				for _, reservation := range tally.Reservations {
-					out[reservation.Name] = true
-					if before[reservation.Name] {
-						node.settle(group, tally.Name, reservation, clock)
+			for usage := range node.stateMachine(group).View().QuotaUsages() {
+				for _, reservation := range usage.Reservations {
+					outstanding[reservation.Name] = true
+					if seenBefore[reservation.Name] {
+						node.settleReservation(group, usage.Name, reservation, clock)
 					}
 				}
 			}
 		}
-		before = out
+		seenBefore = outstanding
 	}
 }
 
-// settle looks what became of a reservation's turn and books what it spoke. While
+// settleReservation looks what became of a reservation's turn and books what it spoke. While
 // that cannot be told, the reservation goes on counting as spent.
-func (node *Node) settle(group uint32, tally string, reservation line.Reservation, clock int64) {
+func (node *Node) settleReservation(group uint32, quota string, reservation line.Reservation, clock int64) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	words, ended := node.spent(ctx, reservation, clock > reservation.Until)
+	words, ended := node.wordsSpent(ctx, reservation, clock > reservation.ExpiresAt)
 	if !ended {
 		return
 	}
-	command := line.Command{Kind: line.Settle, Line: tally, Now: clock, Reservation: reservation.Name, Words: words}
+	command := line.Command{Kind: line.Settle, Session: quota, Now: clock, Reservation: reservation.Name, Words: words}
 	if _, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)}); err != nil {
 		return
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "tally": tally, "reservation": reservation.Name, "words": words}).Info("reservation_settled")
+	log.WithFields(log.Fields{"node": node.Name(), "tally": quota, "reservation": reservation.Name, "words": words}).Info("reservation_settled")
 }
 
-// spent tells how many words a reservation's turn spoke, once nothing can be added
+// wordsSpent tells how many words a reservation's turn spoke, once nothing can be added
 // any more. A turn that did not begin within the reservation's life never will: its
 // front looks at the life before the first byte leaves. An open one is closed, which
 // fences whoever runs it.
-func (node *Node) spent(ctx context.Context, reservation line.Reservation, over bool) (uint64, bool) {
+func (node *Node) wordsSpent(ctx context.Context, reservation line.Reservation, over bool) (uint64, bool) {
 	name, dispatch := reservation.Turn()
-	events, _, err := node.lines.ReadAll(ctx, name)
+	events, _, err := node.storeClient.ReadAll(ctx, name)
 	if apierror.Is(err, apierror.NotFound) {
 		return 0, over
 	}
@@ -76,14 +76,14 @@
 		switch {
 		case turn.Ended == nil && over:
 			closing := line.CloseOverdue(event, line.OutcomeCut)
-			_, _ = node.lines.Command(ctx, name, closing) // the next round reads what came of it
+			_, _ = node.storeClient.Command(ctx, name, closing) // the next round reads what came of it
 			return 0, false
 		case turn.Ended == nil:
 			return 0, false
 		case turn.Ended.Outcome == line.OutcomeNotRun:
 			return 0, true
 		}
-		return turn.Spent(), true
+		return turn.WordCount(), true
 	}
 	return 0, over
 }
--- /dev/null
+++ b/system/store/shared_prefix_merge.go
@@ -0,0 +1,154 @@
+package store
+
+import (
+	"context"
+	"time"
+
+	"github.com/apex/log"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/line"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+// usePrefix lets the beginning of a program's first turn refer to an opening that the group
+// holds, if its scope shares any, and notices new ones. Only leaders' commands last, so
+// the group's term is the fence.
+func (node *Node) usePrefix(group uint32, command *line.Command) {
+	machine := node.stateMachine(group)
+	if command.Kind != line.BeginTurn || command.Scope == "" || command.Follows != "" || !command.KeepData || machine == nil {
+		return
+	}
+	input, scope := command.Data, command.Scope
+	prefix, found := machine.View().LongestSharedPrefix(scope, input)
+	if candidate, detected := node.prefixDetector.Observe(group, scope, command.Session, input); detected && (!found || uint64(candidate.Length) >= prefix.Size+line.MinPrefixBytes) {
+		node.tasks.Go(func() { node.proposePrefix(group, scope, input[:candidate.Length], candidate.Sessions) })
+	}
+	if !found {
+		command.Scope = ""
+		return
+	}
+	command.Kind, command.Prefix, command.Data = line.BeginTurnWithPrefix, prefix.Name, input[prefix.Size:]
+}
+
+// proposePrefix lets the group hold an opening, and refers the lines to it that it was noticed in.
+func (node *Node) proposePrefix(group uint32, scope string, data []byte, sessions []string) {
+	command := line.Command{Kind: line.SharePrefix, Now: node.clock(group), Scope: scope, Data: data}
+	for _, name := range sessions {
+		command.Acks = append(command.Acks, line.Ack{Session: name})
+	}
+	result, err := node.propose(node.context, group, command)
+	if err != nil || result.outcome.Status != line.Done {
+		return // it will be noticed again
+	}
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "scope": scope, "opening": line.SharedPrefixName(scope, data), "bytes": len(data), "lines": len(sessions)}).Info("opening_merged")
+}
+
+func (node *Node) propose(ctx context.Context, group uint32, command line.Command) (applyResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
+	defer cancel()
+	outcomes, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)})
+	if err != nil {
+		return applyResult{}, err
+	}
+	return outcomes[0].(applyResult), nil
+}
+
+// beginWithFullInput begins a turn with its whole input: the opening that it was to refer to was
+// freed meanwhile, and nothing had begun.
+func (node *Node) beginWithFullInput(ctx context.Context, group uint32, command line.Command) (applyResult, error) {
+	command.Now = node.clock(group)
+	return node.propose(ctx, group, command)
+}
+
+// fullData gives all of an event's data as of a view. A damaged opening is mended first; if
+// it can't be, nothing shorter is given.
+func (node *Node) fullData(ctx context.Context, group uint32, view *line.View, event *line.Event) ([]byte, error) {
+	if event == nil {
+		return nil, nil
+	}
+	if data, sound := view.FullData(event); sound {
+		return data, nil
+	}
+	if repaired, err := node.repairPrefix(ctx, group, view, event.Prefix); err == nil {
+		if data, sound := repaired.FullData(event); sound {
+			return data, nil
+		}
+	}
+	return nil, apierror.Later(apierror.Gap, "the opening "+event.Prefix+" that a turn refers to cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
+}
+
+// expandPrefixes fills in the data of events that refer to openings.
+func (node *Node) expandPrefixes(ctx context.Context, group uint32, view *line.View, events []line.Event) error {
+	for position := range events {
+		if events[position].Prefix == "" {
+			continue
+		}
+		data, err := node.fullData(ctx, group, view, &events[position])
+		if err != nil {
+			return err
+		}
+		events[position].Data, events[position].Prefix = data, ""
+	}
+	return nil
+}
+
+// repairPrefix asks peers for an opening and gives it to the group anew; its name tells
+// whether a copy is sound.
+func (node *Node) repairPrefix(ctx context.Context, group uint32, view *line.View, name string) (*line.View, error) {
+	damaged, found := view.SharedPrefix(name)
+	if !found {
+		return nil, apierror.New(apierror.Gap, "no opening "+name+" is held", "ask again")
+	}
+	for _, peer := range node.host.Statuses()[group].Membership.Voters {
+		if peer == node.Name() {
+			continue
+		}
+		callContext, cancel := context.WithTimeout(ctx, callTimeout)
+		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_opening, Opening: &wire.OpeningQuery{Group: group, Name: name}})
+		cancel()
+		if err != nil || reply.Opening == nil || line.SharedPrefixName(damaged.Scope, reply.Opening.Data) != name {
+			continue
+		}
+		result, err := node.propose(ctx, group, line.Command{Kind: line.SharePrefix, Now: node.clock(group), Scope: damaged.Scope, Data: reply.Opening.Data})
+		if err != nil {
+			return nil, err
+		}
+		log.WithFields(log.Fields{"node": node.Name(), "group": group, "opening": name, "peer": peer}).Info("opening_mended")
+		return result.view, nil
+	}
+	return nil, apierror.New(apierror.Gap, "no peer has a sound copy of "+name, "ask again")
+}
+
+// handleSharedPrefix gives this replica's own copy.
+func (node *Node) handleSharedPrefix(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	machine := node.stateMachine(query.Opening.Group)
+	if machine == nil {
+		return nil, apierror.New(apierror.NotFound, "no replica of this group is here", "ask another store")
+	}
+	prefix, found := machine.View().SharedPrefix(query.Opening.Name)
+	if !found || prefix.Corrupt {
+		return nil, apierror.New(apierror.NotFound, "no sound copy of this opening is here", "ask another store")
+	}
+	return &wire.Reply{Which: schema.Reply_Which_opening, Opening: &line.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
+}
+
+func (node *Node) prefixStatuses(group uint32) []wire.OpeningStatus {
+	statuses := []wire.OpeningStatus{}
+	for prefix := range node.stateMachine(group).View().SharedPrefixes() {
+		statuses = append(statuses, wire.OpeningStatus{Name: prefix.Name, Scope: prefix.Scope, Size: prefix.Size, Lines: prefix.References, Damaged: prefix.Corrupt})
+	}
+	return statuses
+}
+
+// StateMachine gives the state machine of a group that has a replica here, for tests that
+// damage it; nil is none.
+//
+//	view := node.StateMachine(3).View()
+func (node *Node) StateMachine(group uint32) *line.StateMachine {
+	if machine := node.stateMachine(group); machine != nil {
+		return machine.StateMachine
+	}
+	return nil
+}
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -14,28 +14,28 @@
 // what it leads.
 const confirmTimeout = 500 * time.Millisecond
 
-// answerStatus tells what this node is and which groups it has replicas of. It says that
+// handleStatus tells what this node is and which groups it has replicas of. It says that
 // it leads a group only after a majority has confirmed that since the question came: by
 // this word stores are switched off, and replicas forgotten.
-func (node *Node) answerStatus(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+func (node *Node) handleStatus(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	view := node.held.Load()
+	view := node.view.Load()
 	statuses := node.host.Statuses()
 	groups := make([]wire.GroupStatus, len(statuses))
 	var confirming sync.WaitGroup
 	position := 0
 	for number, status := range statuses {
-		told := &groups[position]
+		reported := &groups[position]
 		position++
-		*told = wire.GroupStatus{Group: number, Voters: status.Membership.Voters, Learners: status.Membership.Learners}
+		*reported = wire.GroupStatus{Group: number, Voters: status.Membership.Voters, Learners: status.Membership.Learners}
 		if !status.CommittedInTerm {
 			continue
 		}
 		confirming.Go(func() {
-			*told = node.confirmedStatus(ctx, *told)
-			if told.Leading && query.Status != nil && query.Status.Openings {
-				told.Openings = node.openingsOf(number)
+			*reported = node.confirmedStatus(ctx, *reported)
+			if reported.Leading && query.Status != nil && query.Status.Openings {
+				reported.Openings = node.prefixStatuses(number)
 			}
 		})
 	}
@@ -48,12 +48,12 @@
 
 // confirmedStatus adds to what is told of a group whether it is led here, by the word of a
 // majority, and with which replicas, if none is about to change.
-func (node *Node) confirmedStatus(ctx context.Context, told wire.GroupStatus) wire.GroupStatus {
-	if err := node.host.Read(ctx, told.Group); err != nil {
-		return told
+func (node *Node) confirmedStatus(ctx context.Context, reported wire.GroupStatus) wire.GroupStatus {
+	if err := node.host.Read(ctx, reported.Group); err != nil {
+		return reported
 	}
-	status, _ := node.host.Status(told.Group)
-	told.Leading = status.CommittedInTerm && !status.MembershipChangePending
-	told.Voters, told.Learners = status.Membership.Voters, status.Membership.Learners
-	return told
+	status, _ := node.host.Status(reported.Group)
+	reported.Leading = status.CommittedInTerm && !status.MembershipChangePending
+	reported.Voters, reported.Learners = status.Membership.Voters, status.Membership.Learners
+	return reported
 }
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -11,35 +11,35 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// expect gives the beginning of a turn the position that it counts on: where the turn
+// setExpectedSeq gives the beginning of a turn the position that it counts on: where the turn
 // that it follows ended. The state machine checks it.
-func (node *Node) expect(group uint32, command *line.Command) {
-	machine := node.machine(group)
+func (node *Node) setExpectedSeq(group uint32, command *line.Command) {
+	machine := node.stateMachine(group)
 	if command.Kind != line.BeginTurn || command.Follows == "" || machine == nil {
 		return
 	}
-	if followed, found := machine.View().Turn(command.Line, command.Follows); found && followed.Whole() {
-		command.Expects, command.ExpectedSeq = true, followed.Ended
+	if followed, found := machine.View().Turn(command.Session, command.Follows); found && followed.Complete() {
+		command.HasExpectedSeq, command.ExpectedSeq = true, followed.EndSeq
 	}
 }
 
 // history joins the bytes of the turns that a turn follows, oldest first: each turn's
 // input, then its output. It is whole or not at all.
-func (node *Node) history(ctx context.Context, group uint32, view *line.View, lineName, name string) ([]byte, error) {
-	turn, found := view.Turn(lineName, name)
+func (node *Node) history(ctx context.Context, group uint32, view *line.View, sessionName, name string) ([]byte, error) {
+	turn, found := view.Turn(sessionName, name)
 	if !found || turn.Follows == nil {
 		return nil, nil
 	}
-	pieces, err := node.pieces(ctx, group, view, turn.Follows.Chain())
+	parts, err := node.turnData(ctx, group, view, turn.Follows.Chain())
 	if err != nil {
 		return nil, err
 	}
 	size := 0
-	for _, piece := range pieces {
+	for _, piece := range parts {
 		size += len(piece)
 	}
 	joined := make([]byte, 0, size)
-	for _, piece := range pieces {
+	for _, piece := range parts {
 		joined = append(joined, piece...)
 	}
 	return joined, nil
@@ -47,42 +47,42 @@
 
 // pieces gives the bytes of a chain's events, two for each turn; the second of an
 // adopted turn is empty.
-func (node *Node) pieces(ctx context.Context, group uint32, view *line.View, chain []*line.Turn) ([][]byte, error) {
-	session, found := view.Session(chain[0].Line)
+func (node *Node) turnData(ctx context.Context, group uint32, view *line.View, chain []*line.Turn) ([][]byte, error) {
+	session, found := view.Session(chain[0].Session)
 	if !found {
-		return nil, gapError(chain[0].Line)
+		return nil, gapError(chain[0].Session)
 	}
 	seqs := make([]uint64, 0, 2*len(chain))
 	for _, turn := range chain {
-		ended := turn.Ended
+		ended := turn.EndSeq
 		if ended == turn.Seq {
 			ended = 0
 		}
 		seqs = append(seqs, turn.Seq, ended)
 	}
-	cold, err := node.coldData(ctx, group, session, seqs)
+	archived, err := node.archivedEvents(ctx, group, session, seqs)
 	if err != nil {
 		return nil, err
 	}
-	pieces := make([][]byte, len(seqs))
+	data := make([][]byte, len(seqs))
 	for position, seq := range seqs {
 		switch {
 		case seq == 0:
 		case seq > session.ArchivedSeq:
-			pieces[position], err = node.whole(ctx, group, view, &session.Hot[seq-session.ArchivedSeq-1])
+			data[position], err = node.fullData(ctx, group, view, &session.Unarchived[seq-session.ArchivedSeq-1])
 		default:
-			pieces[position], err = node.whole(ctx, group, view, cold[seq])
+			data[position], err = node.fullData(ctx, group, view, archived[seq])
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	return pieces, nil
+	return data, nil
 }
 
-// coldData reads those of a line's events that are archived, without a gap, as they are
+// archivedEvents reads those of a line's events that are archived, without a gap, as they are
 // kept.
-func (node *Node) coldData(ctx context.Context, group uint32, session *line.Session, seqs []uint64) (map[uint64]*line.Event, error) {
+func (node *Node) archivedEvents(ctx context.Context, group uint32, session *line.Session, seqs []uint64) (map[uint64]*line.Event, error) {
 	wanted := map[uint64]*line.Event{}
 	first, last := uint64(0), uint64(0)
 	for _, seq := range seqs {
@@ -95,13 +95,13 @@
 		}
 	}
 	for after := first - 1; first != 0 && after < last; {
-		events, err := node.merged(ctx, group, session, after, last-after)
+		events, err := node.readEvents(ctx, group, session, after, last-after)
 		if err != nil {
 			return nil, err
 		}
 		for _, event := range events {
 			after = event.Seq
-			if _, asked := wanted[event.Seq]; asked {
+			if _, isWanted := wanted[event.Seq]; isWanted {
 				wanted[event.Seq] = &event
 			}
 		}
@@ -113,26 +113,26 @@
 // by one that has none.
 const findTimeout = 300 * time.Millisecond
 
-// answerFind looks for a turn in every group that a quorum confirms to be led here.
-func (node *Node) answerFind(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+// handleFind looks for a turn in every group that a quorum confirms to be led here.
+func (node *Node) handleFind(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	var mutex sync.Mutex
-	var asking sync.WaitGroup
+	var searching sync.WaitGroup
 	answer := &wire.FindReply{}
 	var failed error
 	for group, status := range node.host.Statuses() {
 		if !status.Leading {
 			continue
 		}
-		asking.Go(func() {
+		searching.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, findTimeout)
-			view, err := node.confirmed(limited, group)
+			view, err := node.linearizableView(limited, group)
 			cancel()
 			if err != nil {
 				return
 			}
-			chain, open, err := node.find(ctx, group, view, query.Find.Name)
+			chain, open, err := node.findTurn(ctx, group, view, query.Find.Name)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
@@ -146,27 +146,27 @@
 			}
 		})
 	}
-	asking.Wait()
+	searching.Wait()
 	if failed != nil && !answer.Found {
 		return nil, apierror.Of(failed)
 	}
 	return &wire.Reply{Which: schema.Reply_Which_found, Found: answer}, nil
 }
 
-// find looks for a turn in one group, and gives it with all that it follows, or tells
+// findTurn looks for a turn in one group, and gives it with all that it follows, or tells
 // that it is still open.
-func (node *Node) find(ctx context.Context, group uint32, view *line.View, name string) (chain []line.AdoptedTurn, open bool, err error) {
-	turn, found := view.TurnAnywhere(name)
-	if !found || !turn.Whole() {
+func (node *Node) findTurn(ctx context.Context, group uint32, view *line.View, name string) (chain []line.AdoptedTurn, open bool, err error) {
+	turn, found := view.TurnInAnySession(name)
+	if !found || !turn.Complete() {
 		return nil, found && turn.Open(view.Clock()), nil
 	}
 	turns := turn.Chain()
-	pieces, err := node.pieces(ctx, group, view, turns)
+	parts, err := node.turnData(ctx, group, view, turns)
 	if err != nil {
 		return nil, false, err
 	}
 	for position, one := range turns {
-		data := append(append([]byte{}, pieces[2*position]...), pieces[2*position+1]...)
+		data := append(append([]byte{}, parts[2*position]...), parts[2*position+1]...)
 		chain = append(chain, line.AdoptedTurn{Name: one.Name, Data: data})
 	}
 	return chain, false, nil
--- a/system/storeorigin/storeorigin.go
+++ b/system/storeorigin/storeorigin.go
@@ -207,7 +207,7 @@
 //	outcomes, err := origin.Command(ctx, "team/c-1", line.Command{Kind: line.CreateSession, ...})
 func (origin *Origin) Command(ctx context.Context, name string, commands ...line.Command) ([]line.Outcome, error) {
 	for position := range commands {
-		commands[position].Line = name
+		commands[position].Session = name
 	}
 	reply, arrived, err := origin.ask(ctx, name, callTimeout, func(group uint32) *wire.Query {
 		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: commands}}
--- a/system/storeorigin/turns.go
+++ b/system/storeorigin/turns.go
@@ -12,7 +12,7 @@
 
 // Turn is a turn of a program that is about to begin.
 type Turn struct {
-	// Line is the program's, Name the query's; a name is used once.
+	// Session is the program's, Name the query's; a name is used once.
 	Line string
 	Name string
 	// Follows names the turn to go on from; "" starts.
@@ -24,13 +24,13 @@
 	Scope string
 	// Keep is how long the turn is kept from the end of its answer.
 	Keep time.Duration
-	// Budgeted turns put out Most tokens at most, of the program's Allowance.
+	// HasQuota turns put out Most tokens at most, of the program's Allowance.
 	Budgeted  bool
 	Most      uint64
 	Allowance uint64
 	// Dispatch names the one attempt that may run the turn.
 	Dispatch string
-	// Life is how long the turn may be open.
+	// Lifetime is how long the turn may be open.
 	Life time.Duration
 }
 
@@ -71,8 +71,8 @@
 //
 //	begun, err := origin.BeginTurn(ctx, storeorigin.Turn{Line: "program/3fa81c", Name: "9c41d07b", Input: body, Keeps: true, Keep: time.Minute, Dispatch: "front-1/7", Life: time.Minute})
 func (origin *Origin) BeginTurn(ctx context.Context, turn Turn) (*Begun, error) {
-	command := line.Command{Kind: line.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.Dispatch, Keeps: turn.Keeps,
-		KeepFor: max(turn.Keep, leastKept), Budgeted: turn.Budgeted, Tokens: turn.Most, Allowance: turn.Allowance, Life: turn.Life}
+	command := line.Command{Kind: line.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.Dispatch, KeepData: turn.Keeps,
+		Retention: max(turn.Keep, leastKept), HasQuota: turn.Budgeted, Tokens: turn.Most, Quota: turn.Allowance, Lifetime: turn.Life}
 	if turn.Keeps {
 		command.Scope = turn.Scope
 		command.Data = turn.Input
@@ -102,10 +102,10 @@
 }
 
 var beginErrors = map[line.Status]func() error{
-	line.AllowanceExhausted: func() error {
+	line.QuotaExceeded: func() error {
 		return apierror.New(apierror.Exhausted, "the program's allowance does not bear one more turn", "raise the allowance, or end the program")
 	},
-	line.TurnCut: func() error { return unknownTurn() },
+	line.TurnIncomplete: func() error { return unknownTurn() },
 	line.TurnOpen: func() error {
 		return apierror.Later(apierror.NotRun, "the turn to go on from has not ended", "ask again", openPause)
 	},
@@ -133,7 +133,7 @@
 //
 //	err := origin.EndTurn(ctx, storeorigin.TurnEnd{Line: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: line.OutcomeComplete, Kept: true})
 func (origin *Origin) EndTurn(ctx context.Context, end TurnEnd) error {
-	command := line.Command{Kind: line.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, Keeps: end.Kept, KeepFor: leastKept}
+	command := line.Command{Kind: line.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.Kept, Retention: leastKept}
 	if end.Kept && end.Outcome == line.OutcomeComplete {
 		command.Data = end.Output
 	}
@@ -168,7 +168,7 @@
 }
 
 func (origin *Origin) commit(ctx context.Context, name string, command line.Command) (line.Outcome, []byte, error) {
-	command.Line = name
+	command.Session = name
 	reply, arrived, err := origin.ask(ctx, name, callTimeout, func(group uint32) *wire.Query {
 		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: []line.Command{command}}}
 	})
--- a/system/wire/hot.go
+++ b/system/wire/hot.go
@@ -267,7 +267,7 @@
 		return putCommand(schema.Command(target), value.(*line.Command))
 	},
 	schema.LineImage_TypeID: func(target capnp.Struct, value any) error {
-		return putImage(schema.LineImage(target), value.(*line.Image))
+		return putImage(schema.LineImage(target), value.(*line.Snapshot))
 	},
 	schema.StoredWrite_TypeID: func(target capnp.Struct, value any) error {
 		return putStoredWrite(schema.StoredWrite(target), value.(*StoredWrite))
@@ -287,7 +287,7 @@
 		return takeCommand(schema.Command(source), value.(*line.Command))
 	},
 	schema.LineImage_TypeID: func(source capnp.Struct, value any) error {
-		return takeImage(schema.LineImage(source), value.(*line.Image))
+		return takeImage(schema.LineImage(source), value.(*line.Snapshot))
 	},
 	schema.StoredWrite_TypeID: func(source capnp.Struct, value any) error {
 		return takeStoredWrite(schema.StoredWrite(source), value.(*StoredWrite))
--- a/system/wire/hot_test.go
+++ b/system/wire/hot_test.go
@@ -13,12 +13,12 @@
 )
 
 var turnCommands = []line.Command{
-	{Kind: line.BeginTurn, Line: "program/3fa81c", Now: 7, KeepFor: time.Hour, Producer: "9c41d07b", ProducerSeq: 1, Follows: "40c8f1a7", Dispatch: "front-1/7", Data: []byte("in\x00\xff\n"),
-		Tokens: 136, Allowance: 1088, Budgeted: true, Keeps: true, Life: time.Minute, Expects: true, ExpectedSeq: 12,
+	{Kind: line.BeginTurn, Session: "program/3fa81c", Now: 7, Retention: time.Hour, Producer: "9c41d07b", ProducerSeq: 1, Follows: "40c8f1a7", Dispatch: "front-1/7", Data: []byte("in\x00\xff\n"),
+		Tokens: 136, Quota: 1088, HasQuota: true, KeepData: true, Lifetime: time.Minute, HasExpectedSeq: true, ExpectedSeq: 12,
 		Adopted: []line.AdoptedTurn{{Name: "a", Data: []byte("in a\nout a\n")}, {Name: "b"}}},
-	{Kind: line.EndTurn, Line: "program/3fa81c", Producer: "9c41d07b", ProducerSeq: 2, Outcome: line.OutcomeComplete, Data: bytes.Repeat([]byte("out\n"), 300), Tokens: 80, Keeps: true},
-	{Kind: line.AckArchived, Acks: []line.Ack{{Line: "program/3fa81c", ArchivedSeq: 9}}},
-	{Kind: line.AppendEvents, Line: "a/c", Producer: "p", ProducerSeq: 1, Events: []line.Event{{Kind: line.Piece, Words: "hello", Data: []byte{0}}}},
+	{Kind: line.EndTurn, Session: "program/3fa81c", Producer: "9c41d07b", ProducerSeq: 2, Outcome: line.OutcomeComplete, Data: bytes.Repeat([]byte("out\n"), 300), Tokens: 80, KeepData: true},
+	{Kind: line.AckArchived, Acks: []line.Ack{{Session: "program/3fa81c", ArchivedSeq: 9}}},
+	{Kind: line.AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 1, Events: []line.Event{{Kind: line.OutputPart, Text: "hello", Data: []byte{0}}}},
 	{},
 }
 
@@ -54,30 +54,30 @@
 }
 
 func TestAnImageCarriesTurnsAndTallies(t *testing.T) {
-	machine := line.NewMachine()
+	machine := line.NewStateMachine()
 	for _, command := range []line.Command{
-		{Kind: line.BeginTurn, Line: "program/a", Now: 1, KeepFor: time.Hour, Producer: "one", Dispatch: "d", Keeps: true, Data: []byte("in"), Budgeted: true, Tokens: 10, Allowance: 100, Life: time.Minute},
-		{Kind: line.EndTurn, Line: "program/a", Producer: "one", Outcome: line.OutcomeComplete, Keeps: true, Data: []byte("out"), Tokens: 4},
-		{Kind: line.BeginTurn, Line: "program/a", Now: 1, KeepFor: time.Hour, Producer: "two", Follows: "one", Dispatch: "e", Budgeted: true, Tokens: 10, Allowance: 100, Life: time.Minute},
+		{Kind: line.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "one", Dispatch: "d", KeepData: true, Data: []byte("in"), HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
+		{Kind: line.EndTurn, Session: "program/a", Producer: "one", Outcome: line.OutcomeComplete, KeepData: true, Data: []byte("out"), Tokens: 4},
+		{Kind: line.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "two", Follows: "one", Dispatch: "e", HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
 	} {
 		if outcome := machine.Apply(&command); outcome.Status != line.Done {
 			t.Fatalf("%+v", outcome)
 		}
 	}
-	image := machine.View().Image()
-	var stored line.Image
+	image := machine.View().Snapshot()
+	var stored line.Snapshot
 	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &image), &stored); err != nil {
 		t.Fatal(err)
 	}
-	other := line.NewMachine()
+	other := line.NewStateMachine()
 	if err := other.Restore(stored); err != nil {
 		t.Fatal(err)
 	}
-	again := other.View().Image()
-	if !reflect.DeepEqual(again.Turns, image.Turns) || again.Sessions[0].Spent != 4 || again.Sessions[0].Reserved != 10 || again.Sessions[0].Until != image.Sessions[0].Until {
+	again := other.View().Snapshot()
+	if !reflect.DeepEqual(again.Turns, image.Turns) || again.Sessions[0].Spent != 4 || again.Sessions[0].Reserved != 10 || again.Sessions[0].RetainUntil != image.Sessions[0].RetainUntil {
 		t.Fatalf("restored %+v, want %+v", again, image)
 	}
-	if turn, found := other.View().Turn("program/a", "two"); !found || turn.Follows == nil || turn.Follows.Name != "one" || !turn.Follows.Whole() {
+	if turn, found := other.View().Turn("program/a", "two"); !found || turn.Follows == nil || turn.Follows.Name != "one" || !turn.Follows.Complete() {
 		t.Fatalf("restored %+v", turn)
 	}
 	image.Version, image.Turns = 1, nil // as the version before wrote it
@@ -178,12 +178,12 @@
 		if err != nil || !reflect.DeepEqual(read, query) {
 			t.Fatalf("%+v came as %+v, %v", query, read, err)
 		}
-		machine := line.NewMachine()
+		machine := line.NewStateMachine()
 		for position := range query.Command.Commands {
 			machine.Apply(&query.Command.Commands[position])
 		}
-		image := machine.View().Image()
-		if line.NewMachine().Restore(image) != nil {
+		image := machine.View().Snapshot()
+		if line.NewStateMachine().Restore(image) != nil {
 			t.Fatal("the image of a group can't be restored")
 		}
 	})
--- a/system/wire/lines.go
+++ b/system/wire/lines.go
@@ -22,8 +22,8 @@
 		value string
 		set   func(string) error
 	}{
-		{value.Words, target.SetWords}, {value.Outcome, target.SetOutcome}, {value.Runner, target.SetRunner}, {value.Dispatch, target.SetDispatch},
-		{value.Digest, target.SetDigest}, {value.Name, target.SetName}, {value.Producer, target.SetProducer}, {value.Opening, target.SetOpening},
+		{value.Text, target.SetWords}, {value.Outcome, target.SetOutcome}, {value.Runner, target.SetRunner}, {value.Dispatch, target.SetDispatch},
+		{value.Digest, target.SetDigest}, {value.Name, target.SetName}, {value.Producer, target.SetProducer}, {value.Prefix, target.SetOpening},
 	} {
 		if text.value == "" {
 			continue
@@ -41,32 +41,32 @@
 func takeEvent(source schema.Event, value *line.Event) error {
 	reading := &taking{}
 	*value = line.Event{Seq: source.Seq(), At: source.At(), Kind: line.EventKind(source.Kind()), Turn: source.Turn(), Follows: source.Follows(), Part: source.Part(),
-		ProducerSeq: source.ProducerSeq(), Config: source.Config(), Deadline: source.Deadline(), Words: field(reading, source.Words), Outcome: field(reading, source.Outcome),
+		ProducerSeq: source.ProducerSeq(), Config: source.Config(), Deadline: source.Deadline(), Text: field(reading, source.Words), Outcome: field(reading, source.Outcome),
 		Runner: field(reading, source.Runner), Dispatch: field(reading, source.Dispatch), Digest: field(reading, source.Digest), Name: field(reading, source.Name), Producer: field(reading, source.Producer), Data: bytesOf(reading, source.Data),
-		Opening: field(reading, source.Opening)}
+		Prefix: field(reading, source.Opening)}
 	return reading.failed
 }
 
 func putCommand(target schema.Command, value *line.Command) error {
 	target.SetKind(uint16(value.Kind))
 	target.SetNow(value.Now)
-	target.SetKeepFor(int64(value.KeepFor))
+	target.SetKeepFor(int64(value.Retention))
 	target.SetProducerSeq(value.ProducerSeq)
-	target.SetExpects(value.Expects)
+	target.SetExpects(value.HasExpectedSeq)
 	target.SetExpectedSeq(value.ExpectedSeq)
 	target.SetWords(value.Words)
-	target.SetAllowance(value.Allowance)
-	target.SetLife(int64(value.Life))
+	target.SetAllowance(value.Quota)
+	target.SetLife(int64(value.Lifetime))
 	target.SetTokens(value.Tokens)
-	target.SetBudgeted(value.Budgeted)
-	target.SetKeeps(value.Keeps)
+	target.SetBudgeted(value.HasQuota)
+	target.SetKeeps(value.KeepData)
 	for _, text := range []struct {
 		value string
 		set   func(string) error
 	}{
-		{value.Line, target.SetLine}, {value.Team, target.SetTeam}, {value.Program, target.SetProgram}, {value.WorkKind, target.SetWorkKind}, {value.Producer, target.SetProducer},
+		{value.Session, target.SetLine}, {value.Team, target.SetTeam}, {value.Program, target.SetProgram}, {value.WorkKind, target.SetWorkKind}, {value.Producer, target.SetProducer},
 		{value.Reservation, target.SetReservation}, {value.Follows, target.SetFollows}, {value.Dispatch, target.SetDispatch}, {value.Outcome, target.SetOutcome},
-		{value.Scope, target.SetScope}, {value.Opening, target.SetOpening},
+		{value.Scope, target.SetScope}, {value.Prefix, target.SetOpening},
 	} {
 		if text.value == "" {
 			continue
@@ -96,17 +96,17 @@
 	acks, err := target.NewAcks(int32(len(value.Acks)))
 	return putList(acks, err, value.Acks, func(target schema.Ack, ack *line.Ack) error {
 		target.SetArchivedSeq(ack.ArchivedSeq)
-		return target.SetLine(ack.Line)
+		return target.SetLine(ack.Session)
 	})
 }
 
 func takeCommand(source schema.Command, value *line.Command) error {
 	reading := &taking{}
-	*value = line.Command{Kind: line.CommandKind(source.Kind()), Now: source.Now(), KeepFor: time.Duration(source.KeepFor()), ProducerSeq: source.ProducerSeq(), Expects: source.Expects(),
-		ExpectedSeq: source.ExpectedSeq(), Words: source.Words(), Allowance: source.Allowance(), Life: time.Duration(source.Life()), Line: field(reading, source.Line), Team: field(reading, source.Team),
+	*value = line.Command{Kind: line.CommandKind(source.Kind()), Now: source.Now(), Retention: time.Duration(source.KeepFor()), ProducerSeq: source.ProducerSeq(), HasExpectedSeq: source.Expects(),
+		ExpectedSeq: source.ExpectedSeq(), Words: source.Words(), Quota: source.Allowance(), Lifetime: time.Duration(source.Life()), Session: field(reading, source.Line), Team: field(reading, source.Team),
 		Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind), Producer: field(reading, source.Producer), Reservation: field(reading, source.Reservation),
 		Follows: field(reading, source.Follows), Dispatch: field(reading, source.Dispatch), Outcome: field(reading, source.Outcome), Data: bytesOf(reading, source.Data),
-		Tokens: source.Tokens(), Budgeted: source.Budgeted(), Keeps: source.Keeps(), Scope: field(reading, source.Scope), Opening: field(reading, source.Opening)}
+		Tokens: source.Tokens(), HasQuota: source.Budgeted(), KeepData: source.Keeps(), Scope: field(reading, source.Scope), Prefix: field(reading, source.Opening)}
 	if reading.failed != nil {
 		return reading.failed
 	}
@@ -121,7 +121,7 @@
 	acks, err := source.Acks()
 	value.Acks, err = takeList(acks, err, func(source schema.Ack, ack *line.Ack) (err error) {
 		ack.ArchivedSeq = source.ArchivedSeq()
-		ack.Line, err = source.Line()
+		ack.Session, err = source.Line()
 		return err
 	})
 	return err
@@ -139,15 +139,15 @@
 
 func putTurnRecord(target schema.TurnRecord, value *line.TurnRecord) error {
 	target.SetSeq(value.Seq)
-	target.SetEnded(value.Ended)
+	target.SetEnded(value.EndSeq)
 	target.SetDeadline(value.Deadline)
 	target.SetTokens(value.Tokens)
-	return errors.Join(target.SetLine(value.Line), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
+	return errors.Join(target.SetLine(value.Session), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
 }
 
 func takeTurnRecord(source schema.TurnRecord, value *line.TurnRecord) error {
 	reading := &taking{}
-	*value = line.TurnRecord{Seq: source.Seq(), Ended: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Line: field(reading, source.Line), Name: field(reading, source.Name),
+	*value = line.TurnRecord{Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Session: field(reading, source.Line), Name: field(reading, source.Name),
 		Follows: field(reading, source.Follows), Outcome: field(reading, source.Outcome), Dispatch: field(reading, source.Dispatch)}
 	return reading.failed
 }
@@ -177,11 +177,11 @@
 		return err
 	}
 	session.SetCreatedAt(value.Session.CreatedAt)
-	session.SetKeepFor(int64(value.Session.KeepFor))
-	session.SetTouchedAt(value.Session.TouchedAt)
+	session.SetKeepFor(int64(value.Session.Retention))
+	session.SetTouchedAt(value.Session.UpdatedAt)
 	session.SetHead(value.Session.Head)
 	session.SetArchivedSeq(value.Session.ArchivedSeq)
-	if err := errors.Join(session.SetLine(value.Session.Line), session.SetTeam(value.Session.Team), session.SetProgram(value.Session.Program), session.SetWorkKind(value.Session.WorkKind)); err != nil {
+	if err := errors.Join(session.SetLine(value.Session.Name), session.SetTeam(value.Session.Team), session.SetProgram(value.Session.Program), session.SetWorkKind(value.Session.WorkKind)); err != nil {
 		return err
 	}
 	events, err := target.NewEvents(int32(len(value.Events)))
@@ -194,8 +194,8 @@
 		return err
 	}
 	reading := &taking{}
-	*value = ReadReply{Spent: source.Spent(), Reserved: source.Reserved(), Clock: source.Clock(), Session: line.Session{CreatedAt: session.CreatedAt(), KeepFor: time.Duration(session.KeepFor()),
-		TouchedAt: session.TouchedAt(), Head: session.Head(), ArchivedSeq: session.ArchivedSeq(), Line: field(reading, session.Line), Team: field(reading, session.Team),
+	*value = ReadReply{Spent: source.Spent(), Reserved: source.Reserved(), Clock: source.Clock(), Session: line.Session{CreatedAt: session.CreatedAt(), Retention: time.Duration(session.KeepFor()),
+		UpdatedAt: session.TouchedAt(), Head: session.Head(), ArchivedSeq: session.ArchivedSeq(), Name: field(reading, session.Line), Team: field(reading, session.Team),
 		Program: field(reading, session.Program), WorkKind: field(reading, session.WorkKind)}}
 	if reading.failed != nil {
 		return reading.failed
--- a/system/wire/linestate.go
+++ b/system/wire/linestate.go
@@ -23,22 +23,22 @@
 
 func putSession(target schema.Session, value *line.Session) error {
 	target.SetCreatedAt(value.CreatedAt)
-	target.SetKeepFor(int64(value.KeepFor))
-	target.SetTouchedAt(value.TouchedAt)
+	target.SetKeepFor(int64(value.Retention))
+	target.SetTouchedAt(value.UpdatedAt)
 	target.SetHead(value.Head)
 	target.SetArchivedSeq(value.ArchivedSeq)
-	target.SetUntil(value.Until)
+	target.SetUntil(value.RetainUntil)
 	target.SetSpent(value.Spent)
 	target.SetReserved(value.Reserved)
-	if err := errors.Join(target.SetLine(value.Line), target.SetTeam(value.Team), target.SetProgram(value.Program), target.SetWorkKind(value.WorkKind)); err != nil {
+	if err := errors.Join(target.SetLine(value.Name), target.SetTeam(value.Team), target.SetProgram(value.Program), target.SetWorkKind(value.WorkKind)); err != nil {
 		return err
 	}
 	producers, err := target.NewProducers(int32(len(value.Producers)))
 	if err := putList(producers, err, value.Producers, putProducer); err != nil {
 		return err
 	}
-	hot, err := target.NewHot(int32(len(value.Hot)))
-	if err := putList(hot, err, value.Hot, putEvent); err != nil {
+	hot, err := target.NewHot(int32(len(value.Unarchived)))
+	if err := putList(hot, err, value.Unarchived, putEvent); err != nil {
 		return err
 	}
 	open, err := target.NewOpenTurns(int32(len(value.OpenTurns)))
@@ -48,17 +48,17 @@
 	for position, turn := range value.OpenTurns {
 		open.Set(position, turn)
 	}
-	if len(value.Openings) == 0 {
+	if len(value.Prefixes) == 0 {
 		return nil
 	}
-	openings, err := target.NewOpenings(int32(len(value.Openings)))
-	return putTexts(openings, err, value.Openings)
+	openings, err := target.NewOpenings(int32(len(value.Prefixes)))
+	return putTexts(openings, err, value.Prefixes)
 }
 
 func takeSession(source schema.Session, value *line.Session) error {
 	reading := &taking{}
-	*value = line.Session{CreatedAt: source.CreatedAt(), KeepFor: time.Duration(source.KeepFor()), TouchedAt: source.TouchedAt(), Head: source.Head(), ArchivedSeq: source.ArchivedSeq(),
-		Until: source.Until(), Spent: source.Spent(), Reserved: source.Reserved(), Line: field(reading, source.Line), Team: field(reading, source.Team), Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind)}
+	*value = line.Session{CreatedAt: source.CreatedAt(), Retention: time.Duration(source.KeepFor()), UpdatedAt: source.TouchedAt(), Head: source.Head(), ArchivedSeq: source.ArchivedSeq(),
+		RetainUntil: source.Until(), Spent: source.Spent(), Reserved: source.Reserved(), Name: field(reading, source.Line), Team: field(reading, source.Team), Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind)}
 	if reading.failed != nil {
 		return reading.failed
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	hot, err := source.Hot()
-	if value.Hot, err = takeList(hot, err, takeEvent); err != nil {
+	if value.Unarchived, err = takeList(hot, err, takeEvent); err != nil {
 		return err
 	}
 	open, err := source.OpenTurns()
@@ -77,23 +77,23 @@
 	for position := range open.Len() {
 		value.OpenTurns = append(value.OpenTurns, open.At(position))
 	}
-	value.Openings, err = takeTexts(source.Openings())
+	value.Prefixes, err = takeTexts(source.Openings())
 	return err
 }
 
 func putReservation(target schema.Reservation, value *line.Reservation) error {
 	target.SetWords(value.Words)
-	target.SetUntil(value.Until)
+	target.SetUntil(value.ExpiresAt)
 	return target.SetName(value.Name)
 }
 
 func takeReservation(source schema.Reservation, value *line.Reservation) (err error) {
-	*value = line.Reservation{Words: source.Words(), Until: source.Until()}
+	*value = line.Reservation{Words: source.Words(), ExpiresAt: source.Until()}
 	value.Name, err = source.Name()
 	return err
 }
 
-func putTally(target schema.Tally, value *line.Tally) error {
+func putTally(target schema.Tally, value *line.QuotaUsage) error {
 	target.SetSpent(value.Spent)
 	if err := target.SetName(value.Name); err != nil {
 		return err
@@ -106,8 +106,8 @@
 	return putList(settled, err, value.Settled, putReservation)
 }
 
-func takeTally(source schema.Tally, value *line.Tally) (err error) {
-	*value = line.Tally{Spent: source.Spent()}
+func takeTally(source schema.Tally, value *line.QuotaUsage) (err error) {
+	*value = line.QuotaUsage{Spent: source.Spent()}
 	if value.Name, err = source.Name(); err != nil {
 		return err
 	}
@@ -120,44 +120,44 @@
 	return err
 }
 
-func putOpening(target schema.Opening, value *line.OpeningRecord) error {
+func putOpening(target schema.Opening, value *line.SharedPrefixRecord) error {
 	target.SetUntil(value.Until)
 	return errors.Join(target.SetName(value.Name), target.SetScope(value.Scope), target.SetData(value.Data))
 }
 
-func takeOpening(source schema.Opening, value *line.OpeningRecord) error {
+func takeOpening(source schema.Opening, value *line.SharedPrefixRecord) error {
 	reading := &taking{}
-	*value = line.OpeningRecord{Until: source.Until(), Name: field(reading, source.Name), Scope: field(reading, source.Scope), Data: bytesOf(reading, source.Data)}
+	*value = line.SharedPrefixRecord{Until: source.Until(), Name: field(reading, source.Name), Scope: field(reading, source.Scope), Data: bytesOf(reading, source.Data)}
 	return reading.failed
 }
 
-func putImage(target schema.LineImage, value *line.Image) error {
+func putImage(target schema.LineImage, value *line.Snapshot) error {
 	target.SetVersion(value.Version)
 	target.SetClock(value.Clock)
 	sessions, err := target.NewSessions(int32(len(value.Sessions)))
 	if err := putList(sessions, err, value.Sessions, putSession); err != nil {
 		return err
 	}
-	tallies, err := target.NewTallies(int32(len(value.Tallies)))
-	if err := putList(tallies, err, value.Tallies, putTally); err != nil {
+	tallies, err := target.NewTallies(int32(len(value.QuotaUsages)))
+	if err := putList(tallies, err, value.QuotaUsages, putTally); err != nil {
 		return err
 	}
 	turns, err := target.NewTurns(int32(len(value.Turns)))
-	if err := putList(turns, err, value.Turns, putTurnRecord); err != nil || len(value.Openings) == 0 {
+	if err := putList(turns, err, value.Turns, putTurnRecord); err != nil || len(value.Prefixes) == 0 {
 		return err
 	}
-	openings, err := target.NewOpenings(int32(len(value.Openings)))
-	return putList(openings, err, value.Openings, putOpening)
+	openings, err := target.NewOpenings(int32(len(value.Prefixes)))
+	return putList(openings, err, value.Prefixes, putOpening)
 }
 
-func takeImage(source schema.LineImage, value *line.Image) error {
-	*value = line.Image{Version: source.Version(), Clock: source.Clock()}
+func takeImage(source schema.LineImage, value *line.Snapshot) error {
+	*value = line.Snapshot{Version: source.Version(), Clock: source.Clock()}
 	sessions, err := source.Sessions()
 	if value.Sessions, err = takeList(sessions, err, takeSession); err != nil {
 		return err
 	}
 	tallies, err := source.Tallies()
-	if value.Tallies, err = takeList(tallies, err, takeTally); err != nil {
+	if value.QuotaUsages, err = takeList(tallies, err, takeTally); err != nil {
 		return err
 	}
 	turns, err := source.Turns()
@@ -165,6 +165,6 @@
 		return err
 	}
 	openings, err := source.Openings()
-	value.Openings, err = takeList(openings, err, takeOpening)
+	value.Prefixes, err = takeList(openings, err, takeOpening)
 	return err
 }
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -45,33 +45,33 @@
 }
 
 func storedEvent(kind line.EventKind) line.Event {
-	return line.Event{Seq: 4, At: 15, Kind: kind, Turn: 3, Follows: 2, Words: "words", Outcome: line.OutcomeCut, Runner: "10.0.0.1:80", Dispatch: "front-1/7", Digest: "digest",
-		Name: "turn", Part: 9, Producer: "producer", ProducerSeq: 6, Config: 5, Deadline: 16, Data: []byte("in\x00\xff\n"), Opening: "opening-2"}
+	return line.Event{Seq: 4, At: 15, Kind: kind, Turn: 3, Follows: 2, Text: "words", Outcome: line.OutcomeCut, Runner: "10.0.0.1:80", Dispatch: "front-1/7", Digest: "digest",
+		Name: "turn", Part: 9, Producer: "producer", ProducerSeq: 6, Config: 5, Deadline: 16, Data: []byte("in\x00\xff\n"), Prefix: "opening-2"}
 }
 
 func storedCommand(kind line.CommandKind) line.Command {
-	return line.Command{Kind: kind, Line: "program/a", Now: 17, KeepFor: time.Hour, Team: "depot", Program: "dialogue", WorkKind: "talk", Producer: "turn", ProducerSeq: 1, Expects: true, ExpectedSeq: 12,
-		Events: []line.Event{storedEvent(line.Piece)}, Reservation: "program/a|d", Words: 18, Allowance: 1088, Acks: []line.Ack{{Line: "program/a", ArchivedSeq: 9}}, Life: time.Minute,
-		Follows: "before", Dispatch: "front-1/7", Outcome: line.OutcomeComplete, Data: []byte("data"), Tokens: 136, Budgeted: true, Keeps: true,
-		Adopted: []line.AdoptedTurn{{Name: "adopted", Data: []byte("in\nout\n")}}, Scope: "scope", Opening: "opening-2"}
+	return line.Command{Kind: kind, Session: "program/a", Now: 17, Retention: time.Hour, Team: "depot", Program: "dialogue", WorkKind: "talk", Producer: "turn", ProducerSeq: 1, HasExpectedSeq: true, ExpectedSeq: 12,
+		Events: []line.Event{storedEvent(line.OutputPart)}, Reservation: "program/a|d", Words: 18, Quota: 1088, Acks: []line.Ack{{Session: "program/a", ArchivedSeq: 9}}, Lifetime: time.Minute,
+		Follows: "before", Dispatch: "front-1/7", Outcome: line.OutcomeComplete, Data: []byte("data"), Tokens: 136, HasQuota: true, KeepData: true,
+		Adopted: []line.AdoptedTurn{{Name: "adopted", Data: []byte("in\nout\n")}}, Scope: "scope", Prefix: "opening-2"}
 }
 
 // storedImage is an image with all that a format knows: turns since 2, openings since 3.
-func storedImage(version uint32) line.Image {
-	image := line.Image{Version: version, Clock: 20,
-		Sessions: []line.Session{{Line: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, KeepFor: time.Hour, TouchedAt: 2, Head: 4, ArchivedSeq: 3,
-			Producers: []line.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Hot: []line.Event{storedEvent(line.TurnBegun)}, OpenTurns: []uint64{4}, Until: 21, Spent: 22, Reserved: 23}},
-		Tallies: []line.Tally{{Name: line.TallyName("depot", "dialogue", "first"), Spent: 24, Reservations: []line.Reservation{{Name: "program/a|d", Words: 25, Until: 26}}, Settled: []line.Reservation{{Name: "program/a|c", Words: 27, Until: 28}}}},
+func storedImage(version uint32) line.Snapshot {
+	image := line.Snapshot{Version: version, Clock: 20,
+		Sessions: []line.Session{{Name: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, Retention: time.Hour, UpdatedAt: 2, Head: 4, ArchivedSeq: 3,
+			Producers: []line.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Unarchived: []line.Event{storedEvent(line.TurnBegun)}, OpenTurns: []uint64{4}, RetainUntil: 21, Spent: 22, Reserved: 23}},
+		QuotaUsages: []line.QuotaUsage{{Name: line.QuotaName("depot", "dialogue", "first"), Spent: 24, Reservations: []line.Reservation{{Name: "program/a|d", Words: 25, ExpiresAt: 26}}, Settled: []line.Reservation{{Name: "program/a|c", Words: 27, ExpiresAt: 28}}}},
 	}
 	if version > 1 {
-		image.Turns = []line.TurnRecord{{Line: "program/a", Name: "one", Seq: 1, Ended: 3, Outcome: line.OutcomeComplete, Dispatch: "front-1/6", Deadline: 29, Tokens: 30},
-			{Line: "program/a", Name: "turn", Seq: 4, Follows: "one", Dispatch: "front-1/7", Deadline: 31, Tokens: 32}}
+		image.Turns = []line.TurnRecord{{Session: "program/a", Name: "one", Seq: 1, EndSeq: 3, Outcome: line.OutcomeComplete, Dispatch: "front-1/6", Deadline: 29, Tokens: 30},
+			{Session: "program/a", Name: "turn", Seq: 4, Follows: "one", Dispatch: "front-1/7", Deadline: 31, Tokens: 32}}
 	}
 	if version > 2 {
 		data := []byte("what many lines begin with")
-		name := line.OpeningName("scope", data)
-		image.Sessions[0].Openings = []string{name}
-		image.Openings = []line.OpeningRecord{{Name: name, Scope: "scope", Data: data, Until: 33}}
+		name := line.SharedPrefixName("scope", data)
+		image.Sessions[0].Prefixes = []string{name}
+		image.Prefixes = []line.SharedPrefixRecord{{Name: name, Scope: "scope", Data: data, Until: 33}}
 	}
 	return image
 }
@@ -142,7 +142,7 @@
 	for kind := feed.ChangeFounded; kind <= feed.ChangeRecovered; kind++ {
 		messages[fmt.Sprintf("change-%d", kind)] = storedAs(schema.Change_TypeID, storedChange(kind))
 	}
-	for kind := line.CreateSession; kind <= line.BeginSharedTurn; kind++ {
+	for kind := line.CreateSession; kind <= line.BeginTurnWithPrefix; kind++ {
 		messages[fmt.Sprintf("command-%d", kind)] = storedAs(schema.Command_TypeID, storedCommand(kind))
 	}
 	return messages
@@ -180,8 +180,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var image line.Image
-		machine := line.NewMachine()
+		var image line.Snapshot
+		machine := line.NewStateMachine()
 		if err := Decode(schema.LineImage_TypeID, data, &image); err != nil {
 			t.Fatal(err)
 		}
@@ -193,7 +193,7 @@
 		if version > 1 {
 			want.Sessions[0].Turns = []string{"one", "turn"}
 		}
-		if got := machine.View().Image(); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
+		if got := machine.View().Snapshot(); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
 			t.Errorf("image of format %d is restored as\n%+v\nnot\n%+v", version, got, want)
 		}
 	}
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -67,16 +67,16 @@
 type Reply struct {
 	Failure  Failure `capnp:"failure"`
 	Which    schema.Reply_Which
-	Status   *StatusReply        `capnp:"status"`
-	Outcomes *OutcomeList        `capnp:"outcomes"`
-	Read     *ReadReply          `capnp:"read"`
-	Follow   *FollowReply        `capnp:"follow"`
-	Newest   *NewestReply        `capnp:"newest"`
-	Change   *ChangeReply        `capnp:"change"`
-	Digests  *DigestReply        `capnp:"digests"`
-	Chunks   *ColdChunkBatch     `capnp:"chunks"`
-	Found    *FindReply          `capnp:"found"`
-	Opening  *line.OpeningRecord `capnp:"opening"`
+	Status   *StatusReply             `capnp:"status"`
+	Outcomes *OutcomeList             `capnp:"outcomes"`
+	Read     *ReadReply               `capnp:"read"`
+	Follow   *FollowReply             `capnp:"follow"`
+	Newest   *NewestReply             `capnp:"newest"`
+	Change   *ChangeReply             `capnp:"change"`
+	Digests  *DigestReply             `capnp:"digests"`
+	Chunks   *ColdChunkBatch          `capnp:"chunks"`
+	Found    *FindReply               `capnp:"found"`
+	Opening  *line.SharedPrefixRecord `capnp:"opening"`
 }
 
 // Failure is a typed failure on its way.
