--- a/system/link/traffic_test.go
+++ b/system/link/traffic_test.go
@@ -10,13 +10,13 @@
 	"yardrock.example/system/wire/schema"
 )
 
-func trafficOf(kind string) wire.KindTraffic {
+func trafficOf(kind string) wire.TrafficByKind {
 	for _, counted := range Traffic() {
 		if counted.Kind == kind {
 			return counted
 		}
 	}
-	return wire.KindTraffic{Kind: kind}
+	return wire.TrafficByKind{Kind: kind}
 }
 
 // TestTrafficIsCountedByKindOnBothSides has both sides in one process, so each query
@@ -33,18 +33,18 @@
 		return &wire.Reply{}
 	})
 	defer server.Close()
-	caller := NewCaller(TCP{})
-	defer caller.Close()
+	client := NewClient(TCP{})
+	defer client.Close()
 	before := trafficOf("agreement")
 	const queries, size = 5, 4096
 	for range queries {
 		message := agreement.Message{Kind: agreement.MessageAppend, Entries: []agreement.Entry{{Data: bytes.Repeat([]byte{1}, size)}}}
-		if _, err := caller.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_agreement, Agreement: &wire.AgreementBatch{Messages: []agreement.Message{message}}}); err != nil {
+		if _, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []agreement.Message{message}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	after := trafficOf("agreement")
-	if asked, answered := after.Asked-before.Asked, after.Answered-before.Answered; asked != queries || answered != queries {
+	if asked, answered := after.QueriesSent-before.QueriesSent, after.QueriesReceived-before.QueriesReceived; asked != queries || answered != queries {
 		t.Fatalf("counted %d asked and %d answered, want %d of each", asked, answered, queries)
 	}
 	for side, grown := range map[string]uint64{"out": after.BytesOut - before.BytesOut, "in": after.BytesIn - before.BytesIn} {
@@ -53,7 +53,7 @@
 		}
 	}
 	for asks, want := range map[bool]bool{false: false, true: true} {
-		reply, err := caller.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{Traffic: asks}})
+		reply, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{Traffic: asks}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,9 +63,9 @@
 	}
 }
 
-func TestKindsBeyondTheCountedAreLeftOut(t *testing.T) {
-	countAsked(kinds, 0)
-	countAnswered(kinds+1, 0)
-	countReply(kinds+2, 0)
-	countSent(kinds+3, 0)
+func TestUnknownKindsAreNotCounted(t *testing.T) {
+	countQuerySent(maxKinds, 0)
+	countQueryReceived(maxKinds+1, 0)
+	countReplyReceived(maxKinds+2, 0)
+	countReplySent(maxKinds+3, 0)
 }
--- /dev/null
+++ b/system/link/usertimeout_linux.go
@@ -0,0 +1,13 @@
+package link
+
+import (
+	"syscall"
+	"time"
+)
+
+// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+const tcpUserTimeout = 18
+
+func setUserTimeout(descriptor int, timeout time.Duration) error {
+	return syscall.SetsockoptInt(descriptor, syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
+}
--- a/system/link/silence_linux_test.go
+++ b/system/link/usertimeout_linux_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestADialledConnectionHeedsSilence(t *testing.T) {
+func TestDialledConnectionHasUserTimeout(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -15,7 +15,7 @@
 	defer listener.Close()
 	// The system counts the time until the first probe in whole seconds, rounded up.
 	for silence, want := range map[time.Duration][4]int{0: {0, 1, -1, -1}, 500 * time.Millisecond: {500, 1, 1, 1}, 2500 * time.Millisecond: {2500, 1, 2, 2}, 6 * time.Second: {6000, 1, 3, 6}} {
-		dialled, err := TCP{Silence: silence}.Dial(t.Context(), listener.Addr().String())
+		dialled, err := TCP{UserTimeout: silence}.Dial(t.Context(), listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,7 +25,7 @@
 		}
 		got := [4]int{}
 		raw.Control(func(descriptor uintptr) {
-			for index, option := range [4][2]int{{syscall.IPPROTO_TCP, userTimeout}, {syscall.SOL_SOCKET, syscall.SO_KEEPALIVE}, {syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE}, {syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT}} {
+			for index, option := range [4][2]int{{syscall.IPPROTO_TCP, tcpUserTimeout}, {syscall.SOL_SOCKET, syscall.SO_KEEPALIVE}, {syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE}, {syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT}} {
 				got[index], _ = syscall.GetsockoptInt(int(descriptor), option[0], option[1])
 			}
 		})
--- a/system/placement/placement.go
+++ b/system/placement/placement.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// Factor is how many replicas a group has where nothing else is said: a majority
+// DefaultReplicas is how many replicas a group has where nothing else is said: a majority
 // outlives the loss of one.
-const Factor = 3
+const DefaultReplicas = 3
 
-// Copies is how many replicas a group needs so that a majority outlives the loss of some
+// ReplicasToSurvive is how many replicas a group needs so that a majority outlives the loss of some
 // at once, with their disks.
 //
-//	copies := placement.Copies(2) // 5
-func Copies(lost int) int { return max(2*lost+1, Factor) }
+//	copies := placement.ReplicasToSurvive(2) // 5
+func ReplicasToSurvive(failures int) int { return max(2*failures+1, DefaultReplicas) }
 
-// Place is one node that may be picked, with its domain.
-type Place struct {
+// Candidate is one node that may be picked, with its domain.
+type Candidate struct {
 	Name   string
 	Domain string
 }
 
-// score is FNV-1a over the parts, with a zero byte between them, then mixed so
+// rendezvousScore is FNV-1a over the parts, with a zero byte between them, then mixed so
 // that near inputs land far apart.
-func score(parts ...string) uint64 {
+func rendezvousScore(parts ...string) uint64 {
 	hash := fnv.New64a()
 	for _, part := range parts {
 		hash.Write([]byte(part))
@@ -44,17 +44,17 @@
 // GroupOf gives the group of a line or a tally.
 //
 //	group := placement.GroupOf("team/c-1", 32)
-func GroupOf(line string, groups uint32) uint32 {
-	return uint32(score("line", line) % uint64(max(groups, 1)))
+func GroupOf(session string, groups uint32) uint32 {
+	return uint32(rendezvousScore("line", session) % uint64(max(groups, 1)))
 }
 
-// Ranked orders the places for a key, best first.
+// Rank orders the places for a key, best first.
 //
-//	owner := placement.Ranked("roster", places)[0]
-func Ranked(key string, places []Place) []Place {
-	ranked := slices.Clone(places)
-	slices.SortFunc(ranked, func(left, right Place) int {
-		leftScore, rightScore := score(key, left.Name), score(key, right.Name)
+//	owner := placement.Rank("roster", places)[0]
+func Rank(key string, candidates []Candidate) []Candidate {
+	ranked := slices.Clone(candidates)
+	slices.SortFunc(ranked, func(left, right Candidate) int {
+		leftScore, rightScore := rendezvousScore(key, left.Name), rendezvousScore(key, right.Name)
 		if leftScore != rightScore {
 			if leftScore > rightScore {
 				return -1
@@ -70,20 +70,20 @@
 // than another by two while that one has a place left.
 //
 //	names := placement.ReplicasOf(7, stores, 3)
-func ReplicasOf(group uint32, places []Place, copies int) []string {
+func ReplicasOf(group uint32, candidates []Candidate, replicas int) []string {
 	key := string(binary.BigEndian.AppendUint32([]byte("group"), group))
-	ranked := Ranked(key, places)
-	chosen, used := []string{}, map[string]int{}
-	for round := 1; len(chosen) < min(copies, len(ranked)); round++ {
-		for _, place := range ranked {
-			if len(chosen) == copies {
+	ranked := Rank(key, candidates)
+	chosen, perDomain := []string{}, map[string]int{}
+	for round := 1; len(chosen) < min(replicas, len(ranked)); round++ {
+		for _, candidate := range ranked {
+			if len(chosen) == replicas {
 				break
 			}
-			if slices.Contains(chosen, place.Name) || used[place.Domain] == round {
+			if slices.Contains(chosen, candidate.Name) || perDomain[candidate.Domain] == round {
 				continue
 			}
-			chosen = append(chosen, place.Name)
-			used[place.Domain]++
+			chosen = append(chosen, candidate.Name)
+			perDomain[candidate.Domain]++
 		}
 	}
 	return chosen
--- a/system/placement/placement_test.go
+++ b/system/placement/placement_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-func places(domains ...int) []Place {
-	made := []Place{}
+func candidates(domains ...int) []Candidate {
+	made := []Candidate{}
 	for domain, count := range domains {
 		for index := range count {
-			made = append(made, Place{Name: fmt.Sprintf("store-%d-%d", domain, index), Domain: fmt.Sprint(domain)})
+			made = append(made, Candidate{Name: fmt.Sprintf("store-%d-%d", domain, index), Domain: fmt.Sprint(domain)})
 		}
 	}
 	return made
@@ -20,16 +20,16 @@
 // stores allow it.
 func TestNoDomainHoldsAMajorityOfAGroup(t *testing.T) {
 	for _, one := range []struct {
-		stores []Place
+		stores []Candidate
 		copies int
 		most   int // copies in one domain
 	}{
-		{places(1, 1, 1), 3, 1},
-		{places(3, 3, 2), 3, 1},
-		{places(3, 3, 2), 5, 2},
-		{places(4, 3, 3), 5, 2},
-		{places(3, 2), 3, 2},
-		{places(2, 1), 5, 2},
+		{candidates(1, 1, 1), 3, 1},
+		{candidates(3, 3, 2), 3, 1},
+		{candidates(3, 3, 2), 5, 2},
+		{candidates(4, 3, 3), 5, 2},
+		{candidates(3, 2), 3, 2},
+		{candidates(2, 1), 5, 2},
 	} {
 		for group := range uint32(64) {
 			chosen := ReplicasOf(group, one.stores, one.copies)
@@ -38,7 +38,7 @@
 			}
 			used := map[string]int{}
 			for _, name := range chosen {
-				at := slices.IndexFunc(one.stores, func(place Place) bool { return place.Name == name })
+				at := slices.IndexFunc(one.stores, func(place Candidate) bool { return place.Name == name })
 				used[one.stores[at].Domain]++
 			}
 			for domain, count := range used {
@@ -50,9 +50,9 @@
 	}
 }
 
-func TestCopiesOutliveWhatMayBeLostAtOnce(t *testing.T) {
+func TestReplicasSurviveTheFailuresTheyAreChosenFor(t *testing.T) {
 	for lost, copies := range map[int]int{0: 3, 1: 3, 2: 5, 3: 7} {
-		if got := Copies(lost); got != copies {
+		if got := ReplicasToSurvive(lost); got != copies {
 			t.Errorf("the loss of %d needs %d copies, not %d", lost, copies, got)
 		}
 	}
--- a/system/replica/host.go
+++ b/system/replica/host.go
@@ -196,9 +196,9 @@
 		host.applyEntry(group, entry)
 	}
 	if output.Write != nil {
-		kept := wire.StoredWrite{State: output.Write.HardState, Entries: output.Write.Entries}
+		kept := wire.StoredWrite{HardState: output.Write.HardState, Entries: output.Write.Entries}
 		if output.Write.Snapshot != nil {
-			kept.Pointed, kept.Checkpoint = true, *output.Write.Snapshot
+			kept.HasSnapshot, kept.Snapshot = true, *output.Write.Snapshot
 		}
 		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, kept)...)
 		written := output.Write.Number
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -51,7 +51,7 @@
 			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("founding_failed")
 			return
 		}
-		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, wire.StoredWrite{State: stored.HardState, Pointed: true, Checkpoint: snapshot})...)
+		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, wire.StoredWrite{HardState: stored.HardState, HasSnapshot: true, Snapshot: snapshot})...)
 	})
 }
 
--- a/system/replica/host_proposals.go
+++ b/system/replica/host_proposals.go
@@ -21,7 +21,7 @@
 }
 
 func outcomeUnknown() error {
-	return apierror.New(apierror.Unclear, "the commit was not seen to its end", "ask again with the same producer pair; it is deduped")
+	return apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end", "ask again with the same producer pair; it is deduped")
 }
 
 func (host *Host) notLeader(group *raftGroup) error {
@@ -119,7 +119,7 @@
 	case err := <-answer:
 		return err
 	case <-ctx.Done():
-		return apierror.Later(apierror.NoQuorum, "no quorum confirmed the read in time", "ask again", time.Second)
+		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "ask again", time.Second)
 	case <-host.stopped:
 		return host.notLeader(nil)
 	}
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -75,17 +75,17 @@
 	if err := wire.Decode(schema.StoredWrite_TypeID, record.Data, &kept); err != nil {
 		return nil, err
 	}
-	write := &agreement.Write{HardState: kept.State, Entries: kept.Entries}
-	if kept.ContentApart {
+	write := &agreement.Write{HardState: kept.HardState, Entries: kept.Entries}
+	if kept.SnapshotDataSeparate {
 		content, found := contents[record.Group]
 		if !found {
 			return nil, errSnapshotContentMissing
 		}
 		delete(contents, record.Group)
-		kept.Checkpoint.Data = content
+		kept.Snapshot.Data = content
 	}
-	if kept.Pointed {
-		write.Snapshot = &kept.Checkpoint
+	if kept.HasSnapshot {
+		write.Snapshot = &kept.Snapshot
 	}
 	return write, nil
 }
--- a/system/replica/host_snapshots_test.go
+++ b/system/replica/host_snapshots_test.go
@@ -150,7 +150,7 @@
 
 func TestLargeSnapshotContentIsStoredSeparatelyAndRequired(t *testing.T) {
 	snapshot := agreement.Snapshot{Index: 5, Term: 2, Membership: agreement.Membership{Voters: []string{"a", "b"}}, Data: append([]byte(textPrefix), make([]byte, separateContentBytes)...)}
-	records := encodeWrite(1, wire.StoredWrite{State: agreement.HardState{Term: 3}, Pointed: true, Checkpoint: snapshot})
+	records := encodeWrite(1, wire.StoredWrite{HardState: agreement.HardState{Term: 3}, HasSnapshot: true, Snapshot: snapshot})
 	if len(records) != 2 || records[0].Kind != recordSnapshotContent || len(records[1].Data) > 1000 {
 		t.Fatalf("%d records", len(records))
 	}
@@ -181,7 +181,7 @@
 	}
 	answers := make(chan agreement.Message, 1000)
 	server := link.Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply {
-		for _, message := range query.Agreement.Messages {
+		for _, message := range query.Raft.Messages {
 			answers <- message
 		}
 		return &wire.Reply{}
--- a/system/replica/host_storage.go
+++ b/system/replica/host_storage.go
@@ -90,7 +90,7 @@
 	}
 	return func(yield func(durablelog.Record) bool) {
 		for position, stored := range images {
-			kept := wire.StoredWrite{State: stored.HardState, Entries: stored.Entries, Pointed: true, Checkpoint: stored.Snapshot}
+			kept := wire.StoredWrite{HardState: stored.HardState, Entries: stored.Entries, HasSnapshot: true, Snapshot: stored.Snapshot}
 			for _, record := range encodeWrite(numbers[position], kept) {
 				if !yield(record) {
 					return
@@ -108,8 +108,8 @@
 // encodeWrite gives the records of a write. A large content is not copied.
 func encodeWrite(groupID uint32, write wire.StoredWrite) []durablelog.Record {
 	records := []durablelog.Record{}
-	if content := write.Checkpoint.Data; len(content) >= separateContentBytes {
-		write.Checkpoint.Data, write.ContentApart = nil, true
+	if content := write.Snapshot.Data; len(content) >= separateContentBytes {
+		write.Snapshot.Data, write.SnapshotDataSeparate = nil, true
 		records = append(records, durablelog.Record{Group: groupID, Kind: recordSnapshotContent, Data: content})
 	}
 	return append(records, durablelog.Record{Group: groupID, Kind: recordWrite, Data: wire.MustEncode(schema.StoredWrite_TypeID, &write)})
--- a/system/replica/host_test.go
+++ b/system/replica/host_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	transport := NewTransport(link.NewCaller(link.TCP{}), func(string) string { return peers }, func() string { return "" })
+	transport := NewTransport(link.NewClient(link.TCP{}), func(string) string { return peers }, func() string { return "" })
 	host, err := Open(settings, log, append(records, extra...), func(uint32) StateMachine { return machine }, transport)
 	if err == nil {
 		t.Cleanup(func() {
@@ -84,7 +84,7 @@
 	voters := agreement.Membership{Voters: []string{"a", "b", "c"}}
 	snapshot := agreement.Snapshot{Index: 5, Term: 2, Membership: voters, Data: []byte(textPrefix)}
 	state := agreement.HardState{Term: 3, VotedFor: "a"}
-	whole := testRecord(t, wire.StoredWrite{State: state, Pointed: true, Checkpoint: snapshot})
+	whole := testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: snapshot})
 	cut := whole
 	cut.Data = cut.Data[:len(cut.Data)/2]
 	unreadable := snapshot
@@ -92,10 +92,10 @@
 	entry := func(index, term uint64) []agreement.Entry { return []agreement.Entry{{Index: index, Term: term}} }
 	for name, records := range map[string][]durablelog.Record{
 		"record is cut":             {cut},
-		"snapshot is unreadable":    {testRecord(t, wire.StoredWrite{State: state, Pointed: true, Checkpoint: unreadable})},
-		"log does not follow":       {whole, testRecord(t, wire.StoredWrite{State: state, Entries: entry(8, 3)})},
-		"term falls":                {whole, testRecord(t, wire.StoredWrite{State: state, Entries: entry(6, 1)})},
-		"log is of a term to come":  {whole, testRecord(t, wire.StoredWrite{State: state, Entries: entry(6, 9)})},
+		"snapshot is unreadable":    {testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: unreadable})},
+		"log does not follow":       {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(8, 3)})},
+		"term falls":                {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 1)})},
+		"log is of a term to come":  {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 9)})},
 		"record is of another kind": {{Group: 1, Kind: 77}},
 	} {
 		_, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, records...)
--- a/system/replica/transport.go
+++ b/system/replica/transport.go
@@ -26,7 +26,7 @@
 // Transport brings agreement messages to peers. Nobody waits for them to arrive; what
 // is too much is dropped, as Raft allows.
 type Transport struct {
-	caller         *link.Caller
+	caller         *link.Client
 	resolveAddress func(name string) string
 	fleet          func() string
 	mutex          sync.Mutex
@@ -47,7 +47,7 @@
 // NewTransport makes a courier; resolve gives the address of a node's name, or "".
 //
 //	courier := replica.NewTransport(caller, view.AddressOf, fleet)
-func NewTransport(caller *link.Caller, resolve func(string) string, fleet func() string) *Transport {
+func NewTransport(caller *link.Client, resolve func(string) string, fleet func() string) *Transport {
 	transport := &Transport{caller: caller, resolveAddress: resolve, fleet: fleet, queues: map[string]*peerQueue{}}
 	transport.closed, transport.close = context.WithCancel(context.Background())
 	return transport
@@ -137,7 +137,7 @@
 }
 
 func (transport *Transport) newRequest(messages []agreement.Message) *wire.Query {
-	return &wire.Query{Fleet: transport.fleet(), Which: schema.Query_Which_agreement, Agreement: &wire.AgreementBatch{Messages: messages}}
+	return &wire.Query{Fleet: transport.fleet(), Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: messages}}
 }
 
 func (transport *Transport) sendLoop(to string, source *peerQueue) {
@@ -171,7 +171,7 @@
 			}
 		}
 		ctx, cancel := context.WithTimeout(transport.closed, sendTimeout)
-		transport.caller.Tell(ctx, address, query)
+		transport.caller.Notify(ctx, address, query)
 		cancel()
 	}
 }
@@ -182,7 +182,7 @@
 	ctx, cancel := context.WithTimeout(transport.closed, sendTimeout)
 	defer cancel()
 	if _, err := transport.caller.Call(ctx, address, query); err != nil && ctx.Err() != nil && transport.closed.Err() == nil {
-		transport.caller.DropSilent(address, sendTimeout)
+		transport.caller.DropIfSilent(address, sendTimeout)
 	}
 }
 
--- a/system/replica/transport_test.go
+++ b/system/replica/transport_test.go
@@ -32,7 +32,7 @@
 	chunks, heartbeats, answered := make(chan agreement.Message, 100), make(chan agreement.Message, 100), make(chan struct{})
 	answer := sync.OnceFunc(func() { close(answered) })
 	server := link.Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply {
-		for _, message := range query.Agreement.Messages {
+		for _, message := range query.Raft.Messages {
 			if message.Kind == agreement.MessageSnapshotChunk {
 				chunks <- message
 				<-answered
@@ -44,7 +44,7 @@
 	})
 	defer server.Close()
 	defer answer()
-	caller := link.NewCaller(link.TCP{})
+	caller := link.NewClient(link.TCP{})
 	defer caller.Close()
 	transport := NewTransport(caller, func(string) string { return listener.Addr().String() }, func() string { return "" })
 	defer transport.Close()
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -267,7 +267,7 @@
 			return nil, cancelled(address, true)
 		}
 		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach runner " + address + ": " + err.Error(), Remedy: "check that the runner runs and that its address is right",
-			NeverSent: true, NobodyThere: errors.Is(err, syscall.ECONNREFUSED), Lost: own || dialling.Err() == nil}
+			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: own || dialling.Err() == nil}
 	}
 	pool.dials.Add(1)
 	made := newConnection(stream, held)
--- a/system/runnerpool/scripted_test.go
+++ b/system/runnerpool/scripted_test.go
@@ -304,7 +304,7 @@
 		return failure{}
 	}
 	found := apierror.Of(err)
-	return failure{found.Kind, found.NeverSent, found.Lost, found.Misdirected, found.NobodyThere}
+	return failure{found.Kind, found.NeverSent, found.Lost, found.Misdirected, found.ConnectionRefused}
 }
 
 func parts(text string, size int) [][]byte {
--- a/system/runnerpool/send_test.go
+++ b/system/runnerpool/send_test.go
@@ -362,7 +362,7 @@
 				t.Fatal(err)
 			}
 		}
-		for _, kept := range []error{apierror.Later(apierror.NotRun, "the runner left", "choose another", time.Second), errors.New("untyped")} {
+		for _, kept := range []error{apierror.NewRetryable(apierror.NotRun, "the runner left", "choose another", time.Second), errors.New("untyped")} {
 			refused := query("q3", func(dispatch *Dispatch) { dispatch.Look = func() error { return kept } })
 			_, _, err := ask(t, pool, refused)
 			if found := apierror.Of(err); !found.NeverSent || found.Lost || found.Kind != apierror.Of(kept).Kind || found.RetryAfter != apierror.Of(kept).RetryAfter {
--- a/system/runnerpool/tcp_test.go
+++ b/system/runnerpool/tcp_test.go
@@ -130,7 +130,7 @@
 			io.WriteString(connection, strings.ReplaceAll(ok(string(read)), "NAME", query.Header.Get("Query-Name")))
 		}
 	})
-	pool := New(link.TCP{Silence: time.Minute}, testDialect)
+	pool := New(link.TCP{UserTimeout: time.Minute}, testDialect)
 	defer pool.Close()
 	for _, name := range []string{"q1", "q2", "q3"} {
 		_, got, err := ask(t, pool, query(name, func(dispatch *Dispatch) {
@@ -153,7 +153,7 @@
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	pool := New(link.TCP{Silence: time.Second}, testDialect)
+	pool := New(link.TCP{UserTimeout: time.Second}, testDialect)
 	defer pool.Close()
 	_, err = pool.Send(t.Context(), query("q1", func(dispatch *Dispatch) { dispatch.Runner.Address = address }))
 	if got := failureOf(err); got != (failure{kind: apierror.Unavailable, neverSent: true, lost: true, nobodyThere: true}) {
--- a/system/scheduling/board.go
+++ b/system/scheduling/board.go
@@ -43,7 +43,7 @@
 type State struct {
 	View   *feed.View
 	Config *config.Config
-	Fronts []placement.Place
+	Fronts []placement.Candidate
 }
 
 // Ending tells how a slot was used.
@@ -97,16 +97,16 @@
 
 // frontList is which fronts were live, until the next list came.
 type frontList struct {
-	places []placement.Place
+	places []placement.Candidate
 	until  time.Time
 	ranks  map[string]int // of this front, by runner address
 }
 
 // rank tells which place this front has among those that share a runner.
-func (list frontList) rank(runner string, itself func(placement.Place) bool) int {
+func (list frontList) rank(runner string, itself func(placement.Candidate) bool) int {
 	rank, known := list.ranks[runner]
 	if !known {
-		rank = slices.IndexFunc(placement.Ranked(runner, list.places), itself)
+		rank = slices.IndexFunc(placement.Rank(runner, list.places), itself)
 		list.ranks[runner] = rank
 	}
 	return rank
@@ -142,30 +142,30 @@
 // limit is how many queries a runner bears now, over all fronts. All times are by
 // this process's steady clock, so that no machine's wrong wall clock counts.
 func (use *runnerUse) limit(runner feed.Runner, bears config.Group, now time.Time) int {
-	ramp := time.Duration(bears.Ramp)
+	ramp := time.Duration(bears.SlowStart)
 	switch {
 	case runner.State == feed.StateWarmingUp:
 		use.ramped = time.Time{}
-		return bears.ColdConcurrency
+		return bears.WarmUpConcurrency
 	case !use.cooled.IsZero() && use.ramped.IsZero() && now.Sub(use.cooled) < cooledLongest:
-		return bears.ColdConcurrency
+		return bears.WarmUpConcurrency
 	case use.cooled.IsZero() && runner.Warmed:
 		return bears.Concurrency
 	case use.ramped.IsZero():
 		use.ramped = now
 	}
 	since := now.Sub(use.ramped)
-	if since >= ramp || bears.Concurrency <= bears.ColdConcurrency {
+	if since >= ramp || bears.Concurrency <= bears.WarmUpConcurrency {
 		use.cooled = time.Time{}
 		return bears.Concurrency
 	}
-	return bears.ColdConcurrency + int(float64(bears.Concurrency-bears.ColdConcurrency)*float64(since)/float64(ramp))
+	return bears.WarmUpConcurrency + int(float64(bears.Concurrency-bears.WarmUpConcurrency)*float64(since)/float64(ramp))
 }
 
 // share cuts a runner's limit by key over the live fronts, so that all fronts
 // together keep to it; where it bears less than one a front, some have none. What a
 // change of the fronts takes away counts at once, what it gives only after a while.
-func (board *Board) share(runner feed.Runner, total int, fronts []placement.Place, now time.Time) int {
+func (board *Board) share(runner feed.Runner, total int, fronts []placement.Candidate, now time.Time) int {
 	if !slices.ContainsFunc(fronts, board.itself) {
 		return 0
 	}
@@ -181,10 +181,10 @@
 	return share
 }
 
-func (board *Board) itself(place placement.Place) bool { return place.Name == board.front }
+func (board *Board) itself(place placement.Candidate) bool { return place.Name == board.front }
 
 // noteFronts keeps the list of fronts and those that were replaced a short time ago.
-func (board *Board) noteFronts(fronts []placement.Place, now time.Time) {
+func (board *Board) noteFronts(fronts []placement.Candidate, now time.Time) {
 	last := len(board.fronts) - 1
 	if last < 0 || !slices.Equal(board.fronts[last].places, fronts) {
 		if last >= 0 {
@@ -284,7 +284,7 @@
 	group, found := board.pick(state, kind.Table)
 	if !found {
 		board.mutex.Unlock()
-		return nil, apierror.Later(apierror.NotRun, "no runner of table "+kind.Table+" takes work now", "ask again later; operators: check the runner list and emptied domains", 2*time.Second)
+		return nil, apierror.NewRetryable(apierror.NotRun, "no runner of table "+kind.Table+" takes work now", "ask again later; operators: check the runner list and emptied domains", 2*time.Second)
 	}
 	urgency := urgencies[kind.Urgency]
 	if !board.queued(urgency, group) {
@@ -340,7 +340,7 @@
 }
 
 func overload(group string) error {
-	return apierror.Later(apierror.NotRun, "all runners of group "+group+" are busy", "ask again later", time.Second)
+	return apierror.NewRetryable(apierror.NotRun, "all runners of group "+group+" are busy", "ask again later", time.Second)
 }
 
 // queued tells whether someone as urgent already waits for the group.
@@ -482,10 +482,10 @@
 	}
 }
 
-// Cooled lists the runners that are taken for just started and have not answered
+// WarmingUp lists the runners that are taken for just started and have not answered
 // since, for a front that is new.
 //
-//	for _, address := range board.Cooled() { ... }
+//	for _, address := range board.WarmingUp() { ... }
 func (board *Board) Cooled() []string {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
@@ -517,13 +517,13 @@
 // Demand tells what is out to each runner, and how many queries wait.
 //
 //	out, waiting := board.Demand()
-func (board *Board) Demand() ([]wire.RunnerDemand, uint32) {
+func (board *Board) Demand() ([]wire.RunnerLoad, uint32) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
-	out := []wire.RunnerDemand{}
+	out := []wire.RunnerLoad{}
 	for _, address := range slices.Sorted(maps.Keys(board.uses)) {
 		if use := board.uses[address]; use.out > 0 || !use.cooled.IsZero() {
-			out = append(out, wire.RunnerDemand{Address: address, Out: uint32(use.out), Cooled: !use.cooled.IsZero()})
+			out = append(out, wire.RunnerLoad{Address: address, InFlight: uint32(use.out), WarmingUp: !use.cooled.IsZero()})
 		}
 	}
 	return out, uint32(len(board.waiting[0]) + len(board.waiting[1]) + len(board.waiting[2]))
--- a/system/scheduling/board_test.go
+++ b/system/scheduling/board_test.go
@@ -24,10 +24,10 @@
 	state := State{
 		View:   &feed.View{},
 		Config: &config.Config{Tables: map[string]map[string]float64{"talk": weights}, Groups: map[string]config.Group{}, Limits: config.Limits{Queue: 2, QueueTimeout: config.Duration(2 * time.Second)}},
-		Fronts: []placement.Place{{Name: "front"}},
+		Fronts: []placement.Candidate{{Name: "front"}},
 	}
 	for group := range weights {
-		state.Config.Groups[group] = config.Group{Concurrency: concurrency, ColdConcurrency: 1}
+		state.Config.Groups[group] = config.Group{Concurrency: concurrency, WarmUpConcurrency: 1}
 		state.View.Runners = append(state.View.Runners, feed.Runner{Address: group + ":1", Group: group, Domain: "east", State: feed.StateServing})
 	}
 	return state
--- a/system/settings/settings.go
+++ b/system/settings/settings.go
@@ -48,12 +48,12 @@
 //
 //	node, err := front.Start(front.Settings{...}, loaded.Network())
 func (common *Common) Network() link.TCP {
-	network := link.TCP{Listens: map[string]string{}, Silence: silence}
+	network := link.TCP{ListenAddresses: map[string]string{}, UserTimeout: silence}
 	if host, _, err := net.SplitHostPort(common.Address); err == nil {
-		network.From = host
+		network.LocalIP = host
 	}
 	if common.Listen != "" {
-		network.Listens[common.Address] = common.Listen
+		network.ListenAddresses[common.Address] = common.Listen
 	}
 	return network
 }
@@ -219,7 +219,7 @@
 //
 //	loaded, err := settings.LoadControlPlane(os.Args[1:], os.Stdout)
 func LoadControlPlane(arguments []string, output io.Writer) (*ControlPlane, error) {
-	loaded := &ControlPlane{FoundingStores: 3, Groups: 32, Copies: placement.Factor, MostControls: 5}
+	loaded := &ControlPlane{FoundingStores: 3, Groups: 32, Copies: placement.DefaultReplicas, MostControls: 5}
 	return loaded, load(loaded, "yardrock-control-plane", arguments, output)
 }
 
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -55,12 +55,12 @@
 
 // missingRanges lists, for the archived part of each line in some buckets, what a copy's
 // ranges lack.
-func missingRanges(view *line.View, buckets []uint32, ranges []wire.RangeDigest) []wire.GetColdQuery {
+func missingRanges(view *line.View, buckets []uint32, ranges []wire.RangeDigest) []wire.ReadArchiveQuery {
 	bySession := map[string][]wire.RangeDigest{}
 	for _, one := range ranges {
-		bySession[one.Line] = append(bySession[one.Line], one)
+		bySession[one.Session] = append(bySession[one.Session], one)
 	}
-	found := []wire.GetColdQuery{}
+	found := []wire.ReadArchiveQuery{}
 	for session := range view.Sessions() {
 		if !slices.Contains(buckets, uint32(line.BucketOf(session.Name))) {
 			continue
@@ -70,36 +70,36 @@
 		reached := uint64(0)
 		for _, one := range have {
 			if one.First > reached+1 {
-				found = append(found, wire.GetColdQuery{Line: session.Name, After: reached, Through: one.First - 1})
+				found = append(found, wire.ReadArchiveQuery{Session: session.Name, After: reached, Through: one.First - 1})
 			}
 			reached = max(reached, one.Last)
 		}
 		if reached < session.ArchivedSeq {
-			found = append(found, wire.GetColdQuery{Line: session.Name, After: reached, Through: session.ArchivedSeq})
+			found = append(found, wire.ReadArchiveQuery{Session: session.Name, After: reached, Through: session.ArchivedSeq})
 		}
 	}
 	return found
 }
 
 // readMissing reads what fills holes from this node's own copy, or from peers.
-func (node *Node) readMissing(group uint32, view *line.View, missing []wire.GetColdQuery) ([]wire.ColdChunk, bool) {
+func (node *Node) readMissing(group uint32, view *line.View, missing []wire.ReadArchiveQuery) ([]wire.ArchiveChunk, bool) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	chunks, complete := []wire.ColdChunk{}, true
+	chunks, complete := []wire.ArchiveChunk{}, true
 	for _, hole := range missing {
-		session, found := view.Session(hole.Line)
+		session, found := view.Session(hole.Session)
 		if !found {
 			continue
 		}
-		events, err := node.archiveStore.Read(hole.Line, hole.After, hole.Through)
+		events, err := node.archiveStore.Read(hole.Session, hole.After, hole.Through)
 		if err != nil || uint64(len(events)) != hole.Through-hole.After {
-			events = node.archivedFromPeers(ctx, group, hole.Line, hole.After, hole.Through, events)
+			events = node.archivedFromPeers(ctx, group, hole.Session, hole.After, hole.Through, events)
 		}
 		if uint64(len(events)) != hole.Through-hole.After {
 			complete = false
 			continue
 		}
-		chunks = append(chunks, wire.ColdChunk{Group: group, Line: hole.Line, First: hole.After + 1, Last: hole.Through, Expires: session.ExpiresAt().UnixNano(), Events: events})
+		chunks = append(chunks, wire.ArchiveChunk{Group: group, Session: hole.Session, First: hole.After + 1, Last: hole.Through, ExpiresAt: session.ExpiresAt().UnixNano(), Events: events})
 	}
 	return chunks, complete
 }
@@ -145,7 +145,7 @@
 	if err != nil {
 		return false
 	}
-	buckets := differingBuckets(view, digests.Sums)
+	buckets := differingBuckets(view, digests.BucketDigests)
 	if len(buckets) == 0 {
 		return true
 	}
@@ -160,7 +160,7 @@
 	for len(chunks) > 0 {
 		batch := chunks[:min(len(chunks), repairBatchChunks)]
 		chunks = chunks[len(batch):]
-		if _, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, Which: schema.Query_Which_putCold, PutCold: &wire.ColdChunkBatch{Chunks: batch}}); err != nil {
+		if _, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: batch}}); err != nil {
 			return false
 		}
 	}
--- a/system/store/archiver.go
+++ b/system/store/archiver.go
@@ -51,7 +51,7 @@
 // its replicas, and only then commits how far they may be evicted.
 func (node *Node) archiveGroup(group uint32, voters []string) {
 	view := node.stateMachine(group).View()
-	chunks, acks := []wire.ColdChunk{}, []line.Ack{}
+	chunks, acks := []wire.ArchiveChunk{}, []line.Ack{}
 	budget, now := archiveBatch, node.clock(group)
 	expired, full := view.HasExpired(now) || view.HasIdlePrefix(now), unarchivedBytes(view) > maxUnarchivedBytes
 	for session := range view.Unarchived() {
@@ -64,7 +64,7 @@
 		events := session.Unarchived[:min(len(session.Unarchived), budget)]
 		budget -= len(events)
 		first, last := events[0].Seq, events[len(events)-1].Seq
-		chunks = append(chunks, wire.ColdChunk{Group: group, Line: session.Name, First: first, Last: last, Expires: session.ExpiresAt().UnixNano(), Events: events})
+		chunks = append(chunks, wire.ArchiveChunk{Group: group, Session: session.Name, First: first, Last: last, ExpiresAt: session.ExpiresAt().UnixNano(), Events: events})
 		acks = append(acks, line.Ack{Session: session.Name, ArchivedSeq: last})
 	}
 	if len(chunks) == 0 && !expired {
@@ -107,7 +107,7 @@
 
 // replicateChunks has the replicas put chunks into their cold stores, and gives the names of
 // those that have. Peers hold the events themselves, as a rule, and are only told which.
-func (node *Node) replicateChunks(ctx context.Context, group uint32, voters []string, chunks []wire.ColdChunk) (holders []string) {
+func (node *Node) replicateChunks(ctx context.Context, group uint32, voters []string, chunks []wire.ArchiveChunk) (holders []string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type stored struct {
@@ -140,14 +140,14 @@
 }
 
 // sendChunks has one peer put chunks from what it holds, then sends those that it lacks.
-func (node *Node) sendChunks(ctx context.Context, peer string, chunks []wire.ColdChunk) error {
-	ranges := make([]wire.ColdChunk, len(chunks))
+func (node *Node) sendChunks(ctx context.Context, peer string, chunks []wire.ArchiveChunk) error {
+	ranges := make([]wire.ArchiveChunk, len(chunks))
 	for position, chunk := range chunks {
 		chunk.Events = nil
 		ranges[position] = chunk
 	}
 	fleet, address := node.view.Load().BoundFleet(), node.addressOf(peer)
-	reply, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutCold: &wire.ColdChunkBatch{Chunks: ranges}})
+	reply, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: ranges}})
 	if err != nil || reply.Chunks == nil {
 		return err
 	}
@@ -155,22 +155,22 @@
 		name  string
 		first uint64
 	}
-	isMissing, missing := map[key]bool{}, []wire.ColdChunk{}
+	isMissing, missing := map[key]bool{}, []wire.ArchiveChunk{}
 	for _, one := range reply.Chunks.Chunks {
-		isMissing[key{one.Line, one.First}] = true
+		isMissing[key{one.Session, one.First}] = true
 	}
 	for _, chunk := range chunks {
-		if isMissing[key{chunk.Line, chunk.First}] {
+		if isMissing[key{chunk.Session, chunk.First}] {
 			missing = append(missing, chunk)
 		}
 	}
-	_, err = node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutCold: &wire.ColdChunkBatch{Chunks: missing}})
+	_, err = node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: missing}})
 	return err
 }
 
 // fillChunks gives chunks with their events: those that come without are filled from what
 // this replica has applied. It tells which it lacks.
-func (node *Node) fillChunks(chunks []wire.ColdChunk) (complete, missing []wire.ColdChunk) {
+func (node *Node) fillChunks(chunks []wire.ArchiveChunk) (complete, missing []wire.ArchiveChunk) {
 	for _, chunk := range chunks {
 		if len(chunk.Events) == 0 && !node.fillChunk(&chunk) {
 			missing = append(missing, chunk)
@@ -183,7 +183,7 @@
 
 // fillChunk puts the events of a range into a chunk, unless its line has them in its cold
 // store. What is applied is the same at all replicas.
-func (node *Node) fillChunk(chunk *wire.ColdChunk) bool {
+func (node *Node) fillChunk(chunk *wire.ArchiveChunk) bool {
 	if node.archiveStore.Covers(*chunk) {
 		return true
 	}
@@ -191,7 +191,7 @@
 	if machine == nil {
 		return false
 	}
-	session, found := machine.View().Session(chunk.Line)
+	session, found := machine.View().Session(chunk.Session)
 	if !found || chunk.First <= session.ArchivedSeq || chunk.Last < chunk.First || chunk.Last > session.Head {
 		return false
 	}
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -56,13 +56,13 @@
 // Node is a running store node.
 type Node struct {
 	settings     Settings
-	caller       *link.Caller
+	caller       *link.Client
 	host         *replica.Host
 	archiveStore *coldstore.Store
 	server       *link.Server
-	feedClient   *follower.Follower
+	feedClient   *follower.Client
 	// startedFeedClient is follow, for those who ask while the node still starts.
-	startedFeedClient atomic.Pointer[follower.Follower]
+	startedFeedClient atomic.Pointer[follower.Client]
 	stateMachines     sync.Map // group number to *groupStateMachine
 	clockAnchors      sync.Map // group number to clockAnchor
 	storeClient       *storeorigin.Origin
@@ -72,7 +72,7 @@
 	archiveGuards   sync.Map
 	laggingReplicas sync.Map
 	view            atomic.Pointer[feed.View]
-	viewPacker      wire.ViewPacker
+	viewPacker      wire.PackedViewCache
 	viewChanged     chan struct{} // holds one token after a view with other orders was taken
 
 	tailMutex   sync.Mutex
@@ -140,7 +140,7 @@
 	if settings.WallClock == nil {
 		settings.WallClock = time.Now
 	}
-	node := &Node{settings: settings, caller: link.NewCaller(network), archiveStore: archiveStore, viewChanged: make(chan struct{}, 1), tailWaiters: map[string]chan struct{}{}}
+	node := &Node{settings: settings, caller: link.NewClient(network), archiveStore: archiveStore, viewChanged: make(chan struct{}, 1), tailWaiters: map[string]chan struct{}{}}
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.view.Store(&feed.View{})
 	node.storeClient = storeorigin.New(node.caller, node.view.Load)
@@ -200,11 +200,11 @@
 //	node.SetSeeds(settings.Seeds)
 func (node *Node) SetSeeds(seeds []string) { node.feedClient.SetSeeds(seeds) }
 
-// Foreign gives the reason why a node that has just started can't go on: its data
+// ForeignFleet gives the reason why a node that has just started can't go on: its data
 // folder belongs to another fleet than its seeds.
 //
-//	err := <-node.Foreign()
-func (node *Node) Foreign() <-chan error { return node.feedClient.Foreign() }
+//	err := <-node.ForeignFleet()
+func (node *Node) Foreign() <-chan error { return node.feedClient.ForeignFleet() }
 
 // Ready tells whether every group that has a replica here knows a leader.
 //
@@ -277,7 +277,7 @@
 	}
 	ctx, cancel := context.WithTimeout(node.context, pinTimeout)
 	defer cancel()
-	if err := node.host.StoreValue(ctx, pinnedViewKey, node.viewPacker.Pack(view)); err != nil {
+	if err := node.host.StoreValue(ctx, pinnedViewKey, node.viewPacker.Get(view)); err != nil {
 		return err
 	}
 	node.view.Store(view)
@@ -319,54 +319,54 @@
 func (node *Node) Answer(ctx context.Context, query *wire.Query) *wire.Reply {
 	handle, known := handlers[query.Which]
 	if !known {
-		return wire.Failed(apierror.New(apierror.Invalid, "a store node does not answer this query", "ask a control node"))
+		return wire.ErrorReply(apierror.New(apierror.Invalid, "a store node does not answer this query", "ask a control node"))
 	}
 	exempt := query.Which == schema.Query_Which_newest || query.Which == schema.Query_Which_status
 	if fleet := node.view.Load().BoundFleet(); !exempt && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
-		return wire.Failed(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
+		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
 	}
-	if refusal := query.Misaddressed(node.Name()); refusal != nil {
+	if refusal := query.MisdirectedReply(node.Name()); refusal != nil {
 		return refusal
 	}
 	reply, err := handle(node, ctx, query)
 	if err != nil {
-		return wire.Failed(err)
+		return wire.ErrorReply(err)
 	}
 	return reply
 }
 
 func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
-	node.host.Receive(link.Connection(ctx), query.Agreement.Messages)
+	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
 	return &wire.Reply{}, nil
 }
 
 // handleHold returns only once the view, or a newer one, is synced here.
 func (node *Node) handleHold(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	current := node.view.Load()
-	view, err := query.Hold.From(current)
-	if len(query.Hold.Changes) > 0 && query.Fleet != current.Fleet {
+	view, err := query.ReplicateView.ViewFrom(current)
+	if len(query.ReplicateView.Changes) > 0 && query.Fleet != current.Fleet {
 		err = feed.ErrBaseMismatch
 	}
 	if err != nil {
 		return nil, apierror.New(apierror.Conflict, "the view to hold cannot be made: "+err.Error(), "send a whole view")
 	}
 	if !node.feedClient.Adopt(view) {
-		return nil, apierror.Later(apierror.DiskUnavailable, "the view was not synced here", "ask again", time.Second)
+		return nil, apierror.NewRetryable(apierror.DiskUnavailable, "the view was not synced here", "ask again", time.Second)
 	}
 	return &wire.Reply{}, nil
 }
 
 func (node *Node) handleNewest(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	view := node.view.Load()
-	answer := &wire.NewestReply{Number: view.Number, Controlled: node.feedClient.ControlledWithin(controlContactWindow)}
-	if view.Number > query.Newest.After {
-		if query.Newest.Packed {
-			answer.PackedView = node.viewPacker.Pack(view)
+	answer := &wire.NewestViewReply{Number: view.Number, HeardControlQuorum: node.feedClient.HeardControlWithin(controlContactWindow)}
+	if view.Number > query.NewestView.After {
+		if query.NewestView.Packed {
+			answer.PackedView = node.viewPacker.Get(view)
 		} else {
 			answer.View = *view
 		}
 	}
-	return &wire.Reply{Which: schema.Reply_Which_newest, Newest: answer}, nil
+	return &wire.Reply{Which: schema.Reply_Which_newest, NewestView: answer}, nil
 }
 
 // handleCommand stamps the leader's time on commands and commits them in order.
@@ -384,7 +384,7 @@
 	if err != nil {
 		return nil, err
 	}
-	list := &wire.OutcomeList{}
+	list := &wire.CommandReply{}
 	for position, outcome := range outcomes {
 		result := outcome.(applyResult)
 		if result.outcome.Status == line.UnknownPrefix {
@@ -425,37 +425,37 @@
 // news or the catch-up time is over, and then confirms again.
 func (node *Node) handleRead(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	read := query.Read
-	group := placement.GroupOf(read.Line, node.view.Load().Groups)
+	group := placement.GroupOf(read.Session, node.view.Load().Groups)
 	var woken chan struct{}
 	if read.Wait > 0 {
-		woken = node.tailWaiter(read.Line)
+		woken = node.tailWaiter(read.Session)
 	}
 	view, err := node.linearizableView(ctx, group)
 	if err != nil {
 		return nil, err
 	}
-	if read.Tally {
-		usage := view.QuotaUsage(read.Line)
+	if read.QuotaUsage {
+		usage := view.QuotaUsage(read.Session)
 		return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Spent: usage.Spent, Reserved: usage.Reserved()}}, nil
 	}
-	session, found := view.Session(read.Line)
+	session, found := view.Session(read.Session)
 	if read.Wait > 0 && found && session.Head <= read.After {
 		tick := time.NewTimer(min(read.Wait, CatchUpInterval))
 		defer tick.Stop()
 		select {
 		case <-woken:
 		case <-tick.C:
-			node.wakeTailReaders(read.Line)
+			node.wakeTailReaders(read.Session)
 		case <-ctx.Done():
 		case <-node.context.Done():
 		}
 		if view, err = node.linearizableView(ctx, group); err != nil {
 			return nil, err
 		}
-		session, found = view.Session(read.Line)
+		session, found = view.Session(read.Session)
 	}
 	if !found {
-		return nil, apierror.New(apierror.NotFound, "no line is named "+read.Line, "check the name; a line is forgotten when its keeping time is over")
+		return nil, apierror.New(apierror.NotFound, "no line is named "+read.Session, "check the name; a line is forgotten when its keeping time is over")
 	}
 	events, err := node.readEvents(ctx, group, session, read.After, read.Limit)
 	if err == nil {
@@ -515,7 +515,7 @@
 }
 
 func gapError(name string) error {
-	return apierror.Later(apierror.Gap, "a part of "+name+" cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
+	return apierror.NewRetryable(apierror.Gap, "a part of "+name+" cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
 }
 
 func (node *Node) archivedFromPeers(ctx context.Context, group uint32, name string, after, through uint64, found []line.Event) []line.Event {
@@ -528,7 +528,7 @@
 			continue
 		}
 		callContext, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_getCold, GetCold: &wire.GetColdQuery{Line: name, After: after, Through: through}})
+		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_getCold, ReadArchive: &wire.ReadArchiveQuery{Session: name, After: after, Through: through}})
 		cancel()
 		if err != nil || reply.Read == nil {
 			continue
@@ -547,22 +547,22 @@
 }
 
 func (node *Node) handlePutArchived(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	complete, missing := node.fillChunks(query.PutCold.Chunks)
+	complete, missing := node.fillChunks(query.PutArchive.Chunks)
 	if err := node.archiveStore.Put(complete); err != nil {
 		return nil, err
 	}
 	if len(missing) == 0 {
 		return &wire.Reply{}, nil
 	}
-	return &wire.Reply{Which: schema.Reply_Which_chunks, Chunks: &wire.ColdChunkBatch{Chunks: missing}}, nil
+	return &wire.Reply{Which: schema.Reply_Which_chunks, Chunks: &wire.ArchiveChunkBatch{Chunks: missing}}, nil
 }
 
 func (node *Node) handleGetArchived(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	events, err := node.archiveStore.Read(query.GetCold.Line, query.GetCold.After, query.GetCold.Through)
+	events, err := node.archiveStore.Read(query.ReadArchive.Session, query.ReadArchive.After, query.ReadArchive.Through)
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, err
 }
 
 func (node *Node) handleDigests(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	digests := node.archiveStore.BucketDigests(query.Digests.Group)
-	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{Sums: digests[:], Ranges: node.archiveStore.RangeDigests(query.Digests.Group, query.Digests.Buckets)}}, nil
+	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{BucketDigests: digests[:], Ranges: node.archiveStore.RangeDigests(query.Digests.Group, query.Digests.Buckets)}}, nil
 }
--- a/system/store/shared_prefix_merge.go
+++ b/system/store/shared_prefix_merge.go
@@ -76,7 +76,7 @@
 			return data, nil
 		}
 	}
-	return nil, apierror.Later(apierror.Gap, "the opening "+event.Prefix+" that a turn refers to cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
+	return nil, apierror.NewRetryable(apierror.Gap, "the opening "+event.Prefix+" that a turn refers to cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
 }
 
 // expandPrefixes fills in the data of events that refer to openings.
@@ -106,12 +106,12 @@
 			continue
 		}
 		callContext, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_opening, Opening: &wire.OpeningQuery{Group: group, Name: name}})
+		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_opening, SharedPrefix: &wire.SharedPrefixQuery{Group: group, Name: name}})
 		cancel()
-		if err != nil || reply.Opening == nil || line.SharedPrefixName(damaged.Scope, reply.Opening.Data) != name {
+		if err != nil || reply.SharedPrefix == nil || line.SharedPrefixName(damaged.Scope, reply.SharedPrefix.Data) != name {
 			continue
 		}
-		result, err := node.propose(ctx, group, line.Command{Kind: line.SharePrefix, Now: node.clock(group), Scope: damaged.Scope, Data: reply.Opening.Data})
+		result, err := node.propose(ctx, group, line.Command{Kind: line.SharePrefix, Now: node.clock(group), Scope: damaged.Scope, Data: reply.SharedPrefix.Data})
 		if err != nil {
 			return nil, err
 		}
@@ -123,21 +123,21 @@
 
 // handleSharedPrefix gives this replica's own copy.
 func (node *Node) handleSharedPrefix(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	machine := node.stateMachine(query.Opening.Group)
+	machine := node.stateMachine(query.SharedPrefix.Group)
 	if machine == nil {
 		return nil, apierror.New(apierror.NotFound, "no replica of this group is here", "ask another store")
 	}
-	prefix, found := machine.View().SharedPrefix(query.Opening.Name)
+	prefix, found := machine.View().SharedPrefix(query.SharedPrefix.Name)
 	if !found || prefix.Corrupt {
 		return nil, apierror.New(apierror.NotFound, "no sound copy of this opening is here", "ask another store")
 	}
-	return &wire.Reply{Which: schema.Reply_Which_opening, Opening: &line.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
+	return &wire.Reply{Which: schema.Reply_Which_opening, SharedPrefix: &line.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
 }
 
-func (node *Node) prefixStatuses(group uint32) []wire.OpeningStatus {
-	statuses := []wire.OpeningStatus{}
+func (node *Node) prefixStatuses(group uint32) []wire.SharedPrefixStatus {
+	statuses := []wire.SharedPrefixStatus{}
 	for prefix := range node.stateMachine(group).View().SharedPrefixes() {
-		statuses = append(statuses, wire.OpeningStatus{Name: prefix.Name, Scope: prefix.Scope, Size: prefix.Size, Lines: prefix.References, Damaged: prefix.Corrupt})
+		statuses = append(statuses, wire.SharedPrefixStatus{Name: prefix.Name, Scope: prefix.Scope, Size: prefix.Size, References: prefix.References, Corrupt: prefix.Corrupt})
 	}
 	return statuses
 }
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -34,15 +34,15 @@
 		}
 		confirming.Go(func() {
 			*reported = node.confirmedStatus(ctx, *reported)
-			if reported.Leading && query.Status != nil && query.Status.Openings {
-				reported.Openings = node.prefixStatuses(number)
+			if reported.Leading && query.Status != nil && query.Status.SharedPrefixes {
+				reported.SharedPrefixes = node.prefixStatuses(number)
 			}
 		})
 	}
 	confirming.Wait()
 	return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
 		Name: node.Name(), Role: feed.RoleStore, Address: node.settings.Address, Domain: node.settings.Domain,
-		Empty: view.Number == 0, Fleet: view.Fleet, Number: view.Number, Controls: view.Controls, Groups: groups,
+		Uninitialized: view.Number == 0, Fleet: view.Fleet, ViewNumber: view.Number, Controls: view.Controls, Groups: groups,
 	}}, nil
 }
 
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -119,7 +119,7 @@
 	defer cancel()
 	var mutex sync.Mutex
 	var searching sync.WaitGroup
-	answer := &wire.FindReply{}
+	answer := &wire.FindTurnReply{}
 	var failed error
 	for group, status := range node.host.Statuses() {
 		if !status.Leading {
@@ -132,14 +132,14 @@
 			if err != nil {
 				return
 			}
-			chain, open, err := node.findTurn(ctx, group, view, query.Find.Name)
+			chain, open, err := node.findTurn(ctx, group, view, query.FindTurn.Name)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
 				failed = err
 				return
 			}
-			answer.Covered = append(answer.Covered, group)
+			answer.SearchedGroups = append(answer.SearchedGroups, group)
 			answer.Open = answer.Open || open
 			if len(chain) > 0 {
 				answer.Found, answer.Chain = true, chain
@@ -150,7 +150,7 @@
 	if failed != nil && !answer.Found {
 		return nil, apierror.Of(failed)
 	}
-	return &wire.Reply{Which: schema.Reply_Which_found, Found: answer}, nil
+	return &wire.Reply{Which: schema.Reply_Which_found, FoundTurn: answer}, nil
 }
 
 // findTurn looks for a turn in one group, and gives it with all that it follows, or tells
--- a/system/storeorigin/storeorigin.go
+++ b/system/storeorigin/storeorigin.go
@@ -38,7 +38,7 @@
 
 // Origin asks stores on behalf of a front.
 type Origin struct {
-	caller *link.Caller
+	caller *link.Client
 	view   func() *feed.View
 	mutex  sync.Mutex
 	hints  map[uint32]hint
@@ -47,7 +47,7 @@
 // New makes an origin; view gives the newest view held.
 //
 //	origin := storeorigin.New(caller, following.View)
-func New(caller *link.Caller, view func() *feed.View) *Origin {
+func New(caller *link.Client, view func() *feed.View) *Origin {
 	return &Origin{caller: caller, view: view, hints: map[uint32]hint{}}
 }
 
@@ -130,7 +130,7 @@
 		defer cancel()
 		reply, err := asking.origin.caller.Call(limited, address, query)
 		if err != nil && limited.Err() != nil && ctx.Err() == nil {
-			asking.origin.caller.DropSilent(address, asking.timeout)
+			asking.origin.caller.DropIfSilent(address, asking.timeout)
 		}
 		asking.results <- result{target, reply, err}
 	}()
@@ -175,7 +175,7 @@
 					redirects++
 					continue
 				}
-			case apierror.Unclear, apierror.Gap: // what can't be read may have been committed
+			case apierror.OutcomeUnknown, apierror.Gap: // what can't be read may have been committed
 				arrived = true
 				origin.unhint(group, got.target)
 			case apierror.Unavailable:
@@ -196,7 +196,7 @@
 			if last != nil && last.Kind == apierror.Gap {
 				return nil, true, last
 			}
-			return nil, arrived || len(asking.out) > 0, apierror.Later(apierror.NoQuorum, "the stores of this line did not answer in time", "ask again", time.Second)
+			return nil, arrived || len(asking.out) > 0, apierror.NewRetryable(apierror.NoQuorum, "the stores of this line did not answer in time", "ask again", time.Second)
 		}
 	}
 }
@@ -213,13 +213,13 @@
 		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: commands}}
 	})
 	if err != nil && arrived {
-		return nil, apierror.New(apierror.Unclear, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
 	}
 	if err != nil {
 		return nil, err
 	}
 	if reply.Outcomes == nil || len(reply.Outcomes.Outcomes) != len(commands) {
-		return nil, apierror.New(apierror.Unclear, "a store answered out of form", "run matching versions of the programs")
+		return nil, apierror.New(apierror.OutcomeUnknown, "a store answered out of form", "run matching versions of the programs")
 	}
 	return reply.Outcomes.Outcomes, nil
 }
@@ -228,7 +228,7 @@
 //
 //	reply, err := origin.Read(ctx, wire.ReadQuery{Line: "team/c-1"})
 func (origin *Origin) Read(ctx context.Context, query wire.ReadQuery) (*wire.ReadReply, error) {
-	reply, _, err := origin.ask(ctx, query.Line, callTimeout+query.Wait, func(uint32) *wire.Query {
+	reply, _, err := origin.ask(ctx, query.Session, callTimeout+query.Wait, func(uint32) *wire.Query {
 		return &wire.Query{Which: schema.Query_Which_read, Read: &query}
 	})
 	if err != nil {
@@ -247,7 +247,7 @@
 func (origin *Origin) ReadAll(ctx context.Context, name string) ([]line.Event, *wire.ReadReply, error) {
 	events := []line.Event{}
 	for {
-		reply, err := origin.Read(ctx, wire.ReadQuery{Line: name, After: uint64(len(events)), Limit: EventsAtOnce})
+		reply, err := origin.Read(ctx, wire.ReadQuery{Session: name, After: uint64(len(events)), Limit: EventsAtOnce})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/system/storeorigin/turns.go
+++ b/system/storeorigin/turns.go
@@ -79,18 +79,18 @@
 	}
 	for {
 		told, history, err := origin.commit(ctx, turn.Line, command)
-		if apierror.Is(err, apierror.Unclear) {
+		if apierror.Is(err, apierror.OutcomeUnknown) {
 			go origin.fence(turn)
 		}
 		if err != nil {
-			return nil, apierror.Later(apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", laterPause)
+			return nil, apierror.NewRetryable(apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", laterPause)
 		}
 		switch told.Status {
 		case line.Done:
 			return &Begun{Seq: told.Seq, History: history}, nil
 		case line.UnknownTurn:
 			if len(command.Adopted) > 0 {
-				return nil, apierror.Later(apierror.NotRun, "the turn to go on from could not be adopted", "ask again", laterPause)
+				return nil, apierror.NewRetryable(apierror.NotRun, "the turn to go on from could not be adopted", "ask again", laterPause)
 			}
 			if command.Adopted, err = origin.find(ctx, turn.Follows); err != nil {
 				return nil, err
@@ -103,20 +103,20 @@
 
 var beginErrors = map[line.Status]func() error{
 	line.QuotaExceeded: func() error {
-		return apierror.New(apierror.Exhausted, "the program's allowance does not bear one more turn", "raise the allowance, or end the program")
+		return apierror.New(apierror.QuotaExhausted, "the program's allowance does not bear one more turn", "raise the allowance, or end the program")
 	},
 	line.TurnIncomplete: func() error { return unknownTurn() },
 	line.TurnOpen: func() error {
-		return apierror.Later(apierror.NotRun, "the turn to go on from has not ended", "ask again", openPause)
+		return apierror.NewRetryable(apierror.NotRun, "the turn to go on from has not ended", "ask again", openPause)
 	},
 	line.TurnTaken: func() error {
 		return apierror.New(apierror.Conflict, "another dispatch began the turn", "give each query a name of its own")
 	},
 	line.TurnClosed: func() error {
-		return apierror.Later(apierror.NotRun, "the turn was given up before it began", "ask again under another name", openPause)
+		return apierror.NewRetryable(apierror.NotRun, "the turn was given up before it began", "ask again under another name", openPause)
 	},
 	line.UnexpectedSeq: func() error {
-		return apierror.Later(apierror.NotRun, "the line was changed meanwhile", "ask again", openPause)
+		return apierror.NewRetryable(apierror.NotRun, "the line was changed meanwhile", "ask again", openPause)
 	},
 	line.BadCommand: func() error {
 		return apierror.New(apierror.Invalid, "a turn needs a name, and can't follow itself", "name the turn")
@@ -173,13 +173,13 @@
 		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: []line.Command{command}}}
 	})
 	if err != nil && arrived {
-		return line.Outcome{}, nil, apierror.New(apierror.Unclear, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
+		return line.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
 	}
 	if err != nil {
 		return line.Outcome{}, nil, err
 	}
 	if reply.Outcomes == nil || len(reply.Outcomes.Outcomes) != 1 {
-		return line.Outcome{}, nil, apierror.New(apierror.Unclear, "a store answered out of form", "run matching versions of the programs")
+		return line.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "a store answered out of form", "run matching versions of the programs")
 	}
 	return reply.Outcomes.Outcomes[0], reply.Outcomes.History, nil
 }
@@ -196,7 +196,7 @@
 		select {
 		case <-time.After(longestPause):
 		case <-ctx.Done():
-			return nil, apierror.Later(apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", laterPause)
+			return nil, apierror.NewRetryable(apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", laterPause)
 		}
 	}
 }
@@ -208,14 +208,14 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	view := origin.view()
-	replies := make(chan *wire.FindReply, len(view.Stores))
+	replies := make(chan *wire.FindTurnReply, len(view.Stores))
 	for _, member := range view.Stores {
 		go func() {
-			reply, err := origin.caller.Call(ctx, member.Address, &wire.Query{Fleet: view.Fleet, Which: schema.Query_Which_find, Find: &wire.FindQuery{Name: name}})
-			if err != nil || reply.Found == nil {
-				reply = &wire.Reply{Found: &wire.FindReply{}}
+			reply, err := origin.caller.Call(ctx, member.Address, &wire.Query{Fleet: view.Fleet, Which: schema.Query_Which_find, FindTurn: &wire.FindTurnQuery{Name: name}})
+			if err != nil || reply.FoundTurn == nil {
+				reply = &wire.Reply{FoundTurn: &wire.FindTurnReply{}}
 			}
-			replies <- reply.Found
+			replies <- reply.FoundTurn
 		}()
 	}
 	for range view.Stores {
@@ -226,7 +226,7 @@
 		case reply.Open:
 			return nil, beginErrors[line.TurnOpen]()
 		}
-		for _, group := range reply.Covered {
+		for _, group := range reply.SearchedGroups {
 			covered[group] = true
 		}
 		if view.Groups > 0 && len(covered) >= int(view.Groups) {
--- a/system/wire/hot.go
+++ b/system/wire/codec.go
@@ -20,58 +20,58 @@
 //
 //	data, err := wire.AppendQuery(nil, query)
 func AppendQuery(target []byte, query *Query) ([]byte, error) {
-	began := len(target)
-	target, err := appendMessage(target, rooted(schema.NewRootQuery), func(made capnp.Struct) error { return putQuery(schema.Query(made), query) })
+	start := len(target)
+	target, err := appendMessage(target, newRoot(schema.NewRootQuery), func(made capnp.Struct) error { return encodeQuery(schema.Query(made), query) })
 	if err != nil {
 		return nil, err
 	}
-	return pack(target, began), nil
+	return packMessage(target, start), nil
 }
 
 // AppendReply appends a reply, as a packed Cap'n Proto message, to bytes.
 //
 //	data, err := wire.AppendReply(nil, reply)
 func AppendReply(target []byte, reply *Reply) ([]byte, error) {
-	began := len(target)
-	target, err := appendMessage(target, rooted(schema.NewRootReply), func(made capnp.Struct) error { return putReply(schema.Reply(made), reply) })
+	start := len(target)
+	target, err := appendMessage(target, newRoot(schema.NewRootReply), func(made capnp.Struct) error { return encodeReply(schema.Reply(made), reply) })
 	if err != nil {
 		return nil, err
 	}
-	return pack(target, began), nil
+	return packMessage(target, start), nil
 }
 
 // DecodeQuery reads a query. Its byte fields may point into the data.
 //
 //	query, err := wire.DecodeQuery(data)
 func DecodeQuery(data []byte) (*Query, error) {
-	data, err := unpacked(data)
+	data, err := unpackMessage(data)
 	if err != nil {
 		return nil, err
 	}
-	root, err := rootOf(data)
+	root, err := readRoot(data)
 	if err != nil {
 		return nil, err
 	}
-	return takeQuery(schema.Query(root))
+	return decodeQuery(schema.Query(root))
 }
 
 // DecodeReply reads a reply. Its byte fields may point into the data.
 //
 //	reply, err := wire.DecodeReply(data)
 func DecodeReply(data []byte) (*Reply, error) {
-	data, err := unpacked(data)
+	data, err := unpackMessage(data)
 	if err != nil {
 		return nil, err
 	}
-	root, err := rootOf(data)
+	root, err := readRoot(data)
 	if err != nil {
 		return nil, err
 	}
-	return takeReply(schema.Reply(root))
+	return decodeReply(schema.Reply(root))
 }
 
-func putQuery(target schema.Query, query *Query) error {
-	put, isHot := hotQueries[query.Which]
+func encodeQuery(target schema.Query, query *Query) error {
+	encode, isHot := queryEncoders[query.Which]
 	if !isHot {
 		return pogs.Insert(schema.Query_TypeID, capnp.Struct(target), query)
 	}
@@ -84,16 +84,16 @@
 			return err
 		}
 	}
-	return put(target, query)
+	return encode(target, query)
 }
 
-var hotQueries = map[schema.Query_Which]func(schema.Query, *Query) error{
+var queryEncoders = map[schema.Query_Which]func(schema.Query, *Query) error{
 	schema.Query_Which_agreement: func(target schema.Query, query *Query) error {
 		batch, err := target.NewAgreement()
 		if err != nil {
 			return err
 		}
-		return putBatch(batch, query.Agreement)
+		return encodeRaftBatch(batch, query.Raft)
 	},
 	schema.Query_Which_command: func(target schema.Query, query *Query) error {
 		asked, err := target.NewCommand()
@@ -102,7 +102,7 @@
 		}
 		asked.SetGroup(query.Command.Group)
 		commands, err := asked.NewCommands(int32(len(query.Command.Commands)))
-		return putList(commands, err, query.Command.Commands, putCommand)
+		return encodeList(commands, err, query.Command.Commands, encodeCommand)
 	},
 	schema.Query_Which_read: func(target schema.Query, query *Query) error {
 		asked, err := target.NewRead()
@@ -112,21 +112,21 @@
 		asked.SetAfter(query.Read.After)
 		asked.SetLimit(query.Read.Limit)
 		asked.SetWait(int64(query.Read.Wait))
-		asked.SetTally(query.Read.Tally)
-		return asked.SetLine(query.Read.Line)
+		asked.SetTally(query.Read.QuotaUsage)
+		return asked.SetLine(query.Read.Session)
 	},
 	schema.Query_Which_putCold: func(target schema.Query, query *Query) error {
 		batch, err := target.NewPutCold()
 		if err != nil {
 			return err
 		}
-		return putChunks(batch, query.PutCold)
+		return encodeChunkBatch(batch, query.PutArchive)
 	},
 }
 
-func takeQuery(source schema.Query) (query *Query, err error) {
+func decodeQuery(source schema.Query) (query *Query, err error) {
 	query = &Query{}
-	take, isHot := hotQueryTakers[source.Which()]
+	decode, isHot := queryDecoders[source.Which()]
 	if !isHot {
 		return query, pogs.Extract(query, schema.Query_TypeID, capnp.Struct(source))
 	}
@@ -137,17 +137,17 @@
 	if query.To, err = source.To(); err != nil {
 		return nil, err
 	}
-	return query, take(source, query)
+	return query, decode(source, query)
 }
 
-var hotQueryTakers = map[schema.Query_Which]func(schema.Query, *Query) error{
+var queryDecoders = map[schema.Query_Which]func(schema.Query, *Query) error{
 	schema.Query_Which_agreement: func(source schema.Query, query *Query) error {
 		batch, err := source.Agreement()
 		if err != nil {
 			return err
 		}
-		query.Agreement = &AgreementBatch{}
-		return takeBatch(batch, query.Agreement)
+		query.Raft = &RaftBatch{}
+		return decodeRaftBatch(batch, query.Raft)
 	},
 	schema.Query_Which_command: func(source schema.Query, query *Query) error {
 		asked, err := source.Command()
@@ -156,7 +156,7 @@
 		}
 		list, err := asked.Commands()
 		query.Command = &CommandQuery{Group: asked.Group()}
-		query.Command.Commands, err = takeList(list, err, takeCommand)
+		query.Command.Commands, err = decodeList(list, err, decodeCommand)
 		return err
 	},
 	schema.Query_Which_read: func(source schema.Query, query *Query) error {
@@ -164,8 +164,8 @@
 		if err != nil {
 			return err
 		}
-		query.Read = &ReadQuery{After: asked.After(), Limit: asked.Limit(), Wait: time.Duration(asked.Wait()), Tally: asked.Tally()}
-		query.Read.Line, err = asked.Line()
+		query.Read = &ReadQuery{After: asked.After(), Limit: asked.Limit(), Wait: time.Duration(asked.Wait()), QuotaUsage: asked.Tally()}
+		query.Read.Session, err = asked.Line()
 		return err
 	},
 	schema.Query_Which_putCold: func(source schema.Query, query *Query) error {
@@ -173,12 +173,12 @@
 		if err != nil {
 			return err
 		}
-		query.PutCold = &ColdChunkBatch{}
-		return takeChunks(batch, query.PutCold)
+		query.PutArchive = &ArchiveChunkBatch{}
+		return decodeChunkBatch(batch, query.PutArchive)
 	},
 }
 
-func putReply(target schema.Reply, reply *Reply) error {
+func encodeReply(target schema.Reply, reply *Reply) error {
 	switch {
 	case reply.Failure.Kind != "":
 		made, err := target.NewFailure()
@@ -202,18 +202,18 @@
 			}
 		}
 		outcomes, err := made.NewOutcomes(int32(len(reply.Outcomes.Outcomes)))
-		return putList(outcomes, err, reply.Outcomes.Outcomes, putOutcome)
+		return encodeList(outcomes, err, reply.Outcomes.Outcomes, encodeOutcome)
 	case reply.Which == schema.Reply_Which_read:
 		made, err := target.NewRead()
 		if err != nil {
 			return err
 		}
-		return putRead(made, reply.Read)
+		return encodeReadReply(made, reply.Read)
 	}
 	return pogs.Insert(schema.Reply_TypeID, capnp.Struct(target), reply)
 }
 
-func takeReply(source schema.Reply) (*Reply, error) {
+func decodeReply(source schema.Reply) (*Reply, error) {
 	reply := &Reply{Which: source.Which()}
 	switch {
 	case source.HasFailure():
@@ -221,10 +221,10 @@
 		if err != nil {
 			return nil, err
 		}
-		reading := &taking{}
+		reading := &fieldReader{}
 		reply.Failure = Failure{Kind: field(reading, told.Kind), Message: field(reading, told.Message_), Remedy: field(reading, told.Remedy), Leader: field(reading, told.Leader), RetryAfter: time.Duration(told.RetryAfter())}
-		if reading.failed != nil || reply.Failure.Kind != "" {
-			return reply, reading.failed
+		if reading.err != nil || reply.Failure.Kind != "" {
+			return reply, reading.err
 		}
 		return reply, pogs.Extract(reply, schema.Reply_TypeID, capnp.Struct(source))
 	case reply.Which == schema.Reply_Which_nothing:
@@ -235,8 +235,8 @@
 			return nil, err
 		}
 		list, err := made.Outcomes()
-		reply.Outcomes = &OutcomeList{}
-		if reply.Outcomes.Outcomes, err = takeList(list, err, takeOutcome); err != nil {
+		reply.Outcomes = &CommandReply{}
+		if reply.Outcomes.Outcomes, err = decodeList(list, err, decodeOutcome); err != nil {
 			return nil, err
 		}
 		history, err := made.History()
@@ -248,48 +248,48 @@
 			return nil, err
 		}
 		reply.Read = &ReadReply{}
-		return reply, takeRead(made, reply.Read)
+		return reply, decodeReadReply(made, reply.Read)
 	}
 	return reply, pogs.Extract(reply, schema.Reply_TypeID, capnp.Struct(source))
 }
 
-// hotPut and hotTake are the stored types of the ordinary path.
-var hotPut = map[uint64]func(capnp.Struct, any) error{
+// storedEncoders and storedDecoders are the stored types of the ordinary path.
+var storedEncoders = map[uint64]func(capnp.Struct, any) error{
 	schema.ColdChunkBatch_TypeID: func(target capnp.Struct, value any) error {
-		return putChunks(schema.ColdChunkBatch(target), value.(*ColdChunkBatch))
+		return encodeChunkBatch(schema.ColdChunkBatch(target), value.(*ArchiveChunkBatch))
 	},
 	schema.ColdIndex_TypeID: func(target capnp.Struct, value any) error {
-		index := value.(*ColdIndex)
-		places, err := schema.ColdIndex(target).NewPlaces(int32(len(index.Places)))
-		return putList(places, err, index.Places, putPlace)
+		index := value.(*ArchiveIndex)
+		places, err := schema.ColdIndex(target).NewPlaces(int32(len(index.Locations)))
+		return encodeList(places, err, index.Locations, encodeChunkLocation)
 	},
 	schema.Command_TypeID: func(target capnp.Struct, value any) error {
-		return putCommand(schema.Command(target), value.(*line.Command))
+		return encodeCommand(schema.Command(target), value.(*line.Command))
 	},
 	schema.LineImage_TypeID: func(target capnp.Struct, value any) error {
-		return putImage(schema.LineImage(target), value.(*line.Snapshot))
+		return encodeSessionSnapshot(schema.LineImage(target), value.(*line.Snapshot))
 	},
 	schema.StoredWrite_TypeID: func(target capnp.Struct, value any) error {
-		return putStoredWrite(schema.StoredWrite(target), value.(*StoredWrite))
+		return encodeStoredWrite(schema.StoredWrite(target), value.(*StoredWrite))
 	},
 }
 
-var hotTake = map[uint64]func(capnp.Struct, any) error{
+var storedDecoders = map[uint64]func(capnp.Struct, any) error{
 	schema.ColdChunkBatch_TypeID: func(source capnp.Struct, value any) error {
-		return takeChunks(schema.ColdChunkBatch(source), value.(*ColdChunkBatch))
+		return decodeChunkBatch(schema.ColdChunkBatch(source), value.(*ArchiveChunkBatch))
 	},
 	schema.ColdIndex_TypeID: func(source capnp.Struct, value any) (err error) {
 		list, err := schema.ColdIndex(source).Places()
-		value.(*ColdIndex).Places, err = takeList(list, err, takePlace)
+		value.(*ArchiveIndex).Locations, err = decodeList(list, err, decodeChunkLocation)
 		return err
 	},
 	schema.Command_TypeID: func(source capnp.Struct, value any) error {
-		return takeCommand(schema.Command(source), value.(*line.Command))
+		return decodeCommand(schema.Command(source), value.(*line.Command))
 	},
 	schema.LineImage_TypeID: func(source capnp.Struct, value any) error {
-		return takeImage(schema.LineImage(source), value.(*line.Snapshot))
+		return decodeSessionSnapshot(schema.LineImage(source), value.(*line.Snapshot))
 	},
 	schema.StoredWrite_TypeID: func(source capnp.Struct, value any) error {
-		return takeStoredWrite(schema.StoredWrite(source), value.(*StoredWrite))
+		return decodeStoredWrite(schema.StoredWrite(source), value.(*StoredWrite))
 	},
 }
--- a/system/wire/hot_test.go
+++ b/system/wire/codec_test.go
@@ -22,38 +22,38 @@
 	{},
 }
 
-func TestCommandsOfTurnsStayAsTheyAre(t *testing.T) {
+func TestTurnCommandsRoundTrip(t *testing.T) {
 	for position, command := range turnCommands {
 		var stored line.Command
 		if err := Decode(schema.Command_TypeID, MustEncode(schema.Command_TypeID, &command), &stored); err != nil || !reflect.DeepEqual(stored, command) {
 			t.Errorf("command %d is stored as %+v, %v", position, stored, err)
 		}
 	}
-	asked := &Query{Version: Version, Fleet: "fleet", To: "store-b", Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands}}
-	data, err := AppendQuery([]byte("before"), asked)
+	query := &Query{Version: Version, Fleet: "fleet", To: "store-b", Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands}}
+	data, err := AppendQuery([]byte("before"), query)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := DecodeQuery(data[len("before"):]); err != nil || !reflect.DeepEqual(got, asked) {
+	if got, err := DecodeQuery(data[len("before"):]); err != nil || !reflect.DeepEqual(got, query) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	for _, told := range []*Reply{
-		{Which: schema.Reply_Which_outcomes, Outcomes: &OutcomeList{Outcomes: []line.Outcome{{Status: line.TurnOpen, Seq: 4, Head: 5, Deduped: true, Spent: 6, Reserved: 7}}, History: []byte("in\nout\n")}},
-		{Which: schema.Reply_Which_found, Found: &FindReply{Covered: []uint32{1, 31}, Found: true, Chain: turnCommands[0].Adopted[:1]}},
+	for _, reply := range []*Reply{
+		{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []line.Outcome{{Status: line.TurnOpen, Seq: 4, Head: 5, Deduped: true, Spent: 6, Reserved: 7}}, History: []byte("in\nout\n")}},
+		{Which: schema.Reply_Which_found, FoundTurn: &FindTurnReply{SearchedGroups: []uint32{1, 31}, Found: true, Chain: turnCommands[0].Adopted[:1]}},
 		{Failure: Failure{Kind: "not_leader", Message: "elsewhere", Remedy: "ask there", Leader: "store-b", RetryAfter: time.Second}},
 		{},
 	} {
-		data, err := AppendReply(nil, told)
+		data, err := AppendReply(nil, reply)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := DecodeReply(data); err != nil || !reflect.DeepEqual(got, told) {
-			t.Errorf("%+v came as %+v, %v", told, got, err)
+		if got, err := DecodeReply(data); err != nil || !reflect.DeepEqual(got, reply) {
+			t.Errorf("%+v came as %+v, %v", reply, got, err)
 		}
 	}
 }
 
-func TestAnImageCarriesTurnsAndTallies(t *testing.T) {
+func TestSnapshotRoundTripsTurnsAndQuotaUsage(t *testing.T) {
 	machine := line.NewStateMachine()
 	for _, command := range []line.Command{
 		{Kind: line.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "one", Dispatch: "d", KeepData: true, Data: []byte("in"), HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
@@ -64,9 +64,9 @@
 			t.Fatalf("%+v", outcome)
 		}
 	}
-	image := machine.View().Snapshot()
+	snapshot := machine.View().Snapshot()
 	var stored line.Snapshot
-	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &image), &stored); err != nil {
+	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &snapshot), &stored); err != nil {
 		t.Fatal(err)
 	}
 	other := line.NewStateMachine()
@@ -74,19 +74,19 @@
 		t.Fatal(err)
 	}
 	again := other.View().Snapshot()
-	if !reflect.DeepEqual(again.Turns, image.Turns) || again.Sessions[0].Spent != 4 || again.Sessions[0].Reserved != 10 || again.Sessions[0].RetainUntil != image.Sessions[0].RetainUntil {
-		t.Fatalf("restored %+v, want %+v", again, image)
+	if !reflect.DeepEqual(again.Turns, snapshot.Turns) || again.Sessions[0].Spent != 4 || again.Sessions[0].Reserved != 10 || again.Sessions[0].RetainUntil != snapshot.Sessions[0].RetainUntil {
+		t.Fatalf("restored %+v, want %+v", again, snapshot)
 	}
 	if turn, found := other.View().Turn("program/a", "two"); !found || turn.Follows == nil || turn.Follows.Name != "one" || !turn.Follows.Complete() {
 		t.Fatalf("restored %+v", turn)
 	}
-	image.Version, image.Turns = 1, nil // as the version before wrote it
-	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &image), &stored); err != nil || other.Restore(stored) != nil {
+	snapshot.Version, snapshot.Turns = 1, nil // as the version before wrote it
+	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &snapshot), &stored); err != nil || other.Restore(stored) != nil {
 		t.Fatalf("an image of the version before is refused: %v", err)
 	}
 }
 
-func TestABatchOfAgreementCarriesAllItsMessages(t *testing.T) {
+func TestRaftBatchRoundTripsAllMessages(t *testing.T) {
 	of := func(message agreement.Message) agreement.Message {
 		message.From, message.To = "store-a", "store-b"
 		return message
@@ -107,7 +107,7 @@
 		of(agreement.Message{Group: 11, Kind: agreement.MessageSnapshotReply, Term: 3, Index: 4, Hint: 9, Rejected: true,
 			Chunk: agreement.SnapshotChunk{Offset: 7, ContentChecksum: 5, Reason: agreement.SnapshotOutOfOrder}}),
 	}
-	data, err := AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Agreement: &AgreementBatch{Messages: messages}})
+	data, err := AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: messages}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,24 +115,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slices.SortFunc(got.Agreement.Messages, func(left, right agreement.Message) int { return int(left.Group) - int(right.Group) })
-	if !reflect.DeepEqual(got.Agreement.Messages, messages) {
-		t.Fatalf("came as %+v", got.Agreement.Messages)
+	slices.SortFunc(got.Raft.Messages, func(left, right agreement.Message) int { return int(left.Group) - int(right.Group) })
+	if !reflect.DeepEqual(got.Raft.Messages, messages) {
+		t.Fatalf("came as %+v", got.Raft.Messages)
 	}
-	beats := []agreement.Message{}
+	heartbeats := []agreement.Message{}
 	for group := range uint32(16) {
-		beats = append(beats, of(agreement.Message{Group: group, Kind: agreement.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
+		heartbeats = append(heartbeats, of(agreement.Message{Group: group, Kind: agreement.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
 	}
-	if data, err = AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Agreement: &AgreementBatch{Messages: beats}}); err != nil || len(data) > 24*len(beats)+200 {
-		t.Fatalf("%d heartbeats take %d bytes, %v", len(beats), len(data), err)
+	if data, err = AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: heartbeats}}); err != nil || len(data) > 24*len(heartbeats)+200 {
+		t.Fatalf("%d heartbeats take %d bytes, %v", len(heartbeats), len(data), err)
 	}
 }
 
-func TestMessagesOfAnyLengthArePackedAndReadAgain(t *testing.T) {
-	for size := 0; size < 3*mostPacked; size = 2*size + 1 {
+func TestMessagesOfAnyLengthArePackedAndUnpacked(t *testing.T) {
+	for size := 0; size < 3*maxPackedMessage; size = 2*size + 1 {
 		for name, data := range map[string][]byte{"zeros": make([]byte, size), "text": bytes.Repeat([]byte("x"), size)} {
-			asked := &Query{Which: schema.Query_Which_command, Command: &CommandQuery{Commands: []line.Command{{Kind: line.BeginTurn, Producer: "p", Data: data}}}}
-			sent, err := AppendQuery(nil, asked)
+			query := &Query{Which: schema.Query_Which_command, Command: &CommandQuery{Commands: []line.Command{{Kind: line.BeginTurn, Producer: "p", Data: data}}}}
+			sent, err := AppendQuery(nil, query)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -146,7 +146,7 @@
 			}
 		}
 	}
-	if _, err := DecodeQuery([]byte{packedForm, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0, 0xff}); err == nil {
+	if _, err := DecodeQuery([]byte{packedMarker, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0, 0xff}); err == nil {
 		t.Fatal("a length that is not there was believed")
 	}
 }
@@ -156,8 +156,8 @@
 func FuzzDecodeQuery(f *testing.F) {
 	for _, query := range []*Query{
 		{Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands}},
-		{Which: schema.Query_Which_find, Find: &FindQuery{Name: "9c41d07b"}},
-		{Which: schema.Query_Which_agreement, Agreement: &AgreementBatch{Messages: []agreement.Message{{Group: 1, Kind: agreement.MessageAppend, From: "a", To: "b", Term: 3, Index: 4, LogTerm: 3, Commit: 4}, {Kind: agreement.MessageAppend, From: "a", To: "b", Entries: []agreement.Entry{{Data: []byte("x")}}}}}},
+		{Which: schema.Query_Which_find, FindTurn: &FindTurnQuery{Name: "9c41d07b"}},
+		{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: []agreement.Message{{Group: 1, Kind: agreement.MessageAppend, From: "a", To: "b", Term: 3, Index: 4, LogTerm: 3, Commit: 4}, {Kind: agreement.MessageAppend, From: "a", To: "b", Entries: []agreement.Entry{{Data: []byte("x")}}}}}},
 	} {
 		data, err := AppendQuery(nil, query)
 		if err != nil {
@@ -182,8 +182,8 @@
 		for position := range query.Command.Commands {
 			machine.Apply(&query.Command.Commands[position])
 		}
-		image := machine.View().Snapshot()
-		if line.NewStateMachine().Restore(image) != nil {
+		snapshot := machine.View().Snapshot()
+		if line.NewStateMachine().Restore(snapshot) != nil {
 			t.Fatal("the image of a group can't be restored")
 		}
 	})
@@ -191,7 +191,7 @@
 
 // FuzzDecodeReply reads anything as a reply.
 func FuzzDecodeReply(f *testing.F) {
-	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &OutcomeList{Outcomes: []line.Outcome{{Seq: 4}}, History: []byte("in\nout\n")}})
+	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []line.Outcome{{Seq: 4}}, History: []byte("in\nout\n")}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/system/wire/packedview_test.go
+++ b/system/wire/packed_view_test.go
@@ -16,7 +16,7 @@
 		Stores: []feed.Member{{Name: "a"}}, Controls: []feed.Member{}, RoleLeases: []feed.RoleLease{}, Founding: []string{}, Decommissioned: []feed.Member{}}
 }
 
-func TestPackedViewsAreReadBack(t *testing.T) {
+func TestPackedViewRoundTrips(t *testing.T) {
 	view := packedExample()
 	packed := PackView(view)
 	if len(packed) > 1000 {
@@ -29,11 +29,11 @@
 	}
 }
 
-func TestDamagedPackedViewsAreRefused(t *testing.T) {
+func TestDamagedPackedViewIsRejected(t *testing.T) {
 	packed := PackView(packedExample())
 	for name, data := range map[string][]byte{
-		"nothing": nil, "only its form": {packedViewForm}, "cut": packed[:len(packed)/2],
-		"a length beyond its content": append([]byte{packedViewForm, 0xff, 0xff, 0xff, 0xff, 0x07}, packed[3:]...),
+		"nothing": nil, "only its form": {packedViewMarker}, "cut": packed[:len(packed)/2],
+		"a length beyond its content": append([]byte{packedViewMarker, 0xff, 0xff, 0xff, 0xff, 0x07}, packed[3:]...),
 	} {
 		if _, err := UnpackView(data); err == nil {
 			t.Errorf("%s was read", name)
@@ -47,14 +47,14 @@
 	}
 }
 
-func TestAViewIsPackedOnceForAll(t *testing.T) {
-	view, packer := packedExample(), ViewPacker{}
-	first := packer.Pack(view)
-	if second := packer.Pack(view); &first[0] != &second[0] {
+func TestPackedViewCachePacksAViewOnce(t *testing.T) {
+	view, cache := packedExample(), PackedViewCache{}
+	first := cache.Get(view)
+	if second := cache.Get(view); &first[0] != &second[0] {
 		t.Error("a view of one number was packed twice")
 	}
 	view.Number++
-	if read, err := UnpackView(packer.Pack(view)); err != nil || read.Number != view.Number {
+	if read, err := UnpackView(cache.Get(view)); err != nil || read.Number != view.Number {
 		t.Errorf("%v, %+v", err, read)
 	}
 }
--- a/system/wire/lines.go
+++ b/system/wire/sessionlog.go
@@ -8,7 +8,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-func putEvent(target schema.Event, value *line.Event) error {
+func encodeEvent(target schema.Event, value *line.Event) error {
 	target.SetSeq(value.Seq)
 	target.SetAt(value.At)
 	target.SetKind(uint16(value.Kind))
@@ -38,16 +38,16 @@
 	return target.SetData(value.Data)
 }
 
-func takeEvent(source schema.Event, value *line.Event) error {
-	reading := &taking{}
+func decodeEvent(source schema.Event, value *line.Event) error {
+	reading := &fieldReader{}
 	*value = line.Event{Seq: source.Seq(), At: source.At(), Kind: line.EventKind(source.Kind()), Turn: source.Turn(), Follows: source.Follows(), Part: source.Part(),
 		ProducerSeq: source.ProducerSeq(), Config: source.Config(), Deadline: source.Deadline(), Text: field(reading, source.Words), Outcome: field(reading, source.Outcome),
-		Runner: field(reading, source.Runner), Dispatch: field(reading, source.Dispatch), Digest: field(reading, source.Digest), Name: field(reading, source.Name), Producer: field(reading, source.Producer), Data: bytesOf(reading, source.Data),
+		Runner: field(reading, source.Runner), Dispatch: field(reading, source.Dispatch), Digest: field(reading, source.Digest), Name: field(reading, source.Name), Producer: field(reading, source.Producer), Data: readBytes(reading, source.Data),
 		Prefix: field(reading, source.Opening)}
-	return reading.failed
+	return reading.err
 }
 
-func putCommand(target schema.Command, value *line.Command) error {
+func encodeCommand(target schema.Command, value *line.Command) error {
 	target.SetKind(uint16(value.Kind))
 	target.SetNow(value.Now)
 	target.SetKeepFor(int64(value.Retention))
@@ -82,7 +82,7 @@
 	}
 	if len(value.Adopted) > 0 {
 		adopted, err := target.NewAdopted(int32(len(value.Adopted)))
-		if err := putList(adopted, err, value.Adopted, putAdopted); err != nil {
+		if err := encodeList(adopted, err, value.Adopted, encodeAdopted); err != nil {
 			return err
 		}
 	}
@@ -90,36 +90,36 @@
 		return nil
 	}
 	events, err := target.NewEvents(int32(len(value.Events)))
-	if err := putList(events, err, value.Events, putEvent); err != nil {
+	if err := encodeList(events, err, value.Events, encodeEvent); err != nil {
 		return err
 	}
 	acks, err := target.NewAcks(int32(len(value.Acks)))
-	return putList(acks, err, value.Acks, func(target schema.Ack, ack *line.Ack) error {
+	return encodeList(acks, err, value.Acks, func(target schema.Ack, ack *line.Ack) error {
 		target.SetArchivedSeq(ack.ArchivedSeq)
 		return target.SetLine(ack.Session)
 	})
 }
 
-func takeCommand(source schema.Command, value *line.Command) error {
-	reading := &taking{}
+func decodeCommand(source schema.Command, value *line.Command) error {
+	reading := &fieldReader{}
 	*value = line.Command{Kind: line.CommandKind(source.Kind()), Now: source.Now(), Retention: time.Duration(source.KeepFor()), ProducerSeq: source.ProducerSeq(), HasExpectedSeq: source.Expects(),
 		ExpectedSeq: source.ExpectedSeq(), Words: source.Words(), Quota: source.Allowance(), Lifetime: time.Duration(source.Life()), Session: field(reading, source.Line), Team: field(reading, source.Team),
 		Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind), Producer: field(reading, source.Producer), Reservation: field(reading, source.Reservation),
-		Follows: field(reading, source.Follows), Dispatch: field(reading, source.Dispatch), Outcome: field(reading, source.Outcome), Data: bytesOf(reading, source.Data),
+		Follows: field(reading, source.Follows), Dispatch: field(reading, source.Dispatch), Outcome: field(reading, source.Outcome), Data: readBytes(reading, source.Data),
 		Tokens: source.Tokens(), HasQuota: source.Budgeted(), KeepData: source.Keeps(), Scope: field(reading, source.Scope), Prefix: field(reading, source.Opening)}
-	if reading.failed != nil {
-		return reading.failed
+	if reading.err != nil {
+		return reading.err
 	}
 	adopted, err := source.Adopted()
-	if value.Adopted, err = takeList(adopted, err, takeAdopted); err != nil {
+	if value.Adopted, err = decodeList(adopted, err, decodeAdopted); err != nil {
 		return err
 	}
 	events, err := source.Events()
-	if value.Events, err = takeList(events, err, takeEvent); err != nil {
+	if value.Events, err = decodeList(events, err, decodeEvent); err != nil {
 		return err
 	}
 	acks, err := source.Acks()
-	value.Acks, err = takeList(acks, err, func(source schema.Ack, ack *line.Ack) (err error) {
+	value.Acks, err = decodeList(acks, err, func(source schema.Ack, ack *line.Ack) (err error) {
 		ack.ArchivedSeq = source.ArchivedSeq()
 		ack.Session, err = source.Line()
 		return err
@@ -127,17 +127,17 @@
 	return err
 }
 
-func putAdopted(target schema.AdoptedTurn, value *line.AdoptedTurn) error {
+func encodeAdopted(target schema.AdoptedTurn, value *line.AdoptedTurn) error {
 	return errors.Join(target.SetName(value.Name), target.SetData(value.Data))
 }
 
-func takeAdopted(source schema.AdoptedTurn, value *line.AdoptedTurn) error {
-	reading := &taking{}
-	*value = line.AdoptedTurn{Name: field(reading, source.Name), Data: bytesOf(reading, source.Data)}
-	return reading.failed
+func decodeAdopted(source schema.AdoptedTurn, value *line.AdoptedTurn) error {
+	reading := &fieldReader{}
+	*value = line.AdoptedTurn{Name: field(reading, source.Name), Data: readBytes(reading, source.Data)}
+	return reading.err
 }
 
-func putTurnRecord(target schema.TurnRecord, value *line.TurnRecord) error {
+func encodeTurnRecord(target schema.TurnRecord, value *line.TurnRecord) error {
 	target.SetSeq(value.Seq)
 	target.SetEnded(value.EndSeq)
 	target.SetDeadline(value.Deadline)
@@ -145,14 +145,14 @@
 	return errors.Join(target.SetLine(value.Session), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
 }
 
-func takeTurnRecord(source schema.TurnRecord, value *line.TurnRecord) error {
-	reading := &taking{}
+func decodeTurnRecord(source schema.TurnRecord, value *line.TurnRecord) error {
+	reading := &fieldReader{}
 	*value = line.TurnRecord{Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Session: field(reading, source.Line), Name: field(reading, source.Name),
 		Follows: field(reading, source.Follows), Outcome: field(reading, source.Outcome), Dispatch: field(reading, source.Dispatch)}
-	return reading.failed
+	return reading.err
 }
 
-func putOutcome(target schema.Outcome, value *line.Outcome) error {
+func encodeOutcome(target schema.Outcome, value *line.Outcome) error {
 	target.SetStatus(uint16(value.Status))
 	target.SetSeq(value.Seq)
 	target.SetHead(value.Head)
@@ -162,13 +162,13 @@
 	return nil
 }
 
-func takeOutcome(source schema.Outcome, value *line.Outcome) error {
+func decodeOutcome(source schema.Outcome, value *line.Outcome) error {
 	*value = line.Outcome{Status: line.Status(source.Status()), Seq: source.Seq(), Head: source.Head(), Deduped: source.Deduped(), Spent: source.Spent(), Reserved: source.Reserved()}
 	return nil
 }
 
-// putRead leaves out what a read never tells: hot events, producers, open turns.
-func putRead(target schema.ReadReply, value *ReadReply) error {
+// encodeReadReply leaves out what a read never tells: hot events, producers, open turns.
+func encodeReadReply(target schema.ReadReply, value *ReadReply) error {
 	target.SetSpent(value.Spent)
 	target.SetReserved(value.Reserved)
 	target.SetClock(value.Clock)
@@ -185,22 +185,22 @@
 		return err
 	}
 	events, err := target.NewEvents(int32(len(value.Events)))
-	return putList(events, err, value.Events, putEvent)
+	return encodeList(events, err, value.Events, encodeEvent)
 }
 
-func takeRead(source schema.ReadReply, value *ReadReply) error {
+func decodeReadReply(source schema.ReadReply, value *ReadReply) error {
 	session, err := source.Session()
 	if err != nil {
 		return err
 	}
-	reading := &taking{}
+	reading := &fieldReader{}
 	*value = ReadReply{Spent: source.Spent(), Reserved: source.Reserved(), Clock: source.Clock(), Session: line.Session{CreatedAt: session.CreatedAt(), Retention: time.Duration(session.KeepFor()),
 		UpdatedAt: session.TouchedAt(), Head: session.Head(), ArchivedSeq: session.ArchivedSeq(), Name: field(reading, session.Line), Team: field(reading, session.Team),
 		Program: field(reading, session.Program), WorkKind: field(reading, session.WorkKind)}}
-	if reading.failed != nil {
-		return reading.failed
+	if reading.err != nil {
+		return reading.err
 	}
 	events, err := source.Events()
-	value.Events, err = takeList(events, err, takeEvent)
+	value.Events, err = decodeList(events, err, decodeEvent)
 	return err
 }
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -58,22 +58,22 @@
 
 // storedImage is an image with all that a format knows: turns since 2, openings since 3.
 func storedImage(version uint32) line.Snapshot {
-	image := line.Snapshot{Version: version, Clock: 20,
+	snapshot := line.Snapshot{Version: version, Clock: 20,
 		Sessions: []line.Session{{Name: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, Retention: time.Hour, UpdatedAt: 2, Head: 4, ArchivedSeq: 3,
 			Producers: []line.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Unarchived: []line.Event{storedEvent(line.TurnBegun)}, OpenTurns: []uint64{4}, RetainUntil: 21, Spent: 22, Reserved: 23}},
 		QuotaUsages: []line.QuotaUsage{{Name: line.QuotaName("depot", "dialogue", "first"), Spent: 24, Reservations: []line.Reservation{{Name: "program/a|d", Words: 25, ExpiresAt: 26}}, Settled: []line.Reservation{{Name: "program/a|c", Words: 27, ExpiresAt: 28}}}},
 	}
 	if version > 1 {
-		image.Turns = []line.TurnRecord{{Session: "program/a", Name: "one", Seq: 1, EndSeq: 3, Outcome: line.OutcomeComplete, Dispatch: "front-1/6", Deadline: 29, Tokens: 30},
+		snapshot.Turns = []line.TurnRecord{{Session: "program/a", Name: "one", Seq: 1, EndSeq: 3, Outcome: line.OutcomeComplete, Dispatch: "front-1/6", Deadline: 29, Tokens: 30},
 			{Session: "program/a", Name: "turn", Seq: 4, Follows: "one", Dispatch: "front-1/7", Deadline: 31, Tokens: 32}}
 	}
 	if version > 2 {
 		data := []byte("what many lines begin with")
 		name := line.SharedPrefixName("scope", data)
-		image.Sessions[0].Prefixes = []string{name}
-		image.Prefixes = []line.SharedPrefixRecord{{Name: name, Scope: "scope", Data: data, Until: 33}}
+		snapshot.Sessions[0].Prefixes = []string{name}
+		snapshot.Prefixes = []line.SharedPrefixRecord{{Name: name, Scope: "scope", Data: data, Until: 33}}
 	}
-	return image
+	return snapshot
 }
 
 func storedSnapshot() agreement.Snapshot {
@@ -81,7 +81,7 @@
 }
 
 func storedWrite() StoredWrite {
-	return StoredWrite{State: agreement.HardState{Term: 3, VotedFor: "a"}, Pointed: true, Checkpoint: storedSnapshot(), Entries: []agreement.Entry{
+	return StoredWrite{HardState: agreement.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: storedSnapshot(), Entries: []agreement.Entry{
 		{Index: 5, Term: 3, Data: []byte("five")},
 		{Index: 6, Term: 3, Kind: agreement.EntryMembership, Membership: agreement.Membership{Voters: []string{"a", "b", "c"}, Learners: []string{"d"}}}}}
 }
@@ -89,15 +89,15 @@
 func storedApart() StoredWrite {
 	point := storedSnapshot()
 	point.Data = nil
-	return StoredWrite{State: agreement.HardState{Term: 3, VotedFor: "a"}, Pointed: true, Checkpoint: point, ContentApart: true}
+	return StoredWrite{HardState: agreement.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: point, SnapshotDataSeparate: true}
 }
 
-func storedChunks() ColdChunkBatch {
-	return ColdChunkBatch{Chunks: []ColdChunk{{Group: 7, Line: "program/a", First: 1, Last: 4, Expires: 34, Events: []line.Event{storedEvent(line.TurnEnded)}}}}
+func storedChunks() ArchiveChunkBatch {
+	return ArchiveChunkBatch{Chunks: []ArchiveChunk{{Group: 7, Session: "program/a", First: 1, Last: 4, ExpiresAt: 34, Events: []line.Event{storedEvent(line.TurnEnded)}}}}
 }
 
-func storedIndex() ColdIndex {
-	return ColdIndex{Places: []ColdPlace{{Group: 7, Line: "program/a", First: 1, Last: 4, Expires: 34, Offset: 35, Length: 36, Checksum: 37, Digest: []byte("digest")}}}
+func storedIndex() ArchiveIndex {
+	return ArchiveIndex{Locations: []ChunkLocation{{Group: 7, Session: "program/a", First: 1, Last: 4, ExpiresAt: 34, Offset: 35, Length: 36, Checksum: 37, Digest: []byte("digest")}}}
 }
 
 // storedMessage is a kind of message that is stored, with the value that its file holds.
@@ -129,8 +129,8 @@
 		"view":             storedAs(schema.View_TypeID, view),
 		"view-packed":      {value: view, encode: func() []byte { return PackView(&view) }, decode: unpack},
 		"view-unpacked":    {value: view, encode: func() []byte { return MustEncode(schema.View_TypeID, &view) }, decode: unpack},
-		"control-image-1":  storedAs(schema.ControlImage_TypeID, ControlImage{Version: 1, View: view, Changes: []feed.Change{storedChange(feed.ChangeConfig)}}),
-		"control-image-2":  storedAs(schema.ControlImage_TypeID, ControlImage{Version: 2, PackedView: []byte("packed"), Changes: []feed.Change{storedChange(feed.ChangeRunners)}, Earlier: earlier}),
+		"control-image-1":  storedAs(schema.ControlImage_TypeID, ControlSnapshot{Version: 1, View: view, Changes: []feed.Change{storedChange(feed.ChangeConfig)}}),
+		"control-image-2":  storedAs(schema.ControlImage_TypeID, ControlSnapshot{Version: 2, PackedView: []byte("packed"), Changes: []feed.Change{storedChange(feed.ChangeRunners)}, EarlierConfigs: earlier}),
 		"line-image-1":     storedAs(schema.LineImage_TypeID, storedImage(1)),
 		"line-image-2":     storedAs(schema.LineImage_TypeID, storedImage(2)),
 		"line-image-3":     storedAs(schema.LineImage_TypeID, storedImage(3)),
@@ -180,12 +180,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var image line.Snapshot
+		var snapshot line.Snapshot
 		machine := line.NewStateMachine()
-		if err := Decode(schema.LineImage_TypeID, data, &image); err != nil {
+		if err := Decode(schema.LineImage_TypeID, data, &snapshot); err != nil {
 			t.Fatal(err)
 		}
-		if err := machine.Restore(image); err != nil {
+		if err := machine.Restore(snapshot); err != nil {
 			t.Fatalf("image of format %d: %v", version, err)
 		}
 		want := storedImage(version)
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -25,24 +25,24 @@
 
 // Query is what one process asks another. Which tells the filled field.
 type Query struct {
-	Version   uint32 `capnp:"version"`
-	Fleet     string `capnp:"fleet"`
-	Which     schema.Query_Which
-	Status    *StatusQuery    `capnp:"status"`
-	Agreement *AgreementBatch `capnp:"agreement"`
-	Command   *CommandQuery   `capnp:"command"`
-	Read      *ReadQuery      `capnp:"read"`
-	Follow    *FollowQuery    `capnp:"follow"`
-	Hold      *HoldQuery      `capnp:"hold"`
-	Newest    *NewestQuery    `capnp:"newest"`
-	Sessions  *SessionBatch   `capnp:"sessions"`
-	PutCold   *ColdChunkBatch `capnp:"putCold"`
-	Change    *ChangeQuery    `capnp:"change"`
-	Digests   *DigestQuery    `capnp:"digests"`
-	GetCold   *GetColdQuery   `capnp:"getCold"`
-	Runner    *RunnerNote     `capnp:"runner"`
-	Find      *FindQuery      `capnp:"find"`
-	Opening   *OpeningQuery   `capnp:"opening"`
+	Version        uint32 `capnp:"version"`
+	Fleet          string `capnp:"fleet"`
+	Which          schema.Query_Which
+	Status         *StatusQuery        `capnp:"status"`
+	Raft           *RaftBatch          `capnp:"agreement"`
+	Command        *CommandQuery       `capnp:"command"`
+	Read           *ReadQuery          `capnp:"read"`
+	Follow         *FollowQuery        `capnp:"follow"`
+	ReplicateView  *ReplicateViewQuery `capnp:"hold"`
+	NewestView     *NewestViewQuery    `capnp:"newest"`
+	MemberSessions *MemberSessionBatch `capnp:"sessions"`
+	PutArchive     *ArchiveChunkBatch  `capnp:"putCold"`
+	Change         *ChangeQuery        `capnp:"change"`
+	Digests        *DigestQuery        `capnp:"digests"`
+	ReadArchive    *ReadArchiveQuery   `capnp:"getCold"`
+	RunnerWarmUp   *RunnerWarmUpNote   `capnp:"runner"`
+	FindTurn       *FindTurnQuery      `capnp:"find"`
+	SharedPrefix   *SharedPrefixQuery  `capnp:"opening"`
 	// Forwarded tells that a process passes on what it was asked itself; it is not passed
 	// on again.
 	Forwarded bool `capnp:"forwarded"`
@@ -51,32 +51,32 @@
 	To string `capnp:"to"`
 }
 
-// Misaddressed gives the refusal of a query that is meant for another process, or nil.
+// MisdirectedReply gives the refusal of a query that is meant for another process, or nil.
 //
-//	if refusal := query.Misaddressed(node.Name()); refusal != nil {
+//	if refusal := query.MisdirectedReply(node.Name()); refusal != nil {
 //		return refusal
 //	}
-func (query *Query) Misaddressed(name string) *Reply {
+func (query *Query) MisdirectedReply(name string) *Reply {
 	if query.To == "" || query.To == name {
 		return nil
 	}
-	return Failed(apierror.New(apierror.Unavailable, "this is "+name+", and the query is meant for "+query.To, "ask the address that "+query.To+" has now, if it still runs"))
+	return ErrorReply(apierror.New(apierror.Unavailable, "this is "+name+", and the query is meant for "+query.To, "ask the address that "+query.To+" has now, if it still runs"))
 }
 
 // Reply answers a Query; a Error with a Kind says that it failed.
 type Reply struct {
-	Failure  Failure `capnp:"failure"`
-	Which    schema.Reply_Which
-	Status   *StatusReply             `capnp:"status"`
-	Outcomes *OutcomeList             `capnp:"outcomes"`
-	Read     *ReadReply               `capnp:"read"`
-	Follow   *FollowReply             `capnp:"follow"`
-	Newest   *NewestReply             `capnp:"newest"`
-	Change   *ChangeReply             `capnp:"change"`
-	Digests  *DigestReply             `capnp:"digests"`
-	Chunks   *ColdChunkBatch          `capnp:"chunks"`
-	Found    *FindReply               `capnp:"found"`
-	Opening  *line.SharedPrefixRecord `capnp:"opening"`
+	Failure      Failure `capnp:"failure"`
+	Which        schema.Reply_Which
+	Status       *StatusReply             `capnp:"status"`
+	Outcomes     *CommandReply            `capnp:"outcomes"`
+	Read         *ReadReply               `capnp:"read"`
+	Follow       *FollowReply             `capnp:"follow"`
+	NewestView   *NewestViewReply         `capnp:"newest"`
+	Change       *ChangeReply             `capnp:"change"`
+	Digests      *DigestReply             `capnp:"digests"`
+	Chunks       *ArchiveChunkBatch       `capnp:"chunks"`
+	FoundTurn    *FindTurnReply           `capnp:"found"`
+	SharedPrefix *line.SharedPrefixRecord `capnp:"opening"`
 }
 
 // Failure is a typed failure on its way.
@@ -88,84 +88,84 @@
 	RetryAfter time.Duration `capnp:"retryAfter"`
 }
 
-// AgreementBatch carries messages of many groups, all of one node to one other.
-type AgreementBatch struct{ Messages []agreement.Message }
+// RaftBatch carries messages of many groups, all of one node to one other.
+type RaftBatch struct{ Messages []agreement.Message }
 
 // StoredWrite is an agreement write as the disk keeps it.
 type StoredWrite struct {
-	State      agreement.HardState
-	Entries    []agreement.Entry
-	Pointed    bool
-	Checkpoint agreement.Snapshot
-	// ContentApart tells that the checkpoint's content is stored beside this.
-	ContentApart bool
+	HardState   agreement.HardState
+	Entries     []agreement.Entry
+	HasSnapshot bool
+	Snapshot    agreement.Snapshot
+	// SnapshotDataSeparate tells that the checkpoint's content is stored beside this.
+	SnapshotDataSeparate bool
 }
 
 // StatusQuery asks a process who it is, and, if Traffic is set, what it said so far.
 type StatusQuery struct {
 	Address string `capnp:"address"`
 	Traffic bool   `capnp:"traffic"`
-	// Openings asks for the openings that the groups led there hold.
-	Openings bool `capnp:"openings"`
+	// SharedPrefixes asks for the openings that the groups led there hold.
+	SharedPrefixes bool `capnp:"openings"`
 }
 
-// KindTraffic counts the queries of one kind that a process asked and answered since
+// TrafficByKind counts the queries of one kind that a process asked and answered since
 // it started, and the bytes of their messages, queries and replies, both ways.
-type KindTraffic struct {
-	Kind     string `capnp:"kind"`
-	Asked    uint64 `capnp:"asked"`
-	Answered uint64 `capnp:"answered"`
-	BytesOut uint64 `capnp:"bytesOut"`
-	BytesIn  uint64 `capnp:"bytesIn"`
+type TrafficByKind struct {
+	Kind            string `capnp:"kind"`
+	QueriesSent     uint64 `capnp:"asked"`
+	QueriesReceived uint64 `capnp:"answered"`
+	BytesOut        uint64 `capnp:"bytesOut"`
+	BytesIn         uint64 `capnp:"bytesIn"`
 }
 
 // StatusReply tells who a process is.
 type StatusReply struct {
-	Name     string         `capnp:"name"`
-	Role     string         `capnp:"role"`
-	Address  string         `capnp:"address"`
-	Domain   string         `capnp:"domain"`
-	Empty    bool           `capnp:"empty"`
-	Fleet    string         `capnp:"fleet"`
-	Number   uint64         `capnp:"number"`
-	Leader   string         `capnp:"leader"`
-	Controls []feed.Member  `capnp:"controls"`
-	Founding []string       `capnp:"founding"`
-	Groups   []GroupStatus  `capnp:"groups"`
-	Demand   []RunnerDemand `capnp:"demand"`
-	Waiting  uint32         `capnp:"waiting"`
-	Traffic  []KindTraffic  `capnp:"traffic"`
-}
-
-// RunnerDemand is what a front has out to a runner, and whether it takes the runner
+	Name          string          `capnp:"name"`
+	Role          string          `capnp:"role"`
+	Address       string          `capnp:"address"`
+	Domain        string          `capnp:"domain"`
+	Uninitialized bool            `capnp:"empty"`
+	Fleet         string          `capnp:"fleet"`
+	ViewNumber    uint64          `capnp:"number"`
+	Leader        string          `capnp:"leader"`
+	Controls      []feed.Member   `capnp:"controls"`
+	Founding      []string        `capnp:"founding"`
+	Groups        []GroupStatus   `capnp:"groups"`
+	RunnerLoads   []RunnerLoad    `capnp:"demand"`
+	Queued        uint32          `capnp:"waiting"`
+	Traffic       []TrafficByKind `capnp:"traffic"`
+}
+
+// RunnerLoad is what a front has out to a runner, and whether it takes the runner
 // for just started.
-type RunnerDemand struct {
-	Address string `capnp:"address"`
-	Out     uint32 `capnp:"out"`
-	Cooled  bool   `capnp:"cooled"`
+type RunnerLoad struct {
+	Address   string `capnp:"address"`
+	InFlight  uint32 `capnp:"out"`
+	WarmingUp bool   `capnp:"cooled"`
 }
 
 // GroupStatus is a replica's word on one group; only a leader's counts.
 type GroupStatus struct {
-	Group    uint32          `capnp:"group"`
-	Leading  bool            `capnp:"leading"`
-	Voters   []string        `capnp:"voters"`
-	Learners []string        `capnp:"learners"`
-	Openings []OpeningStatus `capnp:"openings"`
+	Group          uint32               `capnp:"group"`
+	Leading        bool                 `capnp:"leading"`
+	Voters         []string             `capnp:"voters"`
+	Learners       []string             `capnp:"learners"`
+	SharedPrefixes []SharedPrefixStatus `capnp:"openings"`
 }
 
-// OpeningStatus tells of an opening that a group holds once for many lines; Size is in
+// SharedPrefixStatus tells of an opening that a group holds once for many lines; Size is in
 // bytes. It never carries its content.
-type OpeningStatus struct {
-	Name    string `capnp:"name"`
-	Scope   string `capnp:"scope"`
-	Size    uint64 `capnp:"size"`
-	Lines   uint64 `capnp:"lines"`
-	Damaged bool   `capnp:"damaged"`
+type SharedPrefixStatus struct {
+	Name       string `capnp:"name"`
+	Scope      string `capnp:"scope"`
+	Size       uint64 `capnp:"size"`
+	References uint64 `capnp:"lines"`
+	Corrupt    bool   `capnp:"damaged"`
 }
 
-// OpeningQuery asks a replica for its copy of an opening.
-type OpeningQuery struct {
+// SharedPrefixQuery asks a replica for its copy of an opening.
+type SharedPrefixQuery struct {
 	Group uint32 `capnp:"group"`
 	Name  string `capnp:"name"`
 }
@@ -176,36 +176,36 @@
 	Commands []line.Command
 }
 
-// OutcomeList answers a CommandQuery. History is what a turn that began goes on from:
+// CommandReply answers a CommandQuery. History is what a turn that began goes on from:
 // the bytes of the chain of turns that it follows, oldest first.
-type OutcomeList struct {
+type CommandReply struct {
 	Outcomes []line.Outcome
 	History  []byte
 }
 
-// FindQuery asks a store whether a group that it leads knows a turn of a program.
-type FindQuery struct {
+// FindTurnQuery asks a store whether a group that it leads knows a turn of a program.
+type FindTurnQuery struct {
 	Name string `capnp:"name"`
 }
 
-// FindReply answers a FindQuery for the groups that a quorum confirmed the store to
+// FindTurnReply answers a FindTurnQuery for the groups that a quorum confirmed the store to
 // lead. Chain is the turn found with all that it follows, oldest first; Open tells of
 // a turn that has not ended.
-type FindReply struct {
-	Covered []uint32           `capnp:"covered"`
-	Found   bool               `capnp:"found"`
-	Open    bool               `capnp:"open"`
-	Chain   []line.AdoptedTurn `capnp:"chain"`
+type FindTurnReply struct {
+	SearchedGroups []uint32           `capnp:"covered"`
+	Found          bool               `capnp:"found"`
+	Open           bool               `capnp:"open"`
+	Chain          []line.AdoptedTurn `capnp:"chain"`
 }
 
 // ReadQuery asks a group's leader for a line, or for a tally. With Wait it holds
 // the answer until there is something after After.
 type ReadQuery struct {
-	Line  string
-	After uint64
-	Limit uint64
-	Wait  time.Duration
-	Tally bool
+	Session    string
+	After      uint64
+	Limit      uint64
+	Wait       time.Duration
+	QuotaUsage bool
 }
 
 // ReadReply answers a ReadQuery. On the way Session loses its hot events,
@@ -219,34 +219,34 @@
 	Clock int64
 }
 
-// ColdChunk is a run of archived events of one line.
-type ColdChunk struct {
-	Group   uint32
-	Line    string
-	First   uint64
-	Last    uint64
-	Expires int64
-	Events  []line.Event
+// ArchiveChunk is a run of archived events of one line.
+type ArchiveChunk struct {
+	Group     uint32
+	Session   string
+	First     uint64
+	Last      uint64
+	ExpiresAt int64
+	Events    []line.Event
 }
 
-// ColdChunkBatch carries chunks.
-type ColdChunkBatch struct{ Chunks []ColdChunk }
+// ArchiveChunkBatch carries chunks.
+type ArchiveChunkBatch struct{ Chunks []ArchiveChunk }
 
-// ColdPlace says where in a cold file a chunk is.
-type ColdPlace struct {
-	Group    uint32
-	Line     string
-	First    uint64
-	Last     uint64
-	Expires  int64
-	Offset   uint64
-	Length   uint32
-	Checksum uint32
-	Digest   []byte
+// ChunkLocation says where in a cold file a chunk is.
+type ChunkLocation struct {
+	Group     uint32
+	Session   string
+	First     uint64
+	Last      uint64
+	ExpiresAt int64
+	Offset    uint64
+	Length    uint32
+	Checksum  uint32
+	Digest    []byte
 }
 
-// ColdIndex lists the chunks of one cold file.
-type ColdIndex struct{ Places []ColdPlace }
+// ArchiveIndex lists the chunks of one cold file.
+type ArchiveIndex struct{ Locations []ChunkLocation }
 
 // DigestQuery asks a store for the sums of a group's cold lines, one a bucket; with
 // buckets named, for the digests of the ranges in these.
@@ -257,129 +257,129 @@
 
 // RangeDigest is the digest of one cold range.
 type RangeDigest struct {
-	Line   string `capnp:"line"`
-	First  uint64 `capnp:"first"`
-	Last   uint64 `capnp:"last"`
-	Digest []byte `capnp:"digest"`
+	Session string `capnp:"line"`
+	First   uint64 `capnp:"first"`
+	Last    uint64 `capnp:"last"`
+	Digest  []byte `capnp:"digest"`
 }
 
 // DigestReply answers a DigestQuery.
 type DigestReply struct {
-	Ranges []RangeDigest `capnp:"ranges"`
-	Sums   []uint64      `capnp:"sums"`
+	Ranges        []RangeDigest `capnp:"ranges"`
+	BucketDigests []uint64      `capnp:"sums"`
 }
 
-// GetColdQuery asks a store for its own cold events of a line.
-type GetColdQuery struct {
-	Line    string `capnp:"line"`
+// ReadArchiveQuery asks a store for its own cold events of a line.
+type ReadArchiveQuery struct {
+	Session string `capnp:"line"`
 	After   uint64 `capnp:"after"`
 	Through uint64 `capnp:"through"`
 }
 
-// RunnerNote tells the other fronts that a runner looks just started, or that it
+// RunnerWarmUpNote tells the other fronts that a runner looks just started, or that it
 // has answered again since.
-type RunnerNote struct {
-	Address string `capnp:"address"`
-	Cooled  bool   `capnp:"cooled"`
+type RunnerWarmUpNote struct {
+	Address   string `capnp:"address"`
+	WarmingUp bool   `capnp:"cooled"`
 }
 
 // FollowQuery renews a node's session and asks for changes after a number. The
 // answer counts as confirmed by a control quorum. With Wait it is held so long while
 // nothing changes. Known is the digest of the members that the asker knows.
 type FollowQuery struct {
-	Member      feed.Member   `capnp:"member"`
-	After       uint64        `capnp:"after"`
-	SessionOnly bool          `capnp:"sessionOnly"`
-	Wait        time.Duration `capnp:"wait"`
-	Known       uint64        `capnp:"known"`
+	Member        feed.Member   `capnp:"member"`
+	After         uint64        `capnp:"after"`
+	SessionOnly   bool          `capnp:"sessionOnly"`
+	Wait          time.Duration `capnp:"wait"`
+	MembersDigest uint64        `capnp:"known"`
 	// Packed tells that the asker reads packed views and config differences.
 	Packed bool `capnp:"packed"`
 }
 
 // FollowReply answers a FollowQuery. Held is how long after the query came the
 // confirmation began, at least. Members are told if they are not those of Known.
-// RosterAge is how long before the query came the leader read the runner list whose
+// RunnerListAge is how long before the query came the leader read the runner list whose
 // content is in force at Newest; it is negative if the list was read later than that, and
-// means nothing without RosterRead.
+// means nothing without HasRunnerListAge.
 type FollowReply struct {
-	Newest  uint64        `capnp:"newest"`
-	Reset   bool          `capnp:"reset"`
-	View    feed.View     `capnp:"view"`
-	Changes []feed.Change `capnp:"changes"`
-	Members []feed.Member `capnp:"members"`
-	Held    time.Duration `capnp:"held"`
-	Known   uint64        `capnp:"known"`
-
-	RosterRead bool          `capnp:"rosterRead"`
-	RosterAge  time.Duration `capnp:"rosterAge"`
+	Newest            uint64        `capnp:"newest"`
+	Reset             bool          `capnp:"reset"`
+	View              feed.View     `capnp:"view"`
+	Changes           []feed.Change `capnp:"changes"`
+	Members           []feed.Member `capnp:"members"`
+	ConfirmationDelay time.Duration `capnp:"held"`
+	MembersDigest     uint64        `capnp:"known"`
+
+	HasRunnerListAge bool          `capnp:"rosterRead"`
+	RunnerListAge    time.Duration `capnp:"rosterAge"`
 	// PackedView is the View, packed; the same bytes go to all who ask.
 	PackedView []byte `capnp:"packedView"`
 }
 
-// Whole gives the view that an answer brings in place of changes.
+// FullView gives the view that an answer brings in place of changes.
 //
-//	view, err := reply.Follow.Whole()
-func (reply *FollowReply) Whole() (*feed.View, error) {
-	return wholeView(&reply.View, reply.PackedView)
+//	view, err := reply.Follow.FullView()
+func (reply *FollowReply) FullView() (*feed.View, error) {
+	return fullView(&reply.View, reply.PackedView)
 }
 
-func wholeView(view *feed.View, packed []byte) (*feed.View, error) {
+func fullView(view *feed.View, packed []byte) (*feed.View, error) {
 	if len(packed) > 0 {
 		return UnpackView(packed)
 	}
 	return view, nil
 }
 
-// HoldQuery gives a store a view to sync: whole, or as the Changes that follow on what it
+// ReplicateViewQuery gives a store a view to sync: whole, or as the Changes that follow on what it
 // holds.
-type HoldQuery struct {
+type ReplicateViewQuery struct {
 	View       feed.View     `capnp:"view"`
 	PackedView []byte        `capnp:"packedView"`
 	Changes    []feed.Change `capnp:"changes"`
 }
 
-// From gives the view to hold, to one who holds a view.
+// ViewFrom gives the view to hold, to one who holds a view.
 //
-//	view, err := query.Hold.From(held)
-func (query *HoldQuery) From(held *feed.View) (*feed.View, error) {
+//	view, err := query.ReplicateView.ViewFrom(held)
+func (query *ReplicateViewQuery) ViewFrom(current *feed.View) (*feed.View, error) {
 	if len(query.Changes) == 0 {
-		return wholeView(&query.View, query.PackedView)
+		return fullView(&query.View, query.PackedView)
 	}
-	view, err := feed.FoldAll(*held, query.Changes)
+	view, err := feed.FoldAll(*current, query.Changes)
 	return &view, err
 }
 
-// NewestQuery asks a store for the newest view it has synced. Packed tells that the asker
+// NewestViewQuery asks a store for the newest view it has synced. Packed tells that the asker
 // reads packed views.
-type NewestQuery struct {
+type NewestViewQuery struct {
 	After  uint64 `capnp:"after"`
 	Packed bool   `capnp:"packed"`
 }
 
-// NewestReply answers a NewestQuery; View is filled if it is newer than asked.
-type NewestReply struct {
+// NewestViewReply answers a NewestViewQuery; View is filled if it is newer than asked.
+type NewestViewReply struct {
 	Number uint64    `capnp:"number"`
 	View   feed.View `capnp:"view"`
-	// Controlled tells that a control quorum of this fleet was heard lately.
-	Controlled bool   `capnp:"controlled"`
-	PackedView []byte `capnp:"packedView"`
+	// HeardControlQuorum tells that a control quorum of this fleet was heard lately.
+	HeardControlQuorum bool   `capnp:"controlled"`
+	PackedView         []byte `capnp:"packedView"`
 }
 
-// Whole gives the view that is newer than asked, or an empty one.
+// FullView gives the view that is newer than asked, or an empty one.
 //
-//	view, err := reply.Newest.Whole()
-func (reply *NewestReply) Whole() (*feed.View, error) {
-	return wholeView(&reply.View, reply.PackedView)
+//	view, err := reply.NewestView.FullView()
+func (reply *NewestViewReply) FullView() (*feed.View, error) {
+	return fullView(&reply.View, reply.PackedView)
 }
 
-// SessionBatch tells the sessions that a control node holds.
-type SessionBatch struct {
-	From     string        `capnp:"from"`
-	Sessions []SessionNote `capnp:"sessions"`
+// MemberSessionBatch tells the sessions that a control node holds.
+type MemberSessionBatch struct {
+	From     string          `capnp:"from"`
+	Sessions []MemberSession `capnp:"sessions"`
 }
 
-// SessionNote is one session and how long ago it was renewed.
-type SessionNote struct {
+// MemberSession is one session and how long ago it was renewed.
+type MemberSession struct {
 	Member feed.Member   `capnp:"member"`
 	Age    time.Duration `capnp:"age"`
 }
@@ -387,8 +387,8 @@
 // ChangeQuery asks the control leader for a change of the feed. With Await it asks only
 // that the view of this number, or a newer one, be held by a store majority.
 type ChangeQuery struct {
-	Change feed.Change `capnp:"change"`
-	Await  uint64      `capnp:"await"`
+	Change    feed.Change `capnp:"change"`
+	AwaitView uint64      `capnp:"await"`
 }
 
 // ChangeReply tells a change's number and whether it is acknowledged.
@@ -397,66 +397,66 @@
 	Acknowledged bool   `capnp:"acknowledged"`
 }
 
-// ControlImage is the control group's snapshot. In the first version it has a View and
+// ControlSnapshot is the control group's snapshot. In the first version it has a View and
 // whole Changes, since then a PackedView and a feed.History.
-type ControlImage struct {
-	Version    uint32               `capnp:"version"`
-	View       feed.View            `capnp:"view"`
-	Changes    []feed.Change        `capnp:"changes"`
-	PackedView []byte               `capnp:"packedView"`
-	Earlier    []feed.EarlierConfig `capnp:"earlier"`
+type ControlSnapshot struct {
+	Version        uint32               `capnp:"version"`
+	View           feed.View            `capnp:"view"`
+	Changes        []feed.Change        `capnp:"changes"`
+	PackedView     []byte               `capnp:"packedView"`
+	EarlierConfigs []feed.EarlierConfig `capnp:"earlier"`
 }
 
-// rooted adapts a generated constructor of a root struct.
-func rooted[Struct ~capnp.StructKind](make func(*capnp.Segment) (Struct, error)) func(*capnp.Segment) (capnp.Struct, error) {
+// newRoot adapts a generated constructor of a root struct.
+func newRoot[Struct ~capnp.StructKind](make func(*capnp.Segment) (Struct, error)) func(*capnp.Segment) (capnp.Struct, error) {
 	return func(segment *capnp.Segment) (capnp.Struct, error) {
 		made, err := make(segment)
 		return capnp.Struct(made), err
 	}
 }
 
-var roots = map[uint64]func(*capnp.Segment) (capnp.Struct, error){
-	schema.Command_TypeID:        rooted(schema.NewRootCommand),
-	schema.StoredWrite_TypeID:    rooted(schema.NewRootStoredWrite),
-	schema.LineImage_TypeID:      rooted(schema.NewRootLineImage),
-	schema.ControlImage_TypeID:   rooted(schema.NewRootControlImage),
-	schema.View_TypeID:           rooted(schema.NewRootView),
-	schema.Change_TypeID:         rooted(schema.NewRootChange),
-	schema.ColdChunkBatch_TypeID: rooted(schema.NewRootColdChunkBatch),
-	schema.ColdIndex_TypeID:      rooted(schema.NewRootColdIndex),
+var rootConstructors = map[uint64]func(*capnp.Segment) (capnp.Struct, error){
+	schema.Command_TypeID:        newRoot(schema.NewRootCommand),
+	schema.StoredWrite_TypeID:    newRoot(schema.NewRootStoredWrite),
+	schema.LineImage_TypeID:      newRoot(schema.NewRootLineImage),
+	schema.ControlImage_TypeID:   newRoot(schema.NewRootControlImage),
+	schema.View_TypeID:           newRoot(schema.NewRootView),
+	schema.Change_TypeID:         newRoot(schema.NewRootChange),
+	schema.ColdChunkBatch_TypeID: newRoot(schema.NewRootColdChunkBatch),
+	schema.ColdIndex_TypeID:      newRoot(schema.NewRootColdIndex),
 }
 
 // Encode turns a value into Cap'n Proto bytes under one of the schema's types.
 //
 //	data, err := wire.Encode(schema.Command_TypeID, &command)
 func Encode(typeID uint64, value any) ([]byte, error) {
-	root, known := roots[typeID]
+	root, known := rootConstructors[typeID]
 	if !known {
 		return nil, fmt.Errorf("type %x is never stored by itself", typeID)
 	}
-	put, isHot := hotPut[typeID]
+	encode, isHot := storedEncoders[typeID]
 	if !isHot {
-		put = func(target capnp.Struct, value any) error { return pogs.Insert(typeID, target, value) }
+		encode = func(target capnp.Struct, value any) error { return pogs.Insert(typeID, target, value) }
 	}
-	return appendMessage(nil, root, func(made capnp.Struct) error { return put(made, value) })
+	return appendMessage(nil, root, func(made capnp.Struct) error { return encode(made, value) })
 }
 
 // Decode fills value from Cap'n Proto bytes.
 //
 //	err := wire.Decode(schema.Command_TypeID, data, &command)
 func Decode(typeID uint64, data []byte, value any) error {
-	root, err := rootOf(data)
+	root, err := readRoot(data)
 	if err != nil {
 		return err
 	}
-	if take, isHot := hotTake[typeID]; isHot {
-		return take(root, value)
+	if decode, isHot := storedDecoders[typeID]; isHot {
+		return decode(root, value)
 	}
 	return pogs.Extract(value, typeID, root)
 }
 
-// rootOf gives the root of a message; it points into the data.
-func rootOf(data []byte) (capnp.Struct, error) {
+// readRoot gives the root of a message; it points into the data.
+func readRoot(data []byte) (capnp.Struct, error) {
 	message, err := capnp.Unmarshal(data)
 	if err != nil {
 		return capnp.Struct{}, err
@@ -467,45 +467,45 @@
 }
 
 // Between processes a message that is not long is packed, as what it says is mostly
-// zeros. A packed message begins with packedForm, where one that is not has the count
+// zeros. A packed message begins with packedMarker, where one that is not has the count
 // of its further segments, of which there are none.
 const (
-	packedForm  = 1
-	mostPacked  = 64 << 10
-	formHeader  = 8
-	mostGrowing = 1024 // how many times its packed length a message may have, at most
+	packedMarker     = 1
+	maxPackedMessage = 64 << 10
+	segmentTableSize = 8
+	maxPackedRatio   = 1024 // how many times its packed length a message may have, at most
 )
 
-// pack packs the message at the end of bytes, which begins at a position.
-func pack(target []byte, began int) []byte {
-	message := target[began:]
-	if len(message) <= formHeader || len(message) > mostPacked {
+// packMessage packs the message at the end of bytes, which begins at a position.
+func packMessage(target []byte, start int) []byte {
+	message := target[start:]
+	if len(message) <= segmentTableSize || len(message) > maxPackedMessage {
 		return target
 	}
-	packedMessage := packed.Pack(make([]byte, 0, len(message)+len(message)/64+formHeader), message[formHeader:])
-	if len(packedMessage) >= len(message)-formHeader {
+	packedMessage := packed.Pack(make([]byte, 0, len(message)+len(message)/64+segmentTableSize), message[segmentTableSize:])
+	if len(packedMessage) >= len(message)-segmentTableSize {
 		return target
 	}
-	binary.LittleEndian.PutUint32(message, packedForm)
-	return append(target[:began+formHeader], packedMessage...)
+	binary.LittleEndian.PutUint32(message, packedMarker)
+	return append(target[:start+segmentTableSize], packedMessage...)
 }
 
-// unpacked gives a message as it was before it was packed.
-func unpacked(data []byte) ([]byte, error) {
-	if len(data) < formHeader || binary.LittleEndian.Uint32(data) != packedForm {
+// unpackMessage gives a message as it was before it was packed.
+func unpackMessage(data []byte) ([]byte, error) {
+	if len(data) < segmentTableSize || binary.LittleEndian.Uint32(data) != packedMarker {
 		return data, nil
 	}
 	size := uint64(binary.LittleEndian.Uint32(data[4:])) * 8
-	if size > mostGrowing*uint64(len(data)) || size > mostPacked {
+	if size > maxPackedRatio*uint64(len(data)) || size > maxPackedMessage {
 		return nil, errors.New("a packed message tells a wrong length")
 	}
-	plain := make([]byte, formHeader, formHeader+int(size))
-	copy(plain[4:], data[4:formHeader])
-	plain, err := packed.Unpack(plain, data[formHeader:])
+	plain := make([]byte, segmentTableSize, segmentTableSize+int(size))
+	copy(plain[4:], data[4:segmentTableSize])
+	plain, err := packed.Unpack(plain, data[segmentTableSize:])
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) != formHeader+int(size) {
+	if len(plain) != segmentTableSize+int(size) {
 		return nil, errors.New("a packed message has another length than it tells")
 	}
 	return plain, nil
@@ -513,7 +513,7 @@
 
 // appendMessage appends a message of one segment, whose root a function fills, to
 // bytes. The message's own memory is used again.
-func appendMessage(target []byte, root func(*capnp.Segment) (capnp.Struct, error), put func(capnp.Struct) error) ([]byte, error) {
+func appendMessage(target []byte, root func(*capnp.Segment) (capnp.Struct, error), encode func(capnp.Struct) error) ([]byte, error) {
 	message, segment, err := capnp.NewMessage(capnp.SingleSegment(nil))
 	if err != nil {
 		return nil, err
@@ -523,7 +523,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := put(made); err != nil {
+	if err := encode(made); err != nil {
 		return nil, err
 	}
 	data := segment.Data()
@@ -547,12 +547,12 @@
 	return data
 }
 
-// Failed makes the reply that carries an error.
+// ErrorReply makes the reply that carries an error.
 //
-//	return wire.Failed(err)
-func Failed(err error) *Reply {
-	found := apierror.Of(err)
-	return &Reply{Failure: Failure{Kind: string(found.Kind), Message: found.Message, Remedy: found.Remedy, Leader: found.Leader, RetryAfter: found.RetryAfter}}
+//	return wire.ErrorReply(err)
+func ErrorReply(err error) *Reply {
+	typed := apierror.Of(err)
+	return &Reply{Failure: Failure{Kind: string(typed.Kind), Message: typed.Message, Remedy: typed.Remedy, Leader: typed.Leader, RetryAfter: typed.RetryAfter}}
 }
 
 // Err gives the error that a reply carries, if any.
