--- a/proof/cmd/measure/openings.go
+++ b/proof/cmd/measure/openings.go
@@ -110,12 +110,12 @@
 			program, said, follows := fmt.Sprintf("program/%s-%s-%d", name, round, number), "", ""
 			scope, origin := number%openingScopes, fleet.origins[number%len(fleet.origins)]
 			for position := range turnsOfAProgram {
-				turn := storeorigin.Turn{Line: program, Name: fmt.Sprintf("%s-%d", program, position), Follows: follows, Input: []byte(inputs[(number+position)%len(inputs)]), Keeps: true, Keep: time.Minute, Dispatch: "d", Life: time.Minute}
+				turn := storeorigin.Turn{SessionName: program, Name: fmt.Sprintf("%s-%d", program, position), Follows: follows, Input: []byte(inputs[(number+position)%len(inputs)]), KeepHistory: true, Retention: time.Minute, DispatchID: "d", Lifetime: time.Minute}
 				if position == 0 {
 					turn.Input = []byte(openings[scope] + string(turn.Input))
 				}
 				if name == "on" {
-					turn.Scope = fmt.Sprint("route-", scope)
+					turn.PrefixScope = fmt.Sprint("route-", scope)
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				began := time.Now()
@@ -124,7 +124,7 @@
 				wrong := err == nil && string(begun.History) != said
 				output := inputs[number%len(inputs)]
 				if err == nil {
-					err = origin.EndTurn(ctx, storeorigin.TurnEnd{Line: program, Name: turn.Name, Seq: begun.Seq, Output: []byte(output), Outcome: line.OutcomeComplete, Kept: true})
+					err = origin.EndTurn(ctx, storeorigin.TurnEnd{SessionName: program, Name: turn.Name, Seq: begun.Seq, Output: []byte(output), Outcome: line.OutcomeComplete, KeepHistory: true})
 				}
 				cancel()
 				said, follows = said+string(turn.Input)+output, turn.Name
--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -114,7 +114,7 @@
 	syncs   *atomic.Int64
 	folder  string
 	nodes   []*store.Node
-	origins []*storeorigin.Origin
+	origins []*storeorigin.Client
 	ends    []func()
 }
 
@@ -200,11 +200,11 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				defer cancel()
 				began := time.Now()
-				begun, err := origins[number%len(origins)].BeginTurn(ctx, storeorigin.Turn{Line: program, Name: name, Follows: follows, Input: []byte(strings.Repeat("i", size)), Keeps: true, Keep: time.Minute, Budgeted: true, Most: 100, Allowance: 10000, Dispatch: "d", Life: time.Minute})
+				begun, err := origins[number%len(origins)].BeginTurn(ctx, storeorigin.Turn{SessionName: program, Name: name, Follows: follows, Input: []byte(strings.Repeat("i", size)), KeepHistory: true, Retention: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 10000, DispatchID: "d", Lifetime: time.Minute})
 				took := time.Since(began)
 				if err == nil {
 					began = time.Now()
-					err = origins[number%len(origins)].EndTurn(ctx, storeorigin.TurnEnd{Line: program, Name: name, Seq: begun.Seq, Output: []byte(strings.Repeat("o", size)), Tokens: 50, Outcome: line.OutcomeComplete, Kept: true})
+					err = origins[number%len(origins)].EndTurn(ctx, storeorigin.TurnEnd{SessionName: program, Name: name, Seq: begun.Seq, Output: []byte(strings.Repeat("o", size)), Tokens: 50, Outcome: line.OutcomeComplete, KeepHistory: true})
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
--- a/proof/demand/callers.go
+++ b/proof/demand/callers.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		told, text = done.Outcome, string(done.Answer)
-		want := standin.PlainAnswer(runnerorigin.PlainQuery{Kind: kind, QueryKey: key, Words: body["words"].(string)})
+		want := standin.PlainAnswer(runnerorigin.PlainRequest{Kind: kind, RequestKey: key, Words: body["words"].(string)})
 		got := map[string]string{}
 		if json.Unmarshal(done.Answer, &got) != nil || got["proof"] != want["proof"] {
 			demand.broken("answers", "%s under %s got %s", kind, key, text)
@@ -136,7 +136,7 @@
 	var done struct {
 		Answer map[string]string `json:"answer"`
 	}
-	if json.NewDecoder(answer.Body).Decode(&done) == nil && done.Answer["proof"] != standin.PlainAnswer(runnerorigin.PlainQuery{Kind: "lookup", Words: question})["proof"] {
+	if json.NewDecoder(answer.Body).Decode(&done) == nil && done.Answer["proof"] != standin.PlainAnswer(runnerorigin.PlainRequest{Kind: "lookup", Words: question})["proof"] {
 		demand.broken("answers", "the lookup %q got %v", question, done.Answer)
 	}
 }
--- a/proof/demand/demand_test.go
+++ b/proof/demand/demand_test.go
@@ -106,7 +106,7 @@
 			refuse(writer, http.StatusServiceUnavailable, "not_run")
 			return
 		}
-		answer, _ := json.Marshal(standin.PlainAnswer(runnerorigin.PlainQuery{Kind: body.Kind, QueryKey: body.Key, Words: body.Words}))
+		answer, _ := json.Marshal(standin.PlainAnswer(runnerorigin.PlainRequest{Kind: body.Kind, RequestKey: body.Key, Words: body.Words}))
 		fmt.Fprintf(writer, `{"outcome":"complete","answer":%s}`, answer)
 	}
 }
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -40,17 +40,17 @@
 }
 
 // turn is one turn, begun and ended at once, that goes on from another of its line.
-func turn(ctx context.Context, stores *storeorigin.Origin, program, name, follows string, input, output []byte) (begun, ended time.Duration, history int, err error) {
+func turn(ctx context.Context, stores *storeorigin.Client, program, name, follows string, input, output []byte) (begun, ended time.Duration, history int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
 	asked := time.Now()
-	began, err := stores.BeginTurn(ctx, storeorigin.Turn{Line: program, Name: name, Follows: follows, Input: input, Keeps: true, Keep: time.Hour, Dispatch: "scale/" + name, Life: time.Minute, Budgeted: true, Most: 100, Allowance: 1 << 40})
+	began, err := stores.BeginTurn(ctx, storeorigin.Turn{SessionName: program, Name: name, Follows: follows, Input: input, KeepHistory: true, Retention: time.Hour, DispatchID: "scale/" + name, Lifetime: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 1 << 40})
 	if err != nil {
 		return 0, 0, 0, err
 	}
 	begun = time.Since(asked)
 	asked = time.Now()
-	err = stores.EndTurn(ctx, storeorigin.TurnEnd{Line: program, Name: name, Seq: began.Seq, Output: output, Tokens: 80, Outcome: line.OutcomeComplete, Kept: true})
+	err = stores.EndTurn(ctx, storeorigin.TurnEnd{SessionName: program, Name: name, Seq: began.Seq, Output: output, Tokens: 80, Outcome: line.OutcomeComplete, KeepHistory: true})
 	return begun, time.Since(asked), len(began.History), err
 }
 
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -79,8 +79,8 @@
 				kind := wildKinds[random.IntN(len(wildKinds))]
 				name := fmt.Sprintf("wild-%d-%d", caller, round)
 				one := &asked{name: name, path: kind.path + name, body: "prompt of " + name, runs: kind.runs, stream: kind.stream}
-				one.answer = cluster.Forward(cluster.Fronts[random.IntN(len(cluster.Fronts))], forwarding.Query{
-					Name: name, Path: one.path, Body: []byte(one.body), Program: name, Budgeted: true, Budget: 1000, TokensOut: 40,
+				one.answer = cluster.Forward(cluster.Fronts[random.IntN(len(cluster.Fronts))], forwarding.Request{
+					Name: name, Path: one.path, Body: []byte(one.body), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40,
 				})
 				mutex.Lock()
 				all = append(all, one)
@@ -211,8 +211,8 @@
 						asking.Go(func() {
 							cluster.Settle(time.Duration(number) * 400 * time.Millisecond)
 							name, began := fmt.Sprintf("held-%d", number), time.Now()
-							answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{
-								Name: path + name, Path: path + name, Program: path + name, Budgeted: true, Budget: 1000, TokensOut: 40, Deadline: began.Add(20 * time.Second),
+							answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{
+								Name: path + name, Path: path + name, Program: path + name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Deadline: began.Add(20 * time.Second),
 							})
 							if took := time.Since(began); took > timeout+slack {
 								t.Errorf("%s was held for %s, the route's timeout is %s: %d %v", path, took, timeout, answer.Status, answer.Err)
@@ -240,7 +240,7 @@
 			asking.Go(func() {
 				cluster.Settle(time.Duration(number) * 20 * time.Millisecond)
 				name := fmt.Sprintf("planned-%d", number)
-				answer := cluster.Forward(cluster.Fronts[number/4%2], forwarding.Query{Name: name, Path: kind.path + name, Body: []byte(name), Program: name, Budgeted: true, Budget: 1000, TokensOut: 40})
+				answer := cluster.Forward(cluster.Fronts[number/4%2], forwarding.Request{Name: name, Path: kind.path + name, Body: []byte(name), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 				switch {
 				case answer.Complete():
 					complete.Add(1)
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -45,7 +45,7 @@
 	AutoEnrol bool
 	// Adjust changes the settings of each control node that starts.
 	Adjust func(cluster *Cluster, settings *controlplane.Settings)
-	// HeldBytes bounds what each front holds of forwarded queries.
+	// MaxBufferedBytes bounds what each front holds of forwarded queries.
 	HeldBytes int64
 }
 
@@ -221,7 +221,7 @@
 func (cluster *Cluster) addFront(index int) *Machine {
 	machine := &Machine{Host: fmt.Sprintf("10.0.2.%d", index+1), Domain: domain(index)}
 	machine.start = func() (err error) {
-		machine.Front, err = front.Start(front.Settings{Address: machine.Host + ":7000", Public: machine.Host + ":7100", Domain: machine.Domain, Seeds: cluster.seeds, Dialect: standin.Dialect, HeldBytes: cluster.held}, cluster.Network.At(machine.Host))
+		machine.Front, err = front.Start(front.Settings{Address: machine.Host + ":7000", PublicAddress: machine.Host + ":7100", Domain: machine.Domain, Seeds: cluster.seeds, Dialect: standin.Dialect, MaxBufferedBytes: cluster.held}, cluster.Network.At(machine.Host))
 		return err
 	}
 	return machine
--- a/proof/simulator/coldlist_test.go
+++ b/proof/simulator/coldlist_test.go
@@ -21,7 +21,7 @@
 		pressing.Go(func() {
 			random := hunt.cluster.Random(uint64(100 + caller))
 			for time.Now().Before(until) {
-				hunt.try(random, forwarding.Query{Method: http.MethodGet, Path: fmt.Sprintf("/lookup/%d", random.IntN(50))}, "", time.Second, 0)
+				hunt.try(random, forwarding.Request{Method: http.MethodGet, Path: fmt.Sprintf("/lookup/%d", random.IntN(50))}, "", time.Second, 0)
 				<-time.After(time.Duration(20+random.IntN(60)) * time.Millisecond)
 			}
 		})
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -211,15 +211,15 @@
 // Forward sends a query through a front's filters, as a face would. Path, name and
 // deadline are filled in if they are missing.
 //
-//	answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "q-1", Path: "/lookup/1"})
-func (cluster *Cluster) Forward(machine *Machine, query forwarding.Query) *Forwarded {
+//	answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "q-1", Path: "/lookup/1"})
+func (cluster *Cluster) Forward(machine *Machine, query forwarding.Request) *Forwarded {
 	if query.Method == "" {
 		query.Method = http.MethodPost
 	}
 	if query.Deadline.IsZero() {
 		query.Deadline = time.Now().Add(4 * time.Second)
 	}
-	query.Host, query.Target, query.Received = RoutedHost, query.Path, time.Now()
+	query.Host, query.Target, query.ReceivedAt = RoutedHost, query.Path, time.Now()
 	query.Header = http.Header{standin.Dialect.Query: {query.Name}}
 	answer := &Forwarded{}
 	ctx, cancel := context.WithDeadline(context.Background(), query.Deadline)
@@ -247,7 +247,7 @@
 			if err := cluster.Await(timeout-time.Since(began), path+" at "+machine.Host, func() error {
 				tries++
 				name := fmt.Sprintf("ready-%s-%d-%d", machine.Host, began.UnixNano(), tries)
-				answer := cluster.Forward(machine, forwarding.Query{Name: name, Path: path, Program: name, Budgeted: true, Budget: 1000, TokensOut: 40})
+				answer := cluster.Forward(machine, forwarding.Request{Name: name, Path: path, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 				if !answer.Complete() {
 					return fmt.Errorf("%d: %w", answer.Status, answer.Err)
 				}
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -63,14 +63,14 @@
 
 func TestForwardedQueriesReachRunnersUnchanged(t *testing.T) {
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "order-1", Path: "/order/a%20b", Body: []byte("one activation")})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "order-1", Path: "/order/a%20b", Body: []byte("one activation")})
 		if !answer.Complete() || string(answer.Body) != "done order-1" || !strings.HasSuffix(answer.Header.Get("Seal"), "/order-1") {
 			t.Fatalf("%d %v %q %v", answer.Status, answer.Header, answer.Body, answer.Err)
 		}
 		if prompt := promptOf(cluster, "order-1"); prompt != "one activation" {
 			t.Fatalf("the body arrived as %q", prompt)
 		}
-		foreign := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "nowhere-1", Path: "/elsewhere/1"})
+		foreign := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "nowhere-1", Path: "/elsewhere/1"})
 		if !apierror.Is(foreign.Err, apierror.NotFound) || foreign.Status != 0 {
 			t.Fatalf("a query without a route got %d %v", foreign.Status, foreign.Err)
 		}
@@ -103,7 +103,7 @@
 		for position, one := range cases {
 			every(cluster, one.fault)
 			name := fmt.Sprintf("query-%d", position)
-			answer := cluster.Forward(cluster.Fronts[position%2], forwarding.Query{Name: name, Path: one.path + name, Program: name, Budgeted: true, Budget: 1000, TokensOut: 40})
+			answer := cluster.Forward(cluster.Fronts[position%2], forwarding.Request{Name: name, Path: one.path + name, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 			if runs := runsOf(cluster, name); runs > one.runs {
 				t.Errorf("%s with %s ran %d times", one.path, one.fault, runs)
 			}
@@ -133,7 +133,7 @@
 		}
 		for number := range 3 {
 			name := fmt.Sprintf("lookup-%d", number)
-			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: name, Method: http.MethodGet, Path: "/lookup/1"}); !answer.Complete() {
+			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Method: http.MethodGet, Path: "/lookup/1"}); !answer.Complete() {
 				t.Fatalf("%d %v", answer.Status, answer.Err)
 			}
 		}
@@ -145,7 +145,7 @@
 		for _, machine := range cluster.Engines {
 			machine.Engine.Next(standin.Breaks)
 		}
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "chat-1", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", Budgeted: true, Budget: 1000, TokensOut: 40})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-1", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		want := ""
 		for number := 1; number <= 5; number++ {
 			want += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData("hello", number))
@@ -154,7 +154,7 @@
 		if answer.Err == nil || !strings.HasPrefix(want, string(answer.Body)) || strings.Count(string(answer.Body), "id: ") != 4 {
 			t.Fatalf("%v\n%s", answer.Err, answer.Body)
 		}
-		again := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "chat-2", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", Budgeted: true, Budget: 1000, TokensOut: 40})
+		again := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-2", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		if !again.Complete() || string(again.Body) != want {
 			t.Fatalf("%v\n%s", again.Err, again.Body)
 		}
@@ -164,7 +164,7 @@
 func TestKeptTurnsAreHeardWithTheirWholeChainFromAnyFront(t *testing.T) {
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
 		turn := func(front int, program, name, follows, words string) string {
-			answer := cluster.Forward(cluster.Fronts[front], forwarding.Query{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: program, Budgeted: true, Budget: 10000, TokensOut: 40})
+			answer := cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 			if !answer.Complete() {
 				t.Fatalf("%s: %d %v", name, answer.Status, answer.Err)
 			}
@@ -187,7 +187,7 @@
 		if got := promptOf(cluster, "t4"); got != chain+helper+"fourth " {
 			t.Fatalf("the fourth turn was heard as %q", got)
 		}
-		unknown := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "t5", Path: "/talk/kept/1", Follows: "never", Body: []byte("x"), Program: "p", Budgeted: true, Budget: 10000, TokensOut: 40})
+		unknown := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "t5", Path: "/talk/kept/1", Follows: "never", Body: []byte("x"), Program: "p", HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 		if !apierror.Is(unknown.Err, apierror.NotFound) || runsOf(cluster, "t5") != 0 {
 			t.Fatalf("a turn that follows none got %v", unknown.Err)
 		}
@@ -198,7 +198,7 @@
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
 		put, refused := 0, 0
 		for number := range 20 {
-			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Query{Name: fmt.Sprintf("spend-%d", number), Path: "/talk/chat/1", Body: []byte("x"), Program: "runaway", Budgeted: true, Budget: 100, TokensOut: 20})
+			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: fmt.Sprintf("spend-%d", number), Path: "/talk/chat/1", Body: []byte("x"), Program: "runaway", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 20})
 			put += 4 * strings.Count(string(answer.Body), "id: ")
 			switch {
 			case apierror.Is(answer.Err, apierror.QuotaExhausted):
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -17,7 +17,7 @@
 
 // kept asks for a kept turn of a program.
 func (cluster *Cluster) kept(front int, name, follows, words string) *Forwarded {
-	return cluster.Forward(cluster.Fronts[front], forwarding.Query{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: "p", Budgeted: true, Budget: 100000, TokensOut: 40})
+	return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: "p", HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
 }
 
 // streamOf is the whole stream that a prompt is answered with.
@@ -46,11 +46,11 @@
 		every(cluster, standin.Hangs)
 		ended := make(chan *Forwarded, 1)
 		go func() {
-			ended <- cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "first", Path: "/order/1", Body: bytes.Repeat([]byte("x"), 3000)})
+			ended <- cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "first", Path: "/order/1", Body: bytes.Repeat([]byte("x"), 3000)})
 		}()
 		cluster.Settle(100 * time.Millisecond)
 		began := time.Now()
-		refused := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "second", Path: "/order/2", Body: bytes.Repeat([]byte("x"), 1500)})
+		refused := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "second", Path: "/order/2", Body: bytes.Repeat([]byte("x"), 1500)})
 		if !refused.Refused() || apierror.Of(refused.Err).RetryAfter == 0 || time.Since(began) > 0 || runsOf(cluster, "second") != 0 {
 			t.Fatalf("%d %v after %s", refused.Status, refused.Err, time.Since(began))
 		}
@@ -63,7 +63,7 @@
 		every(cluster, standin.NoFault)
 		cluster.Settle(time.Second)
 		for number := range 20 { // all is given back
-			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: fmt.Sprint("later-", number), Path: "/order/3", Body: bytes.Repeat([]byte("x"), 3900)}); !answer.Complete() {
+			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: fmt.Sprint("later-", number), Path: "/order/3", Body: bytes.Repeat([]byte("x"), 3900)}); !answer.Complete() {
 				t.Fatalf("%d %v", answer.Status, answer.Err)
 			}
 		}
@@ -76,7 +76,7 @@
 			name := fmt.Sprintf("left-%d", position)
 			left, cancel := context.WithCancel(context.Background())
 			cancel()
-			query := &forwarding.Query{Name: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, Received: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", Budgeted: true, Budget: 1000, TokensOut: 40, Header: http.Header{}}
+			query := &forwarding.Request{Name: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
 			err := cluster.Fronts[0].Front.Forward(left, query, &Forwarded{})
 			cluster.Settle(time.Second)
 			if err == nil || runsOf(cluster, name) != 0 {
@@ -88,13 +88,13 @@
 
 func TestAHeadHasNoBodyAndAnEmptyBodyStaysEmpty(t *testing.T) {
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		head := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "head", Method: http.MethodHead, Path: "/lookup/1"})
+		head := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "head", Method: http.MethodHead, Path: "/lookup/1"})
 		if !head.Complete() || len(head.Body) != 0 {
 			t.Fatalf("%d %q %v", head.Status, head.Body, head.Err)
 		}
 		for number := range 3 { // on the same connections
 			name := fmt.Sprint("get-", number)
-			if got := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: name, Method: http.MethodGet, Path: "/lookup/1"}); !got.Complete() || string(got.Body) != "done "+name {
+			if got := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Method: http.MethodGet, Path: "/lookup/1"}); !got.Complete() || string(got.Body) != "done "+name {
 				t.Fatalf("%d %q %v", got.Status, got.Body, got.Err)
 			}
 		}
@@ -111,7 +111,7 @@
 func TestAStreamIsNeverGivenTwiceByARunnerThatForgetsWhereItGoesOn(t *testing.T) {
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
 		every(cluster, standin.Repeats)
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "chat", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", Budgeted: true, Budget: 1000, TokensOut: 40})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		if !answer.Complete() || string(answer.Body) != streamOf("hello") || runsOf(cluster, "chat") != 2 {
 			t.Fatalf("%v after %d runs\n%s", answer.Err, runsOf(cluster, "chat"), answer.Body)
 		}
@@ -122,7 +122,7 @@
 				t.Fatalf("the seal is %s, not that of the first runner %s", seal, machine.Engine.Life)
 			}
 		}
-		resumed := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "chat-on", Path: "/talk/chat/1", Body: []byte("hello"), Resumes: "3", Program: "p", Budgeted: true, Budget: 1000, TokensOut: 40})
+		resumed := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-on", Path: "/talk/chat/1", Body: []byte("hello"), LastEventID: "3", Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		if want := streamOf("hello"); !resumed.Complete() || !strings.HasSuffix(want, string(resumed.Body)) || strings.Count(string(resumed.Body), "id: ") != 2 {
 			t.Fatalf("%v\n%s", resumed.Err, resumed.Body)
 		}
@@ -137,10 +137,10 @@
 			t.Fatalf("%d %q %v", plain.Status, plain.Body, plain.Err)
 		}
 		for number := range 2 {
-			cluster.Forward(cluster.Fronts[number], forwarding.Query{Name: fmt.Sprint("spend-", number), Path: "/talk/chat/1", Program: "q", Budgeted: true, Budget: 100, TokensOut: 50})
+			cluster.Forward(cluster.Fronts[number], forwarding.Request{Name: fmt.Sprint("spend-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 			cluster.Settle(time.Second)
 		}
-		over := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "over", Path: "/talk/chat/1", Program: "q", Budgeted: true, Budget: 100, TokensOut: 50})
+		over := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "over", Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 		if !apierror.Is(over.Err, apierror.QuotaExhausted) {
 			t.Fatalf("beyond the allowance: %d %v", over.Status, over.Err)
 		}
@@ -155,14 +155,14 @@
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
 		every(cluster, standin.Rejects)
 		for number := range 10 {
-			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Query{Name: fmt.Sprint("reject-", number), Path: "/talk/chat/1", Program: "q", Budgeted: true, Budget: 100, TokensOut: 50})
+			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: fmt.Sprint("reject-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 			if answer.Err != nil || answer.Status != http.StatusUnprocessableEntity || answer.Header.Get("Seal") == "" {
 				t.Fatalf("%d %v %v", answer.Status, answer.Header, answer.Err)
 			}
 			cluster.Settle(time.Second)
 		}
 		every(cluster, standin.NoFault)
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: "whole", Path: "/talk/chat/1", Body: []byte("x"), Program: "q", Budgeted: true, Budget: 100, TokensOut: 50})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "whole", Path: "/talk/chat/1", Body: []byte("x"), Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 		if !answer.Complete() || string(answer.Body) != streamOf("x") {
 			t.Fatalf("%d %v", answer.Status, answer.Err)
 		}
@@ -172,7 +172,7 @@
 func TestATurnOfNoProgramIsKeptAndCounted(t *testing.T) {
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
 		ask := func(front int, name, follows string) *Forwarded {
-			return cluster.Forward(cluster.Fronts[front], forwarding.Query{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(name)})
+			return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(name)})
 		}
 		first := ask(0, "alone", "")
 		second := ask(1, "on", "alone")
@@ -194,7 +194,7 @@
 
 func TestWhatACallerThatLeftWasNotGivenIsNotAskedAgain(t *testing.T) {
 	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		query := &forwarding.Query{Name: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", Received: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", Budgeted: true, Budget: 1000, TokensOut: 40, Header: http.Header{}}
+		query := &forwarding.Request{Name: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
 		err := cluster.Fronts[0].Front.Forward(context.Background(), query, &failing{})
 		cluster.Settle(time.Second)
 		if err == nil || runsOf(cluster, "gone") != 1 {
@@ -265,7 +265,7 @@
 		cluster.Network.Freeze(front.Host)
 		ended := make(chan *Forwarded, 1)
 		go func() {
-			ended <- cluster.Forward(front, forwarding.Query{Name: "held", Path: "/order/1", Body: []byte("x")})
+			ended <- cluster.Forward(front, forwarding.Request{Name: "held", Path: "/order/1", Body: []byte("x")})
 		}()
 		cluster.Settle(2500 * time.Millisecond)
 		cluster.Network.Thaw(front.Host)
@@ -286,7 +286,7 @@
 		for caller := range 8 {
 			go func() {
 				for number := 0; time.Now().Before(stop); number++ {
-					cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: fmt.Sprintf("c%d-%d", caller, number), Path: "/talk/chat/1", Program: fmt.Sprint(caller), Budgeted: true, Budget: 1000000, TokensOut: 40})
+					cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: fmt.Sprintf("c%d-%d", caller, number), Path: "/talk/chat/1", Program: fmt.Sprint(caller), HasOutputBudget: true, OutputBudget: 1000000, MaxOutputTokens: 40})
 				}
 				done <- true
 			}()
--- a/proof/simulator/hunt_test.go
+++ b/proof/simulator/hunt_test.go
@@ -59,7 +59,7 @@
 
 // askedQuery is one try of a caller and what came of it.
 type askedQuery struct {
-	query  forwarding.Query
+	query  forwarding.Request
 	at     time.Time
 	back   time.Time // zero while it is open
 	front  *frontLife
@@ -190,7 +190,7 @@
 }
 
 // try sends one try, under a name of its own.
-func (hunt *hunt) try(random *rand.Rand, query forwarding.Query, chain string, timeout, leaves time.Duration) *askedQuery {
+func (hunt *hunt) try(random *rand.Rand, query forwarding.Request, chain string, timeout, leaves time.Duration) *askedQuery {
 	life := hunt.pick(random)
 	if life == nil {
 		return nil
@@ -198,7 +198,7 @@
 	hunt.mutex.Lock()
 	hunt.names++
 	query.Name = fmt.Sprintf("try-%d", hunt.names)
-	query.Host, query.Target, query.Received, query.Deadline = RoutedHost, query.Path, time.Now(), time.Now().Add(timeout)
+	query.Host, query.Target, query.ReceivedAt, query.Deadline = RoutedHost, query.Path, time.Now(), time.Now().Add(timeout)
 	if query.Method == "" {
 		query.Method = http.MethodPost
 	}
@@ -227,7 +227,7 @@
 
 // ask tries as callers do: again after a promise, and after any failure what may be
 // repeated.
-func (hunt *hunt) ask(random *rand.Rand, query forwarding.Query, chain string, repeatable bool, timeout time.Duration) *askedQuery {
+func (hunt *hunt) ask(random *rand.Rand, query forwarding.Request, chain string, repeatable bool, timeout time.Duration) *askedQuery {
 	until := time.Now().Add(timeout)
 	leaves := time.Duration(0)
 	if random.IntN(40) == 0 {
@@ -284,7 +284,7 @@
 	hunt := one.hunt
 	for failures := 0; one.left.Add(-1) >= 0 && !hunt.ended.Load(); {
 		words := fmt.Sprintf("words %d of %s. ", random.IntN(1000000), one.name)
-		query := forwarding.Query{Path: fmt.Sprintf("/talk/kept/%d", random.IntN(100)), Follows: follows, Body: []byte(words), Program: one.name, Session: fmt.Sprint(one.name, "/", depth), Budgeted: true, Budget: one.budget, TokensOut: turnTokens}
+		query := forwarding.Request{Path: fmt.Sprintf("/talk/kept/%d", random.IntN(100)), Follows: follows, Body: []byte(words), Program: one.name, Session: fmt.Sprint(one.name, "/", depth), HasOutputBudget: true, OutputBudget: one.budget, MaxOutputTokens: turnTokens}
 		repeatable := false
 		if random.IntN(4) == 0 {
 			query.Path, query.Follows, repeatable = "/talk/chat/1", "", true
@@ -318,10 +318,10 @@
 		seed := random.Uint64()
 		calling.Go(func() {
 			random := rand.New(rand.NewPCG(seed, 2))
-			query := forwarding.Query{Path: fmt.Sprintf("/order/%d", random.IntN(100)), Body: []byte(fmt.Sprint("order ", seed)), Program: one.name}
+			query := forwarding.Request{Path: fmt.Sprintf("/order/%d", random.IntN(100)), Body: []byte(fmt.Sprint("order ", seed)), Program: one.name}
 			repeatable := random.IntN(2) == 0
 			if repeatable {
-				query = forwarding.Query{Method: http.MethodGet, Path: fmt.Sprintf("/lookup/%d?q=%d", random.IntN(100), seed%97), Program: one.name}
+				query = forwarding.Request{Method: http.MethodGet, Path: fmt.Sprintf("/lookup/%d?q=%d", random.IntN(100), seed%97), Program: one.name}
 			}
 			one.hunt.ask(random, query, "", repeatable, 3*time.Second)
 		})
@@ -337,7 +337,7 @@
 		newest := hunt.orders[len(hunt.orders)-1].revision
 		hunt.mutex.Unlock()
 		revision := newest - min(newest-1, uint64(random.IntN(3)))
-		hunt.try(random, forwarding.Query{Method: http.MethodGet, Path: fmt.Sprintf("/only-%d/x", revision)}, "", time.Second, 0)
+		hunt.try(random, forwarding.Request{Method: http.MethodGet, Path: fmt.Sprintf("/only-%d/x", revision)}, "", time.Second, 0)
 	}
 }
 
@@ -390,7 +390,7 @@
 	}
 }
 
-func pathOf(query forwarding.Query) string {
+func pathOf(query forwarding.Request) string {
 	path, _, _ := strings.Cut(query.Path, "?")
 	return path
 }
--- a/proof/simulator/huntfaults_test.go
+++ b/proof/simulator/huntfaults_test.go
@@ -388,9 +388,9 @@
 		hunt.budgets[program] = 1000
 		hunt.mutex.Unlock()
 		chain := asked.chain + string(asked.query.Body) + asked.answer.Said()
-		query := forwarding.Query{Path: "/talk/kept/1", Follows: asked.query.Name, Body: []byte(words), Program: program, Budgeted: true, Budget: 1000, TokensOut: turnTokens}
+		query := forwarding.Request{Path: "/talk/kept/1", Follows: asked.query.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
 		on := hunt.try(random, query, chain, 4*time.Second, 0)
-		lookup := hunt.try(random, forwarding.Query{Method: http.MethodGet, Path: "/lookup/1"}, "", 2*time.Second, 0)
+		lookup := hunt.try(random, forwarding.Request{Method: http.MethodGet, Path: "/lookup/1"}, "", 2*time.Second, 0)
 		for _, one := range []*askedQuery{on, lookup} {
 			if all++; one.answer.Complete() {
 				served++
--- a/proof/simulator/huntjudge_test.go
+++ b/proof/simulator/huntjudge_test.go
@@ -44,7 +44,7 @@
 	return services, true
 }
 
-func mayRepeat(query forwarding.Query) bool {
+func mayRepeat(query forwarding.Request) bool {
 	return !strings.HasPrefix(query.Path, "/order/") && !strings.HasPrefix(query.Path, "/talk/kept/")
 }
 
@@ -78,7 +78,7 @@
 		}
 		slices.SortFunc(runs[name], func(left, right ranAt) int { return left.At.Compare(right.At) })
 		hunt.judgeAnswer(asked, runs[name])
-		if asked.query.Budgeted {
+		if asked.query.HasOutputBudget {
 			spent[asked.query.Program] += 4 * uint64(strings.Count(string(asked.answer.Body), "data: "))
 		}
 		if !strings.HasPrefix(asked.query.Path, "/only-") {
@@ -204,12 +204,12 @@
 	}
 	most := uint64(0)
 	for _, other := range hunt.asked {
-		if other.query.Program == asked.query.Program && other.query.Budgeted && !other.at.After(asked.back) {
+		if other.query.Program == asked.query.Program && other.query.HasOutputBudget && !other.at.After(asked.back) {
 			most += turnTokens
 		}
 	}
-	if most <= asked.query.Budget {
-		hunt.broken("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", asked.query.Name, asked.query.Budget, most)
+	if most <= asked.query.OutputBudget {
+		hunt.broken("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", asked.query.Name, asked.query.OutputBudget, most)
 	}
 }
 
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -146,7 +146,7 @@
 	return history, unknown, refused
 }
 
-func operate(client *storeorigin.Origin, input lineInput, seen map[string]uint64) lineOutput {
+func operate(client *storeorigin.Client, input lineInput, seen map[string]uint64) lineOutput {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if input.read {
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -389,7 +389,7 @@
 			limited, cancel := context.WithTimeout(ctx, 4*time.Second)
 			defer cancel()
 			wanted := programTurn(program, name, follows)
-			wanted.Budgeted = false
+			wanted.HasTokenQuota = false
 			begun, err := origin.BeginTurn(limited, wanted)
 			if apierror.Is(err, apierror.NotFound) {
 				t.Errorf("%s: turn %s goes on from %s, which was answered whole: %v", program, name, follows, err)
--- a/proof/simulator/openings_test.go
+++ b/proof/simulator/openings_test.go
@@ -66,7 +66,7 @@
 		if agent.follows == "" {
 			words = agent.opening + words
 		}
-		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Query{Name: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(words), Program: agent.program, Budgeted: true, Budget: 100000, TokensOut: 40})
+		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(words), Program: agent.program, HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
 		if runsOf(agent.cluster, name) > 0 && promptOf(agent.cluster, name) != agent.history+words {
 			t.Fatalf("%s was heard with %d bytes, not the %d that were said", name, len(promptOf(agent.cluster, name)), len(agent.history+words))
 		}
@@ -336,7 +336,7 @@
 		for position, name := range programsOf(group, "p", 8) {
 			scope := []string{"identity", "permits", "identity", "permits", "identity", "identity", "", "alone"}[position]
 			turn := programTurn(name, name, "")
-			turn.Scope, turn.Input = scope, []byte(opening+name)
+			turn.PrefixScope, turn.Input = scope, []byte(opening+name)
 			if _, err := origin.BeginTurn(context.Background(), turn); err != nil {
 				t.Fatal(err)
 			}
@@ -365,7 +365,7 @@
 		defer cancel()
 		for _, name := range names {
 			turn := programTurn(name, name, "")
-			turn.Scope, turn.Input = "identity", []byte(opening+"in "+name+"\n")
+			turn.PrefixScope, turn.Input = "identity", []byte(opening+"in "+name+"\n")
 			begun, err := origin.BeginTurn(ctx, turn)
 			if err != nil {
 				t.Fatal(err)
@@ -391,7 +391,7 @@
 			t.Fatalf("the opening is %s", state)
 		}
 		whole := func(name string) string { return opening + "in " + name + "\nout " + name + "\n" }
-		turn := func(name, follows string) (*storeorigin.Begun, error) {
+		turn := func(name, follows string) (*storeorigin.BegunTurn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
 			return origin.BeginTurn(ctx, programTurn(follows, name, follows))
@@ -421,7 +421,7 @@
 		fresh := programsOf(group, "q", 3)
 		for _, name := range fresh {
 			again := programTurn(name, name, "")
-			again.Scope, again.Input = "identity", []byte(opening+"in "+name+"\n")
+			again.PrefixScope, again.Input = "identity", []byte(opening+"in "+name+"\n")
 			if _, err := origin.BeginTurn(ctx, again); err != nil {
 				t.Fatal(err)
 			}
@@ -448,7 +448,7 @@
 				t.Fatalf("%s: %v", turn.Name, err)
 			}
 			waited[arm] = append(waited[arm], time.Since(began))
-			ended := storeorigin.TurnEnd{Line: turn.Line, Name: turn.Name, Seq: begun.Seq, Output: []byte("out"), Outcome: line.OutcomeComplete, Kept: true}
+			ended := storeorigin.TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Seq: begun.Seq, Output: []byte("out"), Outcome: line.OutcomeComplete, KeepHistory: true}
 			if err := origin.EndTurn(context.Background(), ended); err != nil {
 				t.Fatal(err)
 			}
@@ -457,10 +457,10 @@
 			for arm, scope := range map[string]string{"off": "", "on": "identity"} {
 				name := fmt.Sprintf("%s-%d", arm, number)
 				first := programTurn(name, name, "")
-				first.Scope, first.Input, first.Budgeted = scope, []byte(opening+name), false
+				first.PrefixScope, first.Input, first.HasTokenQuota = scope, []byte(opening+name), false
 				take(first, arm, "")
 				second := programTurn(name, name+"-second", name)
-				second.Scope, second.Budgeted = scope, false
+				second.PrefixScope, second.HasTokenQuota = scope, false
 				take(second, arm, opening+name+"out")
 			}
 		}
--- a/proof/simulator/silentrunner_test.go
+++ b/proof/simulator/silentrunner_test.go
@@ -22,7 +22,7 @@
 			every(cluster, standin.Hangs)
 			time.AfterFunc(200*time.Millisecond, func() { every(cluster, standin.NoFault) })
 			began := time.Now()
-			answer := cluster.Forward(cluster.Fronts[0], forwarding.Query{Name: name, Path: one.path, Deadline: began.Add(2 * time.Second)})
+			answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Path: one.path, Deadline: began.Add(2 * time.Second)})
 			if answer.Complete() != one.complete || runsOf(cluster, name) != one.runs {
 				t.Errorf("%s: complete is %t after %s, %d runs: %d %v", one.path, answer.Complete(), time.Since(began), runsOf(cluster, name), answer.Status, answer.Err)
 			}
@@ -42,7 +42,7 @@
 		for number := range 6 {
 			name := fmt.Sprintf("slow-%d", number)
 			began := time.Now()
-			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Query{Name: name, Path: "/lookup/" + name, Deadline: began.Add(2 * time.Second)})
+			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: name, Path: "/lookup/" + name, Deadline: began.Add(2 * time.Second)})
 			if took := time.Since(began); !answer.Complete() || string(answer.Body) != "done "+name || took > works+100*time.Millisecond {
 				t.Errorf("%s: %d %q %v after %s", name, answer.Status, answer.Body, answer.Err, took)
 			}
--- a/proof/simulator/stored_test.go
+++ b/proof/simulator/stored_test.go
@@ -374,7 +374,7 @@
 
 func storedTurn(name, follows string) (turn storeorigin.Turn) {
 	turn = programTurn("p", name, follows)
-	turn.Keep, turn.Life = time.Hour, time.Hour
+	turn.Retention, turn.Lifetime = time.Hour, time.Hour
 	return turn
 }
 
@@ -604,11 +604,11 @@
 		t.Errorf("a turn went on from an open one: %v", err)
 	}
 	rest := storedTurn("rest", "b") // two turns used 7 tokens each, and one reserves its most
-	rest.Most = turnAllowance - 2*7 - turnMost + 1
+	rest.MaxOutputTokens = turnAllowance - 2*7 - turnMost + 1
 	if _, err := origin.BeginTurn(ctx, rest); !apierror.Is(err, apierror.QuotaExhausted) {
 		t.Errorf("beyond the allowance: %v", err)
 	}
-	rest.Most--
+	rest.MaxOutputTokens--
 	if _, err := origin.BeginTurn(ctx, rest); err != nil {
 		t.Errorf("the rest of the allowance: %v", err)
 	}
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -17,7 +17,7 @@
 )
 
 // origin asks the stores from a host of its own, until closed.
-func (cluster *Cluster) origin(host string) (origin *storeorigin.Origin, end func()) {
+func (cluster *Cluster) origin(host string) (origin *storeorigin.Client, end func()) {
 	caller := link.NewClient(cluster.Network.At(host))
 	following := follower.Start(caller, feed.Member{Name: host, Role: "client", Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
 	for following.View().Groups == 0 || len(following.View().Stores) == 0 {
@@ -35,12 +35,12 @@
 )
 
 func programTurn(program, name, follows string) storeorigin.Turn {
-	return storeorigin.Turn{Line: "program/" + program, Name: name, Follows: follows, Input: []byte("in " + name + "\n"), Keeps: true, Keep: 5 * time.Minute,
-		Budgeted: true, Most: turnMost, Allowance: turnAllowance, Dispatch: "here/" + name, Life: time.Minute}
+	return storeorigin.Turn{SessionName: "program/" + program, Name: name, Follows: follows, Input: []byte("in " + name + "\n"), KeepHistory: true, Retention: 5 * time.Minute,
+		HasTokenQuota: true, MaxOutputTokens: turnMost, TokenQuota: turnAllowance, DispatchID: "here/" + name, Lifetime: time.Minute}
 }
 
 func programTurnEnd(program, name, outcome string, seq, tokens uint64) storeorigin.TurnEnd {
-	return storeorigin.TurnEnd{Line: "program/" + program, Name: name, Seq: seq, Output: []byte("out " + name + "\n"), Tokens: tokens, Outcome: outcome, Kept: true}
+	return storeorigin.TurnEnd{SessionName: "program/" + program, Name: name, Seq: seq, Output: []byte("out " + name + "\n"), Tokens: tokens, Outcome: outcome, KeepHistory: true}
 }
 
 // whole is what a turn answered whole adds to a history.
@@ -101,7 +101,7 @@
 		refused(apierror.NotRun, "p", "h", "open")
 		refused(apierror.NotRun, "new", "h", "open")
 		other := programTurn("p", "open", "d")
-		other.Dispatch = "elsewhere"
+		other.DispatchID = "elsewhere"
 		if _, err := origin.BeginTurn(ctx, other); !apierror.Is(err, apierror.Conflict) {
 			t.Fatalf("a second dispatch began the turn: %v", err)
 		}
@@ -111,7 +111,7 @@
 		refused(apierror.NotFound, "p", "h", "open")
 		refused(apierror.NotFound, "new", "h", "open")
 		large := programTurn("p", "i", "d")
-		large.Most = turnAllowance
+		large.MaxOutputTokens = turnAllowance
 		if _, err := origin.BeginTurn(ctx, large); !apierror.Is(err, apierror.QuotaExhausted) {
 			t.Fatalf("beyond the allowance: %v", err)
 		}
@@ -164,7 +164,7 @@
 	told.mutex.Unlock()
 }
 
-func (told *programs) run(origin *storeorigin.Origin, random *rand.Rand, number int, stop context.Context) {
+func (told *programs) run(origin *storeorigin.Client, random *rand.Rand, number int, stop context.Context) {
 	for position := 0; stop.Err() == nil; position++ {
 		name, program := fmt.Sprintf("t%d-%d", number, position), fmt.Sprintf("p%d", random.IntN(6)+6*(position/40))
 		followed := toldTurn{}
@@ -190,7 +190,7 @@
 	}
 }
 
-func (told *programs) take(origin *storeorigin.Origin, random *rand.Rand, program, name string, followed toldTurn, begun *storeorigin.Begun) {
+func (told *programs) take(origin *storeorigin.Client, random *rand.Rand, program, name string, followed toldTurn, begun *storeorigin.BegunTurn) {
 	if string(begun.History) != followed.history {
 		told.fail("%s goes on from %q, want %q", name, begun.History, followed.history)
 	}
@@ -343,7 +343,7 @@
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		origin, end := cluster.origin("10.8.0.1")
 		defer end()
-		begin := func(program, name, follows string) (*storeorigin.Begun, error) {
+		begin := func(program, name, follows string) (*storeorigin.BegunTurn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
 			return origin.BeginTurn(ctx, programTurn(program, name, follows))
--- a/proof/simulator/wipedstore_test.go
+++ b/proof/simulator/wipedstore_test.go
@@ -36,7 +36,7 @@
 		cluster.Settle(2 * time.Second) // what the front knew is too old by now
 		for number := range 20 {
 			name := fmt.Sprintf("old-%d", number)
-			if answer := cluster.Forward(front, forwarding.Query{Name: name, Path: "/lookup/" + name}); !answer.Refused() {
+			if answer := cluster.Forward(front, forwarding.Request{Name: name, Path: "/lookup/" + name}); !answer.Refused() {
 				t.Fatalf("a front that no store majority confirmed answered: %d %v", answer.Status, answer.Err)
 			}
 			cluster.Settle(100 * time.Millisecond)
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -168,13 +168,13 @@
 // PlainAnswer is what an application runner answers.
 //
 //	answer := standin.PlainAnswer(query)
-func PlainAnswer(query runnerorigin.PlainQuery) map[string]string {
-	sum := sha256.Sum256([]byte(query.Kind + "\x00" + query.QueryKey + "\x00" + query.Words))
+func PlainAnswer(query runnerorigin.PlainRequest) map[string]string {
+	sum := sha256.Sum256([]byte(query.Kind + "\x00" + query.RequestKey + "\x00" + query.Words))
 	return map[string]string{"done": query.Kind, "proof": hex.EncodeToString(sum[:8])}
 }
 
 func (runner *Runner) turn(writer http.ResponseWriter, query *http.Request) {
-	var asked runnerorigin.TurnQuery
+	var asked runnerorigin.TurnRequest
 	if err := json.NewDecoder(query.Body).Decode(&asked); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
@@ -229,7 +229,7 @@
 }
 
 func (runner *Runner) plain(writer http.ResponseWriter, query *http.Request) {
-	var asked runnerorigin.PlainQuery
+	var asked runnerorigin.PlainRequest
 	if err := json.NewDecoder(query.Body).Decode(&asked); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
@@ -239,9 +239,9 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if asked.QueryKey != "" {
+	if asked.RequestKey != "" {
 		runner.mutex.Lock()
-		key := asked.Program + "/" + asked.Kind + "/" + asked.QueryKey
+		key := asked.Program + "/" + asked.Kind + "/" + asked.RequestKey
 		runner.record.Executions[key]++
 		if runner.file != nil {
 			fmt.Fprintln(runner.file, key)
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -43,7 +43,7 @@
 }
 
 func startFront(loaded *settings.DataPlane) (daemon.Running, error) {
-	node, err := front.Start(front.Settings{Address: loaded.Address, Public: loaded.Public, Domain: loaded.Domain, Seeds: loaded.Seeds}, loaded.Network())
+	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.Public, Domain: loaded.Domain, Seeds: loaded.Seeds}, loaded.Network())
 	if err != nil {
 		return daemon.Running{}, err
 	}
--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -49,7 +49,7 @@
 func (service adminService) handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
-	administrationserver.Mount(mux, administrationserver.New(administration.NewEndpoints(service), mux, decoder, encoder, nil, httpface.Format))
+	administrationserver.Mount(mux, administrationserver.New(administration.NewEndpoints(service), mux, decoder, encoder, nil, httpface.FormatError))
 	httpface.MountHealth(mux, service.node.Ready)
 	return mux
 }
@@ -71,7 +71,7 @@
 // authenticate finds who asks, by what a quorum confirms: an operator may have been added or
 // removed while this node was cut off.
 func (service adminService) authenticate(ctx context.Context, header *string) (authenticatedOperator, error) {
-	token, err := httpface.Token(header)
+	token, err := httpface.BearerToken(header)
 	if err != nil {
 		return authenticatedOperator{}, err
 	}
--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -16,54 +16,54 @@
 // attempt is one try of a query at one runner, from the lease to the head of the answer.
 // While it runs it touches nothing of the passage that may change.
 type attempt struct {
-	race  *race
-	lease *balancer.Lease
-	// rules and route are those under which the query leaves; the last look renews them.
-	rules  Rules
-	route  *config.Route
-	resume string // id of the last event that the caller has
-	began  time.Time
+	attempts *attemptSet
+	lease    *balancer.Lease
+	// active and route are those under which the query leaves; the last look renews them.
+	active      ActiveConfig
+	route       *config.Route
+	lastEventID string // id of the last event that the caller has
+	startedAt   time.Time
 
 	context context.Context
 	// cancel ends the attempt; detach lets it go on when the caller's context ends.
 	cancel context.CancelFunc
 	detach func() bool
 
-	counted bool // as sent, though it has not ended
-	reply   *runnerpool.Reply
-	failed  error
+	countedAsSent bool // as sent, though it has not ended
+	reply         *runnerpool.Reply
+	err           error
 }
 
 // send asks the runner and waits for the head of its answer.
-func (made *attempt) send() {
-	going := made.race.going
-	made.began = time.Now()
-	made.reply, made.failed = made.race.forwarder.settings.Pool.Send(made.context, runnerpool.Dispatch{
-		Runner: made.lease.Runner, Most: made.lease.Connections, Method: going.Method, Target: going.Target, Host: going.Host, Header: going.Header,
-		Body: going.body, Name: going.Name, Deadline: going.deadline, Resume: made.resume,
-		Look: made.look,
+func (attempt *attempt) send() {
+	exchange := attempt.attempts.exchange
+	attempt.startedAt = time.Now()
+	attempt.reply, attempt.err = attempt.attempts.forwarder.settings.Pool.Send(attempt.context, runnerpool.Dispatch{
+		Runner: attempt.lease.Runner, Most: attempt.lease.Connections, Method: exchange.Method, Target: exchange.Target, Host: exchange.Host, Header: exchange.Header,
+		Body: exchange.body, Name: exchange.Name, Deadline: exchange.deadline, Resume: attempt.lastEventID,
+		Look: attempt.checkBeforeSend,
 	})
 }
 
-// look is the last look before the first byte leaves.
-func (made *attempt) look() error {
-	settings, going := &made.race.forwarder.settings, made.race.going
-	if made.race.over.Load() || made.race.context.Err() != nil {
+// checkBeforeSend is the last look before the first byte leaves.
+func (attempt *attempt) checkBeforeSend() error {
+	settings, exchange := &attempt.attempts.forwarder.settings, attempt.attempts.exchange
+	if attempt.attempts.closed.Load() || attempt.attempts.context.Err() != nil {
 		return apierror.New(apierror.NotRun, "the caller has its answer, or has left", "none: nobody waits for an answer")
 	}
-	if err := settings.Fresh(); err != nil {
+	if err := settings.CheckViewFresh(); err != nil {
 		return err
 	}
-	changed := apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", retrySoon)
-	rules := settings.Rules()
-	if rules.Routing != made.rules.Routing {
-		route, found := rules.Routing.Match(going.Host, going.Path)
-		if !found || route.Kind != made.route.Kind || route.StoresHistory != made.route.StoresHistory {
+	changed := apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", shortRetryAfter)
+	rules := settings.ActiveConfig()
+	if rules.Routing != attempt.active.Routing {
+		route, found := rules.Routing.Match(exchange.Host, exchange.Path)
+		if !found || route.Kind != attempt.route.Kind || route.StoresHistory != attempt.route.StoresHistory {
 			return changed
 		}
-		made.rules, made.route = rules, route
+		attempt.active, attempt.route = rules, route
 	}
-	if !made.lease.Stands() || !made.lease.Serves(made.route) {
+	if !attempt.lease.Stands() || !attempt.lease.Serves(attempt.route) {
 		return changed
 	}
 	return nil
@@ -71,36 +71,36 @@
 
 // discard ends an attempt whose answer nobody needs: it is read to its end, as breaking
 // it off would waste the runner's work and the connection.
-func (made *attempt) discard() {
-	defer made.cancel()
-	if made.failed != nil {
-		made.lease.Release(endingOf(made.context, apierror.Of(made.failed)), nil)
+func (attempt *attempt) discard() {
+	defer attempt.cancel()
+	if attempt.err != nil {
+		attempt.lease.Release(outcomeOf(attempt.context, apierror.Of(attempt.err)), nil)
 		return
 	}
-	_, err := io.Copy(io.Discard, io.LimitReader(made.reply, wholeBytes))
-	made.reply.Close()
+	_, err := io.Copy(io.Discard, io.LimitReader(attempt.reply, maxBufferedResponseBytes))
+	attempt.reply.Close()
 	ending := balancer.Answered
 	switch {
-	case err != nil && made.context.Err() != nil:
+	case err != nil && attempt.context.Err() != nil:
 		ending = balancer.Abandoned
 	case err != nil:
 		ending = balancer.Lost
-	case made.reply.Status >= http.StatusInternalServerError:
+	case attempt.reply.Status >= http.StatusInternalServerError:
 		ending = balancer.Failed
 	}
-	made.lease.Release(ending, made.reply.Load)
+	attempt.lease.Release(ending, attempt.reply.Load)
 }
 
-// endingOf tells the balancer what a failed attempt shows of its runner.
-func endingOf(ctx context.Context, told *apierror.Error) balancer.Ending {
+// outcomeOf tells the balancer what a failed attempt shows of its runner.
+func outcomeOf(ctx context.Context, failure *apierror.Error) balancer.Ending {
 	switch {
-	case told.Misdirected:
+	case failure.Misdirected:
 		return balancer.Misdirected
-	case told.Kind == apierror.NotRun && !told.NeverSent:
+	case failure.Kind == apierror.NotRun && !failure.NeverSent:
 		return balancer.Refused
-	case told.Lost || told.ConnectionRefused:
+	case failure.Lost || failure.ConnectionRefused:
 		return balancer.Lost
-	case told.NeverSent:
+	case failure.NeverSent:
 		return balancer.Unused
 	case ctx.Err() != nil:
 		return balancer.Abandoned
@@ -108,4 +108,4 @@
 	return balancer.Failed
 }
 
-var errCaller = errors.New("the caller left")
+var errNoRetry = errors.New("the caller left")
--- a/system/forwarding/forwarder_test.go
+++ b/system/forwarding/forwarder_test.go
@@ -11,28 +11,31 @@
 	"yardrock.example/system/config"
 )
 
-// unanswered is an answer that must not begin.
-type unanswered struct{ t *testing.T }
+// unusedResponse is an answer that must not begin.
+type unusedResponse struct{ t *testing.T }
 
-func (answer unanswered) Begin(int, http.Header) error { answer.t.Error("an answer began"); return nil }
-func (answer unanswered) Write([]byte) error           { return nil }
+func (answer unusedResponse) Begin(int, http.Header) error {
+	answer.t.Error("an answer began")
+	return nil
+}
+func (answer unusedResponse) Write([]byte) error { return nil }
 
-// stale is a front whose view is not confirmed, with one route in it.
-func stale(timeout time.Duration) Settings {
+// staleSettings is a front whose view is not confirmed, with one route in it.
+func staleSettings(timeout time.Duration) Settings {
 	routing := &config.Routing{Routes: []config.Route{{Name: "lookup", Host: "a.example", Prefix: "/x/", Kind: config.Repeatable, Timeout: config.Duration(timeout)}}}
 	notRun := apierror.New(apierror.NotRun, "the view is not confirmed", "ask again")
 	return Settings{
-		Fresh: func() error { return notRun },
-		AwaitFresh: func(ctx context.Context) error {
+		CheckViewFresh: func() error { return notRun },
+		AwaitViewFresh: func(ctx context.Context) error {
 			<-ctx.Done()
 			return notRun
 		},
-		Rules: func() Rules { return Rules{Routing: routing} },
+		ActiveConfig: func() ActiveConfig { return ActiveConfig{Routing: routing} },
 	}
 }
 
-// TestAQueryWaitsForTheViewWithinItsRoutesTimeout, however much time its caller has.
-func TestAQueryWaitsForTheViewWithinItsRoutesTimeout(t *testing.T) {
+// TestRequestWaitsForViewWithinRouteTimeout, however much time its caller has.
+func TestRequestWaitsForViewWithinRouteTimeout(t *testing.T) {
 	for _, one := range []struct {
 		name          string
 		path          string
@@ -45,11 +48,11 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				forwarder := New(stale(one.timeout))
+				forwarder := New(staleSettings(one.timeout))
 				defer forwarder.Close()
 				began := time.Now()
-				query := &Query{Name: "q", Host: "a.example", Path: one.path, Received: began, Deadline: began.Add(one.left)}
-				err := forwarder.Serve(t.Context(), query, unanswered{t})
+				query := &Request{Name: "q", Host: "a.example", Path: one.path, ReceivedAt: began, Deadline: began.Add(one.left)}
+				err := forwarder.Serve(t.Context(), query, unusedResponse{t})
 				if took := time.Since(began); !apierror.Is(err, apierror.NotRun) || took > one.most {
 					t.Fatalf("refused after %s, want %s at most: %v", took, one.most, err)
 				}
--- a/system/forwarding/bookings.go
+++ b/system/forwarding/task_group.go
@@ -7,39 +7,39 @@
 
 // bookings counts what is booked behind callers' backs. Unlike a WaitGroup it may be
 // waited for while more of it starts.
-type bookings struct {
+type taskGroup struct {
 	mutex   sync.Mutex
 	running int
 	idle    chan struct{} // closed once none runs
 }
 
 // start runs one more.
-func (bookings *bookings) start(work func()) {
-	bookings.mutex.Lock()
-	if bookings.running++; bookings.running == 1 {
-		bookings.idle = make(chan struct{})
+func (tasks *taskGroup) start(work func()) {
+	tasks.mutex.Lock()
+	if tasks.running++; tasks.running == 1 {
+		tasks.idle = make(chan struct{})
 	}
-	bookings.mutex.Unlock()
+	tasks.mutex.Unlock()
 	go func() {
 		defer func() {
-			bookings.mutex.Lock()
-			if bookings.running--; bookings.running == 0 {
-				close(bookings.idle)
+			tasks.mutex.Lock()
+			if tasks.running--; tasks.running == 0 {
+				close(tasks.idle)
 			}
-			bookings.mutex.Unlock()
+			tasks.mutex.Unlock()
 		}()
 		work()
 	}()
 }
 
 // wait waits until none runs, or the context ends.
-func (bookings *bookings) wait(ctx context.Context) {
-	bookings.mutex.Lock()
-	idle := bookings.idle
-	if bookings.running == 0 {
+func (tasks *taskGroup) wait(ctx context.Context) {
+	tasks.mutex.Lock()
+	idle := tasks.idle
+	if tasks.running == 0 {
 		idle = nil
 	}
-	bookings.mutex.Unlock()
+	tasks.mutex.Unlock()
 	if idle == nil {
 		return
 	}
--- a/system/forwarding/types.go
+++ b/system/forwarding/types.go
@@ -9,38 +9,38 @@
 	"yardrock.example/system/balancer"
 )
 
-// Query is one caller's query, as a face hands it over. A try of the caller is one
+// Request is one caller's query, as a face hands it over. A try of the caller is one
 // query with a name of its own.
-type Query struct {
-	Name     string // of this try; unique
-	Method   string
-	Host     string // without port, lower case
-	Path     string
-	Target   string      // path and query string as sent
-	Header   http.Header // end-to-end headers, to go along unchanged
-	Body     []byte
-	Received time.Time
-	Deadline time.Time // when the caller gives up
+type Request struct {
+	Name       string // of this try; unique
+	Method     string
+	Host       string // without port, lower case
+	Path       string
+	Target     string      // path and query string as sent
+	Header     http.Header // end-to-end headers, to go along unchanged
+	Body       []byte
+	ReceivedAt time.Time
+	Deadline   time.Time // when the caller gives up
 
-	Program  string
-	Session  string
-	Finish   time.Time // when the program should be over; zero if not told
-	Budgeted bool
-	Budget   uint64 // tokens that all turns of the program may put out
-	Parts    []balancer.Part
-	Model    string
-	// TokensIn and TokensOut are those of the prompt, and the most put out.
-	TokensIn  uint64
-	TokensOut uint64
-	Subject   string
-	Follows   string // name of the query whose turn this one follows
-	Resumes   string // id of the last event that the caller has
+	Program         string
+	Session         string
+	FinishBy        time.Time // when the program should be over; zero if not told
+	HasOutputBudget bool
+	OutputBudget    uint64 // tokens that all turns of the program may put out
+	PromptParts     []balancer.Part
+	Model           string
+	// InputTokens and MaxOutputTokens are those of the prompt, and the most put out.
+	InputTokens     uint64
+	MaxOutputTokens uint64
+	Subject         string
+	Follows         string // name of the query whose turn this one follows
+	LastEventID     string // id of the last event that the caller has
 }
 
-// Answer is where an answer goes. Begin comes once, before the first Write; each Write
+// ResponseWriter is where an answer goes. Begin comes once, before the first Write; each Write
 // is passed on at once. An answer whose Serve returns an error after Begin must be
 // broken off so that it can't look complete.
-type Answer interface {
+type ResponseWriter interface {
 	Begin(status int, header http.Header) error
 	Write(data []byte) error
 }
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -33,49 +33,49 @@
 
 // Settings place a front node.
 type Settings struct {
-	Address string // for other processes
-	Public  string // for callers of the own interface; "" serves none
-	Domain  string
-	Seeds   []string
+	Address       string // for other processes
+	PublicAddress string // for callers of the own interface; "" serves none
+	Domain        string
+	Seeds         []string
 	// Machine is what the operators call this machine; it may be empty.
 	Machine string
 	// Dialect names the headers of runners that queries are forwarded to.
 	Dialect runnerpool.Dialect
-	// HeldBytes bounds the forwarded queries and histories that are held at once; 0 means
+	// MaxBufferedBytes bounds the forwarded queries and histories that are held at once; 0 means
 	// forwarding.UsualHeldBytes.
-	HeldBytes int64
+	MaxBufferedBytes int64
 }
 
-// inForce is a view with its decoded config. It is replaced whole.
-type inForce struct {
+// activeConfig is a view with its decoded config. It is replaced whole.
+type activeConfig struct {
 	view   *feed.View
 	config *config.Config
 }
 
 // Node is a running front node.
 type Node struct {
-	settings Settings
-	name     string
-	caller   *link.Client
-	follow   *follower.Client
-	stores   *storeorigin.Origin
-	runners  *runnerorigin.Origin
-	board    *scheduling.Board
-	pool     *runnerpool.Pool
-	balancer *balancer.Balancer
-	forward  *forwarding.Forwarder
-	linked   *link.Server
-	public   *httpface.Server
-	rules    atomic.Pointer[inForce]
-	draining atomic.Bool
+	settings     Settings
+	name         string
+	caller       *link.Client
+	feedClient   *follower.Client
+	stores       *storeorigin.Client
+	runnerClient *runnerorigin.Client
+	scheduler    *scheduling.Board
+	pool         *runnerpool.Pool
+	balancer     *balancer.Balancer
+	forwarder    *forwarding.Forwarder
+	linkServer   *link.Server
+	publicServer *httpface.Server
+	active       atomic.Pointer[activeConfig]
+	draining     atomic.Bool
 	// listedSince is since when this node's own session has been in the list.
 	listedSince atomic.Pointer[time.Time]
-	// fronts names the live fronts that share the runners, this one included, in order.
-	fronts atomic.Pointer[[]string]
+	// frontNames names the live fronts that share the runners, this one included, in order.
+	frontNames atomic.Pointer[[]string]
 
-	context context.Context
-	stop    context.CancelFunc
-	runs    *runs
+	context    context.Context
+	stop       context.CancelFunc
+	background *taskGroup
 }
 
 // Start runs a front node until Close.
@@ -83,87 +83,87 @@
 //	node, err := front.Start(settings, link.TCP{})
 //	defer node.Close()
 func Start(settings Settings, network link.Network) (*Node, error) {
-	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runners: runnerorigin.New(network), runs: newRuns()}
+	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerorigin.New(network), background: newTaskGroup()}
 	node.context, node.stop = context.WithCancel(context.Background())
-	node.rules.Store(&inForce{view: &feed.View{}, config: &config.Config{}})
-	node.fronts.Store(&[]string{node.name})
-	node.stores = storeorigin.New(node.caller, func() *feed.View { return node.rules.Load().view })
-	node.board = scheduling.NewBoard(node.name, settings.Domain, node.boardState, node.tellOfRunner)
+	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
+	node.frontNames.Store(&[]string{node.name})
+	node.stores = storeorigin.New(node.caller, func() *feed.View { return node.active.Load().view })
+	node.scheduler = scheduling.NewBoard(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
 	node.pool = runnerpool.New(network, settings.Dialect)
 	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
-	node.forward = forwarding.New(forwarding.Settings{Node: node.name, Fresh: node.fresh, AwaitFresh: node.awaitFresh, Rules: node.routes, Balancer: node.balancer, Pool: node.pool, Records: node.stores, HeldBytes: settings.HeldBytes})
+	node.forwarder = forwarding.New(forwarding.Settings{Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.activeRouting, Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes})
 	linkListener, err := network.Listen(settings.Address)
 	if err != nil {
 		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
 	var publicListener net.Listener
-	if settings.Public != "" {
-		if publicListener, err = network.Listen(settings.Public); err != nil {
+	if settings.PublicAddress != "" {
+		if publicListener, err = network.Listen(settings.PublicAddress); err != nil {
 			linkListener.Close()
-			return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Public+": "+err.Error(), "use an address of this machine that is free")
+			return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.PublicAddress+": "+err.Error(), "use an address of this machine that is free")
 		}
 	}
 	member := feed.Member{Name: node.name, Role: feed.RoleFront, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
-	node.follow = follower.Start(node.caller, member, settings.Seeds, nil, node.take)
-	node.balancer.FollowList(node.follow.RunnerListReadAt)
-	go node.greet()
-	node.linked = link.Serve(linkListener, node.answer)
+	node.feedClient = follower.Start(node.caller, member, settings.Seeds, nil, node.applyView)
+	node.balancer.FollowList(node.feedClient.RunnerListReadAt)
+	go node.watchPeers()
+	node.linkServer = link.Serve(linkListener, node.handleCall)
 	if publicListener != nil {
-		node.public = httpface.Serve(publicListener, node.handler(), func() int64 {
-			return max(node.rules.Load().config.Limits.BodyBytes, 1024)
+		node.publicServer = httpface.Serve(publicListener, node.handler(), func() int64 {
+			return max(node.active.Load().config.Limits.BodyBytes, 1024)
 		})
 	}
-	log.WithFields(log.Fields{"node": node.name, "address": settings.Address, "public": settings.Public}).Info("front_started")
+	log.WithFields(log.Fields{"node": node.name, "address": settings.Address, "public": settings.PublicAddress}).Info("front_started")
 	return node, nil
 }
 
 // View gives the newest view held here, fresh or not.
 //
 //	view := node.View()
-func (node *Node) View() *feed.View { return node.rules.Load().view }
+func (node *Node) View() *feed.View { return node.active.Load().view }
 
-// take decodes a newer view's config and puts both in force.
-func (node *Node) take(view *feed.View) error {
-	made := node.rules.Load().config
-	if view.ConfigNumber != node.rules.Load().view.ConfigNumber || view.Fleet != node.rules.Load().view.Fleet {
+// applyView decodes a newer view's config and puts both in force.
+func (node *Node) applyView(view *feed.View) error {
+	decoded := node.active.Load().config
+	if view.ConfigNumber != node.active.Load().view.ConfigNumber || view.Fleet != node.active.Load().view.Fleet {
 		var err error
-		if made, err = config.Decode(view.Compiled); err != nil {
+		if decoded, err = config.Decode(view.Compiled); err != nil {
 			log.WithFields(log.Fields{"node": node.name, "number": view.Number, "error": err.Error()}).Error("config_unreadable")
 			return err
 		}
 	}
-	node.rules.Store(&inForce{view: view, config: made})
-	node.balance()
+	node.active.Store(&activeConfig{view: view, config: decoded})
+	node.updateBalancer()
 	log.WithFields(log.Fields{"node": node.name, "number": view.Number, "config": view.ConfigNumber}).Info("view_taken")
 	return nil
 }
 
-// fresh tells whether the view held may be acted on.
-func (node *Node) fresh() error {
-	_, err := node.follow.Fresh()
+// checkViewFresh tells whether the view held may be acted on.
+func (node *Node) checkViewFresh() error {
+	_, err := node.feedClient.Fresh()
 	return err
 }
 
-// awaitFresh is fresh for a query that can wait until the view was confirmed anew, as
+// awaitViewFresh is fresh for a query that can wait until the view was confirmed anew, as
 // after an outage of all control nodes.
-func (node *Node) awaitFresh(ctx context.Context) error {
-	_, err := node.follow.AwaitFresh(ctx, freshTimeout)
+func (node *Node) awaitViewFresh(ctx context.Context) error {
+	_, err := node.feedClient.AwaitFresh(ctx, viewFreshTimeout)
 	return err
 }
 
-// routes gives the routes in force.
-func (node *Node) routes() forwarding.Rules {
-	rules := node.rules.Load()
-	return forwarding.Rules{View: rules.view, Routing: rules.config.Routing, Openings: rules.config.SharedPrefixes}
+// activeRouting gives the routes in force.
+func (node *Node) activeRouting() forwarding.ActiveConfig {
+	rules := node.active.Load()
+	return forwarding.ActiveConfig{View: rules.view, Routing: rules.config.Routing, SharedPrefixes: rules.config.SharedPrefixes}
 }
 
-// balance tells the balancer what is in force and how many fronts share the runners.
-func (node *Node) balance() {
-	rules := node.rules.Load()
+// updateBalancer tells the balancer what is in force and how many fronts share the runners.
+func (node *Node) updateBalancer() {
+	rules := node.active.Load()
 	if rules.config.Routing == nil {
 		return
 	}
-	fronts := *node.fronts.Load()
+	fronts := *node.frontNames.Load()
 	node.balancer.Update(balancer.State{View: rules.view, Routes: rules.config.Routing, Fronts: len(fronts), Front: node.name, Names: fronts})
 	node.pool.Retain(rules.view.Runners)
 }
@@ -171,8 +171,8 @@
 // Forward carries a query to a runner by the routes in force, and its answer back.
 //
 //	err := node.Forward(ctx, query, answer)
-func (node *Node) Forward(ctx context.Context, query *forwarding.Query, answer forwarding.Answer) error {
-	return node.forward.Serve(ctx, query, answer)
+func (node *Node) Forward(ctx context.Context, request *forwarding.Request, answer forwarding.ResponseWriter) error {
+	return node.forwarder.Serve(ctx, request, answer)
 }
 
 // Bounds tells what callers of forwarded queries may send; all is 0 while no routes are
@@ -180,58 +180,58 @@
 //
 //	longest := node.Bounds().BodyBytes
 func (node *Node) Bounds() config.Bounds {
-	if routing := node.rules.Load().config.Routing; routing != nil {
+	if routing := node.active.Load().config.Routing; routing != nil {
 		return routing.Bounds
 	}
 	return config.Bounds{}
 }
 
-// boardState tells the board which fronts share the runners. This one counts only
+// schedulerState tells the board which fronts share the runners. This one counts only
 // once it has been listed for a while, so that the others have heard of it too.
-func (node *Node) boardState() scheduling.State {
-	rules := node.rules.Load()
+func (node *Node) schedulerState() scheduling.State {
+	rules := node.active.Load()
 	fronts := []placement.Candidate{}
-	for _, member := range node.follow.Members() {
-		if member.Role == feed.RoleFront && node.joined() {
+	for _, member := range node.feedClient.Members() {
+		if member.Role == feed.RoleFront && node.hasJoined() {
 			fronts = append(fronts, placement.Candidate{Name: member.Name, Domain: member.Domain})
 		}
 	}
 	return scheduling.State{View: rules.view, Config: rules.config, Fronts: fronts}
 }
 
-// joined tells whether the other fronts have had time to hear of this one.
-func (node *Node) joined() bool {
+// hasJoined tells whether the other fronts have had time to hear of this one.
+func (node *Node) hasJoined() bool {
 	since := node.listedSince.Load()
-	return since != nil && time.Since(*since) >= joinSettle
+	return since != nil && time.Since(*since) >= joinDelay
 }
 
-// tellOfRunner lets the other fronts know that a runner looks just started, or
+// notifyPeers lets the other fronts know that a runner looks just started, or
 // answers again. Each also finds out by itself; this only makes it sooner.
-func (node *Node) tellOfRunner(address string, cooled bool) {
+func (node *Node) notifyPeers(address string, cooled bool) {
 	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner_noted")
 	for _, member := range node.peers() {
-		node.runs.start(func() { node.tell(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
+		node.background.start(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
 	}
 }
 
-func (node *Node) tell(member feed.Member, note wire.RunnerWarmUpNote) {
+func (node *Node) notifyPeer(member feed.Member, note wire.RunnerWarmUpNote) {
 	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
 	defer cancel()
-	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.rules.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
+	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.active.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
 		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note_not_taken")
 	}
 }
 
 func (node *Node) peers() []feed.Member {
-	return slices.DeleteFunc(slices.Clone(node.follow.Members()), func(member feed.Member) bool {
+	return slices.DeleteFunc(slices.Clone(node.feedClient.Members()), func(member feed.Member) bool {
 		return member.Role != feed.RoleFront || member.Name == node.name
 	})
 }
 
-// greet notes when this front is listed itself, and tells fronts that are new which
+// watchPeers notes when this front is listed itself, and tells fronts that are new which
 // runners look just started.
-func (node *Node) greet() {
-	ticker := time.NewTicker(greetInterval)
+func (node *Node) watchPeers() {
+	ticker := time.NewTicker(peerPollInterval)
 	defer ticker.Stop()
 	known := map[string]bool{}
 	for {
@@ -240,7 +240,7 @@
 		case <-node.context.Done():
 			return
 		}
-		if slices.ContainsFunc(node.follow.Members(), func(member feed.Member) bool { return member.Name == node.name }) {
+		if slices.ContainsFunc(node.feedClient.Members(), func(member feed.Member) bool { return member.Name == node.name }) {
 			node.listedSince.CompareAndSwap(nil, new(time.Now()))
 		}
 		now := map[string]bool{}
@@ -249,32 +249,32 @@
 			if known[member.Name] {
 				continue
 			}
-			for _, address := range node.board.Cooled() {
-				node.tell(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: true})
+			for _, address := range node.scheduler.Cooled() {
+				node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: true})
 			}
 		}
 		fronts := append(slices.Collect(maps.Keys(now)), node.name)
 		slices.Sort(fronts)
-		if !slices.Equal(*node.fronts.Swap(&fronts), fronts) {
-			node.balance()
+		if !slices.Equal(*node.frontNames.Swap(&fronts), fronts) {
+			node.updateBalancer()
 		}
 		known = now
 	}
 }
 
-// answer takes other fronts' notes, and tells other processes who this is, so that it
+// handleCall takes other fronts' notes, and tells other processes who this is, so that it
 // may serve as a seed.
-func (node *Node) answer(_ context.Context, query *wire.Query) *wire.Reply {
-	switch query.Which {
+func (node *Node) handleCall(_ context.Context, request *wire.Query) *wire.Reply {
+	switch request.Which {
 	case schema.Query_Which_runner:
-		if fleet := node.rules.Load().view.Fleet; query.Fleet != fleet {
-			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds"))
+		if fleet := node.active.Load().view.Fleet; request.Fleet != fleet {
+			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+request.Fleet+", this one to "+fleet, "correct its seeds"))
 		}
-		node.board.Note(query.RunnerWarmUp.Address, query.RunnerWarmUp.WarmingUp)
+		node.scheduler.Note(request.RunnerWarmUp.Address, request.RunnerWarmUp.WarmingUp)
 		return &wire.Reply{}
 	case schema.Query_Which_status:
-		view := node.follow.View()
-		out, waiting := node.board.Demand()
+		view := node.feedClient.View()
+		out, waiting := node.scheduler.Demand()
 		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
 			RunnerLoads: out, Queued: waiting,
 			Name: node.name, Role: feed.RoleFront, Address: node.settings.Address, Domain: node.settings.Domain,
@@ -292,14 +292,14 @@
 // SetSeeds replaces the seed addresses, as SIGHUP does.
 //
 //	node.SetSeeds(settings.Seeds)
-func (node *Node) SetSeeds(seeds []string) { node.follow.SetSeeds(seeds) }
+func (node *Node) SetSeeds(seeds []string) { node.feedClient.SetSeeds(seeds) }
 
 // Ready tells whether the node may take work now.
 //
 //	if node.Ready() { ... }
 func (node *Node) Ready() bool {
-	view, err := node.follow.Fresh()
-	return err == nil && view.ConfigNumber > 0 && len(view.Stores) > 0 && len(node.boardState().Fronts) > 0 && !node.draining.Load()
+	view, err := node.feedClient.Fresh()
+	return err == nil && view.ConfigNumber > 0 && len(view.Stores) > 0 && len(node.schedulerState().Fronts) > 0 && !node.draining.Load()
 }
 
 // Drain refuses new work and waits until the runs under way have ended.
@@ -307,20 +307,20 @@
 //	node.Drain(ctx)
 func (node *Node) Drain(ctx context.Context) {
 	node.draining.Store(true)
-	node.forward.Settled(ctx)
+	node.forwarder.AwaitTurnCommits(ctx)
 	ended := make(chan struct{})
 	go func() {
-		node.runs.wait()
+		node.background.wait()
 		close(ended)
 	}()
 	select {
 	case <-ended:
 	case <-ctx.Done():
 	}
-	if node.public == nil {
+	if node.publicServer == nil {
 		return
 	}
-	if err := node.public.Drain(ctx); err != nil {
+	if err := node.publicServer.Drain(ctx); err != nil {
 		log.WithFields(log.Fields{"node": node.name, "error": err.Error()}).Warn("drain_cut_short")
 	}
 }
@@ -331,14 +331,14 @@
 func (node *Node) Close() {
 	node.draining.Store(true)
 	node.stop()
-	if node.public != nil {
-		node.public.Close()
+	if node.publicServer != nil {
+		node.publicServer.Close()
 	}
-	node.forward.Close()
+	node.forwarder.Close()
 	node.pool.Close()
-	node.follow.Stop()
-	node.linked.Close()
-	node.runs.close()
+	node.feedClient.Stop()
+	node.linkServer.Close()
+	node.background.close()
 	node.caller.Close()
 }
 
@@ -347,18 +347,18 @@
 	fenceTimeout   = 4 * time.Second
 	deadlineMargin = 5 * time.Second
 	settleTimeout  = 30 * time.Second
-	// reservationUse is how long after its asking a reservation may be dispatched
+	// reservationDispatchWindow is how long after its asking a reservation may be dispatched
 	// under; past that and the run's own time, the stores settle it.
-	reservationUse    = 15 * time.Second
-	reservationMargin = 15 * time.Second
-	tailWait          = time.Second
-	probeTimeout      = 500 * time.Millisecond
-	joinSettle        = time.Second
-	// freshTimeout is how long after its view was fresh last, or after its start, a front
+	reservationDispatchWindow = 15 * time.Second
+	reservationMargin         = 15 * time.Second
+	tailPollTimeout           = time.Second
+	probeTimeout              = 500 * time.Millisecond
+	joinDelay                 = time.Second
+	// viewFreshTimeout is how long after its view was fresh last, or after its start, a front
 	// lets queries wait rather than refuse them.
-	freshTimeout    = 1500 * time.Millisecond
-	greetInterval   = 300 * time.Millisecond
-	backgroundPause = 300 * time.Millisecond
-	proveTimeout    = 1500 * time.Millisecond
-	sessionsKnown   = 1500 * time.Millisecond
+	viewFreshTimeout        = 1500 * time.Millisecond
+	peerPollInterval        = 300 * time.Millisecond
+	backgroundRetryInterval = 300 * time.Millisecond
+	proveNotRunTimeout      = 1500 * time.Millisecond
+	memberListMaxAge        = 1500 * time.Millisecond
 )
--- a/system/front/plain.go
+++ b/system/front/plain_work.go
@@ -13,30 +13,30 @@
 	"yardrock.example/system/runnerorigin"
 )
 
-func (query *query) plain() runnerorigin.PlainQuery {
-	return runnerorigin.PlainQuery{Program: query.program, Kind: query.kind, QueryKey: query.queryKey, Words: query.words}
+func (request *request) plainRequest() runnerorigin.PlainRequest {
+	return runnerorigin.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.words}
 }
 
-// ask sends plain work to a runner, and to another only while provably nothing
+// sendPlainWork sends plain work to a runner, and to another only while provably nothing
 // was sent.
-func (node *Node) ask(ctx context.Context, query *query) (json.RawMessage, error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(query.work.Timeout))
+func (node *Node) sendPlainWork(ctx context.Context, request *request) (json.RawMessage, error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.workKind.Timeout))
 	defer cancel()
 	for dial := 1; ; dial++ {
-		answer, err := node.runners.Ask(ctx, query.slot.Runner.Address, query.work.Path, query.plain(), node.lastLook(query))
-		if err == nil || !apierror.Of(err).NeverSent || dial == mostDials {
-			query.slot.Release(node.endingOf(err))
+		answer, err := node.runnerClient.Call(ctx, request.slot.Runner.Address, request.workKind.Path, request.plainRequest(), node.preSendCheck(request))
+		if err == nil || !apierror.Of(err).NeverSent || dial == maxDials {
+			request.slot.Release(node.outcomeOf(err))
 			return answer, err
 		}
-		if node.nextRunner(ctx, query, err) != nil {
+		if node.nextRunner(ctx, request, err) != nil {
 			return nil, err
 		}
 	}
 }
 
 // askRunner answers a lookup. It may be asked again, so it leaves no record.
-func askRunner(node *Node, ctx context.Context, query *query) (any, error) {
-	answer, err := node.ask(ctx, query)
+func askRunner(node *Node, ctx context.Context, request *request) (any, error) {
+	answer, err := node.sendPlainWork(ctx, request)
 	if err != nil && apierror.Of(err).NeverSent {
 		return nil, asNotRun(err)
 	}
@@ -48,27 +48,27 @@
 
 // runOnce dispatches work that is recorded as begun, and tells its outcome only
 // once that is recorded too. It goes on if the caller leaves.
-func runOnce(node *Node, ctx context.Context, query *query) (any, error) {
-	query.undo = nil
+func runOnce(node *Node, ctx context.Context, request *request) (any, error) {
+	request.cleanups = nil
 	type result struct {
-		told any
-		err  error
+		reported any
+		err      error
 	}
 	done := make(chan result, 1)
-	node.runs.start(func() {
-		told, err := node.dispatchOnce(query)
-		done <- result{told, err}
+	node.background.start(func() {
+		reported, err := node.executeOnce(request)
+		done <- result{reported, err}
 	})
 	select {
 	case finished := <-done:
-		return finished.told, finished.err
+		return finished.reported, finished.err
 	case <-ctx.Done():
 		return nil, apierror.New(apierror.Unknown, "the caller left before the outcome", "ask again with the same query key")
 	}
 }
 
-func (node *Node) dispatchOnce(query *query) (any, error) {
-	answer, failed := node.ask(node.context, query)
+func (node *Node) executeOnce(request *request) (any, error) {
+	answer, failed := node.sendPlainWork(node.context, request)
 	ended := line.Event{Outcome: line.OutcomeComplete, Text: string(answer)}
 	switch {
 	case failed == nil:
@@ -76,24 +76,24 @@
 		ended = line.Event{Outcome: line.OutcomeNotRun, Name: apierror.Of(failed).Message}
 	default:
 		ended = line.Event{Outcome: line.OutcomeUnknown, Name: apierror.Of(failed).Message}
-		log.WithFields(log.Fields{"node": node.name, "line": query.line(), "runner": query.slot.Runner.Address, "error": failed.Error()}).Warn("outcome_unknown")
+		log.WithFields(log.Fields{"node": node.name, "line": request.sessionName(), "runner": request.slot.Runner.Address, "error": failed.Error()}).Warn("outcome_unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
-	if _, err := node.closeRun(ctx, query, 2, ended.Outcome, ended.Text, ended.Name); err != nil {
+	if _, err := node.recordEnd(ctx, request, 2, ended.Outcome, ended.Text, ended.Name); err != nil {
 		return nil, apierror.NewRetryable(apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
 	}
-	return node.told(query, ended, false)
+	return node.recordedAnswer(request, ended, false)
 }
 
 // told turns a recorded outcome into one of the three answers.
-func (node *Node) told(query *query, ended line.Event, repeated bool) (any, error) {
+func (node *Node) recordedAnswer(request *request, ended line.Event, repeated bool) (any, error) {
 	switch ended.Outcome {
 	case line.OutcomeComplete:
-		name := query.conversation
+		name := request.conversation
 		return &work.Outcome{Outcome: ended.Outcome, Line: &name, Answer: json.RawMessage(ended.Text), Repeated: &repeated}, nil
 	case line.OutcomeNotRun:
-		return nil, query.notRun("the work did not run: " + ended.Name)
+		return nil, request.recordedNotRun("the work did not run: " + ended.Name)
 	default:
 		return nil, apierror.New(apierror.Unknown, "whether the work ran is not known: "+ended.Name, "find out at its receiver; it is never sent again under this query key")
 	}
--- /dev/null
+++ b/system/front/session_recording.go
@@ -0,0 +1,272 @@
+package front
+
+import (
+	"context"
+	"strconv"
+	"strings"
+	"time"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/line"
+	"yardrock.example/system/wire"
+)
+
+// recordBegin records that work is about to be dispatched. It returns nil only when the
+// record is committed and this query's own. A repeat that lost the race gets the
+// event that won.
+func (node *Node) recordBegin(ctx context.Context, request *request, event line.Event, expects bool) (*line.Event, error) {
+	event.Text, event.Digest, event.Follows = request.words, request.digest(), request.follows
+	if request.dispatchID == "" {
+		request.dispatchID = node.newDispatchID()
+	}
+	event.Runner, event.Dispatch, event.Config = request.slot.Runner.Address, request.dispatchID, request.active.view.ConfigNumber
+	event.Deadline = int64(time.Duration(request.workKind.Timeout) + deadlineMargin)
+	commands := []line.Command{}
+	if !request.sessionExists {
+		commands = append(commands, line.Command{Kind: line.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)})
+	}
+	commands = append(commands, line.Command{Kind: line.AppendEvent, Producer: request.producer, ProducerSeq: 1, HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []line.Event{event}})
+	committing, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	outcomes, err := node.stores.Command(committing, request.sessionName(), commands...)
+	if apierror.Is(err, apierror.OutcomeUnknown) {
+		return node.fenceOff(request, event, asNotRun(err), fenceTimeout)
+	}
+	if err != nil {
+		return nil, asNotRun(err)
+	}
+	outcome := outcomes[len(outcomes)-1]
+	switch {
+	case outcome.Status == line.UnexpectedSeq:
+		return nil, apierror.NewRetryable(apierror.Conflict, "the conversation went on meanwhile", "read the history and follow its last complete turn", 0)
+	case outcome.Status != line.Done && outcome.Status != line.StaleProducer:
+		return nil, apierror.NewRetryable(apierror.NotRun, "the line refused the record (status "+strconv.Itoa(int(outcome.Status))+")", "ask again", time.Second)
+	case outcome.Deduped:
+		return node.readBegin(committing, request, outcome.Seq, event.Dispatch)
+	}
+	request.begun = event
+	request.begun.Seq = outcome.Seq
+	return nil, nil
+}
+
+// readBegin reads the event that opened the run of a producer pair, or its fence; the
+// pair's last seq may be of a later event of the run. If the begin is this query's
+// own, a lost answer had hidden that it was committed.
+func (node *Node) readBegin(ctx context.Context, request *request, seq uint64, dispatch string) (*line.Event, error) {
+	event, err := node.readEvent(ctx, request.sessionName(), seq)
+	if err == nil && event.Turn != 0 && event.Turn != event.Seq {
+		event, err = node.readEvent(ctx, request.sessionName(), event.Turn)
+	}
+	if err != nil {
+		return nil, apierror.NewRetryable(apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
+	}
+	if event.Kind != line.Fenced && event.Dispatch == dispatch {
+		request.begun = event
+		return nil, nil
+	}
+	return &event, nil
+}
+
+func (node *Node) readEvent(ctx context.Context, name string, seq uint64) (line.Event, error) {
+	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: name, After: seq - 1, Limit: 1})
+	if err != nil {
+		return line.Event{}, err
+	}
+	if len(reply.Events) == 0 {
+		return line.Event{}, apierror.New(apierror.Gap, "event "+strconv.FormatUint(seq, 10)+" of "+name+" cannot be read", "ask again")
+	}
+	return reply.Events[0], nil
+}
+
+// fenceOff settles whether a query began: either the fence takes its place, so that it
+// can never begin, or the begin is there, is this query's own, and is closed as not
+// run, as nothing was sent. Another query's begin is given back.
+func (node *Node) fenceOff(request *request, event line.Event, cause error, timeout time.Duration) (*line.Event, error) {
+	ctx, cancel := context.WithTimeout(node.context, timeout)
+	defer cancel()
+	unknown := apierror.NewRetryable(apierror.Unknown, "whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")", "ask again with the same query key", time.Second)
+	outcomes, err := node.stores.Command(ctx, request.sessionName(),
+		line.Command{Kind: line.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)},
+		line.Command{Kind: line.AppendEvent, Producer: request.producer, ProducerSeq: 1, Events: []line.Event{{Kind: line.Fenced, Digest: request.digest()}}})
+	if err != nil {
+		return nil, unknown
+	}
+	fenced := outcomes[1]
+	if fenced.Status == line.Done && !fenced.Deduped {
+		return nil, request.fencedError(cause)
+	}
+	other, err := node.readBegin(ctx, request, fenced.Seq, event.Dispatch)
+	if err != nil || other != nil {
+		return other, err
+	}
+	return nil, node.recordNotRun(request, cause)
+}
+
+// fencedError tells a refusal that the record proves. Without a query key the same
+// turn may be asked again as it is.
+func (request *request) fencedError(cause error) error {
+	request.provenNotRun = true
+	failed := apierror.Of(cause)
+	failure := &apierror.Error{Kind: apierror.NotRun, Message: failed.Message, Remedy: "ask again", RetryAfter: max(failed.RetryAfter, time.Second)}
+	if request.idempotencyKey != "" {
+		failure.Message += "; the query key is fenced off"
+		failure.Remedy = "send it under a new query key"
+	}
+	return failure
+}
+
+// proveNotRun turns a refusal of work that is recorded into one that the record proves.
+// An earlier query for the same work may be on its way at another front: only a
+// fence in its place keeps that from running after "not run" was told. Where no
+// fence can be set at once, the answer is that it is not known, and when to ask again.
+func (node *Node) proveNotRun(request *request, err error) error {
+	repeatable := request.idempotencyKey == "" && request.follows == 0
+	if !request.recorded || request.provenNotRun || repeatable || !apierror.Is(err, apierror.NotRun) {
+		return err
+	}
+	unknown := apierror.NewRetryable(apierror.Unknown, "this node sent nothing, but cannot tell what became of an earlier query for the same work ("+apierror.Of(err).Message+")", "ask again with the same query key", max(apierror.Of(err).RetryAfter, time.Second))
+	if request.producer == "" {
+		return unknown
+	}
+	other, fenced := node.fenceOff(request, line.Event{Dispatch: request.dispatchID}, err, proveNotRunTimeout)
+	switch {
+	case fenced != nil:
+		return fenced
+	case other != nil && other.Kind == line.Fenced:
+		return request.fencedError(err)
+	}
+	return unknown
+}
+
+// recordEnd ends a run that this query began. It returns nil once the end is
+// committed; TurnClosed means that another node has closed it.
+func (node *Node) recordEnd(ctx context.Context, request *request, producerSeq uint64, outcome, words, detail string) (uint64, error) {
+	outcomes, err := node.stores.Command(ctx, request.sessionName(), line.Command{Kind: line.AppendEvent, Producer: request.producer, ProducerSeq: producerSeq, Events: []line.Event{{
+		Kind: line.ClosingKind(request.begun.Kind), Turn: request.begun.Seq, Outcome: outcome, Text: words, Name: detail,
+	}}})
+	if err != nil {
+		return 0, err
+	}
+	if outcomes[0].Status != line.Done {
+		return 0, apierror.New(apierror.Unknown, "the run was closed by another node meanwhile", "read the history")
+	}
+	return outcomes[0].Seq, nil
+}
+
+// recordNotRun ends a run of which provably nothing was sent. Only once that is
+// committed may the caller be told "not run".
+func (node *Node) recordNotRun(request *request, cause error) error {
+	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
+	defer cancel()
+	if _, err := node.recordEnd(ctx, request, 2, line.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
+		return apierror.NewRetryable(apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
+	}
+	return request.fencedError(cause)
+}
+
+// closeOverdueRun ends a run whose node is gone, after its runner's time is over.
+// Who still ran it finds the line closed.
+func (node *Node) closeOverdueRun(ctx context.Context, name string, begun line.Event, outcome string) error {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	_, err := node.stores.Command(ctx, name, line.CloseOverdue(begun, outcome))
+	return err
+}
+
+const maxBeginAttempts = 4
+
+// beginTurn records the begin. When the line went on meanwhile, by a tool, a helper
+// or another turn, it looks anew what that means for this one.
+func beginTurn(node *Node, ctx context.Context, request *request) (any, error) {
+	for try := 1; ; try++ {
+		other, err := node.recordBegin(ctx, request, line.Event{Kind: line.TurnBegun}, true)
+		if other == nil && !apierror.Is(err, apierror.Conflict) {
+			return nil, err
+		}
+		answer, checked := rereadAndCheckTurn(node, ctx, request)
+		if checked != nil || answer != nil {
+			return answer, checked
+		}
+		if try == maxBeginAttempts {
+			return nil, apierror.NewRetryable(apierror.NotRun, "the conversation goes on faster than this turn can join it", "ask again", time.Second)
+		}
+	}
+}
+
+// checkOnce answers a repeated query key with what was recorded.
+func checkOnce(node *Node, ctx context.Context, request *request) (any, error) {
+	request.producer = strings.Join([]string{request.program, "once", request.idempotencyKey}, "/")
+	return node.answerIfRecorded(ctx, request)
+}
+
+func checkTool(node *Node, ctx context.Context, request *request) (any, error) {
+	if request.idempotencyKey == "" {
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each tool call a key of its own")
+	}
+	if err := checkFollowed(request); err != nil {
+		return nil, err
+	}
+	request.producer = strings.Join([]string{request.program, "tool", request.idempotencyKey}, "/")
+	return node.answerIfRecorded(ctx, request)
+}
+
+func (node *Node) answerIfRecorded(ctx context.Context, request *request) (any, error) {
+	if event, found := request.history.StartByProducer(request.producer); found {
+		return node.answerRepeat(ctx, request, event)
+	}
+	return nil, nil
+}
+
+func beginOnce(node *Node, ctx context.Context, request *request) (any, error) {
+	return node.beginPlainWork(ctx, request, line.TurnBegun)
+}
+
+func beginTool(node *Node, ctx context.Context, request *request) (any, error) {
+	return node.beginPlainWork(ctx, request, line.ToolCalled)
+}
+
+func (node *Node) beginPlainWork(ctx context.Context, request *request, kind line.EventKind) (any, error) {
+	other, err := node.recordBegin(ctx, request, line.Event{Kind: kind, Name: request.kind}, false)
+	if err != nil {
+		return nil, err
+	}
+	if other != nil {
+		return node.answerRepeat(ctx, request, *other)
+	}
+	return nil, nil
+}
+
+// answerRepeat waits for the recorded outcome of work that another query began.
+func (node *Node) answerRepeat(ctx context.Context, request *request, begun line.Event) (any, error) {
+	if begun.Digest != request.digest() {
+		return nil, apierror.New(apierror.Conflict, "the query key was used with another body", "use a new query key for other work")
+	}
+	if begun.Kind == line.Fenced {
+		return nil, request.fencedEarlierError()
+	}
+	after := begun.Seq
+	for wait := time.Duration(0); ; wait = tailPollTimeout {
+		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
+		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: request.sessionName(), After: after, Wait: wait})
+		cancel()
+		if err != nil {
+			return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
+		}
+		for _, event := range reply.Events {
+			after = event.Seq
+			if event.Turn == begun.Seq && event.Kind == line.ClosingKind(begun.Kind) {
+				return node.recordedAnswer(request, event, true)
+			}
+		}
+		owner := node.ownerLiveness(ctx, begun)
+		switch {
+		case reply.Clock > begun.Deadline || owner == confirmedDead:
+			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, line.OutcomeUnknown); err != nil {
+				return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
+			}
+		case owner == unreachable:
+			// It may only be frozen, and still record what came of the work.
+			return nil, apierror.NewRetryable(apierror.Unknown, "the work began at a node that is not heard of; its outcome is not recorded yet", "ask again with the same query key", 2*time.Second)
+		}
+	}
+}
--- /dev/null
+++ b/system/front/work_service.go
@@ -0,0 +1,222 @@
+package front
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	goahttp "goa.design/goa/v3/http"
+
+	workserver "yardrock.example/system/api/gen/http/work/server"
+	"yardrock.example/system/api/gen/work"
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/httpface"
+	"yardrock.example/system/line"
+	"yardrock.example/system/wire"
+)
+
+// handler mounts the generated servers.
+func (node *Node) handler() http.Handler {
+	mux := goahttp.NewMuxer()
+	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
+	workserver.Mount(mux, workserver.New(work.NewEndpoints(workService{node}), mux, decoder, encoder, nil, httpface.FormatError))
+	httpface.MountHealth(mux, node.Ready)
+	return mux
+}
+
+// workService joins the generated interface to the chains.
+type workService struct{ node *Node }
+
+func text(optional *string) string {
+	if optional == nil {
+		return ""
+	}
+	return *optional
+}
+
+func (service workService) pass(ctx context.Context, authorization *string, request *request, chain []filter) (any, error) {
+	token, err := httpface.BearerToken(authorization)
+	if err != nil {
+		return nil, err
+	}
+	request.token = token
+	return service.node.runChain(ctx, request, chain)
+}
+
+func (service workService) stream(ctx context.Context, authorization *string, request *request, chain []filter) (io.ReadCloser, error) {
+	answer, err := service.pass(ctx, authorization, request, chain)
+	if err != nil {
+		return nil, err
+	}
+	streaming := answer.(*eventStream)
+	streaming.context = ctx
+	httpface.SetContentType(ctx, "application/x-ndjson")
+	return streaming, nil
+}
+
+func (service workService) outcome(ctx context.Context, authorization *string, request *request, chain []filter) (*work.Outcome, error) {
+	answer, err := service.pass(ctx, authorization, request, chain)
+	if err != nil {
+		return nil, err
+	}
+	return answer.(*work.Outcome), nil
+}
+
+// Start starts a conversation.
+func (service workService) Start(ctx context.Context, payload *work.StartPayload) (io.ReadCloser, error) {
+	return service.stream(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, turnChain)
+}
+
+// Turn follows a turn.
+func (service workService) Turn(ctx context.Context, payload *work.TurnPayload) (io.ReadCloser, error) {
+	if payload.Follows == 0 {
+		return nil, apierror.New(apierror.Invalid, "follows is 0", "name the turn to follow")
+	}
+	return service.stream(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, followChain)
+}
+
+// Tool calls a tool between turns.
+func (service workService) Tool(ctx context.Context, payload *work.ToolPayload) (*work.Outcome, error) {
+	return service.outcome(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, toolChain)
+}
+
+// Helper starts a conversation that its parent names.
+func (service workService) Helper(ctx context.Context, payload *work.HelperPayload) (io.ReadCloser, error) {
+	return service.stream(ctx, payload.Authorization, &request{parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, helperChain)
+}
+
+// Lookup asks what may be asked again.
+func (service workService) Lookup(ctx context.Context, payload *work.LookupPayload) (*work.Outcome, error) {
+	return service.outcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, lookupChain)
+}
+
+// Once runs what may not be repeated.
+func (service workService) Once(ctx context.Context, payload *work.OncePayload) (*work.Outcome, error) {
+	return service.outcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, onceChain)
+}
+
+// Tail streams events after a cursor.
+func (service workService) Tail(ctx context.Context, payload *work.TailPayload) (io.ReadCloser, error) {
+	turn := uint64(0)
+	if payload.Turn != nil {
+		turn = *payload.Turn
+	}
+	return service.stream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(node *Node, ctx context.Context, query *request) (any, error) {
+		if _, err := node.readAfter(ctx, query, payload.Cursor, 1); err != nil {
+			return nil, err
+		}
+		if turn != 0 {
+			reply, err := node.readAfter(ctx, query, turn-1, 1)
+			if err != nil {
+				return nil, err
+			}
+			if len(reply.Events) == 0 || reply.Events[0].Kind != line.TurnBegun {
+				return nil, apierror.New(apierror.NotFound, "the conversation has no turn "+strconv.FormatUint(turn, 10), "read the history and name one of its turns")
+			}
+		}
+		return node.tail(query.sessionName(), query.conversation, payload.Cursor, turn), nil
+	}))
+}
+
+// History reads committed events.
+func (service workService) History(ctx context.Context, payload *work.HistoryPayload) (*work.Transcript, error) {
+	answer, err := service.pass(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(node *Node, ctx context.Context, query *request) (any, error) {
+		return node.readAfter(ctx, query, payload.After, payload.Limit)
+	}))
+	if err != nil {
+		return nil, err
+	}
+	reply := answer.(*wire.ReadReply)
+	transcript := &work.Transcript{Conversation: payload.Conversation, Program: reply.Session.Program, Head: reply.Session.Head, Events: []*work.Record{}}
+	for _, event := range reply.Events {
+		transcript.Events = append(transcript.Events, toRecord(event))
+	}
+	return transcript, nil
+}
+
+func toRecord(event line.Event) *work.Record {
+	record := &work.Record{Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind]}
+	for target, value := range map[**string]string{&record.Words: event.Text, &record.Outcome: event.Outcome, &record.Name: event.Name} {
+		if value != "" {
+			*target = &value
+		}
+	}
+	for target, value := range map[**uint64]uint64{&record.Turn: event.Turn, &record.Follows: event.Follows} {
+		if value != 0 {
+			*target = &value
+		}
+	}
+	return record
+}
+
+// readAfter reads a page of a line; a cursor beyond its end is refused.
+func (node *Node) readAfter(ctx context.Context, request *request, after, limit uint64) (*wire.ReadReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: request.sessionName(), After: after, Limit: limit})
+	if err != nil {
+		return nil, err
+	}
+	if after > reply.Session.Head {
+		return nil, apierror.New(apierror.Invalid, "the cursor is beyond the last event "+strconv.FormatUint(reply.Session.Head, 10), "read from a seq that was given out")
+	}
+	return reply, nil
+}
+
+// QuotaUsage tells what a program has spent.
+func (service workService) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
+	answer, err := service.pass(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(node *Node, ctx context.Context, query *request) (any, error) {
+		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+		defer cancel()
+		reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: query.quotaName(), QuotaUsage: true})
+		if err != nil {
+			return nil, err
+		}
+		return &work.TallyResult{Program: query.program, Allowance: query.programConfig.Quota, Spent: reply.Spent, Reserved: reply.Reserved}, nil
+	}))
+	if err != nil {
+		return nil, err
+	}
+	return answer.(*work.TallyResult), nil
+}
+
+// readParent reads the parent's line; the turn that starts the helper must be in it.
+func readParent(node *Node, ctx context.Context, request *request) (any, error) {
+	parent := *request
+	parent.conversation = request.parent
+	if answer, err := readSession(node, ctx, &parent); answer != nil || err != nil {
+		return answer, err
+	}
+	if request.idempotencyKey == "" {
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each helper a key of its own")
+	}
+	return nil, checkFollowed(&parent)
+}
+
+// recordHelper names the helper in its parent's line, then starts it. A repeat
+// finds both.
+func recordHelper(node *Node, ctx context.Context, request *request) (any, error) {
+	helper := *request
+	helper.follows, helper.cleanups = 0, nil
+	if _, err := nameSession(node, ctx, &helper); err != nil {
+		return nil, err
+	}
+	committing, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	outcomes, err := node.stores.Command(committing, request.team+"/"+request.parent, line.Command{
+		Kind: line.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: 1,
+		Events: []line.Event{{Kind: line.HelperStarted, Follows: request.follows, Name: helper.conversation}},
+	})
+	if err != nil {
+		return nil, asNotRun(err)
+	}
+	if outcomes[0].Status != line.Done {
+		return nil, apierror.NewRetryable(apierror.NotRun, "the parent's line refused the helper", "ask again", time.Second)
+	}
+	answer, err := node.runChain(ctx, &helper, turnChain)
+	request.provenNotRun = helper.provenNotRun
+	return answer, err
+}
--- a/system/httpface/httpface.go
+++ b/system/httpface/httpapi.go
@@ -20,8 +20,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// statuses maps kinds of failure to HTTP statuses.
-var statuses = map[apierror.Kind]int{
+// statusOfKind maps kinds of failure to HTTP statuses.
+var statusOfKind = map[apierror.Kind]int{
 	apierror.Invalid: http.StatusBadRequest, apierror.Unauthorized: http.StatusUnauthorized, apierror.Forbidden: http.StatusForbidden,
 	apierror.NotFound: http.StatusNotFound, apierror.Conflict: http.StatusConflict, apierror.TooLarge: http.StatusRequestEntityTooLarge,
 	apierror.QuotaExhausted: http.StatusForbidden, apierror.NotRun: http.StatusServiceUnavailable, apierror.NoQuorum: http.StatusServiceUnavailable,
@@ -35,20 +35,20 @@
 	Message    string `json:"message"`
 	Remedy     string `json:"remedy"`
 	RetryAfter int64  `json:"retry_after_ms,omitempty"`
-	status     int
+	statusCode int
 }
 
 // StatusCode is the HTTP status of the failure.
 //
 //	status := failure.StatusCode()
-func (failure *Error) StatusCode() int { return failure.status }
+func (body *Error) StatusCode() int { return body.statusCode }
 
 type writerKey struct{}
 
-// Format turns an error into a failure body; goa calls it.
+// FormatError turns an error into a failure body; goa calls it.
 //
-//	server := workserver.New(endpoints, mux, decoder, encoder, nil, httpface.Format, nil)
-func Format(ctx context.Context, err error) goahttp.Statuser {
+//	server := workserver.New(endpoints, mux, decoder, encoder, nil, httpface.FormatError, nil)
+func FormatError(ctx context.Context, err error) goahttp.Statuser {
 	failed := apierror.Of(err)
 	var service *goa.ServiceError
 	if errors.As(err, &service) {
@@ -57,29 +57,29 @@
 			failed = &apierror.Error{Kind: apierror.TooLarge, Message: "the body is larger than the config allows", Remedy: "send less in one query"}
 		}
 	}
-	status, known := statuses[failed.Kind]
+	status, known := statusOfKind[failed.Kind]
 	if !known {
 		status = http.StatusInternalServerError
 	}
 	if writer, found := ctx.Value(writerKey{}).(http.ResponseWriter); found && failed.RetryAfter > 0 {
 		writer.Header().Set("Retry-After", strconv.Itoa(int((failed.RetryAfter+time.Second-1)/time.Second)))
 	}
-	return &Error{Kind: string(failed.Kind), Message: failed.Message, Remedy: failed.Remedy, RetryAfter: failed.RetryAfter.Milliseconds(), status: status}
+	return &Error{Kind: string(failed.Kind), Message: failed.Message, Remedy: failed.Remedy, RetryAfter: failed.RetryAfter.Milliseconds(), statusCode: status}
 }
 
-// ContentType names the type of an answer whose body the method writes itself.
+// SetContentType names the type of an answer whose body the method writes itself.
 //
-//	httpface.ContentType(ctx, "application/x-ndjson")
-func ContentType(ctx context.Context, kind string) {
+//	httpface.SetContentType(ctx, "application/x-ndjson")
+func SetContentType(ctx context.Context, kind string) {
 	if writer, found := ctx.Value(writerKey{}).(http.ResponseWriter); found {
 		writer.Header().Set("Content-Type", kind)
 	}
 }
 
-// Token reads the token of a bearer header.
+// BearerToken reads the token of a bearer header.
 //
-//	token, err := httpface.Token(payload.Authorization)
-func Token(header *string) (string, error) {
+//	token, err := httpface.BearerToken(payload.Authorization)
+func BearerToken(header *string) (string, error) {
 	if header != nil {
 		if token, found := strings.CutPrefix(*header, "Bearer "); found && token != "" {
 			return token, nil
@@ -99,10 +99,10 @@
 //	server := httpface.Serve(listener, mux, func() int64 { return 1 << 20 })
 func Serve(listener net.Listener, handler http.Handler, limit func() int64) *Server {
 	server := &Server{done: make(chan struct{})}
-	server.http = &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, Handler: http.HandlerFunc(func(writer http.ResponseWriter, query *http.Request) {
-		query.Body = http.MaxBytesReader(writer, query.Body, limit())
-		ctx := context.WithValue(query.Context(), writerKey{}, writer)
-		handler.ServeHTTP(writer, query.WithContext(ctx))
+	server.http = &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		request.Body = http.MaxBytesReader(writer, request.Body, limit())
+		ctx := context.WithValue(request.Context(), writerKey{}, writer)
+		handler.ServeHTTP(writer, request.WithContext(ctx))
 	})}
 	go func() {
 		defer close(server.done)
@@ -126,18 +126,18 @@
 	<-server.done
 }
 
-// Health answers the platform's questions about one process.
-type Health struct{ IsReady func() bool }
+// HealthService answers the platform's questions about one process.
+type HealthService struct{ IsReady func() bool }
 
 // Alive answers as long as the process does.
 //
 //	state, err := Health{}.Alive(ctx)
-func (Health) Alive(context.Context) (string, error) { return "alive", nil }
+func (HealthService) Alive(context.Context) (string, error) { return "alive", nil }
 
 // Ready refuses while the process cannot take work.
 //
 //	state, err := health.Ready(ctx)
-func (health Health) Ready(context.Context) (string, error) {
+func (health HealthService) Ready(context.Context) (string, error) {
 	if !health.IsReady() {
 		return "", apierror.NewRetryable(apierror.Unavailable, "this process cannot take work now", "wait; its log tells what is missing", time.Second)
 	}
@@ -157,12 +157,12 @@
 //
 //	httpface.MountHealth(mux, node.Ready)
 func MountHealth(mux goahttp.Muxer, isReady func() bool) {
-	healthserver.Mount(mux, healthserver.New(health.NewEndpoints(Health{IsReady: isReady}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, Format))
+	healthserver.Mount(mux, healthserver.New(health.NewEndpoints(HealthService{IsReady: isReady}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, FormatError))
 }
 
 // Error lets clients treat a failure body as an error.
 //
 //	return failure.Error()
-func (failure *Error) Error() string {
-	return failure.Message + " [" + failure.Kind + "; remedy: " + failure.Remedy + "]"
+func (body *Error) Error() string {
+	return body.Message + " [" + body.Kind + "; remedy: " + body.Remedy + "]"
 }
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -65,7 +65,7 @@
 	startedFeedClient atomic.Pointer[follower.Client]
 	stateMachines     sync.Map // group number to *groupStateMachine
 	clockAnchors      sync.Map // group number to clockAnchor
-	storeClient       *storeorigin.Origin
+	storeClient       *storeorigin.Client
 	prefixDetector    openings.Detector
 	// archiveGuards holds an *archiveGuard by group number, behind a replicaKey for each
 	// replica of a group led here that may lack archived ranges.
--- a/system/storeorigin/turns.go
+++ b/system/storeorigin/turns.go
@@ -13,29 +13,29 @@
 // Turn is a turn of a program that is about to begin.
 type Turn struct {
 	// Session is the program's, Name the query's; a name is used once.
-	Line string
-	Name string
+	SessionName string
+	Name        string
 	// Follows names the turn to go on from; "" starts.
 	Follows string
 	// Input is what the turn brings. With Keeps it is kept for the turns that follow.
-	Input []byte
-	Keeps bool
-	// Scope is whose opening the input may share; "" shares none.
-	Scope string
-	// Keep is how long the turn is kept from the end of its answer.
-	Keep time.Duration
+	Input       []byte
+	KeepHistory bool
+	// PrefixScope is whose opening the input may share; "" shares none.
+	PrefixScope string
+	// Retention is how long the turn is kept from the end of its answer.
+	Retention time.Duration
 	// HasQuota turns put out Most tokens at most, of the program's Allowance.
-	Budgeted  bool
-	Most      uint64
-	Allowance uint64
-	// Dispatch names the one attempt that may run the turn.
-	Dispatch string
+	HasTokenQuota   bool
+	MaxOutputTokens uint64
+	TokenQuota      uint64
+	// DispatchID names the one attempt that may run the turn.
+	DispatchID string
 	// Lifetime is how long the turn may be open.
-	Life time.Duration
+	Lifetime time.Duration
 }
 
-// Begun is a turn that was begun.
-type Begun struct {
+// BegunTurn is a turn that was begun.
+type BegunTurn struct {
 	Seq uint64
 	// History is, for a turn that is kept, each turn of the chain that it follows, oldest
 	// first: its input, then its output.
@@ -45,22 +45,22 @@
 // TurnEnd is how a turn ended. Output is the data of its events, each with a line feed
 // after it; Tokens are those that were put out to the caller.
 type TurnEnd struct {
-	Line    string
-	Name    string
-	Seq     uint64
-	Output  []byte
-	Tokens  uint64
-	Outcome string
-	Kept    bool
+	SessionName string
+	Name        string
+	Seq         uint64
+	Output      []byte
+	Tokens      uint64
+	Outcome     string
+	KeepHistory bool
 }
 
 const (
-	// leastKept is how long a program's line is kept at least, so that its tally is not
+	// minSessionRetention is how long a program's line is kept at least, so that its tally is not
 	// forgotten while the program still runs.
-	leastKept    = 10 * time.Minute
-	openPause    = 200 * time.Millisecond
-	laterPause   = 500 * time.Millisecond
-	fenceTimeout = 5 * time.Second
+	minSessionRetention = 10 * time.Minute
+	shortRetryAfter     = 200 * time.Millisecond
+	retryAfter          = 500 * time.Millisecond
+	fenceTimeout        = 5 * time.Second
 )
 
 // BeginTurn reserves what a turn may put out and records its beginning, in one commit.
@@ -70,33 +70,33 @@
 // the turn.
 //
 //	begun, err := origin.BeginTurn(ctx, storeorigin.Turn{Line: "program/3fa81c", Name: "9c41d07b", Input: body, Keeps: true, Keep: time.Minute, Dispatch: "front-1/7", Life: time.Minute})
-func (origin *Origin) BeginTurn(ctx context.Context, turn Turn) (*Begun, error) {
-	command := line.Command{Kind: line.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.Dispatch, KeepData: turn.Keeps,
-		Retention: max(turn.Keep, leastKept), HasQuota: turn.Budgeted, Tokens: turn.Most, Quota: turn.Allowance, Lifetime: turn.Life}
-	if turn.Keeps {
-		command.Scope = turn.Scope
+func (client *Client) BeginTurn(ctx context.Context, turn Turn) (*BegunTurn, error) {
+	command := line.Command{Kind: line.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory,
+		Retention: max(turn.Retention, minSessionRetention), HasQuota: turn.HasTokenQuota, Tokens: turn.MaxOutputTokens, Quota: turn.TokenQuota, Lifetime: turn.Lifetime}
+	if turn.KeepHistory {
+		command.Scope = turn.PrefixScope
 		command.Data = turn.Input
 	}
 	for {
-		told, history, err := origin.commit(ctx, turn.Line, command)
+		outcome, history, err := client.commitTurnCommand(ctx, turn.SessionName, command)
 		if apierror.Is(err, apierror.OutcomeUnknown) {
-			go origin.fence(turn)
+			go client.fenceTurn(turn)
 		}
 		if err != nil {
-			return nil, apierror.NewRetryable(apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", laterPause)
+			return nil, apierror.NewRetryable(apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", retryAfter)
 		}
-		switch told.Status {
+		switch outcome.Status {
 		case line.Done:
-			return &Begun{Seq: told.Seq, History: history}, nil
+			return &BegunTurn{Seq: outcome.Seq, History: history}, nil
 		case line.UnknownTurn:
 			if len(command.Adopted) > 0 {
-				return nil, apierror.NewRetryable(apierror.NotRun, "the turn to go on from could not be adopted", "ask again", laterPause)
+				return nil, apierror.NewRetryable(apierror.NotRun, "the turn to go on from could not be adopted", "ask again", retryAfter)
 			}
-			if command.Adopted, err = origin.find(ctx, turn.Follows); err != nil {
+			if command.Adopted, err = client.findTurn(ctx, turn.Follows); err != nil {
 				return nil, err
 			}
 		default:
-			return nil, beginErrors[told.Status]()
+			return nil, beginErrors[outcome.Status]()
 		}
 	}
 }
@@ -105,25 +105,25 @@
 	line.QuotaExceeded: func() error {
 		return apierror.New(apierror.QuotaExhausted, "the program's allowance does not bear one more turn", "raise the allowance, or end the program")
 	},
-	line.TurnIncomplete: func() error { return unknownTurn() },
+	line.TurnIncomplete: func() error { return unknownTurnError() },
 	line.TurnOpen: func() error {
-		return apierror.NewRetryable(apierror.NotRun, "the turn to go on from has not ended", "ask again", openPause)
+		return apierror.NewRetryable(apierror.NotRun, "the turn to go on from has not ended", "ask again", shortRetryAfter)
 	},
 	line.TurnTaken: func() error {
 		return apierror.New(apierror.Conflict, "another dispatch began the turn", "give each query a name of its own")
 	},
 	line.TurnClosed: func() error {
-		return apierror.NewRetryable(apierror.NotRun, "the turn was given up before it began", "ask again under another name", openPause)
+		return apierror.NewRetryable(apierror.NotRun, "the turn was given up before it began", "ask again under another name", shortRetryAfter)
 	},
 	line.UnexpectedSeq: func() error {
-		return apierror.NewRetryable(apierror.NotRun, "the line was changed meanwhile", "ask again", openPause)
+		return apierror.NewRetryable(apierror.NotRun, "the line was changed meanwhile", "ask again", shortRetryAfter)
 	},
 	line.BadCommand: func() error {
 		return apierror.New(apierror.Invalid, "a turn needs a name, and can't follow itself", "name the turn")
 	},
 }
 
-func unknownTurn() error {
+func unknownTurnError() error {
 	return apierror.New(apierror.NotFound, "no turn of that name was answered whole", "check the name; a turn is forgotten when its keeping time is over")
 }
 
@@ -132,19 +132,19 @@
 // the answer must not look complete.
 //
 //	err := origin.EndTurn(ctx, storeorigin.TurnEnd{Line: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: line.OutcomeComplete, Kept: true})
-func (origin *Origin) EndTurn(ctx context.Context, end TurnEnd) error {
-	command := line.Command{Kind: line.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.Kept, Retention: leastKept}
-	if end.Kept && end.Outcome == line.OutcomeComplete {
+func (client *Client) EndTurn(ctx context.Context, end TurnEnd) error {
+	command := line.Command{Kind: line.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention}
+	if end.KeepHistory && end.Outcome == line.OutcomeComplete {
 		command.Data = end.Output
 	}
-	told, _, err := origin.commit(ctx, end.Line, command)
+	outcome, _, err := client.commitTurnCommand(ctx, end.SessionName, command)
 	if err != nil {
 		return err
 	}
-	if told.Status == line.Done {
+	if outcome.Status == line.Done {
 		return nil
 	}
-	if failed, known := endErrors[told.Status]; known {
+	if failed, known := endErrors[outcome.Status]; known {
 		return failed()
 	}
 	return apierror.New(apierror.Invalid, "a turn's end needs a name and an outcome", "name both")
@@ -159,17 +159,17 @@
 	},
 }
 
-// fence ends a turn of which it is not known whether it began, so that it is not left
+// fenceTurn ends a turn of which it is not known whether it began, so that it is not left
 // open and what it reserved does not count.
-func (origin *Origin) fence(turn Turn) {
+func (client *Client) fenceTurn(turn Turn) {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
-	_ = origin.EndTurn(ctx, TurnEnd{Line: turn.Line, Name: turn.Name, Outcome: line.OutcomeNotRun}) // else it counts at its most
+	_ = client.EndTurn(ctx, TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Outcome: line.OutcomeNotRun}) // else it counts at its most
 }
 
-func (origin *Origin) commit(ctx context.Context, name string, command line.Command) (line.Outcome, []byte, error) {
+func (client *Client) commitTurnCommand(ctx context.Context, name string, command line.Command) (line.Outcome, []byte, error) {
 	command.Session = name
-	reply, arrived, err := origin.ask(ctx, name, callTimeout, func(group uint32) *wire.Query {
+	reply, arrived, err := client.call(ctx, name, callTimeout, func(group uint32) *wire.Query {
 		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: []line.Command{command}}}
 	})
 	if err != nil && arrived {
@@ -184,34 +184,34 @@
 	return reply.Outcomes.Outcomes[0], reply.Outcomes.History, nil
 }
 
-// find looks for a turn in all groups. NotFound is proven: the leader of every group,
+// findTurn looks for a turn in all groups. NotFound is proven: the leader of every group,
 // confirmed by a quorum, knows no such turn.
-func (origin *Origin) find(ctx context.Context, name string) ([]line.AdoptedTurn, error) {
+func (client *Client) findTurn(ctx context.Context, name string) ([]line.AdoptedTurn, error) {
 	covered := map[uint32]bool{}
-	for timeout := silenceTimeout; ; timeout = min(2*timeout, callTimeout) {
-		chain, err := origin.findOnce(ctx, name, timeout, covered)
+	for timeout := hedgeDelay; ; timeout = min(2*timeout, callTimeout) {
+		chain, err := client.findTurnOnce(ctx, name, timeout, covered)
 		if chain != nil || err != nil {
 			return chain, err
 		}
 		select {
-		case <-time.After(longestPause):
+		case <-time.After(maxBackoff):
 		case <-ctx.Done():
-			return nil, apierror.NewRetryable(apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", laterPause)
+			return nil, apierror.NewRetryable(apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", retryAfter)
 		}
 	}
 }
 
-// findOnce asks every store for the groups that it leads. It waits for no more answers
+// findTurnOnce asks every store for the groups that it leads. It waits for no more answers
 // once the turn is found, or every group is covered. Neither a chain nor a failure
 // tells that groups are left.
-func (origin *Origin) findOnce(ctx context.Context, name string, timeout time.Duration, covered map[uint32]bool) ([]line.AdoptedTurn, error) {
+func (client *Client) findTurnOnce(ctx context.Context, name string, timeout time.Duration, covered map[uint32]bool) ([]line.AdoptedTurn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	view := origin.view()
+	view := client.view()
 	replies := make(chan *wire.FindTurnReply, len(view.Stores))
 	for _, member := range view.Stores {
 		go func() {
-			reply, err := origin.caller.Call(ctx, member.Address, &wire.Query{Fleet: view.Fleet, Which: schema.Query_Which_find, FindTurn: &wire.FindTurnQuery{Name: name}})
+			reply, err := client.caller.Call(ctx, member.Address, &wire.Query{Fleet: view.Fleet, Which: schema.Query_Which_find, FindTurn: &wire.FindTurnQuery{Name: name}})
 			if err != nil || reply.FoundTurn == nil {
 				reply = &wire.Reply{FoundTurn: &wire.FindTurnReply{}}
 			}
@@ -230,7 +230,7 @@
 			covered[group] = true
 		}
 		if view.Groups > 0 && len(covered) >= int(view.Groups) {
-			return nil, unknownTurn()
+			return nil, unknownTurnError()
 		}
 	}
 	return nil, nil
