--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -220,7 +220,7 @@
 		query.Deadline = time.Now().Add(4 * time.Second)
 	}
 	query.Host, query.Target, query.ReceivedAt = RoutedHost, query.Path, time.Now()
-	query.Header = http.Header{standin.Dialect.Query: {query.Name}}
+	query.Header = http.Header{standin.Dialect.RequestID: {query.Name}}
 	answer := &Forwarded{}
 	ctx, cancel := context.WithDeadline(context.Background(), query.Deadline)
 	defer cancel()
--- a/proof/simulator/hunt_test.go
+++ b/proof/simulator/hunt_test.go
@@ -202,7 +202,7 @@
 	if query.Method == "" {
 		query.Method = http.MethodPost
 	}
-	query.Header = http.Header{standin.Dialect.Query: {query.Name}, "X-Other": {"goes along"}}
+	query.Header = http.Header{standin.Dialect.RequestID: {query.Name}, "X-Other": {"goes along"}}
 	asked := &askedQuery{query: query, at: time.Now(), front: life, chain: chain, left: leaves > 0}
 	hunt.asked[query.Name] = asked
 	hunt.mutex.Unlock()
--- a/proof/simulator/network.go
+++ b/proof/simulator/network.go
@@ -402,8 +402,8 @@
 	return count, 0, changed, incoming.grown, nil
 }
 
-// Quiet tells that nothing has arrived and the other side has closed nothing.
-func (end *end) Quiet() bool {
+// Idle tells that nothing has arrived and the other side has closed nothing.
+func (end *end) Idle() bool {
 	var none [1]byte
 	count, _, _, _, err := end.take(none[:])
 	return count == 0 && err == nil
--- a/proof/standin/engine.go
+++ b/proof/standin/engine.go
@@ -14,10 +14,10 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// Dialect is how stand-in engines name their headers.
-var Dialect = runnerpool.Dialect{
-	Query: "Query-Name", NotRun: "Not-Run", Expected: "Expected-Runner", TimeLeft: "Time-Left", Load: "Runner-Load",
-	Urgency: "Urgency", Resume: "Last-Event-ID", Runner: "Runner", ColdFor: "Cold-For",
+// HeaderNames is how stand-in engines name their headers.
+var Dialect = runnerpool.HeaderNames{
+	RequestID: "Query-Name", NotRun: "Not-Run", ExpectedRunner: "Expected-Runner", Timeout: "Time-Left", Load: "Runner-Load",
+	Urgency: "Urgency", LastEventID: "Last-Event-ID", RunnerID: "Runner", WarmUpLeft: "Cold-For",
 }
 
 // Fault is what goes wrong with one query at an engine.
@@ -137,7 +137,7 @@
 	case <-time.After(engine.Pace.Plain):
 	case <-query.Context().Done():
 		engine.mutex.Lock()
-		engine.broken = append(engine.broken, query.Header.Get(Dialect.Query))
+		engine.broken = append(engine.broken, query.Header.Get(Dialect.RequestID))
 		engine.mutex.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -168,7 +168,7 @@
 func (engine *Engine) run(query *http.Request, body string, fault Fault) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.ran = append(engine.ran, Ran{Query: query.Header.Get(Dialect.Query), Method: query.Method, Target: query.URL.RequestURI(), Body: body, At: time.Now(), Header: query.Header.Clone(), Fault: fault})
+	engine.ran = append(engine.ran, Ran{Query: query.Header.Get(Dialect.RequestID), Method: query.Method, Target: query.URL.RequestURI(), Body: body, At: time.Now(), Header: query.Header.Clone(), Fault: fault})
 }
 
 // EventData is what an engine puts into one event of a stream. It depends on the whole
@@ -184,7 +184,7 @@
 // plainly on all others.
 func (engine *Engine) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
 	header := writer.Header()
-	header.Set(Dialect.Runner, engine.Life)
+	header.Set(Dialect.RunnerID, engine.Life)
 	if query.URL.Path == "/health" {
 		return
 	}
@@ -192,9 +192,9 @@
 	if err != nil {
 		return
 	}
-	name := query.Header.Get(Dialect.Query)
-	header.Set(Dialect.Query, name)
-	if expected := query.Header.Get(Dialect.Expected); expected != "" && expected != engine.Life {
+	name := query.Header.Get(Dialect.RequestID)
+	header.Set(Dialect.RequestID, name)
+	if expected := query.Header.Get(Dialect.ExpectedRunner); expected != "" && expected != engine.Life {
 		engine.mutex.Lock()
 		engine.turned++
 		engine.mutex.Unlock()
@@ -211,7 +211,7 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Foreign:
-		header.Set(Dialect.Query, "another")
+		header.Set(Dialect.RequestID, "another")
 	}
 	engine.run(query, string(body), fault)
 	header.Set("Seal", engine.Life+"/"+name)
@@ -247,7 +247,7 @@
 		io.WriteString(connection, "\x16\x03\x01 this is no answer\r\n\r\n")
 		return
 	}
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.Query, name, engine.Life, name, len("done "+name), name)
+	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, name, engine.Life, name, len("done "+name), name)
 	io.WriteString(connection, whole)
 	// The extra one comes with the next query, if any comes before the connection is idle
 	// for long.
@@ -258,7 +258,7 @@
 }
 
 func (engine *Engine) stream(writer http.ResponseWriter, query *http.Request, prompt string, fault Fault) {
-	first, _ := strconv.Atoi(query.Header.Get(Dialect.Resume))
+	first, _ := strconv.Atoi(query.Header.Get(Dialect.LastEventID))
 	breaks := fault == Breaks || fault == Repeats && first == 0
 	if fault == Repeats {
 		first = 0
--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -16,100 +16,100 @@
 )
 
 const (
-	// connectionShare is the part of a runner's connections that the fronts share out.
-	connectionShare  = 0.8
-	connectionsLeast = 2
-	slotsAssumed     = 8
-	// stateKept is how long what was learned of a runner that left the list is kept.
-	stateKept = 30 * time.Second
+	// sharedConnectionFraction is the part of a runner's connections that the fronts share out.
+	sharedConnectionFraction = 0.8
+	minConnections           = 2
+	defaultSlots             = 8
+	// runnerStateRetention is how long what was learned of a runner that left the list is kept.
+	runnerStateRetention = 30 * time.Second
 )
 
 // Balancer chooses runners for the queries of one front. All methods may be called
 // from many goroutines.
 type Balancer struct {
-	domain  string
-	now     func() time.Time
-	started time.Time
-	table   atomic.Pointer[table]
+	domain   string
+	now      func() time.Time
+	started  time.Time
+	topology atomic.Pointer[topology]
 
-	mutex   sync.Mutex
-	random  *rand.Rand
-	seed    uint64
-	runners map[string]*runnerState
-	groups  map[string]*groupState
-	wheels  map[string]map[string]float64 // by route, then by service
-	domains map[string]feed.Domain        // as last seen
-	fronts  frontSet
-	// listRead tells when the runner list was read last; nil: it is always current.
-	listRead func() time.Time
-	parts    memory[*keptPart]
-	places   memory[*runnerState] // where a line of turns went last
-	waiting  []*waiter
-	epoch    uint64 // of the marks in runnerState
+	mutex      sync.Mutex
+	random     *rand.Rand
+	seed       uint64
+	runners    map[string]*runnerState
+	services   map[string]*serviceStats
+	roundRobin map[string]map[string]float64 // by route, then by service
+	domains    map[string]feed.Domain        // as last seen
+	fronts     frontSet
+	// listReadTime tells when the runner list was read last; nil: it is always current.
+	listReadTime  func() time.Time
+	cachedParts   generationalCache[*cachedPart]
+	lastRunner    generationalCache[*runnerState] // where a line of turns went last
+	queue         []*waiter
+	affinityEpoch uint64 // of the marks in runnerState
 }
 
-// table is what Update made of a State; it is never changed afterwards.
-type table struct {
-	groups map[string]*group
-	routes map[string]*config.Route
-	usable map[*runnerState]bool
-	fronts int
+// topology is what Update made of a State; it is never changed afterwards.
+type topology struct {
+	services   map[string]*servicePool
+	routes     map[string]*config.Route
+	usable     map[*runnerState]bool
+	frontCount int
 }
 
 // group is a service with its usable runners.
-type group struct {
-	service    *config.Service
-	state      *groupState
-	candidates []candidate
-	slots      int
-	domains    int  // in which they are
-	near       int  // how many are in this front's domain
-	nearby     bool // whether the nearby runners are enough to be agreed on alone
+type servicePool struct {
+	service     *config.Service
+	stats       *serviceStats
+	candidates  []candidate
+	slots       int
+	domainCount int  // in which they are
+	localCount  int  // how many are in this front's domain
+	preferLocal bool // whether the nearby runners are enough to be agreed on alone
 }
 
 // candidate is one usable runner.
 type candidate struct {
-	runner      feed.Runner
-	state       *runnerState
-	slots       int
-	connections int
-	near        bool
+	runner         feed.Runner
+	state          *runnerState
+	slots          int
+	maxConnections int
+	local          bool
 }
 
-// groupState is what was learned of a service as a whole.
-type groupState struct {
-	known    bool // it has had runners
-	out      int
-	load     smoothed   // of out
-	reading  regression // milliseconds to the first event by tokens to read
-	duration average    // milliseconds
-	routes   map[string]*average
-	arrivals counter // queries
-	tokens   counter // new tokens of prompts
+// serviceStats is what was learned of a service as a whole.
+type serviceStats struct {
+	hadRunners     bool // it has had runners
+	inFlight       int
+	meanInFlight   timeWeightedMean // of out
+	prefill        regression       // milliseconds to the first event by tokens to read
+	duration       average          // milliseconds
+	routeDurations map[string]*average
+	arrivals       rateCounter // queries
+	prefillTokens  rateCounter // new tokens of prompts
 }
 
 // runnerState is what this front knows of one life of a runner.
 type runnerState struct {
-	hash         uint64
-	seen         time.Duration // when it was last on the list
-	listed       bool
-	out          int
-	load         smoothed // of out
-	open         connections
-	unread       float64 // tokens of prompts whose first event has not come
-	arrivals     counter
-	cold         coldness
-	health       health
-	slowness     decaying // milliseconds over what is usual; of plain work, in parts of it
-	reported     runnerpool.Load
-	reportedAt   time.Duration
-	reportedOut  int
-	reportedEver bool
-	misdirected  bool
+	hash             uint64
+	lastListed       time.Duration // when it was last on the list
+	listed           bool
+	inFlight         int
+	meanInFlight     timeWeightedMean // of out
+	openConnections  connectionEstimate
+	pendingPrefill   float64 // tokens of prompts whose first event has not come
+	arrivals         rateCounter
+	slowStart        slowStart
+	health           health
+	excessLatency    decayingMean // milliseconds over what is usual; of plain work, in parts of it
+	reportedLoad     runnerpool.Load
+	reportedAt       time.Duration
+	inFlightAtReport int
+	hasReport        bool
+	misdirected      bool
 
-	epoch uint64 // of depth and kept
-	depth int
-	kept  int
+	affinityEpoch uint64 // of depth and kept
+	cachedDepth   int
+	cachedTokens  int
 }
 
 // New makes a balancer for a front in a domain. The random seed should differ between
@@ -123,127 +123,127 @@
 	balancer := &Balancer{
 		domain: domain, now: now, started: now(), seed: seed,
 		random:  rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		runners: map[string]*runnerState{}, groups: map[string]*groupState{},
-		wheels: map[string]map[string]float64{}, domains: map[string]feed.Domain{},
+		runners: map[string]*runnerState{}, services: map[string]*serviceStats{},
+		roundRobin: map[string]map[string]float64{}, domains: map[string]feed.Domain{},
 	}
-	balancer.table.Store(&table{})
+	balancer.topology.Store(&topology{})
 	return balancer
 }
 
-// clock gives the time since the balancer was made.
-func (balancer *Balancer) clock() time.Duration { return balancer.now().Sub(balancer.started) }
+// elapsed gives the time since the balancer was made.
+func (balancer *Balancer) elapsed() time.Duration { return balancer.now().Sub(balancer.started) }
 
 // Update replaces what the choices rest on: to be called on every newer view or
 // routing and whenever the live fronts change.
 //
 //	choices.Update(balancer.State{View: view, Routes: routes, Fronts: 6})
 func (balancer *Balancer) Update(state State) {
-	if state.View == nil || state.Routes == nil {
+	if state.View == nil || state.Routing == nil {
 		return
 	}
 	balancer.mutex.Lock()
 	defer balancer.mutex.Unlock()
-	now := balancer.clock()
-	balancer.fronts.note(state, now)
-	refilled := balancer.refilled(state.View)
-	next := &table{groups: map[string]*group{}, routes: map[string]*config.Route{}, usable: map[*runnerState]bool{}, fronts: max(1, state.Fronts)}
-	for at := range state.Routes.Routes {
-		route := &state.Routes.Routes[at]
+	now := balancer.elapsed()
+	balancer.fronts.update(state, now)
+	restored := balancer.restoredDomains(state.View)
+	next := &topology{services: map[string]*servicePool{}, routes: map[string]*config.Route{}, usable: map[*runnerState]bool{}, frontCount: max(1, state.FrontCount)}
+	for at := range state.Routing.Routes {
+		route := &state.Routing.Routes[at]
 		next.routes[route.Name] = route
 	}
-	for at := range state.Routes.Services {
-		service := &state.Routes.Services[at]
-		learned, known := balancer.groups[service.Name]
+	for at := range state.Routing.Services {
+		service := &state.Routing.Services[at]
+		stats, known := balancer.services[service.Name]
 		if !known {
-			learned = &groupState{routes: map[string]*average{}}
-			balancer.groups[service.Name] = learned
+			stats = &serviceStats{routeDurations: map[string]*average{}}
+			balancer.services[service.Name] = stats
 		}
-		next.groups[service.Name] = &group{service: service, state: learned}
+		next.services[service.Name] = &servicePool{service: service, stats: stats}
 	}
 	for _, one := range balancer.runners {
 		one.listed = false
 	}
-	balancer.enlist(state, next, refilled, now)
+	balancer.addRunners(state, next, restored, now)
 	for key, one := range balancer.runners {
-		if !one.listed && one.out == 0 && now-one.seen > stateKept {
+		if !one.listed && one.inFlight == 0 && now-one.lastListed > runnerStateRetention {
 			delete(balancer.runners, key)
 		}
 	}
-	for name := range balancer.wheels {
+	for name := range balancer.roundRobin {
 		if next.routes[name] == nil {
-			delete(balancer.wheels, name)
+			delete(balancer.roundRobin, name)
 		}
 	}
-	for name := range balancer.groups {
-		if next.groups[name] == nil {
-			delete(balancer.groups, name)
+	for name := range balancer.services {
+		if next.services[name] == nil {
+			delete(balancer.services, name)
 		}
 	}
-	balancer.table.Store(next)
-	balancer.serveWaiting(now)
+	balancer.topology.Store(next)
+	balancer.serveQueue(now)
 }
 
-// enlist puts the usable runners of a view into the groups of a table.
-func (balancer *Balancer) enlist(state State, next *table, refilled map[string]bool, now time.Duration) {
+// addRunners puts the usable runners of a view into the groups of a table.
+func (balancer *Balancer) addRunners(state State, next *topology, restored map[string]bool, now time.Duration) {
 	for _, runner := range state.View.Runners {
-		into := next.groups[runner.Group]
-		if into == nil {
+		pool := next.services[runner.Group]
+		if pool == nil {
 			continue
 		}
-		one, found := balancer.runners[keyOf(runner)]
+		one, found := balancer.runners[runnerKey(runner)]
 		if !found {
-			one = &runnerState{hash: hashOf(keyOf(runner))}
-			one.cold.share = balancer.fronts.shareOf(one.hash, into.service.WarmUpRate, balancer.seed, now)
-			balancer.runners[keyOf(runner)] = one
+			one = &runnerState{hash: hashOf(runnerKey(runner))}
+			one.slowStart.share = balancer.fronts.shareOf(one.hash, pool.service.WarmUpRate, balancer.seed, now)
+			balancer.runners[runnerKey(runner)] = one
 		}
-		fresh := !found && into.state.known || found && runner.Life == "" && one.seen != balancer.fronts.updated
-		one.cold.note(runner, into.service, fresh, refilled[runner.Domain], now)
-		one.cold.share.set(balancer.fronts.now.shareOf(one.hash, into.service.WarmUpRate, balancer.seed), now)
-		one.seen, one.listed = now, true
+		fresh := !found && pool.stats.hadRunners || found && runner.Life == "" && one.lastListed != balancer.fronts.lastUpdate
+		one.slowStart.observe(runner, pool.service, fresh, restored[runner.Domain], now)
+		one.slowStart.share.set(balancer.fronts.current.shareOf(one.hash, pool.service.WarmUpRate, balancer.seed), now)
+		one.lastListed, one.listed = now, true
 		if runner.State == feed.StateDraining || state.View.DomainDrained(runner.Domain) || one.misdirected {
 			continue
 		}
 		slots := int(runner.Slots)
-		if slots == 0 && into.service.Engine != nil {
-			slots = into.service.Engine.Slots
+		if slots == 0 && pool.service.Engine != nil {
+			slots = pool.service.Engine.Slots
 		}
 		if slots <= 0 {
-			slots = slotsAssumed
+			slots = defaultSlots
 		}
 		next.usable[one] = true
-		into.slots += slots
-		into.candidates = append(into.candidates, candidate{
-			runner: runner, state: one, slots: slots, near: runner.Domain == balancer.domain,
-			connections: connectionsOf(into.service, next.fronts),
+		pool.slots += slots
+		pool.candidates = append(pool.candidates, candidate{
+			runner: runner, state: one, slots: slots, local: runner.Domain == balancer.domain,
+			maxConnections: connectionLimit(pool.service, next.frontCount),
 		})
 	}
-	balancer.fronts.updated = now
+	balancer.fronts.lastUpdate = now
 	for _, runner := range state.View.Runners {
-		if into := next.groups[runner.Group]; into != nil {
-			into.state.known = true
+		if pool := next.services[runner.Group]; pool != nil {
+			pool.stats.hadRunners = true
 		}
 	}
-	for _, one := range next.groups {
+	for _, one := range next.services {
 		domains, near := map[string]bool{}, 0
 		for _, candidate := range one.candidates {
 			domains[candidate.runner.Domain] = true
-			if candidate.near {
+			if candidate.local {
 				near++
 			}
 		}
-		one.domains, one.near = len(domains), near
-		one.nearby = 2*near*len(domains) >= len(one.candidates) && near > 0
+		one.domainCount, one.localCount = len(domains), near
+		one.preferLocal = 2*near*len(domains) >= len(one.candidates) && near > 0
 	}
 }
 
-func connectionsOf(service *config.Service, fronts int) int {
+func connectionLimit(service *config.Service, fronts int) int {
 	if service.MaxConnections <= 0 {
 		return math.MaxInt32
 	}
-	return max(connectionsLeast, int(connectionShare*float64(service.MaxConnections)/float64(fronts)))
+	return max(minConnections, int(sharedConnectionFraction*float64(service.MaxConnections)/float64(fronts)))
 }
 
-func keyOf(runner feed.Runner) string {
+func runnerKey(runner feed.Runner) string {
 	if runner.Life != "" {
 		return runner.Life
 	}
@@ -252,116 +252,116 @@
 
 // refilled tells which domains take work again since the last view: their runners may
 // have become cold in the meantime.
-func (balancer *Balancer) refilled(view *feed.View) map[string]bool {
-	refilled := map[string]bool{}
+func (balancer *Balancer) restoredDomains(view *feed.View) map[string]bool {
+	restored := map[string]bool{}
 	for _, domain := range view.Domains {
 		before, known := balancer.domains[domain.Name]
 		changed := before.State == feed.StateDrained || known && before.Since != domain.Since || !known && domain.Since != 0
 		if domain.State != feed.StateDrained && changed {
-			refilled[domain.Name] = true
+			restored[domain.Name] = true
 		}
 		balancer.domains[domain.Name] = domain
 	}
-	return refilled
+	return restored
 }
 
 // Lease is the right to send one query to a runner. Release must be called once.
 type Lease struct {
 	Runner  feed.Runner
 	Service *config.Service
-	// Connections is how many connections this front may hold to the runner.
-	Connections int
+	// MaxConnections is how many connections this front may hold to the runner.
+	MaxConnections int
 
-	balancer  *Balancer
-	group     *groupState
-	state     *runnerState
-	need      Need
-	line      uint64
-	taken     time.Duration
-	toRead    float64 // tokens of the prompt that the runner had not kept, as was thought
-	first     bool
-	released  bool
-	fromCold  bool
-	trial     bool
-	partsKept bool
+	balancer         *Balancer
+	stats            *serviceStats
+	state            *runnerState
+	request          Request
+	affinityKey      uint64
+	acquiredAt       time.Duration
+	prefillTokens    float64 // tokens of the prompt that the runner had not kept, as was thought
+	firstEventSeen   bool
+	released         bool
+	slowStartLimited bool
+	recoveryProbe    bool
+	prefilled        bool
 }
 
 // Acquire chooses a runner for a query. While no runner can take it, it may wait a
 // little, by urgency and then by the time left. A refusal is NotRun and tells when to
 // come back.
 //
-//	lease, err := choices.Acquire(ctx, balancer.Need{Route: route, Deadline: deadline})
+//	lease, err := choices.Acquire(ctx, balancer.Request{Route: route, Deadline: deadline})
 //	if err != nil { return err }
 //	defer func() { lease.Release(ending, nil) }()
-func (balancer *Balancer) Acquire(ctx context.Context, need Need) (*Lease, error) {
+func (balancer *Balancer) Acquire(ctx context.Context, request Request) (*Lease, error) {
 	balancer.mutex.Lock()
-	now := balancer.clock()
-	chosen, found := balancer.pick(need.Route)
+	now := balancer.elapsed()
+	chosen, found := balancer.pickService(request.Route)
 	if !found {
 		balancer.mutex.Unlock()
-		return nil, refusal("no runner takes work of route "+need.Route.Name+" now", 500*time.Millisecond)
+		return nil, rejection("no runner takes work of route "+request.Route.Name+" now", 500*time.Millisecond)
 	}
-	var opens time.Duration
-	if !balancer.someoneBefore(chosen, need) {
+	var delay time.Duration
+	if !balancer.hasEarlierWaiter(chosen, request) {
 		var lease *Lease
-		if lease, opens = balancer.choose(chosen, &need, now); lease != nil {
+		if lease, delay = balancer.selectRunner(chosen, &request, now); lease != nil {
 			balancer.mutex.Unlock()
 			return lease, nil
 		}
 	}
-	timeout := max(timeoutOf(need, balancer.now()), balancer.awaitsList(need, now))
-	if opens > timeout || len(balancer.waiting) >= waitersMost {
-		balancer.unpick(need.Route, chosen.service.Name)
+	timeout := max(queueTimeout(request, balancer.now()), balancer.firstListWait(request, now))
+	if delay > timeout || len(balancer.queue) >= maxWaiters {
+		balancer.returnPick(request.Route, chosen.service.Name)
 		balancer.mutex.Unlock()
-		return nil, refusal("all runners of "+chosen.service.Name+" are busy", min(opens, retryAfterMost))
+		return nil, rejection("all runners of "+chosen.service.Name+" are busy", min(delay, maxRetryAfter))
 	}
-	one := balancer.enqueue(chosen, need, opens)
+	one := balancer.enqueue(chosen, request, delay)
 	balancer.mutex.Unlock()
-	return balancer.await(ctx, one, timeout, opens)
+	return balancer.await(ctx, one, timeout, delay)
 }
 
-func refusal(message string, after time.Duration) error {
+func rejection(message string, after time.Duration) error {
 	return apierror.NewRetryable(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(after, 50*time.Millisecond))
 }
 
-// grant makes the lease of a candidate.
-func (balancer *Balancer) grant(from *group, one *candidate, need *Need, now time.Duration) *Lease {
+// newLease makes the lease of a candidate.
+func (balancer *Balancer) newLease(pool *servicePool, one *candidate, request *Request, now time.Duration) *Lease {
 	state := one.state
-	kept := balancer.keptBy(state)
-	toRead := math.Max(0, tokensOf(need)-float64(kept))
+	cachedTokens := balancer.cachedTokens(state)
+	prefillTokens := math.Max(0, promptTokens(request)-float64(cachedTokens))
 	lease := &Lease{
-		Runner: one.runner, Service: from.service, Connections: one.connections,
-		balancer: balancer, group: from.state, state: state, need: *need, line: lineOf(need, from.service.Engine != nil), taken: now, toRead: toRead,
+		Runner: one.runner, Service: pool.service, MaxConnections: one.maxConnections,
+		balancer: balancer, stats: pool.stats, state: state, request: *request, affinityKey: affinityKeyOf(request, pool.service.Engine != nil), acquiredAt: now, prefillTokens: prefillTokens,
 	}
-	lease.fromCold = state.cold.take(balancer.listedUntil(), now)
-	lease.trial = state.health.take(now)
-	state.load.now(float64(state.out), now)
-	state.out++
-	state.open.note(state.out, now)
-	state.unread += toRead
-	from.state.load.now(float64(from.state.out), now)
-	from.state.out++
+	lease.slowStartLimited = state.slowStart.take(balancer.listFreshUntil(), now)
+	lease.recoveryProbe = state.health.startProbe(now)
+	state.meanInFlight.now(float64(state.inFlight), now)
+	state.inFlight++
+	state.openConnections.observe(state.inFlight, now)
+	state.pendingPrefill += prefillTokens
+	pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now)
+	pool.stats.inFlight++
 	state.arrivals.add(1, now)
-	from.state.arrivals.add(1, now)
-	from.state.tokens.add(toRead, now)
-	if lease.line != 0 {
-		balancer.places.put(lease.line, state)
+	pool.stats.arrivals.add(1, now)
+	pool.stats.prefillTokens.add(prefillTokens, now)
+	if lease.affinityKey != 0 {
+		balancer.lastRunner.put(lease.affinityKey, state)
 	}
 	return lease
 }
 
-// Stands tells, by the newest state, whether the query may still be sent: the runner
+// Valid tells, by the newest state, whether the query may still be sent: the runner
 // is listed, not leaving, its domain not emptied, and its service is still in the
 // shares of the route. It is to be asked right before the first byte is sent.
 //
-//	if !lease.Stands() { ... }
-func (lease *Lease) Stands() bool {
-	now := lease.balancer.table.Load()
-	if !now.usable[lease.state] {
+//	if !lease.Valid() { ... }
+func (lease *Lease) Valid() bool {
+	current := lease.balancer.topology.Load()
+	if !current.usable[lease.state] {
 		return false
 	}
-	asked, route := lease.need.Route, now.routes[lease.need.Route.Name]
-	if route == nil || route.Host != asked.Host || route.Prefix != asked.Prefix || now.groups[lease.Service.Name] == nil {
+	requested, route := lease.request.Route, current.routes[lease.request.Route.Name]
+	if route == nil || route.Host != requested.Host || route.Prefix != requested.Prefix || current.services[lease.Service.Name] == nil {
 		return false
 	}
 	return lease.Serves(route)
@@ -370,104 +370,104 @@
 // Serves tells whether the lease's service is in the shares of a route: to be asked when
 // another route than the one that the lease was acquired for is in force for the query.
 //
-//	if !lease.Stands() || !lease.Serves(route) { ... }
+//	if !lease.Valid() || !lease.Serves(route) { ... }
 func (lease *Lease) Serves(route *config.Route) bool {
 	return slices.ContainsFunc(route.Shares, func(share config.WeightedService) bool {
 		return share.Service == lease.Service.Name && share.Weight > 0
 	})
 }
 
-// First tells how long the first event of an answer took, from when the query was
+// FirstEvent tells how long the first event of an answer took, from when the query was
 // sent. Only the first call counts.
 //
-//	lease.First(time.Since(sent))
-func (lease *Lease) First(took time.Duration) {
+//	lease.FirstEvent(time.Since(sent))
+func (lease *Lease) FirstEvent(latency time.Duration) {
 	lease.balancer.mutex.Lock()
 	defer lease.balancer.mutex.Unlock()
-	if lease.first || lease.released {
+	if lease.firstEventSeen || lease.released {
 		return
 	}
-	lease.first = true
-	lease.read()
+	lease.firstEventSeen = true
+	lease.markPrefilled()
 	if lease.Service.Engine == nil {
 		return
 	}
-	now := lease.balancer.clock()
-	lease.learnFirst(milliseconds(took), now)
+	now := lease.balancer.elapsed()
+	lease.recordFirstEvent(milliseconds(latency), now)
 }
 
-// read notes that the runner has read the prompt.
-func (lease *Lease) read() {
-	if lease.partsKept {
+// markPrefilled notes that the runner has read the prompt.
+func (lease *Lease) markPrefilled() {
+	if lease.prefilled {
 		return
 	}
-	lease.partsKept = true
-	lease.state.unread = math.Max(0, lease.state.unread-lease.toRead)
-	lease.balancer.keep(lease.need.Parts, lease.state)
+	lease.prefilled = true
+	lease.state.pendingPrefill = math.Max(0, lease.state.pendingPrefill-lease.prefillTokens)
+	lease.balancer.recordCached(lease.request.PromptParts, lease.state)
 }
 
 // Release gives the place back and tells how the dispatch ended; load is what the
 // runner reported of itself, or nil. Only the first call counts.
 //
 //	lease.Release(balancer.Answered, answer.Load)
-func (lease *Lease) Release(ending Ending, load *runnerpool.Load) {
+func (lease *Lease) Release(outcome Outcome, load *runnerpool.Load) {
 	balancer := lease.balancer
 	balancer.mutex.Lock()
 	defer balancer.mutex.Unlock()
 	if lease.released {
 		return
 	}
-	now, state := balancer.clock(), lease.state
-	if ending == Answered {
-		lease.read()
+	now, state := balancer.elapsed(), lease.state
+	if outcome == Answered {
+		lease.markPrefilled()
 	}
 	lease.released = true
-	state.load.now(float64(state.out), now)
-	state.out--
-	lease.group.load.now(float64(lease.group.out), now)
-	lease.group.out--
-	if !lease.partsKept {
-		state.unread = math.Max(0, state.unread-lease.toRead)
+	state.meanInFlight.now(float64(state.inFlight), now)
+	state.inFlight--
+	lease.stats.meanInFlight.now(float64(lease.stats.inFlight), now)
+	lease.stats.inFlight--
+	if !lease.prefilled {
+		state.pendingPrefill = math.Max(0, state.pendingPrefill-lease.prefillTokens)
 	}
 	if load != nil {
-		state.reported, state.reportedAt, state.reportedOut, state.reportedEver = *load, now, state.out, true
+		state.reportedLoad, state.reportedAt, state.inFlightAtReport, state.hasReport = *load, now, state.inFlight, true
 	}
-	lease.learn(ending, now)
-	balancer.serveWaiting(now)
+	lease.recordOutcome(outcome, now)
+	balancer.serveQueue(now)
 }
 
-// Demand is what the runners bear of this front's queries.
-type Demand struct {
-	Waiting int
-	Runners []RunnerDemand
+// Status is what the runners bear of this front's queries.
+type Status struct {
+	Queued  int
+	Runners []RunnerStatus
 }
 
-// RunnerDemand is what one runner bears of this front's queries, and how it stands.
-type RunnerDemand struct {
-	Runner  feed.Runner
-	Out     int
-	Cold    bool
-	Ejected bool
+// RunnerStatus is what one runner bears of this front's queries, and how it stands.
+type RunnerStatus struct {
+	Runner    feed.Runner
+	InFlight  int
+	SlowStart bool
+	Ejected   bool
 }
 
-// Demand lists the usable runners with what is out at each, and counts who waits.
+// Status lists the usable runners with what is out at each, and counts who waits.
 //
-//	for _, one := range choices.Demand().Runners { ... }
-func (balancer *Balancer) Demand() Demand {
+//	for _, one := range choices.Status().Runners { ... }
+func (balancer *Balancer) Status() Status {
 	balancer.mutex.Lock()
 	defer balancer.mutex.Unlock()
-	now := balancer.clock()
-	demand := Demand{Waiting: len(balancer.waiting)}
-	for _, one := range balancer.table.Load().groups {
+	now := balancer.elapsed()
+	status := Status{Queued: len(balancer.queue)}
+	for _, one := range balancer.topology.Load().services {
 		for _, candidate := range one.candidates {
-			demand.Runners = append(demand.Runners, RunnerDemand{
-				Runner: candidate.runner, Out: candidate.state.out,
-				Cold: candidate.state.cold.is(now), Ejected: candidate.state.health.ejected(now),
+			status.Runners = append(status.Runners, RunnerStatus{
+				Runner: candidate.runner, InFlight: candidate.state.inFlight,
+				SlowStart: candidate.state.slowStart.active(now), Ejected: candidate.state.health.ejected(now),
 			})
 		}
 	}
-	slices.SortFunc(demand.Runners, func(one, other RunnerDemand) int {
-		return compareText(keyOf(one.Runner), keyOf(other.Runner))
+	slices.SortFunc(status.Runners, func(one, other RunnerStatus) int {
+		return compareStrings(runnerKey(one.Runner), runnerKey(other.Runner))
 	})
-	return demand
+	return status
 }
--- a/system/balancer/simulation_test.go
+++ b/system/balancer/simulation_test.go
@@ -16,81 +16,81 @@
 // A small world of programs, fronts and model runners that batch, read prompts between
 // steps and keep the parts used last. Times are milliseconds.
 
-type happening struct {
+type event struct {
 	at   float64
 	rank int
-	do   func()
+	run  func()
 }
 
-type happenings []happening
+type eventQueue []event
 
-func (queue happenings) Len() int { return len(queue) }
-func (queue happenings) Less(one, other int) bool {
+func (queue eventQueue) Len() int { return len(queue) }
+func (queue eventQueue) Less(one, other int) bool {
 	if queue[one].at != queue[other].at {
 		return queue[one].at < queue[other].at
 	}
 	return queue[one].rank < queue[other].rank
 }
-func (queue happenings) Swap(one, other int) { queue[one], queue[other] = queue[other], queue[one] }
-func (queue *happenings) Push(one any)       { *queue = append(*queue, one.(happening)) }
-func (queue *happenings) Pop() any {
+func (queue eventQueue) Swap(one, other int) { queue[one], queue[other] = queue[other], queue[one] }
+func (queue *eventQueue) Push(one any)       { *queue = append(*queue, one.(event)) }
+func (queue *eventQueue) Pop() any {
 	last := (*queue)[len(*queue)-1]
 	*queue = (*queue)[:len(*queue)-1]
 	return last
 }
 
-type world struct {
+type simulation struct {
 	now    float64
-	queue  happenings
+	queue  eventQueue
 	rank   int
 	random *rand.Rand
 }
 
-func (world *world) after(span float64, do func()) {
-	world.rank++
-	heap.Push(&world.queue, happening{world.now + span, world.rank, do})
+func (sim *simulation) schedule(span float64, do func()) {
+	sim.rank++
+	heap.Push(&sim.queue, event{sim.now + span, sim.rank, do})
 }
 
-func (world *world) run(until float64) {
-	for len(world.queue) > 0 && world.queue[0].at <= until {
-		next := heap.Pop(&world.queue).(happening)
-		world.now = next.at
-		next.do()
+func (sim *simulation) run(until float64) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		next := heap.Pop(&sim.queue).(event)
+		sim.now = next.at
+		next.run()
 	}
-	world.now = until
+	sim.now = until
 }
 
 // spread gives a value around a mean, log-normally.
-func (world *world) spread(mean, by float64) float64 {
-	return mean * math.Exp(by*world.random.NormFloat64()-by*by/2)
+func (sim *simulation) spread(mean, by float64) float64 {
+	return mean * math.Exp(by*sim.random.NormFloat64()-by*by/2)
 }
 
-// engine is a model runner.
-type engine struct {
-	world                        *world
-	slots, chunk                 int
-	stepTime, perSlot, rate, add float64
-	cache, used                  int
-	kept                         map[string]*keptTokens
-	running, waiting             []*turn
-	stepping                     bool
-	slow                         float64 // how many times slower than the others
+// modelRunner is a model runner.
+type modelRunner struct {
+	sim                                    *simulation
+	slots, chunk                           int
+	stepTime, perSlot, rate, outputLatency float64
+	cacheTokens, usedTokens                int
+	cachedParts                            map[string]*cacheEntry
+	running, waiting                       []*turn
+	stepping                               bool
+	slowdown                               float64 // how many times slower than the others
 }
 
-type keptTokens struct {
-	tokens int
-	at     float64
+type cacheEntry struct {
+	tokens   int
+	lastUsed float64
 }
 
 type turn struct {
-	parts       []Part
-	toRead, out int
-	asked       float64
-	first, done func()
-	sent        bool
+	parts                       []PromptPart
+	prefillTokens, outputTokens int
+	requested                   float64
+	first, done                 func()
+	sent                        bool
 }
 
-func (runner *engine) take(one *turn) {
+func (runner *modelRunner) accept(one *turn) {
 	runner.waiting = append(runner.waiting, one)
 	if !runner.stepping {
 		runner.stepping = true
@@ -98,18 +98,18 @@
 	}
 }
 
-func (runner *engine) step() {
+func (runner *modelRunner) step() {
 	for len(runner.running) < runner.slots && len(runner.waiting) > 0 {
 		one := runner.waiting[0]
 		runner.waiting = runner.waiting[1:]
-		one.toRead = 0
+		one.prefillTokens = 0
 		reading := false
 		for _, part := range one.parts {
-			known := runner.kept[part.Name]
+			known := runner.cachedParts[part.Name]
 			if reading = reading || known == nil || known.tokens < part.Tokens; reading {
-				one.toRead += part.Tokens
+				one.prefillTokens += part.Tokens
 			} else {
-				known.at = runner.world.now
+				known.lastUsed = runner.sim.now
 			}
 		}
 		runner.running = append(runner.running, one)
@@ -118,50 +118,50 @@
 		runner.stepping = false
 		return
 	}
-	took, left := runner.stepTime+runner.perSlot*float64(len(runner.running)), runner.chunk
+	latency, left := runner.stepTime+runner.perSlot*float64(len(runner.running)), runner.chunk
 	for _, one := range runner.running {
-		read := min(left, one.toRead)
-		one.toRead, left = one.toRead-read, left-read
-		took += float64(read) / runner.rate
+		read := min(left, one.prefillTokens)
+		one.prefillTokens, left = one.prefillTokens-read, left-read
+		latency += float64(read) / runner.rate
 	}
-	runner.world.after(took*runner.slow, func() {
+	runner.sim.schedule(latency*runner.slowdown, func() {
 		runner.running = slices.DeleteFunc(runner.running, func(one *turn) bool {
-			if one.toRead > 0 {
+			if one.prefillTokens > 0 {
 				return false
 			}
 			if !one.sent {
 				one.sent = true
-				runner.keep(one.parts)
-				runner.world.after(runner.add, one.first)
+				runner.recordCached(one.parts)
+				runner.sim.schedule(runner.outputLatency, one.first)
 			}
-			if one.out--; one.out > 0 {
+			if one.outputTokens--; one.outputTokens > 0 {
 				return false
 			}
-			runner.world.after(runner.add, one.done)
+			runner.sim.schedule(runner.outputLatency, one.done)
 			return true
 		})
 		runner.step()
 	})
 }
 
-func (runner *engine) keep(parts []Part) {
+func (runner *modelRunner) recordCached(parts []PromptPart) {
 	for _, part := range parts {
-		if known := runner.kept[part.Name]; known != nil {
-			known.at = runner.world.now
+		if known := runner.cachedParts[part.Name]; known != nil {
+			known.lastUsed = runner.sim.now
 			continue
 		}
-		runner.kept[part.Name] = &keptTokens{part.Tokens, runner.world.now}
-		runner.used += part.Tokens
+		runner.cachedParts[part.Name] = &cacheEntry{part.Tokens, runner.sim.now}
+		runner.usedTokens += part.Tokens
 	}
-	for runner.used > runner.cache {
+	for runner.usedTokens > runner.cacheTokens {
 		oldest := ""
-		for name, known := range runner.kept {
-			if oldest == "" || known.at < runner.kept[oldest].at {
+		for name, known := range runner.cachedParts {
+			if oldest == "" || known.lastUsed < runner.cachedParts[oldest].lastUsed {
 				oldest = name
 			}
 		}
-		runner.used -= runner.kept[oldest].tokens
-		delete(runner.kept, oldest)
+		runner.usedTokens -= runner.cachedParts[oldest].tokens
+		delete(runner.cachedParts, oldest)
 	}
 }
 
@@ -179,18 +179,18 @@
 	seconds                       float64
 }
 
-type outcome struct {
-	turns, refused, far   int
-	toRead, tokens        int // beyond what nobody can have kept
-	firsts, ratios        []float64
-	most                  int // arrivals at one runner in one second
-	perRunner             map[string]int
-	arrivals              map[string][]time.Time
-	slowTurns, shouldRead int
-	opened                int // connections
+type simulationResult struct {
+	turns, rejected, crossDomain int
+	prefillTokens, tokens        int // beyond what nobody can have kept
+	firstEventLatencies, ratios  []float64
+	peak                         int // arrivals at one runner in one second
+	perRunner                    map[string]int
+	arrivals                     map[string][]time.Time
+	slowTurns, newTokens         int
+	connectionsOpened            int // connections
 }
 
-func (result *outcome) first() float64 { return mean(result.firsts) }
+func (result *simulationResult) meanFirstEvent() float64 { return mean(result.firstEventLatencies) }
 
 func mean(values []float64) float64 {
 	sum := 0.0
@@ -205,116 +205,116 @@
 	return sorted[int(part*float64(len(sorted)-1))]
 }
 
-func (result *outcome) String() string {
+func (result *simulationResult) String() string {
 	return fmt.Sprintf("turns %d refused %d far %.2f kept %.3f first mean %.1f p90 %.1f p99 %.1f program mean %.3f p90 %.3f most %d slow %d connections %d",
-		result.turns, result.refused, float64(result.far)/float64(result.turns), 1-float64(result.toRead-result.shouldRead)/float64(max(1, result.tokens-result.shouldRead)),
-		result.first(), quantile(result.firsts, 0.9), quantile(result.firsts, 0.99), mean(result.ratios), quantile(result.ratios, 0.9), result.most, result.slowTurns, result.opened)
+		result.turns, result.rejected, float64(result.crossDomain)/float64(result.turns), 1-float64(result.prefillTokens-result.newTokens)/float64(max(1, result.tokens-result.newTokens)),
+		result.meanFirstEvent(), quantile(result.firstEventLatencies, 0.9), quantile(result.firstEventLatencies, 0.99), mean(result.ratios), quantile(result.ratios, 0.9), result.peak, result.slowTurns, result.connectionsOpened)
 }
 
-// play runs a deployment.
-func play(seed uint64, setup deployment) *outcome {
-	world := &world{random: rand.New(rand.NewPCG(seed, 3))}
+// simulateModel runs a deployment.
+func simulateModel(seed uint64, setup deployment) *simulationResult {
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 3))}
 	began := time.Unix(1_000_000, 0)
-	clock := func() time.Time { return began.Add(time.Duration(world.now * float64(time.Millisecond))) }
+	clock := func() time.Time { return began.Add(time.Duration(sim.now * float64(time.Millisecond))) }
 	service := modelService(19)
 	service.Engine.Slots, service.Engine.CacheTokens = setup.slots, uint64(setup.cache)
 	route := routeTo(config.WeightedService{Service: "model", Weight: 1})
 	listed := runnersOf("model", setup.runners, setup.slots)
-	engines := map[string]*engine{}
+	engines := map[string]*modelRunner{}
 	for at, runner := range listed {
-		engines[runner.Life] = &engine{
-			world: world, slots: setup.slots, chunk: 2048, stepTime: setup.stepTime, perSlot: setup.perSlot, rate: 38,
-			add: setup.first, cache: setup.cache, kept: map[string]*keptTokens{}, slow: 1,
+		engines[runner.Life] = &modelRunner{
+			sim: sim, slots: setup.slots, chunk: 2048, stepTime: setup.stepTime, perSlot: setup.perSlot, rate: 38,
+			outputLatency: setup.first, cacheTokens: setup.cache, cachedParts: map[string]*cacheEntry{}, slowdown: 1,
 		}
 		if at == 1 && setup.slowRunner > 0 {
-			engines[runner.Life].slow = setup.slowRunner
+			engines[runner.Life].slowdown = setup.slowRunner
 		}
 	}
 	balancers, homes := []*Balancer{}, map[string][]int{}
 	state := stateOf([]config.Service{service}, route, listed, setup.fronts)
 	for at := range setup.fronts {
 		domain := domains[at%3]
-		choices := New(domain, uint64(at), clock)
-		choices.Update(state)
-		balancers = append(balancers, choices)
+		balancer := New(domain, uint64(at), clock)
+		balancer.Update(state)
+		balancers = append(balancers, balancer)
 		homes[domain] = append(homes[domain], at)
 	}
-	result := &outcome{perRunner: map[string]int{}, arrivals: map[string][]time.Time{}}
-	openings := make([]float64, 16)
-	for at := range openings {
-		openings[at] = math.Pow(float64(at/2+1), -0.7)
+	result := &simulationResult{perRunner: map[string]int{}, arrivals: map[string][]time.Time{}}
+	prefixWeights := make([]float64, 16)
+	for at := range prefixWeights {
+		prefixWeights[at] = math.Pow(float64(at/2+1), -0.7)
 	}
 	idle := map[string][]float64{} // since when connections are, by front and runner
-	var take func(program, session string, front int, home []int, parts []Part, left int, done func())
-	take = func(program, session string, front int, home []int, parts []Part, left int, done func()) {
+	var take func(program, session string, front int, home []int, parts []PromptPart, left int, done func())
+	take = func(program, session string, front int, home []int, parts []PromptPart, left int, done func()) {
 		if left == 0 {
 			done()
 			return
 		}
-		fresh := min(5140, int(world.spread(setup.newTokens, 0.7)))
-		parts = append(slices.Clone(parts), Part{fmt.Sprintf("%s/%d", session, left), fresh})
+		fresh := min(5140, int(sim.spread(setup.newTokens, 0.7)))
+		parts = append(slices.Clone(parts), PromptPart{fmt.Sprintf("%s/%d", session, left), fresh})
 		at := front
-		if world.random.Float64() >= setup.stays {
-			at = home[world.random.IntN(len(home))]
+		if sim.random.Float64() >= setup.stays {
+			at = home[sim.random.IntN(len(home))]
 		}
-		choices := balancers[at]
-		lease, err := choices.Acquire(context.Background(), Need{Route: &route, Program: program, Session: session, Parts: parts, Deadline: clock()})
+		balancer := balancers[at]
+		lease, err := balancer.Acquire(context.Background(), Request{Route: &route, Program: program, Session: session, PromptParts: parts, Deadline: clock()})
 		if err != nil {
-			result.refused++
-			world.after(200, func() { take(program, session, front, home, parts[:len(parts)-1], left, done) })
+			result.rejected++
+			sim.schedule(200, func() { take(program, session, front, home, parts[:len(parts)-1], left, done) })
 			return
 		}
 		chosen := lease.Runner
 		if setup.random {
-			lease.Release(Unused, nil)
-			chosen = listed[world.random.IntN(len(listed))]
+			lease.Release(NotSent, nil)
+			chosen = listed[sim.random.IntN(len(listed))]
 		}
 		way := 0.2
 		if chosen.Domain != domains[at%3] {
 			way = 0.9
-			result.far++
+			result.crossDomain++
 		}
 		result.turns++
-		line := fmt.Sprint(at, chosen.Life)
-		if last := len(idle[line]) - 1; last >= 0 && world.now-idle[line][last] < 10_000 {
-			idle[line] = idle[line][:last]
+		link := fmt.Sprint(at, chosen.Life)
+		if last := len(idle[link]) - 1; last >= 0 && sim.now-idle[link][last] < 10_000 {
+			idle[link] = idle[link][:last]
 		} else {
-			result.opened++
-			idle[line] = nil
+			result.connectionsOpened++
+			idle[link] = nil
 		}
-		asked := world.now
+		requested := sim.now
 		result.perRunner[chosen.Life]++
 		result.arrivals[chosen.Life] = append(result.arrivals[chosen.Life], clock())
 		runner := engines[chosen.Life]
-		if runner.slow > 1 {
+		if runner.slowdown > 1 {
 			result.slowTurns++
 		}
-		one := &turn{parts: parts, out: 2 + int(world.spread(32, 0.8)), asked: asked}
+		one := &turn{parts: parts, outputTokens: 2 + int(sim.spread(32, 0.8)), requested: requested}
 		tokens, reading := 0, false
 		for _, part := range parts {
 			tokens += part.Tokens
-			known := runner.kept[part.Name]
+			known := runner.cachedParts[part.Name]
 			if reading = reading || known == nil; reading {
-				result.toRead += part.Tokens
+				result.prefillTokens += part.Tokens
 			}
 		}
 		result.tokens += tokens
-		result.shouldRead += fresh
+		result.newTokens += fresh
 		one.first = func() {
-			world.after(way, func() {
-				result.firsts = append(result.firsts, world.now-asked)
+			sim.schedule(way, func() {
+				result.firstEventLatencies = append(result.firstEventLatencies, sim.now-requested)
 				if !setup.random {
-					lease.First(time.Duration((world.now - asked) * float64(time.Millisecond)))
+					lease.FirstEvent(time.Duration((sim.now - requested) * float64(time.Millisecond)))
 				}
 			})
 		}
 		one.done = func() {
-			world.after(way, func() {
-				idle[line] = append(idle[line], world.now)
+			sim.schedule(way, func() {
+				idle[link] = append(idle[link], sim.now)
 				if !setup.random {
 					lease.Release(Answered, nil)
 				}
-				if left > 1 && world.random.Float64() < setup.helpers {
+				if left > 1 && sim.random.Float64() < setup.helpers {
 					open := 3
 					for helper := range open {
 						take(program, fmt.Sprintf("%s.%d.%d", session, left, helper), front, home, parts, 2, func() {
@@ -325,32 +325,32 @@
 					}
 					return
 				}
-				world.after(world.spread(setup.think, 0.6), func() { take(program, session, front, home, parts, left-1, done) })
+				sim.schedule(sim.spread(setup.think, 0.6), func() { take(program, session, front, home, parts, left-1, done) })
 			})
 		}
-		world.after(way, func() { runner.take(one) })
+		sim.schedule(way, func() { runner.accept(one) })
 	}
 	program := 0
 	var arrive func()
 	arrive = func() {
-		world.after(world.random.ExpFloat64()*1000/setup.programs, arrive)
+		sim.schedule(sim.random.ExpFloat64()*1000/setup.programs, arrive)
 		program++
-		name, home := fmt.Sprint("program-", program), homes[domains[world.random.IntN(3)]]
-		pick, opening := world.random.Float64()*sum(openings), 0
-		for pick > openings[opening] {
-			pick -= openings[opening]
-			opening++
+		name, home := fmt.Sprint("program-", program), homes[domains[sim.random.IntN(3)]]
+		pick, prefix := sim.random.Float64()*sum(prefixWeights), 0
+		for pick > prefixWeights[prefix] {
+			pick -= prefixWeights[prefix]
+			prefix++
 		}
-		turns, started := max(1, int(world.spread(setup.turns, 0.4))), world.now
-		take(name, name, home[world.random.IntN(len(home))], home, []Part{{fmt.Sprint("opening-", opening), 2560}}, turns, func() {
+		turns, started := max(1, int(sim.spread(setup.turns, 0.4))), sim.now
+		take(name, name, home[sim.random.IntN(len(home))], home, []PromptPart{{fmt.Sprint("opening-", prefix), 2560}}, turns, func() {
 			idle := float64(turns) * (setup.think + setup.first + setup.newTokens/38 + 34*(setup.stepTime+setup.perSlot))
-			result.ratios = append(result.ratios, (world.now-started)/idle)
+			result.ratios = append(result.ratios, (sim.now-started)/idle)
 		})
 	}
 	arrive()
-	world.run(setup.seconds * 1000)
+	sim.run(setup.seconds * 1000)
 	for _, arrivals := range result.arrivals {
-		result.most = max(result.most, mostInOneSecond(arrivals))
+		result.peak = max(result.peak, peakPerSecond(arrivals))
 	}
 	return result
 }
@@ -367,19 +367,19 @@
 	{name: "many fronts", runners: 72, slots: 12, cache: 171_035, fronts: 48, stepTime: 4.63, perSlot: 0.153, first: 10, programs: 87, turns: 5.6, think: 200, newTokens: 900, helpers: 0.04, stays: 0.9, seconds: 10},
 }
 
-func TestChoicesKeepPromptsAndSpreadLoad(t *testing.T) {
+func TestSelectionUsesPrefixCacheAndSpreadsLoad(t *testing.T) {
 	for _, setup := range deployments {
 		t.Run(setup.name, func(t *testing.T) {
-			chosen := play(5, setup)
+			chosen := simulateModel(5, setup)
 			setup.random = true
-			byChance := play(5, setup)
+			byChance := simulateModel(5, setup)
 			t.Logf("chosen:    %v", chosen)
 			t.Logf("by chance: %v", byChance)
-			if chosen.first() > 0.8*byChance.first() || mean(chosen.ratios) > mean(byChance.ratios) {
+			if chosen.meanFirstEvent() > 0.8*byChance.meanFirstEvent() || mean(chosen.ratios) > mean(byChance.ratios) {
 				t.Errorf("choosing does not help")
 			}
-			if chosen.refused > 0 {
-				t.Errorf("%d turns were refused", chosen.refused)
+			if chosen.rejected > 0 {
+				t.Errorf("%d turns were refused", chosen.rejected)
 			}
 		})
 	}
--- a/system/balancer/cold_test.go
+++ b/system/balancer/slow_start_test.go
@@ -19,23 +19,23 @@
 )
 
 // The most that arrives at a cold runner in any one second, over all fronts.
-func mostInOneSecond(arrivals []time.Time) int {
-	most, from := 0, 0
+func peakPerSecond(arrivals []time.Time) int {
+	peak, start := 0, 0
 	for at := range arrivals {
-		for arrivals[at].Sub(arrivals[from]) > time.Second {
-			from++
+		for arrivals[at].Sub(arrivals[start]) > time.Second {
+			start++
 		}
-		most = max(most, at-from+1)
+		peak = max(peak, at-start+1)
 	}
-	return most
+	return peak
 }
 
-// coldRun lets many fronts press on cold runners while fronts come and go; each front
+// simulateSlowStart lets many fronts press on cold runners while fronts come and go; each front
 // hears of it up to a second late. It gives the most that one runner got in a second,
 // and how much was sent altogether.
-func coldRun(seed uint64, fronts int, rate float64, names, coming bool) (most, sent int) {
+func simulateSlowStart(seed uint64, fronts int, rate float64, names, changing bool) (peak, sent int) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	clock := newSteady()
+	clock := newFakeClock()
 	service := modelService(rate)
 	route := routeTo(config.WeightedService{Service: "model", Weight: 1})
 	runners := runnersOf("model", 3, 32)
@@ -47,31 +47,31 @@
 		live = append(live, fmt.Sprintf("front-%d", at))
 	}
 	balancers := map[string]*Balancer{}
-	type hearing struct {
+	type delivery struct {
 		front string
 		at    time.Time
 		state State
 	}
-	var hearings []hearing
+	var deliveries []delivery
 	started := 0
-	tell := func() {
+	publish := func() {
 		for _, front := range live {
 			if balancers[front] == nil {
 				started++
 				balancers[front] = New(domains[started%3], random.Uint64(), clock.now)
 			}
 			state := stateOf([]config.Service{service}, route, runners, len(live))
-			if state.Front = front; names {
-				state.Names = slices.Clone(live)
+			if state.FrontName = front; names {
+				state.FrontNames = slices.Clone(live)
 			}
-			hearings = append(hearings, hearing{front, clock.time.Add(time.Duration(random.IntN(1000)) * time.Millisecond), state})
+			deliveries = append(deliveries, delivery{front, clock.time.Add(time.Duration(random.IntN(1000)) * time.Millisecond), state})
 		}
 	}
-	tell()
+	publish()
 	arrivals := map[string][]time.Time{}
 	for range 600 { // 12 s in steps of 20 ms
-		clock.pass(20 * time.Millisecond)
-		if coming && random.IntN(75) == 0 {
+		clock.advance(20 * time.Millisecond)
+		if changing && random.IntN(75) == 0 {
 			at := random.IntN(len(live))
 			if random.IntN(2) == 0 && len(live) > 1 {
 				delete(balancers, live[at])
@@ -79,9 +79,9 @@
 			} else {
 				live = append(slices.Clone(live), fmt.Sprintf("front-%d", 1000+started))
 			}
-			tell()
+			publish()
 		}
-		hearings = slices.DeleteFunc(hearings, func(one hearing) bool {
+		deliveries = slices.DeleteFunc(deliveries, func(one delivery) bool {
 			if clock.time.Before(one.at) {
 				return false
 			}
@@ -91,55 +91,55 @@
 			return true
 		})
 		for _, front := range live {
-			lease, err := balancers[front].Acquire(context.Background(), Need{Route: &route, Program: fmt.Sprint(random.IntN(50)), Deadline: clock.time})
+			lease, err := balancers[front].Acquire(context.Background(), Request{Route: &route, Program: fmt.Sprint(random.IntN(50)), Deadline: clock.time})
 			if err == nil {
 				arrivals[lease.Runner.Life] = append(arrivals[lease.Runner.Life], clock.time)
-				lease.First(50 * time.Millisecond)
+				lease.FirstEvent(50 * time.Millisecond)
 				lease.Release(Answered, nil)
 				sent++
 			}
 		}
 	}
 	for _, at := range arrivals {
-		most = max(most, mostInOneSecond(at))
+		peak = max(peak, peakPerSecond(at))
 	}
-	return most, sent
+	return peak, sent
 }
 
-func TestColdRunnersGetNoMoreThanTheyBear(t *testing.T) {
+func TestSlowStartRateLimitHoldsAcrossFronts(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261204)
 	parameters.MinSuccessfulTests = 30
 	properties := gopter.NewProperties(parameters)
 	properties.Property("in every second a cold runner gets less than the bound from all fronts", prop.ForAll(func(seed uint64, fronts int, rate float64, names, coming bool) string {
-		most, _ := coldRun(seed, fronts, rate, names, coming)
-		if float64(most) > coldExcess*rate+coldSlack {
-			return fmt.Sprintf("%d fronts sent %d in a second, the rate is %v", fronts, most, rate)
+		peak, _ := simulateSlowStart(seed, fronts, rate, names, coming)
+		if float64(peak) > slowStartExcess*rate+slowStartSlack {
+			return fmt.Sprintf("%d fronts sent %d in a second, the rate is %v", fronts, peak, rate)
 		}
 		return ""
 	}, gen.UInt64(), gen.IntRange(1, 24), gen.Float64Range(0.3, 30), gen.Bool(), gen.Bool()))
 	properties.TestingRun(t)
 }
 
-func TestColdRunnersAreUsed(t *testing.T) {
+func TestSlowStartRunnersAreUsed(t *testing.T) {
 	for _, one := range []struct {
 		fronts int
 		rate   float64
 		names  bool
 		part   float64 // of what three runners bear in ten seconds
 	}{{1, 19, true, 0.7}, {6, 22, true, 0.7}, {6, 22, false, 0.7}, {72, 19, true, 0.6}, {3, 0.5, true, 0.3}} {
-		most, sent := coldRun(7, one.fronts, one.rate, one.names, false)
+		peak, sent := simulateSlowStart(7, one.fronts, one.rate, one.names, false)
 		if float64(sent) < one.part*30*one.rate {
-			t.Errorf("%d fronts sent %d in ten seconds, at most %d in one, at a rate of %v", one.fronts, sent, most, one.rate)
+			t.Errorf("%d fronts sent %d in ten seconds, at most %d in one, at a rate of %v", one.fronts, sent, peak, one.rate)
 		}
 	}
 }
 
-func TestWhatMakesARunnerCold(t *testing.T) {
+func TestSlowStartTriggers(t *testing.T) {
 	cases := []struct {
-		name   string
-		before func(state *State)
-		after  func(state *State)
-		cold   bool
+		name      string
+		before    func(state *State)
+		after     func(state *State)
+		slowStart bool
 	}{
 		{"nothing", func(*State) {}, func(*State) {}, false},
 		{"the list says so", func(*State) {}, func(state *State) { state.View.Runners[0].ColdFor = time.Second }, true},
@@ -165,34 +165,34 @@
 		}, false},
 		{"its service bears any rate", func(*State) {}, func(state *State) {
 			state.View.Runners[0].State = feed.StateWarmingUp
-			state.Routes.Services[0].WarmUpRate = 0
+			state.Routing.Services[0].WarmUpRate = 0
 		}, false},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
-			clock := newSteady()
-			choices := New("east", 1, clock.now)
+			clock := newFakeClock()
+			balancer := New("east", 1, clock.now)
 			fresh := func() State {
 				return stateOf([]config.Service{modelService(19)}, routeTo(config.WeightedService{Service: "model", Weight: 1}), runnersOf("model", 3, 32), 1)
 			}
 			state := fresh()
 			one.before(&state)
-			choices.Update(state)
-			clock.pass(10 * time.Second)
-			choices.Update(state)
+			balancer.Update(state)
+			clock.advance(10 * time.Second)
+			balancer.Update(state)
 			state = fresh()
 			one.after(&state)
-			choices.Update(state)
-			cold := false
-			for _, runner := range choices.Demand().Runners {
-				cold = cold || runner.Cold && runner.Runner.Domain == "east"
+			balancer.Update(state)
+			slowStart := false
+			for _, runner := range balancer.Status().Runners {
+				slowStart = slowStart || runner.SlowStart && runner.Runner.Domain == "east"
 			}
-			if cold != one.cold {
-				t.Fatalf("cold: %v", cold)
+			if slowStart != one.slowStart {
+				t.Fatalf("cold: %v", slowStart)
 			}
-			clock.pass(3100 * time.Millisecond)
-			for _, runner := range choices.Demand().Runners {
-				if runner.Cold {
+			clock.advance(3100 * time.Millisecond)
+			for _, runner := range balancer.Status().Runners {
+				if runner.SlowStart {
 					t.Fatalf("%s is still cold", runner.Runner.Life)
 				}
 			}
@@ -200,15 +200,15 @@
 	}
 }
 
-func TestColdnessEndsAsTheListSays(t *testing.T) {
+func TestSlowStartFollowsRunnerList(t *testing.T) {
 	type step struct {
-		after  time.Duration
-		change func(state *State)
-		cold   bool
+		after     time.Duration
+		change    func(state *State)
+		slowStart bool
 	}
-	listed := func(state string, coldFor time.Duration, since int64) func(*State) {
+	listed := func(state string, slowStartFor time.Duration, since int64) func(*State) {
 		return func(change *State) {
-			change.View.Runners[0].State, change.View.Runners[0].ColdFor, change.View.Runners[0].Since = state, coldFor, since
+			change.View.Runners[0].State, change.View.Runners[0].ColdFor, change.View.Runners[0].Since = state, slowStartFor, since
 		}
 	}
 	domain := func(state string, since int64) func(*State) {
@@ -246,54 +246,54 @@
 		}},
 	} {
 		t.Run(one.name, func(t *testing.T) {
-			clock := newSteady()
-			choices := New("east", 1, clock.now)
+			clock := newFakeClock()
+			balancer := New("east", 1, clock.now)
 			fresh := func() State {
 				return stateOf([]config.Service{modelService(19)}, routeTo(config.WeightedService{Service: "model", Weight: 1}), runnersOf("model", 1, 32), 1)
 			}
-			choices.Update(fresh())
+			balancer.Update(fresh())
 			for at, step := range one.steps {
-				clock.pass(step.after)
+				clock.advance(step.after)
 				state := fresh()
 				step.change(&state)
-				choices.Update(state)
-				if cold := choices.runners["model-0"].cold.is(choices.clock()); cold != step.cold {
-					t.Fatalf("step %d: cold is %v", at, cold)
+				balancer.Update(state)
+				if slowStart := balancer.runners["model-0"].slowStart.active(balancer.elapsed()); slowStart != step.slowStart {
+					t.Fatalf("step %d: cold is %v", at, slowStart)
 				}
 			}
 		})
 	}
 }
 
-func TestUnusedLeasesGiveTheColdPlaceBack(t *testing.T) {
-	clock := newSteady()
-	choices := New("east", 1, clock.now)
+func TestUnsentLeasesRefundSlowStartToken(t *testing.T) {
+	clock := newFakeClock()
+	balancer := New("east", 1, clock.now)
 	route := routeTo(config.WeightedService{Service: "model", Weight: 1})
 	runners := runnersOf("model", 1, 32)
-	choices.Update(stateOf([]config.Service{modelService(2)}, route, runners, 1))
-	clock.pass(5 * time.Second)
+	balancer.Update(stateOf([]config.Service{modelService(2)}, route, runners, 1))
+	clock.advance(5 * time.Second)
 	runners = runnersOf("model", 1, 32)
 	runners[0].ColdFor = time.Minute
-	choices.Update(stateOf([]config.Service{modelService(2)}, route, runners, 1))
-	clock.pass(2 * time.Second)
+	balancer.Update(stateOf([]config.Service{modelService(2)}, route, runners, 1))
+	clock.advance(2 * time.Second)
 	for range 5 {
-		acquired(t, choices, Need{Route: &route}).Release(Unused, nil)
+		mustAcquire(t, balancer, Request{Route: &route}).Release(NotSent, nil)
 	}
-	acquired(t, choices, Need{Route: &route}).Release(Answered, nil)
-	if _, err := choices.Acquire(context.Background(), Need{Route: &route, Deadline: clock.now()}); err == nil {
+	mustAcquire(t, balancer, Request{Route: &route}).Release(Answered, nil)
+	if _, err := balancer.Acquire(context.Background(), Request{Route: &route, Deadline: clock.now()}); err == nil {
 		t.Fatal("two were sent at once")
 	}
 }
 
-// TestAnOldRunnerListLimitsAllFronts lets many fronts press on runners that the list shows
+// TestStaleRunnerListLimitsAllFronts lets many fronts press on runners that the list shows
 // as serving, and counts what comes in a second once the list is too old to tell. Its next
 // reading ends that.
-func TestAnOldRunnerListLimitsAllFronts(t *testing.T) {
+func TestStaleRunnerListLimitsAllFronts(t *testing.T) {
 	for _, one := range []struct {
 		fronts int
 		rate   float64
 	}{{1, 19}, {4, 6}, {6, 22}, {72, 19}, {3, 0.5}} {
-		clock := newSteady()
+		clock := newFakeClock()
 		read, runners, route := clock.time, runnersOf("model", 3, 32), routeTo(config.WeightedService{Service: "model", Weight: 1})
 		names := []string{}
 		for at := range one.fronts {
@@ -302,17 +302,17 @@
 		fronts := []*Balancer{}
 		for at, name := range names {
 			front := New(domains[at%3], uint64(at), clock.now)
-			front.FollowList(func() time.Time { return read })
+			front.SetListReadTime(func() time.Time { return read })
 			state := stateOf([]config.Service{modelService(one.rate)}, route, runners, one.fronts)
-			state.Front, state.Names = name, names
+			state.FrontName, state.FrontNames = name, names
 			front.Update(state)
 			fronts = append(fronts, front)
 		}
-		press := func(span time.Duration) (most int) {
+		press := func(span time.Duration) (peak int) {
 			arrivals := map[string][]time.Time{}
-			for until := clock.time.Add(span); clock.time.Before(until); clock.pass(10 * time.Millisecond) {
+			for until := clock.time.Add(span); clock.time.Before(until); clock.advance(10 * time.Millisecond) {
 				for _, front := range fronts {
-					lease, err := front.Acquire(context.Background(), Need{Route: &route, Deadline: clock.time})
+					lease, err := front.Acquire(context.Background(), Request{Route: &route, Deadline: clock.time})
 					if err == nil {
 						arrivals[lease.Runner.Life] = append(arrivals[lease.Runner.Life], clock.time)
 						lease.Release(Answered, nil)
@@ -320,46 +320,46 @@
 				}
 			}
 			for _, at := range arrivals {
-				most = max(most, mostInOneSecond(at))
+				peak = max(peak, peakPerSecond(at))
 			}
-			return most
+			return peak
 		}
-		clock.pass(frontsSettle)
-		bound := int(coldExcess*one.rate + coldSlack)
+		clock.advance(shareTakeoverDelay)
+		bound := int(slowStartExcess*one.rate + slowStartSlack)
 		read = clock.time
-		if most := press(listWindow); most <= bound {
-			t.Errorf("%d fronts, rate %v: a runner that the list shows as serving gets only %d in a second", one.fronts, one.rate, most)
+		if peak := press(listFreshness); peak <= bound {
+			t.Errorf("%d fronts, rate %v: a runner that the list shows as serving gets only %d in a second", one.fronts, one.rate, peak)
 		}
-		if most := press(5 * time.Second); most > bound || most == 0 {
-			t.Errorf("%d fronts, rate %v: a runner gets %d in a second while the list is old", one.fronts, one.rate, most)
+		if peak := press(5 * time.Second); peak > bound || peak == 0 {
+			t.Errorf("%d fronts, rate %v: a runner gets %d in a second while the list is old", one.fronts, one.rate, peak)
 		}
 		read = clock.time
-		if most := press(listWindow); most <= bound {
-			t.Errorf("%d fronts, rate %v: a runner gets only %d in a second after the list was read again", one.fronts, one.rate, most)
+		if peak := press(listFreshness); peak <= bound {
+			t.Errorf("%d fronts, rate %v: a runner gets only %d in a second after the list was read again", one.fronts, one.rate, peak)
 		}
 	}
 }
 
-// TestQueriesWaitForTheFirstReadingOfTheList: a front that has just started does not know
+// TestRequestsWaitForFirstRunnerList: a front that has just started does not know
 // which runners are cold; those who ask it wait a little, but not for long.
-func TestQueriesWaitForTheFirstReadingOfTheList(t *testing.T) {
+func TestRequestsWaitForFirstRunnerList(t *testing.T) {
 	for name, comes := range map[string]bool{"it comes": true, "it does not come": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				read, route := atomic.Pointer[time.Time]{}, routeTo(config.WeightedService{Service: "model", Weight: 1})
 				read.Store(&time.Time{})
-				choices := New("east", 1, nil)
-				choices.FollowList(func() time.Time { return *read.Load() })
-				choices.Update(stateOf([]config.Service{modelService(19)}, route, runnersOf("model", 3, 32), 4))
+				balancer := New("east", 1, nil)
+				balancer.SetListReadTime(func() time.Time { return *read.Load() })
+				balancer.Update(stateOf([]config.Service{modelService(19)}, route, runnersOf("model", 3, 32), 4))
 				began := time.Now()
 				time.AfterFunc(400*time.Millisecond, func() {
 					if comes {
 						read.Store(new(time.Now()))
 					}
 				})
-				_, err := choices.Acquire(context.Background(), Need{Route: &route, Deadline: began.Add(4 * time.Second)})
-				if took := time.Since(began); comes && (err != nil || took > 400*time.Millisecond+listRetry) || !comes && (err == nil || took > firstListTimeout) {
-					t.Fatalf("after %s: %v", took, err)
+				_, err := balancer.Acquire(context.Background(), Request{Route: &route, Deadline: began.Add(4 * time.Second)})
+				if latency := time.Since(began); comes && (err != nil || latency > 400*time.Millisecond+staleListRetry) || !comes && (err == nil || latency > firstListTimeout) {
+					t.Fatalf("after %s: %v", latency, err)
 				}
 			})
 		})
--- a/system/cmd/yardrock-control-plane/main.go
+++ b/system/cmd/yardrock-control-plane/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		os.Exit(daemon.Fail(err))
+		os.Exit(daemon.ReportError(err))
 	}
 }
 
@@ -25,15 +25,15 @@
 	if err != nil {
 		return err
 	}
-	daemon.Logs(loaded.Log)
+	daemon.ConfigureLogging(loaded.Log)
 	daemon.LimitMemory(loaded.Memory)
 	folder, err := loaded.OpenFolder("")
 	if err != nil {
 		return err
 	}
 	node, err := controlplane.Start(controlplane.Settings{
-		Address: loaded.Address, Administration: loaded.Administration, Domain: loaded.Domain, Seeds: loaded.Seeds,
-		FoundingStores: loaded.FoundingStores, Groups: loaded.Groups, ReplicationFactor: loaded.Copies, MaxControls: loaded.MostControls, Replica: replica.DefaultSettings(rand.Uint64()),
+		Address: loaded.Address, Administration: loaded.AdminAddress, Domain: loaded.Domain, Seeds: loaded.Seeds,
+		FoundingStores: loaded.FoundingStores, Groups: loaded.Groups, ReplicationFactor: loaded.ReplicationFactor, MaxControls: loaded.MaxControls, Replica: replica.DefaultSettings(rand.Uint64()),
 	}, folder, loaded.Network())
 	if err != nil {
 		return err
@@ -43,8 +43,8 @@
 		node.Close()
 		return err
 	}
-	return daemon.Wait(signals, daemon.Running{
-		Reread: node.SetSeeds,
+	return daemon.Serve(signals, daemon.Service{
+		Reload: node.SetSeeds,
 		Drain: func(ctx context.Context) {
 			node.Drain()
 			server.Drain(ctx)
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -18,11 +18,11 @@
 
 func main() {
 	if err := run(); err != nil {
-		os.Exit(daemon.Fail(err))
+		os.Exit(daemon.ReportError(err))
 	}
 }
 
-var roles = map[string]func(*settings.DataPlane) (daemon.Running, error){"front": startFront, "store": startStore}
+var roles = map[string]func(*settings.DataPlane) (daemon.Service, error){"front": startFront, "store": startStore}
 
 func run() error {
 	signals := daemon.Signals()
@@ -30,47 +30,47 @@
 	if err != nil {
 		return err
 	}
-	daemon.Logs(loaded.Log)
+	daemon.ConfigureLogging(loaded.Log)
 	daemon.LimitMemory(loaded.Memory)
 	running, err := roles[loaded.Role](loaded)
 	if err != nil {
 		return err
 	}
-	return daemon.Wait(signals, running, func() ([]string, error) {
+	return daemon.Serve(signals, running, func() ([]string, error) {
 		again, err := settings.LoadDataPlane(os.Args[1:], io.Discard)
 		return again.Seeds, err
 	})
 }
 
-func startFront(loaded *settings.DataPlane) (daemon.Running, error) {
-	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.Public, Domain: loaded.Domain, Seeds: loaded.Seeds}, loaded.Network())
+func startFront(loaded *settings.DataPlane) (daemon.Service, error) {
+	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.PublicAddress, Domain: loaded.Domain, Seeds: loaded.Seeds}, loaded.Network())
 	if err != nil {
-		return daemon.Running{}, err
+		return daemon.Service{}, err
 	}
-	return daemon.Running{Reread: node.SetSeeds, Drain: node.Drain, Close: node.Close}, nil
+	return daemon.Service{Reload: node.SetSeeds, Drain: node.Drain, Close: node.Close}, nil
 }
 
-func startStore(loaded *settings.DataPlane) (daemon.Running, error) {
+func startStore(loaded *settings.DataPlane) (daemon.Service, error) {
 	folder, err := loaded.OpenFolder("")
 	if err != nil {
-		return daemon.Running{}, err
+		return daemon.Service{}, err
 	}
-	coldFolder, err := loaded.OpenFolder("cold")
+	archiveFolder, err := loaded.OpenFolder("cold")
 	if err != nil {
-		return daemon.Running{}, err
+		return daemon.Service{}, err
 	}
-	node, err := store.Start(store.Settings{Address: loaded.Address, Domain: loaded.Domain, Seeds: loaded.Seeds, Replica: replica.DefaultSettings(rand.Uint64())}, folder, coldFolder, loaded.Network())
+	node, err := store.Start(store.Settings{Address: loaded.Address, Domain: loaded.Domain, Seeds: loaded.Seeds, Replica: replica.DefaultSettings(rand.Uint64())}, folder, archiveFolder, loaded.Network())
 	if err != nil {
-		return daemon.Running{}, err
+		return daemon.Service{}, err
 	}
-	running := daemon.Running{Reread: node.SetSeeds, Drain: func(context.Context) { node.Drain() }, Close: node.Close, Foreign: node.Foreign()}
-	if loaded.Health == "" {
+	running := daemon.Service{Reload: node.SetSeeds, Drain: func(context.Context) { node.Drain() }, Close: node.Close, Failed: node.Foreign()}
+	if loaded.HealthAddress == "" {
 		return running, nil
 	}
-	listener, err := link.TCP{}.Listen(loaded.Health)
+	listener, err := link.TCP{}.Listen(loaded.HealthAddress)
 	if err != nil {
 		node.Close()
-		return daemon.Running{}, err
+		return daemon.Service{}, err
 	}
 	server := httpface.Serve(listener, httpface.HealthHandler(node.Ready), func() int64 { return 1024 })
 	running.Close = func() {
--- a/system/cmd/yardrock-shell/main.go
+++ b/system/cmd/yardrock-shell/main.go
@@ -38,15 +38,15 @@
 
 // Exit codes for scripts.
 const (
-	exitRefused     = 1
+	exitRejected    = 1
 	exitUsage       = 2
 	exitUnreachable = 3
 	exitUnclear     = 4
 )
 
-var exits = map[string]int{string(apierror.OutcomeUnknown): exitUnclear, string(apierror.Unavailable): exitUnreachable, string(apierror.NoQuorum): exitUnreachable}
+var exitCodes = map[string]int{string(apierror.OutcomeUnknown): exitUnclear, string(apierror.Unavailable): exitUnreachable, string(apierror.NoQuorum): exitUnreachable}
 
-type answer struct {
+type queryResult struct {
 	Columns      []string   `json:"columns"`
 	Rows         [][]string `json:"rows"`
 	Number       *uint64    `json:"number,omitempty"`
@@ -83,22 +83,22 @@
 	output   io.Writer
 }
 
-// ask tries the control nodes in turn; each passes on to the leader itself. A
+// query tries the control nodes in turn; each passes on to the leader itself. A
 // command is sent to another node only if it provably did not arrive.
-func (shell *shell) ask(text string) (*answer, error) {
+func (shell *shell) query(text string) (*queryResult, error) {
 	body, err := json.Marshal(map[string]string{"text": text})
 	if err != nil {
 		return nil, err
 	}
 	var last error
 	for _, control := range shell.controls {
-		query, err := http.NewRequest(http.MethodPost, "http://"+control+"/v1/query", bytes.NewReader(body))
+		request, err := http.NewRequest(http.MethodPost, "http://"+control+"/v1/query", bytes.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
-		query.Header.Set("Authorization", "Bearer "+shell.token)
-		query.Header.Set("Content-Type", "application/json")
-		got, err := http.DefaultClient.Do(query)
+		request.Header.Set("Authorization", "Bearer "+shell.token)
+		request.Header.Set("Content-Type", "application/json")
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			last = &httpface.Error{Kind: string(apierror.Unavailable), Message: err.Error(), Remedy: "check the address, or name more control nodes"}
 			if !strings.Contains(err.Error(), "connect") && !strings.HasPrefix(text, "show") {
@@ -106,14 +106,14 @@
 			}
 			continue
 		}
-		defer got.Body.Close()
-		if got.StatusCode == http.StatusOK {
-			told := &answer{}
-			return told, json.NewDecoder(got.Body).Decode(told)
+		defer response.Body.Close()
+		if response.StatusCode == http.StatusOK {
+			result := &queryResult{}
+			return result, json.NewDecoder(response.Body).Decode(result)
 		}
 		failure := &httpface.Error{}
-		if err := json.NewDecoder(got.Body).Decode(failure); err != nil {
-			return nil, fmt.Errorf("%s answered %s", control, got.Status)
+		if err := json.NewDecoder(response.Body).Decode(failure); err != nil {
+			return nil, fmt.Errorf("%s answered %s", control, response.Status)
 		}
 		if last = failure; failure.Kind != string(apierror.NoQuorum) {
 			return nil, failure
@@ -124,7 +124,7 @@
 
 // run asks one line and gives the exit code.
 func (shell *shell) run(text string) int {
-	told, err := shell.ask(text)
+	result, err := shell.query(text)
 	if err != nil {
 		var failure *httpface.Error
 		if !errors.As(err, &failure) {
@@ -132,35 +132,35 @@
 			return exitUnreachable
 		}
 		fmt.Fprintf(os.Stderr, "%s: %s\nremedy: %s\n", failure.Kind, failure.Message, failure.Remedy)
-		if code, known := exits[failure.Kind]; known {
+		if code, known := exitCodes[failure.Kind]; known {
 			return code
 		}
-		return exitRefused
+		return exitRejected
 	}
 	if shell.json {
-		json.NewEncoder(shell.output).Encode(told)
+		json.NewEncoder(shell.output).Encode(result)
 	} else {
-		shell.print(told)
+		shell.print(result)
 	}
-	if told.Acknowledged != nil && !*told.Acknowledged {
+	if result.Acknowledged != nil && !*result.Acknowledged {
 		return exitUnclear
 	}
 	return 0
 }
 
-func (shell *shell) print(told *answer) {
-	if len(told.Columns) > 0 {
+func (shell *shell) print(result *queryResult) {
+	if len(result.Columns) > 0 {
 		table := tabwriter.NewWriter(shell.output, 0, 4, 2, ' ', 0)
-		for _, row := range append([][]string{told.Columns}, told.Rows...) {
+		for _, row := range append([][]string{result.Columns}, result.Rows...) {
 			fmt.Fprintln(table, strings.Join(row, "\t"))
 		}
 		table.Flush()
 	}
-	if told.Would != nil {
-		fmt.Fprintln(shell.output, *told.Would)
+	if result.Would != nil {
+		fmt.Fprintln(shell.output, *result.Would)
 	}
-	if told.Number != nil {
-		fmt.Fprintf(shell.output, "number %d, acknowledged: %t\n", *told.Number, *told.Acknowledged)
+	if result.Number != nil {
+		fmt.Fprintf(shell.output, "number %d, acknowledged: %t\n", *result.Number, *result.Acknowledged)
 	}
 }
 
@@ -169,8 +169,8 @@
 func (shell *shell) waitReady(timeout time.Duration) int {
 	deadline := time.Now().Add(timeout)
 	for {
-		told, err := shell.ask("show groups")
-		ready := err == nil && len(told.Rows) > 0 && !slices.ContainsFunc(told.Rows, func(row []string) bool { return row[1] == "" || row[3] != "" })
+		result, err := shell.query("show groups")
+		ready := err == nil && len(result.Rows) > 0 && !slices.ContainsFunc(result.Rows, func(row []string) bool { return row[1] == "" || row[3] != "" })
 		if ready {
 			return 0
 		}
@@ -217,10 +217,10 @@
 }
 
 // complete offers what may follow a beginning.
-func complete(beginning string) []string {
-	offers := []string{"set weight ", "set allowance ", "set limit ", "empty domain ", "refill domain ", "enrol store ", "retire store ", "restore config "}
+func complete(prefix string) []string {
+	completions := []string{"set weight ", "set allowance ", "set limit ", "empty domain ", "refill domain ", "enrol store ", "retire store ", "restore config "}
 	for _, table := range querylanguage.Tables {
-		offers = append(offers, "show "+table)
+		completions = append(completions, "show "+table)
 	}
-	return slices.DeleteFunc(offers, func(offer string) bool { return !strings.HasPrefix(offer, beginning) })
+	return slices.DeleteFunc(completions, func(offer string) bool { return !strings.HasPrefix(offer, prefix) })
 }
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -334,7 +334,7 @@
 		return nil, "", err
 	}
 	missing := func(kind, name string, known []string) error {
-		return apierror.New(apierror.Invalid, "no "+kind+" is named "+strconv.Quote(name)+querylanguage.Near(name, known), "name one of "+strings.Join(known, ", "))
+		return apierror.New(apierror.Invalid, "no "+kind+" is named "+strconv.Quote(name)+querylanguage.Suggest(name, known), "name one of "+strings.Join(known, ", "))
 	}
 	if set.Weight != nil {
 		if tables := slices.Sorted(maps.Keys(decoded.Tables)); !slices.Contains(tables, set.Weight.First) {
--- a/system/daemon/daemon.go
+++ b/system/daemon/daemon.go
@@ -21,13 +21,13 @@
 
 const drainTimeout = 25 * time.Second
 
-// Running is a started node as the program sees it.
-type Running struct {
-	Reread func(seeds []string)
+// Service is a started node as the program sees it.
+type Service struct {
+	Reload func(seeds []string)
 	Drain  func(ctx context.Context)
 	Close  func()
-	// Foreign, if any, gives the reason why the process can't go on.
-	Foreign <-chan error
+	// Failed, if any, gives the reason why the process can't go on.
+	Failed <-chan error
 }
 
 // Signals begins to take signals. It is called before anything else, since the
@@ -40,10 +40,10 @@
 	return signals
 }
 
-// Logs sends one key=value line per event to standard error.
+// ConfigureLogging sends one key=value line per event to standard error.
 //
-//	daemon.Logs("info")
-func Logs(level string) {
+//	daemon.ConfigureLogging("info")
+func ConfigureLogging(level string) {
 	log.SetHandler(logfmt.New(os.Stderr))
 	if level == "" {
 		level = "info"
@@ -51,9 +51,9 @@
 	log.SetLevelFromString(level)
 }
 
-// heapShare is the part of a process's memory that the runtime may take; the rest is for the
+// heapFraction is the part of a process's memory that the runtime may take; the rest is for the
 // program itself and for bytes that arrived and were not read.
-const heapShare = 0.6
+const heapFraction = 0.6
 
 // LimitMemory sets a soft limit for the runtime from the bytes that the process may use: near
 // it, garbage is collected more often. 0 leaves the runtime as it is.
@@ -61,15 +61,15 @@
 //	daemon.LimitMemory(loaded.Memory)
 func LimitMemory(limit int64) {
 	if limit > 0 {
-		debug.SetMemoryLimit(int64(float64(limit) * heapShare))
+		debug.SetMemoryLimit(int64(float64(limit) * heapFraction))
 	}
 }
 
-// Fail tells a failure with its remedy and gives the exit code.
+// ReportError tells a failure with its remedy and gives the exit code.
 //
-//	os.Exit(daemon.Fail(err))
-func Fail(err error) int {
-	if errors.Is(err, settings.ErrShown) {
+//	os.Exit(daemon.ReportError(err))
+func ReportError(err error) int {
+	if errors.Is(err, settings.ErrHelpShown) {
 		return 0
 	}
 	failed := apierror.Of(err)
@@ -77,38 +77,38 @@
 	return 2
 }
 
-// Wait serves until SIGTERM or SIGINT, then drains. SIGHUP reads the settings
+// Serve serves until SIGTERM or SIGINT, then drains. SIGHUP reads the settings
 // again; what is wrong with them is told and the old ones stay. An error is why the
 // process can't go on.
 //
-//	err := daemon.Wait(signals, running, func() ([]string, error) { ... })
-func Wait(signals <-chan os.Signal, running Running, seeds func() ([]string, error)) error {
+//	err := daemon.Serve(signals, running, func() ([]string, error) { ... })
+func Serve(signals <-chan os.Signal, service Service, seeds func() ([]string, error)) error {
 	var failed error
-	for going := true; going; {
+	for serving := true; serving; {
 		select {
-		case failed = <-running.Foreign:
-			going = false
+		case failed = <-service.Failed:
+			serving = false
 		case received := <-signals:
-			if going = received == syscall.SIGHUP; going {
-				reread(running, seeds)
+			if serving = received == syscall.SIGHUP; serving {
+				reload(service, seeds)
 			}
 		}
 	}
 	log.Info("draining")
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	running.Drain(ctx)
-	running.Close()
+	service.Drain(ctx)
+	service.Close()
 	log.Info("stopped")
 	return failed
 }
 
-func reread(running Running, seeds func() ([]string, error)) {
+func reload(service Service, seeds func() ([]string, error)) {
 	read, err := seeds()
 	if err != nil {
 		log.WithField("error", err.Error()).Error("settings_refused")
 		return
 	}
-	running.Reread(read)
+	service.Reload(read)
 	log.WithField("seeds", fmt.Sprint(read)).Info("settings_reread")
 }
--- a/system/daemon/daemon_test.go
+++ b/system/daemon/daemon_test.go
@@ -20,16 +20,16 @@
 	signals := Signals()
 	fmt.Println("starting")
 	bufio.NewReader(os.Stdin).ReadString('\n')
-	Wait(signals, Running{
-		Reread: func(seeds []string) { fmt.Println("reread", strings.Join(seeds, ",")) },
+	Serve(signals, Service{
+		Reload: func(seeds []string) { fmt.Println("reread", strings.Join(seeds, ",")) },
 		Drain:  func(context.Context) { fmt.Println("drained") },
 		Close:  func() { fmt.Println("closed") },
 	}, func() ([]string, error) { return []string{"a", "b", "c"}, nil })
 }
 
-// TestSettingsToldWhileTheProcessStartsAreRereadAndDoNotEndIt sends SIGHUP and
+// TestHangupDuringStartReloadsSettings sends SIGHUP and
 // then SIGTERM before the start is done.
-func TestSettingsToldWhileTheProcessStartsAreRereadAndDoNotEndIt(t *testing.T) {
+func TestHangupDuringStartReloadsSettings(t *testing.T) {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), "PLAY_DAEMON=1")
 	input, err := command.StdinPipe()
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestMemoryIsLimitedBelowWhatTheProcessMayUse(t *testing.T) {
+func TestLimitMemory(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(before)
 	LimitMemory(0)
--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -30,7 +30,7 @@
 	detach func() bool
 
 	countedAsSent bool // as sent, though it has not ended
-	reply         *runnerpool.Reply
+	reply         *runnerpool.Response
 	err           error
 }
 
@@ -38,10 +38,10 @@
 func (attempt *attempt) send() {
 	exchange := attempt.attempts.exchange
 	attempt.startedAt = time.Now()
-	attempt.reply, attempt.err = attempt.attempts.forwarder.settings.Pool.Send(attempt.context, runnerpool.Dispatch{
-		Runner: attempt.lease.Runner, Most: attempt.lease.Connections, Method: exchange.Method, Target: exchange.Target, Host: exchange.Host, Header: exchange.Header,
-		Body: exchange.body, Name: exchange.Name, Deadline: exchange.deadline, Resume: attempt.lastEventID,
-		Look: attempt.checkBeforeSend,
+	attempt.reply, attempt.err = attempt.attempts.forwarder.settings.Pool.Send(attempt.context, runnerpool.Request{
+		Runner: attempt.lease.Runner, MaxConnections: attempt.lease.MaxConnections, Method: exchange.Method, Target: exchange.Target, Host: exchange.Host, Header: exchange.Header,
+		Body: exchange.body, ID: exchange.Name, Deadline: exchange.deadline, LastEventID: attempt.lastEventID,
+		BeforeSend: attempt.checkBeforeSend,
 	})
 }
 
@@ -63,7 +63,7 @@
 		}
 		attempt.active, attempt.route = rules, route
 	}
-	if !attempt.lease.Stands() || !attempt.lease.Serves(attempt.route) {
+	if !attempt.lease.Valid() || !attempt.lease.Serves(attempt.route) {
 		return changed
 	}
 	return nil
@@ -82,7 +82,7 @@
 	ending := balancer.Answered
 	switch {
 	case err != nil && attempt.context.Err() != nil:
-		ending = balancer.Abandoned
+		ending = balancer.Cancelled
 	case err != nil:
 		ending = balancer.Lost
 	case attempt.reply.Status >= http.StatusInternalServerError:
@@ -92,18 +92,18 @@
 }
 
 // outcomeOf tells the balancer what a failed attempt shows of its runner.
-func outcomeOf(ctx context.Context, failure *apierror.Error) balancer.Ending {
+func outcomeOf(ctx context.Context, failure *apierror.Error) balancer.Outcome {
 	switch {
 	case failure.Misdirected:
 		return balancer.Misdirected
 	case failure.Kind == apierror.NotRun && !failure.NeverSent:
-		return balancer.Refused
+		return balancer.Rejected
 	case failure.Lost || failure.ConnectionRefused:
 		return balancer.Lost
 	case failure.NeverSent:
-		return balancer.Unused
+		return balancer.NotSent
 	case ctx.Err() != nil:
-		return balancer.Abandoned
+		return balancer.Cancelled
 	}
 	return balancer.Failed
 }
--- a/system/forwarding/dispatch.go
+++ b/system/forwarding/dispatch.go
@@ -122,7 +122,7 @@
 }
 
 // isEventStream tells whether an answer is a stream of events.
-func (exchange *exchange) isEventStream(reply *runnerpool.Reply) bool {
+func (exchange *exchange) isEventStream(reply *runnerpool.Response) bool {
 	if exchange.route.Kind != config.Streaming || reply.Status != http.StatusOK {
 		return false
 	}
@@ -131,7 +131,7 @@
 }
 
 // relayBuffered reads a plain answer whole, if it is not too long, and passes it on.
-func (forwarder *Forwarder) relayBuffered(ctx context.Context, attempts *attemptSet, attempt *attempt) (balancer.Ending, error) {
+func (forwarder *Forwarder) relayBuffered(ctx context.Context, attempts *attemptSet, attempt *attempt) (balancer.Outcome, error) {
 	exchange, reply := attempts.exchange, attempt.reply
 	if exchange.stream.started {
 		return balancer.Failed, runnerFailure("a stream was to go on, but the runner answered " + strconv.Itoa(reply.Status))
@@ -167,11 +167,11 @@
 		}
 	}
 	if err := exchange.response.Begin(reply.Status, reply.Header); err != nil {
-		return balancer.Abandoned, errors.Join(errNoRetry, err)
+		return balancer.Cancelled, errors.Join(errNoRetry, err)
 	}
 	exchange.stream.started = true
 	if err := exchange.response.Write(data); err != nil {
-		return balancer.Abandoned, errors.Join(errNoRetry, err)
+		return balancer.Cancelled, errors.Join(errNoRetry, err)
 	}
 	if len(data) == maxBufferedResponseBytes {
 		if _, err := io.Copy(copyTarget{exchange.response}, reply); err != nil {
@@ -179,7 +179,7 @@
 		}
 	}
 	if ctx.Err() == nil {
-		attempt.lease.First(time.Since(attempt.startedAt))
+		attempt.lease.FirstEvent(time.Since(attempt.startedAt))
 	}
 	if !exchange.stream.complete {
 		forwarder.endTurnInBackground(exchange, outcome)
@@ -203,15 +203,15 @@
 
 // relayStream passes events on as they come. The end is passed on only once a turn that
 // is kept is committed whole.
-func (forwarder *Forwarder) relayStream(ctx context.Context, exchange *exchange, reply *runnerpool.Reply, perEvent uint64, first func()) (balancer.Ending, error) {
+func (forwarder *Forwarder) relayStream(ctx context.Context, exchange *exchange, reply *runnerpool.Response, perEvent uint64, first func()) (balancer.Outcome, error) {
 	exchange.mayHaveRun = true
-	events := runnerpool.NewEvents(reply)
+	events := runnerpool.NewEventReader(reply)
 	if !exchange.stream.started {
 		if exchange.repeatable() {
 			delete(reply.Header, "Content-Length") // another runner may go on with it
 		}
 		if err := exchange.response.Begin(reply.Status, reply.Header); err != nil {
-			return balancer.Abandoned, errors.Join(errNoRetry, err)
+			return balancer.Cancelled, errors.Join(errNoRetry, err)
 		}
 		exchange.stream.started = true
 	}
@@ -223,7 +223,7 @@
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				return balancer.Abandoned, err
+				return balancer.Cancelled, err
 			}
 			return balancer.Lost, err
 		}
@@ -245,7 +245,7 @@
 			exchange.stream.lastEventID, exchange.stream.lastEventNumber = event.ID, number
 		}
 		if err := exchange.response.Write(event.Raw); err != nil {
-			return balancer.Abandoned, errors.Join(errNoRetry, err)
+			return balancer.Cancelled, errors.Join(errNoRetry, err)
 		}
 	}
 }
--- a/system/forwarding/hedging.go
+++ b/system/forwarding/hedging.go
@@ -74,9 +74,9 @@
 // leaseRunner leases a runner that has not been tried.
 func (attempts *attemptSet) leaseRunner() (*attempt, error) {
 	exchange := attempts.exchange
-	lease, err := attempts.forwarder.settings.Balancer.Acquire(attempts.context, balancer.Need{
-		Route: exchange.route, Parts: exchange.PromptParts, Program: exchange.Program, Session: exchange.Session, Subject: exchange.Subject,
-		TokensIn: exchange.InputTokens, TokensOut: exchange.MaxOutputTokens, Deadline: exchange.deadline, Finish: exchange.FinishBy, Avoid: exchange.triedRunners,
+	lease, err := attempts.forwarder.settings.Balancer.Acquire(attempts.context, balancer.Request{
+		Route: exchange.route, PromptParts: exchange.PromptParts, Program: exchange.Program, Session: exchange.Session, AffinityKey: exchange.Subject,
+		InputTokens: exchange.InputTokens, MaxOutputTokens: exchange.MaxOutputTokens, Deadline: exchange.deadline, FinishBy: exchange.FinishBy, Excluded: exchange.triedRunners,
 	})
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 	ending, err := attempts.relay(attempt)
 	attempt.reply.Close()
 	if err != nil && attempts.context.Err() != nil {
-		ending = balancer.Abandoned
+		ending = balancer.Cancelled
 	}
 	attempt.lease.Release(ending, attempt.reply.Load)
 	attempts.answered = err == nil
@@ -173,9 +173,9 @@
 }
 
 // relay passes a reply on to the caller.
-func (attempts *attemptSet) relay(attempt *attempt) (balancer.Ending, error) {
+func (attempts *attemptSet) relay(attempt *attempt) (balancer.Outcome, error) {
 	if attempts.exchange.isEventStream(attempt.reply) {
-		first := func() { attempt.lease.First(time.Since(attempt.startedAt)) }
+		first := func() { attempt.lease.FirstEvent(time.Since(attempt.startedAt)) }
 		return attempts.forwarder.relayStream(attempts.context, attempts.exchange, attempt.reply, tokensPerEvent(attempt.lease.Service), first)
 	}
 	return attempts.forwarder.relayBuffered(attempts.context, attempts, attempt)
--- a/system/forwarding/types.go
+++ b/system/forwarding/types.go
@@ -27,7 +27,7 @@
 	FinishBy        time.Time // when the program should be over; zero if not told
 	HasOutputBudget bool
 	OutputBudget    uint64 // tokens that all turns of the program may put out
-	PromptParts     []balancer.Part
+	PromptParts     []balancer.PromptPart
 	Model           string
 	// InputTokens and MaxOutputTokens are those of the prompt, and the most put out.
 	InputTokens     uint64
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -39,8 +39,8 @@
 	Seeds         []string
 	// Machine is what the operators call this machine; it may be empty.
 	Machine string
-	// Dialect names the headers of runners that queries are forwarded to.
-	Dialect runnerpool.Dialect
+	// HeaderNames names the headers of runners that queries are forwarded to.
+	Dialect runnerpool.HeaderNames
 	// MaxBufferedBytes bounds the forwarded queries and histories that are held at once; 0 means
 	// forwarding.UsualHeldBytes.
 	MaxBufferedBytes int64
@@ -60,7 +60,7 @@
 	feedClient   *follower.Client
 	stores       *storeorigin.Client
 	runnerClient *runnerorigin.Client
-	scheduler    *scheduling.Board
+	scheduler    *scheduling.Scheduler
 	pool         *runnerpool.Pool
 	balancer     *balancer.Balancer
 	forwarder    *forwarding.Forwarder
@@ -88,7 +88,7 @@
 	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
 	node.frontNames.Store(&[]string{node.name})
 	node.stores = storeorigin.New(node.caller, func() *feed.View { return node.active.Load().view })
-	node.scheduler = scheduling.NewBoard(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
+	node.scheduler = scheduling.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
 	node.pool = runnerpool.New(network, settings.Dialect)
 	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
 	node.forwarder = forwarding.New(forwarding.Settings{Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.activeRouting, Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes})
@@ -105,7 +105,7 @@
 	}
 	member := feed.Member{Name: node.name, Role: feed.RoleFront, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
 	node.feedClient = follower.Start(node.caller, member, settings.Seeds, nil, node.applyView)
-	node.balancer.FollowList(node.feedClient.RunnerListReadAt)
+	node.balancer.SetListReadTime(node.feedClient.RunnerListReadAt)
 	go node.watchPeers()
 	node.linkServer = link.Serve(linkListener, node.handleCall)
 	if publicListener != nil {
@@ -164,7 +164,7 @@
 		return
 	}
 	fronts := *node.frontNames.Load()
-	node.balancer.Update(balancer.State{View: rules.view, Routes: rules.config.Routing, Fronts: len(fronts), Front: node.name, Names: fronts})
+	node.balancer.Update(balancer.State{View: rules.view, Routing: rules.config.Routing, FrontCount: len(fronts), FrontName: node.name, FrontNames: fronts})
 	node.pool.Retain(rules.view.Runners)
 }
 
@@ -249,7 +249,7 @@
 			if known[member.Name] {
 				continue
 			}
-			for _, address := range node.scheduler.Cooled() {
+			for _, address := range node.scheduler.SuspectedRestarts() {
 				node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: true})
 			}
 		}
@@ -270,11 +270,11 @@
 		if fleet := node.active.Load().view.Fleet; request.Fleet != fleet {
 			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+request.Fleet+", this one to "+fleet, "correct its seeds"))
 		}
-		node.scheduler.Note(request.RunnerWarmUp.Address, request.RunnerWarmUp.WarmingUp)
+		node.scheduler.ReportRestart(request.RunnerWarmUp.Address, request.RunnerWarmUp.WarmingUp)
 		return &wire.Reply{}
 	case schema.Query_Which_status:
 		view := node.feedClient.View()
-		out, waiting := node.scheduler.Demand()
+		out, waiting := node.scheduler.Status()
 		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
 			RunnerLoads: out, Queued: waiting,
 			Name: node.name, Role: feed.RoleFront, Address: node.settings.Address, Domain: node.settings.Domain,
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -323,7 +323,7 @@
 		return nil, err
 	}
 	request.slot = slot
-	request.cleanups = append(request.cleanups, func() { request.slot.Release(scheduling.Unused) })
+	request.cleanups = append(request.cleanups, func() { request.slot.Release(scheduling.NotSent) })
 	return nil, nil
 }
 
@@ -407,7 +407,7 @@
 		if request.runnerUsable() {
 			return nil
 		}
-		request.slot.Release(scheduling.Unused)
+		request.slot.Release(scheduling.NotSent)
 		slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
 		if err != nil {
 			return err
@@ -463,20 +463,20 @@
 }
 
 // outcomeOf tells what a failure says about the runner.
-func (node *Node) outcomeOf(err error) scheduling.Ending {
+func (node *Node) outcomeOf(err error) scheduling.Outcome {
 	if err == nil || errors.Is(err, errTurnLimit) {
 		return scheduling.Answered
 	}
 	failed := apierror.Of(err)
 	switch {
 	case node.context.Err() != nil:
-		return scheduling.Unused
+		return scheduling.NotSent
 	case failed.Lost:
 		return scheduling.Lost
 	case failed.NeverSent:
-		return scheduling.Unused
+		return scheduling.NotSent
 	}
-	return scheduling.Troubled
+	return scheduling.Faulted
 }
 
 // nextRunner takes another runner after one that provably was sent nothing.
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -110,7 +110,7 @@
 	failed := <-dispatched
 	ending := node.outcomeOf(failed)
 	if committed != nil {
-		ending = scheduling.Unused // it was broken off from here
+		ending = scheduling.NotSent // it was broken off from here
 	}
 	defer request.slot.Release(ending)
 	execution.close(failed, committed)
@@ -127,7 +127,7 @@
 		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, asked, node.preSendCheck(request), func(words string) error {
 			if execution.timeToFirstPiece == 0 {
 				execution.timeToFirstPiece = time.Since(began)
-				request.slot.First(execution.timeToFirstPiece)
+				request.slot.FirstEvent(execution.timeToFirstPiece)
 			}
 			kept, whole := execution.counter.CountUpTo(words, request.answerWordLimit())
 			if kept != "" {
--- a/system/querylanguage/querylanguage.go
+++ b/system/querylanguage/querylanguage.go
@@ -68,18 +68,18 @@
 
 // Condition keeps rows whose field compares so.
 type Condition struct {
-	Field string `parser:"@Word"`
-	How   string `parser:"@( '=' | '!' '=' | '<' | '>' | '~' )"`
-	Value string `parser:"@(Word|Number|Text)"`
+	Field    string `parser:"@Word"`
+	Operator string `parser:"@( '=' | '!' '=' | '<' | '>' | '~' )"`
+	Value    string `parser:"@(Word|Number|Text)"`
 }
 
 // Order sorts rows by a field.
 type Order struct {
-	Field string `parser:"@Word"`
-	Down  bool   `parser:"@'desc'?"`
+	Field      string `parser:"@Word"`
+	Descending bool   `parser:"@'desc'?"`
 }
 
-var words = lexer.MustSimple([]lexer.SimpleRule{
+var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Text", Pattern: `"[^"]*"`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?(ms|s|m|h)?\b`},
 	{Name: "Word", Pattern: `[a-zA-Z_][a-zA-Z0-9_:-]*`},
@@ -87,7 +87,7 @@
 	{Name: "space", Pattern: `\s+`},
 })
 
-var parser = participle.MustBuild[Statement](participle.Lexer(words), participle.Unquote("Text"), participle.UseLookahead(4))
+var parser = participle.MustBuild[Statement](participle.Lexer(tokenRules), participle.Unquote("Text"), participle.UseLookahead(4))
 
 // Tables are what can be shown.
 var Tables = []string{"changes", "config", "controls", "demand", "domains", "assignments", "groups", "nodes", "openings", "programs", "routes", "runners", "services", "stores", "tallies", "weights"}
@@ -105,18 +105,18 @@
 		return nil, apierror.New(apierror.Invalid, err.Error(), "the operators' page lists the queries and commands")
 	}
 	if statement.Show != nil && !slices.Contains(Tables, statement.Show.What) {
-		return nil, apierror.New(apierror.Invalid, "column 6: nothing is named "+strconv.Quote(statement.Show.What)+Near(statement.Show.What, Tables), "show one of "+strings.Join(Tables, ", "))
+		return nil, apierror.New(apierror.Invalid, "column 6: nothing is named "+strconv.Quote(statement.Show.What)+Suggest(statement.Show.What, Tables), "show one of "+strings.Join(Tables, ", "))
 	}
 	return statement, nil
 }
 
-// Near suggests the known name that is nearest to a wrong one.
+// Suggest suggests the known name that is nearest to a wrong one.
 //
-//	message += querylanguage.Near("wieghts", names)
-func Near(wrong string, known []string) string {
+//	message += querylanguage.Suggest("wieghts", names)
+func Suggest(wrong string, known []string) string {
 	best, bestDistance := "", 4
 	for _, name := range known {
-		if far := distance(wrong, name); far < bestDistance {
+		if far := editDistance(wrong, name); far < bestDistance {
 			best, bestDistance = name, far
 		}
 	}
@@ -126,8 +126,8 @@
 	return "; did you mean " + best + "?"
 }
 
-// distance counts the edits between two words.
-func distance(left, right string) int {
+// editDistance counts the edits between two words.
+func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for position := range row {
 		row[position] = position
@@ -226,11 +226,11 @@
 		if position > 0 {
 			joint = " and "
 		}
-		text += joint + condition.Field + " " + condition.How + " " + strconv.Quote(condition.Value)
+		text += joint + condition.Field + " " + condition.Operator + " " + strconv.Quote(condition.Value)
 	}
 	if show.Order != nil {
 		text += " order by " + show.Order.Field
-		if show.Order.Down {
+		if show.Order.Descending {
 			text += " desc"
 		}
 	}
@@ -244,28 +244,28 @@
 //
 //	rows, err := show.Apply(columns, rows)
 func (show *Show) Apply(columns []string, rows [][]string) ([][]string, error) {
-	at := func(field string) (int, error) {
+	columnIndex := func(field string) (int, error) {
 		position := slices.Index(columns, field)
 		if position < 0 {
-			return 0, apierror.New(apierror.Invalid, show.What+" has no field "+strconv.Quote(field)+Near(field, columns), "name one of "+strings.Join(columns, ", "))
+			return 0, apierror.New(apierror.Invalid, show.What+" has no field "+strconv.Quote(field)+Suggest(field, columns), "name one of "+strings.Join(columns, ", "))
 		}
 		return position, nil
 	}
 	for _, condition := range show.Where {
-		position, err := at(condition.Field)
+		position, err := columnIndex(condition.Field)
 		if err != nil {
 			return nil, err
 		}
-		rows = slices.DeleteFunc(slices.Clone(rows), func(row []string) bool { return !holds(row[position], condition.How, condition.Value) })
+		rows = slices.DeleteFunc(slices.Clone(rows), func(row []string) bool { return !matches(row[position], condition.Operator, condition.Value) })
 	}
 	if show.Order != nil {
-		position, err := at(show.Order.Field)
+		position, err := columnIndex(show.Order.Field)
 		if err != nil {
 			return nil, err
 		}
 		rows = slices.Clone(rows)
 		slices.SortStableFunc(rows, func(left, right []string) int {
-			if show.Order.Down {
+			if show.Order.Descending {
 				left, right = right, left
 			}
 			return compare(left[position], right[position])
@@ -298,4 +298,4 @@
 	"~":  strings.Contains,
 }
 
-func holds(have, how, want string) bool { return comparisons[how](have, want) }
+func matches(have, operator, want string) bool { return comparisons[operator](have, want) }
--- a/system/querylanguage/querylanguage_test.go
+++ b/system/querylanguage/querylanguage_test.go
@@ -15,8 +15,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// statementOf draws a statement from numbers.
-func statementOf(kind, first, second int, flag bool) *Statement {
+// generateStatement draws a statement from numbers.
+func generateStatement(kind, first, second int, flag bool) *Statement {
 	name := []string{"east", "store-1f", "talk", "a_b", "z9"}[first%5]
 	other := []string{"small", "large", "x-y"}[second%3]
 	number := uint64(second)
@@ -46,12 +46,12 @@
 	return statement
 }
 
-func TestAPrintedStatementParsesBackToItself(t *testing.T) {
+func TestPrintedStatementsParseBack(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260104)
 	parameters.MinSuccessfulTests = 500
 	properties := gopter.NewProperties(parameters)
 	properties.Property("parse(print(s)) = s", prop.ForAll(func(kind, first, second int, flag bool) string {
-		statement := statementOf(kind, first, second, flag)
+		statement := generateStatement(kind, first, second, flag)
 		again, err := Parse(statement.String())
 		if err != nil {
 			return statement.String() + ": " + err.Error()
@@ -64,7 +64,7 @@
 	properties.TestingRun(t)
 }
 
-func TestWrongStatementsPointAtTheColumn(t *testing.T) {
+func TestParseErrorsNameColumn(t *testing.T) {
 	for text, wanted := range map[string]string{
 		"shwo nodes":              "column 1",
 		"show wieghts":            "did you mean weights?",
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestRowsAreKeptSortedAndLimited(t *testing.T) {
+func TestApplyFiltersSortsAndLimits(t *testing.T) {
 	columns := []string{"name", "load"}
 	rows := [][]string{{"a", "10"}, {"b", "9"}, {"c", "100"}, {"d", "1"}}
 	statement, err := Parse(`show runners where load > 1 order by load desc limit 2`)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestEveryLineOfTheOperatorsPageIsUnderstood parses the examples of the docs.
-func TestEveryLineOfTheOperatorsPageIsUnderstood(t *testing.T) {
+// TestOperatorsPageExamplesParse parses the examples of the docs.
+func TestOperatorsPageExamplesParse(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators.md")
 	if err != nil {
 		t.Fatal(err)
--- a/system/runnerpool/connection.go
+++ b/system/runnerpool/connection.go
@@ -12,132 +12,132 @@
 
 const (
 	readerBytes = 4 << 10
-	// headBytes bounds the head of an answer.
-	headBytes = 64 << 10
+	// maxHeadBytes bounds the head of an answer.
+	maxHeadBytes = 64 << 10
 )
 
 var errHeadTooLarge = errors.New("the head of its answer is too large")
 
-// quieter is a connection that can itself tell whether something has arrived on it.
-type quieter interface {
-	// Quiet tells, without waiting, that nothing has arrived and nothing was closed.
-	Quiet() bool
+// idleChecker is a connection that can itself tell whether something has arrived on it.
+type idleChecker interface {
+	// Idle tells, without waiting, that nothing has arrived and nothing was closed.
+	Idle() bool
 }
 
-// connection is one kept connection. It bears one query at a time.
-type connection struct {
+// persistentConnection is one kept connection. It bears one query at a time.
+type persistentConnection struct {
 	net.Conn
-	runner    *runner
-	raw       syscall.RawConn
-	look      func(descriptor uintptr) bool
-	silent    bool // the look found nothing
-	ended     bool // it found the end
-	one       [1]byte
-	reused    bool // it has borne an answer before
-	told      bool // the runner told how long it keeps the connection idle
-	keep      time.Duration
-	idleSince time.Time
-	expires   time.Time
+	runner         *runnerConnections
+	raw            syscall.RawConn
+	probe          func(descriptor uintptr) bool
+	noInput        bool // the look found nothing
+	closedByRunner bool // it found the end
+	probeByte      [1]byte
+	reused         bool // it has borne an answer before
+	hasKeepAlive   bool // the runner told how long it keeps the connection idle
+	keepAlive      time.Duration
+	idleSince      time.Time
+	expires        time.Time
 
-	work     *workspace
-	headLeft int // bytes that the head of an answer may still have; -1: no head is read
+	buffers       *connectionBuffers
+	headBytesLeft int // bytes that the head of an answer may still have; -1: no head is read
 }
 
-// workspace is what a connection needs only while it bears a query.
-type workspace struct {
+// connectionBuffers is what a connection needs only while it bears a query.
+type connectionBuffers struct {
 	reader *bufio.Reader
 	writes []byte
 }
 
-var workspaces = sync.Pool{New: func() any {
-	return &workspace{reader: bufio.NewReaderSize(nil, readerBytes), writes: make([]byte, 0, readerBytes)}
+var connectionBufferPool = sync.Pool{New: func() any {
+	return &connectionBuffers{reader: bufio.NewReaderSize(nil, readerBytes), writes: make([]byte, 0, readerBytes)}
 }}
 
-func newConnection(stream net.Conn, held *runner) *connection {
-	made := &connection{Conn: stream, runner: held, headLeft: -1}
+func newConnection(stream net.Conn, runner *runnerConnections) *persistentConnection {
+	connection := &persistentConnection{Conn: stream, runner: runner, headBytesLeft: -1}
 	if socket, found := stream.(syscall.Conn); found {
 		if raw, err := socket.SyscallConn(); err == nil {
-			made.raw = raw
-			made.look = made.lookAt
+			connection.raw = raw
+			connection.probe = connection.probeSocket
 		}
 	}
-	return made
+	return connection
 }
 
-// lookAt reads without waiting. Whatever it finds but nothing makes the connection
+// probeSocket reads without waiting. Whatever it finds but nothing makes the connection
 // unfit, so that a byte that is taken away here is not missed.
-func (connection *connection) lookAt(descriptor uintptr) bool {
+func (connection *persistentConnection) probeSocket(descriptor uintptr) bool {
 	for {
-		count, err := syscall.Read(int(descriptor), connection.one[:])
+		count, err := syscall.Read(int(descriptor), connection.probeByte[:])
 		if err != syscall.EINTR {
-			connection.silent, connection.ended = err == syscall.EAGAIN, count == 0 && err == nil
+			connection.noInput, connection.closedByRunner = err == syscall.EAGAIN, count == 0 && err == nil
 			return true
 		}
 	}
 }
 
-// quiet tells that nothing has arrived on an idle connection and nothing was closed; if
+// isIdle tells that nothing has arrived on an idle connection and nothing was closed; if
 // not, ended tells that the runner closed it and said nothing.
-func (connection *connection) quiet() bool {
-	connection.silent, connection.ended = false, false
+func (connection *persistentConnection) isIdle() bool {
+	connection.noInput, connection.closedByRunner = false, false
 	if connection.raw != nil {
-		return connection.raw.Read(connection.look) == nil && connection.silent
+		return connection.raw.Read(connection.probe) == nil && connection.noInput
 	}
-	able, found := connection.Conn.(quieter)
-	if !found || able.Quiet() {
+	checker, found := connection.Conn.(idleChecker)
+	if !found || checker.Idle() {
 		return true
 	}
-	_, err := connection.Conn.Read(connection.one[:])
-	connection.ended = err == io.EOF
+	_, err := connection.Conn.Read(connection.probeByte[:])
+	connection.closedByRunner = err == io.EOF
 	return false
 }
 
-// heed learns from an idle connection that was not quiet: a runner that doesn't tell
+// learnIdleTimeout learns from an idle connection that was not quiet: a runner that doesn't tell
 // how long it keeps connections shows it by closing them.
-func (connection *connection) heed(now time.Time) {
+func (connection *persistentConnection) learnIdleTimeout(now time.Time) {
 	idle := now.Sub(connection.idleSince)
-	if !connection.ended || idle < shortestIdle {
+	if !connection.closedByRunner || idle < minIdleTimeout {
 		return
 	}
-	shorter := int64(max(idle/2, shortestIdle))
+	shorter := int64(max(idle/2, minIdleTimeout))
 	for {
-		known := connection.runner.timeout.Load()
-		if shorter >= known || connection.runner.timeout.CompareAndSwap(known, shorter) {
+		known := connection.runner.idleTimeout.Load()
+		if shorter >= known || connection.runner.idleTimeout.CompareAndSwap(known, shorter) {
 			return
 		}
 	}
 }
 
 // Read reads what the runner sent; while a head is read, no more than it may have.
-func (connection *connection) Read(target []byte) (int, error) {
-	if connection.headLeft == 0 {
+func (connection *persistentConnection) Read(target []byte) (int, error) {
+	if connection.headBytesLeft == 0 {
 		return 0, errHeadTooLarge
 	}
-	if connection.headLeft > 0 && len(target) > connection.headLeft {
-		target = target[:connection.headLeft]
+	if connection.headBytesLeft > 0 && len(target) > connection.headBytesLeft {
+		target = target[:connection.headBytesLeft]
 	}
 	count, err := connection.Conn.Read(target)
-	if connection.headLeft > 0 {
-		connection.headLeft -= count
+	if connection.headBytesLeft > 0 {
+		connection.headBytesLeft -= count
 	}
 	return count, err
 }
 
-// equip lends the connection what it needs for a query.
-func (connection *connection) equip() {
-	connection.work = workspaces.Get().(*workspace)
-	connection.work.reader.Reset(connection)
-	connection.work.writes = connection.work.writes[:0]
+// attachBuffers lends the connection what it needs for a query.
+func (connection *persistentConnection) attachBuffers() {
+	connection.buffers = connectionBufferPool.Get().(*connectionBuffers)
+	connection.buffers.reader.Reset(connection)
+	connection.buffers.writes = connection.buffers.writes[:0]
 }
 
-// strip takes it back.
-func (connection *connection) strip() {
-	if connection.work == nil {
+// releaseBuffers takes it back.
+func (connection *persistentConnection) releaseBuffers() {
+	if connection.buffers == nil {
 		return
 	}
-	connection.work.reader.Reset(nil)
-	if cap(connection.work.writes) <= 2*directBytes {
-		workspaces.Put(connection.work)
+	connection.buffers.reader.Reset(nil)
+	if cap(connection.buffers.writes) <= 2*singleWriteBytes {
+		connectionBufferPool.Put(connection.buffers)
 	}
-	connection.work = nil
+	connection.buffers = nil
 }
--- a/system/runnerpool/events.go
+++ b/system/runnerpool/event_stream.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	eventBytes = 4 << 10
-	// largestEvent bounds one event.
-	largestEvent = 1 << 20
+	minEventBuffer = 4 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
 )
 
 // Event is one event of a text/event-stream. Its slices are never overwritten.
@@ -21,23 +21,23 @@
 	HasData bool   // it has a data line; one without is no event to a browser
 }
 
-// Events splits a text/event-stream. It is used by one goroutine at a time.
-type Events struct {
-	source io.Reader
-	buffer []byte // what came and was not given out yet
-	looked int    // bytes of buffer in which the end of an event was looked for
-	start  int    // where the line begins in which the look stands
-	begun  bool   // an event was given out; a mark of byte order can't come any more
-	// afterReturn tells that a carriage return ended the event before: the line feed that
+// EventReader splits a text/event-stream. It is used by one goroutine at a time.
+type EventReader struct {
+	source    io.Reader
+	buffer    []byte // what came and was not given out yet
+	scanned   int    // bytes of buffer in which the end of an event was looked for
+	lineStart int    // where the line begins in which the look stands
+	started   bool   // an event was given out; a mark of byte order can't come any more
+	// afterCarriageReturn tells that a carriage return ended the event before: the line feed that
 	// may follow belongs to it.
-	afterReturn bool
-	failed      error
+	afterCarriageReturn bool
+	failed              error
 }
 
-// NewEvents splits what a reader gives, such as the body of a reply.
+// NewEventReader splits what a reader gives, such as the body of a reply.
 //
-//	events := runnerpool.NewEvents(reply)
-func NewEvents(source io.Reader) *Events { return &Events{source: source} }
+//	events := runnerpool.NewEventReader(reply)
+func NewEventReader(source io.Reader) *EventReader { return &EventReader{source: source} }
 
 // Next gives the next event once its blank line is there. Comments and blank lines
 // come as events without data, so that all Raw together are the whole stream; what a
@@ -51,30 +51,30 @@
 //		}
 //		...
 //	}
-func (events *Events) Next() (Event, error) {
+func (events *EventReader) Next() (Event, error) {
 	for {
-		if end := events.find(); end > 0 {
-			return events.cut(end), nil
+		if end := events.findEnd(); end > 0 {
+			return events.takeEvent(end), nil
 		}
 		if events.failed != nil {
-			return events.last()
+			return events.takeRemainder()
 		}
-		if len(events.buffer) > largestEvent {
+		if len(events.buffer) > maxEventBytes {
 			events.failed, events.buffer = &apierror.Error{Kind: apierror.RunnerFailure, Message: "a runner sent an event that is too large", Remedy: "send smaller events"}, nil
 			return Event{}, events.failed
 		}
-		events.read()
+		events.fill()
 	}
 }
 
-// Ready tells that Next would give an event without reading.
+// Buffered tells that Next would give an event without reading.
 //
-//	for more := true; more; more = events.Ready() { ... }
-func (events *Events) Ready() bool { return events.find() > 0 }
+//	for more := true; more; more = events.Buffered() { ... }
+func (events *EventReader) Buffered() bool { return events.findEnd() > 0 }
 
-func (events *Events) read() {
-	if cap(events.buffer)-len(events.buffer) < eventBytes/8 {
-		grown := make([]byte, len(events.buffer), max(eventBytes, 2*len(events.buffer)))
+func (events *EventReader) fill() {
+	if cap(events.buffer)-len(events.buffer) < minEventBuffer/8 {
+		grown := make([]byte, len(events.buffer), max(minEventBuffer, 2*len(events.buffer)))
 		copy(grown, events.buffer)
 		events.buffer = grown
 	}
@@ -82,35 +82,35 @@
 	events.buffer, events.failed = events.buffer[:len(events.buffer)+count], err
 }
 
-// find gives the length of the next event, or 0 if its end is not there yet.
-func (events *Events) find() int {
+// findEnd gives the length of the next event, or 0 if its end is not there yet.
+func (events *EventReader) findEnd() int {
 	buffer := events.buffer
-	for events.looked < len(buffer) {
-		at := events.looked
+	for events.scanned < len(buffer) {
+		at := events.scanned
 		one := buffer[at]
 		if one != '\n' && one != '\r' {
-			events.looked += lineEnd(buffer[at:])
+			events.scanned += lineEnd(buffer[at:])
 			continue
 		}
-		if one == '\n' && at == 0 && events.afterReturn {
-			events.looked, events.start = 1, 1
+		if one == '\n' && at == 0 && events.afterCarriageReturn {
+			events.scanned, events.lineStart = 1, 1
 			continue
 		}
 		after, width := at+1, 1
 		if one == '\r' && after < len(buffer) && buffer[after] == '\n' {
 			after, width = at+2, 2
 		}
-		blank := at == events.start
+		blank := at == events.lineStart
 		if one == '\r' && width == 1 && after == len(buffer) && events.failed == nil {
 			// A line feed may follow. Only if the line before ended with both is it sure to.
-			if !blank || events.pairs(at) {
+			if !blank || events.followsCRLF(at) {
 				return 0
 			}
 		}
 		if blank {
 			return after
 		}
-		events.looked, events.start = after, after
+		events.scanned, events.lineStart = after, after
 	}
 	return 0
 }
@@ -126,32 +126,32 @@
 	return len(text)
 }
 
-// pairs tells that the line before the one at a place ended with both return and feed.
-func (events *Events) pairs(at int) bool {
+// followsCRLF tells that the line before the one at a place ended with both return and feed.
+func (events *EventReader) followsCRLF(at int) bool {
 	return at >= 2 && events.buffer[at-1] == '\n' && events.buffer[at-2] == '\r'
 }
 
-func (events *Events) cut(length int) Event {
+func (events *EventReader) takeEvent(length int) Event {
 	raw := events.buffer[:length:length]
 	events.buffer = events.buffer[length:]
-	events.looked, events.start = 0, 0
+	events.scanned, events.lineStart = 0, 0
 	event := Event{Raw: raw}
 	text := raw
-	if events.afterReturn {
+	if events.afterCarriageReturn {
 		text = bytes.TrimPrefix(text, []byte("\n"))
 	}
-	if !events.begun {
+	if !events.started {
 		text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
 	}
-	events.afterReturn, events.begun = raw[length-1] == '\r', true
+	events.afterCarriageReturn, events.started = raw[length-1] == '\r', true
 	event.parse(text)
 	return event
 }
 
-// last gives what a whole stream has after its last blank line.
-func (events *Events) last() (Event, error) {
+// takeRemainder gives what a whole stream has after its last blank line.
+func (events *EventReader) takeRemainder() (Event, error) {
 	raw := events.buffer
-	events.buffer, events.looked, events.start = nil, 0, 0
+	events.buffer, events.scanned, events.lineStart = nil, 0, 0
 	if events.failed == io.EOF && len(raw) > 0 {
 		return Event{Raw: raw}, nil
 	}
--- a/system/runnerpool/events_test.go
+++ b/system/runnerpool/event_stream_test.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%q id=%q data=%q %v", event.Raw, event.ID, event.Data, event.HasData)
 }
 
-func collect(events *Events) ([]string, error) {
+func collect(events *EventReader) ([]string, error) {
 	all := []string{}
 	for {
 		event, err := events.Next()
@@ -69,7 +69,7 @@
 	"nothing":           {"", nil},
 }
 
-func TestEventsAreSplitHoweverTheyCome(t *testing.T) {
+func TestEventReaderSplitsAnyChunking(t *testing.T) {
 	for name, test := range streams {
 		t.Run(name, func(t *testing.T) {
 			want := []string{}
@@ -84,7 +84,7 @@
 				"seven at a time": &pieces{left: parts(test.text, 7), err: io.EOF},
 			}
 			for way, reader := range readers {
-				if got, err := collect(NewEvents(reader)); err != io.EOF || !slices.Equal(got, want) {
+				if got, err := collect(NewEventReader(reader)); err != io.EOF || !slices.Equal(got, want) {
 					t.Errorf("%s:\ngot  %v, %v\nwant %v", way, got, err, want)
 				}
 			}
@@ -92,12 +92,12 @@
 	}
 }
 
-// TestAnEventDoesNotWaitForMore fails if a read is made after the blank line came.
-func TestAnEventDoesNotWaitForMore(t *testing.T) {
+// TestEventIsReturnedWithoutReadingAhead fails if a read is made after the blank line came.
+func TestEventIsReturnedWithoutReadingAhead(t *testing.T) {
 	for _, text := range []string{"data: a\n\n", "data: a\r\n\r\n", "data: a\r\r", ": ping\n\n", "\n", "data: a\r\n\n", "data: a\n\r\n"} {
 		for size := 1; size <= len(text); size++ {
 			source := &pieces{left: parts(text, size), err: errors.New("read too far")}
-			event, err := NewEvents(source).Next()
+			event, err := NewEventReader(source).Next()
 			if err != nil || strings.TrimSuffix(string(event.Raw), "\n") != strings.TrimSuffix(text, "\n") || source.over > 0 {
 				t.Errorf("%q by %d: got %q, %v, with %d reads too many", text, size, event.Raw, err, source.over)
 			}
@@ -105,10 +105,10 @@
 	}
 }
 
-func TestABrokenStreamGivesNoPart(t *testing.T) {
+func TestBrokenStreamYieldsNoPartialEvent(t *testing.T) {
 	broken := errors.New("broken")
 	for _, text := range []string{"data: a\n\ndata: b", "data: a\n\ndata: b\n", "data: a\n\ndata: b\r"} {
-		events := NewEvents(&pieces{left: [][]byte{[]byte(text)}, err: broken})
+		events := NewEventReader(&pieces{left: [][]byte{[]byte(text)}, err: broken})
 		got, err := collect(events)
 		if err != broken || len(got) != 1 {
 			t.Errorf("%q: got %v, %v", text, got, err)
@@ -119,8 +119,8 @@
 	}
 }
 
-func TestAnEventIsBounded(t *testing.T) {
-	events := NewEvents(io.MultiReader(strings.NewReader("data: "), strings.NewReader(strings.Repeat("x", 2*largestEvent))))
+func TestEventSizeIsLimited(t *testing.T) {
+	events := NewEventReader(io.MultiReader(strings.NewReader("data: "), strings.NewReader(strings.Repeat("x", 2*maxEventBytes))))
 	if _, err := events.Next(); !apierror.Is(err, apierror.RunnerFailure) {
 		t.Errorf("got %v", err)
 	}
@@ -129,24 +129,24 @@
 	}
 }
 
-func TestReadyTellsOfWhatIsThere(t *testing.T) {
-	events := NewEvents(&pieces{left: [][]byte{[]byte("data: a\n\ndata: b\n\ndata: c\n")}, err: io.EOF})
-	if events.Ready() {
+func TestBufferedReportsCompleteEvents(t *testing.T) {
+	events := NewEventReader(&pieces{left: [][]byte{[]byte("data: a\n\ndata: b\n\ndata: c\n")}, err: io.EOF})
+	if events.Buffered() {
 		t.Error("ready before anything was read")
 	}
 	for _, want := range []bool{true, false} {
-		if _, err := events.Next(); err != nil || events.Ready() != want {
+		if _, err := events.Next(); err != nil || events.Buffered() != want {
 			t.Errorf("ready is not %v, %v", want, err)
 		}
 	}
 }
 
-func TestEventsStayAsTheyWere(t *testing.T) {
+func TestEventsAreNotOverwritten(t *testing.T) {
 	text := strings.Builder{}
 	for number := range 2000 {
 		fmt.Fprintf(&text, "id: %d\ndata: one %d\ndata: two\n\n", number, number)
 	}
-	events := NewEvents(iotest.HalfReader(strings.NewReader(text.String())))
+	events := NewEventReader(iotest.HalfReader(strings.NewReader(text.String())))
 	kept := []Event{}
 	for {
 		event, err := events.Next()
@@ -169,19 +169,19 @@
 	}
 }
 
-// TestALineFeedThatComesLater belongs to the return that ended the event before it: it
+// TestLateLineFeedAfterCarriageReturn belongs to the return that ended the event before it: it
 // is no blank line of its own.
-func TestALineFeedThatComesLater(t *testing.T) {
-	events := NewEvents(&pieces{left: [][]byte{[]byte("data: a\n\r"), []byte("\ndata: b\n\n")}, err: io.EOF})
+func TestLateLineFeedAfterCarriageReturn(t *testing.T) {
+	events := NewEventReader(&pieces{left: [][]byte{[]byte("data: a\n\r"), []byte("\ndata: b\n\n")}, err: io.EOF})
 	want := []string{Event{[]byte("data: a\n\r"), "", []byte("a"), true}.String(), Event{[]byte("\ndata: b\n\n"), "", []byte("b"), true}.String()}
 	if got, err := collect(events); err != io.EOF || !slices.Equal(got, want) {
 		t.Errorf("got %v, %v", got, err)
 	}
 }
 
-// FuzzEvents holds that no byte is lost or moved, whatever comes, and that how it is
+// FuzzEventReader holds that no byte is lost or moved, whatever comes, and that how it is
 // cut into reads does not change the data.
-func FuzzEvents(f *testing.F) {
+func FuzzEventReader(f *testing.F) {
 	for _, test := range streams {
 		if len(test.text) < 1000 {
 			f.Add(test.text, 3)
@@ -190,7 +190,7 @@
 	f.Add("\r\n\r\n\r\r\n\n\r", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		read := func(size int) (raw, data string) {
-			events := NewEvents(&pieces{left: parts(text, size), err: io.EOF})
+			events := NewEventReader(&pieces{left: parts(text, size), err: io.EOF})
 			for {
 				event, err := events.Next()
 				if err != nil {
--- a/system/runnerpool/exchanges_test.go
+++ b/system/runnerpool/exchange_test.go
@@ -20,12 +20,12 @@
 	"yardrock.example/system/apierror"
 )
 
-// lostAnswer is what a caller is told of a query that may have run.
-var lostAnswer = failure{kind: apierror.RunnerFailure, lost: true}
+// lostResponse is what a caller is told of a query that may have run.
+var lostResponse = failure{kind: apierror.RunnerFailure, lost: true}
 
-// TestAnAnswerThatBreaksOffAtEachByte is never taken for whole, and its query is not sent
+// TestResponseTruncatedAtEachByte is never taken for whole, and its query is not sent
 // again by the pool: on a new connection and on a kept one.
-func TestAnAnswerThatBreaksOffAtEachByte(t *testing.T) {
+func TestResponseTruncatedAtEachByte(t *testing.T) {
 	answers := map[string]string{
 		"length": ok("fine"),
 		"chunks": "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n",
@@ -39,22 +39,22 @@
 						continue // the name is put in whole
 					}
 					synctest.Test(t, func(t *testing.T) {
-						script := script([]string{answer[:cut] + end})
+						script := newScriptedRunner([]string{answer[:cut] + end})
 						if kept {
 							script.answers[0] = []string{ok("fine"), answer[:cut] + end}
 						}
-						pool := New(script, testDialect)
+						pool := New(script, testHeaders)
 						defer pool.Close()
 						if kept {
-							must(t, pool, "q0")
+							mustSend(t, pool, "q0")
 						}
 						before := len(script.got())
-						_, body, err := ask(t, pool, query("q1"))
-						if got := failureOf(err); got != lostAnswer {
+						_, body, err := sendAndRead(t, pool, testRequest("q1"))
+						if got := failureOf(err); got != lostResponse {
 							t.Errorf("%s, kept %t, %s after %d bytes: %q, %v", name, kept, end, cut, body, err)
 						}
-						if asked := len(script.got()) - before; asked != 1 {
-							t.Errorf("%s, kept %t, %s after %d bytes: sent %d times", name, kept, end, cut, asked)
+						if requested := len(script.got()) - before; requested != 1 {
+							t.Errorf("%s, kept %t, %s after %d bytes: sent %d times", name, kept, end, cut, requested)
 						}
 					})
 				}
@@ -84,35 +84,35 @@
 
 // shortNetwork makes connections that break within a query, after the first.
 type shortNetwork struct {
-	*scripted
+	*scriptedRunner
 	left int
 }
 
 func (network *shortNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
-	made, err := network.scripted.Dial(ctx, address)
+	made, err := network.scriptedRunner.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	return shortConnection{made.(*end), &network.left}, nil
 }
 
-// TestAQueryThatBreaksOffAtEachByte is sent again only if no byte of it left.
-func TestAQueryThatBreaksOffAtEachByte(t *testing.T) {
+// TestRequestTruncatedAtEachByte is sent again only if no byte of it left.
+func TestRequestTruncatedAtEachByte(t *testing.T) {
 	head := 0
 	synctest.Test(t, func(t *testing.T) {
-		made, err := New(script(nil), testDialect).appendHead(nil, new(query("q1")), 6)
+		made, err := New(newScriptedRunner(nil), testHeaders).appendHead(nil, new(testRequest("q1")), 6)
 		if err != nil {
 			t.Fatal(err)
 		}
 		head = len(made)
 	})
-	for _, body := range []string{"say it", strings.Repeat("x", 2*directBytes)} {
+	for _, body := range []string{"say it", strings.Repeat("x", 2*singleWriteBytes)} {
 		for _, sent := range []int{0, 1, 2, head / 2, head - 1, head, head + 1, head + 5} {
 			synctest.Test(t, func(t *testing.T) {
-				network := &shortNetwork{scripted: script([]string{ok("fine")}), left: sent}
-				pool := New(network, testDialect)
+				network := &shortNetwork{scriptedRunner: newScriptedRunner([]string{ok("fine")}), left: sent}
+				pool := New(network, testHeaders)
 				defer pool.Close()
-				_, _, err := ask(t, pool, query("q1", func(dispatch *Dispatch) { dispatch.Body = [][]byte{[]byte(body)} }))
+				_, _, err := sendAndRead(t, pool, testRequest("q1", func(request *Request) { request.Body = [][]byte{[]byte(body)} }))
 				got := failureOf(err)
 				if !got.lost || got.neverSent != (sent == 0) {
 					t.Errorf("%d bytes of %d left: %+v", sent, head+len(body), got)
@@ -125,11 +125,11 @@
 	}
 }
 
-// act is what a random runner does with one query.
-type act int
+// runnerBehavior is what a random runner does with one query.
+type runnerBehavior int
 
 const (
-	answersWhole act = iota
+	answersWhole runnerBehavior = iota
 	answersInChunks
 	answersAfterInterim
 	answersAfterForeign
@@ -159,8 +159,8 @@
 	came   map[string]int
 }
 
-// answerTo is the only whole answer to a query; its body names the query.
-func answerTo(name string) string { return strings.ReplaceAll(ok("done "+name), "NAME", name) }
+// responseTo is the only whole answer to a query; its body names the query.
+func responseTo(name string) string { return strings.ReplaceAll(ok("done "+name), "NAME", name) }
 
 func (runner *randomRunner) serve(_ int, connection *end) {
 	defer connection.Close()
@@ -194,11 +194,11 @@
 		earlier = runner.names[runner.random.IntN(len(runner.names))]
 	}
 	runner.names = append(runner.names, name)
-	act := act(runner.random.IntN(int(allActs)))
+	act := runnerBehavior(runner.random.IntN(int(allActs)))
 	if act != refuses && act != misdirects {
 		runner.ran[name]++
 	}
-	whole, named := answerTo(name), "Query-Name: "+name+"\r\n"
+	whole, named := responseTo(name), "Query-Name: "+name+"\r\n"
 	if head {
 		whole = strings.TrimSuffix(whole, "done "+name)
 	}
@@ -210,9 +210,9 @@
 	case answersAfterInterim:
 		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + named + "\r\n" + whole, "", true
 	case answersAfterForeign:
-		return answerTo("q-foreign") + whole, "", true
+		return responseTo("q-foreign") + whole, "", true
 	case answersAfterEarlier:
-		return answerTo(earlier) + whole, "", true
+		return responseTo(earlier) + whole, "", true
 	case answersTwice:
 		return whole + whole, "", true
 	case answersTwiceLater:
@@ -250,7 +250,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				runner := &randomRunner{random: rand.New(rand.NewPCG(seed, 2)), ran: map[string]int{}, came: map[string]int{}}
 				runner.network.serve = runner.serve
-				pool := New(&runner.network, testDialect)
+				pool := New(&runner.network, testHeaders)
 				defer pool.Close()
 				var callers sync.WaitGroup
 				for caller := range 3 {
@@ -258,7 +258,7 @@
 				}
 				callers.Wait()
 				synctest.Wait()
-				if out := pool.Stats().Out; out != 0 {
+				if out := pool.Stats().InUse; out != 0 {
 					t.Errorf("%d connections are out", out)
 				}
 			})
@@ -273,20 +273,20 @@
 		if random.IntN(8) == 0 {
 			method = http.MethodHead
 		}
-		reply, err := pool.Send(t.Context(), query(name, func(dispatch *Dispatch) {
-			dispatch.Method, dispatch.Deadline = method, time.Now().Add(time.Second)
+		response, err := pool.Send(t.Context(), testRequest(name, func(request *Request) {
+			request.Method, request.Deadline = method, time.Now().Add(time.Second)
 		}))
 		status, body := 0, []byte(nil)
 		if err == nil {
-			status = reply.Status
-			body, err = io.ReadAll(reply)
-			if named := reply.Header.Get("Query-Name"); status < 300 && named != name {
+			status = response.Status
+			body, err = io.ReadAll(response)
+			if named := response.Header.Get("Query-Name"); status < 300 && named != name {
 				t.Errorf("%s got an answer that names %q", name, named)
 			}
 			if random.IntN(10) > 0 {
-				reply.Close()
+				response.Close()
 			} else {
-				defer reply.Close()
+				defer response.Close()
 			}
 		}
 		runner.judge(t, name, method, status, string(body), err)
@@ -297,7 +297,7 @@
 func (runner *randomRunner) judge(t *testing.T, name, method string, status int, body string, err error) {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	came, ran, told := runner.came[name], runner.ran[name], failureOf(err)
+	came, ran, reported := runner.came[name], runner.ran[name], failureOf(err)
 	if came > 1 {
 		t.Errorf("%s was sent %d times", name, came)
 	}
@@ -306,29 +306,29 @@
 		t.Errorf("%s was answered and ran %d times", name, ran)
 	case err == nil && method != http.MethodHead && status == http.StatusOK && body != "done "+name:
 		t.Errorf("%s got %q", name, body)
-	case told.neverSent && came != 0:
+	case reported.neverSent && came != 0:
 		t.Errorf("%s is told as never sent, and came", name)
-	case told.kind == apierror.NotRun && ran != 0:
+	case reported.kind == apierror.NotRun && ran != 0:
 		t.Errorf("%s is told as not run, and ran", name)
 	}
 }
 
-// TestALateAnswerBeforeThatToAHead can't be told from it by its length: the query is lost.
-func TestALateAnswerBeforeThatToAHead(t *testing.T) {
+// TestLateResponseBeforeHeadResponse can't be told from it by its length: the query is lost.
+func TestLateResponseBeforeHeadResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		late := strings.ReplaceAll(ok(answerTo("q1")), "NAME", "q0")
-		runner := script([]string{late})
-		pool := New(runner, testDialect)
+		late := strings.ReplaceAll(ok(responseTo("q1")), "NAME", "q0")
+		runner := newScriptedRunner([]string{late})
+		pool := New(runner, testHeaders)
 		defer pool.Close()
-		_, _, err := ask(t, pool, query("q1", func(dispatch *Dispatch) { dispatch.Method = http.MethodHead }))
-		if got := failureOf(err); got != lostAnswer {
+		_, _, err := sendAndRead(t, pool, testRequest("q1", func(request *Request) { request.Method = http.MethodHead }))
+		if got := failureOf(err); got != lostResponse {
 			t.Errorf("the body of a late answer was taken for the answer: %v", err)
 		}
 	})
 }
 
-// FuzzAnswer gives any bytes as what a runner sends, on a new connection and on a kept one.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse gives any bytes as what a runner sends, on a new connection and on a kept one.
+func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{
 		ok("fine"), ok("fine") + ok("more"), "HTTP/1.1 100 Continue\r\n\r\n" + ok("fine"),
 		"HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n",
@@ -346,36 +346,36 @@
 		for _, kept := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				raw := strings.ReplaceAll(raw, "|", "")
-				runner := script([]string{raw + "|CLOSE"})
+				runner := newScriptedRunner([]string{raw + "|CLOSE"})
 				if kept {
 					runner.answers[0] = []string{ok("fine"), raw + "|CLOSE"}
 				}
-				pool := New(runner, testDialect)
+				pool := New(runner, testHeaders)
 				defer pool.Close()
 				if kept {
-					must(t, pool, "q0")
+					mustSend(t, pool, "q0")
 				}
-				reply, err := pool.Send(t.Context(), query("q1", func(dispatch *Dispatch) {
+				response, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) {
 					if head {
-						dispatch.Method = http.MethodHead
+						request.Method = http.MethodHead
 					}
 				}))
 				if err != nil {
-					if told := (*apierror.Error)(nil); !errors.As(err, &told) || told.NeverSent {
+					if reported := (*apierror.Error)(nil); !errors.As(err, &reported) || reported.NeverSent {
 						t.Fatalf("%q: %v", raw, err)
 					}
 					return
 				}
-				defer reply.Close()
-				names := reply.Header["Query-Name"]
-				if named := len(names) > 0 && names[0] == "q1"; !named && (kept || reply.Status < 300) {
-					t.Errorf("%q was taken for the answer, with status %d and the names %q", raw, reply.Status, names)
+				defer response.Close()
+				names := response.Header["Query-Name"]
+				if named := len(names) > 0 && names[0] == "q1"; !named && (kept || response.Status < 300) {
+					t.Errorf("%q was taken for the answer, with status %d and the names %q", raw, response.Status, names)
 				}
-				body, err := io.ReadAll(reply)
-				if err == nil && reply.Length >= 0 && !head && int64(len(body)) != reply.Length {
-					t.Errorf("%q: %d bytes are whole, of %d", raw, len(body), reply.Length)
+				body, err := io.ReadAll(response)
+				if err == nil && response.Length >= 0 && !head && int64(len(body)) != response.Length {
+					t.Errorf("%q: %d bytes are whole, of %d", raw, len(body), response.Length)
 				}
-				if !bytes.Contains([]byte(raw), body) && len(reply.Header["Transfer-Encoding"]) == 0 && reply.Length >= 0 {
+				if !bytes.Contains([]byte(raw), body) && len(response.Header["Transfer-Encoding"]) == 0 && response.Length >= 0 {
 					t.Errorf("%q: %q was not in it", raw, body)
 				}
 			})
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -16,42 +16,42 @@
 
 const (
 	dialTimeout = 700 * time.Millisecond
-	// untoldIdle is how long a connection is kept idle if the runner doesn't say how long
+	// defaultIdleTimeout is how long a connection is kept idle if the runner doesn't say how long
 	// it keeps one: a little less than the five seconds that many HTTP servers use. What
 	// is found closed before that shortens it for the runner.
-	untoldIdle = 4 * time.Second
-	// shortestIdle is as far as the idle time of a runner is shortened; what closes sooner
+	defaultIdleTimeout = 4 * time.Second
+	// minIdleTimeout is as far as the idle time of a runner is shortened; what closes sooner
 	// shows trouble and not a time.
-	shortestIdle = 250 * time.Millisecond
-	// sweepPause is the least time between two looks for connections to retire.
-	sweepPause = time.Second
+	minIdleTimeout = 250 * time.Millisecond
+	// minSweepInterval is the least time between two looks for connections to retire.
+	minSweepInterval = time.Second
 )
 
 // Pool keeps connections to runners.
 type Pool struct {
 	network link.Network
-	dialect Dialect // names in their canonical form
+	headers HeaderNames // names in their canonical form
 	dials   atomic.Uint64
 	reuses  atomic.Uint64
 
-	mutex   sync.Mutex
-	runners map[string]*runner
-	out     int
-	idle    int
-	closed  bool
-	sweeper *time.Timer
-	armed   bool
+	mutex          sync.Mutex
+	runners        map[string]*runnerConnections
+	inUse          int
+	idle           int
+	closed         bool
+	sweepTimer     *time.Timer
+	sweepScheduled bool
 }
 
-// runner is what is kept of one life of a runner at an address.
-type runner struct {
-	life  string
-	idle  []*connection // the one used last comes last
-	total int           // idle, out and being dialled
-	most  int
-	// timeout is how long connections of a runner that tells no time are kept idle.
-	timeout atomic.Int64
-	gone    bool
+// runnerConnections is what is kept of one life of a runner at an address.
+type runnerConnections struct {
+	life     string
+	idle     []*persistentConnection // the one used last comes last
+	total    int                     // idle, out and being dialled
+	maxTotal int
+	// idleTimeout is how long connections of a runner that tells no time are kept idle.
+	idleTimeout atomic.Int64
+	removed     bool
 }
 
 // Stats tells what connections were used and are held.
@@ -59,20 +59,20 @@
 	Dials  uint64 // connections that were dialled
 	Reuses uint64 // queries sent over a connection that had borne another
 	Idle   int
-	Out    int // in use, or being dialled
+	InUse  int // in use, or being dialled
 }
 
 // New makes a pool on a network, for runners that understand a dialect.
 //
-//	pool := runnerpool.New(link.TCP{}, runnerpool.Dialect{Query: "Query-Name", NotRun: "Not-Run"})
+//	pool := runnerpool.New(link.TCP{}, runnerpool.HeaderNames{Query: "Query-Name", NotRun: "Not-Run"})
 //	defer pool.Close()
-func New(network link.Network, dialect Dialect) *Pool {
-	for _, name := range []*string{&dialect.Query, &dialect.NotRun, &dialect.Expected, &dialect.TimeLeft, &dialect.Load, &dialect.Urgency, &dialect.Resume, &dialect.Runner, &dialect.ColdFor} {
+func New(network link.Network, headers HeaderNames) *Pool {
+	for _, name := range []*string{&headers.RequestID, &headers.NotRun, &headers.ExpectedRunner, &headers.Timeout, &headers.Load, &headers.Urgency, &headers.LastEventID, &headers.RunnerID, &headers.WarmUpLeft} {
 		*name = textproto.CanonicalMIMEHeaderKey(*name)
 	}
-	pool := &Pool{network: network, dialect: dialect, runners: map[string]*runner{}}
-	pool.sweeper = time.AfterFunc(time.Hour, pool.sweep)
-	pool.sweeper.Stop()
+	pool := &Pool{network: network, headers: headers, runners: map[string]*runnerConnections{}}
+	pool.sweepTimer = time.AfterFunc(time.Hour, pool.sweep)
+	pool.sweepTimer.Stop()
 	return pool
 }
 
@@ -82,10 +82,10 @@
 func (pool *Pool) Close() {
 	pool.mutex.Lock()
 	pool.closed = true
-	pool.sweeper.Stop()
-	ended := []*connection{}
+	pool.sweepTimer.Stop()
+	ended := []*persistentConnection{}
 	for address := range pool.runners {
-		ended = pool.forget(address, ended)
+		ended = pool.removeRunner(address, ended)
 	}
 	pool.mutex.Unlock()
 	closeAll(ended)
@@ -97,7 +97,7 @@
 func (pool *Pool) Stats() Stats {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	return Stats{Dials: pool.dials.Load(), Reuses: pool.reuses.Load(), Idle: pool.idle, Out: pool.out}
+	return Stats{Dials: pool.dials.Load(), Reuses: pool.reuses.Load(), Idle: pool.idle, InUse: pool.inUse}
 }
 
 // Retain keeps connections only to these lives of runners: idle ones to others are
@@ -107,17 +107,17 @@
 //	pool.Retain(view.Runners)
 func (pool *Pool) Retain(runners []feed.Runner) {
 	pool.mutex.Lock()
-	kept := make(map[string]bool, len(pool.runners))
+	retained := make(map[string]bool, len(pool.runners))
 	for index := range runners {
-		held := pool.runners[runners[index].Address]
-		if held != nil && sameLife(held.life, runners[index].Life) {
-			kept[runners[index].Address] = true
+		runner := pool.runners[runners[index].Address]
+		if runner != nil && sameLife(runner.life, runners[index].Life) {
+			retained[runners[index].Address] = true
 		}
 	}
-	ended := []*connection{}
+	ended := []*persistentConnection{}
 	for address := range pool.runners {
-		if !kept[address] {
-			ended = pool.forget(address, ended)
+		if !retained[address] {
+			ended = pool.removeRunner(address, ended)
 		}
 	}
 	pool.mutex.Unlock()
@@ -126,188 +126,188 @@
 
 func sameLife(left, right string) bool { return left == "" || right == "" || left == right }
 
-// forget lets go of a runner; its idle connections are added to those to be closed.
-func (pool *Pool) forget(address string, ended []*connection) []*connection {
-	held := pool.runners[address]
+// removeRunner lets go of a runner; its idle connections are added to those to be closed.
+func (pool *Pool) removeRunner(address string, ended []*persistentConnection) []*persistentConnection {
+	runner := pool.runners[address]
 	delete(pool.runners, address)
-	held.gone = true
-	pool.idle -= len(held.idle)
-	held.total -= len(held.idle)
-	ended = append(ended, held.idle...)
-	held.idle = nil
+	runner.removed = true
+	pool.idle -= len(runner.idle)
+	runner.total -= len(runner.idle)
+	ended = append(ended, runner.idle...)
+	runner.idle = nil
 	return ended
 }
 
-func closeAll(ended []*connection) {
+func closeAll(ended []*persistentConnection) {
 	for _, connection := range ended {
 		connection.Close()
 	}
 }
 
-// hold gives what is kept of a runner's life, anew if its address had another.
-func (pool *Pool) hold(address, life string, ended []*connection) (*runner, []*connection) {
-	held := pool.runners[address]
-	if held != nil && !sameLife(held.life, life) {
-		ended = pool.forget(address, ended)
-		held = nil
+// runnerFor gives what is kept of a runner's life, anew if its address had another.
+func (pool *Pool) runnerFor(address, life string, ended []*persistentConnection) (*runnerConnections, []*persistentConnection) {
+	runner := pool.runners[address]
+	if runner != nil && !sameLife(runner.life, life) {
+		ended = pool.removeRunner(address, ended)
+		runner = nil
 	}
-	if held == nil {
-		held = &runner{life: life}
-		held.timeout.Store(int64(untoldIdle))
-		pool.runners[address] = held
+	if runner == nil {
+		runner = &runnerConnections{life: life}
+		runner.idleTimeout.Store(int64(defaultIdleTimeout))
+		pool.runners[address] = runner
 	}
-	if held.life == "" {
-		held.life = life
+	if runner.life == "" {
+		runner.life = life
 	}
-	return held, ended
+	return runner, ended
 }
 
-// retire takes out the idle connections of a runner whose time is over.
-func (pool *Pool) retire(held *runner, now time.Time, ended []*connection) []*connection {
-	kept := held.idle[:0]
-	for _, connection := range held.idle {
+// closeExpired takes out the idle connections of a runner whose time is over.
+func (pool *Pool) closeExpired(runner *runnerConnections, now time.Time, ended []*persistentConnection) []*persistentConnection {
+	unexpired := runner.idle[:0]
+	for _, connection := range runner.idle {
 		if now.Before(connection.expires) {
-			kept = append(kept, connection)
+			unexpired = append(unexpired, connection)
 			continue
 		}
 		ended = append(ended, connection)
 	}
-	clear(held.idle[len(kept):])
-	pool.idle -= len(held.idle) - len(kept)
-	held.total -= len(held.idle) - len(kept)
-	held.idle = kept
+	clear(runner.idle[len(unexpired):])
+	pool.idle -= len(runner.idle) - len(unexpired)
+	runner.total -= len(runner.idle) - len(unexpired)
+	runner.idle = unexpired
 	return ended
 }
 
 // sweep retires idle connections, and comes again when the next one is due.
 func (pool *Pool) sweep() {
 	now := time.Now()
-	ended := []*connection{}
+	ended := []*persistentConnection{}
 	pool.mutex.Lock()
 	var next time.Time
-	for _, held := range pool.runners {
-		ended = pool.retire(held, now, ended)
-		for _, connection := range held.idle {
+	for _, runner := range pool.runners {
+		ended = pool.closeExpired(runner, now, ended)
+		for _, connection := range runner.idle {
 			if next.IsZero() || connection.expires.Before(next) {
 				next = connection.expires
 			}
 		}
 	}
-	if pool.armed = !next.IsZero() && !pool.closed; pool.armed {
-		pool.sweeper.Reset(max(next.Sub(now), sweepPause))
+	if pool.sweepScheduled = !next.IsZero() && !pool.closed; pool.sweepScheduled {
+		pool.sweepTimer.Reset(max(next.Sub(now), minSweepInterval))
 	}
 	pool.mutex.Unlock()
 	closeAll(ended)
 }
 
 // acquire gives a connection on which nothing waits, with the dispatch's deadline set.
-func (pool *Pool) acquire(ctx context.Context, dispatch *Dispatch) (*connection, error) {
-	address, now := dispatch.Runner.Address, time.Now()
+func (pool *Pool) acquire(ctx context.Context, request *Request) (*persistentConnection, error) {
+	address, now := request.Runner.Address, time.Now()
 	for {
-		taken, held, err := pool.take(dispatch, now)
+		connection, runner, err := pool.takeIdle(request, now)
 		if err != nil {
 			return nil, err
 		}
-		if taken == nil {
-			return pool.dial(ctx, dispatch, held)
+		if connection == nil {
+			return pool.dial(ctx, request, runner)
 		}
-		taken.SetDeadline(dispatch.Deadline)
-		if taken.quiet() {
-			return taken, nil
+		connection.SetDeadline(request.Deadline)
+		if connection.isIdle() {
+			return connection, nil
 		}
-		taken.heed(now)
-		pool.drop(taken)
+		connection.learnIdleTimeout(now)
+		pool.discard(connection)
 		if ctx.Err() != nil {
 			return nil, cancelled(address, true)
 		}
 	}
 }
 
-// take gives the idle connection used last, or none and a place for a new one.
-func (pool *Pool) take(dispatch *Dispatch, now time.Time) (*connection, *runner, error) {
-	var ended []*connection
+// takeIdle gives the idle connection used last, or none and a place for a new one.
+func (pool *Pool) takeIdle(request *Request, now time.Time) (*persistentConnection, *runnerConnections, error) {
+	var ended []*persistentConnection
 	defer func() { closeAll(ended) }()
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	if pool.closed {
 		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runners are closed", Remedy: "ask another front", NeverSent: true}
 	}
-	var held *runner
-	held, ended = pool.hold(dispatch.Runner.Address, dispatch.Runner.Life, nil)
-	held.most = max(dispatch.Most, 1)
-	ended = pool.retire(held, now, ended)
-	if last := len(held.idle) - 1; last >= 0 {
-		taken := held.idle[last]
-		held.idle[last] = nil
-		held.idle = held.idle[:last]
+	var runner *runnerConnections
+	runner, ended = pool.runnerFor(request.Runner.Address, request.Runner.Life, nil)
+	runner.maxTotal = max(request.MaxConnections, 1)
+	ended = pool.closeExpired(runner, now, ended)
+	if last := len(runner.idle) - 1; last >= 0 {
+		connection := runner.idle[last]
+		runner.idle[last] = nil
+		runner.idle = runner.idle[:last]
 		pool.idle--
-		pool.out++
-		return taken, held, nil
+		pool.inUse++
+		return connection, runner, nil
 	}
-	if held.total >= held.most {
-		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runner " + dispatch.Runner.Address + " are all out", Remedy: "choose another runner", NeverSent: true}
+	if runner.total >= runner.maxTotal {
+		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runner " + request.Runner.Address + " are all out", Remedy: "choose another runner", NeverSent: true}
 	}
-	held.total++
-	pool.out++
-	return nil, held, nil
+	runner.total++
+	pool.inUse++
+	return nil, runner, nil
 }
 
-func (pool *Pool) dial(ctx context.Context, dispatch *Dispatch, held *runner) (*connection, error) {
-	address := dispatch.Runner.Address
-	until, own := time.Now().Add(dialTimeout), true
-	if !dispatch.Deadline.IsZero() && dispatch.Deadline.Before(until) {
-		until, own = dispatch.Deadline, false
+func (pool *Pool) dial(ctx context.Context, request *Request, runner *runnerConnections) (*persistentConnection, error) {
+	address := request.Runner.Address
+	deadline, ownTimeout := time.Now().Add(dialTimeout), true
+	if !request.Deadline.IsZero() && request.Deadline.Before(deadline) {
+		deadline, ownTimeout = request.Deadline, false
 	}
-	dialling, cancel := context.WithDeadline(ctx, until)
+	dialling, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	stream, err := pool.network.Dial(dialling, address)
 	if err != nil {
-		pool.release(held)
+		pool.release(runner)
 		if ctx.Err() != nil {
 			return nil, cancelled(address, true)
 		}
 		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach runner " + address + ": " + err.Error(), Remedy: "check that the runner runs and that its address is right",
-			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: own || dialling.Err() == nil}
+			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: ownTimeout || dialling.Err() == nil}
 	}
 	pool.dials.Add(1)
-	made := newConnection(stream, held)
-	made.SetDeadline(dispatch.Deadline)
-	return made, nil
+	connection := newConnection(stream, runner)
+	connection.SetDeadline(request.Deadline)
+	return connection, nil
 }
 
-func (pool *Pool) release(held *runner) {
+func (pool *Pool) release(runner *runnerConnections) {
 	pool.mutex.Lock()
-	held.total--
-	pool.out--
+	runner.total--
+	pool.inUse--
 	pool.mutex.Unlock()
 }
 
-// drop closes a connection that was taken.
-func (pool *Pool) drop(taken *connection) {
-	taken.Close()
-	pool.release(taken.runner)
+// discard closes a connection that was taken.
+func (pool *Pool) discard(connection *persistentConnection) {
+	connection.Close()
+	pool.release(connection.runner)
 }
 
 // put gives back a connection on which a next query may be sent.
-func (pool *Pool) put(taken *connection) {
-	held, now := taken.runner, time.Now()
+func (pool *Pool) put(connection *persistentConnection) {
+	runner, now := connection.runner, time.Now()
 	pool.mutex.Lock()
-	timeout := taken.keep
-	if !taken.told {
-		timeout = time.Duration(held.timeout.Load())
+	timeout := connection.keepAlive
+	if !connection.hasKeepAlive {
+		timeout = time.Duration(runner.idleTimeout.Load())
 	}
-	if held.gone || held.total > held.most {
+	if runner.removed || runner.total > runner.maxTotal {
 		pool.mutex.Unlock()
-		pool.drop(taken)
+		pool.discard(connection)
 		return
 	}
-	taken.idleSince, taken.expires = now, now.Add(timeout)
-	held.idle = append(held.idle, taken)
+	connection.idleSince, connection.expires = now, now.Add(timeout)
+	runner.idle = append(runner.idle, connection)
 	pool.idle++
-	pool.out--
-	if !pool.armed {
-		pool.armed = true
-		pool.sweeper.Reset(max(timeout, sweepPause))
+	pool.inUse--
+	if !pool.sweepScheduled {
+		pool.sweepScheduled = true
+		pool.sweepTimer.Reset(max(timeout, minSweepInterval))
 	}
 	pool.mutex.Unlock()
 }
--- a/system/runnerpool/pool_test.go
+++ b/system/runnerpool/pool_test.go
@@ -11,44 +11,44 @@
 	"yardrock.example/system/feed"
 )
 
-func must(t *testing.T, pool *Pool, name string, changes ...func(*Dispatch)) {
+func mustSend(t *testing.T, pool *Pool, name string, changes ...func(*Request)) {
 	t.Helper()
-	if _, body, err := ask(t, pool, query(name, changes...)); body != "fine" || err != nil {
+	if _, body, err := sendAndRead(t, pool, testRequest(name, changes...)); body != "fine" || err != nil {
 		t.Fatalf("%s got %q, %v", name, body, err)
 	}
 }
 
-// hold sends queries whose replies stay open; the function returned ends one.
-func hold(t *testing.T, pool *Pool, count int) []func() {
+// openResponses sends queries whose replies stay open; the function returned ends one.
+func openResponses(t *testing.T, pool *Pool, count int) []func() {
 	t.Helper()
 	ends := []func(){}
 	for number := range count {
-		reply, err := pool.Send(t.Context(), query(fmt.Sprint("held", number)))
+		response, err := pool.Send(t.Context(), testRequest(fmt.Sprint("held", number)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ends = append(ends, func() {
-			io.Copy(io.Discard, reply)
-			reply.Close()
-			reply.Close()
+			io.Copy(io.Discard, response)
+			response.Close()
+			response.Close()
 		})
 	}
 	return ends
 }
 
-func TestTheConnectionUsedLastIsTakenFirst(t *testing.T) {
+func TestIdleConnectionsAreReusedLastInFirstOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 99))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 99))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
-		for _, end := range hold(t, pool, 3) {
+		for _, end := range openResponses(t, pool, 3) {
 			end()
 		}
 		if stats := pool.Stats(); stats != (Stats{Dials: 3, Idle: 3}) {
 			t.Errorf("stats %+v", stats)
 		}
 		for number := range 5 {
-			must(t, pool, fmt.Sprint("q", number))
+			mustSend(t, pool, fmt.Sprint("q", number))
 			if got := runner.got()[3+number].connection; got != 2 {
 				t.Errorf("connection %d was taken", got)
 			}
@@ -59,39 +59,39 @@
 	})
 }
 
-func TestNoMoreConnectionsThanAllowed(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 99))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 99))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
-		ends := hold(t, pool, 4)
-		_, err := pool.Send(t.Context(), query("q1"))
+		ends := openResponses(t, pool, 4)
+		_, err := pool.Send(t.Context(), testRequest("q1"))
 		if got := failureOf(err); got != (failure{kind: apierror.Unavailable, neverSent: true}) || runner.dials != 4 {
 			t.Errorf("got %v after %d dials", err, runner.dials)
 		}
-		other := func(dispatch *Dispatch) { dispatch.Runner = feed.Runner{Address: "10.0.0.10:8080", Life: "life-2"} }
-		must(t, pool, "q2", other)
+		other := func(request *Request) { request.Runner = feed.Runner{Address: "10.0.0.10:8080", Life: "life-2"} }
+		mustSend(t, pool, "q2", other)
 		ends[0]()
-		must(t, pool, "q3")
+		mustSend(t, pool, "q3")
 		if runner.dials != 5 {
 			t.Errorf("%d dials", runner.dials)
 		}
 		// Fewer are allowed now: what is beyond ends as it comes back.
-		fewer := func(dispatch *Dispatch) { dispatch.Most = 2 }
-		must(t, pool, "q4", fewer)
+		fewer := func(request *Request) { request.MaxConnections = 2 }
+		mustSend(t, pool, "q4", fewer)
 		for _, end := range ends[1:] {
 			end()
 		}
-		if stats := pool.Stats(); stats.Idle != 3 || stats.Out != 0 {
+		if stats := pool.Stats(); stats.Idle != 3 || stats.InUse != 0 {
 			t.Errorf("stats %+v", stats)
 		}
 		// None allowed counts as one, so that a runner with many callers is used at all.
 		pool.Retain(nil)
-		must(t, pool, "q5", func(dispatch *Dispatch) { dispatch.Most = 0 })
+		mustSend(t, pool, "q5", func(request *Request) { request.MaxConnections = 0 })
 	})
 }
 
-func TestIdleConnectionsEndBeforeTheRunnerEndsThem(t *testing.T) {
+func TestIdleTimeoutStaysBelowKeepAlive(t *testing.T) {
 	for name, test := range map[string]struct {
 		headers  string
 		longest  time.Duration // for which a connection is kept
@@ -99,28 +99,28 @@
 	}{
 		"told":           {"Keep-Alive: timeout=8, max=9", 5750 * time.Millisecond, 0},
 		"told little":    {"Keep-Alive: timeout=1", 500 * time.Millisecond, 0},
-		"not told":       {"Seal: x", untoldIdle, 0},
-		"told nonsense":  {"Keep-Alive: timeout=soon", untoldIdle, 0},
+		"not told":       {"Seal: x", defaultIdleTimeout, 0},
+		"told nonsense":  {"Keep-Alive: timeout=soon", defaultIdleTimeout, 0},
 		"counted anew":   {"Keep-Alive: timeout=8", 5750 * time.Millisecond, 3},
 		"told very much": {"Keep-Alive: timeout=1000", 750*time.Second - 250*time.Millisecond, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, late := range []bool{false, true} {
 				synctest.Test(t, func(t *testing.T) {
-					runner := script(repeat(okWith(test.headers, "fine"), 99))
-					pool := New(runner, testDialect)
+					runner := newScriptedRunner(repeat(okWith(test.headers, "fine"), 99))
+					pool := New(runner, testHeaders)
 					defer pool.Close()
-					must(t, pool, "q1")
+					mustSend(t, pool, "q1")
 					for range test.answered {
 						time.Sleep(test.longest / 2)
-						must(t, pool, "q")
+						mustSend(t, pool, "q")
 					}
 					wait, dials := test.longest-time.Millisecond, 1
 					if late {
 						wait, dials = test.longest, 2
 					}
 					time.Sleep(wait)
-					must(t, pool, "q2", func(dispatch *Dispatch) { dispatch.Most = 1 })
+					mustSend(t, pool, "q2", func(request *Request) { request.MaxConnections = 1 })
 					if runner.dials != dials {
 						t.Errorf("%d connections after %v", runner.dials, wait)
 					}
@@ -130,27 +130,27 @@
 	}
 }
 
-func TestIdleConnectionsEndWithoutFurtherQueries(t *testing.T) {
+func TestSweepClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 9))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 9))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
-		ends := hold(t, pool, 2)
+		ends := openResponses(t, pool, 2)
 		ends[0]()
-		time.Sleep(untoldIdle / 2)
+		time.Sleep(defaultIdleTimeout / 2)
 		ends[1]()
-		time.Sleep(untoldIdle/2 + time.Second)
+		time.Sleep(defaultIdleTimeout/2 + time.Second)
 		synctest.Wait()
 		if !runner.made[0].closed() || runner.made[1].closed() || pool.Stats().Idle != 1 {
 			t.Error("not just the first connection has ended")
 		}
-		time.Sleep(untoldIdle / 2)
+		time.Sleep(defaultIdleTimeout / 2)
 		synctest.Wait()
 		if !runner.made[1].closed() || pool.Stats().Idle != 0 {
 			t.Error("the second connection has not ended")
 		}
-		must(t, pool, "q1")
-		time.Sleep(untoldIdle + time.Second)
+		mustSend(t, pool, "q1")
+		time.Sleep(defaultIdleTimeout + time.Second)
 		synctest.Wait()
 		if !runner.made[2].closed() {
 			t.Error("after a pause, connections do not end any more")
@@ -158,9 +158,9 @@
 	})
 }
 
-// TestAnIdleConnectionOnWhichSomethingCameIsNotUsed lets a runner do things to the idle
+// TestIdleConnectionWithUnreadInputIsDiscarded lets a runner do things to the idle
 // connection; the next query must go over another.
-func TestAnIdleConnectionOnWhichSomethingCameIsNotUsed(t *testing.T) {
+func TestIdleConnectionWithUnreadInputIsDiscarded(t *testing.T) {
 	for name, do := range map[string]func(connection *end){
 		"closed":       func(connection *end) { connection.Close() },
 		"reset":        func(connection *end) { connection.reset() },
@@ -173,13 +173,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script(repeat(ok("fine"), 9))
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner(repeat(ok("fine"), 9))
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				must(t, pool, "q1")
+				mustSend(t, pool, "q1")
 				synctest.Wait()
 				do(runner.made[0])
-				must(t, pool, "q2")
+				mustSend(t, pool, "q2")
 				synctest.Wait()
 				if got := runner.got(); len(got) != 2 || got[1].connection != 1 || pool.Stats() != (Stats{Dials: 2, Idle: 1}) {
 					t.Errorf("%d queries, stats %+v", len(got), pool.Stats())
@@ -189,53 +189,53 @@
 	}
 }
 
-// TestARunnersOwnIdleTimeIsLearnt has a runner close what is idle for 600 ms without
+// TestRunnerIdleTimeoutIsLearnt has a runner close what is idle for 600 ms without
 // telling it.
-func TestARunnersOwnIdleTimeIsLearnt(t *testing.T) {
+func TestRunnerIdleTimeoutIsLearnt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 99))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 99))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
-		must(t, pool, "q1")
+		mustSend(t, pool, "q1")
 		time.Sleep(600 * time.Millisecond)
 		runner.made[0].Close()
-		must(t, pool, "q2")
+		mustSend(t, pool, "q2")
 		time.Sleep(299 * time.Millisecond)
-		must(t, pool, "q3")
+		mustSend(t, pool, "q3")
 		if runner.dials != 2 {
 			t.Errorf("%d dials: a connection was not kept", runner.dials)
 		}
 		time.Sleep(300 * time.Millisecond)
-		must(t, pool, "q4")
+		mustSend(t, pool, "q4")
 		if runner.dials != 3 || !runner.made[1].closed() {
 			t.Errorf("%d dials: a connection was kept too long", runner.dials)
 		}
 		// What ends at once or is reset shows trouble and no time.
-		time.Sleep(shortestIdle - 1)
+		time.Sleep(minIdleTimeout - 1)
 		runner.made[2].Close()
-		must(t, pool, "q5")
-		time.Sleep(shortestIdle)
+		mustSend(t, pool, "q5")
+		time.Sleep(minIdleTimeout)
 		runner.made[3].reset()
-		must(t, pool, "q6")
+		mustSend(t, pool, "q6")
 		time.Sleep(299 * time.Millisecond)
-		must(t, pool, "q7")
+		mustSend(t, pool, "q7")
 		if runner.dials != 5 {
 			t.Errorf("%d dials", runner.dials)
 		}
 		// And the time never becomes too short to be of use.
 		time.Sleep(299 * time.Millisecond)
 		runner.made[4].Close()
-		must(t, pool, "q8")
-		time.Sleep(shortestIdle - 1)
-		must(t, pool, "q9")
+		mustSend(t, pool, "q8")
+		time.Sleep(minIdleTimeout - 1)
+		mustSend(t, pool, "q9")
 		if runner.dials != 6 {
 			t.Errorf("%d dials", runner.dials)
 		}
 	})
 }
 
-// TestAKeptConnectionThatFails meets what a look at the connection could not find.
-func TestAKeptConnectionThatFails(t *testing.T) {
+// TestReusedConnectionFailures meets what a look at the connection could not find.
+func TestReusedConnectionFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		second string // on the kept connection
 		want   failure
@@ -254,11 +254,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script([]string{ok("fine"), test.second, ok("third")}, []string{ok("fine")})
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner([]string{ok("fine"), test.second, ok("third")}, []string{ok("fine")})
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				must(t, pool, "q1")
-				_, body, err := ask(t, pool, query("q2"))
+				mustSend(t, pool, "q1")
+				_, body, err := sendAndRead(t, pool, testRequest("q2"))
 				if got := failureOf(err); got != test.want || body != test.body {
 					t.Errorf("got %q, %v", body, err)
 				}
@@ -270,24 +270,24 @@
 	}
 }
 
-// TestAKeptConnectionThatTakesNoByte is dead, and its runner could not be heard to say
+// TestReusedConnectionThatAcceptsNoByte is dead, and its runner could not be heard to say
 // so; the query goes over the next one.
-func TestAKeptConnectionThatTakesNoByte(t *testing.T) {
-	for _, body := range []int{0, 100, 3 * directBytes} {
+func TestReusedConnectionThatAcceptsNoByte(t *testing.T) {
+	for _, body := range []int{0, 100, 3 * singleWriteBytes} {
 		synctest.Test(t, func(t *testing.T) {
-			runner := script(repeat(ok("fine"), 9))
-			pool := New(deaf{runner}, testDialect)
+			runner := newScriptedRunner(repeat(ok("fine"), 9))
+			pool := New(undetectedNetwork{runner}, testHeaders)
 			defer pool.Close()
-			for _, end := range hold(t, pool, 3) {
+			for _, end := range openResponses(t, pool, 3) {
 				end()
 			}
 			for _, made := range runner.made {
 				made.reset()
 			}
 			looks := 0
-			must(t, pool, "q1", func(dispatch *Dispatch) {
-				dispatch.Body = [][]byte{make([]byte, body)}
-				dispatch.Look = func() error { looks++; return nil }
+			mustSend(t, pool, "q1", func(request *Request) {
+				request.Body = [][]byte{make([]byte, body)}
+				request.BeforeSend = func() error { looks++; return nil }
 			})
 			if runner.dials != 4 || looks != 4 || len(runner.got()) != 4 {
 				t.Errorf("%d dials, %d looks, %d queries", runner.dials, looks, len(runner.got()))
@@ -296,17 +296,17 @@
 	}
 }
 
-// TestANewConnectionThatTakesNoByte is proof that nothing was sent.
-func TestANewConnectionThatTakesNoByte(t *testing.T) {
-	for _, body := range []int{0, 3 * directBytes} {
+// TestNewConnectionThatAcceptsNoByte is proof that nothing was sent.
+func TestNewConnectionThatAcceptsNoByte(t *testing.T) {
+	for _, body := range []int{0, 3 * singleWriteBytes} {
 		synctest.Test(t, func(t *testing.T) {
-			runner := script(nil)
+			runner := newScriptedRunner(nil)
 			runner.network.serve = func(_ int, connection *end) { connection.reset() }
-			pool := New(runner, testDialect)
+			pool := New(runner, testHeaders)
 			defer pool.Close()
-			_, err := pool.Send(t.Context(), query("q1", func(dispatch *Dispatch) {
-				dispatch.Body = [][]byte{make([]byte, body)}
-				dispatch.Look = func() error { synctest.Wait(); return nil }
+			_, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) {
+				request.Body = [][]byte{make([]byte, body)}
+				request.BeforeSend = func() error { synctest.Wait(); return nil }
 			}))
 			if got := failureOf(err); got != (failure{kind: apierror.RunnerFailure, neverSent: true, lost: true}) || runner.dials != 1 {
 				t.Errorf("got %v after %d dials", err, runner.dials)
@@ -318,8 +318,8 @@
 	}
 }
 
-func TestLivesThatEnd(t *testing.T) {
-	life := func(name string) func(*Dispatch) { return func(dispatch *Dispatch) { dispatch.Runner.Life = name } }
+func TestRetainClosesConnectionsToOtherLives(t *testing.T) {
+	life := func(name string) func(*Request) { return func(request *Request) { request.Runner.Life = name } }
 	for name, test := range map[string]struct {
 		first  string
 		retain func(pool *Pool)
@@ -340,17 +340,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script(repeat(ok("fine"), 9))
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner(repeat(ok("fine"), 9))
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				must(t, pool, "q1", life(test.first))
+				mustSend(t, pool, "q1", life(test.first))
 				test.retain(pool)
-				must(t, pool, "q2", life(test.second))
+				mustSend(t, pool, "q2", life(test.second))
 				synctest.Wait()
 				if runner.dials != test.dials || runner.made[0].closed() != (test.dials == 2) {
 					t.Errorf("%d dials", runner.dials)
 				}
-				if stats := pool.Stats(); stats.Idle != 1 || stats.Out != 0 {
+				if stats := pool.Stats(); stats.Idle != 1 || stats.InUse != 0 {
 					t.Errorf("stats %+v", stats)
 				}
 			})
@@ -358,13 +358,13 @@
 	}
 }
 
-func TestALifeThatBecameKnownAndEnded(t *testing.T) {
+func TestLifeBecomesKnownAndChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 9))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 9))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
 		for number, life := range []string{"", "a", "", "b"} {
-			must(t, pool, fmt.Sprint("q", number), func(dispatch *Dispatch) { dispatch.Runner.Life = life })
+			mustSend(t, pool, fmt.Sprint("q", number), func(request *Request) { request.Runner.Life = life })
 		}
 		if got := runner.got(); got[2].connection != 0 || got[3].connection != 1 {
 			t.Errorf("connections %d and %d", got[2].connection, got[3].connection)
@@ -372,20 +372,20 @@
 	})
 }
 
-func TestARunnerThatLeavesMayEndItsWork(t *testing.T) {
+func TestRemovedRunnerFinishesInFlightRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 9))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 9))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
-		reply, err := pool.Send(t.Context(), query("q1"))
+		response, err := pool.Send(t.Context(), testRequest("q1"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		pool.Retain(nil)
-		if body, err := io.ReadAll(reply); string(body) != "fine" || err != nil {
+		if body, err := io.ReadAll(response); string(body) != "fine" || err != nil {
 			t.Errorf("got %q, %v", body, err)
 		}
-		reply.Close()
+		response.Close()
 		synctest.Wait()
 		if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
 			t.Errorf("its connection stays, stats %+v", pool.Stats())
@@ -393,24 +393,24 @@
 	})
 }
 
-func TestAReplyThatIsNotReadEndsItsConnection(t *testing.T) {
+func TestUnreadResponseClosesConnection(t *testing.T) {
 	for name, bytes := range map[string]int{"unread": 0, "read in part": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script(repeat(ok("fine"), 9))
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner(repeat(ok("fine"), 9))
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				reply, err := pool.Send(t.Context(), query("q1"))
+				response, err := pool.Send(t.Context(), testRequest("q1"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				io.ReadFull(reply, make([]byte, bytes))
-				reply.Close()
+				io.ReadFull(response, make([]byte, bytes))
+				response.Close()
 				synctest.Wait()
 				if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
 					t.Errorf("its connection stays, stats %+v", pool.Stats())
 				}
-				if _, err := reply.Read(make([]byte, 1)); !apierror.Is(err, apierror.Cancelled) {
+				if _, err := response.Read(make([]byte, 1)); !apierror.Is(err, apierror.Cancelled) {
 					t.Errorf("a closed reply gives %v", err)
 				}
 			})
@@ -418,11 +418,11 @@
 	}
 }
 
-func TestAClosedPool(t *testing.T) {
+func TestClosedPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 9))
-		pool := New(runner, testDialect)
-		ends := hold(t, pool, 2)
+		runner := newScriptedRunner(repeat(ok("fine"), 9))
+		pool := New(runner, testHeaders)
+		ends := openResponses(t, pool, 2)
 		ends[0]()
 		pool.Close()
 		synctest.Wait()
@@ -430,7 +430,7 @@
 			t.Error("not just the idle connection has ended")
 		}
 		ends[1]()
-		if _, err := pool.Send(t.Context(), query("q1")); failureOf(err) != (failure{kind: apierror.Unavailable, neverSent: true}) {
+		if _, err := pool.Send(t.Context(), testRequest("q1")); failureOf(err) != (failure{kind: apierror.Unavailable, neverSent: true}) {
 			t.Errorf("a closed pool gives %v", err)
 		}
 		if pool.Stats() != (Stats{Dials: 2}) {
@@ -440,12 +440,12 @@
 	})
 }
 
-// TestManyQueriesAtOnce looks for answers that go astray; each bears its query's body.
-func TestManyQueriesAtOnce(t *testing.T) {
+// TestConcurrentRequests looks for answers that go astray; each bears its query's body.
+func TestConcurrentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(nil)
+		runner := newScriptedRunner(nil)
 		runner.network.serve = echo
-		pool := New(runner, testDialect)
+		pool := New(runner, testHeaders)
 		defer pool.Close()
 		done := make(chan struct{})
 		for worker := range 16 {
@@ -453,9 +453,9 @@
 				defer func() { done <- struct{}{} }()
 				for number := range 50 {
 					name := fmt.Sprintf("q%d-%d", worker, number)
-					_, body, err := ask(t, pool, query(name, func(dispatch *Dispatch) {
-						dispatch.Body, dispatch.Most = [][]byte{[]byte(name)}, 8
-						dispatch.Runner.Address = fmt.Sprint("10.0.0.", number%3, ":8080")
+					_, body, err := sendAndRead(t, pool, testRequest(name, func(request *Request) {
+						request.Body, request.MaxConnections = [][]byte{[]byte(name)}, 8
+						request.Runner.Address = fmt.Sprint("10.0.0.", number%3, ":8080")
 					}))
 					if err == nil && body != name || err != nil && failureOf(err) != (failure{kind: apierror.Unavailable, neverSent: true}) {
 						t.Errorf("%s got %q, %v", name, body, err)
@@ -469,7 +469,7 @@
 		for range 16 {
 			<-done
 		}
-		if stats := pool.Stats(); stats.Out != 0 || stats.Dials < 3 || stats.Reuses == 0 {
+		if stats := pool.Stats(); stats.InUse != 0 || stats.Dials < 3 || stats.Reuses == 0 {
 			t.Errorf("stats %+v", stats)
 		}
 	})
--- a/system/runnerpool/bodies_test.go
+++ b/system/runnerpool/request_body_test.go
@@ -12,7 +12,7 @@
 
 func TestLongBodies(t *testing.T) {
 	long := strings.Repeat("0123456789", 50_000)
-	refusal := "HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
+	rejection := "HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, test := range map[string]struct {
 		serve func(connection *end)
 		body  string
@@ -20,13 +20,13 @@
 		kept  bool
 	}{
 		"read whole":                {body: fmt.Sprint(len(long)), kept: true},
-		"refused before it is read": {serve: func(connection *end) { io.WriteString(connection, refusal); connection.in.hold() }, send: failure{kind: apierror.NotRun}},
+		"refused before it is read": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.in.hold() }, send: failure{kind: apierror.NotRun}},
 		"refused and closed": {serve: func(connection *end) {
 			io.ReadFull(connection, make([]byte, 9))
-			io.WriteString(connection, refusal)
+			io.WriteString(connection, rejection)
 			connection.Close()
 		}, send: failure{kind: apierror.NotRun}},
-		"refused and half reset": {serve: func(connection *end) { io.WriteString(connection, refusal); connection.reset() }, send: failure{kind: apierror.NotRun}},
+		"refused and half reset": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.reset() }, send: failure{kind: apierror.NotRun}},
 		"reset":                  {serve: func(connection *end) { io.ReadFull(connection, make([]byte, 9)); connection.reset() }, send: failure{kind: apierror.RunnerFailure, lost: true}},
 		"never read":             {serve: func(connection *end) { connection.in.hold() }, send: failure{kind: apierror.Unknown}},
 		"answered before it is read": {serve: func(connection *end) {
@@ -37,7 +37,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script(nil)
+				runner := newScriptedRunner(nil)
 				runner.window = 2000
 				runner.network.serve = func(_ int, connection *end) {
 					if test.serve != nil {
@@ -47,15 +47,15 @@
 					runner.answers = [][]string{{ok(fmt.Sprint(len(long)))}}
 					runner.serve(0, connection)
 				}
-				pool := New(runner, testDialect)
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				dispatch := query("q1", func(dispatch *Dispatch) { dispatch.Body = parts(long, 7001) })
-				_, body, err := ask(t, pool, dispatch)
+				request := testRequest("q1", func(request *Request) { request.Body = parts(long, 7001) })
+				_, body, err := sendAndRead(t, pool, request)
 				if got := failureOf(err); got != test.send || body != test.body {
 					t.Errorf("got %q, %v", body, err)
 				}
 				synctest.Wait()
-				if stats := pool.Stats(); stats.Out != 0 || stats.Idle == 1 != test.kept {
+				if stats := pool.Stats(); stats.InUse != 0 || stats.Idle == 1 != test.kept {
 					t.Errorf("stats %+v", stats)
 				}
 				if test.kept && string(runner.got()[0].text) != long {
@@ -67,22 +67,22 @@
 }
 
 // hold waits until the connection's other side is closed, and reads nothing.
-func (half *half) hold() {
-	half.mutex.Lock()
-	defer half.mutex.Unlock()
-	for !half.ended {
-		half.moved.Wait()
+func (stream *byteStream) hold() {
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
+	for !stream.ended {
+		stream.moved.Wait()
 	}
 }
 
 func TestShortBodyIsOneWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		writes := 0
-		runner := script(repeat(ok("fine"), 9))
-		pool := New(counting{runner, &writes}, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 9))
+		pool := New(countingNetwork{runner, &writes}, testHeaders)
 		defer pool.Close()
 		for range 3 {
-			if _, _, err := ask(t, pool, query("q1")); err != nil {
+			if _, _, err := sendAndRead(t, pool, testRequest("q1")); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/system/runnerpool/head.go
+++ b/system/runnerpool/request_head.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// oneHop are the headers that concern only one connection.
-var oneHop = map[string]bool{
+// hopByHopHeaders are the headers that concern only one connection.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
@@ -43,8 +43,8 @@
 	return word != ""
 }
 
-// isValue tells that a header's value can't end its line.
-func isValue(words string) bool {
+// isHeaderValue tells that a header's value can't end its line.
+func isHeaderValue(words string) bool {
 	for index := range len(words) {
 		if one := words[index]; one < ' ' && one != '\t' || one == 0x7f {
 			return false
@@ -53,72 +53,72 @@
 	return true
 }
 
-func invalid(what, remedy string) error {
+func invalidRequest(what, remedy string) error {
 	return &apierror.Error{Kind: apierror.Invalid, Message: what, Remedy: remedy, NeverSent: true}
 }
 
-// check tells why a dispatch can't be sent.
-func (pool *Pool) check(dispatch *Dispatch) error {
-	if !isToken(dispatch.Method) || dispatch.Method == http.MethodConnect {
-		return invalid("a query has the method "+strconv.Quote(dispatch.Method), "send a method of HTTP other than CONNECT")
+// validate tells why a dispatch can't be sent.
+func (pool *Pool) validate(request *Request) error {
+	if !isToken(request.Method) || request.Method == http.MethodConnect {
+		return invalidRequest("a query has the method "+strconv.Quote(request.Method), "send a method of HTTP other than CONNECT")
 	}
-	if !isVisible(dispatch.Target) {
-		return invalid("a query has the target "+strconv.Quote(dispatch.Target), "send a path without blanks and control bytes")
+	if !isVisible(request.Target) {
+		return invalidRequest("a query has the target "+strconv.Quote(request.Target), "send a path without blanks and control bytes")
 	}
-	if !isVisible(dispatch.Host) {
-		return invalid("a query has the host "+strconv.Quote(dispatch.Host), "send the name of a host")
+	if !isVisible(request.Host) {
+		return invalidRequest("a query has the host "+strconv.Quote(request.Host), "send the name of a host")
 	}
-	for _, value := range [...]string{dispatch.Name, dispatch.Runner.Life, dispatch.Urgency, dispatch.Resume} {
-		if !isValue(value) {
-			return invalid("a query would have the header value "+strconv.Quote(value), "send it without control bytes")
+	for _, value := range [...]string{request.ID, request.Runner.Life, request.Urgency, request.LastEventID} {
+		if !isHeaderValue(value) {
+			return invalidRequest("a query would have the header value "+strconv.Quote(value), "send it without control bytes")
 		}
 	}
-	for name, values := range dispatch.Header {
+	for name, values := range request.Header {
 		if !isToken(name) {
-			return invalid("a query has a header named "+strconv.Quote(name), "name headers by tokens")
+			return invalidRequest("a query has a header named "+strconv.Quote(name), "name headers by tokens")
 		}
 		for _, value := range values {
-			if !isValue(value) {
-				return invalid("the header "+name+" has control bytes", "send it without")
+			if !isHeaderValue(value) {
+				return invalidRequest("the header "+name+" has control bytes", "send it without")
 			}
 		}
 	}
 	return nil
 }
 
-// timeLeft gives the whole milliseconds until the caller gives up.
-func timeLeft(dispatch *Dispatch) (int64, error) {
-	left := time.Until(dispatch.Deadline).Milliseconds()
-	if left < 1 && !dispatch.Deadline.IsZero() {
+// millisecondsLeft gives the whole milliseconds until the caller gives up.
+func millisecondsLeft(request *Request) (int64, error) {
+	left := time.Until(request.Deadline).Milliseconds()
+	if left < 1 && !request.Deadline.IsZero() {
 		return 0, &apierror.Error{Kind: apierror.Unavailable, Message: "the caller's time was over before the query could be sent", Remedy: "ask with more time", NeverSent: true}
 	}
 	return left, nil
 }
 
 // appendHead writes the head of a query.
-func (pool *Pool) appendHead(target []byte, dispatch *Dispatch, length int64) ([]byte, error) {
-	left, err := timeLeft(dispatch)
+func (pool *Pool) appendHead(target []byte, request *Request, length int64) ([]byte, error) {
+	left, err := millisecondsLeft(request)
 	if err != nil {
 		return target, err
 	}
-	dialect := &pool.dialect
-	target = append(target, dispatch.Method...)
+	headers := &pool.headers
+	target = append(target, request.Method...)
 	target = append(target, ' ')
-	target = append(target, dispatch.Target...)
+	target = append(target, request.Target...)
 	target = append(target, " HTTP/1.1\r\n"...)
-	target = appendHeader(target, "Host", dispatch.Host)
+	target = appendHeader(target, "Host", request.Host)
 	target = appendNumber(target, "Content-Length", length)
-	target = appendHeader(target, dialect.Query, dispatch.Name)
-	target = appendHeader(target, dialect.Expected, dispatch.Runner.Life)
-	target = appendHeader(target, dialect.Urgency, dispatch.Urgency)
-	target = appendHeader(target, dialect.Resume, dispatch.Resume)
-	if dialect.TimeLeft != "" && !dispatch.Deadline.IsZero() {
-		target = appendNumber(target, dialect.TimeLeft, left)
-	}
-	connection := dispatch.Header["Connection"]
-	for name, values := range dispatch.Header {
+	target = appendHeader(target, headers.RequestID, request.ID)
+	target = appendHeader(target, headers.ExpectedRunner, request.Runner.Life)
+	target = appendHeader(target, headers.Urgency, request.Urgency)
+	target = appendHeader(target, headers.LastEventID, request.LastEventID)
+	if headers.Timeout != "" && !request.Deadline.IsZero() {
+		target = appendNumber(target, headers.Timeout, left)
+	}
+	connection := request.Header["Connection"]
+	for name, values := range request.Header {
 		canonical := textproto.CanonicalMIMEHeaderKey(name)
-		if canonical == "Host" || canonical == "Content-Length" || oneHop[canonical] || pool.replaces(canonical, dispatch) || namedBy(connection, name) {
+		if canonical == "Host" || canonical == "Content-Length" || hopByHopHeaders[canonical] || pool.overrides(canonical, request) || namedByConnection(connection, name) {
 			continue
 		}
 		for _, value := range values {
@@ -149,25 +149,25 @@
 	return append(target, "\r\n"...)
 }
 
-// replaces tells that the caller's header of the name is not sent along.
-func (pool *Pool) replaces(name string, dispatch *Dispatch) bool {
+// overrides tells that the caller's header of the name is not sent along.
+func (pool *Pool) overrides(name string, request *Request) bool {
 	switch name {
-	case pool.dialect.Query:
-		return dispatch.Name != ""
-	case pool.dialect.Expected:
-		return dispatch.Runner.Life != ""
-	case pool.dialect.TimeLeft:
-		return !dispatch.Deadline.IsZero()
-	case pool.dialect.Urgency:
+	case pool.headers.RequestID:
+		return request.ID != ""
+	case pool.headers.ExpectedRunner:
+		return request.Runner.Life != ""
+	case pool.headers.Timeout:
+		return !request.Deadline.IsZero()
+	case pool.headers.Urgency:
 		return true
-	case pool.dialect.Resume:
-		return dispatch.Resume != ""
+	case pool.headers.LastEventID:
+		return request.LastEventID != ""
 	}
 	return false
 }
 
-// namedBy tells that a Connection header names a header.
-func namedBy(connection []string, name string) bool {
+// namedByConnection tells that a Connection header names a header.
+func namedByConnection(connection []string, name string) bool {
 	for _, line := range connection {
 		for word := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(word), name) {
@@ -178,20 +178,20 @@
 	return false
 }
 
-// endToEnd takes away the headers that concern only one connection.
-func endToEnd(header http.Header) {
+// removeHopByHop takes away the headers that concern only one connection.
+func removeHopByHop(header http.Header) {
 	for _, line := range header["Connection"] {
 		for word := range strings.SplitSeq(line, ",") {
 			delete(header, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(word)))
 		}
 	}
-	for name := range oneHop {
+	for name := range hopByHopHeaders {
 		delete(header, name)
 	}
 }
 
-// keepAlive reads how long a runner keeps an idle connection, in whole seconds.
-func keepAlive(header http.Header) (time.Duration, bool) {
+// parseKeepAlive reads how long a runner keeps an idle connection, in whole seconds.
+func parseKeepAlive(header http.Header) (time.Duration, bool) {
 	for _, line := range header["Keep-Alive"] {
 		for word := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(word), "=")
@@ -206,12 +206,14 @@
 	return 0, false
 }
 
-// keptFor is how long a connection is kept idle whose runner keeps it for a time: well
+// idleTimeoutFor is how long a connection is kept idle whose runner keeps it for a time: well
 // below, as the query that is sent last still has to arrive.
-func keptFor(told time.Duration) time.Duration { return told*3/4 - 250*time.Millisecond }
+func idleTimeoutFor(keepAlive time.Duration) time.Duration {
+	return keepAlive*3/4 - 250*time.Millisecond
+}
 
-// readLoad reads running,waiting,slots.
-func readLoad(words string) *Load {
+// parseLoad reads running,waiting,slots.
+func parseLoad(words string) *Load {
 	read := [3]int{}
 	for index := range read {
 		word, rest, more := strings.Cut(words, ",")
@@ -224,8 +226,8 @@
 	return &Load{Running: read[0], Waiting: read[1], Slots: read[2]}
 }
 
-// retryAfter reads how many seconds to wait, fractions too; anything else is none.
-func retryAfter(header http.Header) time.Duration {
+// parseRetryAfter reads how many seconds to wait, fractions too; anything else is none.
+func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) || seconds > 86400 {
 		return 0
--- a/system/runnerpool/scripted_test.go
+++ b/system/runnerpool/scripted_runner_test.go
@@ -19,7 +19,7 @@
 )
 
 // half is one direction of a simulated connection: bytes wait in a window of a size.
-type half struct {
+type byteStream struct {
 	mutex    sync.Mutex
 	moved    *sync.Cond
 	window   int
@@ -33,79 +33,81 @@
 	shut     bool // the writer's own end is closed
 }
 
-func newHalf(window int) *half {
-	made := &half{window: window}
+func newByteStream(window int) *byteStream {
+	made := &byteStream{window: window}
 	made.moved = sync.NewCond(&made.mutex)
 	return made
 }
 
-func (half *half) change(action func()) {
-	half.mutex.Lock()
+func (stream *byteStream) change(action func()) {
+	stream.mutex.Lock()
 	action()
-	half.moved.Broadcast()
-	half.mutex.Unlock()
+	stream.moved.Broadcast()
+	stream.mutex.Unlock()
 }
 
-func passed(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
+func deadlinePassed(deadline time.Time) bool {
+	return !deadline.IsZero() && !time.Now().Before(deadline)
+}
 
 // end is one end of a simulated connection.
 type end struct {
-	in, out *half
+	in, out *byteStream
 	closes  int
 }
 
 func connect(window int) (*end, *end) {
-	there, back := newHalf(window), newHalf(1<<20)
+	there, back := newByteStream(window), newByteStream(1<<20)
 	return &end{in: back, out: there}, &end{in: there, out: back}
 }
 
 func (end *end) Read(target []byte) (int, error) {
-	half := end.in
-	half.mutex.Lock()
-	defer half.mutex.Unlock()
+	stream := end.in
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
 	for {
 		switch {
-		case half.released:
+		case stream.released:
 			return 0, net.ErrClosed
-		case passed(half.read):
+		case deadlinePassed(stream.read):
 			return 0, os.ErrDeadlineExceeded
-		case len(half.data) > 0:
-			count := copy(target, half.data)
-			half.data = half.data[count:]
-			half.moved.Broadcast()
+		case len(stream.data) > 0:
+			count := copy(target, stream.data)
+			stream.data = stream.data[count:]
+			stream.moved.Broadcast()
 			return count, nil
-		case half.broken != nil:
-			return 0, half.broken
-		case half.ended:
+		case stream.broken != nil:
+			return 0, stream.broken
+		case stream.ended:
 			return 0, io.EOF
 		}
-		half.moved.Wait()
+		stream.moved.Wait()
 	}
 }
 
 func (end *end) Write(data []byte) (int, error) {
-	half := end.out
-	half.mutex.Lock()
-	defer half.mutex.Unlock()
+	stream := end.out
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
 	count := 0
 	for count < len(data) {
-		room := min(half.window-len(half.data), len(data)-count)
+		room := min(stream.window-len(stream.data), len(data)-count)
 		switch {
-		case half.shut:
+		case stream.shut:
 			return count, net.ErrClosed
-		case half.broken != nil:
-			return count, half.broken
-		case half.unread:
+		case stream.broken != nil:
+			return count, stream.broken
+		case stream.unread:
 			return count, syscall.ECONNRESET
-		case passed(half.write):
+		case deadlinePassed(stream.write):
 			return count, os.ErrDeadlineExceeded
 		case room > 0:
-			half.data = append(half.data, data[count:count+room]...)
+			stream.data = append(stream.data, data[count:count+room]...)
 			count += room
-			half.moved.Broadcast()
+			stream.moved.Broadcast()
 			continue
 		}
-		half.moved.Wait()
+		stream.moved.Wait()
 	}
 	return count, nil
 }
@@ -129,7 +131,7 @@
 	return end.in.ended
 }
 
-func (end *end) Quiet() bool {
+func (end *end) Idle() bool {
 	end.in.mutex.Lock()
 	defer end.in.mutex.Unlock()
 	return len(end.in.data) == 0 && !end.in.ended && end.in.broken == nil
@@ -155,9 +157,9 @@
 	return nil
 }
 
-func (half *half) wakeAt(deadline time.Time) {
+func (stream *byteStream) wakeAt(deadline time.Time) {
 	if left := time.Until(deadline); left > 0 {
-		time.AfterFunc(left, func() { half.change(func() {}) })
+		time.AfterFunc(left, func() { stream.change(func() {}) })
 	}
 }
 
@@ -191,30 +193,30 @@
 	return near, nil
 }
 
-// asking is one query as a runner got it.
-type asking struct {
+// receivedRequest is one query as a runner got it.
+type receivedRequest struct {
 	*http.Request
 	text       []byte
 	connection int
 }
 
-// scripted is a runner that answers the queries on each connection with raw bytes.
+// scriptedRunner is a runner that answers the queries on each connection with raw bytes.
 // NAME stands for the name of the query. After CLOSE or RESET it ends the connection,
 // SILENT answers nothing.
-type scripted struct {
+type scriptedRunner struct {
 	network
-	mutex   sync.Mutex
-	answers [][]string // of each connection; the last one counts for all further ones
-	asked   []asking
+	mutex     sync.Mutex
+	answers   [][]string // of each connection; the last one counts for all further ones
+	requested []receivedRequest
 }
 
-func script(answers ...[]string) *scripted {
-	made := &scripted{answers: answers}
+func newScriptedRunner(answers ...[]string) *scriptedRunner {
+	made := &scriptedRunner{answers: answers}
 	made.network.serve = made.serve
 	return made
 }
 
-func (scripted *scripted) serve(number int, connection *end) {
+func (scripted *scriptedRunner) serve(number int, connection *end) {
 	reader := bufio.NewReader(connection)
 	for _, answer := range scripted.answers[min(number, len(scripted.answers)-1)] {
 		query, err := http.ReadRequest(reader)
@@ -228,7 +230,7 @@
 			return
 		}
 		scripted.mutex.Lock()
-		scripted.asked = append(scripted.asked, asking{query, text, number})
+		scripted.requested = append(scripted.requested, receivedRequest{query, text, number})
 		scripted.mutex.Unlock()
 		answer = strings.ReplaceAll(answer, "NAME", query.Header.Get("Query-Name"))
 		switch rest, end, _ := strings.Cut(answer, "|"); {
@@ -248,33 +250,33 @@
 	connection.Close()
 }
 
-func (scripted *scripted) got() []asking {
+func (scripted *scriptedRunner) got() []receivedRequest {
 	scripted.mutex.Lock()
 	defer scripted.mutex.Unlock()
-	return scripted.asked
+	return scripted.requested
 }
 
-var testDialect = Dialect{Query: "Query-Name", NotRun: "Not-Run", Expected: "Expected-Runner", TimeLeft: "Time-Left", Load: "Load", Urgency: "Urgency", Resume: "Last-Event-Id", Runner: "Runner-Id", ColdFor: "Cold-For"}
+var testHeaders = HeaderNames{RequestID: "Query-Name", NotRun: "Not-Run", ExpectedRunner: "Expected-Runner", Timeout: "Time-Left", Load: "Load", Urgency: "Urgency", LastEventID: "Last-Event-Id", RunnerID: "Runner-Id", WarmUpLeft: "Cold-For"}
 
-func query(name string, changes ...func(*Dispatch)) Dispatch {
-	made := Dispatch{Runner: feed.Runner{Address: "10.0.0.9:8080", Life: "life-1"}, Most: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
-		Header: http.Header{}, Body: [][]byte{[]byte("say "), []byte("it")}, Name: name, Deadline: time.Now().Add(10 * time.Second)}
+func testRequest(name string, changes ...func(*Request)) Request {
+	made := Request{Runner: feed.Runner{Address: "10.0.0.9:8080", Life: "life-1"}, MaxConnections: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
+		Header: http.Header{}, Body: [][]byte{[]byte("say "), []byte("it")}, ID: name, Deadline: time.Now().Add(10 * time.Second)}
 	for _, change := range changes {
 		change(&made)
 	}
 	return made
 }
 
-// ask sends and reads a whole body, and closes.
-func ask(t *testing.T, pool *Pool, dispatch Dispatch) (int, string, error) {
+// sendAndRead sends and reads a whole body, and closes.
+func sendAndRead(t *testing.T, pool *Pool, request Request) (int, string, error) {
 	t.Helper()
-	reply, err := pool.Send(t.Context(), dispatch)
+	response, err := pool.Send(t.Context(), request)
 	if err != nil {
 		return 0, "", err
 	}
-	defer reply.Close()
-	body, err := io.ReadAll(reply)
-	return reply.Status, string(body), err
+	defer response.Close()
+	body, err := io.ReadAll(response)
+	return response.Status, string(body), err
 }
 
 func ok(body string) string {
@@ -316,43 +318,43 @@
 	return split
 }
 
-// counting counts the writes of the pool.
-type counting struct {
-	*scripted
+// countingNetwork counts the writes of the pool.
+type countingNetwork struct {
+	*scriptedRunner
 	writes *int
 }
 
-type counted struct {
+type countingConnection struct {
 	*end
 	writes *int
 }
 
-func (counted counted) Write(data []byte) (int, error) {
+func (counted countingConnection) Write(data []byte) (int, error) {
 	*counted.writes++
 	return counted.end.Write(data)
 }
 
-func (counting counting) Dial(ctx context.Context, address string) (net.Conn, error) {
-	made, err := counting.scripted.Dial(ctx, address)
+func (counting countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	made, err := counting.scriptedRunner.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return counted{made.(*end), counting.writes}, nil
+	return countingConnection{made.(*end), counting.writes}, nil
 }
 
-// deaf makes connections on which nothing is heard before something is written.
-type deaf struct{ *scripted }
+// undetectedNetwork makes connections on which nothing is heard before something is written.
+type undetectedNetwork struct{ *scriptedRunner }
 
-type unheard struct{ *end }
+type undetectedConnection struct{ *end }
 
-func (unheard) Quiet() bool { return true }
+func (undetectedConnection) Idle() bool { return true }
 
-func (deaf deaf) Dial(ctx context.Context, address string) (net.Conn, error) {
-	made, err := deaf.scripted.Dial(ctx, address)
+func (deaf undetectedNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	made, err := deaf.scriptedRunner.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return unheard{made.(*end)}, nil
+	return undetectedConnection{made.(*end)}, nil
 }
 
 // echo answers each query with its own body.
@@ -372,14 +374,14 @@
 	}
 }
 
-// dialling does something when a connection has come up.
-type dialling struct {
-	*scripted
+// dialHook does something when a connection has come up.
+type dialHook struct {
+	*scriptedRunner
 	do func()
 }
 
-func (dialling dialling) Dial(ctx context.Context, address string) (net.Conn, error) {
-	made, err := dialling.scripted.Dial(ctx, address)
+func (dialling dialHook) Dial(ctx context.Context, address string) (net.Conn, error) {
+	made, err := dialling.scriptedRunner.Dial(ctx, address)
 	dialling.do()
 	return made, err
 }
