--- a/system/runnerpool/send.go
+++ b/system/runnerpool/send.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// directBytes is the most that is written in one piece before the answer is read. A
+	// singleWriteBytes is the most that is written in one piece before the answer is read. A
 	// longer query is written beside the reading, as a runner that answers early may never
 	// read it.
-	directBytes = 16 << 10
-	// mostStray is how many answers to other queries are dropped before the one to this.
-	mostStray = 2
-	// mostInterim is how many interim (1xx) heads may come before an answer.
-	mostInterim = 8
-	// refusalBytes and refusalTimeout bound what is done to keep the connection after a
+	singleWriteBytes = 16 << 10
+	// maxStrayResponses is how many answers to other queries are dropped before the one to this.
+	maxStrayResponses = 2
+	// maxInterimResponses is how many interim (1xx) heads may come before an answer.
+	maxInterimResponses = 8
+	// maxRejectionBytes and rejectionTimeout bound what is done to keep the connection after a
 	// refusal: the rest of its body is read.
-	refusalBytes   = 16 << 10
-	refusalTimeout = 20 * time.Millisecond
+	maxRejectionBytes = 16 << 10
+	rejectionTimeout  = 20 * time.Millisecond
 )
 
 var (
-	longAgo = time.Unix(1, 0)
+	pastDeadline = time.Unix(1, 0)
 	// asked tell the reader of heads whether a body follows.
-	asked = map[bool]*http.Request{false: {Method: http.MethodGet}, true: {Method: http.MethodHead}}
+	requestByMethod = map[bool]*http.Request{false: {Method: http.MethodGet}, true: {Method: http.MethodHead}}
 )
 
-// exchange is one query on one connection.
-type exchange struct {
+// roundTrip is one query on one connection.
+type roundTrip struct {
 	pool       *Pool
-	connection *connection
-	dispatch   *Dispatch
+	connection *persistentConnection
+	request    *Request
 	ctx        context.Context
-	stop       func() bool     // ends the watch over ctx; false if ctx ended first
-	writing    chan writeEnded // of a query that is written beside the reading
-	written    writeEnded
+	stopWatch  func() bool      // ends the watch over ctx; false if ctx ended first
+	writing    chan writeResult // of a query that is written beside the reading
+	written    writeResult
 	stray      bool // an answer to another query has come
 }
 
-type writeEnded struct {
+type writeResult struct {
 	count int64
 	err   error
 }
@@ -70,157 +70,157 @@
 //
 // Example:
 //
-//	reply, err := pool.Send(ctx, runnerpool.Dispatch{Runner: runner, Most: 8, Method: "POST", Target: "/turn", Host: "agents.example", Body: [][]byte{body}, Name: name, Deadline: deadline})
+//	reply, err := pool.Send(ctx, runnerpool.Request{Runner: runner, Most: 8, Method: "POST", Target: "/turn", Host: "agents.example", Body: [][]byte{body}, Name: name, Deadline: deadline})
 //	if err != nil {
 //		return err
 //	}
 //	defer reply.Close()
-func (pool *Pool) Send(ctx context.Context, dispatch Dispatch) (*Reply, error) {
-	if err := pool.check(&dispatch); err != nil {
+func (pool *Pool) Send(ctx context.Context, request Request) (*Response, error) {
+	if err := pool.validate(&request); err != nil {
 		return nil, err
 	}
 	for {
 		if ctx.Err() != nil {
-			return nil, cancelled(dispatch.Runner.Address, true)
+			return nil, cancelled(request.Runner.Address, true)
 		}
-		if _, err := timeLeft(&dispatch); err != nil {
+		if _, err := millisecondsLeft(&request); err != nil {
 			return nil, err
 		}
-		taken, err := pool.acquire(ctx, &dispatch)
+		connection, err := pool.acquire(ctx, &request)
 		if err != nil {
 			return nil, err
 		}
-		sending := &exchange{pool: pool, connection: taken, dispatch: &dispatch, ctx: ctx}
-		reply, again, err := sending.run()
-		if !again {
-			return reply, err
+		trip := &roundTrip{pool: pool, connection: connection, request: &request, ctx: ctx}
+		response, retry, err := trip.run()
+		if !retry {
+			return response, err
 		}
 	}
 }
 
 // run sends the query and reads the head. It tells whether to do it again, as a kept
 // connection turned out to be dead before a byte was written to it.
-func (sending *exchange) run() (reply *Reply, again bool, err error) {
-	taken, dispatch := sending.connection, sending.dispatch
-	taken.equip()
+func (trip *roundTrip) run() (response *Response, retry bool, err error) {
+	connection, request := trip.connection, trip.request
+	connection.attachBuffers()
 	length := int64(0)
-	for _, part := range dispatch.Body {
+	for _, part := range request.Body {
 		length += int64(len(part))
 	}
-	head, err := sending.pool.appendHead(taken.work.writes, dispatch, length)
+	head, err := trip.pool.appendHead(connection.buffers.writes, request, length)
 	if err != nil {
-		sending.giveBack()
+		trip.returnUnused()
 		return nil, false, err
 	}
-	taken.work.writes = head
-	if sending.ctx.Err() != nil {
-		sending.giveBack()
-		return nil, false, cancelled(dispatch.Runner.Address, true)
+	connection.buffers.writes = head
+	if trip.ctx.Err() != nil {
+		trip.returnUnused()
+		return nil, false, cancelled(request.Runner.Address, true)
 	}
-	if sending.ctx.Done() != nil {
-		sending.stop = context.AfterFunc(sending.ctx, func() { taken.SetDeadline(longAgo) })
+	if trip.ctx.Done() != nil {
+		trip.stopWatch = context.AfterFunc(trip.ctx, func() { connection.SetDeadline(pastDeadline) })
 	}
-	if dispatch.Look != nil {
-		if err := dispatch.Look(); err != nil {
-			sending.giveBack()
+	if request.BeforeSend != nil {
+		if err := request.BeforeSend(); err != nil {
+			trip.returnUnused()
 			kept := *apierror.Of(err)
 			kept.NeverSent = true
 			return nil, false, &kept
 		}
 	}
-	sending.write(length)
-	if sending.written.err != nil && sending.written.count == 0 {
-		failed := sending.failure(sending.written.err)
-		if failed.Lost && taken.reused {
-			sending.drop()
+	trip.write(length)
+	if trip.written.err != nil && trip.written.count == 0 {
+		failed := trip.connectionError(trip.written.err)
+		if failed.Lost && connection.reused {
+			trip.abort()
 			return nil, true, nil
 		}
 		failed.NeverSent = true
-		sending.drop()
+		trip.abort()
 		return nil, false, failed
 	}
-	if taken.reused {
-		sending.pool.reuses.Add(1)
+	if connection.reused {
+		trip.pool.reuses.Add(1)
 	}
-	return sending.answer()
+	return trip.readResponse()
 }
 
 // write sends head and body: in one piece if they are small, else beside the reading.
-func (sending *exchange) write(length int64) {
-	taken := sending.connection
-	if int64(len(taken.work.writes))+length <= directBytes {
-		for _, part := range sending.dispatch.Body {
-			taken.work.writes = append(taken.work.writes, part...)
+func (trip *roundTrip) write(length int64) {
+	connection := trip.connection
+	if int64(len(connection.buffers.writes))+length <= singleWriteBytes {
+		for _, part := range trip.request.Body {
+			connection.buffers.writes = append(connection.buffers.writes, part...)
 		}
-		count, err := taken.Conn.Write(taken.work.writes)
-		sending.written = writeEnded{int64(count), err}
+		count, err := connection.Conn.Write(connection.buffers.writes)
+		trip.written = writeResult{int64(count), err}
 		return
 	}
-	parts := make(net.Buffers, 0, 1+len(sending.dispatch.Body))
-	parts = append(parts, taken.work.writes)
-	parts = append(parts, sending.dispatch.Body...)
-	sending.writing = make(chan writeEnded, 1)
+	parts := make(net.Buffers, 0, 1+len(trip.request.Body))
+	parts = append(parts, connection.buffers.writes)
+	parts = append(parts, trip.request.Body...)
+	trip.writing = make(chan writeResult, 1)
 	go func() {
-		count, err := parts.WriteTo(taken.Conn)
-		sending.writing <- writeEnded{count, err}
+		count, err := parts.WriteTo(connection.Conn)
+		trip.writing <- writeResult{count, err}
 	}()
 }
 
-// settled tells whether the query is written, or its writing has failed.
-func (sending *exchange) settled() bool {
-	if sending.writing == nil {
+// writeDone tells whether the query is written, or its writing has failed.
+func (trip *roundTrip) writeDone() bool {
+	if trip.writing == nil {
 		return true
 	}
 	select {
-	case sending.written = <-sending.writing:
-		sending.writing = nil
+	case trip.written = <-trip.writing:
+		trip.writing = nil
 		return true
 	default:
 		return false
 	}
 }
 
-// answer reads the head of the answer to this query; again is as run gives it.
-func (sending *exchange) answer() (reply *Reply, again bool, err error) {
-	response, err := sending.head()
+// readResponse reads the head of the answer to this query; again is as run gives it.
+func (trip *roundTrip) readResponse() (result *Response, retry bool, err error) {
+	response, err := trip.readHead()
 	if err != nil {
-		failed := sending.failure(err)
-		sending.drop()
-		failed.NeverSent = sending.written.err != nil && sending.written.count == 0
-		return nil, failed.NeverSent && failed.Lost && sending.connection.reused, failed
+		failed := trip.connectionError(err)
+		trip.abort()
+		failed.NeverSent = trip.written.err != nil && trip.written.count == 0
+		return nil, failed.NeverSent && failed.Lost && trip.connection.reused, failed
 	}
-	address := sending.dispatch.Runner.Address
-	reply = &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, sending: sending, body: response.Body}
-	reply.reusable = !response.Close && !sending.stray && response.ProtoAtLeast(1, 1)
-	reply.whole, reply.endless = response.Body == http.NoBody, endless(response)
-	if told, found := keepAlive(response.Header); found {
-		sending.connection.told, sending.connection.keep = true, keptFor(told)
-		reply.reusable = reply.reusable && sending.connection.keep > 0
+	address := trip.request.Runner.Address
+	result = &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, trip: trip, body: response.Body}
+	result.reusable = !response.Close && !trip.stray && response.ProtoAtLeast(1, 1)
+	result.complete, result.closeDelimited = response.Body == http.NoBody, isCloseDelimited(response)
+	if reported, found := parseKeepAlive(response.Header); found {
+		trip.connection.hasKeepAlive, trip.connection.keepAlive = true, idleTimeoutFor(reported)
+		result.reusable = result.reusable && trip.connection.keepAlive > 0
 	}
-	if name := sending.pool.dialect.Load; name != "" {
-		reply.Load = readLoad(response.Header.Get(name))
+	if name := trip.pool.headers.Load; name != "" {
+		result.Load = parseLoad(response.Header.Get(name))
 	}
-	vouched := sending.pool.dialect.NotRun != "" && len(response.Header[sending.pool.dialect.NotRun]) > 0
+	notRun := trip.pool.headers.NotRun != "" && len(response.Header[trip.pool.headers.NotRun]) > 0
 	misdirected := response.StatusCode == http.StatusMisdirectedRequest
-	endToEnd(response.Header)
-	if misdirected || vouched && response.StatusCode >= 400 {
-		reply.finish()
-		return reply, false, &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " refused: " + response.Status, Remedy: "ask again later", RetryAfter: retryAfter(response.Header), Misdirected: misdirected}
+	removeHopByHop(response.Header)
+	if misdirected || notRun && response.StatusCode >= 400 {
+		result.drainRejection()
+		return result, false, &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " refused: " + response.Status, Remedy: "ask again later", RetryAfter: parseRetryAfter(response.Header), Misdirected: misdirected}
 	}
-	if coding := response.Header["Content-Encoding"]; !plain(coding) {
-		sending.drop()
+	if coding := response.Header["Content-Encoding"]; !isUnencoded(coding) {
+		trip.abort()
 		return nil, false, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " answered with the content encoding " + strings.Join(coding, ", "), Remedy: "runners answer without encoding"}
 	}
-	return reply, false, nil
+	return result, false, nil
 }
 
 // endless tells that only the end of the connection ends a body.
-func endless(response *http.Response) bool {
+func isCloseDelimited(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody
 }
 
-// plain tells that a body is not encoded.
-func plain(coding []string) bool {
+// isUnencoded tells that a body is not encoded.
+func isUnencoded(coding []string) bool {
 	for _, line := range coding {
 		for word := range strings.SplitSeq(line, ",") {
 			if word = strings.TrimSpace(word); word != "" && !strings.EqualFold(word, "identity") {
@@ -231,114 +231,114 @@
 	return true
 }
 
-// wrongAnswer tells what is wrong with what came in place of an answer.
-type wrongAnswer string
+// protocolError tells what is wrong with what came in place of an answer.
+type protocolError string
 
-func (wrong wrongAnswer) Error() string { return string(wrong) }
+func (wrong protocolError) Error() string { return string(wrong) }
 
-// head reads heads until one is of an answer to this query.
-func (sending *exchange) head() (*http.Response, error) {
-	taken := sending.connection
-	defer func() { taken.headLeft = -1 }()
-	first := !taken.reused
+// readHead reads heads until one is of an answer to this query.
+func (trip *roundTrip) readHead() (*http.Response, error) {
+	connection := trip.connection
+	defer func() { connection.headBytesLeft = -1 }()
+	first := !connection.reused
 	for stray, interim := 0, 0; ; {
-		taken.headLeft = headBytes
-		response, err := http.ReadResponse(taken.work.reader, asked[sending.dispatch.Method == http.MethodHead])
+		connection.headBytesLeft = maxHeadBytes
+		response, err := http.ReadResponse(connection.buffers.reader, requestByMethod[trip.request.Method == http.MethodHead])
 		if err != nil {
 			return nil, err
 		}
 		if response.ProtoMajor != 1 || response.StatusCode > 599 || response.StatusCode < 100 || response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, wrongAnswer("it answered " + strconv.Quote(response.Proto+" "+response.Status))
+			return nil, protocolError("it answered " + strconv.Quote(response.Proto+" "+response.Status))
 		}
 		if response.StatusCode < 200 {
-			if interim++; interim > mostInterim {
-				return nil, wrongAnswer("it sent too many interim heads")
+			if interim++; interim > maxInterimResponses {
+				return nil, protocolError("it sent too many interim heads")
 			}
 			continue
 		}
-		whose := sending.whose(response.Header)
-		if whose == unnamed && (response.StatusCode < 300 || !first) {
-			return nil, wrongAnswer("its answer does not name the query")
+		match := trip.matchID(response.Header)
+		if match == idMissing && (response.StatusCode < 300 || !first) {
+			return nil, protocolError("its answer does not name the query")
 		}
-		if whose != foreign {
+		if match != idDiffers {
 			return response, nil
 		}
-		sending.stray, first = true, false
-		if stray++; stray > mostStray {
-			return nil, wrongAnswer("it answered other queries")
+		trip.stray, first = true, false
+		if stray++; stray > maxStrayResponses {
+			return nil, protocolError("it answered other queries")
 		}
-		if sending.dispatch.Method == http.MethodHead && response.ContentLength != 0 {
-			return nil, wrongAnswer("it answered another query first, and it can't be told where that answer ends")
+		if trip.request.Method == http.MethodHead && response.ContentLength != 0 {
+			return nil, protocolError("it answered another query first, and it can't be told where that answer ends")
 		}
-		taken.headLeft = -1
+		connection.headBytesLeft = -1
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, err
 		}
 	}
 }
 
-type owner int
+type idMatch int
 
 const (
-	ours owner = iota
-	unnamed
-	foreign
+	idMatches idMatch = iota
+	idMissing
+	idDiffers
 )
 
 // whose tells whether an answer is to this query, by the name that it bears.
-func (sending *exchange) whose(header http.Header) owner {
-	key := sending.pool.dialect.Query
+func (trip *roundTrip) matchID(header http.Header) idMatch {
+	key := trip.pool.headers.RequestID
 	if key == "" {
-		return ours
+		return idMatches
 	}
-	asked := sending.dispatch.Name
-	if asked == "" {
-		asked = sending.dispatch.Header.Get(key)
+	requested := trip.request.ID
+	if requested == "" {
+		requested = trip.request.Header.Get(key)
 	}
 	names := header[key]
-	if len(names) == 0 && asked != "" {
-		return unnamed
+	if len(names) == 0 && requested != "" {
+		return idMissing
 	}
 	for _, name := range names {
-		if name != asked {
-			return foreign
+		if name != requested {
+			return idDiffers
 		}
 	}
-	return ours
+	return idMatches
 }
 
-// giveBack returns a connection to which nothing was written.
-func (sending *exchange) giveBack() {
-	sending.connection.strip()
-	if sending.stop != nil && !sending.stop() {
-		sending.pool.drop(sending.connection)
+// returnUnused returns a connection to which nothing was written.
+func (trip *roundTrip) returnUnused() {
+	trip.connection.releaseBuffers()
+	if trip.stopWatch != nil && !trip.stopWatch() {
+		trip.pool.discard(trip.connection)
 		return
 	}
-	sending.pool.put(sending.connection)
+	trip.pool.put(trip.connection)
 }
 
 // drop closes the connection; what is still being written ends.
-func (sending *exchange) drop() {
-	if sending.stop != nil {
-		sending.stop()
+func (trip *roundTrip) abort() {
+	if trip.stopWatch != nil {
+		trip.stopWatch()
 	}
-	sending.connection.Close()
-	if sending.writing != nil {
-		sending.written = <-sending.writing
-		sending.writing = nil
+	trip.connection.Close()
+	if trip.writing != nil {
+		trip.written = <-trip.writing
+		trip.writing = nil
 	}
-	sending.connection.strip()
-	sending.pool.release(sending.connection.runner)
+	trip.connection.releaseBuffers()
+	trip.pool.release(trip.connection.runner)
 }
 
 func cancelled(address string, neverSent bool) *apierror.Error {
 	return &apierror.Error{Kind: apierror.Cancelled, Message: "the query to runner " + address + " was given up", Remedy: "none: whoever asked gave up", NeverSent: neverSent}
 }
 
-// failure types what went wrong on the connection.
-func (sending *exchange) failure(err error) *apierror.Error {
-	address := sending.dispatch.Runner.Address
-	if sending.ctx.Err() != nil {
+// connectionError types what went wrong on the connection.
+func (trip *roundTrip) connectionError(err error) *apierror.Error {
+	address := trip.request.Runner.Address
+	if trip.ctx.Err() != nil {
 		return cancelled(address, false)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
--- a/system/runnerpool/send_test.go
+++ b/system/runnerpool/send_test.go
@@ -15,51 +15,51 @@
 	"yardrock.example/system/apierror"
 )
 
-func TestAQueryReachesTheRunnerUnchanged(t *testing.T) {
+func TestRequestReachesRunnerUnchanged(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(*Dispatch)
+		change func(*Request)
 		want   map[string][]string
 		not    []string
 	}{
-		"own headers": {func(dispatch *Dispatch) {}, map[string][]string{"Query-Name": {"q1"}, "Expected-Runner": {"life-1"}, "Time-Left": {"10000"}, "Content-Length": {"6"}}, []string{"Urgency", "Last-Event-Id"}},
-		"urgency and resuming": {func(dispatch *Dispatch) { dispatch.Urgency, dispatch.Resume = "3", "17" },
+		"own headers": {func(request *Request) {}, map[string][]string{"Query-Name": {"q1"}, "Expected-Runner": {"life-1"}, "Time-Left": {"10000"}, "Content-Length": {"6"}}, []string{"Urgency", "Last-Event-Id"}},
+		"urgency and resuming": {func(request *Request) { request.Urgency, request.LastEventID = "3", "17" },
 			map[string][]string{"Urgency": {"3"}, "Last-Event-Id": {"17"}}, nil},
-		"own headers replace the caller's": {func(dispatch *Dispatch) {
-			dispatch.Urgency, dispatch.Resume = "3", "17"
-			dispatch.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}, "Content-Length": {"99"}, "Host": {"evil"}}
+		"own headers replace the caller's": {func(request *Request) {
+			request.Urgency, request.LastEventID = "3", "17"
+			request.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}, "Content-Length": {"99"}, "Host": {"evil"}}
 		}, map[string][]string{"Urgency": {"3"}, "Last-Event-Id": {"17"}, "Time-Left": {"10000"}, "Expected-Runner": {"life-1"}, "Query-Name": {"q1"}, "Content-Length": {"6"}}, nil},
-		"the caller's stay where there is none of ours": {func(dispatch *Dispatch) {
-			dispatch.Deadline, dispatch.Runner.Life, dispatch.Name = time.Time{}, "", ""
-			dispatch.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}}
+		"the caller's stay where there is none of ours": {func(request *Request) {
+			request.Deadline, request.Runner.Life, request.ID = time.Time{}, "", ""
+			request.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}}
 		}, map[string][]string{"Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}}, []string{"Urgency"}},
-		"many values": {func(dispatch *Dispatch) {
-			dispatch.Header = http.Header{"Accept": {"a", "b"}, "Cookie": {"About=7"}, "Empty": {""}}
+		"many values": {func(request *Request) {
+			request.Header = http.Header{"Accept": {"a", "b"}, "Cookie": {"About=7"}, "Empty": {""}}
 		}, map[string][]string{"Accept": {"a", "b"}, "Cookie": {"About=7"}, "Empty": {""}}, nil},
-		"headers of one hop stay behind": {func(dispatch *Dispatch) {
-			dispatch.Header = http.Header{"Connection": {"keep-alive, X-Mine", "x-other"}, "X-Mine": {"1"}, "X-Other": {"1"}, "X-Third": {"1"}, "Keep-Alive": {"5"}, "Te": {"trailers"}, "Trailer": {"X"},
+		"headers of one hop stay behind": {func(request *Request) {
+			request.Header = http.Header{"Connection": {"keep-alive, X-Mine", "x-other"}, "X-Mine": {"1"}, "X-Other": {"1"}, "X-Third": {"1"}, "Keep-Alive": {"5"}, "Te": {"trailers"}, "Trailer": {"X"},
 				"Transfer-Encoding": {"chunked"}, "Upgrade": {"websocket"}, "Proxy-Authorization": {"x"}, "Proxy-Connection": {"x"}, "Proxy-Authenticate": {"x"}}
 		}, map[string][]string{"X-Third": {"1"}, "Content-Length": {"6"}}, []string{"Connection", "X-Mine", "X-Other", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authorization", "Proxy-Connection", "Proxy-Authenticate"}},
-		"names in any case": {func(dispatch *Dispatch) {
-			dispatch.Header = http.Header{"connection": {"close"}, "transfer-encoding": {"chunked"}, "content-length": {"0"}, "host": {"evil"}, "query-name": {"q9"}, "x-mine": {"1"}}
+		"names in any case": {func(request *Request) {
+			request.Header = http.Header{"connection": {"close"}, "transfer-encoding": {"chunked"}, "content-length": {"0"}, "host": {"evil"}, "query-name": {"q9"}, "x-mine": {"1"}}
 		}, map[string][]string{"X-Mine": {"1"}, "Query-Name": {"q1"}, "Content-Length": {"6"}}, []string{"Connection", "Transfer-Encoding"}},
-		"no body": {func(dispatch *Dispatch) { dispatch.Method, dispatch.Body = "GET", nil }, map[string][]string{"Content-Length": {"0"}}, nil},
+		"no body": {func(request *Request) { request.Method, request.Body = "GET", nil }, map[string][]string{"Content-Length": {"0"}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script([]string{ok("fine")})
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner([]string{ok("fine")})
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				dispatch := query("q1", test.change)
-				before := dispatch.Header.Clone()
-				status, body, err := ask(t, pool, dispatch)
-				if dispatch.Name != "" && (status != 200 || body != "fine" || err != nil) {
+				request := testRequest("q1", test.change)
+				before := request.Header.Clone()
+				status, body, err := sendAndRead(t, pool, request)
+				if request.ID != "" && (status != 200 || body != "fine" || err != nil) {
 					t.Fatalf("got %d %q, %v", status, body, err)
 				}
 				got := runner.got()[0]
-				if got.Method != dispatch.Method || got.RequestURI != "/turn/2f?x=1" || got.Host != "agents.example" || got.Proto != "HTTP/1.1" {
+				if got.Method != request.Method || got.RequestURI != "/turn/2f?x=1" || got.Host != "agents.example" || got.Proto != "HTTP/1.1" {
 					t.Errorf("the runner got %s %s for %s", got.Method, got.RequestURI, got.Host)
 				}
-				if want := strings.Repeat("say it", len(dispatch.Body)/2); string(got.text) != want {
+				if want := strings.Repeat("say it", len(request.Body)/2); string(got.text) != want {
 					t.Errorf("the body is %q, not %q", got.text, want)
 				}
 				for name, values := range test.want {
@@ -72,39 +72,39 @@
 						t.Errorf("header %s went along: %q", name, got.Header[name])
 					}
 				}
-				if fmt.Sprint(before) != fmt.Sprint(dispatch.Header) {
-					t.Errorf("the caller's headers were changed to %v", dispatch.Header)
+				if fmt.Sprint(before) != fmt.Sprint(request.Header) {
+					t.Errorf("the caller's headers were changed to %v", request.Header)
 				}
 			})
 		})
 	}
 }
 
-func TestWhatIsNoQueryIsNeverSent(t *testing.T) {
-	for name, change := range map[string]func(*Dispatch){
-		"no method":                   func(dispatch *Dispatch) { dispatch.Method = "" },
-		"method with a blank":         func(dispatch *Dispatch) { dispatch.Method = "GET /x" },
-		"connect":                     func(dispatch *Dispatch) { dispatch.Method = "CONNECT" },
-		"no target":                   func(dispatch *Dispatch) { dispatch.Target = "" },
-		"target with a blank":         func(dispatch *Dispatch) { dispatch.Target = "/a b" },
-		"target with a line end":      func(dispatch *Dispatch) { dispatch.Target = "/a\r\nX: y" },
-		"no host":                     func(dispatch *Dispatch) { dispatch.Host = "" },
-		"host with a line end":        func(dispatch *Dispatch) { dispatch.Host = "a\nb" },
-		"header name with a colon":    func(dispatch *Dispatch) { dispatch.Header = http.Header{"A:b": {"c"}} },
-		"header name that is empty":   func(dispatch *Dispatch) { dispatch.Header = http.Header{"": {"c"}} },
-		"header value with line ends": func(dispatch *Dispatch) { dispatch.Header = http.Header{"A": {"c\r\n\r\nGET / HTTP/1.1"}} },
-		"header value with a zero":    func(dispatch *Dispatch) { dispatch.Header = http.Header{"A": {"\x00"}} },
-		"name with a line end":        func(dispatch *Dispatch) { dispatch.Name = "q\r\n" },
-		"urgency with a line end":     func(dispatch *Dispatch) { dispatch.Urgency = "1\n" },
-		"resume with a line end":      func(dispatch *Dispatch) { dispatch.Resume = "1\r" },
-		"life with a line end":        func(dispatch *Dispatch) { dispatch.Runner.Life = "1\r" },
+func TestInvalidRequestsAreNeverSent(t *testing.T) {
+	for name, change := range map[string]func(*Request){
+		"no method":                   func(request *Request) { request.Method = "" },
+		"method with a blank":         func(request *Request) { request.Method = "GET /x" },
+		"connect":                     func(request *Request) { request.Method = "CONNECT" },
+		"no target":                   func(request *Request) { request.Target = "" },
+		"target with a blank":         func(request *Request) { request.Target = "/a b" },
+		"target with a line end":      func(request *Request) { request.Target = "/a\r\nX: y" },
+		"no host":                     func(request *Request) { request.Host = "" },
+		"host with a line end":        func(request *Request) { request.Host = "a\nb" },
+		"header name with a colon":    func(request *Request) { request.Header = http.Header{"A:b": {"c"}} },
+		"header name that is empty":   func(request *Request) { request.Header = http.Header{"": {"c"}} },
+		"header value with line ends": func(request *Request) { request.Header = http.Header{"A": {"c\r\n\r\nGET / HTTP/1.1"}} },
+		"header value with a zero":    func(request *Request) { request.Header = http.Header{"A": {"\x00"}} },
+		"name with a line end":        func(request *Request) { request.ID = "q\r\n" },
+		"urgency with a line end":     func(request *Request) { request.Urgency = "1\n" },
+		"resume with a line end":      func(request *Request) { request.LastEventID = "1\r" },
+		"life with a line end":        func(request *Request) { request.Runner.Life = "1\r" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script([]string{ok("fine")})
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner([]string{ok("fine")})
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				_, _, err := ask(t, pool, query("q1", change))
+				_, _, err := sendAndRead(t, pool, testRequest("q1", change))
 				if got := failureOf(err); got != (failure{kind: apierror.Invalid, neverSent: true}) {
 					t.Errorf("got %v", err)
 				}
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestAnswers sends one query over a new connection and, if another tells whether the
+// TestResponses sends one query over a new connection and, if another tells whether the
 // connection was kept, a second one.
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	const named = "Query-Name: NAME\r\n"
 	lost := failure{kind: apierror.RunnerFailure, lost: true}
 	refused := failure{kind: apierror.NotRun}
@@ -184,9 +184,9 @@
 		"two lengths":                  {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nfine!", send: lost},
 		"length below zero":            {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: -4\r\n\r\nfine", send: lost},
 		"unknown coding":               {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: odd\r\n\r\nfine", send: lost},
-		"large head":                   {raw: "HTTP/1.1 200 OK\r\n" + named + "X: " + strings.Repeat("x", headBytes) + "\r\nContent-Length: 0\r\n\r\n", send: lost},
-		"large status line":            {raw: "HTTP/1.1 200 " + strings.Repeat("x", headBytes) + "\r\n" + named + "Content-Length: 0\r\n\r\n", send: lost},
-		"head just below the bound":    {raw: okWith("X: "+strings.Repeat("x", headBytes-200), "fine"), status: 200, body: "fine", kept: true},
+		"large head":                   {raw: "HTTP/1.1 200 OK\r\n" + named + "X: " + strings.Repeat("x", maxHeadBytes) + "\r\nContent-Length: 0\r\n\r\n", send: lost},
+		"large status line":            {raw: "HTTP/1.1 200 " + strings.Repeat("x", maxHeadBytes) + "\r\n" + named + "Content-Length: 0\r\n\r\n", send: lost},
+		"head just below the bound":    {raw: okWith("X: "+strings.Repeat("x", maxHeadBytes-200), "fine"), status: 200, body: "fine", kept: true},
 		"interim heads without end":    {raw: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50) + ok("fine"), send: lost},
 		"length, closed early":         {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: 9\r\n\r\nfine|CLOSE", status: 200, body: "fine", read: lost},
 		"length, reset early":          {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: 9\r\n\r\nfine|RESET", status: 200, body: "fine", read: lost},
@@ -209,38 +209,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script([]string{test.raw, ok("second")})
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner([]string{test.raw, ok("second")})
+				pool := New(runner, testHeaders)
 				defer pool.Close()
 				method := test.method
 				if method == "" {
 					method = "POST"
 				}
-				reply, err := pool.Send(t.Context(), query("q1", func(dispatch *Dispatch) { dispatch.Method = method }))
+				response, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) { request.Method = method }))
 				if got := failureOf(err); got != test.send {
 					t.Fatalf("sending failed with %v, which is not %+v", err, test.send)
 				}
 				if err == nil {
-					body, err := io.ReadAll(reply)
-					if got := failureOf(err); reply.Status != test.status || string(body) != test.body || got != test.read {
-						t.Errorf("got %d, %q, %v", reply.Status, body, err)
+					body, err := io.ReadAll(response)
+					if got := failureOf(err); response.Status != test.status || string(body) != test.body || got != test.read {
+						t.Errorf("got %d, %q, %v", response.Status, body, err)
 					}
-					if _, again := reply.Read(make([]byte, 1)); err == nil && again != io.EOF || err != nil && again != err {
+					if _, again := response.Read(make([]byte, 1)); err == nil && again != io.EOF || err != nil && again != err {
 						t.Errorf("reading again gives %v after %v", again, err)
 					}
-					reply.Close()
+					response.Close()
 				}
 				synctest.Wait()
 				if kept := pool.Stats().Idle == 1; kept != test.kept {
 					t.Errorf("kept: %v", kept)
 				}
-				if out := pool.Stats().Out; out != 0 {
+				if out := pool.Stats().InUse; out != 0 {
 					t.Errorf("%d connections are out", out)
 				}
 				if !test.kept && !runner.made[0].closed() {
 					t.Error("the connection was not closed")
 				}
-				if _, body, err := ask(t, pool, query("q2")); test.kept && (body != "second" || err != nil || runner.dials != 1) {
+				if _, body, err := sendAndRead(t, pool, testRequest("q2")); test.kept && (body != "second" || err != nil || runner.dials != 1) {
 					t.Errorf("the second query got %q, %v over %d connections", body, err, runner.dials)
 				}
 			})
@@ -248,65 +248,65 @@
 	}
 }
 
-func TestWhatAnAnswerTells(t *testing.T) {
+func TestResponseMetadata(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script([]string{
+		runner := newScriptedRunner([]string{
 			okWith("Load: 3, 4,64\r\nSeal: x\r\nConnection: X-Mine, keep-alive\r\nX-Mine: 1\r\nKeep-Alive: timeout=9\r\nUpgrade: x", "fine"),
 			"HTTP/1.1 503 Full\r\nQuery-Name: NAME\r\nNot-Run: true\r\nLoad: 64,9,64\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n",
 		})
-		pool := New(runner, testDialect)
+		pool := New(runner, testHeaders)
 		defer pool.Close()
-		reply, err := pool.Send(t.Context(), query("q1"))
+		response, err := pool.Send(t.Context(), testRequest("q1"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if reply.Load == nil || *reply.Load != (Load{3, 4, 64}) || reply.Length != 4 {
-			t.Errorf("load %v, length %d", reply.Load, reply.Length)
+		if response.Load == nil || *response.Load != (Load{3, 4, 64}) || response.Length != 4 {
+			t.Errorf("load %v, length %d", response.Load, response.Length)
 		}
-		if want := fmt.Sprint(http.Header{"Content-Length": {"4"}, "Load": {"3, 4,64"}, "Query-Name": {"q1"}, "Seal": {"x"}}); fmt.Sprint(reply.Header) != want {
-			t.Errorf("headers %v, not %v", reply.Header, want)
+		if want := fmt.Sprint(http.Header{"Content-Length": {"4"}, "Load": {"3, 4,64"}, "Query-Name": {"q1"}, "Seal": {"x"}}); fmt.Sprint(response.Header) != want {
+			t.Errorf("headers %v, not %v", response.Header, want)
 		}
-		io.Copy(io.Discard, reply)
-		reply.Close()
-		reply, err = pool.Send(t.Context(), query("q2"))
+		io.Copy(io.Discard, response)
+		response.Close()
+		response, err = pool.Send(t.Context(), testRequest("q2"))
 		if !apierror.Is(err, apierror.NotRun) || apierror.Of(err).RetryAfter != 250*time.Millisecond {
 			t.Errorf("got %v", err)
 		}
-		if reply.Status != 503 || *reply.Load != (Load{64, 9, 64}) || reply.Length != 0 {
-			t.Errorf("the refusal tells %+v", reply)
+		if response.Status != 503 || *response.Load != (Load{64, 9, 64}) || response.Length != 0 {
+			t.Errorf("the refusal tells %+v", response)
 		}
-		if count, err := reply.Read(make([]byte, 9)); count != 0 || err != io.EOF {
+		if count, err := response.Read(make([]byte, 9)); count != 0 || err != io.EOF {
 			t.Errorf("the refusal has a body: %d, %v", count, err)
 		}
-		reply.Close()
+		response.Close()
 		if stats := pool.Stats(); stats != (Stats{Dials: 1, Reuses: 1, Idle: 1}) {
 			t.Errorf("stats %+v", stats)
 		}
 	})
 }
 
-func TestLoadsAndTimes(t *testing.T) {
+func TestParseLoadAndTimes(t *testing.T) {
 	for words, want := range map[string]*Load{"1,2,3": {1, 2, 3}, " 1 , 2 , 3 ": {1, 2, 3}, "": nil, "1,2": nil, "1,2,3,4": nil, "1,2,x": nil, "-1,2,3": nil, "1,,3": nil, "1,2,99999999999": nil} {
-		if got := readLoad(words); fmt.Sprint(got) != fmt.Sprint(want) {
+		if got := parseLoad(words); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("load %q is %v, not %v", words, got, want)
 		}
 	}
 	for words, want := range map[string]time.Duration{"2": 2 * time.Second, "0.5": 500 * time.Millisecond, "": 0, "-1": 0, "NaN": 0, "Inf": 0, "soon": 0, "1e99": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0} {
-		if got := retryAfter(http.Header{"Retry-After": {words}}); got != want {
+		if got := parseRetryAfter(http.Header{"Retry-After": {words}}); got != want {
 			t.Errorf("waiting %q is %v, not %v", words, got, want)
 		}
 	}
 	for words, want := range map[string]struct {
-		time time.Duration
-		told bool
+		time     time.Duration
+		reported bool
 	}{"timeout=5, max=100": {5 * time.Second, true}, "max=100, Timeout=2": {2 * time.Second, true}, `timeout="3"`: {3 * time.Second, true}, "timeout": {}, "timeout=": {}, "timeout=x": {}, "timeout=-1": {}, "timeout=1.5": {}, "max=5": {}, "": {}, "timeout=0": {0, true}} {
-		if got, told := keepAlive(http.Header{"Keep-Alive": {words}}); got != want.time || told != want.told {
-			t.Errorf("keep-alive %q is %v, %v", words, got, told)
+		if got, reported := parseKeepAlive(http.Header{"Keep-Alive": {words}}); got != want.time || reported != want.reported {
+			t.Errorf("keep-alive %q is %v, %v", words, got, reported)
 		}
 	}
 }
 
-func TestDialsThatFail(t *testing.T) {
+func TestDialFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		fail   func(ctx context.Context) error
 		within time.Duration // of the deadline; 0: 10 s
@@ -322,14 +322,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script(nil)
+				runner := newScriptedRunner(nil)
 				runner.fail = test.fail
-				pool := New(runner, testDialect)
+				pool := New(runner, testHeaders)
 				defer pool.Close()
 				began := time.Now()
-				_, _, err := ask(t, pool, query("q1", func(dispatch *Dispatch) {
+				_, _, err := sendAndRead(t, pool, testRequest("q1", func(request *Request) {
 					if test.within != 0 {
-						dispatch.Deadline = time.Now().Add(test.within)
+						request.Deadline = time.Now().Add(test.within)
 					}
 				}))
 				if got := failureOf(err); got != test.want {
@@ -343,14 +343,14 @@
 	}
 }
 
-func TestTheLookComesBeforeTheFirstByte(t *testing.T) {
+func TestBeforeSendRunsBeforeFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 9))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 9))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
 		looks := 0
-		seen := query("q1", func(dispatch *Dispatch) {
-			dispatch.Look = func() error {
+		seen := testRequest("q1", func(request *Request) {
+			request.BeforeSend = func() error {
 				if looks++; len(runner.got()) != looks-1 {
 					t.Error("the query left before the look")
 				}
@@ -358,13 +358,13 @@
 			}
 		})
 		for range 2 {
-			if _, _, err := ask(t, pool, seen); err != nil {
+			if _, _, err := sendAndRead(t, pool, seen); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, kept := range []error{apierror.NewRetryable(apierror.NotRun, "the runner left", "choose another", time.Second), errors.New("untyped")} {
-			refused := query("q3", func(dispatch *Dispatch) { dispatch.Look = func() error { return kept } })
-			_, _, err := ask(t, pool, refused)
+			refused := testRequest("q3", func(request *Request) { request.BeforeSend = func() error { return kept } })
+			_, _, err := sendAndRead(t, pool, refused)
 			if found := apierror.Of(err); !found.NeverSent || found.Lost || found.Kind != apierror.Of(kept).Kind || found.RetryAfter != apierror.Of(kept).RetryAfter {
 				t.Errorf("got %v", err)
 			}
@@ -374,7 +374,7 @@
 		}
 		// On a new connection as on a kept one, which is as good as before.
 		pool.Retain(nil)
-		_, _, err := ask(t, pool, query("q4", func(dispatch *Dispatch) { dispatch.Look = func() error { return errors.New("no") } }))
+		_, _, err := sendAndRead(t, pool, testRequest("q4", func(request *Request) { request.BeforeSend = func() error { return errors.New("no") } }))
 		if err == nil || len(runner.got()) != 2 {
 			t.Errorf("%v, %d queries left", err, len(runner.got()))
 		}
@@ -384,7 +384,7 @@
 	})
 }
 
-func TestSilenceAndGivingUp(t *testing.T) {
+func TestTimeoutAndCancellation(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
 		give   bool // the caller gives up after a second
@@ -399,12 +399,12 @@
 		"silent in the body, given up":    {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", give: true, read: failure{kind: apierror.Cancelled}, after: time.Second},
 		"silent in a chunk":               {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
 		"silent in the body of another":   {answer: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nfine", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent in the body of a refusal": {answer: "HTTP/1.1 503 Full\r\nQuery-Name: NAME\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\nfu", send: failure{kind: apierror.NotRun}, after: refusalTimeout},
+		"silent in the body of a refusal": {answer: "HTTP/1.1 503 Full\r\nQuery-Name: NAME\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\nfu", send: failure{kind: apierror.NotRun}, after: rejectionTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script([]string{test.answer})
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner([]string{test.answer})
+				pool := New(runner, testHeaders)
 				defer pool.Close()
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -412,16 +412,16 @@
 					time.AfterFunc(time.Second, cancel)
 				}
 				began := time.Now()
-				reply, err := pool.Send(ctx, query("q1"))
+				response, err := pool.Send(ctx, testRequest("q1"))
 				if got := failureOf(err); got != test.send {
 					t.Fatalf("sending failed with %v", err)
 				}
 				if err == nil {
-					body, err := io.ReadAll(reply)
+					body, err := io.ReadAll(response)
 					if got := failureOf(err); string(body) != test.body || got != test.read {
 						t.Errorf("got %q, %v", body, err)
 					}
-					reply.Close()
+					response.Close()
 				}
 				if time.Since(began) != test.after {
 					t.Errorf("it took %v", time.Since(began))
@@ -435,39 +435,39 @@
 	}
 }
 
-func TestAContextThatEndsLaterDoesNotHarmTheNextQuery(t *testing.T) {
+func TestLateCancellationDoesNotAffectNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		runner := script(repeat(ok("fine"), 9))
-		pool := New(runner, testDialect)
+		runner := newScriptedRunner(repeat(ok("fine"), 9))
+		pool := New(runner, testHeaders)
 		defer pool.Close()
 		ctx, cancel := context.WithCancel(t.Context())
-		reply, err := pool.Send(ctx, query("q1"))
+		response, err := pool.Send(ctx, testRequest("q1"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.Copy(io.Discard, reply)
-		reply.Close()
+		io.Copy(io.Discard, response)
+		response.Close()
 		cancel()
 		synctest.Wait()
-		if _, body, err := ask(t, pool, query("q2")); body != "fine" || err != nil || runner.dials != 1 {
+		if _, body, err := sendAndRead(t, pool, testRequest("q2")); body != "fine" || err != nil || runner.dials != 1 {
 			t.Errorf("got %q, %v over %d connections", body, err, runner.dials)
 		}
-		if _, err := pool.Send(ctx, query("q3")); failureOf(err) != (failure{kind: apierror.Cancelled, neverSent: true}) {
+		if _, err := pool.Send(ctx, testRequest("q3")); failureOf(err) != (failure{kind: apierror.Cancelled, neverSent: true}) {
 			t.Errorf("an ended context sent a query: %v", err)
 		}
 	})
 }
 
-// TestGivingUpAtAnyTime ends the context when the query is at a certain point.
-func TestGivingUpAtAnyTime(t *testing.T) {
+// TestCancellationAtAnyTime ends the context when the query is at a certain point.
+func TestCancellationAtAnyTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		dialled, looked, read bool
 		want                  failure
-		asked                 int
+		requested             int
 	}{
 		"while it is dialled":         {dialled: true, want: failure{kind: apierror.Cancelled, neverSent: true}},
 		"at the look":                 {looked: true, want: failure{kind: apierror.Invalid, neverSent: true}},
-		"when the whole body is read": {read: true, asked: 1},
+		"when the whole body is read": {read: true, requested: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -478,11 +478,11 @@
 						synctest.Wait()
 					}
 				}
-				runner := script(repeat(ok("fine"), 9))
-				pool := New(dialling{runner, func() { end(test.dialled) }}, testDialect)
+				runner := newScriptedRunner(repeat(ok("fine"), 9))
+				pool := New(dialHook{runner, func() { end(test.dialled) }}, testHeaders)
 				defer pool.Close()
-				reply, err := pool.Send(ctx, query("q1", func(dispatch *Dispatch) {
-					dispatch.Look = func() error {
+				response, err := pool.Send(ctx, testRequest("q1", func(request *Request) {
+					request.BeforeSend = func() error {
 						if end(test.looked); test.looked {
 							return apierror.New(apierror.Invalid, "kept back", "none")
 						}
@@ -493,14 +493,14 @@
 					t.Errorf("got %v", err)
 				}
 				if err == nil {
-					if body, err := io.ReadAll(reply); string(body) != "fine" || err != nil {
+					if body, err := io.ReadAll(response); string(body) != "fine" || err != nil {
 						t.Errorf("got %q, %v", body, err)
 					}
 					end(test.read)
-					reply.Close()
+					response.Close()
 				}
 				synctest.Wait()
-				if kept := pool.Stats().Idle == 1; len(runner.got()) != test.asked || kept != test.dialled || kept == runner.made[0].closed() {
+				if kept := pool.Stats().Idle == 1; len(runner.got()) != test.requested || kept != test.dialled || kept == runner.made[0].closed() {
 					t.Errorf("%d queries came, stats %+v", len(runner.got()), pool.Stats())
 				}
 				cancel()
@@ -509,8 +509,8 @@
 	}
 }
 
-// TestAQueryWithoutAName is what a question for a runner's health is.
-func TestAQueryWithoutAName(t *testing.T) {
+// TestRequestWithoutID is what a question for a runner's health is.
+func TestRequestWithoutID(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
 		body   string
@@ -522,10 +522,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := script([]string{test.answer})
-				pool := New(runner, testDialect)
+				runner := newScriptedRunner([]string{test.answer})
+				pool := New(runner, testHeaders)
 				defer pool.Close()
-				_, body, err := ask(t, pool, query(""))
+				_, body, err := sendAndRead(t, pool, testRequest(""))
 				if got := failureOf(err); got != test.want || body != test.body {
 					t.Errorf("got %q, %v", body, err)
 				}
--- a/system/runnerpool/tcp_test.go
+++ b/system/runnerpool/tcp_test.go
@@ -36,7 +36,7 @@
 	return listener.Addr().String()
 }
 
-func TestALookAtARealConnection(t *testing.T) {
+func TestIdleCheckOverTCP(t *testing.T) {
 	for name, test := range map[string]struct {
 		do    func(connection *net.TCPConn)
 		quiet bool
@@ -64,48 +64,48 @@
 				t.Fatal(err)
 			}
 			close(dialled)
-			made := newConnection(stream, &runner{})
+			made := newConnection(stream, &runnerConnections{})
 			defer made.Close()
 			made.SetDeadline(time.Now().Add(time.Minute))
-			quiet := made.quiet()
+			quiet := made.isIdle()
 			for quiet && !test.quiet {
 				runtime.Gosched() // until it arrives; a look at nothing takes nothing away
-				quiet = made.quiet()
+				quiet = made.isIdle()
 			}
-			if quiet != test.quiet || made.ended != test.ended {
-				t.Errorf("quiet %v, ended %v", quiet, made.ended)
+			if quiet != test.quiet || made.closedByRunner != test.ended {
+				t.Errorf("quiet %v, ended %v", quiet, made.closedByRunner)
 			}
 		})
 	}
 }
 
-// TestARefusalOfALongQueryOverTCP has the runner close with unread bytes, which resets
+// TestRejectionOfLongRequestOverTCP has the runner close with unread bytes, which resets
 // the connection behind the refusal.
-func TestARefusalOfALongQueryOverTCP(t *testing.T) {
-	const refusal = "HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
+func TestRejectionOfLongRequestOverTCP(t *testing.T) {
+	const rejection = "HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	read := make(chan struct{})
 	for name, serve := range map[string]func(connection *net.TCPConn){
 		"stays open": func(connection *net.TCPConn) {
-			io.WriteString(connection, refusal)
+			io.WriteString(connection, rejection)
 			<-read
 			connection.Close()
 		},
 		"half closed": func(connection *net.TCPConn) {
 			io.ReadFull(connection, make([]byte, 100))
-			io.WriteString(connection, refusal)
+			io.WriteString(connection, rejection)
 			connection.CloseWrite()
 			<-read
 			connection.Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pool := New(link.TCP{}, testDialect)
+			pool := New(link.TCP{}, testHeaders)
 			defer pool.Close()
-			dispatch := query("q1", func(dispatch *Dispatch) {
-				dispatch.Runner.Address = listen(t, serve)
-				dispatch.Body = [][]byte{make([]byte, 8<<20), make([]byte, 8<<20)}
+			request := testRequest("q1", func(request *Request) {
+				request.Runner.Address = listen(t, serve)
+				request.Body = [][]byte{make([]byte, 8<<20), make([]byte, 8<<20)}
 			})
-			if _, err := pool.Send(t.Context(), dispatch); !apierror.Is(err, apierror.NotRun) {
+			if _, err := pool.Send(t.Context(), request); !apierror.Is(err, apierror.NotRun) {
 				t.Errorf("got %v", err)
 			}
 			read <- struct{}{}
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestALongQueryOverTCP(t *testing.T) {
+func TestLongRequestOverTCP(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 	address := listen(t, func(connection *net.TCPConn) {
 		defer connection.Close()
@@ -130,12 +130,12 @@
 			io.WriteString(connection, strings.ReplaceAll(ok(string(read)), "NAME", query.Header.Get("Query-Name")))
 		}
 	})
-	pool := New(link.TCP{UserTimeout: time.Minute}, testDialect)
+	pool := New(link.TCP{UserTimeout: time.Minute}, testHeaders)
 	defer pool.Close()
 	for _, name := range []string{"q1", "q2", "q3"} {
-		_, got, err := ask(t, pool, query(name, func(dispatch *Dispatch) {
-			dispatch.Runner.Address = address
-			dispatch.Body = parts(string(body), 300_001)
+		_, got, err := sendAndRead(t, pool, testRequest(name, func(request *Request) {
+			request.Runner.Address = address
+			request.Body = parts(string(body), 300_001)
 		}))
 		if err != nil || got != string(body) {
 			t.Fatalf("%s: %d bytes of %d, %v", name, len(got), len(body), err)
@@ -146,16 +146,16 @@
 	}
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	pool := New(link.TCP{UserTimeout: time.Second}, testDialect)
+	pool := New(link.TCP{UserTimeout: time.Second}, testHeaders)
 	defer pool.Close()
-	_, err = pool.Send(t.Context(), query("q1", func(dispatch *Dispatch) { dispatch.Runner.Address = address }))
+	_, err = pool.Send(t.Context(), testRequest("q1", func(request *Request) { request.Runner.Address = address }))
 	if got := failureOf(err); got != (failure{kind: apierror.Unavailable, neverSent: true, lost: true, nobodyThere: true}) {
 		t.Errorf("got %v", err)
 	}
@@ -186,26 +186,26 @@
 					}
 				}
 			})
-			pool := New(link.TCP{}, testDialect)
+			pool := New(link.TCP{}, testHeaders)
 			defer pool.Close()
-			dispatch := Dispatch{Runner: feed.Runner{Address: address, Life: "life-1"}, Most: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
-				Header: http.Header{"Program": {"3fa81c"}, "Session": {"77d20b"}, "Accept": {"*/*"}, "Query-Name": {"q1"}}, Body: [][]byte{[]byte("say "), []byte("it")}, Name: "q1", Urgency: "4"}
+			request := Request{Runner: feed.Runner{Address: address, Life: "life-1"}, MaxConnections: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
+				Header: http.Header{"Program": {"3fa81c"}, "Session": {"77d20b"}, "Accept": {"*/*"}, "Query-Name": {"q1"}}, Body: [][]byte{[]byte("say "), []byte("it")}, ID: "q1", Urgency: "4"}
 			buffer := make([]byte, 512)
 			b.ReportAllocs()
 			for b.Loop() {
 				ctx, cancel := way(context.Background())
-				dispatch.Deadline = time.Now().Add(10 * time.Second)
-				reply, err := pool.Send(ctx, dispatch)
+				request.Deadline = time.Now().Add(10 * time.Second)
+				response, err := pool.Send(ctx, request)
 				if err != nil {
 					b.Fatal(err)
 				}
 				for err == nil {
-					_, err = reply.Read(buffer)
+					_, err = response.Read(buffer)
 				}
 				if err != io.EOF {
 					b.Fatal(err)
 				}
-				reply.Close()
+				response.Close()
 				cancel()
 			}
 			if stats := pool.Stats(); stats.Dials != 1 {
@@ -215,10 +215,10 @@
 	}
 }
 
-// BenchmarkEvents splits a stream that comes in pieces of two events.
-func BenchmarkEvents(b *testing.B) {
+// BenchmarkEventReader splits a stream that comes in pieces of two events.
+func BenchmarkEventReader(b *testing.B) {
 	one := []byte("id: 17\ndata: " + strings.Repeat("x", 120) + "\n\nid: 18\ndata: " + strings.Repeat("y", 120) + "\n\n")
-	events := NewEvents(sameAgain(one))
+	events := NewEventReader(sameAgain(one))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := events.Next(); err != nil {
--- a/system/scheduling/board_test.go
+++ b/system/scheduling/scheduler_test.go
@@ -20,7 +20,7 @@
 
 var talk = config.WorkKind{Serves: "turn", Table: "talk", Urgency: "normal"}
 
-func stateOf(weights map[string]float64, concurrency int) State {
+func newState(weights map[string]float64, concurrency int) State {
 	state := State{
 		View:   &feed.View{},
 		Config: &config.Config{Tables: map[string]map[string]float64{"talk": weights}, Groups: map[string]config.Group{}, Limits: config.Limits{Queue: 2, QueueTimeout: config.Duration(2 * time.Second)}},
@@ -33,18 +33,18 @@
 	return state
 }
 
-func TestWeightsHoldOverAnyWindowAndWhenRetuned(t *testing.T) {
+func TestWeightedRoundRobinHoldsOverAnyWindow(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260105)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("each window is within two of its weights", prop.ForAll(func(first, second, third, retuned int) string {
 		weights := map[string]float64{"a": float64(first), "b": float64(second), "c": float64(third)}
-		state := stateOf(weights, 1000000)
-		board := NewBoard("front", "east", func() State { return state }, func(string, bool) {})
+		state := newState(weights, 1000000)
+		scheduler := New("front", "east", func() State { return state }, func(string, bool) {})
 		for _, weights := range []map[string]float64{weights, {"a": float64(retuned), "b": float64(second), "c": float64(third)}} {
-			state = stateOf(weights, 1000000)
+			state = newState(weights, 1000000)
 			picked := []string{}
 			for range 300 {
-				slot, err := board.Acquire(context.Background(), talk, "depot")
+				slot, err := scheduler.Acquire(context.Background(), talk, "depot")
 				if err != nil {
 					return err.Error()
 				}
@@ -70,11 +70,11 @@
 	properties.TestingRun(t)
 }
 
-func TestOverloadIsRefusedAsNotRunAndTheUrgentGoFirst(t *testing.T) {
+func TestOverloadIsRejectedAndUrgentGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		state := stateOf(map[string]float64{"a": 1}, 1)
-		board := NewBoard("front", "east", func() State { return state }, func(string, bool) {})
-		held, err := board.Acquire(t.Context(), talk, "depot")
+		state := newState(map[string]float64{"a": 1}, 1)
+		scheduler := New("front", "east", func() State { return state }, func(string, bool) {})
+		held, err := scheduler.Acquire(t.Context(), talk, "depot")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 		ask := func(urgency string) {
 			kind := talk
 			kind.Urgency = urgency
-			slot, err := board.Acquire(t.Context(), kind, "depot")
+			slot, err := scheduler.Acquire(t.Context(), kind, "depot")
 			if err != nil {
 				order <- string(apierror.Of(err).Kind) + " " + apierror.Of(err).RetryAfter.String()
 				return
@@ -104,7 +104,7 @@
 				t.Fatalf("served %s, want %s", got, want)
 			}
 		}
-		held, _ = board.Acquire(t.Context(), talk, "depot")
+		held, _ = scheduler.Acquire(t.Context(), talk, "depot")
 		began := time.Now()
 		go ask("normal")
 		if got := <-order; got != "not_run 1s" || time.Since(began) != 2*time.Second {
@@ -112,7 +112,7 @@
 		}
 		held.Release(Answered)
 		state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
-		if _, err := board.Acquire(t.Context(), talk, "depot"); !apierror.Is(err, apierror.NotRun) {
+		if _, err := scheduler.Acquire(t.Context(), talk, "depot"); !apierror.Is(err, apierror.NotRun) {
 			t.Fatalf("an emptied domain got work: %v", err)
 		}
 	})
--- a/system/settings/settings.go
+++ b/system/settings/settings.go
@@ -28,27 +28,27 @@
 
 // Common is what every daemon is told.
 type Common struct {
-	File    string   `arg:"--settings" json:"-" help:"settings file (JSON); flags win over it"`
-	Address string   `arg:"--address" json:"address" help:"IP and port for other processes"`
-	Listen  string   `arg:"--listen" json:"listen" help:"IP and port to listen on, if others reach it under the address [default: the address]"`
-	Domain  string   `arg:"--domain" json:"domain" help:"domain (zone) of this machine"`
-	Seeds   []string `arg:"--seeds" json:"seeds" help:"three addresses of other processes"`
-	Folder  string   `arg:"--folder" json:"folder" help:"data folder"`
-	Log     string   `arg:"--log" json:"log" help:"log level: debug, info, warn or error"`
-	Memory  int64    `arg:"--memory" json:"memory" help:"bytes of memory that this process may use; 0 sets no limit [default: 0]"`
-	// TrialDisk is for trials of failure only.
-	TrialDisk string `arg:"--trial-disk" json:"trial_disk" help:"for trials only: keep unsynced writes in memory, and obey the disk faults that this file names"`
+	File       string   `arg:"--settings" json:"-" help:"settings file (JSON); flags win over it"`
+	Address    string   `arg:"--address" json:"address" help:"IP and port for other processes"`
+	Listen     string   `arg:"--listen" json:"listen" help:"IP and port to listen on, if others reach it under the address [default: the address]"`
+	Domain     string   `arg:"--domain" json:"domain" help:"domain (zone) of this machine"`
+	Seeds      []string `arg:"--seeds" json:"seeds" help:"three addresses of other processes"`
+	DataFolder string   `arg:"--folder" json:"folder" help:"data folder"`
+	Log        string   `arg:"--log" json:"log" help:"log level: debug, info, warn or error"`
+	Memory     int64    `arg:"--memory" json:"memory" help:"bytes of memory that this process may use; 0 sets no limit [default: 0]"`
+	// FaultyDisk is for trials of failure only.
+	FaultyDisk string `arg:"--trial-disk" json:"trial_disk" help:"for trials only: keep unsynced writes in memory, and obey the disk faults that this file names"`
 }
 
-// silence is within what a caller can still wait for after a connection was cut.
-const silence = 2500 * time.Millisecond
+// peerTimeout is within what a caller can still wait for after a connection was cut.
+const peerTimeout = 2500 * time.Millisecond
 
 // Network is how the process reaches others and is reached: it dials from its own
 // address's IP.
 //
 //	node, err := front.Start(front.Settings{...}, loaded.Network())
 func (common *Common) Network() link.TCP {
-	network := link.TCP{ListenAddresses: map[string]string{}, UserTimeout: silence}
+	network := link.TCP{ListenAddresses: map[string]string{}, UserTimeout: peerTimeout}
 	if host, _, err := net.SplitHostPort(common.Address); err == nil {
 		network.LocalIP = host
 	}
@@ -61,20 +61,20 @@
 // OpenFolder opens the data folder, or one below it.
 //
 //	folder, err := loaded.OpenFolder("cold")
-func (common *Common) OpenFolder(below string) (files.Directory, error) {
-	folder, err := files.Open(filepath.Join(common.Folder, below))
-	if err != nil || common.TrialDisk == "" {
+func (common *Common) OpenFolder(subfolder string) (files.Directory, error) {
+	folder, err := files.Open(filepath.Join(common.DataFolder, subfolder))
+	if err != nil || common.FaultyDisk == "" {
 		return folder, err
 	}
-	return files.NewFaultDirectory(folder, common.TrialDisk), nil
+	return files.NewFaultDirectory(folder, common.FaultyDisk), nil
 }
 
 // DataPlane is what yardrock-data-plane is told.
 type DataPlane struct {
 	Common
-	Role   string `arg:"--role" json:"role" help:"front or store"`
-	Public string `arg:"--public" json:"public" help:"IP and port for callers (front)"`
-	Health string `arg:"--health" json:"health" help:"IP and port for health queries (store)"`
+	Role          string `arg:"--role" json:"role" help:"front or store"`
+	PublicAddress string `arg:"--public" json:"public" help:"IP and port for callers (front)"`
+	HealthAddress string `arg:"--health" json:"health" help:"IP and port for health queries (store)"`
 }
 
 // Version tells the program's version; go-arg calls it.
@@ -92,12 +92,12 @@
 // ControlPlane is what yardrock-control-plane is told.
 type ControlPlane struct {
 	Common
-	Administration string `arg:"--administration" json:"administration" help:"IP and port for operators"`
-	FoundingStores int    `arg:"--founding-stores" json:"founding_stores" help:"stores that must be there to found the store list [default: 3]"`
-	Groups         uint32 `arg:"--groups" json:"groups" help:"groups of lines, fixed when the fleet is founded [default: 32]"`
-	Copies         uint32 `arg:"--copies" json:"copies" help:"replicas of each group of lines, fixed when the fleet is founded [default: 3]"`
-	MostControls   int    `arg:"--most-controls" json:"most_controls" help:"voters of the control group at most [default: 5]"`
-	RootTokenHash  string `arg:"--root-token-hash" json:"root_token_hash" help:"SHA-256 (hex) of the token that administers until a config names operators"`
+	AdminAddress      string `arg:"--administration" json:"administration" help:"IP and port for operators"`
+	FoundingStores    int    `arg:"--founding-stores" json:"founding_stores" help:"stores that must be there to found the store list [default: 3]"`
+	Groups            uint32 `arg:"--groups" json:"groups" help:"groups of lines, fixed when the fleet is founded [default: 32]"`
+	ReplicationFactor uint32 `arg:"--copies" json:"copies" help:"replicas of each group of lines, fixed when the fleet is founded [default: 3]"`
+	MaxControls       int    `arg:"--most-controls" json:"most_controls" help:"voters of the control group at most [default: 5]"`
+	RootTokenHash     string `arg:"--root-token-hash" json:"root_token_hash" help:"SHA-256 (hex) of the token that administers until a config names operators"`
 }
 
 // Version tells the program's version; go-arg calls it.
@@ -112,99 +112,99 @@
 	return "A control node orders config, domains, runners and store list, and answers operators."
 }
 
-type checked interface {
+type loadable interface {
 	common() *Common
-	check() error
+	validate() error
 }
 
 func (common *Common) common() *Common { return common }
 
-func bad(field, message, remedy string) error {
+func invalid(field, message, remedy string) error {
 	return apierror.New(apierror.BadSettings, field+": "+message, remedy)
 }
 
-func checkAddress(field, address string) error {
+func validateAddress(field, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
-		return bad(field, strconv.Quote(address)+" is no IP and port", "write it like 10.0.0.1:7000")
+		return invalid(field, strconv.Quote(address)+" is no IP and port", "write it like 10.0.0.1:7000")
 	}
 	if number, err := strconv.ParseUint(port, 10, 16); err != nil || number == 0 {
-		return bad(field, strconv.Quote(port)+" is no port", "use a port from 1 to 65535")
+		return invalid(field, strconv.Quote(port)+" is no port", "use a port from 1 to 65535")
 	}
 	return nil
 }
 
-func (common *Common) checkCommon() error {
-	if err := checkAddress("address", common.Address); err != nil {
+func (common *Common) validateCommon() error {
+	if err := validateAddress("address", common.Address); err != nil {
 		return err
 	}
 	if common.Listen != "" {
-		if err := checkAddress("listen", common.Listen); err != nil {
+		if err := validateAddress("listen", common.Listen); err != nil {
 			return err
 		}
 	}
 	if common.Domain == "" {
-		return bad("domain", "is missing", "name the zone of this machine")
+		return invalid("domain", "is missing", "name the zone of this machine")
 	}
 	if len(common.Seeds) != 3 {
-		return bad("seeds", fmt.Sprintf("has %d addresses", len(common.Seeds)), "name three addresses of other processes")
+		return invalid("seeds", fmt.Sprintf("has %d addresses", len(common.Seeds)), "name three addresses of other processes")
 	}
 	for _, seed := range common.Seeds {
-		if err := checkAddress("seeds", seed); err != nil {
+		if err := validateAddress("seeds", seed); err != nil {
 			return err
 		}
 	}
 	if sorted := slices.Sorted(slices.Values(common.Seeds)); len(slices.Compact(sorted)) != 3 {
-		return bad("seeds", "names an address twice", "name three different addresses")
+		return invalid("seeds", "names an address twice", "name three different addresses")
 	}
 	if common.Memory < 0 {
-		return bad("memory", strconv.FormatInt(common.Memory, 10)+" is below 0", "use the bytes that this process may use, or 0 for no limit")
+		return invalid("memory", strconv.FormatInt(common.Memory, 10)+" is below 0", "use the bytes that this process may use, or 0 for no limit")
 	}
 	if !slices.Contains([]string{"", "debug", "info", "warn", "error"}, common.Log) {
-		return bad("log", strconv.Quote(common.Log)+" is no level", "use debug, info, warn or error")
+		return invalid("log", strconv.Quote(common.Log)+" is no level", "use debug, info, warn or error")
 	}
 	return nil
 }
 
-func (settings *DataPlane) check() error {
-	if err := settings.checkCommon(); err != nil {
+func (settings *DataPlane) validate() error {
+	if err := settings.validateCommon(); err != nil {
 		return err
 	}
 	switch settings.Role {
 	case "front":
-		return checkAddress("public", settings.Public)
+		return validateAddress("public", settings.PublicAddress)
 	case "store":
-		if settings.Folder == "" {
-			return bad("folder", "is missing", "name the data folder of this store")
+		if settings.DataFolder == "" {
+			return invalid("folder", "is missing", "name the data folder of this store")
 		}
-		if settings.Health != "" {
-			return checkAddress("health", settings.Health)
+		if settings.HealthAddress != "" {
+			return validateAddress("health", settings.HealthAddress)
 		}
 		return nil
 	}
-	return bad("role", strconv.Quote(settings.Role)+" is no role", "use front or store")
+	return invalid("role", strconv.Quote(settings.Role)+" is no role", "use front or store")
 }
 
-func (settings *ControlPlane) check() error {
-	if err := settings.checkCommon(); err != nil {
+func (settings *ControlPlane) validate() error {
+	if err := settings.validateCommon(); err != nil {
 		return err
 	}
-	if settings.Folder == "" {
-		return bad("folder", "is missing", "name the data folder of this control node")
+	if settings.DataFolder == "" {
+		return invalid("folder", "is missing", "name the data folder of this control node")
 	}
 	if settings.FoundingStores < 1 {
-		return bad("founding_stores", "is below 1", "use 3, or the number of stores at the start")
+		return invalid("founding_stores", "is below 1", "use 3, or the number of stores at the start")
 	}
-	if settings.Copies%2 == 0 || settings.Copies > 9 {
-		return bad("copies", strconv.Itoa(int(settings.Copies)), "use an odd number from 1 to 9")
+	if settings.ReplicationFactor%2 == 0 || settings.ReplicationFactor > 9 {
+		return invalid("copies", strconv.Itoa(int(settings.ReplicationFactor)), "use an odd number from 1 to 9")
 	}
 	if settings.Groups < 1 || settings.Groups > 4096 {
-		return bad("groups", "is out of range", "use 1 to 4096")
+		return invalid("groups", "is out of range", "use 1 to 4096")
 	}
-	if settings.MostControls < 1 || settings.MostControls > 9 {
-		return bad("most_controls", "is out of range", "use 1 to 9, best 3 or 5")
+	if settings.MaxControls < 1 || settings.MaxControls > 9 {
+		return invalid("most_controls", "is out of range", "use 1 to 9, best 3 or 5")
 	}
-	return checkAddress("administration", settings.Administration)
+	return validateAddress("administration", settings.AdminAddress)
 }
 
 // LoadDataPlane reads the settings of yardrock-data-plane.
@@ -219,15 +219,15 @@
 //
 //	loaded, err := settings.LoadControlPlane(os.Args[1:], os.Stdout)
 func LoadControlPlane(arguments []string, output io.Writer) (*ControlPlane, error) {
-	loaded := &ControlPlane{FoundingStores: 3, Groups: 32, Copies: placement.DefaultReplicas, MostControls: 5}
+	loaded := &ControlPlane{FoundingStores: 3, Groups: 32, ReplicationFactor: placement.DefaultReplicas, MaxControls: 5}
 	return loaded, load(loaded, "yardrock-control-plane", arguments, output)
 }
 
-// ErrShown tells that help or version was asked for and shown.
-var ErrShown = errors.New("shown")
+// ErrHelpShown tells that help or version was asked for and shown.
+var ErrHelpShown = errors.New("shown")
 
 // load reads flags to find the file, then the file, then the flags again over it.
-func load(target checked, program string, arguments []string, output io.Writer) error {
+func load(target loadable, program string, arguments []string, output io.Writer) error {
 	parser, err := arg.NewParser(arg.Config{Program: program, IgnoreDefault: true}, target)
 	if err != nil {
 		return err
@@ -235,26 +235,26 @@
 	switch err := parser.Parse(arguments); {
 	case errors.Is(err, arg.ErrHelp):
 		parser.WriteHelp(output)
-		return ErrShown
+		return ErrHelpShown
 	case errors.Is(err, arg.ErrVersion):
 		fmt.Fprintln(output, target.(interface{ Version() string }).Version())
-		return ErrShown
+		return ErrHelpShown
 	case err != nil:
-		return bad("flags", err.Error(), "see --help")
+		return invalid("flags", err.Error(), "see --help")
 	}
 	if file := target.common().File; file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
-			return bad("settings", err.Error(), "name a file that can be read")
+			return invalid("settings", err.Error(), "name a file that can be read")
 		}
 		decoder := json.NewDecoder(strings.NewReader(string(data)))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(target); err != nil {
-			return bad("settings", file+": "+err.Error(), "correct the named key; --help lists the keys")
+			return invalid("settings", file+": "+err.Error(), "correct the named key; --help lists the keys")
 		}
 		if err := parser.Parse(arguments); err != nil {
-			return bad("flags", err.Error(), "see --help")
+			return invalid("flags", err.Error(), "see --help")
 		}
 	}
-	return target.check()
+	return target.validate()
 }
--- a/system/settings/settings_test.go
+++ b/system/settings/settings_test.go
@@ -11,11 +11,11 @@
 	"yardrock.example/system/apierror"
 )
 
-func front(more ...string) []string {
+func frontArguments(more ...string) []string {
 	return append([]string{"--role", "front", "--address", "127.0.0.1:7000", "--public", "127.0.0.1:7100", "--domain", "east", "--seeds", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, more...)
 }
 
-func TestWrongSettingsNameTheFieldAndTheRemedy(t *testing.T) {
+func TestInvalidSettingsNameFieldAndRemedy(t *testing.T) {
 	folder := t.TempDir()
 	unknown := filepath.Join(folder, "unknown.json")
 	if err := os.WriteFile(unknown, []byte(`{"colour": "red"}`), 0o600); err != nil {
@@ -25,20 +25,20 @@
 		arguments []string
 		field     string
 	}{
-		"no seeds":         {front()[:8], "seeds"},
-		"two seeds":        {front()[:11], "seeds"},
-		"one seed twice":   {append(front()[:10], "10.0.0.1:1", "10.0.0.3:1"), "seeds"},
-		"a seed by name":   {append(front()[:10], "host:1", "10.0.0.3:1"), "seeds"},
-		"no port":          {front("--address", "127.0.0.1"), "address"},
-		"port 0":           {front("--public", "127.0.0.1:0"), "public"},
-		"no such role":     {front("--role", "cook"), "role"},
-		"store, no folder": {front("--role", "store"), "folder"},
-		"no such level":    {front("--log", "loud"), "log"},
-		"memory below 0":   {front("--memory", "-1"), "memory"},
-		"unknown flag":     {front("--colour", "red"), "colour"},
-		"unknown key":      {front("--settings", unknown), "colour"},
-		"no such file":     {front("--settings", filepath.Join(folder, "none")), "settings"},
-		"no domain":        {front("--domain", ""), "domain"},
+		"no seeds":         {frontArguments()[:8], "seeds"},
+		"two seeds":        {frontArguments()[:11], "seeds"},
+		"one seed twice":   {append(frontArguments()[:10], "10.0.0.1:1", "10.0.0.3:1"), "seeds"},
+		"a seed by name":   {append(frontArguments()[:10], "host:1", "10.0.0.3:1"), "seeds"},
+		"no port":          {frontArguments("--address", "127.0.0.1"), "address"},
+		"port 0":           {frontArguments("--public", "127.0.0.1:0"), "public"},
+		"no such role":     {frontArguments("--role", "cook"), "role"},
+		"store, no folder": {frontArguments("--role", "store"), "folder"},
+		"no such level":    {frontArguments("--log", "loud"), "log"},
+		"memory below 0":   {frontArguments("--memory", "-1"), "memory"},
+		"unknown flag":     {frontArguments("--colour", "red"), "colour"},
+		"unknown key":      {frontArguments("--settings", unknown), "colour"},
+		"no such file":     {frontArguments("--settings", filepath.Join(folder, "none")), "settings"},
+		"no domain":        {frontArguments("--domain", ""), "domain"},
 	} {
 		_, err := LoadDataPlane(one.arguments, &bytes.Buffer{})
 		if !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), one.field) || apierror.Of(err).Remedy == "" {
@@ -50,17 +50,17 @@
 	}
 }
 
-func TestFlagsWinOverTheFileAndVersionIsShown(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(file, []byte(`{"domain": "west", "log": "warn"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	loaded, err := LoadDataPlane(front("--settings", file), &bytes.Buffer{})
+	loaded, err := LoadDataPlane(frontArguments("--settings", file), &bytes.Buffer{})
 	if err != nil || loaded.Domain != "east" || loaded.Log != "warn" {
 		t.Fatalf("%+v %v", loaded, err)
 	}
 	output := &bytes.Buffer{}
-	if _, err := LoadDataPlane([]string{"--version"}, output); !errors.Is(err, ErrShown) || !strings.Contains(output.String(), Version) {
+	if _, err := LoadDataPlane([]string{"--version"}, output); !errors.Is(err, ErrHelpShown) || !strings.Contains(output.String(), Version) {
 		t.Fatalf("%v %q", err, output)
 	}
 }
