--- a/proof/cmd/measure/openings.go
+++ b/proof/cmd/measure/openings.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"yardrock.example/system/line"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -110,7 +110,7 @@
 			program, said, follows := fmt.Sprintf("program/%s-%s-%d", name, round, number), "", ""
 			scope, origin := number%openingScopes, fleet.origins[number%len(fleet.origins)]
 			for position := range turnsOfAProgram {
-				turn := storeorigin.Turn{SessionName: program, Name: fmt.Sprintf("%s-%d", program, position), Follows: follows, Input: []byte(inputs[(number+position)%len(inputs)]), KeepHistory: true, Retention: time.Minute, DispatchID: "d", Lifetime: time.Minute}
+				turn := storeclient.Turn{SessionName: program, Name: fmt.Sprintf("%s-%d", program, position), Follows: follows, Input: []byte(inputs[(number+position)%len(inputs)]), KeepHistory: true, Retention: time.Minute, DispatchID: "d", Lifetime: time.Minute}
 				if position == 0 {
 					turn.Input = []byte(openings[scope] + string(turn.Input))
 				}
@@ -124,7 +124,7 @@
 				wrong := err == nil && string(begun.History) != said
 				output := inputs[number%len(inputs)]
 				if err == nil {
-					err = origin.EndTurn(ctx, storeorigin.TurnEnd{SessionName: program, Name: turn.Name, Seq: begun.Seq, Output: []byte(output), Outcome: line.OutcomeComplete, KeepHistory: true})
+					err = origin.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: turn.Name, Seq: begun.Seq, Output: []byte(output), Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 				}
 				cancel()
 				said, follows = said+string(turn.Input)+output, turn.Name
@@ -157,8 +157,8 @@
 				continue
 			}
 			image, needed := machine.View().Snapshot(), map[string]bool{}
-			image.Sessions = slices.DeleteFunc(image.Sessions, func(session line.Session) bool { return !strings.HasPrefix(session.Name, "program/"+name+"-") })
-			image.Turns = slices.DeleteFunc(image.Turns, func(turn line.TurnRecord) bool { return !strings.HasPrefix(turn.Session, "program/"+name+"-") })
+			image.Sessions = slices.DeleteFunc(image.Sessions, func(session sessionlog.Session) bool { return !strings.HasPrefix(session.Name, "program/"+name+"-") })
+			image.Turns = slices.DeleteFunc(image.Turns, func(turn sessionlog.TurnRecord) bool { return !strings.HasPrefix(turn.Session, "program/"+name+"-") })
 			for _, session := range image.Sessions {
 				for _, opening := range session.Prefixes {
 					needed[opening] = true
@@ -167,7 +167,7 @@
 					data += int64(len(event.Data))
 				}
 			}
-			image.Prefixes = slices.DeleteFunc(image.Prefixes, func(opening line.SharedPrefixRecord) bool { return !needed[opening.Name] })
+			image.Prefixes = slices.DeleteFunc(image.Prefixes, func(opening sessionlog.SharedPrefixRecord) bool { return !needed[opening.Name] })
 			for _, opening := range image.Prefixes {
 				data += int64(len(opening.Data))
 			}
--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -19,13 +19,13 @@
 
 	"yardrock.example/system/controlplane"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/files"
-	"yardrock.example/system/follower"
-	"yardrock.example/system/line"
+	"yardrock.example/system/feedclient"
 	"yardrock.example/system/link"
 	"yardrock.example/system/replica"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/store"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/storeclient"
+	"yardrock.example/system/vfs"
 )
 
 // counted is the real network, with what is written to it counted.
@@ -72,7 +72,7 @@
 // slowDisk is a real folder whose syncs take as long as those of a slow disk, and
 // are counted.
 type slowDisk struct {
-	files.Directory
+	vfs.Directory
 	syncs *atomic.Int64
 	takes time.Duration
 }
@@ -114,7 +114,7 @@
 	syncs   *atomic.Int64
 	folder  string
 	nodes   []*store.Node
-	origins []*storeorigin.Client
+	origins []*storeclient.Client
 	ends    []func()
 }
 
@@ -132,8 +132,8 @@
 		return nil, err
 	}
 	fleet := &storesOnLoopback{network: &counted{}, syncs: &atomic.Int64{}, folder: folder, ends: []func(){func() { os.RemoveAll(folder) }}}
-	open := func(name string) files.Directory {
-		made, failed := files.Open(filepath.Join(folder, name))
+	open := func(name string) vfs.Directory {
+		made, failed := vfs.Open(filepath.Join(folder, name))
 		err = errors.Join(err, failed)
 		return slowDisk{made, fleet.syncs, takes}
 	}
@@ -161,12 +161,12 @@
 	}
 	for index := range 6 {
 		caller := link.NewClient(fleet.network)
-		following := follower.Start(caller, feed.Member{Name: fmt.Sprint("front", index), Role: "client", Address: free[9+index]}, seeds, nil, func(*feed.View) error { return nil })
+		following := feedclient.Start(caller, feed.Member{Name: fmt.Sprint("front", index), Role: "client", Address: free[9+index]}, seeds, nil, func(*feed.View) error { return nil })
 		fleet.ends = append(fleet.ends, caller.Close, following.Stop)
 		for len(following.View().Stores) == 0 {
 			time.Sleep(50 * time.Millisecond)
 		}
-		fleet.origins = append(fleet.origins, storeorigin.New(caller, following.View))
+		fleet.origins = append(fleet.origins, storeclient.New(caller, following.View))
 	}
 	return fleet, nil
 }
@@ -200,11 +200,11 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				defer cancel()
 				began := time.Now()
-				begun, err := origins[number%len(origins)].BeginTurn(ctx, storeorigin.Turn{SessionName: program, Name: name, Follows: follows, Input: []byte(strings.Repeat("i", size)), KeepHistory: true, Retention: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 10000, DispatchID: "d", Lifetime: time.Minute})
+				begun, err := origins[number%len(origins)].BeginTurn(ctx, storeclient.Turn{SessionName: program, Name: name, Follows: follows, Input: []byte(strings.Repeat("i", size)), KeepHistory: true, Retention: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 10000, DispatchID: "d", Lifetime: time.Minute})
 				took := time.Since(began)
 				if err == nil {
 					began = time.Now()
-					err = origins[number%len(origins)].EndTurn(ctx, storeorigin.TurnEnd{SessionName: program, Name: name, Seq: begun.Seq, Output: []byte(strings.Repeat("o", size)), Tokens: 50, Outcome: line.OutcomeComplete, KeepHistory: true})
+					err = origins[number%len(origins)].EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: name, Seq: begun.Seq, Output: []byte(strings.Repeat("o", size)), Tokens: 50, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
--- a/proof/demand/asking.go
+++ b/proof/demand/asking.go
@@ -12,14 +12,14 @@
 	"strings"
 	"time"
 
-	"yardrock.example/system/httpface"
+	"yardrock.example/system/httpapi"
 )
 
 func (demand *demand) front(random *rand.Rand) string {
 	return demand.target.Fronts[random.IntN(len(demand.target.Fronts))]
 }
 
-func (demand *demand) send(ctx context.Context, method, front, path string, body any) (*http.Response, *httpface.Error, error) {
+func (demand *demand) send(ctx context.Context, method, front, path string, body any) (*http.Response, *httpapi.Error, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, nil, err
@@ -38,16 +38,16 @@
 		return answer, nil, nil
 	}
 	defer answer.Body.Close()
-	failure := &httpface.Error{}
+	failure := &httpapi.Error{}
 	if err := json.NewDecoder(answer.Body).Decode(failure); err != nil || failure.Kind == "" || failure.Message == "" || failure.Remedy == "" {
 		demand.broken("error body", "%s %s: status %d without kind, message and remedy", method, path, answer.StatusCode)
-		return nil, &httpface.Error{Kind: "formless"}, nil
+		return nil, &httpapi.Error{Kind: "formless"}, nil
 	}
 	return nil, failure, nil
 }
 
 // pause waits as long as a refusal said, or a little after a lost connection.
-func pause(ctx context.Context, apierror *httpface.Error) {
+func pause(ctx context.Context, apierror *httpapi.Error) {
 	wait := 300 * time.Millisecond
 	if apierror != nil && apierror.RetryAfter > 0 {
 		wait = time.Duration(apierror.RetryAfter) * time.Millisecond
@@ -209,7 +209,7 @@
 	answer.Body.Close()
 }
 
-func (demand *demand) refused(apierror *httpface.Error, path string, body map[string]any) {
+func (demand *demand) refused(apierror *httpapi.Error, path string, body map[string]any) {
 	demand.count(func(report *Report) { report.Refusals[apierror.Kind]++ })
 	if apierror.Kind == "not_found" {
 		demand.broken("turns stay known", "%s following %v: %s", path, body["follows"], apierror.Message)
--- a/proof/demand/callers.go
+++ b/proof/demand/callers.go
@@ -10,13 +10,13 @@
 
 	"yardrock.example/proof/standin"
 	"yardrock.example/system/conversation"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 func (demand *demand) converse(ctx context.Context, random *rand.Rand, name string) {
 	demand.count(func(report *Report) { report.Conversations++ })
 	program := []string{"dialogue", "permits"}[random.IntN(2)]
-	said := []runnerorigin.Message{}
+	said := []runnerclient.Message{}
 	path, follows, conversationName := "/v1/conversations", uint64(0), ""
 	for turn := range demand.mix.Turns[random.IntN(len(demand.mix.Turns))] {
 		question := fmt.Sprintf("%s asks %d of %d things", name, turn, random.IntN(1000))
@@ -30,7 +30,7 @@
 		if got == nil {
 			return
 		}
-		said = append(said, runnerorigin.Message{Role: "caller", Words: question}, runnerorigin.Message{Role: "model", Words: got.words.String()})
+		said = append(said, runnerclient.Message{Role: "caller", Words: question}, runnerclient.Message{Role: "model", Words: got.words.String()})
 		conversationName, follows = got.conversation, got.turn
 		path = "/v1/conversations/" + conversationName + "/turns"
 		if random.Float64() < demand.mix.ToolShare {
@@ -55,14 +55,14 @@
 // tool calls a tool between turns; its call and result become part of what was
 // said once it is told complete. An unknown one ends the conversation, as what
 // the model will see is not known to this caller.
-func (demand *demand) tool(ctx context.Context, random *rand.Rand, program, name string, follows uint64, key string, said []runnerorigin.Message) ([]runnerorigin.Message, bool) {
+func (demand *demand) tool(ctx context.Context, random *rand.Rand, program, name string, follows uint64, key string, said []runnerclient.Message) ([]runnerclient.Message, bool) {
 	demand.count(func(report *Report) { report.Tools++ })
 	question := "stock of " + key
 	told, answer := demand.run(ctx, random, "/v1/conversations/"+name+"/tools", program, "receipt", key, map[string]any{"kind": "receipt", "words": question, "follows": follows, "query_key": key})
 	if told != "complete" {
 		return said, told == "not_run"
 	}
-	return append(said, runnerorigin.Message{Role: "tool_call", Name: "receipt", Words: question}, runnerorigin.Message{Role: "tool_result", Name: "receipt", Words: answer}), true
+	return append(said, runnerclient.Message{Role: "tool_call", Name: "receipt", Words: question}, runnerclient.Message{Role: "tool_result", Name: "receipt", Words: answer}), true
 }
 
 // run sends work that may not be repeated until its outcome is told, and notes
@@ -99,7 +99,7 @@
 			continue
 		}
 		told, text = done.Outcome, string(done.Answer)
-		want := standin.PlainAnswer(runnerorigin.PlainRequest{Kind: kind, RequestKey: key, Words: body["words"].(string)})
+		want := standin.PlainAnswer(runnerclient.PlainRequest{Kind: kind, RequestKey: key, Words: body["words"].(string)})
 		got := map[string]string{}
 		if json.Unmarshal(done.Answer, &got) != nil || got["proof"] != want["proof"] {
 			demand.broken("answers", "%s under %s got %s", kind, key, text)
@@ -136,7 +136,7 @@
 	var done struct {
 		Answer map[string]string `json:"answer"`
 	}
-	if json.NewDecoder(answer.Body).Decode(&done) == nil && done.Answer["proof"] != standin.PlainAnswer(runnerorigin.PlainRequest{Kind: "lookup", Words: question})["proof"] {
+	if json.NewDecoder(answer.Body).Decode(&done) == nil && done.Answer["proof"] != standin.PlainAnswer(runnerclient.PlainRequest{Kind: "lookup", Words: question})["proof"] {
 		demand.broken("answers", "the lookup %q got %v", question, done.Answer)
 	}
 }
--- a/proof/demand/checking.go
+++ b/proof/demand/checking.go
@@ -8,12 +8,12 @@
 	"net/http"
 
 	"yardrock.example/proof/standin"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 // checkHistory reads the whole conversation at some front and compares it with
 // what was said.
-func (demand *demand) checkHistory(ctx context.Context, random *rand.Rand, name string, said []runnerorigin.Message) {
+func (demand *demand) checkHistory(ctx context.Context, random *rand.Rand, name string, said []runnerclient.Message) {
 	var told struct {
 		Head   uint64 `json:"head"`
 		Events []struct {
--- a/proof/demand/demand.go
+++ b/proof/demand/demand.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 // Mix is what callers send each second, on average.
@@ -69,7 +69,7 @@
 type Kept struct {
 	Conversation string
 	Last         uint64
-	Said         []runnerorigin.Message
+	Said         []runnerclient.Message
 }
 
 // Quantiles are of a measured time.
--- a/proof/demand/demand_test.go
+++ b/proof/demand/demand_test.go
@@ -13,14 +13,14 @@
 	"time"
 
 	"yardrock.example/proof/standin"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 // pretender answers like a front and a runner, and breaks one rule on demand.
 type pretender struct {
 	breach string
 	mutex  sync.Mutex
-	said   map[string][]runnerorigin.Message
+	said   map[string][]runnerclient.Message
 	events map[string][]string
 	ran    map[string]int
 	starts int
@@ -29,7 +29,7 @@
 func (pretender *pretender) turn(writer http.ResponseWriter, name, question string) {
 	history := pretender.said[name]
 	answer := standin.Answer(history, question)
-	pretender.said[name] = append(history, runnerorigin.Message{Role: "caller", Words: question}, runnerorigin.Message{Role: "model", Words: strings.Join(answer, "")})
+	pretender.said[name] = append(history, runnerclient.Message{Role: "caller", Words: question}, runnerclient.Message{Role: "model", Words: strings.Join(answer, "")})
 	turn := len(pretender.events[name]) + 1
 	add := func(format string, arguments ...any) {
 		pretender.events[name] = append(pretender.events[name], fmt.Sprintf(format, arguments...))
@@ -106,7 +106,7 @@
 			refuse(writer, http.StatusServiceUnavailable, "not_run")
 			return
 		}
-		answer, _ := json.Marshal(standin.PlainAnswer(runnerorigin.PlainRequest{Kind: body.Kind, RequestKey: body.Key, Words: body.Words}))
+		answer, _ := json.Marshal(standin.PlainAnswer(runnerclient.PlainRequest{Kind: body.Kind, RequestKey: body.Key, Words: body.Words}))
 		fmt.Fprintf(writer, `{"outcome":"complete","answer":%s}`, answer)
 	}
 }
@@ -117,7 +117,7 @@
 	var report *Report
 	synctest.Test(t, func(t *testing.T) {
 		accepted := make(chan net.Conn)
-		server := &http.Server{Handler: &pretender{breach: breach, said: map[string][]runnerorigin.Message{}, events: map[string][]string{}, ran: map[string]int{}}}
+		server := &http.Server{Handler: &pretender{breach: breach, said: map[string][]runnerclient.Message{}, events: map[string][]string{}, ran: map[string]int{}}}
 		listener := &pipes{accepted: accepted, closed: make(chan struct{})}
 		go server.Serve(listener)
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
--- a/proof/fleet/faults.go
+++ b/proof/fleet/faults.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"yardrock.example/proof/demand"
-	"yardrock.example/system/files"
+	"yardrock.example/system/vfs"
 )
 
 // Fault is one kind of fault that a fleet can be done, and undone. Two that differ in
@@ -125,7 +125,7 @@
 }
 
 // withDisk brings a fault on the disk of a store or control node for a while.
-func withDisk(faults files.DiskFaults, lasts time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
+func withDisk(faults vfs.DiskFaults, lasts time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
 	return func(ctx context.Context, running *Fleet, random *rand.Rand) error {
 		process := running.pick(random, []string{"store", "control"}[random.IntN(2)])
 		data, err := json.Marshal(faults)
@@ -259,9 +259,9 @@
 	{"store exchanged", machines, exchangeStore},
 	{"seeds exchanged", machines, exchangeSeeds},
 	{"power lost", machines, losePower},
-	{"disk slow", machines, withDisk(files.DiskFaults{Slow: "150ms"}, 4*time.Second)},
-	{"disk stalled", machines, withDisk(files.DiskFaults{Stalled: true}, 4*time.Second)},
-	{"disk full", machines, withDisk(files.DiskFaults{Full: true}, 3*time.Second)},
+	{"disk slow", machines, withDisk(vfs.DiskFaults{Slow: "150ms"}, 4*time.Second)},
+	{"disk stalled", machines, withDisk(vfs.DiskFaults{Stalled: true}, 4*time.Second)},
+	{"disk full", machines, withDisk(vfs.DiskFaults{Full: true}, 3*time.Second)},
 	{"links cut", machines, withLink(func(links *Links, one, other *Process) {
 		links.CutOneWay(one.Address, other.Address)
 		links.CutOneWay(other.Address, one.Address)
--- a/proof/modelcheck/fingerprint.go
+++ b/proof/modelcheck/fingerprint.go
@@ -9,7 +9,7 @@
 	"reflect"
 	"slices"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 // fingerprint is a hash that is long enough that no two states of one search share it.
@@ -21,9 +21,9 @@
 // encodingSkips are types that are no part of a replica's state: its settings, the
 // generator of its election timeouts, and what the last step returned.
 var encodingSkips = map[reflect.Type]bool{
-	reflect.TypeFor[agreement.Settings](): true,
-	reflect.TypeFor[*rand.Rand]():         true,
-	reflect.TypeFor[agreement.Output]():   true,
+	reflect.TypeFor[raft.Settings](): true,
+	reflect.TypeFor[*rand.Rand]():    true,
+	reflect.TypeFor[raft.Output]():   true,
 }
 
 // encode adds a canonical form of any value, unexported fields included: equal values
@@ -92,7 +92,7 @@
 	return fingerprint(sum[:16])
 }
 
-func keyOf(message *agreement.Message) messageKey {
+func keyOf(message *raft.Message) messageKey {
 	sum := hash(encode(make([]byte, 0, 256), reflect.ValueOf(message).Elem()))
 	return messageKey(binary.BigEndian.Uint64(sum[:]))
 }
--- a/proof/modelcheck/forged_test.go
+++ b/proof/modelcheck/forged_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 // TestForgedMessagesAreFoundByShortestTraces puts messages in flight that no replica sent,
@@ -24,7 +24,7 @@
 				script.Propose("a")
 				script.DropAll()
 				last := script.world.replica("a").status
-				script.arrivesLate(agreement.Message{Kind: agreement.MessageAppendReply, From: "b", To: "a", Term: last.Term, Index: last.LastIndex})
+				script.arrivesLate(raft.Message{Kind: raft.MessageAppendReply, From: "b", To: "a", Term: last.Term, Index: last.LastIndex})
 			},
 		},
 		{
@@ -33,7 +33,7 @@
 				twoCandidates(script)
 				for _, name := range []string{"a", "b"} {
 					term := script.world.replica(name).status.Term
-					script.arrivesLate(agreement.Message{Kind: agreement.MessageVoteReply, From: "c", To: name, Term: term})
+					script.arrivesLate(raft.Message{Kind: raft.MessageVoteReply, From: "c", To: name, Term: term})
 				}
 			},
 		},
--- a/proof/modelcheck/history.go
+++ b/proof/modelcheck/history.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"slices"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 // history is what happened so far, as far as the invariants speak of it. No replica
 // sees it.
 type history struct {
-	founding  agreement.Membership
+	founding  raft.Membership
 	leaders   []leadership
 	committed []commitment // of the indices from foundingIndex+1 on
 	reads     []question   // that are not answered yet
@@ -26,7 +26,7 @@
 
 // commitment is an entry that is committed, and the term of the leader that counted it.
 type commitment struct {
-	entry agreement.Entry
+	entry raft.Entry
 	term  uint64
 }
 
@@ -36,7 +36,7 @@
 	committed uint64
 }
 
-func (history *history) found(replicas agreement.Membership) { history.founding = replicas }
+func (history *history) found(replicas raft.Membership) { history.founding = replicas }
 
 func (history *history) fork() history {
 	copied := *history
@@ -67,10 +67,10 @@
 }
 
 // replicasAt gives the membership as of a committed index.
-func (history *history) replicasAt(index uint64) agreement.Membership {
+func (history *history) replicasAt(index uint64) raft.Membership {
 	for ; index > foundingIndex; index-- {
 		found, known := history.committedAt(index)
-		if known && found.entry.Kind == agreement.EntryMembership {
+		if known && found.entry.Kind == raft.EntryMembership {
 			return found.entry.Membership
 		}
 	}
--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 // Invariant names a property that every reachable state must have.
@@ -44,8 +44,8 @@
 
 // view is what the checks compare a replica's next state with.
 type view struct {
-	status agreement.Status
-	image  agreement.PersistentState
+	status raft.Status
+	image  raft.PersistentState
 }
 
 func (world *World) violate(broken Invariant, format string, arguments ...any) {
@@ -55,7 +55,7 @@
 }
 
 // checkStep checks all that a step of one replica can break.
-func (world *World) checkStep(stepped *replica, before view, input agreement.Input, output agreement.Output) {
+func (world *World) checkStep(stepped *replica, before view, input raft.Input, output raft.Output) {
 	world.checkProgress(stepped, before)
 	world.checkApplied(stepped, before, output)
 	world.checkKept(stepped.name+"'s log", before.image, stepped.image)
@@ -86,7 +86,7 @@
 }
 
 // checkState looks at the term, vote and checkpoint of a core or of a disk.
-func (world *World) checkState(name string, before, after agreement.PersistentState) {
+func (world *World) checkState(name string, before, after raft.PersistentState) {
 	if after.HardState.Term < before.HardState.Term || after.Snapshot.Index < before.Snapshot.Index {
 		world.violate(NothingGoesBack, "%s went from term %d checkpoint %d to term %d checkpoint %d", name,
 			before.HardState.Term, before.Snapshot.Index, after.HardState.Term, after.Snapshot.Index)
@@ -97,7 +97,7 @@
 }
 
 // checkDisk checks what a write did to a disk.
-func (world *World) checkDisk(owner *replica, before agreement.PersistentState) {
+func (world *World) checkDisk(owner *replica, before raft.PersistentState) {
 	world.checkState(owner.name+"'s disk", before, owner.disk)
 	world.checkKept(owner.name+"'s disk", before, owner.disk)
 }
@@ -115,7 +115,7 @@
 }
 
 // checkApplied takes the entries that a step committed into the history.
-func (world *World) checkApplied(stepped *replica, before view, output agreement.Output) {
+func (world *World) checkApplied(stepped *replica, before view, output raft.Output) {
 	applied := before.status.CommitIndex
 	if output.Snapshot != nil {
 		world.outcomes.Restores++
@@ -135,14 +135,14 @@
 	}
 }
 
-func (world *World) checkRestore(stepped *replica, point agreement.Snapshot) {
+func (world *World) checkRestore(stepped *replica, point raft.Snapshot) {
 	world.checkCheckpoint(stepped.name, point)
 	if !world.model.isImage(point.Data, point.Index) {
 		world.violate(StateMachineSafety, "%s restores %q at index %d", stepped.name, point.Data, point.Index)
 	}
 }
 
-func (world *World) checkCommitted(stepped *replica, before view, entry agreement.Entry) {
+func (world *World) checkCommitted(stepped *replica, before view, entry raft.Entry) {
 	if entry.Index <= world.history.highest() {
 		known, _ := world.history.committedAt(entry.Index)
 		if !sameEntry(known.entry, entry) {
@@ -154,7 +154,7 @@
 		world.violate(StateMachineSafety, "%s, which does not lead, applies %s before any leader has committed it", stepped.name, describeEntry(entry))
 	}
 	world.outcomes.Commits++
-	if entry.Kind == agreement.EntryMembership {
+	if entry.Kind == raft.EntryMembership {
 		world.outcomes.Changes++
 	}
 	world.history.committed = append(world.history.committed, commitment{entry: entry, term: before.status.Term})
@@ -162,7 +162,7 @@
 }
 
 // checkMajority wants a newly committed entry on the disks of a majority.
-func (world *World) checkMajority(leader *replica, entry agreement.Entry) {
+func (world *World) checkMajority(leader *replica, entry raft.Entry) {
 	voters := leader.status.Membership.Voters
 	holders := []string{}
 	for _, name := range voters {
@@ -176,7 +176,7 @@
 }
 
 // checkKept wants every committed entry that was there before a step to be there after it.
-func (world *World) checkKept(where string, before, after agreement.PersistentState) {
+func (world *World) checkKept(where string, before, after raft.PersistentState) {
 	for _, known := range world.history.committed {
 		if holds(before, known.entry) && !holds(after, known.entry) {
 			world.violate(CommittedStays, "%s loses %s, which is committed", where, describeEntry(known.entry))
@@ -184,7 +184,7 @@
 	}
 }
 
-func (world *World) checkCheckpoint(name string, point agreement.Snapshot) {
+func (world *World) checkCheckpoint(name string, point raft.Snapshot) {
 	if point.Index == 0 {
 		return
 	}
@@ -240,7 +240,7 @@
 	before := stepped.image.Snapshot.Membership.Voters
 	uncommitted := 0
 	for _, entry := range stepped.image.Entries {
-		if entry.Kind != agreement.EntryMembership {
+		if entry.Kind != raft.EntryMembership {
 			continue
 		}
 		if entry.Index > world.history.highest() {
@@ -260,8 +260,8 @@
 }
 
 // checkChange looks at a membership change that a leader took on.
-func (world *World) checkChange(stepped *replica, before view, input agreement.Input, output agreement.Output) {
-	if input.Kind != agreement.InputChangeMembership || output.ProposedIndex == 0 {
+func (world *World) checkChange(stepped *replica, before view, input raft.Input, output raft.Output) {
+	if input.Kind != raft.InputChangeMembership || output.ProposedIndex == 0 {
 		return
 	}
 	if termAt(before.image, before.status.CommitIndex) != before.status.Term {
@@ -281,11 +281,11 @@
 }
 
 // checkPromise looks at a message that leaves a replica, and at the disk of its sender.
-func (world *World) checkPromise(sender *replica, message agreement.Message) {
+func (world *World) checkPromise(sender *replica, message raft.Message) {
 	disk := sender.disk
 	term := message.Term
 	switch {
-	case message.Kind == agreement.MessagePreVote, message.Kind == agreement.MessagePreVoteReply && !message.Rejected:
+	case message.Kind == raft.MessagePreVote, message.Kind == raft.MessagePreVoteReply && !message.Rejected:
 		return // they speak of a term that nobody has entered
 	case disk.HardState.Term < term:
 		world.violate(PromisesAreStored, "%s sends %q with term %d on its disk", sender.name, describeMessage(&message), disk.HardState.Term)
@@ -293,22 +293,22 @@
 		return // the promise was overtaken by a later term, or is none
 	}
 	switch message.Kind {
-	case agreement.MessageVote:
+	case raft.MessageVote:
 		if disk.HardState.VotedFor != sender.name {
 			world.violate(PromisesAreStored, "%s stands in term %d with a vote for %q on its disk", sender.name, term, disk.HardState.VotedFor)
 		}
-	case agreement.MessageVoteReply:
+	case raft.MessageVoteReply:
 		if disk.HardState.VotedFor != message.To {
 			world.violate(PromisesAreStored, "%s votes for %s in term %d with a vote for %q on its disk", sender.name, message.To, term, disk.HardState.VotedFor)
 		}
-	case agreement.MessageAppendReply:
+	case raft.MessageAppendReply:
 		if lastOf(disk) < message.Index {
 			world.violate(PromisesAreStored, "%s acknowledges %d with a log up to %d on its disk", sender.name, message.Index, lastOf(disk))
 		}
 	}
 }
 
-func (world *World) checkRead(stepped *replica, answer agreement.ReadResult) {
+func (world *World) checkRead(stepped *replica, answer raft.ReadResult) {
 	asked, known := world.history.answer(answer.Context)
 	if !known || answer.Rejected {
 		return
@@ -319,21 +319,21 @@
 	}
 }
 
-func lastOf(stored agreement.PersistentState) uint64 {
+func lastOf(stored raft.PersistentState) uint64 {
 	if count := len(stored.Entries); count > 0 {
 		return stored.Entries[count-1].Index
 	}
 	return stored.Snapshot.Index
 }
 
-func entryAt(stored agreement.PersistentState, index uint64) (agreement.Entry, bool) {
+func entryAt(stored raft.PersistentState, index uint64) (raft.Entry, bool) {
 	if len(stored.Entries) == 0 || index < stored.Entries[0].Index || index > lastOf(stored) {
-		return agreement.Entry{}, false
+		return raft.Entry{}, false
 	}
 	return stored.Entries[index-stored.Entries[0].Index], true
 }
 
-func termAt(stored agreement.PersistentState, index uint64) uint64 {
+func termAt(stored raft.PersistentState, index uint64) uint64 {
 	if index == stored.Snapshot.Index {
 		return stored.Snapshot.Term
 	}
@@ -342,7 +342,7 @@
 }
 
 // holds tells that a log has an entry, or a checkpoint that stands for it.
-func holds(stored agreement.PersistentState, entry agreement.Entry) bool {
+func holds(stored raft.PersistentState, entry raft.Entry) bool {
 	if stored.Snapshot.Index >= entry.Index {
 		return true
 	}
@@ -350,11 +350,11 @@
 	return there && sameEntry(found, entry)
 }
 
-func sameEntry(one, other agreement.Entry) bool {
+func sameEntry(one, other raft.Entry) bool {
 	return one.Index == other.Index && one.Term == other.Term && one.Kind == other.Kind &&
 		bytes.Equal(one.Data, other.Data) && sameReplicas(one.Membership, other.Membership)
 }
 
-func sameReplicas(one, other agreement.Membership) bool {
+func sameReplicas(one, other raft.Membership) bool {
 	return slices.Equal(one.Voters, other.Voters) && slices.Equal(one.Learners, other.Learners)
 }
--- a/proof/modelcheck/message.go
+++ b/proof/modelcheck/message.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 // messageKey names a message by its content: equal messages have equal keys.
@@ -14,24 +14,24 @@
 // packet is one message in flight.
 type packet struct {
 	key     messageKey
-	message *agreement.Message
+	message *raft.Message
 }
 
-var messageNames = map[agreement.MessageKind]string{
-	agreement.MessagePreVote:      "pre-vote",
-	agreement.MessagePreVoteReply: "pre-vote reply",
-	agreement.MessageVote:         "vote",
-	agreement.MessageVoteReply:    "vote reply",
-	agreement.MessageAppend:       "append",
-	agreement.MessageAppendReply:  "append reply",
-	agreement.MessageSnapshot:     "checkpoint",
-	agreement.MessageTimeoutNow:   "elect now",
+var messageNames = map[raft.MessageKind]string{
+	raft.MessagePreVote:      "pre-vote",
+	raft.MessagePreVoteReply: "pre-vote reply",
+	raft.MessageVote:         "vote",
+	raft.MessageVoteReply:    "vote reply",
+	raft.MessageAppend:       "append",
+	raft.MessageAppendReply:  "append reply",
+	raft.MessageSnapshot:     "checkpoint",
+	raft.MessageTimeoutNow:   "elect now",
 
-	agreement.MessageSnapshotChunk: "snapshot chunk",
-	agreement.MessageSnapshotReply: "snapshot reply",
+	raft.MessageSnapshotChunk: "snapshot chunk",
+	raft.MessageSnapshotReply: "snapshot reply",
 }
 
-func describeMessage(message *agreement.Message) string {
+func describeMessage(message *raft.Message) string {
 	name, known := messageNames[message.Kind]
 	if !known {
 		name = fmt.Sprintf("message of kind %d", message.Kind)
@@ -54,11 +54,11 @@
 	return text.String()
 }
 
-func describeEntry(entry agreement.Entry) string {
+func describeEntry(entry raft.Entry) string {
 	switch entry.Kind {
-	case agreement.EntryMembership:
+	case raft.EntryMembership:
 		return fmt.Sprintf("%d/%d voters %v learners %v", entry.Index, entry.Term, entry.Membership.Voters, entry.Membership.Learners)
-	case agreement.EntryNoOp:
+	case raft.EntryNoOp:
 		return fmt.Sprintf("%d/%d empty", entry.Index, entry.Term)
 	}
 	return fmt.Sprintf("%d/%d %s", entry.Index, entry.Term, bytes.TrimRight(entry.Data, "\x00"))
--- a/proof/modelcheck/scenarios.go
+++ b/proof/modelcheck/scenarios.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 var (
@@ -119,13 +119,13 @@
 	script.Tick("a")
 	script.Tick("b")
 	for _, name := range []string{"a", "b"} {
-		script.Do(script.to("c", name, agreement.MessagePreVote))
-		script.Do(script.to(name, "c", agreement.MessagePreVoteReply))
+		script.Do(script.to("c", name, raft.MessagePreVote))
+		script.Do(script.to(name, "c", raft.MessagePreVoteReply))
 	}
 }
 
 // to gives the delivery of a message that is in flight.
-func (script *Script) to(receiver, sender string, kind agreement.MessageKind) Action {
+func (script *Script) to(receiver, sender string, kind raft.MessageKind) Action {
 	for _, sent := range script.world.flying {
 		if sent.message.To == receiver && sent.message.From == sender && sent.message.Kind == kind {
 			return Action{Kind: ActionDeliver, Replica: receiver, Message: sent.key}
@@ -145,14 +145,14 @@
 	script.DropAll()
 	script.Win("a", "c")
 	script.Tick("b") // which tells b of term 4
-	script.Do(script.to("c", "b", agreement.MessageAppend))
-	script.Do(script.to("b", "c", agreement.MessageAppendReply))
-	script.Do(script.to("c", "a", agreement.MessageAppend))
-	script.Do(script.to("a", "c", agreement.MessageAppendReply))
-	script.Do(script.to("c", "a", agreement.MessageAppend))
-	script.Do(script.to("a", "c", agreement.MessageAppendReply))
-	script.Do(script.to("c", "a", agreement.MessageAppend))
-	script.drop(func(message *agreement.Message) bool { return message.To != "a" })
+	script.Do(script.to("c", "b", raft.MessageAppend))
+	script.Do(script.to("b", "c", raft.MessageAppendReply))
+	script.Do(script.to("c", "a", raft.MessageAppend))
+	script.Do(script.to("a", "c", raft.MessageAppendReply))
+	script.Do(script.to("c", "a", raft.MessageAppend))
+	script.Do(script.to("a", "c", raft.MessageAppendReply))
+	script.Do(script.to("c", "a", raft.MessageAppend))
+	script.drop(func(message *raft.Message) bool { return message.To != "a" })
 }
 
 // overwrittenLog has a lead again after three entries of its log were replaced by two.
@@ -187,16 +187,16 @@
 	script.Settle("a")
 	script.Tick("a")
 	script.Settle("a", "b")
-	script.Do(script.to("c", "a", agreement.MessageAppend))
-	script.Do(script.to("a", "c", agreement.MessageAppendReply))
+	script.Do(script.to("c", "a", raft.MessageAppend))
+	script.Do(script.to("a", "c", raft.MessageAppendReply))
 }
 
 // lateSnapshot has c take a snapshot and an entry after it, with a copy of each of the
 // snapshot's chunks still in flight.
 func lateSnapshot(script *Script) {
 	lagging(script)
-	chunks := script.copiesOf("c", agreement.MessageSnapshotChunk)
-	slices.SortFunc(chunks, func(one, other agreement.Message) int { return cmp.Compare(one.Chunk.Offset, other.Chunk.Offset) })
+	chunks := script.copiesOf("c", raft.MessageSnapshotChunk)
+	slices.SortFunc(chunks, func(one, other raft.Message) int { return cmp.Compare(one.Chunk.Offset, other.Chunk.Offset) })
 	for _, chunk := range chunks {
 		script.Do(Action{Kind: ActionDeliver, Replica: "c", Message: keyOf(&chunk)})
 	}
@@ -219,7 +219,7 @@
 	script.Propose("a")
 	script.Do(script.appendAt("b", first))
 	script.Settle("b")
-	script.Do(script.to("a", "b", agreement.MessageAppendReply))
+	script.Do(script.to("a", "b", raft.MessageAppendReply))
 	script.Do(Action{Kind: ActionSync, Replica: "a"})
 	script.Compact("a")
 	script.Settle("a", "b")
@@ -229,7 +229,7 @@
 	script.Do(script.appendAt("c", first))
 	script.Do(script.appendAt("c", first+1))
 	script.Settle("c")
-	script.drop(func(message *agreement.Message) bool { return !message.Rejected })
+	script.drop(func(message *raft.Message) bool { return !message.Rejected })
 }
 
 // behind has a and b commit a command that c lacks.
--- a/proof/modelcheck/script.go
+++ b/proof/modelcheck/script.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 // settleLimit is more actions than any group of a scenario needs to become quiet.
@@ -55,10 +55,10 @@
 }
 
 // DropAll loses all messages in flight.
-func (script *Script) DropAll() { script.drop(func(*agreement.Message) bool { return true }) }
+func (script *Script) DropAll() { script.drop(func(*raft.Message) bool { return true }) }
 
 // drop loses the messages in flight that are chosen.
-func (script *Script) drop(chosen func(*agreement.Message) bool) {
+func (script *Script) drop(chosen func(*raft.Message) bool) {
 	for _, sent := range slices.Clone(script.world.flying) {
 		if chosen(sent.message) {
 			script.Do(Action{Kind: ActionDrop, Replica: sent.message.To, Message: sent.key})
@@ -85,8 +85,8 @@
 }
 
 // copiesOf gives all messages of a kind that are on their way to a replica.
-func (script *Script) copiesOf(receiver string, kind agreement.MessageKind) []agreement.Message {
-	found := []agreement.Message{}
+func (script *Script) copiesOf(receiver string, kind raft.MessageKind) []raft.Message {
+	found := []raft.Message{}
 	for _, sent := range script.world.flying {
 		if sent.message.To == receiver && sent.message.Kind == kind {
 			found = append(found, *sent.message)
@@ -96,7 +96,7 @@
 }
 
 // arrivesLate puts a copy of an earlier message in flight, as if it had been there since.
-func (script *Script) arrivesLate(message agreement.Message) {
+func (script *Script) arrivesLate(message raft.Message) {
 	script.world.send(message)
 	script.lines = append(script.lines, "a copy is still in flight: "+describeMessage(&message))
 }
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -1,4 +1,4 @@
-// Package modelcheck walks the states of agreement.Core: groups of a few replicas with
+// Package modelcheck walks the states of raft.Core: groups of a few replicas with
 // small logs, every order of messages, syncs, crashes, wiped disks, checkpoints and
 // membership changes, within stated limits. After every step it checks the invariants
 // that the rest of the system builds on (see invariants.go and history.go).
@@ -15,7 +15,7 @@
 	"fmt"
 	"slices"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 )
 
 // Model fixes the group that a World begins with, and how its replicas keep time.
@@ -55,18 +55,18 @@
 // replica is one replica with its disk.
 type replica struct {
 	name    string
-	core    *agreement.Core
-	disk    agreement.PersistentState
-	pending []*agreement.Write
+	core    *raft.Core
+	disk    raft.PersistentState
+	pending []*raft.Write
 	// gone tells that the disk was wiped: the name stays a member, but never answers.
 	gone bool
 
 	// begin and inputs rebuild the core when the World is forked.
-	begin  agreement.PersistentState
-	inputs []*agreement.Input
+	begin  raft.PersistentState
+	inputs []*raft.Input
 
-	status agreement.Status
-	image  agreement.PersistentState
+	status raft.Status
+	image  raft.PersistentState
 	print  fingerprint
 	hashed bool
 }
@@ -87,34 +87,34 @@
 // NewWorld founds a group as a Model says.
 func NewWorld(model *Model) *World {
 	world := &World{model: model, outcomes: &Outcomes{}}
-	founding := agreement.Membership{Voters: model.Voters, Learners: model.Learners}
+	founding := raft.Membership{Voters: model.Voters, Learners: model.Learners}
 	world.history.found(founding)
-	stored := agreement.PersistentState{
-		HardState: agreement.HardState{Term: foundingTerm},
-		Snapshot:  agreement.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: founding, Data: model.imageAt(foundingIndex, founder)},
+	stored := raft.PersistentState{
+		HardState: raft.HardState{Term: foundingTerm},
+		Snapshot:  raft.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: founding, Data: model.imageAt(foundingIndex, founder)},
 	}
 	for _, name := range slices.Concat(model.Voters, model.Learners) {
 		world.add(name, stored)
 	}
 	for _, name := range model.Spares {
-		world.add(name, agreement.PersistentState{})
+		world.add(name, raft.PersistentState{})
 	}
 	return world
 }
 
-func (world *World) add(name string, disk agreement.PersistentState) {
+func (world *World) add(name string, disk raft.PersistentState) {
 	added := &replica{name: name, disk: disk}
 	added.start(world.model)
 	world.owned |= 1 << len(world.replicas)
 	world.replicas = append(world.replicas, added)
 }
 
-func (replica *replica) settings(model *Model) agreement.Settings {
+func (replica *replica) settings(model *Model) raft.Settings {
 	seed := model.Seed
 	for _, letter := range replica.name {
 		seed = seed*31 + uint64(letter)
 	}
-	return agreement.Settings{Name: replica.name, ElectionTicks: model.ElectionTicks, HeartbeatTicks: model.HeartbeatTicks, Seed: seed, ChunkBytes: chunkBytes}
+	return raft.Settings{Name: replica.name, ElectionTicks: model.ElectionTicks, HeartbeatTicks: model.HeartbeatTicks, Seed: seed, ChunkBytes: chunkBytes}
 }
 
 // start makes the core anew from what the disk holds.
@@ -122,7 +122,7 @@
 	replica.pending = nil
 	replica.begin = cloneStored(replica.disk)
 	replica.inputs = nil
-	replica.core = agreement.New(replica.settings(model), replica.begin)
+	replica.core = raft.New(replica.settings(model), replica.begin)
 	replica.look()
 }
 
@@ -138,14 +138,14 @@
 	copied := *replica
 	copied.pending = slices.Clone(replica.pending)
 	copied.inputs = slices.Clip(replica.inputs)
-	copied.core = agreement.New(replica.settings(model), replica.begin)
+	copied.core = raft.New(replica.settings(model), replica.begin)
 	for _, input := range replica.inputs {
 		copied.core.Step(*input)
 	}
 	return &copied
 }
 
-func cloneStored(stored agreement.PersistentState) agreement.PersistentState {
+func cloneStored(stored raft.PersistentState) raft.PersistentState {
 	stored.Entries = slices.Clone(stored.Entries)
 	return stored
 }
@@ -188,7 +188,7 @@
 	return slices.BinarySearchFunc(world.flying, key, func(one packet, key messageKey) int { return cmp.Compare(one.key, key) })
 }
 
-func (world *World) send(message agreement.Message) {
+func (world *World) send(message raft.Message) {
 	receiver := world.replica(message.To)
 	if receiver == nil || receiver.gone {
 		return
@@ -214,23 +214,23 @@
 	case ActionSync:
 		world.sync(chosen)
 	case ActionTick:
-		world.step(chosen, agreement.Input{Kind: agreement.InputTick})
+		world.step(chosen, raft.Input{Kind: raft.InputTick})
 	case ActionPropose:
-		world.step(chosen, agreement.Input{Kind: agreement.InputPropose, Data: world.history.nextCommand(world.model.CommandBytes)})
+		world.step(chosen, raft.Input{Kind: raft.InputPropose, Data: world.history.nextCommand(world.model.CommandBytes)})
 	case ActionRead:
-		world.step(chosen, agreement.Input{Kind: agreement.InputReadIndex, Context: world.history.ask()})
+		world.step(chosen, raft.Input{Kind: raft.InputReadIndex, Context: world.history.ask()})
 	case ActionCrash:
 		world.crash(chosen, action.Count)
 	case ActionWipe:
 		world.wipe(chosen)
 	case ActionCompact:
-		world.step(chosen, agreement.Input{Kind: agreement.InputCompact, Index: chosen.core.Applied(), Data: world.model.imageAt(chosen.core.Applied(), chosen.name)})
+		world.step(chosen, raft.Input{Kind: raft.InputCompact, Index: chosen.core.Applied(), Data: world.model.imageAt(chosen.core.Applied(), chosen.name)})
 	case ActionHandOver:
-		world.step(chosen, agreement.Input{Kind: agreement.InputTransferLeadership, Peer: action.Peer})
+		world.step(chosen, raft.Input{Kind: raft.InputTransferLeadership, Peer: action.Peer})
 	case ActionChange:
-		world.step(chosen, agreement.Input{Kind: agreement.InputChangeMembership, Membership: chosen.changed(action)})
+		world.step(chosen, raft.Input{Kind: raft.InputChangeMembership, Membership: chosen.changed(action)})
 	case ActionSuspect:
-		world.step(chosen, agreement.Input{Kind: agreement.InputSuspect, Peer: action.Peer})
+		world.step(chosen, raft.Input{Kind: raft.InputSuspect, Peer: action.Peer})
 	}
 	if world.model.SyncAtOnce {
 		for world.violation == nil && len(chosen.pending) > 0 {
@@ -265,12 +265,12 @@
 		world.flying = slices.Delete(world.flying, at, at+1)
 	}
 	if action.Kind != ActionDrop {
-		world.step(receiver, agreement.Input{Kind: agreement.InputMessage, Message: *message})
+		world.step(receiver, raft.Input{Kind: raft.InputMessage, Message: *message})
 	}
 }
 
 // step feeds one input to a core and takes what it gives.
-func (world *World) step(stepped *replica, input agreement.Input) {
+func (world *World) step(stepped *replica, input raft.Input) {
 	before := view{status: stepped.status, image: stepped.image}
 	if world.model.Replayable {
 		stepped.inputs = append(stepped.inputs, &input)
@@ -287,7 +287,7 @@
 }
 
 // store lets the oldest pending write reach the disk.
-func (world *World) store(owner *replica) *agreement.Write {
+func (world *World) store(owner *replica) *raft.Write {
 	write := owner.pending[0]
 	owner.pending = owner.pending[1:]
 	before := owner.disk
@@ -299,7 +299,7 @@
 
 func (world *World) sync(owner *replica) {
 	write := world.store(owner)
-	world.step(owner, agreement.Input{Kind: agreement.InputSynced, Number: write.Number})
+	world.step(owner, raft.Input{Kind: raft.InputSynced, Number: write.Number})
 }
 
 // crash restarts a replica; the first writes of those pending reached the disk.
@@ -318,23 +318,23 @@
 	wiped.hashed = false
 	world.flying = slices.DeleteFunc(world.flying, func(one packet) bool { return one.message.To == wiped.name })
 	world.generation++
-	world.add(fmt.Sprintf("%s%d", wiped.name[:1], world.generation+1), agreement.PersistentState{})
+	world.add(fmt.Sprintf("%s%d", wiped.name[:1], world.generation+1), raft.PersistentState{})
 }
 
 // changed gives the membership that a change asks for.
-func (replica *replica) changed(action Action) agreement.Membership {
+func (replica *replica) changed(action Action) raft.Membership {
 	now := replica.status.Membership
-	next := agreement.Membership{Voters: slices.Clone(now.Voters), Learners: agreement.Without(now.Learners, action.Peer)}
+	next := raft.Membership{Voters: slices.Clone(now.Voters), Learners: raft.Without(now.Learners, action.Peer)}
 	switch action.Change {
 	case ChangeAddLearner:
 		next.Learners = append(next.Learners, action.Peer)
 	case ChangeAddVoter, ChangeTwice:
 		next.Voters = append(next.Voters, action.Peer)
 	case ChangeRemove:
-		next.Voters = agreement.Without(now.Voters, action.Peer)
+		next.Voters = raft.Without(now.Voters, action.Peer)
 	case ChangeSwap:
 		leaving := now.Voters[len(now.Voters)-1]
-		next.Voters = append(agreement.Without(now.Voters, leaving), action.Peer)
+		next.Voters = append(raft.Without(now.Voters, leaving), action.Peer)
 	}
 	return next
 }
--- a/proof/scale/hollow.go
+++ b/proof/scale/hollow.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yardrock.example/system/feed"
-	"yardrock.example/system/follower"
+	"yardrock.example/system/feedclient"
 	"yardrock.example/system/link"
 )
 
@@ -22,7 +22,7 @@
 type Hollow struct {
 	Name   string
 	caller *link.Client
-	follow *follower.Client
+	follow *feedclient.Client
 	mutex  sync.Mutex
 	taken  []taking
 }
@@ -58,7 +58,7 @@
 		}
 		node := &Hollow{Name: fmt.Sprintf("hollow-%04d", position+1), caller: link.NewClient(countedNetwork{network(position), &herd.Volume})}
 		member := feed.Member{Name: node.Name, Role: feed.RoleFront, Address: address, Domain: domains[position%len(domains)]}
-		node.follow = follower.Start(node.caller, member, seeds, nil, node.take)
+		node.follow = feedclient.Start(node.caller, member, seeds, nil, node.take)
 		herd.mutex.Lock()
 		herd.nodes = append(herd.nodes, node)
 		herd.mutex.Unlock()
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -13,8 +13,8 @@
 	"github.com/prometheus/procfs"
 
 	"yardrock.example/proof/fleet"
-	"yardrock.example/system/line"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 )
 
 const (
@@ -40,23 +40,23 @@
 }
 
 // turn is one turn, begun and ended at once, that goes on from another of its line.
-func turn(ctx context.Context, stores *storeorigin.Client, program, name, follows string, input, output []byte) (begun, ended time.Duration, history int, err error) {
+func turn(ctx context.Context, stores *storeclient.Client, program, name, follows string, input, output []byte) (begun, ended time.Duration, history int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
 	asked := time.Now()
-	began, err := stores.BeginTurn(ctx, storeorigin.Turn{SessionName: program, Name: name, Follows: follows, Input: input, KeepHistory: true, Retention: time.Hour, DispatchID: "scale/" + name, Lifetime: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 1 << 40})
+	began, err := stores.BeginTurn(ctx, storeclient.Turn{SessionName: program, Name: name, Follows: follows, Input: input, KeepHistory: true, Retention: time.Hour, DispatchID: "scale/" + name, Lifetime: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 1 << 40})
 	if err != nil {
 		return 0, 0, 0, err
 	}
 	begun = time.Since(asked)
 	asked = time.Now()
-	err = stores.EndTurn(ctx, storeorigin.TurnEnd{SessionName: program, Name: name, Seq: began.Seq, Output: output, Tokens: 80, Outcome: line.OutcomeComplete, KeepHistory: true})
+	err = stores.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: name, Seq: began.Seq, Output: output, Tokens: 80, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 	return begun, time.Since(asked), len(began.History), err
 }
 
 // makePrograms has the stores keep all programs with their histories.
 func (trial *trial) makePrograms(ctx context.Context) error {
-	stores := storeorigin.New(trial.caller, trial.herd.Nodes()[0].View)
+	stores := storeclient.New(trial.caller, trial.herd.Nodes()[0].View)
 	waiting := make(chan *program, trial.step.Programs)
 	for position := range trial.step.Programs {
 		made := &program{line: fmt.Sprintf("program/%06d", position), first: fmt.Sprintf("first-%06d", position)}
@@ -126,7 +126,7 @@
 // turns begins and ends turns at an even rate, each going on from the history of a
 // program, and tells what one costs above what quiet stores cost.
 func (trial *trial) turns(ctx context.Context) error {
-	stores := storeorigin.New(trial.caller, trial.herd.Nodes()[0].View)
+	stores := storeclient.New(trial.caller, trial.herd.Nodes()[0].View)
 	var mutex sync.Mutex
 	begins, ends, histories, failures, failed, late := []time.Duration{}, []time.Duration{}, 0, 0, error(nil), 0
 	before, err := trial.now(ctx)
--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -14,7 +14,7 @@
 	"yardrock.example/proof/standin"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 // dialogues starts conversations that a test follows up later.
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatalf("turn %d: %v", position, err)
 		}
-		want := words(standin.Answer([]runnerorigin.Message{{Role: "caller", Words: fmt.Sprintf("before %d", position)}, {Role: "model", Words: before.Words}}, question))
+		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Words: fmt.Sprintf("before %d", position)}, {Role: "model", Words: before.Words}}, question))
 		if after.Words != want {
 			t.Fatalf("turn %d: heard %q, want %q", position, after.Words, want)
 		}
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -19,7 +19,7 @@
 	"yardrock.example/system/config"
 	"yardrock.example/system/controlplane"
 	"yardrock.example/system/front"
-	"yardrock.example/system/httpface"
+	"yardrock.example/system/httpapi"
 	"yardrock.example/system/replica"
 	"yardrock.example/system/store"
 )
@@ -63,7 +63,7 @@
 	Front   *front.Node
 	// Ahead is how far the machine's wall clock is ahead of the time.
 	Ahead time.Duration
-	admin *httpface.Server
+	admin *httpapi.Server
 	start func() error
 }
 
@@ -395,7 +395,7 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	Error  httpface.Error
+	Error  httpapi.Error
 }
 
 // String shows an answer in a test's message.
--- a/proof/simulator/cluster_test.go
+++ b/proof/simulator/cluster_test.go
@@ -13,7 +13,7 @@
 	"github.com/apex/log/handlers/discard"
 
 	"yardrock.example/proof/standin"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 func TestMain(m *testing.M) {
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		history := []runnerorigin.Message{{Role: "caller", Words: "hello there"}, {Role: "model", Words: first.Words}}
+		history := []runnerclient.Message{{Role: "caller", Words: "hello there"}, {Role: "model", Words: first.Words}}
 		if want := words(standin.Answer(history, "and now?")); second.Words != want {
 			t.Fatalf("heard %q, want %q", second.Words, want)
 		}
--- a/proof/simulator/disk.go
+++ b/proof/simulator/disk.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"yardrock.example/system/files"
+	"yardrock.example/system/vfs"
 )
 
 // Disk is a folder in memory. What was written but not synced is lost, or torn,
@@ -19,7 +19,7 @@
 	random  *rand.Rand
 	live    map[string][]byte
 	lasting map[string][]byte
-	pending map[string][]files.PendingWrite
+	pending map[string][]vfs.PendingWrite
 	stalled chan struct{} // non-nil while syncs hang
 	slow    time.Duration
 	full    bool
@@ -31,7 +31,7 @@
 //
 //	disk := simulator.NewDisk(7)
 func NewDisk(seed uint64) *Disk {
-	return &Disk{random: rand.New(rand.NewPCG(seed, 3)), live: map[string][]byte{}, lasting: map[string][]byte{}, pending: map[string][]files.PendingWrite{}}
+	return &Disk{random: rand.New(rand.NewPCG(seed, 3)), live: map[string][]byte{}, lasting: map[string][]byte{}, pending: map[string][]vfs.PendingWrite{}}
 }
 
 var errFull = errors.New("no space left on device")
@@ -70,7 +70,7 @@
 	if disk.full && len(data) > 0 {
 		return errFull
 	}
-	write := files.PendingWrite{Offset: offset, Data: append([]byte{}, data...)}
+	write := vfs.PendingWrite{Offset: offset, Data: append([]byte{}, data...)}
 	disk.live[name] = write.ApplyTo(disk.live[name])
 	disk.pending[name] = append(disk.pending[name], write)
 	return nil
@@ -84,7 +84,7 @@
 	if !found {
 		return fs.ErrNotExist
 	}
-	cut := files.PendingWrite{Offset: size}
+	cut := vfs.PendingWrite{Offset: size}
 	disk.live[name] = cut.ApplyTo(data)
 	disk.pending[name] = append(disk.pending[name], cut)
 	return nil
--- a/proof/simulator/durable_test.go
+++ b/proof/simulator/durable_test.go
@@ -11,9 +11,9 @@
 	"github.com/leanovate/gopter/prop"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/coldstore"
+	"yardrock.example/system/archive"
 	"yardrock.example/system/durablelog"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 )
 
@@ -182,15 +182,15 @@
 // however much was archived.
 func TestOpeningTheColdStoreReadsNoEvents(t *testing.T) {
 	disk := NewDisk(1)
-	cold, err := coldstore.Open(disk)
+	cold, err := archive.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
 	stored := 0
 	for file := range 20 {
-		events := []line.Event{}
+		events := []sessionlog.Event{}
 		for seq := range uint64(200) {
-			events = append(events, line.Event{Seq: seq + 1, Text: strings.Repeat("word ", 20)})
+			events = append(events, sessionlog.Event{Seq: seq + 1, Text: strings.Repeat("word ", 20)})
 			stored += 100
 		}
 		if err := cold.Put([]wire.ArchiveChunk{{Session: fmt.Sprintf("depot/c-%d", file), First: 1, Last: 200, Events: events}}); err != nil {
@@ -198,7 +198,7 @@
 		}
 	}
 	disk.TakeRead()
-	again, err := coldstore.Open(disk)
+	again, err := archive.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -11,7 +11,7 @@
 
 	"yardrock.example/proof/standin"
 	"yardrock.example/system/placement"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 // executions counts how often work was carried out, over all runners.
@@ -223,7 +223,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := words(standin.Answer([]runnerorigin.Message{{Role: "caller", Words: "start"}, {Role: "model", Words: first.Words}}, "go on"))
+		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Words: "start"}, {Role: "model", Words: first.Words}}, "go on"))
 		if second.Words != want {
 			t.Fatalf("heard %q, want %q", second.Words, want)
 		}
@@ -355,7 +355,7 @@
 			if err != nil {
 				t.Fatalf("turn %d: %v", position, err)
 			}
-			want := words(standin.Answer([]runnerorigin.Message{{Role: "caller", Words: fmt.Sprintf("before %d", position)}, {Role: "model", Words: before.Words}}, question))
+			want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Words: fmt.Sprintf("before %d", position)}, {Role: "model", Words: before.Words}}, question))
 			if after.Words != want {
 				t.Fatalf("turn %d: heard %q, want %q", position, after.Words, want)
 			}
--- a/proof/simulator/helpers_test.go
+++ b/proof/simulator/helpers_test.go
@@ -6,7 +6,7 @@
 	"io"
 	"strings"
 
-	"yardrock.example/system/httpface"
+	"yardrock.example/system/httpapi"
 )
 
 func newReader(data []byte) io.Reader { return bytes.NewReader(data) }
@@ -14,7 +14,7 @@
 func wordsOf(text string) []string { return strings.Fields(text) }
 
 func errorKind(err error) string {
-	var failure *httpface.Error
+	var failure *httpapi.Error
 	if errors.As(err, &failure) {
 		return failure.Kind
 	}
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -13,10 +13,10 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/follower"
-	"yardrock.example/system/line"
+	"yardrock.example/system/feedclient"
 	"yardrock.example/system/link"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -99,12 +99,12 @@
 			host := fmt.Sprintf("10.8.0.%d", number+1)
 			caller := link.NewClient(cluster.Network.At(host))
 			defer caller.Close()
-			following := follower.Start(caller, feed.Member{Name: host, Role: "client", Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
+			following := feedclient.Start(caller, feed.Member{Name: host, Role: "client", Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
 			defer following.Stop()
 			for following.View().Groups == 0 {
 				<-time.After(50 * time.Millisecond)
 			}
-			client := storeorigin.New(caller, following.View)
+			client := storeclient.New(caller, following.View)
 			seen := map[string]uint64{}
 			for position := 0; ctx.Err() == nil; position++ {
 				input := lineInput{line: fmt.Sprintf("depot/line-%d", random.IntN(2)), read: random.IntN(3) == 0, word: fmt.Sprintf("%d-%d", number, position), expects: random.IntN(2) == 0}
@@ -146,7 +146,7 @@
 	return history, unknown, refused
 }
 
-func operate(client *storeorigin.Client, input lineInput, seen map[string]uint64) lineOutput {
+func operate(client *storeclient.Client, input lineInput, seen map[string]uint64) lineOutput {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if input.read {
@@ -165,13 +165,13 @@
 		return lineOutput{words: words}
 	}
 	outcomes, err := client.Command(ctx, input.line,
-		line.Command{Kind: line.CreateSession, Retention: time.Hour},
-		line.Command{Kind: line.AppendEvent, Producer: input.word, ProducerSeq: 1, HasExpectedSeq: input.expects, ExpectedSeq: input.expected, Events: []line.Event{{Kind: line.HelperStarted, Text: input.word}}})
+		sessionlog.Command{Kind: sessionlog.CreateSession, Retention: time.Hour},
+		sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: input.word, ProducerSeq: 1, HasExpectedSeq: input.expects, ExpectedSeq: input.expected, Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted, Text: input.word}}})
 	if err != nil {
 		return lineOutput{unknown: true}
 	}
 	seen[input.line] = outcomes[1].Head
-	return lineOutput{refused: outcomes[1].Status == line.UnexpectedSeq, seq: outcomes[1].Seq}
+	return lineOutput{refused: outcomes[1].Status == sessionlog.UnexpectedSeq, seq: outcomes[1].Seq}
 }
 
 // TestAFrozenAssignmentOwnerThatWakesDoesNoHarm isolates the owner of the roster assignment;
@@ -232,7 +232,7 @@
 		defer reader.Close()
 		defer writer.Close()
 		view := cluster.Controls[0].Control.View()
-		client := storeorigin.New(writer, func() *feed.View { return view })
+		client := storeclient.New(writer, func() *feed.View { return view })
 		reads, served := 0, 0
 		for round := range 4 {
 			old := cluster.Stores[random.IntN(3)]
@@ -249,8 +249,8 @@
 					name := fmt.Sprintf("depot/deposed-%d", number)
 					for until := time.Now().Add(3500 * time.Millisecond); time.Now().Before(until); {
 						ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
-						outcomes, err := client.Command(ctx, name, line.Command{Kind: line.CreateSession, Retention: time.Hour},
-							line.Command{Kind: line.AppendEvent, Producer: fmt.Sprintf("%d-%d", round, time.Now().UnixNano()), ProducerSeq: 1, Events: []line.Event{{Kind: line.HelperStarted}}})
+						outcomes, err := client.Command(ctx, name, sessionlog.Command{Kind: sessionlog.CreateSession, Retention: time.Hour},
+							sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: fmt.Sprintf("%d-%d", round, time.Now().UnixNano()), ProducerSeq: 1, Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted}}})
 						cancel()
 						<-time.After(15 * time.Millisecond)
 						if err != nil {
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -12,18 +12,18 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/controlplane"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/follower"
-	"yardrock.example/system/line"
+	"yardrock.example/system/feedclient"
 	"yardrock.example/system/link"
+	"yardrock.example/system/sessionlog"
 )
 
 // watch follows the feed from some hosts, as fronts do.
-func (cluster *Cluster) watch(t *testing.T, count int) []*follower.Client {
-	watching := []*follower.Client{}
+func (cluster *Cluster) watch(t *testing.T, count int) []*feedclient.Client {
+	watching := []*feedclient.Client{}
 	for position := range count {
 		host := fmt.Sprintf("10.8.1.%d", position+1)
 		caller := link.NewClient(cluster.Network.At(host))
-		following := follower.Start(caller, feed.Member{Name: host, Role: feed.RoleFront, Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
+		following := feedclient.Start(caller, feed.Member{Name: host, Role: feed.RoleFront, Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
 		t.Cleanup(func() { following.Stop(); caller.Close() })
 		watching = append(watching, following)
 	}
@@ -32,10 +32,10 @@
 
 // until waits, step by step, until all that watch may act on a view that fits; it tells how
 // long that took.
-func until(t *testing.T, timeout time.Duration, watching []*follower.Client, what string, fits func(view *feed.View) bool) time.Duration {
+func until(t *testing.T, timeout time.Duration, watching []*feedclient.Client, what string, fits func(view *feed.View) bool) time.Duration {
 	t.Helper()
 	began := time.Now()
-	behind := func(one *follower.Client) bool {
+	behind := func(one *feedclient.Client) bool {
 		view, err := one.Fresh()
 		return err != nil || !fits(view)
 	}
@@ -400,7 +400,7 @@
 			if string(begun.History) != history {
 				t.Errorf("%s: turn %s has the history %q, not %q", program, name, begun.History, history)
 			}
-			return origin.EndTurn(limited, programTurnEnd(program, name, line.OutcomeComplete, begun.Seq, 10)) == nil
+			return origin.EndTurn(limited, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)) == nil
 		}
 		var taking sync.WaitGroup
 		taken := atomic.Int64{}
--- a/proof/simulator/openings_test.go
+++ b/proof/simulator/openings_test.go
@@ -13,9 +13,9 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/forwarding"
-	"yardrock.example/system/line"
 	"yardrock.example/system/placement"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 	"yardrock.example/system/wire"
 )
 
@@ -370,7 +370,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := origin.EndTurn(ctx, programTurnEnd(name, name, line.OutcomeComplete, begun.Seq, 1)); err != nil {
+			if err := origin.EndTurn(ctx, programTurnEnd(name, name, sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
 				t.Fatal(err)
 			}
 			cluster.Settle(200 * time.Millisecond)
@@ -391,7 +391,7 @@
 			t.Fatalf("the opening is %s", state)
 		}
 		whole := func(name string) string { return opening + "in " + name + "\nout " + name + "\n" }
-		turn := func(name, follows string) (*storeorigin.BegunTurn, error) {
+		turn := func(name, follows string) (*storeclient.BegunTurn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
 			return origin.BeginTurn(ctx, programTurn(follows, name, follows))
@@ -441,14 +441,14 @@
 		origin, end := cluster.origin("10.8.0.1")
 		defer end()
 		opening, waited := prose(9, 2560), map[string][]time.Duration{}
-		take := func(turn storeorigin.Turn, arm, want string) {
+		take := func(turn storeclient.Turn, arm, want string) {
 			began := time.Now()
 			begun, err := origin.BeginTurn(context.Background(), turn)
 			if err != nil || string(begun.History) != want {
 				t.Fatalf("%s: %v", turn.Name, err)
 			}
 			waited[arm] = append(waited[arm], time.Since(began))
-			ended := storeorigin.TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Seq: begun.Seq, Output: []byte("out"), Outcome: line.OutcomeComplete, KeepHistory: true}
+			ended := storeclient.TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Seq: begun.Seq, Output: []byte("out"), Outcome: sessionlog.OutcomeComplete, KeepHistory: true}
 			if err := origin.EndTurn(context.Background(), ended); err != nil {
 				t.Fatal(err)
 			}
--- a/proof/simulator/stored_test.go
+++ b/proof/simulator/stored_test.go
@@ -25,10 +25,10 @@
 	"yardrock.example/system/config"
 	"yardrock.example/system/controlplane"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
 	"yardrock.example/system/replica"
-	"yardrock.example/system/runnerorigin"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 )
 
 // The data folders of all control nodes and stores of a fleet, and what they must be found
@@ -116,12 +116,12 @@
 
 // describedSession tells what a quorum read gives of a session, all but how far it is
 // archived, which goes on.
-func describedSession(session line.Session) string {
+func describedSession(session sessionlog.Session) string {
 	return fmt.Sprintf("%s team %q program %q kind %q created %d keep %s touched %d until %d spent %d reserved %d openings %v", session.Name, session.Team, session.Program, session.WorkKind,
 		session.CreatedAt, session.Retention, session.UpdatedAt, session.RetainUntil, session.Spent, session.Reserved, session.Prefixes)
 }
 
-func describedEvent(event line.Event) string {
+func describedEvent(event sessionlog.Event) string {
 	return fmt.Sprintf("%d at %d kind %d turn %d follows %d words %q outcome %q runner %q dispatch %q digest %q name %q part %d producer %q %d config %d deadline %d opening %q data %x",
 		event.Seq, event.At, event.Kind, event.Turn, event.Follows, event.Text, event.Outcome, event.Runner, event.Dispatch, event.Digest, event.Name, event.Part, event.Producer, event.ProducerSeq,
 		event.Config, event.Deadline, event.Prefix, sha256.Sum256(event.Data))
@@ -360,7 +360,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := origin.EndTurn(ctx, programTurnEnd("p", name, line.OutcomeComplete, begun.Seq, 7)); err != nil {
+		if err := origin.EndTurn(ctx, programTurnEnd("p", name, sessionlog.OutcomeComplete, begun.Seq, 7)); err != nil {
 			t.Fatal(err)
 		}
 		follows = name
@@ -372,7 +372,7 @@
 	fleet.OpenSeq = begun.Seq
 }
 
-func storedTurn(name, follows string) (turn storeorigin.Turn) {
+func storedTurn(name, follows string) (turn storeclient.Turn) {
 	turn = programTurn("p", name, follows)
 	turn.Retention, turn.Lifetime = time.Hour, time.Hour
 	return turn
@@ -389,9 +389,9 @@
 	if err != nil {
 		t.Fatalf("%s: %v", conversation.Name, err)
 	}
-	history := []runnerorigin.Message{}
+	history := []runnerclient.Message{}
 	for _, one := range conversation.History {
-		history = append(history, runnerorigin.Message{Role: one.Role, Words: one.Words})
+		history = append(history, runnerclient.Message{Role: one.Role, Words: one.Words})
 	}
 	if want := strings.Join(standin.Answer(history, words), ""); said.Words != want {
 		t.Fatalf("%s heard %q, want %q", conversation.Name, said.Words, want)
@@ -612,10 +612,10 @@
 	if _, err := origin.BeginTurn(ctx, rest); err != nil {
 		t.Errorf("the rest of the allowance: %v", err)
 	}
-	if err := origin.EndTurn(ctx, programTurnEnd("p", "rest", line.OutcomeComplete, 0, 0)); err != nil {
+	if err := origin.EndTurn(ctx, programTurnEnd("p", "rest", sessionlog.OutcomeComplete, 0, 0)); err != nil {
 		t.Errorf("%v", err)
 	}
-	if err := origin.EndTurn(ctx, programTurnEnd("p", "open", line.OutcomeComplete, want.OpenSeq, 10)); err != nil {
+	if err := origin.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeComplete, want.OpenSeq, 10)); err != nil {
 		t.Errorf("the open turn's end: %v", err)
 	}
 	if begun, err := origin.BeginTurn(ctx, storedTurn("c", "open")); err != nil || string(begun.History) != whole("a")+whole("b")+whole("open") {
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -10,20 +10,20 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/follower"
-	"yardrock.example/system/line"
+	"yardrock.example/system/feedclient"
 	"yardrock.example/system/link"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 )
 
 // origin asks the stores from a host of its own, until closed.
-func (cluster *Cluster) origin(host string) (origin *storeorigin.Client, end func()) {
+func (cluster *Cluster) origin(host string) (origin *storeclient.Client, end func()) {
 	caller := link.NewClient(cluster.Network.At(host))
-	following := follower.Start(caller, feed.Member{Name: host, Role: "client", Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
+	following := feedclient.Start(caller, feed.Member{Name: host, Role: "client", Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
 	for following.View().Groups == 0 || len(following.View().Stores) == 0 {
 		<-time.After(50 * time.Millisecond)
 	}
-	return storeorigin.New(caller, following.View), func() {
+	return storeclient.New(caller, following.View), func() {
 		following.Stop()
 		caller.Close()
 	}
@@ -34,13 +34,13 @@
 	turnAllowance = 400
 )
 
-func programTurn(program, name, follows string) storeorigin.Turn {
-	return storeorigin.Turn{SessionName: "program/" + program, Name: name, Follows: follows, Input: []byte("in " + name + "\n"), KeepHistory: true, Retention: 5 * time.Minute,
+func programTurn(program, name, follows string) storeclient.Turn {
+	return storeclient.Turn{SessionName: "program/" + program, Name: name, Follows: follows, Input: []byte("in " + name + "\n"), KeepHistory: true, Retention: 5 * time.Minute,
 		HasTokenQuota: true, MaxOutputTokens: turnMost, TokenQuota: turnAllowance, DispatchID: "here/" + name, Lifetime: time.Minute}
 }
 
-func programTurnEnd(program, name, outcome string, seq, tokens uint64) storeorigin.TurnEnd {
-	return storeorigin.TurnEnd{SessionName: "program/" + program, Name: name, Seq: seq, Output: []byte("out " + name + "\n"), Tokens: tokens, Outcome: outcome, KeepHistory: true}
+func programTurnEnd(program, name, outcome string, seq, tokens uint64) storeclient.TurnEnd {
+	return storeclient.TurnEnd{SessionName: "program/" + program, Name: name, Seq: seq, Output: []byte("out " + name + "\n"), Tokens: tokens, Outcome: outcome, KeepHistory: true}
 }
 
 // whole is what a turn answered whole adds to a history.
@@ -63,7 +63,7 @@
 				t.Fatalf("%s repeated: %+v, %v; want the history %q", name, again, err, history)
 			}
 			for range 2 {
-				if err := origin.EndTurn(ctx, programTurnEnd(program, name, line.OutcomeComplete, begun.Seq, 10)); err != nil {
+				if err := origin.EndTurn(ctx, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)); err != nil {
 					t.Fatalf("%s: %v", name, err)
 				}
 			}
@@ -105,7 +105,7 @@
 		if _, err := origin.BeginTurn(ctx, other); !apierror.Is(err, apierror.Conflict) {
 			t.Fatalf("a second dispatch began the turn: %v", err)
 		}
-		if err := origin.EndTurn(ctx, programTurnEnd("p", "open", line.OutcomeCut, begun.Seq, 3)); err != nil {
+		if err := origin.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeCut, begun.Seq, 3)); err != nil {
 			t.Fatal(err)
 		}
 		refused(apierror.NotFound, "p", "h", "open")
@@ -164,7 +164,7 @@
 	told.mutex.Unlock()
 }
 
-func (told *programs) run(origin *storeorigin.Client, random *rand.Rand, number int, stop context.Context) {
+func (told *programs) run(origin *storeclient.Client, random *rand.Rand, number int, stop context.Context) {
 	for position := 0; stop.Err() == nil; position++ {
 		name, program := fmt.Sprintf("t%d-%d", number, position), fmt.Sprintf("p%d", random.IntN(6)+6*(position/40))
 		followed := toldTurn{}
@@ -190,7 +190,7 @@
 	}
 }
 
-func (told *programs) take(origin *storeorigin.Client, random *rand.Rand, program, name string, followed toldTurn, begun *storeorigin.BegunTurn) {
+func (told *programs) take(origin *storeclient.Client, random *rand.Rand, program, name string, followed toldTurn, begun *storeclient.BegunTurn) {
 	if string(begun.History) != followed.history {
 		told.fail("%s goes on from %q, want %q", name, begun.History, followed.history)
 	}
@@ -203,17 +203,17 @@
 	}
 	told.mutex.Unlock()
 	<-time.After(time.Duration(random.IntN(80)) * time.Millisecond)
-	outcome := line.OutcomeComplete
+	outcome := sessionlog.OutcomeComplete
 	switch random.IntN(8) {
 	case 0:
-		outcome = line.OutcomeCut
+		outcome = sessionlog.OutcomeCut
 	case 1:
 		return // its front is gone
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	err := origin.EndTurn(ctx, programTurnEnd(program, name, outcome, begun.Seq, tokens))
-	if err == nil && outcome == line.OutcomeComplete {
+	if err == nil && outcome == sessionlog.OutcomeComplete {
 		told.mutex.Lock()
 		told.whole = append(told.whole, toldTurn{name: name, program: program, history: followed.history + whole(name)})
 		told.mutex.Unlock()
@@ -343,7 +343,7 @@
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		origin, end := cluster.origin("10.8.0.1")
 		defer end()
-		begin := func(program, name, follows string) (*storeorigin.BegunTurn, error) {
+		begin := func(program, name, follows string) (*storeclient.BegunTurn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
 			return origin.BeginTurn(ctx, programTurn(program, name, follows))
@@ -352,7 +352,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := origin.EndTurn(t.Context(), programTurnEnd("p", "a", line.OutcomeComplete, begun.Seq, 1)); err != nil {
+		if err := origin.EndTurn(t.Context(), programTurnEnd("p", "a", sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(25 * time.Second)
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 )
 
 // Pace is how fast a stand-in runner works.
@@ -155,8 +155,8 @@
 // all of it, so that any difference shows.
 //
 //	pieces := standin.Answer(history, "hello")
-func Answer(history []runnerorigin.Message, words string) []string {
-	said, _ := json.Marshal(append(append([]runnerorigin.Message{}, history...), runnerorigin.Message{Role: "caller", Words: words}))
+func Answer(history []runnerclient.Message, words string) []string {
+	said, _ := json.Marshal(append(append([]runnerclient.Message{}, history...), runnerclient.Message{Role: "caller", Words: words}))
 	sum := sha256.Sum256(said)
 	pieces := []string{"seen " + hex.EncodeToString(sum[:8])}
 	for position := range 4 + int(sum[0]%12) {
@@ -168,13 +168,13 @@
 // PlainAnswer is what an application runner answers.
 //
 //	answer := standin.PlainAnswer(query)
-func PlainAnswer(query runnerorigin.PlainRequest) map[string]string {
+func PlainAnswer(query runnerclient.PlainRequest) map[string]string {
 	sum := sha256.Sum256([]byte(query.Kind + "\x00" + query.RequestKey + "\x00" + query.Words))
 	return map[string]string{"done": query.Kind, "proof": hex.EncodeToString(sum[:8])}
 }
 
 func (runner *Runner) turn(writer http.ResponseWriter, query *http.Request) {
-	var asked runnerorigin.TurnRequest
+	var asked runnerclient.TurnRequest
 	if err := json.NewDecoder(query.Body).Decode(&asked); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
@@ -183,7 +183,7 @@
 	runner.record.Turns++
 	runner.mutex.Unlock()
 	if strings.Contains(asked.Words, "!refuse") {
-		writer.Header().Set(runnerorigin.NotRunHeader, "true")
+		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -229,13 +229,13 @@
 }
 
 func (runner *Runner) plain(writer http.ResponseWriter, query *http.Request) {
-	var asked runnerorigin.PlainRequest
+	var asked runnerclient.PlainRequest
 	if err := json.NewDecoder(query.Body).Decode(&asked); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if strings.Contains(asked.Words, "!refuse") {
-		writer.Header().Set(runnerorigin.NotRunHeader, "true")
+		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/system/coldstore/store.go
+++ b/system/archive/store.go
@@ -1,7 +1,7 @@
 // Package coldstore keeps archived runs of events on a store node's own disk.
 // One Put is one file and one sync, whatever number of lines it holds. A file
 // begins with an index of its chunks, so that opening reads no events.
-package coldstore
+package archive
 
 import (
 	"cmp"
@@ -16,8 +16,8 @@
 	"sync"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/files"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/vfs"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -43,7 +43,7 @@
 
 // Store is an open cold store.
 type Store struct {
-	folder files.Directory
+	folder vfs.Directory
 	// writeMutex lets one Put write at a time, and guards next; mutex guards what is known,
 	// and is never held while the disk works, so that reads go on while a sync is slow.
 	writeMutex sync.Mutex
@@ -52,7 +52,7 @@
 	liveChunks map[uint64]int // how many chunks of each file still count
 	// digests are digests of how far each line is here without a hole, by group; sessionsByGroup
 	// names the lines of a group.
-	digests         map[uint32]*line.BucketDigests
+	digests         map[uint32]*sessionlog.BucketDigests
 	sessionsByGroup map[uint32]map[string]bool
 	nextFile        uint64
 	// scrubCursor is the line that Scrub came to; only Scrub's caller touches it.
@@ -63,8 +63,8 @@
 // confirmed and is left out; what it should hold is fetched anew by repair.
 //
 //	cold, err := coldstore.Open(folder)
-func Open(folder files.Directory) (*Store, error) {
-	store := &Store{folder: folder, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{}, digests: map[uint32]*line.BucketDigests{}, sessionsByGroup: map[uint32]map[string]bool{}, nextFile: 1}
+func Open(folder vfs.Directory) (*Store, error) {
+	store := &Store{folder: folder, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{}, digests: map[uint32]*sessionlog.BucketDigests{}, sessionsByGroup: map[uint32]map[string]bool{}, nextFile: 1}
 	names, err := folder.List()
 	if err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 func (store *Store) setLocations(name string, group uint32, locations []chunkLocation) {
 	sums, found := store.digests[group]
 	if !found {
-		sums = &line.BucketDigests{}
+		sums = &sessionlog.BucketDigests{}
 		store.digests[group], store.sessionsByGroup[group] = sums, map[string]bool{}
 	}
 	sums.Toggle(name, contiguousThrough(store.locations[name]))
@@ -146,13 +146,13 @@
 // BucketDigests gives the digests of how far a group's lines are here, one a bucket.
 //
 //	if cold.BucketDigests(7) == view.BucketDigests() { ... }
-func (store *Store) BucketDigests(group uint32) line.BucketDigests {
+func (store *Store) BucketDigests(group uint32) sessionlog.BucketDigests {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
 	if sums, found := store.digests[group]; found {
 		return *sums
 	}
-	return line.BucketDigests{}
+	return sessionlog.BucketDigests{}
 }
 
 // readChunk reads a chunk's events; a damaged or missing one is a gap.
@@ -231,11 +231,11 @@
 // this store has them; there may be gaps.
 //
 //	events, err := cold.Read("team/c-1", 0, 9)
-func (store *Store) Read(name string, after, through uint64) ([]line.Event, error) {
+func (store *Store) Read(name string, after, through uint64) ([]sessionlog.Event, error) {
 	store.mutex.RLock()
 	locations := store.locations[name]
 	store.mutex.RUnlock()
-	found := map[uint64]line.Event{}
+	found := map[uint64]sessionlog.Event{}
 	for _, location := range locations {
 		if location.last <= after || location.first > through {
 			continue
@@ -250,11 +250,11 @@
 			}
 		}
 	}
-	events := make([]line.Event, 0, len(found))
+	events := make([]sessionlog.Event, 0, len(found))
 	for _, event := range found {
 		events = append(events, event)
 	}
-	slices.SortFunc(events, func(left, right line.Event) int { return int(left.Seq) - int(right.Seq) })
+	slices.SortFunc(events, func(left, right sessionlog.Event) int { return int(left.Seq) - int(right.Seq) })
 	return events, nil
 }
 
@@ -266,7 +266,7 @@
 	defer store.mutex.RUnlock()
 	ranges := []wire.RangeDigest{}
 	for name := range store.sessionsByGroup[group] {
-		if !slices.Contains(buckets, uint32(line.BucketOf(name))) {
+		if !slices.Contains(buckets, uint32(sessionlog.BucketOf(name))) {
 			continue
 		}
 		for _, location := range store.locations[name] {
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -9,7 +9,7 @@
 
 	"yardrock.example/system/daemon"
 	"yardrock.example/system/front"
-	"yardrock.example/system/httpface"
+	"yardrock.example/system/httpapi"
 	"yardrock.example/system/link"
 	"yardrock.example/system/replica"
 	"yardrock.example/system/settings"
@@ -72,7 +72,7 @@
 		node.Close()
 		return daemon.Service{}, err
 	}
-	server := httpface.Serve(listener, httpface.HealthHandler(node.Ready), func() int64 { return 1024 })
+	server := httpapi.Serve(listener, httpapi.HealthHandler(node.Ready), func() int64 { return 1024 })
 	running.Close = func() {
 		server.Close()
 		node.Close()
--- a/system/cmd/yardrock-shell/main.go
+++ b/system/cmd/yardrock-shell/main.go
@@ -20,7 +20,7 @@
 	"github.com/peterh/liner"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/httpface"
+	"yardrock.example/system/httpapi"
 	"yardrock.example/system/querylanguage"
 	"yardrock.example/system/settings"
 )
@@ -100,9 +100,9 @@
 		request.Header.Set("Content-Type", "application/json")
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			last = &httpface.Error{Kind: string(apierror.Unavailable), Message: err.Error(), Remedy: "check the address, or name more control nodes"}
+			last = &httpapi.Error{Kind: string(apierror.Unavailable), Message: err.Error(), Remedy: "check the address, or name more control nodes"}
 			if !strings.Contains(err.Error(), "connect") && !strings.HasPrefix(text, "show") {
-				return nil, &httpface.Error{Kind: string(apierror.OutcomeUnknown), Message: err.Error(), Remedy: "show changes, then decide whether to send the command again"}
+				return nil, &httpapi.Error{Kind: string(apierror.OutcomeUnknown), Message: err.Error(), Remedy: "show changes, then decide whether to send the command again"}
 			}
 			continue
 		}
@@ -111,7 +111,7 @@
 			result := &queryResult{}
 			return result, json.NewDecoder(response.Body).Decode(result)
 		}
-		failure := &httpface.Error{}
+		failure := &httpapi.Error{}
 		if err := json.NewDecoder(response.Body).Decode(failure); err != nil {
 			return nil, fmt.Errorf("%s answered %s", control, response.Status)
 		}
@@ -126,7 +126,7 @@
 func (shell *shell) run(text string) int {
 	result, err := shell.query(text)
 	if err != nil {
-		var failure *httpface.Error
+		var failure *httpapi.Error
 		if !errors.As(err, &failure) {
 			fmt.Fprintln(os.Stderr, err)
 			return exitUnreachable
--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -18,7 +18,7 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/httpface"
+	"yardrock.example/system/httpapi"
 	"yardrock.example/system/wire"
 )
 
@@ -38,19 +38,19 @@
 // while no config names operators.
 //
 //	server, err := controlplane.ServeAdmin(node, rootHash)
-func ServeAdmin(node *Node, rootHash string) (*httpface.Server, error) {
+func ServeAdmin(node *Node, rootHash string) (*httpapi.Server, error) {
 	listener, err := node.network.Listen(node.settings.Administration)
 	if err != nil {
 		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+node.settings.Administration+": "+err.Error(), "use an address of this machine that is free")
 	}
-	return httpface.Serve(listener, adminService{node: node, root: rootHash}.handler(), func() int64 { return maxConfigBytes }), nil
+	return httpapi.Serve(listener, adminService{node: node, root: rootHash}.handler(), func() int64 { return maxConfigBytes }), nil
 }
 
 func (service adminService) handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
-	administrationserver.Mount(mux, administrationserver.New(administration.NewEndpoints(service), mux, decoder, encoder, nil, httpface.FormatError))
-	httpface.MountHealth(mux, service.node.Ready)
+	administrationserver.Mount(mux, administrationserver.New(administration.NewEndpoints(service), mux, decoder, encoder, nil, httpapi.FormatError))
+	httpapi.MountHealth(mux, service.node.Ready)
 	return mux
 }
 
@@ -71,7 +71,7 @@
 // authenticate finds who asks, by what a quorum confirms: an operator may have been added or
 // removed while this node was cut off.
 func (service adminService) authenticate(ctx context.Context, header *string) (authenticatedOperator, error) {
-	token, err := httpface.BearerToken(header)
+	token, err := httpapi.BearerToken(header)
 	if err != nil {
 		return authenticatedOperator{}, err
 	}
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -13,9 +13,9 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
 	"yardrock.example/system/querylanguage"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -145,12 +145,12 @@
 	},
 	"openings": showSharedPrefixes,
 	"tallies": func(service adminService, ctx context.Context, view *feed.View, decoded *config.Config) ([]string, [][]string) {
-		stores := storeorigin.New(service.node.caller, func() *feed.View { return view })
+		stores := storeclient.New(service.node.caller, func() *feed.View { return view })
 		rows := [][]string{}
 		for _, name := range slices.Sorted(maps.Keys(decoded.Programs)) {
 			program := decoded.Programs[name]
 			limited, cancel := context.WithTimeout(ctx, callTimeout)
-			reply, err := stores.Read(limited, wire.ReadQuery{Session: line.QuotaName(program.Team, name, program.Period), QuotaUsage: true})
+			reply, err := stores.Read(limited, wire.ReadQuery{Session: sessionlog.QuotaName(program.Team, name, program.Period), QuotaUsage: true})
 			cancel()
 			spent, reserved := "unknown", "unknown"
 			if err == nil {
--- a/system/controlplane/admin_requests_model_test.go
+++ b/system/controlplane/admin_requests_model_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -66,7 +66,7 @@
 func (model *requestsModel) view() *feed.View { return model.machine.state().view }
 
 func (model *requestsModel) apply(change feed.Change) changeOutcome {
-	outcome := model.machine.Apply(agreement.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)})
+	outcome := model.machine.Apply(raft.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)})
 	return outcome.(changeOutcome)
 }
 
--- a/system/controlplane/config_history_bench_test.go
+++ b/system/controlplane/config_history_bench_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -63,7 +63,7 @@
 func applyChange(tb testing.TB, machine *feedStateMachine, change feed.Change) int {
 	tb.Helper()
 	data := wire.MustEncode(schema.Change_TypeID, &change)
-	if outcome := machine.Apply(agreement.Entry{Data: data}).(changeOutcome); outcome.err != nil {
+	if outcome := machine.Apply(raft.Entry{Data: data}).(changeOutcome); outcome.err != nil {
 		tb.Fatal(outcome.err)
 	}
 	return len(data)
--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -7,8 +7,8 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/feed"
+	"yardrock.example/system/raft"
 )
 
 // reconcileVoters takes live control nodes in: first as learners, then, once they
@@ -23,29 +23,29 @@
 	}
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	live := node.LiveMembers()
-	change := func(event, name string, next agreement.Membership) bool {
+	change := func(event, name string, next raft.Membership) bool {
 		log.WithFields(log.Fields{"node": node.Name(), "control": name}).Info(event)
 		return node.host.ChangeMembership(controlGroup, next)
 	}
 	if lost := node.removableVoter(voters, learners, status); lost != "" {
-		return change("control_removed", lost, agreement.Membership{Voters: agreement.Without(voters, lost), Learners: learners})
+		return change("control_removed", lost, raft.Membership{Voters: raft.Without(voters, lost), Learners: learners})
 	}
 	suspected := slices.ContainsFunc(voters, func(name string) bool { return node.isSilent(name, suspectTimeout) })
 	for _, learner := range learners {
 		if !suspected && node.isCaughtUp(status, learner) {
-			return change("control_votes", learner, agreement.Membership{Voters: append(slices.Clone(voters), learner), Learners: agreement.Without(learners, learner)})
+			return change("control_votes", learner, raft.Membership{Voters: append(slices.Clone(voters), learner), Learners: raft.Without(learners, learner)})
 		}
 	}
 	for _, learner := range learners {
 		if node.isSilent(learner, replaceableTimeout) {
-			return change("control_removed", learner, agreement.Membership{Voters: voters, Learners: agreement.Without(learners, learner)})
+			return change("control_removed", learner, raft.Membership{Voters: voters, Learners: raft.Without(learners, learner)})
 		}
 	}
 	members := slices.Concat(voters, learners)
 	silent := slices.DeleteFunc(slices.Clone(voters), func(name string) bool { return !node.isSilent(name, replaceableTimeout) })
 	for _, member := range live {
 		if member.Role == feed.RoleControl && !slices.Contains(members, member.Name) && !node.isSilent(member.Name, suspectTimeout) && len(members)-len(silent) < node.settings.MaxControls {
-			return change("control_enrolled", member.Name, agreement.Membership{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
+			return change("control_enrolled", member.Name, raft.Membership{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
 		}
 	}
 	node.publishControls(ctx, voters, live)
@@ -55,7 +55,7 @@
 // removableVoter finds a voter to let go: one whose place a caught-up learner is ready to take,
 // one that makes the voters an even number, which bears no more losses than one less, or
 // one that is lost while enough are left.
-func (node *Node) removableVoter(voters, learners []string, status agreement.Status) string {
+func (node *Node) removableVoter(voters, learners []string, status raft.Status) string {
 	ready := slices.ContainsFunc(learners, func(name string) bool { return node.isCaughtUp(status, name) })
 	for _, name := range voters {
 		if node.isSilent(name, replaceableTimeout) && (ready || (len(voters) > minVoters && (len(voters)%2 == 0 || node.isSilent(name, lostTimeout)))) {
@@ -66,9 +66,9 @@
 }
 
 // isCaughtUp tells that a learner is heard, and holds the log but for what is on its way.
-func (node *Node) isCaughtUp(status agreement.Status, learner string) bool {
+func (node *Node) isCaughtUp(status raft.Status, learner string) bool {
 	matched := status.MatchIndex[learner]
-	holdsLog := matched > 0 && matched+agreement.MaxLearnerLag >= status.CommitIndex
+	holdsLog := matched > 0 && matched+raft.MaxLearnerLag >= status.CommitIndex
 	return holdsLog && !node.isSilent(learner, replaceableTimeout)
 }
 
--- a/system/controlplane/feed_state_machine.go
+++ b/system/controlplane/feed_state_machine.go
@@ -9,9 +9,9 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -89,7 +89,7 @@
 }
 
 // Apply gives a committed change its number, or refuses it.
-func (machine *feedStateMachine) Apply(entry agreement.Entry) any {
+func (machine *feedStateMachine) Apply(entry raft.Entry) any {
 	var change feed.Change
 	if err := wire.Decode(schema.Change_TypeID, entry.Data, &change); err != nil {
 		return changeOutcome{err: err}
--- a/system/controlplane/feed_state_machine_test.go
+++ b/system/controlplane/feed_state_machine_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -130,7 +130,7 @@
 	if change.Delta.IsZero() {
 		t.Fatal("the change is no difference")
 	}
-	outcome := machine.Apply(agreement.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)}).(changeOutcome)
+	outcome := machine.Apply(raft.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)}).(changeOutcome)
 	if !apierror.Is(outcome.err, apierror.Conflict) || machine.state().view != before {
 		t.Errorf("%v, number %d", outcome.err, machine.state().view.Number)
 	}
@@ -143,7 +143,7 @@
 	base := other.state().view
 	change := compactForLog(base, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: 3, Compiled: append([]byte(" "), base.Compiled...)})
 	before := machine.state().view
-	outcome := machine.Apply(agreement.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)}).(changeOutcome)
+	outcome := machine.Apply(raft.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)}).(changeOutcome)
 	if !apierror.Is(outcome.err, apierror.Conflict) || machine.state().view != before {
 		t.Errorf("%v, number %d", outcome.err, machine.state().view.Number)
 	}
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -16,9 +16,9 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/durablelog"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/files"
 	"yardrock.example/system/link"
 	"yardrock.example/system/replica"
+	"yardrock.example/system/vfs"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -118,7 +118,7 @@
 //
 //	node, err := controlplane.Start(settings, folder, link.TCP{})
 //	defer node.Close()
-func Start(settings Settings, folder files.Directory, network link.Network) (*Node, error) {
+func Start(settings Settings, folder vfs.Directory, network link.Network) (*Node, error) {
 	durable, records, err := durablelog.Open(folder, feed.RoleControl)
 	if err != nil {
 		return nil, err
--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -7,22 +7,22 @@
 	"strings"
 	"unicode"
 
-	"yardrock.example/system/line"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/sessionlog"
 )
 
 // Run is one run of a line: a turn, a tool call, or work that runs once.
 type Run struct {
-	Begun line.Event
-	Parts []line.Event
-	Ended *line.Event
+	Begun sessionlog.Event
+	Parts []sessionlog.Event
+	Ended *sessionlog.Event
 }
 
 // Complete tells whether the turn ended as it should.
 //
 //	if !turn.Complete() { ... }
 func (turn *Run) Complete() bool {
-	return turn.Ended != nil && turn.Ended.Outcome == line.OutcomeComplete
+	return turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeComplete
 }
 
 // Overdue tells whether the turn is open though its runner's time is over, by the
@@ -40,27 +40,27 @@
 	Clock            int64
 	runsBySeq        map[uint64]*Run
 	runs             []*Run
-	startsByProducer map[string]line.Event
+	startsByProducer map[string]sessionlog.Event
 }
 
 // Fold makes the view of a line's events, which must be all from the first on.
 //
 //	view := conversation.Fold(events)
-func Fold(events []line.Event) *View {
-	view := &View{runsBySeq: map[uint64]*Run{}, startsByProducer: map[string]line.Event{}}
+func Fold(events []sessionlog.Event) *View {
+	view := &View{runsBySeq: map[uint64]*Run{}, startsByProducer: map[string]sessionlog.Event{}}
 	for _, event := range events {
 		view.Head = event.Seq
 		switch event.Kind {
-		case line.TurnBegun, line.ToolCalled:
+		case sessionlog.TurnBegun, sessionlog.ToolCalled:
 			turn := &Run{Begun: event}
 			view.runsBySeq[event.Seq] = turn
 			view.startsByProducer[event.Producer] = event
 			view.runs = append(view.runs, turn)
-		case line.Fenced:
+		case sessionlog.Fenced:
 			view.startsByProducer[event.Producer] = event
-		case line.OutputPart:
+		case sessionlog.OutputPart:
 			view.runsBySeq[event.Turn].Parts = append(view.runsBySeq[event.Turn].Parts, event)
-		case line.TurnEnded, line.ToolAnswered:
+		case sessionlog.TurnEnded, sessionlog.ToolAnswered:
 			view.runsBySeq[event.Turn].Ended = &event
 		}
 	}
@@ -88,14 +88,14 @@
 //	turn, found := view.Run(7)
 func (view *View) Turn(seq uint64) (*Run, bool) {
 	turn, found := view.runsBySeq[seq]
-	return turn, found && turn.Begun.Kind == line.TurnBegun
+	return turn, found && turn.Begun.Kind == sessionlog.TurnBegun
 }
 
 // Messages gives what was said up to and with a turn: the chain of turns that it
 // follows, with the tools that those called, in the order of the line.
 //
 //	history := view.Messages(7)
-func (view *View) Messages(seq uint64) []runnerorigin.Message {
+func (view *View) Messages(seq uint64) []runnerclient.Message {
 	chain := map[uint64]bool{}
 	for at := seq; at != 0; {
 		turn, found := view.Turn(at)
@@ -105,13 +105,13 @@
 		chain[at] = true
 		at = turn.Begun.Follows
 	}
-	messages := []runnerorigin.Message{}
+	messages := []runnerclient.Message{}
 	for _, turn := range view.runs {
 		switch {
-		case turn.Begun.Kind == line.TurnBegun && chain[turn.Begun.Seq]:
-			messages = append(messages, runnerorigin.Message{Role: "caller", Words: turn.Begun.Text}, runnerorigin.Message{Role: "model", Words: turn.Output()})
-		case turn.Begun.Kind == line.ToolCalled && chain[turn.Begun.Follows] && turn.Complete():
-			messages = append(messages, runnerorigin.Message{Role: "tool_call", Name: turn.Begun.Name, Words: turn.Begun.Text}, runnerorigin.Message{Role: "tool_result", Name: turn.Begun.Name, Words: turn.Ended.Text})
+		case turn.Begun.Kind == sessionlog.TurnBegun && chain[turn.Begun.Seq]:
+			messages = append(messages, runnerclient.Message{Role: "caller", Words: turn.Begun.Text}, runnerclient.Message{Role: "model", Words: turn.Output()})
+		case turn.Begun.Kind == sessionlog.ToolCalled && chain[turn.Begun.Follows] && turn.Complete():
+			messages = append(messages, runnerclient.Message{Role: "tool_call", Name: turn.Begun.Name, Words: turn.Begun.Text}, runnerclient.Message{Role: "tool_result", Name: turn.Begun.Name, Words: turn.Ended.Text})
 		}
 	}
 	return messages
@@ -123,7 +123,7 @@
 func (turn *Run) Output() string {
 	var text strings.Builder
 	parts := slices.Clone(turn.Parts)
-	slices.SortFunc(parts, func(left, right line.Event) int { return int(left.Part) - int(right.Part) })
+	slices.SortFunc(parts, func(left, right sessionlog.Event) int { return int(left.Part) - int(right.Part) })
 	for _, part := range parts {
 		text.WriteString(part.Text)
 	}
@@ -165,7 +165,7 @@
 // StartByProducer finds the event that opened a run for a producer, or fenced it off.
 //
 //	event, found := view.StartByProducer("manifest/once/key-7")
-func (view *View) StartByProducer(producer string) (line.Event, bool) {
+func (view *View) StartByProducer(producer string) (sessionlog.Event, bool) {
 	event, found := view.startsByProducer[producer]
 	return event, found
 }
--- a/system/durablelog/durablelog.go
+++ b/system/durablelog/durablelog.go
@@ -15,7 +15,7 @@
 	"github.com/google/uuid"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/files"
+	"yardrock.example/system/vfs"
 )
 
 const (
@@ -51,7 +51,7 @@
 
 // Log is an open data folder.
 type Log struct {
-	directory     files.Directory
+	directory     vfs.Directory
 	identity      Identity
 	generation    uint64
 	offset        int64
@@ -72,7 +72,7 @@
 // the records in the order in which they are to be replayed.
 //
 //	log, records, err := durablelog.Open(folder, "store")
-func Open(directory files.Directory, role string) (*Log, []Record, error) {
+func Open(directory vfs.Directory, role string) (*Log, []Record, error) {
 	log := &Log{directory: directory}
 	names, err := directory.List()
 	if err != nil {
--- a/system/durablelog/durablelog_test.go
+++ b/system/durablelog/durablelog_test.go
@@ -9,14 +9,14 @@
 	"testing"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/files"
+	"yardrock.example/system/vfs"
 )
 
 const testRole = "store"
 
 func openDirectory(t *testing.T, path string) (*Log, []Record, error) {
 	t.Helper()
-	folder, err := files.Open(path)
+	folder, err := vfs.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/system/durablelog/writer.go
+++ b/system/durablelog/writer.go
@@ -1,13 +1,13 @@
 package durablelog
 
-import "yardrock.example/system/files"
+import "yardrock.example/system/vfs"
 
 const writeBufferBytes = 64 << 10
 
 // bufferedWriter writes a file from an offset on. It gathers what is small, and writes what
 // is large without copying it.
 type bufferedWriter struct {
-	directory files.Directory
+	directory vfs.Directory
 	file      string
 	offset    int64
 	buffer    []byte
--- a/system/follower/client.go
+++ b/system/feedclient/client.go
@@ -1,7 +1,7 @@
 // Package follower keeps a node's view of the feed: it renews the node's session
 // with a control node, takes changes from its place on, and knows until when the
 // view may be acted on.
-package follower
+package feedclient
 
 import (
 	"context"
--- a/system/follower/client_test.go
+++ b/system/feedclient/client_test.go
@@ -1,4 +1,4 @@
-package follower
+package feedclient
 
 import (
 	"bytes"
--- a/system/forwarding/dispatch.go
+++ b/system/forwarding/dispatch.go
@@ -14,8 +14,8 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/balancer"
 	"yardrock.example/system/config"
-	"yardrock.example/system/line"
 	"yardrock.example/system/runnerpool"
+	"yardrock.example/system/sessionlog"
 )
 
 const (
@@ -77,12 +77,12 @@
 
 // recordUnansweredTurn books the end of a turn that has no whole answer.
 func (forwarder *Forwarder) recordUnansweredTurn(exchange *exchange, failed error) {
-	outcome := line.OutcomeCut
+	outcome := sessionlog.OutcomeCut
 	if exchange.stream.complete {
-		outcome = line.OutcomeComplete // its commit is unclear: the same end may be booked again
+		outcome = sessionlog.OutcomeComplete // its commit is unclear: the same end may be booked again
 	}
 	if apierror.Is(failed, apierror.NotRun) && !exchange.stream.started {
-		outcome = line.OutcomeNotRun
+		outcome = sessionlog.OutcomeNotRun
 	}
 	forwarder.endTurnInBackground(exchange, outcome)
 }
@@ -154,11 +154,11 @@
 		exchange.mayHaveRun = true
 		return ending, runnerFailure("the runner answered " + strconv.Itoa(reply.Status))
 	}
-	outcome := line.OutcomeCut
+	outcome := sessionlog.OutcomeCut
 	if reply.Status < http.StatusMultipleChoices {
 		// A success without events says nothing of tokens: it counts at its most, and a
 		// turn that is kept must be known before it looks whole.
-		outcome, exchange.stream.tokens = line.OutcomeComplete, exchange.MaxOutputTokens
+		outcome, exchange.stream.tokens = sessionlog.OutcomeComplete, exchange.MaxOutputTokens
 		if exchange.route.StoresHistory {
 			if err := forwarder.commitCompleteTurn(ctx, exchange); err != nil {
 				exchange.mayHaveRun = true
@@ -270,15 +270,15 @@
 		return nil
 	}
 	if !exchange.route.StoresHistory {
-		forwarder.endTurnInBackground(exchange, line.OutcomeComplete)
+		forwarder.endTurnInBackground(exchange, sessionlog.OutcomeComplete)
 		return nil
 	}
 	exchange.stream.complete = true
-	err := forwarder.endTurn(ctx, exchange, line.OutcomeComplete)
+	err := forwarder.endTurn(ctx, exchange, sessionlog.OutcomeComplete)
 	for !isFinal(err) && ctx.Err() == nil {
 		select {
 		case <-time.After(endTurnRetryInterval):
-			err = forwarder.endTurn(ctx, exchange, line.OutcomeComplete)
+			err = forwarder.endTurn(ctx, exchange, sessionlog.OutcomeComplete)
 		case <-ctx.Done():
 		}
 	}
--- a/system/forwarding/forwarder.go
+++ b/system/forwarding/forwarder.go
@@ -9,15 +9,15 @@
 	"yardrock.example/system/balancer"
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
 	"yardrock.example/system/runnerpool"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 )
 
 // TurnStore keep what programs' turns say and spend.
 type TurnStore interface {
-	BeginTurn(ctx context.Context, turn storeorigin.Turn) (*storeorigin.BegunTurn, error)
-	EndTurn(ctx context.Context, end storeorigin.TurnEnd) error
+	BeginTurn(ctx context.Context, turn storeclient.Turn) (*storeclient.BegunTurn, error)
+	EndTurn(ctx context.Context, end storeclient.TurnEnd) error
 }
 
 // ActiveConfig are the routes in force with the view that they came with.
@@ -99,7 +99,7 @@
 	deadline      time.Time
 	triedRunners  []string // lives of the runners that it was sent to
 	sendCount     int      // how often it was sent
-	turn          *storeorigin.BegunTurn
+	turn          *storeclient.BegunTurn
 	sessionName   string
 	body          [][]byte
 	stream        streamState
@@ -233,7 +233,7 @@
 	wait := time.Until(exchange.ReceivedAt.Add(time.Duration(float64(whole) * beginTurnShare)))
 	ctx, cancel := context.WithTimeout(ctx, min(max(wait, minBeginTurnTimeout), maxBeginTurnTimeout))
 	defer cancel()
-	begun, err := forwarder.settings.TurnStore.BeginTurn(ctx, storeorigin.Turn{
+	begun, err := forwarder.settings.TurnStore.BeginTurn(ctx, storeclient.Turn{
 		SessionName: exchange.sessionName, Name: exchange.Name, Follows: exchange.Follows, Input: exchange.Body,
 		KeepHistory: exchange.route.StoresHistory, Retention: time.Duration(exchange.route.Retention), PrefixScope: exchange.prefixScope(),
 		HasTokenQuota: exchange.HasOutputBudget, MaxOutputTokens: exchange.MaxOutputTokens, TokenQuota: exchange.OutputBudget,
@@ -245,7 +245,7 @@
 	exchange.turn = begun
 	if len(begun.History) > 0 {
 		if err := forwarder.reserveBuffer(exchange, int64(len(begun.History))); err != nil {
-			forwarder.endTurnInBackground(exchange, line.OutcomeNotRun)
+			forwarder.endTurnInBackground(exchange, sessionlog.OutcomeNotRun)
 			return false, err
 		}
 		exchange.body = [][]byte{begun.History, exchange.Body}
@@ -276,7 +276,7 @@
 
 // endTurn books how the turn ended. It returns once that is committed.
 func (forwarder *Forwarder) endTurn(ctx context.Context, exchange *exchange, outcome string) error {
-	return forwarder.settings.TurnStore.EndTurn(ctx, storeorigin.TurnEnd{
+	return forwarder.settings.TurnStore.EndTurn(ctx, storeclient.TurnEnd{
 		SessionName: exchange.sessionName, Name: exchange.Name, Seq: exchange.turn.Seq, KeepHistory: exchange.route.StoresHistory,
 		Output: exchange.stream.output, Tokens: exchange.stream.tokens, Outcome: outcome,
 	})
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -18,15 +18,15 @@
 	"yardrock.example/system/balancer"
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/follower"
+	"yardrock.example/system/feedclient"
 	"yardrock.example/system/forwarding"
-	"yardrock.example/system/httpface"
+	"yardrock.example/system/httpapi"
 	"yardrock.example/system/link"
 	"yardrock.example/system/placement"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
 	"yardrock.example/system/runnerpool"
-	"yardrock.example/system/scheduling"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/scheduler"
+	"yardrock.example/system/storeclient"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -57,15 +57,15 @@
 	settings     Settings
 	name         string
 	caller       *link.Client
-	feedClient   *follower.Client
-	stores       *storeorigin.Client
-	runnerClient *runnerorigin.Client
-	scheduler    *scheduling.Scheduler
+	feedClient   *feedclient.Client
+	stores       *storeclient.Client
+	runnerClient *runnerclient.Client
+	scheduler    *scheduler.Scheduler
 	pool         *runnerpool.Pool
 	balancer     *balancer.Balancer
 	forwarder    *forwarding.Forwarder
 	linkServer   *link.Server
-	publicServer *httpface.Server
+	publicServer *httpapi.Server
 	active       atomic.Pointer[activeConfig]
 	draining     atomic.Bool
 	// listedSince is since when this node's own session has been in the list.
@@ -83,12 +83,12 @@
 //	node, err := front.Start(settings, link.TCP{})
 //	defer node.Close()
 func Start(settings Settings, network link.Network) (*Node, error) {
-	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerorigin.New(network), background: newTaskGroup()}
+	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerclient.New(network), background: newTaskGroup()}
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
 	node.frontNames.Store(&[]string{node.name})
-	node.stores = storeorigin.New(node.caller, func() *feed.View { return node.active.Load().view })
-	node.scheduler = scheduling.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
+	node.stores = storeclient.New(node.caller, func() *feed.View { return node.active.Load().view })
+	node.scheduler = scheduler.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
 	node.pool = runnerpool.New(network, settings.Dialect)
 	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
 	node.forwarder = forwarding.New(forwarding.Settings{Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.activeRouting, Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes})
@@ -104,12 +104,12 @@
 		}
 	}
 	member := feed.Member{Name: node.name, Role: feed.RoleFront, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
-	node.feedClient = follower.Start(node.caller, member, settings.Seeds, nil, node.applyView)
+	node.feedClient = feedclient.Start(node.caller, member, settings.Seeds, nil, node.applyView)
 	node.balancer.SetListReadTime(node.feedClient.RunnerListReadAt)
 	go node.watchPeers()
 	node.linkServer = link.Serve(linkListener, node.handleCall)
 	if publicListener != nil {
-		node.publicServer = httpface.Serve(publicListener, node.handler(), func() int64 {
+		node.publicServer = httpapi.Serve(publicListener, node.handler(), func() int64 {
 			return max(node.active.Load().config.Limits.BodyBytes, 1024)
 		})
 	}
@@ -188,7 +188,7 @@
 
 // schedulerState tells the board which fronts share the runners. This one counts only
 // once it has been listed for a while, so that the others have heard of it too.
-func (node *Node) schedulerState() scheduling.State {
+func (node *Node) schedulerState() scheduler.State {
 	rules := node.active.Load()
 	fronts := []placement.Candidate{}
 	for _, member := range node.feedClient.Members() {
@@ -196,7 +196,7 @@
 			fronts = append(fronts, placement.Candidate{Name: member.Name, Domain: member.Domain})
 		}
 	}
-	return scheduling.State{View: rules.view, Config: rules.config, Fronts: fronts}
+	return scheduler.State{View: rules.view, Config: rules.config, Fronts: fronts}
 }
 
 // hasJoined tells whether the other fronts have had time to hear of this one.
--- a/system/front/owner_liveness.go
+++ b/system/front/owner_liveness.go
@@ -9,7 +9,7 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -32,7 +32,7 @@
 )
 
 // ownerLiveness looks for the front that began a run.
-func (node *Node) ownerLiveness(ctx context.Context, begun line.Event) liveness {
+func (node *Node) ownerLiveness(ctx context.Context, begun sessionlog.Event) liveness {
 	name, rest, _ := strings.Cut(begun.Dispatch, "@")
 	address, _, found := strings.Cut(rest, "/")
 	if !found || name == node.name {
@@ -57,6 +57,6 @@
 
 // ownerPresumedDead tells that a run will most likely never go on. Closing it fences its
 // front off, should it wake, so for what may be asked again that is enough.
-func (node *Node) ownerPresumedDead(ctx context.Context, begun line.Event) bool {
+func (node *Node) ownerPresumedDead(ctx context.Context, begun sessionlog.Event) bool {
 	return node.ownerLiveness(ctx, begun) != alive
 }
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -9,12 +9,12 @@
 
 	"yardrock.example/system/api/gen/work"
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/line"
-	"yardrock.example/system/runnerorigin"
+	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/sessionlog"
 )
 
-func (request *request) plainRequest() runnerorigin.PlainRequest {
-	return runnerorigin.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.words}
+func (request *request) plainRequest() runnerclient.PlainRequest {
+	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.words}
 }
 
 // sendPlainWork sends plain work to a runner, and to another only while provably nothing
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &work.Outcome{Outcome: line.OutcomeComplete, Answer: answer}, nil
+	return &work.Outcome{Outcome: sessionlog.OutcomeComplete, Answer: answer}, nil
 }
 
 // runOnce dispatches work that is recorded as begun, and tells its outcome only
@@ -69,13 +69,13 @@
 
 func (node *Node) executeOnce(request *request) (any, error) {
 	answer, failed := node.sendPlainWork(node.context, request)
-	ended := line.Event{Outcome: line.OutcomeComplete, Text: string(answer)}
+	ended := sessionlog.Event{Outcome: sessionlog.OutcomeComplete, Text: string(answer)}
 	switch {
 	case failed == nil:
 	case apierror.Of(failed).NeverSent || apierror.Is(failed, apierror.NotRun):
-		ended = line.Event{Outcome: line.OutcomeNotRun, Name: apierror.Of(failed).Message}
+		ended = sessionlog.Event{Outcome: sessionlog.OutcomeNotRun, Name: apierror.Of(failed).Message}
 	default:
-		ended = line.Event{Outcome: line.OutcomeUnknown, Name: apierror.Of(failed).Message}
+		ended = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(failed).Message}
 		log.WithFields(log.Fields{"node": node.name, "line": request.sessionName(), "runner": request.slot.Runner.Address, "error": failed.Error()}).Warn("outcome_unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
@@ -87,12 +87,12 @@
 }
 
 // told turns a recorded outcome into one of the three answers.
-func (node *Node) recordedAnswer(request *request, ended line.Event, repeated bool) (any, error) {
+func (node *Node) recordedAnswer(request *request, ended sessionlog.Event, repeated bool) (any, error) {
 	switch ended.Outcome {
-	case line.OutcomeComplete:
+	case sessionlog.OutcomeComplete:
 		name := request.conversation
 		return &work.Outcome{Outcome: ended.Outcome, Line: &name, Answer: json.RawMessage(ended.Text), Repeated: &repeated}, nil
-	case line.OutcomeNotRun:
+	case sessionlog.OutcomeNotRun:
 		return nil, request.recordedNotRun("the work did not run: " + ended.Name)
 	default:
 		return nil, apierror.New(apierror.Unknown, "whether the work ran is not known: "+ended.Name, "find out at its receiver; it is never sent again under this query key")
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -15,9 +15,9 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/config"
 	"yardrock.example/system/conversation"
-	"yardrock.example/system/line"
-	"yardrock.example/system/runnerorigin"
-	"yardrock.example/system/scheduling"
+	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/scheduler"
+	"yardrock.example/system/sessionlog"
 )
 
 // request is one caller's query on its way through the filters.
@@ -45,14 +45,14 @@
 	sessionExists bool
 	newlyNamed    bool // named at random just now, so there is nothing to read
 	producer      string
-	slot          *scheduling.Slot
+	slot          *scheduler.Slot
 	dispatchID    string
 	reservation   string
 	// reservedAt is when the reservation was asked for; its life counts from then.
 	reservedAt time.Time
 	// reservedWords is the longest answer that the reservation holds.
 	reservedWords uint64
-	begun         line.Event
+	begun         sessionlog.Event
 	cleanups      []func()
 }
 
@@ -273,7 +273,7 @@
 			return nil, nil
 		}
 		same := begun.Digest == request.digest()
-		if begun.Kind == line.Fenced {
+		if begun.Kind == sessionlog.Fenced {
 			if same && request.idempotencyKey != "" {
 				return nil, request.fencedEarlierError()
 			}
@@ -281,13 +281,13 @@
 		}
 		turn, _ := request.history.Turn(begun.Seq)
 		if turn.Overdue(request.history.Clock) || (turn.Ended == nil && node.ownerPresumedDead(ctx, begun)) {
-			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, line.OutcomeCut); err != nil {
+			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeCut); err != nil {
 				return nil, asNotRun(err)
 			}
 			return rereadAndCheckTurn(node, ctx, request)
 		}
 		switch {
-		case turn.Ended != nil && turn.Ended.Outcome == line.OutcomeNotRun && same && request.idempotencyKey != "":
+		case turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeNotRun && same && request.idempotencyKey != "":
 			return nil, request.recordedNotRun("this turn did not run: " + turn.Ended.Name)
 		case turn.Ended != nil && !turn.Complete():
 			continue
@@ -323,12 +323,12 @@
 		return nil, err
 	}
 	request.slot = slot
-	request.cleanups = append(request.cleanups, func() { request.slot.Release(scheduling.NotSent) })
+	request.cleanups = append(request.cleanups, func() { request.slot.Release(scheduler.NotSent) })
 	return nil, nil
 }
 
 func (request *request) quotaName() string {
-	return line.QuotaName(request.team, request.program, request.programConfig.Period)
+	return sessionlog.QuotaName(request.team, request.program, request.programConfig.Period)
 }
 
 // reserveWords reserves the new words and the longest answer before anything is
@@ -339,9 +339,9 @@
 	defer cancel()
 	request.dispatchID = node.newDispatchID()
 	request.reservedWords = request.programConfig.TurnLimit
-	request.reservation, request.reservedAt = line.ReservationName(request.sessionName(), request.dispatchID), time.Now()
-	outcomes, err := node.stores.Command(ctx, request.quotaName(), line.Command{
-		Kind: line.Reserve, Reservation: request.reservation, Words: conversation.CountWords(request.words) + request.reservedWords, Quota: request.programConfig.Quota,
+	request.reservation, request.reservedAt = sessionlog.ReservationName(request.sessionName(), request.dispatchID), time.Now()
+	outcomes, err := node.stores.Command(ctx, request.quotaName(), sessionlog.Command{
+		Kind: sessionlog.Reserve, Reservation: request.reservation, Words: conversation.CountWords(request.words) + request.reservedWords, Quota: request.programConfig.Quota,
 		Lifetime: reservationDispatchWindow + time.Duration(request.workKind.Timeout) + deadlineMargin + reservationMargin,
 	})
 	request.cleanups = append(request.cleanups, func() { node.settle(request, 0) })
@@ -349,9 +349,9 @@
 		return nil, asNotRun(err)
 	}
 	switch outcomes[0].Status {
-	case line.Done:
+	case sessionlog.Done:
 		return nil, nil
-	case line.QuotaExceeded:
+	case sessionlog.QuotaExceeded:
 		request.reservation = ""
 		return nil, apierror.New(apierror.QuotaExhausted, "program "+request.program+" has "+strconv.FormatUint(outcomes[0].Spent, 10)+" words spent and "+strconv.FormatUint(outcomes[0].Reserved, 10)+" out, of "+strconv.FormatUint(request.programConfig.Quota, 10),
 			"wait for the turns under way, or have an operator raise the allowance")
@@ -372,7 +372,7 @@
 		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
-			if _, err := node.stores.Command(ctx, name, line.Command{Kind: line.Settle, Reservation: reservation, Words: words}); err == nil {
+			if _, err := node.stores.Command(ctx, name, sessionlog.Command{Kind: sessionlog.Settle, Reservation: reservation, Words: words}); err == nil {
 				return
 			}
 			awaitRetry(ctx)
@@ -407,7 +407,7 @@
 		if request.runnerUsable() {
 			return nil
 		}
-		request.slot.Release(scheduling.NotSent)
+		request.slot.Release(scheduler.NotSent)
 		slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
 		if err != nil {
 			return err
@@ -433,7 +433,7 @@
 // runnerUsable tells whether the chosen runner may still get the query.
 func (request *request) runnerUsable() bool {
 	weighed := request.active.config.Tables[request.workKind.Table][request.slot.Group] > 0
-	return weighed && scheduling.Usable(request.active.view, request.slot.Runner)
+	return weighed && scheduler.Usable(request.active.view, request.slot.Runner)
 }
 
 // answerWordLimit is how many words the answer may hold: by the config in force, but never
@@ -445,7 +445,7 @@
 // preSendCheck is what the first byte waits for: the dial may have been slow, or this
 // process frozen, since the runner was chosen. It works on a copy, as the library
 // may ask it after the query was given up.
-func (node *Node) preSendCheck(request *request) runnerorigin.PreSendCheck {
+func (node *Node) preSendCheck(request *request) runnerclient.PreSendCheck {
 	chosen := *request
 	return func() error {
 		now := chosen
@@ -463,20 +463,20 @@
 }
 
 // outcomeOf tells what a failure says about the runner.
-func (node *Node) outcomeOf(err error) scheduling.Outcome {
+func (node *Node) outcomeOf(err error) scheduler.Outcome {
 	if err == nil || errors.Is(err, errTurnLimit) {
-		return scheduling.Answered
+		return scheduler.Answered
 	}
 	failed := apierror.Of(err)
 	switch {
 	case node.context.Err() != nil:
-		return scheduling.NotSent
+		return scheduler.NotSent
 	case failed.Lost:
-		return scheduling.Lost
+		return scheduler.Lost
 	case failed.NeverSent:
-		return scheduling.NotSent
+		return scheduler.NotSent
 	}
-	return scheduling.Faulted
+	return scheduler.Faulted
 }
 
 // nextRunner takes another runner after one that provably was sent nothing.
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -7,25 +7,25 @@
 	"time"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 )
 
 // recordBegin records that work is about to be dispatched. It returns nil only when the
 // record is committed and this query's own. A repeat that lost the race gets the
 // event that won.
-func (node *Node) recordBegin(ctx context.Context, request *request, event line.Event, expects bool) (*line.Event, error) {
+func (node *Node) recordBegin(ctx context.Context, request *request, event sessionlog.Event, expects bool) (*sessionlog.Event, error) {
 	event.Text, event.Digest, event.Follows = request.words, request.digest(), request.follows
 	if request.dispatchID == "" {
 		request.dispatchID = node.newDispatchID()
 	}
 	event.Runner, event.Dispatch, event.Config = request.slot.Runner.Address, request.dispatchID, request.active.view.ConfigNumber
 	event.Deadline = int64(time.Duration(request.workKind.Timeout) + deadlineMargin)
-	commands := []line.Command{}
+	commands := []sessionlog.Command{}
 	if !request.sessionExists {
-		commands = append(commands, line.Command{Kind: line.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)})
+		commands = append(commands, sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)})
 	}
-	commands = append(commands, line.Command{Kind: line.AppendEvent, Producer: request.producer, ProducerSeq: 1, HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []line.Event{event}})
+	commands = append(commands, sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: 1, HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event}})
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	outcomes, err := node.stores.Command(committing, request.sessionName(), commands...)
@@ -37,9 +37,9 @@
 	}
 	outcome := outcomes[len(outcomes)-1]
 	switch {
-	case outcome.Status == line.UnexpectedSeq:
+	case outcome.Status == sessionlog.UnexpectedSeq:
 		return nil, apierror.NewRetryable(apierror.Conflict, "the conversation went on meanwhile", "read the history and follow its last complete turn", 0)
-	case outcome.Status != line.Done && outcome.Status != line.StaleProducer:
+	case outcome.Status != sessionlog.Done && outcome.Status != sessionlog.StaleProducer:
 		return nil, apierror.NewRetryable(apierror.NotRun, "the line refused the record (status "+strconv.Itoa(int(outcome.Status))+")", "ask again", time.Second)
 	case outcome.Deduped:
 		return node.readBegin(committing, request, outcome.Seq, event.Dispatch)
@@ -52,7 +52,7 @@
 // readBegin reads the event that opened the run of a producer pair, or its fence; the
 // pair's last seq may be of a later event of the run. If the begin is this query's
 // own, a lost answer had hidden that it was committed.
-func (node *Node) readBegin(ctx context.Context, request *request, seq uint64, dispatch string) (*line.Event, error) {
+func (node *Node) readBegin(ctx context.Context, request *request, seq uint64, dispatch string) (*sessionlog.Event, error) {
 	event, err := node.readEvent(ctx, request.sessionName(), seq)
 	if err == nil && event.Turn != 0 && event.Turn != event.Seq {
 		event, err = node.readEvent(ctx, request.sessionName(), event.Turn)
@@ -60,20 +60,20 @@
 	if err != nil {
 		return nil, apierror.NewRetryable(apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
 	}
-	if event.Kind != line.Fenced && event.Dispatch == dispatch {
+	if event.Kind != sessionlog.Fenced && event.Dispatch == dispatch {
 		request.begun = event
 		return nil, nil
 	}
 	return &event, nil
 }
 
-func (node *Node) readEvent(ctx context.Context, name string, seq uint64) (line.Event, error) {
+func (node *Node) readEvent(ctx context.Context, name string, seq uint64) (sessionlog.Event, error) {
 	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: name, After: seq - 1, Limit: 1})
 	if err != nil {
-		return line.Event{}, err
+		return sessionlog.Event{}, err
 	}
 	if len(reply.Events) == 0 {
-		return line.Event{}, apierror.New(apierror.Gap, "event "+strconv.FormatUint(seq, 10)+" of "+name+" cannot be read", "ask again")
+		return sessionlog.Event{}, apierror.New(apierror.Gap, "event "+strconv.FormatUint(seq, 10)+" of "+name+" cannot be read", "ask again")
 	}
 	return reply.Events[0], nil
 }
@@ -81,18 +81,18 @@
 // fenceOff settles whether a query began: either the fence takes its place, so that it
 // can never begin, or the begin is there, is this query's own, and is closed as not
 // run, as nothing was sent. Another query's begin is given back.
-func (node *Node) fenceOff(request *request, event line.Event, cause error, timeout time.Duration) (*line.Event, error) {
+func (node *Node) fenceOff(request *request, event sessionlog.Event, cause error, timeout time.Duration) (*sessionlog.Event, error) {
 	ctx, cancel := context.WithTimeout(node.context, timeout)
 	defer cancel()
 	unknown := apierror.NewRetryable(apierror.Unknown, "whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")", "ask again with the same query key", time.Second)
 	outcomes, err := node.stores.Command(ctx, request.sessionName(),
-		line.Command{Kind: line.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)},
-		line.Command{Kind: line.AppendEvent, Producer: request.producer, ProducerSeq: 1, Events: []line.Event{{Kind: line.Fenced, Digest: request.digest()}}})
+		sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)},
+		sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: 1, Events: []sessionlog.Event{{Kind: sessionlog.Fenced, Digest: request.digest()}}})
 	if err != nil {
 		return nil, unknown
 	}
 	fenced := outcomes[1]
-	if fenced.Status == line.Done && !fenced.Deduped {
+	if fenced.Status == sessionlog.Done && !fenced.Deduped {
 		return nil, request.fencedError(cause)
 	}
 	other, err := node.readBegin(ctx, request, fenced.Seq, event.Dispatch)
@@ -128,11 +128,11 @@
 	if request.producer == "" {
 		return unknown
 	}
-	other, fenced := node.fenceOff(request, line.Event{Dispatch: request.dispatchID}, err, proveNotRunTimeout)
+	other, fenced := node.fenceOff(request, sessionlog.Event{Dispatch: request.dispatchID}, err, proveNotRunTimeout)
 	switch {
 	case fenced != nil:
 		return fenced
-	case other != nil && other.Kind == line.Fenced:
+	case other != nil && other.Kind == sessionlog.Fenced:
 		return request.fencedError(err)
 	}
 	return unknown
@@ -141,13 +141,13 @@
 // recordEnd ends a run that this query began. It returns nil once the end is
 // committed; TurnClosed means that another node has closed it.
 func (node *Node) recordEnd(ctx context.Context, request *request, producerSeq uint64, outcome, words, detail string) (uint64, error) {
-	outcomes, err := node.stores.Command(ctx, request.sessionName(), line.Command{Kind: line.AppendEvent, Producer: request.producer, ProducerSeq: producerSeq, Events: []line.Event{{
-		Kind: line.ClosingKind(request.begun.Kind), Turn: request.begun.Seq, Outcome: outcome, Text: words, Name: detail,
+	outcomes, err := node.stores.Command(ctx, request.sessionName(), sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: producerSeq, Events: []sessionlog.Event{{
+		Kind: sessionlog.ClosingKind(request.begun.Kind), Turn: request.begun.Seq, Outcome: outcome, Text: words, Name: detail,
 	}}})
 	if err != nil {
 		return 0, err
 	}
-	if outcomes[0].Status != line.Done {
+	if outcomes[0].Status != sessionlog.Done {
 		return 0, apierror.New(apierror.Unknown, "the run was closed by another node meanwhile", "read the history")
 	}
 	return outcomes[0].Seq, nil
@@ -158,7 +158,7 @@
 func (node *Node) recordNotRun(request *request, cause error) error {
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
-	if _, err := node.recordEnd(ctx, request, 2, line.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
+	if _, err := node.recordEnd(ctx, request, 2, sessionlog.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
 		return apierror.NewRetryable(apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
 	}
 	return request.fencedError(cause)
@@ -166,10 +166,10 @@
 
 // closeOverdueRun ends a run whose node is gone, after its runner's time is over.
 // Who still ran it finds the line closed.
-func (node *Node) closeOverdueRun(ctx context.Context, name string, begun line.Event, outcome string) error {
+func (node *Node) closeOverdueRun(ctx context.Context, name string, begun sessionlog.Event, outcome string) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	_, err := node.stores.Command(ctx, name, line.CloseOverdue(begun, outcome))
+	_, err := node.stores.Command(ctx, name, sessionlog.CloseOverdue(begun, outcome))
 	return err
 }
 
@@ -179,7 +179,7 @@
 // or another turn, it looks anew what that means for this one.
 func beginTurn(node *Node, ctx context.Context, request *request) (any, error) {
 	for try := 1; ; try++ {
-		other, err := node.recordBegin(ctx, request, line.Event{Kind: line.TurnBegun}, true)
+		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, true)
 		if other == nil && !apierror.Is(err, apierror.Conflict) {
 			return nil, err
 		}
@@ -218,15 +218,15 @@
 }
 
 func beginOnce(node *Node, ctx context.Context, request *request) (any, error) {
-	return node.beginPlainWork(ctx, request, line.TurnBegun)
+	return node.beginPlainWork(ctx, request, sessionlog.TurnBegun)
 }
 
 func beginTool(node *Node, ctx context.Context, request *request) (any, error) {
-	return node.beginPlainWork(ctx, request, line.ToolCalled)
+	return node.beginPlainWork(ctx, request, sessionlog.ToolCalled)
 }
 
-func (node *Node) beginPlainWork(ctx context.Context, request *request, kind line.EventKind) (any, error) {
-	other, err := node.recordBegin(ctx, request, line.Event{Kind: kind, Name: request.kind}, false)
+func (node *Node) beginPlainWork(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
+	other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, false)
 	if err != nil {
 		return nil, err
 	}
@@ -237,11 +237,11 @@
 }
 
 // answerRepeat waits for the recorded outcome of work that another query began.
-func (node *Node) answerRepeat(ctx context.Context, request *request, begun line.Event) (any, error) {
+func (node *Node) answerRepeat(ctx context.Context, request *request, begun sessionlog.Event) (any, error) {
 	if begun.Digest != request.digest() {
 		return nil, apierror.New(apierror.Conflict, "the query key was used with another body", "use a new query key for other work")
 	}
-	if begun.Kind == line.Fenced {
+	if begun.Kind == sessionlog.Fenced {
 		return nil, request.fencedEarlierError()
 	}
 	after := begun.Seq
@@ -254,14 +254,14 @@
 		}
 		for _, event := range reply.Events {
 			after = event.Seq
-			if event.Turn == begun.Seq && event.Kind == line.ClosingKind(begun.Kind) {
+			if event.Turn == begun.Seq && event.Kind == sessionlog.ClosingKind(begun.Kind) {
 				return node.recordedAnswer(request, event, true)
 			}
 		}
 		owner := node.ownerLiveness(ctx, begun)
 		switch {
 		case reply.Clock > begun.Deadline || owner == confirmedDead:
-			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, line.OutcomeUnknown); err != nil {
+			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeUnknown); err != nil {
 				return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
 			}
 		case owner == unreachable:
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -13,10 +13,10 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/conversation"
-	"yardrock.example/system/line"
-	"yardrock.example/system/runnerorigin"
-	"yardrock.example/system/scheduling"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/scheduler"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/storeclient"
 	"yardrock.example/system/wire"
 )
 
@@ -29,7 +29,7 @@
 // it. It only grows.
 type eventBuffer struct {
 	mutex  sync.Mutex
-	events []line.Event
+	events []sessionlog.Event
 	failed error
 	ended  bool
 	grown  chan struct{}
@@ -37,7 +37,7 @@
 
 func newEventBuffer() *eventBuffer { return &eventBuffer{grown: make(chan struct{})} }
 
-func (buffer *eventBuffer) append(failed error, ended bool, events ...line.Event) {
+func (buffer *eventBuffer) append(failed error, ended bool, events ...sessionlog.Event) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
 	buffer.events = append(buffer.events, events...)
@@ -47,7 +47,7 @@
 }
 
 // after waits for events beyond a place.
-func (buffer *eventBuffer) after(ctx context.Context, offset int) ([]line.Event, bool, error) {
+func (buffer *eventBuffer) after(ctx context.Context, offset int) ([]sessionlog.Event, bool, error) {
 	for {
 		buffer.mutex.Lock()
 		events, ended, failed, grown := buffer.events[offset:], buffer.ended, buffer.failed, buffer.grown
@@ -89,7 +89,7 @@
 		return nil, failed
 	}
 	offset := 0
-	return &eventStream{conversation: request.conversation, turn: request.begun.Seq, next: func(ctx context.Context) ([]line.Event, bool, error) {
+	return &eventStream{conversation: request.conversation, turn: request.begun.Seq, next: func(ctx context.Context) ([]sessionlog.Event, bool, error) {
 		events, ended, failed := execution.buffer.after(ctx, offset)
 		offset += len(events)
 		return events, ended, failed
@@ -110,7 +110,7 @@
 	failed := <-dispatched
 	ending := node.outcomeOf(failed)
 	if committed != nil {
-		ending = scheduling.NotSent // it was broken off from here
+		ending = scheduler.NotSent // it was broken off from here
 	}
 	defer request.slot.Release(ending)
 	execution.close(failed, committed)
@@ -122,7 +122,7 @@
 	request, node := execution.request, execution.node
 	history := request.history.Messages(request.follows)
 	for dial := 1; ; dial++ {
-		asked := runnerorigin.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Words: request.words, Limit: request.answerWordLimit()}
+		asked := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Words: request.words, Limit: request.answerWordLimit()}
 		began := time.Now()
 		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, asked, node.preSendCheck(request), func(words string) error {
 			if execution.timeToFirstPiece == 0 {
@@ -178,18 +178,18 @@
 
 func (execution *turnExecution) commit(batch []string) error {
 	request := execution.request
-	events := make([]line.Event, len(batch))
+	events := make([]sessionlog.Event, len(batch))
 	for position, words := range batch {
 		execution.parts++
-		events[position] = line.Event{Kind: line.OutputPart, Turn: request.begun.Seq, Text: words, Part: execution.parts}
+		events[position] = sessionlog.Event{Kind: sessionlog.OutputPart, Turn: request.begun.Seq, Text: words, Part: execution.parts}
 	}
 	ctx, cancel := context.WithTimeout(execution.node.context, commitTimeout)
 	defer cancel()
-	outcomes, err := execution.node.stores.Command(ctx, request.sessionName(), line.Command{Kind: line.AppendEvents, Producer: request.producer, ProducerSeq: execution.nextProducerSeq, Events: events})
+	outcomes, err := execution.node.stores.Command(ctx, request.sessionName(), sessionlog.Command{Kind: sessionlog.AppendEvents, Producer: request.producer, ProducerSeq: execution.nextProducerSeq, Events: events})
 	if err != nil {
 		return err
 	}
-	if outcomes[0].Status != line.Done {
+	if outcomes[0].Status != sessionlog.Done {
 		return apierror.New(apierror.Unknown, "the turn was closed by another node meanwhile", "read the history")
 	}
 	execution.nextProducerSeq++
@@ -212,10 +212,10 @@
 		node.background.start(func() {
 			ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 			defer cancel()
-			err := node.closeOverdueRun(ctx, request.sessionName(), request.begun, line.OutcomeCut)
+			err := node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
 			for err != nil && ctx.Err() == nil {
 				awaitRetry(ctx)
-				err = node.closeOverdueRun(ctx, request.sessionName(), request.begun, line.OutcomeCut)
+				err = node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
 			}
 			if err != nil {
 				log.WithFields(log.Fields{"node": node.name, "line": request.sessionName(), "turn": request.begun.Seq, "error": err.Error()}).Warn("turn_left_open")
@@ -224,14 +224,14 @@
 		execution.buffer.append(apierror.New(apierror.Unknown, "the answer's pieces could not be committed: "+uncommitted.Error(), "tail the conversation from the last seq you have"), true)
 		return
 	}
-	outcome, detail := line.OutcomeComplete, ""
+	outcome, detail := sessionlog.OutcomeComplete, ""
 	switch {
 	case errors.Is(failed, errTurnLimit):
-		outcome, detail = line.OutcomeCut, "turn_limit"
+		outcome, detail = sessionlog.OutcomeCut, "turn_limit"
 	case failed != nil && execution.parts == 0 && (apierror.Of(failed).NeverSent || apierror.Is(failed, apierror.NotRun)):
-		outcome, detail, words = line.OutcomeNotRun, "runner_unreachable", 0
+		outcome, detail, words = sessionlog.OutcomeNotRun, "runner_unreachable", 0
 	case failed != nil:
-		outcome, detail = line.OutcomeCut, "runner_mishap"
+		outcome, detail = sessionlog.OutcomeCut, "runner_mishap"
 		log.WithFields(log.Fields{"node": node.name, "line": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Address, "error": failed.Error()}).Warn("turn_cut")
 	}
 	seq, err := node.recordEnd(ctx, request, execution.nextProducerSeq, outcome, "", detail)
@@ -241,10 +241,10 @@
 		return
 	}
 	var reported error
-	if outcome == line.OutcomeNotRun {
+	if outcome == sessionlog.OutcomeNotRun {
 		reported = request.fencedError(failed)
 	}
-	execution.buffer.append(reported, true, line.Event{Seq: seq, Kind: line.TurnEnded, Turn: request.begun.Seq, Outcome: outcome, Name: detail})
+	execution.buffer.append(reported, true, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.begun.Seq, Outcome: outcome, Name: detail})
 }
 
 // tail streams committed events of a line after a cursor, from the stores. With a
@@ -255,33 +255,33 @@
 	if turn != 0 {
 		reached = turn - 1
 	}
-	var begun line.Event
+	var begun sessionlog.Event
 	wait := time.Duration(0)
-	return &eventStream{conversation: conversationName, turn: turn, next: func(ctx context.Context) ([]line.Event, bool, error) {
+	return &eventStream{conversation: conversationName, turn: turn, next: func(ctx context.Context) ([]sessionlog.Event, bool, error) {
 		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
 		defer cancel()
-		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: name, After: reached, Limit: storeorigin.MaxEventsPerPage, Wait: wait})
+		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: name, After: reached, Limit: storeclient.MaxEventsPerPage, Wait: wait})
 		if err != nil {
 			return nil, true, err
 		}
 		wait = tailPollTimeout
-		found, ended := []line.Event{}, false
+		found, ended := []sessionlog.Event{}, false
 		for _, event := range reply.Events {
 			reached = event.Seq
 			if turn != 0 && event.Turn != turn {
 				continue
 			}
-			if event.Kind == line.TurnBegun {
+			if event.Kind == sessionlog.TurnBegun {
 				begun = event
 			}
-			ended = ended || (turn != 0 && event.Kind == line.TurnEnded)
+			ended = ended || (turn != 0 && event.Kind == sessionlog.TurnEnded)
 			if event.Seq > cursor || ended {
 				found = append(found, event)
 			}
 		}
 		silent := len(reply.Events) == 0 && turn != 0 && !ended
 		if silent && (reply.Clock > begun.Deadline || node.ownerPresumedDead(ctx, begun)) {
-			if err := node.closeOverdueRun(ctx, name, begun, line.OutcomeCut); err != nil {
+			if err := node.closeOverdueRun(ctx, name, begun, sessionlog.OutcomeCut); err != nil {
 				return found, true, err
 			}
 		}
@@ -294,7 +294,7 @@
 type eventStream struct {
 	conversation string
 	turn         uint64
-	next         func(ctx context.Context) ([]line.Event, bool, error)
+	next         func(ctx context.Context) ([]sessionlog.Event, bool, error)
 	context      context.Context
 }
 
@@ -319,9 +319,9 @@
 	Remedy       string `json:"remedy,omitempty"`
 }
 
-var eventNames = map[line.EventKind]string{
-	line.TurnBegun: "turn_begun", line.OutputPart: "piece", line.TurnEnded: "turn_ended", line.ToolCalled: "tool_called",
-	line.ToolAnswered: "tool_answered", line.HelperStarted: "helper_started", line.Fenced: "fenced",
+var eventNames = map[sessionlog.EventKind]string{
+	sessionlog.TurnBegun: "turn_begun", sessionlog.OutputPart: "piece", sessionlog.TurnEnded: "turn_ended", sessionlog.ToolCalled: "tool_called",
+	sessionlog.ToolAnswered: "tool_answered", sessionlog.HelperStarted: "helper_started", sessionlog.Fenced: "fenced",
 }
 
 // WriteTo streams until the end mark, a failure or the caller's leaving.
@@ -360,9 +360,9 @@
 	}
 }
 
-func toStreamRecord(event line.Event) streamRecord {
+func toStreamRecord(event sessionlog.Event) streamRecord {
 	record := streamRecord{Seq: event.Seq, Event: eventNames[event.Kind], Turn: event.Turn, Follows: event.Follows, Name: event.Name, Words: event.Text}
-	if event.Kind == line.TurnEnded {
+	if event.Kind == sessionlog.TurnEnded {
 		record.End, record.Reason, record.Name = event.Outcome, event.Name, ""
 	}
 	return record
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -13,8 +13,8 @@
 	workserver "yardrock.example/system/api/gen/http/work/server"
 	"yardrock.example/system/api/gen/work"
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/httpface"
-	"yardrock.example/system/line"
+	"yardrock.example/system/httpapi"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 )
 
@@ -22,8 +22,8 @@
 func (node *Node) handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
-	workserver.Mount(mux, workserver.New(work.NewEndpoints(workService{node}), mux, decoder, encoder, nil, httpface.FormatError))
-	httpface.MountHealth(mux, node.Ready)
+	workserver.Mount(mux, workserver.New(work.NewEndpoints(workService{node}), mux, decoder, encoder, nil, httpapi.FormatError))
+	httpapi.MountHealth(mux, node.Ready)
 	return mux
 }
 
@@ -38,7 +38,7 @@
 }
 
 func (service workService) pass(ctx context.Context, authorization *string, request *request, chain []filter) (any, error) {
-	token, err := httpface.BearerToken(authorization)
+	token, err := httpapi.BearerToken(authorization)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 	}
 	streaming := answer.(*eventStream)
 	streaming.context = ctx
-	httpface.SetContentType(ctx, "application/x-ndjson")
+	httpapi.SetContentType(ctx, "application/x-ndjson")
 	return streaming, nil
 }
 
@@ -113,7 +113,7 @@
 			if err != nil {
 				return nil, err
 			}
-			if len(reply.Events) == 0 || reply.Events[0].Kind != line.TurnBegun {
+			if len(reply.Events) == 0 || reply.Events[0].Kind != sessionlog.TurnBegun {
 				return nil, apierror.New(apierror.NotFound, "the conversation has no turn "+strconv.FormatUint(turn, 10), "read the history and name one of its turns")
 			}
 		}
@@ -137,7 +137,7 @@
 	return transcript, nil
 }
 
-func toRecord(event line.Event) *work.Record {
+func toRecord(event sessionlog.Event) *work.Record {
 	record := &work.Record{Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind]}
 	for target, value := range map[**string]string{&record.Words: event.Text, &record.Outcome: event.Outcome, &record.Name: event.Name} {
 		if value != "" {
@@ -206,14 +206,14 @@
 	}
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	outcomes, err := node.stores.Command(committing, request.team+"/"+request.parent, line.Command{
-		Kind: line.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: 1,
-		Events: []line.Event{{Kind: line.HelperStarted, Follows: request.follows, Name: helper.conversation}},
+	outcomes, err := node.stores.Command(committing, request.team+"/"+request.parent, sessionlog.Command{
+		Kind: sessionlog.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: 1,
+		Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted, Follows: request.follows, Name: helper.conversation}},
 	})
 	if err != nil {
 		return nil, asNotRun(err)
 	}
-	if outcomes[0].Status != line.Done {
+	if outcomes[0].Status != sessionlog.Done {
 		return nil, apierror.NewRetryable(apierror.NotRun, "the parent's line refused the helper", "ask again", time.Second)
 	}
 	answer, err := node.runChain(ctx, &helper, turnChain)
--- a/system/httpface/httpapi.go
+++ b/system/httpapi/httpapi.go
@@ -1,6 +1,6 @@
 // Package httpface is what both planes' HTTP interfaces share: typed failures as
 // JSON bodies, body limits, and a server that can be drained.
-package httpface
+package httpapi
 
 import (
 	"context"
--- a/system/link/link_test.go
+++ b/system/link/link_test.go
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -46,12 +46,12 @@
 	if err != nil || reply.Status.Name != "here" || reply.Status.Controls[0].Name != "a" {
 		t.Fatalf("status: %+v, %v", reply, err)
 	}
-	_, err = client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Commands: []line.Command{{Events: []line.Event{{Text: "busy"}}}}}})
+	_, err = client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Commands: []sessionlog.Command{{Events: []sessionlog.Event{{Text: "busy"}}}}}})
 	if found := apierror.Of(err); found.Kind != apierror.Conflict || found.Message != "busy" || found.Remedy != "read again" {
 		t.Fatalf("command: %v", err)
 	}
-	batch := agreement.Message{Kind: agreement.MessageAppend, Entries: []agreement.Entry{{Index: 1}, {Index: 2, Kind: agreement.EntryMembership, Membership: agreement.Membership{Voters: []string{"a"}}}}}
-	if _, err = client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []agreement.Message{batch}}}); err != nil {
+	batch := raft.Message{Kind: raft.MessageAppend, Entries: []raft.Entry{{Index: 1}, {Index: 2, Kind: raft.EntryMembership, Membership: raft.Membership{Voters: []string{"a"}}}}}
+	if _, err = client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{batch}}}); err != nil {
 		t.Fatal(err)
 	}
 	server.Close()
@@ -80,8 +80,8 @@
 	defer client.Close()
 	for number := range 200 {
 		data := bytes.Repeat([]byte{byte(number)}, 100)
-		message := agreement.Message{Kind: agreement.MessageAppend, Entries: []agreement.Entry{{Data: data}}}
-		if _, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []agreement.Message{message}}}); err != nil {
+		message := raft.Message{Kind: raft.MessageAppend, Entries: []raft.Entry{{Data: data}}}
+		if _, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{message}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -108,7 +108,7 @@
 	client := NewClient(TCP{})
 	defer client.Close()
 	of := func(index uint64) *wire.Query {
-		return &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []agreement.Message{{Index: index}}}}
+		return &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{{Index: index}}}}
 	}
 	for index := range uint64(queries) {
 		client.Notify(t.Context(), listener.Addr().String(), of(index))
@@ -219,9 +219,9 @@
 	defer listener.Close()
 	client := NewClient(TCP{})
 	defer client.Close()
-	large := agreement.Message{Kind: agreement.MessageAppend, Entries: []agreement.Entry{{Data: make([]byte, 4<<20)}}}
+	large := raft.Message{Kind: raft.MessageAppend, Entries: []raft.Entry{{Data: make([]byte, 4<<20)}}}
 	query := func() *wire.Query {
-		return &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []agreement.Message{large}}}
+		return &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{large}}}
 	}
 	for range 8 {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/system/link/traffic_test.go
+++ b/system/link/traffic_test.go
@@ -5,7 +5,7 @@
 	"context"
 	"testing"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -38,8 +38,8 @@
 	before := trafficOf("agreement")
 	const queries, size = 5, 4096
 	for range queries {
-		message := agreement.Message{Kind: agreement.MessageAppend, Entries: []agreement.Entry{{Data: bytes.Repeat([]byte{1}, size)}}}
-		if _, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []agreement.Message{message}}}); err != nil {
+		message := raft.Message{Kind: raft.MessageAppend, Entries: []raft.Entry{{Data: bytes.Repeat([]byte{1}, size)}}}
+		if _, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{message}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/system/agreement/election_test.go
+++ b/system/raft/election_test.go
@@ -1,4 +1,4 @@
-package agreement
+package raft
 
 import "testing"
 
--- a/system/agreement/types.go
+++ b/system/raft/types.go
@@ -4,7 +4,7 @@
 // clock: Step takes one input (a message, a tick, a notice that a write was
 // synced, a proposal, ...) and returns what the shell round it must do. The same
 // inputs in the same order always give the same outputs.
-package agreement
+package raft
 
 import (
 	"fmt"
--- a/system/replica/host.go
+++ b/system/replica/host.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/durablelog"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 )
 
@@ -17,7 +17,7 @@
 // from the host's loop only. What Image gives encodes the content as it is now, and
 // may be called at leisure elsewhere.
 type StateMachine interface {
-	Apply(entry agreement.Entry) any
+	Apply(entry raft.Entry) any
 	Snapshot() func() []byte
 	Restore(data []byte) error
 }
@@ -44,7 +44,7 @@
 }
 
 type raftGroup struct {
-	core         *agreement.Core
+	core         *raft.Core
 	stateMachine StateMachine
 	proposals    map[uint64]proposal
 	reads        map[uint64]chan error
@@ -74,11 +74,11 @@
 	pendingRecords   []durablelog.Record
 	pendingCallbacks []func()
 	runningJob       *diskJob
-	outbox           map[string][]agreement.Message
+	outbox           map[string][]raft.Message
 	lastReadID       uint64
 	ticks            uint64
 	removed          map[uint32]bool
-	statuses         atomic.Pointer[map[uint32]agreement.Status]
+	statuses         atomic.Pointer[map[uint32]raft.Status]
 	// connections are those on which peers' messages came, with the peer.
 	connections sync.Map
 }
@@ -151,7 +151,7 @@
 	host.ticks++
 	stalled := host.runningJob != nil && time.Since(host.runningJob.started) > host.settings.StallTimeout
 	for groupID, group := range host.groups {
-		host.step(groupID, agreement.Input{Kind: agreement.InputTick, Number: host.ticks})
+		host.step(groupID, raft.Input{Kind: raft.InputTick, Number: host.ticks})
 		if _, leading := group.core.Leading(); stalled && leading {
 			host.transferLeadership(groupID, group)
 		}
@@ -176,14 +176,14 @@
 }
 
 func (host *Host) publishStatuses() {
-	statuses := make(map[uint32]agreement.Status, len(host.groups))
+	statuses := make(map[uint32]raft.Status, len(host.groups))
 	for groupID, group := range host.groups {
 		statuses[groupID] = group.core.Status()
 	}
 	host.statuses.Store(&statuses)
 }
 
-func (host *Host) step(groupID uint32, input agreement.Input) agreement.Output {
+func (host *Host) step(groupID uint32, input raft.Input) raft.Output {
 	group := host.groups[groupID]
 	output := group.core.Step(input)
 	if output.Snapshot != nil {
@@ -204,7 +204,7 @@
 		written := output.Write.Number
 		host.pendingCallbacks = append(host.pendingCallbacks, func() {
 			if host.groups[groupID] == group {
-				host.step(groupID, agreement.Input{Kind: agreement.InputSynced, Number: written})
+				host.step(groupID, raft.Input{Kind: raft.InputSynced, Number: written})
 			}
 		})
 	}
@@ -224,10 +224,10 @@
 	return output
 }
 
-func (host *Host) applyEntry(group *raftGroup, entry agreement.Entry) {
+func (host *Host) applyEntry(group *raftGroup, entry raft.Entry) {
 	var outcome any
 	group.bytesSinceSnapshot += len(entry.Data) + entryOverheadBytes
-	if entry.Kind == agreement.EntryCommand {
+	if entry.Kind == raft.EntryCommand {
 		outcome = group.stateMachine.Apply(entry)
 	}
 	waiting, found := group.proposals[entry.Index]
@@ -243,8 +243,8 @@
 }
 
 // isFromLeader tells whether only a leader sends messages of this kind.
-func isFromLeader(kind agreement.MessageKind) bool {
-	return kind == agreement.MessageAppend || kind == agreement.MessageSnapshot || kind == agreement.MessageSnapshotChunk
+func isFromLeader(kind raft.MessageKind) bool {
+	return kind == raft.MessageAppend || kind == raft.MessageSnapshot || kind == raft.MessageSnapshotChunk
 }
 
 // Receive takes a peer's messages, and does not wait until they are worked off. A
@@ -252,7 +252,7 @@
 // connection on which they came ends, the peer may be gone.
 //
 //	host.Receive(link.Connection(ctx), query.Agreement.Messages)
-func (host *Host) Receive(connection context.Context, messages []agreement.Message) {
+func (host *Host) Receive(connection context.Context, messages []raft.Message) {
 	if len(messages) == 0 {
 		return
 	}
@@ -272,12 +272,12 @@
 				if !isFromLeader(message.Kind) {
 					continue
 				}
-				if err := host.addGroup(message.Group, agreement.PersistentState{}); err != nil {
+				if err := host.addGroup(message.Group, raft.PersistentState{}); err != nil {
 					continue
 				}
 				delete(host.removed, message.Group)
 			}
-			host.step(message.Group, agreement.Input{Kind: agreement.InputMessage, Message: message})
+			host.step(message.Group, raft.Input{Kind: raft.InputMessage, Message: message})
 		}
 	})
 }
@@ -285,7 +285,7 @@
 func (host *Host) suspect(peer string) {
 	host.enqueue(func() {
 		for groupID := range host.groups {
-			host.step(groupID, agreement.Input{Kind: agreement.InputSuspect, Peer: peer})
+			host.step(groupID, raft.Input{Kind: raft.InputSuspect, Peer: peer})
 		}
 	})
 }
@@ -293,12 +293,12 @@
 // Statuses gives what every group here believes, as of the last loop.
 //
 //	for number, status := range host.Statuses() { ... }
-func (host *Host) Statuses() map[uint32]agreement.Status { return *host.statuses.Load() }
+func (host *Host) Statuses() map[uint32]raft.Status { return *host.statuses.Load() }
 
 // Status gives what one group here believes right now; false tells that it is not here.
 //
 //	status, here := host.Status(7)
-func (host *Host) Status(groupID uint32) (status agreement.Status, here bool) {
+func (host *Host) Status(groupID uint32) (status raft.Status, here bool) {
 	host.runOnLoop(func() {
 		if group := host.groups[groupID]; group != nil {
 			status, here = group.core.Status(), true
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/durablelog"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 )
 
@@ -18,7 +18,7 @@
 		}
 	}
 	if best != "" {
-		host.step(groupID, agreement.Input{Kind: agreement.InputTransferLeadership, Peer: best})
+		host.step(groupID, raft.Input{Kind: raft.InputTransferLeadership, Peer: best})
 	}
 }
 
@@ -45,8 +45,8 @@
 		if host.groups[groupID] != nil || host.removed[groupID] {
 			return
 		}
-		snapshot := agreement.Snapshot{Index: 1, Term: 1, Membership: agreement.Membership{Voters: voters}, Data: content}
-		stored := agreement.PersistentState{HardState: agreement.HardState{Term: 1}, Snapshot: snapshot}
+		snapshot := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Voters: voters}, Data: content}
+		stored := raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: snapshot}
 		if err := host.addGroup(groupID, stored); err != nil {
 			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("founding_failed")
 			return
@@ -72,11 +72,11 @@
 // ChangeMembership asks a group that is led here for a one-member change.
 //
 //	changed := host.ChangeMembership(7, next)
-func (host *Host) ChangeMembership(groupID uint32, next agreement.Membership) bool {
+func (host *Host) ChangeMembership(groupID uint32, next raft.Membership) bool {
 	index := uint64(0)
 	host.runOnLoop(func() {
 		if host.groups[groupID] != nil {
-			index = host.step(groupID, agreement.Input{Kind: agreement.InputChangeMembership, Membership: next}).ProposedIndex
+			index = host.step(groupID, raft.Input{Kind: raft.InputChangeMembership, Membership: next}).ProposedIndex
 		}
 	})
 	return index != 0
@@ -88,7 +88,7 @@
 func (host *Host) TransferLeadership(groupID uint32, peer string) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] != nil {
-			host.step(groupID, agreement.Input{Kind: agreement.InputTransferLeadership, Peer: peer})
+			host.step(groupID, raft.Input{Kind: raft.InputTransferLeadership, Peer: peer})
 		}
 	})
 }
--- a/system/replica/host_proposals.go
+++ b/system/replica/host_proposals.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
+	"yardrock.example/system/raft"
 )
 
 type proposal struct {
@@ -57,7 +57,7 @@
 		for position, data := range commands {
 			index, term := uint64(0), uint64(0)
 			if group != nil {
-				output := host.step(groupID, agreement.Input{Kind: agreement.InputPropose, Data: data})
+				output := host.step(groupID, raft.Input{Kind: raft.InputPropose, Data: data})
 				index, term = output.ProposedIndex, output.ProposedTerm
 			}
 			if index == 0 {
@@ -110,7 +110,7 @@
 		}
 		host.lastReadID++
 		group.reads[host.lastReadID] = answer
-		host.step(groupID, agreement.Input{Kind: agreement.InputReadIndex, Context: host.lastReadID})
+		host.step(groupID, raft.Input{Kind: raft.InputReadIndex, Context: host.lastReadID})
 	})
 	if !running {
 		return host.notLeader(nil)
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -7,9 +7,9 @@
 	"slices"
 	"sync"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/durablelog"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -24,7 +24,7 @@
 		settings: settings, name: durable.Identity().Name, durableLog: durable, newStateMachine: machines, transport: transport,
 		actions: make(chan func(), 1024), diskJobs: make(chan *diskJob), finishedJobs: make(chan *diskJob, 1),
 		stopping: make(chan struct{}), stopped: make(chan struct{}),
-		groups: map[uint32]*raftGroup{}, removed: map[uint32]bool{}, values: map[uint32][]byte{}, outbox: map[string][]agreement.Message{},
+		groups: map[uint32]*raftGroup{}, removed: map[uint32]bool{}, values: map[uint32][]byte{}, outbox: map[string][]raft.Message{},
 	}
 	stored, err := host.replay(records)
 	if err != nil {
@@ -40,8 +40,8 @@
 }
 
 // replay folds what the log holds into the last state of each group.
-func (host *Host) replay(records []durablelog.Record) (map[uint32]agreement.PersistentState, error) {
-	stored, contents := map[uint32]agreement.PersistentState{}, map[uint32][]byte{}
+func (host *Host) replay(records []durablelog.Record) (map[uint32]raft.PersistentState, error) {
+	stored, contents := map[uint32]raft.PersistentState{}, map[uint32][]byte{}
 	for _, record := range records {
 		switch record.Kind {
 		case recordSnapshotContent:
@@ -70,12 +70,12 @@
 
 // decodeWrite decodes a write, whose snapshot's content may have come in the record
 // before it.
-func decodeWrite(record durablelog.Record, contents map[uint32][]byte) (*agreement.Write, error) {
+func decodeWrite(record durablelog.Record, contents map[uint32][]byte) (*raft.Write, error) {
 	var kept wire.StoredWrite
 	if err := wire.Decode(schema.StoredWrite_TypeID, record.Data, &kept); err != nil {
 		return nil, err
 	}
-	write := &agreement.Write{HardState: kept.HardState, Entries: kept.Entries}
+	write := &raft.Write{HardState: kept.HardState, Entries: kept.Entries}
 	if kept.SnapshotDataSeparate {
 		content, found := contents[record.Group]
 		if !found {
@@ -92,7 +92,7 @@
 
 // restoreGroups restores all groups, several at a time: after an outage this is most
 // of what a start takes.
-func (host *Host) restoreGroups(stored map[uint32]agreement.PersistentState) error {
+func (host *Host) restoreGroups(stored map[uint32]raft.PersistentState) error {
 	var mutex sync.Mutex
 	var restoring sync.WaitGroup
 	var failed error
@@ -115,7 +115,7 @@
 	return failed
 }
 
-func (host *Host) addGroup(groupID uint32, stored agreement.PersistentState) error {
+func (host *Host) addGroup(groupID uint32, stored raft.PersistentState) error {
 	made, err := host.newGroup(groupID, stored)
 	if err == nil {
 		host.groups[groupID] = made
@@ -125,7 +125,7 @@
 
 // newGroup makes a replica of what the disk holds. What cannot be read is refused, so
 // that no replica votes or leads that lacks what it once promised.
-func (host *Host) newGroup(groupID uint32, stored agreement.PersistentState) (*raftGroup, error) {
+func (host *Host) newGroup(groupID uint32, stored raft.PersistentState) (*raftGroup, error) {
 	if err := stored.Check(); err != nil {
 		return nil, groupDamaged(groupID, err)
 	}
@@ -135,7 +135,7 @@
 			return nil, groupDamaged(groupID, err)
 		}
 	}
-	made.core = agreement.New(agreement.Settings{
+	made.core = raft.New(raft.Settings{
 		Group: groupID, Name: host.name, ElectionTicks: host.settings.ElectionTicks, HeartbeatTicks: host.settings.HeartbeatTicks, Seed: host.settings.Seed,
 		InstallSnapshot: made.installSnapshot,
 	}, stored)
--- a/system/replica/host_snapshots.go
+++ b/system/replica/host_snapshots.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
+	"yardrock.example/system/raft"
 )
 
 const (
@@ -49,14 +49,14 @@
 				return
 			}
 			group.snapshotBytes, group.bytesSinceSnapshot = len(data), group.bytesSinceSnapshot-logged
-			host.step(groupID, agreement.Input{Kind: agreement.InputCompact, Index: index, Data: data})
+			host.step(groupID, raft.Input{Kind: raft.InputCompact, Index: index, Data: data})
 		})
 	}()
 }
 
-func (host *Host) logSnapshotRejection(groupID uint32, refused *agreement.SnapshotError) {
+func (host *Host) logSnapshotRejection(groupID uint32, refused *raft.SnapshotError) {
 	entry := log.WithFields(log.Fields{"node": host.name, "group": groupID, "reason": refused.Reason.String(), "error": refused.Error()})
-	if refused.Reason == agreement.SnapshotOutOfOrder || refused.Reason == agreement.SnapshotSuperseded {
+	if refused.Reason == raft.SnapshotOutOfOrder || refused.Reason == raft.SnapshotSuperseded {
 		entry.Info("snapshot_chunk_refused") // the sender goes on where this replica is
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 // installSnapshot puts a peer's snapshot into the state machine, which is unchanged if it fails.
-func (group *raftGroup) installSnapshot(snapshot agreement.Snapshot) error {
+func (group *raftGroup) installSnapshot(snapshot raft.Snapshot) error {
 	if len(snapshot.Data) > 0 {
 		return group.stateMachine.Restore(snapshot.Data)
 	}
@@ -76,7 +76,7 @@
 }
 
 // handleRestored settles what waited for entries that a peer's snapshot now stands for.
-func (group *raftGroup) handleRestored(snapshot *agreement.Snapshot) {
+func (group *raftGroup) handleRestored(snapshot *raft.Snapshot) {
 	group.snapshotBytes, group.bytesSinceSnapshot = len(snapshot.Data), 0
 	for index, waiting := range group.proposals {
 		if index <= snapshot.Index {
--- a/system/replica/host_snapshots_test.go
+++ b/system/replica/host_snapshots_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/durablelog"
 	"yardrock.example/system/link"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 )
 
@@ -109,7 +109,7 @@
 // lastCommandStateMachine keeps the last command only.
 type lastCommandStateMachine struct{ textStateMachine }
 
-func (machine *lastCommandStateMachine) Apply(entry agreement.Entry) any {
+func (machine *lastCommandStateMachine) Apply(entry raft.Entry) any {
 	machine.content = entry.Data
 	return nil
 }
@@ -149,8 +149,8 @@
 }
 
 func TestLargeSnapshotContentIsStoredSeparatelyAndRequired(t *testing.T) {
-	snapshot := agreement.Snapshot{Index: 5, Term: 2, Membership: agreement.Membership{Voters: []string{"a", "b"}}, Data: append([]byte(textPrefix), make([]byte, separateContentBytes)...)}
-	records := encodeWrite(1, wire.StoredWrite{HardState: agreement.HardState{Term: 3}, HasSnapshot: true, Snapshot: snapshot})
+	snapshot := raft.Snapshot{Index: 5, Term: 2, Membership: raft.Membership{Voters: []string{"a", "b"}}, Data: append([]byte(textPrefix), make([]byte, separateContentBytes)...)}
+	records := encodeWrite(1, wire.StoredWrite{HardState: raft.HardState{Term: 3}, HasSnapshot: true, Snapshot: snapshot})
 	if len(records) != 2 || records[0].Kind != recordSnapshotContent || len(records[1].Data) > 1000 {
 		t.Fatalf("%d records", len(records))
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answers := make(chan agreement.Message, 1000)
+	answers := make(chan raft.Message, 1000)
 	server := link.Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply {
 		for _, message := range query.Raft.Messages {
 			answers <- message
@@ -193,10 +193,10 @@
 		t.Fatal(err)
 	}
 	content := append([]byte(textPrefix), bytes.Repeat([]byte("0123456789abcdef"), 1<<20/16)...)
-	snapshot := agreement.Snapshot{Index: 5, Term: 1, Membership: agreement.Membership{Voters: []string{"a"}, Learners: []string{host.Name()}}, Data: content}
-	leader := agreement.New(agreement.Settings{Group: 1, Name: "a", ElectionTicks: 10, HeartbeatTicks: 2}, agreement.PersistentState{HardState: agreement.HardState{Term: 1}, Snapshot: snapshot})
-	feed := func(input agreement.Input) {
-		for output := leader.Step(input); ; output = leader.Step(agreement.Input{Kind: agreement.InputSynced, Number: output.Write.Number}) {
+	snapshot := raft.Snapshot{Index: 5, Term: 1, Membership: raft.Membership{Voters: []string{"a"}, Learners: []string{host.Name()}}, Data: content}
+	leader := raft.New(raft.Settings{Group: 1, Name: "a", ElectionTicks: 10, HeartbeatTicks: 2}, raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: snapshot})
+	feed := func(input raft.Input) {
+		for output := leader.Step(input); ; output = leader.Step(raft.Input{Kind: raft.InputSynced, Number: output.Write.Number}) {
 			host.Receive(t.Context(), output.Messages)
 			if output.Write == nil {
 				return
@@ -208,9 +208,9 @@
 	for until := time.Now().Add(testTimeout); leader.Status().MatchIndex[host.Name()] < leader.Status().LastIndex || !leader.Status().Leading; {
 		select {
 		case answer := <-answers:
-			feed(agreement.Input{Kind: agreement.InputMessage, Message: answer})
+			feed(raft.Input{Kind: raft.InputMessage, Message: answer})
 		case <-ticker.C:
-			feed(agreement.Input{Kind: agreement.InputTick})
+			feed(raft.Input{Kind: raft.InputTick})
 		}
 		if time.Now().After(until) {
 			t.Fatalf("the host holds %v of %d", leader.Status().MatchIndex, leader.Status().LastIndex)
--- a/system/replica/host_storage.go
+++ b/system/replica/host_storage.go
@@ -9,8 +9,8 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/durablelog"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -77,7 +77,7 @@
 // encoded, by the disk's goroutine, only when its record is due.
 func (host *Host) snapshotRecords() iter.Seq[durablelog.Record] {
 	numbers := slices.Sorted(maps.Keys(host.groups))
-	images := make([]agreement.PersistentState, 0, len(numbers))
+	images := make([]raft.PersistentState, 0, len(numbers))
 	for _, groupID := range numbers {
 		images = append(images, host.groups[groupID].core.PersistentState())
 	}
--- a/system/replica/host_test.go
+++ b/system/replica/host_test.go
@@ -6,11 +6,11 @@
 	"errors"
 	"testing"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/durablelog"
-	"yardrock.example/system/files"
 	"yardrock.example/system/link"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/vfs"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -21,7 +21,7 @@
 // textStateMachine keeps all commands, one after the other.
 type textStateMachine struct{ content []byte }
 
-func (machine *textStateMachine) Apply(entry agreement.Entry) any {
+func (machine *textStateMachine) Apply(entry raft.Entry) any {
 	machine.content = append(machine.content, entry.Data...)
 	return len(machine.content)
 }
@@ -58,7 +58,7 @@
 // openHostTo is openHost with all peers at one address.
 func openHostTo(t *testing.T, path string, settings Settings, machine StateMachine, peers string, extra ...durablelog.Record) (*Host, error) {
 	t.Helper()
-	folder, err := files.Open(path)
+	folder, err := vfs.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,15 +81,15 @@
 }
 
 func TestUnreadablePersistentStateIsRejected(t *testing.T) {
-	voters := agreement.Membership{Voters: []string{"a", "b", "c"}}
-	snapshot := agreement.Snapshot{Index: 5, Term: 2, Membership: voters, Data: []byte(textPrefix)}
-	state := agreement.HardState{Term: 3, VotedFor: "a"}
+	voters := raft.Membership{Voters: []string{"a", "b", "c"}}
+	snapshot := raft.Snapshot{Index: 5, Term: 2, Membership: voters, Data: []byte(textPrefix)}
+	state := raft.HardState{Term: 3, VotedFor: "a"}
 	whole := testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: snapshot})
 	cut := whole
 	cut.Data = cut.Data[:len(cut.Data)/2]
 	unreadable := snapshot
 	unreadable.Data = []byte("no such form")
-	entry := func(index, term uint64) []agreement.Entry { return []agreement.Entry{{Index: index, Term: term}} }
+	entry := func(index, term uint64) []raft.Entry { return []raft.Entry{{Index: index, Term: term}} }
 	for name, records := range map[string][]durablelog.Record{
 		"record is cut":             {cut},
 		"snapshot is unreadable":    {testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: unreadable})},
@@ -118,9 +118,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	send := func(data string) agreement.Status {
-		snapshot := agreement.Snapshot{Index: 9, Term: 2, Membership: agreement.Membership{Voters: []string{"a", host.Name()}}, Data: []byte(data)}
-		host.Receive(context.Background(), []agreement.Message{{Group: 1, Kind: agreement.MessageSnapshot, From: "a", To: host.Name(), Term: 2, Snapshot: snapshot}})
+	send := func(data string) raft.Status {
+		snapshot := raft.Snapshot{Index: 9, Term: 2, Membership: raft.Membership{Voters: []string{"a", host.Name()}}, Data: []byte(data)}
+		host.Receive(context.Background(), []raft.Message{{Group: 1, Kind: raft.MessageSnapshot, From: "a", To: host.Name(), Term: 2, Snapshot: snapshot}})
 		status, _ := host.Status(1)
 		return status
 	}
--- a/system/replica/transport.go
+++ b/system/replica/transport.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/link"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -37,10 +37,10 @@
 
 type peerQueue struct {
 	mutex         sync.Mutex
-	messages      []agreement.Message
+	messages      []raft.Message
 	messagesReady chan struct{}
 	// chunks are parts of snapshots, none of them twice, and chunked wakes who brings them.
-	chunks      []agreement.Message
+	chunks      []raft.Message
 	chunksReady chan struct{}
 }
 
@@ -56,7 +56,7 @@
 // Send queues messages for one peer and never blocks.
 //
 //	courier.Send("store-b", messages)
-func (transport *Transport) Send(to string, messages []agreement.Message) {
+func (transport *Transport) Send(to string, messages []raft.Message) {
 	transport.mutex.Lock()
 	target, found := transport.queues[to]
 	if !found {
@@ -70,12 +70,12 @@
 }
 
 // enqueue queues messages, the parts of snapshots beside all others.
-func (target *peerQueue) enqueue(messages []agreement.Message) {
+func (target *peerQueue) enqueue(messages []raft.Message) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	room := len(target.messages) < maxQueuedMessages
 	for _, message := range messages {
-		if message.Kind == agreement.MessageSnapshotChunk {
+		if message.Kind == raft.MessageSnapshotChunk {
 			target.enqueueChunk(message)
 			signal(target.chunksReady)
 		} else if room {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (target *peerQueue) enqueueChunk(message agreement.Message) {
+func (target *peerQueue) enqueueChunk(message raft.Message) {
 	for _, waiting := range target.chunks {
 		if waiting.Group == message.Group && waiting.Chunk.Checksum == message.Chunk.Checksum && waiting.Chunk.Offset == message.Chunk.Offset {
 			return
@@ -97,7 +97,7 @@
 }
 
 // dequeueChunks gives the parts that go next, which are not many.
-func (target *peerQueue) dequeueChunks() []agreement.Message {
+func (target *peerQueue) dequeueChunks() []raft.Message {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	next := target.chunks[:min(len(target.chunks), maxInflightChunks)]
@@ -129,14 +129,14 @@
 	}
 }
 
-func (transport *Transport) sendChunks(address string, chunks []agreement.Message) {
+func (transport *Transport) sendChunks(address string, chunks []raft.Message) {
 	ctx, cancel := context.WithTimeout(transport.closed, sendTimeout)
 	defer cancel()
 	// What did not arrive is sent again by the group's leader.
 	_, _ = transport.caller.Call(ctx, address, transport.newRequest(chunks))
 }
 
-func (transport *Transport) newRequest(messages []agreement.Message) *wire.Query {
+func (transport *Transport) newRequest(messages []raft.Message) *wire.Query {
 	return &wire.Query{Fleet: transport.fleet(), Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: messages}}
 }
 
--- a/system/replica/transport_test.go
+++ b/system/replica/transport_test.go
@@ -6,19 +6,19 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/link"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire"
 )
 
-func next(t *testing.T, messages <-chan agreement.Message) agreement.Message {
+func next(t *testing.T, messages <-chan raft.Message) raft.Message {
 	t.Helper()
 	select {
 	case message := <-messages:
 		return message
 	case <-time.After(testTimeout):
 		t.Fatalf("no message came within %s", testTimeout)
-		return agreement.Message{}
+		return raft.Message{}
 	}
 }
 
@@ -29,11 +29,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	chunks, heartbeats, answered := make(chan agreement.Message, 100), make(chan agreement.Message, 100), make(chan struct{})
+	chunks, heartbeats, answered := make(chan raft.Message, 100), make(chan raft.Message, 100), make(chan struct{})
 	answer := sync.OnceFunc(func() { close(answered) })
 	server := link.Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply {
 		for _, message := range query.Raft.Messages {
-			if message.Kind == agreement.MessageSnapshotChunk {
+			if message.Kind == raft.MessageSnapshotChunk {
 				chunks <- message
 				<-answered
 			} else {
@@ -48,16 +48,16 @@
 	defer caller.Close()
 	transport := NewTransport(caller, func(string) string { return listener.Addr().String() }, func() string { return "" })
 	defer transport.Close()
-	chunk := func(group uint32, offset uint64) agreement.Message {
-		return agreement.Message{Group: group, Kind: agreement.MessageSnapshotChunk, From: "a", To: "b", Chunk: agreement.SnapshotChunk{Offset: offset}}
+	chunk := func(group uint32, offset uint64) raft.Message {
+		return raft.Message{Group: group, Kind: raft.MessageSnapshotChunk, From: "a", To: "b", Chunk: raft.SnapshotChunk{Offset: offset}}
 	}
-	transport.Send("b", []agreement.Message{chunk(1, 0)})
+	transport.Send("b", []raft.Message{chunk(1, 0)})
 	if first := next(t, chunks); first.Group != 1 {
 		t.Fatalf("came first: %+v", first)
 	}
 	for round := range uint64(3) {
 		for offset := range uint64(maxInflightChunks) {
-			transport.Send("b", []agreement.Message{chunk(1, offset), chunk(2, offset), {Group: 3, Kind: agreement.MessageAppend, Round: round + 1, From: "a", To: "b"}})
+			transport.Send("b", []raft.Message{chunk(1, offset), chunk(2, offset), {Group: 3, Kind: raft.MessageAppend, Round: round + 1, From: "a", To: "b"}})
 		}
 	}
 	for range 3 * maxInflightChunks {
--- a/system/runnerorigin/client.go
+++ b/system/runnerclient/client.go
@@ -1,7 +1,7 @@
 // Package runnerorigin speaks HTTP/1.1 with JSON to model and application
 // runners, and tells apart what was never sent, what was refused as not run, and
 // what is unknown.
-package runnerorigin
+package runnerclient
 
 import (
 	"bufio"
--- a/system/scheduling/scheduler.go
+++ b/system/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 // Package scheduling elects runners: weight tables share work among groups,
 // each runner bears so much and less while cold, and who must wait does so in a
 // bounded queue by urgency.
-package scheduling
+package scheduler
 
 import (
 	"context"
--- a/system/scheduling/scheduler_test.go
+++ b/system/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package scheduling
+package scheduler
 
 import (
 	"context"
--- a/system/line/shared_prefixes_test.go
+++ b/system/sessionlog/shared_prefixes_test.go
@@ -1,4 +1,4 @@
-package line
+package sessionlog
 
 import (
 	"fmt"
--- a/system/line/types.go
+++ b/system/sessionlog/types.go
@@ -1,7 +1,7 @@
 // Package line is the state machine of one group of lines: sessions with their
 // ordered events, producer dedupe, archive progress, and spending tallies. It is
 // pure: time comes only from the leader's commands, so replicas agree.
-package line
+package sessionlog
 
 import (
 	"strings"
--- a/system/settings/settings.go
+++ b/system/settings/settings.go
@@ -18,9 +18,9 @@
 	"github.com/alexflint/go-arg"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/files"
 	"yardrock.example/system/link"
 	"yardrock.example/system/placement"
+	"yardrock.example/system/vfs"
 )
 
 // Version is what --version tells.
@@ -61,12 +61,12 @@
 // OpenFolder opens the data folder, or one below it.
 //
 //	folder, err := loaded.OpenFolder("cold")
-func (common *Common) OpenFolder(subfolder string) (files.Directory, error) {
-	folder, err := files.Open(filepath.Join(common.DataFolder, subfolder))
+func (common *Common) OpenFolder(subfolder string) (vfs.Directory, error) {
+	folder, err := vfs.Open(filepath.Join(common.DataFolder, subfolder))
 	if err != nil || common.FaultyDisk == "" {
 		return folder, err
 	}
-	return files.NewFaultDirectory(folder, common.FaultyDisk), nil
+	return vfs.NewFaultDirectory(folder, common.FaultyDisk), nil
 }
 
 // DataPlane is what yardrock-data-plane is told.
--- a/system/openings/detector.go
+++ b/system/sharedprefix/detector.go
@@ -1,6 +1,6 @@
 // Package openings notices which beginnings the inputs of conversations' first turns have
 // in common. It only proposes; what is merged is compared byte for byte elsewhere.
-package openings
+package sharedprefix
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/restic/chunker"
 
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 )
 
 const (
@@ -63,7 +63,7 @@
 //
 //	common, found := noticer.Observe(group, "identity", "program/3fa81c", input)
 func (detector *Detector) Observe(group uint32, scope, sessionName string, input []byte) (Candidate, bool) {
-	if scope == "" || len(input) < line.MinPrefixBytes {
+	if scope == "" || len(input) < sessionlog.MinPrefixBytes {
 		return Candidate{}, false
 	}
 	detector.mutex.Lock()
@@ -78,7 +78,7 @@
 	for _, end := range detector.chunkEnds(input) {
 		digest.Write(input[from:end])
 		from = end
-		if end < line.MinPrefixBytes {
+		if end < sessionlog.MinPrefixBytes {
 			continue
 		}
 		key := prefixKey{group: group}
@@ -105,7 +105,7 @@
 // chunkEnds gives where an input's chunks end. They depend on its content alone, so that two
 // inputs are cut alike up to the chunk in which they differ.
 func (detector *Detector) chunkEnds(input []byte) []int {
-	reader := bytes.NewReader(input[:min(len(input), line.MaxPrefixBytes)])
+	reader := bytes.NewReader(input[:min(len(input), sessionlog.MaxPrefixBytes)])
 	if detector.chunker == nil {
 		detector.chunker = chunker.NewWithBoundaries(reader, polynomial, minChunkBytes, maxChunkBytes)
 	} else {
--- a/system/openings/detector_test.go
+++ b/system/sharedprefix/detector_test.go
@@ -1,4 +1,4 @@
-package openings
+package sharedprefix
 
 import (
 	"fmt"
--- a/system/store/archive_guard.go
+++ b/system/store/archive_guard.go
@@ -7,8 +7,8 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
-	"yardrock.example/system/line"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -28,7 +28,7 @@
 
 // inDoubt tells whether an acknowledgement may still be committed that is not applied
 // here. A leader that has committed an entry of a later term has decided all before it.
-func (guard *archiveGuard) inDoubt(status agreement.Status) bool {
+func (guard *archiveGuard) inDoubt(status raft.Status) bool {
 	return status.Term == guard.inDoubtTerm && status.CommitIndex < guard.inDoubtThrough
 }
 
@@ -56,7 +56,7 @@
 
 // acknowledgeArchived commits how far lines may be evicted, if those that hold the ranges
 // are a majority of the voters as they are now.
-func (node *Node) acknowledgeArchived(ctx context.Context, group uint32, holders []string, acks []line.Ack) {
+func (node *Node) acknowledgeArchived(ctx context.Context, group uint32, holders []string, acks []sessionlog.Ack) {
 	guard := node.archiveGuard(group)
 	if !guard.acquire(ctx) {
 		return
@@ -66,7 +66,7 @@
 	if len(acks) > 0 && !isMajority(holders, status.Membership.Voters) {
 		return
 	}
-	command := line.Command{Kind: line.AckArchived, Now: node.clock(group), Acks: acks}
+	command := sessionlog.Command{Kind: sessionlog.AckArchived, Now: node.clock(group), Acks: acks}
 	if _, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)}); err != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).Warn("archive_not_acknowledged")
 		status, _ = node.host.Status(group)
@@ -76,7 +76,7 @@
 
 // changeReplicas asks for a one-member change that was decided on the archived ranges with
 // these sums. It does nothing if others have been acknowledged since, or may have been.
-func (node *Node) changeReplicas(group uint32, decidedOn line.BucketDigests, next agreement.Membership) bool {
+func (node *Node) changeReplicas(group uint32, decidedOn sessionlog.BucketDigests, next raft.Membership) bool {
 	guard := node.archiveGuard(group)
 	select {
 	case guard.token <- struct{}{}:
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -7,7 +7,7 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -33,7 +33,7 @@
 }
 
 // repairReplica mends this node's own copy or a peer's, and tells whether it is whole then.
-func (node *Node) repairReplica(group uint32, view *line.View, voter string) bool {
+func (node *Node) repairReplica(group uint32, view *sessionlog.View, voter string) bool {
 	if voter == node.Name() {
 		return node.repairSelf(group, view)
 	}
@@ -43,7 +43,7 @@
 // differingBuckets lists the buckets of lines in which a copy is not as far as the record
 // says. Each is compared by one digest, so that copies which agree cost next to
 // nothing, however many lines they hold.
-func differingBuckets(view *line.View, digests []uint64) []uint32 {
+func differingBuckets(view *sessionlog.View, digests []uint64) []uint32 {
 	wanted, found := view.ArchiveDigests(), []uint32{}
 	for bucket := range wanted {
 		if bucket >= len(digests) || digests[bucket] != wanted[bucket] {
@@ -55,14 +55,14 @@
 
 // missingRanges lists, for the archived part of each line in some buckets, what a copy's
 // ranges lack.
-func missingRanges(view *line.View, buckets []uint32, ranges []wire.RangeDigest) []wire.ReadArchiveQuery {
+func missingRanges(view *sessionlog.View, buckets []uint32, ranges []wire.RangeDigest) []wire.ReadArchiveQuery {
 	bySession := map[string][]wire.RangeDigest{}
 	for _, one := range ranges {
 		bySession[one.Session] = append(bySession[one.Session], one)
 	}
 	found := []wire.ReadArchiveQuery{}
 	for session := range view.Sessions() {
-		if !slices.Contains(buckets, uint32(line.BucketOf(session.Name))) {
+		if !slices.Contains(buckets, uint32(sessionlog.BucketOf(session.Name))) {
 			continue
 		}
 		have := bySession[session.Name]
@@ -82,7 +82,7 @@
 }
 
 // readMissing reads what fills holes from this node's own copy, or from peers.
-func (node *Node) readMissing(group uint32, view *line.View, missing []wire.ReadArchiveQuery) ([]wire.ArchiveChunk, bool) {
+func (node *Node) readMissing(group uint32, view *sessionlog.View, missing []wire.ReadArchiveQuery) ([]wire.ArchiveChunk, bool) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
 	chunks, complete := []wire.ArchiveChunk{}, true
@@ -106,7 +106,7 @@
 
 // repairSelf fills this node's own holes from its peers. It tells whether this node holds
 // all that a view of the group tells to be archived.
-func (node *Node) repairSelf(group uint32, view *line.View) bool {
+func (node *Node) repairSelf(group uint32, view *sessionlog.View) bool {
 	digests := node.archiveStore.BucketDigests(group)
 	buckets := differingBuckets(view, digests[:])
 	if len(buckets) == 0 {
@@ -127,7 +127,7 @@
 
 // repairPeer compares a peer's copy by its ranges' digests and sends what it lacks.
 // It tells whether the peer holds all that a view of the group tells to be archived.
-func (node *Node) repairPeer(group uint32, view *line.View, peer string) bool {
+func (node *Node) repairPeer(group uint32, view *sessionlog.View, peer string) bool {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
 	fleet, address := node.view.Load().BoundFleet(), node.addressOf(peer)
--- a/system/store/archiver.go
+++ b/system/store/archiver.go
@@ -6,8 +6,8 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/line"
 	"yardrock.example/system/placement"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -51,7 +51,7 @@
 // its replicas, and only then commits how far they may be evicted.
 func (node *Node) archiveGroup(group uint32, voters []string) {
 	view := node.stateMachine(group).View()
-	chunks, acks := []wire.ArchiveChunk{}, []line.Ack{}
+	chunks, acks := []wire.ArchiveChunk{}, []sessionlog.Ack{}
 	budget, now := archiveBatch, node.clock(group)
 	expired, full := view.HasExpired(now) || view.HasIdlePrefix(now), unarchivedBytes(view) > maxUnarchivedBytes
 	for session := range view.Unarchived() {
@@ -65,7 +65,7 @@
 		budget -= len(events)
 		first, last := events[0].Seq, events[len(events)-1].Seq
 		chunks = append(chunks, wire.ArchiveChunk{Group: group, Session: session.Name, First: first, Last: last, ExpiresAt: session.ExpiresAt().UnixNano(), Events: events})
-		acks = append(acks, line.Ack{Session: session.Name, ArchivedSeq: last})
+		acks = append(acks, sessionlog.Ack{Session: session.Name, ArchivedSeq: last})
 	}
 	if len(chunks) == 0 && !expired {
 		return
@@ -87,11 +87,11 @@
 	maxUnarchivedBytes  = 1 << 20
 )
 
-func isActive(session *line.Session, now int64) bool {
+func isActive(session *sessionlog.Session, now int64) bool {
 	return len(session.Turns) > 0 && len(session.Unarchived) < maxUnarchivedEvents && now-session.UpdatedAt < int64(activeWindow)
 }
 
-func unarchivedBytes(view *line.View) int {
+func unarchivedBytes(view *sessionlog.View) int {
 	size := 0
 	for session := range view.Unarchived() {
 		for _, event := range session.Unarchived {
