--- a/system/store/group_placement.go
+++ b/system/store/group_placement.go
@@ -9,10 +9,10 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
 	"yardrock.example/system/placement"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -70,7 +70,7 @@
 
 // canMove tells that a group is not where it should be, and that a step towards there can
 // be taken now.
-func (node *Node) canMove(status agreement.Status, target []string) bool {
+func (node *Node) canMove(status raft.Status, target []string) bool {
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	if status.MembershipChangePending {
 		return true
@@ -89,10 +89,10 @@
 type groupMove struct {
 	node   *Node
 	group  uint32
-	status agreement.Status
+	status raft.Status
 	// content is what the group holds at the time of the look: who is to keep what is
 	// archived is judged by it.
-	content *line.View
+	content *sessionlog.View
 	target  []string
 	// surplus are the voters that the store list does not want there.
 	surplus []string
@@ -123,7 +123,7 @@
 	}
 }
 
-func (move *groupMove) change(event, name string, next agreement.Membership) {
+func (move *groupMove) change(event, name string, next raft.Membership) {
 	if move.node.changeReplicas(move.group, move.content.ArchiveDigests(), next) {
 		log.WithFields(log.Fields{"node": move.node.Name(), "group": move.group, "replica": name}).Info(event)
 	}
@@ -131,16 +131,16 @@
 
 func (move *groupMove) addLearner(name string) {
 	replicas := move.status.Membership
-	move.change("replica_enrolled", name, agreement.Membership{Voters: replicas.Voters, Learners: append(slices.Clone(replicas.Learners), name)})
+	move.change("replica_enrolled", name, raft.Membership{Voters: replicas.Voters, Learners: append(slices.Clone(replicas.Learners), name)})
 }
 
 // promoteOrRemoveLearner lets a learner vote once it holds the log and the archived ranges, or lets
 // it go if it is not wanted any more.
 func (move *groupMove) promoteOrRemoveLearner(learner string) {
 	replicas := move.status.Membership
-	without := agreement.Without(replicas.Learners, learner)
+	without := raft.Without(replicas.Learners, learner)
 	if !slices.Contains(move.target, learner) {
-		move.change("replica_removed", learner, agreement.Membership{Voters: replicas.Voters, Learners: without})
+		move.change("replica_removed", learner, raft.Membership{Voters: replicas.Voters, Learners: without})
 		return
 	}
 	if !move.isCaughtUp(learner) || !move.node.repairReplica(move.group, move.content, learner) {
@@ -150,21 +150,21 @@
 		move.removeDepartedVoter(move.surplus[at])
 		return
 	}
-	move.change("replica_votes", learner, agreement.Membership{Voters: append(slices.Clone(replicas.Voters), learner), Learners: without})
+	move.change("replica_votes", learner, raft.Membership{Voters: append(slices.Clone(replicas.Voters), learner), Learners: without})
 }
 
 // isCaughtUp tells whether a replica holds the group's log but for what is on its way.
 func (move *groupMove) isCaughtUp(name string) bool {
 	matched := move.status.MatchIndex[name]
-	return matched > 0 && matched+agreement.MaxLearnerLag >= move.status.CommitIndex
+	return matched > 0 && matched+raft.MaxLearnerLag >= move.status.CommitIndex
 }
 
 // removeDepartedVoter lets a voter go whose store has left the list and has no session, once a
 // majority of those that are left hold all that is archived.
 func (move *groupMove) removeDepartedVoter(name string) {
-	next := agreement.Without(move.status.Membership.Voters, name)
+	next := raft.Without(move.status.Membership.Voters, name)
 	if move.countComplete(next) >= len(next)/2+1 {
-		move.change("replica_removed", name, agreement.Membership{Voters: next, Learners: move.status.Membership.Learners})
+		move.change("replica_removed", name, raft.Membership{Voters: next, Learners: move.status.Membership.Learners})
 	}
 }
 
@@ -172,7 +172,7 @@
 // to be free: each of those that stay must hold all that it holds. A leader that is not
 // wanted has one of them lead first.
 func (move *groupMove) removeVoter(name string) {
-	next := agreement.Without(move.status.Membership.Voters, name)
+	next := raft.Without(move.status.Membership.Voters, name)
 	behind := func(voter string) bool { return !move.isCaughtUp(voter) }
 	if slices.ContainsFunc(move.target, behind) || move.countComplete(move.target) < len(move.target) {
 		return
@@ -183,7 +183,7 @@
 		move.node.host.TransferLeadership(move.group, best)
 		return
 	}
-	move.change("replica_removed", name, agreement.Membership{Voters: next, Learners: move.status.Membership.Learners})
+	move.change("replica_removed", name, raft.Membership{Voters: next, Learners: move.status.Membership.Learners})
 }
 
 // countComplete counts the replicas that hold all that is archived, and mends the others.
@@ -209,7 +209,7 @@
 
 // leaveIfRemoved forgets a replica that its group has let go: it hears of no
 // leader, and the confirmed leader's replica set lacks it.
-func (node *Node) leaveIfRemoved(group uint32, status agreement.Status, target []string) {
+func (node *Node) leaveIfRemoved(group uint32, status raft.Status, target []string) {
 	if status.Leader != "" || slices.Contains(target, node.Name()) {
 		return
 	}
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -11,19 +11,19 @@
 
 	"github.com/apex/log"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/coldstore"
+	"yardrock.example/system/archive"
 	"yardrock.example/system/durablelog"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/files"
-	"yardrock.example/system/follower"
-	"yardrock.example/system/line"
+	"yardrock.example/system/feedclient"
 	"yardrock.example/system/link"
-	"yardrock.example/system/openings"
 	"yardrock.example/system/placement"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/replica"
-	"yardrock.example/system/storeorigin"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/sharedprefix"
+	"yardrock.example/system/storeclient"
+	"yardrock.example/system/vfs"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -58,15 +58,15 @@
 	settings     Settings
 	caller       *link.Client
 	host         *replica.Host
-	archiveStore *coldstore.Store
+	archiveStore *archive.Store
 	server       *link.Server
-	feedClient   *follower.Client
+	feedClient   *feedclient.Client
 	// startedFeedClient is follow, for those who ask while the node still starts.
-	startedFeedClient atomic.Pointer[follower.Client]
+	startedFeedClient atomic.Pointer[feedclient.Client]
 	stateMachines     sync.Map // group number to *groupStateMachine
 	clockAnchors      sync.Map // group number to clockAnchor
-	storeClient       *storeorigin.Client
-	prefixDetector    openings.Detector
+	storeClient       *storeclient.Client
+	prefixDetector    sharedprefix.Detector
 	// archiveGuards holds an *archiveGuard by group number, behind a replicaKey for each
 	// replica of a group led here that may lack archived ranges.
 	archiveGuards   sync.Map
@@ -83,17 +83,17 @@
 	tasks   sync.WaitGroup
 }
 
-// groupStateMachine puts a line.Machine under the host.
+// groupStateMachine puts a sessionlog.Machine under the host.
 type groupStateMachine struct {
-	*line.StateMachine
+	*sessionlog.StateMachine
 	onApplied func(name string)
 }
 
 // Apply carries out a committed command.
-func (machine *groupStateMachine) Apply(entry agreement.Entry) any {
-	var command line.Command
+func (machine *groupStateMachine) Apply(entry raft.Entry) any {
+	var command sessionlog.Command
 	if err := wire.Decode(schema.Command_TypeID, entry.Data, &command); err != nil {
-		return applyResult{line.Outcome{Status: line.BadCommand}, machine.View()}
+		return applyResult{sessionlog.Outcome{Status: sessionlog.BadCommand}, machine.View()}
 	}
 	outcome := machine.StateMachine.Apply(&command)
 	machine.onApplied(command.Session)
@@ -102,8 +102,8 @@
 
 // applied is what a command answered, and the view right after it.
 type applyResult struct {
-	outcome line.Outcome
-	view    *line.View
+	outcome sessionlog.Outcome
+	view    *sessionlog.View
 }
 
 // Snapshot gives the checkpoint of what the view holds now.
@@ -117,7 +117,7 @@
 
 // Restore takes a checkpoint.
 func (machine *groupStateMachine) Restore(data []byte) error {
-	var snapshot line.Snapshot
+	var snapshot sessionlog.Snapshot
 	if err := wire.Decode(schema.LineImage_TypeID, data, &snapshot); err != nil {
 		return err
 	}
@@ -128,12 +128,12 @@
 //
 //	node, err := store.Start(settings, folder, archiveFolder, link.TCP{})
 //	defer node.Close()
-func Start(settings Settings, folder, archiveFolder files.Directory, network link.Network) (*Node, error) {
+func Start(settings Settings, folder, archiveFolder vfs.Directory, network link.Network) (*Node, error) {
 	durable, records, err := durablelog.Open(folder, feed.RoleStore)
 	if err != nil {
 		return nil, err
 	}
-	archiveStore, err := coldstore.Open(archiveFolder)
+	archiveStore, err := archive.Open(archiveFolder)
 	if err != nil {
 		return nil, err
 	}
@@ -143,7 +143,7 @@
 	node := &Node{settings: settings, caller: link.NewClient(network), archiveStore: archiveStore, viewChanged: make(chan struct{}, 1), tailWaiters: map[string]chan struct{}{}}
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.view.Store(&feed.View{})
-	node.storeClient = storeorigin.New(node.caller, node.view.Load)
+	node.storeClient = storeclient.New(node.caller, node.view.Load)
 	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.view.Load().BoundFleet() })
 	node.host, err = replica.Open(settings.Replica, durable, records, node.newStateMachine, courier)
 	if err != nil {
@@ -163,7 +163,7 @@
 		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
 	member := feed.Member{Name: node.Name(), Role: feed.RoleStore, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
-	node.feedClient = follower.Start(node.caller, member, settings.Seeds, view, node.acceptView)
+	node.feedClient = feedclient.Start(node.caller, member, settings.Seeds, view, node.acceptView)
 	node.startedFeedClient.Store(node.feedClient)
 	node.server = link.Serve(listener, node.Answer)
 	node.bootstrapGroups(view)
@@ -177,7 +177,7 @@
 }
 
 func (node *Node) newStateMachine(group uint32) replica.StateMachine {
-	machine := &groupStateMachine{StateMachine: line.NewStateMachine(), onApplied: node.wakeTailReaders}
+	machine := &groupStateMachine{StateMachine: sessionlog.NewStateMachine(), onApplied: node.wakeTailReaders}
 	node.stateMachines.Store(group, machine)
 	return machine
 }
@@ -387,13 +387,13 @@
 	list := &wire.CommandReply{}
 	for position, outcome := range outcomes {
 		result := outcome.(applyResult)
-		if result.outcome.Status == line.UnknownPrefix {
+		if result.outcome.Status == sessionlog.UnknownPrefix {
 			if result, err = node.beginWithFullInput(ctx, query.Command.Group, query.Command.Commands[position]); err != nil {
 				return nil, err
 			}
 		}
 		list.Outcomes = append(list.Outcomes, result.outcome)
-		if command := &query.Command.Commands[position]; command.Kind == line.BeginTurn && command.KeepData && result.outcome.Status == line.Done {
+		if command := &query.Command.Commands[position]; command.Kind == sessionlog.BeginTurn && command.KeepData && result.outcome.Status == sessionlog.Done {
 			if list.History, err = node.history(ctx, query.Command.Group, result.view, command.Session, command.Producer); err != nil {
 				return nil, err
 			}
@@ -467,7 +467,7 @@
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Session: *session, Events: events, Clock: node.clock(group)}}, nil
 }
 
-func (node *Node) linearizableView(ctx context.Context, group uint32) (*line.View, error) {
+func (node *Node) linearizableView(ctx context.Context, group uint32) (*sessionlog.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	if err := node.host.Read(ctx, group); err != nil {
@@ -478,7 +478,7 @@
 
 // readEvents joins hot events with cold ones, asks peers for cold events that are
 // missing here, and refuses a range that still has a gap.
-func (node *Node) readEvents(ctx context.Context, group uint32, session *line.Session, after, limit uint64) ([]line.Event, error) {
+func (node *Node) readEvents(ctx context.Context, group uint32, session *sessionlog.Session, after, limit uint64) ([]sessionlog.Event, error) {
 	if limit == 0 || limit > maxReadEvents {
 		limit = maxReadEvents
 	}
@@ -486,7 +486,7 @@
 		return nil, nil
 	}
 	through := min(session.Head, after+limit)
-	events := []line.Event{}
+	events := []sessionlog.Event{}
 	if after < session.ArchivedSeq {
 		last := min(session.ArchivedSeq, through)
 		found, err := node.archiveStore.Read(session.Name, after, last)
@@ -518,8 +518,8 @@
 	return apierror.NewRetryable(apierror.Gap, "a part of "+name+" cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
 }
 
-func (node *Node) archivedFromPeers(ctx context.Context, group uint32, name string, after, through uint64, found []line.Event) []line.Event {
-	bySeq := map[uint64]line.Event{}
+func (node *Node) archivedFromPeers(ctx context.Context, group uint32, name string, after, through uint64, found []sessionlog.Event) []sessionlog.Event {
+	bySeq := map[uint64]sessionlog.Event{}
 	for _, event := range found {
 		bySeq[event.Seq] = event
 	}
@@ -537,7 +537,7 @@
 			bySeq[event.Seq] = event
 		}
 	}
-	events := []line.Event{}
+	events := []sessionlog.Event{}
 	for seq := after + 1; seq <= through; seq++ {
 		if event, known := bySeq[seq]; known {
 			events = append(events, event)
--- a/system/store/quota.go
+++ b/system/store/quota.go
@@ -7,7 +7,7 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/conversation"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -40,14 +40,14 @@
 
 // settleReservation looks what became of a reservation's turn and books what it spoke. While
 // that cannot be told, the reservation goes on counting as spent.
-func (node *Node) settleReservation(group uint32, quota string, reservation line.Reservation, clock int64) {
+func (node *Node) settleReservation(group uint32, quota string, reservation sessionlog.Reservation, clock int64) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
 	words, ended := node.wordsSpent(ctx, reservation, clock > reservation.ExpiresAt)
 	if !ended {
 		return
 	}
-	command := line.Command{Kind: line.Settle, Session: quota, Now: clock, Reservation: reservation.Name, Words: words}
+	command := sessionlog.Command{Kind: sessionlog.Settle, Session: quota, Now: clock, Reservation: reservation.Name, Words: words}
 	if _, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)}); err != nil {
 		return
 	}
@@ -58,7 +58,7 @@
 // any more. A turn that did not begin within the reservation's life never will: its
 // front looks at the life before the first byte leaves. An open one is closed, which
 // fences whoever runs it.
-func (node *Node) wordsSpent(ctx context.Context, reservation line.Reservation, over bool) (uint64, bool) {
+func (node *Node) wordsSpent(ctx context.Context, reservation sessionlog.Reservation, over bool) (uint64, bool) {
 	name, dispatch := reservation.Turn()
 	events, _, err := node.storeClient.ReadAll(ctx, name)
 	if apierror.Is(err, apierror.NotFound) {
@@ -69,18 +69,18 @@
 	}
 	view := conversation.Fold(events)
 	for _, event := range events {
-		if event.Kind != line.TurnBegun || event.Dispatch != dispatch {
+		if event.Kind != sessionlog.TurnBegun || event.Dispatch != dispatch {
 			continue
 		}
 		turn, _ := view.Run(event.Seq)
 		switch {
 		case turn.Ended == nil && over:
-			closing := line.CloseOverdue(event, line.OutcomeCut)
+			closing := sessionlog.CloseOverdue(event, sessionlog.OutcomeCut)
 			_, _ = node.storeClient.Command(ctx, name, closing) // the next round reads what came of it
 			return 0, false
 		case turn.Ended == nil:
 			return 0, false
-		case turn.Ended.Outcome == line.OutcomeNotRun:
+		case turn.Ended.Outcome == sessionlog.OutcomeNotRun:
 			return 0, true
 		}
 		return turn.WordCount(), true
--- a/system/store/shared_prefix_merge.go
+++ b/system/store/shared_prefix_merge.go
@@ -7,7 +7,7 @@
 	"github.com/apex/log"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -15,37 +15,37 @@
 // usePrefix lets the beginning of a program's first turn refer to an opening that the group
 // holds, if its scope shares any, and notices new ones. Only leaders' commands last, so
 // the group's term is the fence.
-func (node *Node) usePrefix(group uint32, command *line.Command) {
+func (node *Node) usePrefix(group uint32, command *sessionlog.Command) {
 	machine := node.stateMachine(group)
-	if command.Kind != line.BeginTurn || command.Scope == "" || command.Follows != "" || !command.KeepData || machine == nil {
+	if command.Kind != sessionlog.BeginTurn || command.Scope == "" || command.Follows != "" || !command.KeepData || machine == nil {
 		return
 	}
 	input, scope := command.Data, command.Scope
 	prefix, found := machine.View().LongestSharedPrefix(scope, input)
-	if candidate, detected := node.prefixDetector.Observe(group, scope, command.Session, input); detected && (!found || uint64(candidate.Length) >= prefix.Size+line.MinPrefixBytes) {
+	if candidate, detected := node.prefixDetector.Observe(group, scope, command.Session, input); detected && (!found || uint64(candidate.Length) >= prefix.Size+sessionlog.MinPrefixBytes) {
 		node.tasks.Go(func() { node.proposePrefix(group, scope, input[:candidate.Length], candidate.Sessions) })
 	}
 	if !found {
 		command.Scope = ""
 		return
 	}
-	command.Kind, command.Prefix, command.Data = line.BeginTurnWithPrefix, prefix.Name, input[prefix.Size:]
+	command.Kind, command.Prefix, command.Data = sessionlog.BeginTurnWithPrefix, prefix.Name, input[prefix.Size:]
 }
 
 // proposePrefix lets the group hold an opening, and refers the lines to it that it was noticed in.
 func (node *Node) proposePrefix(group uint32, scope string, data []byte, sessions []string) {
-	command := line.Command{Kind: line.SharePrefix, Now: node.clock(group), Scope: scope, Data: data}
+	command := sessionlog.Command{Kind: sessionlog.SharePrefix, Now: node.clock(group), Scope: scope, Data: data}
 	for _, name := range sessions {
-		command.Acks = append(command.Acks, line.Ack{Session: name})
+		command.Acks = append(command.Acks, sessionlog.Ack{Session: name})
 	}
 	result, err := node.propose(node.context, group, command)
-	if err != nil || result.outcome.Status != line.Done {
+	if err != nil || result.outcome.Status != sessionlog.Done {
 		return // it will be noticed again
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "scope": scope, "opening": line.SharedPrefixName(scope, data), "bytes": len(data), "lines": len(sessions)}).Info("opening_merged")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "scope": scope, "opening": sessionlog.SharedPrefixName(scope, data), "bytes": len(data), "lines": len(sessions)}).Info("opening_merged")
 }
 
-func (node *Node) propose(ctx context.Context, group uint32, command line.Command) (applyResult, error) {
+func (node *Node) propose(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	outcomes, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)})
@@ -57,14 +57,14 @@
 
 // beginWithFullInput begins a turn with its whole input: the opening that it was to refer to was
 // freed meanwhile, and nothing had begun.
-func (node *Node) beginWithFullInput(ctx context.Context, group uint32, command line.Command) (applyResult, error) {
+func (node *Node) beginWithFullInput(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
 	command.Now = node.clock(group)
 	return node.propose(ctx, group, command)
 }
 
 // fullData gives all of an event's data as of a view. A damaged opening is mended first; if
 // it can't be, nothing shorter is given.
-func (node *Node) fullData(ctx context.Context, group uint32, view *line.View, event *line.Event) ([]byte, error) {
+func (node *Node) fullData(ctx context.Context, group uint32, view *sessionlog.View, event *sessionlog.Event) ([]byte, error) {
 	if event == nil {
 		return nil, nil
 	}
@@ -80,7 +80,7 @@
 }
 
 // expandPrefixes fills in the data of events that refer to openings.
-func (node *Node) expandPrefixes(ctx context.Context, group uint32, view *line.View, events []line.Event) error {
+func (node *Node) expandPrefixes(ctx context.Context, group uint32, view *sessionlog.View, events []sessionlog.Event) error {
 	for position := range events {
 		if events[position].Prefix == "" {
 			continue
@@ -96,7 +96,7 @@
 
 // repairPrefix asks peers for an opening and gives it to the group anew; its name tells
 // whether a copy is sound.
-func (node *Node) repairPrefix(ctx context.Context, group uint32, view *line.View, name string) (*line.View, error) {
+func (node *Node) repairPrefix(ctx context.Context, group uint32, view *sessionlog.View, name string) (*sessionlog.View, error) {
 	damaged, found := view.SharedPrefix(name)
 	if !found {
 		return nil, apierror.New(apierror.Gap, "no opening "+name+" is held", "ask again")
@@ -108,10 +108,10 @@
 		callContext, cancel := context.WithTimeout(ctx, callTimeout)
 		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_opening, SharedPrefix: &wire.SharedPrefixQuery{Group: group, Name: name}})
 		cancel()
-		if err != nil || reply.SharedPrefix == nil || line.SharedPrefixName(damaged.Scope, reply.SharedPrefix.Data) != name {
+		if err != nil || reply.SharedPrefix == nil || sessionlog.SharedPrefixName(damaged.Scope, reply.SharedPrefix.Data) != name {
 			continue
 		}
-		result, err := node.propose(ctx, group, line.Command{Kind: line.SharePrefix, Now: node.clock(group), Scope: damaged.Scope, Data: reply.SharedPrefix.Data})
+		result, err := node.propose(ctx, group, sessionlog.Command{Kind: sessionlog.SharePrefix, Now: node.clock(group), Scope: damaged.Scope, Data: reply.SharedPrefix.Data})
 		if err != nil {
 			return nil, err
 		}
@@ -131,7 +131,7 @@
 	if !found || prefix.Corrupt {
 		return nil, apierror.New(apierror.NotFound, "no sound copy of this opening is here", "ask another store")
 	}
-	return &wire.Reply{Which: schema.Reply_Which_opening, SharedPrefix: &line.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
+	return &wire.Reply{Which: schema.Reply_Which_opening, SharedPrefix: &sessionlog.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
 }
 
 func (node *Node) prefixStatuses(group uint32) []wire.SharedPrefixStatus {
@@ -146,7 +146,7 @@
 // damage it; nil is none.
 //
 //	view := node.StateMachine(3).View()
-func (node *Node) StateMachine(group uint32) *line.StateMachine {
+func (node *Node) StateMachine(group uint32) *sessionlog.StateMachine {
 	if machine := node.stateMachine(group); machine != nil {
 		return machine.StateMachine
 	}
--- a/system/store/snapshot_bench_test.go
+++ b/system/store/snapshot_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -14,16 +14,16 @@
 // of the agency's conversations after a hundredth, a tenth and all of a day.
 func BenchmarkSnapshotOfADaysGroup(b *testing.B) {
 	for _, sessions := range []int{729, 7290, 72900} {
-		machine := line.NewStateMachine()
+		machine := sessionlog.NewStateMachine()
 		for number := range sessions {
 			name := fmt.Sprintf("team/c-%032d", number)
-			machine.Apply(&line.Command{Kind: line.CreateSession, Session: name, Now: int64(time.Hour), Retention: 24 * time.Hour, Team: "team", Program: "dialogue", WorkKind: "talk"})
+			machine.Apply(&sessionlog.Command{Kind: sessionlog.CreateSession, Session: name, Now: int64(time.Hour), Retention: 24 * time.Hour, Team: "team", Program: "dialogue", WorkKind: "talk"})
 			for turn := range 3 {
 				begun := uint64(turn*3 + 1)
-				machine.Apply(&line.Command{Kind: line.AppendEvents, Session: name, Now: int64(time.Hour), Producer: fmt.Sprintf("dialogue/turn/%d#0", turn), ProducerSeq: 3,
-					Events: []line.Event{{Kind: line.TurnBegun}, {Kind: line.OutputPart, Turn: begun}, {Kind: line.TurnEnded, Turn: begun}}})
+				machine.Apply(&sessionlog.Command{Kind: sessionlog.AppendEvents, Session: name, Now: int64(time.Hour), Producer: fmt.Sprintf("dialogue/turn/%d#0", turn), ProducerSeq: 3,
+					Events: []sessionlog.Event{{Kind: sessionlog.TurnBegun}, {Kind: sessionlog.OutputPart, Turn: begun}, {Kind: sessionlog.TurnEnded, Turn: begun}}})
 			}
-			machine.Apply(&line.Command{Kind: line.AckArchived, Now: int64(time.Hour), Acks: []line.Ack{{Session: name, ArchivedSeq: 9}}})
+			machine.Apply(&sessionlog.Command{Kind: sessionlog.AckArchived, Now: int64(time.Hour), Acks: []sessionlog.Ack{{Session: name, ArchivedSeq: 9}}})
 		}
 		snapshot := machine.View().Snapshot()
 		data := wire.MustEncode(schema.LineImage_TypeID, &snapshot)
@@ -36,11 +36,11 @@
 		})
 		b.Run(fmt.Sprintf("read-%d", sessions), func(b *testing.B) {
 			for range b.N {
-				var snapshot line.Snapshot
+				var snapshot sessionlog.Snapshot
 				if err := wire.Decode(schema.LineImage_TypeID, data, &snapshot); err != nil {
 					b.Fatal(err)
 				}
-				if err := line.NewStateMachine().Restore(snapshot); err != nil {
+				if err := sessionlog.NewStateMachine().Restore(snapshot); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
 
 // setExpectedSeq gives the beginning of a turn the position that it counts on: where the turn
 // that it follows ended. The state machine checks it.
-func (node *Node) setExpectedSeq(group uint32, command *line.Command) {
+func (node *Node) setExpectedSeq(group uint32, command *sessionlog.Command) {
 	machine := node.stateMachine(group)
-	if command.Kind != line.BeginTurn || command.Follows == "" || machine == nil {
+	if command.Kind != sessionlog.BeginTurn || command.Follows == "" || machine == nil {
 		return
 	}
 	if followed, found := machine.View().Turn(command.Session, command.Follows); found && followed.Complete() {
@@ -25,7 +25,7 @@
 
 // history joins the bytes of the turns that a turn follows, oldest first: each turn's
 // input, then its output. It is whole or not at all.
-func (node *Node) history(ctx context.Context, group uint32, view *line.View, sessionName, name string) ([]byte, error) {
+func (node *Node) history(ctx context.Context, group uint32, view *sessionlog.View, sessionName, name string) ([]byte, error) {
 	turn, found := view.Turn(sessionName, name)
 	if !found || turn.Follows == nil {
 		return nil, nil
@@ -47,7 +47,7 @@
 
 // pieces gives the bytes of a chain's events, two for each turn; the second of an
 // adopted turn is empty.
-func (node *Node) turnData(ctx context.Context, group uint32, view *line.View, chain []*line.Turn) ([][]byte, error) {
+func (node *Node) turnData(ctx context.Context, group uint32, view *sessionlog.View, chain []*sessionlog.Turn) ([][]byte, error) {
 	session, found := view.Session(chain[0].Session)
 	if !found {
 		return nil, gapError(chain[0].Session)
@@ -82,8 +82,8 @@
 
 // archivedEvents reads those of a line's events that are archived, without a gap, as they are
 // kept.
-func (node *Node) archivedEvents(ctx context.Context, group uint32, session *line.Session, seqs []uint64) (map[uint64]*line.Event, error) {
-	wanted := map[uint64]*line.Event{}
+func (node *Node) archivedEvents(ctx context.Context, group uint32, session *sessionlog.Session, seqs []uint64) (map[uint64]*sessionlog.Event, error) {
+	wanted := map[uint64]*sessionlog.Event{}
 	first, last := uint64(0), uint64(0)
 	for _, seq := range seqs {
 		if seq != 0 && seq <= session.ArchivedSeq {
@@ -155,7 +155,7 @@
 
 // findTurn looks for a turn in one group, and gives it with all that it follows, or tells
 // that it is still open.
-func (node *Node) findTurn(ctx context.Context, group uint32, view *line.View, name string) (chain []line.AdoptedTurn, open bool, err error) {
+func (node *Node) findTurn(ctx context.Context, group uint32, view *sessionlog.View, name string) (chain []sessionlog.AdoptedTurn, open bool, err error) {
 	turn, found := view.TurnInAnySession(name)
 	if !found || !turn.Complete() {
 		return nil, found && turn.Open(view.Clock()), nil
@@ -167,7 +167,7 @@
 	}
 	for position, one := range turns {
 		data := append(append([]byte{}, parts[2*position]...), parts[2*position+1]...)
-		chain = append(chain, line.AdoptedTurn{Name: one.Name, Data: data})
+		chain = append(chain, sessionlog.AdoptedTurn{Name: one.Name, Data: data})
 	}
 	return chain, false, nil
 }
--- a/system/storeorigin/client.go
+++ b/system/storeclient/client.go
@@ -1,6 +1,6 @@
 // Package storeorigin finds the leader of a line's group and asks it. Every
 // command it sends may be sent again: the state machine dedupes it.
-package storeorigin
+package storeclient
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
 	"yardrock.example/system/link"
 	"yardrock.example/system/placement"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -204,8 +204,8 @@
 // Command commits commands on one line, in order. An error of kind Unclear means
 // that they may have been committed; any other proves that they were not.
 //
-//	outcomes, err := origin.Command(ctx, "team/c-1", line.Command{Kind: line.CreateSession, ...})
-func (client *Client) Command(ctx context.Context, name string, commands ...line.Command) ([]line.Outcome, error) {
+//	outcomes, err := origin.Command(ctx, "team/c-1", sessionlog.Command{Kind: sessionlog.CreateSession, ...})
+func (client *Client) Command(ctx context.Context, name string, commands ...sessionlog.Command) ([]sessionlog.Outcome, error) {
 	for position := range commands {
 		commands[position].Session = name
 	}
@@ -244,8 +244,8 @@
 // events.
 //
 //	events, last, err := origin.ReadAll(ctx, "team/c-1")
-func (client *Client) ReadAll(ctx context.Context, name string) ([]line.Event, *wire.ReadReply, error) {
-	events := []line.Event{}
+func (client *Client) ReadAll(ctx context.Context, name string) ([]sessionlog.Event, *wire.ReadReply, error) {
+	events := []sessionlog.Event{}
 	for {
 		reply, err := client.Read(ctx, wire.ReadQuery{Session: name, After: uint64(len(events)), Limit: MaxEventsPerPage})
 		if err != nil {
--- a/system/storeorigin/turns.go
+++ b/system/storeclient/turns.go
@@ -1,11 +1,11 @@
-package storeorigin
+package storeclient
 
 import (
 	"context"
 	"time"
 
 	"yardrock.example/system/apierror"
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 	"yardrock.example/system/wire/schema"
 )
@@ -71,7 +71,7 @@
 //
 //	begun, err := origin.BeginTurn(ctx, storeorigin.Turn{Line: "program/3fa81c", Name: "9c41d07b", Input: body, Keeps: true, Keep: time.Minute, Dispatch: "front-1/7", Life: time.Minute})
 func (client *Client) BeginTurn(ctx context.Context, turn Turn) (*BegunTurn, error) {
-	command := line.Command{Kind: line.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory,
+	command := sessionlog.Command{Kind: sessionlog.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory,
 		Retention: max(turn.Retention, minSessionRetention), HasQuota: turn.HasTokenQuota, Tokens: turn.MaxOutputTokens, Quota: turn.TokenQuota, Lifetime: turn.Lifetime}
 	if turn.KeepHistory {
 		command.Scope = turn.PrefixScope
@@ -86,9 +86,9 @@
 			return nil, apierror.NewRetryable(apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", retryAfter)
 		}
 		switch outcome.Status {
-		case line.Done:
+		case sessionlog.Done:
 			return &BegunTurn{Seq: outcome.Seq, History: history}, nil
-		case line.UnknownTurn:
+		case sessionlog.UnknownTurn:
 			if len(command.Adopted) > 0 {
 				return nil, apierror.NewRetryable(apierror.NotRun, "the turn to go on from could not be adopted", "ask again", retryAfter)
 			}
@@ -101,24 +101,24 @@
 	}
 }
 
-var beginErrors = map[line.Status]func() error{
-	line.QuotaExceeded: func() error {
+var beginErrors = map[sessionlog.Status]func() error{
+	sessionlog.QuotaExceeded: func() error {
 		return apierror.New(apierror.QuotaExhausted, "the program's allowance does not bear one more turn", "raise the allowance, or end the program")
 	},
-	line.TurnIncomplete: func() error { return unknownTurnError() },
-	line.TurnOpen: func() error {
+	sessionlog.TurnIncomplete: func() error { return unknownTurnError() },
+	sessionlog.TurnOpen: func() error {
 		return apierror.NewRetryable(apierror.NotRun, "the turn to go on from has not ended", "ask again", shortRetryAfter)
 	},
-	line.TurnTaken: func() error {
+	sessionlog.TurnTaken: func() error {
 		return apierror.New(apierror.Conflict, "another dispatch began the turn", "give each query a name of its own")
 	},
-	line.TurnClosed: func() error {
+	sessionlog.TurnClosed: func() error {
 		return apierror.NewRetryable(apierror.NotRun, "the turn was given up before it began", "ask again under another name", shortRetryAfter)
 	},
-	line.UnexpectedSeq: func() error {
+	sessionlog.UnexpectedSeq: func() error {
 		return apierror.NewRetryable(apierror.NotRun, "the line was changed meanwhile", "ask again", shortRetryAfter)
 	},
-	line.BadCommand: func() error {
+	sessionlog.BadCommand: func() error {
 		return apierror.New(apierror.Invalid, "a turn needs a name, and can't follow itself", "name the turn")
 	},
 }
@@ -131,17 +131,17 @@
 // Unclear means that it may have been recorded; any other failure that it was not, and
 // the answer must not look complete.
 //
-//	err := origin.EndTurn(ctx, storeorigin.TurnEnd{Line: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: line.OutcomeComplete, Kept: true})
+//	err := origin.EndTurn(ctx, storeorigin.TurnEnd{Line: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: sessionlog.OutcomeComplete, Kept: true})
 func (client *Client) EndTurn(ctx context.Context, end TurnEnd) error {
-	command := line.Command{Kind: line.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention}
-	if end.KeepHistory && end.Outcome == line.OutcomeComplete {
+	command := sessionlog.Command{Kind: sessionlog.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention}
+	if end.KeepHistory && end.Outcome == sessionlog.OutcomeComplete {
 		command.Data = end.Output
 	}
 	outcome, _, err := client.commitTurnCommand(ctx, end.SessionName, command)
 	if err != nil {
 		return err
 	}
-	if outcome.Status == line.Done {
+	if outcome.Status == sessionlog.Done {
 		return nil
 	}
 	if failed, known := endErrors[outcome.Status]; known {
@@ -150,11 +150,11 @@
 	return apierror.New(apierror.Invalid, "a turn's end needs a name and an outcome", "name both")
 }
 
-var endErrors = map[line.Status]func() error{
-	line.UnknownTurn: func() error {
+var endErrors = map[sessionlog.Status]func() error{
+	sessionlog.UnknownTurn: func() error {
 		return apierror.New(apierror.NotFound, "the turn is not in its line any more", "break the answer off")
 	},
-	line.TurnClosed: func() error {
+	sessionlog.TurnClosed: func() error {
 		return apierror.New(apierror.Conflict, "the turn was ended otherwise", "break the answer off")
 	},
 }
@@ -164,29 +164,29 @@
 func (client *Client) fenceTurn(turn Turn) {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
-	_ = client.EndTurn(ctx, TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Outcome: line.OutcomeNotRun}) // else it counts at its most
+	_ = client.EndTurn(ctx, TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Outcome: sessionlog.OutcomeNotRun}) // else it counts at its most
 }
 
-func (client *Client) commitTurnCommand(ctx context.Context, name string, command line.Command) (line.Outcome, []byte, error) {
+func (client *Client) commitTurnCommand(ctx context.Context, name string, command sessionlog.Command) (sessionlog.Outcome, []byte, error) {
 	command.Session = name
 	reply, arrived, err := client.call(ctx, name, callTimeout, func(group uint32) *wire.Query {
-		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: []line.Command{command}}}
+		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: []sessionlog.Command{command}}}
 	})
 	if err != nil && arrived {
-		return line.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
+		return sessionlog.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
 	}
 	if err != nil {
-		return line.Outcome{}, nil, err
+		return sessionlog.Outcome{}, nil, err
 	}
 	if reply.Outcomes == nil || len(reply.Outcomes.Outcomes) != 1 {
-		return line.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "a store answered out of form", "run matching versions of the programs")
+		return sessionlog.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "a store answered out of form", "run matching versions of the programs")
 	}
 	return reply.Outcomes.Outcomes[0], reply.Outcomes.History, nil
 }
 
 // findTurn looks for a turn in all groups. NotFound is proven: the leader of every group,
 // confirmed by a quorum, knows no such turn.
-func (client *Client) findTurn(ctx context.Context, name string) ([]line.AdoptedTurn, error) {
+func (client *Client) findTurn(ctx context.Context, name string) ([]sessionlog.AdoptedTurn, error) {
 	covered := map[uint32]bool{}
 	for timeout := hedgeDelay; ; timeout = min(2*timeout, callTimeout) {
 		chain, err := client.findTurnOnce(ctx, name, timeout, covered)
@@ -204,7 +204,7 @@
 // findTurnOnce asks every store for the groups that it leads. It waits for no more answers
 // once the turn is found, or every group is covered. Neither a chain nor a failure
 // tells that groups are left.
-func (client *Client) findTurnOnce(ctx context.Context, name string, timeout time.Duration, covered map[uint32]bool) ([]line.AdoptedTurn, error) {
+func (client *Client) findTurnOnce(ctx context.Context, name string, timeout time.Duration, covered map[uint32]bool) ([]sessionlog.AdoptedTurn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	view := client.view()
@@ -224,7 +224,7 @@
 		case reply.Found:
 			return reply.Chain, nil
 		case reply.Open:
-			return nil, beginErrors[line.TurnOpen]()
+			return nil, beginErrors[sessionlog.TurnOpen]()
 		}
 		for _, group := range reply.SearchedGroups {
 			covered[group] = true
--- a/system/files/directory.go
+++ b/system/vfs/directory.go
@@ -1,6 +1,6 @@
 // Package files is the narrow view of a data folder that the rest of yardrock
 // uses, so that tests can put a failing disk in its place.
-package files
+package vfs
 
 import (
 	"errors"
--- a/system/files/os_directory_test.go
+++ b/system/vfs/os_directory_test.go
@@ -1,4 +1,4 @@
-package files
+package vfs
 
 import (
 	"errors"
--- a/system/wire/codec.go
+++ b/system/wire/codec.go
@@ -7,7 +7,7 @@
 	"capnproto.org/go/capnp/v3"
 	"capnproto.org/go/capnp/v3/pogs"
 
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
@@ -264,10 +264,10 @@
 		return encodeList(places, err, index.Locations, encodeChunkLocation)
 	},
 	schema.Command_TypeID: func(target capnp.Struct, value any) error {
-		return encodeCommand(schema.Command(target), value.(*line.Command))
+		return encodeCommand(schema.Command(target), value.(*sessionlog.Command))
 	},
 	schema.LineImage_TypeID: func(target capnp.Struct, value any) error {
-		return encodeSessionSnapshot(schema.LineImage(target), value.(*line.Snapshot))
+		return encodeSessionSnapshot(schema.LineImage(target), value.(*sessionlog.Snapshot))
 	},
 	schema.StoredWrite_TypeID: func(target capnp.Struct, value any) error {
 		return encodeStoredWrite(schema.StoredWrite(target), value.(*StoredWrite))
@@ -284,10 +284,10 @@
 		return err
 	},
 	schema.Command_TypeID: func(source capnp.Struct, value any) error {
-		return decodeCommand(schema.Command(source), value.(*line.Command))
+		return decodeCommand(schema.Command(source), value.(*sessionlog.Command))
 	},
 	schema.LineImage_TypeID: func(source capnp.Struct, value any) error {
-		return decodeSessionSnapshot(schema.LineImage(source), value.(*line.Snapshot))
+		return decodeSessionSnapshot(schema.LineImage(source), value.(*sessionlog.Snapshot))
 	},
 	schema.StoredWrite_TypeID: func(source capnp.Struct, value any) error {
 		return decodeStoredWrite(schema.StoredWrite(source), value.(*StoredWrite))
--- a/system/wire/codec_test.go
+++ b/system/wire/codec_test.go
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
-	"yardrock.example/system/line"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
-var turnCommands = []line.Command{
-	{Kind: line.BeginTurn, Session: "program/3fa81c", Now: 7, Retention: time.Hour, Producer: "9c41d07b", ProducerSeq: 1, Follows: "40c8f1a7", Dispatch: "front-1/7", Data: []byte("in\x00\xff\n"),
+var turnCommands = []sessionlog.Command{
+	{Kind: sessionlog.BeginTurn, Session: "program/3fa81c", Now: 7, Retention: time.Hour, Producer: "9c41d07b", ProducerSeq: 1, Follows: "40c8f1a7", Dispatch: "front-1/7", Data: []byte("in\x00\xff\n"),
 		Tokens: 136, Quota: 1088, HasQuota: true, KeepData: true, Lifetime: time.Minute, HasExpectedSeq: true, ExpectedSeq: 12,
-		Adopted: []line.AdoptedTurn{{Name: "a", Data: []byte("in a\nout a\n")}, {Name: "b"}}},
-	{Kind: line.EndTurn, Session: "program/3fa81c", Producer: "9c41d07b", ProducerSeq: 2, Outcome: line.OutcomeComplete, Data: bytes.Repeat([]byte("out\n"), 300), Tokens: 80, KeepData: true},
-	{Kind: line.AckArchived, Acks: []line.Ack{{Session: "program/3fa81c", ArchivedSeq: 9}}},
-	{Kind: line.AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 1, Events: []line.Event{{Kind: line.OutputPart, Text: "hello", Data: []byte{0}}}},
+		Adopted: []sessionlog.AdoptedTurn{{Name: "a", Data: []byte("in a\nout a\n")}, {Name: "b"}}},
+	{Kind: sessionlog.EndTurn, Session: "program/3fa81c", Producer: "9c41d07b", ProducerSeq: 2, Outcome: sessionlog.OutcomeComplete, Data: bytes.Repeat([]byte("out\n"), 300), Tokens: 80, KeepData: true},
+	{Kind: sessionlog.AckArchived, Acks: []sessionlog.Ack{{Session: "program/3fa81c", ArchivedSeq: 9}}},
+	{Kind: sessionlog.AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 1, Events: []sessionlog.Event{{Kind: sessionlog.OutputPart, Text: "hello", Data: []byte{0}}}},
 	{},
 }
 
 func TestTurnCommandsRoundTrip(t *testing.T) {
 	for position, command := range turnCommands {
-		var stored line.Command
+		var stored sessionlog.Command
 		if err := Decode(schema.Command_TypeID, MustEncode(schema.Command_TypeID, &command), &stored); err != nil || !reflect.DeepEqual(stored, command) {
 			t.Errorf("command %d is stored as %+v, %v", position, stored, err)
 		}
@@ -38,7 +38,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	for _, reply := range []*Reply{
-		{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []line.Outcome{{Status: line.TurnOpen, Seq: 4, Head: 5, Deduped: true, Spent: 6, Reserved: 7}}, History: []byte("in\nout\n")}},
+		{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Outcome{{Status: sessionlog.TurnOpen, Seq: 4, Head: 5, Deduped: true, Spent: 6, Reserved: 7}}, History: []byte("in\nout\n")}},
 		{Which: schema.Reply_Which_found, FoundTurn: &FindTurnReply{SearchedGroups: []uint32{1, 31}, Found: true, Chain: turnCommands[0].Adopted[:1]}},
 		{Failure: Failure{Kind: "not_leader", Message: "elsewhere", Remedy: "ask there", Leader: "store-b", RetryAfter: time.Second}},
 		{},
@@ -54,22 +54,22 @@
 }
 
 func TestSnapshotRoundTripsTurnsAndQuotaUsage(t *testing.T) {
-	machine := line.NewStateMachine()
-	for _, command := range []line.Command{
-		{Kind: line.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "one", Dispatch: "d", KeepData: true, Data: []byte("in"), HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
-		{Kind: line.EndTurn, Session: "program/a", Producer: "one", Outcome: line.OutcomeComplete, KeepData: true, Data: []byte("out"), Tokens: 4},
-		{Kind: line.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "two", Follows: "one", Dispatch: "e", HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
+	machine := sessionlog.NewStateMachine()
+	for _, command := range []sessionlog.Command{
+		{Kind: sessionlog.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "one", Dispatch: "d", KeepData: true, Data: []byte("in"), HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
+		{Kind: sessionlog.EndTurn, Session: "program/a", Producer: "one", Outcome: sessionlog.OutcomeComplete, KeepData: true, Data: []byte("out"), Tokens: 4},
+		{Kind: sessionlog.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "two", Follows: "one", Dispatch: "e", HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
 	} {
-		if outcome := machine.Apply(&command); outcome.Status != line.Done {
+		if outcome := machine.Apply(&command); outcome.Status != sessionlog.Done {
 			t.Fatalf("%+v", outcome)
 		}
 	}
 	snapshot := machine.View().Snapshot()
-	var stored line.Snapshot
+	var stored sessionlog.Snapshot
 	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &snapshot), &stored); err != nil {
 		t.Fatal(err)
 	}
-	other := line.NewStateMachine()
+	other := sessionlog.NewStateMachine()
 	if err := other.Restore(stored); err != nil {
 		t.Fatal(err)
 	}
@@ -87,25 +87,25 @@
 }
 
 func TestRaftBatchRoundTripsAllMessages(t *testing.T) {
-	of := func(message agreement.Message) agreement.Message {
+	of := func(message raft.Message) raft.Message {
 		message.From, message.To = "store-a", "store-b"
 		return message
 	}
-	entries := []agreement.Entry{{Index: 5, Term: 3, Data: []byte("five")}, {Index: 6, Term: 3, Kind: agreement.EntryMembership, Membership: agreement.Membership{Voters: []string{"a", "b"}}}}
-	messages := []agreement.Message{
-		of(agreement.Message{Group: 1, Kind: agreement.MessageAppend, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 9, Entries: entries}),
-		of(agreement.Message{Group: 2, Kind: agreement.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 4, Round: 9}),
-		of(agreement.Message{Group: 3, Kind: agreement.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 3}),
-		of(agreement.Message{Group: 4, Kind: agreement.MessageAppend, Term: 1 << 33, Index: 4, LogTerm: 1 << 33, Commit: 4}),
-		of(agreement.Message{Group: 5, Kind: agreement.MessageAppendReply, Term: 3, Index: 4, Round: 9}),
-		of(agreement.Message{Group: 6, Kind: agreement.MessageAppendReply, Term: 3, Index: 4, Rejected: true, Hint: 2}),
-		of(agreement.Message{Group: 7, Kind: agreement.MessagePreVote, Term: 3, Index: 4, LogTerm: 3}),
-		of(agreement.Message{Group: 8, Kind: agreement.MessageVote, Term: 3, Index: 4, LogTerm: 3, Forced: true}),
-		of(agreement.Message{Group: 9, Kind: agreement.MessageSnapshot, Term: 3, Snapshot: agreement.Snapshot{Index: 4, Term: 2, Data: []byte("image")}}),
-		of(agreement.Message{Group: 10, Kind: agreement.MessageSnapshotChunk, Term: 3, Snapshot: agreement.Snapshot{Index: 4, Term: 2, Data: []byte("part")},
-			Chunk: agreement.SnapshotChunk{Offset: 9, Total: 13, ContentChecksum: 5, Checksum: 6}}),
-		of(agreement.Message{Group: 11, Kind: agreement.MessageSnapshotReply, Term: 3, Index: 4, Hint: 9, Rejected: true,
-			Chunk: agreement.SnapshotChunk{Offset: 7, ContentChecksum: 5, Reason: agreement.SnapshotOutOfOrder}}),
+	entries := []raft.Entry{{Index: 5, Term: 3, Data: []byte("five")}, {Index: 6, Term: 3, Kind: raft.EntryMembership, Membership: raft.Membership{Voters: []string{"a", "b"}}}}
+	messages := []raft.Message{
+		of(raft.Message{Group: 1, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 9, Entries: entries}),
+		of(raft.Message{Group: 2, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 4, Round: 9}),
+		of(raft.Message{Group: 3, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 3}),
+		of(raft.Message{Group: 4, Kind: raft.MessageAppend, Term: 1 << 33, Index: 4, LogTerm: 1 << 33, Commit: 4}),
+		of(raft.Message{Group: 5, Kind: raft.MessageAppendReply, Term: 3, Index: 4, Round: 9}),
+		of(raft.Message{Group: 6, Kind: raft.MessageAppendReply, Term: 3, Index: 4, Rejected: true, Hint: 2}),
+		of(raft.Message{Group: 7, Kind: raft.MessagePreVote, Term: 3, Index: 4, LogTerm: 3}),
+		of(raft.Message{Group: 8, Kind: raft.MessageVote, Term: 3, Index: 4, LogTerm: 3, Forced: true}),
+		of(raft.Message{Group: 9, Kind: raft.MessageSnapshot, Term: 3, Snapshot: raft.Snapshot{Index: 4, Term: 2, Data: []byte("image")}}),
+		of(raft.Message{Group: 10, Kind: raft.MessageSnapshotChunk, Term: 3, Snapshot: raft.Snapshot{Index: 4, Term: 2, Data: []byte("part")},
+			Chunk: raft.SnapshotChunk{Offset: 9, Total: 13, ContentChecksum: 5, Checksum: 6}}),
+		of(raft.Message{Group: 11, Kind: raft.MessageSnapshotReply, Term: 3, Index: 4, Hint: 9, Rejected: true,
+			Chunk: raft.SnapshotChunk{Offset: 7, ContentChecksum: 5, Reason: raft.SnapshotOutOfOrder}}),
 	}
 	data, err := AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: messages}})
 	if err != nil {
@@ -115,13 +115,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slices.SortFunc(got.Raft.Messages, func(left, right agreement.Message) int { return int(left.Group) - int(right.Group) })
+	slices.SortFunc(got.Raft.Messages, func(left, right raft.Message) int { return int(left.Group) - int(right.Group) })
 	if !reflect.DeepEqual(got.Raft.Messages, messages) {
 		t.Fatalf("came as %+v", got.Raft.Messages)
 	}
-	heartbeats := []agreement.Message{}
+	heartbeats := []raft.Message{}
 	for group := range uint32(16) {
-		heartbeats = append(heartbeats, of(agreement.Message{Group: group, Kind: agreement.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
+		heartbeats = append(heartbeats, of(raft.Message{Group: group, Kind: raft.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
 	}
 	if data, err = AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: heartbeats}}); err != nil || len(data) > 24*len(heartbeats)+200 {
 		t.Fatalf("%d heartbeats take %d bytes, %v", len(heartbeats), len(data), err)
@@ -131,7 +131,7 @@
 func TestMessagesOfAnyLengthArePackedAndUnpacked(t *testing.T) {
 	for size := 0; size < 3*maxPackedMessage; size = 2*size + 1 {
 		for name, data := range map[string][]byte{"zeros": make([]byte, size), "text": bytes.Repeat([]byte("x"), size)} {
-			query := &Query{Which: schema.Query_Which_command, Command: &CommandQuery{Commands: []line.Command{{Kind: line.BeginTurn, Producer: "p", Data: data}}}}
+			query := &Query{Which: schema.Query_Which_command, Command: &CommandQuery{Commands: []sessionlog.Command{{Kind: sessionlog.BeginTurn, Producer: "p", Data: data}}}}
 			sent, err := AppendQuery(nil, query)
 			if err != nil {
 				t.Fatal(err)
@@ -157,7 +157,7 @@
 	for _, query := range []*Query{
 		{Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands}},
 		{Which: schema.Query_Which_find, FindTurn: &FindTurnQuery{Name: "9c41d07b"}},
-		{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: []agreement.Message{{Group: 1, Kind: agreement.MessageAppend, From: "a", To: "b", Term: 3, Index: 4, LogTerm: 3, Commit: 4}, {Kind: agreement.MessageAppend, From: "a", To: "b", Entries: []agreement.Entry{{Data: []byte("x")}}}}}},
+		{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: []raft.Message{{Group: 1, Kind: raft.MessageAppend, From: "a", To: "b", Term: 3, Index: 4, LogTerm: 3, Commit: 4}, {Kind: raft.MessageAppend, From: "a", To: "b", Entries: []raft.Entry{{Data: []byte("x")}}}}}},
 	} {
 		data, err := AppendQuery(nil, query)
 		if err != nil {
@@ -178,12 +178,12 @@
 		if err != nil || !reflect.DeepEqual(read, query) {
 			t.Fatalf("%+v came as %+v, %v", query, read, err)
 		}
-		machine := line.NewStateMachine()
+		machine := sessionlog.NewStateMachine()
 		for position := range query.Command.Commands {
 			machine.Apply(&query.Command.Commands[position])
 		}
 		snapshot := machine.View().Snapshot()
-		if line.NewStateMachine().Restore(snapshot) != nil {
+		if sessionlog.NewStateMachine().Restore(snapshot) != nil {
 			t.Fatal("the image of a group can't be restored")
 		}
 	})
@@ -191,7 +191,7 @@
 
 // FuzzDecodeReply reads anything as a reply.
 func FuzzDecodeReply(f *testing.F) {
-	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []line.Outcome{{Seq: 4}}, History: []byte("in\nout\n")}})
+	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Outcome{{Seq: 4}}, History: []byte("in\nout\n")}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/system/wire/raft.go
+++ b/system/wire/raft.go
@@ -6,11 +6,11 @@
 
 	"capnproto.org/go/capnp/v3"
 
-	"yardrock.example/system/agreement"
+	"yardrock.example/system/raft"
 	"yardrock.example/system/wire/schema"
 )
 
-func encodeMembership(target schema.Replicas, value *agreement.Membership) error {
+func encodeMembership(target schema.Replicas, value *raft.Membership) error {
 	voters, err := target.NewVoters(int32(len(value.Voters)))
 	if err := encodeTexts(voters, err, value.Voters); err != nil {
 		return err
@@ -19,7 +19,7 @@
 	return encodeTexts(learners, err, value.Learners)
 }
 
-func decodeMembership(source schema.Replicas, value *agreement.Membership) (err error) {
+func decodeMembership(source schema.Replicas, value *raft.Membership) (err error) {
 	if value.Voters, err = decodeTexts(source.Voters()); err != nil {
 		return err
 	}
@@ -27,11 +27,11 @@
 	return err
 }
 
-func encodeEntry(target schema.Entry, value *agreement.Entry) error {
+func encodeEntry(target schema.Entry, value *raft.Entry) error {
 	target.SetIndex(value.Index)
 	target.SetTerm(value.Term)
 	target.SetKind(uint16(value.Kind))
-	if value.Kind != agreement.EntryMembership {
+	if value.Kind != raft.EntryMembership {
 		return target.SetData(value.Data)
 	}
 	replicas, err := target.NewReplicas()
@@ -41,9 +41,9 @@
 	return encodeMembership(replicas, &value.Membership)
 }
 
-func decodeEntry(source schema.Entry, value *agreement.Entry) (err error) {
-	value.Index, value.Term, value.Kind = source.Index(), source.Term(), agreement.EntryKind(source.Kind())
-	if value.Kind != agreement.EntryMembership {
+func decodeEntry(source schema.Entry, value *raft.Entry) (err error) {
+	value.Index, value.Term, value.Kind = source.Index(), source.Term(), raft.EntryKind(source.Kind())
+	if value.Kind != raft.EntryMembership {
 		value.Data, err = source.Data()
 		return err
 	}
@@ -54,7 +54,7 @@
 	return decodeMembership(replicas, &value.Membership)
 }
 
-func encodeSnapshot(target schema.Checkpoint, value *agreement.Snapshot) error {
+func encodeSnapshot(target schema.Checkpoint, value *raft.Snapshot) error {
 	target.SetIndex(value.Index)
 	target.SetTerm(value.Term)
 	if err := target.SetData(value.Data); err != nil {
@@ -67,7 +67,7 @@
 	return encodeMembership(replicas, &value.Membership)
 }
 
-func decodeSnapshot(source schema.Checkpoint, value *agreement.Snapshot) (err error) {
+func decodeSnapshot(source schema.Checkpoint, value *raft.Snapshot) (err error) {
 	value.Index, value.Term = source.Index(), source.Term()
 	if value.Data, err = source.Data(); err != nil {
 		return err
@@ -79,11 +79,11 @@
 	return decodeMembership(replicas, &value.Membership)
 }
 
-func carriesSnapshot(kind agreement.MessageKind) bool {
-	return kind == agreement.MessageSnapshot || kind == agreement.MessageSnapshotChunk
+func carriesSnapshot(kind raft.MessageKind) bool {
+	return kind == raft.MessageSnapshot || kind == raft.MessageSnapshotChunk
 }
 
-func encodeSnapshotChunk(target schema.SnapshotChunk, value *agreement.SnapshotChunk) {
+func encodeSnapshotChunk(target schema.SnapshotChunk, value *raft.SnapshotChunk) {
 	target.SetOffset(value.Offset)
 	target.SetTotal(value.Total)
 	target.SetContentSum(value.ContentChecksum)
@@ -91,12 +91,12 @@
 	target.SetReason(uint16(value.Reason))
 }
 
-func decodeSnapshotChunk(source schema.SnapshotChunk) agreement.SnapshotChunk {
-	return agreement.SnapshotChunk{Offset: source.Offset(), Total: source.Total(), ContentChecksum: source.ContentSum(),
-		Checksum: source.Checksum(), Reason: agreement.SnapshotRejection(source.Reason())}
+func decodeSnapshotChunk(source schema.SnapshotChunk) raft.SnapshotChunk {
+	return raft.SnapshotChunk{Offset: source.Offset(), Total: source.Total(), ContentChecksum: source.ContentSum(),
+		Checksum: source.Checksum(), Reason: raft.SnapshotRejection(source.Reason())}
 }
 
-func encodeMessage(target schema.AgreementMessage, value *agreement.Message) error {
+func encodeMessage(target schema.AgreementMessage, value *raft.Message) error {
 	target.SetGroup(value.Group)
 	target.SetKind(uint16(value.Kind))
 	target.SetTerm(value.Term)
@@ -107,7 +107,7 @@
 	target.SetRefused(value.Rejected)
 	target.SetHint(value.Hint)
 	target.SetForced(value.Forced)
-	if value.Kind == agreement.MessageSnapshotChunk || value.Kind == agreement.MessageSnapshotReply {
+	if value.Kind == raft.MessageSnapshotChunk || value.Kind == raft.MessageSnapshotReply {
 		chunk, err := target.NewChunk()
 		if err != nil {
 			return err
@@ -125,10 +125,10 @@
 	return encodeList(entries, err, value.Entries, encodeEntry)
 }
 
-func decodeMessage(source schema.AgreementMessage, value *agreement.Message) error {
-	*value = agreement.Message{Group: source.Group(), Kind: agreement.MessageKind(source.Kind()),
+func decodeMessage(source schema.AgreementMessage, value *raft.Message) error {
+	*value = raft.Message{Group: source.Group(), Kind: raft.MessageKind(source.Kind()),
 		Term: source.Term(), Index: source.Index(), LogTerm: source.LogTerm(), Commit: source.Commit(), Round: source.Round(), Rejected: source.Refused(), Hint: source.Hint(), Forced: source.Forced()}
-	if value.Kind == agreement.MessageSnapshotChunk || value.Kind == agreement.MessageSnapshotReply {
+	if value.Kind == raft.MessageSnapshotChunk || value.Kind == raft.MessageSnapshotReply {
 		chunk, err := source.Chunk()
 		if err != nil {
 			return err
@@ -150,17 +150,17 @@
 // The heartbeats of groups in which all is quiet, and their answers, are most of what an
 // idle fleet sends. They travel together, in a short form.
 
-func heartbeatIndex(value *agreement.Message) (index uint64, isHeartbeat bool) {
-	quiet := value.Kind == agreement.MessageAppend && len(value.Entries) == 0 && value.LogTerm == value.Term && value.Index == value.Commit && value.Hint == 0
+func heartbeatIndex(value *raft.Message) (index uint64, isHeartbeat bool) {
+	quiet := value.Kind == raft.MessageAppend && len(value.Entries) == 0 && value.LogTerm == value.Term && value.Index == value.Commit && value.Hint == 0
 	return value.Index, quiet && !value.Rejected && !value.Forced && value.Term <= math.MaxUint32
 }
 
-func heartbeatReplyIndex(value *agreement.Message) (index uint64, isReply bool) {
-	quiet := value.Kind == agreement.MessageAppendReply && len(value.Entries) == 0 && value.LogTerm == 0 && value.Commit == 0 && value.Hint == 0
+func heartbeatReplyIndex(value *raft.Message) (index uint64, isReply bool) {
+	quiet := value.Kind == raft.MessageAppendReply && len(value.Entries) == 0 && value.LogTerm == 0 && value.Commit == 0 && value.Hint == 0
 	return value.Index, quiet && !value.Rejected && !value.Forced && value.Term <= math.MaxUint32
 }
 
-func encodeHeartbeats(made capnp.StructList[schema.Beat], err error, messages []agreement.Message, short func(*agreement.Message) (uint64, bool)) error {
+func encodeHeartbeats(made capnp.StructList[schema.Beat], err error, messages []raft.Message, short func(*raft.Message) (uint64, bool)) error {
 	at := 0
 	for position := 0; err == nil && position < len(messages); position++ {
 		message := &messages[position]
@@ -180,7 +180,7 @@
 
 // encodeRaftBatch puts messages of one node to one other.
 func encodeRaftBatch(target schema.AgreementBatch, value *RaftBatch) error {
-	heartbeats, replies, long := 0, 0, []*agreement.Message{}
+	heartbeats, replies, long := 0, 0, []*raft.Message{}
 	for position := range value.Messages {
 		message := &value.Messages[position]
 		if _, isHeartbeat := heartbeatIndex(message); isHeartbeat {
@@ -212,7 +212,7 @@
 		return nil
 	}
 	messages, err := target.NewMessages(int32(len(long)))
-	return encodeList(messages, err, long, func(made schema.AgreementMessage, message **agreement.Message) error {
+	return encodeList(messages, err, long, func(made schema.AgreementMessage, message **raft.Message) error {
 		return encodeMessage(made, *message)
 	})
 }
@@ -225,9 +225,9 @@
 	if reading.err != nil {
 		return reading.err
 	}
-	value.Messages = make([]agreement.Message, 0, messages.Len()+heartbeats.Len()+replies.Len())
+	value.Messages = make([]raft.Message, 0, messages.Len()+heartbeats.Len()+replies.Len())
 	for position := range messages.Len() {
-		message := agreement.Message{}
+		message := raft.Message{}
 		if err := decodeMessage(messages.At(position), &message); err != nil {
 			return err
 		}
@@ -235,11 +235,11 @@
 	}
 	for position := range heartbeats.Len() {
 		heartbeat := heartbeats.At(position)
-		value.Messages = append(value.Messages, agreement.Message{Kind: agreement.MessageAppend, Group: heartbeat.Group(), Term: uint64(heartbeat.Term()), LogTerm: uint64(heartbeat.Term()), Index: heartbeat.Index(), Commit: heartbeat.Index(), Round: heartbeat.Round()})
+		value.Messages = append(value.Messages, raft.Message{Kind: raft.MessageAppend, Group: heartbeat.Group(), Term: uint64(heartbeat.Term()), LogTerm: uint64(heartbeat.Term()), Index: heartbeat.Index(), Commit: heartbeat.Index(), Round: heartbeat.Round()})
 	}
 	for position := range replies.Len() {
 		heartbeat := replies.At(position)
-		value.Messages = append(value.Messages, agreement.Message{Kind: agreement.MessageAppendReply, Group: heartbeat.Group(), Term: uint64(heartbeat.Term()), Index: heartbeat.Index(), Round: heartbeat.Round()})
+		value.Messages = append(value.Messages, raft.Message{Kind: raft.MessageAppendReply, Group: heartbeat.Group(), Term: uint64(heartbeat.Term()), Index: heartbeat.Index(), Round: heartbeat.Round()})
 	}
 	for position := range value.Messages {
 		value.Messages[position].From, value.Messages[position].To = from, to
--- a/system/wire/sessionlog.go
+++ b/system/wire/sessionlog.go
@@ -4,11 +4,11 @@
 	"errors"
 	"time"
 
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
-func encodeEvent(target schema.Event, value *line.Event) error {
+func encodeEvent(target schema.Event, value *sessionlog.Event) error {
 	target.SetSeq(value.Seq)
 	target.SetAt(value.At)
 	target.SetKind(uint16(value.Kind))
@@ -38,16 +38,16 @@
 	return target.SetData(value.Data)
 }
 
-func decodeEvent(source schema.Event, value *line.Event) error {
+func decodeEvent(source schema.Event, value *sessionlog.Event) error {
 	reading := &fieldReader{}
-	*value = line.Event{Seq: source.Seq(), At: source.At(), Kind: line.EventKind(source.Kind()), Turn: source.Turn(), Follows: source.Follows(), Part: source.Part(),
+	*value = sessionlog.Event{Seq: source.Seq(), At: source.At(), Kind: sessionlog.EventKind(source.Kind()), Turn: source.Turn(), Follows: source.Follows(), Part: source.Part(),
 		ProducerSeq: source.ProducerSeq(), Config: source.Config(), Deadline: source.Deadline(), Text: field(reading, source.Words), Outcome: field(reading, source.Outcome),
 		Runner: field(reading, source.Runner), Dispatch: field(reading, source.Dispatch), Digest: field(reading, source.Digest), Name: field(reading, source.Name), Producer: field(reading, source.Producer), Data: readBytes(reading, source.Data),
 		Prefix: field(reading, source.Opening)}
 	return reading.err
 }
 
-func encodeCommand(target schema.Command, value *line.Command) error {
+func encodeCommand(target schema.Command, value *sessionlog.Command) error {
 	target.SetKind(uint16(value.Kind))
 	target.SetNow(value.Now)
 	target.SetKeepFor(int64(value.Retention))
@@ -94,15 +94,15 @@
 		return err
 	}
 	acks, err := target.NewAcks(int32(len(value.Acks)))
-	return encodeList(acks, err, value.Acks, func(target schema.Ack, ack *line.Ack) error {
+	return encodeList(acks, err, value.Acks, func(target schema.Ack, ack *sessionlog.Ack) error {
 		target.SetArchivedSeq(ack.ArchivedSeq)
 		return target.SetLine(ack.Session)
 	})
 }
 
-func decodeCommand(source schema.Command, value *line.Command) error {
+func decodeCommand(source schema.Command, value *sessionlog.Command) error {
 	reading := &fieldReader{}
-	*value = line.Command{Kind: line.CommandKind(source.Kind()), Now: source.Now(), Retention: time.Duration(source.KeepFor()), ProducerSeq: source.ProducerSeq(), HasExpectedSeq: source.Expects(),
+	*value = sessionlog.Command{Kind: sessionlog.CommandKind(source.Kind()), Now: source.Now(), Retention: time.Duration(source.KeepFor()), ProducerSeq: source.ProducerSeq(), HasExpectedSeq: source.Expects(),
 		ExpectedSeq: source.ExpectedSeq(), Words: source.Words(), Quota: source.Allowance(), Lifetime: time.Duration(source.Life()), Session: field(reading, source.Line), Team: field(reading, source.Team),
 		Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind), Producer: field(reading, source.Producer), Reservation: field(reading, source.Reservation),
 		Follows: field(reading, source.Follows), Dispatch: field(reading, source.Dispatch), Outcome: field(reading, source.Outcome), Data: readBytes(reading, source.Data),
@@ -119,7 +119,7 @@
 		return err
 	}
 	acks, err := source.Acks()
-	value.Acks, err = decodeList(acks, err, func(source schema.Ack, ack *line.Ack) (err error) {
+	value.Acks, err = decodeList(acks, err, func(source schema.Ack, ack *sessionlog.Ack) (err error) {
 		ack.ArchivedSeq = source.ArchivedSeq()
 		ack.Session, err = source.Line()
 		return err
@@ -127,17 +127,17 @@
 	return err
 }
 
-func encodeAdopted(target schema.AdoptedTurn, value *line.AdoptedTurn) error {
+func encodeAdopted(target schema.AdoptedTurn, value *sessionlog.AdoptedTurn) error {
 	return errors.Join(target.SetName(value.Name), target.SetData(value.Data))
 }
 
-func decodeAdopted(source schema.AdoptedTurn, value *line.AdoptedTurn) error {
+func decodeAdopted(source schema.AdoptedTurn, value *sessionlog.AdoptedTurn) error {
 	reading := &fieldReader{}
-	*value = line.AdoptedTurn{Name: field(reading, source.Name), Data: readBytes(reading, source.Data)}
+	*value = sessionlog.AdoptedTurn{Name: field(reading, source.Name), Data: readBytes(reading, source.Data)}
 	return reading.err
 }
 
-func encodeTurnRecord(target schema.TurnRecord, value *line.TurnRecord) error {
+func encodeTurnRecord(target schema.TurnRecord, value *sessionlog.TurnRecord) error {
 	target.SetSeq(value.Seq)
 	target.SetEnded(value.EndSeq)
 	target.SetDeadline(value.Deadline)
@@ -145,14 +145,14 @@
 	return errors.Join(target.SetLine(value.Session), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
 }
 
-func decodeTurnRecord(source schema.TurnRecord, value *line.TurnRecord) error {
+func decodeTurnRecord(source schema.TurnRecord, value *sessionlog.TurnRecord) error {
 	reading := &fieldReader{}
-	*value = line.TurnRecord{Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Session: field(reading, source.Line), Name: field(reading, source.Name),
+	*value = sessionlog.TurnRecord{Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Session: field(reading, source.Line), Name: field(reading, source.Name),
 		Follows: field(reading, source.Follows), Outcome: field(reading, source.Outcome), Dispatch: field(reading, source.Dispatch)}
 	return reading.err
 }
 
-func encodeOutcome(target schema.Outcome, value *line.Outcome) error {
+func encodeOutcome(target schema.Outcome, value *sessionlog.Outcome) error {
 	target.SetStatus(uint16(value.Status))
 	target.SetSeq(value.Seq)
 	target.SetHead(value.Head)
@@ -162,8 +162,8 @@
 	return nil
 }
 
-func decodeOutcome(source schema.Outcome, value *line.Outcome) error {
-	*value = line.Outcome{Status: line.Status(source.Status()), Seq: source.Seq(), Head: source.Head(), Deduped: source.Deduped(), Spent: source.Spent(), Reserved: source.Reserved()}
+func decodeOutcome(source schema.Outcome, value *sessionlog.Outcome) error {
+	*value = sessionlog.Outcome{Status: sessionlog.Status(source.Status()), Seq: source.Seq(), Head: source.Head(), Deduped: source.Deduped(), Spent: source.Spent(), Reserved: source.Reserved()}
 	return nil
 }
 
@@ -194,7 +194,7 @@
 		return err
 	}
 	reading := &fieldReader{}
-	*value = ReadReply{Spent: source.Spent(), Reserved: source.Reserved(), Clock: source.Clock(), Session: line.Session{CreatedAt: session.CreatedAt(), Retention: time.Duration(session.KeepFor()),
+	*value = ReadReply{Spent: source.Spent(), Reserved: source.Reserved(), Clock: source.Clock(), Session: sessionlog.Session{CreatedAt: session.CreatedAt(), Retention: time.Duration(session.KeepFor()),
 		UpdatedAt: session.TouchedAt(), Head: session.Head(), ArchivedSeq: session.ArchivedSeq(), Name: field(reading, session.Line), Team: field(reading, session.Team),
 		Program: field(reading, session.Program), WorkKind: field(reading, session.WorkKind)}}
 	if reading.err != nil {
--- a/system/wire/sessionlog_snapshot.go
+++ b/system/wire/sessionlog_snapshot.go
@@ -4,24 +4,24 @@
 	"errors"
 	"time"
 
-	"yardrock.example/system/line"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
-func encodeProducer(target schema.Producer, value *line.Producer) error {
+func encodeProducer(target schema.Producer, value *sessionlog.Producer) error {
 	target.SetProducerSeq(value.ProducerSeq)
 	target.SetSeq(value.Seq)
 	target.SetAt(value.At)
 	return target.SetName(value.Name)
 }
 
-func decodeProducer(source schema.Producer, value *line.Producer) (err error) {
-	*value = line.Producer{ProducerSeq: source.ProducerSeq(), Seq: source.Seq(), At: source.At()}
+func decodeProducer(source schema.Producer, value *sessionlog.Producer) (err error) {
+	*value = sessionlog.Producer{ProducerSeq: source.ProducerSeq(), Seq: source.Seq(), At: source.At()}
 	value.Name, err = source.Name()
 	return err
 }
 
-func encodeSession(target schema.Session, value *line.Session) error {
+func encodeSession(target schema.Session, value *sessionlog.Session) error {
 	target.SetCreatedAt(value.CreatedAt)
 	target.SetKeepFor(int64(value.Retention))
 	target.SetTouchedAt(value.UpdatedAt)
@@ -55,9 +55,9 @@
 	return encodeTexts(openings, err, value.Prefixes)
 }
 
-func decodeSession(source schema.Session, value *line.Session) error {
+func decodeSession(source schema.Session, value *sessionlog.Session) error {
 	reading := &fieldReader{}
-	*value = line.Session{CreatedAt: source.CreatedAt(), Retention: time.Duration(source.KeepFor()), UpdatedAt: source.TouchedAt(), Head: source.Head(), ArchivedSeq: source.ArchivedSeq(),
+	*value = sessionlog.Session{CreatedAt: source.CreatedAt(), Retention: time.Duration(source.KeepFor()), UpdatedAt: source.TouchedAt(), Head: source.Head(), ArchivedSeq: source.ArchivedSeq(),
 		RetainUntil: source.Until(), Spent: source.Spent(), Reserved: source.Reserved(), Name: field(reading, source.Line), Team: field(reading, source.Team), Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind)}
 	if reading.err != nil {
 		return reading.err
@@ -81,19 +81,19 @@
 	return err
 }
 
-func encodeReservation(target schema.Reservation, value *line.Reservation) error {
+func encodeReservation(target schema.Reservation, value *sessionlog.Reservation) error {
 	target.SetWords(value.Words)
 	target.SetUntil(value.ExpiresAt)
 	return target.SetName(value.Name)
 }
 
-func decodeReservation(source schema.Reservation, value *line.Reservation) (err error) {
-	*value = line.Reservation{Words: source.Words(), ExpiresAt: source.Until()}
+func decodeReservation(source schema.Reservation, value *sessionlog.Reservation) (err error) {
+	*value = sessionlog.Reservation{Words: source.Words(), ExpiresAt: source.Until()}
 	value.Name, err = source.Name()
 	return err
 }
 
-func encodeQuotaUsage(target schema.Tally, value *line.QuotaUsage) error {
+func encodeQuotaUsage(target schema.Tally, value *sessionlog.QuotaUsage) error {
 	target.SetSpent(value.Spent)
 	if err := target.SetName(value.Name); err != nil {
 		return err
@@ -106,8 +106,8 @@
 	return encodeList(settled, err, value.Settled, encodeReservation)
 }
 
-func decodeQuotaUsage(source schema.Tally, value *line.QuotaUsage) (err error) {
-	*value = line.QuotaUsage{Spent: source.Spent()}
+func decodeQuotaUsage(source schema.Tally, value *sessionlog.QuotaUsage) (err error) {
+	*value = sessionlog.QuotaUsage{Spent: source.Spent()}
 	if value.Name, err = source.Name(); err != nil {
 		return err
 	}
@@ -120,18 +120,18 @@
 	return err
 }
 
-func encodeSharedPrefix(target schema.Opening, value *line.SharedPrefixRecord) error {
+func encodeSharedPrefix(target schema.Opening, value *sessionlog.SharedPrefixRecord) error {
 	target.SetUntil(value.Until)
 	return errors.Join(target.SetName(value.Name), target.SetScope(value.Scope), target.SetData(value.Data))
 }
 
-func decodeSharedPrefix(source schema.Opening, value *line.SharedPrefixRecord) error {
+func decodeSharedPrefix(source schema.Opening, value *sessionlog.SharedPrefixRecord) error {
 	reading := &fieldReader{}
-	*value = line.SharedPrefixRecord{Until: source.Until(), Name: field(reading, source.Name), Scope: field(reading, source.Scope), Data: readBytes(reading, source.Data)}
+	*value = sessionlog.SharedPrefixRecord{Until: source.Until(), Name: field(reading, source.Name), Scope: field(reading, source.Scope), Data: readBytes(reading, source.Data)}
 	return reading.err
 }
 
-func encodeSessionSnapshot(target schema.LineImage, value *line.Snapshot) error {
+func encodeSessionSnapshot(target schema.LineImage, value *sessionlog.Snapshot) error {
 	target.SetVersion(value.Version)
 	target.SetClock(value.Clock)
 	sessions, err := target.NewSessions(int32(len(value.Sessions)))
@@ -150,8 +150,8 @@
 	return encodeList(openings, err, value.Prefixes, encodeSharedPrefix)
 }
 
-func decodeSessionSnapshot(source schema.LineImage, value *line.Snapshot) error {
-	*value = line.Snapshot{Version: source.Version(), Clock: source.Clock()}
+func decodeSessionSnapshot(source schema.LineImage, value *sessionlog.Snapshot) error {
+	*value = sessionlog.Snapshot{Version: source.Version(), Clock: source.Clock()}
 	sessions, err := source.Sessions()
 	if value.Sessions, err = decodeList(sessions, err, decodeSession); err != nil {
 		return err
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
@@ -44,56 +44,56 @@
 	}
 }
 
-func storedEvent(kind line.EventKind) line.Event {
-	return line.Event{Seq: 4, At: 15, Kind: kind, Turn: 3, Follows: 2, Text: "words", Outcome: line.OutcomeCut, Runner: "10.0.0.1:80", Dispatch: "front-1/7", Digest: "digest",
+func storedEvent(kind sessionlog.EventKind) sessionlog.Event {
+	return sessionlog.Event{Seq: 4, At: 15, Kind: kind, Turn: 3, Follows: 2, Text: "words", Outcome: sessionlog.OutcomeCut, Runner: "10.0.0.1:80", Dispatch: "front-1/7", Digest: "digest",
 		Name: "turn", Part: 9, Producer: "producer", ProducerSeq: 6, Config: 5, Deadline: 16, Data: []byte("in\x00\xff\n"), Prefix: "opening-2"}
 }
 
-func storedCommand(kind line.CommandKind) line.Command {
-	return line.Command{Kind: kind, Session: "program/a", Now: 17, Retention: time.Hour, Team: "depot", Program: "dialogue", WorkKind: "talk", Producer: "turn", ProducerSeq: 1, HasExpectedSeq: true, ExpectedSeq: 12,
-		Events: []line.Event{storedEvent(line.OutputPart)}, Reservation: "program/a|d", Words: 18, Quota: 1088, Acks: []line.Ack{{Session: "program/a", ArchivedSeq: 9}}, Lifetime: time.Minute,
-		Follows: "before", Dispatch: "front-1/7", Outcome: line.OutcomeComplete, Data: []byte("data"), Tokens: 136, HasQuota: true, KeepData: true,
-		Adopted: []line.AdoptedTurn{{Name: "adopted", Data: []byte("in\nout\n")}}, Scope: "scope", Prefix: "opening-2"}
+func storedCommand(kind sessionlog.CommandKind) sessionlog.Command {
+	return sessionlog.Command{Kind: kind, Session: "program/a", Now: 17, Retention: time.Hour, Team: "depot", Program: "dialogue", WorkKind: "talk", Producer: "turn", ProducerSeq: 1, HasExpectedSeq: true, ExpectedSeq: 12,
+		Events: []sessionlog.Event{storedEvent(sessionlog.OutputPart)}, Reservation: "program/a|d", Words: 18, Quota: 1088, Acks: []sessionlog.Ack{{Session: "program/a", ArchivedSeq: 9}}, Lifetime: time.Minute,
+		Follows: "before", Dispatch: "front-1/7", Outcome: sessionlog.OutcomeComplete, Data: []byte("data"), Tokens: 136, HasQuota: true, KeepData: true,
+		Adopted: []sessionlog.AdoptedTurn{{Name: "adopted", Data: []byte("in\nout\n")}}, Scope: "scope", Prefix: "opening-2"}
 }
 
 // storedImage is an image with all that a format knows: turns since 2, openings since 3.
-func storedImage(version uint32) line.Snapshot {
-	snapshot := line.Snapshot{Version: version, Clock: 20,
-		Sessions: []line.Session{{Name: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, Retention: time.Hour, UpdatedAt: 2, Head: 4, ArchivedSeq: 3,
-			Producers: []line.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Unarchived: []line.Event{storedEvent(line.TurnBegun)}, OpenTurns: []uint64{4}, RetainUntil: 21, Spent: 22, Reserved: 23}},
-		QuotaUsages: []line.QuotaUsage{{Name: line.QuotaName("depot", "dialogue", "first"), Spent: 24, Reservations: []line.Reservation{{Name: "program/a|d", Words: 25, ExpiresAt: 26}}, Settled: []line.Reservation{{Name: "program/a|c", Words: 27, ExpiresAt: 28}}}},
+func storedImage(version uint32) sessionlog.Snapshot {
+	snapshot := sessionlog.Snapshot{Version: version, Clock: 20,
+		Sessions: []sessionlog.Session{{Name: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, Retention: time.Hour, UpdatedAt: 2, Head: 4, ArchivedSeq: 3,
+			Producers: []sessionlog.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Unarchived: []sessionlog.Event{storedEvent(sessionlog.TurnBegun)}, OpenTurns: []uint64{4}, RetainUntil: 21, Spent: 22, Reserved: 23}},
+		QuotaUsages: []sessionlog.QuotaUsage{{Name: sessionlog.QuotaName("depot", "dialogue", "first"), Spent: 24, Reservations: []sessionlog.Reservation{{Name: "program/a|d", Words: 25, ExpiresAt: 26}}, Settled: []sessionlog.Reservation{{Name: "program/a|c", Words: 27, ExpiresAt: 28}}}},
 	}
 	if version > 1 {
-		snapshot.Turns = []line.TurnRecord{{Session: "program/a", Name: "one", Seq: 1, EndSeq: 3, Outcome: line.OutcomeComplete, Dispatch: "front-1/6", Deadline: 29, Tokens: 30},
+		snapshot.Turns = []sessionlog.TurnRecord{{Session: "program/a", Name: "one", Seq: 1, EndSeq: 3, Outcome: sessionlog.OutcomeComplete, Dispatch: "front-1/6", Deadline: 29, Tokens: 30},
 			{Session: "program/a", Name: "turn", Seq: 4, Follows: "one", Dispatch: "front-1/7", Deadline: 31, Tokens: 32}}
 	}
 	if version > 2 {
 		data := []byte("what many lines begin with")
-		name := line.SharedPrefixName("scope", data)
+		name := sessionlog.SharedPrefixName("scope", data)
 		snapshot.Sessions[0].Prefixes = []string{name}
-		snapshot.Prefixes = []line.SharedPrefixRecord{{Name: name, Scope: "scope", Data: data, Until: 33}}
+		snapshot.Prefixes = []sessionlog.SharedPrefixRecord{{Name: name, Scope: "scope", Data: data, Until: 33}}
 	}
 	return snapshot
 }
 
-func storedSnapshot() agreement.Snapshot {
-	return agreement.Snapshot{Index: 4, Term: 2, Membership: agreement.Membership{Voters: []string{"a", "b"}, Learners: []string{"c"}}, Data: []byte("content")}
+func storedSnapshot() raft.Snapshot {
+	return raft.Snapshot{Index: 4, Term: 2, Membership: raft.Membership{Voters: []string{"a", "b"}, Learners: []string{"c"}}, Data: []byte("content")}
 }
 
 func storedWrite() StoredWrite {
-	return StoredWrite{HardState: agreement.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: storedSnapshot(), Entries: []agreement.Entry{
+	return StoredWrite{HardState: raft.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: storedSnapshot(), Entries: []raft.Entry{
 		{Index: 5, Term: 3, Data: []byte("five")},
-		{Index: 6, Term: 3, Kind: agreement.EntryMembership, Membership: agreement.Membership{Voters: []string{"a", "b", "c"}, Learners: []string{"d"}}}}}
+		{Index: 6, Term: 3, Kind: raft.EntryMembership, Membership: raft.Membership{Voters: []string{"a", "b", "c"}, Learners: []string{"d"}}}}}
 }
 
 func storedApart() StoredWrite {
 	point := storedSnapshot()
 	point.Data = nil
-	return StoredWrite{HardState: agreement.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: point, SnapshotDataSeparate: true}
+	return StoredWrite{HardState: raft.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: point, SnapshotDataSeparate: true}
 }
 
 func storedChunks() ArchiveChunkBatch {
-	return ArchiveChunkBatch{Chunks: []ArchiveChunk{{Group: 7, Session: "program/a", First: 1, Last: 4, ExpiresAt: 34, Events: []line.Event{storedEvent(line.TurnEnded)}}}}
+	return ArchiveChunkBatch{Chunks: []ArchiveChunk{{Group: 7, Session: "program/a", First: 1, Last: 4, ExpiresAt: 34, Events: []sessionlog.Event{storedEvent(sessionlog.TurnEnded)}}}}
 }
 
 func storedIndex() ArchiveIndex {
@@ -142,7 +142,7 @@
 	for kind := feed.ChangeFounded; kind <= feed.ChangeRecovered; kind++ {
 		messages[fmt.Sprintf("change-%d", kind)] = storedAs(schema.Change_TypeID, storedChange(kind))
 	}
-	for kind := line.CreateSession; kind <= line.BeginTurnWithPrefix; kind++ {
+	for kind := sessionlog.CreateSession; kind <= sessionlog.BeginTurnWithPrefix; kind++ {
 		messages[fmt.Sprintf("command-%d", kind)] = storedAs(schema.Command_TypeID, storedCommand(kind))
 	}
 	return messages
@@ -180,8 +180,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var snapshot line.Snapshot
-		machine := line.NewStateMachine()
+		var snapshot sessionlog.Snapshot
+		machine := sessionlog.NewStateMachine()
 		if err := Decode(schema.LineImage_TypeID, data, &snapshot); err != nil {
 			t.Fatal(err)
 		}
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -13,10 +13,10 @@
 	"capnproto.org/go/capnp/v3/pogs"
 	"capnproto.org/go/capnp/v3/schemas"
 
-	"yardrock.example/system/agreement"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/line"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
@@ -67,16 +67,16 @@
 type Reply struct {
 	Failure      Failure `capnp:"failure"`
 	Which        schema.Reply_Which
-	Status       *StatusReply             `capnp:"status"`
-	Outcomes     *CommandReply            `capnp:"outcomes"`
-	Read         *ReadReply               `capnp:"read"`
-	Follow       *FollowReply             `capnp:"follow"`
-	NewestView   *NewestViewReply         `capnp:"newest"`
-	Change       *ChangeReply             `capnp:"change"`
-	Digests      *DigestReply             `capnp:"digests"`
-	Chunks       *ArchiveChunkBatch       `capnp:"chunks"`
-	FoundTurn    *FindTurnReply           `capnp:"found"`
-	SharedPrefix *line.SharedPrefixRecord `capnp:"opening"`
+	Status       *StatusReply                   `capnp:"status"`
+	Outcomes     *CommandReply                  `capnp:"outcomes"`
+	Read         *ReadReply                     `capnp:"read"`
+	Follow       *FollowReply                   `capnp:"follow"`
+	NewestView   *NewestViewReply               `capnp:"newest"`
+	Change       *ChangeReply                   `capnp:"change"`
+	Digests      *DigestReply                   `capnp:"digests"`
+	Chunks       *ArchiveChunkBatch             `capnp:"chunks"`
+	FoundTurn    *FindTurnReply                 `capnp:"found"`
+	SharedPrefix *sessionlog.SharedPrefixRecord `capnp:"opening"`
 }
 
 // Failure is a typed failure on its way.
@@ -89,14 +89,14 @@
 }
 
 // RaftBatch carries messages of many groups, all of one node to one other.
-type RaftBatch struct{ Messages []agreement.Message }
+type RaftBatch struct{ Messages []raft.Message }
 
 // StoredWrite is an agreement write as the disk keeps it.
 type StoredWrite struct {
-	HardState   agreement.HardState
-	Entries     []agreement.Entry
+	HardState   raft.HardState
+	Entries     []raft.Entry
 	HasSnapshot bool
-	Snapshot    agreement.Snapshot
+	Snapshot    raft.Snapshot
 	// SnapshotDataSeparate tells that the checkpoint's content is stored beside this.
 	SnapshotDataSeparate bool
 }
@@ -173,13 +173,13 @@
 // CommandQuery asks a group's leader to commit commands.
 type CommandQuery struct {
 	Group    uint32
-	Commands []line.Command
+	Commands []sessionlog.Command
 }
 
 // CommandReply answers a CommandQuery. History is what a turn that began goes on from:
 // the bytes of the chain of turns that it follows, oldest first.
 type CommandReply struct {
-	Outcomes []line.Outcome
+	Outcomes []sessionlog.Outcome
 	History  []byte
 }
 
@@ -192,10 +192,10 @@
 // lead. Chain is the turn found with all that it follows, oldest first; Open tells of
 // a turn that has not ended.
 type FindTurnReply struct {
-	SearchedGroups []uint32           `capnp:"covered"`
-	Found          bool               `capnp:"found"`
-	Open           bool               `capnp:"open"`
-	Chain          []line.AdoptedTurn `capnp:"chain"`
+	SearchedGroups []uint32                 `capnp:"covered"`
+	Found          bool                     `capnp:"found"`
+	Open           bool                     `capnp:"open"`
+	Chain          []sessionlog.AdoptedTurn `capnp:"chain"`
 }
 
 // ReadQuery asks a group's leader for a line, or for a tally. With Wait it holds
@@ -211,8 +211,8 @@
 // ReadReply answers a ReadQuery. On the way Session loses its hot events,
 // producers and open turns.
 type ReadReply struct {
-	Session  line.Session
-	Events   []line.Event
+	Session  sessionlog.Session
+	Events   []sessionlog.Event
 	Spent    uint64
 	Reserved uint64
 	// Clock is the time of the line's group, by which keeping times and deadlines go.
@@ -226,7 +226,7 @@
 	First     uint64
 	Last      uint64
 	ExpiresAt int64
-	Events    []line.Event
+	Events    []sessionlog.Event
 }
 
 // ArchiveChunkBatch carries chunks.
