--- a/system/sessionlog/types.go
+++ b/system/sessionlog/types.go
@@ -36,26 +36,26 @@
 // Event is one entry of a line. Its Seq is given by the group's leader. At and
 // Deadline are by the group's clock; a command gives Deadline as a duration.
 type Event struct {
-	Seq         uint64
-	At          int64
-	Kind        EventKind
-	Turn        uint64
-	Follows     uint64
-	Text        string
-	Outcome     string
-	Runner      string
-	Dispatch    string
-	Digest      string
-	Name        string
-	Part        uint64
-	Producer    string
-	ProducerSeq uint64
-	Config      uint64
-	Deadline    int64
+	Seq         uint64    `capnp:"seq"`
+	At          int64     `capnp:"at"`
+	Kind        EventKind `capnp:"kind"`
+	Turn        uint64    `capnp:"turn"`
+	Follows     uint64    `capnp:"follows"`
+	Text        string    `capnp:"words"`
+	Outcome     string    `capnp:"outcome"`
+	Runner      string    `capnp:"runner"`
+	Dispatch    string    `capnp:"dispatch"`
+	Digest      string    `capnp:"digest"`
+	Name        string    `capnp:"name"`
+	Part        uint64    `capnp:"part"`
+	Producer    string    `capnp:"producer"`
+	ProducerSeq uint64    `capnp:"producerSeq"`
+	Config      uint64    `capnp:"config"`
+	Deadline    int64     `capnp:"deadline"`
 	// Data is a turn's input in its beginning, and its output in its end.
-	Data []byte
+	Data []byte `capnp:"data"`
 	// Prefix names what comes before Data; "" is nothing.
-	Prefix string
+	Prefix string `capnp:"opening"`
 }
 
 // CommandKind selects what a command does.
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -221,16 +221,18 @@
 
 // ArchiveChunk is a run of archived events of one line.
 type ArchiveChunk struct {
-	Group     uint32
-	Session   string
-	First     uint64
-	Last      uint64
-	ExpiresAt int64
-	Events    []sessionlog.Event
+	Group     uint32             `capnp:"group"`
+	Session   string             `capnp:"line"`
+	First     uint64             `capnp:"first"`
+	Last      uint64             `capnp:"last"`
+	ExpiresAt int64              `capnp:"expires"`
+	Events    []sessionlog.Event `capnp:"events"`
 }
 
 // ArchiveChunkBatch carries chunks.
-type ArchiveChunkBatch struct{ Chunks []ArchiveChunk }
+type ArchiveChunkBatch struct {
+	Chunks []ArchiveChunk `capnp:"chunks"`
+}
 
 // ChunkLocation says where in a cold file a chunk is.
 type ChunkLocation struct {
