--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -65,10 +65,10 @@
 	roster.asks++
 	runners := append([]feed.Runner{}, roster.runners...)
 	for position, runner := range runners {
-		if left := runner.ColdFor - time.Since(roster.put); runner.ColdFor > 0 && left > 0 {
-			runners[position].ColdFor = left
-		} else if runner.ColdFor > 0 {
-			runners[position].State, runners[position].ColdFor = feed.StateServing, 0
+		if left := runner.WarmUpLeft - time.Since(roster.put); runner.WarmUpLeft > 0 && left > 0 {
+			runners[position].WarmUpLeft = left
+		} else if runner.WarmUpLeft > 0 {
+			runners[position].State, runners[position].WarmUpLeft = feed.StateServing, 0
 		}
 	}
 	return runners, roster.failing
--- a/proof/simulator/huntrunners_test.go
+++ b/proof/simulator/huntrunners_test.go
@@ -21,11 +21,11 @@
 		runner := feed.Runner{Life: life.engine.Life, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.StateServing, Slots: 32}
 		if len(life.cold) > 0 {
 			if left := time.Until(life.cold[len(life.cold)-1].until); left > 0 {
-				runner.State, runner.ColdFor = feed.StateWarmingUp, left
+				runner.State, runner.WarmUpLeft = feed.StateWarmingUp, left
 			}
 		}
 		if !life.leavingAt.IsZero() {
-			runner.State, runner.ColdFor = feed.StateDraining, 0
+			runner.State, runner.WarmUpLeft = feed.StateDraining, 0
 		}
 		listed = append(listed, runner)
 	}
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -181,7 +181,7 @@
 		held := cluster.Controls[0].Control.View().RoleLeaseOf("roster")
 		var owner *Machine
 		for _, machine := range cluster.Controls {
-			if machine.Control.Name() == held.Owner {
+			if machine.Control.Name() == held.Holder {
 				owner = machine
 			}
 		}
@@ -191,11 +191,11 @@
 		cluster.Network.Isolate(owner.Host)
 		err := cluster.Await(20*time.Second, "new owner", func() error {
 			for _, machine := range cluster.Controls {
-				if now := machine.Control.View().RoleLeaseOf("roster"); machine != owner && now.Fence > held.Fence && now.Owner != held.Owner {
+				if now := machine.Control.View().RoleLeaseOf("roster"); machine != owner && now.FencingToken > held.FencingToken && now.Holder != held.Holder {
 					return nil
 				}
 			}
-			return fmt.Errorf("the assignment stays with %s", held.Owner)
+			return fmt.Errorf("the assignment stays with %s", held.Holder)
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -62,7 +62,7 @@
 		source := cluster.Roster
 		const soon = 1300 * time.Millisecond // a poll, a commit and a round of the fronts
 		runner := func(life, state string, cold time.Duration) feed.Runner {
-			return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, ColdFor: cold, Slots: 4}
+			return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: cold, Slots: 4}
 		}
 		other := feed.Runner{Life: "other", Address: "10.0.3.2:8000", Group: "small", Domain: "west", State: feed.StateServing}
 		watching := cluster.watch(t, 6)
@@ -80,7 +80,7 @@
 		}
 		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 6*time.Second)}) // colder than it was
 		until(t, soon, watching, "a runner that is cold for longer", func(view *feed.View) bool {
-			return slices.ContainsFunc(view.Runners, func(runner feed.Runner) bool { return runner.ColdFor > 5*time.Second })
+			return slices.ContainsFunc(view.Runners, func(runner feed.Runner) bool { return runner.WarmUpLeft > 5*time.Second })
 		})
 		<-time.After(4500 * time.Millisecond)
 		until(t, soon+500*time.Millisecond, watching, "a runner that is warm", func(view *feed.View) bool { return stateOf(view, "one") == feed.StateServing })
@@ -110,7 +110,7 @@
 		// The owner of the assignment dies as the list changes.
 		for round := range 3 {
 			held := cluster.Controls[0].Control.View().RoleLeaseOf(controlplane.RunnerDiscoveryRole)
-			at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Name() == held.Owner })
+			at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Name() == held.Holder })
 			owner := cluster.Controls[at]
 			if round == 0 {
 				owner.Kill()
--- a/system/balancer/slow_start.go
+++ b/system/balancer/slow_start.go
@@ -188,8 +188,8 @@
 		start.until, start.forcedUntil = 0, 0
 		return
 	}
-	wasActive, reported := start.active(now), listReading{true, runner.State, runner.ColdFor, runner.Since}
-	warmUp := runner.ColdFor
+	wasActive, reported := start.active(now), listReading{true, runner.State, runner.WarmUpLeft, runner.Since}
+	warmUp := runner.WarmUpLeft
 	if runner.State == feed.StateWarmingUp && warmUp <= 0 {
 		warmUp = time.Duration(service.WarmUp)
 	}
--- a/system/balancer/slow_start_test.go
+++ b/system/balancer/slow_start_test.go
@@ -40,7 +40,7 @@
 	route := routeTo(config.WeightedService{Service: "model", Weight: 1})
 	runners := runnersOf("model", 3, 32)
 	for at := range runners {
-		runners[at].State, runners[at].ColdFor = feed.StateWarmingUp, time.Minute
+		runners[at].State, runners[at].WarmUpLeft = feed.StateWarmingUp, time.Minute
 	}
 	live := []string{}
 	for at := range fronts {
@@ -142,7 +142,7 @@
 		slowStart bool
 	}{
 		{"nothing", func(*State) {}, func(*State) {}, false},
-		{"the list says so", func(*State) {}, func(state *State) { state.View.Runners[0].ColdFor = time.Second }, true},
+		{"the list says so", func(*State) {}, func(state *State) { state.View.Runners[0].WarmUpLeft = time.Second }, true},
 		{"its state says so", func(*State) {}, func(state *State) { state.View.Runners[0].State = feed.StateWarmingUp }, true},
 		{"it has a new life", func(*State) {}, func(state *State) { state.View.Runners[0].Life = "new" }, true},
 		{"its domain was refilled", func(state *State) {
@@ -208,7 +208,7 @@
 	}
 	listed := func(state string, slowStartFor time.Duration, since int64) func(*State) {
 		return func(change *State) {
-			change.View.Runners[0].State, change.View.Runners[0].ColdFor, change.View.Runners[0].Since = state, slowStartFor, since
+			change.View.Runners[0].State, change.View.Runners[0].WarmUpLeft, change.View.Runners[0].Since = state, slowStartFor, since
 		}
 	}
 	domain := func(state string, since int64) func(*State) {
@@ -273,7 +273,7 @@
 	balancer.Update(stateOf([]config.Service{modelService(2)}, route, runners, 1))
 	clock.advance(5 * time.Second)
 	runners = runnersOf("model", 1, 32)
-	runners[0].ColdFor = time.Minute
+	runners[0].WarmUpLeft = time.Minute
 	balancer.Update(stateOf([]config.Service{modelService(2)}, route, runners, 1))
 	clock.advance(2 * time.Second)
 	for range 5 {
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -130,7 +130,7 @@
 	"assignments": func(_ adminService, _ context.Context, view *feed.View, _ *config.Config) ([]string, [][]string) {
 		rows := [][]string{}
 		for _, assignment := range view.RoleLeases {
-			rows = append(rows, []string{assignment.Key, assignment.Owner, strconv.FormatUint(assignment.Fence, 10)})
+			rows = append(rows, []string{assignment.Key, assignment.Holder, strconv.FormatUint(assignment.FencingToken, 10)})
 		}
 		return []string{"key", "owner", "fence"}, rows
 	},
--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -79,9 +79,9 @@
 		return false
 	}
 	node.mutex.Lock()
-	known, found := node.liveness[name]
+	entry, found := node.liveness[name]
 	node.mutex.Unlock()
-	if found && node.wasReplaced(known.member) {
+	if found && node.wasReplaced(entry.member) {
 		return true
 	}
 	if !found {
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	return node.quorumContactFor() > timeout && (!found || time.Since(known.lastHeard) > timeout)
+	return node.quorumContactFor() > timeout && (!found || time.Since(entry.lastHeard) > timeout)
 }
 
 // quorumContact is what a node knows of its own contact with the control group. A node that was
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -150,7 +150,7 @@
 func (node *Node) stateAsLeader() *confirmedState {
 	read := node.runnersReading.Load()
 	state := &confirmedState{feedState: node.stateMachine.state()}
-	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); read != nil && lease.Owner == node.Name() && lease.Fence == read.fencingToken {
+	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); read != nil && lease.Holder == node.Name() && lease.FencingToken == read.fencingToken {
 		state.runnersReadAt = read.requestedAt
 	}
 	return state
--- a/system/controlplane/feed_state_machine.go
+++ b/system/controlplane/feed_state_machine.go
@@ -69,14 +69,14 @@
 
 var changePreconditions = map[feed.ChangeKind]func(*feed.View, feed.Change) error{
 	feed.ChangeRoleLease: func(view *feed.View, change feed.Change) error {
-		if held := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.Fence != held.Fence+1 {
-			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is at fence %d", change.RoleLease.Key, held.Fence), "read the assignment again")
+		if held := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.FencingToken != held.FencingToken+1 {
+			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is at fence %d", change.RoleLease.Key, held.FencingToken), "read the assignment again")
 		}
 		return nil
 	},
 	feed.ChangeRunners: func(view *feed.View, change feed.Change) error {
-		if held := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.Fence != held.Fence || change.RoleLease.Owner != held.Owner {
-			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is held by %s under fence %d", change.RoleLease.Key, held.Owner, held.Fence), "stop this assignment; another node has it")
+		if held := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.FencingToken != held.FencingToken || change.RoleLease.Holder != held.Holder {
+			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is held by %s under fence %d", change.RoleLease.Key, held.Holder, held.FencingToken), "stop this assignment; another node has it")
 		}
 		return nil
 	},
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -41,8 +41,8 @@
 	foundingQuietPeriod = 700 * time.Millisecond
 	foundingInterval    = 500 * time.Millisecond
 	callTimeout         = 2 * time.Second
-	// controlAddressesPin is the number under which the disk keeps where the control nodes are.
-	controlAddressesPin = 1 << 31
+	// controlAddressesKey is the number under which the disk keeps where the control nodes are.
+	controlAddressesKey = 1 << 31
 )
 
 // Settings place a control node.
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if data := node.host.StoredValue(controlAddressesPin); data != nil {
+	if data := node.host.StoredValue(controlAddressesKey); data != nil {
 		var noted feed.View
 		if err := wire.Decode(schema.View_TypeID, data, &noted); err != nil {
 			node.host.Close()
@@ -151,7 +151,7 @@
 	every := func(interval time.Duration, task func()) func() time.Duration {
 		return func() time.Duration { task(); return interval }
 	}
-	for _, task := range []func() time.Duration{every(foundingInterval, node.foundFleet), every(gossipInterval, node.gossip), node.reconcileFleet, node.runRoleLeases, every(gossipInterval, node.recordQuorumContact), every(reconcileInterval, node.finishDecommissions)} {
+	for _, task := range []func() time.Duration{every(foundingInterval, node.bootstrapFleet), every(gossipInterval, node.gossip), node.reconcileFleet, node.runRoleLeases, every(gossipInterval, node.recordQuorumContact), every(reconcileInterval, node.finishDecommissions)} {
 		node.tasks.Go(func() { node.runPeriodically(task) })
 	}
 	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("control_started")
@@ -222,10 +222,10 @@
 
 func (node *Node) addressOf(name string) string {
 	node.mutex.Lock()
-	known, found := node.liveness[name]
+	entry, found := node.liveness[name]
 	node.mutex.Unlock()
-	if found && known.member.Address != "" {
-		return known.member.Address
+	if found && entry.member.Address != "" {
+		return entry.member.Address
 	}
 	return node.View().AddressOf(name)
 }
@@ -294,7 +294,7 @@
 
 // found founds the fleet when all seeds answer and all are empty, unless it has started
 // before, or takes its part when another seed has founded it with this disk's name in it.
-func (node *Node) foundFleet() {
+func (node *Node) bootstrapFleet() {
 	if !node.isEmpty() || !slices.Contains(*node.seeds.Load(), node.settings.Address) {
 		return
 	}
@@ -307,7 +307,7 @@
 			continue
 		}
 		if !reply.Status.Uninitialized && slices.Contains(reply.Status.Founding, node.Name()) {
-			node.foundFleetWith(foundingView(reply.Status.Founding, reply.Status.Controls, node.settings))
+			node.bootstrapFleetWith(bootstrapView(reply.Status.Founding, reply.Status.Controls, node.settings))
 			return
 		}
 		if reply.Status.Role == feed.RoleControl && reply.Status.Uninitialized {
@@ -325,11 +325,11 @@
 		names = append(names, status.Name)
 		members = append(members, feed.Member{Name: status.Name, Role: feed.RoleControl, Address: status.Address, Domain: status.Domain})
 	}
-	node.foundFleetWith(foundingView(names, members, node.settings))
+	node.bootstrapFleetWith(bootstrapView(names, members, node.settings))
 }
 
-// foundingView is the same on every founder.
-func foundingView(names []string, members []feed.Member, settings Settings) feed.View {
+// bootstrapView is the same on every founder.
+func bootstrapView(names []string, members []feed.Member, settings Settings) feed.View {
 	names = slices.Sorted(slices.Values(names))
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(left, right feed.Member) int { return strings.Compare(left.Name, right.Name) })
@@ -337,7 +337,7 @@
 	return feed.View{Fleet: hex.EncodeToString(sum[:8]), Number: 1, Controls: members, Groups: settings.Groups, Replicas: settings.ReplicationFactor, Founding: names}
 }
 
-func (node *Node) foundFleetWith(view feed.View) {
+func (node *Node) bootstrapFleetWith(view feed.View) {
 	node.host.Bootstrap(controlGroup, view.Founding, encodeControlSnapshot(&view, feed.History{}))
 	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet_founded")
 }
@@ -389,15 +389,15 @@
 	if member.Name == "" {
 		return
 	}
-	heard := time.Now().Add(-age)
+	heardAt := time.Now().Add(-age)
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	entry, found := node.liveness[member.Name]
 	if !found {
-		entry.firstHeard = heard
+		entry.firstHeard = heardAt
 	}
-	if !found || heard.After(entry.lastHeard) {
-		node.liveness[member.Name] = nodeLiveness{member: member, firstHeard: entry.firstHeard, lastHeard: heard, direct: direct}
+	if !found || heardAt.After(entry.lastHeard) {
+		node.liveness[member.Name] = nodeLiveness{member: member, firstHeard: entry.firstHeard, lastHeard: heardAt, direct: direct}
 	}
 }
 
@@ -506,7 +506,7 @@
 	}
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
-	if err := node.host.StoreValue(ctx, controlAddressesPin, wire.MustEncode(schema.View_TypeID, &feed.View{Controls: view.Controls})); err == nil {
+	if err := node.host.StoreValue(ctx, controlAddressesKey, wire.MustEncode(schema.View_TypeID, &feed.View{Controls: view.Controls})); err == nil {
 		node.savedControls = view.Controls
 	}
 }
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -25,7 +25,7 @@
 
 // RunnerSource gives the platform's whole list of runners, in any order. It gives no
 // part of a list: where a page is missing, it fails. A failure with RetryAfter tells
-// when to ask again. ColdFor counts from the reading.
+// when to ask again. WarmUpLeft counts from the reading.
 type RunnerSource interface {
 	List(ctx context.Context) ([]feed.Runner, error)
 }
@@ -59,10 +59,10 @@
 	ctx, cancel := context.WithTimeout(node.context, callTimeout+runnerListTimeout)
 	defer cancel()
 	lease := view.RoleLeaseOf(RunnerDiscoveryRole)
-	if lease.Owner != node.Name() {
-		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeRoleLease, By: node.Name(), RoleLease: feed.RoleLease{Key: RunnerDiscoveryRole, Owner: node.Name(), Fence: lease.Fence + 1}})
+	if lease.Holder != node.Name() {
+		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeRoleLease, By: node.Name(), RoleLease: feed.RoleLease{Key: RunnerDiscoveryRole, Holder: node.Name(), FencingToken: lease.FencingToken + 1}})
 		view = node.View()
-		if lease = view.RoleLeaseOf(RunnerDiscoveryRole); lease.Owner != node.Name() {
+		if lease = view.RoleLeaseOf(RunnerDiscoveryRole); lease.Holder != node.Name() {
 			return roleLeaseInterval
 		}
 	}
@@ -98,13 +98,13 @@
 		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("roster_unread")
 		return
 	}
-	if node.discovery.fencingToken != lease.Fence {
-		node.discovery.fencingToken, node.discovery.servingSince, node.discovery.warmUpEnds = lease.Fence, map[string]time.Time{}, map[string]time.Time{}
+	if node.discovery.fencingToken != lease.FencingToken {
+		node.discovery.fencingToken, node.discovery.servingSince, node.discovery.warmUpEnds = lease.FencingToken, map[string]time.Time{}, map[string]time.Time{}
 	}
 	change := feed.Change{Kind: feed.ChangeRunners, By: node.Name(), RoleLease: lease, Expects: true, Expected: view.Number, Partial: true}
 	change.Runners, change.Removed = node.discovery.diff(view.Runners, listed, groups, requestedAt)
 	if len(change.Runners)+len(change.Removed) == 0 {
-		node.runnersReading.Store(&runnersReading{requestedAt, lease.Fence})
+		node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
 		return
 	}
 	if _, err := node.Change(ctx, change); err != nil {
@@ -113,14 +113,14 @@
 		return
 	}
 	node.discovery.recordPublished(change.Runners, change.Removed, requestedAt)
-	node.runnersReading.Store(&runnersReading{requestedAt, lease.Fence})
+	node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
 }
 
 // recordPublished keeps until when the feed says that runners are cold, by a list asked for at a time.
 func (discovery *runnerDiscovery) recordPublished(changed []feed.Runner, removed []string, requestedAt time.Time) {
 	for _, runner := range changed {
 		if delete(discovery.warmUpEnds, runner.Identity()); runner.State == feed.StateWarmingUp {
-			discovery.warmUpEnds[runner.Identity()] = requestedAt.Add(runner.ColdFor)
+			discovery.warmUpEnds[runner.Identity()] = requestedAt.Add(runner.WarmUpLeft)
 		}
 	}
 	for _, name := range removed {
@@ -174,7 +174,7 @@
 // runnerDiffers compares a runner with what the feed says of it; that it has less long to
 // stay cold than before is no difference.
 func runnerDiffers(old, runner feed.Runner) bool {
-	old.ColdFor = runner.ColdFor
+	old.WarmUpLeft = runner.WarmUpLeft
 	return old != runner
 }
 
@@ -182,9 +182,9 @@
 // feed says that it is cold is known only to the owner of the assignment that put it there:
 // it may have become cold again since an earlier owner did.
 func (discovery *runnerDiscovery) warmsUpAgain(runner feed.Runner, now time.Time) bool {
-	if runner.State != feed.StateWarmingUp || runner.ColdFor <= 0 {
+	if runner.State != feed.StateWarmingUp || runner.WarmUpLeft <= 0 {
 		return false
 	}
 	until, reported := discovery.warmUpEnds[runner.Identity()]
-	return !reported || now.Add(runner.ColdFor).After(until.Add(warmUpSlack))
+	return !reported || now.Add(runner.WarmUpLeft).After(until.Add(warmUpSlack))
 }
--- a/system/controlplane/runner_discovery_test.go
+++ b/system/controlplane/runner_discovery_test.go
@@ -13,7 +13,7 @@
 // after the last, and names the runners that are told as changed and as gone.
 func TestRunnerDiffReportsOnlyChanges(t *testing.T) {
 	runner := func(life, state string, cold time.Duration) feed.Runner {
-		return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, ColdFor: cold}
+		return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: cold}
 	}
 	a, b := runner("a", feed.StateServing, 0), runner("b", feed.StateServing, 0)
 	moved := a
@@ -84,11 +84,11 @@
 // the assignment change hands before that is reported: the new owner can't know that the
 // feed's time was nearly over. What it has reported itself it doesn't repeat.
 func TestNewLeaseHolderReportsWarmingRunnersAgain(t *testing.T) {
-	cold := feed.Runner{Life: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.StateWarmingUp, ColdFor: 3 * time.Second}
+	cold := feed.Runner{Life: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.StateWarmingUp, WarmUpLeft: 3 * time.Second}
 	earlier := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 	now, view := time.Unix(1000, 0), feed.View{}
 	take := func(owner *runnerDiscovery, left time.Duration) int {
-		cold.ColdFor = left
+		cold.WarmUpLeft = left
 		changed, removed := owner.diff(view.Runners, []feed.Runner{cold}, nil, now)
 		owner.recordPublished(changed, removed, now)
 		view = fold(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRunners, Partial: true, Runners: changed, Removed: removed})
@@ -98,7 +98,7 @@
 	since := view.Runners[0].Since
 	now = now.Add(2800 * time.Millisecond)
 	later := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
-	if take(&later, 2200*time.Millisecond) != 1 || view.Runners[0].ColdFor != 2200*time.Millisecond || view.Runners[0].Since == since {
+	if take(&later, 2200*time.Millisecond) != 1 || view.Runners[0].WarmUpLeft != 2200*time.Millisecond || view.Runners[0].Since == since {
 		t.Fatalf("the new owner leaves %+v", view.Runners)
 	}
 	now = now.Add(time.Second)
--- a/system/feed/feed.go
+++ b/system/feed/feed.go
@@ -54,9 +54,9 @@
 	Since   int64  `capnp:"since"`
 	Warmed  bool   `capnp:"warmed"`
 	Slots   uint32 `capnp:"slots"`
-	// ColdFor is how long the runner stayed cold yet when the list was read.
-	ColdFor  time.Duration `capnp:"coldFor"`
-	Revision string        `capnp:"revision"` // of its software
+	// WarmUpLeft is how long the runner stayed cold yet when the list was read.
+	WarmUpLeft time.Duration `capnp:"coldFor" json:"ColdFor"`
+	Revision   string        `capnp:"revision"` // of its software
 }
 
 // Identity is what a runner is known by: its life, or its address if lives are not told.
@@ -73,9 +73,9 @@
 
 // RoleLease is a single-node assignment: its owner holds it under a fence number.
 type RoleLease struct {
-	Key   string `capnp:"key"`
-	Owner string `capnp:"owner"`
-	Fence uint64 `capnp:"fence"`
+	Key          string `capnp:"key"`
+	Holder       string `capnp:"owner" json:"Owner"`
+	FencingToken uint64 `capnp:"fence" json:"Fence"`
 }
 
 // ChangeKind selects how a change folds.
