--- a/system/raft/election.go
+++ b/system/raft/election.go
@@ -1,8 +1,6 @@
 package raft
 
-import (
-	"slices"
-)
+import "slices"
 
 func (core *Core) become(next role, leaderName string) {
 	if core.role == roleLeader && next != roleLeader {
@@ -20,19 +18,6 @@
 	core.electionTimeout = core.settings.ElectionTicks + core.random.IntN(core.settings.ElectionTicks)
 }
 
-// shortenElectionTimeout shortens the wait for the next election, where no leader is known that could be
-// disturbed.
-func (core *Core) shortenElectionTimeout() {
-	half := max(core.settings.ElectionTicks/2, 1)
-	core.electionTimeout = half + core.random.IntN(half)
-}
-
-// shortenPreVoteTimeout shortens the wait for the next pre-vote yet more: it disturbs nobody, as who has
-// a leader refuses it. So a group that starts anew waits only for its second replica.
-func (core *Core) shortenPreVoteTimeout() {
-	core.electionTimeout = max(core.settings.ElectionTicks/7, 1) + core.random.IntN(max(core.settings.ElectionTicks/2, 1))
-}
-
 func (core *Core) setTerm(term uint64) {
 	if term > core.hardState.Term {
 		core.hardState = HardState{Term: term}
@@ -40,6 +25,13 @@
 	}
 }
 
+func (core *Core) followLeader(from string) {
+	if core.role != roleFollower || core.leader != from {
+		core.become(roleFollower, from)
+	}
+	core.electionElapsed = 0
+}
+
 // suspectLeader ends the lease of a leader that may be gone. One that is still there is heard
 // of before this replica stands for election; of the others each waits longer than the
 // one before it, so that they do not stand against each other.
@@ -52,6 +44,25 @@
 	core.electionTimeout = min(core.electionTimeout, core.settings.HeartbeatTicks+1+3*rank)
 }
 
+// inLease tells that a leader was heard lately (or is this replica), so that no
+// other should be elected over it.
+func (core *Core) inLease() bool {
+	return core.role == roleLeader || (core.leader != "" && core.electionElapsed < core.settings.ElectionTicks)
+}
+
+// shortenElectionTimeout shortens the wait for the next election, where no leader is known that could be
+// disturbed.
+func (core *Core) shortenElectionTimeout() {
+	half := max(core.settings.ElectionTicks/2, 1)
+	core.electionTimeout = half + core.random.IntN(half)
+}
+
+// shortenPreVoteTimeout shortens the wait for the next pre-vote yet more: it disturbs nobody, as who has
+// a leader refuses it. So a group that starts anew waits only for its second replica.
+func (core *Core) shortenPreVoteTimeout() {
+	core.electionTimeout = max(core.settings.ElectionTicks/7, 1) + core.random.IntN(max(core.settings.ElectionTicks/2, 1))
+}
+
 // startPreVote asks first whether an election could be won, so that a replica that was
 // cut off does not depose a leader.
 func (core *Core) startPreVote() {
@@ -117,12 +128,6 @@
 	core.broadcast(true)
 }
 
-// inLease tells that a leader was heard lately (or is this replica), so that no
-// other should be elected over it.
-func (core *Core) inLease() bool {
-	return core.role == roleLeader || (core.leader != "" && core.electionElapsed < core.settings.ElectionTicks)
-}
-
 func (core *Core) isLogUpToDate(message Message) bool {
 	ownTerm := core.termAt(core.lastIndex())
 	return message.LogTerm > ownTerm || (message.LogTerm == ownTerm && message.Index >= core.lastIndex())
@@ -162,27 +167,3 @@
 	core.votes[message.From] = !message.Rejected
 	core.tallyVotes()
 }
-
-func (core *Core) followLeader(from string) {
-	if core.role != roleFollower || core.leader != from {
-		core.become(roleFollower, from)
-	}
-	core.electionElapsed = 0
-}
-
-func (core *Core) handleTimeoutNow(Message) {
-	if core.isVoter(core.settings.Name) {
-		core.startElection(true)
-	}
-}
-
-func (core *Core) transferLeadership(name string) {
-	if core.role != roleLeader || name == core.settings.Name || !core.isVoter(name) {
-		return
-	}
-	core.transferTarget = name
-	core.transferElapsed = 0
-	if peer := core.peers[name]; peer != nil && peer.matchIndex == core.lastIndex() {
-		core.send(Message{Kind: MessageTimeoutNow, To: name, Term: core.hardState.Term})
-	}
-}
--- a/system/raft/membership.go
+++ b/system/raft/membership.go
@@ -1,8 +1,29 @@
 package raft
 
-import (
-	"slices"
-)
+import "slices"
+
+// Membership is the membership of a group.
+type Membership struct {
+	Voters   []string
+	Learners []string
+}
+
+// hasDuplicates tells that a replica is named more than once. Its vote would count as often.
+func (replicas Membership) hasDuplicates() bool {
+	names := slices.Concat(replicas.Voters, replicas.Learners)
+	slices.Sort(names)
+	return len(slices.Compact(names)) < len(replicas.Voters)+len(replicas.Learners)
+}
+
+// Without gives names less one of them.
+//
+//	next := agreement.Membership{Voters: agreement.Without(replicas.Voters, "c")}
+func Without(names []string, name string) []string {
+	return slices.DeleteFunc(slices.Clone(names), func(one string) bool { return one == name })
+}
+
+// MaxLearnerLag is how many entries a learner may lack when it becomes a voter.
+const MaxLearnerLag = 16
 
 func (core *Core) refreshMembership() {
 	core.membership = core.snapshot.Membership
@@ -18,30 +39,6 @@
 
 func (core *Core) quorum() int { return len(core.membership.Voters)/2 + 1 }
 
-func (core *Core) trackPeers() {
-	members := slices.Concat(core.membership.Voters, core.membership.Learners)
-	for _, name := range members {
-		if name != core.settings.Name && core.peers[name] == nil {
-			core.peers[name] = &progress{nextIndex: core.lastIndex() + 1, recentlyActive: true}
-		}
-	}
-	for name := range core.peers {
-		if !slices.Contains(members, name) {
-			delete(core.peers, name)
-		}
-	}
-}
-
-// peerNames gives the peers in a fixed order, so that steps replay exactly.
-func (core *Core) peerNames() []string {
-	names := make([]string, 0, len(core.peers))
-	for name := range core.peers {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
-
 func (core *Core) membershipChangePending() bool {
 	if core.termAt(core.commitIndex) != core.hardState.Term {
 		return true
@@ -54,13 +51,6 @@
 	return false
 }
 
-// hasDuplicates tells that a replica is named more than once. Its vote would count as often.
-func (replicas Membership) hasDuplicates() bool {
-	names := slices.Concat(replicas.Voters, replicas.Learners)
-	slices.Sort(names)
-	return len(slices.Compact(names)) < len(replicas.Voters)+len(replicas.Learners)
-}
-
 // changeMembership takes one step only: at most one voter joins or leaves.
 func (core *Core) changeMembership(next Membership) {
 	if core.role != roleLeader || core.transferTarget != "" || core.membershipChangePending() || len(next.Voters) == 0 || next.hasDuplicates() {
--- a/system/raft/raft.go
+++ b/system/raft/raft.go
@@ -14,17 +14,6 @@
 	roleLeader
 )
 
-type pendingWrite struct {
-	number    uint64
-	lastIndex uint64
-	lastTerm  uint64
-}
-
-type pendingMessage struct {
-	writeNumber uint64
-	message     Message
-}
-
 // Core is one replica of one group. It is not safe for concurrent use.
 type Core struct {
 	settings   Settings
@@ -139,115 +128,6 @@
 	return core.output
 }
 
-// Status tells what this replica believes now.
-//
-//	if core.Status().Leading {
-//		// proposals may be put here
-//	}
-func (core *Core) Status() Status {
-	status := Status{
-		Term: core.hardState.Term, Leader: core.leader, Leading: core.role == roleLeader,
-		CommitIndex: core.commitIndex, LastIndex: core.lastIndex(), Membership: core.membership,
-		CommittedInTerm: core.role == roleLeader && core.termAt(core.commitIndex) == core.hardState.Term,
-	}
-	if core.role == roleLeader {
-		status.MatchIndex = map[string]uint64{core.settings.Name: core.stableIndex}
-		for name, peer := range core.peers {
-			status.MatchIndex[name] = peer.matchIndex
-		}
-		status.MembershipChangePending = core.membershipChangePending()
-	}
-	return status
-}
-
-// Leading tells whether this replica leads, and its term.
-//
-//	term, leading := core.Leading()
-func (core *Core) Leading() (uint64, bool) { return core.hardState.Term, core.role == roleLeader }
-
-// Applied tells up to where entries were handed over for applying.
-//
-//	index := core.Applied()
-func (core *Core) Applied() uint64 { return core.lastApplied }
-
-func (core *Core) lastIndex() uint64 { return core.snapshot.Index + uint64(len(core.entries)) }
-
-func (core *Core) termAt(index uint64) uint64 {
-	if index == core.snapshot.Index {
-		return core.snapshot.Term
-	}
-	if index < core.snapshot.Index || index > core.lastIndex() {
-		return 0
-	}
-	return core.entries[index-core.snapshot.Index-1].Term
-}
-
-func (core *Core) entriesFrom(index uint64) []Entry {
-	if index <= core.snapshot.Index || index > core.lastIndex() {
-		return nil
-	}
-	return core.entries[index-core.snapshot.Index-1:]
-}
-
-func (core *Core) tick(number uint64) {
-	core.electionElapsed++
-	if core.role == roleLeader {
-		core.tickLeader(number)
-		return
-	}
-	if core.electionElapsed >= core.electionTimeout && core.isVoter(core.settings.Name) {
-		if core.lastSynced < core.lastWrite {
-			// The disk holds an earlier promise up: this replica could not lead now.
-			core.become(roleFollower, "")
-			return
-		}
-		core.startPreVote()
-	}
-}
-
-func (core *Core) tickLeader(number uint64) {
-	core.quorumElapsed++
-	for _, peer := range core.peers {
-		if peer.outgoing != nil {
-			peer.outgoing.ticksSinceSent++
-		}
-		if peer.ticksSinceHeard++; peer.ticksSinceHeard >= core.settings.ElectionTicks {
-			peer.probing = true
-		}
-	}
-	if core.transferTarget != "" {
-		core.transferElapsed++
-		if core.transferElapsed > core.settings.ElectionTicks {
-			core.transferTarget = ""
-		}
-	}
-	if core.quorumElapsed >= core.settings.ElectionTicks {
-		core.quorumElapsed = 0
-		active := 0
-		for _, name := range core.membership.Voters {
-			if name == core.settings.Name {
-				active++
-			} else if peer := core.peers[name]; peer != nil && peer.recentlyActive {
-				active++
-			}
-		}
-		for _, peer := range core.peers {
-			peer.recentlyActive = false
-		}
-		if active < core.quorum() {
-			core.become(roleFollower, "")
-			return
-		}
-	}
-	core.heartbeatElapsed++
-	// Groups of one node beat at the same ticks, so that their heartbeats travel together.
-	every := core.settings.HeartbeatTicks
-	together := number > 0 && number%uint64(every) == 0 && 2*core.heartbeatElapsed >= every
-	if together || core.heartbeatElapsed >= every {
-		core.broadcast(true)
-	}
-}
-
 func (core *Core) handleMessage(message Message) {
 	if message.Kind == MessageSnapshotChunk {
 		if rejection := core.checkChunk(message); rejection != SnapshotAccepted {
@@ -282,79 +162,46 @@
 	}
 }
 
-func (core *Core) handleSynced(number uint64) {
-	core.lastSynced = max(core.lastSynced, number)
-	for len(core.pendingWrites) > 0 && core.pendingWrites[0].number <= number {
-		write := core.pendingWrites[0]
-		core.pendingWrites = core.pendingWrites[1:]
-		if write.lastIndex <= core.lastIndex() && (write.lastIndex < core.snapshot.Index || core.termAt(write.lastIndex) == write.lastTerm) {
-			core.stableIndex = max(core.stableIndex, write.lastIndex)
-		}
-	}
-	kept := core.pendingMessages[:0]
-	for _, waiting := range core.pendingMessages {
-		if waiting.writeNumber <= number {
-			core.output.Messages = append(core.output.Messages, waiting.message)
-		} else {
-			kept = append(kept, waiting)
-		}
-	}
-	core.pendingMessages = kept
-	if core.role == roleLeader {
-		core.advanceCommit()
-	}
-}
-
-func (core *Core) send(message Message) {
-	message.Group = core.settings.Group
-	message.From = core.settings.Name
-	core.outbox = append(core.outbox, message)
+// Status is a copy of what a replica believes.
+type Status struct {
+	Term                    uint64
+	Leader                  string
+	Leading                 bool
+	CommitIndex             uint64
+	LastIndex               uint64
+	Membership              Membership
+	MatchIndex              map[string]uint64
+	MembershipChangePending bool
+	CommittedInTerm         bool // the leader has committed an entry of its own term
 }
 
-// requiredWrite gives the number of the write that must be synced before a message may leave.
-// A leader's entries may travel while its own disk still writes them, since its own copy
-// counts only once synced; but its term must last, or a lone voter that loses its power
-// would lead the same term again with other entries. Pre-votes and their grants speak of a
-// term that nobody has entered. All else promises something that the disk must hold
-// first; a refused pre-vote tells the own term.
-func (core *Core) requiredWrite(message Message) uint64 {
-	switch message.Kind {
-	case MessageAppend, MessageSnapshotChunk, MessageTimeoutNow:
-		return core.hardStateWrite
-	case MessagePreVote:
-		return 0
-	case MessagePreVoteReply:
-		if !message.Rejected {
-			return 0
-		}
-	}
-	return core.lastWrite
-}
-
-func (core *Core) flush() {
-	if core.hardStateChanged || core.firstUnwritten != 0 || core.snapshotChanged {
-		core.lastWrite++
-		write := &Write{Number: core.lastWrite, HardState: core.hardState}
-		if core.firstUnwritten != 0 {
-			write.Entries = slices.Clone(core.entriesFrom(max(core.firstUnwritten, core.snapshot.Index+1)))
-		}
-		if core.snapshotChanged {
-			snapshot := core.snapshot
-			write.Snapshot = &snapshot
-		}
-		if core.hardStateChanged {
-			core.hardStateWrite = core.lastWrite
-		}
-		core.output.Write = write
-		core.pendingWrites = append(core.pendingWrites, pendingWrite{number: core.lastWrite, lastIndex: core.lastIndex(), lastTerm: core.termAt(core.lastIndex())})
-		core.hardStateChanged, core.firstUnwritten, core.snapshotChanged = false, 0, false
+// Status tells what this replica believes now.
+//
+//	if core.Status().Leading {
+//		// proposals may be put here
+//	}
+func (core *Core) Status() Status {
+	status := Status{
+		Term: core.hardState.Term, Leader: core.leader, Leading: core.role == roleLeader,
+		CommitIndex: core.commitIndex, LastIndex: core.lastIndex(), Membership: core.membership,
+		CommittedInTerm: core.role == roleLeader && core.termAt(core.commitIndex) == core.hardState.Term,
 	}
-	for _, message := range core.outbox {
-		if number := core.requiredWrite(message); core.lastSynced >= number {
-			core.output.Messages = append(core.output.Messages, message)
-		} else {
-			core.pendingMessages = append(core.pendingMessages, pendingMessage{writeNumber: number, message: message})
+	if core.role == roleLeader {
+		status.MatchIndex = map[string]uint64{core.settings.Name: core.stableIndex}
+		for name, peer := range core.peers {
+			status.MatchIndex[name] = peer.matchIndex
 		}
+		status.MembershipChangePending = core.membershipChangePending()
 	}
-	core.outbox = core.outbox[:0]
+	return status
 }
+
+// Leading tells whether this replica leads, and its term.
+//
+//	term, leading := core.Leading()
+func (core *Core) Leading() (uint64, bool) { return core.hardState.Term, core.role == roleLeader }
+
+// Applied tells up to where entries were handed over for applying.
+//
+//	index := core.Applied()
+func (core *Core) Applied() uint64 { return core.lastApplied }
--- a/system/raft/read_index.go
+++ b/system/raft/read_index.go
@@ -1,8 +1,6 @@
 package raft
 
-import (
-	"slices"
-)
+import "slices"
 
 type pendingRead struct {
 	context uint64
--- a/system/raft/replication.go
+++ b/system/raft/replication.go
@@ -1,8 +1,6 @@
 package raft
 
-import (
-	"slices"
-)
+import "slices"
 
 const (
 	maxEntriesPerMessage = 256
@@ -12,20 +10,6 @@
 	checkpointTicks    = 100
 )
 
-type progress struct {
-	matchIndex     uint64
-	nextIndex      uint64
-	ackedReadRound uint64
-	recentlyActive bool
-	// transfer is set while the peer is sent a snapshot.
-	outgoing *outgoingSnapshot
-	// probing tells that it is not known up to where the peer holds the log: it is
-	// asked with empty appends, and gets entries only once it has agreed to one.
-	probing bool
-	// ticksSinceHeard counts the ticks since the peer was heard.
-	ticksSinceHeard int
-}
-
 func (core *Core) handleAppend(message Message) {
 	core.followLeader(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Round: message.Round}
@@ -67,20 +51,6 @@
 	core.send(reply)
 }
 
-func (core *Core) truncate(from uint64) {
-	if from > core.lastIndex() {
-		return
-	}
-	core.entries = slices.Clone(core.entries[:from-core.snapshot.Index-1])
-	core.stableIndex = min(core.stableIndex, from-1)
-}
-
-func (core *Core) markUnwritten(from uint64) {
-	if core.firstUnwritten == 0 || from < core.firstUnwritten {
-		core.firstUnwritten = from
-	}
-}
-
 func (core *Core) handleAppendReply(message Message) {
 	peer := core.peers[message.From]
 	if core.role != roleLeader || peer == nil {
@@ -118,23 +88,6 @@
 	}
 }
 
-func (core *Core) appendEntry(entry Entry) uint64 {
-	entry.Index = core.lastIndex() + 1
-	entry.Term = core.hardState.Term
-	core.entries = append(core.entries, entry)
-	core.markUnwritten(entry.Index)
-	return entry.Index
-}
-
-func (core *Core) propose(entry Entry) {
-	if core.role != roleLeader || core.transferTarget != "" {
-		return
-	}
-	core.output.ProposedIndex = core.appendEntry(entry)
-	core.output.ProposedTerm = core.hardState.Term
-	core.broadcast(false)
-}
-
 func (core *Core) broadcast(heartbeat bool) {
 	if heartbeat { // a round of reads is one too
 		core.heartbeatElapsed = 0
@@ -144,11 +97,6 @@
 	}
 }
 
-// probe has the peer asked up to where it holds the log, from an index downwards.
-func (peer *progress) probe(next uint64) {
-	peer.probing, peer.nextIndex = true, next
-}
-
 func (core *Core) sendAppend(name string, peer *progress, heartbeat bool) {
 	if peer.nextIndex <= core.snapshot.Index {
 		core.sendSnapshot(name, peer)
@@ -199,17 +147,3 @@
 		}
 	}
 }
-
-func (core *Core) commitTo(index uint64) {
-	if index <= core.commitIndex {
-		return
-	}
-	core.commitIndex = index
-	if core.incoming != nil && index >= core.incoming.snapshot.Index {
-		core.incoming = nil
-	}
-	ready := core.entriesFrom(core.lastApplied + 1)
-	ready = ready[:index-core.lastApplied]
-	core.output.CommittedEntries = append(core.output.CommittedEntries, ready...)
-	core.lastApplied = index
-}
--- /dev/null
+++ b/system/raft/simulated_group_test.go
@@ -0,0 +1,227 @@
+package raft
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+)
+
+// simulatedGroup drives cores over a lossy network and disks that forget what
+// was not synced, all from one seed.
+type simulatedGroup struct {
+	random    *rand.Rand
+	names     []string
+	cores     map[string]*Core
+	disks     map[string]PersistentState
+	unsynced  map[string][]*Write
+	flying    []Message
+	leaders   map[uint64]string
+	committed map[uint64]Entry
+	applied   map[string]uint64
+	confirmed map[string]bool
+	reads     map[uint64]uint64
+	readsSeen int
+	proposed  int
+	cut       map[string]bool
+	failure   error
+}
+
+func newSimulatedGroup(seed uint64, size int) *simulatedGroup {
+	group := &simulatedGroup{
+		random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, disks: map[string]PersistentState{},
+		unsynced: map[string][]*Write{}, leaders: map[uint64]string{}, committed: map[uint64]Entry{},
+		applied: map[string]uint64{}, confirmed: map[string]bool{}, reads: map[uint64]uint64{}, cut: map[string]bool{},
+	}
+	for index := range size {
+		group.names = append(group.names, fmt.Sprintf("node%d", index))
+	}
+	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: group.names[:3]}}}
+	for index, name := range group.names {
+		if index < 3 {
+			group.disks[name] = founding
+		}
+		group.start(name)
+	}
+	return group
+}
+
+func (group *simulatedGroup) start(name string) {
+	group.unsynced[name] = nil
+	if err := group.disks[name].Check(); err != nil {
+		group.failure = fmt.Errorf("%s starts on a disk that is refused: %w", name, err)
+	}
+	group.cores[name] = New(Settings{Name: name, ElectionTicks: 10, HeartbeatTicks: 2, Seed: group.random.Uint64(), ChunkBytes: 3}, group.disks[name])
+	group.applied[name] = group.disks[name].Snapshot.Index
+}
+
+// snapshotAt is the content of every replica's snapshot of an index.
+func snapshotAt(index uint64) []byte { return fmt.Appendf(nil, "snapshot of %d", index) }
+
+func (group *simulatedGroup) step(name string, input Input) Output {
+	core := group.cores[name]
+	output := core.Step(input)
+	if output.Snapshot != nil {
+		if !bytes.Equal(output.Snapshot.Data, snapshotAt(output.Snapshot.Index)) && output.Snapshot.Index > 1 {
+			group.failure = fmt.Errorf("%s took %q as the snapshot of %d", name, output.Snapshot.Data, output.Snapshot.Index)
+		}
+		group.applied[name] = output.Snapshot.Index
+	}
+	for _, entry := range output.CommittedEntries {
+		if entry.Index != group.applied[name]+1 {
+			group.failure = fmt.Errorf("%s applied %d after %d", name, entry.Index, group.applied[name])
+		}
+		group.applied[name] = entry.Index
+		known, seen := group.committed[entry.Index]
+		if seen && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
+			group.failure = fmt.Errorf("%s committed %v at %d, others %v", name, entry, entry.Index, known)
+		}
+		group.committed[entry.Index] = entry
+	}
+	if output.Write != nil {
+		group.unsynced[name] = append(group.unsynced[name], output.Write)
+	}
+	if term, leading := core.Leading(); leading {
+		if other, seen := group.leaders[term]; seen && other != name {
+			group.failure = fmt.Errorf("term %d led by %s and %s", term, other, name)
+		}
+		group.leaders[term] = name
+	}
+	for _, answer := range output.ReadResults {
+		if !answer.Rejected {
+			group.readsSeen++
+			if answer.Index < group.reads[answer.Context] {
+				group.failure = fmt.Errorf("read %d at %d misses %d", answer.Context, answer.Index, group.reads[answer.Context])
+			}
+		}
+	}
+	group.flying = append(group.flying, output.Messages...)
+	return output
+}
+
+func (group *simulatedGroup) sync(name string, count int) {
+	writes := group.unsynced[name][:count]
+	group.unsynced[name] = group.unsynced[name][count:]
+	for _, write := range writes {
+		group.disks[name] = group.disks[name].With(write)
+	}
+	if count > 0 {
+		group.step(name, Input{Kind: InputSynced, Number: writes[count-1].Number})
+	}
+}
+
+func (group *simulatedGroup) deliver(position int) {
+	message := group.flying[position]
+	group.flying = slices.Delete(group.flying, position, position+1)
+	if !group.cut[message.From] && !group.cut[message.To] {
+		group.step(message.To, Input{Kind: InputMessage, Message: message})
+	}
+}
+
+func (group *simulatedGroup) leader() string {
+	best, bestTerm := "", uint64(0)
+	for _, name := range group.names {
+		if term, leading := group.cores[name].Leading(); leading && term > bestTerm {
+			best, bestTerm = name, term
+		}
+	}
+	return best
+}
+
+func (group *simulatedGroup) highest() uint64 {
+	highest := uint64(0)
+	for index := range group.committed {
+		highest = max(highest, index)
+	}
+	return highest
+}
+
+func (group *simulatedGroup) randomEvent(unhealthy bool) {
+	name := group.names[group.random.IntN(len(group.names))]
+	chance := group.random.IntN(1000)
+	switch {
+	case chance < 150:
+		group.step(name, Input{Kind: InputTick})
+	case chance < 600 && len(group.flying) > 0:
+		group.deliver(group.random.IntN(len(group.flying)))
+	case chance < 750:
+		group.sync(name, group.random.IntN(len(group.unsynced[name])+1))
+	case chance < 850:
+		group.proposed++
+		group.step(name, Input{Kind: InputPropose, Data: fmt.Appendf(nil, "command %d", group.proposed)})
+	case chance < 880:
+		group.proposed++
+		context := uint64(group.proposed)
+		group.reads[context] = group.highest()
+		group.step(name, Input{Kind: InputReadIndex, Context: context})
+	case chance < 890:
+		group.step(name, Input{Kind: InputCompact, Index: group.applied[name], Data: snapshotAt(group.applied[name])})
+	case chance < 900:
+		group.changeOneReplica(name)
+	case chance < 903:
+		group.step(name, Input{Kind: InputTransferLeadership, Peer: group.names[group.random.IntN(3)]})
+	case unhealthy && chance < 930 && len(group.flying) > 0:
+		position := group.random.IntN(len(group.flying))
+		group.flying = slices.Delete(group.flying, position, position+1)
+	case unhealthy && chance < 950 && len(group.flying) > 0:
+		group.flying = append(group.flying, group.flying[group.random.IntN(len(group.flying))])
+	case unhealthy && chance < 956:
+		group.sync(name, group.random.IntN(len(group.unsynced[name])+1)) // what was synced stays, the rest is lost
+		group.start(name)
+	case unhealthy && chance < 960:
+		group.cut[name] = !group.cut[name]
+	}
+}
+
+func (group *simulatedGroup) changeOneReplica(name string) {
+	replicas := group.cores[name].Status().Membership
+	other := group.names[group.random.IntN(len(group.names))]
+	next := Membership{Voters: slices.Clone(replicas.Voters), Learners: slices.Clone(replicas.Learners)}
+	if at := slices.Index(next.Voters, other); at >= 0 && len(next.Voters) > 2 {
+		next.Voters = slices.Delete(next.Voters, at, at+1)
+	} else if at := slices.Index(next.Learners, other); at >= 0 {
+		next.Learners = slices.Delete(next.Learners, at, at+1)
+		next.Voters = append(next.Voters, other)
+	} else if at < 0 {
+		next.Learners = append(next.Learners, other)
+	}
+	group.step(name, Input{Kind: InputChangeMembership, Membership: next})
+}
+
+// heal ends all faults and lets the group run evenly until a new command is
+// committed by every voter.
+func (group *simulatedGroup) heal() bool {
+	group.cut = map[string]bool{}
+	target := uint64(0)
+	for round := 0; round < 2000; round++ {
+		for _, name := range group.names {
+			group.step(name, Input{Kind: InputTick})
+			group.sync(name, len(group.unsynced[name]))
+		}
+		for len(group.flying) > 0 && group.failure == nil {
+			group.deliver(0)
+			for _, name := range group.names {
+				group.sync(name, len(group.unsynced[name]))
+			}
+		}
+		if group.failure != nil {
+			return false
+		}
+		name := group.leader()
+		if name == "" {
+			continue
+		}
+		if target == 0 || target > group.cores[name].Status().LastIndex { // a former leader's proposal was lost
+			target = group.step(name, Input{Kind: InputPropose, Data: []byte("last")}).ProposedIndex
+			continue
+		}
+		reached := true
+		for _, voter := range group.cores[name].Status().Membership.Voters {
+			reached = reached && group.applied[voter] >= target
+		}
+		if reached {
+			return true
+		}
+	}
+	return false
+}
--- a/system/raft/snapshot.go
+++ b/system/raft/snapshot.go
@@ -1,8 +1,14 @@
 package raft
 
-import (
-	"slices"
-)
+import "slices"
+
+// Snapshot is a state machine's whole content as of Index.
+type Snapshot struct {
+	Index      uint64
+	Term       uint64
+	Membership Membership
+	Data       []byte
+}
 
 // EntriesSinceSnapshot counts the applied entries that the log still carries.
 //
@@ -21,11 +27,23 @@
 	return index > core.snapshot.Index && index <= core.lastApplied
 }
 
-// PersistentState is everything that a disk slot must hold for this replica.
-//
-//	stored := core.PersistentState()
-func (core *Core) PersistentState() PersistentState {
-	return PersistentState{HardState: core.hardState, Snapshot: core.snapshot, Entries: slices.Clone(core.entries)}
+func (core *Core) compact(index uint64, data []byte) {
+	if !core.CanCompact(index) {
+		return
+	}
+	snapshot := Snapshot{Index: index, Term: core.termAt(index), Membership: core.snapshot.Membership, Data: data}
+	for _, entry := range core.entries[:index-core.snapshot.Index] {
+		if entry.Kind == EntryMembership {
+			snapshot.Membership = entry.Membership
+		}
+	}
+	core.entries = slices.Clone(core.entriesFrom(index + 1))
+	core.snapshot = snapshot
+	core.stableIndex = max(core.stableIndex, index)
+	core.snapshotChanged = true
+	if len(core.entries) > 0 {
+		core.markUnwritten(index + 1)
+	}
 }
 
 // handleSnapshot takes a whole snapshot in one message.
@@ -75,22 +93,3 @@
 	core.refreshMembership()
 	core.output.Snapshot = &snapshot
 }
-
-func (core *Core) compact(index uint64, data []byte) {
-	if !core.CanCompact(index) {
-		return
-	}
-	snapshot := Snapshot{Index: index, Term: core.termAt(index), Membership: core.snapshot.Membership, Data: data}
-	for _, entry := range core.entries[:index-core.snapshot.Index] {
-		if entry.Kind == EntryMembership {
-			snapshot.Membership = entry.Membership
-		}
-	}
-	core.entries = slices.Clone(core.entriesFrom(index + 1))
-	core.snapshot = snapshot
-	core.stableIndex = max(core.stableIndex, index)
-	core.snapshotChanged = true
-	if len(core.entries) > 0 {
-		core.markUnwritten(index + 1)
-	}
-}
