--- a/system/balancer/estimators.go
+++ b/system/balancer/estimators.go
@@ -1,31 +1,12 @@
 package balancer
 
 import (
-	"cmp"
 	"math"
 	"time"
 )
 
 func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
 
-func compareStrings(one, other string) int { return cmp.Compare(one, other) }
-
-// hashOf gives the same number for a text at every front.
-func hashOf(text string) uint64 {
-	hash := uint64(14695981039346656037)
-	for at := range len(text) {
-		hash = (hash ^ uint64(text[at])) * 1099511628211
-	}
-	return mixBits(hash)
-}
-
-// mixBits spreads a number over all its bits.
-func mixBits(hash uint64) uint64 {
-	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
-	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
-	return hash ^ hash>>31
-}
-
 // average is a mean that follows newer values: the first ones count equally.
 type average struct {
 	value float64
@@ -150,45 +131,10 @@
 	return value.value * decayFactor(now-value.at, decayingMeanHalfLife)
 }
 
-// regression fits a line through points, of which newer ones count more.
-type regression struct {
-	count, x, y, xx, xy float64
-}
-
 const (
-	regressionDecay     = 0.995
 	minRegressionPoints = 16 // points before the line is believed
 	defaultPrefillRate  = 38 // tokens read in a millisecond
 	minPrefillRate      = 4
 	maxPrefillRate      = 400
 	defaultBaseLatency  = 40 // milliseconds to a first event with nothing to read
 )
-
-func (fit *regression) add(x, y float64) {
-	fit.count = fit.count*regressionDecay + 1
-	fit.x = fit.x*regressionDecay + x
-	fit.y = fit.y*regressionDecay + y
-	fit.xx = fit.xx*regressionDecay + x*x
-	fit.xy = fit.xy*regressionDecay + x*y
-}
-
-// rate is how many tokens are read in a millisecond, and base how many milliseconds
-// pass to the first event when there is nothing to read.
-func (fit *regression) rate() float64 {
-	spread := fit.count*fit.xx - fit.x*fit.x
-	if fit.count < minRegressionPoints || spread < 1e4*fit.count*fit.count {
-		return defaultPrefillRate
-	}
-	slope := (fit.count*fit.xy - fit.x*fit.y) / spread
-	if slope <= 0 {
-		return defaultPrefillRate
-	}
-	return math.Min(maxPrefillRate, math.Max(minPrefillRate, 1/slope))
-}
-
-func (fit *regression) base() float64 {
-	if fit.count < minRegressionPoints {
-		return defaultBaseLatency
-	}
-	return math.Max(0, (fit.y-fit.x/fit.rate())/fit.count)
-}
--- a/system/balancer/prefix_affinity.go
+++ b/system/balancer/prefix_affinity.go
@@ -6,33 +6,12 @@
 )
 
 const (
-	cacheGenerationSize = 8192 // entries of one generation
 	// The horizon is how long an unused part is thought to be kept.
 	minCacheHorizon      = 4 * time.Second
 	maxCacheHorizon      = 10 * time.Minute
 	cacheHorizonFraction = 0.7 // of the time in which new parts fill the runner's memory
 )
 
-// generationalCache is a bounded map that forgets what was unused for longest, by generations.
-type generationalCache[Value any] struct {
-	newer, older map[uint64]Value
-}
-
-func (cache *generationalCache[Value]) get(key uint64) (Value, bool) {
-	value, found := cache.newer[key]
-	if !found {
-		value, found = cache.older[key]
-	}
-	return value, found
-}
-
-func (cache *generationalCache[Value]) put(key uint64, value Value) {
-	if cache.newer == nil || len(cache.newer) >= cacheGenerationSize {
-		cache.older, cache.newer = cache.newer, make(map[uint64]Value)
-	}
-	cache.newer[key] = value
-}
-
 // cachedPart tells which runners have read a part of a prompt, and when last.
 type cachedPart struct {
 	runners []cachedAt
@@ -131,17 +110,3 @@
 	}
 	return max(float64(tokens), float64(request.InputTokens))
 }
-
-// affinityKeyOf is what queries have in common that should go to the same runner: the program
-// of turns, or the subject of plain work; 0: nothing.
-func affinityKeyOf(request *Request, engine bool) uint64 {
-	switch {
-	case engine && request.Program != "":
-		return hashOf(request.Program)
-	case engine && request.Session != "":
-		return hashOf(request.Session)
-	case request.Route.Sticky && request.AffinityKey != "":
-		return mixBits(hashOf(request.AffinityKey) + 1)
-	}
-	return 0
-}
