--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -1,3 +1,29 @@
+// Package balancer chooses the runner that a request is sent to.
+//
+// Every front has one Balancer. A choice takes three steps: the service is picked by
+// weighted round-robin over the route's shares (weighted_round_robin.go), the runner of
+// that service with the least expected time to completion is selected (selection.go,
+// cost_model.go), and if none can take the request now, the request waits in a short
+// queue (wait_queue.go).
+//
+// The expected time rests on
+//   - the prompt parts that the runner probably has in its prefix cache
+//     (prefix_affinity.go, rendezvous_hashing.go),
+//   - its load: this front's own requests in flight, the load that the runner reported,
+//     and an extrapolation to the other fronts,
+//   - its latency and failures so far (latency_estimates.go, health_checks.go), and
+//   - whether it is in another domain and whether a connection must be opened.
+//
+// Two rules are limits and not costs: a runner that warms up gets no more requests per
+// second than its service allows, summed over all fronts (slow_start.go,
+// front_shares.go), and a runner that failed is ejected for a while
+// (outlier_ejection.go).
+//
+// The fronts do not talk to each other about single choices. They agree because each
+// computes the same rendezvous hashes and divides rates by the number of live fronts.
+//
+// The package owns no goroutines and keeps its state in memory only; a restarted front
+// learns it anew.
 package balancer
 
 import (
@@ -11,34 +37,46 @@
 	"yardrock.example/system/feed"
 )
 
-// Balancer chooses runners for the queries of one front. All methods may be called
-// from many goroutines.
+// noRunnerRetryAfter is the retry delay given to callers of a route none of whose
+// services has a usable runner; minRetryAfter is the shortest given to any caller.
+const (
+	noRunnerRetryAfter = 500 * time.Millisecond
+	minRetryAfter      = 50 * time.Millisecond
+)
+
+// Balancer chooses runners for the requests of one front. Its methods may be called
+// concurrently.
 type Balancer struct {
-	domain   string
-	now      func() time.Time
-	started  time.Time
+	domain  string // of this front
+	now     func() time.Time
+	started time.Time // origin of all time.Duration timestamps in this package
+	// topology is replaced as a whole under mutex and read without it by Lease.Valid.
 	topology atomic.Pointer[topology]
 
-	mutex      sync.Mutex
-	random     *rand.Rand
-	seed       uint64
-	runners    map[string]*runnerState
-	services   map[string]*serviceStats
-	roundRobin map[string]map[string]float64 // by route, then by service
-	domains    map[string]feed.Domain        // as last seen
+	mutex    sync.Mutex // guards all that follows
+	random   *rand.Rand
+	seed     uint64
+	runners  map[string]*runnerState  // by runnerKey
+	services map[string]*serviceStats // by service name
+	// roundRobin holds the credits of the weighted round-robin by route, then by service.
+	roundRobin map[string]map[string]float64
+	domains    map[string]feed.Domain // of the previous view
 	fronts     frontSet
-	// listReadTime tells when the runner list was read last; nil: it is always current.
-	listReadTime  func() time.Time
-	cachedParts   generationalCache[*cachedPart]
-	lastRunner    generationalCache[*runnerState] // where a line of turns went last
-	queue         []*waiter
-	affinityEpoch uint64 // of the marks in runnerState
+	// listReadTime returns when the runner list of the newest view was read; nil means
+	// that the list is always current.
+	listReadTime func() time.Time
+	cachedParts  generationalCache[*cachedPart]
+	// lastRunner is the runner that got the latest request with an affinity key.
+	lastRunner generationalCache[*runnerState]
+	queue      []*waiter // in the order in which they are served
+	// affinityEpoch identifies the request for which runnerState.cachedTokens is valid.
+	affinityEpoch uint64
 }
 
-// New makes a balancer for a front in a domain. The random seed should differ between
-// fronts; now is the steady clock, and nil stands for time.Now.
+// New returns a balancer for a front in a domain. The seed should differ between
+// fronts. now must be monotonic; nil stands for time.Now.
 //
-//	choices := balancer.New("east", 7, nil)
+//	runners := balancer.New("east", 7, nil)
 func New(domain string, seed uint64, now func() time.Time) *Balancer {
 	if now == nil {
 		now = time.Now
@@ -53,43 +91,50 @@
 	return balancer
 }
 
-// elapsed gives the time since the balancer was made.
+// elapsed returns the time since the balancer was made.
 func (balancer *Balancer) elapsed() time.Duration { return balancer.now().Sub(balancer.started) }
 
-// Acquire chooses a runner for a query. While no runner can take it, it may wait a
-// little, by urgency and then by the time left. A refusal is NotRun and tells when to
-// come back.
+// Acquire chooses a runner for a request and returns a lease on it, which must be
+// released. While no runner can take the request, Acquire waits up to a fifth of the
+// route's first-byte target and of the time until the deadline; waiting requests are
+// served by urgency and then by finish time.
+//
+// The error is always an *apierror.Error of kind NotRun with a retry delay: no runner
+// of the route is usable, all are busy, or ctx ended.
 //
-//	lease, err := choices.Acquire(ctx, balancer.Request{Route: route, Deadline: deadline})
-//	if err != nil { return err }
-//	defer func() { lease.Release(ending, nil) }()
+//	lease, err := runners.Acquire(ctx, balancer.Request{Route: route, Deadline: deadline})
+//	if err != nil {
+//		return err
+//	}
+//	defer func() { lease.Release(outcome, nil) }()
 func (balancer *Balancer) Acquire(ctx context.Context, request Request) (*Lease, error) {
 	balancer.mutex.Lock()
 	now := balancer.elapsed()
-	chosen, found := balancer.pickService(request.Route)
+	pool, found := balancer.pickService(request.Route)
 	if !found {
 		balancer.mutex.Unlock()
-		return nil, rejection("no runner takes work of route "+request.Route.Name+" now", 500*time.Millisecond)
+		return nil, rejection("no runner takes work of route "+request.Route.Name+" now", noRunnerRetryAfter)
 	}
 	var delay time.Duration
-	if !balancer.hasEarlierWaiter(chosen, request) {
+	if !balancer.hasEarlierWaiter(pool, request) {
 		var lease *Lease
-		if lease, delay = balancer.selectRunner(chosen, &request, now); lease != nil {
+		if lease, delay = balancer.selectRunner(pool, &request, now); lease != nil {
 			balancer.mutex.Unlock()
 			return lease, nil
 		}
 	}
 	timeout := max(queueTimeout(request, balancer.now()), balancer.firstListWait(request, now))
 	if delay > timeout || len(balancer.queue) >= maxWaiters {
-		balancer.returnPick(request.Route, chosen.service.Name)
+		balancer.returnPick(request.Route, pool.service.Name)
 		balancer.mutex.Unlock()
-		return nil, rejection("all runners of "+chosen.service.Name+" are busy", min(delay, maxRetryAfter))
+		return nil, rejection("all runners of "+pool.service.Name+" are busy", min(delay, maxRetryAfter))
 	}
-	one := balancer.enqueue(chosen, request, delay)
+	waiting := balancer.enqueue(pool, request, delay)
 	balancer.mutex.Unlock()
-	return balancer.await(ctx, one, timeout, delay)
+	return balancer.await(ctx, waiting, timeout, delay)
 }
 
+// rejection is the error of Acquire.
 func rejection(message string, after time.Duration) error {
-	return apierror.NewRetryable(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(after, 50*time.Millisecond))
+	return apierror.NewRetryable(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(after, minRetryAfter))
 }
--- a/system/balancer/cost_model.go
+++ b/system/balancer/cost_model.go
@@ -5,111 +5,139 @@
 	"time"
 )
 
+// The weights of the cost model. Costs of model work are in milliseconds; those of plain
+// work, whose duration varies more between routes, are fractions of the expected duration.
 const (
-	// crossDomainMilliseconds and crossDomainFraction are what the way to another domain costs, in
-	// milliseconds and as a part of the time that plain work takes: bytes between domains
-	// and connections to many runners cost beside time.
+	// crossDomainMilliseconds and crossDomainFraction are the cost of a runner in another
+	// domain: besides the latency, it counts that traffic between domains is paid for and
+	// that more runners mean more connections.
 	crossDomainMilliseconds = 10
 	crossDomainFraction     = 0.15
-	// newConnectionMilliseconds and newConnectionFraction are what a new connection costs, in
-	// milliseconds and as a part of the time that plain work takes, with what it costs
-	// beside time.
+	// newConnectionMilliseconds and newConnectionFraction are the cost of a connection that
+	// must be opened, including what it costs the runner.
 	newConnectionMilliseconds = 8
 	newConnectionFraction     = 0.2
-	// concurrencySlowdown is how much slower a model runner gets with each query that it runs.
+	// concurrencySlowdown is the fraction by which each request in flight slows down a
+	// model runner.
 	concurrencySlowdown = 0.02
-	// While a prompt is read, the queries that run beside it are held up in part: reading
-	// costs this much more with each that a runner of the service has, at most so much.
+	// prefillContentionStep is by how much each request in flight at the runners of a
+	// service, on average, raises the cost of a prefill, because a prefill delays the
+	// generation of all others; maxPrefillContention bounds the sum.
 	prefillContentionStep = 0.15
 	maxPrefillContention  = 2
-	// fullRunnerSlowdown is how much slower a plain runner is when its slots are all taken.
+	// fullRunnerSlowdown is the fraction by which a plain runner is slower when all its
+	// slots are taken; the slowdown grows with the square of their use.
 	fullRunnerSlowdown = 1
-	// minAffinityMilliseconds and affinityFraction are what it is worth, in milliseconds and as a part of
-	// the time to read the prompt, to go where the other fronts send a program's turns.
+	// plainJitter is the largest random cost added to plain work, so that fronts with the
+	// same view do not all choose the same runner.
+	plainJitter = 0.05
+	// minAffinityMilliseconds and affinityFraction are the bonus of the runner to which the
+	// other fronts send the same program: a constant and a fraction of the prefill time.
 	minAffinityMilliseconds = 6
 	affinityFraction        = 0.25
-	// stickyFraction is what a runner saves that has seen the subject, and stickyGuessFraction what
-	// the one may save that other fronts send it to.
+	// stickyFraction is the bonus of the runner that got the last request with the same
+	// key, stickyGuessFraction that of the runner that another front probably sent it to.
 	stickyFraction      = 0.3
 	stickyGuessFraction = 0.1
-	// pendingPrefillFraction is how much of others' reading is waited for.
+	// pendingPrefillFraction is how much of the pending prefill of other requests delays
+	// a new one.
 	pendingPrefillFraction = 0.7
-	// queueFactor is how many times its slots a runner is thought to take at most.
+	// queueFactor is how many times its slots a runner accepts at most, running and queued.
 	queueFactor = 4
-	// Above this part of what a cold runner would bear, more queries cost: it may have
-	// become cold without having been noticed.
+	// Above arrivalCostThreshold, as a fraction of the slow-start limit, arrivals at a warm
+	// runner cost extra: it may have restarted without the list showing it. The cost rises
+	// to arrivalCostMilliseconds at the limit.
 	arrivalCostThreshold    = 0.6
-	arrivalCostMilliseconds = 120 // milliseconds at the bound
-	// reportHalfLife is how fast a reported load loses its weight.
+	arrivalCostMilliseconds = 120
+	// reportHalfLife is the time in which a reported load loses half of its weight against
+	// the estimate; a full runner counts as full for as long.
 	reportHalfLife = 300 * time.Millisecond
-	// What the rules bear of a cold runner, over all fronts.
+	// defaultModelDuration is the expected duration of model work, in milliseconds, before
+	// the first measurement.
+	defaultModelDuration = 200
+	// slowStartExcess and slowStartSlack are the limit on a runner in slow start over all
+	// fronts: in any second at most slowStartExcess times its rate, plus slowStartSlack.
 	slowStartExcess = 1.5
 	slowStartSlack  = 5
 )
 
-// weighing holds what the cost of all candidates for one query rests on.
+// costModel computes the costs of all candidates for one request.
 type costModel struct {
 	balancer          *Balancer
-	pool              *servicePool
 	now               time.Duration
-	isModel           bool
+	isModel           bool // an LLM serves the request, as opposed to plain work
 	promptTokens      float64
-	prefillRate       float64 // tokens read in a millisecond
-	prefillContention float64 // what reading a token costs all that run, against what it costs one
-	duration          float64 // milliseconds
+	prefillRate       float64 // tokens per millisecond
+	prefillContention float64 // factor on the prefill time, at least 1
+	duration          float64 // expected duration of the request, in milliseconds
 	frontCount        float64
 	domainCount       float64
-	// remoteLoad is what the fronts of another domain have out at each of its runners,
-	// if they are like this one; less than 0: this front has too few runners near.
-	remoteLoad     float64
-	othersInFlight float64 // what the other fronts have out at a runner, if they are like this one
-	othersArrivals float64 // what they sent to it in the last second
-	arrivalLimit   float64
-	preferred      *runnerState
-	affinityBonus  float64
+	// remoteLoad is how many requests the fronts of another domain have in flight at each
+	// runner of their own domain, assuming that they have as much work as this one. It is
+	// negative if this front's domain has too few runners for the assumption.
+	remoteLoad float64
+	// othersInFlight and othersArrivals are how many requests the other fronts have in
+	// flight at a runner on average, and sent to it in the last second, assuming that
+	// they have as much work as this one.
+	othersInFlight float64
+	othersArrivals float64
+	arrivalLimit   float64      // slow-start limit on arrivals in a second; infinite if there is none
+	preferred      *runnerState // by affinity; nil: none
+	affinityBonus  float64      // milliseconds by which the preferred runner costs less
 }
 
+// newCostModel prepares the cost model for a request.
 func (balancer *Balancer) newCostModel(pool *servicePool, request *Request, now time.Duration) costModel {
 	runners, fronts := float64(len(pool.candidates)), float64(balancer.topology.Load().frontCount)
-	model := costModel{balancer: balancer, pool: pool, now: now, isModel: pool.service.Engine != nil, frontCount: fronts, arrivalLimit: math.Inf(1)}
-	model.othersInFlight = (fronts - 1) * pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now) / runners
+	model := costModel{balancer: balancer, now: now, isModel: pool.service.Engine != nil, frontCount: fronts, arrivalLimit: math.Inf(1)}
+	inFlight := pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now)
+	model.othersInFlight = (fronts - 1) * inFlight / runners
 	if pool.service.WarmUpRate > 0 {
 		model.arrivalLimit = slowStartExcess*pool.service.WarmUpRate + slowStartSlack
 		model.othersArrivals = (fronts - 1) * pool.stats.arrivals.now(now) / runners
 	}
 	model.domainCount, model.remoteLoad = float64(pool.domainCount), -1
 	if pool.preferLocal {
-		model.remoteLoad = fronts / model.domainCount * pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now) / float64(pool.localCount)
+		model.remoteLoad = fronts / model.domainCount * inFlight / float64(pool.localCount)
 	}
-	affinityKey := affinityKeyOf(request, model.isModel)
 	if model.isModel {
-		model.promptTokens, model.prefillRate, model.duration = promptTokens(request), pool.stats.prefill.rate(), pool.stats.duration.valueOr(200)
-		model.prefillContention = 1 + math.Min(maxPrefillContention, prefillContentionStep*fronts*pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now)/runners)
-		model.affinityBonus = minAffinityMilliseconds + affinityFraction*model.promptTokens/model.prefillRate
+		model.promptTokens, model.prefillRate, model.duration = promptTokens(request), pool.stats.prefill.rate(), pool.stats.duration.valueOr(defaultModelDuration)
+		model.prefillContention = 1 + math.Min(maxPrefillContention, prefillContentionStep*fronts*inFlight/runners)
 	} else {
 		model.duration = pool.stats.expectedDuration(request.Route.Name)
-		model.affinityBonus = stickyGuessFraction * model.duration
-		if last, found := balancer.lastRunner.get(affinityKey); found && affinityKey != 0 && last.listed {
-			model.preferred, model.affinityBonus = last, stickyFraction*model.duration
-			return model
-		}
-	}
-	if affinityKey != 0 {
-		model.preferred = pool.rendezvousRunner(affinityKey)
 	}
+	model.preferred, model.affinityBonus = balancer.preferredRunner(pool, request, &model)
 	return model
 }
 
-// load is how many queries a runner is thought to have, running and waiting.
-func (model *costModel) estimatedLoad(one *candidate) float64 {
-	state, others := one.state, model.othersInFlight
+// preferredRunner returns the runner that a request has an affinity to, if any, and the
+// bonus of that runner in milliseconds.
+func (balancer *Balancer) preferredRunner(pool *servicePool, request *Request, model *costModel) (*runnerState, float64) {
+	key := affinityKeyOf(request, model.isModel)
+	if key == 0 {
+		return nil, 0
+	}
+	if model.isModel {
+		return pool.rendezvousRunner(key), minAffinityMilliseconds + affinityFraction*model.promptTokens/model.prefillRate
+	}
+	if last, found := balancer.lastRunner.get(key); found && last.listed {
+		return last, stickyFraction * model.duration
+	}
+	return pool.rendezvousRunner(key), stickyGuessFraction * model.duration
+}
+
+// estimatedLoad returns how many requests a runner probably has from all fronts,
+// running and queued.
+func (model *costModel) estimatedLoad(candidate *candidate) float64 {
+	state, others := candidate.state, model.othersInFlight
 	if !model.isModel {
-		// Any front sends plain work as this one does, and each prefers its own domain;
-		// turns go where their parts are.
+		// All fronts distribute plain work by the same costs and prefer their own domain,
+		// so that what this front has at a runner tells what the others have there. Model
+		// work follows the prefix caches and tells nothing about a single runner.
 		others = (model.frontCount - 1) * state.meanInFlight.now(float64(state.inFlight), model.now)
 		switch {
 		case model.remoteLoad < 0:
-		case one.local:
+		case candidate.local:
 			others /= model.domainCount
 		default:
 			others = model.remoteLoad
@@ -122,40 +150,27 @@
 	return float64(state.inFlight) + others
 }
 
-// fullUntil tells whether a runner would turn one more query away or has no connection for
-// it. What other fronts may have out is not counted: the runner says so itself at once.
-func (model *costModel) full(one *candidate) bool {
-	state, capacity := one.state, queueFactor*one.slots
-	reported := state.hasReport && model.now-state.reportedAt < reportHalfLife && state.reportedLoad.Running+state.reportedLoad.Waiting+state.inFlight-state.inFlightAtReport >= capacity
-	return reported || state.inFlight >= min(capacity, one.maxConnections)
+// full reports whether a runner would reject one more request, or this front has no
+// connection left for it. Estimates of other fronts' requests do not count: if they
+// fill the runner, it says so at once by rejecting.
+func (model *costModel) full(candidate *candidate) bool {
+	state, capacity := candidate.state, queueFactor*candidate.slots
+	reported := state.hasReport && model.now-state.reportedAt < reportHalfLife &&
+		state.reportedLoad.Running+state.reportedLoad.Waiting+state.inFlight-state.inFlightAtReport >= capacity
+	return reported || state.inFlight >= min(capacity, candidate.maxConnections)
 }
 
-// cost is how many milliseconds a query is expected to take at a runner, beside what
-// it takes at all of them.
-func (model *costModel) cost(one *candidate) float64 {
-	state, now := one.state, model.now
-	load, fresh := model.estimatedLoad(one), state.inFlight >= state.openConnections.now(now)
+// cost returns the expected time to completion at a runner in milliseconds, without
+// what is the same at all runners of the service, plus the penalties.
+func (model *costModel) cost(candidate *candidate) float64 {
+	state, now := candidate.state, model.now
+	load := model.estimatedLoad(candidate)
 	cost := failureCostMilliseconds * state.health.failureProbability(now)
-	cost += model.duration * math.Max(0, load-float64(one.slots)+1) / float64(one.slots)
+	cost += model.duration * math.Max(0, load-float64(candidate.slots)+1) / float64(candidate.slots) // queueing
 	if model.isModel {
-		cost += model.prefillContention*(model.promptTokens-float64(model.balancer.cachedTokens(state)))/model.prefillRate + pendingPrefillFraction*state.pendingPrefill/model.prefillRate
-		cost += model.duration*concurrencySlowdown*load + math.Max(0, state.excessLatency.now(now))
-		if !one.local {
-			cost += crossDomainMilliseconds
-		}
-		if fresh {
-			cost += newConnectionMilliseconds
-		}
+		cost = model.addModelCost(cost, candidate, load)
 	} else {
-		full := math.Min(1, load/float64(one.slots))
-		cost += model.duration * (1 + state.excessLatency.now(now) + fullRunnerSlowdown*full*full)
-		cost += model.balancer.random.Float64() * 0.05 * model.duration
-		if !one.local {
-			cost += crossDomainFraction * model.duration
-		}
-		if fresh {
-			cost += newConnectionFraction * model.duration
-		}
+		cost = model.addPlainCost(cost, candidate, load)
 	}
 	if over := (state.arrivals.now(now)+model.othersArrivals)/model.arrivalLimit - arrivalCostThreshold; over > 0 {
 		cost += arrivalCostMilliseconds * over / (1 - arrivalCostThreshold)
@@ -165,3 +180,40 @@
 	}
 	return cost
 }
+
+// addModelCost adds the cost of model work: prefill of what is not cached, generation
+// beside the other requests, distance and connection.
+func (model *costModel) addModelCost(cost float64, candidate *candidate, load float64) float64 {
+	state := candidate.state
+	uncached := model.promptTokens - float64(model.balancer.cachedTokens(state))
+	cost += model.prefillContention*uncached/model.prefillRate + pendingPrefillFraction*state.pendingPrefill/model.prefillRate
+	cost += model.duration*concurrencySlowdown*load + math.Max(0, state.excessLatency.now(model.now))
+	if !candidate.local {
+		cost += crossDomainMilliseconds
+	}
+	if state.needsConnection(model.now) {
+		cost += newConnectionMilliseconds
+	}
+	return cost
+}
+
+// addPlainCost adds the cost of plain work: duration by load and by the runner's own
+// speed, distance and connection, and a random part.
+func (model *costModel) addPlainCost(cost float64, candidate *candidate, load float64) float64 {
+	state := candidate.state
+	full := math.Min(1, load/float64(candidate.slots))
+	cost += model.duration * (1 + state.excessLatency.now(model.now) + fullRunnerSlowdown*full*full)
+	cost += model.balancer.random.Float64() * plainJitter * model.duration
+	if !candidate.local {
+		cost += crossDomainFraction * model.duration
+	}
+	if state.needsConnection(model.now) {
+		cost += newConnectionFraction * model.duration
+	}
+	return cost
+}
+
+// needsConnection reports whether one more request probably needs a new connection.
+func (state *runnerState) needsConnection(now time.Duration) bool {
+	return state.inFlight >= state.openConnections.now(now)
+}
--- a/system/balancer/estimators.go
+++ b/system/balancer/estimators.go
@@ -5,21 +5,28 @@
 	"time"
 )
 
-func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
+// milliseconds returns a duration in milliseconds.
+func milliseconds(duration time.Duration) float64 {
+	return float64(duration) / float64(time.Millisecond)
+}
 
-// average is a mean that follows newer values: the first ones count equally.
+// average is a moving mean: the plain mean of the first averageWindow values, then
+// exponentially weighted.
 type average struct {
 	value float64
 	count float64
 }
 
+// averageWindow is the number of values that an average is taken over.
 const averageWindow = 32
 
+// add adds a value.
 func (mean *average) add(value float64) {
 	mean.count = math.Min(mean.count+1, averageWindow)
 	mean.value += (value - mean.value) / mean.count
 }
 
+// valueOr returns the mean, or a default before the first value.
 func (mean *average) valueOr(unknown float64) float64 {
 	if mean.count == 0 {
 		return unknown
@@ -28,20 +35,20 @@
 }
 
 const (
-	maxHalfLives     = 16 // after so many half-lives nothing is left
-	stepsPerHalfLife = 16 // points of the curve in one half-life
+	maxHalfLives     = 16 // what has decayed for longer counts as 0
+	stepsPerHalfLife = 16 // points of decayCurve in one half-life
 )
 
-// decayCurve are points of the curve of halving, between which fading goes straight: it is
-// asked for several times for each runner and query.
+// decayCurve tabulates exponential decay. decayFactor interpolates between its points,
+// because it is called several times for each runner and request.
 var decayCurve = func() (points [maxHalfLives*stepsPerHalfLife + 2]float64) {
-	for at := range points {
-		points[at] = math.Exp2(-float64(at) / stepsPerHalfLife)
+	for index := range points {
+		points[index] = math.Exp2(-float64(index) / stepsPerHalfLife)
 	}
 	return points
 }()
 
-// decayFactor is what is left of a value after a while, by its half-life.
+// decayFactor returns what is left of 1 after a time, by its half-life.
 func decayFactor(since, halfLife time.Duration) float64 {
 	if since <= 0 {
 		return 1
@@ -50,24 +57,27 @@
 	if steps >= maxHalfLives*stepsPerHalfLife {
 		return 0
 	}
-	at := int(steps)
-	return decayCurve[at] + (decayCurve[at+1]-decayCurve[at])*(steps-float64(at))
+	index := int(steps)
+	return decayCurve[index] + (decayCurve[index+1]-decayCurve[index])*(steps-float64(index))
 }
 
-// rateCounter counts what came in about the last second.
+// rateCounter measures a rate per second, over about the last second.
 type rateCounter struct {
 	value float64
 	at    time.Duration
 }
 
+// rateHalfLife makes a rateCounter settle at the amount of about one second of a steady
+// rate: the sum of an exponential decay is its half-life divided by ln 2.
 const rateHalfLife = 700 * time.Millisecond
 
-// A counter that fades by half in 700 ms settles at about one second of a steady rate.
+// add counts an amount.
 func (count *rateCounter) add(value float64, now time.Duration) {
 	count.value = count.now(now) + value
 	count.at = now
 }
 
+// now returns the rate.
 func (count *rateCounter) now(now time.Duration) float64 {
 	if count.value == 0 {
 		return 0
@@ -75,27 +85,30 @@
 	return count.value * decayFactor(now-count.at, rateHalfLife)
 }
 
-// connectionEstimate is how many connections to a runner this front is thought to have open:
-// as many as it used at a time, but one less for each while that they were not needed.
+// connectionEstimate estimates how many connections to a runner this front has open: the
+// peak of the requests in flight, less one for each connectionIdleTime since.
 type connectionEstimate struct {
 	peak int
 	at   time.Duration
 }
 
+// connectionIdleTime is the default idle timeout of the runner pool.
 const connectionIdleTime = 4 * time.Second
 
+// now returns the estimate, which may be negative.
 func (open *connectionEstimate) now(now time.Duration) int {
 	return open.peak - int((now-open.at)/connectionIdleTime)
 }
 
-func (open *connectionEstimate) observe(used int, now time.Duration) {
-	if used >= open.now(now) {
-		open.peak, open.at = used, now
+// observe records how many requests are in flight.
+func (open *connectionEstimate) observe(inFlight int, now time.Duration) {
+	if inFlight >= open.now(now) {
+		open.peak, open.at = inFlight, now
 	}
 }
 
-// timeWeightedMean is the mean of a number over the last while, each value weighed by how long
-// it held.
+// timeWeightedMean is the recent mean of a number that changes in steps, each value
+// weighted by how long it lasted.
 type timeWeightedMean struct {
 	value float64
 	at    time.Duration
@@ -103,14 +116,15 @@
 
 const timeWeightedMeanHalfLife = 500 * time.Millisecond
 
-// now gives the mean, if the number was the same since the last time.
+// now returns the mean, given the number's value since the last call. It must be called
+// before each change of the number.
 func (mean *timeWeightedMean) now(number float64, now time.Duration) float64 {
 	mean.value += (number - mean.value) * (1 - decayFactor(now-mean.at, timeWeightedMeanHalfLife))
 	mean.at = now
 	return mean.value
 }
 
-// decayingMean is a value that fades to nothing unless it is renewed.
+// decayingMean is an exponentially weighted mean that decays to 0 without new samples.
 type decayingMean struct {
 	value float64
 	at    time.Duration
@@ -118,23 +132,17 @@
 
 const decayingMeanHalfLife = 5 * time.Second
 
-func (value *decayingMean) add(sample, weight float64, now time.Duration) {
-	value.value = value.now(now)
-	value.value += (sample - value.value) * weight
-	value.at = now
+// add adds a sample with a weight between 0 and 1.
+func (mean *decayingMean) add(sample, weight float64, now time.Duration) {
+	mean.value = mean.now(now)
+	mean.value += (sample - mean.value) * weight
+	mean.at = now
 }
 
-func (value *decayingMean) now(now time.Duration) float64 {
-	if value.value == 0 {
+// now returns the mean.
+func (mean *decayingMean) now(now time.Duration) float64 {
+	if mean.value == 0 {
 		return 0
 	}
-	return value.value * decayFactor(now-value.at, decayingMeanHalfLife)
+	return mean.value * decayFactor(now-mean.at, decayingMeanHalfLife)
 }
-
-const (
-	minRegressionPoints = 16 // points before the line is believed
-	defaultPrefillRate  = 38 // tokens read in a millisecond
-	minPrefillRate      = 4
-	maxPrefillRate      = 400
-	defaultBaseLatency  = 40 // milliseconds to a first event with nothing to read
-)
--- a/system/balancer/front_shares.go
+++ b/system/balancer/front_shares.go
@@ -7,31 +7,35 @@
 )
 
 const (
-	// shareTakeoverDelay is how long a front waits before it takes over the share of one
-	// that has left: the others must have heard of the change too.
+	// shareTakeoverDelay is how long a front waits before it uses a share that became
+	// larger because another front left: the others must have heard of the change too.
 	shareTakeoverDelay = 2 * time.Second
-	// slowStartFraction is the part of a cold runner's rate that the fronts share out.
+	// slowStartFraction is the fraction of a runner's warm-up rate that the fronts divide
+	// among themselves.
 	slowStartFraction = 0.9
-	// slowStartFrontsPerRate is how many fronts may send to one cold runner, as a part of its rate:
-	// each may send one query at any time, so that their number adds to the rate.
+	// slowStartFrontsPerRate is how many fronts may send to one runner in slow start, per
+	// request per second of its rate. Each may send its burst at any time, so that their
+	// number adds to the rate.
 	slowStartFrontsPerRate = 0.4
 )
 
-// frontSet is which fronts share the runners, and which did a moment ago.
+// frontSet is the set of fronts that share the runners, with the set before it.
 type frontSet struct {
 	current, previous frontList
 	changedAt         time.Duration
-	lastUpdate        time.Duration // when the last state came
+	lastUpdate        time.Duration // of the state, changed or not
 	known             bool
-	firstUpdate       time.Duration // when the first state came
+	firstUpdate       time.Duration
 }
 
+// frontList lists the live fronts. Without names only their number is known.
 type frontList struct {
 	count int
 	self  string
 	names []string
 }
 
+// update takes over the fronts of a state.
 func (set *frontSet) update(state State, now time.Duration) {
 	list := frontList{count: max(1, state.FrontCount, len(state.FrontNames)), self: state.FrontName, names: state.FrontNames}
 	if set.known && set.current.count == list.count && set.current.self == list.self && slices.Equal(set.current.names, list.names) {
@@ -44,10 +48,9 @@
 	set.known = true
 }
 
-// shareOf cuts a cold runner's rate over the live fronts so that all of them together
-// keep to it at every time; of many fronts only some may send to one runner, by
-// rendezvous. What a change of the fronts takes away counts at once, what it gives
-// only after a while.
+// shareOf returns this front's share of a runner's warm-up rate. The shares of all
+// fronts never exceed the rate, also while the fronts hear of a change at different
+// times: a smaller share counts at once, a larger one after shareTakeoverDelay.
 func (set *frontSet) shareOf(runner uint64, rate float64, seed uint64, now time.Duration) rateShare {
 	share := set.current.shareOf(runner, rate, seed)
 	if now-set.changedAt >= shareTakeoverDelay {
@@ -56,6 +59,8 @@
 	return rateShare{rate: math.Min(share, set.previous.shareOf(runner, rate, seed)), pendingRate: share, effectiveAt: set.changedAt + shareTakeoverDelay}
 }
 
+// shareOf returns this front's part of a rate, in requests per second. If there are many
+// fronts, only some of them may send to a runner; rendezvous hashing decides which.
 func (list frontList) shareOf(runner uint64, rate float64, seed uint64) float64 {
 	if list.count == 0 || rate <= 0 {
 		return 0
@@ -68,7 +73,8 @@
 			return 0
 		}
 	default:
-		// Without names each front tosses for itself; fewer may send, for there may be more.
+		// Without names each front decides by chance. More than intended may choose to
+		// send, so that fewer are intended.
 		senders = max(1, senders*2/3)
 		if float64(mixBits(runner^mixBits(seed)))/math.MaxUint64*float64(list.count) >= float64(senders) {
 			return 0
@@ -77,26 +83,26 @@
 	return slowStartFraction * rate / float64(senders)
 }
 
-// rank is this front's place among those that share a runner.
+// rank returns this front's rank for a runner by rendezvous hashing; 0 is the highest.
 func (list frontList) rank(runner uint64) int {
-	mine, rank := mixBits(runner^hashOf(list.self)), 0
+	own, rank := mixBits(runner^hashOf(list.self)), 0
 	for _, name := range list.names {
-		if name != list.self && mixBits(runner^hashOf(name)) > mine {
+		if name != list.self && mixBits(runner^hashOf(name)) > own {
 			rank++
 		}
 	}
 	return rank
 }
 
-// rateShare is how many queries a second this front may send to a cold runner.
+// rateShare is this front's share of a runner's warm-up rate, in requests per second.
 type rateShare struct {
 	rate        float64
-	pendingRate float64 // what it will be
+	pendingRate float64 // the rate from effectiveAt on, if it is higher
 	effectiveAt time.Duration
 }
 
-// set takes a lower share at once, and a higher one when the other fronts had time to
-// take theirs back.
+// set lowers the share at once, or raises it after the other fronts had time to lower
+// theirs.
 func (share *rateShare) set(rate float64, now time.Duration) {
 	share.applyPending(now)
 	switch {
@@ -107,6 +113,7 @@
 	}
 }
 
+// applyPending raises the share if its time has come.
 func (share *rateShare) applyPending(now time.Duration) {
 	if share.pendingRate > share.rate && now >= share.effectiveAt {
 		share.rate = share.pendingRate
--- a/system/balancer/health_checks.go
+++ b/system/balancer/health_checks.go
@@ -1,27 +1,26 @@
 package balancer
 
 import (
-	"math"
 	"time"
 
 	"github.com/apex/log"
 )
 
 const (
-	// How much one answer counts for the slowness of a runner: plain work varies more
-	// than what is said of first events.
-	durationWeight   = 0.05
-	firstEventWeight = 0.2
-	// Silence is counted against a runner once it is this many times what is usual.
+	// A cancelled request counts against its runner if the runner was silent for
+	// silenceFactor times the expected latency and at least minSilence; it has the weight
+	// silenceWeight, because a slow runner and an impatient caller look the same.
 	silenceFactor = 4
 	minSilence    = 500 * time.Millisecond
+	silenceWeight = 0.5
 )
 
-// recordOutcome takes the ending of a lease into account.
+// recordOutcome is the passive health check: it takes the outcome of a lease into
+// account for later choices.
 func (lease *Lease) recordOutcome(outcome Outcome, now time.Duration) {
 	state := lease.state
 	if lease.recoveryProbe {
-		state.health.probesInFlight--
+		state.health.endProbe()
 	}
 	switch outcome {
 	case Answered:
@@ -35,13 +34,7 @@
 	case Rejected:
 		state.health.fullUntil = now + fullBackoff
 	case Misdirected:
-		if lease.Runner.Life == "" {
-			state.health.recordLoss(lease.acquiredAt, now)
-			break
-		}
-		state.misdirected = true
-		lease.logWarning("runner_misdirected", nil)
-		lease.balancer.removeRunner(state)
+		lease.recordMisdirection(now)
 	case NotSent:
 		if lease.slowStartLimited {
 			state.slowStart.refund()
@@ -51,30 +44,44 @@
 	}
 }
 
-// recordFailure counts a failure, and ejects the runner unless too many are ejected already.
+// recordFailure records a failure and ejects the runner if it failed too often and the
+// service can do without it.
 func (lease *Lease) recordFailure(weight float64, now time.Duration) {
-	if lease.state.health.recordFailure(weight, now) && !lease.state.health.ejected(now) && lease.balancer.canEject(lease.Service.Name, lease.state, now) {
-		lease.state.health.eject(now)
-		lease.logWarning("runner_ejected", log.Fields{"span": lease.state.health.ejectionTime})
+	health := &lease.state.health
+	if health.recordFailure(weight, now) && !health.ejected(now) && lease.balancer.canEject(lease.Service.Name, lease.state, now) {
+		health.eject(now)
+		lease.logger().WithField("duration", health.ejectionTime).Warn("runner ejected: too many of its requests failed")
 	}
 }
 
-// logWarning logs what befell the lease's runner.
-func (lease *Lease) logWarning(event string, more log.Fields) {
-	log.WithFields(log.Fields{"runner": lease.Runner.Life, "address": lease.Runner.Address, "service": lease.Service.Name}).WithFields(more).Warn(event)
+// recordMisdirection removes a runner whose address belongs to another one. Without a
+// life it cannot be told from its successor and is only ejected.
+func (lease *Lease) recordMisdirection(now time.Duration) {
+	if lease.Runner.Life == "" {
+		lease.state.health.recordLoss(lease.acquiredAt, now)
+		return
+	}
+	lease.state.misdirected = true
+	lease.logger().Warn("runner removed from selection: another runner answers at its address")
+	lease.balancer.removeRunner(lease.state)
 }
 
-// recordSilence counts it against a runner that it was given up without having said
-// anything for much longer than usual.
+// recordSilence records a cancelled request. Only a long silence counts against the
+// runner.
 func (lease *Lease) recordSilence(now time.Duration) {
 	expected, silent := lease.expectedLatency(), milliseconds(now-lease.acquiredAt)
 	if lease.firstEventSeen || silent < max(milliseconds(minSilence), silenceFactor*expected) {
 		return
 	}
-	lease.recordFailure(0.5, now)
+	lease.recordFailure(silenceWeight, now)
 	if lease.Service.Engine != nil {
 		lease.state.excessLatency.add(silent-expected, firstEventWeight, now)
 	} else {
-		lease.state.excessLatency.add(math.Min(8, silent/expected)-1, durationWeight, now)
+		lease.state.excessLatency.add(excessFraction(silent, expected), durationWeight, now)
 	}
 }
+
+// logger returns a log entry with the fields of the lease's runner.
+func (lease *Lease) logger() *log.Entry {
+	return log.WithFields(log.Fields{"runner": lease.Runner.Life, "address": lease.Runner.Address, "service": lease.Service.Name})
+}
--- a/system/balancer/latency_estimates.go
+++ b/system/balancer/latency_estimates.go
@@ -5,15 +5,42 @@
 	"time"
 )
 
-// regression fits a line through points, of which newer ones count more.
-type regression struct {
-	count, x, y, xx, xy float64
-}
+const (
+	// durationWeight and firstEventWeight are the weights of one measurement in a runner's
+	// excess latency. The durations of plain work vary more than first events.
+	durationWeight   = 0.05
+	firstEventWeight = 0.2
+	// maxSlowdown bounds how many times the expected duration one measurement counts as.
+	maxSlowdown = 8
+	// defaultPlainDuration is the expected duration of plain work, in milliseconds, before
+	// the first measurement.
+	defaultPlainDuration = 100
+)
 
 const (
+	// regressionDecay is the factor on the weight of older points with each new one.
 	regressionDecay = 0.995
+	// minRegressionPoints is the weight of points, and minRegressionVariance their variance
+	// in tokens squared, from which on the fit is used.
+	minRegressionPoints   = 16
+	minRegressionVariance = 1e4
+	// The prefill rate is in tokens per millisecond; measured ones are limited to
+	// minPrefillRate and maxPrefillRate.
+	defaultPrefillRate = 38
+	minPrefillRate     = 4
+	maxPrefillRate     = 400
+	// defaultBaseLatency is the assumed latency of a first event without prefill, in
+	// milliseconds.
+	defaultBaseLatency = 40
 )
 
+// regression fits a line to the latency of first events over the number of uncached
+// prompt tokens, by least squares with exponentially decaying weights.
+type regression struct {
+	count, x, y, xx, xy float64 // weighted sums
+}
+
+// add adds a point: x uncached tokens and y milliseconds.
 func (fit *regression) add(x, y float64) {
 	fit.count = fit.count*regressionDecay + 1
 	fit.x = fit.x*regressionDecay + x
@@ -22,11 +49,10 @@
 	fit.xy = fit.xy*regressionDecay + x*y
 }
 
-// rate is how many tokens are read in a millisecond, and base how many milliseconds
-// pass to the first event when there is nothing to read.
+// rate returns the prefill rate in tokens per millisecond.
 func (fit *regression) rate() float64 {
 	spread := fit.count*fit.xx - fit.x*fit.x
-	if fit.count < minRegressionPoints || spread < 1e4*fit.count*fit.count {
+	if fit.count < minRegressionPoints || spread < minRegressionVariance*fit.count*fit.count {
 		return defaultPrefillRate
 	}
 	slope := (fit.count*fit.xy - fit.x*fit.y) / spread
@@ -36,6 +62,7 @@
 	return math.Min(maxPrefillRate, math.Max(minPrefillRate, 1/slope))
 }
 
+// base returns the latency of a first event without prefill, in milliseconds.
 func (fit *regression) base() float64 {
 	if fit.count < minRegressionPoints {
 		return defaultBaseLatency
@@ -43,7 +70,8 @@
 	return math.Max(0, (fit.y-fit.x/fit.rate())/fit.count)
 }
 
-// usual is how many milliseconds queries like this one take.
+// expectedLatency returns the expected latency of the lease's request in milliseconds:
+// to the first event for model work, to the end for plain work.
 func (lease *Lease) expectedLatency() float64 {
 	if lease.Service.Engine != nil {
 		return lease.stats.prefill.base() + lease.prefillTokens/lease.stats.prefill.rate()
@@ -51,33 +79,38 @@
 	return lease.stats.expectedDuration(lease.request.Route.Name)
 }
 
-// recordFirstEvent takes the time to a first event into account.
+// recordFirstEvent records the latency of a first event, in milliseconds.
 func (lease *Lease) recordFirstEvent(latency float64, now time.Duration) {
-	over := latency - lease.expectedLatency()
-	lease.state.excessLatency.add(over, firstEventWeight, now)
+	lease.state.excessLatency.add(latency-lease.expectedLatency(), firstEventWeight, now)
 	lease.stats.prefill.add(lease.prefillTokens, latency)
 }
 
-// recordDuration takes the time that a whole answer took into account.
-func (lease *Lease) recordDuration(latency float64, now time.Duration) {
-	lease.stats.duration.add(latency)
+// recordDuration records the duration of a completed request, in milliseconds.
+func (lease *Lease) recordDuration(duration float64, now time.Duration) {
+	lease.stats.duration.add(duration)
 	if lease.Service.Engine != nil {
 		return
 	}
-	name := lease.request.Route.Name
-	mean, known := lease.stats.routeDurations[name]
+	route := lease.request.Route.Name
+	mean, known := lease.stats.routeDurations[route]
 	if !known {
 		mean = &average{}
-		lease.stats.routeDurations[name] = mean
+		lease.stats.routeDurations[route] = mean
 	}
-	mean.add(latency)
-	lease.state.excessLatency.add(math.Min(8, latency/math.Max(1, mean.value))-1, durationWeight, now)
+	mean.add(duration)
+	lease.state.excessLatency.add(excessFraction(duration, math.Max(1, mean.value)), durationWeight, now)
+}
+
+// excessFraction returns by what fraction a duration exceeds the expected one.
+func excessFraction(duration, expected float64) float64 {
+	return math.Min(maxSlowdown, duration/expected) - 1
 }
 
-// usual is how many milliseconds queries of a route take at a service.
+// expectedDuration returns the expected duration of a route's requests at the service,
+// in milliseconds, at least 1.
 func (stats *serviceStats) expectedDuration(route string) float64 {
 	if mean, known := stats.routeDurations[route]; known {
-		return math.Max(1, mean.valueOr(100))
+		return math.Max(1, mean.valueOr(defaultPlainDuration))
 	}
-	return math.Max(1, stats.duration.valueOr(100))
+	return math.Max(1, stats.duration.valueOr(defaultPlainDuration))
 }
--- a/system/balancer/lease.go
+++ b/system/balancer/lease.go
@@ -10,38 +10,40 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// Lease is the right to send one query to a runner. Release must be called once.
+// Lease is the permission to send one request to one runner. Until Release it counts as
+// a request in flight. Its methods may be called concurrently.
 type Lease struct {
 	Runner  feed.Runner
 	Service *config.Service
-	// MaxConnections is how many connections this front may hold to the runner.
+	// MaxConnections is how many connections this front may have to the runner.
 	MaxConnections int
 
-	balancer         *Balancer
-	stats            *serviceStats
-	state            *runnerState
-	request          Request
-	affinityKey      uint64
-	acquiredAt       time.Duration
-	prefillTokens    float64 // tokens of the prompt that the runner had not kept, as was thought
+	balancer    *Balancer
+	stats       *serviceStats
+	state       *runnerState
+	request     Request
+	affinityKey uint64        // 0: none
+	acquiredAt  time.Duration // since the balancer was made
+	// prefillTokens is how many prompt tokens were assumed not to be in the prefix cache.
+	prefillTokens    float64
 	firstEventSeen   bool
 	released         bool
-	slowStartLimited bool
-	recoveryProbe    bool
-	prefilled        bool
+	slowStartLimited bool // it took a token of the runner's slow start
+	recoveryProbe    bool // it tests a runner that was ejected
+	prefilled        bool // the runner has processed the prompt
 }
 
-// newLease makes the lease of a candidate.
-func (balancer *Balancer) newLease(pool *servicePool, one *candidate, request *Request, now time.Duration) *Lease {
-	state := one.state
-	cachedTokens := balancer.cachedTokens(state)
-	prefillTokens := math.Max(0, promptTokens(request)-float64(cachedTokens))
+// newLease counts a request as in flight at a candidate.
+func (balancer *Balancer) newLease(pool *servicePool, chosen *candidate, request *Request, now time.Duration) *Lease {
+	state := chosen.state
+	prefillTokens := math.Max(0, promptTokens(request)-float64(balancer.cachedTokens(state)))
 	lease := &Lease{
-		Runner: one.runner, Service: pool.service, MaxConnections: one.maxConnections,
-		balancer: balancer, stats: pool.stats, state: state, request: *request, affinityKey: affinityKeyOf(request, pool.service.Engine != nil), acquiredAt: now, prefillTokens: prefillTokens,
+		Runner: chosen.runner, Service: pool.service, MaxConnections: chosen.maxConnections,
+		balancer: balancer, stats: pool.stats, state: state, request: *request,
+		affinityKey: affinityKeyOf(request, pool.service.Engine != nil), acquiredAt: now, prefillTokens: prefillTokens,
 	}
 	lease.slowStartLimited = state.slowStart.take(balancer.listFreshUntil(), now)
-	lease.recoveryProbe = state.health.startProbe(now)
+	lease.recoveryProbe = state.health.startProbe()
 	state.meanInFlight.now(float64(state.inFlight), now)
 	state.inFlight++
 	state.openConnections.observe(state.inFlight, now)
@@ -57,11 +59,14 @@
 	return lease
 }
 
-// Valid tells, by the newest state, whether the query may still be sent: the runner
-// is listed, not leaving, its domain not emptied, and its service is still in the
-// shares of the route. It is to be asked right before the first byte is sent.
+// Valid reports whether, by the newest state, the request may still be sent: the runner
+// is listed and not draining, its domain is not drained, the route still has its host
+// and prefix, and the service still has a share of the route. Call it right before the
+// first byte is sent. It takes no lock.
 //
-//	if !lease.Valid() { ... }
+//	if !lease.Valid() {
+//		lease.Release(balancer.NotSent, nil)
+//	}
 func (lease *Lease) Valid() bool {
 	current := lease.balancer.topology.Load()
 	if !current.usable[lease.state] {
@@ -74,18 +79,20 @@
 	return lease.Serves(route)
 }
 
-// Serves tells whether the lease's service is in the shares of a route: to be asked when
-// another route than the one that the lease was acquired for is in force for the query.
+// Serves reports whether the lease's service has a share of a route. Call it, besides
+// Valid, when the request now matches another route than the one it was acquired for.
 //
-//	if !lease.Valid() || !lease.Serves(route) { ... }
+//	if !lease.Valid() || !lease.Serves(route) {
+//		lease.Release(balancer.NotSent, nil)
+//	}
 func (lease *Lease) Serves(route *config.Route) bool {
 	return slices.ContainsFunc(route.Shares, func(share config.WeightedService) bool {
 		return share.Service == lease.Service.Name && share.Weight > 0
 	})
 }
 
-// FirstEvent tells how long the first event of an answer took, from when the query was
-// sent. Only the first call counts.
+// FirstEvent reports the time from sending the request to the first event of the
+// response. Only the first call counts.
 //
 //	lease.FirstEvent(time.Since(sent))
 func (lease *Lease) FirstEvent(latency time.Duration) {
@@ -99,11 +106,11 @@
 	if lease.Service.Engine == nil {
 		return
 	}
-	now := lease.balancer.elapsed()
-	lease.recordFirstEvent(milliseconds(latency), now)
+	lease.recordFirstEvent(milliseconds(latency), lease.balancer.elapsed())
 }
 
-// markPrefilled notes that the runner has read the prompt.
+// markPrefilled records that the runner has processed the prompt, and so has it in its
+// prefix cache.
 func (lease *Lease) markPrefilled() {
 	if lease.prefilled {
 		return
@@ -113,10 +120,10 @@
 	lease.balancer.recordCached(lease.request.PromptParts, lease.state)
 }
 
-// Release gives the place back and tells how the dispatch ended; load is what the
-// runner reported of itself, or nil. Only the first call counts.
+// Release ends the lease and reports the outcome; load is what the runner reported with
+// its response, or nil. Only the first call counts. Waiting requests may be served.
 //
-//	lease.Release(balancer.Answered, answer.Load)
+//	lease.Release(balancer.Answered, response.Load)
 func (lease *Lease) Release(outcome Outcome, load *runnerpool.Load) {
 	balancer := lease.balancer
 	balancer.mutex.Lock()
--- a/system/balancer/outlier_ejection.go
+++ b/system/balancer/outlier_ejection.go
@@ -6,50 +6,60 @@
 )
 
 const (
+	// failureHalfLife is the time in which past outcomes lose half of their weight.
 	failureHalfLife = 4 * time.Second
-	// A runner is ejected when this much of its late work failed, and at least so many.
+	// A runner is ejected when its weighted failures reach minEjectionFailures and make up
+	// ejectionFailureRatio of its outcomes.
 	ejectionFailureRatio = 0.35
 	minEjectionFailures  = 2.5
-	baseEjectionTime     = time.Second
-	maxEjectionTime      = 16 * time.Second
-	// maxEjectedFraction is the part of a service's runners that may be ejected at a time.
+	// The first ejection takes baseEjectionTime, each further one twice as long as the one
+	// before, up to maxEjectionTime.
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 16 * time.Second
+	// maxEjectedFraction is the fraction of a service's runners that may be ejected at the
+	// same time.
 	maxEjectedFraction = 1.0 / 3
-	// maxRemainingUtilization is how much of the other runners' slots may be taken by the demand.
+	// maxRemainingUtilization is the fraction of the remaining runners' slots that the
+	// demand may take after an ejection.
 	maxRemainingUtilization = 0.8
-	// A runner that lost a query is avoided for this long, if it did well before; if it
-	// did not, for longer each time.
+	// A runner that loses a request is ejected for firstLossEjectionTime if it did well
+	// before, otherwise for baseLossEjectionTime, doubled with each consecutive loss up to
+	// maxLossEjectionTime. One loss may be a connection that the runner closed.
 	firstLossEjectionTime = 250 * time.Millisecond
 	baseLossEjectionTime  = time.Second
 	maxLossEjectionTime   = 8 * time.Second
-	fullBackoff           = 150 * time.Millisecond
-	// recoveryProbes is how many queries must go well, one after another, before a
-	// runner that was ejected gets its full part again.
+	// fullBackoff is for how long a runner that rejected a request counts as full.
+	fullBackoff = 150 * time.Millisecond
+	// recoveryProbes is how many requests, sent one at a time, must succeed before a runner
+	// that was ejected takes its full part again.
 	recoveryProbes = 3
-	// failureCostMilliseconds is what a failure costs beside time, in milliseconds.
+	// failureCostMilliseconds is the cost of a failed request besides its time.
 	failureCostMilliseconds = 400
-	// failurePrior is how many answers must have come before few failures count much.
+	// failurePrior is the number of successful outcomes added to the measured ones when the
+	// failure probability is computed, so that a few outcomes do not decide it.
 	failurePrior = 10
 )
 
-// health is what the endings of queries tell of a runner.
+// health is the record of a runner's outcomes and its ejection.
 type health struct {
-	failures, completions float64 // both fade
+	failures, completions float64 // weighted; they decay with failureHalfLife
 	decayedAt             time.Duration
-	ejectedUntil          time.Duration // until when it is avoided
-	fullUntil             time.Duration // until when it is thought to be full
+	ejectedUntil          time.Duration
+	fullUntil             time.Duration
 	ejectionTime          time.Duration // of the last ejection
-	probesNeeded          int           // that must go well
-	probesInFlight        int           // out now
-	consecutiveLosses     int           // one after another
-	lastLoss              time.Duration // when the last of them was noticed
+	probesNeeded          int           // successes until the runner has recovered
+	probesInFlight        int
+	consecutiveLosses     int
+	lastLoss              time.Duration
 }
 
+// decay applies the decay since the last call.
 func (state *health) decay(now time.Duration) {
 	left := decayFactor(now-state.decayedAt, failureHalfLife)
 	state.failures, state.completions, state.decayedAt = state.failures*left, state.completions*left, now
 }
 
-// failureProbability is how likely the next query fails.
+// failureProbability estimates how probable it is that the next request fails.
 func (state *health) failureProbability(now time.Duration) float64 {
 	if state.failures == 0 {
 		return 0
@@ -58,10 +68,11 @@
 	return state.failures * left / (state.completions*left + failurePrior)
 }
 
+// ejected reports whether the runner gets no requests.
 func (state *health) ejected(now time.Duration) bool { return now < state.ejectedUntil }
 
-// delay tells in how long a query may be sent: an ejected runner gets none, then one
-// at a time until enough of them went well.
+// delay returns after what time the runner may get a request; 0: now. After an ejection
+// it gets one probe at a time.
 func (state *health) delay(now time.Duration) time.Duration {
 	wait := max(0, state.ejectedUntil-now, state.fullUntil-now)
 	if wait == 0 && state.probesNeeded > 0 && state.probesInFlight > 0 {
@@ -70,7 +81,9 @@
 	return wait
 }
 
-func (state *health) startProbe(now time.Duration) bool {
+// startProbe counts a request as a probe if the runner has not recovered, and reports
+// whether it is one.
+func (state *health) startProbe() bool {
 	if state.probesNeeded == 0 {
 		return false
 	}
@@ -78,7 +91,10 @@
 	return true
 }
 
-// recordSuccess notes an answer.
+// endProbe ends a probe, whatever its outcome.
+func (state *health) endProbe() { state.probesInFlight-- }
+
+// recordSuccess records a completed request.
 func (state *health) recordSuccess(now time.Duration) {
 	state.decay(now)
 	state.completions++
@@ -91,7 +107,8 @@
 	}
 }
 
-// recordFailure notes a failure of some weight and tells whether the runner should be ejected.
+// recordFailure records a failure with a weight, 1 for a certain one, and reports
+// whether the runner should be ejected.
 func (state *health) recordFailure(weight float64, now time.Duration) bool {
 	state.decay(now)
 	state.failures += weight
@@ -100,28 +117,30 @@
 	return probeFailed || state.failures >= minEjectionFailures && state.failures >= ejectionFailureRatio*(state.completions+1)
 }
 
-// eject keeps work away for a while that doubles.
+// eject ejects the runner for twice as long as the last time.
 func (state *health) eject(now time.Duration) {
 	state.ejectionTime = min(maxEjectionTime, max(baseEjectionTime, 2*state.ejectionTime))
 	state.ejectedUntil, state.probesNeeded = now+state.ejectionTime, recoveryProbes
 }
 
-// recordLoss keeps work away at once, for longer with each loss in a row; queries that were
-// out together when the runner went away count as one loss.
+// recordLoss ejects the runner at once because a request to it was lost. Requests that
+// were in flight together when the runner went away count as one loss: acquiredAt is
+// when this one was leased.
 func (state *health) recordLoss(acquiredAt, now time.Duration) {
 	if state.consecutiveLosses > 0 && acquiredAt <= state.lastLoss {
 		return
 	}
-	span := firstLossEjectionTime
+	ejection := firstLossEjectionTime
 	if state.consecutiveLosses > 0 || state.failures > ejectionFailureRatio*(state.completions+1) {
-		span = min(maxLossEjectionTime, baseLossEjectionTime<<min(state.consecutiveLosses, 4))
+		ejection = min(maxLossEjectionTime, baseLossEjectionTime<<min(state.consecutiveLosses, 4))
 	}
 	state.consecutiveLosses++
 	state.lastLoss = now
-	state.ejectedUntil, state.probesNeeded = max(state.ejectedUntil, now+span), max(state.probesNeeded, 1)
+	state.ejectedUntil, state.probesNeeded = max(state.ejectedUntil, now+ejection), max(state.probesNeeded, 1)
 }
 
-// canEject tells whether the service can do without one more runner.
+// canEject reports whether a service can do without one more runner: not too many are
+// ejected, and the remaining ones can serve what all fronts together demand.
 func (balancer *Balancer) canEject(service string, state *runnerState, now time.Duration) bool {
 	current := balancer.topology.Load()
 	pool := current.services[service]
@@ -129,13 +148,13 @@
 		return false
 	}
 	ejected, slots := 1, 0
-	for _, one := range pool.candidates {
+	for _, candidate := range pool.candidates {
 		switch {
-		case one.state == state:
-		case one.state.health.ejected(now):
+		case candidate.state == state:
+		case candidate.state.health.ejected(now):
 			ejected++
 		default:
-			slots += one.slots
+			slots += candidate.slots
 		}
 	}
 	demand := pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now) * float64(current.frontCount)
--- a/system/balancer/prefix_affinity.go
+++ b/system/balancer/prefix_affinity.go
@@ -6,45 +6,58 @@
 )
 
 const (
-	// The horizon is how long an unused part is thought to be kept.
+	// The cache horizon is for how long a runner is assumed to keep a prompt part in its
+	// prefix cache without using it: cacheHorizonFraction of the time in which new tokens
+	// fill the cache, limited to minCacheHorizon and maxCacheHorizon.
 	minCacheHorizon      = 4 * time.Second
 	maxCacheHorizon      = 10 * time.Minute
-	cacheHorizonFraction = 0.7 // of the time in which new parts fill the runner's memory
+	cacheHorizonFraction = 0.7
+	// unknownPartsCachedFraction is the fraction of a prompt whose parts are not known that
+	// the runner of the program's last request is assumed to have cached.
+	unknownPartsCachedFraction = 0.8
 )
 
-// cachedPart tells which runners have read a part of a prompt, and when last.
+// cachedPart is the set of runners that have processed a prompt part.
 type cachedPart struct {
 	runners []cachedAt
 }
 
+// cachedAt is one runner that has processed a prompt part.
 type cachedAt struct {
 	state    *runnerState
 	lastUsed time.Duration
-	tokens   int
+	tokens   int // the longest extent of the part that it has seen
 }
 
-// recordCached notes that a runner has read these parts.
+// recordCached records that a runner has processed prompt parts.
 func (balancer *Balancer) recordCached(parts []PromptPart, state *runnerState) {
 	now := balancer.elapsed()
 	for _, part := range parts {
 		key := hashOf(part.Name)
-		known, found := balancer.cachedParts.get(key)
+		cached, found := balancer.cachedParts.get(key)
 		if !found {
-			known = &cachedPart{}
+			cached = &cachedPart{}
 		}
-		at := slices.IndexFunc(known.runners, func(one cachedAt) bool { return one.state == state })
-		if at < 0 {
-			known.runners = slices.DeleteFunc(known.runners, func(one cachedAt) bool { return !one.state.listed })
-			known.runners = append(known.runners, cachedAt{state: state, lastUsed: now, tokens: part.Tokens})
-		} else {
-			known.runners[at].lastUsed, known.runners[at].tokens = now, max(known.runners[at].tokens, part.Tokens)
-		}
-		balancer.cachedParts.put(key, known)
+		cached.record(state, part.Tokens, now)
+		balancer.cachedParts.put(key, cached)
 	}
 }
 
-// markCached marks every runner with how many tokens of the start of a prompt it has
-// kept, as far as this front knows: a part counts only after all before it.
+// record adds a runner or renews its entry. Entries of runners that left the list are
+// dropped when one is added.
+func (part *cachedPart) record(state *runnerState, tokens int, now time.Duration) {
+	index := slices.IndexFunc(part.runners, func(entry cachedAt) bool { return entry.state == state })
+	if index >= 0 {
+		part.runners[index].lastUsed, part.runners[index].tokens = now, max(part.runners[index].tokens, tokens)
+		return
+	}
+	part.runners = slices.DeleteFunc(part.runners, func(entry cachedAt) bool { return !entry.state.listed })
+	part.runners = append(part.runners, cachedAt{state: state, lastUsed: now, tokens: tokens})
+}
+
+// markCached sets on every runner how many leading tokens of a request's prompt it has
+// probably cached, as far as this front knows. A part counts only if all parts before it
+// are cached completely, as a prefix cache needs. The marks are valid until the next call.
 func (balancer *Balancer) markCached(pool *servicePool, request *Request, now time.Duration) {
 	balancer.affinityEpoch++
 	if pool.service.Engine == nil {
@@ -52,23 +65,13 @@
 	}
 	horizon := balancer.cacheHorizon(pool, now)
 	for depth, part := range request.PromptParts {
-		known, found := balancer.cachedParts.get(hashOf(part.Name))
+		cached, found := balancer.cachedParts.get(hashOf(part.Name))
 		if !found {
 			break
 		}
-		for _, one := range known.runners {
-			if now-one.lastUsed > horizon {
-				continue
-			}
-			if one.state.affinityEpoch != balancer.affinityEpoch {
-				one.state.affinityEpoch, one.state.cachedDepth, one.state.cachedTokens = balancer.affinityEpoch, 0, 0
-			}
-			if one.state.cachedDepth != depth {
-				continue
-			}
-			one.state.cachedTokens += min(one.tokens, part.Tokens)
-			if one.tokens >= part.Tokens {
-				one.state.cachedDepth++
+		for _, entry := range cached.runners {
+			if now-entry.lastUsed <= horizon {
+				entry.state.markPart(depth, min(entry.tokens, part.Tokens), entry.tokens >= part.Tokens, balancer.affinityEpoch)
 			}
 		}
 	}
@@ -76,11 +79,26 @@
 		return
 	}
 	if last, found := balancer.lastRunner.get(affinityKeyOf(request, true)); found {
-		last.affinityEpoch, last.cachedDepth, last.cachedTokens = balancer.affinityEpoch, 0, int(0.8*promptTokens(request))
+		last.affinityEpoch, last.cachedDepth, last.cachedTokens = balancer.affinityEpoch, 0, int(unknownPartsCachedFraction*promptTokens(request))
+	}
+}
+
+// markPart adds the cached tokens of the part at a depth of the prompt.
+func (state *runnerState) markPart(depth, tokens int, complete bool, epoch uint64) {
+	if state.affinityEpoch != epoch {
+		state.affinityEpoch, state.cachedDepth, state.cachedTokens = epoch, 0, 0
+	}
+	if state.cachedDepth != depth {
+		return
+	}
+	state.cachedTokens += tokens
+	if complete {
+		state.cachedDepth++
 	}
 }
 
-// cachedTokens is what markCached marked a runner with.
+// cachedTokens returns how many leading tokens of the prompt last passed to markCached a
+// runner has probably cached.
 func (balancer *Balancer) cachedTokens(state *runnerState) int {
 	if state.affinityEpoch != balancer.affinityEpoch {
 		return 0
@@ -88,8 +106,8 @@
 	return state.cachedTokens
 }
 
-// cacheHorizon is how long a part that is not used is thought to stay: a part of the time
-// in which all fronts together, if they are like this one, fill a runner's memory.
+// cacheHorizon returns the cache horizon of a service's runners, assuming that the other
+// fronts send as many new tokens as this one.
 func (balancer *Balancer) cacheHorizon(pool *servicePool, now time.Duration) time.Duration {
 	fill := pool.stats.prefillTokens.now(now) * float64(balancer.topology.Load().frontCount) / float64(max(1, len(pool.candidates)))
 	if fill <= 0 {
@@ -102,7 +120,7 @@
 	return max(minCacheHorizon, time.Duration(seconds*float64(time.Second)))
 }
 
-// promptTokens is how many tokens a prompt has.
+// promptTokens returns the length of a request's prompt.
 func promptTokens(request *Request) float64 {
 	tokens := 0
 	for _, part := range request.PromptParts {
--- a/system/balancer/rendezvous_hashing.go
+++ b/system/balancer/rendezvous_hashing.go
@@ -1,29 +1,13 @@
 package balancer
 
-// agreed is the runner that all fronts of a domain choose for a line of turns, by
-// rendezvous hashing.
-func (pool *servicePool) rendezvousRunner(affinityKey uint64) *runnerState {
-	var best *runnerState
-	highest := uint64(0)
-	for at := range pool.candidates {
-		one := &pool.candidates[at]
-		if pool.preferLocal && !one.local {
-			continue
-		}
-		if weight := mixBits(affinityKey ^ one.state.hash); best == nil || weight > highest {
-			best, highest = one.state, weight
-		}
-	}
-	return best
-}
-
-// affinityKeyOf is what queries have in common that should go to the same runner: the program
-// of turns, or the subject of plain work; 0: nothing.
-func affinityKeyOf(request *Request, engine bool) uint64 {
+// affinityKeyOf returns the key that requests have in common that should go to the same
+// runner: of the program or else the session for model work, of the caller's affinity
+// key for plain work on a sticky route. 0 means no preference.
+func affinityKeyOf(request *Request, isModel bool) uint64 {
 	switch {
-	case engine && request.Program != "":
+	case isModel && request.Program != "":
 		return hashOf(request.Program)
-	case engine && request.Session != "":
+	case isModel && request.Session != "":
 		return hashOf(request.Session)
 	case request.Route.Sticky && request.AffinityKey != "":
 		return mixBits(hashOf(request.AffinityKey) + 1)
@@ -31,16 +15,35 @@
 	return 0
 }
 
-// hashOf gives the same number for a text at every front.
+// rendezvousRunner returns the runner with the highest rendezvous hash for a key. All
+// fronts of a domain compute the same one from the same list without talking to each
+// other, and a change of the list moves only the keys of the runners that changed.
+func (pool *servicePool) rendezvousRunner(key uint64) *runnerState {
+	var best *runnerState
+	highest := uint64(0)
+	for index := range pool.candidates {
+		candidate := &pool.candidates[index]
+		if pool.preferLocal && !candidate.local {
+			continue
+		}
+		if weight := mixBits(key ^ candidate.state.hash); best == nil || weight > highest {
+			best, highest = candidate.state, weight
+		}
+	}
+	return best
+}
+
+// hashOf returns the FNV-1a hash of a text with its bits mixed. It is the same in every
+// process, unlike that of hash/maphash.
 func hashOf(text string) uint64 {
 	hash := uint64(14695981039346656037)
-	for at := range len(text) {
-		hash = (hash ^ uint64(text[at])) * 1099511628211
+	for index := range len(text) {
+		hash = (hash ^ uint64(text[index])) * 1099511628211
 	}
 	return mixBits(hash)
 }
 
-// mixBits spreads a number over all its bits.
+// mixBits spreads the entropy of a hash over all its bits (the finalizer of SplitMix64).
 func mixBits(hash uint64) uint64 {
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
--- a/system/balancer/selection.go
+++ b/system/balancer/selection.go
@@ -6,24 +6,29 @@
 	"time"
 )
 
-// selectRunner takes the runner with the least expected time. Without one that may be taken
-// now it tells in how long there may be one.
+// selectRunner leases the candidate with the lowest cost among those that may get a
+// request now. If all are ejected, the one with the lowest cost counting the remaining
+// ejection is leased all the same: a runner that may have recovered is better than
+// none. Otherwise it returns no lease and after what delay a candidate may be free,
+// provided that no other request ends before.
 func (balancer *Balancer) selectRunner(pool *servicePool, request *Request, now time.Duration) (*Lease, time.Duration) {
 	balancer.markCached(pool, request, now)
 	model := balancer.newCostModel(pool, request, now)
 	listFreshUntil := balancer.listFreshUntil()
 	var best, recovering *candidate
 	bestCost, recoveringCost, delay := math.Inf(1), math.Inf(1), time.Duration(math.MaxInt64)
-	for at := range pool.candidates {
-		one := &pool.candidates[at]
-		if one.state.misdirected || slices.Contains(request.Excluded, one.runner.Life) || slices.Contains(request.Excluded, one.runner.Address) {
+	for index := range pool.candidates {
+		candidate := &pool.candidates[index]
+		if candidate.state.misdirected || slices.Contains(request.Excluded, candidate.runner.Life) || slices.Contains(request.Excluded, candidate.runner.Address) {
 			continue
 		}
-		slowStartDelay, ejectionDelay := one.state.slowStart.delay(listFreshUntil, now), one.state.health.delay(now)
-		cost := model.cost(one)
-		if model.full(one) {
-			room := time.Duration(model.duration / float64(one.slots) * float64(time.Millisecond))
-			delay = min(delay, max(slowStartDelay, ejectionDelay, room))
+		slowStartDelay, ejectionDelay := candidate.state.slowStart.delay(listFreshUntil, now), candidate.state.health.delay(now)
+		// The cost is computed for all candidates, whether it is needed or not: for plain
+		// work it draws a random number.
+		cost := model.cost(candidate)
+		if model.full(candidate) {
+			free := time.Duration(model.duration / float64(candidate.slots) * float64(time.Millisecond))
+			delay = min(delay, max(slowStartDelay, ejectionDelay, free))
 			continue
 		}
 		switch {
@@ -31,15 +36,14 @@
 			delay = min(delay, max(slowStartDelay, ejectionDelay))
 		case ejectionDelay > 0:
 			delay = min(delay, ejectionDelay)
-			if one.state.health.fullUntil <= now && cost+milliseconds(ejectionDelay) < recoveringCost {
-				recovering, recoveringCost = one, cost+milliseconds(ejectionDelay)
+			if candidate.state.health.fullUntil <= now && cost+milliseconds(ejectionDelay) < recoveringCost {
+				recovering, recoveringCost = candidate, cost+milliseconds(ejectionDelay)
 			}
 		case cost < bestCost:
-			best, bestCost = one, cost
+			best, bestCost = candidate, cost
 		}
 	}
-	if best == nil && recovering != nil {
-		// All are avoided: one that may be well again is better than none.
+	if best == nil {
 		best = recovering
 	}
 	if best == nil {
--- a/system/balancer/slow_start.go
+++ b/system/balancer/slow_start.go
@@ -9,41 +9,48 @@
 )
 
 const (
+	// slowStartBurst is how many requests a front may send to a runner in slow start at
+	// once. With more than one, the fronts together could exceed the limit.
 	slowStartBurst = 1
-	// staleListRetry is how soon a runner may be looked at again that gets nothing from this
-	// front because the list is too old.
+	// staleListRetry is the retry delay of requests that find no runner only because the
+	// runner list is too old.
 	staleListRetry = 50 * time.Millisecond
 )
 
-// slowStart tells until when a runner is cold and counts out what it may get.
+// slowStart limits the rate of requests to a runner that warms up, if its service has a
+// warm-up rate. A token bucket holds this front's share of the rate.
+//
+// A runner warms up when the runner list says so, and in addition for the service's
+// warm-up time after it appeared or its domain was restored, whatever the list says.
+// While the list is too old to be trusted, any runner of such a service is limited.
 type slowStart struct {
-	enabled     bool // the service bears less of a runner that is cold
-	until       time.Duration
-	forcedUntil time.Duration // until when it counts as cold whatever the list says
+	enabled     bool          // the service has a warm-up rate
+	until       time.Duration // end of the warm-up
+	forcedUntil time.Duration // end of the warm-up that this front assumes by itself
 	lastReading listReading
 	share       rateShare
 	tokens      float64
 	refilledAt  time.Duration
 }
 
-// listReading is what the list said last: the same again is nothing new, for the time that
-// it stays cold counts from when the list was read.
+// listReading is what the runner list last said of a runner. Only a change restarts the
+// remaining warm-up time, which counts from when the list was read.
 type listReading struct {
 	valid  bool
 	state  string
-	warmUp time.Duration
+	warmUp time.Duration // remaining
 	since  int64
 }
 
-// note takes over what the list says of a runner. A fresh one was started or refilled
-// just now: one that the list does not know to be cold counts as cold all the same.
+// observe takes over what the runner list says. fresh means that the runner has just
+// appeared, restored that its domain takes work again.
 func (start *slowStart) observe(runner feed.Runner, service *config.Service, fresh, restored bool, now time.Duration) {
 	start.enabled = service.WarmUpRate > 0
 	if !start.enabled {
 		start.until, start.forcedUntil = 0, 0
 		return
 	}
-	wasActive, reported := start.active(now), listReading{true, runner.State, runner.WarmUpLeft, runner.Since}
+	wasActive, reading := start.active(now), listReading{true, runner.State, runner.WarmUpLeft, runner.Since}
 	warmUp := runner.WarmUpLeft
 	if runner.State == feed.StateWarmingUp && warmUp <= 0 {
 		warmUp = time.Duration(service.WarmUp)
@@ -51,8 +58,8 @@
 	if restored || fresh && warmUp <= 0 {
 		start.forcedUntil = now + time.Duration(service.WarmUp)
 	}
-	if reported != start.lastReading {
-		start.until, start.lastReading = now+warmUp, reported
+	if reading != start.lastReading {
+		start.until, start.lastReading = now+warmUp, reading
 	}
 	start.until = max(start.until, start.forcedUntil)
 	if !wasActive {
@@ -60,15 +67,16 @@
 	}
 }
 
+// active reports whether the runner warms up.
 func (start *slowStart) active(now time.Duration) bool { return now < start.until }
 
-// limited tells whether a runner gets no more than a cold one: it is cold, or the list,
-// which shows until listed that it is not, is too old.
+// limited reports whether the runner gets no more than the warm-up rate: it warms up,
+// or the runner list is too old to exclude that.
 func (start *slowStart) limited(listFreshUntil, now time.Duration) bool {
 	return start.active(now) || start.enabled && now >= listFreshUntil
 }
 
-// delay tells in how long a limited runner may get a query from this front.
+// delay returns after what time the runner may get a request from this front; 0: now.
 func (start *slowStart) delay(listFreshUntil, now time.Duration) time.Duration {
 	if !start.limited(listFreshUntil, now) {
 		return 0
@@ -87,13 +95,14 @@
 	return left
 }
 
+// refill adds the tokens of the time since the last refill.
 func (start *slowStart) refill(now time.Duration) {
 	start.share.applyPending(now)
 	start.tokens = math.Min(slowStartBurst, start.tokens+start.share.rate*(now-start.refilledAt).Seconds())
 	start.refilledAt = now
 }
 
-// take counts a query to a limited runner; it tells whether the runner is limited.
+// take removes a token if the runner is limited, and reports whether it is.
 func (start *slowStart) take(listFreshUntil, now time.Duration) bool {
 	if !start.limited(listFreshUntil, now) {
 		return false
@@ -103,5 +112,5 @@
 	return true
 }
 
-// refund undoes take when nothing was sent.
+// refund returns the token of a request that was not sent.
 func (start *slowStart) refund() { start.tokens = math.Min(slowStartBurst, start.tokens+1) }
--- a/system/balancer/status.go
+++ b/system/balancer/status.go
@@ -1,46 +1,44 @@
 package balancer
 
 import (
-	"cmp"
 	"slices"
+	"strings"
 
 	"yardrock.example/system/feed"
 )
 
-// Status is what the runners bear of this front's queries.
+// Status is a snapshot of a balancer for operators and tests.
 type Status struct {
-	Queued  int
-	Runners []RunnerStatus
+	Queued  int            // requests that wait for a runner
+	Runners []RunnerStatus // usable runners, by life
 }
 
-// RunnerStatus is what one runner bears of this front's queries, and how it stands.
+// RunnerStatus is the state of one usable runner as this front sees it.
 type RunnerStatus struct {
 	Runner    feed.Runner
-	InFlight  int
-	SlowStart bool
-	Ejected   bool
+	InFlight  int  // this front's requests
+	SlowStart bool // it warms up, and gets a limited rate of requests
+	Ejected   bool // it gets no requests for a while because it failed
 }
 
-// Status lists the usable runners with what is out at each, and counts who waits.
+// Status returns the number of waiting requests and the state of all usable runners.
 //
-//	for _, one := range choices.Status().Runners { ... }
+//	for _, runner := range runners.Status().Runners { ... }
 func (balancer *Balancer) Status() Status {
 	balancer.mutex.Lock()
 	defer balancer.mutex.Unlock()
 	now := balancer.elapsed()
 	status := Status{Queued: len(balancer.queue)}
-	for _, one := range balancer.topology.Load().services {
-		for _, candidate := range one.candidates {
+	for _, pool := range balancer.topology.Load().services {
+		for _, candidate := range pool.candidates {
 			status.Runners = append(status.Runners, RunnerStatus{
 				Runner: candidate.runner, InFlight: candidate.state.inFlight,
 				SlowStart: candidate.state.slowStart.active(now), Ejected: candidate.state.health.ejected(now),
 			})
 		}
 	}
-	slices.SortFunc(status.Runners, func(one, other RunnerStatus) int {
-		return compareStrings(runnerKey(one.Runner), runnerKey(other.Runner))
+	slices.SortFunc(status.Runners, func(left, right RunnerStatus) int {
+		return strings.Compare(runnerKey(left.Runner), runnerKey(right.Runner))
 	})
 	return status
 }
-
-func compareStrings(one, other string) int { return cmp.Compare(one, other) }
--- a/system/balancer/topology.go
+++ b/system/balancer/topology.go
@@ -10,15 +10,21 @@
 )
 
 const (
-	// sharedConnectionFraction is the part of a runner's connections that the fronts share out.
+	// sharedConnectionFraction is the fraction of a runner's connection limit that the
+	// fronts divide among themselves; the rest absorbs a change in their number.
 	sharedConnectionFraction = 0.8
-	minConnections           = 2
-	defaultSlots             = 8
-	// runnerStateRetention is how long what was learned of a runner that left the list is kept.
+	// minConnections is the connection limit of one front to one runner at least.
+	minConnections = 2
+	// defaultSlots is how many requests a runner is assumed to process at a time if
+	// neither the runner list nor the service says so.
+	defaultSlots = 8
+	// runnerStateRetention is how long the measurements of a runner are kept after it
+	// left the runner list: a runner that is missing from one reading is not new.
 	runnerStateRetention = 30 * time.Second
 )
 
-// topology is what Update made of a State; it is never changed afterwards.
+// topology is the index that Update builds from a State. It is immutable, so that
+// Lease.Valid can read it without the mutex.
 type topology struct {
 	services   map[string]*servicePool
 	routes     map[string]*config.Route
@@ -26,66 +32,71 @@
 	frontCount int
 }
 
-// group is a service with its usable runners.
+// servicePool is a service with its usable runners.
 type servicePool struct {
 	service     *config.Service
 	stats       *serviceStats
 	candidates  []candidate
-	slots       int
-	domainCount int  // in which they are
-	localCount  int  // how many are in this front's domain
-	preferLocal bool // whether the nearby runners are enough to be agreed on alone
+	slots       int // sum over the candidates
+	domainCount int // number of domains with candidates
+	localCount  int // candidates in this front's domain
+	// preferLocal says that this front's domain has its fair share of the candidates, so
+	// that affinity may be restricted to them without overloading them.
+	preferLocal bool
 }
 
-// candidate is one usable runner.
+// candidate is one usable runner of a service.
 type candidate struct {
 	runner         feed.Runner
 	state          *runnerState
-	slots          int
-	maxConnections int
-	local          bool
+	slots          int  // requests that it processes at a time
+	maxConnections int  // of this front
+	local          bool // in this front's domain
 }
 
-// serviceStats is what was learned of a service as a whole.
+// serviceStats are the measurements of a service. They outlive the topology.
 type serviceStats struct {
-	hadRunners     bool // it has had runners
-	inFlight       int
-	meanInFlight   timeWeightedMean // of out
-	prefill        regression       // milliseconds to the first event by tokens to read
-	duration       average          // milliseconds
+	hadRunners     bool // a runner that appears later has just started
+	inFlight       int  // this front's requests
+	meanInFlight   timeWeightedMean
+	prefill        regression // milliseconds to the first event over uncached prompt tokens
+	duration       average    // milliseconds
 	routeDurations map[string]*average
-	arrivals       rateCounter // queries
-	prefillTokens  rateCounter // new tokens of prompts
+	arrivals       rateCounter // requests
+	prefillTokens  rateCounter // uncached prompt tokens
 }
 
-// runnerState is what this front knows of one life of a runner.
+// runnerState is what this front knows of one life of a runner, that is of one process
+// at one address. It outlives the topology.
 type runnerState struct {
-	hash             uint64
-	lastListed       time.Duration // when it was last on the list
-	listed           bool
-	inFlight         int
-	meanInFlight     timeWeightedMean // of out
+	hash             uint64        // of runnerKey, the same at every front
+	lastListed       time.Duration // when it was last on the runner list
+	listed           bool          // it is on the newest list
+	inFlight         int           // this front's requests
+	meanInFlight     timeWeightedMean
 	openConnections  connectionEstimate
-	pendingPrefill   float64 // tokens of prompts whose first event has not come
+	pendingPrefill   float64 // uncached prompt tokens of requests without a first event
 	arrivals         rateCounter
 	slowStart        slowStart
 	health           health
-	excessLatency    decayingMean // milliseconds over what is usual; of plain work, in parts of it
+	excessLatency    decayingMean // over the expectation: milliseconds for models, a fraction for plain work
 	reportedLoad     runnerpool.Load
 	reportedAt       time.Duration
-	inFlightAtReport int
+	inFlightAtReport int // this front's requests when the load was reported
 	hasReport        bool
-	misdirected      bool
+	misdirected      bool // another runner has its address
 
-	affinityEpoch uint64 // of depth and kept
-	cachedDepth   int
-	cachedTokens  int
+	// The following are valid if affinityEpoch is that of the balancer.
+	affinityEpoch uint64
+	cachedDepth   int // leading parts of the prompt that are cached completely
+	cachedTokens  int // leading tokens of the prompt that are cached
 }
 
-// Update replaces what the choices rest on: to be called on every newer view or
-// routing and whenever the live fronts change.
+// Update replaces the state that choices rest on. Call it on every newer view or
+// routing and whenever the set of live fronts changes. A state without view or routing
+// is ignored.
 //
-//	choices.Update(balancer.State{View: view, Routes: routes, Fronts: 6})
+//	runners.Update(balancer.State{View: view, Routing: routing, FrontCount: 6})
 func (balancer *Balancer) Update(state State) {
 	if state.View == nil || state.Routing == nil {
 		return
@@ -95,13 +106,26 @@
 	now := balancer.elapsed()
 	balancer.fronts.update(state, now)
 	restored := balancer.restoredDomains(state.View)
+	next := balancer.newTopology(state)
+	balancer.addRunners(state, next, restored, now)
+	for _, pool := range next.services {
+		pool.countDomains()
+	}
+	balancer.dropUnused(next, now)
+	balancer.topology.Store(next)
+	balancer.serveQueue(now)
+}
+
+// newTopology returns a topology with the routes and services of a state and without
+// runners.
+func (balancer *Balancer) newTopology(state State) *topology {
 	next := &topology{services: map[string]*servicePool{}, routes: map[string]*config.Route{}, usable: map[*runnerState]bool{}, frontCount: max(1, state.FrontCount)}
-	for at := range state.Routing.Routes {
-		route := &state.Routing.Routes[at]
+	for index := range state.Routing.Routes {
+		route := &state.Routing.Routes[index]
 		next.routes[route.Name] = route
 	}
-	for at := range state.Routing.Services {
-		service := &state.Routing.Services[at]
+	for index := range state.Routing.Services {
+		service := &state.Routing.Services[index]
 		stats, known := balancer.services[service.Name]
 		if !known {
 			stats = &serviceStats{routeDurations: map[string]*average{}}
@@ -109,60 +133,29 @@
 		}
 		next.services[service.Name] = &servicePool{service: service, stats: stats}
 	}
-	for _, one := range balancer.runners {
-		one.listed = false
-	}
-	balancer.addRunners(state, next, restored, now)
-	for key, one := range balancer.runners {
-		if !one.listed && one.inFlight == 0 && now-one.lastListed > runnerStateRetention {
-			delete(balancer.runners, key)
-		}
-	}
-	for name := range balancer.roundRobin {
-		if next.routes[name] == nil {
-			delete(balancer.roundRobin, name)
-		}
-	}
-	for name := range balancer.services {
-		if next.services[name] == nil {
-			delete(balancer.services, name)
-		}
-	}
-	balancer.topology.Store(next)
-	balancer.serveQueue(now)
+	return next
 }
 
-// addRunners puts the usable runners of a view into the groups of a table.
+// addRunners adds the usable runners of a view to a topology and updates the slow start
+// of all its runners.
 func (balancer *Balancer) addRunners(state State, next *topology, restored map[string]bool, now time.Duration) {
+	for _, known := range balancer.runners {
+		known.listed = false
+	}
 	for _, runner := range state.View.Runners {
 		pool := next.services[runner.Group]
 		if pool == nil {
 			continue
 		}
-		one, found := balancer.runners[runnerKey(runner)]
-		if !found {
-			one = &runnerState{hash: hashOf(runnerKey(runner))}
-			one.slowStart.share = balancer.fronts.shareOf(one.hash, pool.service.WarmUpRate, balancer.seed, now)
-			balancer.runners[runnerKey(runner)] = one
-		}
-		fresh := !found && pool.stats.hadRunners || found && runner.Life == "" && one.lastListed != balancer.fronts.lastUpdate
-		one.slowStart.observe(runner, pool.service, fresh, restored[runner.Domain], now)
-		one.slowStart.share.set(balancer.fronts.current.shareOf(one.hash, pool.service.WarmUpRate, balancer.seed), now)
-		one.lastListed, one.listed = now, true
-		if runner.State == feed.StateDraining || state.View.DomainDrained(runner.Domain) || one.misdirected {
+		known := balancer.observeRunner(runner, pool, restored[runner.Domain], now)
+		if runner.State == feed.StateDraining || state.View.DomainDrained(runner.Domain) || known.misdirected {
 			continue
 		}
-		slots := int(runner.Slots)
-		if slots == 0 && pool.service.Engine != nil {
-			slots = pool.service.Engine.Slots
-		}
-		if slots <= 0 {
-			slots = defaultSlots
-		}
-		next.usable[one] = true
+		slots := slotsOf(runner, pool.service)
+		next.usable[known] = true
 		pool.slots += slots
 		pool.candidates = append(pool.candidates, candidate{
-			runner: runner, state: one, slots: slots, local: runner.Domain == balancer.domain,
+			runner: runner, state: known, slots: slots, local: runner.Domain == balancer.domain,
 			maxConnections: connectionLimit(pool.service, next.frontCount),
 		})
 	}
@@ -172,26 +165,81 @@
 			pool.stats.hadRunners = true
 		}
 	}
-	for _, one := range next.services {
-		domains, near := map[string]bool{}, 0
-		for _, candidate := range one.candidates {
-			domains[candidate.runner.Domain] = true
-			if candidate.local {
-				near++
-			}
+}
+
+// observeRunner records that a runner is on the newest list and returns its state.
+func (balancer *Balancer) observeRunner(runner feed.Runner, pool *servicePool, restored bool, now time.Duration) *runnerState {
+	key, rate := runnerKey(runner), pool.service.WarmUpRate
+	known, found := balancer.runners[key]
+	if !found {
+		known = &runnerState{hash: hashOf(key)}
+		known.slowStart.share = balancer.fronts.shareOf(known.hash, rate, balancer.seed, now)
+		balancer.runners[key] = known
+	}
+	// A runner is new if its life is, unless this front itself is new to the service.
+	// Without a life, one that was missing from the previous list may have restarted.
+	fresh := !found && pool.stats.hadRunners || found && runner.Life == "" && known.lastListed != balancer.fronts.lastUpdate
+	known.slowStart.observe(runner, pool.service, fresh, restored, now)
+	known.slowStart.share.set(balancer.fronts.current.shareOf(known.hash, rate, balancer.seed), now)
+	known.lastListed, known.listed = now, true
+	return known
+}
+
+// countDomains fills in how the candidates are spread over the domains.
+func (pool *servicePool) countDomains() {
+	domains, local := map[string]bool{}, 0
+	for _, candidate := range pool.candidates {
+		domains[candidate.runner.Domain] = true
+		if candidate.local {
+			local++
+		}
+	}
+	pool.domainCount, pool.localCount = len(domains), local
+	pool.preferLocal = 2*local*len(domains) >= len(pool.candidates) && local > 0
+}
+
+// dropUnused drops the measurements of runners that left the list a while ago, and the
+// state of routes and services that no longer exist.
+func (balancer *Balancer) dropUnused(next *topology, now time.Duration) {
+	for key, known := range balancer.runners {
+		if !known.listed && known.inFlight == 0 && now-known.lastListed > runnerStateRetention {
+			delete(balancer.runners, key)
+		}
+	}
+	for name := range balancer.roundRobin {
+		if next.routes[name] == nil {
+			delete(balancer.roundRobin, name)
 		}
-		one.domainCount, one.localCount = len(domains), near
-		one.preferLocal = 2*near*len(domains) >= len(one.candidates) && near > 0
 	}
+	for name := range balancer.services {
+		if next.services[name] == nil {
+			delete(balancer.services, name)
+		}
+	}
+}
+
+// slotsOf returns how many requests a runner processes at a time.
+func slotsOf(runner feed.Runner, service *config.Service) int {
+	slots := int(runner.Slots)
+	if slots == 0 && service.Engine != nil {
+		slots = service.Engine.Slots
+	}
+	if slots <= 0 {
+		slots = defaultSlots
+	}
+	return slots
 }
 
-func connectionLimit(service *config.Service, fronts int) int {
+// connectionLimit returns how many connections one of so many fronts may open to a
+// runner of a service.
+func connectionLimit(service *config.Service, frontCount int) int {
 	if service.MaxConnections <= 0 {
 		return math.MaxInt32
 	}
-	return max(minConnections, int(sharedConnectionFraction*float64(service.MaxConnections)/float64(fronts)))
+	return max(minConnections, int(sharedConnectionFraction*float64(service.MaxConnections)/float64(frontCount)))
 }
 
+// runnerKey identifies one life of a runner, or its address if no life is known.
 func runnerKey(runner feed.Runner) string {
 	if runner.Life != "" {
 		return runner.Life
@@ -199,8 +247,9 @@
 	return runner.Group + "/" + runner.Address
 }
 
-// refilled tells which domains take work again since the last view: their runners may
-// have become cold in the meantime.
+// restoredDomains returns the domains that were drained before this view and now take
+// work again, and remembers the domains of the view. Their runners may have gone cold
+// while they were idle. A drain and restore between two views shows in Since.
 func (balancer *Balancer) restoredDomains(view *feed.View) map[string]bool {
 	restored := map[string]bool{}
 	for _, domain := range view.Domains {
@@ -214,25 +263,26 @@
 	return restored
 }
 
-// removeRunner takes a runner out of the table: its address belongs to another one now.
+// removeRunner takes a runner out of the topology before the next Update does: another
+// runner has its address. The counts of domains stay as they were until then.
 func (balancer *Balancer) removeRunner(state *runnerState) {
 	current := balancer.topology.Load()
 	next := &topology{services: map[string]*servicePool{}, routes: current.routes, usable: map[*runnerState]bool{}, frontCount: current.frontCount}
-	for one := range current.usable {
-		if one != state {
-			next.usable[one] = true
+	for known := range current.usable {
+		if known != state {
+			next.usable[known] = true
 		}
 	}
-	for name, one := range current.services {
-		left := *one
-		left.candidates, left.slots = nil, 0
-		for _, candidate := range one.candidates {
+	for name, pool := range current.services {
+		remaining := *pool
+		remaining.candidates, remaining.slots = nil, 0
+		for _, candidate := range pool.candidates {
 			if candidate.state != state {
-				left.candidates = append(left.candidates, candidate)
-				left.slots += candidate.slots
+				remaining.candidates = append(remaining.candidates, candidate)
+				remaining.slots += candidate.slots
 			}
 		}
-		next.services[name] = &left
+		next.services[name] = &remaining
 	}
 	balancer.topology.Store(next)
 }
--- a/system/balancer/types.go
+++ b/system/balancer/types.go
@@ -1,5 +1,3 @@
-// Package balancer chooses the runner that a query is sent to: by what the runner has
-// kept of the prompt, what it bears, how it has answered lately, and how near it is.
 package balancer
 
 import (
@@ -9,54 +7,76 @@
 	"yardrock.example/system/feed"
 )
 
-// PromptPart is a part of a prompt, in order; parts are shared between queries.
+// PromptPart is one part of a prompt. A prompt is a sequence of parts; requests whose
+// prompts begin with the same parts can share a runner's prefix cache.
 type PromptPart struct {
-	Name   string
-	Tokens int
+	Name   string // identifies the content; equal names mean equal content
+	Tokens int    // length of the part
 }
 
-// Request is what a query needs of a runner.
+// Request describes the work for which a runner is wanted.
 type Request struct {
-	Route           *config.Route
-	PromptParts     []PromptPart // of the prompt; nil for plain work
-	Program         string       // "" if the query belongs to none
-	Session         string
-	AffinityKey     string // what the query is about; a runner that has seen it is faster
-	InputTokens     uint64
+	// Route is the matched route. Required.
+	Route *config.Route
+	// PromptParts is the prompt of model work, in order. It is empty for plain work and
+	// for prompts whose parts are not known.
+	PromptParts []PromptPart
+	// Program names the agent program that the request belongs to, Session its session
+	// within the program; both may be empty. Model requests of one program, or else of
+	// one session, are preferably sent to the same runner.
+	Program string
+	Session string
+	// AffinityKey identifies what a plain request is about. On a sticky route, requests
+	// with the same key are preferably sent to the same runner. Empty: no preference.
+	AffinityKey string
+	// InputTokens is the caller's own statement of the prompt's length; the larger of it
+	// and the sum of PromptParts counts.
+	InputTokens uint64
+	// MaxOutputTokens is the caller's limit on generated tokens. Selection does not use it.
 	MaxOutputTokens uint64
-	Deadline        time.Time
-	FinishBy        time.Time // when the program should be over; zero: unknown
-	Excluded        []string  // ids of runners that were tried already
+	// Deadline is when the caller gives up; zero: not known.
+	Deadline time.Time
+	// FinishBy is when the whole program should be finished; zero: not known. It orders
+	// waiting requests of the same urgency; without it Deadline does.
+	FinishBy time.Time
+	// Excluded lists lives or addresses of runners that must not be chosen, such as those
+	// of earlier attempts.
+	Excluded []string
 }
 
-// State is what choices rest on; it is replaced whole.
+// State is the complete input of the selection apart from what the balancer measures
+// itself. Each Update replaces it; the balancer never changes it.
 type State struct {
-	View       *feed.View
-	Routing    *config.Routing
-	FrontCount int // live fronts that share the runners, this one included
-	// FrontName is this front's name and Names those of all live fronts. They may be left
-	// out; with them, more fronts can share a cold runner exactly.
+	View    *feed.View
+	Routing *config.Routing
+	// FrontCount is the number of live fronts that share the runners, including this one.
+	FrontCount int
+	// FrontName is the name of this front and FrontNames those of all live fronts. Both
+	// are optional. With them the fronts agree exactly on which of them may send to a
+	// runner in slow start; without them each front decides by chance, and fewer may send.
 	FrontName  string
 	FrontNames []string
 }
 
-// Outcome tells how a dispatch ended, for the balancer's knowledge of the runner.
+// Outcome is how an attempt ended, as far as it says something about the runner.
 type Outcome int
 
-// The ways a dispatch can end.
+// The outcomes of an attempt.
 const (
-	// NotSent: nothing was sent.
+	// NotSent: no byte of the request was sent.
 	NotSent Outcome = iota
-	// Answered: the runner did its work.
+	// Answered: the runner completed the work.
 	Answered
-	// Rejected: the runner vouched that it did not run the query (full, leaving).
+	// Rejected: the runner stated that it did not run the request, because it is full or
+	// draining.
 	Rejected
-	// Failed: the runner answered with a failure of its own.
+	// Failed: the runner answered with an error of its own.
 	Failed
-	// Lost: the connection was refused or lost, or the answer was broken.
+	// Lost: the connection was refused or broken, or the response was malformed.
 	Lost
-	// Misdirected: another runner has the address now.
+	// Misdirected: another runner now has the address (HTTP status 421).
 	Misdirected
-	// Cancelled: this side or the caller gave up; tells nothing about the runner.
+	// Cancelled: this front or the caller gave up. It counts against the runner only if
+	// the runner had been silent for much longer than expected.
 	Cancelled
 )
--- a/system/balancer/weighted_round_robin.go
+++ b/system/balancer/weighted_round_robin.go
@@ -6,8 +6,10 @@
 	"yardrock.example/system/config"
 )
 
-// pickService turns the wheel of a route over the services that have usable runners: over any
-// span each service's share stays within one of its weight.
+// pickService picks one of a route's services that have candidates, by smooth weighted
+// round-robin: over any sequence of picks each service's count stays within one of its
+// weight's share. The newest definition of the route counts. It returns false if no
+// service has candidates.
 func (balancer *Balancer) pickService(requested *config.Route) (*servicePool, bool) {
 	current := balancer.topology.Load()
 	route := current.routes[requested.Name]
@@ -17,10 +19,10 @@
 	total, usable := 0.0, 0
 	var only *servicePool
 	for _, share := range route.Shares {
-		if one := current.services[share.Service]; one != nil && share.Weight > 0 && len(one.candidates) > 0 {
+		if pool := current.usablePool(share); pool != nil {
 			total += share.Weight
 			usable++
-			only = one
+			only = pool
 		}
 	}
 	if usable <= 1 {
@@ -34,14 +36,14 @@
 	}
 	var best *servicePool
 	for _, share := range route.Shares {
-		one := current.services[share.Service]
-		if one == nil || share.Weight <= 0 || len(one.candidates) == 0 {
+		pool := current.usablePool(share)
+		if pool == nil {
 			delete(credits, share.Service)
 			continue
 		}
 		credits[share.Service] += share.Weight / total
 		if best == nil || credits[share.Service] > credits[best.service.Name] {
-			best = one
+			best = pool
 		}
 	}
 	for name := range credits {
@@ -53,7 +55,16 @@
 	return best, true
 }
 
-// returnPick gives a turn of the wheel back that was not used.
+// usablePool returns the pool of a share that can take requests, or nil.
+func (current *topology) usablePool(share config.WeightedService) *servicePool {
+	pool := current.services[share.Service]
+	if pool == nil || share.Weight <= 0 || len(pool.candidates) == 0 {
+		return nil
+	}
+	return pool
+}
+
+// returnPick undoes a pick that led to no lease.
 func (balancer *Balancer) returnPick(requested *config.Route, service string) {
 	if credits, known := balancer.roundRobin[requested.Name]; known {
 		credits[service]++
