--- a/system/archive/store.go
+++ b/system/archive/store.go
@@ -4,12 +4,9 @@
 package archive
 
 import (
-	"cmp"
 	"crypto/sha256"
 	"encoding/binary"
-	"fmt"
 	"hash/crc32"
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -22,25 +19,8 @@
 	"yardrock.example/system/wire/schema"
 )
 
-const (
-	filePrefix  = "cold-"
-	frameHeader = 8
-)
-
 var checksums = crc32.MakeTable(crc32.Castagnoli)
 
-type chunkLocation struct {
-	file    uint64
-	offset  int64
-	length  int
-	group   uint32
-	first   uint64
-	last    uint64
-	expires int64
-	sum     uint32
-	digest  [sha256.Size]byte
-}
-
 // Store is an open cold store.
 type Store struct {
 	folder vfs.Directory
@@ -84,99 +64,6 @@
 	return store, nil
 }
 
-func fileName(number uint64) string { return fmt.Sprintf("%s%020d", filePrefix, number) }
-
-func (store *Store) readIndex(name string) []wire.ChunkLocation {
-	header, err := store.folder.ReadRange(name, 0, frameHeader)
-	if err != nil {
-		return nil
-	}
-	body, err := store.folder.ReadRange(name, frameHeader, int(binary.LittleEndian.Uint32(header)))
-	if err != nil || crc32.Checksum(body, checksums) != binary.LittleEndian.Uint32(header[4:]) {
-		return nil
-	}
-	var index wire.ArchiveIndex
-	if err := wire.Decode(schema.ColdIndex_TypeID, body, &index); err != nil {
-		return nil
-	}
-	return index.Locations
-}
-
-func (store *Store) addLocation(file uint64, location wire.ChunkLocation) {
-	made := chunkLocation{file: file, offset: int64(location.Offset), length: int(location.Length), group: location.Group, first: location.First, last: location.Last, expires: location.ExpiresAt, sum: location.Checksum}
-	copy(made.digest[:], location.Digest)
-	store.setLocations(location.Session, location.Group, append(slices.Clip(store.locations[location.Session]), made))
-	store.liveChunks[file]++
-}
-
-// setLocations replaces where a line's chunks are, and brings its group's sums up to date.
-func (store *Store) setLocations(name string, group uint32, locations []chunkLocation) {
-	sums, found := store.digests[group]
-	if !found {
-		sums = &sessionlog.BucketDigests{}
-		store.digests[group], store.sessionsByGroup[group] = sums, map[string]bool{}
-	}
-	sums.Toggle(name, contiguousThrough(store.locations[name]))
-	if len(locations) == 0 {
-		delete(store.locations, name)
-		delete(store.sessionsByGroup[group], name)
-		return
-	}
-	store.locations[name] = locations
-	store.sessionsByGroup[group][name] = true
-	sums.Toggle(name, contiguousThrough(locations))
-}
-
-// contiguousThrough tells up to which seq places hold a line without a hole.
-func contiguousThrough(locations []chunkLocation) uint64 {
-	sorted, through := locations, uint64(0)
-	byFirst := func(left, right chunkLocation) int { return cmp.Compare(left.first, right.first) }
-	if !slices.IsSortedFunc(sorted, byFirst) {
-		sorted = slices.SortedFunc(slices.Values(locations), byFirst)
-	}
-	for _, location := range sorted {
-		if location.first > through+1 {
-			break
-		}
-		through = max(through, location.last)
-	}
-	return through
-}
-
-// BucketDigests gives the digests of how far a group's lines are here, one a bucket.
-//
-//	if cold.BucketDigests(7) == view.BucketDigests() { ... }
-func (store *Store) BucketDigests(group uint32) sessionlog.BucketDigests {
-	store.mutex.RLock()
-	defer store.mutex.RUnlock()
-	if sums, found := store.digests[group]; found {
-		return *sums
-	}
-	return sessionlog.BucketDigests{}
-}
-
-// readChunk reads a chunk's events; a damaged or missing one is a gap.
-func (store *Store) readChunk(location chunkLocation) (wire.ArchiveChunk, bool) {
-	body, err := store.folder.ReadRange(fileName(location.file), location.offset, location.length)
-	if err != nil || crc32.Checksum(body, checksums) != location.sum {
-		return wire.ArchiveChunk{}, false
-	}
-	var batch wire.ArchiveChunkBatch
-	if err := wire.Decode(schema.ColdChunkBatch_TypeID, body, &batch); err != nil || len(batch.Chunks) != 1 {
-		return wire.ArchiveChunk{}, false
-	}
-	return batch.Chunks[0], true
-}
-
-// Covers tells whether a chunk's range is here, as part of one.
-//
-//	if cold.Covers(wire.ArchiveChunk{Line: "team/c-1", First: 1, Last: 9}) { ... }
-func (store *Store) Covers(chunk wire.ArchiveChunk) bool {
-	store.mutex.RLock()
-	defer store.mutex.RUnlock()
-	return slices.ContainsFunc(store.locations[chunk.Session], func(location chunkLocation) bool { return location.first <= chunk.First && location.last >= chunk.Last })
-}
-
 // Put stores chunks and returns once they last. What is there already is not
 // written again.
 //
@@ -258,94 +145,11 @@
 	return events, nil
 }
 
-// RangeDigests lists the ranges of some buckets of a group with their digests.
+// Covers tells whether a chunk's range is here, as part of one.
 //
-//	ranges := cold.RangeDigests(7, []uint32{0, 12})
-func (store *Store) RangeDigests(group uint32, buckets []uint32) []wire.RangeDigest {
+//	if cold.Covers(wire.ArchiveChunk{Line: "team/c-1", First: 1, Last: 9}) { ... }
+func (store *Store) Covers(chunk wire.ArchiveChunk) bool {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
-	ranges := []wire.RangeDigest{}
-	for name := range store.sessionsByGroup[group] {
-		if !slices.Contains(buckets, uint32(sessionlog.BucketOf(name))) {
-			continue
-		}
-		for _, location := range store.locations[name] {
-			ranges = append(ranges, wire.RangeDigest{Session: name, First: location.first, Last: location.last, Digest: location.digest[:]})
-		}
-	}
-	return ranges
-}
-
-// Expire forgets chunks whose keeping time is over by their group's clock and
-// removes files in which nothing counts any more. Live tells whether a line is still
-// kept by its group. A group that has no clock here keeps what it has.
-//
-//	err := cold.Expire(clock, func(name string) bool { return known(name) })
-func (store *Store) Expire(clock func(group uint32) int64, retained func(name string) bool) error {
-	store.mutex.Lock()
-	defer store.mutex.Unlock()
-	clocks := map[uint32]int64{}
-	unexpired := func(location chunkLocation) bool {
-		now, known := clocks[location.group]
-		if !known {
-			now = clock(location.group)
-			clocks[location.group] = now
-		}
-		return location.expires > now
-	}
-	for name, locations := range store.locations {
-		if slices.ContainsFunc(locations, unexpired) || retained(name) {
-			continue
-		}
-		for _, location := range locations {
-			store.liveChunks[location.file]--
-		}
-		store.setLocations(name, locations[0].group, nil)
-	}
-	for number, count := range store.liveChunks {
-		if count == 0 {
-			if err := store.folder.Remove(fileName(number)); err != nil {
-				return err
-			}
-			delete(store.liveChunks, number)
-		}
-	}
-	return nil
-}
-
-// Scrub reads the next so many chunks again and drops from the index what has
-// rotted, so that repair finds the hole.
-//
-//	dropped := cold.Scrub(256)
-func (store *Store) Scrub(maxChunks int) int {
-	store.mutex.RLock()
-	names := slices.Sorted(maps.Keys(store.locations))
-	store.mutex.RUnlock()
-	from, found := slices.BinarySearch(names, store.scrubCursor)
-	if found {
-		from++
-	}
-	dropped, checked := 0, 0
-	for _, name := range names[from:] {
-		if checked >= maxChunks {
-			return dropped
-		}
-		store.scrubCursor = name
-		store.mutex.RLock()
-		locations := store.locations[name]
-		store.mutex.RUnlock()
-		for _, location := range locations {
-			checked++
-			if _, intact := store.readChunk(location); intact {
-				continue
-			}
-			dropped++
-			store.mutex.Lock()
-			store.setLocations(name, location.group, slices.DeleteFunc(slices.Clone(store.locations[name]), func(one chunkLocation) bool { return one == location }))
-			store.liveChunks[location.file]--
-			store.mutex.Unlock()
-		}
-	}
-	store.scrubCursor = "" // begin anew with the next call
-	return dropped
+	return slices.ContainsFunc(store.locations[chunk.Session], func(location chunkLocation) bool { return location.first <= chunk.First && location.last >= chunk.Last })
 }
--- a/system/sessionlog/shared_prefixes.go
+++ b/system/sessionlog/shared_prefixes.go
@@ -10,8 +10,6 @@
 	"strings"
 	"time"
 	"unique"
-
-	"github.com/benbjohnson/immutable"
 )
 
 const (
@@ -46,14 +44,6 @@
 // prefixContent is compared byte for byte, and never across scopes.
 type prefixContent struct{ scope, data string }
 
-// SharedPrefixRecord is an opening as checkpoints carry it.
-type SharedPrefixRecord struct {
-	Name  string `capnp:"name"`
-	Scope string `capnp:"scope"`
-	Data  []byte `capnp:"data"`
-	Until int64  `capnp:"until"`
-}
-
 // SharedPrefixName names an opening by its scope, its length and a digest.
 //
 //	name := line.SharedPrefixName("identity", data)
@@ -138,32 +128,6 @@
 	return prefix.References == 0 && prefix.KeepUntil < clock
 }
 
-// setPrefix puts an opening into the view, in place of one of its name.
-func (view *View) setPrefix(prefix *SharedPrefix) {
-	view.removePrefix(prefix)
-	view.prefixes = view.prefixes.Set(prefix.Name, prefix)
-	known, _ := view.prefixesByScope.Get(prefix.Scope)
-	known = append(slices.Clip(known), prefix)
-	slices.SortFunc(known, func(left, right *SharedPrefix) int {
-		if left.Size != right.Size {
-			return int(right.Size) - int(left.Size)
-		}
-		return strings.Compare(left.Name, right.Name)
-	})
-	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, known)
-}
-
-func (view *View) removePrefix(prefix *SharedPrefix) {
-	view.prefixes = view.prefixes.Delete(prefix.Name)
-	known, _ := view.prefixesByScope.Get(prefix.Scope)
-	others := slices.DeleteFunc(slices.Clone(known), func(one *SharedPrefix) bool { return one.Name == prefix.Name })
-	if len(others) == 0 {
-		view.prefixesByScope = view.prefixesByScope.Delete(prefix.Scope)
-		return
-	}
-	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, others)
-}
-
 // sharePrefix holds an opening from now on, or mends a damaged copy of it, and refers
 // those lines to it that are named and still have it whole before them.
 func (view *View) sharePrefix(command *Command) Outcome {
@@ -192,10 +156,6 @@
 	return Outcome{Deduped: found}
 }
 
-func internContent(scope string, data []byte) unique.Handle[prefixContent] {
-	return unique.Make(prefixContent{scope, string(data)})
-}
-
 // factorOutPrefix refers the first turns of a line to an opening that they hold whole, byte for
 // byte, as far as they are not archived. Views that were published keep what they had.
 func (view *View) factorOutPrefix(sessionName, name string, data []byte) {
@@ -220,6 +180,19 @@
 	view.sessions = view.sessions.Set(sessionName, &session)
 }
 
+// beginTurnWithPrefix is beginTurn with an input that begins with an opening of the same
+// scope. One that is not held (any more) begins nothing.
+func (view *View) beginTurnWithPrefix(command *Command) Outcome {
+	if _, repeat := view.Turn(command.Session, command.Producer); !repeat {
+		prefix, found := view.prefixes.Get(command.Prefix)
+		if !found || prefix.Scope != command.Scope || command.Follows != "" || !command.KeepData {
+			session := view.sessionToChange(command)
+			return session.outcome(UnknownPrefix, 0, false)
+		}
+	}
+	return view.beginTurn(command)
+}
+
 // addPrefixReference counts a line that is not published yet among those that refer to an opening.
 func (view *View) addPrefixReference(session *Session, name string) {
 	if slices.Contains(session.Prefixes, name) {
@@ -256,44 +229,32 @@
 	}
 }
 
-// beginTurnWithPrefix is beginTurn with an input that begins with an opening of the same
-// scope. One that is not held (any more) begins nothing.
-func (view *View) beginTurnWithPrefix(command *Command) Outcome {
-	if _, repeat := view.Turn(command.Session, command.Producer); !repeat {
-		prefix, found := view.prefixes.Get(command.Prefix)
-		if !found || prefix.Scope != command.Scope || command.Follows != "" || !command.KeepData {
-			session := view.sessionToChange(command)
-			return session.outcome(UnknownPrefix, 0, false)
+// setPrefix puts an opening into the view, in place of one of its name.
+func (view *View) setPrefix(prefix *SharedPrefix) {
+	view.removePrefix(prefix)
+	view.prefixes = view.prefixes.Set(prefix.Name, prefix)
+	known, _ := view.prefixesByScope.Get(prefix.Scope)
+	known = append(slices.Clip(known), prefix)
+	slices.SortFunc(known, func(left, right *SharedPrefix) int {
+		if left.Size != right.Size {
+			return int(right.Size) - int(left.Size)
 		}
-	}
-	return view.beginTurn(command)
+		return strings.Compare(left.Name, right.Name)
+	})
+	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, known)
 }
 
-func (view *View) prefixRecords() []SharedPrefixRecord {
-	var records []SharedPrefixRecord
-	for prefix := range view.SharedPrefixes() {
-		records = append(records, SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil})
+func (view *View) removePrefix(prefix *SharedPrefix) {
+	view.prefixes = view.prefixes.Delete(prefix.Name)
+	known, _ := view.prefixesByScope.Get(prefix.Scope)
+	others := slices.DeleteFunc(slices.Clone(known), func(one *SharedPrefix) bool { return one.Name == prefix.Name })
+	if len(others) == 0 {
+		view.prefixesByScope = view.prefixesByScope.Delete(prefix.Scope)
+		return
 	}
-	return records
+	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, others)
 }
 
-// restorePrefixes makes the openings anew, with those whose content is not what their name says
-// marked as damaged, and counts the lines that refer to each.
-func (view *View) restorePrefixes(snapshot Snapshot) {
-	references := map[string]uint64{}
-	for _, session := range snapshot.Sessions {
-		for _, name := range session.Prefixes {
-			references[name]++
-		}
-	}
-	view.prefixes, view.prefixesByScope = immutable.NewMap[string, *SharedPrefix](nil), immutable.NewMap[string, []*SharedPrefix](nil)
-	for _, record := range snapshot.Prefixes {
-		prefix := &SharedPrefix{Name: record.Name, Scope: record.Scope, KeepUntil: record.Until, References: references[record.Name], Corrupt: SharedPrefixName(record.Scope, record.Data) != record.Name}
-		_, size, _ := strings.Cut(record.Name, "-")
-		prefix.Size, _ = strconv.ParseUint(size, 10, 64) // a name that tells none is damaged
-		if !prefix.Corrupt {
-			prefix.content = internContent(record.Scope, record.Data)
-		}
-		view.setPrefix(prefix)
-	}
+func internContent(scope string, data []byte) unique.Handle[prefixContent] {
+	return unique.Make(prefixContent{scope, string(data)})
 }
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -2,8 +2,6 @@
 
 import (
 	"slices"
-
-	"github.com/benbjohnson/immutable"
 )
 
 // Turn is one turn of a program as of a view. It is never changed once published. One
@@ -25,19 +23,6 @@
 	Tokens uint64
 }
 
-// TurnRecord is a turn as checkpoints carry it.
-type TurnRecord struct {
-	Session  string
-	Name     string
-	Seq      uint64
-	EndSeq   uint64
-	Follows  string
-	Outcome  string
-	Dispatch string
-	Deadline int64
-	Tokens   uint64
-}
-
 // Chain gives the turns that lead to this one and itself, oldest first.
 //
 //	for _, turn := range followed.Chain() { ... }
@@ -91,60 +76,6 @@
 	return known[0], true
 }
 
-// indexTurn puts a turn into the index, in place of what its line knew under its name.
-func (view *View) indexTurn(turn *Turn) {
-	known, _ := view.turns.Get(turn.Name)
-	others := slices.DeleteFunc(slices.Clone(known), func(one *Turn) bool { return one.Session == turn.Session })
-	view.turns = view.turns.Set(turn.Name, append(others, turn))
-}
-
-func (view *View) removeTurns(session *Session) {
-	for _, name := range session.Turns {
-		known, _ := view.turns.Get(name)
-		others := slices.DeleteFunc(slices.Clone(known), func(one *Turn) bool { return one.Session == session.Name })
-		if len(others) == 0 {
-			view.turns = view.turns.Delete(name)
-		} else {
-			view.turns = view.turns.Set(name, others)
-		}
-	}
-}
-
-// appendEvent adds an event to a session that is not published yet. Only the newest session of
-// a line is ever added to, so sessions of earlier views share the events before it.
-func (session *Session) appendEvent(event Event) uint64 {
-	session.Head++
-	event.Seq = session.Head
-	session.Unarchived = append(session.Unarchived, event)
-	return event.Seq
-}
-
-// sessionToChange copies a line to be changed, or makes it, as of the group's clock.
-func (view *View) sessionToChange(command *Command) Session {
-	session := Session{Name: command.Session, Team: command.Team, Program: command.Program, WorkKind: command.WorkKind, CreatedAt: view.clock}
-	if existing, found := view.sessions.Get(command.Session); found {
-		session = *existing
-	}
-	session.Retention = max(session.Retention, command.Retention)
-	session.UpdatedAt = view.clock
-	return session
-}
-
-// setSession puts a changed line into the view.
-func (view *View) setSession(session *Session) {
-	if _, found := view.sessions.Get(session.Name); !found {
-		view.expiries = view.expiries.Set(expiryKey(session), session.Name)
-	}
-	view.sessions = view.sessions.Set(session.Name, session)
-	if _, unarchived := view.unarchived.Get(session.Name); !unarchived {
-		view.unarchived = view.unarchived.Set(session.Name, struct{}{})
-	}
-}
-
-func (session *Session) outcome(status Status, seq uint64, deduped bool) Outcome {
-	return Outcome{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
-}
-
 // beginTurn makes the line if it is absent, reserves what the turn may put out and
 // begins the turn, or does none of it. What is reserved counts as spent.
 func (view *View) beginTurn(command *Command) Outcome {
@@ -289,35 +220,25 @@
 	return session.outcome(Done, turn.Seq, false)
 }
 
-func (view *View) appendTurnRecords(records []TurnRecord, session *Session) []TurnRecord {
-	for _, name := range session.Turns {
-		turn, found := view.Turn(session.Name, name)
-		if !found {
-			continue
-		}
-		record := TurnRecord{Session: turn.Session, Name: turn.Name, Seq: turn.Seq, EndSeq: turn.EndSeq, Outcome: turn.Outcome, Dispatch: turn.Dispatch, Deadline: turn.Deadline, Tokens: turn.Tokens}
-		if turn.Follows != nil {
-			record.Follows = turn.Follows.Name
-		}
-		records = append(records, record)
-	}
-	return records
+func (session *Session) outcome(status Status, seq uint64, deduped bool) Outcome {
+	return Outcome{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
 }
 
-// indexTurnRecords makes the index of turns anew; each turn comes after the one that it
-// follows.
-func indexTurnRecords(records []TurnRecord) *immutable.Map[string, []*Turn] {
-	type key struct{ session, name string }
-	made, turns := map[key]*Turn{}, map[string][]*Turn{}
-	for _, record := range records {
-		turn := &Turn{Session: record.Session, Name: record.Name, Seq: record.Seq, EndSeq: record.EndSeq, Outcome: record.Outcome, Dispatch: record.Dispatch, Deadline: record.Deadline, Tokens: record.Tokens,
-			Follows: made[key{record.Session, record.Follows}]}
-		made[key{record.Session, record.Name}] = turn
-		turns[record.Name] = append(turns[record.Name], turn)
-	}
-	builder := immutable.NewMapBuilder[string, []*Turn](nil)
-	for name, known := range turns {
-		builder.Set(name, known)
+// indexTurn puts a turn into the index, in place of what its line knew under its name.
+func (view *View) indexTurn(turn *Turn) {
+	known, _ := view.turns.Get(turn.Name)
+	others := slices.DeleteFunc(slices.Clone(known), func(one *Turn) bool { return one.Session == turn.Session })
+	view.turns = view.turns.Set(turn.Name, append(others, turn))
+}
+
+func (view *View) removeTurns(session *Session) {
+	for _, name := range session.Turns {
+		known, _ := view.turns.Get(name)
+		others := slices.DeleteFunc(slices.Clone(known), func(one *Turn) bool { return one.Session == session.Name })
+		if len(others) == 0 {
+			view.turns = view.turns.Delete(name)
+		} else {
+			view.turns = view.turns.Set(name, others)
+		}
 	}
-	return builder.Map()
 }
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -167,3 +167,13 @@
 	log.WithFields(log.Fields{"node": node.Name(), "group": group, "peer": peer, "holes": len(missing)}).Info("cold_mended")
 	return complete
 }
+
+func (node *Node) handleGetArchived(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	events, err := node.archiveStore.Read(query.ReadArchive.Session, query.ReadArchive.After, query.ReadArchive.Through)
+	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, err
+}
+
+func (node *Node) handleDigests(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	digests := node.archiveStore.BucketDigests(query.Digests.Group)
+	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{BucketDigests: digests[:], Ranges: node.archiveStore.RangeDigests(query.Digests.Group, query.Digests.Buckets)}}, nil
+}
--- a/system/store/group_clock.go
+++ b/system/store/group_clock.go
@@ -1,6 +1,8 @@
 package store
 
-import "time"
+import (
+	"time"
+)
 
 // clockAnchor ties a group's clock to this process's steady clock.
 type clockAnchor struct {
--- a/system/store/shared_prefix_merge.go
+++ b/system/store/shared_prefix.go
@@ -45,23 +45,6 @@
 	log.WithFields(log.Fields{"node": node.Name(), "group": group, "scope": scope, "opening": sessionlog.SharedPrefixName(scope, data), "bytes": len(data), "lines": len(sessions)}).Info("opening_merged")
 }
 
-func (node *Node) propose(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
-	defer cancel()
-	outcomes, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)})
-	if err != nil {
-		return applyResult{}, err
-	}
-	return outcomes[0].(applyResult), nil
-}
-
-// beginWithFullInput begins a turn with its whole input: the opening that it was to refer to was
-// freed meanwhile, and nothing had begun.
-func (node *Node) beginWithFullInput(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
-	command.Now = node.clock(group)
-	return node.propose(ctx, group, command)
-}
-
 // fullData gives all of an event's data as of a view. A damaged opening is mended first; if
 // it can't be, nothing shorter is given.
 func (node *Node) fullData(ctx context.Context, group uint32, view *sessionlog.View, event *sessionlog.Event) ([]byte, error) {
@@ -133,22 +116,3 @@
 	}
 	return &wire.Reply{Which: schema.Reply_Which_opening, SharedPrefix: &sessionlog.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
 }
-
-func (node *Node) prefixStatuses(group uint32) []wire.SharedPrefixStatus {
-	statuses := []wire.SharedPrefixStatus{}
-	for prefix := range node.stateMachine(group).View().SharedPrefixes() {
-		statuses = append(statuses, wire.SharedPrefixStatus{Name: prefix.Name, Scope: prefix.Scope, Size: prefix.Size, References: prefix.References, Corrupt: prefix.Corrupt})
-	}
-	return statuses
-}
-
-// StateMachine gives the state machine of a group that has a replica here, for tests that
-// damage it; nil is none.
-//
-//	view := node.StateMachine(3).View()
-func (node *Node) StateMachine(group uint32) *sessionlog.StateMachine {
-	if machine := node.stateMachine(group); machine != nil {
-		return machine.StateMachine
-	}
-	return nil
-}
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -57,3 +57,11 @@
 	reported.Voters, reported.Learners = status.Membership.Voters, status.Membership.Learners
 	return reported
 }
+
+func (node *Node) prefixStatuses(group uint32) []wire.SharedPrefixStatus {
+	statuses := []wire.SharedPrefixStatus{}
+	for prefix := range node.stateMachine(group).View().SharedPrefixes() {
+		statuses = append(statuses, wire.SharedPrefixStatus{Name: prefix.Name, Scope: prefix.Scope, Size: prefix.Size, References: prefix.References, Corrupt: prefix.Corrupt})
+	}
+	return statuses
+}
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -11,18 +11,6 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// setExpectedSeq gives the beginning of a turn the position that it counts on: where the turn
-// that it follows ended. The state machine checks it.
-func (node *Node) setExpectedSeq(group uint32, command *sessionlog.Command) {
-	machine := node.stateMachine(group)
-	if command.Kind != sessionlog.BeginTurn || command.Follows == "" || machine == nil {
-		return
-	}
-	if followed, found := machine.View().Turn(command.Session, command.Follows); found && followed.Complete() {
-		command.HasExpectedSeq, command.ExpectedSeq = true, followed.EndSeq
-	}
-}
-
 // history joins the bytes of the turns that a turn follows, oldest first: each turn's
 // input, then its output. It is whole or not at all.
 func (node *Node) history(ctx context.Context, group uint32, view *sessionlog.View, sessionName, name string) ([]byte, error) {
