--- a/system/feed/config_delta.go
+++ b/system/feed/config_delta.go
@@ -14,9 +14,6 @@
 // holds it needs a whole view.
 var ErrBaseMismatch = errors.New("the difference of the config does not fit the config held")
 
-// ErrGap tells that changes do not follow on the view held.
-var ErrGap = errors.New("the changes do not follow on the view held")
-
 // ConfigDelta is a config as the difference from the one of the number Base. Digest is that
 // of the config it gives. The zero value is no difference.
 type ConfigDelta struct {
