--- a/system/feed/change_history.go
+++ b/system/feed/change_history.go
@@ -2,33 +2,35 @@
 
 import "slices"
 
-// Limits of a History. It is bounded by bytes, so that what a control node holds depends on
-// what is in force and not on how many changes led there.
+// Limits of a History. They are in bytes of memory, so that what a control node holds depends
+// on what is in force and not on how many changes led there (docs/consistency/feed.md).
 const (
-	maxChangesBytes = 1 << 20
-	maxChanges      = 512
-	maxEarlierBytes = 1 << 20
-	changeOverhead  = 512 // of the fixed fields of a change
-	requestSize     = 16
-	itemOverhead    = 128 // of a runner or member beside its texts
+	maxChangesBytes = 1 << 20 // of the last changes together
+	maxChanges      = 512     // and their number
+	maxEarlierBytes = 1 << 20 // of the earlier configs together
+	changeOverhead  = 512     // the fixed fields of a change
+	requestSize     = 16      // a remembered request
+	itemOverhead    = 128     // a runner or member without its texts
 )
 
-// EarlierConfig is a config that was in force before, as the difference from the one that
-// replaced it, whose number is the Base of the difference.
+// EarlierConfig is a config that was once in force, encoded as the difference from the one
+// that replaced it; the Base of the difference is the number of that one.
 type EarlierConfig struct {
 	Number uint64      `capnp:"number"`
 	Delta  ConfigDelta `capnp:"delta"`
 }
 
-// History is how a view came about: its last changes, which bring followers up to date, and
-// the configs before the one in force, which can be restored. It is never changed in place.
+// History is how a view came about. It is immutable: With makes a new one.
 type History struct {
+	// Changes are the last changes, oldest first, without gaps. Followers that lag behind
+	// catch up by them.
 	Changes []Change
+	// Earlier are the configs before the one in force, oldest first, which can be restored.
 	Earlier []EarlierConfig
 }
 
-// With gives the history after a change that turned one view into another. What does not
-// fit its budget any more is dropped, the oldest first.
+// With returns the history after a change that turned one view into another. The oldest
+// parts that exceed the limits are dropped.
 //
 //	history = history.With(&before, &after, change)
 func (history History) With(before, after *View, change Change) History {
@@ -45,8 +47,8 @@
 	return next
 }
 
-// earlierConfigsWith adds the config that was replaced. If its difference does not fit, those
-// before it cannot be reached any more.
+// earlierConfigsWith appends the config that was replaced. If its difference exceeds the
+// limit all earlier ones are dropped too, as they are only reachable through it.
 func (history History) earlierConfigsWith(before, after *View) []EarlierConfig {
 	difference, fits := NewConfigDelta(after, before.Source, before.Compiled, maxEarlierBytes)
 	if !fits {
@@ -56,7 +58,8 @@
 	return newestWithin(append(slices.Clip(history.Earlier), earlier), maxEarlierBytes, EarlierConfig.size)
 }
 
-// newestWithin gives the last items that fit a budget, in memory of their own.
+// newestWithin returns the last items whose sizes fit a budget. They are copied when some
+// are dropped, so that the dropped ones do not stay in memory.
 func newestWithin[Item any](items []Item, budget int, size func(Item) int) []Item {
 	first := len(items)
 	for first > 0 && size(items[first-1]) <= budget {
@@ -69,7 +72,7 @@
 	return slices.Clone(items[first:])
 }
 
-// size is about how many bytes a change takes in memory.
+// size estimates how many bytes a change takes in memory.
 func (change Change) size() int {
 	size := changeOverhead + len(change.Source) + len(change.Compiled) + change.Delta.size() + len(change.By) + len(change.Statement)
 	size += requestSize * len(change.RoutingRequests)
@@ -85,10 +88,12 @@
 	return size
 }
 
+// size estimates how many bytes an earlier config takes in memory.
 func (earlier EarlierConfig) size() int { return itemOverhead + earlier.Delta.size() }
 
-// ConfigAt gives the config of a number, if it is kept: the one in force in a view, or one
-// before it.
+// ConfigAt returns the config that the change of a number brought, where view is the newest
+// view. Kept is false if no config has that number or it was dropped. The error is
+// ErrBaseMismatch if the history is damaged.
 //
 //	source, compiled, kept, err := history.ConfigAt(view, 17)
 func (history History) ConfigAt(view *View, number uint64) (source string, compiled []byte, kept bool, err error) {
@@ -105,9 +110,11 @@
 	return at.Source, at.Compiled, at.ConfigNumber == number && number > 0, nil
 }
 
-// NewestCommand is the number of the newest change that stores must have synced.
+// NewestCommand returns the number of the newest change that is not an observation, which a
+// majority of the stores must sync before it is acknowledged. If the history has none it
+// returns the highest number that it can have.
 //
-//	ordered := history.NewestCommand(view)
+//	number := history.NewestCommand(view)
 func (history History) NewestCommand(view *View) uint64 {
 	for _, change := range slices.Backward(history.Changes) {
 		if !change.Kind.IsObservation() {
@@ -120,8 +127,8 @@
 	return view.Number
 }
 
-// Since gives the changes after a number up to that of a view, or false if they are not
-// all kept.
+// Since returns the changes after a number up to the newest view. Complete is false if some
+// of them were dropped.
 //
 //	changes, complete := history.Since(view, number)
 func (history History) Since(view *View, number uint64) ([]Change, bool) {
@@ -135,10 +142,11 @@
 	return history.Changes[at:], true
 }
 
-// HistoryFromFullConfigs makes a history of changes as older versions kept them, with whole configs. The
-// config before the first of them is not known, so that one is dropped with all before it.
+// HistoryFromFullConfigs converts the changes of a snapshot of format 1, which have complete
+// configs. The config before the first one is unknown, so that change and all before it are
+// dropped.
 //
-//	history := feed.HistoryFromFullConfigs(image.Changes)
+//	history := feed.HistoryFromFullConfigs(snapshot.Changes)
 func HistoryFromFullConfigs(changes []Change) History {
 	history, current := History{}, View{}
 	for _, change := range changes {
--- a/system/feed/change_history_test.go
+++ b/system/feed/change_history_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// randomText is text that has nothing in common with other noise.
+// randomText returns text that has nothing in common with other random text.
 func randomText(random *rand.Rand, size int) []byte {
 	data := make([]byte, size)
 	for at := range data {
@@ -18,10 +18,12 @@
 	return data
 }
 
+// configChange returns the next change after a view, which brings a config.
 func configChange(view *View, compiled []byte) Change {
 	return Change{Number: view.Number + 1, Kind: ChangeConfig, Source: fmt.Sprint("config ", view.Number), Compiled: compiled}
 }
 
+// totalSizes returns the sizes that the limits of a history bound, in bytes.
 func (history History) totalSizes() (changes, earlier int) {
 	for _, change := range history.Changes {
 		changes += change.size()
@@ -32,7 +34,8 @@
 	return changes, earlier
 }
 
-// growHistory gives views one after another, and the history at the end.
+// growHistory makes consecutive config changes, and returns the views, the first of which is
+// empty, and the history at the end.
 func growHistory(t *testing.T, changes int, next func(compiled []byte) []byte) ([]View, History) {
 	t.Helper()
 	views, history := []View{{}}, History{}
@@ -75,7 +78,7 @@
 	}
 }
 
-// checkHistory follows a history from an earlier view to the newest, and back.
+// checkHistory catches up from an earlier view to the newest by a history, and goes back.
 func checkHistory(t *testing.T, history History, newest, view *View) {
 	t.Helper()
 	if changes, complete := history.Since(newest, view.Number); complete {
@@ -99,9 +102,9 @@
 	other, older := base, base
 	other.Compiled = []byte(strings.Repeat("abcdefgX", 100))
 	older.ConfigNumber = 3
-	for name, held := range map[string]View{"another config of its number": other, "an older config": older} {
-		next, err := FoldAll(held, []Change{change})
-		if !errors.Is(err, ErrBaseMismatch) || next.Number != held.Number || !bytes.Equal(next.Compiled, held.Compiled) {
+	for name, view := range map[string]View{"another config of its number": other, "an older config": older} {
+		next, err := FoldAll(view, []Change{change})
+		if !errors.Is(err, ErrBaseMismatch) || next.Number != view.Number || !bytes.Equal(next.Compiled, view.Compiled) {
 			t.Errorf("%s: %v, %d", name, err, next.Number)
 		}
 	}
@@ -121,7 +124,7 @@
 	}
 	newest, history := views[len(views)-1], HistoryFromFullConfigs(full)
 	if len(history.Changes) < 19 || len(history.Earlier) < 19 {
-		t.Errorf("%d changes and %d earlier configs were taken over", len(history.Changes), len(history.Earlier))
+		t.Errorf("%d changes and %d earlier configs were converted", len(history.Changes), len(history.Earlier))
 	}
 	for _, view := range views {
 		checkHistory(t, history, &newest, &view)
--- a/system/feed/config_delta.go
+++ b/system/feed/config_delta.go
@@ -10,23 +10,30 @@
 	"yardrock.example/system/delta"
 )
 
-// ErrBaseMismatch tells that a config difference does not fit the config that is held: whoever
-// holds it needs a whole view.
+// ErrBaseMismatch reports that a ConfigDelta cannot be applied: it was made from a config
+// other than the one in the view, or its result has another digest. The view is unchanged;
+// whoever holds it must fetch a complete view.
 var ErrBaseMismatch = errors.New("the difference of the config does not fit the config held")
 
-// ConfigDelta is a config as the difference from the one of the number Base. Digest is that
-// of the config it gives. The zero value is no difference.
+// ConfigDelta encodes a config as its difference from an older one. The zero value means
+// that there is no difference.
 type ConfigDelta struct {
-	Base     uint64 `capnp:"base"`
+	// Base is the number of the config that the difference was made from.
+	Base uint64 `capnp:"base"`
+	// Source and Compiled are the two parts of the config, each as a difference in the
+	// format of package delta.
 	Source   []byte `capnp:"source"`
 	Compiled []byte `capnp:"compiled"`
-	Digest   []byte `capnp:"digest"`
+	// Digest is the ConfigDigest of the resulting config. It is checked whenever the
+	// difference is applied, so that replicas never diverge on a wrong base.
+	Digest []byte `capnp:"digest"`
 }
 
-// configDigestSize is how much of a SHA-256 sum tells configs apart.
+// configDigestSize is how many bytes of a SHA-256 sum are kept as the digest of a config.
 const configDigestSize = 16
 
-// ConfigDigest tells configs apart.
+// ConfigDigest identifies a config by its source and its compiled form: 16 bytes of a
+// SHA-256 sum.
 //
 //	digest := feed.ConfigDigest(view.Source, view.Compiled)
 func ConfigDigest(source string, compiled []byte) []byte {
@@ -37,8 +44,8 @@
 	return hash.Sum(nil)[:configDigestSize]
 }
 
-// NewConfigDelta gives the difference from a view's config to another, unless it would be
-// longer than a limit.
+// NewConfigDelta encodes a config as its difference from the config of a view. Fits is
+// false if the difference would be longer than limit bytes.
 //
 //	difference, fits := feed.NewConfigDelta(view, source, compiled, limit)
 func NewConfigDelta(base *View, source string, compiled []byte, limit int) (difference ConfigDelta, fits bool) {
@@ -53,16 +60,18 @@
 	return difference, difference.size() <= limit
 }
 
-// IsZero tells that there is no difference.
+// IsZero reports whether there is no difference.
 //
 //	if change.Delta.IsZero() { ... }
 func (difference *ConfigDelta) IsZero() bool { return len(difference.Digest) == 0 }
 
+// size is the length of the difference in bytes.
 func (difference *ConfigDelta) size() int {
 	return len(difference.Source) + len(difference.Compiled) + len(difference.Digest)
 }
 
-// apply gives the config that the difference makes of a view's.
+// apply reconstructs the config from the one in a view. It fails with ErrBaseMismatch if
+// the view has another config than the one the difference was made from.
 func (difference *ConfigDelta) apply(base *View) (source string, compiled []byte, err error) {
 	if difference.Base != base.ConfigNumber {
 		return "", nil, fmt.Errorf("%w: it builds on config %d, not %d", ErrBaseMismatch, difference.Base, base.ConfigNumber)
@@ -81,8 +90,8 @@
 	return source, compiled, nil
 }
 
-// Compact gives a config change as the difference from the config of a view, if that is
-// at most half as long. Other changes stay as they are.
+// Compact returns a config change encoded as the difference from the config of a view, if
+// that takes at most half the bytes. Any other change is returned as it is.
 //
 //	change = change.Compact(view)
 func (change Change) Compact(base *View) Change {
--- a/system/feed/fold.go
+++ b/system/feed/fold.go
@@ -5,12 +5,15 @@
 	"slices"
 )
 
-// ErrGap tells that changes do not follow on the view held.
+// ErrGap reports that the next change is not numbered one above the view. The changes in
+// between are missing; whoever holds the view must fetch a complete one.
 var ErrGap = errors.New("the changes do not follow on the view held")
 
-// maxDecommissioned is how many retired stores are remembered.
+// maxDecommissioned bounds how many decommissioned stores a view remembers.
 const maxDecommissioned = 64
 
+// foldFuncs apply each kind of change to a copy of the view. They never change a slice in
+// place, as older views share it.
 var foldFuncs = map[ChangeKind]func(*View, Change){
 	ChangeFounded:   func(view *View, change Change) { *view = change.View },
 	ChangeRecovered: func(view *View, change Change) { *view = change.View },
@@ -27,28 +30,30 @@
 			view.Runners = change.Runners
 		}
 	},
-	ChangeStores: func(view *View, change Change) {
-		if len(view.FoundingStores) == 0 {
-			view.FoundingStores = change.Members
-		}
-		view.Stores = change.Members
-		// One that an operator enrols again is not retired any more.
-		retired := slices.DeleteFunc(slices.Clone(view.Decommissioned), func(store Member) bool {
-			return slices.ContainsFunc(change.Members, func(listed Member) bool { return listed.replaces(store) })
-		})
-		if change.Member.Name != "" {
-			retired = append(retired, change.Member)
-		}
-		view.Decommissioned = retired[max(0, len(retired)-maxDecommissioned):]
-	},
+	ChangeStores:   foldStores,
 	ChangeControls: func(view *View, change Change) { view.Controls = change.Members },
 	ChangeRoleLease: func(view *View, change Change) {
-		view.RoleLeases = replaceOrAppend(view.RoleLeases, change.RoleLease, func(assignment RoleLease) bool { return assignment.Key == change.RoleLease.Key })
+		view.RoleLeases = replaceOrAppend(view.RoleLeases, change.RoleLease, func(lease RoleLease) bool { return lease.Key == change.RoleLease.Key })
 	},
 }
 
-// mergeRunners gives a list of runners with some replaced or added and some taken out, in the
-// lists' order.
+// foldStores replaces the store list. A store that an operator enrols again is no longer
+// remembered as decommissioned.
+func foldStores(view *View, change Change) {
+	if len(view.FoundingStores) == 0 {
+		view.FoundingStores = change.Members
+	}
+	view.Stores = change.Members
+	decommissioned := slices.DeleteFunc(slices.Clone(view.Decommissioned), func(store Member) bool {
+		return slices.ContainsFunc(change.Members, func(listed Member) bool { return listed.replaces(store) })
+	})
+	if change.Member.Name != "" {
+		decommissioned = append(decommissioned, change.Member)
+	}
+	view.Decommissioned = decommissioned[max(0, len(decommissioned)-maxDecommissioned):]
+}
+
+// mergeRunners returns the runners with some added or replaced and some removed, sorted.
 func mergeRunners(runners, changed []Runner, removed []string) []Runner {
 	omitted := make(map[string]bool, len(changed)+len(removed))
 	for _, runner := range changed {
@@ -68,6 +73,8 @@
 	return next
 }
 
+// replaceOrAppend returns a copy of items in which item takes the place of the same one, or
+// is appended if there is none.
 func replaceOrAppend[Item any](items []Item, item Item, same func(Item) bool) []Item {
 	items = slices.Clone(items)
 	if at := slices.IndexFunc(items, same); at >= 0 {
@@ -77,8 +84,9 @@
 	return append(items, item)
 }
 
-// Fold gives the view after a change. A change that is not newer changes nothing. If the
-// change is a difference that does not fit the view, the error is ErrMismatch.
+// Fold returns the view after a change. A change that is not newer than the view, or of an
+// unknown kind, changes nothing. It fails with ErrBaseMismatch, and returns the view as it
+// was, if the change has a ConfigDelta made from another config.
 //
 //	view, err := feed.Fold(view, change)
 func Fold(view View, change Change) (View, error) {
@@ -99,9 +107,8 @@
 	return view, nil
 }
 
-// FoldAll gives the view after changes that follow on it without a gap; those that are not
-// newer are passed over. Otherwise the error is ErrGap or ErrMismatch, and whoever holds
-// the view needs a whole one.
+// FoldAll folds consecutive changes; those that are not newer than the view are skipped. It
+// fails with ErrGap or ErrBaseMismatch, and returns the view as far as it got.
 //
 //	view, err := feed.FoldAll(view, reply.Changes)
 func FoldAll(view View, changes []Change) (View, error) {
--- a/system/feed/feed_test.go
+++ b/system/feed/fold_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// fold applies one change that must fit the view.
 func fold(t *testing.T, view View, change Change) View {
 	t.Helper()
 	next, err := Fold(view, change)
@@ -19,13 +20,13 @@
 	left.State = StateDecommissioned
 	view = fold(t, view, Change{Number: 2, Kind: ChangeStores, Members: []Member{west, plain}, Member: left})
 	for _, test := range []struct {
-		store   Member
-		retired bool
+		store          Member
+		decommissioned bool
 	}{
 		{east, true}, {Member{Name: "d", Machine: "east-1"}, true}, {Member{Name: "a"}, true},
 		{west, false}, {plain, false}, {Member{Name: "d"}, false},
 	} {
-		if view.WasDecommissioned(test.store) != test.retired {
+		if view.WasDecommissioned(test.store) != test.decommissioned {
 			t.Errorf("%+v: %+v", test.store, view.Decommissioned)
 		}
 	}
@@ -39,6 +40,6 @@
 		view = fold(t, view, Change{Number: number, Kind: ChangeStores, Members: []Member{west}, Member: Member{Name: "n" + string(rune(number))}})
 	}
 	if len(view.Decommissioned) != maxDecommissioned {
-		t.Errorf("%d are remembered", len(view.Decommissioned))
+		t.Errorf("%d decommissioned stores are remembered", len(view.Decommissioned))
 	}
 }
--- a/system/feed/request_history.go
+++ b/system/feed/request_history.go
@@ -8,42 +8,47 @@
 	"strings"
 )
 
-// maxRequests is how many orders of each kind are remembered; one takes 16 bytes.
+// maxRequests bounds each RequestHistory; a request takes 16 bytes.
 const maxRequests = 2048
 
-// AcceptedRequest is an order that was carried out: a digest of what its operator sent, and
-// the number that it was given.
+// AcceptedRequest is an admin request that was carried out.
 type AcceptedRequest struct {
+	// Digest identifies what its operator sent; see RequestDigest.
 	Digest uint64 `capnp:"digest"`
+	// Number is what the request was given: a revision of the routing, or the number of its
+	// change.
 	Number uint64 `capnp:"number"`
 }
 
-// RequestHistory remembers the last orders that were carried out, so that one which is sent
-// again after a lost answer is acknowledged and not carried out twice. Numbers rise. It
-// is never changed in place.
+// RequestHistory makes admin requests idempotent: it remembers the last ones that were
+// carried out, so that one which is sent again after a lost answer is acknowledged and not
+// carried out twice. Numbers rise. It is immutable: With makes a new one.
 type RequestHistory struct {
-	// Packed holds the orders, oldest first, of packedRequestSize bytes each: it is part of
-	// every view that is sent whole, and thousands of structs would take long to encode.
+	// Packed holds the requests, oldest first, of packedRequestSize bytes each. They are
+	// packed because every complete view has them, and encoding thousands of structs is slow.
 	Packed []byte `capnp:"packed"`
-	// Forgotten is the highest number of the orders that are no longer remembered.
+	// Forgotten is the highest number of a request that was dropped.
 	Forgotten uint64 `capnp:"forgotten"`
 }
 
-// packedRequestSize is how many bytes one order takes: the digest, then the number.
+// packedRequestSize is how many bytes a request takes: the digest, then the number, both
+// big-endian.
 const packedRequestSize = 16
 
+// appendPacked appends the request in its packed form.
 func (request AcceptedRequest) appendPacked(target []byte) []byte {
 	target = binary.BigEndian.AppendUint64(target, request.Digest)
 	return binary.BigEndian.AppendUint64(target, request.Number)
 }
 
+// unpackRequest reads the first request of a packed list, which must not be empty.
 func unpackRequest(packed []byte) AcceptedRequest {
 	return AcceptedRequest{Digest: binary.BigEndian.Uint64(packed), Number: binary.BigEndian.Uint64(packed[8:])}
 }
 
-// All iterates over the orders that are remembered, the oldest first.
+// All iterates over the requests that are remembered, oldest first.
 //
-//	for order := range view.RoutingRequests.All() { ... }
+//	for request := range view.RoutingRequests.All() { ... }
 func (history *RequestHistory) All() iter.Seq[AcceptedRequest] {
 	return func(yield func(AcceptedRequest) bool) {
 		for packed := history.Packed; len(packed) >= packedRequestSize; packed = packed[packedRequestSize:] {
@@ -54,7 +59,8 @@
 	}
 }
 
-// RequestDigest identifies an order by the parts of what its operator sent.
+// RequestDigest identifies a request by the parts of what its operator sent: 8 bytes of a
+// SHA-256 sum.
 //
 //	digest := feed.RequestDigest("root", "put config", "7", source)
 func RequestDigest(parts ...string) uint64 {
@@ -62,14 +68,14 @@
 	return binary.BigEndian.Uint64(sum[:8])
 }
 
-// IsEmpty tells that no order is remembered.
+// IsEmpty reports whether no request is remembered.
 //
 //	if view.RoutingRequests.IsEmpty() { ... }
 func (history *RequestHistory) IsEmpty() bool { return len(history.Packed) == 0 }
 
-// NumberOf finds the number that an order was given.
+// NumberOf returns the number that a request was given, if it is remembered.
 //
-//	if number, taken := view.AdminRequests.NumberOf(digest); taken { ... }
+//	if number, accepted := view.AdminRequests.NumberOf(digest); accepted { ... }
 func (history *RequestHistory) NumberOf(digest uint64) (uint64, bool) {
 	for request := range history.All() {
 		if request.Digest == digest {
@@ -79,15 +85,16 @@
 	return 0, false
 }
 
-// MayHaveForgotten tells whether an order that would have been given a number, or a
-// higher one, may have been carried out and forgotten.
+// MayHaveForgotten reports whether a request that would have been given this number, or a
+// higher one, may have been carried out and dropped since. If not, and the request is not
+// remembered, it was never carried out.
 //
 //	if view.RoutingRequests.MayHaveForgotten(revision) { ... }
 func (history *RequestHistory) MayHaveForgotten(number uint64) bool {
 	return number <= history.Forgotten
 }
 
-// With gives the history with more orders, of which the oldest are forgotten.
+// With returns the history with more requests, dropping the oldest above maxRequests.
 //
 //	view.RoutingRequests = view.RoutingRequests.With(change.RoutingRequests...)
 func (history RequestHistory) With(requests ...AcceptedRequest) RequestHistory {
@@ -107,11 +114,12 @@
 	return history
 }
 
+// equal reports whether two histories remember the same requests.
 func (history *RequestHistory) equal(other *RequestHistory) bool {
 	return history.Forgotten == other.Forgotten && bytes.Equal(history.Packed, other.Packed)
 }
 
-// recordRequests remembers the orders that a change carries out.
+// recordRequests remembers the requests that a change carries out.
 func (view *View) recordRequests(change Change) {
 	view.RoutingRequests = view.RoutingRequests.With(change.RoutingRequests...)
 	view.RoutingRequests.Forgotten = max(view.RoutingRequests.Forgotten, change.RoutingForgotten)
@@ -120,7 +128,8 @@
 	}
 }
 
-// WithoutRequests gives the view as those need it who take no orders.
+// WithoutRequests returns the view without the request histories, for nodes that accept no
+// admin requests.
 //
 //	answer.View = state.view.WithoutRequests()
 func (view *View) WithoutRequests() View {
--- a/system/feed/runner.go
+++ b/system/feed/runner.go
@@ -6,29 +6,38 @@
 	"time"
 )
 
-// Runner is one model or application runner of the platform's list. Since is a wall
-// clock's word, for people; Warmed tells that it has served for its group's ramp.
+// Runner is one model or application runner of the platform's runner list.
 type Runner struct {
-	// Life names this start of the runner; every start has a new one. It may be empty.
-	Life    string `capnp:"life"`
+	// Life identifies one start of the runner; a restarted runner has a new one. It is empty
+	// if the list names none.
+	Life string `capnp:"life"`
+	// Address is where fronts reach it, host and port.
 	Address string `capnp:"address"`
-	Group   string `capnp:"group"`
-	Domain  string `capnp:"domain"`
-	State   string `capnp:"state"`
-	Since   int64  `capnp:"since"`
-	Warmed  bool   `capnp:"warmed"`
-	Slots   uint32 `capnp:"slots"`
-	// WarmUpLeft is how long the runner stayed cold yet when the list was read.
+	// Group is the name of the runner group or service that it belongs to.
+	Group string `capnp:"group"`
+	// Domain is the failure domain that it runs in.
+	Domain string `capnp:"domain"`
+	// State is StateServing, StateWarmingUp or StateDraining.
+	State string `capnp:"state"`
+	// Since is when it entered its state, in nanoseconds since 1970. It comes from a wall
+	// clock, so it is shown to people and never used to measure time.
+	Since int64 `capnp:"since"`
+	// Warmed reports that it has served for as long as its group's slow start lasts.
+	Warmed bool `capnp:"warmed"`
+	// Slots is how many requests it runs at a time; 0 if the list does not say.
+	Slots uint32 `capnp:"slots"`
+	// WarmUpLeft is how much longer its slow start lasted when the list was requested.
 	WarmUpLeft time.Duration `capnp:"coldFor" json:"ColdFor"`
-	Revision   string        `capnp:"revision"` // of its software
+	// Revision is the version of its software.
+	Revision string `capnp:"revision"`
 }
 
-// Identity is what a runner is known by: its life, or its address if lives are not told.
+// Identity is the key of a runner: its life, or its address if the list names no lives.
 //
 //	runners[runner.Identity()] = runner
 func (runner Runner) Identity() string { return cmp.Or(runner.Life, runner.Address) }
 
-// SortRunners puts runners in the order of lists: by address, then by life.
+// SortRunners sorts runners by address, then by life, which is their order in a view.
 //
 //	feed.SortRunners(view.Runners)
 func SortRunners(runners []Runner) {
--- a/system/feed/view.go
+++ b/system/feed/view.go
@@ -8,35 +8,49 @@
 	"yardrock.example/system/placement"
 )
 
-// View is everything in force at one number.
+// View is everything in force at one number of the feed. A view and what it refers to are
+// immutable: Fold makes a new one.
 type View struct {
-	Fleet          string      `capnp:"fleet"`
-	Number         uint64      `capnp:"number"`
-	ConfigNumber   uint64      `capnp:"configNumber"`
-	Source         string      `capnp:"source"`
-	Compiled       []byte      `capnp:"compiled"`
-	Domains        []Domain    `capnp:"domains"`
-	Runners        []Runner    `capnp:"runners"`
-	FoundingStores []Member    `capnp:"foundingStores"`
-	Stores         []Member    `capnp:"stores"`
-	Controls       []Member    `capnp:"controls"`
-	RoleLeases     []RoleLease `capnp:"assignments"`
-	Groups         uint32      `capnp:"groups"`
+	// Fleet identifies the fleet; it is a digest of the founding control nodes' names.
+	Fleet string `capnp:"fleet"`
+	// Number is that of the last change folded in, 0 for no view.
+	Number uint64 `capnp:"number"`
+	// ConfigNumber is that of the change which brought the config, 0 if there is none.
+	ConfigNumber uint64 `capnp:"configNumber"`
+	// Source is the config as its operator wrote it, Compiled the form that nodes decode.
+	Source   string `capnp:"source"`
+	Compiled []byte `capnp:"compiled"`
+	// Domains are those that were ever drained. A domain that is not listed serves.
+	Domains []Domain `capnp:"domains"`
+	// Runners are the platform's runners, sorted as SortRunners does.
+	Runners []Runner `capnp:"runners"`
+	// FoundingStores are the first store list, from which groups were first placed.
+	FoundingStores []Member `capnp:"foundingStores"`
+	// Stores are the store list, on which the replicas of session logs are placed.
+	Stores []Member `capnp:"stores"`
+	// Controls are the voters of the control group.
+	Controls []Member `capnp:"controls"`
+	// RoleLeases are the leases on singleton roles, one for each role ever leased.
+	RoleLeases []RoleLease `capnp:"assignments"`
+	// Groups is the number of session log groups, fixed when the fleet is founded.
+	Groups uint32 `capnp:"groups"`
 	// Replicas is how many replicas a group has, fixed when the fleet is founded; 0 is
-	// placement.Factor.
-	Replicas uint32   `capnp:"copies"`
+	// placement.Factor. ReplicationFactor resolves it.
+	Replicas uint32 `capnp:"copies"`
+	// Founding are the names of the control nodes that founded the fleet, sorted.
 	Founding []string `capnp:"founding"`
-	// Retired are the stores that were emptied and have left the list, the last of them.
+	// Decommissioned are the last maxDecommissioned stores that left the store list empty.
 	Decommissioned []Member `capnp:"retired"`
-	// RoutingRequests are the last orders of the routing, numbered by its revisions;
-	// AdminRequests the last others, numbered by the changes that they became.
+	// RoutingRequests remember the last routing requests by their revisions, AdminRequests all
+	// other admin requests by the numbers of their changes.
 	RoutingRequests RequestHistory `capnp:"routingOrders"`
 	AdminRequests   RequestHistory `capnp:"feedOrders"`
 }
 
-// EqualExceptObservations tells whether two views differ at most in what observed changes bring.
+// EqualExceptObservations reports whether two views differ in nothing but what observations
+// bring (runners and role leases) and their numbers.
 //
-//	if view.EqualExceptObservations(held) { ... }
+//	if view.EqualExceptObservations(previous) { ... }
 func (view *View) EqualExceptObservations(other *View) bool {
 	return view.RoutingRequests.equal(&other.RoutingRequests) && view.AdminRequests.equal(&other.AdminRequests) &&
 		view.Fleet == other.Fleet && view.ConfigNumber == other.ConfigNumber && view.Groups == other.Groups && view.Source == other.Source &&
@@ -44,7 +58,7 @@
 		slices.Equal(view.Decommissioned, other.Decommissioned) && slices.Equal(view.FoundingStores, other.FoundingStores) && slices.Equal(view.Stores, other.Stores) && slices.Equal(view.Controls, other.Controls)
 }
 
-// DomainDrained tells whether a domain takes no new work.
+// DomainDrained reports whether a domain was drained and so gets no new work.
 //
 //	if view.DomainDrained(runner.Domain) { continue }
 func (view *View) DomainDrained(name string) bool {
@@ -56,17 +70,18 @@
 	return false
 }
 
-// WasDecommissioned tells whether a store, or another one of its machine, was emptied and has left
-// the list: its machine may be switched off, and is not to be enrolled again by itself.
+// WasDecommissioned reports whether a store, or an earlier one on its machine, was
+// decommissioned. Its machine may be switched off, so only an operator enrols it again.
 //
 //	if view.WasDecommissioned(member) { continue }
 func (view *View) WasDecommissioned(store Member) bool {
 	return slices.ContainsFunc(view.Decommissioned, store.replaces)
 }
 
-// BoundFleet names the fleet that a node with this view belongs to for good. Until there
-// is a store list nothing was acknowledged, and the control plane that founded the
-// fleet may still find that it is the one of an older fleet that lost its disks.
+// BoundFleet returns the name of the fleet that a node with this view belongs to for good,
+// empty if none yet. Before there is a store list nothing can have been acknowledged, and
+// a control plane that has just founded a fleet may still find that it belongs to an older
+// fleet whose control disks were lost.
 //
 //	query.Fleet = view.BoundFleet()
 func (view *View) BoundFleet() string {
@@ -76,9 +91,9 @@
 	return view.Fleet
 }
 
-// RoleLeaseOf finds who holds an assignment.
+// RoleLeaseOf returns the lease on a role; it has no holder if the role was never leased.
 //
-//	assignment := view.RoleLeaseOf("roster")
+//	lease := view.RoleLeaseOf("roster")
 func (view *View) RoleLeaseOf(key string) RoleLease {
 	for _, lease := range view.RoleLeases {
 		if lease.Key == key {
@@ -88,7 +103,7 @@
 	return RoleLease{Key: key}
 }
 
-// ReplicationFactor is how many replicas a group has.
+// ReplicationFactor returns how many replicas each session log group has.
 //
 //	names := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
 func (view *View) ReplicationFactor() int {
@@ -98,16 +113,17 @@
 	return int(view.Replicas)
 }
 
-// PlacementCandidates lists the stores that replicas may be put on.
+// PlacementCandidates returns the stores on which replicas may be placed.
 //
 //	names := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
 func (view *View) PlacementCandidates() []placement.Candidate {
 	return PlacementCandidates(view.Stores)
 }
 
-// PlacementCandidates turns members into places, leaving out those that go away.
+// PlacementCandidates returns those of the stores on which replicas may be placed: all that
+// are not being decommissioned.
 //
-//	places := feed.PlacementCandidates(view.FoundingStores)
+//	candidates := feed.PlacementCandidates(view.FoundingStores)
 func PlacementCandidates(members []Member) []placement.Candidate {
 	candidates := []placement.Candidate{}
 	for _, member := range ViewReplicas(members) {
@@ -116,7 +132,9 @@
 	return candidates
 }
 
-// ViewReplicas are the stores of which a majority keeps what was ordered: those that stay.
+// ViewReplicas returns the stores that replicate the view: all that are not being
+// decommissioned. A change other than an observation is acknowledged once a majority of them
+// has synced it.
 //
 //	majority := len(feed.ViewReplicas(view.Stores))/2 + 1
 func ViewReplicas(stores []Member) []Member {
@@ -125,7 +143,8 @@
 	})
 }
 
-// AddressOf finds a store's or control node's address.
+// AddressOf returns the address of an enrolled store or control node, empty if there is none
+// of that name.
 //
 //	address := view.AddressOf(name)
 func (view *View) AddressOf(name string) string {
@@ -137,7 +156,7 @@
 	return ""
 }
 
-// Members iterates over the enrolled stores and control nodes.
+// Members iterates over the enrolled stores, then the control nodes.
 //
 //	for member := range view.Members() { ... }
 func (view *View) Members() iter.Seq[Member] {
