--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -30,7 +30,7 @@
 	detach func() bool
 
 	countedAsSent bool // as sent, though it has not ended
-	reply         *runnerpool.Response
+	response      *runnerpool.Response
 	err           error
 }
 
@@ -38,7 +38,7 @@
 func (attempt *attempt) send() {
 	exchange := attempt.attempts.exchange
 	attempt.startedAt = time.Now()
-	attempt.reply, attempt.err = attempt.attempts.forwarder.settings.Pool.Send(attempt.context, runnerpool.Request{
+	attempt.response, attempt.err = attempt.attempts.forwarder.settings.Pool.Send(attempt.context, runnerpool.Request{
 		Runner: attempt.lease.Runner, MaxConnections: attempt.lease.MaxConnections, Method: exchange.Method, Target: exchange.Target, Host: exchange.Host, Header: exchange.Header,
 		Body: exchange.body, ID: exchange.Name, Deadline: exchange.deadline, LastEventID: attempt.lastEventID,
 		BeforeSend: attempt.checkBeforeSend,
@@ -77,18 +77,18 @@
 		attempt.lease.Release(outcomeOf(attempt.context, apierror.Of(attempt.err)), nil)
 		return
 	}
-	_, err := io.Copy(io.Discard, io.LimitReader(attempt.reply, maxBufferedResponseBytes))
-	attempt.reply.Close()
-	ending := balancer.Answered
+	_, err := io.Copy(io.Discard, io.LimitReader(attempt.response, maxBufferedResponseBytes))
+	attempt.response.Close()
+	outcome := balancer.Answered
 	switch {
 	case err != nil && attempt.context.Err() != nil:
-		ending = balancer.Cancelled
+		outcome = balancer.Cancelled
 	case err != nil:
-		ending = balancer.Lost
-	case attempt.reply.Status >= http.StatusInternalServerError:
-		ending = balancer.Failed
+		outcome = balancer.Lost
+	case attempt.response.Status >= http.StatusInternalServerError:
+		outcome = balancer.Failed
 	}
-	attempt.lease.Release(ending, attempt.reply.Load)
+	attempt.lease.Release(outcome, attempt.response.Load)
 }
 
 // outcomeOf tells the balancer what a failed attempt shows of its runner.
--- a/system/forwarding/dispatch.go
+++ b/system/forwarding/dispatch.go
@@ -41,7 +41,7 @@
 
 // dispatch sends the query to a runner, and to another where that can't make it run
 // twice.
-func dispatch(forwarder *Forwarder, ctx context.Context, exchange *exchange) (bool, error) {
+func dispatch(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	ctx, cancel := context.WithDeadline(ctx, exchange.deadline)
 	defer cancel()
 	if number, numbered := parseEventNumber(exchange.LastEventID); numbered && exchange.route.Resumable {
@@ -51,14 +51,14 @@
 	defer attempts.close()
 	unsent := 0
 	for {
-		failed, again := attempts.tryNext()
+		retry, failed := attempts.tryNext()
 		if failed == nil {
 			return true, nil
 		}
 		if apierror.Of(failed).NeverSent {
 			unsent++
 		}
-		more := again && unsent < maxUnsentAttempts && exchange.hasAttemptLeft() && ctx.Err() == nil
+		more := retry && unsent < maxUnsentAttempts && exchange.hasAttemptLeft() && ctx.Err() == nil
 		if !more {
 			failed = attempts.awaitInFlight(failed)
 			if failed == nil {
@@ -122,40 +122,40 @@
 }
 
 // isEventStream tells whether an answer is a stream of events.
-func (exchange *exchange) isEventStream(reply *runnerpool.Response) bool {
-	if exchange.route.Kind != config.Streaming || reply.Status != http.StatusOK {
+func (exchange *exchange) isEventStream(response *runnerpool.Response) bool {
+	if exchange.route.Kind != config.Streaming || response.Status != http.StatusOK {
 		return false
 	}
-	kind, _, err := mime.ParseMediaType(reply.Header.Get("Content-Type"))
+	kind, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	return err == nil && kind == "text/event-stream"
 }
 
 // relayBuffered reads a plain answer whole, if it is not too long, and passes it on.
 func (forwarder *Forwarder) relayBuffered(ctx context.Context, attempts *attemptSet, attempt *attempt) (balancer.Outcome, error) {
-	exchange, reply := attempts.exchange, attempt.reply
+	exchange, response := attempts.exchange, attempt.response
 	if exchange.stream.started {
-		return balancer.Failed, runnerFailure("a stream was to go on, but the runner answered " + strconv.Itoa(reply.Status))
+		return balancer.Failed, runnerFailure("a stream was to go on, but the runner answered " + strconv.Itoa(response.Status))
 	}
 	ending := balancer.Answered
-	if reply.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		ending = balancer.Failed
 	}
-	if notRunStatuses[reply.Status] {
+	if notRunStatuses[response.Status] {
 		// The runner did not vouch for it, so it can't be passed on as a promise.
 		exchange.mayHaveRun = true
-		return ending, runnerFailure("the runner answered " + strconv.Itoa(reply.Status) + " without a vouch")
+		return ending, runnerFailure("the runner answered " + strconv.Itoa(response.Status) + " without a vouch")
 	}
-	data, err := io.ReadAll(io.LimitReader(reply, maxBufferedResponseBytes))
+	data, err := io.ReadAll(io.LimitReader(response, maxBufferedResponseBytes))
 	if err != nil {
 		exchange.mayHaveRun = true
 		return balancer.Lost, err
 	}
 	if ending == balancer.Failed && exchange.repeatable() && (exchange.hasAttemptLeft() || len(attempts.inFlight) > 0) {
 		exchange.mayHaveRun = true
-		return ending, runnerFailure("the runner answered " + strconv.Itoa(reply.Status))
+		return ending, runnerFailure("the runner answered " + strconv.Itoa(response.Status))
 	}
 	outcome := sessionlog.OutcomeCut
-	if reply.Status < http.StatusMultipleChoices {
+	if response.Status < http.StatusMultipleChoices {
 		// A success without events says nothing of tokens: it counts at its most, and a
 		// turn that is kept must be known before it looks whole.
 		outcome, exchange.stream.tokens = sessionlog.OutcomeComplete, exchange.MaxOutputTokens
@@ -166,15 +166,15 @@
 			}
 		}
 	}
-	if err := exchange.response.Begin(reply.Status, reply.Header); err != nil {
+	if err := exchange.writer.Begin(response.Status, response.Header); err != nil {
 		return balancer.Cancelled, errors.Join(errNoRetry, err)
 	}
 	exchange.stream.started = true
-	if err := exchange.response.Write(data); err != nil {
+	if err := exchange.writer.Write(data); err != nil {
 		return balancer.Cancelled, errors.Join(errNoRetry, err)
 	}
 	if len(data) == maxBufferedResponseBytes {
-		if _, err := io.Copy(copyTarget{exchange.response}, reply); err != nil {
+		if _, err := io.Copy(copyTarget{exchange.writer}, response); err != nil {
 			return balancer.Lost, errors.Join(errNoRetry, err)
 		}
 	}
@@ -192,10 +192,12 @@
 var notRunStatuses = map[int]bool{http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true}
 
 // copyTarget lets an answer be copied to.
-type copyTarget struct{ answer ResponseWriter }
+type copyTarget struct{ ResponseWriter }
 
 // Write passes data on.
-func (target copyTarget) Write(data []byte) (int, error) { return len(data), target.answer.Write(data) }
+func (target copyTarget) Write(data []byte) (int, error) {
+	return len(data), target.ResponseWriter.Write(data)
+}
 
 func runnerFailure(message string) error {
 	return &apierror.Error{Kind: apierror.RunnerFailure, Message: message, Remedy: "see the runner's own log", Lost: true}
@@ -203,14 +205,14 @@
 
 // relayStream passes events on as they come. The end is passed on only once a turn that
 // is kept is committed whole.
-func (forwarder *Forwarder) relayStream(ctx context.Context, exchange *exchange, reply *runnerpool.Response, perEvent uint64, first func()) (balancer.Outcome, error) {
+func (forwarder *Forwarder) relayStream(ctx context.Context, exchange *exchange, response *runnerpool.Response, perEvent uint64, first func()) (balancer.Outcome, error) {
 	exchange.mayHaveRun = true
-	events := runnerpool.NewEventReader(reply)
+	events := runnerpool.NewEventReader(response)
 	if !exchange.stream.started {
 		if exchange.repeatable() {
-			delete(reply.Header, "Content-Length") // another runner may go on with it
+			delete(response.Header, "Content-Length") // another runner may go on with it
 		}
-		if err := exchange.response.Begin(reply.Status, reply.Header); err != nil {
+		if err := exchange.writer.Begin(response.Status, response.Header); err != nil {
 			return balancer.Cancelled, errors.Join(errNoRetry, err)
 		}
 		exchange.stream.started = true
@@ -244,7 +246,7 @@
 		if event.ID != "" {
 			exchange.stream.lastEventID, exchange.stream.lastEventNumber = event.ID, number
 		}
-		if err := exchange.response.Write(event.Raw); err != nil {
+		if err := exchange.writer.Write(event.Raw); err != nil {
 			return balancer.Cancelled, errors.Join(errNoRetry, err)
 		}
 	}
--- a/system/forwarding/forwarder.go
+++ b/system/forwarding/forwarder.go
@@ -93,7 +93,7 @@
 // exchange is one query on its way through the filters.
 type exchange struct {
 	*Request
-	response      ResponseWriter
+	writer        ResponseWriter
 	active        ActiveConfig
 	route         *config.Route
 	deadline      time.Time
@@ -118,7 +118,7 @@
 }
 
 // filter looks at a query and may answer it: done ends the chain.
-type filter func(forwarder *Forwarder, ctx context.Context, passage *exchange) (done bool, err error)
+type filter func(ctx context.Context, forwarder *Forwarder, exchange *exchange) (done bool, err error)
 
 var filters = []filter{limitBufferedBytes, requireFreshView, findRoute, setDeadline, beginTurn, dispatch}
 
@@ -129,25 +129,25 @@
 // broken off.
 //
 //	err := forwarder.Serve(ctx, &forwarding.Request{Name: "9c41", Method: "GET", Host: "a.example", Path: "/x/1", Target: "/x/1", Received: time.Now(), Deadline: until}, answer)
-func (forwarder *Forwarder) Serve(ctx context.Context, query *Request, answer ResponseWriter) error {
-	going := &exchange{Request: query, response: answer}
-	defer func() { forwarder.bufferedBytes.Add(-going.bufferedBytes) }()
+func (forwarder *Forwarder) Serve(ctx context.Context, request *Request, writer ResponseWriter) error {
+	exchange := &exchange{Request: request, writer: writer}
+	defer func() { forwarder.bufferedBytes.Add(-exchange.bufferedBytes) }()
 	for _, step := range filters {
-		if done, err := step(forwarder, ctx, going); done || err != nil {
+		if done, err := step(ctx, forwarder, exchange); done || err != nil {
 			return err
 		}
 	}
 	return apierror.New(apierror.Unavailable, "no filter answered", "report this")
 }
 
-func limitBufferedBytes(forwarder *Forwarder, _ context.Context, exchange *exchange) (bool, error) {
+func limitBufferedBytes(_ context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	return false, forwarder.reserveBuffer(exchange, int64(len(exchange.Body)))
 }
 
 // viewWaitShare is the part of its time that a query may wait for the view to be fresh.
 const viewWaitShare = 0.35
 
-func requireFreshView(forwarder *Forwarder, ctx context.Context, exchange *exchange) (bool, error) {
+func requireFreshView(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	if err := forwarder.settings.CheckViewFresh(); err != nil {
 		if until := forwarder.viewWaitDeadline(exchange); !until.IsZero() {
 			limited, cancel := context.WithTimeout(ctx, time.Duration(viewWaitShare*float64(time.Until(until))))
@@ -179,7 +179,7 @@
 	return until
 }
 
-func findRoute(_ *Forwarder, _ context.Context, exchange *exchange) (bool, error) {
+func findRoute(_ context.Context, _ *Forwarder, exchange *exchange) (bool, error) {
 	route, found := exchange.active.Routing.Match(exchange.Host, exchange.Path)
 	if !found {
 		return false, apierror.New(apierror.NotFound, "no route is for "+exchange.Host+exchange.Path, "ask for a host and a path that the config has a route for")
@@ -188,7 +188,7 @@
 	return false, nil
 }
 
-func setDeadline(_ *Forwarder, _ context.Context, exchange *exchange) (bool, error) {
+func setDeadline(_ context.Context, _ *Forwarder, exchange *exchange) (bool, error) {
 	exchange.deadline = exchange.ReceivedAt.Add(time.Duration(exchange.route.Timeout))
 	if !exchange.Deadline.IsZero() && exchange.Deadline.Before(exchange.deadline) {
 		exchange.deadline = exchange.Deadline
@@ -222,7 +222,7 @@
 
 // beginTurn reserves the most that the turn may put out and records its beginning, in
 // one commit; for turns that bring only their new input, it brings what was said before.
-func beginTurn(forwarder *Forwarder, ctx context.Context, exchange *exchange) (bool, error) {
+func beginTurn(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	exchange.body = [][]byte{exchange.Body}
 	if !exchange.isRecorded() {
 		return false, nil
@@ -264,14 +264,14 @@
 
 // sessionNameOf names the line of record of a query's program; turns of no program have lines
 // of their own.
-func sessionNameOf(query *Request) string {
+func sessionNameOf(request *Request) string {
 	switch {
-	case query.Program != "":
-		return "program/" + query.Program
-	case query.Session != "":
-		return "session/" + query.Session
+	case request.Program != "":
+		return "program/" + request.Program
+	case request.Session != "":
+		return "session/" + request.Session
 	}
-	return "query/" + query.Name
+	return "query/" + request.Name
 }
 
 // endTurn books how the turn ended. It returns once that is committed.
--- a/system/forwarding/hedging.go
+++ b/system/forwarding/hedging.go
@@ -43,15 +43,15 @@
 }
 
 func newAttemptSet(ctx context.Context, forwarder *Forwarder, exchange *exchange) *attemptSet {
-	return &attemptSet{context: ctx, forwarder: forwarder, exchange: exchange}
+	return &attemptSet{context: ctx, forwarder: forwarder, exchange: exchange, finished: make(chan *attempt)}
 }
 
 // tryNext asks one more runner and waits for an answer from any. It tells whether another
 // runner may be tried.
-func (attempts *attemptSet) tryNext() (failed error, again bool) {
+func (attempts *attemptSet) tryNext() (retry bool, err error) {
 	attempt, err := attempts.leaseRunner()
 	if err != nil {
-		return attempts.exchange.callerError(err), false
+		return false, attempts.exchange.callerError(err)
 	}
 	timeout := attempts.exchange.hedgeDelay()
 	if timeout == 0 && len(attempts.inFlight) == 0 {
@@ -66,7 +66,7 @@
 // failed; failed is why there is no answer so far.
 func (attempts *attemptSet) awaitInFlight(failed error) error {
 	for failed != nil && len(attempts.inFlight) > 0 && !attempts.exchange.stream.started && !errors.Is(failed, errNoRetry) {
-		failed, _ = attempts.awaitNext(0)
+		_, failed = attempts.awaitNext(0)
 	}
 	return failed
 }
@@ -89,26 +89,23 @@
 
 // launch sends an attempt beside the caller. It counts as sent from here on, so that all
 // that are under way stay within the route's tries.
-func (attempts *attemptSet) launch(made *attempt) {
-	if attempts.finished == nil {
-		attempts.finished = make(chan *attempt)
-	}
-	made.context, made.cancel = context.WithDeadline(attempts.forwarder.context, attempts.exchange.deadline)
-	made.detach = context.AfterFunc(attempts.context, made.cancel)
+func (attempts *attemptSet) launch(attempt *attempt) {
+	attempt.context, attempt.cancel = context.WithDeadline(attempts.forwarder.context, attempts.exchange.deadline)
+	attempt.detach = context.AfterFunc(attempts.context, attempt.cancel)
 	if attempts.context.Err() != nil {
-		made.cancel() // at once: what AfterFunc starts may come after the first byte
+		attempt.cancel() // at once: what AfterFunc starts may come after the first byte
 	}
-	attempts.countSend(made)
-	attempts.inFlight = append(attempts.inFlight, made)
+	attempts.countSend(attempt)
+	attempts.inFlight = append(attempts.inFlight, attempt)
 	go func() {
-		made.send()
-		attempts.finished <- made
+		attempt.send()
+		attempts.finished <- attempt
 	}()
 }
 
 // awaitNext takes the next result. After a timeout, unless that is 0, the caller may start
 // another attempt.
-func (attempts *attemptSet) awaitNext(timeout time.Duration) (failed error, again bool) {
+func (attempts *attemptSet) awaitNext(timeout time.Duration) (retry bool, err error) {
 	var expired <-chan time.Time
 	if timeout > 0 {
 		timer := time.NewTimer(timeout)
@@ -121,7 +118,7 @@
 		return attempts.handleResult(ended)
 	case <-expired:
 		attempts.exchange.mayHaveRun = true
-		return apierror.New(apierror.Unknown, "the runner has not answered yet", "ask with more time; whether the query ran is not known"), true
+		return true, apierror.New(apierror.Unknown, "the runner has not answered yet", "ask with more time; whether the query ran is not known")
 	}
 }
 
@@ -137,7 +134,7 @@
 
 // handleResult passes an attempt's answer on, or tells why there is none, and whether another
 // runner may be tried.
-func (attempts *attemptSet) handleResult(attempt *attempt) (failed error, again bool) {
+func (attempts *attemptSet) handleResult(attempt *attempt) (retry bool, err error) {
 	exchange := attempts.exchange
 	defer attempt.cancel()
 	exchange.active, exchange.route = attempt.active, attempt.route
@@ -145,17 +142,17 @@
 		failure := apierror.Of(attempt.err)
 		attempts.countFailedSend(attempt, failure)
 		attempt.lease.Release(outcomeOf(attempts.context, failure), nil)
-		return exchange.callerError(failure), exchange.mayRetry(failure)
+		return exchange.mayRetry(failure), exchange.callerError(failure)
 	}
 	attempts.countSend(attempt)
-	ending, err := attempts.relay(attempt)
-	attempt.reply.Close()
+	outcome, err := attempts.relay(attempt)
+	attempt.response.Close()
 	if err != nil && attempts.context.Err() != nil {
-		ending = balancer.Cancelled
+		outcome = balancer.Cancelled
 	}
-	attempt.lease.Release(ending, attempt.reply.Load)
+	attempt.lease.Release(outcome, attempt.response.Load)
 	attempts.answered = err == nil
-	return err, err != nil && exchange.repeatable() && !errors.Is(err, errNoRetry)
+	return err != nil && exchange.repeatable() && !errors.Is(err, errNoRetry), err
 }
 
 // countFailedSend notes what a failed attempt leaves: a runner that provably got nothing does
@@ -172,11 +169,11 @@
 	}
 }
 
-// relay passes a reply on to the caller.
+// relay passes a response on to the caller.
 func (attempts *attemptSet) relay(attempt *attempt) (balancer.Outcome, error) {
-	if attempts.exchange.isEventStream(attempt.reply) {
+	if attempts.exchange.isEventStream(attempt.response) {
 		first := func() { attempt.lease.FirstEvent(time.Since(attempt.startedAt)) }
-		return attempts.forwarder.relayStream(attempts.context, attempts.exchange, attempt.reply, tokensPerEvent(attempt.lease.Service), first)
+		return attempts.forwarder.relayStream(attempts.context, attempts.exchange, attempt.response, tokensPerEvent(attempt.lease.Service), first)
 	}
 	return attempts.forwarder.relayBuffered(attempts.context, attempts, attempt)
 }
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -35,7 +35,7 @@
 }
 
 // askRunner answers a lookup. It may be asked again, so it leaves no record.
-func askRunner(node *Node, ctx context.Context, request *request) (any, error) {
+func askRunner(ctx context.Context, node *Node, request *request) (any, error) {
 	answer, err := node.sendPlainWork(ctx, request)
 	if err != nil && apierror.Of(err).NeverSent {
 		return nil, asNotRun(err)
@@ -48,7 +48,7 @@
 
 // runOnce dispatches work that is recorded as begun, and tells its outcome only
 // once that is recorded too. It goes on if the caller leaves.
-func runOnce(node *Node, ctx context.Context, request *request) (any, error) {
+func runOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	request.cleanups = nil
 	type result struct {
 		reported any
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -58,7 +58,7 @@
 
 // filter looks at a query and may answer it; the chain ends with the first that
 // does, or that fails.
-type filter func(node *Node, ctx context.Context, query *request) (any, error)
+type filter func(ctx context.Context, node *Node, request *request) (any, error)
 
 // runChain sends a query through a chain. What filters took is given back unless the
 // last one kept it.
@@ -69,7 +69,7 @@
 		}
 	}()
 	for _, step := range chain {
-		answer, err := step(node, ctx, request)
+		answer, err := step(ctx, node, request)
 		if err != nil {
 			return nil, node.proveNotRun(request, err)
 		}
@@ -98,19 +98,19 @@
 	helperChain       = chain(recordedAdmission, servesTurns, readParent, recordHelper)
 )
 
-func markRecorded(_ *Node, _ context.Context, request *request) (any, error) {
+func markRecorded(_ context.Context, _ *Node, request *request) (any, error) {
 	request.recorded = true
 	return nil, nil
 }
 
-func refuseDraining(node *Node, _ context.Context, _ *request) (any, error) {
+func refuseDraining(_ context.Context, node *Node, _ *request) (any, error) {
 	if node.draining.Load() {
 		return nil, apierror.NewRetryable(apierror.NotRun, "this node is going away", "ask at another node", time.Second)
 	}
 	return nil, nil
 }
 
-func requireFreshView(node *Node, _ context.Context, request *request) (any, error) {
+func requireFreshView(_ context.Context, node *Node, request *request) (any, error) {
 	if _, err := node.feedClient.Fresh(); err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	return nil, nil
 }
 
-func authenticate(_ *Node, _ context.Context, request *request) (any, error) {
+func authenticate(_ context.Context, _ *Node, request *request) (any, error) {
 	team, known := config.PrincipalByToken(request.active.config.Teams, request.token)
 	if !known {
 		return nil, apierror.New(apierror.Unauthorized, "the token belongs to no team", "send a token of a team that the config names")
@@ -127,7 +127,7 @@
 	return nil, nil
 }
 
-func findProgram(_ *Node, _ context.Context, request *request) (any, error) {
+func findProgram(_ context.Context, _ *Node, request *request) (any, error) {
 	terms, found := request.active.config.Programs[request.program]
 	if !found || terms.Team != request.team {
 		return nil, apierror.New(apierror.NotFound, "the team has no program named "+strconv.Quote(request.program), "name a program of the team, or have an operator add it to the config")
@@ -136,7 +136,7 @@
 	return nil, nil
 }
 
-func findKind(_ *Node, _ context.Context, request *request) (any, error) {
+func findKind(_ context.Context, _ *Node, request *request) (any, error) {
 	work, found := request.active.config.Kinds[request.kind]
 	if !found {
 		return nil, apierror.New(apierror.NotFound, "no kind of work is named "+strconv.Quote(request.kind), "name a kind that the config has")
@@ -145,25 +145,25 @@
 	return nil, nil
 }
 
-func servesTurns(_ *Node, _ context.Context, request *request) (any, error) {
+func servesTurns(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.workKind.Serves != "turn" {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is no turn of a conversation", "send it as a lookup, a request or a tool call")
 	}
 	return nil, nil
 }
 
-func servesPlain(_ *Node, _ context.Context, request *request) (any, error) {
+func servesPlain(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.workKind.Serves != "plain" {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is a turn of a conversation", "start or follow a conversation with it")
 	}
 	return nil, nil
 }
 
-func servesLookups(node *Node, ctx context.Context, request *request) (any, error) {
+func servesLookups(ctx context.Context, node *Node, request *request) (any, error) {
 	if !request.workKind.Repeatable {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" may not be repeated", "send it as a request, with a query key")
 	}
-	return servesPlain(node, ctx, request)
+	return servesPlain(ctx, node, request)
 }
 
 func fingerprint(parts ...string) string {
@@ -181,7 +181,7 @@
 
 // nameSession names a new conversation by its query key, if it has one, so that a
 // repeat on any front finds the same line.
-func nameSession(_ *Node, _ context.Context, request *request) (any, error) {
+func nameSession(_ context.Context, _ *Node, request *request) (any, error) {
 	switch {
 	case request.conversation != "":
 	case request.idempotencyKey != "":
@@ -193,7 +193,7 @@
 	return nil, nil
 }
 
-func nameOnceSession(_ *Node, _ context.Context, request *request) (any, error) {
+func nameOnceSession(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.idempotencyKey == "" {
 		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each piece of work a key of its own")
 	}
@@ -203,7 +203,7 @@
 
 // readSession reads all events of the line by a quorum read, unless the line was
 // named only now.
-func readSession(node *Node, ctx context.Context, request *request) (any, error) {
+func readSession(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.newlyNamed {
 		request.history, request.newlyNamed = conversation.Fold(nil), false
 		return nil, nil
@@ -236,7 +236,7 @@
 }
 
 // requireSession refuses a line that is not there; its program was read with it.
-func requireSession(_ *Node, _ context.Context, request *request) (any, error) {
+func requireSession(_ context.Context, _ *Node, request *request) (any, error) {
 	if !request.sessionExists {
 		return nil, apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
 	}
@@ -260,7 +260,7 @@
 // and no other may follow it. A repeat is answered with the turn that is there. Each
 // attempt at one place has a producer of its own; one that was closed without an
 // answer, or fenced off, makes room for the next.
-func checkTurn(node *Node, ctx context.Context, request *request) (any, error) {
+func checkTurn(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.follows > 0 {
 		if err := checkFollowed(request); err != nil {
 			return nil, err
@@ -284,7 +284,7 @@
 			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeCut); err != nil {
 				return nil, asNotRun(err)
 			}
-			return rereadAndCheckTurn(node, ctx, request)
+			return rereadAndCheckTurn(ctx, node, request)
 		}
 		switch {
 		case turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeNotRun && same && request.idempotencyKey != "":
@@ -310,14 +310,14 @@
 }
 
 // rereadAndCheckTurn rereads the line and decides anew.
-func rereadAndCheckTurn(node *Node, ctx context.Context, request *request) (any, error) {
-	if answer, err := readSession(node, ctx, request); answer != nil || err != nil {
+func rereadAndCheckTurn(ctx context.Context, node *Node, request *request) (any, error) {
+	if answer, err := readSession(ctx, node, request); answer != nil || err != nil {
 		return answer, err
 	}
-	return checkTurn(node, ctx, request)
+	return checkTurn(ctx, node, request)
 }
 
-func acquireSlot(node *Node, ctx context.Context, request *request) (any, error) {
+func acquireSlot(ctx context.Context, node *Node, request *request) (any, error) {
 	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
 	if err != nil {
 		return nil, err
@@ -334,7 +334,7 @@
 // reserveWords reserves the new words and the longest answer before anything is
 // dispatched. If the answer to that is lost, it is settled at once, so that it can't
 // come to count later. What a front that died leaves, the stores settle.
-func reserveWords(node *Node, ctx context.Context, request *request) (any, error) {
+func reserveWords(ctx context.Context, node *Node, request *request) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	request.dispatchID = node.newDispatchID()
@@ -391,7 +391,7 @@
 // confirmRunner looks once more, just before the first byte: the view must still
 // be fresh, the query allowed by the config now in force, and the runner one that
 // it may be sent to.
-func confirmRunner(node *Node, ctx context.Context, request *request) (any, error) {
+func confirmRunner(ctx context.Context, node *Node, request *request) (any, error) {
 	err := node.confirm(ctx, request)
 	if err != nil && request.begun.Seq > 0 {
 		return nil, node.recordNotRun(request, err)
@@ -423,7 +423,7 @@
 	}
 	request.active = node.active.Load()
 	for _, still := range []filter{authenticate, findProgram, findKind} {
-		if _, err := still(node, ctx, request); err != nil {
+		if _, err := still(ctx, node, request); err != nil {
 			return err
 		}
 	}
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -177,13 +177,13 @@
 
 // beginTurn records the begin. When the line went on meanwhile, by a tool, a helper
 // or another turn, it looks anew what that means for this one.
-func beginTurn(node *Node, ctx context.Context, request *request) (any, error) {
+func beginTurn(ctx context.Context, node *Node, request *request) (any, error) {
 	for try := 1; ; try++ {
 		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, true)
 		if other == nil && !apierror.Is(err, apierror.Conflict) {
 			return nil, err
 		}
-		answer, checked := rereadAndCheckTurn(node, ctx, request)
+		answer, checked := rereadAndCheckTurn(ctx, node, request)
 		if checked != nil || answer != nil {
 			return answer, checked
 		}
@@ -194,12 +194,12 @@
 }
 
 // checkOnce answers a repeated query key with what was recorded.
-func checkOnce(node *Node, ctx context.Context, request *request) (any, error) {
+func checkOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	request.producer = strings.Join([]string{request.program, "once", request.idempotencyKey}, "/")
 	return node.answerIfRecorded(ctx, request)
 }
 
-func checkTool(node *Node, ctx context.Context, request *request) (any, error) {
+func checkTool(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.idempotencyKey == "" {
 		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each tool call a key of its own")
 	}
@@ -217,11 +217,11 @@
 	return nil, nil
 }
 
-func beginOnce(node *Node, ctx context.Context, request *request) (any, error) {
+func beginOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	return node.beginPlainWork(ctx, request, sessionlog.TurnBegun)
 }
 
-func beginTool(node *Node, ctx context.Context, request *request) (any, error) {
+func beginTool(ctx context.Context, node *Node, request *request) (any, error) {
 	return node.beginPlainWork(ctx, request, sessionlog.ToolCalled)
 }
 
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -79,7 +79,7 @@
 
 // startRun takes over slot and reservation and feeds the turn whether or not the
 // caller stays. It answers once there is something to stream.
-func startRun(node *Node, ctx context.Context, request *request) (any, error) {
+func startRun(ctx context.Context, node *Node, request *request) (any, error) {
 	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pieces: make(chan string, pieceQueueLength), nextProducerSeq: 2}
 	request.cleanups = nil
 	node.background.start(execution.execute)
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -104,12 +104,12 @@
 	if payload.Turn != nil {
 		turn = *payload.Turn
 	}
-	return service.stream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(node *Node, ctx context.Context, query *request) (any, error) {
-		if _, err := node.readAfter(ctx, query, payload.Cursor, 1); err != nil {
+	return service.stream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
+		if _, err := node.readAfter(ctx, call, payload.Cursor, 1); err != nil {
 			return nil, err
 		}
 		if turn != 0 {
-			reply, err := node.readAfter(ctx, query, turn-1, 1)
+			reply, err := node.readAfter(ctx, call, turn-1, 1)
 			if err != nil {
 				return nil, err
 			}
@@ -117,14 +117,14 @@
 				return nil, apierror.New(apierror.NotFound, "the conversation has no turn "+strconv.FormatUint(turn, 10), "read the history and name one of its turns")
 			}
 		}
-		return node.tail(query.sessionName(), query.conversation, payload.Cursor, turn), nil
+		return node.tail(call.sessionName(), call.conversation, payload.Cursor, turn), nil
 	}))
 }
 
 // History reads committed events.
 func (service workService) History(ctx context.Context, payload *work.HistoryPayload) (*work.Transcript, error) {
-	answer, err := service.pass(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(node *Node, ctx context.Context, query *request) (any, error) {
-		return node.readAfter(ctx, query, payload.After, payload.Limit)
+	answer, err := service.pass(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
+		return node.readAfter(ctx, call, payload.After, payload.Limit)
 	}))
 	if err != nil {
 		return nil, err
@@ -168,14 +168,14 @@
 
 // QuotaUsage tells what a program has spent.
 func (service workService) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
-	answer, err := service.pass(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(node *Node, ctx context.Context, query *request) (any, error) {
+	answer, err := service.pass(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(ctx context.Context, node *Node, call *request) (any, error) {
 		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 		defer cancel()
-		reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: query.quotaName(), QuotaUsage: true})
+		reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: call.quotaName(), QuotaUsage: true})
 		if err != nil {
 			return nil, err
 		}
-		return &work.TallyResult{Program: query.program, Allowance: query.programConfig.Quota, Spent: reply.Spent, Reserved: reply.Reserved}, nil
+		return &work.TallyResult{Program: call.program, Allowance: call.programConfig.Quota, Spent: reply.Spent, Reserved: reply.Reserved}, nil
 	}))
 	if err != nil {
 		return nil, err
@@ -184,10 +184,10 @@
 }
 
 // readParent reads the parent's line; the turn that starts the helper must be in it.
-func readParent(node *Node, ctx context.Context, request *request) (any, error) {
+func readParent(ctx context.Context, node *Node, request *request) (any, error) {
 	parent := *request
 	parent.conversation = request.parent
-	if answer, err := readSession(node, ctx, &parent); answer != nil || err != nil {
+	if answer, err := readSession(ctx, node, &parent); answer != nil || err != nil {
 		return answer, err
 	}
 	if request.idempotencyKey == "" {
@@ -198,10 +198,10 @@
 
 // recordHelper names the helper in its parent's line, then starts it. A repeat
 // finds both.
-func recordHelper(node *Node, ctx context.Context, request *request) (any, error) {
+func recordHelper(ctx context.Context, node *Node, request *request) (any, error) {
 	helper := *request
 	helper.follows, helper.cleanups = 0, nil
-	if _, err := nameSession(node, ctx, &helper); err != nil {
+	if _, err := nameSession(ctx, node, &helper); err != nil {
 		return nil, err
 	}
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
