--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net/http"
 	"time"
@@ -13,28 +12,34 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// attempt is one try of a query at one runner, from the lease to the head of the answer.
-// While it runs it touches nothing of the passage that may change.
+// attempt is one sending of a request to one runner, from the lease to the head of the
+// response. While it runs it may be in a goroutine of its own, so it reads of the exchange
+// only what does not change, and has copies of the rest.
 type attempt struct {
 	attempts *attemptSet
 	lease    *balancer.Lease
-	// active and route are those under which the query leaves; the last look renews them.
-	active      ActiveConfig
-	route       *config.Route
-	lastEventID string // id of the last event that the caller has
+	// active and route are those under which the request is sent; checkBeforeSend renews
+	// them.
+	active ActiveConfig
+	route  *config.Route
+	// lastEventID is the id of the last event that the caller has.
+	lastEventID string
 	startedAt   time.Time
 
 	context context.Context
-	// cancel ends the attempt; detach lets it go on when the caller's context ends.
+	// cancel ends the attempt; detach lets it go on when the caller's context ends, and
+	// reports false if that has ended already.
 	cancel context.CancelFunc
 	detach func() bool
 
-	countedAsSent bool // as sent, though it has not ended
-	response      *runnerpool.Response
-	err           error
+	// countedAsSent is set once the attempt counts against the route's maximum.
+	countedAsSent bool
+	// response or err is the result.
+	response *runnerpool.Response
+	err      error
 }
 
-// send asks the runner and waits for the head of its answer.
+// send sends the request to the runner and waits for the head of its response.
 func (attempt *attempt) send() {
 	exchange := attempt.attempts.exchange
 	attempt.startedAt = time.Now()
@@ -45,7 +50,9 @@
 	})
 }
 
-// checkBeforeSend is the last look before the first byte leaves.
+// checkBeforeSend is called when a connection is ready and the first byte is about to
+// leave; an error keeps it back. The dial may have been slow or this process frozen since
+// the runner was leased, so the configuration and the lease are checked again.
 func (attempt *attempt) checkBeforeSend() error {
 	settings, exchange := &attempt.attempts.forwarder.settings, attempt.attempts.exchange
 	if attempt.attempts.closed.Load() || attempt.attempts.context.Err() != nil {
@@ -55,13 +62,13 @@
 		return err
 	}
 	changed := apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", shortRetryAfter)
-	rules := settings.ActiveConfig()
-	if rules.Routing != attempt.active.Routing {
-		route, found := rules.Routing.Match(exchange.Host, exchange.Path)
+	active := settings.ActiveConfig()
+	if active.Routing != attempt.active.Routing {
+		route, found := active.Routing.Match(exchange.Host, exchange.Path)
 		if !found || route.Kind != attempt.route.Kind || route.StoresHistory != attempt.route.StoresHistory {
 			return changed
 		}
-		attempt.active, attempt.route = rules, route
+		attempt.active, attempt.route = active, route
 	}
 	if !attempt.lease.Valid() || !attempt.lease.Serves(attempt.route) {
 		return changed
@@ -69,8 +76,8 @@
 	return nil
 }
 
-// discard ends an attempt whose answer nobody needs: it is read to its end, as breaking
-// it off would waste the runner's work and the connection.
+// discard ends an attempt whose response nobody needs. The response is read to its end:
+// aborting it would waste the runner's work and the connection.
 func (attempt *attempt) discard() {
 	defer attempt.cancel()
 	if attempt.err != nil {
@@ -78,7 +85,7 @@
 		return
 	}
 	_, err := io.Copy(io.Discard, io.LimitReader(attempt.response, maxBufferedResponseBytes))
-	attempt.response.Close()
+	_ = attempt.response.Close() // its error only says that the connection is not reused
 	outcome := balancer.Answered
 	switch {
 	case err != nil && attempt.context.Err() != nil:
@@ -91,7 +98,7 @@
 	attempt.lease.Release(outcome, attempt.response.Load)
 }
 
-// outcomeOf tells the balancer what a failed attempt shows of its runner.
+// outcomeOf says what a failed attempt shows of its runner, for the balancer.
 func outcomeOf(ctx context.Context, failure *apierror.Error) balancer.Outcome {
 	switch {
 	case failure.Misdirected:
@@ -107,5 +114,3 @@
 	}
 	return balancer.Failed
 }
-
-var errNoRetry = errors.New("the caller left")
--- a/system/forwarding/hedging.go
+++ b/system/forwarding/hedging.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// hedgeDelayShare is the part of the time left that a runner may say nothing before a
-	// query that may run again is sent to another one as well.
+	// hedgeDelayShare is the share of the time left that a runner may send nothing before
+	// an idempotent request is sent to another one as well.
 	hedgeDelayShare = 0.45
-	// minHedgeDelay is how long it may say nothing in any case.
+	// minHedgeDelay is the shortest such delay.
 	minHedgeDelay = 250 * time.Millisecond
 )
 
-// hedgeDelay gives how long a runner may leave a query unanswered before another one is asked
-// as well, if it may run there and there is a try left; else it is 0.
+// hedgeDelay returns how long a runner may leave the request unanswered before another one
+// gets it as well. 0 means that it is not hedged: the route forbids it, or allows only one
+// attempt more.
 func (exchange *exchange) hedgeDelay() time.Duration {
 	if exchange.route.Kind != config.Repeatable || exchange.sendCount+1 >= exchange.route.MaxAttempts {
 		return 0
@@ -29,25 +30,28 @@
 	return max(minHedgeDelay, time.Duration(hedgeDelayShare*float64(time.Until(exchange.deadline))))
 }
 
-// race is the attempts of one query. Only a query of a repeatable route has more than one
-// under way: a silent runner may be at work, so it is not broken off when the next one is
-// asked. The caller gets the first answer; what comes of the other attempts is discarded.
+// attemptSet is the attempts of one request. Only a request of an idempotent route has
+// more than one in flight: a silent runner may be at work, so its attempt is not cancelled
+// when the next one is made. The caller gets the first response; the others are discarded.
 type attemptSet struct {
 	context   context.Context // the caller's, with the deadline
 	forwarder *Forwarder
 	exchange  *exchange
-	finished  chan *attempt // of those that run beside the caller
-	inFlight  []*attempt
-	closed    atomic.Bool // the caller has its answer, or will get none
-	answered  bool
+	// finished receives the attempts that ran in goroutines of their own. Each of inFlight
+	// sends itself once; what close leaves, its background task receives.
+	finished chan *attempt
+	inFlight []*attempt
+	closed   atomic.Bool // the caller has its response, or will get none
+	answered bool
 }
 
+// newAttemptSet makes an empty set; close must be called in the end.
 func newAttemptSet(ctx context.Context, forwarder *Forwarder, exchange *exchange) *attemptSet {
 	return &attemptSet{context: ctx, forwarder: forwarder, exchange: exchange, finished: make(chan *attempt)}
 }
 
-// tryNext asks one more runner and waits for an answer from any. It tells whether another
-// runner may be tried.
+// tryNext makes one more attempt and waits for the response of any; retry says whether
+// another runner may be tried after the error.
 func (attempts *attemptSet) tryNext() (retry bool, err error) {
 	attempt, err := attempts.leaseRunner()
 	if err != nil {
@@ -62,16 +66,16 @@
 	return attempts.awaitNext(timeout)
 }
 
-// awaitInFlight waits for the attempts that are still under way, until one answers or all have
-// failed; failed is why there is no answer so far.
-func (attempts *attemptSet) awaitInFlight(failed error) error {
-	for failed != nil && len(attempts.inFlight) > 0 && !attempts.exchange.stream.started && !errors.Is(failed, errNoRetry) {
-		_, failed = attempts.awaitNext(0)
+// awaitInFlight waits for the attempts in flight until one is answered or all have failed.
+// It returns the last error; err is why there is no response so far.
+func (attempts *attemptSet) awaitInFlight(err error) error {
+	for err != nil && len(attempts.inFlight) > 0 && !attempts.exchange.stream.started && !errors.Is(err, errNoRetry) {
+		_, err = attempts.awaitNext(0)
 	}
-	return failed
+	return err
 }
 
-// leaseRunner leases a runner that has not been tried.
+// leaseRunner leases a runner that was not tried yet.
 func (attempts *attemptSet) leaseRunner() (*attempt, error) {
 	exchange := attempts.exchange
 	lease, err := attempts.forwarder.settings.Balancer.Acquire(attempts.context, balancer.Request{
@@ -87,8 +91,9 @@
 	}, nil
 }
 
-// launch sends an attempt beside the caller. It counts as sent from here on, so that all
-// that are under way stay within the route's tries.
+// launch sends an attempt in a goroutine of its own, under the forwarder's context, so
+// that it can outlive the caller. It counts as sent from here on, so that the attempts in
+// flight stay within the route's maximum.
 func (attempts *attemptSet) launch(attempt *attempt) {
 	attempt.context, attempt.cancel = context.WithDeadline(attempts.forwarder.context, attempts.exchange.deadline)
 	attempt.detach = context.AfterFunc(attempts.context, attempt.cancel)
@@ -103,8 +108,8 @@
 	}()
 }
 
-// awaitNext takes the next result. After a timeout, unless that is 0, the caller may start
-// another attempt.
+// awaitNext takes the next result. After the timeout, unless that is 0, the caller may
+// make another attempt.
 func (attempts *attemptSet) awaitNext(timeout time.Duration) (retry bool, err error) {
 	var expired <-chan time.Time
 	if timeout > 0 {
@@ -122,7 +127,7 @@
 	}
 }
 
-// countSend notes that a runner was sent the query.
+// countSend counts an attempt against the route's maximum, once.
 func (attempts *attemptSet) countSend(attempt *attempt) {
 	if attempt.countedAsSent {
 		return
@@ -132,8 +137,22 @@
 	attempts.exchange.triedRunners = append(attempts.exchange.triedRunners, attempt.lease.Runner.Life)
 }
 
-// handleResult passes an attempt's answer on, or tells why there is none, and whether another
-// runner may be tried.
+// countFailedSend counts a failed attempt: one whose runner provably got nothing does not
+// count against the route's maximum.
+func (attempts *attemptSet) countFailedSend(attempt *attempt, failure *apierror.Error) {
+	exchange := attempts.exchange
+	switch {
+	case !failure.NeverSent:
+		attempts.countSend(attempt)
+	case attempt.countedAsSent:
+		exchange.sendCount--
+	case failure.Lost || failure.ConnectionRefused:
+		exchange.triedRunners = append(exchange.triedRunners, attempt.lease.Runner.Life)
+	}
+}
+
+// handleResult relays an attempt's response to the caller and releases its lease. On an
+// error, retry says whether another runner may be tried.
 func (attempts *attemptSet) handleResult(attempt *attempt) (retry bool, err error) {
 	exchange := attempts.exchange
 	defer attempt.cancel()
@@ -146,40 +165,17 @@
 	}
 	attempts.countSend(attempt)
 	outcome, err := attempts.relay(attempt)
-	attempt.response.Close()
+	_ = attempt.response.Close() // its error only says that the connection is not reused
 	if err != nil && attempts.context.Err() != nil {
 		outcome = balancer.Cancelled
 	}
 	attempt.lease.Release(outcome, attempt.response.Load)
 	attempts.answered = err == nil
-	return err != nil && exchange.repeatable() && !errors.Is(err, errNoRetry), err
-}
-
-// countFailedSend notes what a failed attempt leaves: a runner that provably got nothing does
-// not count as one that the query was sent to.
-func (attempts *attemptSet) countFailedSend(attempt *attempt, failure *apierror.Error) {
-	exchange := attempts.exchange
-	switch {
-	case !failure.NeverSent:
-		attempts.countSend(attempt)
-	case attempt.countedAsSent:
-		exchange.sendCount--
-	case failure.Lost || failure.ConnectionRefused:
-		exchange.triedRunners = append(exchange.triedRunners, attempt.lease.Runner.Life)
-	}
-}
-
-// relay passes a response on to the caller.
-func (attempts *attemptSet) relay(attempt *attempt) (balancer.Outcome, error) {
-	if attempts.exchange.isEventStream(attempt.response) {
-		first := func() { attempt.lease.FirstEvent(time.Since(attempt.startedAt)) }
-		return attempts.forwarder.relayStream(attempts.context, attempts.exchange, attempt.response, tokensPerEvent(attempt.lease.Service), first)
-	}
-	return attempts.forwarder.relayBuffered(attempts.context, attempts, attempt)
+	return err != nil && exchange.idempotent() && !errors.Is(err, errNoRetry), err
 }
 
-// close lets go of the attempts that are still under way. If the caller has its answer they
-// go on until theirs, or the deadline; else they are broken off.
+// close gives up the attempts in flight. If the caller has its response they go on until
+// theirs or the deadline, else they are cancelled. A background task releases their leases.
 func (attempts *attemptSet) close() {
 	attempts.closed.Store(true)
 	if len(attempts.inFlight) == 0 {
--- a/system/forwarding/task_group.go
+++ b/system/forwarding/task_group.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// bookings counts what is booked behind callers' backs. Unlike a WaitGroup it may be
-// waited for while more of it starts.
+// taskGroup counts background tasks. Unlike a sync.WaitGroup it may be waited for while
+// more tasks start, and the wait ends with a context.
 type taskGroup struct {
 	mutex   sync.Mutex
 	running int
 	idle    chan struct{} // closed once none runs
 }
 
-// start runs one more.
-func (tasks *taskGroup) start(work func()) {
+// start runs a task in a goroutine of its own.
+func (tasks *taskGroup) start(task func()) {
 	tasks.mutex.Lock()
 	if tasks.running++; tasks.running == 1 {
 		tasks.idle = make(chan struct{})
@@ -28,11 +28,11 @@
 			}
 			tasks.mutex.Unlock()
 		}()
-		work()
+		task()
 	}()
 }
 
-// wait waits until none runs, or the context ends.
+// wait returns once no task runs, or the context ends.
 func (tasks *taskGroup) wait(ctx context.Context) {
 	tasks.mutex.Lock()
 	idle := tasks.idle
