--- a/system/front/node.go
+++ b/system/front/node.go
@@ -134,7 +134,7 @@
 	}
 	node.active.Store(&activeConfig{view: view, config: decoded})
 	node.updateBalancer()
-	log.WithFields(log.Fields{"node": node.name, "number": view.Number, "config": view.ConfigNumber}).Info("view_taken")
+	log.WithFields(log.Fields{"node": node.name, "number": view.Number, "config": view.ConfigNumber}).Info("view applied")
 	return nil
 }
 
