--- /dev/null
+++ b/system/controlplane/admin_config.go
@@ -0,0 +1,147 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"cuelang.org/go/cue/format"
+	cuejson "cuelang.org/go/encoding/json"
+
+	"yardrock.example/system/api/gen/administration"
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/config"
+	"yardrock.example/system/feed"
+)
+
+// PutConfig puts a whole config.
+func (service adminService) PutConfig(ctx context.Context, payload *administration.PutConfigPayload) (*administration.Changed, error) {
+	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	defer cancel()
+	if err != nil {
+		return nil, err
+	}
+	decoded, _, err := config.Compile(payload.Source)
+	if err != nil {
+		return nil, err
+	}
+	request := newAdminRequest(from.name, &payload.Expected, "put config", payload.Source)
+	return changeResult(service.node.execute(ctx, func(view *feed.View) (decision, error) {
+		return request.decide(view, []uint64{view.ConfigNumber}, func() (*feed.Change, error) {
+			return service.node.planConfig(view, payload.Source, decoded)
+		})
+	}))
+}
+
+// Set changes one value of the config and writes it anew.
+func (service adminService) Set(ctx context.Context, payload *administration.SetPayload) (*administration.Changed, error) {
+	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	defer cancel()
+	if err != nil {
+		return nil, err
+	}
+	value, err := json.Marshal(payload.Value)
+	if err != nil {
+		return nil, err
+	}
+	request := newAdminRequest(from.name, payload.Expected, "set", payload.Path, string(value))
+	return changeResult(service.node.execute(ctx, func(view *feed.View) (decision, error) {
+		return request.decide(view, []uint64{view.ConfigNumber}, func() (*feed.Change, error) {
+			return service.node.planValue(view, payload.Path, payload.Value)
+		})
+	}))
+}
+
+// ReadConfig reads the newest config back.
+func (service adminService) ReadConfig(ctx context.Context, payload *administration.ReadConfigPayload) (*administration.ReadConfigResult, error) {
+	_, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	defer cancel()
+	if err != nil {
+		return nil, err
+	}
+	view := from.state.view
+	return &administration.ReadConfigResult{Number: view.ConfigNumber, Source: view.Source}, nil
+}
+
+// planConfig puts a config in force that an operator wrote.
+func (node *Node) planConfig(view *feed.View, source string, decoded *config.Config) (*feed.Change, error) {
+	compiled, err := node.compileWithRouting(view, decoded)
+	if err != nil {
+		return nil, err
+	}
+	return &feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Source: source, Compiled: compiled}, nil
+}
+
+// planValue changes one value of the config in force.
+func (node *Node) planValue(view *feed.View, path string, value any) (*feed.Change, error) {
+	source, err := sourceWithValue(view.Compiled, path, value)
+	if err != nil {
+		return nil, err
+	}
+	decoded, _, err := config.Compile(source)
+	if err != nil {
+		return nil, err
+	}
+	return node.planConfig(view, source, decoded)
+}
+
+// sourceWithValue gives the config's source with one value replaced.
+func sourceWithValue(compiled []byte, path string, value any) (string, error) {
+	settings := map[string]any{}
+	if len(compiled) > 0 {
+		if err := json.Unmarshal(compiled, &settings); err != nil {
+			return "", err
+		}
+	}
+	steps := strings.Split(path, ".")
+	at := settings
+	for _, step := range steps[:len(steps)-1] {
+		next, found := at[step].(map[string]any)
+		if !found {
+			return "", apierror.New(apierror.Invalid, fmt.Sprintf("the config has nothing at %s (no %q)", path, step), "read the config and name a path that is in it")
+		}
+		at = next
+	}
+	at[steps[len(steps)-1]] = value
+	data, err := json.Marshal(settings)
+	if err != nil {
+		return "", err
+	}
+	expression, err := cuejson.Extract("config.json", data)
+	if err != nil {
+		return "", err
+	}
+	source, err := format.Node(expression)
+	return string(source), err
+}
+
+// decodedConfig is the config of one number, decoded once.
+type decodedConfig struct {
+	fleet  string
+	number uint64
+	config *config.Config
+}
+
+// decodeConfig decodes a view's config, or takes the one that was decoded last.
+func (node *Node) decodeConfig(view *feed.View) (*config.Config, error) {
+	if last := node.decodedConfig.Load(); last != nil && last.fleet == view.Fleet && last.number == view.ConfigNumber {
+		return last.config, nil
+	}
+	decoded, err := config.Decode(view.Compiled)
+	if err != nil {
+		return nil, err
+	}
+	node.decodedConfig.Store(&decodedConfig{view.Fleet, view.ConfigNumber, decoded})
+	return decoded, nil
+}
+
+// compileWithRouting compiles a config that an operator wrote with the routing in force.
+func (node *Node) compileWithRouting(view *feed.View, decoded *config.Config) ([]byte, error) {
+	inForce, err := node.decodeConfig(view)
+	if err != nil {
+		return nil, err
+	}
+	next := *decoded // the same order may be decided again on another view
+	return next.InheritRouting(inForce)
+}
--- /dev/null
+++ b/system/controlplane/admin_domains.go
@@ -0,0 +1,71 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"yardrock.example/system/api/gen/administration"
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/feed"
+)
+
+// SetDomain empties or refills a domain.
+func (service adminService) SetDomain(ctx context.Context, payload *administration.SetDomainPayload) (*administration.Changed, error) {
+	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	defer cancel()
+	if err != nil {
+		return nil, err
+	}
+	request := newAdminRequest(from.name, nil, "domain", payload.Name, payload.State)
+	return changeResult(service.node.execute(ctx, func(view *feed.View) (decision, error) {
+		return request.decide(view, nil, func() (*feed.Change, error) {
+			return planDomain(view, payload.Name, payload.State, payload.Force)
+		})
+	}))
+}
+
+// planDomain makes the change that empties or refills a domain, none if that is its state
+// already. The last domain that serves is emptied only by force.
+func planDomain(view *feed.View, name, state string, force bool) (*feed.Change, error) {
+	if view.DomainDrained(name) == (state == feed.StateDrained) {
+		return nil, nil
+	}
+	if state == feed.StateDrained && !force && isLastServing(view, name) {
+		return nil, apierror.New(apierror.Conflict, name+" is the last domain that serves", "refill another domain first, or say force")
+	}
+	change := newDomainChange(view, name, state)
+	return &change, nil
+}
+
+func isLastServing(view *feed.View, name string) bool {
+	for _, runner := range view.Runners {
+		if runner.Domain != name && !view.DomainDrained(runner.Domain) {
+			return false
+		}
+	}
+	return true
+}
+
+func newDomainChange(view *feed.View, name, state string) feed.Change {
+	return feed.Change{Kind: feed.ChangeDomain, Expects: true, Expected: view.Number, Domain: feed.Domain{Name: name, State: state, Since: time.Now().UnixNano()}}
+}
+
+// SetDomainState empties or refills a domain and returns once that is acknowledged; if it
+// is in that state already, once it is known that this was.
+//
+//	err := node.SetDomainState(ctx, "root", "east", feed.StateDrained)
+func (node *Node) SetDomainState(ctx context.Context, by, name, state string) error {
+	if state != feed.StateServing && state != feed.StateDrained {
+		return apierror.New(apierror.Invalid, fmt.Sprintf("%q is no state of a domain", state), "use serving or emptied")
+	}
+	_, err := node.execute(ctx, func(view *feed.View) (decision, error) {
+		if view.DomainDrained(name) == (state == feed.StateDrained) {
+			return decision{acceptedAs: view.Number}, nil
+		}
+		change := newDomainChange(view, name, state)
+		change.By = by
+		return decision{change: &change}, nil
+	})
+	return err
+}
--- /dev/null
+++ b/system/controlplane/admin_fleet.go
@@ -0,0 +1,48 @@
+package controlplane
+
+import (
+	"context"
+	"sort"
+
+	"yardrock.example/system/api/gen/administration"
+)
+
+// EnrolStore puts a live store into the store list.
+func (service adminService) EnrolStore(ctx context.Context, payload *administration.EnrolStorePayload) (*administration.Changed, error) {
+	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	defer cancel()
+	if err != nil {
+		return nil, err
+	}
+	return changeResult(service.node.EnrolStore(ctx, from.name, payload.Name))
+}
+
+// DecommissionStore empties a store and answers once its machine may be switched off.
+func (service adminService) RetireStore(ctx context.Context, payload *administration.RetireStorePayload) (*administration.Changed, error) {
+	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, decommissionTimeout)
+	defer cancel()
+	if err != nil {
+		return nil, err
+	}
+	return changeResult(service.node.DecommissionStore(ctx, from.name, payload.Name))
+}
+
+// Fleet tells who is there and what is in force.
+func (service adminService) Fleet(ctx context.Context, payload *administration.FleetPayload) (any, error) {
+	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	defer cancel()
+	if err != nil {
+		return nil, err
+	}
+	view := from.state.view
+	live := service.node.LiveMembers()
+	sort.Slice(live, func(left, right int) bool {
+		return live[left].Role+live[left].Domain < live[right].Role+live[right].Domain
+	})
+	unhealed := service.node.countUnhealedGroups(ctx, view)
+	return map[string]any{
+		"unhealed_groups": unhealed, "fleet": view.Fleet, "number": view.Number, "config_number": view.ConfigNumber, "groups": view.Groups,
+		"leader": service.node.host.Statuses()[controlGroup].Leader, "members": live, "stores": view.Stores, "controls": view.Controls,
+		"domains": view.Domains, "runners": view.Runners, "assignments": view.RoleLeases,
+	}, nil
+}
--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"time"
 
 	"github.com/apex/log"
 
@@ -72,92 +71,12 @@
 	return holdsLog && !node.isSilent(learner, replaceableTimeout)
 }
 
-// isSilent tells that a node has had no session for so long, or that another has its
-// address now: its disk was lost, and nobody will be heard under its name any more.
-func (node *Node) isSilent(name string, timeout time.Duration) bool {
-	if name == node.Name() {
-		return false
-	}
-	node.mutex.Lock()
-	entry, found := node.liveness[name]
-	node.mutex.Unlock()
-	if found && node.wasReplaced(entry.member) {
-		return true
-	}
-	if !found {
-		for member := range node.View().Members() {
-			if member.Name == name && node.wasReplaced(member) {
-				return true
-			}
-		}
-	}
-	return node.quorumContactFor() > timeout && (!found || time.Since(entry.lastHeard) > timeout)
-}
-
-// quorumContact is what a node knows of its own contact with the control group. A node that was
-// cut off, frozen or only just started has heard nobody, which tells nothing of the others.
-type quorumContact struct {
-	lastChecked time.Time // when it last looked
-	since       time.Time // from when on it has heard a majority of the voters all the time
-}
-
-// record takes that so many of the voters were heard lately.
-func (contact *quorumContact) record(now time.Time, heard, voters int) {
-	frozen := now.Sub(contact.lastChecked) > suspectTimeout
-	if frozen || heard < voters/2+1 {
-		contact.since = now
-	}
-	contact.lastChecked = now
-}
-
-// duration tells for how long the contact has lasted without a pause.
-func (contact *quorumContact) duration(now time.Time) time.Duration {
-	if now.Sub(contact.lastChecked) > suspectTimeout {
-		return 0
-	}
-	return now.Sub(contact.since)
-}
-
-// recordQuorumContact looks whether this node hears a majority of the control group.
-func (node *Node) recordQuorumContact() {
-	voters := node.Voters()
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	now, heard := time.Now(), 0
-	for _, name := range voters {
-		if name == node.Name() || now.Sub(node.liveness[name].lastHeard) <= suspectTimeout {
-			heard++
-		}
-	}
-	node.contact.record(now, heard, len(voters))
-}
-
-func (node *Node) quorumContactFor() time.Duration {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	return node.contact.duration(time.Now())
-}
-
 // Voters gives the members of the control group that vote, as this node knows them, for
 // measuring.
 //
 //	names := node.Voters()
 func (node *Node) Voters() []string { return node.host.Statuses()[controlGroup].Membership.Voters }
 
-// wasReplaced tells that another node of the same role was heard at a node's address later
-// than that node itself.
-func (node *Node) wasReplaced(member feed.Member) bool {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	last := node.liveness[member.Name].lastHeard
-	for name, other := range node.liveness {
-		if name != member.Name && other.member.Role == member.Role && other.member.Address == member.Address && other.firstHeard.After(last) {
-			return true
-		}
-	}
-	return member.Name != node.Name() && member.Address == node.settings.Address && member.Role == feed.RoleControl
-}
-
 // publishControls carries the voters of the control group into the feed.
 func (node *Node) publishControls(ctx context.Context, voters []string, live []feed.Member) {
 	view := node.View()
--- /dev/null
+++ b/system/controlplane/feed_snapshot.go
@@ -0,0 +1,56 @@
+package controlplane
+
+import (
+	"bytes"
+	"fmt"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/feed"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+// encodeControlSnapshot encodes a snapshot of the control group.
+func encodeControlSnapshot(view *feed.View, history feed.History) []byte {
+	return wire.MustEncode(schema.ControlImage_TypeID, &wire.ControlSnapshot{
+		Version: controlSnapshotFormat, PackedView: wire.PackView(view), Changes: history.Changes, EarlierConfigs: history.Earlier,
+	})
+}
+
+// Snapshot is the snapshot of the control group.
+func (machine *feedStateMachine) Snapshot() func() []byte {
+	state := machine.state()
+	return func() []byte { return encodeControlSnapshot(state.view, state.history) }
+}
+
+// Restore replaces the content by a snapshot's.
+func (machine *feedStateMachine) Restore(data []byte) error {
+	var snapshot wire.ControlSnapshot
+	if err := wire.Decode(schema.ControlImage_TypeID, data, &snapshot); err != nil {
+		return err
+	}
+	if snapshot.Version > controlSnapshotFormat {
+		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("control snapshot of format %d", snapshot.Version), "run the newer version of the program")
+	}
+	next, err := stateFromSnapshot(&snapshot)
+	if err != nil {
+		return err
+	}
+	machine.publish(next)
+	return nil
+}
+
+func stateFromSnapshot(snapshot *wire.ControlSnapshot) (*feedState, error) {
+	view, history := &snapshot.View, feed.History{Changes: snapshot.Changes, Earlier: snapshot.EarlierConfigs}
+	if snapshot.Version <= fullConfigsFormat {
+		history = feed.HistoryFromFullConfigs(snapshot.Changes)
+		view.Compiled = bytes.Clone(view.Compiled) // else it would hold the whole image
+	} else {
+		unpacked, err := wire.UnpackView(snapshot.PackedView)
+		if err != nil {
+			return nil, err
+		}
+		view = unpacked
+	}
+	return &feedState{view: view, history: history, newestCommand: history.NewestCommand(view)}, nil
+}
--- /dev/null
+++ b/system/controlplane/node_bootstrap.go
@@ -0,0 +1,67 @@
+package controlplane
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"slices"
+	"strings"
+
+	"github.com/apex/log"
+
+	"yardrock.example/system/feed"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+// found founds the fleet when all seeds answer and all are empty, unless it has started
+// before, or takes its part when another seed has founded it with this disk's name in it.
+func (node *Node) bootstrapFleet() {
+	if !node.isEmpty() || !slices.Contains(*node.seeds.Load(), node.settings.Address) {
+		return
+	}
+	statuses := []*wire.StatusReply{}
+	for _, seed := range *node.seeds.Load() {
+		ctx, cancel := context.WithTimeout(node.context, callTimeout)
+		reply, err := node.caller.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+		cancel()
+		if err != nil || reply.Status == nil {
+			continue
+		}
+		if !reply.Status.Uninitialized && slices.Contains(reply.Status.Founding, node.Name()) {
+			node.bootstrapFleetWith(bootstrapView(reply.Status.Founding, reply.Status.Controls, node.settings))
+			return
+		}
+		if reply.Status.Role == feed.RoleControl && reply.Status.Uninitialized {
+			statuses = append(statuses, reply.Status)
+		}
+	}
+	if node.settings.JoinExisting || len(statuses) != len(*node.seeds.Load()) {
+		return
+	}
+	members, names := []feed.Member{}, []string{}
+	for _, status := range statuses {
+		if slices.Contains(names, status.Name) {
+			return
+		}
+		names = append(names, status.Name)
+		members = append(members, feed.Member{Name: status.Name, Role: feed.RoleControl, Address: status.Address, Domain: status.Domain})
+	}
+	node.bootstrapFleetWith(bootstrapView(names, members, node.settings))
+}
+
+// bootstrapView is the same on every founder.
+func bootstrapView(names []string, members []feed.Member, settings Settings) feed.View {
+	names = slices.Sorted(slices.Values(names))
+	members = slices.Clone(members)
+	slices.SortFunc(members, func(left, right feed.Member) int { return strings.Compare(left.Name, right.Name) })
+	sum := sha256.Sum256([]byte(strings.Join(names, " ")))
+	return feed.View{Fleet: hex.EncodeToString(sum[:8]), Number: 1, Controls: members, Groups: settings.Groups, Replicas: settings.ReplicationFactor, Founding: names}
+}
+
+func (node *Node) bootstrapFleetWith(view feed.View) {
+	node.host.Bootstrap(controlGroup, view.Founding, encodeControlSnapshot(&view, feed.History{}))
+	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet_founded")
+}
+
+func (node *Node) isEmpty() bool { return node.host.Statuses()[controlGroup].LastIndex == 0 }
--- /dev/null
+++ b/system/controlplane/node_forwarding.go
@@ -0,0 +1,59 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/wire"
+)
+
+// leaderAddress tells where the control leader is; "" if it is here or unknown.
+func (node *Node) leaderAddress() string {
+	leader := node.host.Statuses()[controlGroup].Leader
+	if leader == "" || leader == node.Name() {
+		return ""
+	}
+	return node.addressOf(leader)
+}
+
+// forwardToLeader asks the leader to answer what only it can. A query that was passed on
+// already goes no further: its sender is told who leads, as far as it is known here, and
+// asks there.
+func (node *Node) forwardToLeader(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+	if query.Forwarded {
+		return nil, node.notLeaderError()
+	}
+	forwarded := *query
+	forwarded.Fleet, forwarded.Forwarded = node.View().Fleet, true
+	tried := map[string]bool{}
+	for address := node.leaderAddress(); address != "" && !tried[address]; {
+		tried[address] = true
+		reply, err := node.caller.Call(ctx, address, &forwarded)
+		if !apierror.Is(err, apierror.NotLeader) {
+			return reply, err
+		}
+		address = node.addressOf(apierror.Of(err).Leader)
+	}
+	return nil, noQuorumError()
+}
+
+// notLeaderError points to the leader that this node knows of, if any.
+func (node *Node) notLeaderError() error {
+	leader := node.host.Statuses()[controlGroup].Leader
+	if leader == node.Name() {
+		leader = ""
+	}
+	return &apierror.Error{Kind: apierror.NotLeader, Message: "this control node does not lead", Remedy: "ask the leader that is named, or another control node", Leader: leader, RetryAfter: attemptPause}
+}
+
+func noQuorumError() error {
+	return apierror.NewRetryable(apierror.NoQuorum, "the control plane has no leader with a quorum now", "ask again in a second; if it stays, start the missing control nodes", time.Second)
+}
+
+func leaderlessAsNoQuorum(err error) error {
+	if failed := apierror.Of(err); failed.Kind == apierror.NotLeader || failed.Kind == apierror.Unavailable {
+		return noQuorumError()
+	}
+	return err
+}
--- /dev/null
+++ b/system/controlplane/node_gossip.go
@@ -0,0 +1,72 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"yardrock.example/system/feed"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+func (node *Node) handleGossip(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+	for _, note := range query.MemberSessions.Sessions {
+		node.recordHeard(note.Member, note.Age, false)
+	}
+	return &wire.Reply{}, nil
+}
+
+// gossip tells the other control nodes the sessions that this one holds, its own
+// among them. A control node that is no member yet tells the members.
+func (node *Node) gossip() {
+	notes := []wire.MemberSession{{Member: node.self()}}
+	node.mutex.Lock()
+	for _, entry := range node.liveness {
+		if age := time.Since(entry.lastHeard); entry.direct && age < livenessTimeout {
+			notes = append(notes, wire.MemberSession{Member: entry.member, Age: age})
+		}
+	}
+	node.mutex.Unlock()
+	batch := &wire.MemberSessionBatch{From: node.Name(), Sessions: notes}
+	targets := map[string]bool{}
+	for _, member := range node.View().Controls {
+		targets[member.Address] = true
+	}
+	for _, member := range node.LiveMembers() {
+		if member.Role == feed.RoleControl {
+			targets[member.Address] = true
+		}
+	}
+	// Until it has heard from a leader, what this node has applied may be as old as its
+	// last checkpoint, with machines in it that are long gone.
+	if len(node.View().Controls) == 0 || !node.Ready() {
+		for _, address := range node.discoverControls() {
+			targets[address] = true
+		}
+	}
+	delete(targets, node.settings.Address)
+	node.gossipCount++
+	wantReply := node.gossipCount%gossipsPerCall == 0
+	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, MemberSessions: batch}
+	for address := range targets {
+		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
+			continue // it is not there, or slow
+		}
+		go func() {
+			defer node.gossiping.Delete(address)
+			node.sendGossip(address, *query, wantReply)
+		}()
+	}
+	node.saveControlAddresses()
+}
+
+// sendGossip sends sessions to a control node; now and then it looks whether that node answers.
+func (node *Node) sendGossip(address string, query wire.Query, wantReply bool) {
+	ctx, cancel := context.WithTimeout(node.context, gossipInterval)
+	defer cancel()
+	if !wantReply {
+		node.caller.Notify(ctx, address, &query)
+	} else if _, err := node.caller.Call(ctx, address, &query); err != nil && ctx.Err() != nil {
+		node.caller.Drop(address)
+	}
+}
--- /dev/null
+++ b/system/controlplane/node_queries.go
@@ -0,0 +1,63 @@
+package controlplane
+
+import (
+	"context"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/feed"
+	"yardrock.example/system/link"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+var queryHandlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
+	schema.Query_Which_status:    (*Node).handleStatus,
+	schema.Query_Which_agreement: (*Node).handleRaft,
+	schema.Query_Which_follow:    (*Node).handleFollow,
+	schema.Query_Which_sessions:  (*Node).handleGossip,
+	schema.Query_Which_change:    (*Node).handleChange,
+}
+
+// anyFleetQueries queries are taken whatever fleet the asker names: replicas know each
+// other by their disks, and a fleet that recovers changes its name back.
+var anyFleetQueries = map[schema.Query_Which]bool{schema.Query_Which_status: true, schema.Query_Which_agreement: true, schema.Query_Which_sessions: true}
+
+// Handle answers one query of another process.
+//
+//	reply := node.Handle(ctx, query)
+func (node *Node) Handle(ctx context.Context, query *wire.Query) *wire.Reply {
+	handler, known := queryHandlers[query.Which]
+	if !known {
+		return wire.ErrorReply(apierror.New(apierror.Invalid, "a control node does not answer this query", "ask a store node"))
+	}
+	if fleet := node.View().Fleet; !anyFleetQueries[query.Which] && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
+		node.noteForeignStore(query)
+		if node.View().BoundFleet() == "" {
+			// This control plane may have lost its disks, and yet find that it is the one
+			// of the asking process's fleet.
+			return wire.ErrorReply(noQuorumError())
+		}
+		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
+	}
+	if rejection := query.MisdirectedReply(node.Name()); rejection != nil {
+		return rejection
+	}
+	reply, err := handler(node, ctx, query)
+	if err != nil {
+		return wire.ErrorReply(err)
+	}
+	return reply
+}
+
+func (node *Node) handleStatus(_ context.Context, _ *wire.Query) (*wire.Reply, error) {
+	view := node.View()
+	return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
+		Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Uninitialized: node.isEmpty(),
+		Fleet: view.Fleet, ViewNumber: view.Number, Leader: node.host.Statuses()[controlGroup].Leader, Controls: view.Controls, Founding: view.Founding,
+	}}, nil
+}
+
+func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
+	return &wire.Reply{}, nil
+}
--- a/system/controlplane/routing_requests.go
+++ b/system/controlplane/routing_requests.go
@@ -9,7 +9,6 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/wire"
 )
 
 const (
@@ -18,106 +17,6 @@
 	attemptPause   = 50 * time.Millisecond
 )
 
-// decodedConfig is the config of one number, decoded once.
-type decodedConfig struct {
-	fleet  string
-	number uint64
-	config *config.Config
-}
-
-// decodeConfig decodes a view's config, or takes the one that was decoded last.
-func (node *Node) decodeConfig(view *feed.View) (*config.Config, error) {
-	if last := node.decodedConfig.Load(); last != nil && last.fleet == view.Fleet && last.number == view.ConfigNumber {
-		return last.config, nil
-	}
-	decoded, err := config.Decode(view.Compiled)
-	if err != nil {
-		return nil, err
-	}
-	node.decodedConfig.Store(&decodedConfig{view.Fleet, view.ConfigNumber, decoded})
-	return decoded, nil
-}
-
-// compileWithRouting compiles a config that an operator wrote with the routing in force.
-func (node *Node) compileWithRouting(view *feed.View, decoded *config.Config) ([]byte, error) {
-	inForce, err := node.decodeConfig(view)
-	if err != nil {
-		return nil, err
-	}
-	next := *decoded // the same order may be decided again on another view
-	return next.InheritRouting(inForce)
-}
-
-// decision is what an order comes to on a view: the change to make, or, if nothing is
-// left to change, the number whose acknowledgement to wait for.
-type decision struct {
-	change     *feed.Change
-	acceptedAs uint64
-}
-
-// decideFunc looks at what a quorum confirmed as in force since the order came. An error
-// refuses the order.
-type decideFunc func(view *feed.View) (decision, error)
-
-// execute brings an order to its acknowledgement, over changes of the leader, until the
-// context ends.
-func (node *Node) execute(ctx context.Context, decide decideFunc) (*wire.ChangeReply, error) {
-	failed := noQuorumError()
-	for {
-		reply, refused, err := node.attempt(ctx, decide)
-		switch {
-		case refused != nil:
-			return nil, refused
-		case err == nil && reply.Acknowledged:
-			return reply, nil
-		case err == nil:
-			failed = unclearChangeError()
-		case !apierror.Is(failed, apierror.OutcomeUnknown):
-			failed = err
-		}
-		select {
-		case <-time.After(attemptPause):
-		case <-ctx.Done():
-			return nil, unacknowledgedError(failed)
-		}
-	}
-}
-
-// attempt looks at what is in force, and makes the change that it asks for.
-func (node *Node) attempt(ctx context.Context, decide decideFunc) (reply *wire.ChangeReply, refused, err error) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
-	defer cancel()
-	view, err := node.confirmedView(ctx)
-	if err != nil {
-		return nil, nil, err
-	}
-	decided, refused := decide(view)
-	if refused != nil {
-		return nil, refused, nil
-	}
-	if decided.change == nil {
-		reply, err = node.AwaitAcknowledged(ctx, decided.acceptedAs)
-	} else {
-		reply, err = node.Change(ctx, *decided.change)
-	}
-	return reply, nil, err
-}
-
-// unacknowledgedError tells that an order may be sent again: only what was decided on a view
-// refuses it for good.
-func unacknowledgedError(err error) error {
-	if failed := apierror.Of(err); failed.Kind == apierror.OutcomeUnknown || failed.Kind == apierror.NoQuorum {
-		return err
-	}
-	return apierror.NewRetryable(apierror.NoQuorum, "the order was not acknowledged in time: "+apierror.Of(err).Message, "send the same order again, to any control node", time.Second)
-}
-
-// forgottenRequestError answers an order that may have been carried out so long ago that it is no
-// longer remembered: it is neither acknowledged nor refused.
-func forgottenRequestError() error {
-	return apierror.NewRetryable(apierror.NoQuorum, "the order builds on what was replaced long ago, and may have been carried out then", "read what is in force; send a new order if it is not what you want", time.Second)
-}
-
 // ReplaceRouting puts a whole routing in force, in place of that of the revision base (0
 // if there is none yet), and returns once it is acknowledged. Digest names the order:
 // the same one sent again is acknowledged again. Conflict tells that another revision
@@ -242,22 +141,3 @@
 		}
 	}
 }
-
-// SetDomainState empties or refills a domain and returns once that is acknowledged; if it
-// is in that state already, once it is known that this was.
-//
-//	err := node.SetDomainState(ctx, "root", "east", feed.StateDrained)
-func (node *Node) SetDomainState(ctx context.Context, by, name, state string) error {
-	if state != feed.StateServing && state != feed.StateDrained {
-		return apierror.New(apierror.Invalid, fmt.Sprintf("%q is no state of a domain", state), "use serving or emptied")
-	}
-	_, err := node.execute(ctx, func(view *feed.View) (decision, error) {
-		if view.DomainDrained(name) == (state == feed.StateDrained) {
-			return decision{acceptedAs: view.Number}, nil
-		}
-		change := newDomainChange(view, name, state)
-		change.By = by
-		return decision{change: &change}, nil
-	})
-	return err
-}
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -11,9 +11,6 @@
 	"yardrock.example/system/feed"
 )
 
-// RunnerDiscoveryRole is the key of the assignment that polls the platform's runner list.
-const RunnerDiscoveryRole = "roster"
-
 const (
 	runnerListTimeout  = 3 * time.Second
 	runnerListInterval = 500 * time.Millisecond
@@ -23,23 +20,6 @@
 	warmUpSlack = 250 * time.Millisecond
 )
 
-// RunnerSource gives the platform's whole list of runners, in any order. It gives no
-// part of a list: where a page is missing, it fails. A failure with RetryAfter tells
-// when to ask again. WarmUpLeft counts from the reading.
-type RunnerSource interface {
-	List(ctx context.Context) ([]feed.Runner, error)
-}
-
-type runnerDiscovery struct {
-	nextPoll time.Time
-	// servingSince is since when this node, while it has held the assignment under this fence,
-	// has seen each runner serve, by its steady clock; cold is until when the feed
-	// says that each is cold.
-	servingSince map[string]time.Time
-	warmUpEnds   map[string]time.Time
-	fencingToken uint64
-}
-
 // runnersReading is when a list was asked for whose content is on the feed, and under which
 // fence: a later owner of the assignment may have put another one there.
 type runnersReading struct {
@@ -47,29 +27,6 @@
 	fencingToken uint64
 }
 
-// runRoleLeases takes the assignments, under the next fence, while this node leads the control
-// group, and does those that it holds. So the loss of another node moves no assignment, and
-// that of the leader moves them as soon as there is another.
-// It tells when it is due again.
-func (node *Node) runRoleLeases() time.Duration {
-	view := node.View()
-	if view.Number == 0 || !node.host.Statuses()[controlGroup].CommittedInTerm {
-		return roleLeaseInterval
-	}
-	ctx, cancel := context.WithTimeout(node.context, callTimeout+runnerListTimeout)
-	defer cancel()
-	lease := view.RoleLeaseOf(RunnerDiscoveryRole)
-	if lease.Holder != node.Name() {
-		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeRoleLease, By: node.Name(), RoleLease: feed.RoleLease{Key: RunnerDiscoveryRole, Holder: node.Name(), FencingToken: lease.FencingToken + 1}})
-		view = node.View()
-		if lease = view.RoleLeaseOf(RunnerDiscoveryRole); lease.Holder != node.Name() {
-			return roleLeaseInterval
-		}
-	}
-	node.discoverRunners(ctx, view, lease)
-	return max(busyInterval, min(runnerListInterval, time.Until(node.discovery.nextPoll)))
-}
-
 // discoverRunners asks the platform's list, keeps away as long as it says so, and
 // puts what changed on the feed under the assignment's fence.
 func (node *Node) discoverRunners(ctx context.Context, view *feed.View, lease feed.RoleLease) {
@@ -116,16 +73,14 @@
 	node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
 }
 
-// recordPublished keeps until when the feed says that runners are cold, by a list asked for at a time.
-func (discovery *runnerDiscovery) recordPublished(changed []feed.Runner, removed []string, requestedAt time.Time) {
-	for _, runner := range changed {
-		if delete(discovery.warmUpEnds, runner.Identity()); runner.State == feed.StateWarmingUp {
-			discovery.warmUpEnds[runner.Identity()] = requestedAt.Add(runner.WarmUpLeft)
-		}
-	}
-	for _, name := range removed {
-		delete(discovery.warmUpEnds, name)
-	}
+type runnerDiscovery struct {
+	nextPoll time.Time
+	// servingSince is since when this node, while it has held the assignment under this fence,
+	// has seen each runner serve, by its steady clock; cold is until when the feed
+	// says that each is cold.
+	servingSince map[string]time.Time
+	warmUpEnds   map[string]time.Time
+	fencingToken uint64
 }
 
 // diff finds the runners of a list that are new or not as the feed says, and those of
@@ -188,3 +143,15 @@
 	until, reported := discovery.warmUpEnds[runner.Identity()]
 	return !reported || now.Add(runner.WarmUpLeft).After(until.Add(warmUpSlack))
 }
+
+// recordPublished keeps until when the feed says that runners are cold, by a list asked for at a time.
+func (discovery *runnerDiscovery) recordPublished(changed []feed.Runner, removed []string, requestedAt time.Time) {
+	for _, runner := range changed {
+		if delete(discovery.warmUpEnds, runner.Identity()); runner.State == feed.StateWarmingUp {
+			discovery.warmUpEnds[runner.Identity()] = requestedAt.Add(runner.WarmUpLeft)
+		}
+	}
+	for _, name := range removed {
+		delete(discovery.warmUpEnds, name)
+	}
+}
--- a/system/controlplane/runner_source.go
+++ b/system/controlplane/runner_source.go
@@ -15,12 +15,6 @@
 	"yardrock.example/system/link"
 )
 
-// configRunnerSource reads the list that the config names.
-type configRunnerSource struct {
-	client *http.Client
-	url    string
-}
-
 func newConfigRunnerSource(network link.Network) configRunnerSource {
 	return configRunnerSource{client: &http.Client{Timeout: runnerListTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return network.Dial(ctx, address) },
@@ -63,3 +57,16 @@
 	}
 	return runners, nil
 }
+
+// RunnerSource gives the platform's whole list of runners, in any order. It gives no
+// part of a list: where a page is missing, it fails. A failure with RetryAfter tells
+// when to ask again. WarmUpLeft counts from the reading.
+type RunnerSource interface {
+	List(ctx context.Context) ([]feed.Runner, error)
+}
+
+// configRunnerSource reads the list that the config names.
+type configRunnerSource struct {
+	client *http.Client
+	url    string
+}
--- /dev/null
+++ b/system/controlplane/store_groups.go
@@ -0,0 +1,66 @@
+package controlplane
+
+import (
+	"context"
+	"slices"
+	"sync"
+
+	"yardrock.example/system/feed"
+	"yardrock.example/system/placement"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+// countUnhealedGroups counts the groups that have no confirmed leader, or whose replicas are not, or
+// not yet all, those that the store list wants.
+func (node *Node) countUnhealedGroups(ctx context.Context, view *feed.View) int {
+	leaders := node.groupLeaders(ctx, view)
+	count := 0
+	for group := range view.Groups {
+		led := leaders[group]
+		if len(led.Learners) > 0 || !sameNames(led.Voters, placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())) {
+			count++
+		}
+	}
+	return count
+}
+
+func sameNames(left, right []string) bool {
+	return slices.Equal(slices.Sorted(slices.Values(left)), slices.Sorted(slices.Values(right)))
+}
+
+// leaderStatus is what a group's leader says of it.
+type leaderStatus struct {
+	wire.GroupStatus
+	leader string
+}
+
+// groupLeaders asks all stores and keeps what each group's leader says.
+func (node *Node) groupLeaders(ctx context.Context, view *feed.View) map[uint32]leaderStatus {
+	return node.queryGroupLeaders(ctx, view, wire.StatusQuery{})
+}
+
+func (node *Node) queryGroupLeaders(ctx context.Context, view *feed.View, query wire.StatusQuery) map[uint32]leaderStatus {
+	var mutex sync.Mutex
+	var calls sync.WaitGroup
+	leaders := map[uint32]leaderStatus{}
+	for _, store := range view.Stores {
+		calls.Go(func() {
+			limited, cancel := context.WithTimeout(ctx, callTimeout)
+			defer cancel()
+			reply, err := node.caller.Call(limited, node.addressOf(store.Name), &wire.Query{Which: schema.Query_Which_status, Status: &query})
+			if err != nil || reply.Status == nil {
+				return
+			}
+			mutex.Lock()
+			defer mutex.Unlock()
+			for _, status := range reply.Status.Groups {
+				if status.Leading {
+					leaders[status.Group] = leaderStatus{status, store.Name}
+				}
+			}
+		})
+	}
+	calls.Wait()
+	return leaders
+}
--- a/system/controlplane/store_membership.go
+++ b/system/controlplane/store_membership.go
@@ -3,16 +3,13 @@
 import (
 	"context"
 	"slices"
-	"sync"
 	"time"
 
 	"github.com/apex/log"
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
-	"yardrock.example/system/placement"
 	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
 const (
@@ -21,109 +18,6 @@
 	recoveredNumberStep = 1_000_000
 )
 
-// foundStoreList makes the first store list once enough stores have sessions. If a
-// store already holds a view, this control plane has lost its disks, and takes
-// what a majority of that view's stores hold instead.
-func (node *Node) foundStoreList(ctx context.Context) {
-	view := node.View()
-	if len(view.Stores) > 0 || view.Number == 0 {
-		return
-	}
-	stores := []feed.Member{}
-	for _, member := range node.LiveMembers() {
-		if member.Role == feed.RoleStore {
-			stores = append(stores, member)
-		}
-	}
-	synced, answered := node.fetchNewestForeignView(ctx, stores)
-	if synced.Number > 0 {
-		node.recoverFeed(ctx, synced, answered)
-		return
-	}
-	if node.settings.AutoEnrol && !node.storesSettled(stores) {
-		return
-	}
-	if len(stores) >= node.settings.FoundingStores && len(answered) == len(stores) {
-		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: stores})
-	}
-}
-
-// fetchNewestForeignView asks stores for the newest view that each has synced of a fleet that is
-// not this one's. A store whose own control plane is alive is left out.
-func (node *Node) fetchNewestForeignView(ctx context.Context, stores []feed.Member) (feed.View, []string) {
-	var mutex sync.Mutex
-	var calls sync.WaitGroup
-	newest, answered := feed.View{}, []string{}
-	for _, store := range stores {
-		calls.Go(func() {
-			reply, err := node.caller.Call(ctx, store.Address, &wire.Query{To: store.Name, Which: schema.Query_Which_newest, NewestView: &wire.NewestViewQuery{Packed: true}})
-			if err != nil || reply.NewestView == nil {
-				return
-			}
-			view, err := reply.NewestView.FullView()
-			if err != nil {
-				return
-			}
-			foreign := reply.NewestView.Number > 0 && view.Fleet != node.View().Fleet
-			if foreign && reply.NewestView.HeardControlQuorum {
-				return
-			}
-			mutex.Lock()
-			defer mutex.Unlock()
-			answered = append(answered, store.Name)
-			if foreign && reply.NewestView.Number > newest.Number {
-				newest = *view
-			}
-		})
-	}
-	calls.Wait()
-	return newest, answered
-}
-
-func (node *Node) recoverFeed(ctx context.Context, recovered feed.View, answered []string) {
-	heard, replicas := 0, feed.ViewReplicas(recovered.Stores)
-	for _, store := range replicas {
-		if slices.Contains(answered, store.Name) {
-			heard++
-		}
-	}
-	if heard < len(replicas)/2+1 {
-		log.WithFields(log.Fields{"node": node.Name(), "number": recovered.Number, "heard": heard, "of": len(replicas)}).Warn("recovery_waits_for_stores")
-		return
-	}
-	view := node.View()
-	recovered.Number += recoveredNumberStep
-	recovered.Controls, recovered.Founding = view.Controls, view.Founding
-	log.WithFields(log.Fields{"node": node.Name(), "fleet": recovered.Fleet, "number": recovered.Number}).Info("feed_recovered")
-	node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeRecovered, By: node.Name(), View: recovered})
-}
-
-// requireStoreList refuses while there is no store list: until then nothing can be
-// acknowledged, and what was acknowledged before may not be recovered yet.
-func requireStoreList(view *feed.View) error {
-	if len(view.Stores) == 0 {
-		return apierror.NewRetryable(apierror.NoQuorum, "the fleet has no store list yet", "wait until its stores have sessions, or start the stores that are missing", time.Second)
-	}
-	return nil
-}
-
-// storesSettled tells that no store has come lately, so that a list that is made now need not be
-// changed at once.
-func (node *Node) storesSettled(stores []feed.Member) bool {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	return !slices.ContainsFunc(stores, func(store feed.Member) bool {
-		return time.Since(node.liveness[store.Name].firstHeard) < foundingQuietPeriod
-	})
-}
-
-// knownFor tells how long ago a node was first heard of.
-func (node *Node) knownFor(name string) time.Duration {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	return time.Since(node.liveness[name].firstHeard)
-}
-
 // unlistedStores gives the stores that were heard just now and are not in the list.
 func (node *Node) unlistedStores(view *feed.View) []feed.Member {
 	return slices.DeleteFunc(node.LiveMembers(), func(member feed.Member) bool {
@@ -234,83 +128,3 @@
 	}
 	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: append(next, member)}, nil
 }
-
-// countUnhealedGroups counts the groups that have no confirmed leader, or whose replicas are not, or
-// not yet all, those that the store list wants.
-func (node *Node) countUnhealedGroups(ctx context.Context, view *feed.View) int {
-	leaders := node.groupLeaders(ctx, view)
-	count := 0
-	for group := range view.Groups {
-		led := leaders[group]
-		if len(led.Learners) > 0 || !sameNames(led.Voters, placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())) {
-			count++
-		}
-	}
-	return count
-}
-
-func sameNames(left, right []string) bool {
-	return slices.Equal(slices.Sorted(slices.Values(left)), slices.Sorted(slices.Values(right)))
-}
-
-// leaderStatus is what a group's leader says of it.
-type leaderStatus struct {
-	wire.GroupStatus
-	leader string
-}
-
-// groupLeaders asks all stores and keeps what each group's leader says.
-func (node *Node) groupLeaders(ctx context.Context, view *feed.View) map[uint32]leaderStatus {
-	return node.queryGroupLeaders(ctx, view, wire.StatusQuery{})
-}
-
-func (node *Node) queryGroupLeaders(ctx context.Context, view *feed.View, query wire.StatusQuery) map[uint32]leaderStatus {
-	var mutex sync.Mutex
-	var calls sync.WaitGroup
-	leaders := map[uint32]leaderStatus{}
-	for _, store := range view.Stores {
-		calls.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, callTimeout)
-			defer cancel()
-			reply, err := node.caller.Call(limited, node.addressOf(store.Name), &wire.Query{Which: schema.Query_Which_status, Status: &query})
-			if err != nil || reply.Status == nil {
-				return
-			}
-			mutex.Lock()
-			defer mutex.Unlock()
-			for _, status := range reply.Status.Groups {
-				if status.Leading {
-					leaders[status.Group] = leaderStatus{status, store.Name}
-				}
-			}
-		})
-	}
-	calls.Wait()
-	return leaders
-}
-
-// confirmedView reads the view by a quorum, wherever the leader is. Only what this node
-// has not applied yet is carried.
-func (node *Node) confirmedView(ctx context.Context) (*feed.View, error) {
-	state, err := node.confirmedState(ctx)
-	if err != nil {
-		return nil, err
-	}
-	return state.view, nil
-}
-
-// confirmedState is confirmedView with the changes that led to the view.
-func (node *Node) confirmedState(ctx context.Context) (*confirmedState, error) {
-	state, err := node.confirmNow(ctx)
-	if err != nil {
-		return nil, leaderlessAsNoQuorum(err)
-	}
-	return state, requireStoreList(state.view)
-}
-
-func leaderlessAsNoQuorum(err error) error {
-	if failed := apierror.Of(err); failed.Kind == apierror.NotLeader || failed.Kind == apierror.Unavailable {
-		return noQuorumError()
-	}
-	return err
-}
