--- a/proof/cmd/faults/main.go
+++ b/proof/cmd/faults/main.go
@@ -1,5 +1,5 @@
 // Command faults starts a deployment as real processes and strikes it by a seeded
-// script, while the demand program checks every rule; it ends with a total outage.
+// script, while the load generator checks every rule; it ends with a total outage.
 package main
 
 import (
@@ -17,8 +17,8 @@
 
 	"github.com/alexflint/go-arg"
 
-	"yardrock.example/proof/demand"
 	"yardrock.example/proof/fleet"
+	"yardrock.example/proof/loadgen"
 )
 
 type options struct {
@@ -38,7 +38,7 @@
 
 var errMisused = errors.New("wrong use")
 
-type done struct {
+type injectedFault struct {
 	Fault  string `json:"fault"`
 	At     string `json:"at"`
 	Took   string `json:"took"`
@@ -66,8 +66,8 @@
 	if _, found := fleet.Deployments[chosen.Deployment]; !found {
 		return fmt.Errorf("%w: no deployment is named %q; use one of %s", errMisused, chosen.Deployment, strings.Join(slices.Sorted(maps.Keys(fleet.Deployments)), ", "))
 	}
-	if _, found := demand.Mixes[chosen.Mix]; !found {
-		return fmt.Errorf("%w: no mix is named %q; use one of %s", errMisused, chosen.Mix, strings.Join(slices.Sorted(maps.Keys(demand.Mixes)), ", "))
+	if _, found := loadgen.Mixes[chosen.Mix]; !found {
+		return fmt.Errorf("%w: no mix is named %q; use one of %s", errMisused, chosen.Mix, strings.Join(slices.Sorted(maps.Keys(loadgen.Mixes)), ", "))
 	}
 	names := []string{}
 	for _, one := range fleet.Faults {
@@ -95,45 +95,45 @@
 		return err
 	}
 	defer running.Stop()
-	reports := make(chan *demand.Report, 1)
+	reports := make(chan *loadgen.Report, 1)
 	driving, stop := context.WithCancel(ctx)
 	defer stop()
 	until := make(chan struct{})
 	go func() {
-		reports <- demand.Run(driving, running.Target(), demand.Mixes[chosen.Mix], chosen.Duration, chosen.Seed, until)
+		reports <- loadgen.Run(driving, running.Target(), loadgen.Mixes[chosen.Mix], chosen.Duration, chosen.Seed, until)
 	}()
-	struck := strike(ctx, running, script, random, chosen)
+	struck := injectFaults(ctx, running, script, random, chosen)
 	if chosen.Each {
 		close(until)
 	}
 	report := <-reports
-	running.JudgeConfig(ctx)
+	running.CheckConfig(ctx)
 	told := map[string]any{"report": report, "script": struck}
 	if chosen.Outage {
-		before, failed := demand.Tally(ctx, running.Target(), "tight")
-		missing, took, err := running.Outage(ctx, rand.New(rand.NewPCG(chosen.Seed, 9)))
+		before, failed := loadgen.Tally(ctx, running.Target(), "tight")
+		missing, took, err := running.TotalOutage(ctx, rand.New(rand.NewPCG(chosen.Seed, 9)))
 		told["outage"] = map[string]any{"missing": missing, "took": took.String()}
-		running.Verdicts.Judge("outage", err == nil, "%v", err)
-		again := demand.Revisit(ctx, running.Target(), report.Kept, chosen.Seed)
-		report.Broken = append(report.Broken, again.Broken...)
-		running.Verdicts.Judge("turns stay known", len(again.Broken) == 0 && again.Histories > 0, "%d histories, %v", again.Histories, again.Broken)
-		after, failedLater := demand.Tally(ctx, running.Target(), "tight")
-		running.Verdicts.Judge("allowance", errors.Join(failed, failedLater) == nil && after >= before, "the tally was %d before the outage, is %d (%v, %v)", before, after, failed, failedLater)
+		running.Checks.Check("outage", err == nil, "%v", err)
+		again := loadgen.Revisit(ctx, running.Target(), report.ToRevisit, chosen.Seed)
+		report.Violations = append(report.Violations, again.Violations...)
+		running.Checks.Check("turns stay known", len(again.Violations) == 0 && again.Histories > 0, "%d histories, %v", again.Histories, again.Violations)
+		after, failedLater := loadgen.Tally(ctx, running.Target(), "tight")
+		running.Checks.Check("allowance", errors.Join(failed, failedLater) == nil && after >= before, "the tally was %d before the outage, is %d (%v, %v)", before, after, failed, failedLater)
 		told["revisited"] = again.Histories
-		running.JudgeConfig(ctx)
+		running.CheckConfig(ctx)
 	}
-	report.Broken = append(report.Broken, running.Panics()...)
-	report.Broken = append(report.Broken, running.Verdicts.Broken...)
-	told["judged"] = running.Verdicts.Checked
+	report.Violations = append(report.Violations, running.Panics()...)
+	report.Violations = append(report.Violations, running.Checks.Violations...)
+	told["judged"] = running.Checks.Checked
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", " ")
 	if err := encoder.Encode(told); err != nil {
 		return err
 	}
-	if untested := running.Verdicts.Untested(rules); chosen.Each && chosen.Outage && len(untested) > 0 {
+	if untested := running.Checks.Untested(rules); chosen.Each && chosen.Outage && len(untested) > 0 {
 		return fmt.Errorf("not tested, as nothing was there to judge: %s (logs are in %s)", strings.Join(untested, ", "), running.Folder)
 	}
-	return running.Judge(report)
+	return running.CheckReport(report)
 }
 
 // plan draws the script; nil draws as long as the time lasts.
@@ -146,16 +146,16 @@
 	return script
 }
 
-// strike does one fault after another, with a rest between, until the script or the
+// injectFaults does one fault after another, with a rest between, until the script or the
 // time is over; with pairs, a second that strikes elsewhere is done along with some.
-func strike(ctx context.Context, running *fleet.Fleet, script []fleet.Fault, random *rand.Rand, chosen options) []done {
+func injectFaults(ctx context.Context, target *fleet.Fleet, script []fleet.Fault, random *rand.Rand, chosen options) []injectedFault {
 	began := time.Now()
 	var mutex sync.Mutex
-	struck := []done{}
+	struck := []injectedFault{}
 	do := func(one fleet.Fault, seed uint64) {
 		at := time.Now()
-		err := one.Do(ctx, running, rand.New(rand.NewPCG(seed, 1)))
-		noted := done{Fault: one.Name, At: at.Sub(began).Round(time.Millisecond).String(), Took: time.Since(at).Round(time.Millisecond).String()}
+		err := one.Inject(ctx, target, rand.New(rand.NewPCG(seed, 1)))
+		noted := injectedFault{Fault: one.Name, At: at.Sub(began).Round(time.Millisecond).String(), Took: time.Since(at).Round(time.Millisecond).String()}
 		if err != nil {
 			noted.Failed = err.Error()
 		}
@@ -179,7 +179,7 @@
 		}
 		var both sync.WaitGroup
 		both.Go(func() { do(one, chosen.Seed*1000+uint64(position)) })
-		if other := fleet.Faults[random.IntN(len(fleet.Faults))]; chosen.Pairs && random.IntN(3) == 0 && other.Strike != one.Strike {
+		if other := fleet.Faults[random.IntN(len(fleet.Faults))]; chosen.Pairs && random.IntN(3) == 0 && other.Target != one.Target {
 			both.Go(func() { do(other, chosen.Seed*1000+500+uint64(position)) })
 		}
 		both.Wait()
--- a/proof/cmd/fleet/main.go
+++ b/proof/cmd/fleet/main.go
@@ -44,8 +44,8 @@
 	}
 	defer running.Stop()
 	administration := []string{}
-	for _, control := range running.Of("control") {
-		administration = append(administration, control.Outside)
+	for _, control := range running.ProcessesOf("control") {
+		administration = append(administration, control.PublicAddress)
 	}
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
--- a/proof/cmd/demand/main.go
+++ b/proof/cmd/loadgen/main.go
@@ -11,8 +11,8 @@
 
 	"github.com/alexflint/go-arg"
 
-	"yardrock.example/proof/demand"
 	"yardrock.example/proof/fleet"
+	"yardrock.example/proof/loadgen"
 )
 
 type options struct {
@@ -39,11 +39,11 @@
 		return err
 	}
 	defer running.Stop()
-	report := demand.Run(ctx, running.Target(), demand.Mixes[chosen.Deployment], chosen.Duration, chosen.Seed, nil)
+	report := loadgen.Run(ctx, running.Target(), loadgen.Mixes[chosen.Deployment], chosen.Duration, chosen.Seed, nil)
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(report); err != nil {
 		return err
 	}
-	return running.Judge(report)
+	return running.CheckReport(report)
 }
--- a/proof/cmd/measure/main.go
+++ b/proof/cmd/measure/main.go
@@ -38,7 +38,7 @@
 	openings := flag.Bool("openings", false, "measure them as programs with openings in common, shared and not, in turn")
 	flag.Parse()
 	if *openings {
-		if err := openingCosts(max(*pace, 1), *number, *size, *takes); err != nil {
+		if err := sharedPrefixCosts(max(*pace, 1), *number, *size, *takes); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -78,7 +78,7 @@
 }
 
 func count(groups uint32) error {
-	cluster, err := simulator.Start(1, simulator.Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 1, Groups: groups}, simulator.Rules)
+	cluster, err := simulator.Start(1, simulator.Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 1, Groups: groups}, simulator.BasicConfig)
 	if cluster != nil {
 		defer cluster.Stop()
 	}
@@ -137,7 +137,7 @@
 	query.Header.Set("Authorization", "Bearer "+simulator.TeamToken)
 	query.Header.Set("Content-Type", "application/json")
 	began := time.Now()
-	answer, err := cluster.Origin().Do(query)
+	answer, err := cluster.Client().Do(query)
 	if err != nil {
 		return 0, 0, err
 	}
--- a/proof/cmd/measure/openings.go
+++ b/proof/cmd/measure/sharedprefixes.go
@@ -29,8 +29,8 @@
 	archivePause = 25 * time.Second
 )
 
-// openingArm is what was seen with openings shared, or not.
-type openingArm struct {
+// sharingArm is what was seen with openings shared, or not.
+type sharingArm struct {
 	Turns         int           `json:"turns"`
 	Failed        int           `json:"failed"`
 	Wrong         int           `json:"wrong_histories"`
@@ -44,9 +44,9 @@
 	begins        []time.Duration
 }
 
-// openingCosts runs programs at a pace against three stores, in turn with their openings
+// sharedPrefixCosts runs programs at a pace against three stores, in turn with their openings
 // shared and not, and tells what each way cost.
-func openingCosts(pace, count, size int, takes time.Duration) error {
+func sharedPrefixCosts(pace, count, size int, takes time.Duration) error {
 	fleet, err := startStores(takes)
 	if fleet != nil {
 		defer fleet.end()
@@ -71,20 +71,20 @@
 		inputs = append(inputs, words(size))
 	}
 	time.Sleep(3 * time.Second)
-	arms := map[string]*openingArm{"off": {}, "on": {}}
+	arms := map[string]*sharingArm{"off": {}, "on": {}}
 	// What is held and sent is seen one way after the other, delays both ways at once.
 	for _, name := range []string{"off", "on"} {
 		arm := arms[name]
-		network, cold := fleet.network.bytes.Load(), fleet.coldBytes()
-		fleet.openingRound(func(int) (*openingArm, string) { return arm, name }, "alone", pace, count, openings, inputs)
+		network, cold := fleet.network.bytes.Load(), fleet.archivedBytes()
+		fleet.sharedPrefixRound(func(int) (*sharingArm, string) { return arm, name }, "alone", pace, count, openings, inputs)
 		arm.NetworkBytes = fleet.network.bytes.Load() - network
 		arm.HotBytes, arm.CheckpointHot = fleet.held(name)
 		time.Sleep(archivePause)
 		_, arm.Checkpoint = fleet.held(name)
-		arm.ColdBytes = fleet.coldBytes() - cold
+		arm.ColdBytes = fleet.archivedBytes() - cold
 		arm.begins = nil
 	}
-	fleet.openingRound(func(number int) (*openingArm, string) {
+	fleet.sharedPrefixRound(func(number int) (*sharingArm, string) {
 		name := []string{"off", "on"}[number/openingScopes%2]
 		return arms[name], name
 	}, "beside", pace, 2*count, openings, inputs)
@@ -97,8 +97,8 @@
 	return err
 }
 
-// openingRound runs programs, each turn once the one before it has ended.
-func (fleet *storesOnLoopback) openingRound(armOf func(number int) (*openingArm, string), round string, pace, count int, openings, inputs []string) {
+// sharedPrefixRound runs programs, each turn once the one before it has ended.
+func (fleet *storesOnLoopback) sharedPrefixRound(armOf func(number int) (*sharingArm, string), round string, pace, count int, openings, inputs []string) {
 	var mutex sync.Mutex
 	var working sync.WaitGroup
 	tick := time.NewTicker(time.Second * turnsOfAProgram / time.Duration(pace))
@@ -177,8 +177,8 @@
 	return data, checkpoint
 }
 
-// coldBytes sums the files of all cold stores.
-func (fleet *storesOnLoopback) coldBytes() int64 {
+// archivedBytes sums the files of all cold stores.
+func (fleet *storesOnLoopback) archivedBytes() int64 {
 	total := int64(0)
 	folders, _ := filepath.Glob(filepath.Join(fleet.folder, "cold*"))
 	for _, folder := range folders {
--- a/proof/cmd/breaches/main.go
+++ b/proof/cmd/mutations/main.go
@@ -1,5 +1,5 @@
-// Command breaches shows that the checks can fail: it applies each patch of
-// proof/breaches to a copy of the tree, which breaks one rule, and demands that the
+// Command mutations shows that the checks can fail: it applies each patch of
+// proof/mutations to a copy of the tree, which breaks one rule, and demands that the
 // tests which the patch names fail.
 package main
 
@@ -26,15 +26,15 @@
 
 // Exit codes.
 const (
-	exitGreen   = 1 // a breach was not caught
-	exitMisused = 2 // a patch does not apply, or names no test
+	exitNotCaught = 1 // a mutation was not caught
+	exitMisused   = 2 // a patch does not apply, or names no test
 )
 
-// usualPackage holds the tests of a patch that names no other package.
-const usualPackage = "proof/simulator"
+// defaultPackage holds the tests of a patch that names no other package.
+const defaultPackage = "proof/simulator"
 
-// breach is one patch, with the head lines that say what it is for.
-type breach struct {
+// mutation is one patch, with the head lines that say what it is for.
+type mutation struct {
 	name, rule, tests, file string
 	// testPackage is the folder of the package whose tests must fail, from the root.
 	testPackage string
@@ -51,7 +51,7 @@
 }
 
 func run(chosen options) (int, error) {
-	breaches, err := read(chosen)
+	mutations, err := readPatches(chosen)
 	if err != nil {
 		return exitMisused, err
 	}
@@ -59,12 +59,12 @@
 	var working sync.WaitGroup
 	green, misused := []string{}, []error{}
 	places := make(chan struct{}, max(chosen.Parallel, 1))
-	for _, one := range breaches {
+	for _, one := range mutations {
 		working.Go(func() {
 			places <- struct{}{}
 			defer func() { <-places }()
 			began := time.Now()
-			caught, err := one.try(chosen)
+			caught, err := one.test(chosen)
 			mutex.Lock()
 			defer mutex.Unlock()
 			told := "caught"
@@ -76,28 +76,28 @@
 				told = "NOT CAUGHT"
 				green = append(green, one.name)
 			}
-			fmt.Printf("rule=%q breach=%s tests=%q %s after %s\n", one.rule, one.name, one.tests, told, time.Since(began).Round(time.Second))
+			fmt.Printf("rule=%q mutation=%s tests=%q %s after %s\n", one.rule, one.name, one.tests, told, time.Since(began).Round(time.Second))
 		})
 	}
 	working.Wait()
-	fmt.Printf("%d passed, %d failed\n", len(breaches)-len(green)-len(misused), len(green)+len(misused))
+	fmt.Printf("%d passed, %d failed\n", len(mutations)-len(green)-len(misused), len(green)+len(misused))
 	switch {
 	case len(misused) > 0:
 		return exitMisused, errors.Join(misused...)
 	case len(green) > 0:
-		return exitGreen, fmt.Errorf("breaches that no test caught: %s", strings.Join(green, ", "))
+		return exitNotCaught, fmt.Errorf("mutations that no test caught: %s", strings.Join(green, ", "))
 	}
 	return 0, nil
 }
 
-func read(chosen options) ([]breach, error) {
-	files, err := filepath.Glob(filepath.Join(chosen.Tree, "proof/breaches/*.patch"))
+func readPatches(chosen options) ([]mutation, error) {
+	files, err := filepath.Glob(filepath.Join(chosen.Tree, "proof/mutations/*.patch"))
 	if err != nil {
 		return nil, err
 	}
-	found := []breach{}
+	found := []mutation{}
 	for _, file := range files {
-		one := breach{name: strings.TrimSuffix(filepath.Base(file), ".patch"), file: file, testPackage: usualPackage}
+		one := mutation{name: strings.TrimSuffix(filepath.Base(file), ".patch"), file: file, testPackage: defaultPackage}
 		if chosen.Only != "" && one.name != chosen.Only {
 			continue
 		}
@@ -122,14 +122,14 @@
 		found = append(found, one)
 	}
 	if len(found) == 0 {
-		return nil, fmt.Errorf("no patch is there to try: run this in the project's folder, and name one of proof/breaches with --only")
+		return nil, fmt.Errorf("no patch is there to try: run this in the project's folder, and name one of proof/mutations with --only")
 	}
 	return found, nil
 }
 
-// try applies the patch to a copy and runs its tests there.
-func (one breach) try(chosen options) (caught bool, err error) {
-	folder, err := os.MkdirTemp("", "breach-")
+// test applies the patch to a copy and runs its tests there.
+func (one mutation) test(chosen options) (caught bool, err error) {
+	folder, err := os.MkdirTemp("", "mutation-")
 	if err != nil {
 		return false, err
 	}
@@ -156,7 +156,7 @@
 		return false, fmt.Errorf("the patch no longer applies; make it anew from the code as it is: %s", said)
 	}
 	// A tree that does not compile would fail every test.
-	binary := filepath.Join(folder, "breach.test")
+	binary := filepath.Join(folder, "mutation.test")
 	if said, err := command(folder, nil, "go", "test", "-vet=off", "-c", "-o", binary, "./"+one.testPackage); err != nil {
 		return false, fmt.Errorf("the patched tree does not compile: %s", said)
 	}
--- a/proof/cmd/scale/main.go
+++ b/proof/cmd/scale/main.go
@@ -44,12 +44,12 @@
 }
 
 type report struct {
-	Label    string           `json:"label,omitempty"`
-	Against  string           `json:"against"`
-	Began    time.Time        `json:"began"`
-	Cores    int              `json:"cores_of_the_machine"`
-	Measured []scale.Measured `json:"measured"`
-	Slopes   []scale.Slope    `json:"slopes"`
+	Label    string              `json:"label,omitempty"`
+	Against  string              `json:"against"`
+	Began    time.Time           `json:"began"`
+	Cores    int                 `json:"cores_of_the_machine"`
+	Measured []scale.Measurement `json:"measured"`
+	Slopes   []scale.Slope       `json:"slopes"`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -65,7 +65,7 @@
 		parser.WriteHelp(output)
 		return 0
 	case err != nil:
-		return fail(&scale.Refusal{Message: err.Error(), Remedy: "see --help"}, complaints)
+		return fail(&scale.StepError{Message: err.Error(), Remedy: "see --help"}, complaints)
 	}
 	log.SetHandler(discard.New())
 	return fail(measure(chosen, output), complaints)
@@ -76,16 +76,16 @@
 		return 0
 	}
 	fmt.Fprintln(complaints, err)
-	var refusal *scale.Refusal
+	var refusal *scale.StepError
 	if errors.As(err, &refusal) {
 		return 2
 	}
 	return 1
 }
 
-// usual is the step that the options choose beside the size that is varied.
-func (chosen options) usual() scale.Step {
-	step := scale.Usual(chosen.Against)
+// defaultStep is the step that the options choose beside the size that is varied.
+func (chosen options) defaultStep() scale.Step {
+	step := scale.DefaultStep(chosen.Against)
 	for size, given := range map[*int]int{&step.Nodes: chosen.Nodes, &step.Runners: chosen.Runners, &step.Routes: chosen.Routes, &step.Changes: chosen.Changes, &step.Groups: chosen.Groups, &step.Turns: chosen.Turns, &step.Programs: chosen.Programs, &step.History: chosen.History} {
 		if given != 0 {
 			*size = given
@@ -95,7 +95,7 @@
 }
 
 func measure(chosen options, output io.Writer) error {
-	steps, err := scale.Steps(chosen.usual(), chosen.Against, chosen.Steps)
+	steps, err := scale.Steps(chosen.defaultStep(), chosen.Against, chosen.Steps)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	told := report{Label: chosen.Label, Against: chosen.Against, Began: time.Now().UTC(), Cores: runtime.NumCPU()}
 	for _, step := range steps {
 		limited, cancel := context.WithTimeout(ctx, chosen.Timeout)
-		measured, failed := scale.Run(limited, scale.Settings{Programs: chosen.Binaries, Folder: folder, Quiet: chosen.Quiet, Pace: chosen.Pace, Real: scale.RealProcesses, Borne: scale.Borne(chosen.Against)}, step)
+		measured, failed := scale.Run(limited, scale.Settings{Programs: chosen.Binaries, Folder: folder, IdlePeriod: chosen.Quiet, StartInterval: chosen.Pace, Real: scale.RealProcesses, LoadsStores: scale.LoadsStores(chosen.Against)}, step)
 		cancel()
 		if failed != nil {
 			measured.Failed = failed.Error()
@@ -145,10 +145,10 @@
 	return err
 }
 
-func draw(chosen options, told report) error {
+func draw(chosen options, measured report) error {
 	file, err := os.Create(chosen.Plot)
 	if err != nil {
 		return err
 	}
-	return errors.Join(scale.Draw(file, chosen.Against, told.Measured), file.Close())
+	return errors.Join(scale.Draw(file, chosen.Against, measured.Measured), file.Close())
 }
--- a/proof/cmd/scale/main_test.go
+++ b/proof/cmd/scale/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestWhatCannotBeMeasuredIsRefusedWithTheRemedy(t *testing.T) {
+func TestInvalidStepsAreRejectedWithRemedy(t *testing.T) {
 	for name, refused := range map[string]struct{ arguments, remedy string }{
 		"an unknown size":         {"--against moons", "name one of"},
 		"an oversized step":       {"--steps 50,100000", "use 800 at most"},
@@ -31,14 +31,14 @@
 	}
 }
 
-func TestHelpIsNoFailure(t *testing.T) {
+func TestHelpExitsWithSuccess(t *testing.T) {
 	var output, complaints bytes.Buffer
 	if code := run([]string{"--help"}, &output, &complaints); code != 0 || !strings.Contains(output.String(), "--against") {
 		t.Fatalf("ended with %d and told %q", code, output.String())
 	}
 }
 
-func TestMissingProgramsAreAFailureAndNoRefusal(t *testing.T) {
+func TestMissingProgramsFail(t *testing.T) {
 	var output, complaints bytes.Buffer
 	if code := run([]string{"--steps", "1", "--binaries", t.TempDir()}, &output, &complaints); code != 1 || !strings.Contains(complaints.String(), "no such file") {
 		t.Fatalf("ended with %d: %q", code, complaints.String())
--- a/proof/cmd/standin/main.go
+++ b/proof/cmd/standin/main.go
@@ -36,9 +36,9 @@
 
 func serve(chosen options) error {
 	if chosen.Serve == "runner" {
-		runner := standin.NewRunner(standin.Pace{First: chosen.First, Piece: chosen.Piece, Plain: chosen.Plain})
+		runner := standin.NewRunner(standin.Latencies{FirstPiece: chosen.First, NextPiece: chosen.Piece, PlainAnswer: chosen.Plain})
 		if chosen.Record != "" {
-			if err := runner.Remember(chosen.Record); err != nil {
+			if err := runner.OpenLedger(chosen.Record); err != nil {
 				return err
 			}
 		}
--- a/proof/fleet/faults.go
+++ b/proof/fleet/faults.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"yardrock.example/proof/demand"
+	"yardrock.example/proof/loadgen"
 	"yardrock.example/system/vfs"
 )
 
@@ -21,8 +21,8 @@
 // one domain at a time.
 type Fault struct {
 	Name   string
-	Strike string
-	Do     func(ctx context.Context, running *Fleet, random *rand.Rand) error
+	Target string
+	Inject func(ctx context.Context, running *Fleet, random *rand.Rand) error
 }
 
 // What faults strike.
@@ -33,9 +33,9 @@
 	operators = "operators"
 )
 
-// pick draws a process of a role.
-func (running *Fleet) pick(random *rand.Rand, role string) *Process {
-	found := running.Of(role)
+// pickProcess draws a process of a role.
+func (fleet *Fleet) pickProcess(random *rand.Rand, role string) *Process {
+	found := fleet.ProcessesOf(role)
 	return found[random.IntN(len(found))]
 }
 
@@ -47,27 +47,27 @@
 }
 
 func killAndRestart(role string, away time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
-	return func(ctx context.Context, running *Fleet, random *rand.Rand) error {
-		process := running.pick(random, role)
+	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+		process := fleet.pickProcess(random, role)
 		process.Kill()
 		wait(ctx, away)
 		return process.Start()
 	}
 }
 
-func freezeAndWake(role string, away time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
-	return func(ctx context.Context, running *Fleet, random *rand.Rand) error {
-		process := running.pick(random, role)
-		process.Freeze()
+func pauseAndResume(role string, away time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
+	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+		process := fleet.pickProcess(random, role)
+		process.Pause()
 		wait(ctx, away)
-		process.Wake()
+		process.Resume()
 		return nil
 	}
 }
 
 func wipeAndRestart(role string) func(context.Context, *Fleet, *rand.Rand) error {
-	return func(ctx context.Context, running *Fleet, random *rand.Rand) error {
-		process := running.pick(random, role)
+	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+		process := fleet.pickProcess(random, role)
 		process.Kill()
 		if err := process.Wipe(); err != nil {
 			return err
@@ -75,7 +75,7 @@
 		if err := process.Start(); err != nil {
 			return err
 		}
-		return running.awaitHealed(ctx, process)
+		return fleet.awaitHealed(ctx, process)
 	}
 }
 
@@ -92,7 +92,7 @@
 // awaitHealed waits until the new disk is enrolled, as many stores and controls
 // are listed and live as there were, and every group has its replicas, so that
 // the next loss may be borne.
-func (running *Fleet) awaitHealed(ctx context.Context, fresh *Process) error {
+func (fleet *Fleet) awaitHealed(ctx context.Context, fresh *Process) error {
 	limited, cancel := context.WithTimeout(ctx, 40*time.Second)
 	defer cancel()
 	for {
@@ -101,7 +101,7 @@
 			Members, Stores, Controls []struct{ Name, Role string }
 			Unhealed                  int `json:"unhealed_groups"`
 		}
-		err := running.Administer(limited, http.MethodGet, "/v1/fleet", nil, &told)
+		err := fleet.Administer(limited, http.MethodGet, "/v1/fleet", nil, &told)
 		live := map[string]bool{}
 		for _, member := range told.Members {
 			live[member.Name] = true
@@ -113,7 +113,7 @@
 			}
 			taken = taken || (name != "" && member.Name == name)
 		}
-		if err == nil && taken && told.Unhealed == 0 && len(told.Stores) == running.Deployment.Stores && len(told.Controls) == running.Deployment.Controls && enrolled == running.Deployment.Stores+running.Deployment.Controls {
+		if err == nil && taken && told.Unhealed == 0 && len(told.Stores) == fleet.Deployment.Stores && len(told.Controls) == fleet.Deployment.Controls && enrolled == fleet.Deployment.Stores+fleet.Deployment.Controls {
 			return nil
 		}
 		select {
@@ -124,10 +124,10 @@
 	}
 }
 
-// withDisk brings a fault on the disk of a store or control node for a while.
-func withDisk(faults vfs.DiskFaults, lasts time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
-	return func(ctx context.Context, running *Fleet, random *rand.Rand) error {
-		process := running.pick(random, []string{"store", "control"}[random.IntN(2)])
+// injectDiskFaults brings a fault on the disk of a store or control node for a while.
+func injectDiskFaults(faults vfs.DiskFaults, lasts time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
+	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+		process := fleet.pickProcess(random, []string{"store", "control"}[random.IntN(2)])
 		data, err := json.Marshal(faults)
 		if err != nil {
 			return err
@@ -141,39 +141,39 @@
 }
 
 // losePower ends a process amid its work; what its disk had not synced is lost.
-func losePower(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	process := running.pick(random, []string{"store", "store", "control"}[random.IntN(3)])
+func losePower(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	process := fleet.pickProcess(random, []string{"store", "store", "control"}[random.IntN(3)])
 	process.Kill()
 	return process.Start()
 }
 
-// withLink brings a fault on the ways between one disk-bearing machine and some others.
-func withLink(do func(links *Links, one, other *Process), all bool) func(context.Context, *Fleet, *rand.Rand) error {
-	return func(ctx context.Context, running *Fleet, random *rand.Rand) error {
-		one := running.pick(random, []string{"store", "control"}[random.IntN(2)])
-		others := slices.Concat(running.Of("store"), running.Of("control"), running.Of("front"))
+// injectLinkFault brings a fault on the ways between one disk-bearing machine and some others.
+func injectLinkFault(do func(links *LinkProxy, one, other *Process), all bool) func(context.Context, *Fleet, *rand.Rand) error {
+	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+		one := fleet.pickProcess(random, []string{"store", "control"}[random.IntN(2)])
+		others := slices.Concat(fleet.ProcessesOf("store"), fleet.ProcessesOf("control"), fleet.ProcessesOf("front"))
 		if !all {
 			random.Shuffle(len(others), func(left, right int) { others[left], others[right] = others[right], others[left] })
 			others = others[:len(others)/2]
 		}
 		for _, other := range others {
 			if other != one {
-				do(running.Links, one, other)
+				do(fleet.Links, one, other)
 			}
 		}
 		wait(ctx, 4*time.Second)
 		for _, other := range others {
-			running.Links.Mend(one.Address, other.Address)
+			fleet.Links.Heal(one.Address, other.Address)
 		}
 		return nil
 	}
 }
 
-func loseDomain(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	name := running.Deployment.Domains[random.IntN(len(running.Deployment.Domains))]
+func loseDomain(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	name := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
 	lost := []*Process{}
 	for _, role := range []string{"control", "store", "front", "runner"} {
-		for _, process := range running.Of(role) {
+		for _, process := range fleet.ProcessesOf(role) {
 			if process.Domain == name {
 				process.Kill()
 				lost = append(lost, process)
@@ -189,18 +189,18 @@
 	return nil
 }
 
-// Outage kills every daemon at once, with what was not synced lost, and starts all
+// TotalOutage kills every daemon at once, with what was not synced lost, and starts all
 // again but some: a store, a control node and a store, or a domain. It tells what was
 // missing and how long it took until every front had served a turn.
 //
-//	missing, took, err := running.Outage(ctx, random)
-func (running *Fleet) Outage(ctx context.Context, random *rand.Rand) (string, time.Duration, error) {
-	daemons := slices.Concat(running.Of("control"), running.Of("store"), running.Of("front"))
+//	missing, took, err := running.TotalOutage(ctx, random)
+func (fleet *Fleet) TotalOutage(ctx context.Context, random *rand.Rand) (string, time.Duration, error) {
+	daemons := slices.Concat(fleet.ProcessesOf("control"), fleet.ProcessesOf("store"), fleet.ProcessesOf("front"))
 	for _, process := range daemons {
 		process.Kill()
 	}
-	store, control := running.pick(random, "store"), running.pick(random, "control")
-	name := running.Deployment.Domains[random.IntN(len(running.Deployment.Domains))]
+	store, control := fleet.pickProcess(random, "store"), fleet.pickProcess(random, "control")
+	name := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
 	cases := []struct {
 		name string
 		gone func(process *Process) bool
@@ -227,12 +227,12 @@
 		if process.Role != "front" {
 			continue
 		}
-		if err := demand.AwaitTurn(ctx, running.Target(), process.Outside); err != nil {
+		if err := loadgen.AwaitTurn(ctx, fleet.Target(), process.PublicAddress); err != nil {
 			return chosen.name, time.Since(began), fmt.Errorf("%s: %w", process.Name, err)
 		}
 	}
 	took := time.Since(began)
-	running.Verdicts.Judge("outage", took <= outageBound, "a turn was served at every front only after %s, without %s", took, chosen.name)
+	fleet.Checks.Check("outage", took <= outageBound, "a turn was served at every front only after %s, without %s", took, chosen.name)
 	for _, process := range daemons {
 		if chosen.gone(process) {
 			if err := process.Start(); err != nil {
@@ -249,48 +249,48 @@
 	{"store killed", machines, killAndRestart("store", 2*time.Second)},
 	{"control killed", machines, killAndRestart("control", 2*time.Second)},
 	{"runner restarted", runners, restartRunner},
-	{"front frozen", fronts, freezeAndWake("front", 4*time.Second)},
-	{"store frozen", machines, freezeAndWake("store", 4*time.Second)},
-	{"control frozen", machines, freezeAndWake("control", 4*time.Second)},
-	{"runner frozen", runners, freezeAndWake("runner", 2*time.Second)},
+	{"front frozen", fronts, pauseAndResume("front", 4*time.Second)},
+	{"store frozen", machines, pauseAndResume("store", 4*time.Second)},
+	{"control frozen", machines, pauseAndResume("control", 4*time.Second)},
+	{"runner frozen", runners, pauseAndResume("runner", 2*time.Second)},
 	{"runners replaced", runners, replaceRunners},
 	{"store wiped", machines, wipeAndRestart("store")},
 	{"control wiped", machines, wipeAndRestart("control")},
-	{"store exchanged", machines, exchangeStore},
-	{"seeds exchanged", machines, exchangeSeeds},
+	{"store exchanged", machines, replaceStore},
+	{"seeds exchanged", machines, replaceSeeds},
 	{"power lost", machines, losePower},
-	{"disk slow", machines, withDisk(vfs.DiskFaults{Slow: "150ms"}, 4*time.Second)},
-	{"disk stalled", machines, withDisk(vfs.DiskFaults{Stalled: true}, 4*time.Second)},
-	{"disk full", machines, withDisk(vfs.DiskFaults{Full: true}, 3*time.Second)},
-	{"links cut", machines, withLink(func(links *Links, one, other *Process) {
+	{"disk slow", machines, injectDiskFaults(vfs.DiskFaults{Slow: "150ms"}, 4*time.Second)},
+	{"disk stalled", machines, injectDiskFaults(vfs.DiskFaults{Stalled: true}, 4*time.Second)},
+	{"disk full", machines, injectDiskFaults(vfs.DiskFaults{Full: true}, 3*time.Second)},
+	{"links cut", machines, injectLinkFault(func(links *LinkProxy, one, other *Process) {
 		links.CutOneWay(one.Address, other.Address)
 		links.CutOneWay(other.Address, one.Address)
 	}, true)},
-	{"links cut one way", machines, withLink(func(links *Links, one, other *Process) { links.CutOneWay(one.Address, other.Address) }, false)},
-	{"links slow", machines, withLink(func(links *Links, one, other *Process) {
+	{"links cut one way", machines, injectLinkFault(func(links *LinkProxy, one, other *Process) { links.CutOneWay(one.Address, other.Address) }, false)},
+	{"links slow", machines, injectLinkFault(func(links *LinkProxy, one, other *Process) {
 		links.Slow(one.Address, other.Address, 100*time.Millisecond)
 		links.Slow(other.Address, one.Address, 100*time.Millisecond)
 	}, true)},
 	{"domain lost", machines, loseDomain},
-	{"domain emptied and refilled", operators, emptyDomain},
-	{"config changed under a frozen front", operators, obeyConfig},
-	{"weights changed in a burst", operators, burst},
+	{"domain emptied and refilled", operators, drainDomain},
+	{"config changed under a frozen front", operators, checkConfigTakesEffect},
+	{"weights changed in a burst", operators, trafficSpike},
 	{"two operators at once", operators, twoOperators},
 	{"many new routes", operators, manyRoutes},
-	{"crowd", runners, func(ctx context.Context, running *Fleet, random *rand.Rand) error {
-		seen := demand.Crowd(ctx, running.Target(), 4*time.Second, 250)
-		running.Verdicts.Judge("crowd", seen.Wrong == 0, "%d of %d refusals were not as not run with when to come back", seen.Wrong, seen.Refused)
+	{"crowd", runners, func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+		seen := loadgen.Spike(ctx, fleet.Target(), 4*time.Second, 250)
+		fleet.Checks.Check("crowd", seen.Wrong == 0, "%d of %d refusals were not as not run with when to come back", seen.Wrong, seen.Rejected)
 		return nil
 	}},
-	{"front drained and restarted", fronts, func(ctx context.Context, running *Fleet, random *rand.Rand) error {
-		process := running.pick(random, "front")
+	{"front drained and restarted", fronts, func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+		process := fleet.pickProcess(random, "front")
 		if err := process.Terminate(ctx); err != nil {
 			return err
 		}
 		return process.Start()
 	}},
-	{"settings reread", fronts, func(_ context.Context, running *Fleet, _ *rand.Rand) error {
-		running.hangUp()
+	{"settings reread", fronts, func(_ context.Context, fleet *Fleet, _ *rand.Rand) error {
+		fleet.closeIdleConnections()
 		return nil
 	}},
 }
@@ -298,9 +298,9 @@
 // Panics looks through the processes' logs for what must never be there.
 //
 //	found := running.Panics()
-func (running *Fleet) Panics() []string {
+func (fleet *Fleet) Panics() []string {
 	found := []string{}
-	for _, process := range running.Processes {
+	for _, process := range fleet.Processes {
 		data, err := os.ReadFile(process.log)
 		if err != nil {
 			continue
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -21,7 +21,7 @@
 	"syscall"
 	"time"
 
-	"yardrock.example/proof/demand"
+	"yardrock.example/proof/loadgen"
 	"yardrock.example/proof/standin"
 	"yardrock.example/system/config"
 )
@@ -60,19 +60,19 @@
 
 // Process is one process of a fleet. Its arguments stay the same over restarts.
 type Process struct {
-	Name      string
-	Role      string
-	Domain    string
-	Address   string
-	Outside   string // public, administration or health address
-	Folder    string
-	Faults    string // the file that names disk faults, if the process has a disk
-	binary    string
-	arguments []string
-	log       string
-	command   *exec.Cmd
-	started   time.Time
-	waited    chan struct{}
+	Name          string
+	Role          string
+	Domain        string
+	Address       string
+	PublicAddress string // public, administration or health address
+	Folder        string
+	Faults        string // the file that names disk faults, if the process has a disk
+	binary        string
+	arguments     []string
+	log           string
+	command       *exec.Cmd
+	started       time.Time
+	exited        chan struct{}
 }
 
 // Fleet is a running deployment.
@@ -82,21 +82,21 @@
 	Processes  []*Process
 	Runners    []standin.ListedRunner
 	Platform   string
-	Links      *Links // nil unless the fleet is to be struck by faults
-	Verdicts   *Verdicts
+	Links      *LinkProxy // nil unless the fleet is to be struck by faults
+	Checks     *RuleChecks
 
 	programs string
 	mutex    sync.Mutex
 	seeds    []string
-	fresh    int // how many daemons were added
+	added    int // how many daemons were added
 	// acknowledged is the newest config number that was; unclear tells that a later
 	// change may have been taken.
 	acknowledged uint64
 	unclear      bool
 }
 
-// reserve finds a free port on a loopback address of its own.
-func reserve(host string) (string, error) {
+// freeAddress finds a free port on a loopback address of its own.
+func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
@@ -105,10 +105,10 @@
 	return listener.Addr().String(), nil
 }
 
-type addresses struct{ failed error }
+type addressAllocator struct{ failed error }
 
-func (addresses *addresses) next(host string) string {
-	address, err := reserve(host)
+func (addresses *addressAllocator) next(host string) string {
+	address, err := freeAddress(host)
 	addresses.failed = errors.Join(addresses.failed, err)
 	return address
 }
@@ -139,23 +139,23 @@
 	if failed != nil {
 		return nil, failed
 	}
-	running, err := Start(ctx, deployment, programs, folder, standin.Pace{First: 20 * time.Millisecond, Piece: 5 * time.Millisecond, Plain: 10 * time.Millisecond}, faulty)
+	fleet, err := Start(ctx, deployment, programs, folder, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 5 * time.Millisecond, PlainAnswer: 10 * time.Millisecond}, faulty)
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs are in %s)", err, folder)
 	}
-	return running, nil
+	return fleet, nil
 }
 
-// Judge ends a run: broken rules are an error that names the logs' folder;
+// CheckReport ends a run: broken rules are an error that names the logs' folder;
 // without any, the processes are stopped and the folder goes.
 //
-//	return running.Judge(report)
-func (running *Fleet) Judge(report *demand.Report) error {
-	if len(report.Broken) > 0 {
-		return fmt.Errorf("%d rules were broken (logs are in %s)", len(report.Broken), running.Folder)
+//	return running.CheckReport(report)
+func (fleet *Fleet) CheckReport(report *loadgen.Report) error {
+	if len(report.Violations) > 0 {
+		return fmt.Errorf("%d rules were broken (logs are in %s)", len(report.Violations), fleet.Folder)
 	}
-	running.Stop()
-	return os.RemoveAll(running.Folder)
+	fleet.Stop()
+	return os.RemoveAll(fleet.Folder)
 }
 
 // Start starts a deployment with the programs in a folder, and returns once every
@@ -163,48 +163,48 @@
 //
 //	running, err := fleet.Start(ctx, fleet.Deployments["trial"], "bin", folder, pace, false)
 //	defer running.Stop()
-func Start(ctx context.Context, deployment Deployment, programs, folder string, pace standin.Pace, faulty bool) (*Fleet, error) {
-	running := &Fleet{Deployment: deployment, Folder: folder, programs: programs, Verdicts: NewVerdicts()}
+func Start(ctx context.Context, deployment Deployment, programs, folder string, pace standin.Latencies, faulty bool) (*Fleet, error) {
+	fleet := &Fleet{Deployment: deployment, Folder: folder, programs: programs, Checks: NewRuleChecks()}
 	if faulty {
-		running.Links = NewLinks()
+		fleet.Links = NewLinkProxy()
 	}
-	if err := running.plan(pace); err != nil {
+	if err := fleet.plan(pace); err != nil {
 		return nil, err
 	}
-	for _, process := range running.Processes {
+	for _, process := range fleet.Processes {
 		if err := process.Start(); err != nil {
-			running.Stop()
+			fleet.Stop()
 			return nil, err
 		}
 	}
-	if err := running.putFirstConfig(ctx); err != nil {
-		running.Stop()
+	if err := fleet.putFirstConfig(ctx); err != nil {
+		fleet.Stop()
 		return nil, err
 	}
-	for _, front := range running.Of("front") {
-		if err := AwaitReady(ctx, front.Outside); err != nil {
-			running.Stop()
+	for _, front := range fleet.ProcessesOf("front") {
+		if err := AwaitReady(ctx, front.PublicAddress); err != nil {
+			fleet.Stop()
 			return nil, fmt.Errorf("%s: %w", front.Name, err)
 		}
 	}
-	return running, nil
+	return fleet, nil
 }
 
-func (running *Fleet) plan(pace standin.Pace) error {
-	deployment, found := running.Deployment, &addresses{}
+func (fleet *Fleet) plan(pace standin.Latencies) error {
+	deployment, found := fleet.Deployment, &addressAllocator{}
 	host := func(kind, index int) string { return fmt.Sprintf("127.%d.%d.%d", 20+kind, os.Getpid()%250, index+1) }
 	domain := func(index int) string { return deployment.Domains[index%len(deployment.Domains)] }
 	controls := []string{}
 	for index := range deployment.Controls {
 		controls = append(controls, found.next(host(0, index)))
 	}
-	running.Platform = found.next(host(1, 0))
-	listFile := filepath.Join(running.Folder, "runners.json")
-	if err := running.setSeeds(controls[:3]); err != nil {
+	fleet.Platform = found.next(host(1, 0))
+	listFile := filepath.Join(fleet.Folder, "runners.json")
+	if err := fleet.setSeeds(controls[:3]); err != nil {
 		return err
 	}
 	add := func(name, role string, index int, address string) {
-		_, err := running.add(name, role, domain(index), address)
+		_, err := fleet.add(name, role, domain(index), address)
 		found.failed = errors.Join(found.failed, err)
 	}
 	for index := range deployment.Controls {
@@ -218,9 +218,9 @@
 	}
 	runner := func(name, group string, kind, index int) {
 		address := found.next(host(kind, index))
-		running.Runners = append(running.Runners, standin.ListedRunner{Address: address, Group: group, Domain: domain(index), State: "serving"})
-		running.Processes = append(running.Processes, &Process{Name: name, Role: "runner", Domain: domain(index), Address: address, binary: filepath.Join(running.programs, "standin"), log: filepath.Join(running.Folder, name+".log"),
-			arguments: []string{"--address", address, "--first", pace.First.String(), "--piece", pace.Piece.String(), "--plain", pace.Plain.String(), "--record", filepath.Join(running.Folder, name+".executions")}})
+		fleet.Runners = append(fleet.Runners, standin.ListedRunner{Address: address, Group: group, Domain: domain(index), State: "serving"})
+		fleet.Processes = append(fleet.Processes, &Process{Name: name, Role: "runner", Domain: domain(index), Address: address, binary: filepath.Join(fleet.programs, "standin"), log: filepath.Join(fleet.Folder, name+".log"),
+			arguments: []string{"--address", address, "--first", pace.FirstPiece.String(), "--piece", pace.NextPiece.String(), "--plain", pace.PlainAnswer.String(), "--record", filepath.Join(fleet.Folder, name+".executions")}})
 	}
 	for index := range deployment.Models {
 		group := "large"
@@ -232,26 +232,26 @@
 	for index := range deployment.Applications {
 		runner(fmt.Sprintf("application-%d", index+1), "application", 5, index)
 	}
-	running.Processes = append(running.Processes, &Process{Name: "platform", Role: "platform", Address: running.Platform, binary: filepath.Join(running.programs, "standin"), log: filepath.Join(running.Folder, "platform.log"),
-		arguments: []string{"--serve", "platform", "--address", running.Platform, "--runners", listFile}})
-	list, err := json.Marshal(running.Runners)
+	fleet.Processes = append(fleet.Processes, &Process{Name: "platform", Role: "platform", Address: fleet.Platform, binary: filepath.Join(fleet.programs, "standin"), log: filepath.Join(fleet.Folder, "platform.log"),
+		arguments: []string{"--serve", "platform", "--address", fleet.Platform, "--runners", listFile}})
+	list, err := json.Marshal(fleet.Runners)
 	return errors.Join(err, found.failed, os.WriteFile(listFile, list, 0o600))
 }
 
 // seedsFile is what every daemon reads its seeds from, at its start and on SIGHUP.
-func (running *Fleet) seedsFile() string { return filepath.Join(running.Folder, "seeds.json") }
+func (fleet *Fleet) seedsFile() string { return filepath.Join(fleet.Folder, "seeds.json") }
 
-func (running *Fleet) setSeeds(seeds []string) error {
-	running.seeds = slices.Clone(seeds)
+func (fleet *Fleet) setSeeds(seeds []string) error {
+	fleet.seeds = slices.Clone(seeds)
 	data, err := json.Marshal(map[string]any{"seeds": seeds})
-	return errors.Join(err, os.WriteFile(running.seedsFile(), data, 0o600))
+	return errors.Join(err, os.WriteFile(fleet.seedsFile(), data, 0o600))
 }
 
-var roleArguments = map[string]func(running *Fleet, outside string) []string{
-	"control": func(running *Fleet, outside string) []string {
-		arguments := []string{"--administration", outside, "--root-token-hash", config.HashToken(RootToken), "--founding-stores", strconv.Itoa(running.Deployment.Stores)}
-		if running.Deployment.Groups > 0 {
-			arguments = append(arguments, "--groups", strconv.Itoa(running.Deployment.Groups))
+var roleArguments = map[string]func(fleet *Fleet, outside string) []string{
+	"control": func(fleet *Fleet, outside string) []string {
+		arguments := []string{"--administration", outside, "--root-token-hash", config.HashToken(RootToken), "--founding-stores", strconv.Itoa(fleet.Deployment.Stores)}
+		if fleet.Deployment.Groups > 0 {
+			arguments = append(arguments, "--groups", strconv.Itoa(fleet.Deployment.Groups))
 		}
 		return arguments
 	},
@@ -261,40 +261,40 @@
 
 // add plans a daemon at an address. In a fleet that is to be struck by faults, what others send
 // it goes through a link of ours, and its disk loses what it had not synced.
-func (running *Fleet) add(name, role, domain, address string) (*Process, error) {
+func (fleet *Fleet) add(name, role, domain, address string) (*Process, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	found := &addresses{}
-	process := &Process{Name: name, Role: role, Domain: domain, Address: address, Outside: found.next(host), binary: filepath.Join(running.programs, "yardrock-data-plane"), log: filepath.Join(running.Folder, name+".log")}
+	found := &addressAllocator{}
+	process := &Process{Name: name, Role: role, Domain: domain, Address: address, PublicAddress: found.next(host), binary: filepath.Join(fleet.programs, "yardrock-data-plane"), log: filepath.Join(fleet.Folder, name+".log")}
 	if role == "control" {
-		process.binary = filepath.Join(running.programs, "yardrock-control-plane")
+		process.binary = filepath.Join(fleet.programs, "yardrock-control-plane")
 	}
-	process.arguments = append([]string{"--settings", running.seedsFile(), "--address", address, "--domain", domain}, roleArguments[role](running, process.Outside)...)
+	process.arguments = append([]string{"--settings", fleet.seedsFile(), "--address", address, "--domain", domain}, roleArguments[role](fleet, process.PublicAddress)...)
 	if role != "front" {
-		process.Folder = filepath.Join(running.Folder, name)
+		process.Folder = filepath.Join(fleet.Folder, name)
 		process.arguments = append(process.arguments, "--folder", process.Folder)
 	}
-	if running.Links != nil {
+	if fleet.Links != nil {
 		listen := found.next(host)
 		process.arguments = append(process.arguments, "--listen", listen)
-		found.failed = errors.Join(found.failed, running.Links.Serve(address, listen))
+		found.failed = errors.Join(found.failed, fleet.Links.Serve(address, listen))
 		if role != "front" {
 			process.Faults = process.Folder + ".faults"
 			process.arguments = append(process.arguments, "--trial-disk", process.Faults)
 		}
 	}
-	running.mutex.Lock()
-	running.Processes = append(running.Processes, process)
-	running.mutex.Unlock()
+	fleet.mutex.Lock()
+	fleet.Processes = append(fleet.Processes, process)
+	fleet.mutex.Unlock()
 	return process, found.failed
 }
 
 // Config is the config that a deployment starts with.
 //
 //	source := running.Config()
-func (running *Fleet) Config() string {
+func (fleet *Fleet) Config() string {
 	return fmt.Sprintf(`operators: root: token_hashes: [%q]
 teams: depot: token_hashes: [%q]
 programs: {
@@ -320,14 +320,14 @@
 	activation: {serves: "plain", table: "plain", path: "/plain", repeatable: false, urgency: "urgent"}
 }
 platform: runner_list: "http://%s/runners"
-`, config.HashToken(RootToken), config.HashToken(TeamToken), tightAllowance, tightTurn, running.Platform)
+`, config.HashToken(RootToken), config.HashToken(TeamToken), tightAllowance, tightTurn, fleet.Platform)
 }
 
-func (running *Fleet) putFirstConfig(ctx context.Context) error {
+func (fleet *Fleet) putFirstConfig(ctx context.Context) error {
 	for {
-		number, _, err := running.ReadConfig(ctx)
+		number, _, err := fleet.ReadConfig(ctx)
 		if err == nil {
-			if _, err = running.change(ctx, http.MethodPut, map[string]any{"source": running.Config(), "expected": number}); err == nil {
+			if _, err = fleet.changeConfig(ctx, http.MethodPut, map[string]any{"source": fleet.Config(), "expected": number}); err == nil {
 				return nil
 			}
 		}
@@ -343,10 +343,10 @@
 // answers it with success, and decodes the answer.
 //
 //	err := running.Administer(ctx, http.MethodGet, "/v1/fleet", nil, &told)
-func (running *Fleet) Administer(ctx context.Context, method, path string, body, answer any) error {
+func (fleet *Fleet) Administer(ctx context.Context, method, path string, body, answer any) error {
 	var failed error
-	for _, control := range running.Of("control") {
-		if failed = Administer(ctx, control.Outside, method, path, body, answer); failed == nil {
+	for _, control := range fleet.ProcessesOf("control") {
+		if failed = Administer(ctx, control.PublicAddress, method, path, body, answer); failed == nil {
 			return nil
 		}
 	}
@@ -355,7 +355,7 @@
 
 // Administer sends one administration query to one control node.
 //
-//	err := fleet.Administer(ctx, control.Outside, http.MethodGet, "/v1/fleet", nil, &told)
+//	err := fleet.Administer(ctx, control.PublicAddress, http.MethodGet, "/v1/fleet", nil, &told)
 func Administer(ctx context.Context, address, method, path string, body, answer any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -388,24 +388,24 @@
 // ReadConfig reads the newest config back.
 //
 //	number, source, err := running.ReadConfig(ctx)
-func (running *Fleet) ReadConfig(ctx context.Context) (uint64, string, error) {
+func (fleet *Fleet) ReadConfig(ctx context.Context) (uint64, string, error) {
 	var told struct {
 		Number uint64 `json:"number"`
 		Source string `json:"source"`
 	}
-	err := running.Administer(ctx, http.MethodGet, "/v1/config", nil, &told)
+	err := fleet.Administer(ctx, http.MethodGet, "/v1/config", nil, &told)
 	return told.Number, told.Source, err
 }
 
-// Changed is what a change answers.
-type Changed struct {
+// ChangeResult is what a change answers.
+type ChangeResult struct {
 	Number       uint64 `json:"number"`
 	Acknowledged bool   `json:"acknowledged"`
 }
 
 // AwaitReady waits until a process says that it can take work.
 //
-//	err := fleet.AwaitReady(ctx, front.Outside)
+//	err := fleet.AwaitReady(ctx, front.PublicAddress)
 func AwaitReady(ctx context.Context, address string) error {
 	for {
 		query, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", nil)
@@ -427,20 +427,20 @@
 	}
 }
 
-// Of lists the processes of a role.
+// ProcessesOf lists the processes of a role.
 //
-//	for _, front := range running.Of("front") { ... }
-func (running *Fleet) Of(role string) []*Process {
-	running.mutex.Lock()
-	defer running.mutex.Unlock()
-	return slices.DeleteFunc(slices.Clone(running.Processes), func(process *Process) bool { return process.Role != role })
+//	for _, front := range running.ProcessesOf("front") { ... }
+func (fleet *Fleet) ProcessesOf(role string) []*Process {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	return slices.DeleteFunc(slices.Clone(fleet.Processes), func(process *Process) bool { return process.Role != role })
 }
 
 // Find gives a process by name.
 //
 //	store := running.Find("store-1")
-func (running *Fleet) Find(name string) *Process {
-	for _, process := range running.Processes {
+func (fleet *Fleet) Find(name string) *Process {
+	for _, process := range fleet.Processes {
 		if process.Name == name {
 			return process
 		}
@@ -451,20 +451,20 @@
 // Fronts lists the addresses for callers.
 //
 //	addresses := running.Fronts()
-func (running *Fleet) Fronts() []string {
+func (fleet *Fleet) Fronts() []string {
 	found := []string{}
-	for _, front := range running.Of("front") {
-		found = append(found, front.Outside)
+	for _, front := range fleet.ProcessesOf("front") {
+		found = append(found, front.PublicAddress)
 	}
 	return found
 }
 
-// Target is the fleet as the demand program sees it.
+// Target is the fleet as the load generator sees it.
 //
-//	report := demand.Run(ctx, running.Target(), mix, duration, seed)
-func (running *Fleet) Target() demand.Target {
-	target := demand.Target{Fronts: running.Fronts(), Token: TeamToken, Allowance: tightAllowance, Turn: tightTurn + 2}
-	for _, runner := range running.Runners {
+//	report := loadgen.Run(ctx, running.Target(), mix, duration, seed)
+func (fleet *Fleet) Target() loadgen.Target {
+	target := loadgen.Target{Fronts: fleet.Fronts(), Token: TeamToken, Allowance: tightAllowance, TurnLimit: tightTurn + 2}
+	for _, runner := range fleet.Runners {
 		target.Runners = append(target.Runners, runner.Address)
 	}
 	return target
@@ -473,8 +473,8 @@
 // Stop kills every process that is left.
 //
 //	defer running.Stop()
-func (running *Fleet) Stop() {
-	for _, process := range running.Processes {
+func (fleet *Fleet) Stop() {
+	for _, process := range fleet.Processes {
 		process.Kill()
 	}
 }
@@ -495,8 +495,8 @@
 		process.command = nil // nothing runs that could be ended
 		return err
 	}
-	process.started, process.waited = time.Now(), make(chan struct{})
-	command, waited := process.command, process.waited
+	process.started, process.exited = time.Now(), make(chan struct{})
+	command, waited := process.command, process.exited
 	go func() {
 		command.Wait()
 		close(waited)
@@ -510,10 +510,10 @@
 	}
 }
 
-// ID is the number that the system gave the process; 0 while it does not run.
+// PID is the number that the system gave the process; 0 while it does not run.
 //
-//	usage, err := scale.UsageOf(process.ID())
-func (process *Process) ID() int {
+//	usage, err := scale.UsageOf(process.PID())
+func (process *Process) PID() int {
 	if process.command == nil {
 		return 0
 	}
@@ -528,7 +528,7 @@
 		return
 	}
 	process.signal(syscall.SIGKILL)
-	<-process.waited
+	<-process.exited
 	process.command = nil
 }
 
@@ -538,7 +538,7 @@
 func (process *Process) Terminate(ctx context.Context) error {
 	process.signal(syscall.SIGTERM)
 	select {
-	case <-process.waited:
+	case <-process.exited:
 		process.command = nil
 		return nil
 	case <-ctx.Done():
@@ -546,15 +546,15 @@
 	}
 }
 
-// Freeze stops the process where it is; Wake lets it go on.
+// Pause stops the process where it is; Wake lets it go on.
 //
-//	process.Freeze()
-func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
+//	process.Pause()
+func (process *Process) Pause() { process.signal(syscall.SIGSTOP) }
 
-// Wake lets a frozen process go on.
+// Resume lets a frozen process go on.
 //
-//	process.Wake()
-func (process *Process) Wake() { process.signal(syscall.SIGCONT) }
+//	process.Resume()
+func (process *Process) Resume() { process.signal(syscall.SIGCONT) }
 
 // Wipe empties the data folder of a process that is not running.
 //
--- a/proof/fleet/operators.go
+++ b/proof/fleet/operators.go
@@ -28,8 +28,8 @@
 	routes       = 2000
 )
 
-// record asks a runner what it saw; take also begins to count its crowd anew.
-func record(ctx context.Context, address, what string) (standin.Record, error) {
+// readRecord asks a runner what it saw; take also begins to count its crowd anew.
+func readRecord(ctx context.Context, address, what string) (standin.Record, error) {
 	var seen standin.Record
 	query, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/"+what, nil)
 	if err != nil {
@@ -43,20 +43,20 @@
 	return seen, json.NewDecoder(answer.Body).Decode(&seen)
 }
 
-// list changes the platform's list.
-func (running *Fleet) list(ctx context.Context, address, state string) error {
-	running.mutex.Lock()
-	for position := range running.Runners {
-		if running.Runners[position].Address == address {
-			running.Runners[position].State = state
+// listRunner changes the platform's list.
+func (fleet *Fleet) listRunner(ctx context.Context, address, state string) error {
+	fleet.mutex.Lock()
+	for position := range fleet.Runners {
+		if fleet.Runners[position].Address == address {
+			fleet.Runners[position].State = state
 		}
 	}
-	data, err := json.Marshal(running.Runners)
-	running.mutex.Unlock()
+	data, err := json.Marshal(fleet.Runners)
+	fleet.mutex.Unlock()
 	if err != nil {
 		return err
 	}
-	query, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+running.Platform+"/runners", bytes.NewReader(data))
+	query, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+fleet.Platform+"/runners", bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
@@ -67,10 +67,10 @@
 	return answer.Body.Close()
 }
 
-func (running *Fleet) groupOf(address string) string {
-	running.mutex.Lock()
-	defer running.mutex.Unlock()
-	for _, runner := range running.Runners {
+func (fleet *Fleet) groupOf(address string) string {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	for _, runner := range fleet.Runners {
 		if runner.Address == address {
 			return runner.Group
 		}
@@ -78,20 +78,20 @@
 	return ""
 }
 
-var coldBears = map[string]int{"small": 4, "large": 4, "application": 8}
+var warmingUpLimits = map[string]int{"small": 4, "large": 4, "application": 8}
 
 // replaceRunners lets some runners leave, one after another: each is listed as
 // leaving, ends, starts anew, is listed as cold, and then serves.
-func replaceRunners(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	runners := running.Of("runner")
+func replaceRunners(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	runners := fleet.ProcessesOf("runner")
 	for _, position := range random.Perm(len(runners))[:2] {
 		runner := runners[position]
-		if err := running.list(ctx, runner.Address, "leaving"); err != nil {
+		if err := fleet.listRunner(ctx, runner.Address, "leaving"); err != nil {
 			return err
 		}
 		known := time.Now().Add(learnBound)
 		wait(ctx, learnBound+leavingBound+2*time.Second)
-		seen, err := record(ctx, runner.Address, "record")
+		seen, err := readRecord(ctx, runner.Address, "record")
 		if err != nil {
 			return err
 		}
@@ -101,9 +101,9 @@
 				late++
 			}
 		}
-		running.Verdicts.Judge("leaving", late == 0, "%s got %d queries more than %s after it was known to leave", runner.Name, late, leavingBound)
+		fleet.Checks.Check("leaving", late == 0, "%s got %d queries more than %s after it was known to leave", runner.Name, late, leavingBound)
 		runner.Kill()
-		if err := running.list(ctx, runner.Address, "cold"); err != nil {
+		if err := fleet.listRunner(ctx, runner.Address, "cold"); err != nil {
 			return err
 		}
 		wait(ctx, learnBound)
@@ -111,13 +111,13 @@
 			return err
 		}
 		wait(ctx, 3*time.Second)
-		seen, err = record(ctx, runner.Address, "take")
+		seen, err = readRecord(ctx, runner.Address, "take")
 		if err != nil {
 			return err
 		}
-		bears := coldBears[running.groupOf(runner.Address)]
-		running.Verdicts.Judge("cold", seen.MostOut <= bears, "%s had %d queries at once, and bears %d while cold", runner.Name, seen.MostOut, bears)
-		if err := running.list(ctx, runner.Address, "serving"); err != nil {
+		bears := warmingUpLimits[fleet.groupOf(runner.Address)]
+		fleet.Checks.Check("cold", seen.MaxInFlight <= bears, "%s had %d queries at once, and bears %d while cold", runner.Name, seen.MaxInFlight, bears)
+		if err := fleet.listRunner(ctx, runner.Address, "serving"); err != nil {
 			return err
 		}
 	}
@@ -126,37 +126,37 @@
 
 // restartRunner restarts a runner that the list goes on calling serving; its limit
 // must come down and ramp up all the same.
-func restartRunner(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	runner := running.pick(random, "runner")
+func restartRunner(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	runner := fleet.pickProcess(random, "runner")
 	runner.Kill()
 	wait(ctx, 1500*time.Millisecond)
 	if err := runner.Start(); err != nil {
 		return err
 	}
 	wait(ctx, time.Second)
-	seen, err := record(ctx, runner.Address, "take")
+	seen, err := readRecord(ctx, runner.Address, "take")
 	if err != nil {
 		return err
 	}
 	// A third of the ramp of 3 s has gone by at most.
-	bears := coldBears[running.groupOf(runner.Address)] + 8
-	running.Verdicts.Judge("cold", seen.MostOut <= bears, "%s had %d queries at once a second after it came back, and bears %d", runner.Name, seen.MostOut, bears)
+	bears := warmingUpLimits[fleet.groupOf(runner.Address)] + 8
+	fleet.Checks.Check("cold", seen.MaxInFlight <= bears, "%s had %d queries at once a second after it came back, and bears %d", runner.Name, seen.MaxInFlight, bears)
 	return nil
 }
 
-func emptyDomain(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	name := running.Deployment.Domains[random.IntN(len(running.Deployment.Domains))]
+func drainDomain(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	name := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
 	path := "/v1/domains/" + name
-	if err := running.Administer(ctx, http.MethodPost, path, map[string]any{"state": "emptied"}, nil); err != nil {
+	if err := fleet.Administer(ctx, http.MethodPost, path, map[string]any{"state": "emptied"}, nil); err != nil {
 		return err
 	}
 	emptied := time.Now()
 	wait(ctx, emptiedBound+2*time.Second)
-	for _, runner := range running.Of("runner") {
+	for _, runner := range fleet.ProcessesOf("runner") {
 		if runner.Domain != name {
 			continue
 		}
-		seen, err := record(ctx, runner.Address, "record")
+		seen, err := readRecord(ctx, runner.Address, "record")
 		if err != nil {
 			continue // another fault has it
 		}
@@ -166,67 +166,67 @@
 				late++
 			}
 		}
-		running.Verdicts.Judge("emptied", late == 0, "%s got %d queries more than %s after its domain was emptied", runner.Name, late, emptiedBound)
+		fleet.Checks.Check("emptied", late == 0, "%s got %d queries more than %s after its domain was emptied", runner.Name, late, emptiedBound)
 	}
-	return running.Administer(ctx, http.MethodPost, path, map[string]any{"state": "serving"}, nil)
+	return fleet.Administer(ctx, http.MethodPost, path, map[string]any{"state": "serving"}, nil)
 }
 
-// change sends one change of the config and remembers what was acknowledged.
-func (running *Fleet) change(ctx context.Context, method string, body map[string]any) (Changed, error) {
-	var told Changed
-	err := running.Administer(ctx, method, "/v1/config", body, &told)
-	running.mutex.Lock()
-	defer running.mutex.Unlock()
+// changeConfig sends one change of the config and remembers what was acknowledged.
+func (fleet *Fleet) changeConfig(ctx context.Context, method string, body map[string]any) (ChangeResult, error) {
+	var told ChangeResult
+	err := fleet.Administer(ctx, method, "/v1/config", body, &told)
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
 	if err != nil || !told.Acknowledged {
-		running.unclear = true // it may be in force all the same
-	} else if told.Number > running.acknowledged {
-		running.acknowledged, running.unclear = told.Number, false
+		fleet.unclear = true // it may be in force all the same
+	} else if told.Number > fleet.acknowledged {
+		fleet.acknowledged, fleet.unclear = told.Number, false
 	}
 	return told, err
 }
 
-// JudgeConfig reads the config back, which must be the newest acknowledged one.
+// CheckConfig reads the config back, which must be the newest acknowledged one.
 //
-//	running.JudgeConfig(ctx)
-func (running *Fleet) JudgeConfig(ctx context.Context) {
-	number, _, err := running.ReadConfig(ctx)
+//	running.CheckConfig(ctx)
+func (fleet *Fleet) CheckConfig(ctx context.Context) {
+	number, _, err := fleet.ReadConfig(ctx)
 	for try := 0; err != nil && try < 20; try++ {
 		wait(ctx, 500*time.Millisecond)
-		number, _, err = running.ReadConfig(ctx)
+		number, _, err = fleet.ReadConfig(ctx)
 	}
-	running.mutex.Lock()
-	acknowledged, unclear := running.acknowledged, running.unclear
-	running.mutex.Unlock()
+	fleet.mutex.Lock()
+	acknowledged, unclear := fleet.acknowledged, fleet.unclear
+	fleet.mutex.Unlock()
 	kept := err == nil && (number == acknowledged || (unclear && number > acknowledged))
-	running.Verdicts.Judge("config read back", kept, "config %d is read back, %d was acknowledged last (unclear ones since: %v, %v)", number, acknowledged, unclear, err)
+	fleet.Checks.Check("config read back", kept, "config %d is read back, %d was acknowledged last (unclear ones since: %v, %v)", number, acknowledged, unclear, err)
 }
 
-// obeyConfig changes the path of lookups, so that runners see by which config each
+// checkConfigTakesEffect changes the path of lookups, so that runners see by which config each
 // was handled, while a front is frozen and wakes.
-func obeyConfig(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	front := running.pick(random, "front")
-	front.Freeze()
-	defer front.Wake()
+func checkConfigTakesEffect(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	front := fleet.pickProcess(random, "front")
+	front.Pause()
+	defer front.Resume()
 	path := fmt.Sprintf("/lookup-%d", time.Now().UnixNano())
-	if _, err := running.change(ctx, http.MethodPatch, map[string]any{"path": "kinds.lookup.path", "value": path}); err != nil {
+	if _, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "kinds.lookup.path", "value": path}); err != nil {
 		return err
 	}
 	acknowledged := time.Now()
 	wait(ctx, configBound+500*time.Millisecond)
-	front.Wake()
+	front.Resume()
 	wait(ctx, 2*time.Second)
 	obeyed := false
-	for _, runner := range running.Of("runner") {
-		seen, err := record(ctx, runner.Address, "record")
+	for _, runner := range fleet.ProcessesOf("runner") {
+		seen, err := readRecord(ctx, runner.Address, "record")
 		if err != nil {
 			continue
 		}
-		for other, at := range seen.LastOn {
+		for other, at := range seen.LastArrival {
 			late := time.Unix(0, at).Sub(acknowledged)
 			if other == path {
 				obeyed = true
 			} else if strings.HasPrefix(other, "/lookup-") {
-				running.Verdicts.Judge("config obeyed", late <= configBound, "%s got a query on %s %s after %s was acknowledged", runner.Name, other, late, path)
+				fleet.Checks.Check("config obeyed", late <= configBound, "%s got a query on %s %s after %s was acknowledged", runner.Name, other, late, path)
 			}
 		}
 	}
@@ -236,9 +236,9 @@
 	return nil
 }
 
-func burst(ctx context.Context, running *Fleet, random *rand.Rand) error {
+func trafficSpike(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	for range 10 {
-		if _, err := running.change(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.small", "value": 1 + random.IntN(5)}); err != nil {
+		if _, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.small", "value": 1 + random.IntN(5)}); err != nil {
 			return err
 		}
 	}
@@ -247,9 +247,9 @@
 
 // twoOperators lets two operators change the same config by its number: at most one
 // of them may be told that it was taken.
-func twoOperators(ctx context.Context, running *Fleet, random *rand.Rand) error {
+func twoOperators(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	for range 6 {
-		number, _, err := running.ReadConfig(ctx)
+		number, _, err := fleet.ReadConfig(ctx)
 		if err != nil {
 			return err
 		}
@@ -258,40 +258,40 @@
 		for operator := range taken {
 			value := 1 + random.IntN(9)
 			asked.Go(func() {
-				told, err := running.change(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.large", "value": value, "expected": number})
+				told, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.large", "value": value, "expected": number})
 				taken[operator] = err == nil && told.Acknowledged
 			})
 		}
 		asked.Wait()
-		running.Verdicts.Judge("two operators", !(taken[0] && taken[1]), "both operators replaced config %d", number)
+		fleet.Checks.Check("two operators", !(taken[0] && taken[1]), "both operators replaced config %d", number)
 	}
 	return nil
 }
 
 // manyRoutes puts a config with thousands of new kinds of work.
-func manyRoutes(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	number, source, err := running.ReadConfig(ctx)
+func manyRoutes(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	number, source, err := fleet.ReadConfig(ctx)
 	if err != nil {
 		return err
 	}
 	if strings.Contains(source, "route_0") {
-		return burst(ctx, running, random)
+		return trafficSpike(ctx, fleet, random)
 	}
 	var text strings.Builder
 	text.WriteString(source + "\n")
 	for route := range routes {
 		fmt.Fprintf(&text, "kinds: route_%d: {serves: \"plain\", table: \"plain\", path: \"/route-%d\"}\n", route, route)
 	}
-	_, err = running.change(ctx, http.MethodPut, map[string]any{"source": text.String(), "expected": number})
+	_, err = fleet.changeConfig(ctx, http.MethodPut, map[string]any{"source": text.String(), "expected": number})
 	return err
 }
 
-// hangUp signals all daemons that their settings have changed, but those that have
+// closeIdleConnections signals all daemons that their settings have changed, but those that have
 // only just started: they read them anyway, and a signal before a program's first
 // line ends it.
-func (running *Fleet) hangUp() {
+func (fleet *Fleet) closeIdleConnections() {
 	for _, role := range []string{"control", "store", "front"} {
-		for _, process := range running.Of(role) {
+		for _, process := range fleet.ProcessesOf(role) {
 			if time.Since(process.started) > time.Second {
 				process.signal(syscall.SIGHUP)
 			}
@@ -299,63 +299,63 @@
 	}
 }
 
-// forget takes a process that is gone for good out of the fleet.
-func (running *Fleet) forget(old *Process) {
-	running.mutex.Lock()
-	defer running.mutex.Unlock()
-	running.Processes = slices.DeleteFunc(running.Processes, func(process *Process) bool { return process == old })
+// remove takes a process that is gone for good out of the fleet.
+func (fleet *Fleet) remove(old *Process) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	fleet.Processes = slices.DeleteFunc(fleet.Processes, func(process *Process) bool { return process == old })
 }
 
-// addFresh starts a new daemon on a machine of its own.
-func (running *Fleet) addFresh(role, domain string) (*Process, error) {
-	running.mutex.Lock()
-	running.fresh++
-	number := running.fresh
-	running.mutex.Unlock()
-	address, err := reserve(fmt.Sprintf("127.%d.%d.%d", 40+number%50, number%250, 1+number%200))
+// addNode starts a new daemon on a machine of its own.
+func (fleet *Fleet) addNode(role, domain string) (*Process, error) {
+	fleet.mutex.Lock()
+	fleet.added++
+	number := fleet.added
+	fleet.mutex.Unlock()
+	address, err := freeAddress(fmt.Sprintf("127.%d.%d.%d", 40+number%50, number%250, 1+number%200))
 	if err != nil {
 		return nil, err
 	}
-	process, err := running.add(fmt.Sprintf("%s-fresh-%d", role, number), role, domain, address)
+	process, err := fleet.add(fmt.Sprintf("%s-fresh-%d", role, number), role, domain, address)
 	if err != nil {
 		return nil, err
 	}
 	return process, process.Start()
 }
 
-// exchangeControl swaps a control machine for an empty one at a new address.
-func (running *Fleet) exchangeControl(ctx context.Context, old *Process) error {
-	fresh, err := running.addFresh("control", old.Domain)
+// replaceControl swaps a control machine for an empty one at a new address.
+func (fleet *Fleet) replaceControl(ctx context.Context, old *Process) error {
+	fresh, err := fleet.addNode("control", old.Domain)
 	if err != nil {
 		return err
 	}
 	old.Kill()
-	running.forget(old)
-	seeds := slices.Clone(running.seeds)
+	fleet.remove(old)
+	seeds := slices.Clone(fleet.seeds)
 	if at := slices.Index(seeds, old.Address); at >= 0 {
 		seeds[at] = fresh.Address
-		if err := running.setSeeds(seeds); err != nil {
+		if err := fleet.setSeeds(seeds); err != nil {
 			return err
 		}
-		running.hangUp()
+		fleet.closeIdleConnections()
 	}
-	return running.awaitHealed(ctx, fresh)
+	return fleet.awaitHealed(ctx, fresh)
 }
 
-// exchangeSeeds swaps all three seed machines, one after another.
-func exchangeSeeds(ctx context.Context, running *Fleet, _ *rand.Rand) error {
-	for _, control := range running.Of("control")[:3] {
-		if err := running.exchangeControl(ctx, control); err != nil {
+// replaceSeeds swaps all three seed machines, one after another.
+func replaceSeeds(ctx context.Context, fleet *Fleet, _ *rand.Rand) error {
+	for _, control := range fleet.ProcessesOf("control")[:3] {
+		if err := fleet.replaceControl(ctx, control); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// exchangeStore enrols a new store machine, retires an old one and switches it off.
-func exchangeStore(ctx context.Context, running *Fleet, random *rand.Rand) error {
-	old := running.pick(random, "store")
-	fresh, err := running.addFresh("store", old.Domain)
+// replaceStore enrols a new store machine, retires an old one and switches it off.
+func replaceStore(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	old := fleet.pickProcess(random, "store")
+	fresh, err := fleet.addNode("store", old.Domain)
 	if err != nil {
 		return err
 	}
@@ -363,7 +363,7 @@
 	defer cancel()
 	repeat := func(method, name string, done ...string) error {
 		for {
-			err := running.Administer(limited, method, "/v1/stores/"+name, map[string]any{}, nil)
+			err := fleet.Administer(limited, method, "/v1/stores/"+name, map[string]any{}, nil)
 			if err == nil || slices.ContainsFunc(done, func(sign string) bool { return strings.Contains(err.Error(), sign) }) {
 				return nil
 			}
@@ -386,6 +386,6 @@
 		return err
 	}
 	old.Kill()
-	running.forget(old)
-	return running.awaitHealed(ctx, fresh)
+	fleet.remove(old)
+	return fleet.awaitHealed(ctx, fresh)
 }
--- a/proof/demand/checking.go
+++ b/proof/loadgen/checks.go
@@ -1,4 +1,4 @@
-package demand
+package loadgen
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 // checkHistory reads the whole conversation at some front and compares it with
 // what was said.
-func (demand *demand) checkHistory(ctx context.Context, random *rand.Rand, name string, said []runnerclient.Message) {
+func (generator *generator) checkHistory(ctx context.Context, random *rand.Rand, name string, said []runnerclient.Message) {
 	var told struct {
 		Head   uint64 `json:"head"`
 		Events []struct {
@@ -26,7 +26,7 @@
 	}
 	for try := 0; ; try++ {
 		asked, cancel := context.WithTimeout(ctx, answerTimeout)
-		answer, apierror, err := demand.send(asked, http.MethodGet, demand.front(random), "/v1/conversations/"+name, nil)
+		answer, apierror, err := generator.send(asked, http.MethodGet, generator.front(random), "/v1/conversations/"+name, nil)
 		if err == nil && apierror == nil {
 			err = json.NewDecoder(answer.Body).Decode(&told)
 			answer.Body.Close()
@@ -38,22 +38,22 @@
 		}
 		cancel()
 		if apierror != nil {
-			demand.refused(apierror, "/v1/conversations/"+name, map[string]any{})
+			generator.rejected(apierror, "/v1/conversations/"+name, map[string]any{})
 			if apierror.Kind == "not_found" {
 				return
 			}
 		}
-		if try == tries {
-			demand.count(func(report *Report) { report.Abandoned["history"]++ })
+		if try == maxAttempts {
+			generator.count(func(report *Report) { report.Abandoned["history"]++ })
 			return
 		}
 		pause(ctx, apierror)
 	}
-	demand.count(func(report *Report) { report.Histories++ })
+	generator.count(func(report *Report) { report.Histories++ })
 	pieces, complete := map[uint64]string{}, map[uint64]bool{}
 	for position, event := range told.Events {
 		if event.Seq != uint64(position)+1 {
-			demand.broken("streams", "history of %s has seq %d at place %d", name, event.Seq, position+1)
+			generator.violation("streams", "history of %s has seq %d at place %d", name, event.Seq, position+1)
 		}
 		if event.Kind == "piece" {
 			pieces[event.Turn] += event.Words
@@ -71,30 +71,30 @@
 			found = found || (complete[turn] && text == message.Words)
 		}
 		if !found {
-			demand.broken("turns stay known", "history of %s lacks the answer %q", name, message.Words)
+			generator.violation("turns stay known", "history of %s lacks the answer %q", name, message.Words)
 		}
 	}
 }
 
 // checkExecutions compares what runners carried out with what callers were told.
-func (demand *demand) checkExecutions(ctx context.Context) {
+func (generator *generator) checkExecutions(ctx context.Context) {
 	counts := map[string]int{}
-	for _, address := range demand.target.Runners {
+	for _, address := range generator.target.Runners {
 		query, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/record", nil)
 		if err != nil {
-			demand.broken("check", "%v", err)
+			generator.violation("check", "%v", err)
 			return
 		}
-		answer, err := demand.target.Origin.Do(query)
+		answer, err := generator.target.Client.Do(query)
 		if err != nil {
-			demand.broken("check", "the record of runner %s cannot be read: %v", address, err)
+			generator.violation("check", "the record of runner %s cannot be read: %v", address, err)
 			continue
 		}
 		var record standin.Record
 		err = json.NewDecoder(answer.Body).Decode(&record)
 		answer.Body.Close()
 		if err != nil {
-			demand.broken("check", "the record of runner %s cannot be read: %v", address, err)
+			generator.violation("check", "the record of runner %s cannot be read: %v", address, err)
 		}
 		for key, count := range record.Executions {
 			counts[key] += count
@@ -102,34 +102,34 @@
 	}
 	for key, count := range counts {
 		if count > 1 {
-			demand.broken("once", "%s ran %d times", key, count)
+			generator.violation("once", "%s ran %d times", key, count)
 		}
 	}
-	for key, told := range demand.outcomes {
-		demand.report.Refusals["once told "+told]++
+	for key, told := range generator.outcomeOfKey {
+		generator.report.Rejections["once told "+told]++
 		if told == "complete" && counts[key] != 1 {
-			demand.broken("once", "%s was told complete and ran %d times", key, counts[key])
+			generator.violation("once", "%s was told complete and ran %d times", key, counts[key])
 		}
 		if told == "not_run" && counts[key] != 0 {
-			demand.broken("not run", "%s was told not run and ran", key)
+			generator.violation("not run", "%s was told not run and ran", key)
 		}
 	}
 }
 
 // Tally asks what a program has spent.
 //
-//	spent, err := demand.Tally(ctx, target, "tight")
+//	spent, err := loadgen.Tally(ctx, target, "tight")
 func Tally(ctx context.Context, target Target, program string) (int, error) {
-	demand := newDemand(target, Mix{})
+	generator := newGenerator(target, Mix{})
 	for try := 0; ; try++ {
-		answer, apierror, err := demand.send(ctx, http.MethodGet, target.Fronts[try%len(target.Fronts)], "/v1/tallies/"+program, nil)
+		answer, apierror, err := generator.send(ctx, http.MethodGet, target.Fronts[try%len(target.Fronts)], "/v1/tallies/"+program, nil)
 		if err == nil && apierror == nil {
 			var told struct{ Spent, Reserved int }
 			err = json.NewDecoder(answer.Body).Decode(&told)
 			answer.Body.Close()
 			return told.Spent, err
 		}
-		if try == tries {
+		if try == maxAttempts {
 			return 0, fmt.Errorf("no tally: %v %v", apierror, err)
 		}
 		pause(ctx, apierror)
--- a/proof/demand/demand.go
+++ b/proof/loadgen/loadgen.go
@@ -1,6 +1,6 @@
-// Package demand drives a deployment with its callers' mix and checks every answer
+// Package loadgen drives a deployment with its callers' mix and checks every answer
 // against the rules of the brief.
-package demand
+package loadgen
 
 import (
 	"context"
@@ -34,18 +34,18 @@
 	"logistics": {Conversations: 26, Turns: []int{3, 3, 3, 3, 3, 7}, Lookups: 15, Once: 12, OnceKinds: []string{"receipt", "invoice"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.1, Tight: 1},
 }
 
-// Target is the system under demand.
+// Target is the system under load.
 type Target struct {
 	Fronts  []string
 	Runners []string
 	Token   string
-	Origin  *http.Client
+	Client  *http.Client
 	// Allowance and Turn are the words of the small program's terms.
 	Allowance int
-	Turn      int
+	TurnLimit int
 }
 
-// Report is what was seen. Broken rules make the demand program fail.
+// Report is what was seen. Broken rules make the load generator fail.
 type Report struct {
 	Conversations int            `json:"conversations"`
 	Turns         int            `json:"turns"`
@@ -56,55 +56,55 @@
 	Helpers       int            `json:"helpers"`
 	Resumed       int            `json:"resumed"`
 	Histories     int            `json:"histories"`
-	Refusals      map[string]int `json:"refusals"`
+	Rejections    map[string]int `json:"refusals"`
 	Abandoned     map[string]int `json:"abandoned"`
 	FirstPiece    Quantiles      `json:"first_piece"`
-	Spoken        int            `json:"tight_words"`
-	Broken        []string       `json:"broken"`
+	TightWords    int            `json:"tight_words"`
+	Violations    []string       `json:"broken"`
 	// Kept are conversations to come back to later.
-	Kept []Kept `json:"-"`
+	ToRevisit []Conversation `json:"-"`
 }
 
 // Kept is a conversation that ended well, with all that was said.
-type Kept struct {
+type Conversation struct {
 	Conversation string
-	Last         uint64
-	Said         []runnerclient.Message
+	LastTurn     uint64
+	History      []runnerclient.Message
 }
 
 // Quantiles are of a measured time.
 type Quantiles struct {
-	Half   string `json:"p50"`
-	Most   string `json:"p99"`
-	Worst  string `json:"worst"`
-	Counts int    `json:"counts"`
+	P50   string `json:"p50"`
+	P99   string `json:"p99"`
+	Max   string `json:"worst"`
+	Count int    `json:"counts"`
 }
 
-type demand struct {
-	target   Target
-	mix      Mix
-	mutex    sync.Mutex
-	report   Report
-	delays   []time.Duration
-	outcomes map[string]string // executions key to what callers were told
+type generator struct {
+	target       Target
+	mix          Mix
+	mutex        sync.Mutex
+	report       Report
+	delays       []time.Duration
+	outcomeOfKey map[string]string // executions key to what callers were told
 }
 
 const (
-	tries         = 12
+	maxAttempts   = 12
 	answerTimeout = 40 * time.Second
-	mostBroken    = 20
+	maxViolations = 20
 )
 
-func (demand *demand) count(change func(report *Report)) {
-	demand.mutex.Lock()
-	change(&demand.report)
-	demand.mutex.Unlock()
+func (generator *generator) count(change func(report *Report)) {
+	generator.mutex.Lock()
+	change(&generator.report)
+	generator.mutex.Unlock()
 }
 
-func (demand *demand) broken(rule, format string, arguments ...any) {
-	demand.count(func(report *Report) {
-		if len(report.Broken) < mostBroken {
-			report.Broken = append(report.Broken, rule+": "+fmt.Sprintf(format, arguments...))
+func (generator *generator) violation(rule, format string, arguments ...any) {
+	generator.count(func(report *Report) {
+		if len(report.Violations) < maxViolations {
+			report.Violations = append(report.Violations, rule+": "+fmt.Sprintf(format, arguments...))
 		}
 	})
 }
@@ -112,9 +112,9 @@
 // Run drives the mix for a time or until it is told to end, lets what is under way
 // end, and checks.
 //
-//	report := demand.Run(ctx, target, demand.Mixes["agency"], time.Minute, 7, nil)
+//	report := loadgen.Run(ctx, target, loadgen.Mixes["agency"], time.Minute, 7, nil)
 func Run(ctx context.Context, target Target, mix Mix, duration time.Duration, seed uint64, until <-chan struct{}) *Report {
-	demand := newDemand(target, mix)
+	generator := newGenerator(target, mix)
 	var callers sync.WaitGroup
 	arrive := func(number uint64, rate float64, call func(random *rand.Rand, number int)) {
 		if rate == 0 {
@@ -138,24 +138,26 @@
 			}
 		})
 	}
-	arrive(1, mix.Conversations, func(random *rand.Rand, number int) { demand.converse(ctx, random, fmt.Sprintf("%d-%d", seed, number)) })
-	arrive(2, mix.Lookups, func(random *rand.Rand, number int) { demand.lookup(ctx, random, number) })
-	arrive(3, mix.Once, func(random *rand.Rand, number int) { demand.once(ctx, random, fmt.Sprintf("%d-%d", seed, number)) })
-	arrive(4, mix.Tight, func(random *rand.Rand, number int) { demand.tight(ctx, random, number) })
+	arrive(1, mix.Conversations, func(random *rand.Rand, number int) {
+		generator.converse(ctx, random, fmt.Sprintf("%d-%d", seed, number))
+	})
+	arrive(2, mix.Lookups, func(random *rand.Rand, number int) { generator.lookup(ctx, random, number) })
+	arrive(3, mix.Once, func(random *rand.Rand, number int) { generator.once(ctx, random, fmt.Sprintf("%d-%d", seed, number)) })
+	arrive(4, mix.Tight, func(random *rand.Rand, number int) { generator.tight(ctx, random, number) })
 	callers.Wait()
-	demand.checkExecutions(ctx)
-	if demand.report.Spoken > target.Allowance+target.Turn {
-		demand.broken("allowance", "%d words were spoken of %d and one turn of %d", demand.report.Spoken, target.Allowance, target.Turn)
+	generator.checkExecutions(ctx)
+	if generator.report.TightWords > target.Allowance+target.TurnLimit {
+		generator.violation("allowance", "%d words were spoken of %d and one turn of %d", generator.report.TightWords, target.Allowance, target.TurnLimit)
 	}
-	demand.report.FirstPiece = quantiles(demand.delays)
-	return &demand.report
+	generator.report.FirstPiece = quantiles(generator.delays)
+	return &generator.report
 }
 
-func newDemand(target Target, mix Mix) *demand {
-	if target.Origin == nil {
-		target.Origin = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+func newGenerator(target Target, mix Mix) *generator {
+	if target.Client == nil {
+		target.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	}
-	return &demand{target: target, mix: mix, outcomes: map[string]string{}, report: Report{Refusals: map[string]int{}, Abandoned: map[string]int{}, Broken: []string{}}}
+	return &generator{target: target, mix: mix, outcomeOfKey: map[string]string{}, report: Report{Rejections: map[string]int{}, Abandoned: map[string]int{}, Violations: []string{}}}
 }
 
 func quantiles(delays []time.Duration) Quantiles {
@@ -166,5 +168,5 @@
 	at := func(share float64) string {
 		return delays[int(share*float64(len(delays)-1))].Round(100 * time.Microsecond).String()
 	}
-	return Quantiles{Half: at(0.5), Most: at(0.99), Worst: at(1), Counts: len(delays)}
+	return Quantiles{P50: at(0.5), P99: at(0.99), Max: at(1), Count: len(delays)}
 }
--- a/proof/demand/demand_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -1,4 +1,4 @@
-package demand
+package loadgen
 
 import (
 	"context"
@@ -16,39 +16,39 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// pretender answers like a front and a runner, and breaks one rule on demand.
-type pretender struct {
-	breach string
-	mutex  sync.Mutex
-	said   map[string][]runnerclient.Message
-	events map[string][]string
-	ran    map[string]int
-	starts int
+// fakeServer answers like a front and a runner, and breaks one rule on demand.
+type fakeServer struct {
+	violation string
+	mutex     sync.Mutex
+	said      map[string][]runnerclient.Message
+	events    map[string][]string
+	ran       map[string]int
+	starts    int
 }
 
-func (pretender *pretender) turn(writer http.ResponseWriter, name, question string) {
-	history := pretender.said[name]
+func (server *fakeServer) turn(writer http.ResponseWriter, name, question string) {
+	history := server.said[name]
 	answer := standin.Answer(history, question)
-	pretender.said[name] = append(history, runnerclient.Message{Role: "caller", Words: question}, runnerclient.Message{Role: "model", Words: strings.Join(answer, "")})
-	turn := len(pretender.events[name]) + 1
+	server.said[name] = append(history, runnerclient.Message{Role: "caller", Words: question}, runnerclient.Message{Role: "model", Words: strings.Join(answer, "")})
+	turn := len(server.events[name]) + 1
 	add := func(format string, arguments ...any) {
-		pretender.events[name] = append(pretender.events[name], fmt.Sprintf(format, arguments...))
+		server.events[name] = append(server.events[name], fmt.Sprintf(format, arguments...))
 	}
 	add(`{"seq":%d,"kind":"turn_begun","turn":%d}`, turn, turn)
 	fmt.Fprintf(writer, `{"conversation":%q,"turn":%d}`+"\n", name, turn)
 	for position, piece := range answer {
 		seq := turn + 1 + position
 		add(`{"seq":%d,"kind":"piece","turn":%d,"words":%q}`, seq, turn, piece)
-		if position == 2 && pretender.breach == "repeats a piece" {
+		if position == 2 && server.violation == "repeats a piece" {
 			fmt.Fprintf(writer, `{"turn":%d,"seq":%d,"event":"piece","words":%q}`+"\n", turn, seq, piece)
 		}
-		if position == 2 && pretender.breach == "skips a piece" {
+		if position == 2 && server.violation == "skips a piece" {
 			continue
 		}
-		if position == 2 && pretender.breach == "tells a cut answer as complete" {
+		if position == 2 && server.violation == "tells a cut answer as complete" {
 			break
 		}
-		if position == 2 && pretender.breach == "gives another's answer" {
+		if position == 2 && server.violation == "gives another's answer" {
 			piece = " else"
 		}
 		fmt.Fprintf(writer, `{"turn":%d,"seq":%d,"event":"piece","words":%q}`+"\n", turn, seq, piece)
@@ -62,9 +62,9 @@
 	fmt.Fprintf(writer, `{"kind":%q,"message":"did not run","remedy":"none"}`, kind)
 }
 
-func (pretender *pretender) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
-	pretender.mutex.Lock()
-	defer pretender.mutex.Unlock()
+func (server *fakeServer) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
+	server.mutex.Lock()
+	defer server.mutex.Unlock()
 	var body struct {
 		Program string `json:"program"`
 		Kind    string `json:"kind"`
@@ -75,34 +75,34 @@
 	parts := strings.Split(strings.TrimPrefix(query.URL.Path, "/v1/"), "/")
 	switch {
 	case query.URL.Path == "/standin/record":
-		json.NewEncoder(writer).Encode(standin.Record{Executions: pretender.ran})
+		json.NewEncoder(writer).Encode(standin.Record{Executions: server.ran})
 	case parts[0] == "conversations" && len(parts) == 1:
-		pretender.starts++
-		pretender.turn(writer, fmt.Sprintf("c-%d", pretender.starts), body.Words)
+		server.starts++
+		server.turn(writer, fmt.Sprintf("c-%d", server.starts), body.Words)
 	case parts[0] == "conversations" && len(parts) == 3 && parts[2] == "turns":
-		if pretender.breach == "forgets a turn" {
+		if server.violation == "forgets a turn" {
 			refuse(writer, http.StatusNotFound, "not_found")
 			return
 		}
-		if pretender.breach == "changes the history" {
-			pretender.said[parts[1]] = pretender.said[parts[1]][2:]
+		if server.violation == "changes the history" {
+			server.said[parts[1]] = server.said[parts[1]][2:]
 		}
-		pretender.turn(writer, parts[1], body.Words)
+		server.turn(writer, parts[1], body.Words)
 	case parts[0] == "conversations":
-		events := pretender.events[parts[1]]
-		if pretender.breach == "loses an event" {
+		events := server.events[parts[1]]
+		if server.violation == "loses an event" {
 			events = events[1:]
 		}
 		fmt.Fprintf(writer, `{"head":%d,"events":[%s]}`, len(events), strings.Join(events, ","))
 	default:
 		key := body.Program + "/" + body.Kind + "/" + body.Key
 		if body.Key != "" {
-			pretender.ran[key]++
+			server.ran[key]++
 		}
-		if pretender.breach == "runs work twice" {
-			pretender.ran[key]++
+		if server.violation == "runs work twice" {
+			server.ran[key]++
 		}
-		if pretender.breach == "tells not run what ran" {
+		if server.violation == "tells not run what ran" {
 			refuse(writer, http.StatusServiceUnavailable, "not_run")
 			return
 		}
@@ -111,14 +111,14 @@
 	}
 }
 
-// drive runs the demand against a pretender over in-memory pipes.
-func drive(t *testing.T, breach string) *Report {
+// drive runs the load generator against a fake server over in-memory pipes.
+func drive(t *testing.T, violation string) *Report {
 	t.Helper()
 	var report *Report
 	synctest.Test(t, func(t *testing.T) {
 		accepted := make(chan net.Conn)
-		server := &http.Server{Handler: &pretender{breach: breach, said: map[string][]runnerclient.Message{}, events: map[string][]string{}, ran: map[string]int{}}}
-		listener := &pipes{accepted: accepted, closed: make(chan struct{})}
+		server := &http.Server{Handler: &fakeServer{violation: violation, said: map[string][]runnerclient.Message{}, events: map[string][]string{}, ran: map[string]int{}}}
+		listener := &pipeListener{accepted: accepted, closed: make(chan struct{})}
 		go server.Serve(listener)
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -126,23 +126,23 @@
 			return near, nil
 		}}}
 		mix := Mix{Conversations: 3, Turns: []int{2, 3}, Lookups: 2, Once: 3, OnceKinds: []string{"receipt"}, Tight: 0}
-		if breach == "overspends" {
+		if violation == "overspends" {
 			mix.Tight = 10
 		}
-		report = Run(t.Context(), Target{Fronts: []string{"front"}, Runners: []string{"runner"}, Origin: client, Allowance: 100, Turn: 30}, mix, 5*time.Second, 3, nil)
+		report = Run(t.Context(), Target{Fronts: []string{"front"}, Runners: []string{"runner"}, Client: client, Allowance: 100, TurnLimit: 30}, mix, 5*time.Second, 3, nil)
 		server.Close()
 		<-time.After(time.Minute)
 	})
 	return report
 }
 
-type pipes struct {
+type pipeListener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
 }
 
-func (pipes *pipes) Accept() (net.Conn, error) {
+func (pipes *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-pipes.accepted:
 		return connection, nil
@@ -151,25 +151,25 @@
 	}
 }
 
-func (pipes *pipes) Close() error   { pipes.once.Do(func() { close(pipes.closed) }); return nil }
-func (pipes *pipes) Addr() net.Addr { return &net.UnixAddr{Name: "pipes"} }
+func (pipes *pipeListener) Close() error   { pipes.once.Do(func() { close(pipes.closed) }); return nil }
+func (pipes *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipes"} }
 
-func TestTheDemandProgramSeesEveryBreachAndNothingElse(t *testing.T) {
+func TestGeneratorReportsEveryViolationAndNothingElse(t *testing.T) {
 	honest := drive(t, "")
-	if len(honest.Broken) > 0 || honest.Histories == 0 || honest.Once == 0 || honest.Lookups == 0 {
+	if len(honest.Violations) > 0 || honest.Histories == 0 || honest.Once == 0 || honest.Lookups == 0 {
 		t.Fatalf("an honest system: %+v", honest)
 	}
-	for breach, rule := range map[string]string{
+	for violation, rule := range map[string]string{
 		"repeats a piece": "streams", "skips a piece": "streams", "tells a cut answer as complete": "answers", "gives another's answer": "answers",
 		"forgets a turn": "turns stay known", "changes the history": "answers", "loses an event": "streams", "runs work twice": "once",
 		"tells not run what ran": "not run", "overspends": "allowance",
 	} {
 		found := false
-		for _, broken := range drive(t, breach).Broken {
+		for _, broken := range drive(t, violation).Violations {
 			found = found || strings.HasPrefix(broken, rule+":")
 		}
 		if !found {
-			t.Errorf("a system that %s was not found out", breach)
+			t.Errorf("a system that %s was not found out", violation)
 		}
 	}
 }
--- a/proof/demand/asking.go
+++ b/proof/loadgen/requests.go
@@ -1,4 +1,4 @@
-package demand
+package loadgen
 
 import (
 	"bufio"
@@ -15,11 +15,11 @@
 	"yardrock.example/system/httpapi"
 )
 
-func (demand *demand) front(random *rand.Rand) string {
-	return demand.target.Fronts[random.IntN(len(demand.target.Fronts))]
+func (generator *generator) front(random *rand.Rand) string {
+	return generator.target.Fronts[random.IntN(len(generator.target.Fronts))]
 }
 
-func (demand *demand) send(ctx context.Context, method, front, path string, body any) (*http.Response, *httpapi.Error, error) {
+func (generator *generator) send(ctx context.Context, method, front, path string, body any) (*http.Response, *httpapi.Error, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, nil, err
@@ -28,9 +28,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	query.Header.Set("Authorization", "Bearer "+demand.target.Token)
+	query.Header.Set("Authorization", "Bearer "+generator.target.Token)
 	query.Header.Set("Content-Type", "application/json")
-	answer, err := demand.target.Origin.Do(query)
+	answer, err := generator.target.Client.Do(query)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -40,7 +40,7 @@
 	defer answer.Body.Close()
 	failure := &httpapi.Error{}
 	if err := json.NewDecoder(answer.Body).Decode(failure); err != nil || failure.Kind == "" || failure.Message == "" || failure.Remedy == "" {
-		demand.broken("error body", "%s %s: status %d without kind, message and remedy", method, path, answer.StatusCode)
+		generator.violation("error body", "%s %s: status %d without kind, message and remedy", method, path, answer.StatusCode)
 		return nil, &httpapi.Error{Kind: "formless"}, nil
 	}
 	return nil, failure, nil
@@ -58,7 +58,7 @@
 	}
 }
 
-type streamed struct {
+type streamRecord struct {
 	Conversation string `json:"conversation"`
 	Turn         uint64 `json:"turn"`
 	Seq          uint64 `json:"seq"`
@@ -68,8 +68,8 @@
 	Kind         string `json:"kind"`
 }
 
-// heard is an answer as it comes in, perhaps over several connections.
-type heard struct {
+// streamedAnswer is an answer as it comes in, perhaps over several connections.
+type streamedAnswer struct {
 	conversation string
 	turn         uint64
 	last         uint64
@@ -78,20 +78,20 @@
 	first        time.Time // when the first piece came
 }
 
-// listen reads one connection's lines on top of what was heard. A break leaves
+// readStream reads one connection's lines on top of what was heard. A break leaves
 // the rest to be resumed; a gap or repeat is a broken rule.
-func (demand *demand) listen(body io.Reader, heard *heard, stopAfter int) {
+func (generator *generator) readStream(body io.Reader, heard *streamedAnswer, stopAfter int) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), 1<<20)
 	pieces := 0
 	for lines.Scan() {
-		var told streamed
+		var told streamRecord
 		if err := json.Unmarshal(lines.Bytes(), &told); err != nil {
 			return // a connection that broke within a line
 		}
 		if told.Conversation != "" {
 			if heard.conversation != "" && heard.turn != told.Turn {
-				demand.broken("streams", "turn %d of %s was resumed as turn %d", heard.turn, heard.conversation, told.Turn)
+				generator.violation("streams", "turn %d of %s was resumed as turn %d", heard.turn, heard.conversation, told.Turn)
 			}
 			heard.conversation, heard.turn = told.Conversation, told.Turn
 			if heard.last == 0 {
@@ -100,10 +100,10 @@
 		}
 		if told.Event == "piece" {
 			if told.Seq <= heard.last {
-				demand.broken("streams", "%s repeats seq %d after %d", heard.conversation, told.Seq, heard.last)
+				generator.violation("streams", "%s repeats seq %d after %d", heard.conversation, told.Seq, heard.last)
 			}
 			if told.Seq != heard.last+1 {
-				demand.broken("streams", "%s skips from seq %d to %d", heard.conversation, heard.last, told.Seq)
+				generator.violation("streams", "%s skips from seq %d to %d", heard.conversation, heard.last, told.Seq)
 			}
 			heard.last = told.Seq
 			if heard.first.IsZero() {
@@ -121,19 +121,19 @@
 	}
 }
 
-// ask sends a turn until it is complete or will not become so. It returns nil if
+// requestTurn sends a turn until it is complete or will not become so. It returns nil if
 // it had to be given up.
-func (demand *demand) ask(ctx context.Context, random *rand.Rand, path string, body map[string]any, want string) *heard {
-	demand.count(func(report *Report) { report.Turns++ })
+func (generator *generator) requestTurn(ctx context.Context, random *rand.Rand, path string, body map[string]any, want string) *streamedAnswer {
+	generator.count(func(report *Report) { report.Turns++ })
 	var last string
-	resume := random.Float64() < demand.mix.ResumeShare
-	for try := range tries {
+	resume := random.Float64() < generator.mix.ResumeShare
+	for try := range maxAttempts {
 		asked, cancel := context.WithTimeout(ctx, answerTimeout)
 		began := time.Now()
-		answer, apierror, err := demand.send(asked, http.MethodPost, demand.front(random), path, body)
+		answer, apierror, err := generator.send(asked, http.MethodPost, generator.front(random), path, body)
 		if apierror != nil {
 			last = apierror.Kind
-			demand.refused(apierror, path, body)
+			generator.rejected(apierror, path, body)
 			cancel()
 			if apierror.Kind != "not_run" && apierror.Kind != "unavailable" && apierror.Kind != "unknown" && !(apierror.Kind == "conflict" && try > 0) {
 				break
@@ -150,68 +150,68 @@
 			pause(ctx, nil)
 			continue
 		}
-		got := &heard{}
+		got := &streamedAnswer{}
 		stopAfter := 0
 		if resume && try == 0 {
 			stopAfter = 2
 		}
-		demand.listen(answer.Body, got, stopAfter)
+		generator.readStream(answer.Body, got, stopAfter)
 		answer.Body.Close()
 		cancel()
 		if try == 0 && !got.first.IsZero() {
-			demand.mutex.Lock()
-			demand.delays = append(demand.delays, got.first.Sub(began))
-			demand.mutex.Unlock()
+			generator.mutex.Lock()
+			generator.delays = append(generator.delays, got.first.Sub(began))
+			generator.mutex.Unlock()
 		}
 		for again := 0; got.end == "" || got.end == "failed"; again++ {
 			if got.conversation == "" || again == 3 {
 				break
 			}
-			demand.resume(ctx, random, got)
+			generator.resume(ctx, random, got)
 		}
 		switch got.end {
 		case "complete":
-			demand.count(func(report *Report) { report.Complete++ })
+			generator.count(func(report *Report) { report.Complete++ })
 			if got.words.String() != want {
-				demand.broken("answers", "%s turn %d: heard %q, want %q", got.conversation, got.turn, got.words.String(), want)
+				generator.violation("answers", "%s turn %d: heard %q, want %q", got.conversation, got.turn, got.words.String(), want)
 			}
 			return got
 		case "cut", "not_run", "unknown":
 			last = "ended " + got.end
-			demand.count(func(report *Report) { report.Refusals[last]++ })
+			generator.count(func(report *Report) { report.Rejections[last]++ })
 			if !strings.HasPrefix(want, got.words.String()) {
-				demand.broken("answers", "%s turn %d: a cut answer %q is no beginning of %q", got.conversation, got.turn, got.words.String(), want)
+				generator.violation("answers", "%s turn %d: a cut answer %q is no beginning of %q", got.conversation, got.turn, got.words.String(), want)
 			}
 		default:
 			last = "no end"
 		}
 		pause(ctx, nil)
 	}
-	demand.count(func(report *Report) { report.Abandoned[last]++ })
+	generator.count(func(report *Report) { report.Abandoned[last]++ })
 	return nil
 }
 
 // resume tails the turn at another front from the last seq that was heard.
-func (demand *demand) resume(ctx context.Context, random *rand.Rand, got *heard) {
-	demand.count(func(report *Report) { report.Resumed++ })
+func (generator *generator) resume(ctx context.Context, random *rand.Rand, got *streamedAnswer) {
+	generator.count(func(report *Report) { report.Resumed++ })
 	asked, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	got.end = ""
-	answer, apierror, err := demand.send(asked, http.MethodGet, demand.front(random), fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", got.conversation, got.last, got.turn), nil)
+	answer, apierror, err := generator.send(asked, http.MethodGet, generator.front(random), fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", got.conversation, got.last, got.turn), nil)
 	if err != nil || apierror != nil {
 		if apierror != nil && (apierror.Kind == "not_found" || apierror.Kind == "invalid") {
-			demand.broken("turns stay known", "resuming %s at %d: %s", got.conversation, got.last, apierror.Message)
+			generator.violation("turns stay known", "resuming %s at %d: %s", got.conversation, got.last, apierror.Message)
 		}
 		pause(ctx, apierror)
 		return
 	}
-	demand.listen(answer.Body, got, 0)
+	generator.readStream(answer.Body, got, 0)
 	answer.Body.Close()
 }
 
-func (demand *demand) refused(apierror *httpapi.Error, path string, body map[string]any) {
-	demand.count(func(report *Report) { report.Refusals[apierror.Kind]++ })
+func (generator *generator) rejected(apierror *httpapi.Error, path string, body map[string]any) {
+	generator.count(func(report *Report) { report.Rejections[apierror.Kind]++ })
 	if apierror.Kind == "not_found" {
-		demand.broken("turns stay known", "%s following %v: %s", path, body["follows"], apierror.Message)
+		generator.violation("turns stay known", "%s following %v: %s", path, body["follows"], apierror.Message)
 	}
 }
--- a/proof/demand/crowd.go
+++ b/proof/loadgen/spike.go
@@ -1,4 +1,4 @@
-package demand
+package loadgen
 
 import (
 	"context"
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Crowded is what a crowd got.
-type Crowded struct {
-	Sent, Served, Refused, Wrong int
-	Urgent, UrgentServed         int
+// SpikeResult is what a crowd got.
+type SpikeResult struct {
+	Sent, Served, Rejected, Wrong int
+	Urgent, UrgentServed          int
 }
 
-// Crowd sends lookups at a rate on top of all else, with urgent work among them.
+// Spike sends lookups at a rate on top of all else, with urgent work among them.
 //
-//	seen := demand.Crowd(ctx, target, 4*time.Second, 500)
-func Crowd(ctx context.Context, target Target, lasts time.Duration, perSecond int) Crowded {
-	demand := newDemand(target, Mix{})
+//	seen := loadgen.Spike(ctx, target, 4*time.Second, 500)
+func Spike(ctx context.Context, target Target, lasts time.Duration, perSecond int) SpikeResult {
+	generator := newGenerator(target, Mix{})
 	var mutex sync.Mutex
 	var asked sync.WaitGroup
-	seen := Crowded{}
+	seen := SpikeResult{}
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 3))
 	for number := range int(lasts.Seconds() * float64(perSecond)) {
-		front := demand.front(random)
+		front := generator.front(random)
 		urgent := number%20 == 0
 		asked.Go(func() {
 			path, body := "/v1/lookups", map[string]any{"program": "dialogue", "kind": "lookup", "words": "where is everybody"}
@@ -34,7 +34,7 @@
 			}
 			limited, cancel := context.WithTimeout(ctx, answerTimeout)
 			defer cancel()
-			answer, apierror, err := demand.send(limited, http.MethodPost, front, path, body)
+			answer, apierror, err := generator.send(limited, http.MethodPost, front, path, body)
 			if err == nil && apierror == nil {
 				answer.Body.Close()
 			}
@@ -46,7 +46,7 @@
 				seen.Served++
 			}
 			if apierror != nil {
-				seen.Refused++
+				seen.Rejected++
 				if apierror.RetryAfter == 0 && apierror.Kind == "not_run" {
 					seen.Wrong++
 				}
--- a/proof/modelcheck/action.go
+++ b/proof/modelcheck/action.go
@@ -27,8 +27,8 @@
 	ActionWipe
 	// ActionCompact replaces a replica's applied log by a checkpoint.
 	ActionCompact
-	// ActionHandOver asks a leader to give leadership to Peer.
-	ActionHandOver
+	// ActionTransferLeadership asks a leader to give leadership to Peer.
+	ActionTransferLeadership
 	// ActionChange asks a leader for the membership change Change of Peer.
 	ActionChange
 	// ActionSuspect tells a replica that the connection from its leader has ended.
@@ -58,8 +58,8 @@
 	// ChangeSwap asks for what the core must refuse: one voter leaves and another joins
 	// in a single step.
 	ChangeSwap
-	// ChangeTwice asks for what the core must refuse, too: a voter that is named twice.
-	ChangeTwice
+	// ChangeNameTwice asks for what the core must refuse, too: a voter that is named twice.
+	ChangeNameTwice
 )
 
 var changeNames = []string{"add learner", "add voter", "remove", "swap in", "name twice"}
@@ -87,7 +87,7 @@
 		return fmt.Sprintf("crash %s after %d of its %d pending writes", action.Replica, action.Count, len(world.replica(action.Replica).pending))
 	case ActionChange:
 		return fmt.Sprintf("change at %s: %s %s", action.Replica, changeNames[action.Change], action.Peer)
-	case ActionHandOver, ActionSuspect:
+	case ActionTransferLeadership, ActionSuspect:
 		return fmt.Sprintf("%s at %s: %s", action.Kind, action.Replica, action.Peer)
 	}
 	return fmt.Sprintf("%s %s", action.Kind, action.Replica)
--- a/proof/modelcheck/enabled.go
+++ b/proof/modelcheck/enabled.go
@@ -11,7 +11,7 @@
 	found := make([]Action, 0, 16)
 	found = world.addMessages(found, limits)
 	for _, one := range world.replicas {
-		if !one.gone {
+		if !one.wiped {
 			found = world.addLocal(found, limits, one)
 			found = world.addLeader(found, limits, one)
 		}
@@ -76,10 +76,10 @@
 	if world.allowed(limits, ActionRead) {
 		found = append(found, Action{Kind: ActionRead, Replica: one.name})
 	}
-	if world.allowed(limits, ActionHandOver) {
+	if world.allowed(limits, ActionTransferLeadership) {
 		for _, peer := range one.status.Membership.Voters {
 			if peer != one.name {
-				found = append(found, Action{Kind: ActionHandOver, Replica: one.name, Peer: peer})
+				found = append(found, Action{Kind: ActionTransferLeadership, Replica: one.name, Peer: peer})
 			}
 		}
 	}
@@ -97,10 +97,10 @@
 		kinds := []ChangeKind{}
 		switch {
 		case isVoter && len(members.Voters) > 1:
-			kinds = []ChangeKind{ChangeRemove, ChangeTwice}
+			kinds = []ChangeKind{ChangeRemove, ChangeNameTwice}
 		case isVoter:
-			kinds = []ChangeKind{ChangeTwice}
-		case peer.gone:
+			kinds = []ChangeKind{ChangeNameTwice}
+		case peer.wiped:
 		case slices.Contains(members.Learners, peer.name):
 			kinds = []ChangeKind{ChangeAddVoter, ChangeSwap}
 		default:
--- a/proof/modelcheck/fingerprint.go
+++ b/proof/modelcheck/fingerprint.go
@@ -100,19 +100,19 @@
 // fingerprint hashes all that the future of a replica depends on.
 func (replica *replica) fingerprint() fingerprint {
 	if replica.hashed {
-		return replica.print
+		return replica.hash
 	}
 	buffer := make([]byte, 0, 1024)
 	buffer = append(buffer, replica.name...)
-	buffer = encode(buffer, reflect.ValueOf(replica.gone))
+	buffer = encode(buffer, reflect.ValueOf(replica.wiped))
 	buffer = encode(buffer, reflect.ValueOf(&replica.disk).Elem())
-	if !replica.gone {
+	if !replica.wiped {
 		buffer = encode(buffer, reflect.ValueOf(replica.core).Elem())
 		buffer = encode(buffer, reflect.ValueOf(replica.pending))
 	}
-	replica.print = hash(buffer)
+	replica.hash = hash(buffer)
 	replica.hashed = true
-	return replica.print
+	return replica.hash
 }
 
 // fingerprint hashes a whole world, with its history and what it has spent of its limits.
--- a/proof/modelcheck/forged_test.go
+++ b/proof/modelcheck/forgedmessages_test.go
@@ -24,7 +24,7 @@
 				script.Propose("a")
 				script.DropAll()
 				last := script.world.replica("a").status
-				script.arrivesLate(raft.Message{Kind: raft.MessageAppendReply, From: "b", To: "a", Term: last.Term, Index: last.LastIndex})
+				script.deliverLate(raft.Message{Kind: raft.MessageAppendReply, From: "b", To: "a", Term: last.Term, Index: last.LastIndex})
 			},
 		},
 		{
@@ -33,7 +33,7 @@
 				twoCandidates(script)
 				for _, name := range []string{"a", "b"} {
 					term := script.world.replica(name).status.Term
-					script.arrivesLate(raft.Message{Kind: raft.MessageVoteReply, From: "c", To: name, Term: term})
+					script.deliverLate(raft.Message{Kind: raft.MessageVoteReply, From: "c", To: name, Term: term})
 				}
 			},
 		},
--- a/proof/modelcheck/history.go
+++ b/proof/modelcheck/history.go
@@ -10,12 +10,12 @@
 // history is what happened so far, as far as the invariants speak of it. No replica
 // sees it.
 type history struct {
-	founding  raft.Membership
-	leaders   []leadership
-	committed []commitment // of the indices from foundingIndex+1 on
-	reads     []question   // that are not answered yet
-	commands  uint64
-	asked     uint64
+	founding     raft.Membership
+	leaders      []leadership
+	committed    []commitment  // of the indices from foundingIndex+1 on
+	reads        []pendingRead // that are not answered yet
+	commands     uint64
+	readsStarted uint64
 }
 
 // leadership tells who led in a term.
@@ -30,8 +30,8 @@
 	term  uint64
 }
 
-// question is a read that was asked for while everything up to committed was committed.
-type question struct {
+// pendingRead is a read that was asked for while everything up to committed was committed.
+type pendingRead struct {
 	context   uint64
 	committed uint64
 }
@@ -93,18 +93,18 @@
 	return append(data, make([]byte, max(0, size-len(data)))...)
 }
 
-// ask notes a read, and gives its context.
-func (history *history) ask() uint64 {
-	history.asked++
-	history.reads = append(history.reads, question{context: history.asked, committed: history.highest()})
-	return history.asked
+// startRead notes a read, and gives its context.
+func (history *history) startRead() uint64 {
+	history.readsStarted++
+	history.reads = append(history.reads, pendingRead{context: history.readsStarted, committed: history.highest()})
+	return history.readsStarted
 }
 
-// answer takes the read of a context off the list.
-func (history *history) answer(context uint64) (question, bool) {
-	at := slices.IndexFunc(history.reads, func(one question) bool { return one.context == context })
+// finishRead takes the read of a context off the list.
+func (history *history) finishRead(context uint64) (pendingRead, bool) {
+	at := slices.IndexFunc(history.reads, func(one pendingRead) bool { return one.context == context })
 	if at < 0 {
-		return question{}, false
+		return pendingRead{}, false
 	}
 	found := history.reads[at]
 	history.reads = slices.Delete(history.reads, at, at+1)
--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -24,15 +24,15 @@
 	CommittedOnMajority Invariant = "a committed entry is on the disks of a majority"
 	// StateMachineSafety: the same entry is applied at an index everywhere, in order.
 	StateMachineSafety Invariant = "state machine safety"
-	// ReadsAreFresh: a confirmed read covers what was committed when it was asked for.
-	ReadsAreFresh Invariant = "a confirmed read is fresh"
-	// PromisesAreStored: a promise is on the disk before its message leaves.
-	PromisesAreStored Invariant = "a promise is on disk before it leaves"
+	// ReadsAreLinearizable: a confirmed read covers what was committed when it was asked for.
+	ReadsAreLinearizable Invariant = "a confirmed read is fresh"
+	// PromisesArePersisted: a promise is on the disk before its message leaves.
+	PromisesArePersisted Invariant = "a promise is on disk before it leaves"
 	// MajoritiesOverlap: voter sets that follow each other share a replica in every two
 	// majorities, and no change is appended before the one before it is committed.
 	MajoritiesOverlap Invariant = "successive majorities overlap"
-	// NothingGoesBack: terms, votes, commits and checkpoints never go back.
-	NothingGoesBack Invariant = "nothing goes back"
+	// Monotonicity: terms, votes, commits and checkpoints never go back.
+	Monotonicity Invariant = "nothing goes back"
 )
 
 // Violation is the first broken invariant of a run, and the actions that led there.
@@ -42,10 +42,10 @@
 	Trace     []string  `json:"trace"`
 }
 
-// view is what the checks compare a replica's next state with.
-type view struct {
+// observed is what the checks compare a replica's next state with.
+type observed struct {
 	status raft.Status
-	image  raft.PersistentState
+	stored raft.PersistentState
 }
 
 func (world *World) violate(broken Invariant, format string, arguments ...any) {
@@ -55,11 +55,11 @@
 }
 
 // checkStep checks all that a step of one replica can break.
-func (world *World) checkStep(stepped *replica, before view, input raft.Input, output raft.Output) {
+func (world *World) checkStep(stepped *replica, before observed, input raft.Input, output raft.Output) {
 	world.checkProgress(stepped, before)
 	world.checkApplied(stepped, before, output)
-	world.checkKept(stepped.name+"'s log", before.image, stepped.image)
-	world.checkCheckpoint(stepped.name, stepped.image.Snapshot)
+	world.checkCommittedKept(stepped.name+"'s log", before.stored, stepped.stored)
+	world.checkSnapshot(stepped.name, stepped.stored.Snapshot)
 	world.checkLeader(stepped, before)
 	for _, other := range world.replicas {
 		if other != stepped {
@@ -69,43 +69,43 @@
 	world.checkVoters(stepped)
 	world.checkChange(stepped, before, input, output)
 	for _, message := range output.Messages {
-		world.checkPromise(stepped, message)
+		world.checkPersisted(stepped, message)
 	}
 	for _, answer := range output.ReadResults {
 		world.checkRead(stepped, answer)
 	}
 }
 
-func (world *World) checkProgress(stepped *replica, before view) {
+func (world *World) checkProgress(stepped *replica, before observed) {
 	now := stepped.status
 	if now.Term < before.status.Term || now.CommitIndex < before.status.CommitIndex {
-		world.violate(NothingGoesBack, "%s went from term %d commit %d to term %d commit %d", stepped.name,
+		world.violate(Monotonicity, "%s went from term %d commit %d to term %d commit %d", stepped.name,
 			before.status.Term, before.status.CommitIndex, now.Term, now.CommitIndex)
 	}
-	world.checkState(stepped.name, before.image, stepped.image)
+	world.checkState(stepped.name, before.stored, stepped.stored)
 }
 
 // checkState looks at the term, vote and checkpoint of a core or of a disk.
 func (world *World) checkState(name string, before, after raft.PersistentState) {
 	if after.HardState.Term < before.HardState.Term || after.Snapshot.Index < before.Snapshot.Index {
-		world.violate(NothingGoesBack, "%s went from term %d checkpoint %d to term %d checkpoint %d", name,
+		world.violate(Monotonicity, "%s went from term %d checkpoint %d to term %d checkpoint %d", name,
 			before.HardState.Term, before.Snapshot.Index, after.HardState.Term, after.Snapshot.Index)
 	}
 	if after.HardState.Term == before.HardState.Term && before.HardState.VotedFor != "" && after.HardState.VotedFor != before.HardState.VotedFor {
-		world.violate(NothingGoesBack, "%s voted for %s and then for %q in term %d", name, before.HardState.VotedFor, after.HardState.VotedFor, after.HardState.Term)
+		world.violate(Monotonicity, "%s voted for %s and then for %q in term %d", name, before.HardState.VotedFor, after.HardState.VotedFor, after.HardState.Term)
 	}
 }
 
 // checkDisk checks what a write did to a disk.
 func (world *World) checkDisk(owner *replica, before raft.PersistentState) {
 	world.checkState(owner.name+"'s disk", before, owner.disk)
-	world.checkKept(owner.name+"'s disk", before, owner.disk)
+	world.checkCommittedKept(owner.name+"'s disk", before, owner.disk)
 }
 
 func (world *World) checkRestart(restarted *replica) {
-	world.checkCheckpoint(restarted.name, restarted.image.Snapshot)
+	world.checkSnapshot(restarted.name, restarted.stored.Snapshot)
 	if restarted.status.Term != restarted.disk.HardState.Term {
-		world.violate(NothingGoesBack, "%s restarted in term %d with term %d on its disk", restarted.name, restarted.status.Term, restarted.disk.HardState.Term)
+		world.violate(Monotonicity, "%s restarted in term %d with term %d on its disk", restarted.name, restarted.status.Term, restarted.disk.HardState.Term)
 	}
 	for _, other := range world.replicas {
 		if other != restarted {
@@ -115,7 +115,7 @@
 }
 
 // checkApplied takes the entries that a step committed into the history.
-func (world *World) checkApplied(stepped *replica, before view, output raft.Output) {
+func (world *World) checkApplied(stepped *replica, before observed, output raft.Output) {
 	applied := before.status.CommitIndex
 	if output.Snapshot != nil {
 		world.outcomes.Restores++
@@ -136,13 +136,13 @@
 }
 
 func (world *World) checkRestore(stepped *replica, point raft.Snapshot) {
-	world.checkCheckpoint(stepped.name, point)
-	if !world.model.isImage(point.Data, point.Index) {
+	world.checkSnapshot(stepped.name, point)
+	if !world.model.isSnapshot(point.Data, point.Index) {
 		world.violate(StateMachineSafety, "%s restores %q at index %d", stepped.name, point.Data, point.Index)
 	}
 }
 
-func (world *World) checkCommitted(stepped *replica, before view, entry raft.Entry) {
+func (world *World) checkCommitted(stepped *replica, before observed, entry raft.Entry) {
 	if entry.Index <= world.history.highest() {
 		known, _ := world.history.committedAt(entry.Index)
 		if !sameEntry(known.entry, entry) {
@@ -166,7 +166,7 @@
 	voters := leader.status.Membership.Voters
 	holders := []string{}
 	for _, name := range voters {
-		if voter := world.replica(name); voter != nil && holds(voter.disk, entry) {
+		if voter := world.replica(name); voter != nil && containsEntry(voter.disk, entry) {
 			holders = append(holders, name)
 		}
 	}
@@ -175,16 +175,16 @@
 	}
 }
 
-// checkKept wants every committed entry that was there before a step to be there after it.
-func (world *World) checkKept(where string, before, after raft.PersistentState) {
+// checkCommittedKept wants every committed entry that was there before a step to be there after it.
+func (world *World) checkCommittedKept(where string, before, after raft.PersistentState) {
 	for _, known := range world.history.committed {
-		if holds(before, known.entry) && !holds(after, known.entry) {
+		if containsEntry(before, known.entry) && !containsEntry(after, known.entry) {
 			world.violate(CommittedStays, "%s loses %s, which is committed", where, describeEntry(known.entry))
 		}
 	}
 }
 
-func (world *World) checkCheckpoint(name string, point raft.Snapshot) {
+func (world *World) checkSnapshot(name string, point raft.Snapshot) {
 	if point.Index == 0 {
 		return
 	}
@@ -199,7 +199,7 @@
 }
 
 // checkLeader looks at a replica that has just become a leader.
-func (world *World) checkLeader(stepped *replica, before view) {
+func (world *World) checkLeader(stepped *replica, before observed) {
 	now := stepped.status
 	if !now.Leading || before.status.Leading && before.status.Term == now.Term {
 		return
@@ -210,7 +210,7 @@
 	}
 	world.history.leaders = append(world.history.leaders, leadership{term: now.Term, name: stepped.name})
 	for _, known := range world.history.committed {
-		if known.term < now.Term && !holds(stepped.image, known.entry) {
+		if known.term < now.Term && !containsEntry(stepped.stored, known.entry) {
 			world.violate(LeaderCompleteness, "%s leads term %d without %s, which was committed in term %d", stepped.name, now.Term, describeEntry(known.entry), known.term)
 		}
 	}
@@ -219,16 +219,16 @@
 // checkLogsMatch compares two logs from the top: below an index at which both have the
 // same term, they are equal.
 func (world *World) checkLogsMatch(one, other *replica) {
-	lowest := max(one.image.Snapshot.Index, other.image.Snapshot.Index)
+	lowest := max(one.stored.Snapshot.Index, other.stored.Snapshot.Index)
 	matching := false
 	for index := min(one.status.LastIndex, other.status.LastIndex); index >= lowest && index > 0; index-- {
-		same := termAt(one.image, index) == termAt(other.image, index)
+		same := termAt(one.stored, index) == termAt(other.stored, index)
 		if matching && !same {
 			world.violate(LogMatching, "%s and %s differ at %d though they agree on the term of a later index", one.name, other.name, index)
 		}
 		matching = matching || same
-		oneEntry, oneFound := entryAt(one.image, index)
-		otherEntry, otherFound := entryAt(other.image, index)
+		oneEntry, oneFound := entryAt(one.stored, index)
+		otherEntry, otherFound := entryAt(other.stored, index)
 		if same && oneFound && otherFound && !sameEntry(oneEntry, otherEntry) {
 			world.violate(LogMatching, "%s has %s where %s has %s", one.name, describeEntry(oneEntry), other.name, describeEntry(otherEntry))
 		}
@@ -237,9 +237,9 @@
 
 // checkVoters looks at the voter sets of one log, in their order.
 func (world *World) checkVoters(stepped *replica) {
-	before := stepped.image.Snapshot.Membership.Voters
+	before := stepped.stored.Snapshot.Membership.Voters
 	uncommitted := 0
-	for _, entry := range stepped.image.Entries {
+	for _, entry := range stepped.stored.Entries {
 		if entry.Kind != raft.EntryMembership {
 			continue
 		}
@@ -260,11 +260,11 @@
 }
 
 // checkChange looks at a membership change that a leader took on.
-func (world *World) checkChange(stepped *replica, before view, input raft.Input, output raft.Output) {
+func (world *World) checkChange(stepped *replica, before observed, input raft.Input, output raft.Output) {
 	if input.Kind != raft.InputChangeMembership || output.ProposedIndex == 0 {
 		return
 	}
-	if termAt(before.image, before.status.CommitIndex) != before.status.Term {
+	if termAt(before.stored, before.status.CommitIndex) != before.status.Term {
 		world.violate(MajoritiesOverlap, "%s takes a membership change before it has committed an entry of its term %d", stepped.name, before.status.Term)
 	}
 }
@@ -280,42 +280,42 @@
 	return len(one)/2+1+len(other)/2+1 > union
 }
 
-// checkPromise looks at a message that leaves a replica, and at the disk of its sender.
-func (world *World) checkPromise(sender *replica, message raft.Message) {
+// checkPersisted looks at a message that leaves a replica, and at the disk of its sender.
+func (world *World) checkPersisted(sender *replica, message raft.Message) {
 	disk := sender.disk
 	term := message.Term
 	switch {
 	case message.Kind == raft.MessagePreVote, message.Kind == raft.MessagePreVoteReply && !message.Rejected:
 		return // they speak of a term that nobody has entered
 	case disk.HardState.Term < term:
-		world.violate(PromisesAreStored, "%s sends %q with term %d on its disk", sender.name, describeMessage(&message), disk.HardState.Term)
+		world.violate(PromisesArePersisted, "%s sends %q with term %d on its disk", sender.name, describeMessage(&message), disk.HardState.Term)
 	case disk.HardState.Term > term || message.Rejected:
 		return // the promise was overtaken by a later term, or is none
 	}
 	switch message.Kind {
 	case raft.MessageVote:
 		if disk.HardState.VotedFor != sender.name {
-			world.violate(PromisesAreStored, "%s stands in term %d with a vote for %q on its disk", sender.name, term, disk.HardState.VotedFor)
+			world.violate(PromisesArePersisted, "%s stands in term %d with a vote for %q on its disk", sender.name, term, disk.HardState.VotedFor)
 		}
 	case raft.MessageVoteReply:
 		if disk.HardState.VotedFor != message.To {
-			world.violate(PromisesAreStored, "%s votes for %s in term %d with a vote for %q on its disk", sender.name, message.To, term, disk.HardState.VotedFor)
+			world.violate(PromisesArePersisted, "%s votes for %s in term %d with a vote for %q on its disk", sender.name, message.To, term, disk.HardState.VotedFor)
 		}
 	case raft.MessageAppendReply:
 		if lastOf(disk) < message.Index {
-			world.violate(PromisesAreStored, "%s acknowledges %d with a log up to %d on its disk", sender.name, message.Index, lastOf(disk))
+			world.violate(PromisesArePersisted, "%s acknowledges %d with a log up to %d on its disk", sender.name, message.Index, lastOf(disk))
 		}
 	}
 }
 
 func (world *World) checkRead(stepped *replica, answer raft.ReadResult) {
-	asked, known := world.history.answer(answer.Context)
+	asked, known := world.history.finishRead(answer.Context)
 	if !known || answer.Rejected {
 		return
 	}
 	world.outcomes.ConfirmedReads++
 	if answer.Index < asked.committed {
-		world.violate(ReadsAreFresh, "%s confirms a read at %d, asked for when %d was committed", stepped.name, answer.Index, asked.committed)
+		world.violate(ReadsAreLinearizable, "%s confirms a read at %d, asked for when %d was committed", stepped.name, answer.Index, asked.committed)
 	}
 }
 
@@ -341,8 +341,8 @@
 	return entry.Term
 }
 
-// holds tells that a log has an entry, or a checkpoint that stands for it.
-func holds(stored raft.PersistentState, entry raft.Entry) bool {
+// containsEntry tells that a log has an entry, or a checkpoint that stands for it.
+func containsEntry(stored raft.PersistentState, entry raft.Entry) bool {
 	if stored.Snapshot.Index >= entry.Index {
 		return true
 	}
--- a/proof/modelcheck/scenarios.go
+++ b/proof/modelcheck/scenarios.go
@@ -11,12 +11,12 @@
 var (
 	threeVoters   = []string{"a", "b", "c"}
 	coarseClock   = Model{Voters: threeVoters, ElectionTicks: 1, HeartbeatTicks: 1}
-	instantDisks  = Model{Voters: threeVoters, ElectionTicks: 1, HeartbeatTicks: 1, SyncAtOnce: true}
-	largeCommands = Model{Voters: threeVoters, ElectionTicks: 1, HeartbeatTicks: 1, SyncAtOnce: true, CommandBytes: 300 << 10}
-	withSpare     = Model{Voters: threeVoters, Spares: []string{"d"}, ElectionTicks: 1, HeartbeatTicks: 1, SyncAtOnce: true}
+	instantDisks  = Model{Voters: threeVoters, ElectionTicks: 1, HeartbeatTicks: 1, SyncWrites: true}
+	largeCommands = Model{Voters: threeVoters, ElectionTicks: 1, HeartbeatTicks: 1, SyncWrites: true, CommandBytes: 300 << 10}
+	withSpare     = Model{Voters: threeVoters, Spares: []string{"d"}, ElectionTicks: 1, HeartbeatTicks: 1, SyncWrites: true}
 	loneVoter     = Model{Voters: []string{"a"}, Learners: []string{"b"}, ElectionTicks: 1, HeartbeatTicks: 1}
 	twoVoters     = Model{Voters: []string{"a", "b"}, Spares: []string{"c"}, ElectionTicks: 1, HeartbeatTicks: 1}
-	fourVoters    = Model{Voters: []string{"a", "b", "c", "d"}, Spares: []string{"e"}, ElectionTicks: 1, HeartbeatTicks: 1, SyncAtOnce: true}
+	fourVoters    = Model{Voters: []string{"a", "b", "c", "d"}, Spares: []string{"e"}, ElectionTicks: 1, HeartbeatTicks: 1, SyncWrites: true}
 	threeAndSpare = Model{Voters: threeVoters, Spares: []string{"d"}, ElectionTicks: 1, HeartbeatTicks: 1}
 )
 
@@ -66,7 +66,7 @@
 		{
 			Name: "behind", Purpose: "a replica that lacks what is committed stands for election",
 			Model: instantDisks, Depth: 6, Prepare: behind,
-			Limits: Limits{ActionTick: 2, ActionHandOver: 1},
+			Limits: Limits{ActionTick: 2, ActionTransferLeadership: 1},
 		},
 		{
 			Name: "deposed", Purpose: "reads at a leader that was cut off while another was elected",
@@ -96,7 +96,7 @@
 		{
 			Name: "hand-over", Purpose: "leadership handed over while entries and reads are under way",
 			Model: instantDisks, Depth: 5, Prepare: steady,
-			Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionRead: 1, ActionHandOver: 2, ActionSuspect: 1},
+			Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionRead: 1, ActionTransferLeadership: 2, ActionSuspect: 1},
 		},
 		{
 			Name: "wiped", Purpose: "a disk that is lost, replaced by an empty replica of a new name",
@@ -195,7 +195,7 @@
 // snapshot's chunks still in flight.
 func lateSnapshot(script *Script) {
 	lagging(script)
-	chunks := script.copiesOf("c", raft.MessageSnapshotChunk)
+	chunks := script.messagesOf("c", raft.MessageSnapshotChunk)
 	slices.SortFunc(chunks, func(one, other raft.Message) int { return cmp.Compare(one.Chunk.Offset, other.Chunk.Offset) })
 	for _, chunk := range chunks {
 		script.Do(Action{Kind: ActionDeliver, Replica: "c", Message: keyOf(&chunk)})
@@ -203,9 +203,9 @@
 	script.Settle("a", "b", "c")
 	script.Propose("a")
 	script.Commit("a", "b", "c")
-	script.wantCommit("c", script.world.replica("a").status.CommitIndex)
+	script.requireCommit("c", script.world.replica("a").status.CommitIndex)
 	for _, chunk := range chunks {
-		script.arrivesLate(chunk)
+		script.deliverLate(chunk)
 	}
 }
 
--- a/proof/modelcheck/script.go
+++ b/proof/modelcheck/script.go
@@ -77,15 +77,15 @@
 	panic(fmt.Sprintf("the scenario's script finds no append of %d on its way to %s", index, receiver))
 }
 
-// wantCommit makes sure that a replica has come as far as the scenario needs it.
-func (script *Script) wantCommit(name string, index uint64) {
+// requireCommit makes sure that a replica has come as far as the scenario needs it.
+func (script *Script) requireCommit(name string, index uint64) {
 	if reached := script.world.replica(name).status.CommitIndex; reached != index {
 		panic(fmt.Sprintf("the scenario's script has %s commit %d, not %d", name, reached, index))
 	}
 }
 
-// copiesOf gives all messages of a kind that are on their way to a replica.
-func (script *Script) copiesOf(receiver string, kind raft.MessageKind) []raft.Message {
+// messagesOf gives all messages of a kind that are on their way to a replica.
+func (script *Script) messagesOf(receiver string, kind raft.MessageKind) []raft.Message {
 	found := []raft.Message{}
 	for _, sent := range script.world.flying {
 		if sent.message.To == receiver && sent.message.Kind == kind {
@@ -95,8 +95,8 @@
 	return found
 }
 
-// arrivesLate puts a copy of an earlier message in flight, as if it had been there since.
-func (script *Script) arrivesLate(message raft.Message) {
+// deliverLate puts a copy of an earlier message in flight, as if it had been there since.
+func (script *Script) deliverLate(message raft.Message) {
 	script.world.send(message)
 	script.lines = append(script.lines, "a copy is still in flight: "+describeMessage(&message))
 }
--- a/proof/modelcheck/walk.go
+++ b/proof/modelcheck/walk.go
@@ -36,10 +36,10 @@
 // weights tell how often each kind of action is drawn, of those that are possible.
 type weights [actionKinds]int
 
-// usualWeights let a group make progress between its troubles.
-var usualWeights = weights{
+// defaultWeights let a group make progress between its troubles.
+var defaultWeights = weights{
 	ActionDeliver: 500, ActionSync: 300, ActionTick: 60, ActionPropose: 40, ActionRead: 30,
-	ActionDuplicate: 10, ActionDrop: 10, ActionCompact: 6, ActionChange: 12, ActionHandOver: 4,
+	ActionDuplicate: 10, ActionDrop: 10, ActionCompact: 6, ActionChange: 12, ActionTransferLeadership: 4,
 	ActionSuspect: 4, ActionCrash: 2, ActionWipe: 1,
 }
 
@@ -67,14 +67,14 @@
 // newWalker draws the group and the troubles of the walk of a seed.
 func newWalker(seed uint64) *walker {
 	random := rand.New(rand.NewPCG(seed, 0))
-	walk := &walker{random: random, weights: usualWeights}
+	walk := &walker{random: random, weights: defaultWeights}
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	voters := []int{1, 2, 3, 3, 3, 4, 5}[random.IntN(7)]
 	learners := random.IntN(2)
 	walk.model = Model{
 		Voters: names[:voters], Learners: names[voters : voters+learners], Spares: names[voters+learners : min(voters+learners+1, len(names))],
-		ElectionTicks: 1 + random.IntN(3), HeartbeatTicks: 1, Seed: seed, SyncAtOnce: random.IntN(4) == 0,
-		ImageParts: usualImageParts + 6*random.IntN(2), // the longer ones are more chunks than go out at once
+		ElectionTicks: 1 + random.IntN(3), HeartbeatTicks: 1, Seed: seed, SyncWrites: random.IntN(4) == 0,
+		SnapshotParts: defaultSnapshotParts + 6*random.IntN(2), // the longer ones are more chunks than go out at once
 	}
 	walk.weights[ActionTick] *= walk.model.ElectionTicks
 	for kind := range walk.weights {
@@ -94,8 +94,8 @@
 	return walk
 }
 
-// turnNetwork cuts off another replica now and then, or none, mostly a leader.
-func (walk *walker) turnNetwork() {
+// switchPartition cuts off another replica now and then, or none, mostly a leader.
+func (walk *walker) switchPartition() {
 	if walk.random.IntN(stepsPerCut) > 0 {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // draw chooses the next action: first its kind by weight, then one of that kind.
 func (walk *walker) draw() Action {
-	walk.turnNetwork()
+	walk.switchPartition()
 	byKind := [actionKinds][]Action{}
 	total := 0
 	for _, action := range walk.world.enabled(walk.limits) {
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -31,12 +31,12 @@
 	ElectionTicks, HeartbeatTicks int
 	// Seed seeds the replicas' election timeouts.
 	Seed uint64
-	// SyncAtOnce has every write reach its disk within the step that asks for it.
-	SyncAtOnce bool
+	// SyncWrites has every write reach its disk within the step that asks for it.
+	SyncWrites bool
 	// CommandBytes is the least size of a command; large ones travel one by one.
 	CommandBytes int
-	// ImageParts makes snapshots longer than two chunks; 0 means usualImageParts.
-	ImageParts int
+	// SnapshotParts makes snapshots longer than two chunks; 0 means defaultSnapshotParts.
+	SnapshotParts int
 	// Replayable keeps each replica's inputs, so that a World can be forked.
 	Replayable bool
 }
@@ -47,9 +47,9 @@
 const (
 	// founder stands for the maker of the snapshot that a group begins with.
 	founder = "founder"
-	// usualImageParts and chunkBytes have a snapshot travel in two chunks.
-	usualImageParts = 2
-	chunkBytes      = 8
+	// defaultSnapshotParts and chunkBytes have a snapshot travel in two chunks.
+	defaultSnapshotParts = 2
+	chunkBytes           = 8
 )
 
 // replica is one replica with its disk.
@@ -58,16 +58,16 @@
 	core    *raft.Core
 	disk    raft.PersistentState
 	pending []*raft.Write
-	// gone tells that the disk was wiped: the name stays a member, but never answers.
-	gone bool
+	// wiped tells that the disk was wiped: the name stays a member, but never answers.
+	wiped bool
 
 	// begin and inputs rebuild the core when the World is forked.
 	begin  raft.PersistentState
 	inputs []*raft.Input
 
 	status raft.Status
-	image  raft.PersistentState
-	print  fingerprint
+	stored raft.PersistentState
+	hash   fingerprint
 	hashed bool
 }
 
@@ -91,7 +91,7 @@
 	world.history.found(founding)
 	stored := raft.PersistentState{
 		HardState: raft.HardState{Term: foundingTerm},
-		Snapshot:  raft.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: founding, Data: model.imageAt(foundingIndex, founder)},
+		Snapshot:  raft.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: founding, Data: model.snapshotAt(foundingIndex, founder)},
 	}
 	for _, name := range slices.Concat(model.Voters, model.Learners) {
 		world.add(name, stored)
@@ -123,13 +123,13 @@
 	replica.begin = cloneStored(replica.disk)
 	replica.inputs = nil
 	replica.core = raft.New(replica.settings(model), replica.begin)
-	replica.look()
+	replica.observe()
 }
 
-// look refreshes what the checks read of the core.
-func (replica *replica) look() {
+// observe refreshes what the checks read of the core.
+func (replica *replica) observe() {
 	replica.status = replica.core.Status()
-	replica.image = replica.core.PersistentState()
+	replica.stored = replica.core.PersistentState()
 	replica.hashed = false
 }
 
@@ -190,7 +190,7 @@
 
 func (world *World) send(message raft.Message) {
 	receiver := world.replica(message.To)
-	if receiver == nil || receiver.gone {
+	if receiver == nil || receiver.wiped {
 		return
 	}
 	sent := packet{key: keyOf(&message), message: &message}
@@ -202,7 +202,7 @@
 // nothing, if the action is not possible in this state.
 func (world *World) Apply(action Action) bool {
 	position := world.position(action.Replica)
-	if position < 0 || world.replicas[position].gone || !world.possible(action) {
+	if position < 0 || world.replicas[position].wiped || !world.isEnabled(action) {
 		return false
 	}
 	world.spent[action.Kind]++
@@ -218,21 +218,21 @@
 	case ActionPropose:
 		world.step(chosen, raft.Input{Kind: raft.InputPropose, Data: world.history.nextCommand(world.model.CommandBytes)})
 	case ActionRead:
-		world.step(chosen, raft.Input{Kind: raft.InputReadIndex, Context: world.history.ask()})
+		world.step(chosen, raft.Input{Kind: raft.InputReadIndex, Context: world.history.startRead()})
 	case ActionCrash:
 		world.crash(chosen, action.Count)
 	case ActionWipe:
 		world.wipe(chosen)
 	case ActionCompact:
-		world.step(chosen, raft.Input{Kind: raft.InputCompact, Index: chosen.core.Applied(), Data: world.model.imageAt(chosen.core.Applied(), chosen.name)})
-	case ActionHandOver:
+		world.step(chosen, raft.Input{Kind: raft.InputCompact, Index: chosen.core.Applied(), Data: world.model.snapshotAt(chosen.core.Applied(), chosen.name)})
+	case ActionTransferLeadership:
 		world.step(chosen, raft.Input{Kind: raft.InputTransferLeadership, Peer: action.Peer})
 	case ActionChange:
 		world.step(chosen, raft.Input{Kind: raft.InputChangeMembership, Membership: chosen.changed(action)})
 	case ActionSuspect:
 		world.step(chosen, raft.Input{Kind: raft.InputSuspect, Peer: action.Peer})
 	}
-	if world.model.SyncAtOnce {
+	if world.model.SyncWrites {
 		for world.violation == nil && len(chosen.pending) > 0 {
 			world.sync(chosen)
 		}
@@ -240,7 +240,7 @@
 	return true
 }
 
-func (world *World) possible(action Action) bool {
+func (world *World) isEnabled(action Action) bool {
 	chosen := world.replica(action.Replica)
 	switch action.Kind {
 	case ActionDeliver, ActionDuplicate, ActionDrop:
@@ -271,12 +271,12 @@
 
 // step feeds one input to a core and takes what it gives.
 func (world *World) step(stepped *replica, input raft.Input) {
-	before := view{status: stepped.status, image: stepped.image}
+	before := observed{status: stepped.status, stored: stepped.stored}
 	if world.model.Replayable {
 		stepped.inputs = append(stepped.inputs, &input)
 	}
 	output := stepped.core.Step(input)
-	stepped.look()
+	stepped.observe()
 	if output.Write != nil {
 		stepped.pending = append(stepped.pending, output.Write)
 	}
@@ -313,7 +313,7 @@
 
 // wipe takes a replica away for good and starts an empty one under a new name.
 func (world *World) wipe(wiped *replica) {
-	wiped.gone = true
+	wiped.wiped = true
 	wiped.pending = nil
 	wiped.hashed = false
 	world.flying = slices.DeleteFunc(world.flying, func(one packet) bool { return one.message.To == wiped.name })
@@ -328,7 +328,7 @@
 	switch action.Change {
 	case ChangeAddLearner:
 		next.Learners = append(next.Learners, action.Peer)
-	case ChangeAddVoter, ChangeTwice:
+	case ChangeAddVoter, ChangeNameTwice:
 		next.Voters = append(next.Voters, action.Peer)
 	case ChangeRemove:
 		next.Voters = raft.Without(now.Voters, action.Peer)
@@ -339,19 +339,19 @@
 	return next
 }
 
-// imageAt is the content of a snapshot that a replica makes at an index. Those of two
+// snapshotAt is the content of a snapshot that a replica makes at an index. Those of two
 // replicas differ, as real ones may.
-func (model *Model) imageAt(index uint64, maker string) []byte {
-	parts := usualImageParts
-	if model.ImageParts > 0 {
-		parts = model.ImageParts
+func (model *Model) snapshotAt(index uint64, maker string) []byte {
+	parts := defaultSnapshotParts
+	if model.SnapshotParts > 0 {
+		parts = model.SnapshotParts
 	}
 	return bytes.Repeat(fmt.Appendf(nil, "%d by %s;", index, maker), parts)
 }
 
-// isImage tells that a snapshot's content is what one replica made at an index.
-func (model *Model) isImage(content []byte, index uint64) bool {
+// isSnapshot tells that a snapshot's content is what one replica made at an index.
+func (model *Model) isSnapshot(content []byte, index uint64) bool {
 	first, _, _ := bytes.Cut(content, []byte(";"))
 	maker, found := bytes.CutPrefix(first, fmt.Appendf(nil, "%d by ", index))
-	return found && bytes.Equal(content, model.imageAt(index, string(maker)))
+	return found && bytes.Equal(content, model.snapshotAt(index, string(maker)))
 }
--- a/proof/scale/bench_test.go
+++ b/proof/scale/bench_test.go
@@ -9,9 +9,9 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// BenchmarkAnswersToFollowers tells what an answer costs that carries the live nodes, or
+// BenchmarkFeedReplies tells what an answer costs that carries the live nodes, or
 // a whole view with runners, for one asker: putting it together and taking it apart.
-func BenchmarkAnswersToFollowers(b *testing.B) {
+func BenchmarkFeedReplies(b *testing.B) {
 	for _, size := range []int{50, 430, 2600} {
 		members, runners := []feed.Member{}, []feed.Runner{}
 		for position := range size {
--- a/proof/scale/page_test.go
+++ b/proof/scale/capacitypage_test.go
@@ -27,13 +27,13 @@
 	return found
 }
 
-func TestThePageSaysWhatTheScaleRunJudges(t *testing.T) {
+func TestCapacityPageStatesClaimedGrowth(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	judged := map[string]Growth{}
-	for against, figures := range Claims {
+	for against, figures := range ClaimedGrowth {
 		if _, known := dimensions[against]; !known {
 			t.Errorf("nothing can be measured against %q", against)
 		}
--- a/proof/scale/claims.go
+++ b/proof/scale/claimedgrowth.go
@@ -1,8 +1,8 @@
 package scale
 
-// Claims are the growths that docs/CAPACITY.md gives, by the size that is varied and
+// ClaimedGrowth are the growths that docs/CAPACITY.md gives, by the size that is varied and
 // by figure. A run fails where a figure grows faster.
-var Claims = map[string]map[string]Growth{
+var ClaimedGrowth = map[string]map[string]Growth{
 	"nodes": {
 		"hollow.messages_per_s":          Flat,
 		"hollow.bytes_in_per_s":          Flat,
--- a/proof/scale/hollow.go
+++ b/proof/scale/hollownodes.go
@@ -17,30 +17,30 @@
 // domains that hollow nodes are spread over.
 var domains = []string{"east", "west", "north"}
 
-// Hollow is a node that holds a session and follows the feed as a front does, and
+// HollowNode is a node that holds a session and follows the feed as a front does, and
 // does nothing else. It keeps when each number of the feed came into force on it.
-type Hollow struct {
-	Name   string
-	caller *link.Client
-	follow *feedclient.Client
-	mutex  sync.Mutex
-	taken  []taking
+type HollowNode struct {
+	Name    string
+	caller  *link.Client
+	client  *feedclient.Client
+	mutex   sync.Mutex
+	applied []appliedView
 }
 
-type taking struct {
+type appliedView struct {
 	number uint64
 	at     time.Time
 }
 
 // Volume counts the bytes that all hollow nodes of a herd wrote and read, with all
 // that the library puts round them, as TCP sees them.
-type Volume struct{ Written, Read atomic.Int64 }
+type ByteCounters struct{ Written, Read atomic.Int64 }
 
-// Herd is a number of hollow nodes of one process.
-type Herd struct {
-	Volume Volume
-	mutex  sync.Mutex
-	nodes  []*Hollow
+// HollowNodes is a number of hollow nodes of one process.
+type HollowNodes struct {
+	Bytes ByteCounters
+	mutex sync.Mutex
+	nodes []*HollowNode
 }
 
 // Grow starts more hollow nodes until the herd has that many, spread evenly over a
@@ -48,79 +48,79 @@
 // out by its position; address is where others reach all of them.
 //
 //	herd.Grow(ctx, 50, time.Second, "127.0.0.9:7000", seeds, func(int) link.Network { return link.TCP{} })
-func (herd *Herd) Grow(ctx context.Context, size int, over time.Duration, address string, seeds []string, network func(position int) link.Network) error {
-	begun := len(herd.Nodes())
+func (hollow *HollowNodes) Grow(ctx context.Context, size int, over time.Duration, address string, seeds []string, network func(position int) link.Network) error {
+	begun := len(hollow.Nodes())
 	for position := begun; position < size; position++ {
 		select {
 		case <-time.After(over / time.Duration(size-begun)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		node := &Hollow{Name: fmt.Sprintf("hollow-%04d", position+1), caller: link.NewClient(countedNetwork{network(position), &herd.Volume})}
+		node := &HollowNode{Name: fmt.Sprintf("hollow-%04d", position+1), caller: link.NewClient(countedNetwork{network(position), &hollow.Bytes})}
 		member := feed.Member{Name: node.Name, Role: feed.RoleFront, Address: address, Domain: domains[position%len(domains)]}
-		node.follow = feedclient.Start(node.caller, member, seeds, nil, node.take)
-		herd.mutex.Lock()
-		herd.nodes = append(herd.nodes, node)
-		herd.mutex.Unlock()
+		node.client = feedclient.Start(node.caller, member, seeds, nil, node.apply)
+		hollow.mutex.Lock()
+		hollow.nodes = append(hollow.nodes, node)
+		hollow.mutex.Unlock()
 	}
 	return nil
 }
 
-// take notes that a view came into force here.
-func (node *Hollow) take(view *feed.View) error {
+// apply notes that a view came into force here.
+func (node *HollowNode) apply(view *feed.View) error {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	node.taken = append(node.taken, taking{view.Number, time.Now()})
+	node.applied = append(node.applied, appliedView{view.Number, time.Now()})
 	return nil
 }
 
 // View is the newest view that the node holds.
 //
 //	runners := len(node.View().Runners)
-func (node *Hollow) View() *feed.View { return node.follow.View() }
+func (node *HollowNode) View() *feed.View { return node.client.View() }
 
-// Fresh tells whether the node may act on its view now.
+// UpToDate tells whether the node may act on its view now.
 //
-//	if !node.Fresh() { stale++ }
-func (node *Hollow) Fresh() bool {
-	_, err := node.follow.Fresh()
+//	if !node.UpToDate() { stale++ }
+func (node *HollowNode) UpToDate() bool {
+	_, err := node.client.Fresh()
 	return err == nil
 }
 
 // Members is how many live nodes this one knows.
 //
 //	if node.Members() < 50 { ... }
-func (node *Hollow) Members() int { return len(node.follow.Members()) }
+func (node *HollowNode) Members() int { return len(node.client.Members()) }
 
-// InForce tells when a number of the feed, or a later one, came into force here.
+// AppliedAt tells when a number of the feed, or a later one, came into force here.
 //
-//	at, found := node.InForce(17)
-func (node *Hollow) InForce(number uint64) (time.Time, bool) {
+//	at, found := node.AppliedAt(17)
+func (node *HollowNode) AppliedAt(number uint64) (time.Time, bool) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	at := slices.IndexFunc(node.taken, func(taken taking) bool { return taken.number >= number })
+	at := slices.IndexFunc(node.applied, func(taken appliedView) bool { return taken.number >= number })
 	if at < 0 {
 		return time.Time{}, false
 	}
-	return node.taken[at].at, true
+	return node.applied[at].at, true
 }
 
 // Nodes lists the hollow nodes.
 //
 //	for _, node := range herd.Nodes() { ... }
-func (herd *Herd) Nodes() []*Hollow {
-	herd.mutex.Lock()
-	defer herd.mutex.Unlock()
-	return slices.Clone(herd.nodes)
+func (hollow *HollowNodes) Nodes() []*HollowNode {
+	hollow.mutex.Lock()
+	defer hollow.mutex.Unlock()
+	return slices.Clone(hollow.nodes)
 }
 
 // Stale counts the nodes that may not act on their view now.
 //
 //	if herd.Stale() > 0 { ... }
-func (herd *Herd) Stale() int {
+func (hollow *HollowNodes) Stale() int {
 	stale := 0
-	for _, node := range herd.Nodes() {
-		if !node.Fresh() {
+	for _, node := range hollow.Nodes() {
+		if !node.UpToDate() {
 			stale++
 		}
 	}
@@ -129,13 +129,13 @@
 
 // Await waits until something holds at every node.
 //
-//	err := herd.Await(ctx, "fresh", (*scale.Hollow).Fresh)
-func (herd *Herd) Await(ctx context.Context, what string, holds func(*Hollow) bool) error {
+//	err := herd.Await(ctx, "fresh", (*scale.HollowNode).UpToDate)
+func (hollow *HollowNodes) Await(ctx context.Context, what string, holds func(*HollowNode) bool) error {
 	for {
 		left := []string{}
-		for _, node := range herd.Nodes() {
+		for _, node := range hollow.Nodes() {
 			if !holds(node) {
-				left = append(left, fmt.Sprintf("%s (at number %d, fresh: %t)", node.Name, node.View().Number, node.Fresh()))
+				left = append(left, fmt.Sprintf("%s (at number %d, fresh: %t)", node.Name, node.View().Number, node.UpToDate()))
 			}
 		}
 		if len(left) == 0 {
@@ -143,7 +143,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%d of %d hollow nodes are not %s, such as %s: %w", len(left), len(herd.Nodes()), what, left[0], ctx.Err())
+			return fmt.Errorf("%d of %d hollow nodes are not %s, such as %s: %w", len(left), len(hollow.Nodes()), what, left[0], ctx.Err())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -152,17 +152,17 @@
 // Delays gives how long after a moment each node had a number in force, sorted.
 //
 //	delays, err := herd.Delays(ctx, reply.Number, asked)
-func (herd *Herd) Delays(ctx context.Context, number uint64, since time.Time) ([]time.Duration, error) {
-	err := herd.Await(ctx, fmt.Sprintf("at number %d", number), func(node *Hollow) bool {
-		_, found := node.InForce(number)
+func (hollow *HollowNodes) Delays(ctx context.Context, number uint64, since time.Time) ([]time.Duration, error) {
+	err := hollow.Await(ctx, fmt.Sprintf("at number %d", number), func(node *HollowNode) bool {
+		_, found := node.AppliedAt(number)
 		return found
 	})
 	if err != nil {
 		return nil, err
 	}
 	delays := []time.Duration{}
-	for _, node := range herd.Nodes() {
-		at, _ := node.InForce(number)
+	for _, node := range hollow.Nodes() {
+		at, _ := node.AppliedAt(number)
 		delays = append(delays, at.Sub(since))
 	}
 	slices.Sort(delays)
@@ -172,11 +172,11 @@
 // Stop ends all nodes.
 //
 //	defer herd.Stop()
-func (herd *Herd) Stop() {
+func (hollow *HollowNodes) Stop() {
 	var stopped sync.WaitGroup
-	for _, node := range herd.Nodes() {
+	for _, node := range hollow.Nodes() {
 		stopped.Go(func() {
-			node.follow.Stop()
+			node.client.Stop()
 			node.caller.Close()
 		})
 	}
@@ -186,7 +186,7 @@
 // countedNetwork counts what goes over the connections that are dialled through it.
 type countedNetwork struct {
 	link.Network
-	volume *Volume
+	volume *ByteCounters
 }
 
 func (network countedNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
@@ -199,7 +199,7 @@
 
 type countedStream struct {
 	net.Conn
-	volume *Volume
+	volume *ByteCounters
 }
 
 func (stream *countedStream) Read(target []byte) (int, error) {
--- a/proof/scale/hollow_test.go
+++ b/proof/scale/hollownodes_test.go
@@ -19,14 +19,14 @@
 	m.Run()
 }
 
-// simulated runs a body beside a small cluster on the simulated network and clock.
-func simulated(t *testing.T, body func(ctx context.Context, cluster *simulator.Cluster, herd *Herd, caller *link.Client, controls []string)) {
+// simulateHollowNodes runs a body beside a small cluster on the simulated network and clock.
+func simulateHollowNodes(t *testing.T, body func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string)) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster, err := simulator.Start(1, simulator.Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, simulator.Rules)
-		herd := &Herd{}
+		cluster, err := simulator.Start(1, simulator.Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, simulator.BasicConfig)
+		hollow := &HollowNodes{}
 		if cluster != nil {
 			defer func() {
-				herd.Stop()
+				hollow.Stop()
 				cluster.Stop()
 				<-time.After(time.Minute) // what still waits on the bubble's clock ends
 			}()
@@ -42,24 +42,24 @@
 		for _, control := range cluster.Controls {
 			controls = append(controls, control.Host+":7000")
 		}
-		body(ctx, cluster, herd, caller, controls)
+		body(ctx, cluster, hollow, caller, controls)
 	})
 }
 
-func hosts(cluster *simulator.Cluster) func(int) link.Network {
+func hostNetworks(cluster *simulator.Cluster) func(int) link.Network {
 	return func(position int) link.Network { return cluster.Network.At(fmt.Sprintf("10.8.0.%d", position+1)) }
 }
 
-func TestHollowNodesHoldSessionsAndTakeEveryChangeInTime(t *testing.T) {
-	simulated(t, func(ctx context.Context, cluster *simulator.Cluster, herd *Herd, caller *link.Client, controls []string) {
+func TestHollowNodesKeepSessionsAndApplyChangesInTime(t *testing.T) {
+	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string) {
 		const nodes = 30
-		if err := herd.Grow(ctx, nodes, time.Second, "10.8.0.1:7000", controls, hosts(cluster)); err != nil {
+		if err := hollow.Grow(ctx, nodes, time.Second, "10.8.0.1:7000", controls, hostNetworks(cluster)); err != nil {
 			t.Fatal(err)
 		}
-		if err := herd.Await(ctx, "fresh", (*Hollow).Fresh); err != nil {
+		if err := hollow.Await(ctx, "fresh", (*HollowNode).UpToDate); err != nil {
 			t.Fatal(err)
 		}
-		if err := herd.Await(ctx, "told of all", func(node *Hollow) bool { return node.Members() >= nodes }); err != nil {
+		if err := hollow.Await(ctx, "told of all", func(node *HollowNode) bool { return node.Members() >= nodes }); err != nil {
 			t.Fatal(err)
 		}
 		for position := range 6 {
@@ -68,7 +68,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			delays, err := herd.Delays(ctx, number, asked)
+			delays, err := hollow.Delays(ctx, number, asked)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,12 +79,12 @@
 	})
 }
 
-func TestHollowNodesFollowANewLeaderWhenTheirsDies(t *testing.T) {
-	simulated(t, func(ctx context.Context, cluster *simulator.Cluster, herd *Herd, caller *link.Client, controls []string) {
-		if err := herd.Grow(ctx, 20, time.Second, "10.8.0.1:7000", controls, hosts(cluster)); err != nil {
+func TestHollowNodesFollowNewLeader(t *testing.T) {
+	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string) {
+		if err := hollow.Grow(ctx, 20, time.Second, "10.8.0.1:7000", controls, hostNetworks(cluster)); err != nil {
 			t.Fatal(err)
 		}
-		if err := herd.Await(ctx, "fresh", (*Hollow).Fresh); err != nil {
+		if err := hollow.Await(ctx, "fresh", (*HollowNode).UpToDate); err != nil {
 			t.Fatal(err)
 		}
 		for _, control := range cluster.Controls {
@@ -98,7 +98,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		delays, err := herd.Delays(ctx, number, killed)
+		delays, err := hollow.Delays(ctx, number, killed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,25 +108,25 @@
 	})
 }
 
-// TestWhatAHollowNodeReadsGrowsNoFasterThanItsFleet is the small peer of the scale
+// TestHollowNodeTrafficGrowsAtMostLinearly is the small peer of the scale
 // run against nodes: with every node told of all others, a node's part grows with the
 // fleet at most, never with its square.
-func TestWhatAHollowNodeReadsGrowsNoFasterThanItsFleet(t *testing.T) {
-	simulated(t, func(ctx context.Context, cluster *simulator.Cluster, herd *Herd, caller *link.Client, controls []string) {
+func TestHollowNodeTrafficGrowsAtMostLinearly(t *testing.T) {
+	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string) {
 		sizes, read := []float64{}, []float64{}
 		for _, nodes := range []int{8, 16, 32} {
-			if err := herd.Grow(ctx, nodes, time.Second, "10.8.0.1:7000", controls, hosts(cluster)); err != nil {
+			if err := hollow.Grow(ctx, nodes, time.Second, "10.8.0.1:7000", controls, hostNetworks(cluster)); err != nil {
 				t.Fatal(err)
 			}
-			if err := herd.Await(ctx, "told of all", func(node *Hollow) bool { return node.Fresh() && node.Members() >= nodes }); err != nil {
+			if err := hollow.Await(ctx, "told of all", func(node *HollowNode) bool { return node.UpToDate() && node.Members() >= nodes }); err != nil {
 				t.Fatal(err)
 			}
 			<-time.After(2 * time.Second)
-			before := herd.Volume.Read.Load()
+			before := hollow.Bytes.Read.Load()
 			const quiet = 3 * time.Second
 			<-time.After(quiet)
 			sizes = append(sizes, float64(nodes))
-			read = append(read, float64(herd.Volume.Read.Load()-before)/quiet.Seconds()/float64(nodes))
+			read = append(read, float64(hollow.Bytes.Read.Load()-before)/quiet.Seconds()/float64(nodes))
 		}
 		slope, err := Fit("hollow.bytes_in_per_s", "nodes", sizes, read, Linear)
 		if err != nil {
@@ -139,9 +139,9 @@
 	})
 }
 
-func TestARosterAndARoutingOfASizeAreMade(t *testing.T) {
+func TestRunnerListAndRoutingOfGivenSize(t *testing.T) {
 	seen := map[string]bool{}
-	for _, runner := range Roster(2600) {
+	for _, runner := range RunnerList(2600) {
 		seen[runner.Address] = true
 	}
 	if len(seen) != 2600 {
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestNoControlNodeIsTold(t *testing.T) {
+func TestMissingControlNodeIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
--- a/proof/scale/load.go
+++ b/proof/scale/load.go
@@ -20,10 +20,10 @@
 // groups that the stand-in platform's runners are of, by turns.
 var groups = []string{"small", "large", "application"}
 
-// Roster makes a platform list of a size; nobody is at its addresses.
+// RunnerList makes a platform list of a size; nobody is at its addresses.
 //
-//	list := scale.Roster(2600)
-func Roster(size int) []standin.ListedRunner {
+//	list := scale.RunnerList(2600)
+func RunnerList(size int) []standin.ListedRunner {
 	list := []standin.ListedRunner{}
 	for position := range size {
 		list = append(list, standin.ListedRunner{
@@ -34,8 +34,8 @@
 	return list
 }
 
-// putRoster gives the stand-in platform a list.
-func putRoster(ctx context.Context, platform string, list []standin.ListedRunner) error {
+// putRunnerList gives the stand-in platform a list.
+func putRunnerList(ctx context.Context, platform string, list []standin.ListedRunner) error {
 	data, err := json.Marshal(list)
 	if err != nil {
 		return err
--- a/proof/scale/plot.go
+++ b/proof/scale/plot.go
@@ -28,9 +28,9 @@
 // was varied.
 //
 //	err := scale.Draw(file, "nodes", measured)
-func Draw(target io.Writer, against string, measured []Measured) error {
+func Draw(target io.Writer, against string, measured []Measurement) error {
 	if len(measured) == 0 {
-		return &Refusal{"nothing was measured that could be drawn", "measure a step first"}
+		return &StepError{"nothing was measured that could be drawn", "measure a step first"}
 	}
 	rows := [][]*plot.Plot{}
 	for _, family := range plotted {
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(rows) == 0 {
-		return &Refusal{"no step has a figure that is drawn", "measure whole steps"}
+		return &StepError{"no step has a figure that is drawn", "measure whole steps"}
 	}
 	const width, height = 16 * vg.Centimeter, 9 * vg.Centimeter
 	canvas := vgsvg.New(width, height*vg.Length(len(rows)))
@@ -56,7 +56,7 @@
 }
 
 // graph is nil if no step has any figure of the family.
-func graph(against string, family []string, measured []Measured) (*plot.Plot, error) {
+func graph(against string, family []string, measured []Measurement) (*plot.Plot, error) {
 	made := plot.New()
 	made.X.Label.Text = against
 	made.Y.Label.Text = family[0][strings.LastIndex(family[0], ".")+1:]
--- a/proof/scale/run.go
+++ b/proof/scale/run.go
@@ -20,32 +20,32 @@
 
 // Settings are what all steps of a run share.
 type Settings struct {
-	Programs string        // folder of the built programs
-	Folder   string        // for data and logs of the real processes
-	Quiet    time.Duration // how long nothing changes while usage is measured
-	Pace     time.Duration // how long after the one before it a hollow node starts
-	Real     fleet.Deployment
-	// Borne tells that what the stores bear is measured, and not what control does.
-	Borne bool
+	Programs      string        // folder of the built programs
+	Folder        string        // for data and logs of the real processes
+	IdlePeriod    time.Duration // how long nothing changes while usage is measured
+	StartInterval time.Duration // how long after the one before it a hollow node starts
+	Real          fleet.Deployment
+	// LoadsStores tells that what the stores bear is measured, and not what control does.
+	LoadsStores bool
 }
 
 // RealProcesses is the deployment beside which hollow nodes are put.
 var RealProcesses = fleet.Deployment{Name: "scale", Domains: domains, Fronts: 2, Stores: 3, Controls: 3}
 
-// Process is what one real process used a second during the quiet time.
-type Process struct {
+// ProcessUsage is what one real process used a second during the quiet time.
+type ProcessUsage struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
 	Leading bool   `json:"leading,omitempty"` // the control group
 	Rate
 }
 
-// Measured is what one step cost. Figures are by name; those of a role are means over
+// Measurement is what one step cost. Figures are by name; those of a role are means over
 // its processes, unless the name says most.
-type Measured struct {
+type Measurement struct {
 	Step      Step               `json:"step"`
 	Figures   map[string]float64 `json:"figures"`
-	Processes []Process          `json:"processes"`
+	Processes []ProcessUsage     `json:"processes"`
 	// Failed tells why the step did not come to its end; its figures are those before.
 	Failed string `json:"failed,omitempty"`
 }
@@ -56,25 +56,25 @@
 	run  func(context.Context) error
 }
 
-// trial is one step under way.
-type trial struct {
-	settings Settings
-	step     Step
-	fleet    *fleet.Fleet
-	caller   *link.Client
-	herd     *Herd
-	notes    []*link.Server
-	told     Measured
-	programs []*program
+// stepRun is one step under way.
+type stepRun struct {
+	settings    Settings
+	step        Step
+	fleet       *fleet.Fleet
+	caller      *link.Client
+	hollow      *HollowNodes
+	servers     []*link.Server
+	measurement Measurement
+	programs    []*program
 }
 
 // Run measures one step on a fleet of its own, and ends it.
 //
 //	measured, err := scale.Run(ctx, settings, step)
-func Run(ctx context.Context, settings Settings, step Step) (Measured, error) {
+func Run(ctx context.Context, settings Settings, step Step) (Measurement, error) {
 	folder := filepath.Join(settings.Folder, fmt.Sprintf("nodes-%d-runners-%d-routes-%d-groups-%d", step.Nodes, step.Runners, step.Routes, step.Groups))
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return Measured{}, err
+		return Measurement{}, err
 	}
 	told, err := measure(ctx, settings, step, folder)
 	if err != nil {
@@ -83,45 +83,45 @@
 	return told, os.RemoveAll(folder)
 }
 
-func measure(ctx context.Context, settings Settings, step Step, folder string) (Measured, error) {
+func measure(ctx context.Context, settings Settings, step Step, folder string) (Measurement, error) {
 	deployment := settings.Real
 	deployment.Groups = step.Groups
-	running, err := fleet.Start(ctx, deployment, settings.Programs, folder, standin.Pace{}, false)
+	running, err := fleet.Start(ctx, deployment, settings.Programs, folder, standin.Latencies{}, false)
 	if err != nil {
-		return Measured{}, err
+		return Measurement{}, err
 	}
 	defer running.Stop()
-	trial := &trial{settings: settings, step: step, fleet: running, caller: link.NewClient(link.TCP{}), herd: &Herd{}, told: Measured{Step: step, Figures: map[string]float64{}}}
+	trial := &stepRun{settings: settings, step: step, fleet: running, caller: link.NewClient(link.TCP{}), hollow: &HollowNodes{}, measurement: Measurement{Step: step, Figures: map[string]float64{}}}
 	defer trial.caller.Close()
-	defer trial.end()
-	phases := []phase{{"fill", trial.fill}, {"join", trial.join}, {"quiet", trial.quiet}}
-	if settings.Borne {
+	defer trial.stop()
+	phases := []phase{{"fill", trial.populate}, {"join", trial.startHollowNodes}, {"quiet", trial.measureIdle}}
+	if settings.LoadsStores {
 		phases = append(phases, phase{"programs", trial.makePrograms}, phase{"turns", trial.turns}, phase{"store restarts", trial.restartStore})
 	} else {
-		phases = append(phases, phase{"small changes", trial.smallChanges}, phase{"configs", trial.configs}, phase{"runner leaves", trial.runnerLeaves}, phase{"fail-over", trial.failOver}, phase{"zone lost", trial.zoneLost})
+		phases = append(phases, phase{"small changes", trial.smallChanges}, phase{"configs", trial.configs}, phase{"runner leaves", trial.runnerLeaves}, phase{"fail-over", trial.failOver}, phase{"zone lost", trial.loseZone})
 	}
 	for _, phase := range phases {
 		if err := phase.run(ctx); err != nil {
-			return trial.told, fmt.Errorf("%s: %w", phase.name, err)
+			return trial.measurement, fmt.Errorf("%s: %w", phase.name, err)
 		}
 		if err := trial.withinMemory(ctx); err != nil {
-			return trial.told, err
+			return trial.measurement, err
 		}
 	}
-	return trial.told, nil
+	return trial.measurement, nil
 }
 
-func (trial *trial) end() {
-	trial.herd.Stop()
-	for _, notes := range trial.notes {
+func (trial *stepRun) stop() {
+	trial.hollow.Stop()
+	for _, notes := range trial.servers {
 		notes.Close()
 	}
 }
 
-func (trial *trial) controls() []string {
+func (trial *stepRun) controls() []string {
 	addresses := []string{}
-	for _, control := range trial.fleet.Of("control") {
-		if control.ID() > 0 {
+	for _, control := range trial.fleet.ProcessesOf("control") {
+		if control.PID() > 0 {
 			addresses = append(addresses, control.Address)
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 // status asks a process who it is and what it said so far.
-func (trial *trial) status(ctx context.Context, address string) (*wire.StatusReply, error) {
+func (trial *stepRun) status(ctx context.Context, address string) (*wire.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	reply, err := trial.caller.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{Traffic: true}})
@@ -142,17 +142,17 @@
 	return reply.Status, nil
 }
 
-// fill puts the runners and the routes in force.
-func (trial *trial) fill(ctx context.Context) error {
-	if err := putRoster(ctx, trial.fleet.Platform, Roster(trial.step.Runners)); err != nil {
+// populate puts the runners and the routes in force.
+func (trial *stepRun) populate(ctx context.Context) error {
+	if err := putRunnerList(ctx, trial.fleet.Platform, RunnerList(trial.step.Runners)); err != nil {
 		return err
 	}
-	watch := &Herd{}
+	watch := &HollowNodes{}
 	defer watch.Stop()
 	if err := watch.Grow(ctx, 1, 0, "127.0.0.1:1", trial.controls(), func(int) link.Network { return link.TCP{} }); err != nil {
 		return err
 	}
-	if err := watch.Await(ctx, "fresh", (*Hollow).Fresh); err != nil {
+	if err := watch.Await(ctx, "fresh", (*HollowNode).UpToDate); err != nil {
 		return err
 	}
 	change, err := withRouting(watch.Nodes()[0].View(), trial.step.Routes, 1)
@@ -163,73 +163,73 @@
 	if err != nil {
 		return err
 	}
-	if err := watch.Await(ctx, "filled", func(node *Hollow) bool {
+	if err := watch.Await(ctx, "filled", func(node *HollowNode) bool {
 		view := node.View()
 		return view.Number >= number && len(view.Runners) == trial.step.Runners
 	}); err != nil {
 		return err
 	}
 	view := watch.Nodes()[0].View()
-	trial.told.Figures["view.kib"] = float64(len(wire.MustEncode(schema.View_TypeID, view))) / 1024
-	trial.told.Figures["view.config_kib"] = float64(len(view.Source)+len(view.Compiled)) / 1024
+	trial.measurement.Figures["view.kib"] = float64(len(wire.MustEncode(schema.View_TypeID, view))) / 1024
+	trial.measurement.Figures["view.config_kib"] = float64(len(view.Source)+len(view.Compiled)) / 1024
 	return nil
 }
 
-// settling is how long a fleet is left alone after its nodes have joined; by then its
+// settleTime is how long a fleet is left alone after its nodes have joined; by then its
 // runners are no longer new, which is a change of the roster.
-const settling = 4 * time.Second
+const settleTime = 4 * time.Second
 
-// join starts the hollow nodes and waits until all of them know each other.
-func (trial *trial) join(ctx context.Context) error {
+// startHollowNodes starts the hollow nodes and waits until all of them know each other.
+func (trial *stepRun) startHollowNodes(ctx context.Context) error {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	trial.notes = append(trial.notes, link.Serve(listener, func(context.Context, *wire.Query) *wire.Reply { return &wire.Reply{} }))
+	trial.servers = append(trial.servers, link.Serve(listener, func(context.Context, *wire.Query) *wire.Reply { return &wire.Reply{} }))
 	debug.FreeOSMemory() // so that what is resident is what is held
 	self, err := UsageOf(os.Getpid())
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	over := max(time.Second, time.Duration(trial.step.Nodes)*trial.settings.Pace)
-	if err := trial.herd.Grow(ctx, trial.step.Nodes, over, listener.Addr().String(), trial.controls(), func(int) link.Network { return link.TCP{} }); err != nil {
+	over := max(time.Second, time.Duration(trial.step.Nodes)*trial.settings.StartInterval)
+	if err := trial.hollow.Grow(ctx, trial.step.Nodes, over, listener.Addr().String(), trial.controls(), func(int) link.Network { return link.TCP{} }); err != nil {
 		return err
 	}
-	if err := trial.herd.Await(ctx, "fresh", (*Hollow).Fresh); err != nil {
+	if err := trial.hollow.Await(ctx, "fresh", (*HollowNode).UpToDate); err != nil {
 		return err
 	}
-	trial.told.Figures["join.after_last_s"] = (time.Since(began) - over).Seconds()
+	trial.measurement.Figures["join.after_last_s"] = (time.Since(began) - over).Seconds()
 	select {
-	case <-time.After(settling):
+	case <-time.After(settleTime):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	debug.FreeOSMemory()
 	after, err := UsageOf(os.Getpid())
-	trial.told.Figures["hollow.memory_mib"] = (after.Memory - self.Memory) / float64(trial.step.Nodes)
+	trial.measurement.Figures["hollow.memory_mib"] = (after.Memory - self.Memory) / float64(trial.step.Nodes)
 	return err
 }
 
-// moment is what all processes have used up to now.
-type moment struct {
+// usageSample is what all processes have used up to now.
+type usageSample struct {
 	processes     map[string]Usage
 	hollow        Usage
 	written, read int64
-	machine       machineTime
+	machine       cpuTime
 }
 
-func (trial *trial) now(ctx context.Context) (moment, error) {
-	taken := moment{processes: map[string]Usage{}}
+func (trial *stepRun) sample(ctx context.Context) (usageSample, error) {
+	taken := usageSample{processes: map[string]Usage{}}
 	for _, process := range trial.fleet.Processes {
-		if process.ID() == 0 || process.Role == "platform" {
+		if process.PID() == 0 || process.Role == "platform" {
 			continue
 		}
 		status, err := trial.status(ctx, process.Address)
 		if err != nil {
 			return taken, err
 		}
-		usage, err := UsageOf(process.ID())
+		usage, err := UsageOf(process.PID())
 		if err != nil {
 			return taken, err
 		}
@@ -241,44 +241,44 @@
 		return taken, err
 	}
 	taken.hollow.Traffic = link.Traffic()
-	if taken.machine, err = machineTimeNow(); err != nil {
+	if taken.machine, err = readCPUTime(); err != nil {
 		return taken, err
 	}
-	taken.written, taken.read = trial.herd.Volume.Written.Load(), trial.herd.Volume.Read.Load()
+	taken.written, taken.read = trial.hollow.Bytes.Written.Load(), trial.hollow.Bytes.Read.Load()
 	return taken, nil
 }
 
-func (trial *trial) quiet(ctx context.Context) error {
-	before, err := trial.now(ctx)
+func (trial *stepRun) measureIdle(ctx context.Context) error {
+	before, err := trial.sample(ctx)
 	if err != nil {
 		return err
 	}
 	stale := 0
-	for ended := time.Now().Add(trial.settings.Quiet); time.Now().Before(ended); {
+	for ended := time.Now().Add(trial.settings.IdlePeriod); time.Now().Before(ended); {
 		select {
 		case <-time.After(100 * time.Millisecond):
-			stale = max(stale, trial.herd.Stale())
+			stale = max(stale, trial.hollow.Stale())
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	after, err := trial.now(ctx)
+	after, err := trial.sample(ctx)
 	if err != nil {
 		return err
 	}
-	return trial.tell(ctx, before, after, stale)
+	return trial.reportUsage(ctx, before, after, stale)
 }
 
-// tell turns two moments into figures.
-func (trial *trial) tell(ctx context.Context, before, after moment, stale int) error {
-	figures := trial.told.Figures
+// reportUsage turns two moments into figures.
+func (trial *stepRun) reportUsage(ctx context.Context, before, after usageSample, stale int) error {
+	figures := trial.measurement.Figures
 	counts := map[string]float64{}
 	for _, process := range trial.fleet.Processes {
 		used, found := after.processes[process.Name]
 		if !found {
 			continue
 		}
-		told := Process{Name: process.Name, Role: process.Role, Rate: RateOf(before.processes[process.Name], used)}
+		told := ProcessUsage{Name: process.Name, Role: process.Role, Rate: RateOf(before.processes[process.Name], used)}
 		role := process.Role
 		if role == "control" {
 			status, err := trial.status(ctx, process.Address)
@@ -297,7 +297,7 @@
 		for name, value := range map[string]float64{"cores": told.Cores, "memory_mib": told.Memory, "messages_per_s": told.Messages, "bytes_out_per_s": told.BytesOut, "bytes_in_per_s": told.BytesIn} {
 			figures[role+"."+name] += value
 		}
-		trial.told.Processes = append(trial.told.Processes, told)
+		trial.measurement.Processes = append(trial.measurement.Processes, told)
 	}
 	for name := range figures {
 		for role, count := range counts {
@@ -319,8 +319,8 @@
 
 // burst takes changes one after another and notes how long each took until it was
 // acknowledged and until it was in force at the hollow nodes, and what it cost.
-func (trial *trial) burst(ctx context.Context, name string, count int, next func(position int) (feed.Change, error)) error {
-	before, err := trial.now(ctx)
+func (trial *stepRun) burst(ctx context.Context, name string, count int, next func(position int) (feed.Change, error)) error {
+	before, err := trial.sample(ctx)
 	if err != nil {
 		return err
 	}
@@ -346,18 +346,18 @@
 	acknowledged := time.Since(began)
 	most, medians := time.Duration(0), time.Duration(0)
 	for _, change := range taken {
-		delays, err := trial.herd.Delays(ctx, change.number, change.at)
+		delays, err := trial.hollow.Delays(ctx, change.number, change.at)
 		if err != nil {
 			return err
 		}
 		most = max(most, delays[len(delays)-1])
 		medians += delays[len(delays)/2]
 	}
-	after, err := trial.now(ctx)
+	after, err := trial.sample(ctx)
 	if err != nil {
 		return err
 	}
-	figures := trial.told.Figures
+	figures := trial.measurement.Figures
 	figures[name+".acknowledged_most_s"] = slowest.Seconds()
 	figures[name+".acknowledged_mean_s"] = acknowledged.Seconds() / float64(count)
 	figures[name+".in_force_median_s"] = medians.Seconds() / float64(count)
@@ -379,29 +379,29 @@
 	return nil
 }
 
-func (trial *trial) smallChanges(ctx context.Context) error {
+func (trial *stepRun) smallChanges(ctx context.Context) error {
 	return trial.burst(ctx, "small_change", trial.step.Changes, func(position int) (feed.Change, error) { return domainChange(position%2 == 0), nil })
 }
 
 // configsInBurst is few: each carries all routes.
 const configsInBurst = 5
 
-func (trial *trial) configs(ctx context.Context) error {
+func (trial *stepRun) configs(ctx context.Context) error {
 	return trial.burst(ctx, "config", configsInBurst, func(position int) (feed.Change, error) {
-		return withRouting(trial.herd.Nodes()[0].View(), trial.step.Routes, uint64(position+2))
+		return withRouting(trial.hollow.Nodes()[0].View(), trial.step.Routes, uint64(position+2))
 	})
 }
 
 // runnerLeaves has the platform list one runner as leaving, and waits until every
 // hollow node has it so. The platform's lag and the poll of its list are in it.
-func (trial *trial) runnerLeaves(ctx context.Context) error {
-	list := Roster(trial.step.Runners)
+func (trial *stepRun) runnerLeaves(ctx context.Context) error {
+	list := RunnerList(trial.step.Runners)
 	list[0].State = feed.StateDraining
 	asked := time.Now()
-	if err := putRoster(ctx, trial.fleet.Platform, list); err != nil {
+	if err := putRunnerList(ctx, trial.fleet.Platform, list); err != nil {
 		return err
 	}
-	err := trial.herd.Await(ctx, "told of the runner", func(node *Hollow) bool {
+	err := trial.hollow.Await(ctx, "told of the runner", func(node *HollowNode) bool {
 		for _, runner := range node.View().Runners {
 			if runner.Address == list[0].Address {
 				return runner.State == feed.StateDraining
@@ -409,15 +409,15 @@
 		}
 		return false
 	})
-	trial.told.Figures["runner_leaves.in_force_most_s"] = time.Since(asked).Seconds()
+	trial.measurement.Figures["runner_leaves.in_force_most_s"] = time.Since(asked).Seconds()
 	return err
 }
 
 // failOver kills the control leader, waits until a change is in force everywhere
 // under another one, and starts the killed process again.
-func (trial *trial) failOver(ctx context.Context) error {
+func (trial *stepRun) failOver(ctx context.Context) error {
 	var leader *fleet.Process
-	for _, control := range trial.fleet.Of("control") {
+	for _, control := range trial.fleet.ProcessesOf("control") {
 		if status, err := trial.status(ctx, control.Address); err == nil && status.Leader == status.Name {
 			leader = control
 		}
@@ -425,7 +425,7 @@
 	if leader == nil {
 		return errors.New("no control node leads")
 	}
-	figures := trial.told.Figures
+	figures := trial.measurement.Figures
 	leader.Kill()
 	killed := time.Now()
 	staleNow, staleAt := 0, time.Now()
@@ -433,7 +433,7 @@
 	sample := func() {
 		now := time.Now()
 		staleSeconds += float64(staleNow) * now.Sub(staleAt).Seconds()
-		if staleNow, staleAt = trial.herd.Stale(), now; staleNow > 0 {
+		if staleNow, staleAt = trial.hollow.Stale(), now; staleNow > 0 {
 			lastStale = now.Sub(killed)
 		}
 		mostStale = max(mostStale, staleNow)
@@ -460,7 +460,7 @@
 		return got.err
 	}
 	figures["failover.acknowledged_s"] = time.Since(killed).Seconds()
-	delays, err := trial.herd.Delays(ctx, got.number, killed)
+	delays, err := trial.hollow.Delays(ctx, got.number, killed)
 	if err != nil {
 		return err
 	}
@@ -480,12 +480,12 @@
 	return trial.restart(ctx, leader, got.number)
 }
 
-// zoneLost kills all real processes of one domain at once, waits until a change is in
+// loseZone kills all real processes of one domain at once, waits until a change is in
 // force at the hollow nodes, and starts them again.
-func (trial *trial) zoneLost(ctx context.Context) error {
+func (trial *stepRun) loseZone(ctx context.Context) error {
 	lost := []*fleet.Process{}
 	for _, role := range []string{"control", "store", "front"} {
-		for _, process := range trial.fleet.Of(role) {
+		for _, process := range trial.fleet.ProcessesOf(role) {
 			if process.Domain == domains[0] {
 				lost = append(lost, process)
 			}
@@ -499,9 +499,9 @@
 	if err != nil {
 		return err
 	}
-	figures := trial.told.Figures
+	figures := trial.measurement.Figures
 	figures["zone_lost.acknowledged_s"] = time.Since(killed).Seconds()
-	delays, err := trial.herd.Delays(ctx, number, killed)
+	delays, err := trial.hollow.Delays(ctx, number, killed)
 	if err != nil {
 		return err
 	}
@@ -511,7 +511,7 @@
 		if err := process.Start(); err != nil {
 			return err
 		}
-		if err := fleet.AwaitReady(ctx, process.Outside); err != nil {
+		if err := fleet.AwaitReady(ctx, process.PublicAddress); err != nil {
 			return fmt.Errorf("%s: %w", process.Name, err)
 		}
 		figures["zone_lost."+process.Role+"_ready_s"] = time.Since(began).Seconds()
@@ -521,7 +521,7 @@
 
 // restart starts a killed control process again and waits until it holds what is in
 // force and knows the leader.
-func (trial *trial) restart(ctx context.Context, process *fleet.Process, number uint64) error {
+func (trial *stepRun) restart(ctx context.Context, process *fleet.Process, number uint64) error {
 	began := time.Now()
 	if err := process.Start(); err != nil {
 		return err
@@ -529,7 +529,7 @@
 	for {
 		status, err := trial.status(ctx, process.Address)
 		if err == nil && status.ViewNumber >= number && status.Leader != "" {
-			trial.told.Figures["restart.control_s"] = time.Since(began).Seconds()
+			trial.measurement.Figures["restart.control_s"] = time.Since(began).Seconds()
 			return nil
 		}
 		if err != nil {
@@ -544,15 +544,15 @@
 }
 
 // withinMemory refuses to go on past half of the machine's memory.
-func (trial *trial) withinMemory(context.Context) error {
+func (trial *stepRun) withinMemory(context.Context) error {
 	whole, err := machineMemory()
 	if err != nil {
 		return err
 	}
 	ids := []int{os.Getpid()}
 	for _, process := range trial.fleet.Processes {
-		if process.ID() > 0 {
-			ids = append(ids, process.ID())
+		if process.PID() > 0 {
+			ids = append(ids, process.PID())
 		}
 	}
 	taken := 0.0
@@ -564,7 +564,7 @@
 		taken += usage.Memory
 	}
 	if taken > whole*memoryShare {
-		return &Refusal{fmt.Sprintf("the step %+v takes %.0f MiB, more than half of the machine's %.0f", trial.step, taken, whole), "measure smaller steps and stretch the slope"}
+		return &StepError{fmt.Sprintf("the step %+v takes %.0f MiB, more than half of the machine's %.0f", trial.step, taken, whole), "measure smaller steps and stretch the slope"}
 	}
 	return nil
 }
--- a/proof/scale/scale_test.go
+++ b/proof/scale/scale_test.go
@@ -12,23 +12,23 @@
 )
 
 func TestStepsVaryOneSize(t *testing.T) {
-	steps, err := Steps(Usual("routes"), "routes", " 10, 200 ")
+	steps, err := Steps(DefaultStep("routes"), "routes", " 10, 200 ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := Usual("routes"), Usual("routes")
+	first, second := DefaultStep("routes"), DefaultStep("routes")
 	first.Routes, second.Routes = 10, 200
 	if len(steps) != 2 || steps[0] != first || steps[1] != second {
 		t.Fatalf("made %+v", steps)
 	}
 	for _, against := range Dimensions() {
-		if steps, err := Steps(Usual(against), against, ""); err != nil || len(steps) < 3 {
+		if steps, err := Steps(DefaultStep(against), against, ""); err != nil || len(steps) < 3 {
 			t.Errorf("%s has no steps of its own: %+v, %v", against, steps, err)
 		}
 	}
 }
 
-func TestASlopeIsFittedAndJudged(t *testing.T) {
+func TestSlopeIsFittedAndChecked(t *testing.T) {
 	sizes := []float64{50, 100, 200, 400}
 	values := func(of func(float64) float64) []float64 {
 		made := []float64{}
@@ -61,7 +61,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if math.Abs(slope.Each-judged.each) > 1e-6*max(1, judged.each) || math.Abs(slope.Base-judged.base) > 0.01 || slope.Worse != judged.worse {
+			if math.Abs(slope.PerUnit-judged.each) > 1e-6*max(1, judged.each) || math.Abs(slope.Intercept-judged.base) > 0.01 || slope.Worse != judged.worse {
 				t.Errorf("fitted %+v", slope)
 			}
 			if slope.From != 50 || slope.To != 400 || math.IsNaN(slope.Fit) {
@@ -69,7 +69,7 @@
 			}
 		})
 	}
-	var refusal *Refusal
+	var refusal *StepError
 	if _, err := Fit("cost", "nodes", []float64{1}, []float64{1}, Linear); !errors.As(err, &refusal) {
 		t.Errorf("one step made a slope: %v", err)
 	}
@@ -78,14 +78,14 @@
 	}
 }
 
-func measuredAt(nodes int, figures map[string]float64) Measured {
-	step := Usual("nodes")
+func measuredAt(nodes int, figures map[string]float64) Measurement {
+	step := DefaultStep("nodes")
 	step.Nodes = nodes
-	return Measured{Step: step, Figures: figures}
+	return Measurement{Step: step, Figures: figures}
 }
 
-func TestSlopesAreOfFiguresThatAllStepsHave(t *testing.T) {
-	measured := []Measured{measuredAt(50, map[string]float64{"hollow.cores": 1, "only.here": 1}), measuredAt(100, map[string]float64{"hollow.cores": 2, "only.there": 1})}
+func TestSlopesUseFiguresOfAllSteps(t *testing.T) {
+	measured := []Measurement{measuredAt(50, map[string]float64{"hollow.cores": 1, "only.here": 1}), measuredAt(100, map[string]float64{"hollow.cores": 2, "only.there": 1})}
 	slopes, err := Slopes("nodes", measured)
 	if err != nil || len(slopes) != 1 || slopes[0].Figure != "hollow.cores" || slopes[0].At(400) != 8 {
 		t.Fatalf("laid %+v, %v", slopes, err)
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestMeasuredStepsAreDrawn(t *testing.T) {
+func TestMeasurementsAreDrawn(t *testing.T) {
 	figures := map[string]float64{}
 	for _, family := range plotted {
 		for position, figure := range family {
@@ -103,22 +103,22 @@
 		}
 	}
 	var picture bytes.Buffer
-	if err := Draw(&picture, "nodes", []Measured{measuredAt(50, figures), measuredAt(100, figures)}); err != nil {
+	if err := Draw(&picture, "nodes", []Measurement{measuredAt(50, figures), measuredAt(100, figures)}); err != nil {
 		t.Fatal(err)
 	}
 	if text := picture.String(); !strings.Contains(text, "<svg") || !strings.Contains(text, "hollow.cores") {
 		t.Errorf("drew %.200q", text)
 	}
-	var refusal *Refusal
+	var refusal *StepError
 	if err := Draw(&picture, "nodes", nil); !errors.As(err, &refusal) {
 		t.Errorf("nothing was drawn: %v", err)
 	}
-	if err := Draw(&picture, "nodes", []Measured{measuredAt(50, nil)}); err == nil {
+	if err := Draw(&picture, "nodes", []Measurement{measuredAt(50, nil)}); err == nil {
 		t.Error("a step without figures was drawn")
 	}
 }
 
-func TestUsageIsReadAndTurnedIntoRates(t *testing.T) {
+func TestUsageRates(t *testing.T) {
 	before, err := UsageOf(os.Getpid())
 	if err != nil || before.Memory <= 0 || before.Peak < before.Memory {
 		t.Fatalf("read %+v, %v", before, err)
@@ -135,10 +135,10 @@
 	if rate.Cores != 0.5 || rate.Memory != 64 || rate.Messages != 6 || rate.BytesOut != 1000 || rate.BytesIn != 200 || rate.Kinds["follow"] != 1100 || rate.Kinds["hold"] != 100 {
 		t.Errorf("made %+v", rate)
 	}
-	if share := (machineTime{busy: 30, whole: 100}).busySince(machineTime{busy: 10, whole: 60}); share != 0.5 {
+	if share := (cpuTime{busy: 30, total: 100}).busySince(cpuTime{busy: 10, total: 60}); share != 0.5 {
 		t.Errorf("the machine was busy for %f", share)
 	}
-	if now, err := machineTimeNow(); err != nil || now.busy <= 0 || now.busySince(now) != 0 {
+	if now, err := readCPUTime(); err != nil || now.busy <= 0 || now.busySince(now) != 0 {
 		t.Errorf("read %+v, %v", now, err)
 	}
 	if memory, err := machineMemory(); err != nil || memory < before.Memory {
--- a/proof/scale/slope.go
+++ b/proof/scale/slope.go
@@ -24,13 +24,13 @@
 
 // Slope is a least-squares line through one figure's values over the steps.
 type Slope struct {
-	Figure string  `json:"figure"`
-	Per    string  `json:"per"`  // the size that was varied
-	Each   float64 `json:"each"` // growth of the figure for one more of it
-	Base   float64 `json:"base"` // the line at size 0
-	From   int     `json:"from"` // smallest size measured
-	To     int     `json:"to"`   // largest size measured
-	Fit    float64 `json:"fit"`  // share of the variance that the line explains
+	Figure    string  `json:"figure"`
+	Per       string  `json:"per"`  // the size that was varied
+	PerUnit   float64 `json:"each"` // growth of the figure for one more of it
+	Intercept float64 `json:"base"` // the line at size 0
+	From      int     `json:"from"` // smallest size measured
+	To        int     `json:"to"`   // largest size measured
+	Fit       float64 `json:"fit"`  // share of the variance that the line explains
 	// Exponent is the power of the size that the figure grows with, fitted over the
 	// logarithms; 0 is flat, 1 proportional, 2 square.
 	Exponent float64 `json:"exponent"`
@@ -41,7 +41,7 @@
 // At stretches the line to a size.
 //
 //	at430 := slope.At(430)
-func (slope Slope) At(size float64) float64 { return slope.Base + slope.Each*size }
+func (slope Slope) At(size float64) float64 { return slope.Intercept + slope.PerUnit*size }
 
 // Fit lays the slope of one figure through sizes and values of the same length.
 // The claim, if any, is judged by the exponent.
@@ -49,10 +49,10 @@
 //	slope, err := scale.Fit("control.leader.cores", "nodes", []float64{50, 100, 200}, []float64{0.1, 0.2, 0.4}, scale.Linear)
 func Fit(figure, per string, sizes, values []float64, claim Growth) (Slope, error) {
 	if len(sizes) != len(values) || len(sizes) < 2 {
-		return Slope{}, &Refusal{fmt.Sprintf("%s has %d values over %d steps", figure, len(values), len(sizes)), "measure two steps at least"}
+		return Slope{}, &StepError{fmt.Sprintf("%s has %d values over %d steps", figure, len(values), len(sizes)), "measure two steps at least"}
 	}
 	base, each := stat.LinearRegression(sizes, values, nil, false)
-	slope := Slope{Figure: figure, Per: per, Each: each, Base: base, From: int(slices.Min(sizes)), To: int(slices.Max(sizes)), Claim: claim}
+	slope := Slope{Figure: figure, Per: per, PerUnit: each, Intercept: base, From: int(slices.Min(sizes)), To: int(slices.Max(sizes)), Claim: claim}
 	if slope.Fit = stat.RSquared(sizes, values, nil, base, each); math.IsNaN(slope.Fit) || math.IsInf(slope.Fit, 0) {
 		slope.Fit = 1 // all values are the same, and on the line
 	}
@@ -91,7 +91,7 @@
 // the capacity page makes a claim on.
 //
 //	slopes, err := scale.Slopes("nodes", measured)
-func Slopes(against string, measured []Measured) ([]Slope, error) {
+func Slopes(against string, measured []Measurement) ([]Slope, error) {
 	if len(measured) < 2 {
 		return nil, nil
 	}
@@ -106,7 +106,7 @@
 		if len(sizes) < len(measured) {
 			continue
 		}
-		slope, err := Fit(figure, against, sizes, values, Claims[against][figure])
+		slope, err := Fit(figure, against, sizes, values, ClaimedGrowth[against][figure])
 		if err != nil {
 			return nil, err
 		}
