--- a/proof/scale/step.go
+++ b/proof/scale/step.go
@@ -25,51 +25,51 @@
 	History  int `json:"history"`
 }
 
-// Usual is the step whose other sizes stand still while one of them is varied. What the
+// DefaultStep is the step whose other sizes stand still while one of them is varied. What the
 // stores bear is measured beside few nodes, so that little else is going on.
 //
-//	step := scale.Usual("history")
-func Usual(against string) Step {
-	usual := Step{Nodes: 50, Runners: 600, Routes: 100, Changes: 20, Groups: 32, Turns: 20, Programs: 40, History: 4}
-	if dimensions[against].borne {
-		usual.Nodes, usual.Runners, usual.Routes = 3, 30, 10
+//	step := scale.DefaultStep("history")
+func DefaultStep(against string) Step {
+	step := Step{Nodes: 50, Runners: 600, Routes: 100, Changes: 20, Groups: 32, Turns: 20, Programs: 40, History: 4}
+	if dimensions[against].loadsStores {
+		step.Nodes, step.Runners, step.Routes = 3, 30, 10
 	}
-	return usual
+	return step
 }
 
 // dimension is one size of a step that can be varied.
 type dimension struct {
-	most  int
-	borne bool // by the stores
-	why   string
-	steps []int
-	set   func(*Step, int)
-	get   func(Step) int
+	max         int
+	loadsStores bool // by the stores
+	why         string
+	steps       []int
+	set         func(*Step, int)
+	get         func(Step) int
 }
 
 var dimensions = map[string]dimension{
-	"nodes": {most: 800, why: "its sessions would take more than half of the machine", steps: []int{50, 100, 200, 400},
+	"nodes": {max: 800, why: "its sessions would take more than half of the machine", steps: []int{50, 100, 200, 400},
 		set: func(step *Step, size int) { step.Nodes = size }, get: func(step Step) int { return step.Nodes }},
-	"runners": {most: 5200, why: "twice the size that the capacity page is for", steps: []int{600, 1200, 2600},
+	"runners": {max: 5200, why: "twice the size that the capacity page is for", steps: []int{600, 1200, 2600},
 		set: func(step *Step, size int) { step.Runners = size }, get: func(step Step) int { return step.Runners }},
-	"routes": {most: 8000, why: "a config of more would pass the administration's bound on a body", steps: []int{100, 1000, 2000, 4000},
+	"routes": {max: 8000, why: "a config of more would pass the administration's bound on a body", steps: []int{100, 1000, 2000, 4000},
 		set: func(step *Step, size int) { step.Routes = size }, get: func(step Step) int { return step.Routes }},
-	"changes": {most: 400, why: "the control group keeps 512 changes, and later ones would be folded into views", steps: []int{10, 20, 40, 80},
+	"changes": {max: 400, why: "the control group keeps 512 changes, and later ones would be folded into views", steps: []int{10, 20, 40, 80},
 		set: func(step *Step, size int) { step.Changes = size }, get: func(step Step) int { return step.Changes }},
-	"turns": {most: 800, borne: true, why: "three stores beside their callers would spend the machine", steps: []int{20, 40, 80, 160},
+	"turns": {max: 800, loadsStores: true, why: "three stores beside their callers would spend the machine", steps: []int{20, 40, 80, 160},
 		set: func(step *Step, size int) { step.Turns = size }, get: func(step Step) int { return step.Turns }},
-	"programs": {most: 20000, borne: true, why: "they would take too long to make", steps: []int{500, 1000, 2000, 4000},
+	"programs": {max: 20000, loadsStores: true, why: "they would take too long to make", steps: []int{500, 1000, 2000, 4000},
 		set: func(step *Step, size int) { step.Programs = size }, get: func(step Step) int { return step.Programs }},
-	"history": {most: 4096, borne: true, why: "twice the longest history that the capacity page is for", steps: []int{16, 64, 256, 1024},
+	"history": {max: 4096, loadsStores: true, why: "twice the longest history that the capacity page is for", steps: []int{16, 64, 256, 1024},
 		set: func(step *Step, size int) { step.History = size }, get: func(step Step) int { return step.History }},
-	"groups": {most: 512, borne: true, why: "three stores would spend the machine on heartbeats", steps: []int{16, 32, 64, 128},
+	"groups": {max: 512, loadsStores: true, why: "three stores would spend the machine on heartbeats", steps: []int{16, 32, 64, 128},
 		set: func(step *Step, size int) { step.Groups = size }, get: func(step Step) int { return step.Groups }},
 }
 
-// Refusal is a step or an option that can't be measured, with the remedy.
-type Refusal struct{ Message, Remedy string }
+// StepError is a step or an option that can't be measured, with the remedy.
+type StepError struct{ Message, Remedy string }
 
-func (refusal *Refusal) Error() string { return refusal.Message + "; " + refusal.Remedy }
+func (refusal *StepError) Error() string { return refusal.Message + "; " + refusal.Remedy }
 
 // Dimensions names what can be varied.
 //
@@ -79,11 +79,11 @@
 // Steps makes the steps of a run: the usual one with one size varied. An empty text
 // gives the dimension's own sizes; else they are whole numbers joined by commas.
 //
-//	steps, err := scale.Steps(scale.Usual, "nodes", "50,100,200,400")
-func Steps(usual Step, against, sizes string) ([]Step, error) {
+//	steps, err := scale.Steps(scale.DefaultStep, "nodes", "50,100,200,400")
+func Steps(base Step, against, sizes string) ([]Step, error) {
 	varied, known := dimensions[against]
 	if !known {
-		return nil, &Refusal{fmt.Sprintf("nothing can be measured against %q", against), "name one of " + strings.Join(Dimensions(), ", ")}
+		return nil, &StepError{fmt.Sprintf("nothing can be measured against %q", against), "name one of " + strings.Join(Dimensions(), ", ")}
 	}
 	wanted := varied.steps
 	if sizes != "" {
@@ -91,17 +91,17 @@
 		for _, text := range strings.Split(sizes, ",") {
 			size, err := strconv.Atoi(strings.TrimSpace(text))
 			if err != nil {
-				return nil, &Refusal{fmt.Sprintf("%q is no step", text), "write whole numbers joined by commas, like 50,100,200"}
+				return nil, &StepError{fmt.Sprintf("%q is no step", text), "write whole numbers joined by commas, like 50,100,200"}
 			}
 			wanted = append(wanted, size)
 		}
 	}
 	steps := []Step{}
 	for _, size := range wanted {
-		step := usual
+		step := base
 		varied.set(&step, size)
 		if len(steps) > 0 && size <= varied.get(steps[len(steps)-1]) {
-			return nil, &Refusal{fmt.Sprintf("step %d does not follow a smaller one", size), "write the steps in rising order, each once"}
+			return nil, &StepError{fmt.Sprintf("step %d does not follow a smaller one", size), "write the steps in rising order, each once"}
 		}
 		steps = append(steps, step)
 	}
@@ -119,9 +119,9 @@
 		checked := dimensions[name]
 		switch size := checked.get(step); {
 		case size < 1:
-			return &Refusal{fmt.Sprintf("%d %s are too few", size, name), "use 1 at least"}
-		case size > checked.most:
-			return &Refusal{fmt.Sprintf("%d %s are too many: %s", size, name, checked.why), fmt.Sprintf("use %d at most, and stretch the slope", checked.most)}
+			return &StepError{fmt.Sprintf("%d %s are too few", size, name), "use 1 at least"}
+		case size > checked.max:
+			return &StepError{fmt.Sprintf("%d %s are too many: %s", size, name, checked.why), fmt.Sprintf("use %d at most, and stretch the slope", checked.max)}
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 //	size := step.Size("nodes")
 func (step Step) Size(against string) int { return dimensions[against].get(step) }
 
-// Borne tells whether a size is one that the stores bear.
+// LoadsStores tells whether a size is one that the stores bear.
 //
-//	settings.Borne = scale.Borne("history")
-func Borne(against string) bool { return dimensions[against].borne }
+//	settings.LoadsStores = scale.LoadsStores("history")
+func LoadsStores(against string) bool { return dimensions[against].loadsStores }
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -55,8 +55,8 @@
 }
 
 // makePrograms has the stores keep all programs with their histories.
-func (trial *trial) makePrograms(ctx context.Context) error {
-	stores := storeclient.New(trial.caller, trial.herd.Nodes()[0].View)
+func (trial *stepRun) makePrograms(ctx context.Context) error {
+	stores := storeclient.New(trial.caller, trial.hollow.Nodes()[0].View)
 	waiting := make(chan *program, trial.step.Programs)
 	for position := range trial.step.Programs {
 		made := &program{line: fmt.Sprintf("program/%06d", position), first: fmt.Sprintf("first-%06d", position)}
@@ -92,23 +92,23 @@
 	if err != nil {
 		return err
 	}
-	trial.told.Figures["programs.store_memory_mib"] = after.memory - before.memory
-	trial.told.Figures["programs.store_processor_s"] = after.seconds - before.seconds
-	trial.told.Figures["programs.store_written_mib"] = after.written - before.written
+	trial.measurement.Figures["programs.store_memory_mib"] = after.memory - before.memory
+	trial.measurement.Figures["programs.store_processor_s"] = after.seconds - before.seconds
+	trial.measurement.Figures["programs.store_written_mib"] = after.written - before.written
 	return nil
 }
 
-// storeUse is what all stores have used up to a moment; memory and disk in MiB.
-type storeUse struct{ seconds, memory, written float64 }
+// storeUsage is what all stores have used up to a moment; memory and disk in MiB.
+type storeUsage struct{ seconds, memory, written float64 }
 
-func (trial *trial) stores() (storeUse, error) {
-	sum := storeUse{}
-	for _, store := range trial.fleet.Of("store") {
-		usage, err := UsageOf(store.ID())
+func (trial *stepRun) stores() (storeUsage, error) {
+	sum := storeUsage{}
+	for _, store := range trial.fleet.ProcessesOf("store") {
+		usage, err := UsageOf(store.PID())
 		if err != nil {
 			return sum, err
 		}
-		process, err := procfs.NewProc(store.ID())
+		process, err := procfs.NewProc(store.PID())
 		if err != nil {
 			return sum, err
 		}
@@ -125,11 +125,11 @@
 
 // turns begins and ends turns at an even rate, each going on from the history of a
 // program, and tells what one costs above what quiet stores cost.
-func (trial *trial) turns(ctx context.Context) error {
-	stores := storeclient.New(trial.caller, trial.herd.Nodes()[0].View)
+func (trial *stepRun) turns(ctx context.Context) error {
+	stores := storeclient.New(trial.caller, trial.hollow.Nodes()[0].View)
 	var mutex sync.Mutex
 	begins, ends, histories, failures, failed, late := []time.Duration{}, []time.Duration{}, 0, 0, error(nil), 0
-	before, err := trial.now(ctx)
+	before, err := trial.sample(ctx)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	ticker := time.NewTicker(time.Second / time.Duration(trial.step.Turns))
 	defer ticker.Stop()
 	began := time.Now()
-	for number := 0; time.Since(began) < trial.settings.Quiet && ctx.Err() == nil; number++ {
+	for number := 0; time.Since(began) < trial.settings.IdlePeriod && ctx.Err() == nil; number++ {
 		<-ticker.C
 		chosen := trial.programs[number%len(trial.programs)]
 		if !chosen.busy.CompareAndSwap(false, true) {
@@ -164,7 +164,7 @@
 	}
 	under.Wait()
 	spent := time.Since(began).Seconds()
-	after, err := trial.now(ctx)
+	after, err := trial.sample(ctx)
 	if err != nil {
 		return err
 	}
@@ -179,12 +179,12 @@
 	slices.Sort(ends)
 	count := float64(len(begins))
 	sent, received, messages := 0.0, 0.0, 0.0
-	for _, store := range trial.fleet.Of("store") {
+	for _, store := range trial.fleet.ProcessesOf("store") {
 		rate := RateOf(before.processes[store.Name], after.processes[store.Name])
 		seconds := after.processes[store.Name].At.Sub(before.processes[store.Name].At).Seconds()
 		sent, received, messages = sent+rate.BytesOut*seconds, received+rate.BytesIn*seconds, messages+rate.Messages*seconds
 	}
-	figures, all := trial.told.Figures, float64(len(trial.fleet.Of("store")))
+	figures, all := trial.measurement.Figures, float64(len(trial.fleet.ProcessesOf("store")))
 	quiet := figures["store.cores"] * all * spent
 	figures["turns.per_s"] = count / spent
 	figures["turns.failed_share"] = float64(failures) / (count + float64(failures))
@@ -203,18 +203,18 @@
 
 // restartStore kills a store and starts it again, and tells how long it takes to be
 // ready, with all that it keeps.
-func (trial *trial) restartStore(ctx context.Context) error {
-	store := trial.fleet.Of("store")[0]
+func (trial *stepRun) restartStore(ctx context.Context) error {
+	store := trial.fleet.ProcessesOf("store")[0]
 	store.Kill()
 	began := time.Now()
 	if err := store.Start(); err != nil {
 		return err
 	}
-	if err := fleet.AwaitReady(ctx, store.Outside); err != nil {
+	if err := fleet.AwaitReady(ctx, store.PublicAddress); err != nil {
 		return err
 	}
-	trial.told.Figures["restart.store_s"] = time.Since(began).Seconds()
-	usage, err := UsageOf(store.ID())
-	trial.told.Figures["restart.store_processor_s"] = usage.Seconds
+	trial.measurement.Figures["restart.store_s"] = time.Since(began).Seconds()
+	usage, err := UsageOf(store.PID())
+	trial.measurement.Figures["restart.store_processor_s"] = usage.Seconds
 	return err
 }
--- a/proof/scale/usage.go
+++ b/proof/scale/usage.go
@@ -86,28 +86,28 @@
 	return float64(*told.MemTotal) / 1024, nil
 }
 
-// machineTime is how long all processors of the machine were busy, and in all, in
+// cpuTime is how long all processors of the machine were busy, and in all, in
 // seconds. Others may use it too: a busy machine makes every figure of time larger.
-type machineTime struct{ busy, whole float64 }
+type cpuTime struct{ busy, total float64 }
 
-func machineTimeNow() (machineTime, error) {
+func readCPUTime() (cpuTime, error) {
 	system, err := procfs.NewDefaultFS()
 	if err != nil {
-		return machineTime{}, err
+		return cpuTime{}, err
 	}
 	told, err := system.Stat()
 	if err != nil {
-		return machineTime{}, err
+		return cpuTime{}, err
 	}
 	all := told.CPUTotal
 	busy := all.User + all.Nice + all.System + all.IRQ + all.SoftIRQ + all.Steal
-	return machineTime{busy: busy, whole: busy + all.Idle + all.Iowait}, nil
+	return cpuTime{busy: busy, total: busy + all.Idle + all.Iowait}, nil
 }
 
 // busySince is the share of the processors' time that was used since an earlier moment.
-func (now machineTime) busySince(before machineTime) float64 {
-	if now.whole <= before.whole {
+func (now cpuTime) busySince(before cpuTime) float64 {
+	if now.total <= before.total {
 		return 0
 	}
-	return (now.busy - before.busy) / (now.whole - before.whole)
+	return (now.busy - before.busy) / (now.total - before.total)
 }
--- a/proof/simulator/ordersrepeat_test.go
+++ b/proof/simulator/adminrequests_test.go
@@ -19,30 +19,30 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// sentOrder is an order of the routing as its operator sends it, again and again.
-type sentOrder struct {
+// sentRequestOfOperator is an order of the routing as its operator sends it, again and again.
+type sentRequestOfOperator struct {
 	base   uint64
 	next   config.Routing
 	digest string
 }
 
-func (cluster *Cluster) sendOrder(from int, order sentOrder) error {
+func (cluster *Cluster) sendRoutingRequest(from int, order sentRequestOfOperator) error {
 	return cluster.replace(from, order.base, order.next, order.digest)
 }
 
 // twoOperators has two operators build on one revision; it gives the order that was
 // acknowledged, and the other.
-func (cluster *Cluster) twoOperators(t *testing.T, base, revision uint64) (won, lost sentOrder) {
+func (cluster *Cluster) twoOperators(t *testing.T, base, revision uint64) (won, lost sentRequestOfOperator) {
 	t.Helper()
-	orders := []sentOrder{}
+	orders := []sentRequestOfOperator{}
 	for operator := range 2 {
 		next := oneRoute(revision, time.Duration(operator+1)*time.Second)
-		orders = append(orders, sentOrder{base: base, next: next, digest: fmt.Sprintf("%d by %d", revision, operator)})
+		orders = append(orders, sentRequestOfOperator{base: base, next: next, digest: fmt.Sprintf("%d by %d", revision, operator)})
 	}
 	told := make([]chan error, len(orders))
 	for operator, order := range orders {
 		told[operator] = make(chan error, 1)
-		go func() { told[operator] <- cluster.sendOrder(operator, order) }()
+		go func() { told[operator] <- cluster.sendRoutingRequest(operator, order) }()
 	}
 	results := []error{<-told[0], <-told[1]}
 	winner := slices.Index(results, nil)
@@ -52,14 +52,14 @@
 	return orders[winner], orders[1-winner]
 }
 
-// mustRepeat sends a won and a lost order again, to each node.
-func (cluster *Cluster) mustRepeat(t *testing.T, when string, won, lost sentOrder) {
+// mustRepeatRequests sends a won and a lost order again, to each node.
+func (cluster *Cluster) mustRepeatRequests(t *testing.T, when string, won, lost sentRequestOfOperator) {
 	t.Helper()
 	for from := range cluster.Controls {
-		if err := cluster.sendOrder(from, won); err != nil {
+		if err := cluster.sendRoutingRequest(from, won); err != nil {
 			t.Fatalf("%s: the acknowledged order again, at %d: %v", when, from, err)
 		}
-		if err := cluster.sendOrder(from, lost); !apierror.Is(err, apierror.Conflict) {
+		if err := cluster.sendRoutingRequest(from, lost); !apierror.Is(err, apierror.Conflict) {
 			t.Fatalf("%s: the lost order again, at %d: %v", when, from, err)
 		}
 	}
@@ -95,9 +95,9 @@
 	cluster.mustRead(t, 30*time.Second)
 }
 
-// TestOrderRepeatedAfterFaultsIsAcknowledged sends an acknowledged order and one that lost
+// TestRequestRepeatedAfterFaultsIsAcknowledged sends an acknowledged order and one that lost
 // against it again after each kind of fault, and after other orders.
-func TestOrderRepeatedAfterFaultsIsAcknowledged(t *testing.T) {
+func TestRequestRepeatedAfterFaultsIsAcknowledged(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		won, lost := cluster.twoOperators(t, 0, 5)
 		base := won.next.Revision
@@ -112,7 +112,7 @@
 				startAll(t, []*Machine{killed})
 			}},
 			{"after a config was put", func() {
-				if err := cluster.PutConfig(Rules + "// again\n"); err != nil {
+				if err := cluster.PutConfig(BasicConfig + "// again\n"); err != nil {
 					t.Fatal(err)
 				}
 			}},
@@ -120,15 +120,15 @@
 			{"after the loss of all control disks", func() { cluster.loseControlDisks(t) }},
 		} {
 			step.do()
-			cluster.mustRepeat(t, step.when, won, lost)
+			cluster.mustRepeatRequests(t, step.when, won, lost)
 			for range 70 { // more than a routing itself remembers
-				order := sentOrder{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
-				if err := cluster.sendOrder(0, order); err != nil {
+				order := sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
+				if err := cluster.sendRoutingRequest(0, order); err != nil {
 					t.Fatalf("%s: %v", step.when, err)
 				}
 				base++
 			}
-			cluster.mustRepeat(t, step.when+", and 70 orders later", won, lost)
+			cluster.mustRepeatRequests(t, step.when+", and 70 orders later", won, lost)
 		}
 		if read := cluster.mustRead(t, ackTimeout); read.Revision != base {
 			t.Fatalf("revision %d is read, %d was acknowledged last", read.Revision, base)
@@ -136,36 +136,36 @@
 	})
 }
 
-// TestForgottenOrderIsNotRefused sends an order again after 3,000 others: it was taken, so
+// TestForgottenRequestIsNotRejected sends an order again after 3,000 others: it was taken, so
 // it may not be refused, nor is it known any more.
-func TestForgottenOrderIsNotRefused(t *testing.T) {
+func TestForgottenRequestIsNotRejected(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		if cluster.Seed%2 == 0 {
 			return // so many orders take half a minute; checkpoints are made at odd seeds
 		}
 		won, lost := cluster.twoOperators(t, 0, 5)
-		base, orders := won.next.Revision, []sentOrder{won}
+		base, orders := won.next.Revision, []sentRequestOfOperator{won}
 		for range 3000 {
-			order := sentOrder{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
-			if err := cluster.sendOrder(0, order); err != nil {
+			order := sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
+			if err := cluster.sendRoutingRequest(0, order); err != nil {
 				t.Fatal(err)
 			}
 			base, orders = order.next.Revision, append(orders, order)
 		}
 		check := func(when string) {
 			t.Helper()
-			for position, order := range []sentOrder{won, lost, orders[500]} {
-				if err := cluster.sendOrder(position, order); !apierror.Is(err, apierror.NoQuorum) {
+			for position, order := range []sentRequestOfOperator{won, lost, orders[500]} {
+				if err := cluster.sendRoutingRequest(position, order); !apierror.Is(err, apierror.NoQuorum) {
 					t.Fatalf("%s: forgotten order %d again: %v", when, position, err)
 				}
 			}
-			for _, order := range []sentOrder{orders[1000], orders[2000], orders[3000]} {
-				if err := cluster.sendOrder(1, order); err != nil {
+			for _, order := range []sentRequestOfOperator{orders[1000], orders[2000], orders[3000]} {
+				if err := cluster.sendRoutingRequest(1, order); err != nil {
 					t.Fatalf("%s: the order of revision %d again: %v", when, order.next.Revision, err)
 				}
 			}
-			stale := sentOrder{base: base - 1, next: oneRoute(base+1, time.Second), digest: "stale"}
-			if err := cluster.sendOrder(2, stale); !apierror.Is(err, apierror.Conflict) {
+			stale := sentRequestOfOperator{base: base - 1, next: oneRoute(base+1, time.Second), digest: "stale"}
+			if err := cluster.sendRoutingRequest(2, stale); !apierror.Is(err, apierror.Conflict) {
 				t.Fatalf("%s: an order that was never taken: %v", when, err)
 			}
 		}
@@ -177,17 +177,17 @@
 	})
 }
 
-// TestLostAnswersLeaveOneOrderOnABase has operators lose their answers, with a fault right
+// TestLostAnswersLeaveOneRequestOnABase has operators lose their answers, with a fault right
 // after, and then send their orders again: one is acknowledged, the other refused.
-func TestLostAnswersLeaveOneOrderOnABase(t *testing.T) {
+func TestLostAnswersLeaveOneRequestOnABase(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(21)
 		base := uint64(0)
 		for round := range 12 {
-			orders := []sentOrder{}
+			orders := []sentRequestOfOperator{}
 			for operator := range 2 {
 				next := oneRoute(base+1+uint64(random.IntN(3)), time.Duration(operator+1)*time.Second)
-				orders = append(orders, sentOrder{base: base, next: next, digest: fmt.Sprintf("round %d by %d", round, operator)})
+				orders = append(orders, sentRequestOfOperator{base: base, next: next, digest: fmt.Sprintf("round %d by %d", round, operator)})
 			}
 			lost := make(chan error, len(orders))
 			for operator, order := range orders {
@@ -218,7 +218,7 @@
 			}
 			results := []error{}
 			for operator, order := range orders {
-				results = append(results, cluster.order(operator, 12*time.Second, func(ctx context.Context, node *controlplane.Node) error {
+				results = append(results, cluster.requestChange(operator, 12*time.Second, func(ctx context.Context, node *controlplane.Node) error {
 					return node.ReplaceRouting(ctx, fmt.Sprint("operator ", operator), order.base, order.next, order.digest)
 				}))
 			}
@@ -236,7 +236,7 @@
 
 // administered sends an order of the administration API until it is acknowledged or
 // refused.
-func (cluster *Cluster) administered(method, path string, body any) (changed Changed, err error) {
+func (cluster *Cluster) administered(method, path string, body any) (changed ChangeResult, err error) {
 	err = cluster.Await(12*time.Second, "acknowledgement", func() error {
 		answer, err := cluster.Administer(method, path, body)
 		if err != nil {
@@ -253,17 +253,17 @@
 	return changed, err
 }
 
-// TestNumberedOrdersOfTheAdministrationRepeated repeats each order of the administration
+// TestNumberedAdminRequestsRepeated repeats each order of the administration
 // API that names the number it builds on, after others and after faults: it is
 // acknowledged under the number that it was given.
-func TestNumberedOrdersOfTheAdministrationRepeated(t *testing.T) {
+func TestNumberedAdminRequestsRepeated(t *testing.T) {
 	type numbered struct {
 		method, path string
 		body         func(number uint64) map[string]any
 	}
 	orders := []numbered{
 		{http.MethodPut, "/v1/config", func(number uint64) map[string]any {
-			return map[string]any{"source": Config(Rules), "expected": number}
+			return map[string]any{"source": Config(BasicConfig), "expected": number}
 		}},
 		{http.MethodPatch, "/v1/config", func(number uint64) map[string]any {
 			return map[string]any{"path": "programs.dialogue.allowance", "value": 77, "expected": number}
@@ -325,9 +325,9 @@
 	})
 }
 
-// TestForwardedQueryIsNotPassedOn asks each node what only the leader can answer: one that
+// TestForwardedAdminRequestIsNotForwardedAgain asks each node what only the leader can answer: one that
 // is told that the query was passed on already names the leader, and does so at once.
-func TestForwardedQueryIsNotPassedOn(t *testing.T) {
+func TestForwardedAdminRequestIsNotForwardedAgain(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		caller := link.NewClient(cluster.Network.At("10.8.1.1"))
 		defer caller.Close()
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -26,19 +26,19 @@
 	{"/talk/chat/", 2, true},
 }
 
-// asked is one query with what came of it.
-type asked struct {
+// sentQuery is one query with what came of it.
+type sentQuery struct {
 	name, path, body string
 	runs             int
 	stream           bool
-	answer           *Forwarded
+	answer           *ForwardedAnswer
 }
 
-// TestAnAnswerReachesOnlyTheQueryItIsFor, by its name, while runners answer late, twice,
+// TestAnswerReachesOnlyItsRequest, by its name, while runners answer late, twice,
 // under other names and in parts, connections are reset, and runners freeze and are cut
 // off. What may run once runs once at most, and what was refused never runs.
-func TestAnAnswerReachesOnlyTheQueryItIsFor(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestAnswerReachesOnlyItsRequest(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		runners := []*wildRunner{}
 		for position := range 6 {
 			runners = append(runners, startWild(t, cluster, position, []string{"tools", "engines"}[position%2]))
@@ -46,30 +46,30 @@
 		listWild(cluster, runners)
 		done := make(chan struct{})
 		var harming sync.WaitGroup
-		harming.Go(func() { harmWild(cluster, runners, done) })
+		harming.Go(func() { faultWild(cluster, runners, done) })
 		all := askWild(cluster)
 		close(done)
 		harming.Wait()
-		cluster.Settle(6 * time.Second) // what is still on its way arrives
-		judgeWild(t, all, runners)
+		cluster.Sleep(6 * time.Second) // what is still on its way arrives
+		checkWild(t, all, runners)
 	})
 }
 
 // listWild has the platform's list name these runners alone, and waits until they are known.
 func listWild(cluster *Cluster, runners []*wildRunner) {
-	cluster.Roster.Put(nil)
-	listed := cluster.Roster.runners
+	cluster.RunnerList.Put(nil)
+	listed := cluster.RunnerList.runners
 	for position, runner := range runners {
 		listed = append(listed, runner.listed(position))
 	}
-	cluster.Roster.Put(listed)
-	cluster.Settle(3 * time.Second)
+	cluster.RunnerList.Put(listed)
+	cluster.Sleep(3 * time.Second)
 }
 
 // askWild sends queries of all routes through all fronts, some at the same time.
-func askWild(cluster *Cluster) []*asked {
+func askWild(cluster *Cluster) []*sentQuery {
 	const callers, rounds = 8, 40
-	all := []*asked{}
+	all := []*sentQuery{}
 	var mutex sync.Mutex
 	var asking sync.WaitGroup
 	for caller := range callers {
@@ -78,14 +78,14 @@
 			for round := range rounds {
 				kind := wildKinds[random.IntN(len(wildKinds))]
 				name := fmt.Sprintf("wild-%d-%d", caller, round)
-				one := &asked{name: name, path: kind.path + name, body: "prompt of " + name, runs: kind.runs, stream: kind.stream}
+				one := &sentQuery{name: name, path: kind.path + name, body: "prompt of " + name, runs: kind.runs, stream: kind.stream}
 				one.answer = cluster.Forward(cluster.Fronts[random.IntN(len(cluster.Fronts))], forwarding.Request{
 					Name: name, Path: one.path, Body: []byte(one.body), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40,
 				})
 				mutex.Lock()
 				all = append(all, one)
 				mutex.Unlock()
-				cluster.Settle(time.Duration(random.IntN(150)) * time.Millisecond)
+				cluster.Sleep(time.Duration(random.IntN(150)) * time.Millisecond)
 			}
 		})
 	}
@@ -93,8 +93,8 @@
 	return all
 }
 
-// harmWild resets, freezes and cuts off runners, one after the other.
-func harmWild(cluster *Cluster, runners []*wildRunner, done <-chan struct{}) {
+// faultWild resets, freezes and cuts off runners, one after the other.
+func faultWild(cluster *Cluster, runners []*wildRunner, done <-chan struct{}) {
 	random := cluster.Random(900)
 	for {
 		runner := runners[random.IntN(len(runners))]
@@ -105,15 +105,15 @@
 			runner.reset()
 		case 1:
 			cluster.Network.Freeze(runner.host)
-			cluster.Settle(lasts)
+			cluster.Sleep(lasts)
 			cluster.Network.Thaw(runner.host)
 		case 2: // queries arrive, their answers don't
 			cluster.Network.CutOneWay(runner.host, front.Host)
-			cluster.Settle(lasts)
-			cluster.Network.Mend(runner.host, front.Host)
+			cluster.Sleep(lasts)
+			cluster.Network.Heal(runner.host, front.Host)
 		case 3:
 			cluster.Network.Freeze(front.Host)
-			cluster.Settle(lasts)
+			cluster.Sleep(lasts)
 			cluster.Network.Thaw(front.Host)
 		}
 		select {
@@ -124,7 +124,7 @@
 	}
 }
 
-func judgeWild(t *testing.T, all []*asked, runners []*wildRunner) {
+func checkWild(t *testing.T, all []*sentQuery, runners []*wildRunner) {
 	t.Helper()
 	complete, refused := map[string]int{}, 0
 	for _, one := range all {
@@ -135,13 +135,13 @@
 		if runs > one.runs {
 			t.Errorf("%s ran %d times", one.path, runs)
 		}
-		if one.answer.Refused() {
+		if one.answer.Rejected() {
 			refused++
 			if runs > 0 && one.runs == 1 {
 				t.Errorf("%s was refused as not run, and ran", one.path)
 			}
 		}
-		judgeBody(t, one)
+		checkWildBody(t, one)
 		if one.answer.Complete() {
 			complete[strings.TrimSuffix(one.path, one.name)]++
 			if runs == 0 {
@@ -157,8 +157,8 @@
 	}
 }
 
-// judgeBody checks what a caller was passed on, also of an answer that was broken off.
-func judgeBody(t *testing.T, one *asked) {
+// checkWildBody checks what a caller was passed on, also of an answer that was broken off.
+func checkWildBody(t *testing.T, one *sentQuery) {
 	t.Helper()
 	answer := one.answer
 	if answer.Status == 0 {
@@ -182,13 +182,13 @@
 	}
 }
 
-// TestNoQueryIsHeldPastItsRoutesTimeout though its caller has more time: not by runners that
+// TestNoRequestIsHeldPastItsRoutesTimeout though its caller has more time: not by runners that
 // say nothing, not by stores or control nodes that can't be reached.
-func TestNoQueryIsHeldPastItsRoutesTimeout(t *testing.T) {
+func TestNoRequestIsHeldPastItsRoutesTimeout(t *testing.T) {
 	const slack = 250 * time.Millisecond
 	timeouts := map[string]time.Duration{"/lookup/": 2 * time.Second, "/order/": 3 * time.Second, "/talk/kept/": 4 * time.Second, "/talk/chat/": 4 * time.Second}
 	troubles := map[string]func(cluster *Cluster){
-		"silent runners": func(cluster *Cluster) { every(cluster, standin.Hangs) },
+		"silent runners": func(cluster *Cluster) { setFault(cluster, standin.FaultHang) },
 		"no stores": func(cluster *Cluster) {
 			for _, store := range cluster.Stores {
 				cluster.Network.Isolate(store.Host)
@@ -203,13 +203,13 @@
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+			simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 				trouble(cluster)
 				var asking sync.WaitGroup
 				for path, timeout := range timeouts {
 					for number := range 6 {
 						asking.Go(func() {
-							cluster.Settle(time.Duration(number) * 400 * time.Millisecond)
+							cluster.Sleep(time.Duration(number) * 400 * time.Millisecond)
 							name, began := fmt.Sprintf("held-%d", number), time.Now()
 							answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{
 								Name: path + name, Path: path + name, Program: path + name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Deadline: began.Add(20 * time.Second),
@@ -229,29 +229,29 @@
 // TestPlannedWorkCutsNoAnswer: configs that change, seeds that are read again, runners that
 // are listed as leaving and domains that are emptied cut nothing that is under way.
 func TestPlannedWorkCutsNoAnswer(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		for _, machine := range cluster.Engines {
-			machine.Engine.Pace = standin.Pace{First: 300 * time.Millisecond, Piece: 400 * time.Millisecond, Plain: 800 * time.Millisecond}
+			machine.Engine.Latencies = standin.Latencies{FirstPiece: 300 * time.Millisecond, NextPiece: 400 * time.Millisecond, PlainAnswer: 800 * time.Millisecond}
 		}
 		var asking sync.WaitGroup
 		var complete atomic.Int64
 		for number := range 40 {
 			kind := wildKinds[number%len(wildKinds)]
 			asking.Go(func() {
-				cluster.Settle(time.Duration(number) * 20 * time.Millisecond)
+				cluster.Sleep(time.Duration(number) * 20 * time.Millisecond)
 				name := fmt.Sprintf("planned-%d", number)
 				answer := cluster.Forward(cluster.Fronts[number/4%2], forwarding.Request{Name: name, Path: kind.path + name, Body: []byte(name), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 				switch {
 				case answer.Complete():
 					complete.Add(1)
-				case !answer.Refused():
+				case !answer.Rejected():
 					t.Errorf("%s: %d %v", kind.path+name, answer.Status, answer.Err)
 				}
 			})
 		}
-		cluster.Settle(500 * time.Millisecond)
+		cluster.Sleep(500 * time.Millisecond)
 		for revision := 2; revision <= 5; revision++ {
-			changed := strings.Replace(RoutedRules, "revision: 1", fmt.Sprintf("revision: %d", revision), 1)
+			changed := strings.Replace(RoutedConfig, "revision: 1", fmt.Sprintf("revision: %d", revision), 1)
 			changed = strings.ReplaceAll(changed, `patience: "3s"`, fmt.Sprintf(`patience: "%ds"`, revision+1))
 			if err := cluster.PutConfig(changed); err != nil {
 				t.Error(err)
@@ -271,13 +271,13 @@
 			}
 			leaving = append(leaving, listed)
 		}
-		cluster.Roster.Put(leaving)
+		cluster.RunnerList.Put(leaving)
 		asking.Wait()
 		if complete.Load() < 35 {
 			t.Errorf("only %d of 40 are complete", complete.Load())
 		}
 		for _, machine := range cluster.Engines {
-			if broken := machine.Engine.BrokenOff(); len(broken) > 0 {
+			if broken := machine.Engine.Cancelled(); len(broken) > 0 {
 				t.Errorf("%s: %v were broken off", machine.Host, broken)
 			}
 		}
--- a/proof/simulator/awaitfresh_test.go
+++ b/proof/simulator/awaitfresh_test.go
@@ -28,10 +28,10 @@
 	return time.Now()
 }
 
-// TestQueriesThatComeRightAfterATotalOutageAreServed: a front that has just started lets
+// TestRequestsRightAfterATotalOutageAreServed: a front that has just started lets
 // them wait for its view rather than refuse them.
-func TestQueriesThatComeRightAfterATotalOutageAreServed(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestRequestsRightAfterATotalOutageAreServed(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(43)
 		for round := range 4 {
 			for _, machine := range cluster.Machines() {
@@ -57,7 +57,7 @@
 			}
 			asking.Wait()
 			t.Logf("round %d: all are answered %s after the return", round, time.Since(returned))
-			cluster.Settle(3 * time.Second)
+			cluster.Sleep(3 * time.Second)
 		}
 	})
 }
@@ -65,13 +65,13 @@
 // TestAFrontThatHasBeenCutOffForLongRefusesAtOnce: its callers lose no time that they could
 // use at another.
 func TestAFrontThatHasBeenCutOffForLongRefusesAtOnce(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		front := cluster.Fronts[0]
 		cluster.Network.Isolate(front.Host)
-		cluster.Settle(4 * time.Second)
+		cluster.Sleep(4 * time.Second)
 		began := time.Now()
 		answer := cluster.Forward(front, forwarding.Request{Name: "cut-1", Path: "/lookup/cut-1"})
-		if took := time.Since(began); !answer.Refused() || took > 0 {
+		if took := time.Since(began); !answer.Rejected() || took > 0 {
 			t.Fatalf("after %s: %d %v", took, answer.Status, answer.Err)
 		}
 		cluster.Network.Rejoin(front.Host)
--- a/proof/simulator/badinput_test.go
+++ b/proof/simulator/badinput_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestBadInputIsRefusedWithKindAndRemedy(t *testing.T) {
+func TestInvalidInputIsRejectedWithKindAndRemedy(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		first, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "hello"})
 		if err != nil {
@@ -76,8 +76,8 @@
 			kind                      string
 		}{
 			{"invalid CUE", "PUT", "/v1/config", RootToken, map[string]any{"source": "teams: {", "expected": before.ConfigNumber}, "invalid"},
-			{"a config that names no group", "PUT", "/v1/config", RootToken, map[string]any{"source": Config(Rules) + "\ntables: talk: nowhere: 1", "expected": before.ConfigNumber}, "invalid"},
-			{"an old number", "PUT", "/v1/config", RootToken, map[string]any{"source": Config(Rules), "expected": before.ConfigNumber - 1}, "conflict"},
+			{"a config that names no group", "PUT", "/v1/config", RootToken, map[string]any{"source": Config(BasicConfig) + "\ntables: talk: nowhere: 1", "expected": before.ConfigNumber}, "invalid"},
+			{"an old number", "PUT", "/v1/config", RootToken, map[string]any{"source": Config(BasicConfig), "expected": before.ConfigNumber - 1}, "conflict"},
 			{"a path that is not there", "PATCH", "/v1/config", RootToken, map[string]any{"path": "programs.none.allowance", "value": 5}, "invalid"},
 			{"a value out of range", "PATCH", "/v1/config", RootToken, map[string]any{"path": "programs.dialogue.allowance", "value": -5}, "invalid"},
 			{"a team's token", "PATCH", "/v1/config", TeamToken, map[string]any{"path": "programs.dialogue.allowance", "value": 5}, "unauthorized"},
@@ -119,7 +119,7 @@
 			checkOnce(t, cluster, key, []*Answer{answer})
 		}
 		for _, store := range cluster.Stores {
-			cluster.Network.Mend(front.Host, store.Host)
+			cluster.Network.Heal(front.Host, store.Host)
 		}
 		<-time.After(15 * time.Second) // what waited on the cut links arrives now
 		for round := range 3 {
--- a/proof/simulator/bounds_test.go
+++ b/proof/simulator/bounds_test.go
@@ -62,7 +62,7 @@
 	cluster.Platform.Put(listed)
 }
 
-func TestALeavingRunnerGetsNothingNewAfterThreeSeconds(t *testing.T) {
+func TestDrainingRunnerGetsNothingNewAfterThreeSeconds(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 3, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		stop := cluster.callers(40 * time.Millisecond)
 		defer stop()
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestAnEmptiedDomainGetsNothingAfterFiveSecondsAndIsRefilled(t *testing.T) {
+func TestDrainedDomainGetsNothingAfterFiveSecondsAndIsRefilled(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 3, Applications: 3}, func(t *testing.T, cluster *Cluster) {
 		stop := cluster.callers(40 * time.Millisecond)
 		defer stop()
@@ -129,9 +129,9 @@
 	})
 }
 
-// TestNoFrontObeysAnOldConfigForLong changes a kind's path, so that runners see
+// TestNoFrontUsesAnOldConfigForLong changes a kind's path, so that runners see
 // which config each query was handled by, while fronts are cut off in turn.
-func TestNoFrontObeysAnOldConfigForLong(t *testing.T) {
+func TestNoFrontUsesAnOldConfigForLong(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 2}, func(t *testing.T, cluster *Cluster) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -157,14 +157,14 @@
 				cluster.Network.Isolate(isolated.Host)
 			}
 			path := fmt.Sprintf("/plain-%d", round)
-			if err := cluster.PutConfig(strings.ReplaceAll(Rules, `lookup: {serves: "plain", table: "plain", path: "/plain"`, `lookup: {serves: "plain", table: "plain", path: "`+path+`"`)); err != nil {
+			if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `lookup: {serves: "plain", table: "plain", path: "/plain"`, `lookup: {serves: "plain", table: "plain", path: "`+path+`"`)); err != nil {
 				t.Fatal(err)
 			}
 			acknowledged := time.Now()
 			<-time.After(2500 * time.Millisecond)
 			cluster.Network.Rejoin(isolated.Host)
 			for _, control := range cluster.Controls {
-				cluster.Network.Mend(control.Host, isolated.Host)
+				cluster.Network.Heal(control.Host, isolated.Host)
 			}
 			<-time.After(1500 * time.Millisecond)
 			seen := 0
@@ -204,7 +204,7 @@
 	})
 }
 
-func TestAColdRunnerIsNotFlooded(t *testing.T) {
+func TestWarmingUpRunnerIsNotFlooded(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		stop := cluster.callers(12 * time.Millisecond)
 		defer stop()
@@ -216,9 +216,9 @@
 			}
 		})
 		<-time.After(2 * time.Second)
-		before := cold.Runner.TakeMostOut()
+		before := cold.Runner.TakeMaxInFlight()
 		<-time.After(3 * time.Second)
-		most := cold.Runner.TakeMostOut()
+		most := cold.Runner.TakeMaxInFlight()
 		t.Logf("most queries at once: %d warm, %d cold", before, most)
 		if before < 3 {
 			t.Fatalf("only %d queries at once before: the runner was never crowded", before)
@@ -229,12 +229,12 @@
 	})
 }
 
-func TestTheRosterPollHonoursThrottling(t *testing.T) {
+func TestRunnerListPollHonoursThrottling(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		cluster.Platform.SetThrottle(2 * time.Second)
-		asksBefore, _ := cluster.Platform.Asks()
+		asksBefore, _ := cluster.Platform.Polls()
 		<-time.After(20 * time.Second)
-		asks, refused := cluster.Platform.Asks()
+		asks, refused := cluster.Platform.Polls()
 		if refused == 0 || asks-asksBefore > 18 {
 			t.Fatalf("%d polls in 20 s, %d refused", asks-asksBefore, refused)
 		}
@@ -245,7 +245,7 @@
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		type result struct {
 			allowance int
-			changed   Changed
+			changed   ChangeResult
 		}
 		var acknowledged []result
 		for round := range 12 {
@@ -294,13 +294,13 @@
 	})
 }
 
-// TestARunnerThatRestartsColdIsNotFlooded restarts a runner under a crowd while the
+// TestRestartedRunnerWarmsUpWithoutFlood restarts a runner under a crowd while the
 // platform's list goes on calling it serving, and lets a front come and go meanwhile.
 // Refusals and lost connections alone must bring its limit down, at every front.
-func TestARunnerThatRestartsColdIsNotFlooded(t *testing.T) {
+func TestRestartedRunnerWarmsUpWithoutFlood(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 4, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		const ramp, bears, cold = 4 * time.Second, 6, 1
-		if err := cluster.PutConfig(strings.ReplaceAll(Rules, `small: {concurrency: 16, cold_concurrency: 2, ramp: "1s"}`, `small: {concurrency: 6, cold_concurrency: 1, ramp: "4s"}`)); err != nil {
+		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `small: {concurrency: 16, cold_concurrency: 2, ramp: "1s"}`, `small: {concurrency: 6, cold_concurrency: 1, ramp: "4s"}`)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(6 * time.Second)
@@ -308,14 +308,14 @@
 		defer stop()
 		<-time.After(3 * time.Second)
 		runner, random := cluster.Runners[0], cluster.Random(17)
-		if before := runner.Runner.TakeMostOut(); before < bears/2 || before > bears {
+		if before := runner.Runner.TakeMaxInFlight(); before < bears/2 || before > bears {
 			t.Fatalf("%d queries at once before, of %d: nothing is tested", before, bears)
 		}
 		for round := range 2 {
-			runner.Leave()
+			runner.Stop()
 			<-time.After(time.Duration(300+random.IntN(1500)) * time.Millisecond)
-			runner.Runner.TakeMostOut()
-			if err := runner.Return(cluster); err != nil {
+			runner.Runner.TakeMaxInFlight()
+			if err := runner.Start(cluster); err != nil {
 				t.Fatal(err)
 			}
 			if round > 0 {
@@ -327,14 +327,14 @@
 			}
 			for step := range 10 {
 				<-time.After(ramp / 20)
-				most := runner.Runner.TakeMostOut()
+				most := runner.Runner.TakeMaxInFlight()
 				bound := cold + (bears-cold)*(step+1)/20 + 1 // the ramp starts with the first answer
 				if most > bound {
 					t.Fatalf("round %d: %d queries at once %s after the return, which bears %d", round, most, time.Duration(step+1)*ramp/20, bound)
 				}
 			}
 			<-time.After(ramp)
-			if most := runner.Runner.TakeMostOut(); most < bears/2 || most > bears {
+			if most := runner.Runner.TakeMaxInFlight(); most < bears/2 || most > bears {
 				t.Fatalf("round %d: %d queries at once after the ramp, of %d", round, most, bears)
 			}
 		}
@@ -355,12 +355,12 @@
 			answers <- answer
 		}()
 		<-time.After(200 * time.Millisecond) // admitted, and waiting for its line
-		if err := cluster.PutConfig(strings.ReplaceAll(Rules, `receipt: {serves: "plain", table: "plain", path: "/plain"`, `receipt: {serves: "plain", table: "plain", path: "/plain-new"`)); err != nil {
+		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `receipt: {serves: "plain", table: "plain", path: "/plain"`, `receipt: {serves: "plain", table: "plain", path: "/plain-new"`)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(2500 * time.Millisecond)
 		for _, store := range cluster.Stores {
-			cluster.Network.Mend(front.Host, store.Host)
+			cluster.Network.Heal(front.Host, store.Host)
 		}
 		if answer := <-answers; answer == nil || answer.Status != http.StatusOK {
 			t.Fatalf("%+v", answer)
@@ -379,14 +379,14 @@
 	})
 }
 
-// TestUrgentWorkPassesACrowd sends what runners bear, then twice and five times as
+// TestUrgentWorkPassesTrafficSpike sends what runners bear, then twice and five times as
 // much of a team's long lookups. Urgent work and another team keep their places, what
 // can't be served is refused with when to come back, as much is done as before, and
 // the queue is gone soon after the crowd.
-func TestUrgentWorkPassesACrowd(t *testing.T) {
+func TestUrgentWorkPassesTrafficSpike(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 1, Applications: 2}, func(t *testing.T, cluster *Cluster) {
 		rules := strings.NewReplacer("kinds: {\n", "kinds: {\n\talarm: {serves: \"plain\", table: \"plain\", path: \"/plain\", urgency: \"urgent\", patience: \"5s\"}\n",
-			"platform:", "limits: {queue: 20, queue_patience: \"2500ms\"}\nplatform:").Replace(Rules)
+			"platform:", "limits: {queue: 20, queue_patience: \"2500ms\"}\nplatform:").Replace(BasicConfig)
 		if err := cluster.PutConfig(rules); err != nil {
 			t.Fatal(err)
 		}
--- a/proof/simulator/catchup_test.go
+++ b/proof/simulator/catchup_test.go
@@ -144,7 +144,7 @@
 			while := time.Duration(random.IntN(1500)) * time.Millisecond
 			<-time.After(while)
 			machine.Kill()
-			cluster.eachOtherControl(machine, func(other *Machine) { cluster.Network.Mend(other.Host, machine.Host) })
+			cluster.eachOtherControl(machine, func(other *Machine) { cluster.Network.Heal(other.Host, machine.Host) })
 			cluster.catchUp(t, fmt.Sprintf("control node %d, killed after %s", round%len(cluster.Controls), while), machine, revision)
 		}
 	})
--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -18,9 +18,9 @@
 )
 
 // dialogues starts conversations that a test follows up later.
-func (cluster *Cluster) dialogues(t *testing.T, count int) []*Said {
+func (cluster *Cluster) dialogues(t *testing.T, count int) []*StreamedAnswer {
 	t.Helper()
-	said := []*Said{}
+	said := []*StreamedAnswer{}
 	for round := range count {
 		answer, err := cluster.Turn(cluster.Fronts[round%len(cluster.Fronts)], map[string]any{"program": "dialogue", "kind": "talk", "words": fmt.Sprintf("before %d", round)})
 		if err != nil {
@@ -32,11 +32,11 @@
 }
 
 // followUp follows each conversation; the model must hear what was said.
-func (cluster *Cluster) followUp(t *testing.T, said []*Said) {
+func (cluster *Cluster) followUp(t *testing.T, said []*StreamedAnswer) {
 	t.Helper()
 	for position, before := range said {
 		question := fmt.Sprintf("after %d", position)
-		var after *Said
+		var after *StreamedAnswer
 		err := cluster.Await(15*time.Second, "follow-up", func() (err error) {
 			after, err = cluster.Turn(cluster.Fronts[position%len(cluster.Fronts)], map[string]any{"conversation": before.Conversation, "follows": before.Turn, "kind": "talk", "words": question})
 			if errorKind(err) == "not_found" {
@@ -73,7 +73,7 @@
 
 func TestAConfigOutlivesTheLossOfAllControlDisks(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		if err := cluster.PutConfig(strings.ReplaceAll(Rules, "allowance: 60", "allowance: 61")); err != nil {
+		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, "allowance: 60", "allowance: 61")); err != nil {
 			t.Fatal(err)
 		}
 		before, err := cluster.fleet()
@@ -113,7 +113,7 @@
 		if err := cluster.Stores[0].Start(); err != nil {
 			t.Fatal(err)
 		}
-		if err := cluster.PutConfig(strings.ReplaceAll(Rules, "allowance: 60", "allowance: 62")); err != nil {
+		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, "allowance: 60", "allowance: 62")); err != nil {
 			t.Fatal(err)
 		}
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
@@ -122,7 +122,7 @@
 	})
 }
 
-func TestAllThreeSeedMachinesAreExchangedOneAfterAnother(t *testing.T) {
+func TestAllThreeSeedMachinesAreReplacedOneAfterAnother(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		said := cluster.dialogues(t, 3)
 		for index := range 3 {
@@ -188,7 +188,7 @@
 		if err := cluster.Fronts[0].Start(); err != nil {
 			t.Fatal(err)
 		}
-		if err := cluster.PutConfig(Rules + "// exchanged\n"); err != nil {
+		if err := cluster.PutConfig(BasicConfig + "// exchanged\n"); err != nil {
 			t.Fatal(err)
 		}
 		cluster.followUp(t, said)
@@ -247,7 +247,7 @@
 	return count
 }
 
-func TestAStoreIsAddedAndAnotherRetiredWhileTurnsRun(t *testing.T) {
+func TestStoreIsAddedAndAnotherDecommissionedWhileTurnsRun(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		said := cluster.dialogues(t, 6)
 		<-time.After(6 * time.Second)
@@ -314,17 +314,17 @@
 	})
 }
 
-func TestRottenColdCopiesAreMendedFromPeers(t *testing.T) {
+func TestDamagedArchivesAreRepairedFromPeers(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		said := cluster.dialogues(t, 4)
 		<-time.After(6 * time.Second)
 		rotten := cluster.Stores[0]
-		names, err := rotten.Cold.List()
+		names, err := rotten.Archive.List()
 		if err != nil || len(names) == 0 {
 			t.Fatalf("nothing was archived: %v", err)
 		}
 		for position, name := range names {
-			rotten.Cold.FlipBit(name, []int{40, -30}[position%2]) // an index, or a chunk
+			rotten.Archive.FlipBit(name, []int{40, -30}[position%2]) // an index, or a chunk
 		}
 		rotten.Kill()
 		if err := rotten.Start(); err != nil {
@@ -332,8 +332,8 @@
 		}
 		<-time.After(25 * time.Second) // a scrub, and a repair round after it
 		for _, other := range cluster.Stores[1:] {
-			for _, name := range func() []string { names, _ := other.Cold.List(); return names }() {
-				other.Cold.FlipBit(name, -30)
+			for _, name := range func() []string { names, _ := other.Archive.List(); return names }() {
+				other.Archive.FlipBit(name, -30)
 			}
 		}
 		// Only the mended copy is whole now.
@@ -341,7 +341,7 @@
 	})
 }
 
-func TestADomainIsLostAndComesBackWithACrowd(t *testing.T) {
+func TestDomainIsLostAndComesBackWithTrafficSpike(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 3, Models: 3, Applications: 3}, func(t *testing.T, cluster *Cluster) {
 		said := cluster.dialogues(t, 6)
 		lost := []*Machine{}
@@ -360,7 +360,7 @@
 		t.Logf("serving %s after the loss", time.Since(began))
 		stop := cluster.callers(40 * time.Millisecond)
 		cluster.followUp(t, said[:3])
-		if err := cluster.PutConfig(Rules + "// without a domain\n"); err != nil {
+		if err := cluster.PutConfig(BasicConfig + "// without a domain\n"); err != nil {
 			t.Fatal(err)
 		}
 		for _, machine := range lost {
@@ -502,7 +502,7 @@
 		moved := cluster.Stores[0]
 		moved.Kill()
 		foreign := other.AddStore(7)
-		foreign.Disk, foreign.Cold = moved.Disk, moved.Cold
+		foreign.Disk, foreign.Archive = moved.Disk, moved.Archive
 		if err := foreign.Start(); err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/proof/simulator/chaos_checks_test.go
@@ -0,0 +1,287 @@
+package simulator
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"yardrock.example/proof/standin"
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/forwarding"
+)
+
+// execution is a run with the life that ran it.
+type execution struct {
+	standin.Execution
+	life *runnerLife
+}
+
+// violation tells of a broken rule.
+func (chaos *chaosRun) violation(rule, text string, values ...any) {
+	chaos.t.Errorf("%s: %s", rule, fmt.Sprintf(text, values...))
+}
+
+// touch tells whether a front was in touch at a moment.
+func (chaos *chaosRun) touch(life *frontLife, at time.Time) bool {
+	from := at.Add(-inTouch)
+	return !slices.ContainsFunc(chaos.outages, func(one *outageSpan) bool {
+		return (one.where == "core" || one.where == life.machine.Host) && one.from.Before(at) && (one.to.IsZero() || one.to.After(from))
+	})
+}
+
+// services gives the services that an order's routing allows a path to go to; found is
+// false if it has no route for it.
+func (order *routingChange) services(path string) (services []string, found bool) {
+	route, found := order.judged.Match(RoutedHost, path)
+	if !found {
+		return nil, false
+	}
+	for _, share := range route.Shares {
+		services = append(services, share.Service)
+	}
+	return services, true
+}
+
+func mayRepeat(query forwarding.Request) bool {
+	return !strings.HasPrefix(query.Path, "/order/") && !strings.HasPrefix(query.Path, "/talk/kept/")
+}
+
+func (chaos *chaosRun) check() {
+	chaos.mutex.Lock()
+	defer chaos.mutex.Unlock()
+	runs := map[string][]execution{}
+	for _, life := range chaos.runners {
+		for _, one := range life.engine.Executions() {
+			runs[one.Query] = append(runs[one.Query], execution{one, life})
+		}
+		chaos.checkWarmUp(life)
+	}
+	for name, ran := range runs {
+		asked, found := chaos.asked[name]
+		if !found {
+			if !strings.HasPrefix(name, "ready-") {
+				chaos.violation("UNASKED", "%s ran and was never asked", name)
+			}
+			continue
+		}
+		for _, one := range ran {
+			chaos.checkExecution(asked, one)
+		}
+	}
+	spent, served, all := map[string]uint64{}, 0, 0
+	for name, asked := range chaos.asked {
+		if asked.answer == nil {
+			chaos.violation("LOST", "%s was never ended", name)
+			continue
+		}
+		slices.SortFunc(runs[name], func(left, right execution) int { return left.At.Compare(right.At) })
+		chaos.checkAnswer(asked, runs[name])
+		if asked.query.HasOutputBudget {
+			spent[asked.query.Program] += 4 * uint64(strings.Count(string(asked.answer.Body), "data: "))
+		}
+		if !strings.HasPrefix(asked.query.Path, "/only-") {
+			if all++; asked.answer.Complete() {
+				served++
+			}
+		}
+	}
+	for name, tokens := range spent {
+		if tokens > chaos.budgets[name]+turnTokens {
+			chaos.violation("BUDGET", "%s was handed %d tokens of %d", name, tokens, chaos.budgets[name])
+		}
+	}
+	chaos.checkRefilled(runs)
+	turned := 0
+	for _, life := range chaos.runners {
+		turned += life.engine.Misdirected()
+	}
+	chaos.t.Logf("%d of %d tries were served, %d programs, %d routings, %d runners, %d misdirected", served, all, len(spent), len(chaos.orders), len(chaos.runners), turned)
+	if all < 500 || served*2 < all {
+		chaos.violation("RECOVER", "only %d of %d tries were served", served, all)
+	}
+}
+
+// checkWarmUp counts what came to a cold runner in every second.
+func (chaos *chaosRun) checkWarmUp(life *runnerLife) {
+	came := life.engine.Arrivals()
+	for first := range came {
+		at := slices.IndexFunc(life.warmingUp, func(span warmUpSpan) bool {
+			return !came[first].Before(span.judged) && came[first].Add(time.Second).Before(span.until)
+		})
+		last := first
+		for last < len(came) && came[last].Sub(came[first]) < time.Second {
+			last++
+		}
+		if at >= 0 && last-first > warmUpMax {
+			chaos.violation("FAILBACK", "runner %s of %s, cold since %s (listed at %s), got %d in a second from %s on", life.engine.Life, life.group,
+				life.warmingUp[at].from.Format("05.000"), life.listedAt.Format("05.000"), last-first, came[first].Format("05.000"))
+			return
+		}
+	}
+}
+
+// checkExecution judges one run of a query that was asked.
+func (chaos *chaosRun) checkExecution(asked *sentRequest, one execution) {
+	query, name := asked.query, asked.query.Name
+	want := asked.chain + string(query.Body)
+	if !strings.HasPrefix(query.Path, "/talk/kept/") {
+		want = string(query.Body)
+	}
+	if one.Method != query.Method || one.Target != query.Path || one.Body != want || one.Header.Get("X-Other") != "goes along" {
+		chaos.violation("UNASKED", "%s ran as %s %s %q, want %s %s %q", name, one.Method, one.Target, one.Body, query.Method, query.Path, want)
+	}
+	allowed := false
+	for _, order := range chaos.orders {
+		services, _ := order.services(pathOf(query))
+		allowed = allowed || !order.refused && order.sent.Before(one.At) && slices.Contains(services, one.life.group)
+	}
+	if !allowed {
+		chaos.violation("ROUTE", "%s %s ran at a runner of %s, which no routing allows", name, query.Path, one.life.group)
+	}
+	touch := chaos.touch(asked.front, one.At)
+	if left := one.life.leavingAt; touch && !left.IsZero() && one.At.Sub(left) > drainBound {
+		chaos.violation("DRAIN", "%s ran at %s %s after it was leaving", name, one.life.engine.Life, one.At.Sub(left))
+	}
+	for _, span := range chaos.drained {
+		if touch && span.domain == one.life.machine.Domain && one.At.Sub(span.drained) > drainedDomainBound && one.At.Before(span.refilled) {
+			chaos.violation("EVAC", "%s ran in %s %s after it was emptied", name, span.domain, one.At.Sub(span.drained))
+		}
+	}
+	if chaos.touch(asked.front, asked.at) && touch && !chaos.obeys(asked, one.At, func(services []string, found bool) bool {
+		return found && slices.Contains(services, one.life.group)
+	}) {
+		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, query.Path, asked.at.Format("05.000"), one.life.group)
+	}
+}
+
+// obeys tells whether a routing that is to be obeyed handles a query that way.
+func (chaos *chaosRun) obeys(asked *sentRequest, ended time.Time, way func(services []string, found bool) bool) bool {
+	floor := uint64(0)
+	for _, order := range chaos.orders {
+		if !order.acked.IsZero() && asked.at.Sub(order.acked) > applyBound {
+			floor = max(floor, order.revision)
+		}
+	}
+	return slices.ContainsFunc(chaos.orders, func(order *routingChange) bool {
+		services, found := order.services(pathOf(asked.query))
+		return order.revision >= floor && !order.refused && order.sent.Before(ended) && way(services, found)
+	})
+}
+
+// checkAnswer judges what a caller got.
+func (chaos *chaosRun) checkAnswer(asked *sentRequest, runs []execution) {
+	query, name, answer := asked.query, asked.query.Name, asked.answer
+	if !mayRepeat(query) {
+		if len(runs) > 1 {
+			chaos.violation("TWICE", "%s %s ran %d times", name, query.Path, len(runs))
+		}
+		if answer.Rejected() && len(runs) > 0 {
+			chaos.violation("REFUSED", "%s %s was refused (%v) and ran", name, query.Path, answer.Err)
+		}
+	}
+	if apierror.Is(answer.Err, apierror.QuotaExhausted) {
+		chaos.checkExhausted(asked, runs)
+	}
+	if apierror.Is(answer.Err, apierror.NotFound) && answer.Status == 0 {
+		chaos.checkNotFound(asked, runs)
+	}
+	if answer.Status != 0 {
+		chaos.checkBody(asked, runs)
+	}
+	// What was under way when its front began to leave in order is answered whole.
+	if left := asked.front.left; !left.IsZero() && asked.at.Before(left) && asked.back.After(left) && answer.Err != nil && len(runs) > 0 && !asked.left &&
+		chaos.touch(asked.front, asked.at) && chaos.touch(asked.front, asked.back) && asked.back.Before(query.Deadline.Add(-500*time.Millisecond)) &&
+		!slices.ContainsFunc(runs, func(one execution) bool { return one.Fault != standin.NoFault || !one.life.endedAt.IsZero() }) {
+		chaos.violation("LOST", "%s %s was broken off while its front left in order: %v", name, query.Path, answer.Err)
+	}
+}
+
+func (chaos *chaosRun) checkExhausted(asked *sentRequest, runs []execution) {
+	if len(runs) > 0 {
+		chaos.violation("REFUSED", "%s was refused for its allowance and ran", asked.query.Name)
+	}
+	most := uint64(0)
+	for _, other := range chaos.asked {
+		if other.query.Program == asked.query.Program && other.query.HasOutputBudget && !other.at.After(asked.back) {
+			most += turnTokens
+		}
+	}
+	if most <= asked.query.OutputBudget {
+		chaos.violation("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", asked.query.Name, asked.query.OutputBudget, most)
+	}
+}
+
+func (chaos *chaosRun) checkNotFound(asked *sentRequest, runs []execution) {
+	name, path := asked.query.Name, asked.query.Path
+	if strings.HasPrefix(path, "/talk/") || strings.HasPrefix(path, "/lookup/") || strings.HasPrefix(path, "/order/") {
+		if followed := chaos.asked[asked.query.Follows]; followed != nil {
+			chaos.violation("LOST", "%s: %s, answered whole at %s, is told unknown at %s: %v", name, asked.query.Follows, followed.back.Format("05.000"), asked.back.Format("05.000"), asked.answer.Err)
+		} else {
+			chaos.violation("DENIED", "%s %s has a route: %v", name, path, asked.answer.Err)
+		}
+		return
+	}
+	if len(runs) > 0 {
+		chaos.violation("DENIED", "%s %s ran and was told to have no route", name, path)
+	}
+	if chaos.touch(asked.front, asked.at) && chaos.touch(asked.front, asked.back) && !chaos.obeys(asked, asked.back, func(_ []string, found bool) bool { return !found }) {
+		chaos.violation("CONFIG", "%s %s, asked at %s, was told to have no route, as only an older routing allows", name, path, asked.at.Format("05.000"))
+	}
+}
+
+// checkBody holds an answer that began against what its runners did.
+func (chaos *chaosRun) checkBody(asked *sentRequest, runs []execution) {
+	query, name, answer := asked.query, asked.query.Name, asked.answer
+	seal := answer.Header.Get("Seal")
+	at := slices.IndexFunc(runs, func(one execution) bool { return one.life.engine.Life+"/"+name == seal })
+	if at < 0 {
+		chaos.violation("MIXED", "%s was answered %d under the seal %q", name, answer.Status, seal)
+		return
+	}
+	first := runs[at]
+	status := map[standin.Fault]int{standin.FaultServerError: http.StatusInternalServerError, standin.FaultUnprocessable: http.StatusUnprocessableEntity}[first.Fault]
+	if status == 0 {
+		status = http.StatusOK
+	}
+	if answer.Status != status || first.Fault == standin.FaultWrongName || first.Fault == standin.FaultGarbledAnswer || first.Fault == standin.FaultLoseAnswer {
+		chaos.violation("MIXED", "%s was answered %d by a runner that %s", name, answer.Status, first.Fault)
+	}
+	want := "done " + name
+	switch {
+	case status != http.StatusOK:
+		want = ""
+	case strings.HasPrefix(query.Path, "/talk/") && first.Fault != standin.FaultPlainAnswer && first.Fault != standin.FaultExtraAnswer:
+		want = streamOf(first.Body)
+	}
+	if !strings.HasPrefix(want, string(answer.Body)) || answer.Err == nil && string(answer.Body) != want {
+		chaos.violation("ORDER", "%s was answered (%v)\n%s\nwant\n%s", name, answer.Err, answer.Body, want)
+	}
+}
+
+// checkRefilled tells of fronts that went back to an older routing: a route that only one
+// routing has tells which is in force.
+func (chaos *chaosRun) checkRefilled(runs map[string][]execution) {
+	for _, front := range chaos.fronts {
+		seen, seenAt := uint64(0), time.Time{}
+		probes := []*sentRequest{}
+		for _, asked := range chaos.asked {
+			if asked.front == front && strings.HasPrefix(asked.query.Path, "/only-") && asked.answer != nil {
+				probes = append(probes, asked)
+			}
+		}
+		slices.SortFunc(probes, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
+		for _, asked := range probes {
+			var revision uint64
+			fmt.Sscanf(asked.query.Path, "/only-%d/", &revision)
+			ran := runs[asked.query.Name]
+			if len(ran) > 0 && revision < seen && asked.at.Sub(seenAt) > answerSlack {
+				chaos.violation("CONFIG", "%s goes back from %d to %d: %s ran", front.machine.Host, seen, revision, asked.query.Name)
+			}
+			if len(ran) > 0 && revision > seen {
+				seen, seenAt = revision, ran[0].At
+			}
+		}
+	}
+}
--- /dev/null
+++ b/proof/simulator/chaos_faults_test.go
@@ -0,0 +1,411 @@
+package simulator
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"yardrock.example/system/forwarding"
+)
+
+// begin puts the first routing in force, and awaits that all fronts serve.
+func (chaos *chaosRun) begin() {
+	cluster := chaos.cluster
+	chaos.mutex.Lock()
+	for _, machine := range cluster.Engines {
+		chaos.runners = append(chaos.runners, &runnerLife{machine: machine, engine: machine.Engine, group: machine.Group, listed: true, listedAt: time.Now()})
+	}
+	chaos.mutex.Unlock()
+	for _, group := range []string{"others", "others", "others"} {
+		chaos.startRunner("", group, domain(len(chaos.runners)), 0)
+	}
+	if !chaos.changeRouting(cluster.Random(59), 0, 1, false) {
+		chaos.t.Fatal("the first routing is not acknowledged")
+	}
+	if err := cluster.AwaitForwarding(10 * time.Second); err != nil {
+		chaos.t.Fatal(err)
+	}
+	for _, machine := range cluster.Fronts {
+		chaos.adopt(machine)
+	}
+}
+
+// machineFaults lets one machine after another go wrong.
+func (chaos *chaosRun) machineFaults(random *rand.Rand, until time.Time) {
+	faults := []struct {
+		name   string
+		strike func(random *rand.Rand)
+	}{
+		{"front killed", chaos.killFront}, {"front frozen", chaos.freezeFront}, {"front drained", chaos.drainFront}, {"front drained", chaos.drainFront}, {"front cut off", chaos.isolateFront},
+		{"store killed", chaos.killStore}, {"store without power", chaos.powerStore}, {"store wiped", chaos.wipeStore}, {"disk full", chaos.fillStore}, {"disk stalled", chaos.stallStore},
+		{"store cut off", chaos.isolateStore}, {"store added", chaos.addStore}, {"store retired", chaos.retireStore}, {"store replaced", chaos.replaceStore},
+		{"control killed", chaos.killControl}, {"control cut off", chaos.isolateControl}, {"control cut one way", chaos.cutControl}, {"control wiped", chaos.wipeControl}, {"control replaced", chaos.replaceControl},
+		{"all controls lost", chaos.loseControls},
+	}
+	for time.Now().Before(until) {
+		<-time.After(time.Duration(500+random.IntN(6000)) * time.Millisecond)
+		one := faults[random.IntN(len(faults))]
+		chaos.t.Logf("%s: %s", time.Now().Format("05.000"), one.name)
+		one.strike(random)
+	}
+	chaos.t.Logf("%s: the machines' trouble ends", time.Now().Format("05.000"))
+}
+
+func while(random *rand.Rand, least, most time.Duration) {
+	<-time.After(least + time.Duration(random.Int64N(int64(most-least))))
+}
+
+func (chaos *chaosRun) someFront(random *rand.Rand) (*Machine, func()) {
+	machine := chaos.cluster.Fronts[random.IntN(len(chaos.cluster.Fronts))]
+	return machine, chaos.note(machine.Host)
+}
+
+func (chaos *chaosRun) killFront(random *rand.Rand) {
+	machine, end := chaos.someFront(random)
+	defer end()
+	chaos.endFront(machine)
+	while(random, 50*time.Millisecond, 2*time.Second)
+	chaos.startFront(machine)
+}
+
+func (chaos *chaosRun) freezeFront(random *rand.Rand) {
+	machine, end := chaos.someFront(random)
+	defer end()
+	chaos.cluster.Network.Freeze(machine.Host)
+	while(random, 100*time.Millisecond, 5*time.Second)
+	chaos.cluster.Network.Thaw(machine.Host)
+}
+
+func (chaos *chaosRun) isolateFront(random *rand.Rand) {
+	machine, end := chaos.someFront(random)
+	defer end()
+	chaos.cluster.Network.Isolate(machine.Host)
+	while(random, 500*time.Millisecond, 6*time.Second)
+	chaos.cluster.Network.Rejoin(machine.Host)
+}
+
+// drainFront ends a front in order, as its face does, and starts it again.
+func (chaos *chaosRun) drainFront(random *rand.Rand) {
+	machine := chaos.cluster.Fronts[random.IntN(len(chaos.cluster.Fronts))]
+	chaos.mutex.Lock()
+	var life *frontLife
+	for _, one := range chaos.fronts {
+		if one.machine == machine && !one.dead.Load() {
+			life = one
+		}
+	}
+	life.left = time.Now()
+	chaos.mutex.Unlock()
+	life.leaving.Store(true)
+	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
+	for life.open.Load() > 0 && ctx.Err() == nil {
+		<-time.After(20 * time.Millisecond)
+	}
+	machine.Front.Drain(ctx)
+	cancel()
+	defer chaos.note(machine.Host)()
+	chaos.endFront(machine)
+	while(random, 50*time.Millisecond, time.Second)
+	chaos.startFront(machine)
+}
+
+// coreFault does something to the core, and ends the trouble once all is whole again.
+func (chaos *chaosRun) coreFault(strike func(), heals bool) {
+	defer chaos.note("core")()
+	strike()
+	if heals {
+		chaos.cluster.awaitHealed(chaos.t)
+		if err := chaos.cluster.Await(20*time.Second, "groups whole", func() error { return chaos.cluster.viewReplicasAre(chaos.cluster.Stores...) }); err != nil {
+			chaos.t.Error(err)
+		}
+	}
+}
+
+func (chaos *chaosRun) someStore(random *rand.Rand) (int, *Machine) {
+	at := random.IntN(len(chaos.cluster.Stores))
+	return at, chaos.cluster.Stores[at]
+}
+
+func (chaos *chaosRun) mustStart(machine *Machine) {
+	if err := machine.Start(); err != nil {
+		chaos.t.Errorf("%s does not start: %v", machine.Host, err)
+	}
+}
+
+func (chaos *chaosRun) killStore(random *rand.Rand) {
+	_, store := chaos.someStore(random)
+	chaos.coreFault(func() { store.Kill(); while(random, 50*time.Millisecond, 3*time.Second); chaos.mustStart(store) }, false)
+}
+
+func (chaos *chaosRun) powerStore(random *rand.Rand) {
+	_, store := chaos.someStore(random)
+	chaos.coreFault(func() { store.LosePower(); while(random, 50*time.Millisecond, 3*time.Second); chaos.mustStart(store) }, false)
+}
+
+func (chaos *chaosRun) wipeStore(random *rand.Rand) {
+	_, store := chaos.someStore(random)
+	chaos.coreFault(func() {
+		store.Kill()
+		store.Wipe()
+		while(random, 50*time.Millisecond, 2*time.Second)
+		chaos.mustStart(store)
+	}, true)
+}
+
+func (chaos *chaosRun) fillStore(random *rand.Rand) {
+	_, store := chaos.someStore(random)
+	chaos.coreFault(func() {
+		store.Disk.Fill(true)
+		while(random, 500*time.Millisecond, 4*time.Second)
+		store.Disk.Fill(false)
+	}, false)
+}
+
+func (chaos *chaosRun) stallStore(random *rand.Rand) {
+	_, store := chaos.someStore(random)
+	chaos.coreFault(func() { store.Disk.Stall(); while(random, 500*time.Millisecond, 4*time.Second); store.Disk.Resume() }, false)
+}
+
+func (chaos *chaosRun) isolateStore(random *rand.Rand) {
+	_, store := chaos.someStore(random)
+	chaos.coreFault(func() {
+		chaos.cluster.Network.Isolate(store.Host)
+		while(random, 500*time.Millisecond, 4*time.Second)
+		chaos.cluster.Network.Rejoin(store.Host)
+	}, false)
+}
+
+func (chaos *chaosRun) freshStore(near string) *Machine {
+	chaos.hosts++
+	fresh := chaos.cluster.AddStore(chaos.hosts)
+	fresh.Domain = near
+	return fresh
+}
+
+func (chaos *chaosRun) addStore(*rand.Rand) {
+	if len(chaos.cluster.Stores) > 4 {
+		return
+	}
+	chaos.coreFault(func() {
+		fresh := chaos.freshStore(domain(len(chaos.cluster.Stores)))
+		chaos.mustStart(fresh)
+		chaos.cluster.Stores = append(chaos.cluster.Stores, fresh)
+	}, false)
+	<-time.After(5 * time.Second)
+}
+
+func (chaos *chaosRun) retireStore(random *rand.Rand) {
+	if len(chaos.cluster.Stores) < 4 {
+		chaos.addStore(random)
+	}
+	chaos.cluster.awaitHealed(chaos.t)
+	at, store := chaos.someStore(random)
+	machine := "storage " + store.Host
+	if err := chaos.cluster.beginRetire(random.IntN(3), machine); err != nil {
+		chaos.t.Errorf("retiring %s: %v", machine, err)
+		return
+	}
+	chaos.cluster.awaitRetired(chaos.t, machine)
+	chaos.coreFault(func() {
+		store.LosePower()
+		store.Wipe()
+		chaos.cluster.Stores = slices.Delete(slices.Clone(chaos.cluster.Stores), at, at+1)
+	}, false)
+}
+
+func (chaos *chaosRun) replaceStore(random *rand.Rand) {
+	at, store := chaos.someStore(random)
+	chaos.coreFault(func() {
+		store.LosePower()
+		while(random, 50*time.Millisecond, 3*time.Second)
+		fresh := chaos.freshStore(store.Domain)
+		chaos.cluster.Stores[at] = fresh
+		chaos.mustStart(fresh)
+	}, true)
+}
+
+func (chaos *chaosRun) someControl(random *rand.Rand) (int, *Machine) {
+	at := random.IntN(len(chaos.cluster.Controls))
+	return at, chaos.cluster.Controls[at]
+}
+
+func (chaos *chaosRun) killControl(random *rand.Rand) {
+	_, control := chaos.someControl(random)
+	chaos.coreFault(func() {
+		control.LosePower()
+		while(random, 50*time.Millisecond, 4*time.Second)
+		chaos.mustStart(control)
+	}, false)
+}
+
+func (chaos *chaosRun) isolateControl(random *rand.Rand) {
+	_, control := chaos.someControl(random)
+	chaos.coreFault(func() {
+		chaos.cluster.Network.Isolate(control.Host)
+		while(random, 500*time.Millisecond, 4*time.Second)
+		chaos.cluster.Network.Rejoin(control.Host)
+	}, false)
+}
+
+// cutControl lets a control node send to its peers but hear nothing, or the other way
+// round.
+func (chaos *chaosRun) cutControl(random *rand.Rand) {
+	_, control := chaos.someControl(random)
+	hears := random.IntN(2) == 0
+	chaos.coreFault(func() {
+		others := []*Machine{}
+		for _, other := range chaos.cluster.Controls {
+			if other != control {
+				others = append(others, other)
+			}
+		}
+		for _, other := range others {
+			if hears {
+				chaos.cluster.Network.CutOneWay(control.Host, other.Host)
+			} else {
+				chaos.cluster.Network.CutOneWay(other.Host, control.Host)
+			}
+		}
+		while(random, 500*time.Millisecond, 4*time.Second)
+		for _, other := range others {
+			chaos.cluster.Network.Heal(control.Host, other.Host)
+		}
+	}, false)
+}
+
+func (chaos *chaosRun) awaitControls() {
+	if err := chaos.cluster.Await(15*time.Second, "three control nodes that vote", func() error {
+		if voting := chaos.cluster.votingControls(); len(voting) != 3 || slices.ContainsFunc(chaos.cluster.Controls, func(machine *Machine) bool {
+			return !slices.Contains(voting, machine.Host+" "+machine.Control.Name())
+		}) {
+			return fmt.Errorf("voting: %v", voting)
+		}
+		return nil
+	}); err != nil {
+		chaos.t.Error(err)
+	}
+}
+
+func (chaos *chaosRun) wipeControl(random *rand.Rand) {
+	_, control := chaos.someControl(random)
+	chaos.coreFault(func() {
+		control.Kill()
+		control.Wipe()
+		while(random, 50*time.Millisecond, 2*time.Second)
+		chaos.mustStart(control)
+		chaos.awaitControls()
+	}, false)
+}
+
+func (chaos *chaosRun) replaceControl(random *rand.Rand) {
+	at, lost := chaos.someControl(random)
+	chaos.coreFault(func() {
+		lost.LosePower()
+		while(random, 50*time.Millisecond, 2*time.Second)
+		chaos.hosts++
+		fresh := chaos.cluster.AddControl(chaos.hosts)
+		chaos.cluster.Controls[at] = fresh
+		for seed, address := range chaos.cluster.seeds {
+			if hostOf(address) == lost.Host {
+				chaos.cluster.seeds = slices.Clone(chaos.cluster.seeds)
+				chaos.cluster.seeds[seed] = fresh.Host + ":7000"
+			}
+		}
+		chaos.mustStart(fresh)
+		chaos.awaitControls()
+		for _, machine := range chaos.cluster.Fronts { // their settings files change
+			machine.Front.SetSeeds(chaos.cluster.seeds)
+		}
+	}, false)
+}
+
+// loseControls loses all control nodes at once. If their disks are lost too, their
+// operators found them anew, and what was acknowledged comes from the stores.
+func (chaos *chaosRun) loseControls(random *rand.Rand) {
+	wiped := random.IntN(2) == 0
+	chaos.coreFault(func() {
+		for _, control := range chaos.cluster.Controls {
+			control.LosePower()
+			if wiped {
+				control.Wipe()
+			}
+		}
+		chaos.founds.Store(wiped)
+		while(random, 100*time.Millisecond, 5*time.Second)
+		for _, control := range chaos.cluster.Controls {
+			chaos.mustStart(control)
+		}
+		chaos.awaitControls()
+		chaos.founds.Store(false)
+	}, false)
+}
+
+// outage ends the day: all machines lose power at once, and come back. From recoverBound
+// on, what is asked is served, and turns that were answered whole are known.
+func (chaos *chaosRun) outage(random *rand.Rand) {
+	chaos.note("core")
+	cluster := chaos.cluster
+	whole := []*sentRequest{}
+	chaos.mutex.Lock()
+	for _, asked := range chaos.asked {
+		if asked.answer != nil && asked.answer.Complete() && strings.HasPrefix(asked.query.Path, "/talk/kept/") && time.Since(asked.back) < 90*time.Second {
+			whole = append(whole, asked)
+		}
+	}
+	newest := uint64(0)
+	for _, one := range chaos.orders {
+		if !one.acked.IsZero() {
+			newest = max(newest, one.revision)
+		}
+	}
+	chaos.mutex.Unlock()
+	slices.SortFunc(whole, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
+	for _, machine := range cluster.Fronts {
+		chaos.endFront(machine)
+	}
+	for _, machine := range slices.Concat(cluster.Controls, cluster.Stores) {
+		machine.LosePower()
+	}
+	while(random, 100*time.Millisecond, 5*time.Second)
+	for _, machine := range slices.Concat(cluster.Controls, cluster.Stores) {
+		chaos.mustStart(machine)
+	}
+	for _, machine := range cluster.Fronts {
+		chaos.startFront(machine)
+	}
+	<-time.After(recoverBound)
+	if read := cluster.mustRead(chaos.t, 6*time.Second); read.Revision < newest {
+		chaos.t.Errorf("LOST: revision %d was acknowledged, %d is read back", newest, read.Revision)
+	}
+	served, all := 0, 0
+	for position, asked := range whole {
+		if position%max(1, len(whole)/60) != 0 {
+			continue
+		}
+		words := fmt.Sprintf("after %d. ", position)
+		program := fmt.Sprintf("after-%d", position)
+		chaos.mutex.Lock()
+		chaos.budgets[program] = 1000
+		chaos.mutex.Unlock()
+		chain := asked.chain + string(asked.query.Body) + asked.answer.Text()
+		query := forwarding.Request{Path: "/talk/kept/1", Follows: asked.query.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
+		on := chaos.attempt(random, query, chain, 4*time.Second, 0)
+		lookup := chaos.attempt(random, forwarding.Request{Method: http.MethodGet, Path: "/lookup/1"}, "", 2*time.Second, 0)
+		for _, one := range []*sentRequest{on, lookup} {
+			if all++; one.answer.Complete() {
+				served++
+			}
+		}
+		if !on.answer.Complete() {
+			chaos.t.Logf("after the outage, on from %s: %v", asked.query.Name, on.answer.Err)
+		}
+	}
+	if served*4 < all*3 {
+		chaos.t.Errorf("RECOVER: %d of %d are served after the outage", served, all)
+	}
+	chaos.t.Logf("after the outage %d of %d are served", served, all)
+}
--- a/proof/simulator/huntorders_test.go
+++ b/proof/simulator/chaos_routing_test.go
@@ -12,8 +12,8 @@
 	"yardrock.example/system/feed"
 )
 
-// routingOrder is a routing as an operator sent it.
-type routingOrder struct {
+// routingChange is a routing as an operator sent it.
+type routingChange struct {
 	revision uint64
 	routing  config.Routing
 	judged   config.Routing // the same, indexed
@@ -45,9 +45,9 @@
 	routing := config.Routing{
 		Revision: revision,
 		Services: []config.Service{
-			{Name: "engines", HealthPath: "/health", MaxConnections: 60, WarmUp: config.Duration(huntColdFor), WarmUpRate: huntColdRate, Engine: &config.Engine{Slots: 32, CacheTokens: 190000, TokensPerEvent: 4}},
-			{Name: "tools", HealthPath: "/health", MaxConnections: 60, WarmUp: config.Duration(huntColdFor), WarmUpRate: huntColdRate},
-			{Name: "others", HealthPath: "/health", MaxConnections: 60, WarmUp: config.Duration(huntColdFor), WarmUpRate: huntColdRate},
+			{Name: "engines", HealthPath: "/health", MaxConnections: 60, WarmUp: config.Duration(warmUpTime), WarmUpRate: warmUpRate, Engine: &config.Engine{Slots: 32, CacheTokens: 190000, TokensPerEvent: 4}},
+			{Name: "tools", HealthPath: "/health", MaxConnections: 60, WarmUp: config.Duration(warmUpTime), WarmUpRate: warmUpRate},
+			{Name: "others", HealthPath: "/health", MaxConnections: 60, WarmUp: config.Duration(warmUpTime), WarmUpRate: warmUpRate},
 		},
 		Routes: []config.Route{
 			kept, chat,
@@ -62,22 +62,22 @@
 
 // order sends a new routing on a base; by amendment if wanted. It tells whether it was
 // acknowledged.
-func (hunt *hunt) order(random *rand.Rand, base, revision uint64, amends bool) bool {
-	hunt.mutex.Lock()
-	one := &routingOrder{revision: revision, routing: routingAt(revision, random), sent: time.Now()}
+func (chaos *chaosRun) changeRouting(random *rand.Rand, base, revision uint64, amends bool) bool {
+	chaos.mutex.Lock()
+	one := &routingChange{revision: revision, routing: routingAt(revision, random), sent: time.Now()}
 	one.judged = one.routing
 	one.judged.BuildIndex()
-	hunt.orders = append(hunt.orders, one)
-	hunt.mutex.Unlock()
+	chaos.orders = append(chaos.orders, one)
+	chaos.mutex.Unlock()
 	digest := fmt.Sprintf("%d-%d", revision, random.Uint64())
-	err := hunt.cluster.order(random.IntN(3), 8*time.Second, func(ctx context.Context, node *controlplane.Node) error {
+	err := chaos.cluster.requestChange(random.IntN(3), 8*time.Second, func(ctx context.Context, node *controlplane.Node) error {
 		if amends {
 			return node.AmendRouting(ctx, "root", base, config.RoutingPatch{Revision: revision, Routes: one.routing.Routes}, digest)
 		}
 		return node.ReplaceRouting(ctx, "root", base, one.routing, digest)
 	})
-	hunt.mutex.Lock()
-	defer hunt.mutex.Unlock()
+	chaos.mutex.Lock()
+	defer chaos.mutex.Unlock()
 	if err == nil {
 		one.acked = time.Now()
 	}
@@ -87,16 +87,16 @@
 
 // operate changes the routing, alone or with another operator at the same time, and
 // empties and refills domains.
-func (hunt *hunt) operate(random *rand.Rand, until time.Time) {
+func (chaos *chaosRun) operate(random *rand.Rand, until time.Time) {
 	base, newest := uint64(1), uint64(1)
 	for time.Now().Before(until) {
 		<-time.After(time.Duration(500+random.IntN(3500)) * time.Millisecond)
 		if random.IntN(4) == 0 {
-			hunt.empty(random)
+			chaos.drainDomain(random)
 			continue
 		}
 		var read *config.Routing
-		err := hunt.cluster.order(random.IntN(3), 3*time.Second, func(ctx context.Context, node *controlplane.Node) (err error) {
+		err := chaos.cluster.requestChange(random.IntN(3), 3*time.Second, func(ctx context.Context, node *controlplane.Node) (err error) {
 			read, err = node.ReadRouting(ctx)
 			return err
 		})
@@ -104,7 +104,7 @@
 			continue
 		}
 		if read.Revision < base {
-			hunt.t.Errorf("CONFIG: revision %d was read back after %d was acknowledged", read.Revision, base)
+			chaos.t.Errorf("CONFIG: revision %d was read back after %d was acknowledged", read.Revision, base)
 		}
 		base = read.Revision
 		count := 1 + random.IntN(3)/2
@@ -112,7 +112,7 @@
 		for range count {
 			newest = max(newest, base) + 1 + uint64(random.IntN(3))
 			seed, revision := random.Uint64(), newest
-			go func() { told <- hunt.order(rand.New(rand.NewPCG(seed, 3)), base, revision, seed%2 == 0) }()
+			go func() { told <- chaos.changeRouting(rand.New(rand.NewPCG(seed, 3)), base, revision, seed%2 == 0) }()
 		}
 		acked := 0
 		for range count {
@@ -121,35 +121,35 @@
 			}
 		}
 		if acked > 1 {
-			hunt.t.Errorf("CONFIG: two routings on revision %d were acknowledged", base)
+			chaos.t.Errorf("CONFIG: two routings on revision %d were acknowledged", base)
 		}
 	}
 }
 
-func (hunt *hunt) empty(random *rand.Rand) {
+func (chaos *chaosRun) drainDomain(random *rand.Rand) {
 	name := domain(random.IntN(3))
 	set := func(state string) bool {
-		return hunt.cluster.order(random.IntN(3), 4*time.Second, func(ctx context.Context, node *controlplane.Node) error {
+		return chaos.cluster.requestChange(random.IntN(3), 4*time.Second, func(ctx context.Context, node *controlplane.Node) error {
 			return node.SetDomainState(ctx, "root", name, state)
 		}) == nil
 	}
-	span := &emptiedSpan{domain: name}
+	span := &drainedSpan{domain: name}
 	if set(feed.StateDrained) {
-		span.acked = time.Now()
-		hunt.mutex.Lock()
-		hunt.emptied = append(hunt.emptied, span)
-		hunt.mutex.Unlock()
+		span.drained = time.Now()
+		chaos.mutex.Lock()
+		chaos.drained = append(chaos.drained, span)
+		chaos.mutex.Unlock()
 	}
 	<-time.After(time.Duration(4000+random.IntN(5000)) * time.Millisecond)
-	hunt.mutex.Lock()
+	chaos.mutex.Lock()
 	span.refilled = time.Now()
-	for _, life := range hunt.runners { // they became cold shortly before
-		if life.machine.Domain == name && life.listed && life.leavingAt.IsZero() && life.endedAt.IsZero() && !span.acked.IsZero() && random.IntN(2) == 0 {
-			life.cold = append(life.cold, coldSpan{time.Now(), time.Now().Add(noticeCold), time.Now().Add(huntColdFor)})
+	for _, life := range chaos.runners { // they became cold shortly before
+		if life.machine.Domain == name && life.listed && life.leavingAt.IsZero() && life.endedAt.IsZero() && !span.drained.IsZero() && random.IntN(2) == 0 {
+			life.warmingUp = append(life.warmingUp, warmUpSpan{time.Now(), time.Now().Add(warmUpNoticeBound), time.Now().Add(warmUpTime)})
 		}
 	}
-	hunt.mutex.Unlock()
-	hunt.list()
+	chaos.mutex.Unlock()
+	chaos.list()
 	for !set(feed.StateServing) {
 		<-time.After(200 * time.Millisecond)
 	}
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -35,7 +35,7 @@
 type Shape struct {
 	Controls, Stores, Fronts, Models, Applications int
 	// ReplicationFactor of each group of lines; 0 means three.
-	Copies uint32
+	Replicas uint32
 	// Groups of lines; 0 means 8.
 	Groups uint32
 	// Engines and Tools answer forwarded queries; with any, the control nodes are given
@@ -46,7 +46,7 @@
 	// Adjust changes the settings of each control node that starts.
 	Adjust func(cluster *Cluster, settings *controlplane.Settings)
 	// MaxBufferedBytes bounds what each front holds of forwarded queries.
-	HeldBytes int64
+	BufferBytes int64
 }
 
 // Small is the shape that most tests need.
@@ -57,14 +57,14 @@
 	Host    string
 	Domain  string
 	Disk    *Disk
-	Cold    *Disk
+	Archive *Disk
 	Control *controlplane.Node
 	Store   *store.Node
 	Front   *front.Node
-	// Ahead is how far the machine's wall clock is ahead of the time.
-	Ahead time.Duration
-	admin *httpapi.Server
-	start func() error
+	// ClockOffset is how far the machine's wall clock is ahead of the time.
+	ClockOffset time.Duration
+	admin       *httpapi.Server
+	start       func() error
 }
 
 // RunnerMachine is one host with a stand-in runner.
@@ -77,23 +77,23 @@
 
 // Cluster is a whole fleet in one process.
 type Cluster struct {
-	Network  *Network
-	Controls []*Machine
-	Stores   []*Machine
-	Fronts   []*Machine
-	Runners  []*RunnerMachine
-	Engines  []*EngineMachine
-	Roster   *Roster
-	Platform *standin.Platform
-	seeds    []string
-	platform *http.Server
-	Seed     uint64
-	groups   uint32
-	copies   uint32
-	enrols   bool
-	caller   *Host
-	adjust   func(cluster *Cluster, settings *controlplane.Settings)
-	held     int64
+	Network     *Network
+	Controls    []*Machine
+	Stores      []*Machine
+	Fronts      []*Machine
+	Runners     []*RunnerMachine
+	Engines     []*EngineMachine
+	RunnerList  *RunnerList
+	Platform    *standin.Platform
+	seeds       []string
+	platform    *http.Server
+	Seed        uint64
+	groups      uint32
+	replicas    uint32
+	autoEnrol   bool
+	caller      *Host
+	adjust      func(cluster *Cluster, settings *controlplane.Settings)
+	bufferBytes int64
 	// adjustReplica, if set, changes the settings of the groups of each node that starts.
 	adjustReplica func(settings *replica.Settings)
 }
@@ -128,9 +128,9 @@
 // assemble makes a cluster whose runners are started and whose nodes are not, on empty
 // disks.
 func assemble(seed uint64, shape Shape) (*Cluster, error) {
-	cluster := &Cluster{Network: NewNetwork(seed), Seed: seed, groups: max(shape.Groups, 8), copies: shape.Copies, enrols: shape.AutoEnrol, Platform: &standin.Platform{}, adjust: shape.Adjust, held: shape.HeldBytes}
+	cluster := &Cluster{Network: NewNetwork(seed), Seed: seed, groups: max(shape.Groups, 8), replicas: shape.Replicas, autoEnrol: shape.AutoEnrol, Platform: &standin.Platform{}, adjust: shape.Adjust, bufferBytes: shape.BufferBytes}
 	if shape.Engines+shape.Tools > 0 {
-		cluster.Roster = &Roster{}
+		cluster.RunnerList = &RunnerList{}
 	}
 	cluster.caller = cluster.Network.At("10.9.9.9")
 	for index := range 3 {
@@ -168,15 +168,15 @@
 	return slices.Concat(cluster.Controls, cluster.Stores, cluster.Fronts)
 }
 
-func (cluster *Cluster) pace(index int) replica.Settings {
-	pace := replica.DefaultSettings(cluster.Seed*1000 + uint64(index))
+func (cluster *Cluster) replicaSettings(index int) replica.Settings {
+	settings := replica.DefaultSettings(cluster.Seed*1000 + uint64(index))
 	if cluster.Seed%2 == 1 {
-		pace.SnapshotEntries = 48 // so that checkpoints are made and sent within a test
+		settings.SnapshotEntries = 48 // so that checkpoints are made and sent within a test
 	}
 	if cluster.adjustReplica != nil {
-		cluster.adjustReplica(&pace)
+		cluster.adjustReplica(&settings)
 	}
-	return pace
+	return settings
 }
 
 // AddControl makes a control machine, not yet started nor counted.
@@ -187,10 +187,10 @@
 	machine.start = func() (err error) {
 		settings := controlplane.Settings{
 			Address: machine.Host + ":7000", Administration: machine.Host + ":7200", Domain: machine.Domain, Seeds: cluster.seeds,
-			FoundingStores: 3, Groups: cluster.groups, ReplicationFactor: cluster.copies, MaxControls: 5, Replica: cluster.pace(index), AutoEnrol: cluster.enrols,
+			FoundingStores: 3, Groups: cluster.groups, ReplicationFactor: cluster.replicas, MaxControls: 5, Replica: cluster.replicaSettings(index), AutoEnrol: cluster.autoEnrol,
 		}
-		if cluster.Roster != nil {
-			settings.RunnerSource = cluster.Roster
+		if cluster.RunnerList != nil {
+			settings.RunnerSource = cluster.RunnerList
 		}
 		if cluster.adjust != nil {
 			cluster.adjust(cluster, &settings)
@@ -209,10 +209,10 @@
 //
 //	machine := cluster.AddStore(3)
 func (cluster *Cluster) AddStore(index int) *Machine {
-	machine := &Machine{Host: fmt.Sprintf("10.0.1.%d", index+1), Domain: domain(index), Disk: NewDisk(cluster.Seed + 100 + uint64(index)), Cold: NewDisk(cluster.Seed + 200 + uint64(index))}
+	machine := &Machine{Host: fmt.Sprintf("10.0.1.%d", index+1), Domain: domain(index), Disk: NewDisk(cluster.Seed + 100 + uint64(index)), Archive: NewDisk(cluster.Seed + 200 + uint64(index))}
 	machine.start = func() (err error) {
-		machine.Store, err = store.Start(store.Settings{Address: machine.Host + ":7000", Domain: machine.Domain, Machine: "storage " + machine.Host, Seeds: cluster.seeds, Replica: cluster.pace(100 + index), WallClock: machine.wall},
-			machine.Disk, machine.Cold, cluster.Network.At(machine.Host))
+		machine.Store, err = store.Start(store.Settings{Address: machine.Host + ":7000", Domain: machine.Domain, Machine: "storage " + machine.Host, Seeds: cluster.seeds, Replica: cluster.replicaSettings(100 + index), WallClock: machine.wallClock},
+			machine.Disk, machine.Archive, cluster.Network.At(machine.Host))
 		return err
 	}
 	return machine
@@ -221,13 +221,13 @@
 func (cluster *Cluster) addFront(index int) *Machine {
 	machine := &Machine{Host: fmt.Sprintf("10.0.2.%d", index+1), Domain: domain(index)}
 	machine.start = func() (err error) {
-		machine.Front, err = front.Start(front.Settings{Address: machine.Host + ":7000", PublicAddress: machine.Host + ":7100", Domain: machine.Domain, Seeds: cluster.seeds, Dialect: standin.Dialect, MaxBufferedBytes: cluster.held}, cluster.Network.At(machine.Host))
+		machine.Front, err = front.Start(front.Settings{Address: machine.Host + ":7000", PublicAddress: machine.Host + ":7100", Domain: machine.Domain, Seeds: cluster.seeds, Dialect: standin.Dialect, MaxBufferedBytes: cluster.bufferBytes}, cluster.Network.At(machine.Host))
 		return err
 	}
 	return machine
 }
 
-func (machine *Machine) wall() time.Time { return time.Now().Add(machine.Ahead) }
+func (machine *Machine) wallClock() time.Time { return time.Now().Add(machine.ClockOffset) }
 
 // Start starts the machine's node, on what its disk holds.
 //
@@ -238,7 +238,7 @@
 //
 //	machine.Kill()
 func (machine *Machine) Kill() {
-	for _, disk := range []*Disk{machine.Disk, machine.Cold} {
+	for _, disk := range []*Disk{machine.Disk, machine.Archive} {
 		if disk != nil {
 			disk.Resume()
 		}
@@ -263,7 +263,7 @@
 //	machine.LosePower()
 func (machine *Machine) LosePower() {
 	machine.Kill()
-	for _, disk := range []*Disk{machine.Disk, machine.Cold} {
+	for _, disk := range []*Disk{machine.Disk, machine.Archive} {
 		if disk != nil {
 			disk.LosePower()
 		}
@@ -274,22 +274,22 @@
 //
 //	machine.Wipe()
 func (machine *Machine) Wipe() {
-	for _, disk := range []*Disk{machine.Disk, machine.Cold} {
+	for _, disk := range []*Disk{machine.Disk, machine.Archive} {
 		if disk != nil {
 			disk.Wipe()
 		}
 	}
 }
 
-// Leave ends the runner's process, Return starts it again; what it did is remembered.
+// Stop ends the runner's process, Return starts it again; what it did is remembered.
 //
-//	machine.Leave()
-func (machine *RunnerMachine) Leave() { machine.server.Close() }
+//	machine.Stop()
+func (machine *RunnerMachine) Stop() { machine.server.Close() }
 
-// Return starts the runner again.
+// Start starts the runner again.
 //
-//	err := machine.Return(cluster)
-func (machine *RunnerMachine) Return(cluster *Cluster) error {
+//	err := machine.Start(cluster)
+func (machine *RunnerMachine) Start(cluster *Cluster) error {
 	listener, err := cluster.Network.At(machine.Host).Listen(machine.Host + ":8000")
 	if err != nil {
 		return err
@@ -300,12 +300,12 @@
 }
 
 func (cluster *Cluster) startRunners(shape Shape) error {
-	pace := standin.Pace{First: 20 * time.Millisecond, Piece: 10 * time.Millisecond, Plain: 10 * time.Millisecond}
+	pace := standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond}
 	listed := []standin.ListedRunner{}
 	add := func(host, group string, index int) error {
 		runner := standin.NewRunner(pace)
 		machine := &RunnerMachine{Host: host, Domain: domain(index), Runner: runner}
-		if err := machine.Return(cluster); err != nil {
+		if err := machine.Start(cluster); err != nil {
 			return err
 		}
 		cluster.Runners = append(cluster.Runners, machine)
@@ -345,8 +345,8 @@
 	cluster.platform.Close()
 }
 
-// Rules is the config that most tests use.
-const Rules = `
+// BasicConfig is the config that most tests use.
+const BasicConfig = `
 operators: {}
 teams: {
 	depot: token_hashes: ["DEPOT"]
@@ -376,15 +376,15 @@
 
 // Config fills the tokens into config source.
 //
-//	source := simulator.Config(simulator.Rules)
+//	source := simulator.Config(simulator.BasicConfig)
 func Config(rules string) string {
 	return strings.NewReplacer("DEPOT", config.HashToken(TeamToken), "OTHER", config.HashToken(OtherToken)).Replace(rules)
 }
 
-// Origin is an HTTP client on the cluster's network, one connection a query.
+// Client is an HTTP client on the cluster's network, one connection a query.
 //
-//	answer, err := cluster.Origin().Do(query)
-func (cluster *Cluster) Origin() *http.Client {
+//	answer, err := cluster.Client().Do(query)
+func (cluster *Cluster) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, target string) (net.Conn, error) {
 		return cluster.caller.Dial(ctx, target)
 	}}}
@@ -428,7 +428,7 @@
 	if token != "" {
 		query.Header.Set("Authorization", "Bearer "+token)
 	}
-	got, err := cluster.Origin().Do(query)
+	got, err := cluster.Client().Do(query)
 	if err != nil {
 		return nil, err
 	}
@@ -467,8 +467,8 @@
 	return nil, failed
 }
 
-// Changed is what a change answers.
-type Changed struct {
+// ChangeResult is what a change answers.
+type ChangeResult struct {
 	Number       uint64 `json:"number"`
 	Acknowledged bool   `json:"acknowledged"`
 }
@@ -476,7 +476,7 @@
 // PutConfig puts a config over the one in force, trying until it is
 // acknowledged.
 //
-//	err := cluster.PutConfig(simulator.Rules)
+//	err := cluster.PutConfig(simulator.BasicConfig)
 func (cluster *Cluster) PutConfig(rules string) error {
 	return cluster.Await(20*time.Second, "a config acknowledged", func() error {
 		answer, err := cluster.Administer(http.MethodGet, "/v1/config", nil)
@@ -491,7 +491,7 @@
 		if err != nil || answer.Status != http.StatusOK {
 			return errors.Join(err, fmt.Errorf("put: %s", answer.Body))
 		}
-		var changed Changed
+		var changed ChangeResult
 		if err := json.Unmarshal(answer.Body, &changed); err != nil || !changed.Acknowledged {
 			return errors.Join(err, errors.New("not acknowledged"))
 		}
@@ -536,8 +536,8 @@
 	return nil
 }
 
-// Streamed is one line of a streamed answer.
-type Streamed struct {
+// StreamRecord is one line of a streamed answer.
+type StreamRecord struct {
 	Conversation string `json:"conversation"`
 	Turn         uint64 `json:"turn"`
 	Seq          uint64 `json:"seq"`
@@ -549,8 +549,8 @@
 	Message      string `json:"message"`
 }
 
-// Said is a streamed answer as its caller saw it.
-type Said struct {
+// StreamedAnswer is a streamed answer as its caller saw it.
+type StreamedAnswer struct {
 	Conversation string
 	Turn         uint64
 	Seqs         []uint64
@@ -563,11 +563,11 @@
 // ReadStream reads an answer to its end mark. Seqs must follow one another.
 //
 //	said, err := simulator.ReadStream(body)
-func ReadStream(body io.Reader) (*Said, error) {
-	said := &Said{}
+func ReadStream(body io.Reader) (*StreamedAnswer, error) {
+	said := &StreamedAnswer{}
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
-		var told Streamed
+		var told StreamRecord
 		if err := json.Unmarshal(lines.Bytes(), &told); err != nil {
 			return said, err
 		}
@@ -590,7 +590,7 @@
 // follows, and wants a complete answer.
 //
 //	said, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "hello"})
-func (cluster *Cluster) Turn(machine *Machine, body map[string]any) (*Said, error) {
+func (cluster *Cluster) Turn(machine *Machine, body map[string]any) (*StreamedAnswer, error) {
 	path := "/v1/conversations"
 	if name, follows := body["conversation"]; follows {
 		path += "/" + name.(string) + "/turns"
--- a/proof/simulator/cluster_test.go
+++ b/proof/simulator/cluster_test.go
@@ -54,7 +54,7 @@
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				cluster, err := Start(seed, shape, Rules)
+				cluster, err := Start(seed, shape, BasicConfig)
 				if cluster != nil {
 					defer func() {
 						cluster.Stop()
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -35,8 +35,8 @@
 	servesWithin = time.Second
 )
 
-// oneCut is a control node that is cut off from the others for a while.
-type oneCut struct {
+// networkCut is a control node that is cut off from the others for a while.
+type networkCut struct {
 	leads    bool
 	way      cutWay
 	manner   cutManner
@@ -45,7 +45,7 @@
 	alone bool
 }
 
-func (cut oneCut) String() string {
+func (cut networkCut) String() string {
 	role := "follower"
 	if cut.leads {
 		role = "leader"
@@ -54,7 +54,7 @@
 }
 
 // others lists the hosts that a machine is cut off from.
-func (cluster *Cluster) others(cut oneCut, victim *Machine) []string {
+func (cluster *Cluster) others(cut networkCut, victim *Machine) []string {
 	hosts := []string{}
 	for _, machine := range cluster.Machines() {
 		isControl := machine.Control != nil
@@ -66,11 +66,11 @@
 	return hosts
 }
 
-func (cluster *Cluster) begin(cut oneCut, victim *Machine) {
+func (cluster *Cluster) begin(cut networkCut, victim *Machine) {
 	for _, other := range cluster.others(cut, victim) {
 		switch {
 		case cut.manner == refused:
-			cluster.Network.Refuse(victim.Host, other)
+			cluster.Network.RefuseConnections(victim.Host, other)
 		case cut.way == oneWayIn:
 			cluster.Network.CutOneWay(other, victim.Host)
 		case cut.way == oneWayOut:
@@ -79,14 +79,14 @@
 			cluster.Network.Cut(victim.Host, other)
 		}
 		if cut.manner == reset {
-			cluster.Network.Break(victim.Host, other)
+			cluster.Network.Disconnect(victim.Host, other)
 		}
 	}
 }
 
-func (cluster *Cluster) end(cut oneCut, victim *Machine) {
+func (cluster *Cluster) end(cut networkCut, victim *Machine) {
 	for _, other := range cluster.others(cut, victim) {
-		cluster.Network.Mend(victim.Host, other)
+		cluster.Network.Heal(victim.Host, other)
 	}
 }
 
@@ -170,7 +170,7 @@
 
 // interrogate asks all questions at once, until a time, of a node that is cut off: none may
 // be answered.
-func (cluster *Cluster) interrogate(t *testing.T, cut oneCut, victim *Machine, until time.Time) {
+func (cluster *Cluster) interrogate(t *testing.T, cut networkCut, victim *Machine, until time.Time) {
 	t.Helper()
 	caller := link.NewClient(cluster.Network.At("10.8.1.1"))
 	defer caller.Close()
@@ -199,7 +199,7 @@
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(31)
 		durations := []time.Duration{3 * time.Second, 12 * time.Second, 20 * time.Second}
-		if err := cluster.sendOrder(0, sentOrder{base: 0, next: oneRoute(1, time.Second), digest: "first"}); err != nil {
+		if err := cluster.sendRoutingRequest(0, sentRequestOfOperator{base: 0, next: oneRoute(1, time.Second), digest: "first"}); err != nil {
 			t.Fatal(err)
 		}
 		cluster.mustAnswerAll(t)
@@ -210,7 +210,7 @@
 					if manner == refused && way != bothWays {
 						continue // who is refused one way gets no answers the other way
 					}
-					cut := oneCut{leads: leads, way: way, manner: manner, duration: durations[random.IntN(len(durations))], alone: random.IntN(2) == 0}
+					cut := networkCut{leads: leads, way: way, manner: manner, duration: durations[random.IntN(len(durations))], alone: random.IntN(2) == 0}
 					newest, took := cluster.runCut(t, cut, base)
 					base, slowest = newest, max(slowest, took)
 				}
@@ -222,7 +222,7 @@
 
 // runCut runs one cut and gives the newest revision, and how long after the end of the cut
 // its node served.
-func (cluster *Cluster) runCut(t *testing.T, cut oneCut, base uint64) (newest uint64, took time.Duration) {
+func (cluster *Cluster) runCut(t *testing.T, cut networkCut, base uint64) (newest uint64, took time.Duration) {
 	t.Helper()
 	victim := cluster.leader()
 	if !cut.leads {
@@ -237,7 +237,7 @@
 	var asking sync.WaitGroup
 	asking.Go(func() { cluster.interrogate(t, cut, victim, until) })
 	raced := make(chan error, 1)
-	race := sentOrder{base: base, next: oneRoute(base+1, 7*time.Second), digest: fmt.Sprint("race ", base)}
+	race := sentRequestOfOperator{base: base, next: oneRoute(base+1, 7*time.Second), digest: fmt.Sprint("race ", base)}
 	asking.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 		defer cancel()
@@ -249,7 +249,7 @@
 	}
 	orders, first := 0, base
 	for time.Until(until) > 500*time.Millisecond {
-		err := cluster.orderBeside(victim, at, sentOrder{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("beside ", base)})
+		err := cluster.orderBeside(victim, at, sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("beside ", base)})
 		if err != nil {
 			t.Fatalf("%s: an order at the others: %v", cut, err)
 		}
@@ -269,15 +269,15 @@
 	if took > servesWithin {
 		t.Errorf("%s: served again after %s", cut, took)
 	}
-	if err := cluster.sendOrder(at, race); !apierror.Is(err, apierror.Conflict) {
+	if err := cluster.sendRoutingRequest(at, race); !apierror.Is(err, apierror.Conflict) {
 		t.Errorf("%s: the order that lost the race on %d of %d, again: %v", cut, first, base, err)
 	}
 	return base + 1, took
 }
 
 // orderBeside sends an order to the control nodes other than one.
-func (cluster *Cluster) orderBeside(victim *Machine, from int, order sentOrder) error {
-	return cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
+func (cluster *Cluster) orderBeside(victim *Machine, from int, order sentRequestOfOperator) error {
+	return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		if node == victim.Control {
 			return apierror.New(apierror.NoQuorum, "it is cut off", "ask another")
 		}
@@ -286,9 +286,9 @@
 }
 
 // mustServe waits until a node reads the newest revision and has an order acknowledged.
-func (cluster *Cluster) mustServe(t *testing.T, cut oneCut, machine *Machine, newest uint64, since time.Time) {
+func (cluster *Cluster) mustServe(t *testing.T, cut networkCut, machine *Machine, newest uint64, since time.Time) {
 	t.Helper()
-	order := sentOrder{base: newest, next: oneRoute(newest+1, time.Second), digest: fmt.Sprint("after ", newest)}
+	order := sentRequestOfOperator{base: newest, next: oneRoute(newest+1, time.Second), digest: fmt.Sprint("after ", newest)}
 	read := false
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -314,10 +314,10 @@
 	}
 }
 
-// TestFrozenControlLeaderWakesAndTellsNothingOld freezes the leader with questions on their
+// TestPausedControlLeaderResumesAndReportsNothingOld freezes the leader with questions on their
 // way to it, or slows its disk, while orders go on; what it answers is no older than what was
 // acknowledged when it was asked.
-func TestFrozenControlLeaderWakesAndTellsNothingOld(t *testing.T) {
+func TestPausedControlLeaderResumesAndReportsNothingOld(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		base := uint64(0)
 		for round, trouble := range []struct {
@@ -329,7 +329,7 @@
 			{func(victim *Machine) { victim.Disk.Slow(400 * time.Millisecond) }, func(victim *Machine) { victim.Disk.Slow(0) }, 12 * time.Second},
 			{func(victim *Machine) { victim.Disk.Stall() }, func(victim *Machine) { victim.Disk.Resume() }, 6 * time.Second},
 		} {
-			if err := cluster.sendOrder(0, sentOrder{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("before ", base)}); err != nil {
+			if err := cluster.sendRoutingRequest(0, sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("before ", base)}); err != nil {
 				t.Fatal(err)
 			}
 			base++
@@ -362,7 +362,7 @@
 				})
 			}
 			for time.Until(until) > 0 {
-				err := cluster.orderBeside(victim, 0, sentOrder{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("meanwhile ", base)})
+				err := cluster.orderBeside(victim, 0, sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("meanwhile ", base)})
 				if err != nil {
 					t.Fatalf("round %d: %v", round, err)
 				}
@@ -374,7 +374,7 @@
 			}
 			trouble.end(victim)
 			mended := time.Now()
-			cluster.mustServe(t, oneCut{leads: true, manner: "frozen or slow", duration: trouble.duration}, victim, base, mended)
+			cluster.mustServe(t, networkCut{leads: true, manner: "frozen or slow", duration: trouble.duration}, victim, base, mended)
 			base++
 			if took := time.Since(mended); took > servesWithin {
 				t.Errorf("round %d: served again after %s", round, took)
--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -78,7 +78,7 @@
 func TestWorkOfADeadFrontIsClosedAtOnce(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		dead, other := cluster.Fronts[0], cluster.Fronts[1]
-		if err := cluster.PutConfig(strings.ReplaceAll(Rules, `patience: "5s"`, `patience: "20s"`)); err != nil {
+		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `patience: "5s"`, `patience: "20s"`)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(2 * time.Second)
@@ -137,12 +137,12 @@
 	})
 }
 
-type tallied struct {
+type quotaUsage struct {
 	Spent    int `json:"spent"`
 	Reserved int `json:"reserved"`
 }
 
-func (cluster *Cluster) tally(front *Machine, program string) (told tallied, err error) {
+func (cluster *Cluster) quota(front *Machine, program string) (told quotaUsage, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	answer, err := cluster.Ask(ctx, http.MethodGet, front.Host+":7100", "/v1/tallies/"+program, TeamToken, nil)
@@ -152,12 +152,12 @@
 	return told, json.Unmarshal(answer.Body, &told)
 }
 
-// TestWhatLostFrontsReservedIsSettled lets fronts die amid turns of a program, and
+// TestReservationsOfLostFrontsAreSettled lets fronts die amid turns of a program, and
 // loses the answers to reservations, over and over. What was spoken stays counted;
 // what was only reserved comes back, so that the program can go on.
-func TestWhatLostFrontsReservedIsSettled(t *testing.T) {
+func TestReservationsOfLostFrontsAreSettled(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		rules := strings.NewReplacer(`tight: {team: "depot", allowance: 60, turn_limit: 25}`, `tight: {team: "depot", allowance: 900, turn_limit: 150}`, `ramp: "1s"`, `ramp: "100ms"`).Replace(Rules)
+		rules := strings.NewReplacer(`tight: {team: "depot", allowance: 60, turn_limit: 25}`, `tight: {team: "depot", allowance: 900, turn_limit: 150}`, `ramp: "1s"`, `ramp: "100ms"`).Replace(BasicConfig)
 		if err := cluster.PutConfig(rules); err != nil {
 			t.Fatal(err)
 		}
@@ -174,7 +174,7 @@
 				front.Kill()
 				<-answers
 				for _, store := range cluster.Stores {
-					cluster.Network.Mend(store.Host, front.Host)
+					cluster.Network.Heal(store.Host, front.Host)
 				}
 			default:
 				answers := cluster.asked(front, "/v1/conversations", ask)
@@ -190,9 +190,9 @@
 				t.Fatal(err)
 			}
 		}
-		var told tallied
+		var told quotaUsage
 		err := cluster.Await(90*time.Second, "settled tally", func() (err error) {
-			if told, err = cluster.tally(cluster.Fronts[2], "tight"); err == nil && told.Reserved > 0 {
+			if told, err = cluster.quota(cluster.Fronts[2], "tight"); err == nil && told.Reserved > 0 {
 				err = fmt.Errorf("%d words are still reserved", told.Reserved)
 			}
 			return err
@@ -222,7 +222,7 @@
 		random := cluster.Random(11)
 		for round := range 3 {
 			for position, store := range cluster.Stores {
-				store.Ahead = []time.Duration{48 * time.Hour, -5 * time.Hour, time.Duration(random.IntN(96)-48) * time.Hour}[(position+round)%3]
+				store.ClockOffset = []time.Duration{48 * time.Hour, -5 * time.Hour, time.Duration(random.IntN(96)-48) * time.Hour}[(position+round)%3]
 			}
 			away := cluster.Stores[round]
 			away.Kill()
--- a/proof/simulator/retire_test.go
+++ b/proof/simulator/decommission_test.go
@@ -16,13 +16,13 @@
 var fourStores = Shape{Controls: 3, Stores: 4, Fronts: 2, Models: 2, Applications: 2, AutoEnrol: true}
 
 func (cluster *Cluster) beginRetire(from int, machine string) error {
-	return cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
+	return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		return node.BeginDecommission(ctx, "root", machine, 10*time.Second)
 	})
 }
 
 func (cluster *Cluster) retireState(from int, machine string) (state string, err error) {
-	err = cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) (err error) {
+	err = cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) (err error) {
 		state, err = node.DecommissionState(ctx, machine)
 		return err
 	})
@@ -63,9 +63,9 @@
 	t.Logf("retired in %s", time.Since(began))
 }
 
-// TestAMachineIsRetiredThoughItsOrdersLeaderDies has the leader that took the order killed,
+// TestMachineIsDecommissionedThoughTheLeaderDies has the leader that took the order killed,
 // then takes the machine away the moment it is told finished, and another store with it.
-func TestAMachineIsRetiredThoughItsOrdersLeaderDies(t *testing.T) {
+func TestMachineIsDecommissionedThoughTheLeaderDies(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
 		said := cluster.dialogues(t, 6)
@@ -125,9 +125,9 @@
 	})
 }
 
-// TestAMachineThatDiesWhileItIsRetiredStillEndsRetired loses the machine, or only its disk,
+// TestMachineThatDiesDuringDecommissionEndsRetired loses the machine, or only its disk,
 // in the midst of it: what it held is made up for from the others before it is finished.
-func TestAMachineThatDiesWhileItIsRetiredStillEndsRetired(t *testing.T) {
+func TestMachineThatDiesDuringDecommissionEndsRetired(t *testing.T) {
 	for name, comesBack := range map[string]bool{"machine": false, "disk": true} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestARetiringWaitsForAStoreThatIsAway: while one of the three that stay is down, the
+// TestDecommissionWaitsForAnAbsentStore: while one of the three that stay is down, the
 // groups that need it still need the machine that is to go.
-func TestARetiringWaitsForAStoreThatIsAway(t *testing.T) {
+func TestDecommissionWaitsForAnAbsentStore(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
 		said := cluster.dialogues(t, 6)
--- a/proof/simulator/leaving_test.go
+++ b/proof/simulator/decommissionarchive_test.go
@@ -42,10 +42,10 @@
 	return count
 }
 
-// TestALeavingStoreDoesNotTakeTheNewestArchivedRange cuts one store off while a range is
+// TestDecommissionedStoreKeepsNewestArchivedRangeAvailable cuts one store off while a range is
 // archived on the other two of its group, and retires one of these meanwhile. The cut one
 // comes back, and then the last store that was there all the time loses its disk.
-func TestALeavingStoreDoesNotTakeTheNewestArchivedRange(t *testing.T) {
+func TestDecommissionedStoreKeepsNewestArchivedRangeAvailable(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
 		sharing := cluster.withoutMostSpare()
@@ -107,9 +107,9 @@
 	return groups
 }
 
-// lackingCopies lists the groups of which two voters differ in the archived ranges that
+// differingArchives lists the groups of which two voters differ in the archived ranges that
 // they hold.
-func (cluster *Cluster) lackingCopies(t *testing.T) map[uint32]string {
+func (cluster *Cluster) differingArchives(t *testing.T) map[uint32]string {
 	t.Helper()
 	caller := link.NewClient(cluster.Network.At("10.8.2.1"))
 	defer caller.Close()
@@ -138,18 +138,18 @@
 	return lacking
 }
 
-// wantArchivedCopies wants all voters of the groups that a store has left to hold the same
+// wantArchivesEqual wants all voters of the groups that a store has left to hold the same
 // archived ranges at once, and those of all groups within the time in which a replica that
 // missed a range is mended.
-func (cluster *Cluster) wantArchivedCopies(t *testing.T, left map[uint32]bool) {
+func (cluster *Cluster) wantArchivesEqual(t *testing.T, left map[uint32]bool) {
 	t.Helper()
-	for group, pair := range cluster.lackingCopies(t) {
+	for group, pair := range cluster.differingArchives(t) {
 		if left[group] {
 			t.Errorf("group %d: %s differ in what is archived, though a store has left it", group, pair)
 		}
 	}
 	if err := cluster.Await(2*time.Second, "same archived ranges everywhere", func() error {
-		if lacking := cluster.lackingCopies(t); len(lacking) > 0 {
+		if lacking := cluster.differingArchives(t); len(lacking) > 0 {
 			return fmt.Errorf("%v differ", lacking)
 		}
 		return nil
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestARetiringEndsWithAllArchivedCopiesElsewhere retires a store as another one comes
+// TestDecommissionEndsWithAllArchivesElsewhere retires a store as another one comes
 // back that was cut off while ranges were archived.
-func TestARetiringEndsWithAllArchivedCopiesElsewhere(t *testing.T) {
+func TestDecommissionEndsWithAllArchivesElsewhere(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
 		order := cluster.Random(62).Perm(4)
@@ -179,17 +179,17 @@
 		}
 		cluster.awaitRetired(t, machine)
 		cluster.Stores = slices.DeleteFunc(cluster.Stores, func(machine *Machine) bool { return machine == leaving })
-		cluster.wantArchivedCopies(t, left)
+		cluster.wantArchivesEqual(t, left)
 		leaving.LosePower()
 		leaving.Wipe()
 		cluster.followUp(t, said)
 	})
 }
 
-// TestARetiringCrossedByTrouble kills, wipes or cuts off another store, the leaving one or
+// TestDecommissionDuringFaults kills, wipes or cuts off another store, the leaving one or
 // the control leader, right after a store is told to be emptied. The leaving one loses its
 // disk at once when it is told retired, and another 4.3 s after the trouble is over.
-func TestARetiringCrossedByTrouble(t *testing.T) {
+func TestDecommissionDuringFaults(t *testing.T) {
 	const away, cutFor = 500 * time.Millisecond, 20 * time.Second
 	troubles := map[string]func(t *testing.T, cluster *Cluster, machine *Machine){
 		"kill": func(t *testing.T, cluster *Cluster, machine *Machine) {
--- a/proof/simulator/heldup_test.go
+++ b/proof/simulator/delayedwork_test.go
@@ -22,12 +22,12 @@
 	{"turn", "/v1/conversations", "10.0.3.1", map[string]any{"program": "dialogue", "kind": "talk", "words": "hello"}},
 }
 
-// TestWorkHeldUpBeforeItsFirstByteLooksOnceMore holds a front up between its
+// TestWorkDelayedBeforeItsFirstByteChecksAgain holds a front up between its
 // choice of a runner and the first byte: the dial is slow, and the front is frozen
 // meanwhile. When it wakes, the config is another, the runner leaves, or its
 // domain is emptied.
-func TestWorkHeldUpBeforeItsFirstByteLooksOnceMore(t *testing.T) {
-	patient := strings.ReplaceAll(Rules, `patience: "5s"`, `patience: "20s"`)
+func TestWorkDelayedBeforeItsFirstByteChecksAgain(t *testing.T) {
+	patient := strings.ReplaceAll(BasicConfig, `patience: "5s"`, `patience: "20s"`)
 	changes := []struct {
 		name string
 		do   func(cluster *Cluster) error
@@ -69,7 +69,7 @@
 				}()
 				<-time.After(100 * time.Millisecond) // chosen, recorded, and dialling
 				cluster.Network.Freeze(front.Host)
-				cluster.Network.Mend(front.Host, one.runner)
+				cluster.Network.Heal(front.Host, one.runner)
 				if err := change.do(cluster); err != nil {
 					t.Fatal(err)
 				}
--- a/proof/simulator/disk.go
+++ b/proof/simulator/disk.go
@@ -15,23 +15,23 @@
 // Disk is a folder in memory. What was written but not synced is lost, or torn,
 // when the machine loses power.
 type Disk struct {
-	mutex   sync.Mutex
-	random  *rand.Rand
-	live    map[string][]byte
-	lasting map[string][]byte
-	pending map[string][]vfs.PendingWrite
-	stalled chan struct{} // non-nil while syncs hang
-	slow    time.Duration
-	full    bool
-	syncs   int
-	read    int
+	mutex    sync.Mutex
+	random   *rand.Rand
+	written  map[string][]byte
+	durable  map[string][]byte
+	unsynced map[string][]vfs.PendingWrite
+	stalled  chan struct{} // non-nil while syncs hang
+	slow     time.Duration
+	full     bool
+	syncs    int
+	read     int
 }
 
 // NewDisk makes an empty disk.
 //
 //	disk := simulator.NewDisk(7)
 func NewDisk(seed uint64) *Disk {
-	return &Disk{random: rand.New(rand.NewPCG(seed, 3)), live: map[string][]byte{}, lasting: map[string][]byte{}, pending: map[string][]vfs.PendingWrite{}}
+	return &Disk{random: rand.New(rand.NewPCG(seed, 3)), written: map[string][]byte{}, durable: map[string][]byte{}, unsynced: map[string][]vfs.PendingWrite{}}
 }
 
 var errFull = errors.New("no space left on device")
@@ -40,7 +40,7 @@
 func (disk *Disk) ReadFile(name string) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	data, found := disk.live[name]
+	data, found := disk.written[name]
 	if !found {
 		return nil, fs.ErrNotExist
 	}
@@ -52,7 +52,7 @@
 func (disk *Disk) ReadRange(name string, offset int64, length int) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	data, found := disk.live[name]
+	data, found := disk.written[name]
 	if !found {
 		return nil, fs.ErrNotExist
 	}
@@ -71,8 +71,8 @@
 		return errFull
 	}
 	write := vfs.PendingWrite{Offset: offset, Data: append([]byte{}, data...)}
-	disk.live[name] = write.ApplyTo(disk.live[name])
-	disk.pending[name] = append(disk.pending[name], write)
+	disk.written[name] = write.ApplyTo(disk.written[name])
+	disk.unsynced[name] = append(disk.unsynced[name], write)
 	return nil
 }
 
@@ -80,13 +80,13 @@
 func (disk *Disk) Truncate(name string, size int64) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	data, found := disk.live[name]
+	data, found := disk.written[name]
 	if !found {
 		return fs.ErrNotExist
 	}
 	cut := vfs.PendingWrite{Offset: size}
-	disk.live[name] = cut.ApplyTo(data)
-	disk.pending[name] = append(disk.pending[name], cut)
+	disk.written[name] = cut.ApplyTo(data)
+	disk.unsynced[name] = append(disk.unsynced[name], cut)
 	return nil
 }
 
@@ -104,13 +104,13 @@
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	disk.syncs++
-	if _, found := disk.live[name]; found {
-		lasting := disk.lasting[name]
-		for _, write := range disk.pending[name] {
+	if _, found := disk.written[name]; found {
+		lasting := disk.durable[name]
+		for _, write := range disk.unsynced[name] {
 			lasting = write.ApplyTo(lasting)
 		}
-		disk.lasting[name] = lasting
-		delete(disk.pending, name)
+		disk.durable[name] = lasting
+		delete(disk.unsynced, name)
 	}
 	return nil
 }
@@ -119,9 +119,9 @@
 func (disk *Disk) Remove(name string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	delete(disk.live, name)
-	delete(disk.lasting, name)
-	delete(disk.pending, name)
+	delete(disk.written, name)
+	delete(disk.durable, name)
+	delete(disk.unsynced, name)
 	return nil
 }
 
@@ -129,7 +129,7 @@
 func (disk *Disk) List() ([]string, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	return slices.Sorted(maps.Keys(disk.live)), nil
+	return slices.Sorted(maps.Keys(disk.written)), nil
 }
 
 // LosePower forgets what was not synced; of a file's unsynced end a random part
@@ -140,11 +140,11 @@
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	after := map[string][]byte{}
-	for name, data := range disk.lasting {
+	for name, data := range disk.durable {
 		after[name] = slices.Clone(data)
 	}
-	for _, name := range slices.Sorted(maps.Keys(disk.live)) {
-		live, lasted := disk.live[name], len(after[name])
+	for _, name := range slices.Sorted(maps.Keys(disk.written)) {
+		live, lasted := disk.written[name], len(after[name])
 		if len(live) > lasted && disk.random.IntN(2) == 0 {
 			torn := slices.Clone(live[lasted : lasted+disk.random.IntN(len(live)-lasted+1)])
 			if len(torn) > 0 && disk.random.IntN(2) == 0 {
@@ -153,11 +153,11 @@
 			after[name] = append(after[name], torn...)
 		}
 	}
-	disk.live = after
-	clear(disk.pending)
-	disk.lasting = map[string][]byte{}
+	disk.written = after
+	clear(disk.unsynced)
+	disk.durable = map[string][]byte{}
 	for name, data := range after {
-		disk.lasting[name] = slices.Clone(data)
+		disk.durable[name] = slices.Clone(data)
 	}
 }
 
@@ -167,8 +167,8 @@
 func (disk *Disk) Wipe() {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	disk.live, disk.lasting = map[string][]byte{}, map[string][]byte{}
-	clear(disk.pending)
+	disk.written, disk.durable = map[string][]byte{}, map[string][]byte{}
+	clear(disk.unsynced)
 }
 
 // Stall makes syncs hang until Resume.
@@ -219,10 +219,10 @@
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	if at < 0 {
-		at += len(disk.live[name])
+		at += len(disk.written[name])
 	}
-	disk.live[name][at] ^= 1
-	disk.lasting[name][at] ^= 1
+	disk.written[name][at] ^= 1
+	disk.durable[name][at] ^= 1
 }
 
 // TakeRead gives the bytes that were read since the last call.
--- a/proof/simulator/losses_test.go
+++ b/proof/simulator/diskloss_test.go
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		said := cluster.dialogues(t, 6)
-		before, err := cluster.tally(cluster.Fronts[0], "dialogue")
+		before, err := cluster.quota(cluster.Fronts[0], "dialogue")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		after, err := cluster.tally(cluster.Fronts[1], "dialogue")
+		after, err := cluster.quota(cluster.Fronts[1], "dialogue")
 		if err != nil || after.Spent+after.Reserved < before.Spent {
 			t.Fatalf("the tally was %+v, is %+v (%v)", before, after, err)
 		}
@@ -77,7 +77,7 @@
 		// The config.
 		lags, lost, _ = rotate(cluster.Controls)
 		cluster.Network.Isolate(lags.Host)
-		if err := cluster.PutConfig(Rules + "// the first\n"); err != nil {
+		if err := cluster.PutConfig(BasicConfig + "// the first\n"); err != nil {
 			t.Fatal(err)
 		}
 		lose(t, lost)
@@ -110,7 +110,7 @@
 		cluster.awaitHealed(t)
 		lags, lost, _ = rotate(cluster.Stores)
 		cluster.Network.Isolate(lags.Host)
-		if err := cluster.PutConfig(Rules + "// the second\n"); err != nil {
+		if err := cluster.PutConfig(BasicConfig + "// the second\n"); err != nil {
 			t.Fatal(err)
 		}
 		for _, control := range cluster.Controls {
@@ -174,10 +174,10 @@
 		all := cluster.Fronts
 		for round := range 2 {
 			said := cluster.dialogues(t, 6)
-			if err := cluster.PutConfig(fmt.Sprintf("%s// before outage %d\n", Rules, round)); err != nil {
+			if err := cluster.PutConfig(fmt.Sprintf("%s// before outage %d\n", BasicConfig, round)); err != nil {
 				t.Fatal(err)
 			}
-			before, err := cluster.tally(cluster.Fronts[0], "dialogue")
+			before, err := cluster.quota(cluster.Fronts[0], "dialogue")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -214,7 +214,7 @@
 				t.Fatal(err)
 			}
 			t.Logf("round %d: a turn served at every front %s after the return", round, time.Since(returned))
-			after, err := cluster.tally(cluster.Fronts[0], "dialogue")
+			after, err := cluster.quota(cluster.Fronts[0], "dialogue")
 			if err != nil || after.Spent+after.Reserved < before.Spent {
 				t.Fatalf("the tally was %+v, is %+v (%v)", before, after, err)
 			}
--- a/proof/simulator/durable_test.go
+++ b/proof/simulator/durable_test.go
@@ -26,7 +26,7 @@
 	return held
 }
 
-func TestADataFolderKeepsAllThatWasSyncedOverPowerLoss(t *testing.T) {
+func TestDataFolderKeepsSyncedRecordsOverPowerLoss(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260102)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
@@ -100,7 +100,7 @@
 	}
 }
 
-func filled(t *testing.T) (*Disk, map[uint32]string) {
+func filledDisk(t *testing.T) (*Disk, map[uint32]string) {
 	t.Helper()
 	disk := NewDisk(1)
 	log, _, err := durablelog.Open(disk, "store")
@@ -134,7 +134,7 @@
 	return disk, model
 }
 
-func TestADamagedDataFolderIsSurvivedOrRefusedWithItsRemedy(t *testing.T) {
+func TestDamagedDataFolderIsReadOrRejectedWithRemedy(t *testing.T) {
 	// The newest slot is 3, in file slot-1; slot 2 is in slot-0; logs 2 and 3 are left.
 	log3 := "log-00000000000000000003"
 	for name, one := range map[string]struct {
@@ -159,7 +159,7 @@
 			disk.WriteAt("identity", 0, []byte(`{"name":"control-1","format":1,"role":"control"}`))
 		}, refused: apierror.BadSettings},
 	} {
-		disk, model := filled(t)
+		disk, model := filledDisk(t)
 		one.harm(disk)
 		before, _ := disk.List()
 		_, records, err := durablelog.Open(disk, "store")
@@ -178,9 +178,9 @@
 	}
 }
 
-// TestOpeningTheColdStoreReadsNoEvents keeps the start after an outage short,
+// TestOpeningTheArchiveReadsNoEvents keeps the start after an outage short,
 // however much was archived.
-func TestOpeningTheColdStoreReadsNoEvents(t *testing.T) {
+func TestOpeningTheArchiveReadsNoEvents(t *testing.T) {
 	disk := NewDisk(1)
 	cold, err := archive.Open(disk)
 	if err != nil {
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -153,7 +153,7 @@
 
 func TestAStreamResumesWithoutGapOverALeaderChange(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := make(chan *Said, 1)
+		said := make(chan *StreamedAnswer, 1)
 		failed := make(chan error, 1)
 		go func() {
 			answer, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "tell me", "query_key": "resume"})
@@ -162,7 +162,7 @@
 		}()
 		<-time.After(60 * time.Millisecond)
 		// The name of the line is what the query key makes it; ask the other front.
-		again := make(chan *Said, 1)
+		again := make(chan *StreamedAnswer, 1)
 		go func() {
 			answer, _ := cluster.Turn(cluster.Fronts[1], map[string]any{"program": "dialogue", "kind": "talk", "words": "tell me", "query_key": "resume"})
 			again <- answer
@@ -176,7 +176,7 @@
 			t.Fatal(err)
 		}
 		want := words(standin.Answer(nil, "tell me"))
-		for _, heard := range []*Said{first, second} {
+		for _, heard := range []*StreamedAnswer{first, second} {
 			if heard == nil || heard.Words != want || heard.End != "complete" {
 				t.Fatalf("heard %+v, want %q", heard, want)
 			}
@@ -260,7 +260,7 @@
 	})
 }
 
-func TestAnAllowanceHoldsOverConcurrentTurnsOnAllFrontsAndRestarts(t *testing.T) {
+func TestQuotaHoldsOverConcurrentTurnsOnAllFrontsAndRestarts(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		var mutex sync.Mutex
 		spoken, exhausted := 0, 0
@@ -321,7 +321,7 @@
 // one store missing.
 func TestTurnsOutliveATotalOutage(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := []*Said{}
+		said := []*StreamedAnswer{}
 		for round := range 6 {
 			answer, err := cluster.Turn(cluster.Fronts[round%2], map[string]any{"program": "dialogue", "kind": "talk", "words": fmt.Sprintf("before %d", round)})
 			if err != nil {
@@ -373,7 +373,7 @@
 		go cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "go on !endless", "query_key": "orphan"})
 		<-time.After(200 * time.Millisecond)
 		cluster.Fronts[0].Kill()
-		resume := func(name, query string) *Said {
+		resume := func(name, query string) *StreamedAnswer {
 			t.Helper()
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -18,9 +18,9 @@
 // Host of the simulated routes.
 const RoutedHost = "talk.example"
 
-// RoutedRules is a config with routes to engines: talk that is kept, chat that may be
+// RoutedConfig is a config with routes to engines: talk that is kept, chat that may be
 // resumed and is not kept, lookups that may be repeated and orders that may not.
-const RoutedRules = Rules + `
+const RoutedConfig = BasicConfig + `
 routing: {
 	revision: 1
 	services: [
@@ -46,23 +46,23 @@
 	server *http.Server
 }
 
-// Roster is the platform's list of engines, as control nodes ask it.
-type Roster struct {
+// RunnerList is the platform's list of engines, as control nodes ask it.
+type RunnerList struct {
 	mutex   sync.Mutex
 	runners []feed.Runner
 	put     time.Time
 	failing error
-	asks    int
+	polls   int
 }
 
 // List gives the list, or the failure that was put. For how long runners stay cold counts
 // down.
 //
-//	runners, err := cluster.Roster.List(ctx)
-func (roster *Roster) List(context.Context) ([]feed.Runner, error) {
+//	runners, err := cluster.RunnerList.List(ctx)
+func (roster *RunnerList) List(context.Context) ([]feed.Runner, error) {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	roster.asks++
+	roster.polls++
 	runners := append([]feed.Runner{}, roster.runners...)
 	for position, runner := range runners {
 		if left := runner.WarmUpLeft - time.Since(roster.put); runner.WarmUpLeft > 0 && left > 0 {
@@ -74,19 +74,19 @@
 	return runners, roster.failing
 }
 
-// Asks tells how often the list was asked for.
+// Polls tells how often the list was asked for.
 //
-//	asks := cluster.Roster.Asks()
-func (roster *Roster) Asks() int {
+//	asks := cluster.RunnerList.Polls()
+func (roster *RunnerList) Polls() int {
 	roster.mutex.Lock()
 	defer roster.mutex.Unlock()
-	return roster.asks
+	return roster.polls
 }
 
 // Put replaces the list.
 //
-//	cluster.Roster.Put(runners)
-func (roster *Roster) Put(runners []feed.Runner) {
+//	cluster.RunnerList.Put(runners)
+func (roster *RunnerList) Put(runners []feed.Runner) {
 	roster.mutex.Lock()
 	roster.runners, roster.put = append([]feed.Runner{}, runners...), time.Now()
 	roster.mutex.Unlock()
@@ -94,8 +94,8 @@
 
 // Fail makes asking for the list fail, until it is nil.
 //
-//	cluster.Roster.Fail(errors.New("throttled"))
-func (roster *Roster) Fail(err error) {
+//	cluster.RunnerList.Fail(errors.New("throttled"))
+func (roster *RunnerList) Fail(err error) {
 	roster.mutex.Lock()
 	roster.failing = err
 	roster.mutex.Unlock()
@@ -103,25 +103,25 @@
 
 // Runner is the engine as the platform's list names it.
 //
-//	cluster.Roster.Put([]feed.Runner{machine.Runner()})
+//	cluster.RunnerList.Put([]feed.Runner{machine.Runner()})
 func (machine *EngineMachine) Runner() feed.Runner {
 	return feed.Runner{Life: machine.Engine.Life, Address: machine.Host + ":8000", Group: machine.Group, Domain: machine.Domain, State: feed.StateServing, Slots: 32}
 }
 
-// Leave ends the engine's process.
+// Stop ends the engine's process.
 //
-//	machine.Leave()
-func (machine *EngineMachine) Leave() { machine.server.Close() }
+//	machine.Stop()
+func (machine *EngineMachine) Stop() { machine.server.Close() }
 
-// Return starts the engine again, in a new life.
+// Start starts the engine again, in a new life.
 //
-//	err := machine.Return(cluster)
-func (machine *EngineMachine) Return(cluster *Cluster, life string) error {
+//	err := machine.Start(cluster)
+func (machine *EngineMachine) Start(cluster *Cluster, life string) error {
 	listener, err := cluster.Network.At(machine.Host).Listen(machine.Host + ":8000")
 	if err != nil {
 		return err
 	}
-	machine.Engine = standin.NewEngine(life, standin.Pace{First: 20 * time.Millisecond, Piece: 10 * time.Millisecond, Plain: 10 * time.Millisecond})
+	machine.Engine = standin.NewEngine(life, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond})
 	machine.server = &http.Server{Handler: machine.Engine}
 	go machine.server.Serve(listener)
 	return nil
@@ -132,11 +132,11 @@
 	for group, count := range map[string]int{"engines": shape.Engines, "tools": shape.Tools} {
 		for index := range count {
 			machine := &EngineMachine{Host: fmt.Sprintf("10.0.6.%d", len(cluster.Engines)+1), Domain: domain(index), Group: group}
-			failed = errors.Join(failed, machine.Return(cluster, fmt.Sprintf("life-%d", len(cluster.Engines)+1)))
+			failed = errors.Join(failed, machine.Start(cluster, fmt.Sprintf("life-%d", len(cluster.Engines)+1)))
 			cluster.Engines = append(cluster.Engines, machine)
 		}
 	}
-	if cluster.Roster != nil {
+	if cluster.RunnerList != nil {
 		cluster.ListEngines()
 	}
 	return failed
@@ -157,11 +157,11 @@
 		}
 		listed = append(listed, feed.Runner{Address: machine.Host + ":8000", Group: group, Domain: machine.Domain, State: feed.StateServing})
 	}
-	cluster.Roster.Put(listed)
+	cluster.RunnerList.Put(listed)
 }
 
-// Forwarded is what a caller of a forwarded query got.
-type Forwarded struct {
+// ForwardedAnswer is what a caller of a forwarded query got.
+type ForwardedAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -169,7 +169,7 @@
 }
 
 // Begin takes the head of an answer.
-func (answer *Forwarded) Begin(status int, header http.Header) error {
+func (answer *ForwardedAnswer) Begin(status int, header http.Header) error {
 	if answer.Status != 0 {
 		return errors.New("an answer began twice")
 	}
@@ -178,27 +178,29 @@
 }
 
 // Write takes a part of the body.
-func (answer *Forwarded) Write(data []byte) error {
+func (answer *ForwardedAnswer) Write(data []byte) error {
 	answer.Body = append(answer.Body, data...)
 	return nil
 }
 
-// Refused tells whether the answer promises that the query did not run.
+// Rejected tells whether the answer promises that the query did not run.
 //
-//	if answer.Refused() { ... }
-func (answer *Forwarded) Refused() bool {
+//	if answer.Rejected() { ... }
+func (answer *ForwardedAnswer) Rejected() bool {
 	return answer.Status == 0 && apierror.Is(answer.Err, apierror.NotRun)
 }
 
 // Complete tells whether the answer is whole and a success.
 //
 //	if answer.Complete() { ... }
-func (answer *Forwarded) Complete() bool { return answer.Err == nil && answer.Status == http.StatusOK }
+func (answer *ForwardedAnswer) Complete() bool {
+	return answer.Err == nil && answer.Status == http.StatusOK
+}
 
-// Said is what the events of a stream said, as the next turn's prompt holds it.
+// Text is what the events of a stream said, as the next turn's prompt holds it.
 //
-//	prompt += words + answer.Said()
-func (answer *Forwarded) Said() string {
+//	prompt += words + answer.Text()
+func (answer *ForwardedAnswer) Text() string {
 	said := &strings.Builder{}
 	for text := range strings.Lines(string(answer.Body)) {
 		if data, found := strings.CutPrefix(text, "data: "); found {
@@ -212,7 +214,7 @@
 // deadline are filled in if they are missing.
 //
 //	answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "q-1", Path: "/lookup/1"})
-func (cluster *Cluster) Forward(machine *Machine, query forwarding.Request) *Forwarded {
+func (cluster *Cluster) Forward(machine *Machine, query forwarding.Request) *ForwardedAnswer {
 	if query.Method == "" {
 		query.Method = http.MethodPost
 	}
@@ -221,7 +223,7 @@
 	}
 	query.Host, query.Target, query.ReceivedAt = RoutedHost, query.Path, time.Now()
 	query.Header = http.Header{standin.Dialect.RequestID: {query.Name}}
-	answer := &Forwarded{}
+	answer := &ForwardedAnswer{}
 	ctx, cancel := context.WithDeadline(context.Background(), query.Deadline)
 	defer cancel()
 	node := machine.Front
@@ -260,7 +262,7 @@
 	return nil
 }
 
-// Settle lets time go by, on the test's clock.
+// Sleep lets time go by, on the test's clock.
 //
-//	cluster.Settle(time.Second)
-func (cluster *Cluster) Settle(while time.Duration) { <-time.After(while) }
+//	cluster.Sleep(time.Second)
+func (cluster *Cluster) Sleep(duration time.Duration) { <-time.After(duration) }
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -15,11 +15,11 @@
 // routed is the shape of clusters that forward queries.
 var routed = Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 1, Applications: 1, Engines: 3, Tools: 3}
 
-// forwardSimulate runs a test on a cluster with the routed config in force.
-func forwardSimulate(t *testing.T, body func(t *testing.T, cluster *Cluster)) {
+// simulateRouted runs a test on a cluster with the routed config in force.
+func simulateRouted(t *testing.T, body func(t *testing.T, cluster *Cluster)) {
 	t.Helper()
 	simulate(t, routed, func(t *testing.T, cluster *Cluster) {
-		if err := cluster.PutConfig(RoutedRules); err != nil {
+		if err := cluster.PutConfig(RoutedConfig); err != nil {
 			t.Fatal(err)
 		}
 		if err := cluster.AwaitForwarding(10 * time.Second); err != nil {
@@ -29,11 +29,11 @@
 	})
 }
 
-// runsOf counts how often a query ran at any engine.
-func runsOf(cluster *Cluster, name string) int {
+// executionsOf counts how often a query ran at any engine.
+func executionsOf(cluster *Cluster, name string) int {
 	runs := 0
 	for _, machine := range cluster.Engines {
-		for _, one := range machine.Engine.Ran() {
+		for _, one := range machine.Engine.Executions() {
 			if one.Query == name {
 				runs++
 			}
@@ -45,7 +45,7 @@
 // promptOf gives the body that a query ran with.
 func promptOf(cluster *Cluster, name string) string {
 	for _, machine := range cluster.Engines {
-		for _, one := range machine.Engine.Ran() {
+		for _, one := range machine.Engine.Executions() {
 			if one.Query == name {
 				return one.Body
 			}
@@ -54,15 +54,15 @@
 	return ""
 }
 
-// every puts a fault on all engines.
-func every(cluster *Cluster, fault standin.Fault) {
+// setFault puts a fault on all engines.
+func setFault(cluster *Cluster, fault standin.Fault) {
 	for _, machine := range cluster.Engines {
-		machine.Engine.Always(fault)
+		machine.Engine.SetFault(fault)
 	}
 }
 
-func TestForwardedQueriesReachRunnersUnchanged(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestForwardedRequestsReachRunnersUnchanged(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "order-1", Path: "/order/a%20b", Body: []byte("one activation")})
 		if !answer.Complete() || string(answer.Body) != "done order-1" || !strings.HasSuffix(answer.Header.Get("Seal"), "/order-1") {
 			t.Fatalf("%d %v %q %v", answer.Status, answer.Header, answer.Body, answer.Err)
@@ -78,7 +78,7 @@
 }
 
 // What one query may run again, by route and by what goes wrong.
-func TestForwardedQueriesRunAgainOnlyWhereTheyMay(t *testing.T) {
+func TestForwardedRequestsAreRetriedOnlyWhereAllowed(t *testing.T) {
 	cases := []struct {
 		path  string
 		fault standin.Fault
@@ -87,28 +87,28 @@
 		complete bool
 		refused  bool
 	}{
-		{"/lookup/", standin.Loses, 3, false, false},
-		{"/lookup/", standin.Refuses, 0, false, true},
-		{"/lookup/", standin.Fails, 3, false, false},
-		{"/order/", standin.Loses, 1, false, false},
-		{"/order/", standin.Refuses, 0, false, true},
-		{"/order/", standin.Unvouched, 0, false, false},
-		{"/order/", standin.Foreign, 1, false, false},
-		{"/talk/kept/", standin.Loses, 1, false, false},
-		{"/talk/kept/", standin.Breaks, 1, false, false},
-		{"/talk/kept/", standin.Refuses, 0, false, true},
-		{"/talk/chat/", standin.Breaks, 2, false, false},
+		{"/lookup/", standin.FaultLoseAnswer, 3, false, false},
+		{"/lookup/", standin.FaultNotRun, 0, false, true},
+		{"/lookup/", standin.FaultServerError, 3, false, false},
+		{"/order/", standin.FaultLoseAnswer, 1, false, false},
+		{"/order/", standin.FaultNotRun, 0, false, true},
+		{"/order/", standin.FaultUnavailable, 0, false, false},
+		{"/order/", standin.FaultWrongName, 1, false, false},
+		{"/talk/kept/", standin.FaultLoseAnswer, 1, false, false},
+		{"/talk/kept/", standin.FaultBreakStream, 1, false, false},
+		{"/talk/kept/", standin.FaultNotRun, 0, false, true},
+		{"/talk/chat/", standin.FaultBreakStream, 2, false, false},
 	}
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		for position, one := range cases {
-			every(cluster, one.fault)
+			setFault(cluster, one.fault)
 			name := fmt.Sprintf("query-%d", position)
 			answer := cluster.Forward(cluster.Fronts[position%2], forwarding.Request{Name: name, Path: one.path + name, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
-			if runs := runsOf(cluster, name); runs > one.runs {
+			if runs := executionsOf(cluster, name); runs > one.runs {
 				t.Errorf("%s with %s ran %d times", one.path, one.fault, runs)
 			}
-			if answer.Refused() != one.refused {
-				t.Errorf("%s with %s: refused is %t (%d %v)", one.path, one.fault, answer.Refused(), answer.Status, answer.Err)
+			if answer.Rejected() != one.refused {
+				t.Errorf("%s with %s: refused is %t (%d %v)", one.path, one.fault, answer.Rejected(), answer.Status, answer.Err)
 			}
 			if answer.Complete() != one.complete {
 				t.Errorf("%s with %s: complete is %t (%d %q)", one.path, one.fault, answer.Complete(), answer.Status, answer.Body)
@@ -116,18 +116,18 @@
 			if promise := map[int]bool{408: true, 421: true, 429: true, 503: true}[answer.Status]; promise {
 				t.Errorf("%s with %s: a runner's %d was passed on, which vouches for nothing", one.path, one.fault, answer.Status)
 			}
-			every(cluster, standin.NoFault)
-			cluster.Settle(3 * time.Second)
+			setFault(cluster, standin.NoFault)
+			cluster.Sleep(3 * time.Second)
 		}
 	})
 }
 
-func TestALostAnswerOfARepeatableQueryIsAskedElsewhere(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestLostAnswerOfARepeatableRequestIsRetriedElsewhere(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		lost := 0
 		for _, machine := range cluster.Engines {
 			if machine.Group == "tools" && lost < 2 { // of three, with three tries
-				machine.Engine.Next(standin.Loses)
+				machine.Engine.InjectFaults(standin.FaultLoseAnswer)
 				lost++
 			}
 		}
@@ -141,9 +141,9 @@
 }
 
 func TestAResumableStreamGoesOnAtAnotherRunnerInTheSameAnswer(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		for _, machine := range cluster.Engines {
-			machine.Engine.Next(standin.Breaks)
+			machine.Engine.InjectFaults(standin.FaultBreakStream)
 		}
 		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-1", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		want := ""
@@ -161,14 +161,14 @@
 	})
 }
 
-func TestKeptTurnsAreHeardWithTheirWholeChainFromAnyFront(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestKeptTurnsCarryTheirWholeChainFromAnyFront(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		turn := func(front int, program, name, follows, words string) string {
 			answer := cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 			if !answer.Complete() {
 				t.Fatalf("%s: %d %v", name, answer.Status, answer.Err)
 			}
-			return words + answer.Said()
+			return words + answer.Text()
 		}
 		chain := turn(0, "p", "t1", "", "first ")
 		second := turn(1, "p", "t2", "t1", "second ")
@@ -188,14 +188,14 @@
 			t.Fatalf("the fourth turn was heard as %q", got)
 		}
 		unknown := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "t5", Path: "/talk/kept/1", Follows: "never", Body: []byte("x"), Program: "p", HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
-		if !apierror.Is(unknown.Err, apierror.NotFound) || runsOf(cluster, "t5") != 0 {
+		if !apierror.Is(unknown.Err, apierror.NotFound) || executionsOf(cluster, "t5") != 0 {
 			t.Fatalf("a turn that follows none got %v", unknown.Err)
 		}
 	})
 }
 
-func TestAnAllowanceOfTokensHoldsOverAllFronts(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestTokenQuotaHoldsOverAllFronts(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		put, refused := 0, 0
 		for number := range 20 {
 			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: fmt.Sprintf("spend-%d", number), Path: "/talk/chat/1", Body: []byte("x"), Program: "runaway", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 20})
@@ -203,13 +203,13 @@
 			switch {
 			case apierror.Is(answer.Err, apierror.QuotaExhausted):
 				refused++
-				if runsOf(cluster, fmt.Sprintf("spend-%d", number)) != 0 {
+				if executionsOf(cluster, fmt.Sprintf("spend-%d", number)) != 0 {
 					t.Fatal("a turn that was refused for its allowance ran")
 				}
 			case !answer.Complete():
 				t.Fatalf("%d %v", answer.Status, answer.Err)
 			}
-			cluster.Settle(300 * time.Millisecond)
+			cluster.Sleep(300 * time.Millisecond)
 		}
 		if put > 120 || put < 100 || refused == 0 {
 			t.Fatalf("%d tokens were put out of 100, %d turns refused", put, refused)
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -16,7 +16,7 @@
 )
 
 // kept asks for a kept turn of a program.
-func (cluster *Cluster) kept(front int, name, follows, words string) *Forwarded {
+func (cluster *Cluster) kept(front int, name, follows, words string) *ForwardedAnswer {
 	return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: "p", HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
 }
 
@@ -29,11 +29,11 @@
 	return whole
 }
 
-func TestAFrontRefusesAtOnceWhatItCannotHold(t *testing.T) {
+func TestFrontRejectsAtOnceWhatItCannotBuffer(t *testing.T) {
 	shape := routed
-	shape.HeldBytes = 4000
+	shape.BufferBytes = 4000
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
-		if err := cluster.PutConfig(RoutedRules); err != nil {
+		if err := cluster.PutConfig(RoutedConfig); err != nil {
 			t.Fatal(err)
 		}
 		if err := cluster.AwaitForwarding(10 * time.Second); err != nil {
@@ -43,25 +43,25 @@
 		if answer := cluster.kept(0, "large", "", strings.Repeat("x", 9000)); !answer.Complete() {
 			t.Fatalf("%d %v", answer.Status, answer.Err)
 		}
-		every(cluster, standin.Hangs)
-		ended := make(chan *Forwarded, 1)
+		setFault(cluster, standin.FaultHang)
+		ended := make(chan *ForwardedAnswer, 1)
 		go func() {
 			ended <- cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "first", Path: "/order/1", Body: bytes.Repeat([]byte("x"), 3000)})
 		}()
-		cluster.Settle(100 * time.Millisecond)
+		cluster.Sleep(100 * time.Millisecond)
 		began := time.Now()
 		refused := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "second", Path: "/order/2", Body: bytes.Repeat([]byte("x"), 1500)})
-		if !refused.Refused() || apierror.Of(refused.Err).RetryAfter == 0 || time.Since(began) > 0 || runsOf(cluster, "second") != 0 {
+		if !refused.Rejected() || apierror.Of(refused.Err).RetryAfter == 0 || time.Since(began) > 0 || executionsOf(cluster, "second") != 0 {
 			t.Fatalf("%d %v after %s", refused.Status, refused.Err, time.Since(began))
 		}
 		// The history counts as well, once it is known.
 		refused = cluster.kept(0, "on", "large", "y")
-		if !refused.Refused() || apierror.Of(refused.Err).RetryAfter == 0 || runsOf(cluster, "on") != 0 {
+		if !refused.Rejected() || apierror.Of(refused.Err).RetryAfter == 0 || executionsOf(cluster, "on") != 0 {
 			t.Fatalf("%d %v", refused.Status, refused.Err)
 		}
 		<-ended
-		every(cluster, standin.NoFault)
-		cluster.Settle(time.Second)
+		setFault(cluster, standin.NoFault)
+		cluster.Sleep(time.Second)
 		for number := range 20 { // all is given back
 			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: fmt.Sprint("later-", number), Path: "/order/3", Body: bytes.Repeat([]byte("x"), 3900)}); !answer.Complete() {
 				t.Fatalf("%d %v", answer.Status, answer.Err)
@@ -70,24 +70,24 @@
 	})
 }
 
-func TestAQueryWhoseCallerLeftIsNotSent(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestRequestOfADisconnectedCallerIsNotSent(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		for position, path := range []string{"/lookup/", "/order/", "/talk/kept/", "/talk/chat/"} {
 			name := fmt.Sprintf("left-%d", position)
 			left, cancel := context.WithCancel(context.Background())
 			cancel()
 			query := &forwarding.Request{Name: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
-			err := cluster.Fronts[0].Front.Forward(left, query, &Forwarded{})
-			cluster.Settle(time.Second)
-			if err == nil || runsOf(cluster, name) != 0 {
-				t.Fatalf("%s: %v, ran %d times", path, err, runsOf(cluster, name))
+			err := cluster.Fronts[0].Front.Forward(left, query, &ForwardedAnswer{})
+			cluster.Sleep(time.Second)
+			if err == nil || executionsOf(cluster, name) != 0 {
+				t.Fatalf("%s: %v, ran %d times", path, err, executionsOf(cluster, name))
 			}
 		}
 	})
 }
 
 func TestAHeadHasNoBodyAndAnEmptyBodyStaysEmpty(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		head := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "head", Method: http.MethodHead, Path: "/lookup/1"})
 		if !head.Complete() || len(head.Body) != 0 {
 			t.Fatalf("%d %q %v", head.Status, head.Body, head.Err)
@@ -102,22 +102,22 @@
 			t.Fatalf("the empty body arrived as %q", prompt)
 		}
 		first := cluster.kept(0, "empty", "", "")
-		if second := cluster.kept(1, "on", "empty", ""); !second.Complete() || promptOf(cluster, "on") != first.Said() {
+		if second := cluster.kept(1, "on", "empty", ""); !second.Complete() || promptOf(cluster, "on") != first.Text() {
 			t.Fatalf("%d %v, heard %q", second.Status, second.Err, promptOf(cluster, "on"))
 		}
 	})
 }
 
 func TestAStreamIsNeverGivenTwiceByARunnerThatForgetsWhereItGoesOn(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		every(cluster, standin.Repeats)
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+		setFault(cluster, standin.FaultRestartStream)
 		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
-		if !answer.Complete() || string(answer.Body) != streamOf("hello") || runsOf(cluster, "chat") != 2 {
-			t.Fatalf("%v after %d runs\n%s", answer.Err, runsOf(cluster, "chat"), answer.Body)
+		if !answer.Complete() || string(answer.Body) != streamOf("hello") || executionsOf(cluster, "chat") != 2 {
+			t.Fatalf("%v after %d runs\n%s", answer.Err, executionsOf(cluster, "chat"), answer.Body)
 		}
 		seal := answer.Header.Get("Seal")
 		for _, machine := range cluster.Engines {
-			ran := machine.Engine.Ran()
+			ran := machine.Engine.Executions()
 			if len(ran) > 0 && ran[len(ran)-1].Query == "chat" && ran[len(ran)-1].Header.Get(standin.Dialect.LastEventID) == "" && seal != machine.Engine.Life+"/chat" {
 				t.Fatalf("the seal is %s, not that of the first runner %s", seal, machine.Engine.Life)
 			}
@@ -130,21 +130,21 @@
 }
 
 func TestASuccessWithoutEventsCountsAtItsMostAndIsKeptIfItsTurnIs(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		every(cluster, standin.Plain)
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+		setFault(cluster, standin.FaultPlainAnswer)
 		plain := cluster.kept(0, "plain", "", "one ")
 		if !plain.Complete() || string(plain.Body) != "done plain" {
 			t.Fatalf("%d %q %v", plain.Status, plain.Body, plain.Err)
 		}
 		for number := range 2 {
 			cluster.Forward(cluster.Fronts[number], forwarding.Request{Name: fmt.Sprint("spend-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
-			cluster.Settle(time.Second)
+			cluster.Sleep(time.Second)
 		}
 		over := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "over", Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 		if !apierror.Is(over.Err, apierror.QuotaExhausted) {
 			t.Fatalf("beyond the allowance: %d %v", over.Status, over.Err)
 		}
-		every(cluster, standin.NoFault)
+		setFault(cluster, standin.NoFault)
 		if on := cluster.kept(1, "on", "plain", "two "); !on.Complete() || promptOf(cluster, "on") != "one two " {
 			t.Fatalf("%d %v, heard %q", on.Status, on.Err, promptOf(cluster, "on"))
 		}
@@ -152,16 +152,16 @@
 }
 
 func TestARunnersOwnRefusalIsPassedOnAndCostsNothing(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		every(cluster, standin.Rejects)
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+		setFault(cluster, standin.FaultUnprocessable)
 		for number := range 10 {
 			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: fmt.Sprint("reject-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 			if answer.Err != nil || answer.Status != http.StatusUnprocessableEntity || answer.Header.Get("Seal") == "" {
 				t.Fatalf("%d %v %v", answer.Status, answer.Header, answer.Err)
 			}
-			cluster.Settle(time.Second)
+			cluster.Sleep(time.Second)
 		}
-		every(cluster, standin.NoFault)
+		setFault(cluster, standin.NoFault)
 		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "whole", Path: "/talk/chat/1", Body: []byte("x"), Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 		if !answer.Complete() || string(answer.Body) != streamOf("x") {
 			t.Fatalf("%d %v", answer.Status, answer.Err)
@@ -170,62 +170,62 @@
 }
 
 func TestATurnOfNoProgramIsKeptAndCounted(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		ask := func(front int, name, follows string) *Forwarded {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+		ask := func(front int, name, follows string) *ForwardedAnswer {
 			return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(name)})
 		}
 		first := ask(0, "alone", "")
 		second := ask(1, "on", "alone")
-		if !first.Complete() || !second.Complete() || promptOf(cluster, "on") != "alone"+first.Said()+"on" {
+		if !first.Complete() || !second.Complete() || promptOf(cluster, "on") != "alone"+first.Text()+"on" {
 			t.Fatalf("%v %v, heard %q", first.Err, second.Err, promptOf(cluster, "on"))
 		}
 	})
 }
 
 // failing takes a stream's head and its first event, and nothing more.
-type failing struct{ Forwarded }
+type failing struct{ ForwardedAnswer }
 
 func (answer *failing) Write(data []byte) error {
 	if len(answer.Body) > 0 {
 		return errors.New("the caller is gone")
 	}
-	return answer.Forwarded.Write(data)
+	return answer.ForwardedAnswer.Write(data)
 }
 
-func TestWhatACallerThatLeftWasNotGivenIsNotAskedAgain(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestAnswerOfADisconnectedCallerIsNotRetried(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		query := &forwarding.Request{Name: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
 		err := cluster.Fronts[0].Front.Forward(context.Background(), query, &failing{})
-		cluster.Settle(time.Second)
-		if err == nil || runsOf(cluster, "gone") != 1 {
-			t.Fatalf("%v, ran %d times", err, runsOf(cluster, "gone"))
+		cluster.Sleep(time.Second)
+		if err == nil || executionsOf(cluster, "gone") != 1 {
+			t.Fatalf("%v, ran %d times", err, executionsOf(cluster, "gone"))
 		}
 	})
 }
 
-func TestAKeptTurnIsWholeOnlyIfItsEndWasCommitted(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestKeptTurnIsCompleteOnlyIfItsEndWasCommitted(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		first := cluster.kept(0, "first", "", "one ")
 		if !first.Complete() {
 			t.Fatal(first.Err)
 		}
 		// The stores are away while the turn runs, then come back within its time.
-		ended := make(chan *Forwarded, 1)
+		ended := make(chan *ForwardedAnswer, 1)
 		go func() { ended <- cluster.kept(0, "second", "first", "two ") }()
-		for runsOf(cluster, "second") == 0 {
-			cluster.Settle(time.Millisecond)
+		for executionsOf(cluster, "second") == 0 {
+			cluster.Sleep(time.Millisecond)
 		}
 		for _, store := range cluster.Stores {
 			cluster.Network.Isolate(store.Host)
 		}
-		cluster.Settle(1500 * time.Millisecond)
+		cluster.Sleep(1500 * time.Millisecond)
 		for _, store := range cluster.Stores {
 			cluster.Network.Rejoin(store.Host)
 		}
 		second := <-ended
 		on := cluster.kept(1, "third", "second", "three ")
 		for apierror.Is(on.Err, apierror.NotRun) {
-			cluster.Settle(200 * time.Millisecond)
+			cluster.Sleep(200 * time.Millisecond)
 			on = cluster.kept(1, fmt.Sprint("third-", time.Now().UnixNano()), "second", "three ")
 		}
 		if second.Complete() && !on.Complete() {
@@ -237,40 +237,40 @@
 	})
 }
 
-func TestAKeptTurnWhoseEndIsNotCommittedNeverLooksWhole(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		ended := make(chan *Forwarded, 1)
+func TestKeptTurnWithUncommittedEndNeverLooksComplete(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+		ended := make(chan *ForwardedAnswer, 1)
 		go func() { ended <- cluster.kept(0, "turn", "", "one ") }()
-		for runsOf(cluster, "turn") == 0 {
-			cluster.Settle(time.Millisecond)
+		for executionsOf(cluster, "turn") == 0 {
+			cluster.Sleep(time.Millisecond)
 		}
 		for _, store := range cluster.Stores {
 			cluster.Network.Isolate(store.Host)
 		}
 		turn := <-ended
-		if turn.Err == nil || turn.Refused() {
+		if turn.Err == nil || turn.Rejected() {
 			t.Fatalf("the turn ended with %d %v", turn.Status, turn.Err)
 		}
 	})
 }
 
-func TestAQueryHeldUpBeforeItsFirstByteIsNotSentByAnOldView(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestRequestDelayedBeforeItsFirstByteIsNotSentByAnOldView(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		front := cluster.Fronts[0]
 		front.Kill() // it keeps no connections to runners
 		if err := front.Start(); err != nil {
 			t.Fatal(err)
 		}
-		cluster.Settle(4 * time.Second)
+		cluster.Sleep(4 * time.Second)
 		cluster.Network.Freeze(front.Host)
-		ended := make(chan *Forwarded, 1)
+		ended := make(chan *ForwardedAnswer, 1)
 		go func() {
 			ended <- cluster.Forward(front, forwarding.Request{Name: "held", Path: "/order/1", Body: []byte("x")})
 		}()
-		cluster.Settle(2500 * time.Millisecond)
+		cluster.Sleep(2500 * time.Millisecond)
 		cluster.Network.Thaw(front.Host)
-		if answer := <-ended; answer.Status != 0 || runsOf(cluster, "held") != 0 {
-			t.Fatalf("%d %v, ran %d times", answer.Status, answer.Err, runsOf(cluster, "held"))
+		if answer := <-ended; answer.Status != 0 || executionsOf(cluster, "held") != 0 {
+			t.Fatalf("%d %v, ran %d times", answer.Status, answer.Err, executionsOf(cluster, "held"))
 		}
 		if err := cluster.AwaitForwarding(5 * time.Second); err != nil {
 			t.Fatal(err)
@@ -278,9 +278,9 @@
 	})
 }
 
-// TestBookingsMayBeWaitedForWhileMoreComes drains fronts while turns end.
-func TestBookingsMayBeWaitedForWhileMoreComes(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+// TestSettlementsMayBeWaitedForWhileMoreComes drains fronts while turns end.
+func TestSettlementsMayBeWaitedForWhileMoreComes(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		stop := time.Now().Add(5 * time.Second)
 		done := make(chan bool)
 		for caller := range 8 {
@@ -295,7 +295,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			cluster.Fronts[0].Front.Drain(ctx)
 			cancel()
-			cluster.Settle(time.Millisecond)
+			cluster.Sleep(time.Millisecond)
 		}
 		for range 8 {
 			<-done
--- a/proof/simulator/history_test.go
+++ b/proof/simulator/history_test.go
@@ -41,7 +41,7 @@
 func (cluster *Cluster) amend(t *testing.T, base uint64) {
 	t.Helper()
 	amendment := config.RoutingPatch{Revision: base + 1, Routes: []config.Route{historyRoute(int(base)%historyRoutes, base+1)}}
-	err := cluster.order(int(base), historyTimeout, func(ctx context.Context, node *controlplane.Node) error {
+	err := cluster.requestChange(int(base), historyTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		return node.AmendRouting(ctx, "root", base, amendment, fmt.Sprint("order ", base))
 	})
 	if err != nil {
@@ -146,9 +146,9 @@
 	return fewTimes*(len(view.Source)+len(view.Compiled)) + historyChanges*perChange + slack
 }
 
-// TestAFollowerFarBehindGetsAWholeView changes so much while a front and a store are cut off
+// TestClientFarBehindGetsACompleteView changes so much while a front and a store are cut off
 // that the differences are no longer kept.
-func TestAFollowerFarBehindGetsAWholeView(t *testing.T) {
+func TestClientFarBehindGetsACompleteView(t *testing.T) {
 	const replacements, noteSize = 30, 600
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(7)
@@ -180,9 +180,9 @@
 	})
 }
 
-// TestAnEarlierConfigIsRestoredOrToldMissing restores a config over differences, and is told
+// TestEarlierConfigIsRestoredOrReportedMissing restores a config over differences, and is told
 // plainly of one that is no longer kept.
-func TestAnEarlierConfigIsRestoredOrToldMissing(t *testing.T) {
+func TestEarlierConfigIsRestoredOrReportedMissing(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		number := cluster.leader().Control.View().ConfigNumber
 		digest := sourceOf(cluster)
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -21,7 +21,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-type lineInput struct {
+type sessionInput struct {
 	line     string
 	read     bool
 	word     string
@@ -29,20 +29,20 @@
 	expected uint64
 }
 
-type lineOutput struct {
+type sessionOutput struct {
 	unknown bool
 	refused bool
 	seq     uint64
 	words   string
 }
 
-// lineModel is what one line must look like to all: appends in one order, each
+// sessionModel is what one line must look like to all: appends in one order, each
 // with the next seq, and reads that show all appends before them.
-var lineModel = porcupine.Model{
+var sessionModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byLine := map[string][]porcupine.Operation{}
 		for _, operation := range history {
-			name := operation.Input.(lineInput).line
+			name := operation.Input.(sessionInput).line
 			byLine[name] = append(byLine[name], operation)
 		}
 		parts := [][]porcupine.Operation{}
@@ -53,7 +53,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		words, asked, told := state.(string), input.(lineInput), output.(lineOutput)
+		words, asked, told := state.(string), input.(sessionInput), output.(sessionOutput)
 		head := uint64(strings.Count(words, ","))
 		if asked.read {
 			return told.unknown || told.words == words, words
@@ -72,14 +72,14 @@
 	Equal: func(left, right any) bool { return left.(string) == right.(string) },
 }
 
-func TestLineHistoriesAreLinearizableUnderFaults(t *testing.T) {
+func TestSessionHistoriesAreLinearizableUnderFaults(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		history, unknown, refused := clients(cluster, cluster.Seed)
 		t.Logf("%d operations, %d unknown, %d refused", len(history), unknown, refused)
 		if len(history) < 150 || refused == 0 {
 			t.Fatalf("too little was done: %d operations, %d refused", len(history), refused)
 		}
-		if !porcupine.CheckOperations(lineModel, history) {
+		if !porcupine.CheckOperations(sessionModel, history) {
 			t.Fatal("no order of the operations explains what clients saw")
 		}
 	})
@@ -107,7 +107,7 @@
 			client := storeclient.New(caller, following.View)
 			seen := map[string]uint64{}
 			for position := 0; ctx.Err() == nil; position++ {
-				input := lineInput{line: fmt.Sprintf("depot/line-%d", random.IntN(2)), read: random.IntN(3) == 0, word: fmt.Sprintf("%d-%d", number, position), expects: random.IntN(2) == 0}
+				input := sessionInput{line: fmt.Sprintf("depot/line-%d", random.IntN(2)), read: random.IntN(3) == 0, word: fmt.Sprintf("%d-%d", number, position), expects: random.IntN(2) == 0}
 				input.expected = seen[input.line]
 				called := time.Since(began)
 				output := operate(client, input, seen)
@@ -137,7 +137,7 @@
 			}
 			cluster.cutFromPeers(store)
 		default:
-			cluster.strikeStore(store, fault)
+			cluster.injectStoreFault(store, fault)
 		}
 		<-time.After(1500 * time.Millisecond)
 	}
@@ -146,37 +146,37 @@
 	return history, unknown, refused
 }
 
-func operate(client *storeclient.Client, input lineInput, seen map[string]uint64) lineOutput {
+func operate(client *storeclient.Client, input sessionInput, seen map[string]uint64) sessionOutput {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if input.read {
 		reply, err := client.Read(ctx, wire.ReadQuery{Session: input.line})
 		if apierror.Is(err, apierror.NotFound) {
-			return lineOutput{}
+			return sessionOutput{}
 		}
 		if err != nil {
-			return lineOutput{unknown: true}
+			return sessionOutput{unknown: true}
 		}
 		words := ""
 		for _, event := range reply.Events {
 			words += event.Text + ","
 		}
 		seen[input.line] = reply.Session.Head
-		return lineOutput{words: words}
+		return sessionOutput{words: words}
 	}
 	outcomes, err := client.Command(ctx, input.line,
 		sessionlog.Command{Kind: sessionlog.CreateSession, Retention: time.Hour},
 		sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: input.word, ProducerSeq: 1, HasExpectedSeq: input.expects, ExpectedSeq: input.expected, Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted, Text: input.word}}})
 	if err != nil {
-		return lineOutput{unknown: true}
+		return sessionOutput{unknown: true}
 	}
 	seen[input.line] = outcomes[1].Head
-	return lineOutput{refused: outcomes[1].Status == sessionlog.UnexpectedSeq, seq: outcomes[1].Seq}
+	return sessionOutput{refused: outcomes[1].Status == sessionlog.UnexpectedSeq, seq: outcomes[1].Seq}
 }
 
-// TestAFrozenAssignmentOwnerThatWakesDoesNoHarm isolates the owner of the roster assignment;
+// TestPausedLeaseHolderThatResumesIsFenced isolates the owner of the roster assignment;
 // another takes it under the next fence, and what the old one puts is refused.
-func TestAFrozenAssignmentOwnerThatWakesDoesNoHarm(t *testing.T) {
+func TestPausedLeaseHolderThatResumesIsFenced(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		held := cluster.Controls[0].Control.View().RoleLeaseOf("roster")
 		var owner *Machine
@@ -273,9 +273,9 @@
 			}
 			working.Wait()
 			for _, other := range cluster.Stores {
-				cluster.Network.Mend(old.Host, other.Host)
+				cluster.Network.Heal(old.Host, other.Host)
 			}
-			cluster.Network.Mend(old.Host, "10.8.1.2")
+			cluster.Network.Heal(old.Host, "10.8.1.2")
 			<-time.After(3 * time.Second)
 		}
 		t.Logf("%d reads, %d served", reads, served)
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -59,7 +59,7 @@
 
 func TestTheListOfRunnersReachesAllFrontsSoon(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 2, Engines: 1}, func(t *testing.T, cluster *Cluster) {
-		source := cluster.Roster
+		source := cluster.RunnerList
 		const soon = 1300 * time.Millisecond // a poll, a commit and a round of the fronts
 		runner := func(life, state string, cold time.Duration) feed.Runner {
 			return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: cold, Slots: 4}
@@ -70,12 +70,12 @@
 		until(t, soon, watching, "a cold runner", func(view *feed.View) bool {
 			return stateOf(view, "one") == feed.StateWarmingUp && stateOf(view, "other") != ""
 		})
-		number, asks := cluster.Controls[0].Control.View().Number, source.Asks()
+		number, asks := cluster.Controls[0].Control.View().Number, source.Polls()
 		<-time.After(2 * time.Second)
 		if now := cluster.Controls[0].Control.View().Number; now != number {
 			t.Fatalf("the feed went from %d to %d while a runner only stayed cold", number, now)
 		}
-		if asks = source.Asks() - asks; asks < 3 || asks > 5 {
+		if asks = source.Polls() - asks; asks < 3 || asks > 5 {
 			t.Fatalf("the list was asked for %d times in 2 s", asks)
 		}
 		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 6*time.Second)}) // colder than it was
@@ -100,10 +100,10 @@
 		// A platform that is down, or wants to be left alone, takes no runner away.
 		source.Fail(apierror.NewRetryable(apierror.Unavailable, "too often", "later", 5*time.Second))
 		<-time.After(time.Second)
-		asks = source.Asks()
+		asks = source.Polls()
 		<-time.After(3 * time.Second)
-		if source.Asks() != asks || stateOf(cluster.Controls[0].Control.View(), "two") != feed.StateServing {
-			t.Fatalf("asked %d times in spite of the refusal, or the list is gone: %+v", source.Asks()-asks, cluster.Controls[0].Control.View().Runners)
+		if source.Polls() != asks || stateOf(cluster.Controls[0].Control.View(), "two") != feed.StateServing {
+			t.Fatalf("asked %d times in spite of the refusal, or the list is gone: %+v", source.Polls()-asks, cluster.Controls[0].Control.View().Runners)
 		}
 		source.Fail(nil)
 		<-time.After(5 * time.Second)
@@ -137,9 +137,9 @@
 	return Shape{Controls: controls, Stores: stores, Fronts: 2, Models: 2, Applications: 2, Groups: 32, AutoEnrol: true}
 }
 
-// keptBy tells, at all stores, which hold a full part of every group: nil if those given
+// viewReplicasAre tells, at all stores, which hold a full part of every group: nil if those given
 // hold all of them and nobody else does.
-func (cluster *Cluster) keptBy(machines ...*Machine) error {
+func (cluster *Cluster) viewReplicasAre(machines ...*Machine) error {
 	names, led := []string{}, 0
 	for _, machine := range machines {
 		names = append(names, machine.Store.Name())
@@ -182,7 +182,7 @@
 		await := func(timeout time.Duration, what string, machines ...*Machine) {
 			t.Helper()
 			began := time.Now()
-			if err := cluster.Await(timeout, what, func() error { return cluster.keptBy(machines...) }); err != nil {
+			if err := cluster.Await(timeout, what, func() error { return cluster.viewReplicasAre(machines...) }); err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("%s: %s", what, time.Since(began))
@@ -255,9 +255,9 @@
 	return nil
 }
 
-// TestControlNodesAreExchangedOneAfterAnother loses a control node for good, lets an empty
+// TestControlNodesAreReplacedOneAfterAnother loses a control node for good, lets an empty
 // one come at another address or the same, and loses the next as soon as that one votes.
-func TestControlNodesAreExchangedOneAfterAnother(t *testing.T) {
+func TestControlNodesAreReplacedOneAfterAnother(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("of-%d", size), func(t *testing.T) {
 			shape := byThemselves(size, 3)
@@ -273,7 +273,7 @@
 				random := cluster.Random(33)
 				for round := range 5 {
 					mark := fmt.Sprintf("round %d", round)
-					if err := cluster.PutConfig(Rules + "// " + mark + "\n"); err != nil {
+					if err := cluster.PutConfig(BasicConfig + "// " + mark + "\n"); err != nil {
 						t.Fatal(err)
 					}
 					at := random.IntN(size)
@@ -377,11 +377,11 @@
 	})
 }
 
-// TestTurnsAreNeverUnknownWhileStoresAreExchanged has programs take turn after turn, and
+// TestTurnsAreNeverUnknownWhileStoresAreReplaced has programs take turn after turn, and
 // others go on from them, while one store after another loses its disk.
-func TestTurnsAreNeverUnknownWhileStoresAreExchanged(t *testing.T) {
+func TestTurnsAreNeverUnknownWhileStoresAreReplaced(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.origin("10.8.0.1")
+		origin, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -434,7 +434,7 @@
 			if err := lost.Start(); err != nil {
 				t.Fatal(err)
 			}
-			if err := cluster.Await(4500*time.Millisecond, "all groups whole", func() error { return cluster.keptBy(cluster.Stores...) }); err != nil {
+			if err := cluster.Await(4500*time.Millisecond, "all groups whole", func() error { return cluster.viewReplicasAre(cluster.Stores...) }); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/proof/simulator/network.go
+++ b/proof/simulator/network.go
@@ -23,7 +23,7 @@
 	mutex     sync.Mutex
 	random    *rand.Rand
 	listeners map[string]*listener
-	ends      map[*end]bool
+	endpoints map[*endpoint]bool
 	cuts      map[[2]string]bool // from one host to another
 	slow      map[[2]string]time.Duration
 	refused   map[[2]string]bool
@@ -38,7 +38,7 @@
 //
 //	network := simulator.NewNetwork(7)
 func NewNetwork(seed uint64) *Network {
-	return &Network{random: rand.New(rand.NewPCG(seed, 2)), listeners: map[string]*listener{}, ends: map[*end]bool{},
+	return &Network{random: rand.New(rand.NewPCG(seed, 2)), listeners: map[string]*listener{}, endpoints: map[*endpoint]bool{},
 		cuts: map[[2]string]bool{}, slow: map[[2]string]time.Duration{}, refused: map[[2]string]bool{}, isolated: map[string]bool{}, frozen: map[string]bool{}, changed: make(chan struct{}), bytes: map[string]int64{}, messages: map[string]int64{}}
 }
 
@@ -58,8 +58,8 @@
 	return host
 }
 
-// open tells whether what one host sends reaches another now.
-func (network *Network) open(from, to string) bool {
+// reachable tells whether what one host sends reaches another now.
+func (network *Network) reachable(from, to string) bool {
 	return !network.cuts[[2]string{from, to}] && !network.isolated[from] && !network.isolated[to] && !network.frozen[from] && !network.frozen[to]
 }
 
@@ -85,10 +85,10 @@
 	network.change(func() { network.cuts[[2]string{from, to}] = true })
 }
 
-// Mend joins two hosts, and makes the ways between them as fast as they were.
+// Heal joins two hosts, and makes the ways between them as fast as they were.
 //
-//	network.Mend("10.0.0.1", "10.0.1.1")
-func (network *Network) Mend(left, right string) {
+//	network.Heal("10.0.0.1", "10.0.1.1")
+func (network *Network) Heal(left, right string) {
 	network.change(func() {
 		for _, way := range [][2]string{{left, right}, {right, left}} {
 			delete(network.cuts, way)
@@ -101,9 +101,9 @@
 // Slow lets what two hosts send each other arrive so much later.
 //
 //	network.Slow("10.0.0.1", "10.0.1.1", 300*time.Millisecond)
-func (network *Network) Slow(left, right string, later time.Duration) {
+func (network *Network) Slow(left, right string, delay time.Duration) {
 	network.change(func() {
-		network.slow[[2]string{left, right}], network.slow[[2]string{right, left}] = later, later
+		network.slow[[2]string{left, right}], network.slow[[2]string{right, left}] = delay, delay
 	})
 }
 
@@ -123,8 +123,8 @@
 	network.change(func() { delete(network.frozen, host) })
 }
 
-// awake returns once a host is not frozen, or given up.
-func (network *Network) awake(host string, given <-chan struct{}) {
+// awaitThawed returns once a host is not frozen, or given up.
+func (network *Network) awaitThawed(host string, given <-chan struct{}) {
 	for {
 		network.mutex.Lock()
 		frozen, changed := network.frozen[host], network.changed
@@ -162,7 +162,7 @@
 func (network *Network) Reset(host string) {
 	network.mutex.Lock()
 	broken := []io.Closer{}
-	for one := range network.ends {
+	for one := range network.endpoints {
 		if one.host == host || one.peer.host == host {
 			broken = append(broken, one)
 		}
@@ -190,7 +190,7 @@
 type listener struct {
 	network *Network
 	address string
-	queue   chan *end
+	queue   chan *endpoint
 	once    sync.Once
 	closed  chan struct{}
 }
@@ -202,7 +202,7 @@
 	if host.network.listeners[address] != nil {
 		return nil, fmt.Errorf("%s is in use", address)
 	}
-	made := &listener{network: host.network, address: address, queue: make(chan *end, 128), closed: make(chan struct{})}
+	made := &listener{network: host.network, address: address, queue: make(chan *endpoint, 128), closed: make(chan struct{})}
 	host.network.listeners[address] = made
 	return made, nil
 }
@@ -236,19 +236,19 @@
 func (address address) Network() string { return "simulated" }
 func (address address) String() string  { return string(address) }
 
-// resent is after how long a system sends an opening packet again that a cut way has
+// retransmitTimeout is after how long a system sends an opening packet again that a cut way has
 // swallowed; each further time takes twice as long.
-const resent = time.Second
+const retransmitTimeout = time.Second
 
 // Dial connects. An opening packet that a cut way swallows is sent again only after a
 // second, as by TCP.
 func (host *Host) Dial(ctx context.Context, target string) (net.Conn, error) {
 	network := host.network
-	again := resent
+	again := retransmitTimeout
 	for {
-		network.awake(host.name, nil)
+		network.awaitThawed(host.name, nil)
 		network.mutex.Lock()
-		way, changed, found := network.open(host.name, hostOf(target)) && network.open(hostOf(target), host.name), network.changed, network.listeners[target]
+		way, changed, found := network.reachable(host.name, hostOf(target)) && network.reachable(hostOf(target), host.name), network.changed, network.listeners[target]
 		frozen, held := network.frozen[host.name], network.frozen[hostOf(target)]
 		refused := network.refused[[2]string{host.name, hostOf(target)}]
 		network.mutex.Unlock()
@@ -281,13 +281,13 @@
 }
 
 func (network *Network) connect(from string, to *listener) (net.Conn, error) {
-	near := &end{network: network, host: from, incoming: newBuffer(), local: address(from + ":0"), remote: address(to.address), done: make(chan struct{})}
-	far := &end{network: network, host: hostOf(to.address), incoming: newBuffer(), local: address(to.address), remote: address(from + ":0"), done: make(chan struct{})}
+	near := &endpoint{network: network, host: from, incoming: newBuffer(), local: address(from + ":0"), remote: address(to.address), done: make(chan struct{})}
+	far := &endpoint{network: network, host: hostOf(to.address), incoming: newBuffer(), local: address(to.address), remote: address(from + ":0"), done: make(chan struct{})}
 	near.peer, far.peer = far, near
 	network.mutex.Lock()
-	network.ends[near], network.ends[far] = true, true
+	network.endpoints[near], network.endpoints[far] = true, true
 	network.mutex.Unlock()
-	network.awake(from, near.done) // a frozen process goes on with what it dialled
+	network.awaitThawed(from, near.done) // a frozen process goes on with what it dialled
 	select {
 	case to.queue <- far:
 		return near, nil
@@ -317,35 +317,35 @@
 	buffer.grown = make(chan struct{})
 }
 
-// end is one side of a connection.
-type end struct {
+// endpoint is one side of a connection.
+type endpoint struct {
 	network  *Network
 	host     string
-	peer     *end
+	peer     *endpoint
 	incoming *buffer
 	local    net.Addr
 	remote   net.Addr
 	once     sync.Once
 	done     chan struct{}
 
-	mutex    sync.Mutex
-	deadline time.Time
-	moved    chan struct{} // closed when the deadline changes
+	mutex           sync.Mutex
+	deadline        time.Time
+	deadlineChanged chan struct{} // closed when the deadline changes
 }
 
 // Read takes what has arrived.
-func (end *end) Read(target []byte) (int, error) {
+func (end *endpoint) Read(target []byte) (int, error) {
 	for {
-		count, wait, changed, grown, err := end.take(target)
+		count, wait, changed, grown, err := end.takeArrived(target)
 		if count > 0 || err != nil {
 			return count, err
 		}
 		end.mutex.Lock()
 		deadline := end.deadline
-		if end.moved == nil {
-			end.moved = make(chan struct{})
+		if end.deadlineChanged == nil {
+			end.deadlineChanged = make(chan struct{})
 		}
-		moved := end.moved
+		moved := end.deadlineChanged
 		end.mutex.Unlock()
 		var expired <-chan time.Time
 		if !deadline.IsZero() {
@@ -376,9 +376,9 @@
 	}
 }
 
-func (end *end) take(target []byte) (count int, wait time.Duration, changed, grown chan struct{}, err error) {
+func (end *endpoint) takeArrived(target []byte) (count int, wait time.Duration, changed, grown chan struct{}, err error) {
 	end.network.mutex.Lock()
-	way, changed := end.network.open(end.peer.host, end.host), end.network.changed
+	way, changed := end.network.reachable(end.peer.host, end.host), end.network.changed
 	end.network.mutex.Unlock()
 	incoming := end.incoming
 	incoming.mutex.Lock()
@@ -403,15 +403,15 @@
 }
 
 // Idle tells that nothing has arrived and the other side has closed nothing.
-func (end *end) Idle() bool {
+func (end *endpoint) Idle() bool {
 	var none [1]byte
-	count, _, _, _, err := end.take(none[:])
+	count, _, _, _, err := end.takeArrived(none[:])
 	return count == 0 && err == nil
 }
 
 // Write sends; it blocks only while its host is frozen.
-func (end *end) Write(data []byte) (int, error) {
-	end.network.awake(end.host, end.done)
+func (end *endpoint) Write(data []byte) (int, error) {
+	end.network.awaitThawed(end.host, end.done)
 	select {
 	case <-end.done:
 		return 0, net.ErrClosed
@@ -437,11 +437,11 @@
 }
 
 // Close ends the connection for both sides.
-func (end *end) Close() error {
+func (end *endpoint) Close() error {
 	end.once.Do(func() {
 		close(end.done)
 		end.network.mutex.Lock()
-		delete(end.network.ends, end)
+		delete(end.network.endpoints, end)
 		end.network.mutex.Unlock()
 		target := end.peer.incoming
 		target.mutex.Lock()
@@ -453,25 +453,25 @@
 }
 
 // LocalAddr tells this side's address.
-func (end *end) LocalAddr() net.Addr { return end.local }
+func (end *endpoint) LocalAddr() net.Addr { return end.local }
 
 // RemoteAddr tells the other side's address.
-func (end *end) RemoteAddr() net.Addr { return end.remote }
+func (end *endpoint) RemoteAddr() net.Addr { return end.remote }
 
 // SetReadDeadline sets when a Read gives up.
-func (end *end) SetReadDeadline(deadline time.Time) error {
+func (end *endpoint) SetReadDeadline(deadline time.Time) error {
 	end.mutex.Lock()
 	end.deadline = deadline
-	if end.moved != nil {
-		close(end.moved)
-		end.moved = nil
+	if end.deadlineChanged != nil {
+		close(end.deadlineChanged)
+		end.deadlineChanged = nil
 	}
 	end.mutex.Unlock()
 	return nil
 }
 
 // SetDeadline is SetReadDeadline, as writes never wait.
-func (end *end) SetDeadline(deadline time.Time) error { return end.SetReadDeadline(deadline) }
+func (end *endpoint) SetDeadline(deadline time.Time) error { return end.SetReadDeadline(deadline) }
 
 // SetWriteDeadline does nothing, as writes never wait.
-func (end *end) SetWriteDeadline(time.Time) error { return nil }
+func (end *endpoint) SetWriteDeadline(time.Time) error { return nil }
--- a/proof/simulator/notrun_test.go
+++ b/proof/simulator/notrun_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// TestNotRunIsNeverToldOfWorkThatRuns sends one key to three fronts about the same
+// TestNotRunIsNeverReportedForWorkThatRuns sends one key to three fronts about the same
 // time, while runners are short, links break, and fronts freeze, are cut off or die.
 // The runners' own records judge: once any query under a key was told "not run",
 // nothing under that key may have run or run later.
-func TestNotRunIsNeverToldOfWorkThatRuns(t *testing.T) {
+func TestNotRunIsNeverReportedForWorkThatRuns(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		scarce := strings.NewReplacer(`application: {concurrency: 16`, `application: {concurrency: 1`, `cold_concurrency: 2`, `cold_concurrency: 1`, `platform:`, "limits: {queue: 1, queue_patience: \"50ms\"}\nplatform:").Replace(Rules)
+		scarce := strings.NewReplacer(`application: {concurrency: 16`, `application: {concurrency: 1`, `cold_concurrency: 2`, `cold_concurrency: 1`, `platform:`, "limits: {queue: 1, queue_patience: \"50ms\"}\nplatform:").Replace(BasicConfig)
 		if err := cluster.PutConfig(scarce); err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 				}
 				<-time.After(lasts)
 				for _, one := range cluster.Stores {
-					cluster.Network.Mend(one.Host, front.Host)
+					cluster.Network.Heal(one.Host, front.Host)
 				}
 			case 2:
 				front.Kill()
--- a/proof/simulator/outage_test.go
+++ b/proof/simulator/outage_test.go
@@ -19,7 +19,7 @@
 		for round := range 5 {
 			said := cluster.dialogues(t, 6)
 			mark := fmt.Sprintf("before outage %d", round)
-			if err := cluster.PutConfig(Rules + "// " + mark + "\n"); err != nil {
+			if err := cluster.PutConfig(BasicConfig + "// " + mark + "\n"); err != nil {
 				t.Fatal(err)
 			}
 			wiped := domain(random.IntN(3))
@@ -29,7 +29,7 @@
 					continue
 				}
 				machine.LosePower()
-				if round >= 2 && machine.Domain == wiped && (round != 3 || machine.Disk == nil || machine.Cold != nil) {
+				if round >= 2 && machine.Domain == wiped && (round != 3 || machine.Disk == nil || machine.Archive != nil) {
 					machine.Wipe()
 				}
 			}
@@ -55,7 +55,7 @@
 			if took := time.Since(returned); took > 9*time.Second {
 				t.Fatalf("round %d: turns from before were followed up only %s after the return", round, took)
 			}
-			if err := cluster.Await(8*time.Second, "healed fleet", func() error { return cluster.keptBy(cluster.Stores...) }); err != nil {
+			if err := cluster.Await(8*time.Second, "healed fleet", func() error { return cluster.viewReplicasAre(cluster.Stores...) }); err != nil {
 				t.Fatal(err)
 			}
 			if err := cluster.Await(8*time.Second, "five voters", func() error {
--- a/proof/simulator/copies_test.go
+++ b/proof/simulator/replicacount_test.go
@@ -10,15 +10,15 @@
 
 // Where two disks may be lost at once, five copies keep every turn, and the fleet goes on.
 func TestTwoDisksLostAtOnceLoseNoTurn(t *testing.T) {
-	shape := Shape{Controls: 5, Stores: 6, Fronts: 2, Models: 1, Applications: 1, Engines: 3, Tools: 2, AutoEnrol: true, Copies: 5}
+	shape := Shape{Controls: 5, Stores: 6, Fronts: 2, Models: 1, Applications: 1, Engines: 3, Tools: 2, AutoEnrol: true, Replicas: 5}
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
-		if err := cluster.PutConfig(RoutedRules); err != nil {
+		if err := cluster.PutConfig(RoutedConfig); err != nil {
 			t.Fatal(err)
 		}
 		if err := cluster.AwaitForwarding(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		turn := func(program, name, follows string) *Forwarded {
+		turn := func(program, name, follows string) *ForwardedAnswer {
 			return cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte("words of " + name), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 		}
 		said := map[string]string{}
@@ -28,7 +28,7 @@
 			if !first.Complete() {
 				t.Fatalf("%s: %d %v", program, first.Status, first.Err)
 			}
-			said[program] = "words of " + program + "-1" + first.Said()
+			said[program] = "words of " + program + "-1" + first.Text()
 		}
 		lost := []*Machine{cluster.Stores[0], cluster.Stores[1]} // of two domains
 		for _, machine := range lost {
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -20,9 +20,9 @@
 	ackTimeout      = 4 * time.Second
 )
 
-// order sends an order to the control nodes in turn, from one on, until it is
+// requestChange sends an order to the control nodes in turn, from one on, until it is
 // acknowledged or refused, as operators do.
-func (cluster *Cluster) order(from int, timeout time.Duration, send func(ctx context.Context, node *controlplane.Node) error) error {
+func (cluster *Cluster) requestChange(from int, timeout time.Duration, send func(ctx context.Context, node *controlplane.Node) error) error {
 	began := time.Now()
 	for turn := from; ; turn++ {
 		err := apierror.New(apierror.NoQuorum, "the node is down", "ask another")
@@ -51,7 +51,7 @@
 }
 
 func (cluster *Cluster) replace(from int, base uint64, next config.Routing, digest string) error {
-	return cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
+	return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		return node.ReplaceRouting(ctx, "root", base, next, digest)
 	})
 }
@@ -154,7 +154,7 @@
 			}
 		}
 		amend := func(from int, base uint64, amendment config.RoutingPatch, digest string) error {
-			return cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
+			return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 				return node.AmendRouting(ctx, "root", base, amendment, digest)
 			})
 		}
@@ -175,7 +175,7 @@
 			t.Fatalf("%+v is in force", read)
 		}
 		// A config that says nothing of routing leaves it as it is.
-		if err := cluster.PutConfig(Rules + "// again\n"); err != nil {
+		if err := cluster.PutConfig(BasicConfig + "// again\n"); err != nil {
 			t.Fatal(err)
 		}
 		if read := cluster.mustRead(t, ackTimeout); read.Revision != base+4 || len(read.Routes) != 2 {
@@ -217,12 +217,12 @@
 	})
 }
 
-// TestEmptyingADomainIsAcknowledgedAgain repeats orders at all nodes, while the leader
+// TestDrainingADomainIsAcknowledgedAgain repeats orders at all nodes, while the leader
 // dies, and takes them back.
-func TestEmptyingADomainIsAcknowledgedAgain(t *testing.T) {
+func TestDrainingADomainIsAcknowledgedAgain(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 1, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		set := func(from int, name, state string) error {
-			return cluster.order(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
+			return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 				return node.SetDomainState(ctx, "root", name, state)
 			})
 		}
@@ -251,9 +251,9 @@
 	})
 }
 
-// TestOrdersAreNotTakenWithoutAQuorum: an order at a node that is alone is not
+// TestRequestsAreNotAcceptedWithoutAQuorum: an order at a node that is alone is not
 // acknowledged, and its node says so before its operator leaves.
-func TestOrdersAreNotTakenWithoutAQuorum(t *testing.T) {
+func TestRequestsAreNotAcceptedWithoutAQuorum(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		if err := cluster.replace(0, 0, oneRoute(1, time.Second), "1"); err != nil {
 			t.Fatal(err)
--- a/proof/simulator/secondloss_test.go
+++ b/proof/simulator/seconddiskloss_test.go
@@ -17,7 +17,7 @@
 	t       *testing.T
 	cluster *Cluster
 	// said are the turns that were answered, until they are asked for.
-	said    []*Said
+	said    []*StreamedAnswer
 	marks   int
 	joined  time.Time     // when the last successor started
 	slowest time.Duration // from a successor's start until there were full copies again
@@ -31,7 +31,7 @@
 		if err := run.cluster.wantVoters(len(run.cluster.Controls)); err != nil {
 			return err
 		}
-		return run.cluster.keptBy(run.cluster.Stores...)
+		return run.cluster.viewReplicasAre(run.cluster.Stores...)
 	})
 	if err != nil {
 		run.t.Error(err)
@@ -44,7 +44,7 @@
 	run.t.Helper()
 	run.marks++
 	began := time.Now()
-	if err := run.cluster.PutConfig(Rules + run.mark() + "\n"); err != nil {
+	if err := run.cluster.PutConfig(BasicConfig + run.mark() + "\n"); err != nil {
 		run.t.Fatal(err)
 	}
 	if took := time.Since(began); took > 3*time.Second {
@@ -164,7 +164,7 @@
 // after these are back.
 func TestTwoLossesRightAfterTwo(t *testing.T) {
 	shape := byThemselves(5, 5)
-	shape.Groups, shape.Copies = 8, 5
+	shape.Groups, shape.Replicas = 8, 5
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(72)
 		run := &lossRun{t: t, cluster: cluster}
@@ -229,10 +229,10 @@
 	return nil
 }
 
-// TestASuccessorVotesOnceItHoldsTheLog loses a control node with its disk. What its empty
+// TestReplacementVotesOnceItHasTheLog loses a control node with its disk. What its empty
 // successor and the leader send each other arrives late, so that the log takes longer to
 // come than the successor to be heard.
-func TestASuccessorVotesOnceItHoldsTheLog(t *testing.T) {
+func TestReplacementVotesOnceItHasTheLog(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
 		ordered := cluster.controlLeaderFirst(cluster.Controls)
 		leader, lost := ordered[0], ordered[1+cluster.Random(74).IntN(2)]
