--- a/proof/simulator/openings_test.go
+++ b/proof/simulator/sharedprefix_test.go
@@ -19,8 +19,8 @@
 	"yardrock.example/system/wire"
 )
 
-// sharingRules are routed rules under which openings are shared.
-const sharingRules = RoutedRules + "openings: share: true\n"
+// sharingConfig are routed rules under which openings are shared.
+const sharingConfig = RoutedConfig + "openings: share: true\n"
 
 // prose makes text of some length that a seed alone decides.
 func prose(seed uint64, length int) string {
@@ -67,16 +67,16 @@
 			words = agent.opening + words
 		}
 		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(words), Program: agent.program, HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
-		if runsOf(agent.cluster, name) > 0 && promptOf(agent.cluster, name) != agent.history+words {
+		if executionsOf(agent.cluster, name) > 0 && promptOf(agent.cluster, name) != agent.history+words {
 			t.Fatalf("%s was heard with %d bytes, not the %d that were said", name, len(promptOf(agent.cluster, name)), len(agent.history+words))
 		}
 		switch {
 		case answer.Complete():
-			agent.complete, agent.follows, agent.history = append(agent.complete, name), name, agent.history+words+answer.Said()
+			agent.complete, agent.follows, agent.history = append(agent.complete, name), name, agent.history+words+answer.Text()
 			return
 		case apierror.Is(answer.Err, apierror.NotFound):
 			t.Fatalf("%s was told that %s is unknown", name, agent.follows)
-		case answer.Refused():
+		case answer.Rejected():
 			agent.refused = append(agent.refused, name)
 		default:
 			agent.broken = append(agent.broken, name)
@@ -84,7 +84,7 @@
 		if time.Since(began) > 40*time.Second {
 			t.Fatalf("%s gets nowhere: %v", name, answer.Err)
 		}
-		agent.cluster.Settle(200 * time.Millisecond)
+		agent.cluster.Sleep(200 * time.Millisecond)
 	}
 }
 
@@ -96,7 +96,7 @@
 		least, most int
 	}{{agent.complete, 1, 1}, {agent.refused, 0, 0}, {agent.broken, 0, 1}} {
 		for _, name := range told.names {
-			if runs := runsOf(agent.cluster, name); runs < told.least || runs > told.most {
+			if runs := executionsOf(agent.cluster, name); runs < told.least || runs > told.most {
 				t.Errorf("%s ran %d times, not %d to %d", name, runs, told.least, told.most)
 			}
 		}
@@ -173,7 +173,7 @@
 		one := &agent{cluster: cluster, program: late[len(begun)], opening: opening}
 		begun = append(begun, one)
 		one.turn(t, 0)
-		cluster.Settle(time.Second)
+		cluster.Sleep(time.Second)
 		return fmt.Errorf("less than %d lines refer to it", least)
 	}); err != nil {
 		t.Fatal(err)
@@ -188,14 +188,14 @@
 	}
 }
 
-// TestAgentsGoOnWholeWhileAStoreThatHoldsAMergedOpeningFails lets the store that leads a
+// TestAgentsContinueWhileAStoreWithASharedPrefixFails lets the store that leads a
 // merged opening fail mid-conversation at each step: as it is merged, once it is held, once
 // what refers to it is archived, and as it is freed.
-func TestAgentsGoOnWholeWhileAStoreThatHoldsAMergedOpeningFails(t *testing.T) {
+func TestAgentsContinueWhileAStoreWithASharedPrefixFails(t *testing.T) {
 	for name, fault := range storeFaults {
 		t.Run(name, func(t *testing.T) {
-			forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-				if err := cluster.PutConfig(sharingRules); err != nil {
+			simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+				if err := cluster.PutConfig(sharingConfig); err != nil {
 					t.Fatal(err)
 				}
 				const group = 3
@@ -223,14 +223,14 @@
 					defer close(merging)
 					agents[2].turn(t, 0)
 				}()
-				cluster.Settle(time.Duration(cluster.Random(9).IntN(12)) * time.Millisecond)
+				cluster.Sleep(time.Duration(cluster.Random(9).IntN(12)) * time.Millisecond)
 				during(func() { <-merging })
 				join("second", 5)
 				round()
 				wantHeld(3)
-				during(round)                    // while it is held
-				cluster.Settle(25 * time.Second) // quiet lines are archived
-				during(round)                    // and archived
+				during(round)                   // while it is held
+				cluster.Sleep(25 * time.Second) // quiet lines are archived
+				during(round)                   // and archived
 				lines, saved, _ := cluster.sharing(t, group)
 				if lines < 3 || saved < (lines-1)*2000*3 {
 					t.Fatalf("%d lines refer to it, %d bytes are saved", lines, saved)
@@ -243,11 +243,11 @@
 	}
 }
 
-// TestAgentsBeginWholeWhileAnOpeningIsFreed lets a merged opening's lines be forgotten, and
+// TestAgentsStartWhileASharedPrefixIsFreed lets a merged opening's lines be forgotten, and
 // its store fail around the time at which it is freed, while others begin with it.
-func TestAgentsBeginWholeWhileAnOpeningIsFreed(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
-		if err := cluster.PutConfig(sharingRules); err != nil {
+func TestAgentsStartWhileASharedPrefixIsFreed(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+		if err := cluster.PutConfig(sharingConfig); err != nil {
 			t.Fatal(err)
 		}
 		const group = 3
@@ -261,17 +261,17 @@
 		}
 		join("first", 5)
 		all = append(all, cluster.awaitMerged(t, group, 3, prose(7, 2560))...)
-		cluster.Settle(2 * time.Minute) // longer than an opening is held without any line
+		cluster.Sleep(2 * time.Minute) // longer than an opening is held without any line
 		for _, one := range all {
 			one.turn(t, random.IntN(2))
 		}
-		cluster.Settle(11*time.Minute + time.Duration(random.IntN(40))*time.Second)
+		cluster.Sleep(11*time.Minute + time.Duration(random.IntN(40))*time.Second)
 		names := slices.Sorted(maps.Keys(storeFaults))
 		fault := names[random.IntN(len(names))]
 		t.Log(fault)
 		cluster.during(t, storeFaults[fault], all[0], func() {
 			for step := range 4 {
-				cluster.Settle(time.Duration(random.IntN(20)) * time.Second)
+				cluster.Sleep(time.Duration(random.IntN(20)) * time.Second)
 				join(fmt.Sprintf("step%d", step), 2)
 			}
 		})
@@ -285,10 +285,10 @@
 	})
 }
 
-// TestSharingIsPutOnAndOffWhileTurnsRun switches openings off and on; what was merged stays
+// TestPrefixSharingIsSwitchedWhileTurnsRun switches openings off and on; what was merged stays
 // readable, and new turns are kept whole while it is off.
-func TestSharingIsPutOnAndOffWhileTurnsRun(t *testing.T) {
-	forwardSimulate(t, func(t *testing.T, cluster *Cluster) {
+func TestPrefixSharingIsSwitchedWhileTurnsRun(t *testing.T) {
+	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		const group = 5
 		agents := []*agent{}
 		join := func(prefix string) {
@@ -300,11 +300,11 @@
 			rules string
 			share bool
 			most  uint64
-		}{{RoutedRules, false, 0}, {sharingRules, true, 8}, {RoutedRules, false, 8}, {sharingRules, true, 16}} {
+		}{{RoutedConfig, false, 0}, {sharingConfig, true, 8}, {RoutedConfig, false, 8}, {sharingConfig, true, 16}} {
 			if err := cluster.PutConfig(step.rules); err != nil {
 				t.Fatal(err)
 			}
-			cluster.Settle(3 * time.Second) // no front obeys an old config for longer
+			cluster.Sleep(3 * time.Second) // no front obeys an old config for longer
 			before, _, _ := cluster.sharing(t, group)
 			join(fmt.Sprintf("step%d", position))
 			for range 2 {
@@ -326,10 +326,10 @@
 	})
 }
 
-// TestScopesNeverShareOpenings lets two scopes bring the same opening.
-func TestScopesNeverShareOpenings(t *testing.T) {
+// TestScopesNeverSharePrefixes lets two scopes bring the same opening.
+func TestScopesNeverSharePrefixes(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.origin("10.8.0.1")
+		origin, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		const group = 2
 		opening := prose(9, 2560)
@@ -340,7 +340,7 @@
 			if _, err := origin.BeginTurn(context.Background(), turn); err != nil {
 				t.Fatal(err)
 			}
-			cluster.Settle(200 * time.Millisecond)
+			cluster.Sleep(200 * time.Millisecond)
 		}
 		scopes := []string{}
 		_, rows := cluster.show(t, "show openings where group = 2")
@@ -353,11 +353,11 @@
 	})
 }
 
-// TestADamagedOpeningIsMendedFromAPeer gives the leader a checkpoint in which an opening
+// TestDamagedSharedPrefixIsRepairedFromAPeer gives the leader a checkpoint in which an opening
 // is not what its name says.
-func TestADamagedOpeningIsMendedFromAPeer(t *testing.T) {
+func TestDamagedSharedPrefixIsRepairedFromAPeer(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.origin("10.8.0.1")
+		origin, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		const group = 2
 		opening, names := prose(9, 2560), programsOf(group, "p", 5)
@@ -373,7 +373,7 @@
 			if err := origin.EndTurn(ctx, programTurnEnd(name, name, sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
 				t.Fatal(err)
 			}
-			cluster.Settle(200 * time.Millisecond)
+			cluster.Sleep(200 * time.Millisecond)
 		}
 		leader := cluster.leaderOf("program/" + names[0])
 		damage := func(machine *Machine) {
@@ -403,7 +403,7 @@
 		if _, _, state := cluster.sharing(t, group); state != "held" {
 			t.Fatalf("the opening is %s", state)
 		}
-		cluster.Settle(time.Second) // followers have carried out the mending too
+		cluster.Sleep(time.Second) // followers have carried out the mending too
 		// No replica has a sound copy: refused as not run, and nothing shorter is told.
 		for _, machine := range cluster.Stores {
 			damage(machine)
@@ -425,7 +425,7 @@
 			if _, err := origin.BeginTurn(ctx, again); err != nil {
 				t.Fatal(err)
 			}
-			cluster.Settle(5 * time.Second)
+			cluster.Sleep(5 * time.Second)
 		}
 		begun, err = turn("later", names[2])
 		if err != nil || string(begun.History) != whole(names[2]) {
@@ -434,11 +434,11 @@
 	})
 }
 
-// TestATurnWaitsForNoMoreWithSharedOpenings begins turns with and without shared openings in
+// TestTurnWaitsForNoMoreWithSharedPrefixes begins turns with and without shared openings in
 // turn, on one fleet; the network's delays are the same for both.
-func TestATurnWaitsForNoMoreWithSharedOpenings(t *testing.T) {
+func TestTurnWaitsForNoMoreWithSharedPrefixes(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.origin("10.8.0.1")
+		origin, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		opening, waited := prose(9, 2560), map[string][]time.Duration{}
 		take := func(turn storeclient.Turn, arm, want string) {
--- a/proof/simulator/operate_test.go
+++ b/proof/simulator/showtables_test.go
@@ -27,9 +27,9 @@
 	return told.Columns, told.Rows
 }
 
-// TestEveryTableTellsWhatIsInForce shows each table of the query language on a fleet
+// TestEveryTableShowsWhatIsInForce shows each table of the query language on a fleet
 // that works.
-func TestEveryTableTellsWhatIsInForce(t *testing.T) {
+func TestEveryTableShowsWhatIsInForce(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		cluster.dialogues(t, 3)
 		if err := cluster.replace(0, 0, oneRoute(4, time.Second), "shown"); err != nil {
@@ -57,11 +57,11 @@
 		}
 		_, rows = cluster.show(t, "show demand where out > 0")
 		if len(rows) != 1 || rows[0][1] != cluster.Runners[slices.IndexFunc(cluster.Runners, func(machine *RunnerMachine) bool {
-			return machine.Runner.Record().MostOut > 0 && machine.Host[5] == '4'
+			return machine.Runner.Record().MaxInFlight > 0 && machine.Host[5] == '4'
 		})].Host+":8000" {
 			t.Errorf("demand shows %v", rows)
 		}
-		before, err := cluster.tally(cluster.Fronts[0], "dialogue")
+		before, err := cluster.quota(cluster.Fronts[0], "dialogue")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/proof/simulator/stored_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -57,10 +57,10 @@
 	}
 }
 
-var storedRules = strings.ReplaceAll(sharingRules, `keep: "60s"`, `keep: "1h"`)
+var storedConfig = strings.ReplaceAll(sharingConfig, `keep: "60s"`, `keep: "1h"`)
 
-// storedLine is a session with its events, described.
-type storedLine struct {
+// storedSession is a session with its events, described.
+type storedSession struct {
 	Session  string   `json:"session"`
 	Head     uint64   `json:"head"`
 	Archived uint64   `json:"archived"`
@@ -101,17 +101,17 @@
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"`
 	// Earlier is the number of a config that was in force before.
-	Earlier       uint64                `json:"earlier"`
-	EarlierSource string                `json:"earlier_source"`
-	Stores        []string              `json:"stores"`
-	Domains       []string              `json:"domains"`
-	Lines         map[string]storedLine `json:"lines"`
-	Tallies       map[string]int        `json:"tallies"`
-	Conversations []storedConversation  `json:"conversations"`
-	Programs      []storedProgram       `json:"programs"`
-	Once          []storedOnce          `json:"once"`
-	Sharing       uint64                `json:"sharing"`
-	OpenSeq       uint64                `json:"open_seq"`
+	Earlier       uint64                   `json:"earlier"`
+	EarlierSource string                   `json:"earlier_source"`
+	Stores        []string                 `json:"stores"`
+	Domains       []string                 `json:"domains"`
+	Sessions      map[string]storedSession `json:"lines"`
+	Quotas        map[string]int           `json:"tallies"`
+	Conversations []storedConversation     `json:"conversations"`
+	Programs      []storedProgram          `json:"programs"`
+	Once          []storedOnce             `json:"once"`
+	Sharing       uint64                   `json:"sharing"`
+	OpenSeq       uint64                   `json:"open_seq"`
 }
 
 // describedSession tells what a quorum read gives of a session, all but how far it is
@@ -127,20 +127,20 @@
 		event.Config, event.Deadline, event.Prefix, sha256.Sum256(event.Data))
 }
 
-// storedLines reads lines whole, as a client does.
-func (cluster *Cluster) storedLines(t *testing.T, names []string) map[string]storedLine {
+// storedSessions reads lines whole, as a client does.
+func (cluster *Cluster) storedSessions(t *testing.T, names []string) map[string]storedSession {
 	t.Helper()
-	origin, end := cluster.origin("10.8.0.2")
+	origin, end := cluster.storeClient("10.8.0.2")
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	read := map[string]storedLine{}
+	read := map[string]storedSession{}
 	for _, name := range names {
 		events, last, err := origin.ReadAll(ctx, name)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		described := storedLine{Session: describedSession(last.Session), Head: last.Session.Head, Archived: last.Session.ArchivedSeq}
+		described := storedSession{Session: describedSession(last.Session), Head: last.Session.Head, Archived: last.Session.ArchivedSeq}
 		for _, event := range events {
 			described.Events = append(described.Events, describedEvent(event))
 		}
@@ -163,7 +163,7 @@
 
 func (cluster *Cluster) sendAmendment(from int, base uint64, operator, routes int) error {
 	amendment, digest := storedAmendment(base, operator, routes)
-	return cluster.order(from, historyTimeout, func(ctx context.Context, node *controlplane.Node) error {
+	return cluster.requestChange(from, historyTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		return node.AmendRouting(ctx, "root", base, amendment, digest)
 	})
 }
@@ -235,7 +235,7 @@
 		}
 	}
 	halfWay.Kill()
-	cluster.eachOtherControl(halfWay, func(other *Machine) { cluster.Network.Mend(other.Host, halfWay.Host) })
+	cluster.eachOtherControl(halfWay, func(other *Machine) { cluster.Network.Heal(other.Host, halfWay.Host) })
 }
 
 // TestStoredDataIsWritten writes the folders and what they hold, with
@@ -262,7 +262,7 @@
 		}()
 		// Snapshots and slots are made after little.
 		cluster.adjustReplica = func(settings *replica.Settings) { settings.SnapshotEntries, settings.CompactionBytes = 5, 64<<10 }
-		if err := cluster.found(strings.Replace(storedRules, "allowance: 60", "allowance: 61", 1)); err != nil {
+		if err := cluster.found(strings.Replace(storedConfig, "allowance: 60", "allowance: 61", 1)); err != nil {
 			t.Fatal(err)
 		}
 		fleet := cluster.fillStored(t)
@@ -289,8 +289,8 @@
 		t.Fatal(err)
 	}
 	earlier := cluster.leader().Control.View()
-	fleet := storedFleet{Tallies: map[string]int{}, Earlier: earlier.ConfigNumber, EarlierSource: earlier.Source}
-	if err := cluster.PutConfig(storedRules); err != nil {
+	fleet := storedFleet{Quotas: map[string]int{}, Earlier: earlier.ConfigNumber, EarlierSource: earlier.Source}
+	if err := cluster.PutConfig(storedConfig); err != nil {
 		t.Fatal(err)
 	}
 	for position, routes := range storedRevisions[:len(storedRevisions)-1] {
@@ -333,7 +333,7 @@
 		fleet.Once = append(fleet.Once, one)
 	}
 	cluster.storedTurns(t, &fleet)
-	cluster.Settle(25 * time.Second) // all of it is archived
+	cluster.Sleep(25 * time.Second) // all of it is archived
 	cluster.receiveSnapshots(t)
 	for _, one := range agents[:2] { // and these go on with events that are not
 		one.turn(t, 0)
@@ -350,7 +350,7 @@
 // storedTurns has a client take turns, of which the last stays open.
 func (cluster *Cluster) storedTurns(t *testing.T, fleet *storedFleet) {
 	t.Helper()
-	origin, end := cluster.origin("10.8.0.1")
+	origin, end := cluster.storeClient("10.8.0.1")
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -420,13 +420,13 @@
 	for _, conversation := range fleet.Conversations {
 		names = append(names, "depot/"+conversation.Name)
 	}
-	fleet.Lines = cluster.storedLines(t, names)
+	fleet.Sessions = cluster.storedSessions(t, names)
 	for _, program := range []string{"dialogue", "tight"} {
-		told, err := cluster.tally(cluster.Fronts[0], program)
+		told, err := cluster.quota(cluster.Fronts[0], program)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet.Tallies[program] = told.Spent
+		fleet.Quotas[program] = told.Spent
 	}
 	fleet.Sharing, _, _ = cluster.sharing(t, storedGroup)
 }
@@ -441,8 +441,8 @@
 	}
 	archive := tar.NewWriter(zipped)
 	cluster.eachDisk(func(name string, disk *Disk) {
-		for _, file := range slices.Sorted(maps.Keys(disk.lasting)) {
-			data := disk.lasting[file]
+		for _, file := range slices.Sorted(maps.Keys(disk.durable)) {
+			data := disk.durable[file]
 			t.Logf("%s/%s: %d bytes", name, file, len(data))
 			if err := archive.WriteHeader(&tar.Header{Name: name + "/" + file, Mode: 0o644, Size: int64(len(data))}); err != nil {
 				t.Fatal(err)
@@ -461,8 +461,8 @@
 func (cluster *Cluster) eachDisk(visit func(name string, disk *Disk)) {
 	for _, machine := range slices.Concat(cluster.Controls, cluster.Stores) {
 		visit(machine.Host+"/data", machine.Disk)
-		if machine.Cold != nil {
-			visit(machine.Host+"/archive", machine.Cold)
+		if machine.Archive != nil {
+			visit(machine.Host+"/archive", machine.Archive)
 		}
 	}
 }
@@ -540,22 +540,22 @@
 	if err := cluster.AwaitForwarding(20 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	found := storedFleet{Programs: want.Programs, Conversations: want.Conversations, Tallies: map[string]int{}}
+	found := storedFleet{Programs: want.Programs, Conversations: want.Conversations, Quotas: map[string]int{}}
 	cluster.readStored(t, &found)
 	cluster.checkStoredFeed(t, want, &found)
 	archived := 0
-	for name, stored := range want.Lines {
-		read := found.Lines[name]
+	for name, stored := range want.Sessions {
+		read := found.Sessions[name]
 		if read.Session != stored.Session || read.Head != stored.Head || !slices.Equal(read.Events, stored.Events) || read.Archived < stored.Archived {
 			t.Errorf("%s is read as\n%+v\nnot\n%+v", name, read, stored)
 		}
 		archived += int(stored.Archived)
 	}
-	if len(want.Lines) == 0 || archived == 0 {
+	if len(want.Sessions) == 0 || archived == 0 {
 		t.Error("nothing was archived")
 	}
-	if !maps.Equal(found.Tallies, want.Tallies) || found.Sharing != want.Sharing {
-		t.Errorf("tallies %v, %d lines share an opening; want %v, %d", found.Tallies, found.Sharing, want.Tallies, want.Sharing)
+	if !maps.Equal(found.Quotas, want.Quotas) || found.Sharing != want.Sharing {
+		t.Errorf("tallies %v, %d lines share an opening; want %v, %d", found.Quotas, found.Sharing, want.Quotas, want.Sharing)
 	}
 	cluster.goOnFromStored(t, want)
 }
@@ -596,7 +596,7 @@
 		one.turn(t, 0)
 		one.check(t)
 	}
-	origin, end := cluster.origin("10.8.0.1")
+	origin, end := cluster.storeClient("10.8.0.1")
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
--- a/proof/simulator/storefaults_test.go
+++ b/proof/simulator/storefaults_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// strikeStore lets one of four faults befall a store and ends it: killed, without power,
+// injectStoreFault lets one of four faults befall a store and ends it: killed, without power,
 // cut off, its disk stalled.
-func (cluster *Cluster) strikeStore(store *Machine, fault int) {
+func (cluster *Cluster) injectStoreFault(store *Machine, fault int) {
 	switch fault {
 	case 0:
 		store.Kill()
@@ -33,6 +33,6 @@
 	}
 	<-time.After(3500 * time.Millisecond)
 	for _, other := range cluster.Stores {
-		cluster.Network.Mend(store.Host, other.Host)
+		cluster.Network.Heal(store.Host, other.Host)
 	}
 }
--- a/proof/simulator/streams_test.go
+++ b/proof/simulator/streams_test.go
@@ -12,15 +12,15 @@
 	"yardrock.example/proof/standin"
 )
 
-// heardSoFar is a streamed answer put together over several connections.
-type heardSoFar struct {
+// streamPosition is a streamed answer put together over several connections.
+type streamPosition struct {
 	conversation string
 	turn, last   uint64
 	words, end   string
 }
 
 // take adds what one connection brought; every seq must follow the one before.
-func (heard *heardSoFar) take(answer *Answer) error {
+func (heard *streamPosition) take(answer *Answer) error {
 	said, _ := ReadStream(newReader(answer.Body))
 	if said.Conversation != "" && heard.conversation == "" {
 		heard.conversation, heard.turn, heard.last = said.Conversation, said.Turn, said.Turn
@@ -39,10 +39,10 @@
 	return nil
 }
 
-// TestStreamsStayWholeWhileStoresFail streams answers while store nodes die, lose
+// TestStreamsStayCompleteWhileStoresFail streams answers while store nodes die, lose
 // power, are cut off, or take appends whose answers are lost. Readers go on at other
 // fronts from the last seq they have.
-func TestStreamsStayWholeWhileStoresFail(t *testing.T) {
+func TestStreamsStayCompleteWhileStoresFail(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(29)
 		complete, resumed := 0, 0
@@ -54,7 +54,7 @@
 				order, leaves := random.Perm(3), time.Duration(60+random.IntN(150))*time.Millisecond
 				asked.Go(func() {
 					want := words(standin.Answer(nil, question))
-					heard := &heardSoFar{}
+					heard := &streamPosition{}
 					for try := range 12 {
 						front := cluster.Fronts[order[try%3]]
 						timeout := 30 * time.Second
@@ -116,7 +116,7 @@
 				}
 				<-time.After(lasts)
 				for _, front := range cluster.Fronts {
-					cluster.Network.Mend(store.Host, front.Host)
+					cluster.Network.Heal(store.Host, front.Host)
 				}
 			}
 			asked.Wait()
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -16,8 +16,8 @@
 	"yardrock.example/system/storeclient"
 )
 
-// origin asks the stores from a host of its own, until closed.
-func (cluster *Cluster) origin(host string) (origin *storeclient.Client, end func()) {
+// storeClient asks the stores from a host of its own, until closed.
+func (cluster *Cluster) storeClient(host string) (origin *storeclient.Client, end func()) {
 	caller := link.NewClient(cluster.Network.At(host))
 	following := feedclient.Start(caller, feed.Member{Name: host, Role: "client", Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
 	for following.View().Groups == 0 || len(following.View().Stores) == 0 {
@@ -46,9 +46,9 @@
 // whole is what a turn answered whole adds to a history.
 func whole(name string) string { return "in " + name + "\nout " + name + "\n" }
 
-func TestTurnsOfProgramsGoOnFromEachOther(t *testing.T) {
+func TestTurnsOfProgramsFollowEachOther(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.origin("10.8.0.1")
+		origin, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
@@ -88,7 +88,7 @@
 				take(program, name+"-beside", "a", whole("a"))
 			}
 			<-time.After(25 * time.Second)
-			if names, err := cluster.Stores[0].Cold.List(); err != nil || len(names) == 0 {
+			if names, err := cluster.Stores[0].Archive.List(); err != nil || len(names) == 0 {
 				t.Fatalf("nothing was archived: %v", err)
 			}
 		}
@@ -143,31 +143,31 @@
 	})
 }
 
-// toldTurn is a turn that was answered whole.
-type toldTurn struct {
+// completedTurn is a turn that was answered whole.
+type completedTurn struct {
 	name, program, history string
 }
 
-// programs runs programs against the stores: each turn goes on from one that was
+// turnHistory runs programs against the stores: each turn goes on from one that was
 // answered whole, of this program or of another.
-type programs struct {
+type turnHistory struct {
 	mutex  sync.Mutex
-	whole  []toldTurn
+	whole  []completedTurn
 	handed map[string]uint64
 	begun  int
 	failed []string
 }
 
-func (told *programs) fail(text string, values ...any) {
+func (told *turnHistory) fail(text string, values ...any) {
 	told.mutex.Lock()
 	told.failed = append(told.failed, fmt.Sprintf(text, values...))
 	told.mutex.Unlock()
 }
 
-func (told *programs) run(origin *storeclient.Client, random *rand.Rand, number int, stop context.Context) {
+func (told *turnHistory) run(origin *storeclient.Client, random *rand.Rand, number int, stop context.Context) {
 	for position := 0; stop.Err() == nil; position++ {
 		name, program := fmt.Sprintf("t%d-%d", number, position), fmt.Sprintf("p%d", random.IntN(6)+6*(position/40))
-		followed := toldTurn{}
+		followed := completedTurn{}
 		told.mutex.Lock()
 		if count := len(told.whole); count > 0 && random.IntN(5) > 0 {
 			followed = told.whole[max(0, count-1-random.IntN(30))]
@@ -190,7 +190,7 @@
 	}
 }
 
-func (told *programs) take(origin *storeclient.Client, random *rand.Rand, program, name string, followed toldTurn, begun *storeclient.BegunTurn) {
+func (told *turnHistory) take(origin *storeclient.Client, random *rand.Rand, program, name string, followed completedTurn, begun *storeclient.BegunTurn) {
 	if string(begun.History) != followed.history {
 		told.fail("%s goes on from %q, want %q", name, begun.History, followed.history)
 	}
@@ -215,7 +215,7 @@
 	err := origin.EndTurn(ctx, programTurnEnd(program, name, outcome, begun.Seq, tokens))
 	if err == nil && outcome == sessionlog.OutcomeComplete {
 		told.mutex.Lock()
-		told.whole = append(told.whole, toldTurn{name: name, program: program, history: followed.history + whole(name)})
+		told.whole = append(told.whole, completedTurn{name: name, program: program, history: followed.history + whole(name)})
 		told.mutex.Unlock()
 	}
 	if err != nil && !apierror.Is(err, apierror.OutcomeUnknown) && !apierror.Is(err, apierror.NoQuorum) {
@@ -223,16 +223,16 @@
 	}
 }
 
-// TestEveryTurnAnsweredWholeStaysKnownUnderFaults kills, wipes, stalls and cuts off
+// TestEveryCompleteTurnStaysKnownUnderFaults kills, wipes, stalls and cuts off
 // stores while programs run. No turn that was answered whole may be told unknown, all
 // histories are exact, and no program hands out more than its allowance and one turn.
-func TestEveryTurnAnsweredWholeStaysKnownUnderFaults(t *testing.T) {
+func TestEveryCompleteTurnStaysKnownUnderFaults(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 4, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		told := &programs{handed: map[string]uint64{}}
+		told := &turnHistory{handed: map[string]uint64{}}
 		stop, cancel := context.WithCancel(context.Background())
 		var working sync.WaitGroup
 		for number := range 4 {
-			origin, end := cluster.origin(fmt.Sprintf("10.8.0.%d", number+1))
+			origin, end := cluster.storeClient(fmt.Sprintf("10.8.0.%d", number+1))
 			working.Go(func() {
 				defer end()
 				told.run(origin, cluster.Random(uint64(50+number)), number, stop)
@@ -250,7 +250,7 @@
 				store.Start()
 				cluster.awaitHealed(t)
 			default:
-				cluster.strikeStore(store, fault)
+				cluster.injectStoreFault(store, fault)
 			}
 			<-time.After(1500 * time.Millisecond)
 		}
@@ -270,7 +270,7 @@
 		for _, store := range cluster.Stores {
 			store.Start()
 		}
-		origin, end := cluster.origin("10.8.0.9")
+		origin, end := cluster.storeClient("10.8.0.9")
 		defer end()
 		for position, one := range told.whole {
 			if position%7 != 0 {
@@ -286,11 +286,11 @@
 	})
 }
 
-// TestAnotherStoreSoonSpeaksForTheTurnsOfALostOne kills a store, or cuts it off, and
+// TestAnotherStoreTakesOverTurnsOfALostOne kills a store, or cuts it off, and
 // asks for a turn in each group all the while.
-func TestAnotherStoreSoonSpeaksForTheTurnsOfALostOne(t *testing.T) {
+func TestAnotherStoreTakesOverTurnsOfALostOne(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.origin("10.8.0.1")
+		origin, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		slowest := func(round string) time.Duration {
 			var mutex sync.Mutex
@@ -338,10 +338,10 @@
 	})
 }
 
-// TestAHistoryIsWholeOrNotTold lets the archived copies of a turn rot at every store.
-func TestAHistoryIsWholeOrNotTold(t *testing.T) {
+// TestHistoryIsCompleteOrWithheld lets the archived copies of a turn rot at every store.
+func TestHistoryIsCompleteOrWithheld(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.origin("10.8.0.1")
+		origin, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		begin := func(program, name, follows string) (*storeclient.BegunTurn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
@@ -358,12 +358,12 @@
 		<-time.After(25 * time.Second)
 		rot := func(stores []*Machine) {
 			for _, store := range stores {
-				names, err := store.Cold.List()
+				names, err := store.Archive.List()
 				if err != nil || len(names) == 0 {
 					t.Fatalf("nothing was archived: %v", err)
 				}
 				for _, name := range names {
-					store.Cold.FlipBit(name, -30)
+					store.Archive.FlipBit(name, -30)
 				}
 			}
 		}
--- a/proof/standin/engine.go
+++ b/proof/standin/engine.go
@@ -26,36 +26,36 @@
 // The faults.
 const (
 	NoFault Fault = ""
-	// Refuses vouches that the query did not run.
-	Refuses Fault = "refuses"
-	// Loses runs the query and closes the connection.
-	Loses Fault = "loses"
-	// Breaks breaks a stream off after its second event.
-	Breaks Fault = "breaks"
-	// Fails answers 500.
-	Fails Fault = "fails"
-	// Unvouched answers 503 without vouching for anything.
-	Unvouched Fault = "unvouched"
-	// Foreign answers under another query's name.
-	Foreign Fault = "foreign"
-	// Extra answers, and once more with the name of the same query, where the answer to
+	// FaultNotRun vouches that the query did not run.
+	FaultNotRun Fault = "refuses"
+	// FaultLoseAnswer runs the query and closes the connection.
+	FaultLoseAnswer Fault = "loses"
+	// FaultBreakStream breaks a stream off after its second event.
+	FaultBreakStream Fault = "breaks"
+	// FaultServerError answers 500.
+	FaultServerError Fault = "fails"
+	// FaultUnavailable answers 503 without vouching for anything.
+	FaultUnavailable Fault = "unvouched"
+	// FaultWrongName answers under another query's name.
+	FaultWrongName Fault = "foreign"
+	// FaultExtraAnswer answers, and once more with the name of the same query, where the answer to
 	// the next query should come.
-	Extra Fault = "extra"
-	// Garbles runs the query and answers with bytes that are no answer.
-	Garbles Fault = "garbles"
-	// Hangs runs the query and never answers.
-	Hangs Fault = "hangs"
+	FaultExtraAnswer Fault = "extra"
+	// FaultGarbledAnswer runs the query and answers with bytes that are no answer.
+	FaultGarbledAnswer Fault = "garbles"
+	// FaultHang runs the query and never answers.
+	FaultHang Fault = "hangs"
 	// Plain answers a stream's query plainly, with success.
-	Plain Fault = "plain"
-	// Rejects answers 422 of its own.
-	Rejects Fault = "rejects"
-	// Repeats breaks a stream off after its second event, and gives it from its beginning
+	FaultPlainAnswer Fault = "plain"
+	// FaultUnprocessable answers 422 of its own.
+	FaultUnprocessable Fault = "rejects"
+	// FaultRestartStream breaks a stream off after its second event, and gives it from its beginning
 	// to whoever resumes it.
-	Repeats Fault = "repeats"
+	FaultRestartStream Fault = "repeats"
 )
 
 // Ran is one run of a query at an engine.
-type Ran struct {
+type Execution struct {
 	Query  string
 	Method string
 	Target string
@@ -67,77 +67,79 @@
 
 // Engine is a stand-in runner that queries are forwarded to unchanged.
 type Engine struct {
-	Life string
-	Pace Pace
+	Life      string
+	Latencies Latencies
 	// Events is how many events a stream has.
 	Events int
 
-	mutex  sync.Mutex
-	faults []Fault
-	always Fault
-	ran    []Ran
-	came   []time.Time
-	turned int // away as meant for another runner
-	broken []string
+	mutex        sync.Mutex
+	faults       []Fault
+	defaultFault Fault
+	executions   []Execution
+	arrivals     []time.Time
+	misdirected  int // away as meant for another runner
+	cancelled    []string
 }
 
 // NewEngine makes an engine.
 //
-//	http.Serve(listener, standin.NewEngine("life-1", standin.Pace{Piece: time.Millisecond}))
-func NewEngine(life string, pace Pace) *Engine { return &Engine{Life: life, Pace: pace, Events: 5} }
+//	http.Serve(listener, standin.NewEngine("life-1", standin.Latencies{Piece: time.Millisecond}))
+func NewEngine(life string, pace Latencies) *Engine {
+	return &Engine{Life: life, Latencies: pace, Events: 5}
+}
 
-// Next makes the next queries go wrong, one after the other.
+// InjectFaults makes the next queries go wrong, one after the other.
 //
-//	engine.Next(standin.Loses)
-func (engine *Engine) Next(faults ...Fault) {
+//	engine.InjectFaults(standin.FaultLoseAnswer)
+func (engine *Engine) InjectFaults(faults ...Fault) {
 	engine.mutex.Lock()
 	engine.faults = append(engine.faults, faults...)
 	engine.mutex.Unlock()
 }
 
-// Always makes all queries go wrong from now on.
+// SetFault makes all queries go wrong from now on.
 //
-//	engine.Always(standin.Fails)
-func (engine *Engine) Always(fault Fault) {
+//	engine.SetFault(standin.FaultServerError)
+func (engine *Engine) SetFault(fault Fault) {
 	engine.mutex.Lock()
-	engine.always = fault
+	engine.defaultFault = fault
 	engine.mutex.Unlock()
 }
 
 // Ran gives what ran here.
 //
 //	for _, one := range engine.Ran() { ... }
-func (engine *Engine) Ran() []Ran {
+func (engine *Engine) Executions() []Execution {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return append([]Ran{}, engine.ran...)
+	return append([]Execution{}, engine.executions...)
 }
 
-// Turned tells how many queries were turned away as meant for another runner.
+// Misdirected tells how many queries were turned away as meant for another runner.
 //
-//	count := engine.Turned()
-func (engine *Engine) Turned() int {
+//	count := engine.Misdirected()
+func (engine *Engine) Misdirected() int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.turned
+	return engine.misdirected
 }
 
-// BrokenOff names the queries whose connection ended while they ran here.
+// Cancelled names the queries whose connection ended while they ran here.
 //
-//	names := engine.BrokenOff()
-func (engine *Engine) BrokenOff() []string {
+//	names := engine.Cancelled()
+func (engine *Engine) Cancelled() []string {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return append([]string{}, engine.broken...)
+	return append([]string{}, engine.cancelled...)
 }
 
 // work lets the time of a plain query go by.
 func (engine *Engine) work(query *http.Request) {
 	select {
-	case <-time.After(engine.Pace.Plain):
+	case <-time.After(engine.Latencies.PlainAnswer):
 	case <-query.Context().Done():
 		engine.mutex.Lock()
-		engine.broken = append(engine.broken, query.Header.Get(Dialect.RequestID))
+		engine.cancelled = append(engine.cancelled, query.Header.Get(Dialect.RequestID))
 		engine.mutex.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -149,16 +151,16 @@
 func (engine *Engine) Arrivals() []time.Time {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return append([]time.Time{}, engine.came...)
+	return append([]time.Time{}, engine.arrivals...)
 }
 
-// next notes an arrival and draws what goes wrong with it.
-func (engine *Engine) next() Fault {
+// nextFault notes an arrival and draws what goes wrong with it.
+func (engine *Engine) nextFault() Fault {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.came = append(engine.came, time.Now())
+	engine.arrivals = append(engine.arrivals, time.Now())
 	if len(engine.faults) == 0 {
-		return engine.always
+		return engine.defaultFault
 	}
 	fault := engine.faults[0]
 	engine.faults = engine.faults[1:]
@@ -168,7 +170,7 @@
 func (engine *Engine) run(query *http.Request, body string, fault Fault) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.ran = append(engine.ran, Ran{Query: query.Header.Get(Dialect.RequestID), Method: query.Method, Target: query.URL.RequestURI(), Body: body, At: time.Now(), Header: query.Header.Clone(), Fault: fault})
+	engine.executions = append(engine.executions, Execution{Query: query.Header.Get(Dialect.RequestID), Method: query.Method, Target: query.URL.RequestURI(), Body: body, At: time.Now(), Header: query.Header.Clone(), Fault: fault})
 }
 
 // EventData is what an engine puts into one event of a stream. It depends on the whole
@@ -196,39 +198,39 @@
 	header.Set(Dialect.RequestID, name)
 	if expected := query.Header.Get(Dialect.ExpectedRunner); expected != "" && expected != engine.Life {
 		engine.mutex.Lock()
-		engine.turned++
+		engine.misdirected++
 		engine.mutex.Unlock()
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	fault := engine.next()
+	fault := engine.nextFault()
 	switch fault {
-	case Refuses:
+	case FaultNotRun:
 		header.Set(Dialect.NotRun, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Unvouched:
+	case FaultUnavailable:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Foreign:
+	case FaultWrongName:
 		header.Set(Dialect.RequestID, "another")
 	}
 	engine.run(query, string(body), fault)
 	header.Set("Seal", engine.Life+"/"+name)
 	switch {
-	case fault == Loses:
-		time.Sleep(engine.Pace.Plain)
+	case fault == FaultLoseAnswer:
+		time.Sleep(engine.Latencies.PlainAnswer)
 		panic(http.ErrAbortHandler)
-	case fault == Hangs:
+	case fault == FaultHang:
 		<-query.Context().Done()
 		panic(http.ErrAbortHandler)
-	case fault == Garbles || fault == Extra:
+	case fault == FaultGarbledAnswer || fault == FaultExtraAnswer:
 		engine.answerRaw(writer, name, fault)
-	case fault == Rejects:
+	case fault == FaultUnprocessable:
 		writer.WriteHeader(http.StatusUnprocessableEntity)
-	case fault == Fails:
+	case fault == FaultServerError:
 		writer.WriteHeader(http.StatusInternalServerError)
-	case strings.HasPrefix(query.URL.Path, "/talk/") && fault != Plain:
+	case strings.HasPrefix(query.URL.Path, "/talk/") && fault != FaultPlainAnswer:
 		engine.stream(writer, query, string(body), fault)
 	default:
 		engine.work(query)
@@ -243,7 +245,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	defer connection.Close()
-	if fault == Garbles {
+	if fault == FaultGarbledAnswer {
 		io.WriteString(connection, "\x16\x03\x01 this is no answer\r\n\r\n")
 		return
 	}
@@ -259,13 +261,13 @@
 
 func (engine *Engine) stream(writer http.ResponseWriter, query *http.Request, prompt string, fault Fault) {
 	first, _ := strconv.Atoi(query.Header.Get(Dialect.LastEventID))
-	breaks := fault == Breaks || fault == Repeats && first == 0
-	if fault == Repeats {
+	breaks := fault == FaultBreakStream || fault == FaultRestartStream && first == 0
+	if fault == FaultRestartStream {
 		first = 0
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
-	time.Sleep(engine.Pace.First)
+	time.Sleep(engine.Latencies.FirstPiece)
 	for number := first + 1; number <= engine.Events; number++ {
 		if breaks && number > first+2 {
 			panic(http.ErrAbortHandler)
@@ -273,7 +275,7 @@
 		fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, EventData(prompt, number))
 		controller.Flush()
 		select {
-		case <-time.After(engine.Pace.Piece):
+		case <-time.After(engine.Latencies.NextPiece):
 		case <-query.Context().Done():
 			return
 		}
--- a/proof/standin/platform.go
+++ b/proof/standin/platform.go
@@ -19,16 +19,16 @@
 // Platform is a stand-in for the platform's list of runners. It lags behind what
 // was put, and throttles those who ask too often.
 type Platform struct {
-	Lag      time.Duration
-	Throttle time.Duration
-	mutex    sync.Mutex
-	versions []version
-	asked    time.Time
-	asks     int
-	refused  int
+	Lag       time.Duration
+	Throttle  time.Duration
+	mutex     sync.Mutex
+	versions  []listVersion
+	lastPoll  time.Time
+	polls     int
+	throttled int
 }
 
-type version struct {
+type listVersion struct {
 	since   time.Time
 	runners []ListedRunner
 }
@@ -38,7 +38,7 @@
 //	platform.Put([]standin.ListedRunner{{Address: "127.0.0.1:8000", Group: "small", Domain: "east", State: "serving"}})
 func (platform *Platform) Put(runners []ListedRunner) {
 	platform.mutex.Lock()
-	platform.versions = append(platform.versions, version{time.Now(), runners})
+	platform.versions = append(platform.versions, listVersion{time.Now(), runners})
 	platform.mutex.Unlock()
 }
 
@@ -51,13 +51,13 @@
 	platform.mutex.Unlock()
 }
 
-// Asks tells how often the list was asked for, and how often that was refused.
+// Polls tells how often the list was asked for, and how often that was refused.
 //
-//	asks, refused := platform.Asks()
-func (platform *Platform) Asks() (int, int) {
+//	asks, refused := platform.Polls()
+func (platform *Platform) Polls() (int, int) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	return platform.asks, platform.refused
+	return platform.polls, platform.throttled
 }
 
 // ServeHTTP answers GET and PUT /runners.
@@ -73,14 +73,14 @@
 	}
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	platform.asks++
-	if since := time.Since(platform.asked); since < platform.Throttle {
-		platform.refused++
+	platform.polls++
+	if since := time.Since(platform.lastPoll); since < platform.Throttle {
+		platform.throttled++
 		writer.Header().Set("Retry-After", strconv.Itoa(int((platform.Throttle+time.Second-1)/time.Second)))
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	platform.asked = time.Now()
+	platform.lastPoll = time.Now()
 	shown := []ListedRunner{}
 	for position, put := range platform.versions {
 		if position == 0 || time.Since(put.since) >= platform.Lag {
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -19,11 +19,11 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// Pace is how fast a stand-in runner works.
-type Pace struct {
-	First time.Duration
-	Piece time.Duration
-	Plain time.Duration
+// Latencies is how fast a stand-in runner works.
+type Latencies struct {
+	FirstPiece  time.Duration
+	NextPiece   time.Duration
+	PlainAnswer time.Duration
 }
 
 // Record is what a runner saw, for the checks.
@@ -33,34 +33,34 @@
 	// Arrivals are the Unix nanoseconds at which queries arrived, the last thousands.
 	Arrivals []int64 `json:"arrivals"`
 	Turns    int     `json:"turns"`
-	// MostOut is the most queries that were there at once since it was last taken.
-	MostOut int `json:"most_out"`
-	// LastOn tells when the last query came on each path, in Unix nanoseconds.
-	LastOn map[string]int64 `json:"last_on"`
+	// MaxInFlight is the most queries that were there at once since it was last taken.
+	MaxInFlight int `json:"most_out"`
+	// LastArrival tells when the last query came on each path, in Unix nanoseconds.
+	LastArrival map[string]int64 `json:"last_on"`
 }
 
 // Runner is a stand-in model and application runner.
 type Runner struct {
-	pace   Pace
-	mutex  sync.Mutex
-	out    int
-	record Record
-	paths  map[int64]string
-	file   *os.File
+	latencies Latencies
+	mutex     sync.Mutex
+	inFlight  int
+	record    Record
+	paths     map[int64]string
+	file      *os.File
 }
 
 // NewRunner makes a runner of a pace.
 //
-//	http.Serve(listener, standin.NewRunner(standin.Pace{Piece: time.Millisecond}))
-func NewRunner(pace Pace) *Runner {
-	return &Runner{pace: pace, record: Record{Executions: map[string]int{}, LastOn: map[string]int64{}}, paths: map[int64]string{}}
+//	http.Serve(listener, standin.NewRunner(standin.Latencies{Piece: time.Millisecond}))
+func NewRunner(pace Latencies) *Runner {
+	return &Runner{latencies: pace, record: Record{Executions: map[string]int{}, LastArrival: map[string]int64{}}, paths: map[int64]string{}}
 }
 
-// Remember keeps the executions in a file over restarts, as the ledger of a real
+// OpenLedger keeps the executions in a file over restarts, as the ledger of a real
 // application would be kept.
 //
-//	err := runner.Remember("/tmp/executions")
-func (runner *Runner) Remember(path string) error {
+//	err := runner.OpenLedger("/tmp/executions")
+func (runner *Runner) OpenLedger(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -80,7 +80,7 @@
 	defer runner.mutex.Unlock()
 	copied := runner.record
 	copied.Executions = maps.Clone(runner.record.Executions)
-	copied.LastOn = maps.Clone(runner.record.LastOn)
+	copied.LastArrival = maps.Clone(runner.record.LastArrival)
 	copied.Arrivals = append([]int64{}, runner.record.Arrivals...)
 	return copied
 }
@@ -94,29 +94,29 @@
 	return maps.Clone(runner.paths)
 }
 
-// TakeMostOut gives the most queries that were there at once since the last call.
+// TakeMaxInFlight gives the most queries that were there at once since the last call.
 //
-//	most := runner.TakeMostOut()
-func (runner *Runner) TakeMostOut() int {
+//	most := runner.TakeMaxInFlight()
+func (runner *Runner) TakeMaxInFlight() int {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	most := runner.record.MostOut
-	runner.record.MostOut = runner.out
+	most := runner.record.MaxInFlight
+	runner.record.MaxInFlight = runner.inFlight
 	return most
 }
 
 const (
-	mostArrivals = 50000
-	slowAnswer   = 2 * time.Second
+	maxArrivals = 50000
+	slowAnswer  = 2 * time.Second
 )
 
 func (runner *Runner) enter(path string) {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	runner.out++
-	runner.record.MostOut = max(runner.record.MostOut, runner.out)
-	runner.record.LastOn[path] = time.Now().UnixNano()
-	if len(runner.record.Arrivals) < mostArrivals {
+	runner.inFlight++
+	runner.record.MaxInFlight = max(runner.record.MaxInFlight, runner.inFlight)
+	runner.record.LastArrival[path] = time.Now().UnixNano()
+	if len(runner.record.Arrivals) < maxArrivals {
 		runner.record.Arrivals = append(runner.record.Arrivals, time.Now().UnixNano())
 		runner.paths[time.Now().UnixNano()] = path
 	}
@@ -124,12 +124,12 @@
 
 func (runner *Runner) leave() {
 	runner.mutex.Lock()
-	runner.out--
+	runner.inFlight--
 	runner.mutex.Unlock()
 }
 
 // ServeHTTP answers POST /turn, POST on any other path, GET /standin/record, and GET
-// /standin/take, which also begins to count MostOut anew.
+// /standin/take, which also begins to count MaxInFlight anew.
 func (runner *Runner) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
 	switch query.URL.Path {
 	case "/standin/record":
@@ -137,7 +137,7 @@
 		json.NewEncoder(writer).Encode(runner.Record())
 	case "/standin/take":
 		taken := runner.Record()
-		taken.MostOut = runner.TakeMostOut()
+		taken.MaxInFlight = runner.TakeMaxInFlight()
 		writer.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(writer).Encode(taken)
 	case "/turn":
@@ -199,13 +199,13 @@
 		encoder.Encode(map[string]string{"piece": piece})
 		controller.Flush()
 		select {
-		case <-time.After(runner.pace.Piece):
+		case <-time.After(runner.latencies.NextPiece):
 			return true
 		case <-query.Context().Done():
 			return false
 		}
 	}
-	time.Sleep(runner.pace.First)
+	time.Sleep(runner.latencies.FirstPiece)
 	for position, piece := range Answer(asked.History, asked.Words) {
 		if !say(piece) {
 			return
@@ -248,7 +248,7 @@
 		}
 		runner.mutex.Unlock()
 	}
-	time.Sleep(runner.pace.Plain)
+	time.Sleep(runner.latencies.PlainAnswer)
 	if strings.Contains(asked.Words, "!slow") {
 		time.Sleep(slowAnswer)
 	}
