--- a/system/runnerpool/connection.go
+++ b/system/runnerpool/connection.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
-	"io"
 	"net"
 	"sync"
 	"syscall"
@@ -12,18 +10,8 @@
 
 const (
 	readerBytes = 4 << 10
-	// maxHeadBytes bounds the head of an answer.
-	maxHeadBytes = 64 << 10
 )
 
-var errHeadTooLarge = errors.New("the head of its answer is too large")
-
-// idleChecker is a connection that can itself tell whether something has arrived on it.
-type idleChecker interface {
-	// Idle tells, without waiting, that nothing has arrived and nothing was closed.
-	Idle() bool
-}
-
 // persistentConnection is one kept connection. It bears one query at a time.
 type persistentConnection struct {
 	net.Conn
@@ -64,50 +52,6 @@
 	return connection
 }
 
-// probeSocket reads without waiting. Whatever it finds but nothing makes the connection
-// unfit, so that a byte that is taken away here is not missed.
-func (connection *persistentConnection) probeSocket(descriptor uintptr) bool {
-	for {
-		count, err := syscall.Read(int(descriptor), connection.probeByte[:])
-		if err != syscall.EINTR {
-			connection.noInput, connection.closedByRunner = err == syscall.EAGAIN, count == 0 && err == nil
-			return true
-		}
-	}
-}
-
-// isIdle tells that nothing has arrived on an idle connection and nothing was closed; if
-// not, ended tells that the runner closed it and said nothing.
-func (connection *persistentConnection) isIdle() bool {
-	connection.noInput, connection.closedByRunner = false, false
-	if connection.raw != nil {
-		return connection.raw.Read(connection.probe) == nil && connection.noInput
-	}
-	checker, found := connection.Conn.(idleChecker)
-	if !found || checker.Idle() {
-		return true
-	}
-	_, err := connection.Conn.Read(connection.probeByte[:])
-	connection.closedByRunner = err == io.EOF
-	return false
-}
-
-// learnIdleTimeout learns from an idle connection that was not quiet: a runner that doesn't tell
-// how long it keeps connections shows it by closing them.
-func (connection *persistentConnection) learnIdleTimeout(now time.Time) {
-	idle := now.Sub(connection.idleSince)
-	if !connection.closedByRunner || idle < minIdleTimeout {
-		return
-	}
-	shorter := int64(max(idle/2, minIdleTimeout))
-	for {
-		known := connection.runner.idleTimeout.Load()
-		if shorter >= known || connection.runner.idleTimeout.CompareAndSwap(known, shorter) {
-			return
-		}
-	}
-}
-
 // Read reads what the runner sent; while a head is read, no more than it may have.
 func (connection *persistentConnection) Read(target []byte) (int, error) {
 	if connection.headBytesLeft == 0 {
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -1,28 +1,20 @@
 package runnerpool
 
 import (
-	"context"
-	"errors"
 	"net/textproto"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
-	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
 	"yardrock.example/system/link"
 )
 
 const (
-	dialTimeout = 700 * time.Millisecond
 	// defaultIdleTimeout is how long a connection is kept idle if the runner doesn't say how long
 	// it keeps one: a little less than the five seconds that many HTTP servers use. What
 	// is found closed before that shortens it for the runner.
 	defaultIdleTimeout = 4 * time.Second
-	// minIdleTimeout is as far as the idle time of a runner is shortened; what closes sooner
-	// shows trouble and not a time.
-	minIdleTimeout = 250 * time.Millisecond
 	// minSweepInterval is the least time between two looks for connections to retire.
 	minSweepInterval = time.Second
 )
@@ -199,115 +191,3 @@
 	pool.mutex.Unlock()
 	closeAll(ended)
 }
-
-// acquire gives a connection on which nothing waits, with the dispatch's deadline set.
-func (pool *Pool) acquire(ctx context.Context, request *Request) (*persistentConnection, error) {
-	address, now := request.Runner.Address, time.Now()
-	for {
-		connection, runner, err := pool.takeIdle(request, now)
-		if err != nil {
-			return nil, err
-		}
-		if connection == nil {
-			return pool.dial(ctx, request, runner)
-		}
-		connection.SetDeadline(request.Deadline)
-		if connection.isIdle() {
-			return connection, nil
-		}
-		connection.learnIdleTimeout(now)
-		pool.discard(connection)
-		if ctx.Err() != nil {
-			return nil, cancelled(address, true)
-		}
-	}
-}
-
-// takeIdle gives the idle connection used last, or none and a place for a new one.
-func (pool *Pool) takeIdle(request *Request, now time.Time) (*persistentConnection, *runnerConnections, error) {
-	var ended []*persistentConnection
-	defer func() { closeAll(ended) }()
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	if pool.closed {
-		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runners are closed", Remedy: "ask another front", NeverSent: true}
-	}
-	var runner *runnerConnections
-	runner, ended = pool.runnerFor(request.Runner.Address, request.Runner.Life, nil)
-	runner.maxTotal = max(request.MaxConnections, 1)
-	ended = pool.closeExpired(runner, now, ended)
-	if last := len(runner.idle) - 1; last >= 0 {
-		connection := runner.idle[last]
-		runner.idle[last] = nil
-		runner.idle = runner.idle[:last]
-		pool.idle--
-		pool.inUse++
-		return connection, runner, nil
-	}
-	if runner.total >= runner.maxTotal {
-		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runner " + request.Runner.Address + " are all out", Remedy: "choose another runner", NeverSent: true}
-	}
-	runner.total++
-	pool.inUse++
-	return nil, runner, nil
-}
-
-func (pool *Pool) dial(ctx context.Context, request *Request, runner *runnerConnections) (*persistentConnection, error) {
-	address := request.Runner.Address
-	deadline, ownTimeout := time.Now().Add(dialTimeout), true
-	if !request.Deadline.IsZero() && request.Deadline.Before(deadline) {
-		deadline, ownTimeout = request.Deadline, false
-	}
-	dialling, cancel := context.WithDeadline(ctx, deadline)
-	defer cancel()
-	stream, err := pool.network.Dial(dialling, address)
-	if err != nil {
-		pool.release(runner)
-		if ctx.Err() != nil {
-			return nil, cancelled(address, true)
-		}
-		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach runner " + address + ": " + err.Error(), Remedy: "check that the runner runs and that its address is right",
-			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: ownTimeout || dialling.Err() == nil}
-	}
-	pool.dials.Add(1)
-	connection := newConnection(stream, runner)
-	connection.SetDeadline(request.Deadline)
-	return connection, nil
-}
-
-func (pool *Pool) release(runner *runnerConnections) {
-	pool.mutex.Lock()
-	runner.total--
-	pool.inUse--
-	pool.mutex.Unlock()
-}
-
-// discard closes a connection that was taken.
-func (pool *Pool) discard(connection *persistentConnection) {
-	connection.Close()
-	pool.release(connection.runner)
-}
-
-// put gives back a connection on which a next query may be sent.
-func (pool *Pool) put(connection *persistentConnection) {
-	runner, now := connection.runner, time.Now()
-	pool.mutex.Lock()
-	timeout := connection.keepAlive
-	if !connection.hasKeepAlive {
-		timeout = time.Duration(runner.idleTimeout.Load())
-	}
-	if runner.removed || runner.total > runner.maxTotal {
-		pool.mutex.Unlock()
-		pool.discard(connection)
-		return
-	}
-	connection.idleSince, connection.expires = now, now.Add(timeout)
-	runner.idle = append(runner.idle, connection)
-	pool.idle++
-	pool.inUse--
-	if !pool.sweepScheduled {
-		pool.sweepScheduled = true
-		pool.sweepTimer.Reset(max(timeout, minSweepInterval))
-	}
-	pool.mutex.Unlock()
-}
--- a/system/runnerpool/send.go
+++ b/system/runnerpool/send.go
@@ -2,12 +2,8 @@
 
 import (
 	"context"
-	"errors"
-	"io"
 	"net"
 	"net/http"
-	"os"
-	"strconv"
 	"strings"
 	"time"
 
@@ -19,10 +15,6 @@
 	// longer query is written beside the reading, as a runner that answers early may never
 	// read it.
 	singleWriteBytes = 16 << 10
-	// maxStrayResponses is how many answers to other queries are dropped before the one to this.
-	maxStrayResponses = 2
-	// maxInterimResponses is how many interim (1xx) heads may come before an answer.
-	maxInterimResponses = 8
 	// maxRejectionBytes and rejectionTimeout bound what is done to keep the connection after a
 	// refusal: the rest of its body is read.
 	maxRejectionBytes = 16 << 10
@@ -214,99 +206,6 @@
 	return result, false, nil
 }
 
-// endless tells that only the end of the connection ends a body.
-func isCloseDelimited(response *http.Response) bool {
-	return response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody
-}
-
-// isUnencoded tells that a body is not encoded.
-func isUnencoded(coding []string) bool {
-	for _, line := range coding {
-		for word := range strings.SplitSeq(line, ",") {
-			if word = strings.TrimSpace(word); word != "" && !strings.EqualFold(word, "identity") {
-				return false
-			}
-		}
-	}
-	return true
-}
-
-// protocolError tells what is wrong with what came in place of an answer.
-type protocolError string
-
-func (wrong protocolError) Error() string { return string(wrong) }
-
-// readHead reads heads until one is of an answer to this query.
-func (trip *roundTrip) readHead() (*http.Response, error) {
-	connection := trip.connection
-	defer func() { connection.headBytesLeft = -1 }()
-	first := !connection.reused
-	for stray, interim := 0, 0; ; {
-		connection.headBytesLeft = maxHeadBytes
-		response, err := http.ReadResponse(connection.buffers.reader, requestByMethod[trip.request.Method == http.MethodHead])
-		if err != nil {
-			return nil, err
-		}
-		if response.ProtoMajor != 1 || response.StatusCode > 599 || response.StatusCode < 100 || response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, protocolError("it answered " + strconv.Quote(response.Proto+" "+response.Status))
-		}
-		if response.StatusCode < 200 {
-			if interim++; interim > maxInterimResponses {
-				return nil, protocolError("it sent too many interim heads")
-			}
-			continue
-		}
-		match := trip.matchID(response.Header)
-		if match == idMissing && (response.StatusCode < 300 || !first) {
-			return nil, protocolError("its answer does not name the query")
-		}
-		if match != idDiffers {
-			return response, nil
-		}
-		trip.stray, first = true, false
-		if stray++; stray > maxStrayResponses {
-			return nil, protocolError("it answered other queries")
-		}
-		if trip.request.Method == http.MethodHead && response.ContentLength != 0 {
-			return nil, protocolError("it answered another query first, and it can't be told where that answer ends")
-		}
-		connection.headBytesLeft = -1
-		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return nil, err
-		}
-	}
-}
-
-type idMatch int
-
-const (
-	idMatches idMatch = iota
-	idMissing
-	idDiffers
-)
-
-// whose tells whether an answer is to this query, by the name that it bears.
-func (trip *roundTrip) matchID(header http.Header) idMatch {
-	key := trip.pool.headers.RequestID
-	if key == "" {
-		return idMatches
-	}
-	requested := trip.request.ID
-	if requested == "" {
-		requested = trip.request.Header.Get(key)
-	}
-	names := header[key]
-	if len(names) == 0 && requested != "" {
-		return idMissing
-	}
-	for _, name := range names {
-		if name != requested {
-			return idDiffers
-		}
-	}
-	return idMatches
-}
-
 // returnUnused returns a connection to which nothing was written.
 func (trip *roundTrip) returnUnused() {
 	trip.connection.releaseBuffers()
@@ -330,19 +229,3 @@
 	trip.connection.releaseBuffers()
 	trip.pool.release(trip.connection.runner)
 }
-
-func cancelled(address string, neverSent bool) *apierror.Error {
-	return &apierror.Error{Kind: apierror.Cancelled, Message: "the query to runner " + address + " was given up", Remedy: "none: whoever asked gave up", NeverSent: neverSent}
-}
-
-// connectionError types what went wrong on the connection.
-func (trip *roundTrip) connectionError(err error) *apierror.Error {
-	address := trip.request.Runner.Address
-	if trip.ctx.Err() != nil {
-		return cancelled(address, false)
-	}
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &apierror.Error{Kind: apierror.Unknown, Message: "runner " + address + " did not answer before the caller's time was over", Remedy: "ask with more time; whether the query ran is not known"}
-	}
-	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " broke off: " + err.Error(), Remedy: "see the runner's own log; whether the query ran is not known", Lost: true}
-}
