--- a/system/runnerpool/acquire.go
+++ b/system/runnerpool/acquire.go
@@ -9,13 +9,14 @@
 	"yardrock.example/system/apierror"
 )
 
-const (
-	dialTimeout = 700 * time.Millisecond
-)
+// dialTimeout is how long opening a connection may take: longer means that the runner's
+// machine is gone, and another runner can still be tried in time.
+const dialTimeout = 700 * time.Millisecond
 
-// acquire gives a connection on which nothing waits, with the dispatch's deadline set.
+// acquire returns a connection on which nothing has arrived, with the request's deadline
+// set: the idle one used last, or a new one. The caller must put or discard it.
 func (pool *Pool) acquire(ctx context.Context, request *Request) (*persistentConnection, error) {
-	address, now := request.Runner.Address, time.Now()
+	now := time.Now()
 	for {
 		connection, runner, err := pool.takeIdle(request, now)
 		if err != nil {
@@ -31,24 +32,25 @@
 		connection.learnIdleTimeout(now)
 		pool.discard(connection)
 		if ctx.Err() != nil {
-			return nil, cancelled(address, true)
+			return nil, cancelled(request.Runner.Address, true)
 		}
 	}
 }
 
-// takeIdle gives the idle connection used last, or none and a place for a new one.
+// takeIdle returns the idle connection used last, or nil after it has reserved the place
+// of a new one.
 func (pool *Pool) takeIdle(request *Request, now time.Time) (*persistentConnection, *runnerConnections, error) {
-	var ended []*persistentConnection
-	defer func() { closeAll(ended) }()
+	var removed []*persistentConnection
+	defer func() { closeAll(removed) }() // runs after the mutex is unlocked
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	if pool.closed {
 		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runners are closed", Remedy: "ask another front", NeverSent: true}
 	}
 	var runner *runnerConnections
-	runner, ended = pool.runnerFor(request.Runner.Address, request.Runner.Life, nil)
+	runner, removed = pool.runnerFor(request.Runner.Address, request.Runner.Life, nil)
 	runner.maxTotal = max(request.MaxConnections, 1)
-	ended = pool.closeExpired(runner, now, ended)
+	removed = pool.removeExpired(runner, now, removed)
 	if last := len(runner.idle) - 1; last >= 0 {
 		connection := runner.idle[last]
 		runner.idle[last] = nil
@@ -65,6 +67,8 @@
 	return nil, runner, nil
 }
 
+// dial opens a connection whose place is reserved, and releases the place if it fails.
+// The error has Lost set unless the caller's deadline was the reason.
 func (pool *Pool) dial(ctx context.Context, request *Request, runner *runnerConnections) (*persistentConnection, error) {
 	address := request.Runner.Address
 	deadline, ownTimeout := time.Now().Add(dialTimeout), true
@@ -88,6 +92,7 @@
 	return connection, nil
 }
 
+// release gives up the place of a connection in use.
 func (pool *Pool) release(runner *runnerConnections) {
 	pool.mutex.Lock()
 	runner.total--
@@ -95,13 +100,14 @@
 	pool.mutex.Unlock()
 }
 
-// discard closes a connection that was taken.
+// discard closes a connection in use.
 func (pool *Pool) discard(connection *persistentConnection) {
 	connection.Close()
 	pool.release(connection.runner)
 }
 
-// put gives back a connection on which a next query may be sent.
+// put makes a connection in use idle, so that another request may be sent on it. It is
+// closed instead if its runner was removed or has more connections than allowed now.
 func (pool *Pool) put(connection *persistentConnection) {
 	runner, now := connection.runner, time.Now()
 	pool.mutex.Lock()
--- a/system/runnerpool/errors.go
+++ b/system/runnerpool/errors.go
@@ -7,11 +7,29 @@
 	"yardrock.example/system/apierror"
 )
 
+// protocolError says what is wrong with what came in place of a response. It reads as
+// the end of a sentence that begins with the runner.
+type protocolError string
+
+// Error returns the text.
+func (text protocolError) Error() string { return string(text) }
+
+// errHeadTooLarge is returned by persistentConnection.Read.
+var errHeadTooLarge = protocolError("the head of its answer is too large")
+
+// cancelled is the error of a request whose context ended.
 func cancelled(address string, neverSent bool) *apierror.Error {
 	return &apierror.Error{Kind: apierror.Cancelled, Message: "the query to runner " + address + " was given up", Remedy: "none: whoever asked gave up", NeverSent: neverSent}
 }
 
-// connectionError types what went wrong on the connection.
+// invalidRequest is the error of a request that must not be sent.
+func invalidRequest(what, remedy string) error {
+	return &apierror.Error{Kind: apierror.Invalid, Message: what, Remedy: remedy, NeverSent: true}
+}
+
+// connectionError turns an error of the connection into the one that Send and Read
+// return. Deadlines of the connection are set by the context as well as by the request,
+// so that the context is looked at first.
 func (trip *roundTrip) connectionError(err error) *apierror.Error {
 	address := trip.request.Runner.Address
 	if trip.ctx.Err() != nil {
--- a/system/runnerpool/event_stream.go
+++ b/system/runnerpool/event_stream.go
@@ -8,41 +8,47 @@
 )
 
 const (
+	// minEventBuffer is the size of a new buffer at least; one is made when less than an
+	// eighth of it is free.
 	minEventBuffer = 4 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes is the size from which on an event that has not ended is an error.
 	maxEventBytes = 1 << 20
 )
 
-// Event is one event of a text/event-stream. Its slices are never overwritten.
+// Event is one event of a text/event-stream (WHATWG HTML, "Server-sent events"). Its
+// slices are never overwritten, and appending to one does not change another.
 type Event struct {
-	Raw     []byte // the bytes as they came, with the blank line
-	ID      string // "" if the event brings none
-	Data    []byte // its data lines, joined by line feeds
-	HasData bool   // it has a data line; one without is no event to a browser
+	Raw     []byte // the bytes of the stream, including the blank line
+	ID      string // empty if the event has none
+	Data    []byte // the data lines, joined by line feeds
+	HasData bool   // it has a data line; a browser ignores events without one
 }
 
-// EventReader splits a text/event-stream. It is used by one goroutine at a time.
+// EventReader splits a text/event-stream into events. It reads no further than the end of
+// the next event needs. It is not safe for concurrent use.
 type EventReader struct {
 	source    io.Reader
-	buffer    []byte // what came and was not given out yet
-	scanned   int    // bytes of buffer in which the end of an event was looked for
-	lineStart int    // where the line begins in which the look stands
-	started   bool   // an event was given out; a mark of byte order can't come any more
-	// afterCarriageReturn tells that a carriage return ended the event before: the line feed that
-	// may follow belongs to it.
+	buffer    []byte // read and not returned yet
+	scanned   int    // bytes of buffer that were searched for the end of an event
+	lineStart int    // where the line begins in which the search stands
+	started   bool   // the first event was returned; a byte order mark may only be before it
+	// afterCarriageReturn means that the last event ended with a carriage return: a line
+	// feed that follows belongs to the same line end.
 	afterCarriageReturn bool
-	failed              error
+	failed              error // of the source, io.EOF included
+	complete            bool  // the source has ended with io.EOF itself, not with an error that wraps it
 }
 
-// NewEventReader splits what a reader gives, such as the body of a reply.
+// NewEventReader returns a reader of the events in a source, such as a Response.
 //
-//	events := runnerpool.NewEventReader(reply)
+//	events := runnerpool.NewEventReader(response)
 func NewEventReader(source io.Reader) *EventReader { return &EventReader{source: source} }
 
-// Next gives the next event once its blank line is there. Comments and blank lines
-// come as events without data, so that all Raw together are the whole stream; what a
-// whole stream has after its last blank line comes as an event without data, too. The
-// error is io.EOF at the whole end, else that of the reader.
+// Next returns the next event as soon as its blank line was read. Comments and blank
+// lines are returned as events without data, as is what a complete stream has after its
+// last blank line, so that all Raw together are the stream. The error is io.EOF at the
+// end of a complete stream, an *apierror.Error of kind RunnerFailure if an event exceeds
+// 1 MiB, or that of the source; part of an event is not returned with the latter.
 //
 //	for {
 //		event, err := events.Next()
@@ -67,11 +73,13 @@
 	}
 }
 
-// Buffered tells that Next would give an event without reading.
+// Buffered reports whether Next would return an event without reading.
 //
 //	for more := true; more; more = events.Buffered() { ... }
 func (events *EventReader) Buffered() bool { return events.findEnd() > 0 }
 
+// fill reads once from the source. It starts a new buffer rather than move bytes that
+// events refer to.
 func (events *EventReader) fill() {
 	if cap(events.buffer)-len(events.buffer) < minEventBuffer/8 {
 		grown := make([]byte, len(events.buffer), max(minEventBuffer, 2*len(events.buffer)))
@@ -79,33 +87,26 @@
 		events.buffer = grown
 	}
 	count, err := events.source.Read(events.buffer[len(events.buffer):cap(events.buffer)])
-	events.buffer, events.failed = events.buffer[:len(events.buffer)+count], err
+	events.buffer, events.failed, events.complete = events.buffer[:len(events.buffer)+count], err, err == io.EOF
 }
 
-// findEnd gives the length of the next event, or 0 if its end is not there yet.
+// findEnd returns the length of the next event, or 0 if its end was not read yet. Lines
+// end with a line feed, a carriage return, or both.
 func (events *EventReader) findEnd() int {
 	buffer := events.buffer
 	for events.scanned < len(buffer) {
 		at := events.scanned
-		one := buffer[at]
-		if one != '\n' && one != '\r' {
+		if buffer[at] != '\n' && buffer[at] != '\r' {
 			events.scanned += lineEnd(buffer[at:])
 			continue
 		}
-		if one == '\n' && at == 0 && events.afterCarriageReturn {
+		if buffer[at] == '\n' && at == 0 && events.afterCarriageReturn {
 			events.scanned, events.lineStart = 1, 1
 			continue
 		}
-		after, width := at+1, 1
-		if one == '\r' && after < len(buffer) && buffer[after] == '\n' {
-			after, width = at+2, 2
-		}
-		blank := at == events.lineStart
-		if one == '\r' && width == 1 && after == len(buffer) && events.failed == nil {
-			// A line feed may follow. Only if the line before ended with both is it sure to.
-			if !blank || events.followsCRLF(at) {
-				return 0
-			}
+		after, blank := at+lineEndWidth(buffer[at:]), at == events.lineStart
+		if events.awaitsLineFeed(at, after, blank) {
+			return 0
 		}
 		if blank {
 			return after
@@ -115,7 +116,26 @@
 	return 0
 }
 
-// lineEnd gives where the first line ends, or the length of the text.
+// awaitsLineFeed reports whether a line must not be ended yet, because a line feed may
+// follow its carriage return and is still to be read. It is waited for if the line is not
+// blank, as more must come anyway, or if the line before ended with both, so that this
+// one will too. After a blank line that ended otherwise nothing more may come.
+func (events *EventReader) awaitsLineFeed(at, after int, blank bool) bool {
+	if events.buffer[at] != '\r' || after != at+1 || after < len(events.buffer) || events.failed != nil {
+		return false
+	}
+	return !blank || events.followsCRLF(at)
+}
+
+// lineEndWidth returns the length of the line end that a text begins with.
+func lineEndWidth(text []byte) int {
+	if text[0] == '\r' && len(text) > 1 && text[1] == '\n' {
+		return 2
+	}
+	return 1
+}
+
+// lineEnd returns the length of the first line, or of the text if that has no line end.
 func lineEnd(text []byte) int {
 	if feed := bytes.IndexByte(text, '\n'); feed >= 0 {
 		text = text[:feed]
@@ -126,11 +146,13 @@
 	return len(text)
 }
 
-// followsCRLF tells that the line before the one at a place ended with both return and feed.
+// followsCRLF reports whether the bytes before an index of the buffer are a carriage
+// return and a line feed.
 func (events *EventReader) followsCRLF(at int) bool {
 	return at >= 2 && events.buffer[at-1] == '\n' && events.buffer[at-2] == '\r'
 }
 
+// takeEvent removes an event of some length from the buffer and parses it.
 func (events *EventReader) takeEvent(length int) Event {
 	raw := events.buffer[:length:length]
 	events.buffer = events.buffer[length:]
@@ -148,17 +170,18 @@
 	return event
 }
 
-// takeRemainder gives what a whole stream has after its last blank line.
+// takeRemainder returns what a complete stream has after its last blank line, and then the
+// error of the source.
 func (events *EventReader) takeRemainder() (Event, error) {
 	raw := events.buffer
 	events.buffer, events.scanned, events.lineStart = nil, 0, 0
-	if events.failed == io.EOF && len(raw) > 0 {
+	if events.complete && len(raw) > 0 {
 		return Event{Raw: raw}, nil
 	}
 	return Event{}, events.failed
 }
 
-// parse reads the lines of an event.
+// parse sets the fields from the lines of an event. Data of a single line is not copied.
 func (event *Event) parse(text []byte) {
 	lines := 0
 	for len(text) > 0 {
--- a/system/runnerpool/exchange_test.go
+++ b/system/runnerpool/exchange_test.go
@@ -340,7 +340,7 @@
 		f.Add(seed, true)
 	}
 	f.Fuzz(func(t *testing.T, raw string, head bool) {
-		if len(raw) > 4*readerBytes {
+		if len(raw) > 4*bufferBytes {
 			return
 		}
 		for _, kept := range []bool{false, true} {
--- a/system/runnerpool/idle_check.go
+++ b/system/runnerpool/idle_check.go
@@ -1,37 +1,39 @@
 package runnerpool
 
 import (
+	"errors"
 	"io"
 	"syscall"
 	"time"
 )
 
-const (
-	// minIdleTimeout is as far as the idle time of a runner is shortened; what closes sooner
-	// shows trouble and not a time.
-	minIdleTimeout = 250 * time.Millisecond
-)
+// minIdleTimeout is the shortest idle timeout that is learnt for a runner. Connections
+// that are closed sooner show a fault of the runner and not its idle timeout.
+const minIdleTimeout = 250 * time.Millisecond
 
-// idleChecker is a connection that can itself tell whether something has arrived on it.
+// idleChecker is implemented by connections that are not sockets, such as those of a
+// simulated network.
 type idleChecker interface {
-	// Idle tells, without waiting, that nothing has arrived and nothing was closed.
+	// Idle reports, without blocking, that nothing has arrived and the other end has
+	// neither closed nor reset the connection.
 	Idle() bool
 }
 
-// probeSocket reads without waiting. Whatever it finds but nothing makes the connection
-// unfit, so that a byte that is taken away here is not missed.
+// probeSocket reads a byte without blocking. It may take a byte away: whatever it finds
+// other than nothing makes the connection unusable.
 func (connection *persistentConnection) probeSocket(descriptor uintptr) bool {
 	for {
 		count, err := syscall.Read(int(descriptor), connection.probeByte[:])
-		if err != syscall.EINTR {
-			connection.noInput, connection.closedByRunner = err == syscall.EAGAIN, count == 0 && err == nil
+		if !errors.Is(err, syscall.EINTR) {
+			connection.noInput, connection.closedByRunner = errors.Is(err, syscall.EAGAIN), count == 0 && err == nil
 			return true
 		}
 	}
 }
 
-// isIdle tells that nothing has arrived on an idle connection and nothing was closed; if
-// not, ended tells that the runner closed it and said nothing.
+// isIdle reports that nothing has arrived on an idle connection and that it is open. If
+// it returns false, closedByRunner says whether the runner closed the connection
+// properly and sent nothing before.
 func (connection *persistentConnection) isIdle() bool {
 	connection.noInput, connection.closedByRunner = false, false
 	if connection.raw != nil {
@@ -42,12 +44,12 @@
 		return true
 	}
 	_, err := connection.Conn.Read(connection.probeByte[:])
-	connection.closedByRunner = err == io.EOF
+	connection.closedByRunner = errors.Is(err, io.EOF)
 	return false
 }
 
-// learnIdleTimeout learns from an idle connection that was not quiet: a runner that doesn't tell
-// how long it keeps connections shows it by closing them.
+// learnIdleTimeout shortens the runner's idle timeout to half of the time after which
+// the runner closed this connection. It has an effect only after isIdle returned false.
 func (connection *persistentConnection) learnIdleTimeout(now time.Time) {
 	idle := now.Sub(connection.idleSince)
 	if !connection.closedByRunner || idle < minIdleTimeout {
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -1,3 +1,22 @@
+// Package runnerpool sends requests to runners over persistent HTTP/1.1 connections.
+//
+// It does not use net/http's Transport, because the callers must know exactly what may
+// have happened. Every failure says whether the request was never sent, was rejected by
+// a runner that vouches that it did not run, or may have run (see Pool.Send). The
+// invariants are:
+//
+//   - A response is only passed on if it carries the ID of its request. Late responses
+//     to earlier requests on the same connection are dropped.
+//   - A request is sent again by the pool only while no byte of it was accepted by a
+//     connection. All other retries are for the caller to decide.
+//   - The end of a response body is reported as io.EOF only if it is provably complete.
+//   - A connection carries one request at a time and is reused only if the last exchange
+//     on it ended cleanly and nothing has arrived on it since.
+//
+// The pool owns its connections, idle ones and those in use, and a timer that closes idle
+// ones. A Response owns its connection until Close. A request body too long for one write
+// is written by a goroutine of its own, which ends with the response or when the
+// connection is closed, and which Response.Close waits for.
 package runnerpool
 
 import (
@@ -11,23 +30,23 @@
 )
 
 const (
-	// defaultIdleTimeout is how long a connection is kept idle if the runner doesn't say how long
-	// it keeps one: a little less than the five seconds that many HTTP servers use. What
-	// is found closed before that shortens it for the runner.
+	// defaultIdleTimeout is how long a connection is kept idle if the runner does not say
+	// how long it keeps one: a little less than the five seconds that many HTTP servers
+	// use. It is shortened for runners that close connections earlier.
 	defaultIdleTimeout = 4 * time.Second
-	// minSweepInterval is the least time between two looks for connections to retire.
+	// minSweepInterval is the shortest time between two sweeps for expired connections.
 	minSweepInterval = time.Second
 )
 
-// Pool keeps connections to runners.
+// Pool holds connections to runners. Its methods may be called concurrently.
 type Pool struct {
 	network link.Network
-	headers HeaderNames // names in their canonical form
+	headers HeaderNames // in canonical form
 	dials   atomic.Uint64
 	reuses  atomic.Uint64
 
-	mutex          sync.Mutex
-	runners        map[string]*runnerConnections
+	mutex          sync.Mutex                    // guards all that follows
+	runners        map[string]*runnerConnections // by address
 	inUse          int
 	idle           int
 	closed         bool
@@ -35,28 +54,30 @@
 	sweepScheduled bool
 }
 
-// runnerConnections is what is kept of one life of a runner at an address.
+// runnerConnections are the connections to one life of a runner at an address. Pool.mutex
+// guards all but idleTimeout.
 type runnerConnections struct {
-	life     string
+	life     string                  // empty: not known yet
 	idle     []*persistentConnection // the one used last comes last
-	total    int                     // idle, out and being dialled
+	total    int                     // idle, in use and being dialled
 	maxTotal int
-	// idleTimeout is how long connections of a runner that tells no time are kept idle.
+	// idleTimeout, a time.Duration, is how long a connection is kept idle if its responses
+	// do not say so.
 	idleTimeout atomic.Int64
-	removed     bool
+	removed     bool // connections that come back are closed
 }
 
-// Stats tells what connections were used and are held.
+// Stats are the counters of a pool.
 type Stats struct {
-	Dials  uint64 // connections that were dialled
-	Reuses uint64 // queries sent over a connection that had borne another
-	Idle   int
-	InUse  int // in use, or being dialled
+	Dials  uint64 // connections opened
+	Reuses uint64 // requests sent over a connection that had carried another one
+	Idle   int    // idle connections now
+	InUse  int    // connections in use or being dialled now
 }
 
-// New makes a pool on a network, for runners that understand a dialect.
+// New returns a pool for runners that understand certain headers. It must be closed.
 //
-//	pool := runnerpool.New(link.TCP{}, runnerpool.HeaderNames{Query: "Query-Name", NotRun: "Not-Run"})
+//	pool := runnerpool.New(link.TCP{}, runnerpool.HeaderNames{RequestID: "Query-Name", NotRun: "Not-Run"})
 //	defer pool.Close()
 func New(network link.Network, headers HeaderNames) *Pool {
 	for _, name := range []*string{&headers.RequestID, &headers.NotRun, &headers.ExpectedRunner, &headers.Timeout, &headers.Load, &headers.Urgency, &headers.LastEventID, &headers.RunnerID, &headers.WarmUpLeft} {
@@ -68,33 +89,33 @@
 	return pool
 }
 
-// Close ends all idle connections; those in use end with their replies.
+// Close closes all idle connections and stops the sweep. Connections in use are closed
+// when their responses are. Send fails from then on.
 //
 //	pool.Close()
 func (pool *Pool) Close() {
 	pool.mutex.Lock()
 	pool.closed = true
 	pool.sweepTimer.Stop()
-	ended := []*persistentConnection{}
+	removed := []*persistentConnection{}
 	for address := range pool.runners {
-		ended = pool.removeRunner(address, ended)
+		removed = pool.removeRunner(address, removed)
 	}
 	pool.mutex.Unlock()
-	closeAll(ended)
+	closeAll(removed)
 }
 
-// Stats tells what was used since the start, and what is held now.
+// Stats returns the counters.
 //
-//	log.WithField("dials", pool.Stats().Dials).Info("runner_connections")
+//	log.WithField("dials", pool.Stats().Dials).Info("connections to runners")
 func (pool *Pool) Stats() Stats {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	return Stats{Dials: pool.dials.Load(), Reuses: pool.reuses.Load(), Idle: pool.idle, InUse: pool.inUse}
 }
 
-// Retain keeps connections only to these lives of runners: idle ones to others are
-// closed, and those in use are closed when their replies end. A life that is empty on
-// either side counts as the same.
+// Retain closes the idle connections to all runners but these, and those in use when
+// their responses are closed. A life that is empty on either side matches any.
 //
 //	pool.Retain(view.Runners)
 func (pool *Pool) Retain(runners []feed.Runner) {
@@ -106,41 +127,45 @@
 			retained[runners[index].Address] = true
 		}
 	}
-	ended := []*persistentConnection{}
+	removed := []*persistentConnection{}
 	for address := range pool.runners {
 		if !retained[address] {
-			ended = pool.removeRunner(address, ended)
+			removed = pool.removeRunner(address, removed)
 		}
 	}
 	pool.mutex.Unlock()
-	closeAll(ended)
+	closeAll(removed)
 }
 
+// sameLife reports whether two lives are the same, as far as both are known.
 func sameLife(left, right string) bool { return left == "" || right == "" || left == right }
 
-// removeRunner lets go of a runner; its idle connections are added to those to be closed.
-func (pool *Pool) removeRunner(address string, ended []*persistentConnection) []*persistentConnection {
+// removeRunner removes a runner and appends its idle connections to those that the
+// caller must close after unlocking. The caller holds the mutex.
+func (pool *Pool) removeRunner(address string, removed []*persistentConnection) []*persistentConnection {
 	runner := pool.runners[address]
 	delete(pool.runners, address)
 	runner.removed = true
 	pool.idle -= len(runner.idle)
 	runner.total -= len(runner.idle)
-	ended = append(ended, runner.idle...)
+	removed = append(removed, runner.idle...)
 	runner.idle = nil
-	return ended
+	return removed
 }
 
-func closeAll(ended []*persistentConnection) {
-	for _, connection := range ended {
+// closeAll closes connections. It is called without the mutex, because closing may block.
+func closeAll(removed []*persistentConnection) {
+	for _, connection := range removed {
 		connection.Close()
 	}
 }
 
-// runnerFor gives what is kept of a runner's life, anew if its address had another.
-func (pool *Pool) runnerFor(address, life string, ended []*persistentConnection) (*runnerConnections, []*persistentConnection) {
+// runnerFor returns the connections to a life of a runner. If another life had the
+// address, that one is removed. The caller holds the mutex.
+func (pool *Pool) runnerFor(address, life string, removed []*persistentConnection) (*runnerConnections, []*persistentConnection) {
 	runner := pool.runners[address]
 	if runner != nil && !sameLife(runner.life, life) {
-		ended = pool.removeRunner(address, ended)
+		removed = pool.removeRunner(address, removed)
 		runner = nil
 	}
 	if runner == nil {
@@ -151,34 +176,36 @@
 	if runner.life == "" {
 		runner.life = life
 	}
-	return runner, ended
+	return runner, removed
 }
 
-// closeExpired takes out the idle connections of a runner whose time is over.
-func (pool *Pool) closeExpired(runner *runnerConnections, now time.Time, ended []*persistentConnection) []*persistentConnection {
+// removeExpired removes a runner's expired idle connections and appends them to those
+// that the caller must close after unlocking. The caller holds the mutex.
+func (pool *Pool) removeExpired(runner *runnerConnections, now time.Time, removed []*persistentConnection) []*persistentConnection {
 	unexpired := runner.idle[:0]
 	for _, connection := range runner.idle {
 		if now.Before(connection.expires) {
 			unexpired = append(unexpired, connection)
 			continue
 		}
-		ended = append(ended, connection)
+		removed = append(removed, connection)
 	}
 	clear(runner.idle[len(unexpired):])
 	pool.idle -= len(runner.idle) - len(unexpired)
 	runner.total -= len(runner.idle) - len(unexpired)
 	runner.idle = unexpired
-	return ended
+	return removed
 }
 
-// sweep retires idle connections, and comes again when the next one is due.
+// sweep closes expired idle connections and schedules itself for when the next one
+// expires. It runs on the timer's goroutine.
 func (pool *Pool) sweep() {
 	now := time.Now()
-	ended := []*persistentConnection{}
+	removed := []*persistentConnection{}
 	pool.mutex.Lock()
 	var next time.Time
 	for _, runner := range pool.runners {
-		ended = pool.closeExpired(runner, now, ended)
+		removed = pool.removeExpired(runner, now, removed)
 		for _, connection := range runner.idle {
 			if next.IsZero() || connection.expires.Before(next) {
 				next = connection.expires
@@ -189,5 +216,5 @@
 		pool.sweepTimer.Reset(max(next.Sub(now), minSweepInterval))
 	}
 	pool.mutex.Unlock()
-	closeAll(ended)
+	closeAll(removed)
 }
--- a/system/runnerpool/request_head.go
+++ b/system/runnerpool/request_head.go
@@ -1,6 +1,7 @@
 package runnerpool
 
 import (
+	"iter"
 	"net/http"
 	"net/textproto"
 	"strconv"
@@ -10,20 +11,22 @@
 	"yardrock.example/system/apierror"
 )
 
-// hopByHopHeaders are the headers that concern only one connection.
+// hopByHopHeaders are the headers that concern one connection and are not passed on (RFC
+// 9110, section 7.6.1).
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// tokenBytes are those that methods and names of headers are made of.
+// tokenBytes are the bytes of tokens (RFC 9110, section 5.6.2).
 var tokenBytes = func() (allowed [256]bool) {
-	for _, one := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
-		allowed[one] = true
+	for _, letter := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
+		allowed[letter] = true
 	}
 	return allowed
 }()
 
+// isToken reports whether a word is a token, as methods and header names are.
 func isToken(word string) bool {
 	for index := range len(word) {
 		if !tokenBytes[word[index]] {
@@ -33,7 +36,7 @@
 	return word != ""
 }
 
-// isVisible tells that a word has neither blanks nor control bytes.
+// isVisible reports whether a word is not empty and has neither blanks nor control bytes.
 func isVisible(word string) bool {
 	for index := range len(word) {
 		if word[index] <= ' ' || word[index] == 0x7f {
@@ -43,22 +46,19 @@
 	return word != ""
 }
 
-// isHeaderValue tells that a header's value can't end its line.
-func isHeaderValue(words string) bool {
-	for index := range len(words) {
-		if one := words[index]; one < ' ' && one != '\t' || one == 0x7f {
+// isHeaderValue reports whether a text has no control bytes, so that it cannot end the
+// line of a header (request smuggling).
+func isHeaderValue(text string) bool {
+	for index := range len(text) {
+		if letter := text[index]; letter < ' ' && letter != '\t' || letter == 0x7f {
 			return false
 		}
 	}
 	return true
 }
 
-func invalidRequest(what, remedy string) error {
-	return &apierror.Error{Kind: apierror.Invalid, Message: what, Remedy: remedy, NeverSent: true}
-}
-
-// validate tells why a dispatch can't be sent.
-func (pool *Pool) validate(request *Request) error {
+// validate returns an error for a request that must not be sent.
+func validate(request *Request) error {
 	if !isToken(request.Method) || request.Method == http.MethodConnect {
 		return invalidRequest("a query has the method "+strconv.Quote(request.Method), "send a method of HTTP other than CONNECT")
 	}
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// millisecondsLeft gives the whole milliseconds until the caller gives up.
+// millisecondsLeft returns the whole milliseconds until the caller gives up, or an error if
+// there are none.
 func millisecondsLeft(request *Request) (int64, error) {
 	left := time.Until(request.Deadline).Milliseconds()
 	if left < 1 && !request.Deadline.IsZero() {
@@ -95,7 +96,8 @@
 	return left, nil
 }
 
-// appendHead writes the head of a query.
+// appendHead appends the request line and the headers of a request with a body of some
+// length.
 func (pool *Pool) appendHead(target []byte, request *Request, length int64) ([]byte, error) {
 	left, err := millisecondsLeft(request)
 	if err != nil {
@@ -131,7 +133,7 @@
 	return append(target, "\r\n"...), nil
 }
 
-// appendHeader writes a header of our own, unless it has no name or no value.
+// appendHeader appends a header of the pool's own, unless its name or value is empty.
 func appendHeader(target []byte, name, value string) []byte {
 	if name == "" || value == "" {
 		return target
@@ -142,6 +144,7 @@
 	return append(target, "\r\n"...)
 }
 
+// appendNumber appends a header with a number.
 func appendNumber(target []byte, name string, number int64) []byte {
 	target = append(target, name...)
 	target = append(target, ": "...)
@@ -149,7 +152,7 @@
 	return append(target, "\r\n"...)
 }
 
-// overrides tells that the caller's header of the name is not sent along.
+// overrides reports whether a header of the pool's own takes the place of the caller's.
 func (pool *Pool) overrides(name string, request *Request) bool {
 	switch name {
 	case pool.headers.RequestID:
@@ -166,14 +169,35 @@
 	return false
 }
 
-// namedByConnection tells that a Connection header names a header.
+// namedByConnection reports whether a Connection header names a header as hop-by-hop.
 func namedByConnection(connection []string, name string) bool {
-	for _, line := range connection {
-		for word := range strings.SplitSeq(line, ",") {
-			if strings.EqualFold(strings.TrimSpace(word), name) {
-				return true
-			}
+	for element := range listElements(connection) {
+		if strings.EqualFold(element, name) {
+			return true
 		}
 	}
 	return false
 }
+
+// listElements iterates over the elements of a header that is a comma-separated list
+// (RFC 9110, section 5.6.1), over all its lines.
+func listElements(lines []string) iter.Seq[string] {
+	return func(yield func(string) bool) {
+		for _, line := range lines {
+			for element := range strings.SplitSeq(line, ",") {
+				if !yield(strings.TrimSpace(element)) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// bodyLength returns the length of a request's body in bytes.
+func bodyLength(request *Request) int64 {
+	length := int64(0)
+	for _, part := range request.Body {
+		length += int64(len(part))
+	}
+	return length
+}
--- a/system/runnerpool/response.go
+++ b/system/runnerpool/response.go
@@ -8,31 +8,57 @@
 	"yardrock.example/system/apierror"
 )
 
-// Response is a runner's answer to one query. It is used by one goroutine at a time.
+// maxRejectionBytes and rejectionTimeout bound what is done to keep the connection after
+// a rejection: the rest of its body is read and dropped.
+const (
+	maxRejectionBytes = 16 << 10
+	rejectionTimeout  = 20 * time.Millisecond
+)
+
+// Response is a runner's response to one request. It is not safe for concurrent use.
 type Response struct {
 	Status int
-	Header http.Header // end-to-end headers only
-	Load   *Load       // nil if the runner did not tell it
-	Length int64       // of the body in bytes, -1 if not known
+	Header http.Header // without hop-by-hop headers
+	Load   *Load       // nil if the runner did not report it
+	Length int64       // of the body in bytes; -1: not known
 
-	trip           *roundTrip
-	body           io.Reader
-	reusable       bool
-	closeDelimited bool // the end of the body can't be told from a broken connection
+	trip     *roundTrip
+	body     io.Reader
+	reusable bool // the connection may be kept if the body is read completely
+	// closeDelimited means that the end of the body is the end of the connection (RFC 9112,
+	// section 6.3), which cannot be told from a broken connection.
+	closeDelimited bool
 	complete       bool
-	err            error
+	err            error // of all further reads
 	closed         bool
 }
 
-// Read gives what has come of the body. Its error is io.EOF only if the body is
-// provably whole; else it is a *apierror.Error as Send gives them.
+// newResponse returns the response with a head, and notes on the connection for how long
+// the runner keeps it.
+func (trip *roundTrip) newResponse(head *http.Response) *Response {
+	response := &Response{Status: head.StatusCode, Header: head.Header, Length: head.ContentLength, trip: trip, body: head.Body}
+	response.reusable = !head.Close && !trip.stray && head.ProtoAtLeast(1, 1)
+	response.complete, response.closeDelimited = head.Body == http.NoBody, isCloseDelimited(head)
+	if keepAlive, found := parseKeepAlive(head.Header); found {
+		trip.connection.hasKeepAlive, trip.connection.keepAlive = true, idleTimeoutFor(keepAlive)
+		response.reusable = response.reusable && trip.connection.keepAlive > 0
+	}
+	if name := trip.pool.headers.Load; name != "" {
+		response.Load = parseLoad(head.Header.Get(name))
+	}
+	return response
+}
+
+// Read reads from the body. The error is io.EOF only if the body is provably complete;
+// otherwise it is an *apierror.Error as Send returns them.
 //
-//	count, err := reply.Read(buffer)
+//	count, err := response.Read(buffer)
 func (response *Response) Read(target []byte) (int, error) {
 	if response.err != nil {
 		return 0, response.err
 	}
 	count, err := response.body.Read(target)
+	// Only io.EOF itself is the end; an error that wraps it is a broken connection.
 	switch {
 	case err == nil:
 	case err == io.EOF && !response.closeDelimited:
@@ -45,49 +71,55 @@
 	return count, response.err
 }
 
-// Close ends the reply. Its connection is kept if the whole body was read and another
-// query may follow on it; else it is closed, which has most runners drop the work.
+// Close ends the exchange. The connection is kept if the body was read completely and
+// another request may follow on it; otherwise it is closed, whereupon most runners stop
+// the work. Close returns nil and may be called again.
 //
-//	defer reply.Close()
+//	defer response.Close()
 func (response *Response) Close() error {
+	response.end()
+	return nil
+}
+
+// end is Close without the result.
+func (response *Response) end() {
 	if response.closed {
-		return nil
+		return
 	}
 	response.closed = true
+	trip := response.trip
 	if response.err == nil {
-		response.err = &apierror.Error{Kind: apierror.Cancelled, Message: "the reply of runner " + response.trip.request.Runner.Address + " was closed", Remedy: "read it before it is closed"}
+		response.err = &apierror.Error{Kind: apierror.Cancelled, Message: "the reply of runner " + trip.request.Runner.Address + " was closed", Remedy: "read it before it is closed"}
 	}
-	trip := response.trip
 	connection := trip.connection
-	fit := response.complete && response.reusable && trip.writeDone() && trip.written.err == nil && connection.buffers.reader.Buffered() == 0
-	if !fit || trip.stopWatch != nil && !trip.stopWatch() {
+	clean := response.complete && response.reusable && trip.writeDone() && trip.written.err == nil && connection.buffers.reader.Buffered() == 0
+	if !clean || trip.stopWatch != nil && !trip.stopWatch() {
 		trip.abort()
-		return nil
+		return
 	}
 	connection.releaseBuffers()
 	connection.reused = true
 	trip.pool.put(connection)
-	return nil
 }
 
-// drainRejection closes a refusal, whose body is of no use; what is left of it is read only if
-// that is quickly done.
+// drainRejection closes a rejection, whose body is of no use. What is left of the body
+// is read if that is quickly done, so that the connection can be kept.
 func (response *Response) drainRejection() {
 	trip := response.trip
-	if connection := trip.connection; response.reusable && response.Length <= maxRejectionBytes && !response.closeDelimited && trip.writeDone() {
-		if response.Length < 0 || int64(connection.buffers.reader.Buffered()) < response.Length {
+	if response.reusable && response.Length <= maxRejectionBytes && !response.closeDelimited && trip.writeDone() {
+		if response.Length < 0 || int64(trip.connection.buffers.reader.Buffered()) < response.Length {
 			until := time.Now().Add(rejectionTimeout)
 			if deadline := trip.request.Deadline; !deadline.IsZero() && deadline.Before(until) {
 				until = deadline
 			}
-			connection.SetDeadline(until)
+			trip.connection.SetDeadline(until)
 		}
-		left := make([]byte, 512)
+		dropped := make([]byte, 512)
 		for total := 0; response.err == nil && total <= maxRejectionBytes; {
-			count, _ := response.Read(left)
+			count, _ := response.Read(dropped) // the error is in response.err
 			total += count
 		}
 	}
-	response.Close()
+	response.end()
 	response.Length, response.err = 0, io.EOF
 }
--- a/system/runnerpool/response_head.go
+++ b/system/runnerpool/response_head.go
@@ -1,7 +1,6 @@
 package runnerpool
 
 import (
-	"errors"
 	"io"
 	"net/http"
 	"net/textproto"
@@ -11,33 +10,40 @@
 )
 
 const (
-	// maxStrayResponses is how many answers to other queries are dropped before the one to this.
+	// maxStrayResponses is how many responses to other requests are dropped before the one
+	// to this request.
 	maxStrayResponses = 2
-	// maxInterimResponses is how many interim (1xx) heads may come before an answer.
+	// maxInterimResponses is how many interim responses (1xx) are dropped before a final one.
 	maxInterimResponses = 8
-	// maxHeadBytes bounds the head of an answer.
+	// maxHeadBytes is the size limit of a response head.
 	maxHeadBytes = 64 << 10
+	// maxRetryAfterSeconds is the longest Retry-After that is believed: a day.
+	maxRetryAfterSeconds = 86400
 )
 
-var errHeadTooLarge = errors.New("the head of its answer is too large")
-
-// protocolError tells what is wrong with what came in place of an answer.
-type protocolError string
-
-func (wrong protocolError) Error() string { return string(wrong) }
+// getRequest and headRequest tell http.ReadResponse whether a body follows the head.
+var (
+	getRequest  = &http.Request{Method: http.MethodGet}
+	headRequest = &http.Request{Method: http.MethodHead}
+)
 
-// readHead reads heads until one is of an answer to this query.
+// readHead reads response heads until it finds the one of this request. It drops interim
+// responses and late responses to earlier requests.
 func (trip *roundTrip) readHead() (*http.Response, error) {
 	connection := trip.connection
 	defer func() { connection.headBytesLeft = -1 }()
-	first := !connection.reused
+	requested := getRequest
+	if trip.request.Method == http.MethodHead {
+		requested = headRequest
+	}
+	first := !connection.reused // no other response can have come before on this connection
 	for stray, interim := 0, 0; ; {
 		connection.headBytesLeft = maxHeadBytes
-		response, err := http.ReadResponse(connection.buffers.reader, requestByMethod[trip.request.Method == http.MethodHead])
+		response, err := http.ReadResponse(connection.buffers.reader, requested)
 		if err != nil {
 			return nil, err
 		}
-		if response.ProtoMajor != 1 || response.StatusCode > 599 || response.StatusCode < 100 || response.StatusCode == http.StatusSwitchingProtocols {
+		if !isSupported(response) {
 			return nil, protocolError("it answered " + strconv.Quote(response.Proto+" "+response.Status))
 		}
 		if response.StatusCode < 200 {
@@ -47,6 +53,8 @@
 			continue
 		}
 		match := trip.matchID(response.Header)
+		// Servers reject requests that they cannot parse without echoing the ID. On a new
+		// connection such a response can only be to this request.
 		if match == idMissing && (response.StatusCode < 300 || !first) {
 			return nil, protocolError("its answer does not name the query")
 		}
@@ -57,115 +65,126 @@
 		if stray++; stray > maxStrayResponses {
 			return nil, protocolError("it answered other queries")
 		}
-		if trip.request.Method == http.MethodHead && response.ContentLength != 0 {
-			return nil, protocolError("it answered another query first, and it can't be told where that answer ends")
-		}
-		connection.headBytesLeft = -1
-		if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		if err := trip.dropStray(response); err != nil {
 			return nil, err
 		}
 	}
 }
 
+// isSupported reports whether a response has a version and a status that the pool
+// understands; it never asks for a switch of protocols.
+func isSupported(response *http.Response) bool {
+	return response.ProtoMajor == 1 && response.StatusCode >= 100 && response.StatusCode <= 599 && response.StatusCode != http.StatusSwitchingProtocols
+}
+
+// dropStray reads the body of a response to another request. If this is a HEAD request,
+// it is not known whether the stray response has a body, unless its length is 0.
+func (trip *roundTrip) dropStray(response *http.Response) error {
+	if trip.request.Method == http.MethodHead && response.ContentLength != 0 {
+		return protocolError("it answered another query first, and it can't be told where that answer ends")
+	}
+	trip.connection.headBytesLeft = -1
+	_, err := io.Copy(io.Discard, response.Body)
+	return err
+}
+
+// idMatch is how the ID in a response compares to that of the request.
 type idMatch int
 
 const (
 	idMatches idMatch = iota
-	idMissing
-	idDiffers
+	idMissing         // the response has none
+	idDiffers         // it is a response to another request
 )
 
-// whose tells whether an answer is to this query, by the name that it bears.
+// matchID compares the ID in a response head to that of the request. Without an ID in
+// the request, a response without one matches.
 func (trip *roundTrip) matchID(header http.Header) idMatch {
 	key := trip.pool.headers.RequestID
 	if key == "" {
 		return idMatches
 	}
-	requested := trip.request.ID
-	if requested == "" {
-		requested = trip.request.Header.Get(key)
+	wanted := trip.request.ID
+	if wanted == "" {
+		wanted = trip.request.Header.Get(key)
 	}
 	names := header[key]
-	if len(names) == 0 && requested != "" {
+	if len(names) == 0 && wanted != "" {
 		return idMissing
 	}
 	for _, name := range names {
-		if name != requested {
+		if name != wanted {
 			return idDiffers
 		}
 	}
 	return idMatches
 }
 
-// endless tells that only the end of the connection ends a body.
+// isCloseDelimited reports whether the body ends only with the connection.
 func isCloseDelimited(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody
 }
 
-// isUnencoded tells that a body is not encoded.
-func isUnencoded(coding []string) bool {
-	for _, line := range coding {
-		for word := range strings.SplitSeq(line, ",") {
-			if word = strings.TrimSpace(word); word != "" && !strings.EqualFold(word, "identity") {
-				return false
-			}
+// isUnencoded reports whether a body has no content encoding, by the values of
+// Content-Encoding.
+func isUnencoded(values []string) bool {
+	for coding := range listElements(values) {
+		if coding != "" && !strings.EqualFold(coding, "identity") {
+			return false
 		}
 	}
 	return true
 }
 
-// removeHopByHop takes away the headers that concern only one connection.
+// removeHopByHop deletes the headers that are not passed on.
 func removeHopByHop(header http.Header) {
-	for _, line := range header["Connection"] {
-		for word := range strings.SplitSeq(line, ",") {
-			delete(header, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(word)))
-		}
+	for name := range listElements(header["Connection"]) {
+		delete(header, textproto.CanonicalMIMEHeaderKey(name))
 	}
 	for name := range hopByHopHeaders {
 		delete(header, name)
 	}
 }
 
-// parseKeepAlive reads how long a runner keeps an idle connection, in whole seconds.
+// parseKeepAlive returns for how long the runner keeps an idle connection, if it says so.
 func parseKeepAlive(header http.Header) (time.Duration, bool) {
-	for _, line := range header["Keep-Alive"] {
-		for word := range strings.SplitSeq(line, ",") {
-			name, value, _ := strings.Cut(strings.TrimSpace(word), "=")
-			if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
-				continue
-			}
-			if seconds, err := strconv.ParseUint(strings.Trim(value, ` "`), 10, 20); err == nil {
-				return time.Duration(seconds) * time.Second, true
-			}
+	for parameter := range listElements(header["Keep-Alive"]) {
+		name, value, _ := strings.Cut(parameter, "=")
+		if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
+			continue
+		}
+		if seconds, err := strconv.ParseUint(strings.Trim(value, ` "`), 10, 20); err == nil {
+			return time.Duration(seconds) * time.Second, true
 		}
 	}
 	return 0, false
 }
 
-// idleTimeoutFor is how long a connection is kept idle whose runner keeps it for a time: well
-// below, as the query that is sent last still has to arrive.
+// idleTimeoutFor returns for how long a connection is kept idle that the runner keeps for
+// some time: well below that, because a request sent at the last moment must still arrive.
 func idleTimeoutFor(keepAlive time.Duration) time.Duration {
 	return keepAlive*3/4 - 250*time.Millisecond
 }
 
-// parseLoad reads running,waiting,slots.
-func parseLoad(words string) *Load {
-	read := [3]int{}
-	for index := range read {
-		word, rest, more := strings.Cut(words, ",")
-		number, err := strconv.ParseUint(strings.TrimSpace(word), 10, 31)
-		if err != nil || more != (index < len(read)-1) {
+// parseLoad parses "running,waiting,slots"; it returns nil if the text is anything else.
+func parseLoad(text string) *Load {
+	numbers := [3]int{}
+	for index := range numbers {
+		field, rest, more := strings.Cut(text, ",")
+		number, err := strconv.ParseUint(strings.TrimSpace(field), 10, 31)
+		if err != nil || more != (index < len(numbers)-1) {
 			return nil
 		}
-		read[index], words = int(number), rest
+		numbers[index], text = int(number), rest
 	}
-	return &Load{Running: read[0], Waiting: read[1], Slots: read[2]}
+	return &Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}
 }
 
-// parseRetryAfter reads how many seconds to wait, fractions too; anything else is none.
+// parseRetryAfter returns the Retry-After in seconds, which may have a fraction; 0 if it
+// is missing or anything else, such as a date.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
-	if err != nil || !(seconds > 0) || seconds > 86400 {
+	if err != nil || !(seconds > 0) || seconds > maxRetryAfterSeconds {
 		return 0
 	}
 	return time.Duration(seconds * float64(time.Second))
--- a/system/runnerpool/send.go
+++ b/system/runnerpool/send.go
@@ -10,65 +10,63 @@
 	"yardrock.example/system/apierror"
 )
 
-const (
-	// singleWriteBytes is the most that is written in one piece before the answer is read. A
-	// longer query is written beside the reading, as a runner that answers early may never
-	// read it.
-	singleWriteBytes = 16 << 10
-	// maxRejectionBytes and rejectionTimeout bound what is done to keep the connection after a
-	// refusal: the rest of its body is read.
-	maxRejectionBytes = 16 << 10
-	rejectionTimeout  = 20 * time.Millisecond
-)
+// singleWriteBytes is the size up to which a request is written in one piece before the
+// response is read. A longer one is written while the response is read: a runner that
+// answers early may never read the rest.
+const singleWriteBytes = 16 << 10
 
-var (
-	pastDeadline = time.Unix(1, 0)
-	// asked tell the reader of heads whether a body follows.
-	requestByMethod = map[bool]*http.Request{false: {Method: http.MethodGet}, true: {Method: http.MethodHead}}
-)
+// pastDeadline, as the deadline of a connection, ends its reads and writes at once.
+var pastDeadline = time.Unix(1, 0)
 
-// roundTrip is one query on one connection.
+// roundTrip is the exchange of one request and its response on one connection.
 type roundTrip struct {
 	pool       *Pool
 	connection *persistentConnection
 	request    *Request
 	ctx        context.Context
-	stopWatch  func() bool      // ends the watch over ctx; false if ctx ended first
-	writing    chan writeResult // of a query that is written beside the reading
-	written    writeResult
-	stray      bool // an answer to another query has come
+	// stopWatch stops the watch over ctx; it returns false if ctx ended first, and then the
+	// connection must not be reused. It is nil if ctx never ends.
+	stopWatch func() bool
+	writing   chan writeResult // receives the result of a write in the background; else nil
+	written   writeResult
+	stray     bool // a response to another request has come
 }
 
+// writeResult is the result of writing a request.
 type writeResult struct {
 	count int64
 	err   error
 }
 
-// Send has a runner asked, and returns once the head of its answer is there. The reply
-// must be closed, and until then the body's parts must stay as they are: a runner may
-// answer before it has read them. The errors are of type *apierror.Error:
+// Send sends a request and returns once the head of its response is there. The response
+// must be closed, and until then the body of the request must not change: a runner may
+// answer before it has read it.
 //
-//   - NeverSent: no byte of the query left, or nobody took the connection. Without Lost
-//     it tells nothing of the runner: the connections are all out (Unavailable), the look
-//     kept the query back, or the query can't be sent (Invalid).
-//   - Kind NotRun: the runner vouches that the query did not run and never will;
-//     Misdirected if another runner has the address now. The reply, which has no body and
-//     needs no Close, tells what the refusal said (status, headers, load).
-//   - Lost: the connection was reset or closed, or bore what is no answer to the query,
-//     which may have run.
-//   - Kind Cancelled: ctx ended; the query may have run unless NeverSent.
-//   - Kind Unknown: the deadline passed; the query may have run.
-//   - Kind RunnerError without Lost: the answer can't be passed on.
+// Every error is an *apierror.Error:
+//
+//   - NeverSent is set: no byte of the request was accepted by a connection. If Lost is
+//     set too, the runner is at fault. If not, this says nothing about it: all connections
+//     are in use or the caller's time is over (Unavailable), BeforeSend returned the
+//     error, ctx ended (Cancelled), or the request is malformed (Invalid).
+//   - Kind NotRun: the runner states that the request did not run and never will.
+//     Misdirected is set if another runner has the address now. The response is returned
+//     too, with status, headers and load; it has no body and need not be closed.
+//   - Lost is set: the connection was closed or reset, or carried something that is not the
+//     response. The request may have run.
+//   - Kind Cancelled: ctx ended. The request may have run.
+//   - Kind Unknown: the deadline passed. The request may have run.
+//   - Kind RunnerFailure without Lost: the response has a content encoding and cannot be
+//     passed on.
 //
 // Example:
 //
-//	reply, err := pool.Send(ctx, runnerpool.Request{Runner: runner, Most: 8, Method: "POST", Target: "/turn", Host: "agents.example", Body: [][]byte{body}, Name: name, Deadline: deadline})
+//	response, err := pool.Send(ctx, runnerpool.Request{Runner: runner, MaxConnections: 8, Method: "POST", Target: "/turn", Host: "agents.example", Body: [][]byte{body}, ID: id, Deadline: deadline})
 //	if err != nil {
 //		return err
 //	}
-//	defer reply.Close()
+//	defer response.Close()
 func (pool *Pool) Send(ctx context.Context, request Request) (*Response, error) {
-	if err := pool.validate(&request); err != nil {
+	if err := validate(&request); err != nil {
 		return nil, err
 	}
 	for {
@@ -90,15 +88,13 @@
 	}
 }
 
-// run sends the query and reads the head. It tells whether to do it again, as a kept
-// connection turned out to be dead before a byte was written to it.
+// run sends the request and reads the head of the response. It asks for a retry if a
+// reused connection turned out to be dead before it accepted a byte; there may be several
+// dead ones, and each attempt takes one out of the pool.
 func (trip *roundTrip) run() (response *Response, retry bool, err error) {
 	connection, request := trip.connection, trip.request
 	connection.attachBuffers()
-	length := int64(0)
-	for _, part := range request.Body {
-		length += int64(len(part))
-	}
+	length := bodyLength(request)
 	head, err := trip.pool.appendHead(connection.buffers.writes, request, length)
 	if err != nil {
 		trip.returnUnused()
@@ -115,9 +111,9 @@
 	if request.BeforeSend != nil {
 		if err := request.BeforeSend(); err != nil {
 			trip.returnUnused()
-			kept := *apierror.Of(err)
-			kept.NeverSent = true
-			return nil, false, &kept
+			heldBack := *apierror.Of(err) // a copy: the caller's error stays as it is
+			heldBack.NeverSent = true
+			return nil, false, &heldBack
 		}
 	}
 	trip.write(length)
@@ -137,7 +133,8 @@
 	return trip.readResponse()
 }
 
-// write sends head and body: in one piece if they are small, else beside the reading.
+// write writes head and body: in one piece if they are short, otherwise in the
+// background.
 func (trip *roundTrip) write(length int64) {
 	connection := trip.connection
 	if int64(len(connection.buffers.writes))+length <= singleWriteBytes {
@@ -152,13 +149,15 @@
 	parts = append(parts, connection.buffers.writes)
 	parts = append(parts, trip.request.Body...)
 	trip.writing = make(chan writeResult, 1)
+	// The goroutine ends with the write, which abort ends by closing the connection. The
+	// channel has room for its result, so that it never blocks.
 	go func() {
 		count, err := parts.WriteTo(connection.Conn)
 		trip.writing <- writeResult{count, err}
 	}()
 }
 
-// writeDone tells whether the query is written, or its writing has failed.
+// writeDone reports whether the request is written or its writing has failed.
 func (trip *roundTrip) writeDone() bool {
 	if trip.writing == nil {
 		return true
@@ -172,9 +171,10 @@
 	}
 }
 
-// readResponse reads the head of the answer to this query; again is as run gives it.
-func (trip *roundTrip) readResponse() (result *Response, retry bool, err error) {
-	response, err := trip.readHead()
+// readResponse reads the head of the response and decides what it means. retry is as in
+// run.
+func (trip *roundTrip) readResponse() (response *Response, retry bool, err error) {
+	head, err := trip.readHead()
 	if err != nil {
 		failed := trip.connectionError(err)
 		trip.abort()
@@ -182,31 +182,22 @@
 		return nil, failed.NeverSent && failed.Lost && trip.connection.reused, failed
 	}
 	address := trip.request.Runner.Address
-	result = &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, trip: trip, body: response.Body}
-	result.reusable = !response.Close && !trip.stray && response.ProtoAtLeast(1, 1)
-	result.complete, result.closeDelimited = response.Body == http.NoBody, isCloseDelimited(response)
-	if reported, found := parseKeepAlive(response.Header); found {
-		trip.connection.hasKeepAlive, trip.connection.keepAlive = true, idleTimeoutFor(reported)
-		result.reusable = result.reusable && trip.connection.keepAlive > 0
-	}
-	if name := trip.pool.headers.Load; name != "" {
-		result.Load = parseLoad(response.Header.Get(name))
-	}
-	notRun := trip.pool.headers.NotRun != "" && len(response.Header[trip.pool.headers.NotRun]) > 0
-	misdirected := response.StatusCode == http.StatusMisdirectedRequest
-	removeHopByHop(response.Header)
-	if misdirected || notRun && response.StatusCode >= 400 {
-		result.drainRejection()
-		return result, false, &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " refused: " + response.Status, Remedy: "ask again later", RetryAfter: parseRetryAfter(response.Header), Misdirected: misdirected}
-	}
-	if coding := response.Header["Content-Encoding"]; !isUnencoded(coding) {
+	response = trip.newResponse(head)
+	notRun := trip.pool.headers.NotRun != "" && len(head.Header[trip.pool.headers.NotRun]) > 0
+	misdirected := head.StatusCode == http.StatusMisdirectedRequest
+	removeHopByHop(head.Header)
+	if misdirected || notRun && head.StatusCode >= 400 {
+		response.drainRejection()
+		return response, false, &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " refused: " + head.Status, Remedy: "ask again later", RetryAfter: parseRetryAfter(head.Header), Misdirected: misdirected}
+	}
+	if coding := head.Header["Content-Encoding"]; !isUnencoded(coding) {
 		trip.abort()
 		return nil, false, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " answered with the content encoding " + strings.Join(coding, ", "), Remedy: "runners answer without encoding"}
 	}
-	return result, false, nil
+	return response, false, nil
 }
 
-// returnUnused returns a connection to which nothing was written.
+// returnUnused gives back a connection to which nothing was written.
 func (trip *roundTrip) returnUnused() {
 	trip.connection.releaseBuffers()
 	if trip.stopWatch != nil && !trip.stopWatch() {
@@ -216,7 +207,7 @@
 	trip.pool.put(trip.connection)
 }
 
-// drop closes the connection; what is still being written ends.
+// abort closes the connection and waits for a write in the background, which that ends.
 func (trip *roundTrip) abort() {
 	if trip.stopWatch != nil {
 		trip.stopWatch()
--- a/system/runnerpool/types.go
+++ b/system/runnerpool/types.go
@@ -1,5 +1,3 @@
-// Package runnerpool sends queries to runners over kept connections, and tells apart
-// what was never sent, what a runner vouched it did not run, and what is unknown.
 package runnerpool
 
 import (
@@ -9,39 +7,51 @@
 	"yardrock.example/system/feed"
 )
 
-// HeaderNames names the header fields that runners understand. The zero value of a field
-// means that the runners have no such header.
+// HeaderNames are the names of the header fields that the runners of a deployment
+// understand. An empty name means that they have no such header; it is then neither sent
+// nor read.
 type HeaderNames struct {
-	RequestID      string // name of the query, sent along and given back in the answer
-	NotRun         string // on a refusal: the query did not run and never will
-	ExpectedRunner string // which runner (its id) the query is meant for; another answers 421
-	Timeout        string // milliseconds until the caller gives up
-	Load           string // running,waiting,slots
-	Urgency        string // 0 to 9
-	LastEventID    string // id of the last event that the caller has
-	RunnerID       string // id of the runner, in health answers
-	WarmUpLeft     string // milliseconds that the runner stays cold, in health answers
+	RequestID      string // in requests and echoed in responses: identifies the request
+	NotRun         string // in rejections: the request did not run and never will
+	ExpectedRunner string // in requests: life of the runner that they are meant for; another answers 421
+	Timeout        string // in requests: milliseconds until the caller gives up
+	Load           string // in responses: running,waiting,slots
+	Urgency        string // in requests: 0 to 9, 0 is the most urgent
+	LastEventID    string // in requests: ID of the last event that the caller has
+	RunnerID       string // in health responses: life of the runner
+	WarmUpLeft     string // in health responses: milliseconds for which the runner still warms up
 }
 
-// Request is one try to have a query run by one runner.
+// Request is one attempt to have a request run by one runner.
 type Request struct {
 	Runner feed.Runner
-	// MaxConnections is how many connections this front may hold to the runner.
+	// MaxConnections is how many connections this pool may have to the runner; 0 and less
+	// count as 1.
 	MaxConnections int
-	Method         string
-	Target         string // path and query string, as the caller sent them
-	Host           string
-	Header         http.Header // end-to-end headers of the caller; never changed
-	Body           [][]byte    // parts of the body, sent one after another under one length
-	ID             string      // the query's name; an answer that bears another is not its answer
-	Deadline       time.Time   // when the caller gives up
-	Urgency        string      // "" leaves it out
-	LastEventID    string      // id of the last event, "" leaves what the caller sent
-	// BeforeSend is asked when the first byte is about to leave; an error keeps it back.
+	Method         string      // any but CONNECT
+	Target         string      // path and query as the caller sent them (RFC 9112, section 3.2)
+	Host           string      // as the caller sent it
+	Header         http.Header // of the caller; hop-by-hop headers are left out. Never changed.
+	// Body is sent part after part under one Content-Length. It must not change until the
+	// response is closed.
+	Body [][]byte
+	// ID identifies the request; a response with another one is not its response. If it is
+	// empty, the caller's own header counts.
+	ID string
+	// Deadline is when the caller gives up; zero: never.
+	Deadline time.Time
+	Urgency  string // empty: not sent
+	// LastEventID is the event to resume after; empty: what the caller sent is sent along.
+	LastEventID string
+	// BeforeSend, if not nil, is called right before the first byte is sent. If it returns
+	// an error, nothing is sent and Send returns the error with NeverSent set. It is called
+	// again if the connection turns out to be dead and another one is used.
 	BeforeSend func() error
 }
 
-// Load is what a runner tells of itself with an answer.
+// Load is the number of requests that a runner reports with a response.
 type Load struct {
-	Running, Waiting, Slots int
+	Running int // being processed
+	Waiting int // queued at the runner
+	Slots   int // that can be processed at the same time
 }
