--- a/system/runnerpool/event_stream_test.go
+++ b/system/runnerpool/event_stream_test.go
@@ -12,8 +12,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// pieces is a reader that gives one piece with each read, and asks for nothing more
-// than is needed: after the last piece comes its error.
+// pieces is a reader that returns one piece with each read, and its error after the last
+// piece. It counts the reads that were not needed.
 type pieces struct {
 	left [][]byte
 	err  error
@@ -51,22 +51,22 @@
 	text string
 	want []Event
 }{
-	"plain":             {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []Event{{[]byte("id: 1\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("id: 2\ndata: b\n\n"), "2", []byte("b"), true}}},
-	"returns and feeds": {"id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", []Event{{[]byte("id: 1\r\ndata: a\r\n\r\n"), "1", []byte("a"), true}, {[]byte("data: b\r\n\r\n"), "", []byte("b"), true}}},
-	"returns":           {"id: 1\rdata: a\r\rdata: b\r\r", []Event{{[]byte("id: 1\rdata: a\r\r"), "1", []byte("a"), true}, {[]byte("data: b\r\r"), "", []byte("b"), true}}},
-	"mixed ends":        {"id: 1\r\ndata: a\n\ndata: b\n\ndata: c\r\n\n", []Event{{[]byte("id: 1\r\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}, {[]byte("data: c\r\n\n"), "", []byte("c"), true}}},
-	"many data lines":   {"data: a\ndata:b\ndata\ndata:  c\n\n", []Event{{[]byte("data: a\ndata:b\ndata\ndata:  c\n\n"), "", []byte("a\nb\n\n c"), true}}},
-	"empty data":        {"data\n\ndata:\n\n", []Event{{[]byte("data\n\n"), "", nil, true}, {[]byte("data:\n\n"), "", nil, true}}},
-	"comment":           {": ping\n\ndata: a\n\n", []Event{{[]byte(": ping\n\n"), "", nil, false}, {[]byte("data: a\n\n"), "", []byte("a"), true}}},
-	"other fields":      {"weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n", []Event{{[]byte("weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n"), "", []byte("a"), true}}},
-	"the last id":       {"id: 1\nid: 2\ndata: a\n\n", []Event{{[]byte("id: 1\nid: 2\ndata: a\n\n"), "2", []byte("a"), true}}},
-	"id with a zero":    {"id: 1\x00\ndata: a\n\n", []Event{{[]byte("id: 1\x00\ndata: a\n\n"), "", []byte("a"), true}}},
-	"blank lines":       {"\n\ndata: a\n\n\n", []Event{{Raw: []byte("\n")}, {Raw: []byte("\n")}, {[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("\n")}}},
-	"mark of order":     {"\xef\xbb\xbfdata: a\n\n\xef\xbb\xbfdata: b\n\n", []Event{{[]byte("\xef\xbb\xbfdata: a\n\n"), "", []byte("a"), true}, {[]byte("\xef\xbb\xbfdata: b\n\n"), "", nil, false}}},
-	"no last blank":     {"data: a\n\ndata: b\n", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b\n")}}},
-	"no last line end":  {"data: a\n\ndata: b", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b")}}},
-	"long":              {"id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\ndata: b\n\n", []Event{{[]byte("id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\n"), "9", []byte(strings.Repeat("x", 50_000)), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}}},
-	"nothing":           {"", nil},
+	"plain":                     {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []Event{{[]byte("id: 1\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("id: 2\ndata: b\n\n"), "2", []byte("b"), true}}},
+	"carriage return line feed": {"id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", []Event{{[]byte("id: 1\r\ndata: a\r\n\r\n"), "1", []byte("a"), true}, {[]byte("data: b\r\n\r\n"), "", []byte("b"), true}}},
+	"carriage return":           {"id: 1\rdata: a\r\rdata: b\r\r", []Event{{[]byte("id: 1\rdata: a\r\r"), "1", []byte("a"), true}, {[]byte("data: b\r\r"), "", []byte("b"), true}}},
+	"mixed ends":                {"id: 1\r\ndata: a\n\ndata: b\n\ndata: c\r\n\n", []Event{{[]byte("id: 1\r\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}, {[]byte("data: c\r\n\n"), "", []byte("c"), true}}},
+	"many data lines":           {"data: a\ndata:b\ndata\ndata:  c\n\n", []Event{{[]byte("data: a\ndata:b\ndata\ndata:  c\n\n"), "", []byte("a\nb\n\n c"), true}}},
+	"empty data":                {"data\n\ndata:\n\n", []Event{{[]byte("data\n\n"), "", nil, true}, {[]byte("data:\n\n"), "", nil, true}}},
+	"comment":                   {": ping\n\ndata: a\n\n", []Event{{[]byte(": ping\n\n"), "", nil, false}, {[]byte("data: a\n\n"), "", []byte("a"), true}}},
+	"other fields":              {"weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n", []Event{{[]byte("weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n"), "", []byte("a"), true}}},
+	"the last id":               {"id: 1\nid: 2\ndata: a\n\n", []Event{{[]byte("id: 1\nid: 2\ndata: a\n\n"), "2", []byte("a"), true}}},
+	"id with a zero":            {"id: 1\x00\ndata: a\n\n", []Event{{[]byte("id: 1\x00\ndata: a\n\n"), "", []byte("a"), true}}},
+	"blank lines":               {"\n\ndata: a\n\n\n", []Event{{Raw: []byte("\n")}, {Raw: []byte("\n")}, {[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("\n")}}},
+	"byte order mark":           {"\xef\xbb\xbfdata: a\n\n\xef\xbb\xbfdata: b\n\n", []Event{{[]byte("\xef\xbb\xbfdata: a\n\n"), "", []byte("a"), true}, {[]byte("\xef\xbb\xbfdata: b\n\n"), "", nil, false}}},
+	"no last blank":             {"data: a\n\ndata: b\n", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b\n")}}},
+	"no last line end":          {"data: a\n\ndata: b", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b")}}},
+	"long":                      {"id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\ndata: b\n\n", []Event{{[]byte("id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\n"), "9", []byte(strings.Repeat("x", 50_000)), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}}},
+	"nothing":                   {"", nil},
 }
 
 func TestEventReaderSplitsAnyChunking(t *testing.T) {
@@ -84,7 +84,7 @@
 				"seven at a time": &pieces{left: parts(test.text, 7), err: io.EOF},
 			}
 			for way, reader := range readers {
-				if got, err := collect(NewEventReader(reader)); err != io.EOF || !slices.Equal(got, want) {
+				if got, err := collect(NewEventReader(reader)); !isExactly(err, io.EOF) || !slices.Equal(got, want) {
 					t.Errorf("%s:\ngot  %v, %v\nwant %v", way, got, err, want)
 				}
 			}
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestEventIsReturnedWithoutReadingAhead fails if a read is made after the blank line came.
+// TestEventIsReturnedWithoutReadingAhead fails if the reader reads on after the blank line:
+// that would block until the next event.
 func TestEventIsReturnedWithoutReadingAhead(t *testing.T) {
 	for _, text := range []string{"data: a\n\n", "data: a\r\n\r\n", "data: a\r\r", ": ping\n\n", "\n", "data: a\r\n\n", "data: a\n\r\n"} {
 		for size := 1; size <= len(text); size++ {
@@ -110,10 +111,10 @@
 	for _, text := range []string{"data: a\n\ndata: b", "data: a\n\ndata: b\n", "data: a\n\ndata: b\r"} {
 		events := NewEventReader(&pieces{left: [][]byte{[]byte(text)}, err: broken})
 		got, err := collect(events)
-		if err != broken || len(got) != 1 {
+		if !isExactly(err, broken) || len(got) != 1 {
 			t.Errorf("%q: got %v, %v", text, got, err)
 		}
-		if _, err := events.Next(); err != broken {
+		if _, err := events.Next(); !isExactly(err, broken) {
 			t.Errorf("%q: then %v", text, err)
 		}
 	}
@@ -132,11 +133,11 @@
 func TestBufferedReportsCompleteEvents(t *testing.T) {
 	events := NewEventReader(&pieces{left: [][]byte{[]byte("data: a\n\ndata: b\n\ndata: c\n")}, err: io.EOF})
 	if events.Buffered() {
-		t.Error("ready before anything was read")
+		t.Error("buffered before anything was read")
 	}
 	for _, want := range []bool{true, false} {
 		if _, err := events.Next(); err != nil || events.Buffered() != want {
-			t.Errorf("ready is not %v, %v", want, err)
+			t.Errorf("buffered is not %v, %v", want, err)
 		}
 	}
 }
@@ -154,7 +155,7 @@
 			break
 		}
 		kept = append(kept, event)
-		// What a holder adds to its slices does not reach the others'.
+		// Appending to the slices of one event must not change another.
 		_, _ = append(event.Raw, "overwritten"...), append(event.Data, "overwritten"...)
 	}
 	raw := strings.Builder{}
@@ -169,18 +170,18 @@
 	}
 }
 
-// TestLateLineFeedAfterCarriageReturn belongs to the return that ended the event before it: it
-// is no blank line of its own.
+// TestLateLineFeedAfterCarriageReturn: a line feed that arrives after the carriage return
+// that ended an event belongs to it and is not a blank line of its own.
 func TestLateLineFeedAfterCarriageReturn(t *testing.T) {
 	events := NewEventReader(&pieces{left: [][]byte{[]byte("data: a\n\r"), []byte("\ndata: b\n\n")}, err: io.EOF})
 	want := []string{Event{[]byte("data: a\n\r"), "", []byte("a"), true}.String(), Event{[]byte("\ndata: b\n\n"), "", []byte("b"), true}.String()}
-	if got, err := collect(events); err != io.EOF || !slices.Equal(got, want) {
+	if got, err := collect(events); !isExactly(err, io.EOF) || !slices.Equal(got, want) {
 		t.Errorf("got %v, %v", got, err)
 	}
 }
 
-// FuzzEventReader holds that no byte is lost or moved, whatever comes, and that how it is
-// cut into reads does not change the data.
+// FuzzEventReader checks that no byte of any stream is lost or moved, and that the data do
+// not depend on how the stream is cut into reads.
 func FuzzEventReader(f *testing.F) {
 	for _, test := range streams {
 		if len(test.text) < 1000 {
--- a/system/runnerpool/exchange_test.go
+++ b/system/runnerpool/exchange_test.go
@@ -20,11 +20,11 @@
 	"yardrock.example/system/apierror"
 )
 
-// lostResponse is what a caller is told of a query that may have run.
+// lostResponse is the failure of a request that may have run.
 var lostResponse = failure{kind: apierror.RunnerFailure, lost: true}
 
-// TestResponseTruncatedAtEachByte is never taken for whole, and its query is not sent
-// again by the pool: on a new connection and on a kept one.
+// TestResponseTruncatedAtEachByte: a truncated response is never taken for complete, and
+// the pool does not send its request again, on a new connection and on a reused one.
 func TestResponseTruncatedAtEachByte(t *testing.T) {
 	answers := map[string]string{
 		"length": ok("fine"),
@@ -36,7 +36,7 @@
 			for _, end := range []string{"|CLOSE", "|RESET"} {
 				for cut := range len(answer) {
 					if strings.HasSuffix(answer[:cut], "NAM") || strings.Contains(answer[cut:], "AME") && strings.HasSuffix(answer[:cut], "N") {
-						continue // the name is put in whole
+						continue // the placeholder is replaced as a whole
 					}
 					synctest.Test(t, func(t *testing.T) {
 						script := newScriptedRunner([]string{answer[:cut] + end})
@@ -51,10 +51,10 @@
 						before := len(script.got())
 						_, body, err := sendAndRead(t, pool, testRequest("q1"))
 						if got := failureOf(err); got != lostResponse {
-							t.Errorf("%s, kept %t, %s after %d bytes: %q, %v", name, kept, end, cut, body, err)
+							t.Errorf("%s, reused %t, %s after %d bytes: %q, %v", name, kept, end, cut, body, err)
 						}
 						if requested := len(script.got()) - before; requested != 1 {
-							t.Errorf("%s, kept %t, %s after %d bytes: sent %d times", name, kept, end, cut, requested)
+							t.Errorf("%s, reused %t, %s after %d bytes: sent %d times", name, kept, end, cut, requested)
 						}
 					})
 				}
@@ -63,7 +63,7 @@
 	}
 }
 
-// shortConnection breaks after it took a number of bytes of a query.
+// shortConnection breaks after it has accepted a number of bytes.
 type shortConnection struct {
 	*end
 	left *int
@@ -82,7 +82,7 @@
 	return count, nil
 }
 
-// shortNetwork makes connections that break within a query, after the first.
+// shortNetwork makes connections that together accept a number of bytes.
 type shortNetwork struct {
 	*scriptedRunner
 	left int
@@ -96,7 +96,8 @@
 	return shortConnection{made.(*end), &network.left}, nil
 }
 
-// TestRequestTruncatedAtEachByte is sent again only if no byte of it left.
+// TestRequestTruncatedAtEachByte: only a request of which no byte was accepted is reported
+// as never sent.
 func TestRequestTruncatedAtEachByte(t *testing.T) {
 	head := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -125,7 +126,7 @@
 	}
 }
 
-// runnerBehavior is what a random runner does with one query.
+// runnerBehavior is what a random runner does with one request.
 type runnerBehavior int
 
 const (
@@ -142,14 +143,14 @@
 	answersGarbage
 	answersUnnamed
 	answersAndCloses
-	refuses
+	rejects
 	misdirects
 	resetsSilently
 	staysSilent
 	allActs
 )
 
-// randomRunner answers by chance, and notes which queries it ran.
+// randomRunner responds at random and records which requests it ran.
 type randomRunner struct {
 	network
 	mutex  sync.Mutex
@@ -159,22 +160,22 @@
 	came   map[string]int
 }
 
-// responseTo is the only whole answer to a query; its body names the query.
+// responseTo is the only complete response to a request; its body names the request.
 func responseTo(name string) string { return strings.ReplaceAll(ok("done "+name), "NAME", name) }
 
 func (runner *randomRunner) serve(_ int, connection *end) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
-	owed := "" // comes before the next answer
+	owed := "" // sent before the next response
 	for {
-		query, err := http.ReadRequest(reader)
+		received, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.ReadAll(query.Body); err != nil {
+		if _, err := io.ReadAll(received.Body); err != nil {
 			return
 		}
-		answer, later, open := runner.answer(query.Header.Get("Query-Name"), query.Method == http.MethodHead)
+		answer, later, open := runner.answer(received.Header.Get("Query-Name"), received.Method == http.MethodHead)
 		io.WriteString(connection, owed+answer)
 		owed = later
 		if !open {
@@ -183,8 +184,8 @@
 	}
 }
 
-// answer draws what is answered now, what comes in the place of the next answer, and
-// whether the connection stays open.
+// answer draws the response, what is sent before the next response, and whether the
+// connection stays open.
 func (runner *randomRunner) answer(name string, head bool) (now, later string, open bool) {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
@@ -195,55 +196,74 @@
 	}
 	runner.names = append(runner.names, name)
 	act := runnerBehavior(runner.random.IntN(int(allActs)))
-	if act != refuses && act != misdirects {
+	if act != rejects && act != misdirects {
 		runner.ran[name]++
 	}
 	whole, named := responseTo(name), "Query-Name: "+name+"\r\n"
 	if head {
 		whole = strings.TrimSuffix(whole, "done "+name)
 	}
-	switch act {
-	case answersInChunks:
-		if !head {
-			whole = "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\n\r\n5\r\ndone \r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(name), name)
+	return behaviors[act](drawnResponse{name: name, earlier: earlier, whole: whole, named: named, head: head, random: runner.random})
+}
+
+// drawnResponse is what a runner's behavior makes its response from.
+type drawnResponse struct {
+	name    string // ID of the request
+	earlier string // ID of an earlier request
+	whole   string // complete response
+	named   string // header line with the ID
+	head    bool   // the request's method is HEAD
+	random  *rand.Rand
+}
+
+// behaviors return what is sent now, what is sent before the next response, and whether
+// the connection stays open.
+var behaviors = [allActs]func(drawn drawnResponse) (now, later string, open bool){
+	answersWhole: func(drawn drawnResponse) (string, string, bool) { return drawn.whole, "", true },
+	answersInChunks: func(drawn drawnResponse) (string, string, bool) {
+		if drawn.head {
+			return drawn.whole, "", true
 		}
-	case answersAfterInterim:
-		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + named + "\r\n" + whole, "", true
-	case answersAfterForeign:
-		return responseTo("q-foreign") + whole, "", true
-	case answersAfterEarlier:
-		return responseTo(earlier) + whole, "", true
-	case answersTwice:
-		return whole + whole, "", true
-	case answersTwiceLater:
-		return whole, whole, true
-	case answersWithJunk:
-		return whole, "junk\r\n", true
-	case answersNoContent:
-		return "HTTP/1.1 204 No Content\r\n" + named + "\r\n", "", true
-	case answersCutOff:
-		return whole[:runner.random.IntN(len(whole))], "", false
-	case answersGarbage:
-		return "\x16\x03\x01 no answer\r\n\r\n", "", true
-	case answersUnnamed:
-		return strings.Replace(whole, named, "", 1), "", true
-	case answersAndCloses:
-		return strings.Replace(whole, "\r\n", "\r\nConnection: close\r\n", 1), "", false
-	case refuses:
-		return "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "", true
-	case misdirects:
-		return "HTTP/1.1 421 Misdirected\r\n" + named + "Content-Length: 0\r\n\r\n", "", true
-	case resetsSilently:
-		return "", "", false
-	case staysSilent:
-		return "", whole, true
-	}
-	return whole, "", true
+		return "HTTP/1.1 200 OK\r\n" + drawn.named + "Transfer-Encoding: chunked\r\n\r\n5\r\ndone \r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(drawn.name), drawn.name), "", true
+	},
+	answersAfterInterim: func(drawn drawnResponse) (string, string, bool) {
+		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + drawn.named + "\r\n" + drawn.whole, "", true
+	},
+	answersAfterForeign: func(drawn drawnResponse) (string, string, bool) {
+		return responseTo("q-foreign") + drawn.whole, "", true
+	},
+	answersAfterEarlier: func(drawn drawnResponse) (string, string, bool) {
+		return responseTo(drawn.earlier) + drawn.whole, "", true
+	},
+	answersTwice:      func(drawn drawnResponse) (string, string, bool) { return drawn.whole + drawn.whole, "", true },
+	answersTwiceLater: func(drawn drawnResponse) (string, string, bool) { return drawn.whole, drawn.whole, true },
+	answersWithJunk:   func(drawn drawnResponse) (string, string, bool) { return drawn.whole, "junk\r\n", true },
+	answersNoContent: func(drawn drawnResponse) (string, string, bool) {
+		return "HTTP/1.1 204 No Content\r\n" + drawn.named + "\r\n", "", true
+	},
+	answersCutOff: func(drawn drawnResponse) (string, string, bool) {
+		return drawn.whole[:drawn.random.IntN(len(drawn.whole))], "", false
+	},
+	answersGarbage: func(drawnResponse) (string, string, bool) { return "\x16\x03\x01 no answer\r\n\r\n", "", true },
+	answersUnnamed: func(drawn drawnResponse) (string, string, bool) {
+		return strings.Replace(drawn.whole, drawn.named, "", 1), "", true
+	},
+	answersAndCloses: func(drawn drawnResponse) (string, string, bool) {
+		return strings.Replace(drawn.whole, "\r\n", "\r\nConnection: close\r\n", 1), "", false
+	},
+	rejects: func(drawn drawnResponse) (string, string, bool) {
+		return "HTTP/1.1 503 Full\r\n" + drawn.named + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "", true
+	},
+	misdirects: func(drawn drawnResponse) (string, string, bool) {
+		return "HTTP/1.1 421 Misdirected\r\n" + drawn.named + "Content-Length: 0\r\n\r\n", "", true
+	},
+	resetsSilently: func(drawnResponse) (string, string, bool) { return "", "", false },
+	staysSilent:    func(drawn drawnResponse) (string, string, bool) { return "", drawn.whole, true },
 }
 
-// TestRandomExchanges: whatever a runner sends, an answer reaches only the query that it
-// names; no query comes twice; what is told as never sent never came, and what is told as
-// not run did not run.
+// TestRandomExchanges: whatever a runner sends, a response is returned only for the request
+// that it names; no request arrives twice; a request reported as never sent did not
+// arrive, and one reported as not run did not run.
 func TestRandomExchanges(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -259,7 +279,7 @@
 				callers.Wait()
 				synctest.Wait()
 				if out := pool.Stats().InUse; out != 0 {
-					t.Errorf("%d connections are out", out)
+					t.Errorf("%d connections are in use", out)
 				}
 			})
 		})
@@ -267,6 +287,12 @@
 }
 
 func (runner *randomRunner) ask(t *testing.T, pool *Pool, random *rand.Rand, caller int) {
+	var open []*Response // closed only at the end
+	defer func() {
+		for _, response := range open {
+			response.Close()
+		}
+	}()
 	for number := range 60 {
 		name := fmt.Sprintf("q-%d-%d", caller, number)
 		method := http.MethodPost
@@ -286,7 +312,7 @@
 			if random.IntN(10) > 0 {
 				response.Close()
 			} else {
-				defer response.Close()
+				open = append(open, response)
 			}
 		}
 		runner.judge(t, name, method, status, string(body), err)
@@ -307,13 +333,14 @@
 	case err == nil && method != http.MethodHead && status == http.StatusOK && body != "done "+name:
 		t.Errorf("%s got %q", name, body)
 	case reported.neverSent && came != 0:
-		t.Errorf("%s is told as never sent, and came", name)
+		t.Errorf("%s is reported as never sent, and arrived", name)
 	case reported.kind == apierror.NotRun && ran != 0:
-		t.Errorf("%s is told as not run, and ran", name)
+		t.Errorf("%s is reported as not run, and ran", name)
 	}
 }
 
-// TestLateResponseBeforeHeadResponse can't be told from it by its length: the query is lost.
+// TestLateResponseBeforeHeadResponse: the end of a late response before that to a HEAD
+// request cannot be found, so that the request is lost.
 func TestLateResponseBeforeHeadResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := strings.ReplaceAll(ok(responseTo("q1")), "NAME", "q0")
@@ -322,12 +349,13 @@
 		defer pool.Close()
 		_, _, err := sendAndRead(t, pool, testRequest("q1", func(request *Request) { request.Method = http.MethodHead }))
 		if got := failureOf(err); got != lostResponse {
-			t.Errorf("the body of a late answer was taken for the answer: %v", err)
+			t.Errorf("the body of a late response was taken for the response: %v", err)
 		}
 	})
 }
 
-// FuzzResponse gives any bytes as what a runner sends, on a new connection and on a kept one.
+// FuzzResponse sends arbitrary bytes as the response, on a new connection and on a reused
+// one.
 func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{
 		ok("fine"), ok("fine") + ok("more"), "HTTP/1.1 100 Continue\r\n\r\n" + ok("fine"),
@@ -343,42 +371,52 @@
 		if len(raw) > 4*bufferBytes {
 			return
 		}
-		for _, kept := range []bool{false, true} {
-			synctest.Test(t, func(t *testing.T) {
-				raw := strings.ReplaceAll(raw, "|", "")
-				runner := newScriptedRunner([]string{raw + "|CLOSE"})
-				if kept {
-					runner.answers[0] = []string{ok("fine"), raw + "|CLOSE"}
-				}
-				pool := New(runner, testHeaders)
-				defer pool.Close()
-				if kept {
-					mustSend(t, pool, "q0")
-				}
-				response, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) {
-					if head {
-						request.Method = http.MethodHead
-					}
-				}))
-				if err != nil {
-					if reported := (*apierror.Error)(nil); !errors.As(err, &reported) || reported.NeverSent {
-						t.Fatalf("%q: %v", raw, err)
-					}
-					return
-				}
-				defer response.Close()
-				names := response.Header["Query-Name"]
-				if named := len(names) > 0 && names[0] == "q1"; !named && (kept || response.Status < 300) {
-					t.Errorf("%q was taken for the answer, with status %d and the names %q", raw, response.Status, names)
-				}
-				body, err := io.ReadAll(response)
-				if err == nil && response.Length >= 0 && !head && int64(len(body)) != response.Length {
-					t.Errorf("%q: %d bytes are whole, of %d", raw, len(body), response.Length)
-				}
-				if !bytes.Contains([]byte(raw), body) && len(response.Header["Transfer-Encoding"]) == 0 && response.Length >= 0 {
-					t.Errorf("%q: %q was not in it", raw, body)
-				}
-			})
+		for _, reused := range []bool{false, true} {
+			synctest.Test(t, func(t *testing.T) { checkArbitraryResponse(t, strings.ReplaceAll(raw, "|", ""), head, reused) })
 		}
 	})
 }
+
+// checkArbitraryResponse sends a request to a runner that answers with certain bytes, and
+// checks that they are not taken for more than they are.
+func checkArbitraryResponse(t *testing.T, raw string, head, reused bool) {
+	runner := newScriptedRunner([]string{raw + "|CLOSE"})
+	if reused {
+		runner.answers[0] = []string{ok("fine"), raw + "|CLOSE"}
+	}
+	pool := New(runner, testHeaders)
+	defer pool.Close()
+	if reused {
+		mustSend(t, pool, "q0")
+	}
+	response, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) {
+		if head {
+			request.Method = http.MethodHead
+		}
+	}))
+	if err != nil {
+		if reported := (*apierror.Error)(nil); !errors.As(err, &reported) || reported.NeverSent {
+			t.Fatalf("%q: %v", raw, err)
+		}
+		return
+	}
+	defer response.Close()
+	checkAccepted(t, raw, response, head, reused)
+}
+
+// checkAccepted checks that a response is the one of its request and that its body is in
+// what the runner sent.
+func checkAccepted(t *testing.T, raw string, response *Response, head, reused bool) {
+	t.Helper()
+	names := response.Header["Query-Name"]
+	if named := len(names) > 0 && names[0] == "q1"; !named && (reused || response.Status < 300) {
+		t.Errorf("%q was taken for the response, with status %d and the IDs %q", raw, response.Status, names)
+	}
+	body, err := io.ReadAll(response)
+	if err == nil && response.Length >= 0 && !head && int64(len(body)) != response.Length {
+		t.Errorf("%q: %d bytes are complete, of %d", raw, len(body), response.Length)
+	}
+	if !bytes.Contains([]byte(raw), body) && len(response.Header["Transfer-Encoding"]) == 0 && response.Length >= 0 {
+		t.Errorf("%q: %q was not in it", raw, body)
+	}
+}
--- a/system/runnerpool/pool_test.go
+++ b/system/runnerpool/pool_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// openResponses sends queries whose replies stay open; the function returned ends one.
+// openResponses sends requests whose responses stay open; the functions returned read and
+// close one each.
 func openResponses(t *testing.T, pool *Pool, count int) []func() {
 	t.Helper()
 	ends := []func(){}
@@ -50,7 +51,7 @@
 		for number := range 5 {
 			mustSend(t, pool, fmt.Sprint("q", number))
 			if got := runner.got()[3+number].connection; got != 2 {
-				t.Errorf("connection %d was taken", got)
+				t.Errorf("connection %d was used", got)
 			}
 		}
 		if stats := pool.Stats(); stats != (Stats{Dials: 3, Reuses: 5, Idle: 3}) {
@@ -76,7 +77,7 @@
 		if runner.dials != 5 {
 			t.Errorf("%d dials", runner.dials)
 		}
-		// Fewer are allowed now: what is beyond ends as it comes back.
+		// Fewer are allowed now: those beyond the limit are closed when they come back.
 		fewer := func(request *Request) { request.MaxConnections = 2 }
 		mustSend(t, pool, "q4", fewer)
 		for _, end := range ends[1:] {
@@ -85,7 +86,7 @@
 		if stats := pool.Stats(); stats.Idle != 3 || stats.InUse != 0 {
 			t.Errorf("stats %+v", stats)
 		}
-		// None allowed counts as one, so that a runner with many callers is used at all.
+		// A limit of 0 counts as 1.
 		pool.Retain(nil)
 		mustSend(t, pool, "q5", func(request *Request) { request.MaxConnections = 0 })
 	})
@@ -94,15 +95,15 @@
 func TestIdleTimeoutStaysBelowKeepAlive(t *testing.T) {
 	for name, test := range map[string]struct {
 		headers  string
-		longest  time.Duration // for which a connection is kept
-		answered int           // queries that come before, each after half of the time
+		longest  time.Duration // for which a connection is kept idle
+		answered int           // requests before, each after half of the time
 	}{
-		"told":           {"Keep-Alive: timeout=8, max=9", 5750 * time.Millisecond, 0},
-		"told little":    {"Keep-Alive: timeout=1", 500 * time.Millisecond, 0},
-		"not told":       {"Seal: x", defaultIdleTimeout, 0},
-		"told nonsense":  {"Keep-Alive: timeout=soon", defaultIdleTimeout, 0},
-		"counted anew":   {"Keep-Alive: timeout=8", 5750 * time.Millisecond, 3},
-		"told very much": {"Keep-Alive: timeout=1000", 750*time.Second - 250*time.Millisecond, 0},
+		"announced":     {"Keep-Alive: timeout=8, max=9", 5750 * time.Millisecond, 0},
+		"short":         {"Keep-Alive: timeout=1", 500 * time.Millisecond, 0},
+		"not announced": {"Seal: x", defaultIdleTimeout, 0},
+		"malformed":     {"Keep-Alive: timeout=soon", defaultIdleTimeout, 0},
+		"renewed":       {"Keep-Alive: timeout=8", 5750 * time.Millisecond, 3},
+		"long":          {"Keep-Alive: timeout=1000", 750*time.Second - 250*time.Millisecond, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, late := range []bool{false, true} {
@@ -158,15 +159,15 @@
 	})
 }
 
-// TestIdleConnectionWithUnreadInputIsDiscarded lets a runner do things to the idle
-// connection; the next query must go over another.
+// TestIdleConnectionWithUnreadInputIsDiscarded: whatever a runner does to an idle
+// connection, the next request goes over another one.
 func TestIdleConnectionWithUnreadInputIsDiscarded(t *testing.T) {
 	for name, do := range map[string]func(connection *end){
-		"closed":       func(connection *end) { connection.Close() },
-		"reset":        func(connection *end) { connection.reset() },
-		"one byte":     func(connection *end) { io.WriteString(connection, "x") },
-		"whole answer": func(connection *end) { io.WriteString(connection, ok("late")) },
-		"timeout told": func(connection *end) {
+		"closed":         func(connection *end) { connection.Close() },
+		"reset":          func(connection *end) { connection.reset() },
+		"one byte":       func(connection *end) { io.WriteString(connection, "x") },
+		"whole response": func(connection *end) { io.WriteString(connection, ok("late")) },
+		"timeout status": func(connection *end) {
 			io.WriteString(connection, "HTTP/1.1 408 Request Timeout\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			connection.Close()
 		},
@@ -182,15 +183,15 @@
 				mustSend(t, pool, "q2")
 				synctest.Wait()
 				if got := runner.got(); len(got) != 2 || got[1].connection != 1 || pool.Stats() != (Stats{Dials: 2, Idle: 1}) {
-					t.Errorf("%d queries, stats %+v", len(got), pool.Stats())
+					t.Errorf("%d requests, stats %+v", len(got), pool.Stats())
 				}
 			})
 		})
 	}
 }
 
-// TestRunnerIdleTimeoutIsLearnt has a runner close what is idle for 600 ms without
-// telling it.
+// TestRunnerIdleTimeoutIsLearnt: the runner closes connections that were idle for 600 ms
+// and does not announce it.
 func TestRunnerIdleTimeoutIsLearnt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runner := newScriptedRunner(repeat(ok("fine"), 99))
@@ -210,7 +211,7 @@
 		if runner.dials != 3 || !runner.made[1].closed() {
 			t.Errorf("%d dials: a connection was kept too long", runner.dials)
 		}
-		// What ends at once or is reset shows trouble and no time.
+		// A connection that is closed at once or reset shows a fault and no idle timeout.
 		time.Sleep(minIdleTimeout - 1)
 		runner.made[2].Close()
 		mustSend(t, pool, "q5")
@@ -222,7 +223,7 @@
 		if runner.dials != 5 {
 			t.Errorf("%d dials", runner.dials)
 		}
-		// And the time never becomes too short to be of use.
+		// The timeout never becomes too short to be of use.
 		time.Sleep(299 * time.Millisecond)
 		runner.made[4].Close()
 		mustSend(t, pool, "q8")
@@ -234,23 +235,23 @@
 	})
 }
 
-// TestReusedConnectionFailures meets what a look at the connection could not find.
+// TestReusedConnectionFailures covers what the idle check cannot find.
 func TestReusedConnectionFailures(t *testing.T) {
 	for name, test := range map[string]struct {
-		second string // on the kept connection
+		second string // response on the reused connection
 		want   failure
 		body   string
 		dials  int
 	}{
-		"closed after the query came":       {"|CLOSE", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
-		"reset after the query came":        {"|RESET", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
-		"closed in the head":                {"HTTP/1.1 2|CLOSE", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
-		"refused without a name":            {"HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
-		"misdirected without a name":        {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
-		"failure without a name":            {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
-		"the late answer to the one before": {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nContent-Length: 4\r\n\r\nlate" + ok("fine"), failure{}, "fine", 1},
-		"a late answer in chunks":           {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n" + ok("fine"), failure{}, "fine", 1},
-		"a late refusal":                    {"HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n" + ok("fine"), failure{}, "fine", 1},
+		"closed after the request came":   {"|CLOSE", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
+		"reset after the request came":    {"|RESET", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
+		"closed in the head":              {"HTTP/1.1 2|CLOSE", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
+		"rejected without an ID":          {"HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
+		"misdirected without an ID":       {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
+		"failure without an ID":           {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", failure{kind: apierror.RunnerFailure, lost: true}, "", 1},
+		"late response to the one before": {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nContent-Length: 4\r\n\r\nlate" + ok("fine"), failure{}, "fine", 1},
+		"late response in chunks":         {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nlate\r\n0\r\n\r\n" + ok("fine"), failure{}, "fine", 1},
+		"late rejection":                  {"HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n" + ok("fine"), failure{}, "fine", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -263,15 +264,15 @@
 					t.Errorf("got %q, %v", body, err)
 				}
 				if runner.dials != test.dials || pool.Stats().Idle != 0 || len(runner.got()) != 2 {
-					t.Errorf("%d dials, %d queries, stats %+v", runner.dials, len(runner.got()), pool.Stats())
+					t.Errorf("%d dials, %d requests, stats %+v", runner.dials, len(runner.got()), pool.Stats())
 				}
 			})
 		})
 	}
 }
 
-// TestReusedConnectionThatAcceptsNoByte is dead, and its runner could not be heard to say
-// so; the query goes over the next one.
+// TestReusedConnectionThatAcceptsNoByte: the idle check did not notice that the connection
+// is dead, and the request goes over the next one.
 func TestReusedConnectionThatAcceptsNoByte(t *testing.T) {
 	for _, body := range []int{0, 100, 3 * singleWriteBytes} {
 		synctest.Test(t, func(t *testing.T) {
@@ -290,13 +291,13 @@
 				request.BeforeSend = func() error { looks++; return nil }
 			})
 			if runner.dials != 4 || looks != 4 || len(runner.got()) != 4 {
-				t.Errorf("%d dials, %d looks, %d queries", runner.dials, looks, len(runner.got()))
+				t.Errorf("%d dials, %d calls of BeforeSend, %d requests", runner.dials, looks, len(runner.got()))
 			}
 		})
 	}
 }
 
-// TestNewConnectionThatAcceptsNoByte is proof that nothing was sent.
+// TestNewConnectionThatAcceptsNoByte: such a request is reported as never sent.
 func TestNewConnectionThatAcceptsNoByte(t *testing.T) {
 	for _, body := range []int{0, 3 * singleWriteBytes} {
 		synctest.Test(t, func(t *testing.T) {
@@ -333,10 +334,10 @@
 			pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}, {Address: "10.0.0.9:8080", Life: "b"}})
 		}, "a", 1},
 		"other life":              {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "b"}}) }, "b", 2},
-		"gone":                    {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Life: "a"}}) }, "a", 2},
-		"other life, not told":    {"a", func(*Pool) {}, "b", 2},
+		"not listed any more":     {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Life: "a"}}) }, "a", 2},
+		"other life, no Retain":   {"a", func(*Pool) {}, "b", 2},
 		"life not known any more": {"a", func(*Pool) {}, "", 1},
-		"all gone, and come anew": {"a", func(pool *Pool) { pool.Retain(nil) }, "a", 2},
+		"none listed, then again": {"a", func(pool *Pool) { pool.Retain(nil) }, "a", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -388,7 +389,7 @@
 		response.Close()
 		synctest.Wait()
 		if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
-			t.Errorf("its connection stays, stats %+v", pool.Stats())
+			t.Errorf("its connection is still open, stats %+v", pool.Stats())
 		}
 	})
 }
@@ -408,10 +409,10 @@
 				response.Close()
 				synctest.Wait()
 				if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
-					t.Errorf("its connection stays, stats %+v", pool.Stats())
+					t.Errorf("its connection is still open, stats %+v", pool.Stats())
 				}
 				if _, err := response.Read(make([]byte, 1)); !apierror.Is(err, apierror.Cancelled) {
-					t.Errorf("a closed reply gives %v", err)
+					t.Errorf("a closed response gives %v", err)
 				}
 			})
 		})
@@ -440,7 +441,8 @@
 	})
 }
 
-// TestConcurrentRequests looks for answers that go astray; each bears its query's body.
+// TestConcurrentRequests looks for responses returned for the wrong request; each carries
+// its request's body.
 func TestConcurrentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runner := newScriptedRunner(nil)
--- a/system/runnerpool/request_body_test.go
+++ b/system/runnerpool/request_body_test.go
@@ -19,16 +19,16 @@
 		send  failure
 		kept  bool
 	}{
-		"read whole":                {body: fmt.Sprint(len(long)), kept: true},
-		"refused before it is read": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.in.hold() }, send: failure{kind: apierror.NotRun}},
-		"refused and closed": {serve: func(connection *end) {
+		"read completely":            {body: fmt.Sprint(len(long)), kept: true},
+		"rejected before it is read": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.in.hold() }, send: failure{kind: apierror.NotRun}},
+		"rejected and closed": {serve: func(connection *end) {
 			io.ReadFull(connection, make([]byte, 9))
 			io.WriteString(connection, rejection)
 			connection.Close()
 		}, send: failure{kind: apierror.NotRun}},
-		"refused and half reset": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.reset() }, send: failure{kind: apierror.NotRun}},
-		"reset":                  {serve: func(connection *end) { io.ReadFull(connection, make([]byte, 9)); connection.reset() }, send: failure{kind: apierror.RunnerFailure, lost: true}},
-		"never read":             {serve: func(connection *end) { connection.in.hold() }, send: failure{kind: apierror.Unknown}},
+		"rejected and half reset": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.reset() }, send: failure{kind: apierror.NotRun}},
+		"reset":                   {serve: func(connection *end) { io.ReadFull(connection, make([]byte, 9)); connection.reset() }, send: failure{kind: apierror.RunnerFailure, lost: true}},
+		"never read":              {serve: func(connection *end) { connection.in.hold() }, send: failure{kind: apierror.Unknown}},
 		"answered before it is read": {serve: func(connection *end) {
 			io.WriteString(connection, strings.ReplaceAll(ok("fine"), "NAME", "q1"))
 			connection.in.hold()
@@ -66,7 +66,7 @@
 	}
 }
 
-// hold waits until the connection's other side is closed, and reads nothing.
+// hold reads nothing and waits until the other end is closed.
 func (stream *byteStream) hold() {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
@@ -87,7 +87,7 @@
 			}
 		}
 		if writes != 3 {
-			t.Errorf("%d writes for three queries", writes)
+			t.Errorf("%d writes for three requests", writes)
 		}
 	})
 }
--- a/system/runnerpool/scripted_runner_test.go
+++ b/system/runnerpool/scripted_runner_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,7 +19,8 @@
 	"yardrock.example/system/feed"
 )
 
-// half is one direction of a simulated connection: bytes wait in a window of a size.
+// byteStream is one direction of a simulated connection. It buffers up to a window of
+// bytes.
 type byteStream struct {
 	mutex    sync.Mutex
 	moved    *sync.Cond
@@ -26,7 +28,7 @@
 	data     []byte
 	ended    bool  // the writer closed
 	unread   bool  // the reader closed
-	broken   error // what reader and writer meet instead
+	broken   error // the error of all reads and writes
 	read     time.Time
 	write    time.Time
 	released bool // the reader's own end is closed
@@ -124,7 +126,7 @@
 	end.in.change(func() { end.in.broken = syscall.ECONNRESET })
 }
 
-// closed tells that the other side has closed the connection.
+// closed reports whether the other side has closed the connection.
 func (end *end) closed() bool {
 	end.in.mutex.Lock()
 	defer end.in.mutex.Unlock()
@@ -137,8 +139,8 @@
 	return len(end.in.data) == 0 && !end.in.ended && end.in.broken == nil
 }
 
-func (end *end) LocalAddr() net.Addr  { return &net.TCPAddr{} }
-func (end *end) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+func (*end) LocalAddr() net.Addr  { return &net.TCPAddr{} }
+func (*end) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
 func (end *end) SetDeadline(deadline time.Time) error {
 	end.SetReadDeadline(deadline)
@@ -163,7 +165,7 @@
 	}
 }
 
-// network is a simulated network whose listeners are functions that serve.
+// network is a simulated network; serve is called for each new connection.
 type network struct {
 	mutex  sync.Mutex
 	window int
@@ -173,7 +175,7 @@
 	made   []*end // the runners' ends
 }
 
-func (network *network) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (*network) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 func (network *network) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	network.mutex.Lock()
@@ -193,20 +195,20 @@
 	return near, nil
 }
 
-// receivedRequest is one query as a runner got it.
+// receivedRequest is one request as a runner got it.
 type receivedRequest struct {
 	*http.Request
 	text       []byte
 	connection int
 }
 
-// scriptedRunner is a runner that answers the queries on each connection with raw bytes.
-// NAME stands for the name of the query. After CLOSE or RESET it ends the connection,
-// SILENT answers nothing.
+// scriptedRunner is a runner that answers the requests on each connection with raw bytes.
+// NAME stands for the ID of the request. "|CLOSE" and "|RESET" at the end close or reset
+// the connection.
 type scriptedRunner struct {
 	network
 	mutex     sync.Mutex
-	answers   [][]string // of each connection; the last one counts for all further ones
+	answers   [][]string // by connection; the last element is for all further ones
 	requested []receivedRequest
 }
 
@@ -219,20 +221,20 @@
 func (scripted *scriptedRunner) serve(number int, connection *end) {
 	reader := bufio.NewReader(connection)
 	for _, answer := range scripted.answers[min(number, len(scripted.answers)-1)] {
-		query, err := http.ReadRequest(reader)
+		received, err := http.ReadRequest(reader)
 		if err != nil {
 			connection.Close()
 			return
 		}
-		text, err := io.ReadAll(query.Body)
+		text, err := io.ReadAll(received.Body)
 		if err != nil {
 			connection.Close()
 			return
 		}
 		scripted.mutex.Lock()
-		scripted.requested = append(scripted.requested, receivedRequest{query, text, number})
+		scripted.requested = append(scripted.requested, receivedRequest{received, text, number})
 		scripted.mutex.Unlock()
-		answer = strings.ReplaceAll(answer, "NAME", query.Header.Get("Query-Name"))
+		answer = strings.ReplaceAll(answer, "NAME", received.Header.Get("Query-Name"))
 		switch rest, end, _ := strings.Cut(answer, "|"); {
 		case end == "CLOSE":
 			io.WriteString(connection, rest)
@@ -267,7 +269,11 @@
 	return made
 }
 
-// sendAndRead sends and reads a whole body, and closes.
+// isExactly reports whether an error is a certain one and does not only wrap it: callers
+// of Read compare with io.EOF itself.
+func isExactly(err, want error) bool { return errors.Is(err, want) && errors.Unwrap(err) == nil }
+
+// sendAndRead sends a request, reads the whole body and closes the response.
 func sendAndRead(t *testing.T, pool *Pool, request Request) (int, string, error) {
 	t.Helper()
 	response, err := pool.Send(t.Context(), request)
@@ -295,7 +301,7 @@
 	return answers
 }
 
-// failure is what an error tells, without its words.
+// failure is the typed content of an error.
 type failure struct {
 	kind                                      apierror.Kind
 	neverSent, lost, misdirected, nobodyThere bool
@@ -318,7 +324,7 @@
 	return split
 }
 
-// countingNetwork counts the writes of the pool.
+// countingNetwork counts the writes on its connections.
 type countingNetwork struct {
 	*scriptedRunner
 	writes *int
@@ -342,7 +348,7 @@
 	return countingConnection{made.(*end), counting.writes}, nil
 }
 
-// undetectedNetwork makes connections on which nothing is heard before something is written.
+// undetectedNetwork makes connections on which the idle check finds nothing.
 type undetectedNetwork struct{ *scriptedRunner }
 
 type undetectedConnection struct{ *end }
@@ -357,24 +363,24 @@
 	return undetectedConnection{made.(*end)}, nil
 }
 
-// echo answers each query with its own body.
+// echo answers each request with its own body.
 func echo(_ int, connection *end) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
-		query, err := http.ReadRequest(reader)
+		received, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(query.Body)
+		body, err := io.ReadAll(received.Body)
 		if err != nil {
 			return
 		}
-		io.WriteString(connection, strings.ReplaceAll(ok(string(body)), "NAME", query.Header.Get("Query-Name")))
+		io.WriteString(connection, strings.ReplaceAll(ok(string(body)), "NAME", received.Header.Get("Query-Name")))
 	}
 }
 
-// dialHook does something when a connection has come up.
+// dialHook calls a function after each dial.
 type dialHook struct {
 	*scriptedRunner
 	do func()
--- a/system/runnerpool/send_test.go
+++ b/system/runnerpool/send_test.go
@@ -15,13 +15,16 @@
 	"yardrock.example/system/apierror"
 )
 
+// requestCase is a request and the headers that its runner must and must not get.
+type requestCase struct {
+	change func(*Request)
+	want   map[string][]string
+	not    []string
+}
+
 func TestRequestReachesRunnerUnchanged(t *testing.T) {
-	for name, test := range map[string]struct {
-		change func(*Request)
-		want   map[string][]string
-		not    []string
-	}{
-		"own headers": {func(request *Request) {}, map[string][]string{"Query-Name": {"q1"}, "Expected-Runner": {"life-1"}, "Time-Left": {"10000"}, "Content-Length": {"6"}}, []string{"Urgency", "Last-Event-Id"}},
+	for name, test := range map[string]requestCase{
+		"own headers": {func(*Request) {}, map[string][]string{"Query-Name": {"q1"}, "Expected-Runner": {"life-1"}, "Time-Left": {"10000"}, "Content-Length": {"6"}}, []string{"Urgency", "Last-Event-Id"}},
 		"urgency and resuming": {func(request *Request) { request.Urgency, request.LastEventID = "3", "17" },
 			map[string][]string{"Urgency": {"3"}, "Last-Event-Id": {"17"}}, nil},
 		"own headers replace the caller's": {func(request *Request) {
@@ -55,23 +58,7 @@
 				if request.ID != "" && (status != 200 || body != "fine" || err != nil) {
 					t.Fatalf("got %d %q, %v", status, body, err)
 				}
-				got := runner.got()[0]
-				if got.Method != request.Method || got.RequestURI != "/turn/2f?x=1" || got.Host != "agents.example" || got.Proto != "HTTP/1.1" {
-					t.Errorf("the runner got %s %s for %s", got.Method, got.RequestURI, got.Host)
-				}
-				if want := strings.Repeat("say it", len(request.Body)/2); string(got.text) != want {
-					t.Errorf("the body is %q, not %q", got.text, want)
-				}
-				for name, values := range test.want {
-					if fmt.Sprint(got.Header[name]) != fmt.Sprint(values) {
-						t.Errorf("header %s is %q, not %q", name, got.Header[name], values)
-					}
-				}
-				for _, name := range test.not {
-					if len(got.Header[name]) > 0 || name == "Transfer-Encoding" && got.TransferEncoding != nil {
-						t.Errorf("header %s went along: %q", name, got.Header[name])
-					}
-				}
+				test.check(t, request, runner.got()[0])
 				if fmt.Sprint(before) != fmt.Sprint(request.Header) {
 					t.Errorf("the caller's headers were changed to %v", request.Header)
 				}
@@ -80,6 +67,27 @@
 	}
 }
 
+// check compares a request with what the runner got of it.
+func (test requestCase) check(t *testing.T, request Request, got receivedRequest) {
+	t.Helper()
+	if got.Method != request.Method || got.RequestURI != "/turn/2f?x=1" || got.Host != "agents.example" || got.Proto != "HTTP/1.1" {
+		t.Errorf("the runner got %s %s for %s", got.Method, got.RequestURI, got.Host)
+	}
+	if want := strings.Repeat("say it", len(request.Body)/2); string(got.text) != want {
+		t.Errorf("the body is %q, not %q", got.text, want)
+	}
+	for name, values := range test.want {
+		if fmt.Sprint(got.Header[name]) != fmt.Sprint(values) {
+			t.Errorf("header %s is %q, not %q", name, got.Header[name], values)
+		}
+	}
+	for _, name := range test.not {
+		if len(got.Header[name]) > 0 || name == "Transfer-Encoding" && got.TransferEncoding != nil {
+			t.Errorf("header %s went along: %q", name, got.Header[name])
+		}
+	}
+}
+
 func TestInvalidRequestsAreNeverSent(t *testing.T) {
 	for name, change := range map[string]func(*Request){
 		"no method":                   func(request *Request) { request.Method = "" },
@@ -116,138 +124,153 @@
 	}
 }
 
-// TestResponses sends one query over a new connection and, if another tells whether the
-// connection was kept, a second one.
+// responseCase is what a runner answers and what the pool makes of it.
+type responseCase struct {
+	raw    string
+	method string // POST if empty
+	status int
+	body   string
+	send   failure // of Send
+	read   failure // of Read
+	kept   bool    // the connection
+}
+
+// idHeader is the header with the ID of the request.
+const idHeader = "Query-Name: NAME\r\n"
+
+// rejectedRequest is the failure of a request that did not run.
+var rejectedRequest = failure{kind: apierror.NotRun}
+
+var responseCases = map[string]responseCase{
+	"length":                        {raw: ok("fine"), status: 200, body: "fine", kept: true},
+	"empty":                         {raw: ok(""), status: 200, kept: true},
+	"chunks":                        {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n3\r\n!!!\r\n0\r\n\r\n", status: 200, body: "fine!!!", kept: true},
+	"chunks with trailer":           {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\nTrailer: X\r\n\r\n4\r\nfine\r\n0\r\nX: y\r\n\r\n", status: 200, body: "fine", kept: true},
+	"no content":                    {raw: "HTTP/1.1 204 No Content\r\n" + idHeader + "\r\n", status: 204, kept: true},
+	"head":                          {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Content-Length: 400\r\n\r\n", method: "HEAD", status: 200, kept: true},
+	"head in chunks":                {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n", method: "HEAD", status: 200, kept: true},
+	"head without length":           {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "\r\n", method: "HEAD", status: 200, kept: true},
+	"not modified":                  {raw: "HTTP/1.1 304 Not Modified\r\n" + idHeader + "\r\n", status: 304, kept: true},
+	"own failure":                   {raw: "HTTP/1.1 500 Oops\r\n" + idHeader + "Content-Length: 4\r\n\r\noops", status: 500, body: "oops", kept: true},
+	"interim heads":                 {raw: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok("fine"), status: 200, body: "fine", kept: true},
+	"says close":                    {raw: okWith("Connection: close", "fine"), status: 200, body: "fine"},
+	"says close among others":       {raw: okWith("Connection: x-y, Close", "fine"), status: 200, body: "fine"},
+	"old version":                   {raw: "HTTP/1.0 200 OK\r\n" + idHeader + "Content-Length: 4\r\n\r\nfine", status: 200, body: "fine"},
+	"old version kept":              {raw: "HTTP/1.0 200 OK\r\n" + idHeader + "Connection: keep-alive\r\nContent-Length: 4\r\n\r\nfine", status: 200, body: "fine"},
+	"bytes after it":                {raw: ok("fine") + "junk", status: 200, body: "fine"},
+	"answer after it":               {raw: ok("fine") + ok("more"), status: 200, body: "fine"},
+	"no idle time":                  {raw: okWith("Keep-Alive: timeout=0", "fine"), status: 200, body: "fine"},
+	"identity":                      {raw: okWith("Content-Encoding: identity", "fine"), status: 200, body: "fine", kept: true},
+	"bare line feeds":               {raw: "HTTP/1.1 200 OK\nQuery-Name: NAME\nContent-Length: 4\n\nfine", status: 200, body: "fine", kept: true},
+	"unnamed failure":               {raw: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", status: 500, kept: true},
+	"not run, but a success":        {raw: okWith("Not-Run: true", "fine"), status: 200, body: "fine", kept: true},
+	"rejected":                      {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: true\r\nContent-Length: 4\r\n\r\nfull", send: rejectedRequest, kept: true},
+	"rejected in chunks":            {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n", send: rejectedRequest, kept: true},
+	"rejected, body is missing":     {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 4\r\n\r\nfu", send: rejectedRequest},
+	"rejected, body is broken off":  {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 4\r\n\r\nfu|RESET", send: rejectedRequest},
+	"rejected, body is long":        {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 99999\r\n\r\n" + strings.Repeat("x", 99999), send: rejectedRequest},
+	"rejected, chunks without end":  {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n" + strings.Repeat("x", 0xffff) + "\r\n0\r\n\r\n", send: rejectedRequest},
+	"rejected, no length":           {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\n\r\nfull|CLOSE", send: rejectedRequest},
+	"rejected, says close":          {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n|CLOSE", send: rejectedRequest},
+	"rejected without a name":       {raw: "HTTP/1.1 400 No Name\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest, kept: true},
+	"rejected, encoded":             {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest, kept: true},
+	"misdirected":                   {raw: "HTTP/1.1 421 Misdirected\r\n" + idHeader + "Content-Length: 0\r\n\r\n", send: failure{kind: apierror.NotRun, misdirected: true}, kept: true},
+	"full, without a promise":       {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Content-Length: 4\r\n\r\nfull", status: 503, body: "full", kept: true},
+	"unnamed success":               {raw: "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", send: lostResponse},
+	"encoded":                       {raw: okWith("Content-Encoding: gzip", "fine"), send: failure{kind: apierror.RunnerFailure}},
+	"encoded twice":                 {raw: okWith("Content-Encoding: identity, br", "fine"), send: failure{kind: apierror.RunnerFailure}},
+	"closed at once":                {raw: "|CLOSE", send: lostResponse},
+	"reset at once":                 {raw: "|RESET", send: lostResponse},
+	"closed in the head":            {raw: "HTTP/1.1 200 OK\r\nQuery-Na|CLOSE", send: lostResponse},
+	"reset in the head":             {raw: "HTTP/1.1 200|RESET", send: lostResponse},
+	"garbage":                       {raw: "\x00\x01\x02 what\r\n\r\n|CLOSE", send: lostResponse},
+	"other protocol":                {raw: "SSH-2.0-OpenSSH_9.6\r\n|CLOSE", send: lostResponse},
+	"other version":                 {raw: "HTTP/2.0 200 OK\r\n" + idHeader + "Content-Length: 0\r\n\r\n", send: lostResponse},
+	"status of two digits":          {raw: "HTTP/1.1 20 OK\r\n" + idHeader + "\r\n", send: lostResponse},
+	"status of letters":             {raw: "HTTP/1.1 abc OK\r\n" + idHeader + "\r\n", send: lostResponse},
+	"status too high":               {raw: "HTTP/1.1 999 OK\r\n" + idHeader + "Content-Length: 0\r\n\r\n", send: lostResponse},
+	"status too low":                {raw: "HTTP/1.1 099 OK\r\n" + idHeader + "Content-Length: 0\r\n\r\n", send: lostResponse},
+	"switching":                     {raw: "HTTP/1.1 101 Switching\r\n" + idHeader + "\r\n", send: lostResponse},
+	"header without colon":          {raw: "HTTP/1.1 200 OK\r\nnonsense\r\n\r\n", send: lostResponse},
+	"two lengths":                   {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nfine!", send: lostResponse},
+	"length below zero":             {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Content-Length: -4\r\n\r\nfine", send: lostResponse},
+	"unknown coding":                {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: odd\r\n\r\nfine", send: lostResponse},
+	"large head":                    {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "X: " + strings.Repeat("x", maxHeadBytes) + "\r\nContent-Length: 0\r\n\r\n", send: lostResponse},
+	"large status line":             {raw: "HTTP/1.1 200 " + strings.Repeat("x", maxHeadBytes) + "\r\n" + idHeader + "Content-Length: 0\r\n\r\n", send: lostResponse},
+	"head just below the bound":     {raw: okWith("X: "+strings.Repeat("x", maxHeadBytes-200), "fine"), status: 200, body: "fine", kept: true},
+	"interim heads without end":     {raw: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50) + ok("fine"), send: lostResponse},
+	"length, closed early":          {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Content-Length: 9\r\n\r\nfine|CLOSE", status: 200, body: "fine", read: lostResponse},
+	"length, reset early":           {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Content-Length: 9\r\n\r\nfine|RESET", status: 200, body: "fine", read: lostResponse},
+	"chunks, closed early":          {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n|CLOSE", status: 200, body: "fine", read: lostResponse},
+	"chunks, closed in a chunk":     {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n9\r\nfine|CLOSE", status: 200, body: "fine", read: lostResponse},
+	"chunks, closed after the 0":    {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n|CLOSE", status: 200, body: "fine", read: lostResponse},
+	"chunks, then garbage":          {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n", status: 200, body: "fine", read: lostResponse},
+	"no length":                     {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "\r\nfine|CLOSE", status: 200, body: "fine", read: lostResponse},
+	"an answer to another first":    {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + ok("fine"), status: 200, body: "fine"},
+	"two answers to others first":   {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 2) + ok("fine"), status: 200, body: "fine"},
+	"answers to others only":        {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 3) + ok("fine"), send: lostResponse},
+	"another's rejection first":     {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n" + ok("fine"), status: 200, body: "fine"},
+	"another's rejection only":      {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lostResponse},
+	"another's misdirection only":   {raw: "HTTP/1.1 421 Misdirected\r\nQuery-Name: q0\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lostResponse},
+	"another's without end":         {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\n\r\nlate|CLOSE", send: lostResponse},
+	"another's broken off":          {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nlate|CLOSE", send: lostResponse},
+	"another's, then an unnamed":    {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: lostResponse},
+	"another's, then ours rejected": {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest},
+	"two names":                     {raw: okWith("Query-Name: q0", "fine") + "|CLOSE", send: lostResponse},
+}
+
+// TestResponses sends one request over a new connection, and a second one to see whether
+// the connection was kept.
 func TestResponses(t *testing.T) {
-	const named = "Query-Name: NAME\r\n"
-	lost := failure{kind: apierror.RunnerFailure, lost: true}
-	refused := failure{kind: apierror.NotRun}
-	for name, test := range map[string]struct {
-		raw    string
-		method string
-		status int
-		body   string
-		send   failure // of Send
-		read   failure // of Read
-		kept   bool
-	}{
-		"length":                       {raw: ok("fine"), status: 200, body: "fine", kept: true},
-		"empty":                        {raw: ok(""), status: 200, kept: true},
-		"chunks":                       {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n3\r\n!!!\r\n0\r\n\r\n", status: 200, body: "fine!!!", kept: true},
-		"chunks with trailer":          {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\nTrailer: X\r\n\r\n4\r\nfine\r\n0\r\nX: y\r\n\r\n", status: 200, body: "fine", kept: true},
-		"no content":                   {raw: "HTTP/1.1 204 No Content\r\n" + named + "\r\n", status: 204, kept: true},
-		"head":                         {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: 400\r\n\r\n", method: "HEAD", status: 200, kept: true},
-		"head in chunks":               {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\n\r\n", method: "HEAD", status: 200, kept: true},
-		"head without length":          {raw: "HTTP/1.1 200 OK\r\n" + named + "\r\n", method: "HEAD", status: 200, kept: true},
-		"not modified":                 {raw: "HTTP/1.1 304 Not Modified\r\n" + named + "\r\n", status: 304, kept: true},
-		"own failure":                  {raw: "HTTP/1.1 500 Oops\r\n" + named + "Content-Length: 4\r\n\r\noops", status: 500, body: "oops", kept: true},
-		"interim heads":                {raw: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok("fine"), status: 200, body: "fine", kept: true},
-		"says close":                   {raw: okWith("Connection: close", "fine"), status: 200, body: "fine"},
-		"says close among others":      {raw: okWith("Connection: x-y, Close", "fine"), status: 200, body: "fine"},
-		"old version":                  {raw: "HTTP/1.0 200 OK\r\n" + named + "Content-Length: 4\r\n\r\nfine", status: 200, body: "fine"},
-		"old version kept":             {raw: "HTTP/1.0 200 OK\r\n" + named + "Connection: keep-alive\r\nContent-Length: 4\r\n\r\nfine", status: 200, body: "fine"},
-		"bytes after it":               {raw: ok("fine") + "junk", status: 200, body: "fine"},
-		"answer after it":              {raw: ok("fine") + ok("more"), status: 200, body: "fine"},
-		"no idle time":                 {raw: okWith("Keep-Alive: timeout=0", "fine"), status: 200, body: "fine"},
-		"identity":                     {raw: okWith("Content-Encoding: identity", "fine"), status: 200, body: "fine", kept: true},
-		"bare line feeds":              {raw: "HTTP/1.1 200 OK\nQuery-Name: NAME\nContent-Length: 4\n\nfine", status: 200, body: "fine", kept: true},
-		"unnamed failure":              {raw: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", status: 500, kept: true},
-		"not run, but a success":       {raw: okWith("Not-Run: true", "fine"), status: 200, body: "fine", kept: true},
-		"refused":                      {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: true\r\nContent-Length: 4\r\n\r\nfull", send: refused, kept: true},
-		"refused in chunks":            {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n", send: refused, kept: true},
-		"refused, body is missing":     {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nContent-Length: 4\r\n\r\nfu", send: refused},
-		"refused, body is broken off":  {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nContent-Length: 4\r\n\r\nfu|RESET", send: refused},
-		"refused, body is long":        {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nContent-Length: 99999\r\n\r\n" + strings.Repeat("x", 99999), send: refused},
-		"refused, chunks without end":  {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n" + strings.Repeat("x", 0xffff) + "\r\n0\r\n\r\n", send: refused},
-		"refused, no length":           {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\n\r\nfull|CLOSE", send: refused},
-		"refused, says close":          {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n|CLOSE", send: refused},
-		"refused without a name":       {raw: "HTTP/1.1 400 No Name\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: refused, kept: true},
-		"refused, encoded":             {raw: "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", send: refused, kept: true},
-		"misdirected":                  {raw: "HTTP/1.1 421 Misdirected\r\n" + named + "Content-Length: 0\r\n\r\n", send: failure{kind: apierror.NotRun, misdirected: true}, kept: true},
-		"full, without a promise":      {raw: "HTTP/1.1 503 Full\r\n" + named + "Content-Length: 4\r\n\r\nfull", status: 503, body: "full", kept: true},
-		"unnamed success":              {raw: "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", send: lost},
-		"encoded":                      {raw: okWith("Content-Encoding: gzip", "fine"), send: failure{kind: apierror.RunnerFailure}},
-		"encoded twice":                {raw: okWith("Content-Encoding: identity, br", "fine"), send: failure{kind: apierror.RunnerFailure}},
-		"closed at once":               {raw: "|CLOSE", send: lost},
-		"reset at once":                {raw: "|RESET", send: lost},
-		"closed in the head":           {raw: "HTTP/1.1 200 OK\r\nQuery-Na|CLOSE", send: lost},
-		"reset in the head":            {raw: "HTTP/1.1 200|RESET", send: lost},
-		"garbage":                      {raw: "\x00\x01\x02 what\r\n\r\n|CLOSE", send: lost},
-		"other protocol":               {raw: "SSH-2.0-OpenSSH_9.6\r\n|CLOSE", send: lost},
-		"other version":                {raw: "HTTP/2.0 200 OK\r\n" + named + "Content-Length: 0\r\n\r\n", send: lost},
-		"status of two digits":         {raw: "HTTP/1.1 20 OK\r\n" + named + "\r\n", send: lost},
-		"status of letters":            {raw: "HTTP/1.1 abc OK\r\n" + named + "\r\n", send: lost},
-		"status too high":              {raw: "HTTP/1.1 999 OK\r\n" + named + "Content-Length: 0\r\n\r\n", send: lost},
-		"status too low":               {raw: "HTTP/1.1 099 OK\r\n" + named + "Content-Length: 0\r\n\r\n", send: lost},
-		"switching":                    {raw: "HTTP/1.1 101 Switching\r\n" + named + "\r\n", send: lost},
-		"header without colon":         {raw: "HTTP/1.1 200 OK\r\nnonsense\r\n\r\n", send: lost},
-		"two lengths":                  {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nfine!", send: lost},
-		"length below zero":            {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: -4\r\n\r\nfine", send: lost},
-		"unknown coding":               {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: odd\r\n\r\nfine", send: lost},
-		"large head":                   {raw: "HTTP/1.1 200 OK\r\n" + named + "X: " + strings.Repeat("x", maxHeadBytes) + "\r\nContent-Length: 0\r\n\r\n", send: lost},
-		"large status line":            {raw: "HTTP/1.1 200 " + strings.Repeat("x", maxHeadBytes) + "\r\n" + named + "Content-Length: 0\r\n\r\n", send: lost},
-		"head just below the bound":    {raw: okWith("X: "+strings.Repeat("x", maxHeadBytes-200), "fine"), status: 200, body: "fine", kept: true},
-		"interim heads without end":    {raw: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50) + ok("fine"), send: lost},
-		"length, closed early":         {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: 9\r\n\r\nfine|CLOSE", status: 200, body: "fine", read: lost},
-		"length, reset early":          {raw: "HTTP/1.1 200 OK\r\n" + named + "Content-Length: 9\r\n\r\nfine|RESET", status: 200, body: "fine", read: lost},
-		"chunks, closed early":         {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n|CLOSE", status: 200, body: "fine", read: lost},
-		"chunks, closed in a chunk":    {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\n\r\n9\r\nfine|CLOSE", status: 200, body: "fine", read: lost},
-		"chunks, closed after the 0":   {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n|CLOSE", status: 200, body: "fine", read: lost},
-		"chunks, then garbage":         {raw: "HTTP/1.1 200 OK\r\n" + named + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n", status: 200, body: "fine", read: lost},
-		"no length":                    {raw: "HTTP/1.1 200 OK\r\n" + named + "\r\nfine|CLOSE", status: 200, body: "fine", read: lost},
-		"an answer to another first":   {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + ok("fine"), status: 200, body: "fine"},
-		"two answers to others first":  {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 2) + ok("fine"), status: 200, body: "fine"},
-		"answers to others only":       {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 3) + ok("fine"), send: lost},
-		"another's refusal first":      {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n" + ok("fine"), status: 200, body: "fine"},
-		"another's refusal only":       {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lost},
-		"another's misdirection only":  {raw: "HTTP/1.1 421 Misdirected\r\nQuery-Name: q0\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lost},
-		"another's without end":        {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\n\r\nlate|CLOSE", send: lost},
-		"another's broken off":         {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nlate|CLOSE", send: lost},
-		"another's, then an unnamed":   {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: lost},
-		"another's, then ours refused": {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\n" + named + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", send: refused},
-		"two names":                    {raw: okWith("Query-Name: q0", "fine") + "|CLOSE", send: lost},
-	} {
+	for name, test := range responseCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				runner := newScriptedRunner([]string{test.raw, ok("second")})
 				pool := New(runner, testHeaders)
 				defer pool.Close()
-				method := test.method
-				if method == "" {
-					method = "POST"
-				}
-				response, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) { request.Method = method }))
-				if got := failureOf(err); got != test.send {
-					t.Fatalf("sending failed with %v, which is not %+v", err, test.send)
-				}
-				if err == nil {
-					body, err := io.ReadAll(response)
-					if got := failureOf(err); response.Status != test.status || string(body) != test.body || got != test.read {
-						t.Errorf("got %d, %q, %v", response.Status, body, err)
-					}
-					if _, again := response.Read(make([]byte, 1)); err == nil && again != io.EOF || err != nil && again != err {
-						t.Errorf("reading again gives %v after %v", again, err)
-					}
-					response.Close()
-				}
+				test.sendFirst(t, pool)
 				synctest.Wait()
 				if kept := pool.Stats().Idle == 1; kept != test.kept {
 					t.Errorf("kept: %v", kept)
 				}
-				if out := pool.Stats().InUse; out != 0 {
-					t.Errorf("%d connections are out", out)
+				if inUse := pool.Stats().InUse; inUse != 0 {
+					t.Errorf("%d connections are in use", inUse)
 				}
 				if !test.kept && !runner.made[0].closed() {
 					t.Error("the connection was not closed")
 				}
 				if _, body, err := sendAndRead(t, pool, testRequest("q2")); test.kept && (body != "second" || err != nil || runner.dials != 1) {
-					t.Errorf("the second query got %q, %v over %d connections", body, err, runner.dials)
+					t.Errorf("the second request got %q, %v over %d connections", body, err, runner.dials)
 				}
 			})
 		})
 	}
 }
 
+// sendFirst sends the first request and checks its response.
+func (test responseCase) sendFirst(t *testing.T, pool *Pool) {
+	t.Helper()
+	method := test.method
+	if method == "" {
+		method = "POST"
+	}
+	response, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) { request.Method = method }))
+	if got := failureOf(err); got != test.send {
+		t.Fatalf("sending failed with %v, which is not %+v", err, test.send)
+	}
+	if err != nil {
+		return
+	}
+	body, err := io.ReadAll(response)
+	if got := failureOf(err); response.Status != test.status || string(body) != test.body || got != test.read {
+		t.Errorf("got %d, %q, %v", response.Status, body, err)
+	}
+	if _, again := response.Read(make([]byte, 1)); err == nil && !isExactly(again, io.EOF) || err != nil && !isExactly(again, err) {
+		t.Errorf("reading again gives %v after %v", again, err)
+	}
+	response.Close()
+}
+
 func TestResponseMetadata(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runner := newScriptedRunner([]string{
@@ -273,10 +296,10 @@
 			t.Errorf("got %v", err)
 		}
 		if response.Status != 503 || *response.Load != (Load{64, 9, 64}) || response.Length != 0 {
-			t.Errorf("the refusal tells %+v", response)
+			t.Errorf("the rejection says %+v", response)
 		}
-		if count, err := response.Read(make([]byte, 9)); count != 0 || err != io.EOF {
-			t.Errorf("the refusal has a body: %d, %v", count, err)
+		if count, err := response.Read(make([]byte, 9)); count != 0 || !isExactly(err, io.EOF) {
+			t.Errorf("the rejection has a body: %d, %v", count, err)
 		}
 		response.Close()
 		if stats := pool.Stats(); stats != (Stats{Dials: 1, Reuses: 1, Idle: 1}) {
@@ -352,7 +375,7 @@
 		seen := testRequest("q1", func(request *Request) {
 			request.BeforeSend = func() error {
 				if looks++; len(runner.got()) != looks-1 {
-					t.Error("the query left before the look")
+					t.Error("the request was sent before BeforeSend")
 				}
 				return nil
 			}
@@ -363,20 +386,20 @@
 			}
 		}
 		for _, kept := range []error{apierror.NewRetryable(apierror.NotRun, "the runner left", "choose another", time.Second), errors.New("untyped")} {
-			refused := testRequest("q3", func(request *Request) { request.BeforeSend = func() error { return kept } })
-			_, _, err := sendAndRead(t, pool, refused)
+			rejected := testRequest("q3", func(request *Request) { request.BeforeSend = func() error { return kept } })
+			_, _, err := sendAndRead(t, pool, rejected)
 			if found := apierror.Of(err); !found.NeverSent || found.Lost || found.Kind != apierror.Of(kept).Kind || found.RetryAfter != apierror.Of(kept).RetryAfter {
 				t.Errorf("got %v", err)
 			}
 			if apierror.Of(kept).NeverSent {
-				t.Error("the look's own failure was changed")
+				t.Error("the error of BeforeSend was changed")
 			}
 		}
-		// On a new connection as on a kept one, which is as good as before.
+		// The same on a new connection. The connection that was not written to is kept.
 		pool.Retain(nil)
 		_, _, err := sendAndRead(t, pool, testRequest("q4", func(request *Request) { request.BeforeSend = func() error { return errors.New("no") } }))
 		if err == nil || len(runner.got()) != 2 {
-			t.Errorf("%v, %d queries left", err, len(runner.got()))
+			t.Errorf("%v, %d requests were sent", err, len(runner.got()))
 		}
 		if stats := pool.Stats(); stats != (Stats{Dials: 2, Reuses: 1, Idle: 1}) {
 			t.Errorf("stats %+v", stats)
@@ -387,19 +410,19 @@
 func TestTimeoutAndCancellation(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
-		give   bool // the caller gives up after a second
+		give   bool // the caller cancels after a second
 		body   string
 		send   failure
 		read   failure
 		after  time.Duration
 	}{
-		"silent to the deadline":          {answer: "", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent, given up":                {answer: "", give: true, send: failure{kind: apierror.Cancelled}, after: time.Second},
-		"silent in the body":              {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent in the body, given up":    {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", give: true, read: failure{kind: apierror.Cancelled}, after: time.Second},
-		"silent in a chunk":               {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent in the body of another":   {answer: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nfine", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent in the body of a refusal": {answer: "HTTP/1.1 503 Full\r\nQuery-Name: NAME\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\nfu", send: failure{kind: apierror.NotRun}, after: rejectionTimeout},
+		"silent to the deadline":            {answer: "", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent, given up":                  {answer: "", give: true, send: failure{kind: apierror.Cancelled}, after: time.Second},
+		"silent in the body":                {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent in the body, given up":      {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", give: true, read: failure{kind: apierror.Cancelled}, after: time.Second},
+		"silent in a chunk":                 {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent in the body of another":     {answer: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nfine", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent in the body of a rejection": {answer: "HTTP/1.1 503 Full\r\nQuery-Name: NAME\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\nfu", send: failure{kind: apierror.NotRun}, after: rejectionTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -428,7 +451,7 @@
 				}
 				synctest.Wait()
 				if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
-					t.Errorf("the connection stays: %+v", pool.Stats())
+					t.Errorf("the connection is still open: %+v", pool.Stats())
 				}
 			})
 		})
@@ -453,12 +476,12 @@
 			t.Errorf("got %q, %v over %d connections", body, err, runner.dials)
 		}
 		if _, err := pool.Send(ctx, testRequest("q3")); failureOf(err) != (failure{kind: apierror.Cancelled, neverSent: true}) {
-			t.Errorf("an ended context sent a query: %v", err)
+			t.Errorf("a request was sent with an ended context: %v", err)
 		}
 	})
 }
 
-// TestCancellationAtAnyTime ends the context when the query is at a certain point.
+// TestCancellationAtAnyTime cancels the context at certain points of a request.
 func TestCancellationAtAnyTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		dialled, looked, read bool
@@ -501,7 +524,7 @@
 				}
 				synctest.Wait()
 				if kept := pool.Stats().Idle == 1; len(runner.got()) != test.requested || kept != test.dialled || kept == runner.made[0].closed() {
-					t.Errorf("%d queries came, stats %+v", len(runner.got()), pool.Stats())
+					t.Errorf("%d requests arrived, stats %+v", len(runner.got()), pool.Stats())
 				}
 				cancel()
 			})
@@ -509,7 +532,7 @@
 	}
 }
 
-// TestRequestWithoutID is what a question for a runner's health is.
+// TestRequestWithoutID: health checks have no ID.
 func TestRequestWithoutID(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
--- a/system/runnerpool/tcp_test.go
+++ b/system/runnerpool/tcp_test.go
@@ -69,18 +69,18 @@
 			made.SetDeadline(time.Now().Add(time.Minute))
 			quiet := made.isIdle()
 			for quiet && !test.quiet {
-				runtime.Gosched() // until it arrives; a look at nothing takes nothing away
+				runtime.Gosched() // until it arrives; a probe that finds nothing changes nothing
 				quiet = made.isIdle()
 			}
 			if quiet != test.quiet || made.closedByRunner != test.ended {
-				t.Errorf("quiet %v, ended %v", quiet, made.closedByRunner)
+				t.Errorf("idle %v, closed by the runner %v", quiet, made.closedByRunner)
 			}
 		})
 	}
 }
 
-// TestRejectionOfLongRequestOverTCP has the runner close with unread bytes, which resets
-// the connection behind the refusal.
+// TestRejectionOfLongRequestOverTCP: the runner closes with unread bytes, which resets the
+// connection behind the rejection.
 func TestRejectionOfLongRequestOverTCP(t *testing.T) {
 	const rejection = "HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	read := make(chan struct{})
@@ -119,15 +119,15 @@
 		defer connection.Close()
 		reader := bufio.NewReader(connection)
 		for {
-			query, err := http.ReadRequest(reader)
+			received, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			read, err := io.ReadAll(query.Body)
+			read, err := io.ReadAll(received.Body)
 			if err != nil {
 				return
 			}
-			io.WriteString(connection, strings.ReplaceAll(ok(string(read)), "NAME", query.Header.Get("Query-Name")))
+			io.WriteString(connection, strings.ReplaceAll(ok(string(read)), "NAME", received.Header.Get("Query-Name")))
 		}
 	})
 	pool := New(link.TCP{UserTimeout: time.Minute}, testHeaders)
@@ -161,10 +161,10 @@
 	}
 }
 
-// BenchmarkSend asks a runner on the real network that costs next to nothing itself.
+// BenchmarkSend sends to a runner on the real network whose own cost is negligible.
 func BenchmarkSend(b *testing.B) {
 	for name, way := range map[string]func(context.Context) (context.Context, context.CancelFunc){
-		"plain": func(ctx context.Context) (context.Context, context.CancelFunc) {
+		"plain": func(context.Context) (context.Context, context.CancelFunc) {
 			return context.Background(), func() {}
 		},
 		"cancellable": context.WithCancel,
@@ -202,7 +202,7 @@
 				for err == nil {
 					_, err = response.Read(buffer)
 				}
-				if err != io.EOF {
+				if !isExactly(err, io.EOF) {
 					b.Fatal(err)
 				}
 				response.Close()
@@ -215,7 +215,7 @@
 	}
 }
 
-// BenchmarkEventReader splits a stream that comes in pieces of two events.
+// BenchmarkEventReader splits a stream that arrives in pieces of two events.
 func BenchmarkEventReader(b *testing.B) {
 	one := []byte("id: 17\ndata: " + strings.Repeat("x", 120) + "\n\nid: 18\ndata: " + strings.Repeat("y", 120) + "\n\n")
 	events := NewEventReader(sameAgain(one))
@@ -227,7 +227,7 @@
 	}
 }
 
-// sameAgain is a reader that gives the same bytes with each read, for ever.
+// sameAgain is a reader that returns the same bytes with each read, without end.
 type sameAgain []byte
 
 func (same sameAgain) Read(target []byte) (int, error) { return copy(target, same), nil }
