--- a/system/balancer/balancer_test.go
+++ b/system/balancer/balancer_test.go
@@ -19,7 +19,7 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// fakeClock is a clock that tests move by hand.
+// fakeClock is a clock that tests advance by hand.
 type fakeClock struct{ time time.Time }
 
 func newFakeClock() *fakeClock { return &fakeClock{time: time.Unix(1_000_000, 0)} }
@@ -81,8 +81,8 @@
 		allowed map[string]bool
 	}{
 		{"all", func(*State) {}, nil, map[string]bool{"plain-0": true, "plain-1": true, "plain-2": true}},
-		{"one leaves", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, nil, map[string]bool{"plain-1": true, "plain-2": true}},
-		{"a domain is emptied", func(state *State) {
+		{"one is draining", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, nil, map[string]bool{"plain-1": true, "plain-2": true}},
+		{"a domain is drained", func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "north", State: feed.StateDrained}}
 		}, nil, map[string]bool{"plain-0": true, "plain-2": true}},
 		{"two were tried", func(*State) {}, []string{"plain-0", "plain-1"}, map[string]bool{"plain-2": true}},
@@ -107,7 +107,7 @@
 				lease, err := balancer.Acquire(context.Background(), Request{Route: &route, Excluded: one.avoid})
 				if len(one.allowed) == 0 {
 					if failed := apierror.Of(err); failed.Kind != apierror.NotRun || failed.RetryAfter <= 0 {
-						t.Fatalf("want a refusal that tells when to come back, got %v", err)
+						t.Fatalf("want a rejection with a retry delay, got %v", err)
 					}
 					continue
 				}
@@ -126,17 +126,17 @@
 		stands bool
 	}{
 		{"nothing changed", func(*State) {}, true},
-		{"the runner leaves", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, false},
-		{"the runner is gone", func(state *State) { state.View.Runners = nil }, false},
+		{"the runner is draining", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, false},
+		{"the runner is not listed", func(state *State) { state.View.Runners = nil }, false},
 		{"another life has its address", func(state *State) { state.View.Runners[0].Life = "other" }, false},
-		{"its domain is emptied", func(state *State) { state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}} }, false},
+		{"its domain is drained", func(state *State) { state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}} }, false},
 		{"the route goes elsewhere", func(state *State) {
 			state.Routing.Routes[0].Shares = []config.WeightedService{{Service: "other", Weight: 1}}
 		}, false},
 		{"the weight is zero", func(state *State) { state.Routing.Routes[0].Shares = []config.WeightedService{{Service: "plain"}} }, false},
-		{"the route is gone", func(state *State) { state.Routing.Routes = nil }, false},
+		{"the route is removed", func(state *State) { state.Routing.Routes = nil }, false},
 		{"the route has another prefix", func(state *State) { state.Routing.Routes[0].Prefix = "/other/" }, false},
-		{"the service is gone", func(state *State) { state.Routing.Services = nil }, false},
+		{"the service is removed", func(state *State) { state.Routing.Services = nil }, false},
 		{"only the time-out changed", func(state *State) { state.Routing.Routes[0].Timeout *= 2 }, true},
 	}
 	for _, one := range cases {
@@ -149,7 +149,7 @@
 			one.change(&later)
 			balancer.Update(later)
 			if lease.Valid() != one.stands {
-				t.Fatalf("stands: %v", lease.Valid())
+				t.Fatalf("valid: %v", lease.Valid())
 			}
 			lease.Release(NotSent, nil)
 		})
@@ -244,11 +244,11 @@
 		lease.Release(Answered, &runnerpool.Load{Running: 1, Slots: 6})
 	}
 	if out := totalInFlight(balancer); out != 1 {
-		t.Fatalf("%d out", out)
+		t.Fatalf("%d in flight", out)
 	}
 	other.Release(Cancelled, nil)
 	if out := totalInFlight(balancer); out != 0 {
-		t.Fatalf("%d out", out)
+		t.Fatalf("%d in flight", out)
 	}
 }
 
@@ -262,7 +262,7 @@
 
 func TestLeasesNeverLeak(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261203))
-	properties.Property("what is out is what was not released", prop.ForAll(func(steps []int) string {
+	properties.Property("in flight are the leases that were not released", prop.ForAll(func(steps []int) string {
 		route := routeTo(config.WeightedService{Service: "model", Weight: 2}, config.WeightedService{Service: "plain", Weight: 1})
 		runners := append(runnersOf("model", 5, 2), runnersOf("plain", 4, 1)...)
 		state := stateOf([]config.Service{modelService(4), plainService()}, route, runners, 2)
@@ -296,11 +296,11 @@
 		balancer.Update(state)
 		for key, one := range balancer.runners {
 			if one.inFlight != 0 || one.pendingPrefill > 1e-6 || one.health.probesInFlight != 0 {
-				return fmt.Sprintf("%s: %d out, %v unread, %d trials", key, one.inFlight, one.pendingPrefill, one.health.probesInFlight)
+				return fmt.Sprintf("%s: %d in flight, %v tokens pending, %d probes", key, one.inFlight, one.pendingPrefill, one.health.probesInFlight)
 			}
 		}
 		if len(balancer.queue) != 0 {
-			return "someone waits"
+			return "a request waits"
 		}
 		return ""
 	}, gen.SliceOfN(300, gen.IntRange(0, 1000))))
@@ -343,7 +343,7 @@
 	clock := newFakeClock()
 	balancer := New("east", 1, clock.now)
 	balancer.Update(stateOf([]config.Service{modelService(0)}, route, runnersOf("model", 12, 32), 6))
-	parts := []PromptPart{{"opening", 2560}, {"p/1", 900}}
+	parts := []PromptPart{{"prefix", 2560}, {"p/1", 900}}
 	first := mustAcquire(t, balancer, Request{Route: &route, Program: "p", Session: "s", PromptParts: parts, Excluded: []string{"model-0"}})
 	first.FirstEvent(100 * time.Millisecond)
 	first.Release(Answered, nil)
@@ -352,7 +352,7 @@
 		parts = append(parts, PromptPart{fmt.Sprintf("p/%d", turn+2), 500})
 		lease := mustAcquire(t, balancer, Request{Route: &route, Program: "p", Session: fmt.Sprint("helper", turn), PromptParts: parts})
 		if lease.Runner.Life != first.Runner.Life {
-			t.Fatalf("turn %d went to %s, its parts are at %s", turn, lease.Runner.Life, first.Runner.Life)
+			t.Fatalf("turn %d went to %s, its parts are cached at %s", turn, lease.Runner.Life, first.Runner.Life)
 		}
 		lease.Release(Answered, nil)
 	}
@@ -362,7 +362,7 @@
 		balancer.mutex.Unlock()
 	}
 	if lease := mustAcquire(t, balancer, Request{Route: &route, Program: "p", PromptParts: parts}); lease.Runner.Life == first.Runner.Life {
-		t.Fatal("a full runner was chosen for its parts")
+		t.Fatal("a full runner was chosen for its cached parts")
 	}
 }
 
@@ -371,7 +371,7 @@
 	state := stateOf([]config.Service{modelService(0)}, route, runnersOf("model", 12, 32), 6)
 	agreed, near := 0, 0
 	for program := range 100 {
-		request := Request{Route: &route, Program: fmt.Sprint(program), PromptParts: []PromptPart{{"opening", 2560}, {fmt.Sprint("p", program), 900}}}
+		request := Request{Route: &route, Program: fmt.Sprint(program), PromptParts: []PromptPart{{"prefix", 2560}, {fmt.Sprint("p", program), 900}}}
 		lives := map[string]bool{}
 		for seed := range uint64(4) {
 			balancer := New("east", seed, newFakeClock().now)
@@ -398,10 +398,10 @@
 		cached.put(1, 1)
 	}
 	if _, found := cached.get(1); !found {
-		t.Fatal("what is used again and again was forgotten")
+		t.Fatal("an entry in regular use was dropped")
 	}
 	if _, found := cached.get(2); found || len(cached.newer)+len(cached.older) > 2*cacheGenerationSize {
-		t.Fatalf("%d are kept", len(cached.newer)+len(cached.older))
+		t.Fatalf("%d entries are kept", len(cached.newer)+len(cached.older))
 	}
 }
 
@@ -460,10 +460,10 @@
 		_, err := balancer.Acquire(t.Context(), Request{Route: &route, Deadline: began.Add(time.Second)})
 		held := time.Since(began)
 		if failed := apierror.Of(err); failed.Kind != apierror.NotRun || failed.RetryAfter <= 0 || held >= time.Duration(route.FirstByteTarget)/4 {
-			t.Fatalf("refused after %v: %v", held, err)
+			t.Fatalf("rejected after %v: %v", held, err)
 		}
 		if out := totalInFlight(balancer); out != queueFactor {
-			t.Fatalf("%d out", out)
+			t.Fatalf("%d in flight", out)
 		}
 	})
 }
--- a/system/balancer/outlier_ejection_test.go
+++ b/system/balancer/outlier_ejection_test.go
@@ -22,7 +22,7 @@
 	return balancer, clock, Request{Route: &route}
 }
 
-// mustAcquireAt acquires until it gets a runner, and gives the others back.
+// mustAcquireAt acquires a lease on a certain runner by excluding all others.
 func mustAcquireAt(t *testing.T, balancer *Balancer, request Request, life string) *Lease {
 	t.Helper()
 	for _, one := range balancer.Status().Runners {
@@ -38,14 +38,14 @@
 		name     string
 		outcomes []Outcome
 		latency  time.Duration
-		away     time.Duration // how long at least
-		back     time.Duration // how long at most
-		forgiven bool          // no difference is made
+		away     time.Duration // without work for this long at least
+		back     time.Duration // and this much longer at most
+		forgiven bool          // the outcomes have no consequence
 	}{
 		{"answers", []Outcome{Answered, Answered, Answered}, 20 * time.Millisecond, 0, 0, true},
 		{"unused", []Outcome{NotSent, NotSent}, 0, 0, 0, true},
-		{"given up early", []Outcome{Cancelled}, 20 * time.Millisecond, 0, 0, true},
-		{"refused", []Outcome{Rejected}, time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, false},
+		{"cancelled early", []Outcome{Cancelled}, 20 * time.Millisecond, 0, 0, true},
+		{"rejected", []Outcome{Rejected}, time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, false},
 		{"lost once", []Outcome{Lost}, time.Millisecond, 200 * time.Millisecond, 8 * time.Second, false},
 		{"lost again", []Outcome{Lost, Lost, Lost}, time.Millisecond, 2 * time.Second, 40 * time.Second, false},
 		{"failed often", []Outcome{Failed, Failed, Failed, Failed}, 20 * time.Millisecond, 900 * time.Millisecond, 60 * time.Second, false},
@@ -65,7 +65,7 @@
 				clock.advance(one.latency)
 				lease.Release(outcome, nil)
 			}
-			// gets tells whether the runner gets one of 24 that are out at the same time.
+			// gets reports whether the runner gets one of 24 requests in flight together.
 			gets := func() bool {
 				found := false
 				var out []*Lease
@@ -119,7 +119,7 @@
 			out = append(out, lease)
 		}
 		if trials != 1 {
-			t.Fatalf("%d queries out at once at trial %d", trials, trial)
+			t.Fatalf("%d requests in flight at once at probe %d", trials, trial)
 		}
 		clock.advance(20 * time.Millisecond)
 		for _, lease := range out {
@@ -133,7 +133,7 @@
 		}
 	}
 	if got < 3 {
-		t.Fatalf("after its trials it has %d of 30", got)
+		t.Fatalf("after its probes it has %d of 30", got)
 	}
 }
 
@@ -142,7 +142,7 @@
 	lease := mustAcquireAt(t, balancer, request, "plain-0")
 	lease.Release(Misdirected, nil)
 	if lease.Valid() {
-		t.Fatal("it still stands")
+		t.Fatal("the lease is still valid")
 	}
 	for range 3 {
 		clock.advance(time.Minute)
@@ -157,7 +157,7 @@
 
 func TestEjectionLeavesEnoughRunners(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261205))
-	properties.Property("never more than a third is ejected, nor more than the demand spares", prop.ForAll(func(seed uint64, runners, held int) string {
+	properties.Property("never more than a third is ejected, nor more than the demand allows", prop.ForAll(func(seed uint64, runners, held int) string {
 		random := rand.New(rand.NewPCG(seed, 2))
 		balancer, clock, request := newPlainBalancer(runners, 2)
 		for range min(held, 4*runners) {
@@ -167,7 +167,7 @@
 			clock.advance(time.Duration(random.IntN(40)) * time.Millisecond)
 			lease, err := balancer.Acquire(context.Background(), Request{Route: request.Route, Deadline: clock.now()})
 			if err != nil {
-				return "refused though a runner is there: " + err.Error()
+				return "rejected though a runner is usable: " + err.Error()
 			}
 			lease.Release(Failed, nil)
 			ejected, slots := 0, 0
@@ -190,13 +190,14 @@
 	properties.TestingRun(t)
 }
 
-// plainRunner is a plain runner: some slots, a short queue, slower when nearly full.
+// plainRunner simulates a runner of plain work: some slots, a short queue, slower when
+// nearly full.
 type plainRunner struct {
 	sim          *simulation
 	speed        float64
 	running      int
 	waiting      []func()
-	failureRatio float64 // part of its queries that fail
+	failureRatio float64 // fraction of its requests that fail
 	down         bool
 	completed    int
 }
@@ -244,7 +245,7 @@
 	slow, fails             float64 // of the first runner
 	down                    bool    // whether the second runner flaps
 	random                  bool
-	waited, bad, worstFirst float64 // bounds: mean over work, part that went wrong, part of the first runner
+	waited, bad, worstFirst float64 // bounds: mean latency over work, fraction that failed, fraction served by the first runner
 }
 
 type plainResult struct {
@@ -290,7 +291,7 @@
 		balancer.Update(state)
 		balancers = append(balancers, balancer)
 	}
-	idle := map[string][]float64{} // since when connections are, by front and runner
+	idle := map[string][]float64{} // since when connections are idle, by front and runner
 	var arrive func()
 	arrive = func() {
 		sim.schedule(sim.random.ExpFloat64()*1000/setup.rate, arrive)
@@ -355,7 +356,7 @@
 			t.Logf("chosen:    %v", chosen)
 			t.Logf("by chance: %v", chance)
 			if waited > setup.waited || float64(chosen.unsuccessful) > setup.bad*float64(chosen.requested) || part > setup.worstFirst || chosen.connectionsOpened > chance.connectionsOpened {
-				t.Error("worse than it should be")
+				t.Error("a bound is exceeded, or more connections than at random")
 			}
 		})
 	}
--- a/system/balancer/simulation_test.go
+++ b/system/balancer/simulation_test.go
@@ -13,8 +13,9 @@
 	"yardrock.example/system/config"
 )
 
-// A small world of programs, fronts and model runners that batch, read prompts between
-// steps and keep the parts used last. Times are milliseconds.
+// A discrete-event simulation of programs, fronts and model runners. The runners batch
+// requests, process prompts in chunks between generation steps and cache the prompt parts
+// used last. Times are in milliseconds.
 
 type event struct {
 	at   float64
@@ -60,12 +61,12 @@
 	sim.now = until
 }
 
-// spread gives a value around a mean, log-normally.
+// spread draws from a log-normal distribution with a mean.
 func (sim *simulation) spread(mean, by float64) float64 {
 	return mean * math.Exp(by*sim.random.NormFloat64()-by*by/2)
 }
 
-// modelRunner is a model runner.
+// modelRunner simulates a runner that serves an LLM.
 type modelRunner struct {
 	sim                                    *simulation
 	slots, chunk                           int
@@ -165,7 +166,7 @@
 	}
 }
 
-// deployment is what a run of the world is made of.
+// deployment are the parameters of a simulation.
 type deployment struct {
 	name                          string
 	runners, slots, cache, fronts int
@@ -173,7 +174,7 @@
 	programs                      float64 // a second
 	turns, think, newTokens       float64
 	helpers                       float64
-	stays                         float64 // part of the turns that come through the program's first front
+	stays                         float64 // fraction of the turns that come through the program's first front
 	slowRunner                    float64
 	random                        bool // choose at random
 	seconds                       float64
@@ -181,7 +182,7 @@
 
 type simulationResult struct {
 	turns, rejected, crossDomain int
-	prefillTokens, tokens        int // beyond what nobody can have kept
+	prefillTokens, tokens        int // not cached, and of all prompts
 	firstEventLatencies, ratios  []float64
 	peak                         int // arrivals at one runner in one second
 	perRunner                    map[string]int
@@ -206,12 +207,12 @@
 }
 
 func (result *simulationResult) String() string {
-	return fmt.Sprintf("turns %d refused %d far %.2f kept %.3f first mean %.1f p90 %.1f p99 %.1f program mean %.3f p90 %.3f most %d slow %d connections %d",
+	return fmt.Sprintf("turns %d rejected %d cross-domain %.2f cached %.3f first mean %.1f p90 %.1f p99 %.1f program mean %.3f p90 %.3f most %d slow %d connections %d",
 		result.turns, result.rejected, float64(result.crossDomain)/float64(result.turns), 1-float64(result.prefillTokens-result.newTokens)/float64(max(1, result.tokens-result.newTokens)),
 		result.meanFirstEvent(), quantile(result.firstEventLatencies, 0.9), quantile(result.firstEventLatencies, 0.99), mean(result.ratios), quantile(result.ratios, 0.9), result.peak, result.slowTurns, result.connectionsOpened)
 }
 
-// simulateModel runs a deployment.
+// simulateModel simulates a deployment of model runners.
 func simulateModel(seed uint64, setup deployment) *simulationResult {
 	sim := &simulation{random: rand.New(rand.NewPCG(seed, 3))}
 	began := time.Unix(1_000_000, 0)
@@ -244,7 +245,7 @@
 	for at := range prefixWeights {
 		prefixWeights[at] = math.Pow(float64(at/2+1), -0.7)
 	}
-	idle := map[string][]float64{} // since when connections are, by front and runner
+	idle := map[string][]float64{} // since when connections are idle, by front and runner
 	var take func(program, session string, front int, home []int, parts []PromptPart, left int, done func())
 	take = func(program, session string, front int, home []int, parts []PromptPart, left int, done func()) {
 		if left == 0 {
@@ -342,7 +343,7 @@
 			prefix++
 		}
 		turns, started := max(1, int(sim.spread(setup.turns, 0.4))), sim.now
-		take(name, name, home[sim.random.IntN(len(home))], home, []PromptPart{{fmt.Sprint("opening-", prefix), 2560}}, turns, func() {
+		take(name, name, home[sim.random.IntN(len(home))], home, []PromptPart{{fmt.Sprint("prefix-", prefix), 2560}}, turns, func() {
 			idle := float64(turns) * (setup.think + setup.first + setup.newTokens/38 + 34*(setup.stepTime+setup.perSlot))
 			result.ratios = append(result.ratios, (sim.now-started)/idle)
 		})
@@ -376,10 +377,10 @@
 			t.Logf("chosen:    %v", chosen)
 			t.Logf("by chance: %v", byChance)
 			if chosen.meanFirstEvent() > 0.8*byChance.meanFirstEvent() || mean(chosen.ratios) > mean(byChance.ratios) {
-				t.Errorf("choosing does not help")
+				t.Errorf("choosing is not better than chance")
 			}
 			if chosen.rejected > 0 {
-				t.Errorf("%d turns were refused", chosen.rejected)
+				t.Errorf("%d turns were rejected", chosen.rejected)
 			}
 		})
 	}
--- a/system/balancer/slow_start_test.go
+++ b/system/balancer/slow_start_test.go
@@ -18,7 +18,7 @@
 	"yardrock.example/system/feed"
 )
 
-// The most that arrives at a cold runner in any one second, over all fronts.
+// peakPerSecond returns the largest number of arrivals in any one second.
 func peakPerSecond(arrivals []time.Time) int {
 	peak, start := 0, 0
 	for at := range arrivals {
@@ -30,9 +30,9 @@
 	return peak
 }
 
-// simulateSlowStart lets many fronts press on cold runners while fronts come and go; each front
-// hears of it up to a second late. It gives the most that one runner got in a second,
-// and how much was sent altogether.
+// simulateSlowStart has many fronts send as much as they can to runners in slow start,
+// while fronts come and go; each front hears of that up to a second late. It returns the
+// largest number of requests that a runner got in a second and the number sent in all.
 func simulateSlowStart(seed uint64, fronts int, rate float64, names, changing bool) (peak, sent int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	clock := newFakeClock()
@@ -110,7 +110,7 @@
 	parameters := gopter.DefaultTestParametersWithSeed(20261204)
 	parameters.MinSuccessfulTests = 30
 	properties := gopter.NewProperties(parameters)
-	properties.Property("in every second a cold runner gets less than the bound from all fronts", prop.ForAll(func(seed uint64, fronts int, rate float64, names, coming bool) string {
+	properties.Property("in any second a runner in slow start gets no more than the limit from all fronts", prop.ForAll(func(seed uint64, fronts int, rate float64, names, coming bool) string {
 		peak, _ := simulateSlowStart(seed, fronts, rate, names, coming)
 		if float64(peak) > slowStartExcess*rate+slowStartSlack {
 			return fmt.Sprintf("%d fronts sent %d in a second, the rate is %v", fronts, peak, rate)
@@ -125,7 +125,7 @@
 		fronts int
 		rate   float64
 		names  bool
-		part   float64 // of what three runners bear in ten seconds
+		part   float64 // of the warm-up rate of three runners in ten seconds
 	}{{1, 19, true, 0.7}, {6, 22, true, 0.7}, {6, 22, false, 0.7}, {72, 19, true, 0.6}, {3, 0.5, true, 0.3}} {
 		peak, sent := simulateSlowStart(7, one.fronts, one.rate, one.names, false)
 		if float64(sent) < one.part*30*one.rate {
@@ -145,17 +145,17 @@
 		{"the list says so", func(*State) {}, func(state *State) { state.View.Runners[0].WarmUpLeft = time.Second }, true},
 		{"its state says so", func(*State) {}, func(state *State) { state.View.Runners[0].State = feed.StateWarmingUp }, true},
 		{"it has a new life", func(*State) {}, func(state *State) { state.View.Runners[0].Life = "new" }, true},
-		{"its domain was refilled", func(state *State) {
+		{"its domain was restored", func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
 		}, func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateServing}}
 		}, true},
-		{"its domain was emptied and refilled between two views", func(state *State) {
+		{"its domain was drained and restored between two views", func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateServing, Since: 1}}
 		}, func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateServing, Since: 9}}
 		}, true},
-		{"another domain was refilled", func(state *State) {
+		{"another domain was restored", func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "west", State: feed.StateDrained}}
 		}, func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "west", State: feed.StateServing}}
@@ -163,7 +163,7 @@
 		{"it left the list for a while", func(state *State) {}, func(state *State) {
 			state.View.Runners = state.View.Runners[1:]
 		}, false},
-		{"its service bears any rate", func(*State) {}, func(state *State) {
+		{"its service has no warm-up rate", func(*State) {}, func(state *State) {
 			state.View.Runners[0].State = feed.StateWarmingUp
 			state.Routing.Services[0].WarmUpRate = 0
 		}, false},
@@ -188,12 +188,12 @@
 				slowStart = slowStart || runner.SlowStart && runner.Runner.Domain == "east"
 			}
 			if slowStart != one.slowStart {
-				t.Fatalf("cold: %v", slowStart)
+				t.Fatalf("slow start: %v", slowStart)
 			}
 			clock.advance(3100 * time.Millisecond)
 			for _, runner := range balancer.Status().Runners {
 				if runner.SlowStart {
-					t.Fatalf("%s is still cold", runner.Runner.Life)
+					t.Fatalf("%s is still in slow start", runner.Runner.Life)
 				}
 			}
 		})
@@ -223,7 +223,7 @@
 		name  string
 		steps []step
 	}{
-		{"the same again is nothing new", []step{
+		{"an unchanged reading restarts nothing", []step{
 			{0, listed(feed.StateWarmingUp, 3*time.Second, 1), true},
 			{2 * time.Second, listed(feed.StateWarmingUp, 3*time.Second, 1), true},
 			{1100 * time.Millisecond, listed(feed.StateWarmingUp, 3*time.Second, 1), false},
@@ -232,13 +232,13 @@
 			{0, listed(feed.StateWarmingUp, 30*time.Second, 1), true},
 			{2 * time.Second, listed(feed.StateServing, 0, 2), false},
 		}},
-		{"it is cold again", []step{
+		{"it warms up again", []step{
 			{0, listed(feed.StateWarmingUp, 3*time.Second, 1), true},
 			{2 * time.Second, listed(feed.StateWarmingUp, 2900*time.Millisecond, 1), true},
 			{2800 * time.Millisecond, listed(feed.StateWarmingUp, 2900*time.Millisecond, 1), true},
 			{200 * time.Millisecond, listed(feed.StateWarmingUp, 2900*time.Millisecond, 1), false},
 		}},
-		{"after a refill the list is behind", []step{
+		{"after a restore the list is out of date", []step{
 			{0, domain(feed.StateDrained, 1), false},
 			{time.Second, both(domain(feed.StateServing, 2), listed(feed.StateWarmingUp, time.Second, 1)), true},
 			{time.Second, both(domain(feed.StateServing, 2), listed(feed.StateServing, 0, 2)), true},
@@ -258,7 +258,7 @@
 				step.change(&state)
 				balancer.Update(state)
 				if slowStart := balancer.runners["model-0"].slowStart.active(balancer.elapsed()); slowStart != step.slowStart {
-					t.Fatalf("step %d: cold is %v", at, slowStart)
+					t.Fatalf("step %d: slow start is %v", at, slowStart)
 				}
 			}
 		})
@@ -285,9 +285,9 @@
 	}
 }
 
-// TestStaleRunnerListLimitsAllFronts lets many fronts press on runners that the list shows
-// as serving, and counts what comes in a second once the list is too old to tell. Its next
-// reading ends that.
+// TestStaleRunnerListLimitsAllFronts has many fronts send as much as they can to runners
+// that the list shows as serving, and checks the slow-start limit once the list is too old
+// to be trusted. The next reading ends that.
 func TestStaleRunnerListLimitsAllFronts(t *testing.T) {
 	for _, one := range []struct {
 		fronts int
@@ -340,8 +340,8 @@
 	}
 }
 
-// TestRequestsWaitForFirstRunnerList: a front that has just started does not know
-// which runners are cold; those who ask it wait a little, but not for long.
+// TestRequestsWaitForFirstRunnerList: a front that has just started does not know which
+// runners warm up; requests wait for its first reading of the list, but not for long.
 func TestRequestsWaitForFirstRunnerList(t *testing.T) {
 	for name, comes := range map[string]bool{"it comes": true, "it does not come": false} {
 		t.Run(name, func(t *testing.T) {
--- a/system/daemon/daemon_test.go
+++ b/system/daemon/daemon_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// TestMain plays a daemon whose start takes until its standard input says so.
+// TestMain is a daemon that has started once it reads a line, if the environment asks for
+// one; otherwise it runs the tests.
 func TestMain(m *testing.M) {
 	if os.Getenv("PLAY_DAEMON") == "" {
 		os.Exit(m.Run())
@@ -27,8 +28,8 @@
 	}, func() ([]string, error) { return []string{"a", "b", "c"}, nil })
 }
 
-// TestHangupDuringStartReloadsSettings sends SIGHUP and
-// then SIGTERM before the start is done.
+// TestHangupDuringStartReloadsSettings sends SIGHUP before the daemon has started, and
+// SIGTERM after it has reloaded.
 func TestHangupDuringStartReloadsSettings(t *testing.T) {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), "PLAY_DAEMON=1")
--- a/system/querylanguage/querylanguage_test.go
+++ b/system/querylanguage/querylanguage_test.go
@@ -15,7 +15,7 @@
 	"yardrock.example/system/apierror"
 )
 
-// generateStatement draws a statement from numbers.
+// generateStatement builds a statement from drawn numbers.
 func generateStatement(kind, first, second int, flag bool) *Statement {
 	name := []string{"east", "store-1f", "talk", "a_b", "z9"}[first%5]
 	other := []string{"small", "large", "x-y"}[second%3]
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestOperatorsPageExamplesParse parses the examples of the docs.
+// TestOperatorsPageExamplesParse parses the examples of the operators' page.
 func TestOperatorsPageExamplesParse(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators.md")
 	if err != nil {
--- a/system/scheduler/scheduler_test.go
+++ b/system/scheduler/scheduler_test.go
@@ -108,12 +108,12 @@
 		began := time.Now()
 		go ask("normal")
 		if got := <-order; got != "not_run 1s" || time.Since(began) != 2*time.Second {
-			t.Fatalf("after its patience: %s in %s", got, time.Since(began))
+			t.Fatalf("after the queue timeout: %s in %s", got, time.Since(began))
 		}
 		held.Release(Answered)
 		state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
 		if _, err := scheduler.Acquire(t.Context(), talk, "depot"); !apierror.Is(err, apierror.NotRun) {
-			t.Fatalf("an emptied domain got work: %v", err)
+			t.Fatalf("a drained domain got work: %v", err)
 		}
 	})
 }
