--- a/system/wire/archive.go
+++ b/system/wire/archive.go
@@ -1,58 +1,64 @@
 package wire
 
 import (
-	"errors"
-
-	"yardrock.example/system/wire/schema"
+	"yardrock.example/system/sessionlog"
 )
 
-func encodeChunk(target schema.ColdChunk, value *ArchiveChunk) error {
-	target.SetGroup(value.Group)
-	target.SetFirst(value.First)
-	target.SetLast(value.Last)
-	target.SetExpires(value.ExpiresAt)
-	if err := target.SetLine(value.Session); err != nil {
-		return err
-	}
-	events, err := target.NewEvents(int32(len(value.Events)))
-	return encodeList(events, err, value.Events, encodeEvent)
+// ArchiveChunk is a run of archived events of one line.
+type ArchiveChunk struct {
+	Group     uint32             `capnp:"group"`
+	Session   string             `capnp:"line"`
+	First     uint64             `capnp:"first"`
+	Last      uint64             `capnp:"last"`
+	ExpiresAt int64              `capnp:"expires"`
+	Events    []sessionlog.Event `capnp:"events"`
+}
+
+// ArchiveChunkBatch carries chunks.
+type ArchiveChunkBatch struct {
+	Chunks []ArchiveChunk `capnp:"chunks"`
 }
 
-func decodeChunk(source schema.ColdChunk, value *ArchiveChunk) (err error) {
-	*value = ArchiveChunk{Group: source.Group(), First: source.First(), Last: source.Last(), ExpiresAt: source.Expires()}
-	if value.Session, err = source.Line(); err != nil {
-		return err
-	}
-	events, err := source.Events()
-	value.Events, err = decodeList(events, err, decodeEvent)
-	return err
+// ChunkLocation says where in a cold file a chunk is.
+type ChunkLocation struct {
+	Group     uint32
+	Session   string
+	First     uint64
+	Last      uint64
+	ExpiresAt int64
+	Offset    uint64
+	Length    uint32
+	Checksum  uint32
+	Digest    []byte
 }
 
-func encodeChunkBatch(target schema.ColdChunkBatch, value *ArchiveChunkBatch) error {
-	chunks, err := target.NewChunks(int32(len(value.Chunks)))
-	return encodeList(chunks, err, value.Chunks, encodeChunk)
+// ArchiveIndex lists the chunks of one cold file.
+type ArchiveIndex struct{ Locations []ChunkLocation }
+
+// DigestQuery asks a store for the sums of a group's cold lines, one a bucket; with
+// buckets named, for the digests of the ranges in these.
+type DigestQuery struct {
+	Group   uint32   `capnp:"group"`
+	Buckets []uint32 `capnp:"buckets"`
 }
 
-func decodeChunkBatch(source schema.ColdChunkBatch, value *ArchiveChunkBatch) error {
-	list, err := source.Chunks()
-	value.Chunks, err = decodeList(list, err, decodeChunk)
-	return err
+// RangeDigest is the digest of one cold range.
+type RangeDigest struct {
+	Session string `capnp:"line"`
+	First   uint64 `capnp:"first"`
+	Last    uint64 `capnp:"last"`
+	Digest  []byte `capnp:"digest"`
 }
 
-func encodeChunkLocation(target schema.ColdPlace, value *ChunkLocation) error {
-	target.SetGroup(value.Group)
-	target.SetFirst(value.First)
-	target.SetLast(value.Last)
-	target.SetExpires(value.ExpiresAt)
-	target.SetOffset(value.Offset)
-	target.SetLength(value.Length)
-	target.SetChecksum(value.Checksum)
-	return errors.Join(target.SetLine(value.Session), target.SetDigest(value.Digest))
+// DigestReply answers a DigestQuery.
+type DigestReply struct {
+	Ranges        []RangeDigest `capnp:"ranges"`
+	BucketDigests []uint64      `capnp:"sums"`
 }
 
-func decodeChunkLocation(source schema.ColdPlace, value *ChunkLocation) error {
-	reading := &fieldReader{}
-	*value = ChunkLocation{Group: source.Group(), First: source.First(), Last: source.Last(), ExpiresAt: source.Expires(), Offset: source.Offset(), Length: source.Length(),
-		Checksum: source.Checksum(), Session: field(reading, source.Line), Digest: field(reading, source.Digest)}
-	return reading.err
+// ReadArchiveQuery asks a store for its own cold events of a line.
+type ReadArchiveQuery struct {
+	Session string `capnp:"line"`
+	After   uint64 `capnp:"after"`
+	Through uint64 `capnp:"through"`
 }
--- a/system/wire/codec.go
+++ b/system/wire/codec.go
@@ -1,13 +1,11 @@
 package wire
 
 import (
-	"errors"
-	"time"
+	"encoding/binary"
 
 	"capnproto.org/go/capnp/v3"
-	"capnproto.org/go/capnp/v3/pogs"
+	"capnproto.org/go/capnp/v3/schemas"
 
-	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
@@ -70,226 +68,46 @@
 	return decodeReply(schema.Reply(root))
 }
 
-func encodeQuery(target schema.Query, query *Query) error {
-	encode, isHot := queryEncoders[query.Which]
-	if !isHot {
-		return pogs.Insert(schema.Query_TypeID, capnp.Struct(target), query)
-	}
-	target.SetVersion(query.Version)
-	if err := target.SetFleet(query.Fleet); err != nil {
-		return err
-	}
-	if query.To != "" {
-		if err := target.SetTo(query.To); err != nil {
-			return err
-		}
-	}
-	return encode(target, query)
-}
+const readLimit = 1 << 30
 
-var queryEncoders = map[schema.Query_Which]func(schema.Query, *Query) error{
-	schema.Query_Which_agreement: func(target schema.Query, query *Query) error {
-		batch, err := target.NewAgreement()
-		if err != nil {
-			return err
-		}
-		return encodeRaftBatch(batch, query.Raft)
-	},
-	schema.Query_Which_command: func(target schema.Query, query *Query) error {
-		asked, err := target.NewCommand()
-		if err != nil {
-			return err
-		}
-		asked.SetGroup(query.Command.Group)
-		commands, err := asked.NewCommands(int32(len(query.Command.Commands)))
-		return encodeList(commands, err, query.Command.Commands, encodeCommand)
-	},
-	schema.Query_Which_read: func(target schema.Query, query *Query) error {
-		asked, err := target.NewRead()
-		if err != nil {
-			return err
-		}
-		asked.SetAfter(query.Read.After)
-		asked.SetLimit(query.Read.Limit)
-		asked.SetWait(int64(query.Read.Wait))
-		asked.SetTally(query.Read.QuotaUsage)
-		return asked.SetLine(query.Read.Session)
-	},
-	schema.Query_Which_putCold: func(target schema.Query, query *Query) error {
-		batch, err := target.NewPutCold()
-		if err != nil {
-			return err
-		}
-		return encodeChunkBatch(batch, query.PutArchive)
-	},
-}
+func init() { schema.RegisterSchema(schemas.DefaultRegistry) }
 
-func decodeQuery(source schema.Query) (query *Query, err error) {
-	query = &Query{}
-	decode, isHot := queryDecoders[source.Which()]
-	if !isHot {
-		return query, pogs.Extract(query, schema.Query_TypeID, capnp.Struct(source))
+// appendMessage appends a message of one segment, whose root a function fills, to
+// bytes. The message's own memory is used again.
+func appendMessage(target []byte, root func(*capnp.Segment) (capnp.Struct, error), encode func(capnp.Struct) error) ([]byte, error) {
+	message, segment, err := capnp.NewMessage(capnp.SingleSegment(nil))
+	if err != nil {
+		return nil, err
 	}
-	query.Version, query.Which = source.Version(), source.Which()
-	if query.Fleet, err = source.Fleet(); err != nil {
+	defer message.Release()
+	made, err := root(segment)
+	if err != nil {
 		return nil, err
 	}
-	if query.To, err = source.To(); err != nil {
+	if err := encode(made); err != nil {
 		return nil, err
 	}
-	return query, decode(source, query)
+	data := segment.Data()
+	target = binary.LittleEndian.AppendUint32(target, 0) // one segment
+	target = binary.LittleEndian.AppendUint32(target, uint32(len(data)/8))
+	return append(target, data...), nil
 }
 
-var queryDecoders = map[schema.Query_Which]func(schema.Query, *Query) error{
-	schema.Query_Which_agreement: func(source schema.Query, query *Query) error {
-		batch, err := source.Agreement()
-		if err != nil {
-			return err
-		}
-		query.Raft = &RaftBatch{}
-		return decodeRaftBatch(batch, query.Raft)
-	},
-	schema.Query_Which_command: func(source schema.Query, query *Query) error {
-		asked, err := source.Command()
-		if err != nil {
-			return err
-		}
-		list, err := asked.Commands()
-		query.Command = &CommandQuery{Group: asked.Group()}
-		query.Command.Commands, err = decodeList(list, err, decodeCommand)
-		return err
-	},
-	schema.Query_Which_read: func(source schema.Query, query *Query) error {
-		asked, err := source.Read()
-		if err != nil {
-			return err
-		}
-		query.Read = &ReadQuery{After: asked.After(), Limit: asked.Limit(), Wait: time.Duration(asked.Wait()), QuotaUsage: asked.Tally()}
-		query.Read.Session, err = asked.Line()
-		return err
-	},
-	schema.Query_Which_putCold: func(source schema.Query, query *Query) error {
-		batch, err := source.PutCold()
-		if err != nil {
-			return err
-		}
-		query.PutArchive = &ArchiveChunkBatch{}
-		return decodeChunkBatch(batch, query.PutArchive)
-	},
-}
-
-func encodeReply(target schema.Reply, reply *Reply) error {
-	switch {
-	case reply.Failure.Kind != "":
-		made, err := target.NewFailure()
-		if err != nil {
-			return err
-		}
-		target.SetNothing()
-		made.SetRetryAfter(int64(reply.Failure.RetryAfter))
-		return errors.Join(made.SetKind(reply.Failure.Kind), made.SetMessage_(reply.Failure.Message), made.SetRemedy(reply.Failure.Remedy), made.SetLeader(reply.Failure.Leader))
-	case reply.Which == schema.Reply_Which_nothing:
-		target.SetNothing()
-		return nil
-	case reply.Which == schema.Reply_Which_outcomes:
-		made, err := target.NewOutcomes()
-		if err != nil {
-			return err
-		}
-		if len(reply.Outcomes.History) > 0 {
-			if err := made.SetHistory(reply.Outcomes.History); err != nil {
-				return err
-			}
-		}
-		outcomes, err := made.NewOutcomes(int32(len(reply.Outcomes.Outcomes)))
-		return encodeList(outcomes, err, reply.Outcomes.Outcomes, encodeOutcome)
-	case reply.Which == schema.Reply_Which_read:
-		made, err := target.NewRead()
-		if err != nil {
-			return err
-		}
-		return encodeReadReply(made, reply.Read)
+// newRoot adapts a generated constructor of a root struct.
+func newRoot[Struct ~capnp.StructKind](make func(*capnp.Segment) (Struct, error)) func(*capnp.Segment) (capnp.Struct, error) {
+	return func(segment *capnp.Segment) (capnp.Struct, error) {
+		made, err := make(segment)
+		return capnp.Struct(made), err
 	}
-	return pogs.Insert(schema.Reply_TypeID, capnp.Struct(target), reply)
 }
 
-func decodeReply(source schema.Reply) (*Reply, error) {
-	reply := &Reply{Which: source.Which()}
-	switch {
-	case source.HasFailure():
-		told, err := source.Failure()
-		if err != nil {
-			return nil, err
-		}
-		reading := &fieldReader{}
-		reply.Failure = Failure{Kind: field(reading, told.Kind), Message: field(reading, told.Message_), Remedy: field(reading, told.Remedy), Leader: field(reading, told.Leader), RetryAfter: time.Duration(told.RetryAfter())}
-		if reading.err != nil || reply.Failure.Kind != "" {
-			return reply, reading.err
-		}
-		return reply, pogs.Extract(reply, schema.Reply_TypeID, capnp.Struct(source))
-	case reply.Which == schema.Reply_Which_nothing:
-		return reply, nil
-	case reply.Which == schema.Reply_Which_outcomes:
-		made, err := source.Outcomes()
-		if err != nil {
-			return nil, err
-		}
-		list, err := made.Outcomes()
-		reply.Outcomes = &CommandReply{}
-		if reply.Outcomes.Outcomes, err = decodeList(list, err, decodeOutcome); err != nil {
-			return nil, err
-		}
-		history, err := made.History()
-		reply.Outcomes.History = history
-		return reply, err
-	case reply.Which == schema.Reply_Which_read:
-		made, err := source.Read()
-		if err != nil {
-			return nil, err
-		}
-		reply.Read = &ReadReply{}
-		return reply, decodeReadReply(made, reply.Read)
+// readRoot gives the root of a message; it points into the data.
+func readRoot(data []byte) (capnp.Struct, error) {
+	message, err := capnp.Unmarshal(data)
+	if err != nil {
+		return capnp.Struct{}, err
 	}
-	return reply, pogs.Extract(reply, schema.Reply_TypeID, capnp.Struct(source))
-}
-
-// storedEncoders and storedDecoders are the stored types of the ordinary path.
-var storedEncoders = map[uint64]func(capnp.Struct, any) error{
-	schema.ColdChunkBatch_TypeID: func(target capnp.Struct, value any) error {
-		return encodeChunkBatch(schema.ColdChunkBatch(target), value.(*ArchiveChunkBatch))
-	},
-	schema.ColdIndex_TypeID: func(target capnp.Struct, value any) error {
-		index := value.(*ArchiveIndex)
-		places, err := schema.ColdIndex(target).NewPlaces(int32(len(index.Locations)))
-		return encodeList(places, err, index.Locations, encodeChunkLocation)
-	},
-	schema.Command_TypeID: func(target capnp.Struct, value any) error {
-		return encodeCommand(schema.Command(target), value.(*sessionlog.Command))
-	},
-	schema.LineImage_TypeID: func(target capnp.Struct, value any) error {
-		return encodeSessionSnapshot(schema.LineImage(target), value.(*sessionlog.Snapshot))
-	},
-	schema.StoredWrite_TypeID: func(target capnp.Struct, value any) error {
-		return encodeStoredWrite(schema.StoredWrite(target), value.(*StoredWrite))
-	},
-}
-
-var storedDecoders = map[uint64]func(capnp.Struct, any) error{
-	schema.ColdChunkBatch_TypeID: func(source capnp.Struct, value any) error {
-		return decodeChunkBatch(schema.ColdChunkBatch(source), value.(*ArchiveChunkBatch))
-	},
-	schema.ColdIndex_TypeID: func(source capnp.Struct, value any) (err error) {
-		list, err := schema.ColdIndex(source).Places()
-		value.(*ArchiveIndex).Locations, err = decodeList(list, err, decodeChunkLocation)
-		return err
-	},
-	schema.Command_TypeID: func(source capnp.Struct, value any) error {
-		return decodeCommand(schema.Command(source), value.(*sessionlog.Command))
-	},
-	schema.LineImage_TypeID: func(source capnp.Struct, value any) error {
-		return decodeSessionSnapshot(schema.LineImage(source), value.(*sessionlog.Snapshot))
-	},
-	schema.StoredWrite_TypeID: func(source capnp.Struct, value any) error {
-		return decodeStoredWrite(schema.StoredWrite(source), value.(*StoredWrite))
-	},
+	message.ResetReadLimit(readLimit)
+	root, err := message.Root()
+	return root.Struct(), err
 }
--- a/system/wire/sessionlog.go
+++ b/system/wire/command_codec.go
@@ -137,21 +137,6 @@
 	return reading.err
 }
 
-func encodeTurnRecord(target schema.TurnRecord, value *sessionlog.TurnRecord) error {
-	target.SetSeq(value.Seq)
-	target.SetEnded(value.EndSeq)
-	target.SetDeadline(value.Deadline)
-	target.SetTokens(value.Tokens)
-	return errors.Join(target.SetLine(value.Session), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
-}
-
-func decodeTurnRecord(source schema.TurnRecord, value *sessionlog.TurnRecord) error {
-	reading := &fieldReader{}
-	*value = sessionlog.TurnRecord{Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Session: field(reading, source.Line), Name: field(reading, source.Name),
-		Follows: field(reading, source.Follows), Outcome: field(reading, source.Outcome), Dispatch: field(reading, source.Dispatch)}
-	return reading.err
-}
-
 func encodeOutcome(target schema.Outcome, value *sessionlog.Outcome) error {
 	target.SetStatus(uint16(value.Status))
 	target.SetSeq(value.Seq)
@@ -166,41 +151,3 @@
 	*value = sessionlog.Outcome{Status: sessionlog.Status(source.Status()), Seq: source.Seq(), Head: source.Head(), Deduped: source.Deduped(), Spent: source.Spent(), Reserved: source.Reserved()}
 	return nil
 }
-
-// encodeReadReply leaves out what a read never tells: hot events, producers, open turns.
-func encodeReadReply(target schema.ReadReply, value *ReadReply) error {
-	target.SetSpent(value.Spent)
-	target.SetReserved(value.Reserved)
-	target.SetClock(value.Clock)
-	session, err := target.NewSession()
-	if err != nil {
-		return err
-	}
-	session.SetCreatedAt(value.Session.CreatedAt)
-	session.SetKeepFor(int64(value.Session.Retention))
-	session.SetTouchedAt(value.Session.UpdatedAt)
-	session.SetHead(value.Session.Head)
-	session.SetArchivedSeq(value.Session.ArchivedSeq)
-	if err := errors.Join(session.SetLine(value.Session.Name), session.SetTeam(value.Session.Team), session.SetProgram(value.Session.Program), session.SetWorkKind(value.Session.WorkKind)); err != nil {
-		return err
-	}
-	events, err := target.NewEvents(int32(len(value.Events)))
-	return encodeList(events, err, value.Events, encodeEvent)
-}
-
-func decodeReadReply(source schema.ReadReply, value *ReadReply) error {
-	session, err := source.Session()
-	if err != nil {
-		return err
-	}
-	reading := &fieldReader{}
-	*value = ReadReply{Spent: source.Spent(), Reserved: source.Reserved(), Clock: source.Clock(), Session: sessionlog.Session{CreatedAt: session.CreatedAt(), Retention: time.Duration(session.KeepFor()),
-		UpdatedAt: session.TouchedAt(), Head: session.Head(), ArchivedSeq: session.ArchivedSeq(), Name: field(reading, session.Line), Team: field(reading, session.Team),
-		Program: field(reading, session.Program), WorkKind: field(reading, session.WorkKind)}}
-	if reading.err != nil {
-		return reading.err
-	}
-	events, err := source.Events()
-	value.Events, err = decodeList(events, err, decodeEvent)
-	return err
-}
--- a/system/wire/sessionlog_snapshot.go
+++ b/system/wire/session_codec.go
@@ -168,3 +168,18 @@
 	value.Prefixes, err = decodeList(openings, err, decodeSharedPrefix)
 	return err
 }
+
+func encodeTurnRecord(target schema.TurnRecord, value *sessionlog.TurnRecord) error {
+	target.SetSeq(value.Seq)
+	target.SetEnded(value.EndSeq)
+	target.SetDeadline(value.Deadline)
+	target.SetTokens(value.Tokens)
+	return errors.Join(target.SetLine(value.Session), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
+}
+
+func decodeTurnRecord(source schema.TurnRecord, value *sessionlog.TurnRecord) error {
+	reading := &fieldReader{}
+	*value = sessionlog.TurnRecord{Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Session: field(reading, source.Line), Name: field(reading, source.Name),
+		Follows: field(reading, source.Follows), Outcome: field(reading, source.Outcome), Dispatch: field(reading, source.Dispatch)}
+	return reading.err
+}
