--- a/system/wire/archive_codec.go
+++ b/system/wire/archive_codec.go
@@ -14,8 +14,7 @@
 	if err := target.SetLine(value.Session); err != nil {
 		return err
 	}
-	events, err := target.NewEvents(int32(len(value.Events)))
-	return encodeList(events, err, value.Events, encodeEvent)
+	return encodeList(target.NewEvents, value.Events, encodeEvent)
 }
 
 func decodeChunk(source schema.ColdChunk, value *ArchiveChunk) (err error) {
@@ -23,19 +22,16 @@
 	if value.Session, err = source.Line(); err != nil {
 		return err
 	}
-	events, err := source.Events()
-	value.Events, err = decodeList(events, err, decodeEvent)
+	value.Events, err = decodeList(source.Events, decodeEvent)
 	return err
 }
 
 func encodeChunkBatch(target schema.ColdChunkBatch, value *ArchiveChunkBatch) error {
-	chunks, err := target.NewChunks(int32(len(value.Chunks)))
-	return encodeList(chunks, err, value.Chunks, encodeChunk)
+	return encodeList(target.NewChunks, value.Chunks, encodeChunk)
 }
 
-func decodeChunkBatch(source schema.ColdChunkBatch, value *ArchiveChunkBatch) error {
-	list, err := source.Chunks()
-	value.Chunks, err = decodeList(list, err, decodeChunk)
+func decodeChunkBatch(source schema.ColdChunkBatch, value *ArchiveChunkBatch) (err error) {
+	value.Chunks, err = decodeList(source.Chunks, decodeChunk)
 	return err
 }
 
@@ -51,8 +47,17 @@
 }
 
 func decodeChunkLocation(source schema.ColdPlace, value *ChunkLocation) error {
-	reading := &fieldReader{}
+	reader := &fieldReader{}
 	*value = ChunkLocation{Group: source.Group(), First: source.First(), Last: source.Last(), ExpiresAt: source.Expires(), Offset: source.Offset(), Length: source.Length(),
-		Checksum: source.Checksum(), Session: field(reading, source.Line), Digest: field(reading, source.Digest)}
-	return reading.err
+		Checksum: source.Checksum(), Session: readField(reader, source.Line), Digest: readField(reader, source.Digest)}
+	return reader.err
+}
+
+func encodeArchiveIndex(target schema.ColdIndex, value *ArchiveIndex) error {
+	return encodeList(target.NewPlaces, value.Locations, encodeChunkLocation)
+}
+
+func decodeArchiveIndex(source schema.ColdIndex, value *ArchiveIndex) (err error) {
+	value.Locations, err = decodeList(source.Places, decodeChunkLocation)
+	return err
 }
--- a/system/wire/codec.go
+++ b/system/wire/codec.go
@@ -9,99 +9,95 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// The types of the ordinary path are put and taken by hand through the generated
-// accessors; the library's reflection reads the schema anew at each call, which
-// cost more than all else together (docs/measurements.md). All other types go
-// through the library.
+// readLimit bounds, in bytes, what one message may make its reader traverse; a pointer that
+// is followed twice counts twice.
+const readLimit = 1 << 30
+
+// The library finds the schema's names by reflection in the default registry.
+func init() { schema.RegisterSchema(schemas.DefaultRegistry) }
 
-// AppendQuery appends a query, as a packed Cap'n Proto message, to bytes.
+// AppendQuery appends a query, as a packed Cap'n Proto message, to target.
 //
 //	data, err := wire.AppendQuery(nil, query)
 func AppendQuery(target []byte, query *Query) ([]byte, error) {
-	start := len(target)
-	target, err := appendMessage(target, newRoot(schema.NewRootQuery), func(made capnp.Struct) error { return encodeQuery(schema.Query(made), query) })
-	if err != nil {
-		return nil, err
-	}
-	return packMessage(target, start), nil
+	return appendPacked(target, rootOf(schema.NewRootQuery), func(root capnp.Struct) error { return encodeQuery(schema.Query(root), query) })
 }
 
-// AppendReply appends a reply, as a packed Cap'n Proto message, to bytes.
+// AppendReply appends a reply, as a packed Cap'n Proto message, to target.
 //
 //	data, err := wire.AppendReply(nil, reply)
 func AppendReply(target []byte, reply *Reply) ([]byte, error) {
-	start := len(target)
-	target, err := appendMessage(target, newRoot(schema.NewRootReply), func(made capnp.Struct) error { return encodeReply(schema.Reply(made), reply) })
-	if err != nil {
-		return nil, err
-	}
-	return packMessage(target, start), nil
+	return appendPacked(target, rootOf(schema.NewRootReply), func(root capnp.Struct) error { return encodeReply(schema.Reply(root), reply) })
 }
 
-// DecodeQuery reads a query. Its byte fields may point into the data.
+// DecodeQuery reads a query, packed or not. Its byte fields may alias the data, which must
+// not be changed afterwards.
 //
 //	query, err := wire.DecodeQuery(data)
 func DecodeQuery(data []byte) (*Query, error) {
-	data, err := unpackMessage(data)
-	if err != nil {
-		return nil, err
-	}
-	root, err := readRoot(data)
+	root, err := readPackedRoot(data)
 	if err != nil {
 		return nil, err
 	}
 	return decodeQuery(schema.Query(root))
 }
 
-// DecodeReply reads a reply. Its byte fields may point into the data.
+// DecodeReply reads a reply, packed or not. Its byte fields may alias the data, which must
+// not be changed afterwards.
 //
 //	reply, err := wire.DecodeReply(data)
 func DecodeReply(data []byte) (*Reply, error) {
-	data, err := unpackMessage(data)
-	if err != nil {
-		return nil, err
-	}
-	root, err := readRoot(data)
+	root, err := readPackedRoot(data)
 	if err != nil {
 		return nil, err
 	}
 	return decodeReply(schema.Reply(root))
 }
 
-const readLimit = 1 << 30
+// rootConstructor allocates the root struct of a message.
+type rootConstructor func(*capnp.Segment) (capnp.Struct, error)
 
-func init() { schema.RegisterSchema(schemas.DefaultRegistry) }
+// rootOf adapts a generated constructor of a root struct.
+func rootOf[Struct ~capnp.StructKind](newRoot func(*capnp.Segment) (Struct, error)) rootConstructor {
+	return func(segment *capnp.Segment) (capnp.Struct, error) {
+		root, err := newRoot(segment)
+		return capnp.Struct(root), err
+	}
+}
+
+// appendPacked is appendMessage followed by packMessage.
+func appendPacked(target []byte, newRoot rootConstructor, encode func(capnp.Struct) error) ([]byte, error) {
+	start := len(target)
+	target, err := appendMessage(target, newRoot, encode)
+	if err != nil {
+		return nil, err
+	}
+	return packMessage(target, start), nil
+}
 
-// appendMessage appends a message of one segment, whose root a function fills, to
-// bytes. The message's own memory is used again.
-func appendMessage(target []byte, root func(*capnp.Segment) (capnp.Struct, error), encode func(capnp.Struct) error) ([]byte, error) {
+// appendMessage appends a message of one segment to target; encode fills its root. The
+// library's memory for the message is released, so nothing may refer to it afterwards.
+func appendMessage(target []byte, newRoot rootConstructor, encode func(capnp.Struct) error) ([]byte, error) {
 	message, segment, err := capnp.NewMessage(capnp.SingleSegment(nil))
 	if err != nil {
 		return nil, err
 	}
 	defer message.Release()
-	made, err := root(segment)
+	root, err := newRoot(segment)
 	if err != nil {
 		return nil, err
 	}
-	if err := encode(made); err != nil {
+	if err := encode(root); err != nil {
 		return nil, err
 	}
 	data := segment.Data()
-	target = binary.LittleEndian.AppendUint32(target, 0) // one segment
-	target = binary.LittleEndian.AppendUint32(target, uint32(len(data)/8))
+	// The segment table: the count of segments less one, and the segment's length in words.
+	target = binary.LittleEndian.AppendUint32(target, 0)
+	target = binary.LittleEndian.AppendUint32(target, uint32(len(data)/wordSize))
 	return append(target, data...), nil
 }
 
-// newRoot adapts a generated constructor of a root struct.
-func newRoot[Struct ~capnp.StructKind](make func(*capnp.Segment) (Struct, error)) func(*capnp.Segment) (capnp.Struct, error) {
-	return func(segment *capnp.Segment) (capnp.Struct, error) {
-		made, err := make(segment)
-		return capnp.Struct(made), err
-	}
-}
-
-// readRoot gives the root of a message; it points into the data.
+// readRoot gives the root of an unpacked message. It aliases the data.
 func readRoot(data []byte) (capnp.Struct, error) {
 	message, err := capnp.Unmarshal(data)
 	if err != nil {
@@ -111,3 +107,12 @@
 	root, err := message.Root()
 	return root.Struct(), err
 }
+
+// readPackedRoot is readRoot for a message that may be packed.
+func readPackedRoot(data []byte) (capnp.Struct, error) {
+	data, err := unpackMessage(data)
+	if err != nil {
+		return capnp.Struct{}, err
+	}
+	return readRoot(data)
+}
--- a/system/wire/command_codec.go
+++ b/system/wire/command_codec.go
@@ -18,33 +18,25 @@
 	target.SetProducerSeq(value.ProducerSeq)
 	target.SetConfig(value.Config)
 	target.SetDeadline(value.Deadline)
-	for _, text := range []struct {
-		value string
-		set   func(string) error
-	}{
+	if err := encodeNonEmpty([]textField{
 		{value.Text, target.SetWords}, {value.Outcome, target.SetOutcome}, {value.Runner, target.SetRunner}, {value.Dispatch, target.SetDispatch},
 		{value.Digest, target.SetDigest}, {value.Name, target.SetName}, {value.Producer, target.SetProducer}, {value.Prefix, target.SetOpening},
-	} {
-		if text.value == "" {
-			continue
-		}
-		if err := text.set(text.value); err != nil {
-			return err
-		}
-	}
-	if len(value.Data) == 0 {
-		return nil
+	}); err != nil || len(value.Data) == 0 {
+		return err
 	}
 	return target.SetData(value.Data)
 }
 
 func decodeEvent(source schema.Event, value *sessionlog.Event) error {
-	reading := &fieldReader{}
-	*value = sessionlog.Event{Seq: source.Seq(), At: source.At(), Kind: sessionlog.EventKind(source.Kind()), Turn: source.Turn(), Follows: source.Follows(), Part: source.Part(),
-		ProducerSeq: source.ProducerSeq(), Config: source.Config(), Deadline: source.Deadline(), Text: field(reading, source.Words), Outcome: field(reading, source.Outcome),
-		Runner: field(reading, source.Runner), Dispatch: field(reading, source.Dispatch), Digest: field(reading, source.Digest), Name: field(reading, source.Name), Producer: field(reading, source.Producer), Data: readBytes(reading, source.Data),
-		Prefix: field(reading, source.Opening)}
-	return reading.err
+	reader := &fieldReader{}
+	*value = sessionlog.Event{
+		Seq: source.Seq(), At: source.At(), Kind: sessionlog.EventKind(source.Kind()), Turn: source.Turn(), Follows: source.Follows(), Part: source.Part(),
+		ProducerSeq: source.ProducerSeq(), Config: source.Config(), Deadline: source.Deadline(),
+		Text: readField(reader, source.Words), Outcome: readField(reader, source.Outcome), Runner: readField(reader, source.Runner), Dispatch: readField(reader, source.Dispatch),
+		Digest: readField(reader, source.Digest), Name: readField(reader, source.Name), Producer: readField(reader, source.Producer), Prefix: readField(reader, source.Opening),
+		Data: readBytes(reader, source.Data),
+	}
+	return reader.err
 }
 
 func encodeCommand(target schema.Command, value *sessionlog.Command) error {
@@ -60,20 +52,12 @@
 	target.SetTokens(value.Tokens)
 	target.SetBudgeted(value.HasQuota)
 	target.SetKeeps(value.KeepData)
-	for _, text := range []struct {
-		value string
-		set   func(string) error
-	}{
+	if err := encodeNonEmpty([]textField{
 		{value.Session, target.SetLine}, {value.Team, target.SetTeam}, {value.Program, target.SetProgram}, {value.WorkKind, target.SetWorkKind}, {value.Producer, target.SetProducer},
 		{value.Reservation, target.SetReservation}, {value.Follows, target.SetFollows}, {value.Dispatch, target.SetDispatch}, {value.Outcome, target.SetOutcome},
 		{value.Scope, target.SetScope}, {value.Prefix, target.SetOpening},
-	} {
-		if text.value == "" {
-			continue
-		}
-		if err := text.set(text.value); err != nil {
-			return err
-		}
+	}); err != nil {
+		return err
 	}
 	if len(value.Data) > 0 {
 		if err := target.SetData(value.Data); err != nil {
@@ -81,49 +65,51 @@
 		}
 	}
 	if len(value.Adopted) > 0 {
-		adopted, err := target.NewAdopted(int32(len(value.Adopted)))
-		if err := encodeList(adopted, err, value.Adopted, encodeAdopted); err != nil {
+		if err := encodeList(target.NewAdopted, value.Adopted, encodeAdopted); err != nil {
 			return err
 		}
 	}
 	if len(value.Events) == 0 && len(value.Acks) == 0 {
 		return nil
 	}
-	events, err := target.NewEvents(int32(len(value.Events)))
-	if err := encodeList(events, err, value.Events, encodeEvent); err != nil {
+	if err := encodeList(target.NewEvents, value.Events, encodeEvent); err != nil {
 		return err
 	}
-	acks, err := target.NewAcks(int32(len(value.Acks)))
-	return encodeList(acks, err, value.Acks, func(target schema.Ack, ack *sessionlog.Ack) error {
-		target.SetArchivedSeq(ack.ArchivedSeq)
-		return target.SetLine(ack.Session)
-	})
+	return encodeList(target.NewAcks, value.Acks, encodeAck)
 }
 
-func decodeCommand(source schema.Command, value *sessionlog.Command) error {
-	reading := &fieldReader{}
-	*value = sessionlog.Command{Kind: sessionlog.CommandKind(source.Kind()), Now: source.Now(), Retention: time.Duration(source.KeepFor()), ProducerSeq: source.ProducerSeq(), HasExpectedSeq: source.Expects(),
-		ExpectedSeq: source.ExpectedSeq(), Words: source.Words(), Quota: source.Allowance(), Lifetime: time.Duration(source.Life()), Session: field(reading, source.Line), Team: field(reading, source.Team),
-		Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind), Producer: field(reading, source.Producer), Reservation: field(reading, source.Reservation),
-		Follows: field(reading, source.Follows), Dispatch: field(reading, source.Dispatch), Outcome: field(reading, source.Outcome), Data: readBytes(reading, source.Data),
-		Tokens: source.Tokens(), HasQuota: source.Budgeted(), KeepData: source.Keeps(), Scope: field(reading, source.Scope), Prefix: field(reading, source.Opening)}
-	if reading.err != nil {
-		return reading.err
+func decodeCommand(source schema.Command, value *sessionlog.Command) (err error) {
+	reader := &fieldReader{}
+	*value = sessionlog.Command{
+		Kind: sessionlog.CommandKind(source.Kind()), Now: source.Now(), Retention: time.Duration(source.KeepFor()), ProducerSeq: source.ProducerSeq(),
+		HasExpectedSeq: source.Expects(), ExpectedSeq: source.ExpectedSeq(), Words: source.Words(), Quota: source.Allowance(), Lifetime: time.Duration(source.Life()),
+		Tokens: source.Tokens(), HasQuota: source.Budgeted(), KeepData: source.Keeps(),
+		Session: readField(reader, source.Line), Team: readField(reader, source.Team), Program: readField(reader, source.Program), WorkKind: readField(reader, source.WorkKind),
+		Producer: readField(reader, source.Producer), Reservation: readField(reader, source.Reservation), Follows: readField(reader, source.Follows), Dispatch: readField(reader, source.Dispatch),
+		Outcome: readField(reader, source.Outcome), Scope: readField(reader, source.Scope), Prefix: readField(reader, source.Opening),
+		Data: readBytes(reader, source.Data),
 	}
-	adopted, err := source.Adopted()
-	if value.Adopted, err = decodeList(adopted, err, decodeAdopted); err != nil {
-		return err
+	if reader.err != nil {
+		return reader.err
 	}
-	events, err := source.Events()
-	if value.Events, err = decodeList(events, err, decodeEvent); err != nil {
+	if value.Adopted, err = decodeList(source.Adopted, decodeAdopted); err != nil {
 		return err
 	}
-	acks, err := source.Acks()
-	value.Acks, err = decodeList(acks, err, func(source schema.Ack, ack *sessionlog.Ack) (err error) {
-		ack.ArchivedSeq = source.ArchivedSeq()
-		ack.Session, err = source.Line()
+	if value.Events, err = decodeList(source.Events, decodeEvent); err != nil {
 		return err
-	})
+	}
+	value.Acks, err = decodeList(source.Acks, decodeAck)
+	return err
+}
+
+func encodeAck(target schema.Ack, value *sessionlog.Ack) error {
+	target.SetArchivedSeq(value.ArchivedSeq)
+	return target.SetLine(value.Session)
+}
+
+func decodeAck(source schema.Ack, value *sessionlog.Ack) (err error) {
+	value.ArchivedSeq = source.ArchivedSeq()
+	value.Session, err = source.Line()
 	return err
 }
 
@@ -132,9 +118,9 @@
 }
 
 func decodeAdopted(source schema.AdoptedTurn, value *sessionlog.AdoptedTurn) error {
-	reading := &fieldReader{}
-	*value = sessionlog.AdoptedTurn{Name: field(reading, source.Name), Data: readBytes(reading, source.Data)}
-	return reading.err
+	reader := &fieldReader{}
+	*value = sessionlog.AdoptedTurn{Name: readField(reader, source.Name), Data: readBytes(reader, source.Data)}
+	return reader.err
 }
 
 func encodeOutcome(target schema.Outcome, value *sessionlog.Outcome) error {
--- a/system/wire/packing.go
+++ b/system/wire/packing.go
@@ -7,47 +7,57 @@
 	"capnproto.org/go/capnp/v3/packed"
 )
 
-// Between processes a message that is not long is packed, as what it says is mostly
-// zeros. A packed message begins with packedMarker, where one that is not has the count
-// of its further segments, of which there are none.
+// Queries and replies of moderate size are packed, as most of their bytes are zeros: the
+// segment table stays as it is, except that packedMarker stands where an unpacked message
+// has its count of further segments, which is always 0 here. What follows is in Cap'n
+// Proto's packed form. Longer messages are mostly data, for which packing costs more time
+// than it saves.
 const (
+	wordSize         = 8 // bytes of a Cap'n Proto word
 	packedMarker     = 1
-	maxPackedMessage = 64 << 10
-	segmentTableSize = 8
-	maxPackedRatio   = 1024 // how many times its packed length a message may have, at most
+	maxPackedMessage = 64 << 10 // bytes, unpacked
+	segmentTableSize = 8        // bytes, for one segment
+	// maxPackedRatio bounds how many times its packed length a message may have.
+	maxPackedRatio = 1024
 )
 
-// packMessage packs the message at the end of bytes, which begins at a position.
+var (
+	errPackedSize   = errors.New("the packed message states a size that is out of bounds")
+	errPackedLength = errors.New("the packed message does not have the size that it states")
+)
+
+// packMessage packs the message that begins at start in target, if that makes it shorter.
 func packMessage(target []byte, start int) []byte {
 	message := target[start:]
 	if len(message) <= segmentTableSize || len(message) > maxPackedMessage {
 		return target
 	}
-	packedMessage := packed.Pack(make([]byte, 0, len(message)+len(message)/64+segmentTableSize), message[segmentTableSize:])
-	if len(packedMessage) >= len(message)-segmentTableSize {
+	content := packed.Pack(make([]byte, 0, len(message)+len(message)/64+segmentTableSize), message[segmentTableSize:])
+	if len(content) >= len(message)-segmentTableSize {
 		return target
 	}
 	binary.LittleEndian.PutUint32(message, packedMarker)
-	return append(target[:start+segmentTableSize], packedMessage...)
+	return append(target[:start+segmentTableSize], content...)
 }
 
-// unpackMessage gives a message as it was before it was packed.
+// unpackMessage gives the unpacked form of a message; one that is not packed is returned as
+// it is. The stated size is checked before memory is allocated for it.
 func unpackMessage(data []byte) ([]byte, error) {
 	if len(data) < segmentTableSize || binary.LittleEndian.Uint32(data) != packedMarker {
 		return data, nil
 	}
-	size := uint64(binary.LittleEndian.Uint32(data[4:])) * 8
+	size := uint64(binary.LittleEndian.Uint32(data[4:])) * wordSize
 	if size > maxPackedRatio*uint64(len(data)) || size > maxPackedMessage {
-		return nil, errors.New("a packed message tells a wrong length")
+		return nil, errPackedSize
 	}
-	plain := make([]byte, segmentTableSize, segmentTableSize+int(size))
-	copy(plain[4:], data[4:segmentTableSize])
-	plain, err := packed.Unpack(plain, data[segmentTableSize:])
+	message := make([]byte, segmentTableSize, segmentTableSize+int(size))
+	copy(message[4:], data[4:segmentTableSize])
+	message, err := packed.Unpack(message, data[segmentTableSize:])
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) != segmentTableSize+int(size) {
-		return nil, errors.New("a packed message has another length than it tells")
+	if len(message) != segmentTableSize+int(size) {
+		return nil, errPackedLength
 	}
-	return plain, nil
+	return message, nil
 }
--- a/system/wire/query_codec.go
+++ b/system/wire/query_codec.go
@@ -9,9 +9,55 @@
 	"yardrock.example/system/wire/schema"
 )
 
+// queryCodec writes and reads the content of one kind of query.
+type queryCodec struct {
+	encode func(schema.Query, *Query) error
+	decode func(schema.Query, *Query) error
+}
+
+// handCodedQueries are the kinds of the ordinary path; see the package comment.
+var handCodedQueries = map[schema.Query_Which]queryCodec{
+	schema.Query_Which_agreement: {
+		func(target schema.Query, query *Query) error {
+			return encodeNested(target.NewAgreement, query.Raft, encodeRaftBatch)
+		},
+		func(source schema.Query, query *Query) error {
+			query.Raft = &RaftBatch{}
+			return decodeNested(source.Agreement, query.Raft, decodeRaftBatch)
+		},
+	},
+	schema.Query_Which_command: {
+		func(target schema.Query, query *Query) error {
+			return encodeNested(target.NewCommand, query.Command, encodeCommandQuery)
+		},
+		func(source schema.Query, query *Query) error {
+			query.Command = &CommandQuery{}
+			return decodeNested(source.Command, query.Command, decodeCommandQuery)
+		},
+	},
+	schema.Query_Which_read: {
+		func(target schema.Query, query *Query) error {
+			return encodeNested(target.NewRead, query.Read, encodeReadQuery)
+		},
+		func(source schema.Query, query *Query) error {
+			query.Read = &ReadQuery{}
+			return decodeNested(source.Read, query.Read, decodeReadQuery)
+		},
+	},
+	schema.Query_Which_putCold: {
+		func(target schema.Query, query *Query) error {
+			return encodeNested(target.NewPutCold, query.PutArchive, encodeChunkBatch)
+		},
+		func(source schema.Query, query *Query) error {
+			query.PutArchive = &ArchiveChunkBatch{}
+			return decodeNested(source.PutCold, query.PutArchive, decodeChunkBatch)
+		},
+	},
+}
+
 func encodeQuery(target schema.Query, query *Query) error {
-	encode, isHot := queryEncoders[query.Which]
-	if !isHot {
+	codec, handCoded := handCodedQueries[query.Which]
+	if !handCoded {
 		return pogs.Insert(schema.Query_TypeID, capnp.Struct(target), query)
 	}
 	target.SetVersion(query.Version)
@@ -23,96 +69,45 @@
 			return err
 		}
 	}
-	return encode(target, query)
+	return codec.encode(target, query)
 }
 
-func decodeQuery(source schema.Query) (query *Query, err error) {
-	query = &Query{}
-	decode, isHot := queryDecoders[source.Which()]
-	if !isHot {
+func decodeQuery(source schema.Query) (*Query, error) {
+	query := &Query{}
+	codec, handCoded := handCodedQueries[source.Which()]
+	if !handCoded {
 		return query, pogs.Extract(query, schema.Query_TypeID, capnp.Struct(source))
 	}
+	reader := &fieldReader{}
 	query.Version, query.Which = source.Version(), source.Which()
-	if query.Fleet, err = source.Fleet(); err != nil {
-		return nil, err
+	query.Fleet, query.To = readField(reader, source.Fleet), readField(reader, source.To)
+	if reader.err != nil {
+		return nil, reader.err
 	}
-	if query.To, err = source.To(); err != nil {
-		return nil, err
-	}
-	return query, decode(source, query)
+	return query, codec.decode(source, query)
 }
 
-var queryEncoders = map[schema.Query_Which]func(schema.Query, *Query) error{
-	schema.Query_Which_agreement: func(target schema.Query, query *Query) error {
-		batch, err := target.NewAgreement()
-		if err != nil {
-			return err
-		}
-		return encodeRaftBatch(batch, query.Raft)
-	},
-	schema.Query_Which_command: func(target schema.Query, query *Query) error {
-		asked, err := target.NewCommand()
-		if err != nil {
-			return err
-		}
-		asked.SetGroup(query.Command.Group)
-		commands, err := asked.NewCommands(int32(len(query.Command.Commands)))
-		return encodeList(commands, err, query.Command.Commands, encodeCommand)
-	},
-	schema.Query_Which_read: func(target schema.Query, query *Query) error {
-		asked, err := target.NewRead()
-		if err != nil {
-			return err
-		}
-		asked.SetAfter(query.Read.After)
-		asked.SetLimit(query.Read.Limit)
-		asked.SetWait(int64(query.Read.Wait))
-		asked.SetTally(query.Read.QuotaUsage)
-		return asked.SetLine(query.Read.Session)
-	},
-	schema.Query_Which_putCold: func(target schema.Query, query *Query) error {
-		batch, err := target.NewPutCold()
-		if err != nil {
-			return err
-		}
-		return encodeChunkBatch(batch, query.PutArchive)
-	},
+func encodeCommandQuery(target schema.CommandQuery, value *CommandQuery) error {
+	target.SetGroup(value.Group)
+	return encodeList(target.NewCommands, value.Commands, encodeCommand)
 }
 
-var queryDecoders = map[schema.Query_Which]func(schema.Query, *Query) error{
-	schema.Query_Which_agreement: func(source schema.Query, query *Query) error {
-		batch, err := source.Agreement()
-		if err != nil {
-			return err
-		}
-		query.Raft = &RaftBatch{}
-		return decodeRaftBatch(batch, query.Raft)
-	},
-	schema.Query_Which_command: func(source schema.Query, query *Query) error {
-		asked, err := source.Command()
-		if err != nil {
-			return err
-		}
-		list, err := asked.Commands()
-		query.Command = &CommandQuery{Group: asked.Group()}
-		query.Command.Commands, err = decodeList(list, err, decodeCommand)
-		return err
-	},
-	schema.Query_Which_read: func(source schema.Query, query *Query) error {
-		asked, err := source.Read()
-		if err != nil {
-			return err
-		}
-		query.Read = &ReadQuery{After: asked.After(), Limit: asked.Limit(), Wait: time.Duration(asked.Wait()), QuotaUsage: asked.Tally()}
-		query.Read.Session, err = asked.Line()
-		return err
-	},
-	schema.Query_Which_putCold: func(source schema.Query, query *Query) error {
-		batch, err := source.PutCold()
-		if err != nil {
-			return err
-		}
-		query.PutArchive = &ArchiveChunkBatch{}
-		return decodeChunkBatch(batch, query.PutArchive)
-	},
+func decodeCommandQuery(source schema.CommandQuery, value *CommandQuery) (err error) {
+	value.Group = source.Group()
+	value.Commands, err = decodeList(source.Commands, decodeCommand)
+	return err
+}
+
+func encodeReadQuery(target schema.ReadQuery, value *ReadQuery) error {
+	target.SetAfter(value.After)
+	target.SetLimit(value.Limit)
+	target.SetWait(int64(value.Wait))
+	target.SetTally(value.QuotaUsage)
+	return target.SetLine(value.Session)
+}
+
+func decodeReadQuery(source schema.ReadQuery, value *ReadQuery) (err error) {
+	*value = ReadQuery{After: source.After(), Limit: source.Limit(), Wait: time.Duration(source.Wait()), QuotaUsage: source.Tally()}
+	value.Session, err = source.Line()
+	return err
 }
--- a/system/wire/raft_batch_codec.go
+++ b/system/wire/raft_batch_codec.go
@@ -4,105 +4,108 @@
 	"errors"
 	"math"
 
-	"capnproto.org/go/capnp/v3"
-
 	"yardrock.example/system/raft"
 	"yardrock.example/system/wire/schema"
 )
 
-// The heartbeats of groups in which all is quiet, and their answers, are most of what an
-// idle fleet sends. They travel together, in a short form.
+// Heartbeats of idle groups and the replies to them are most of what an idle fleet sends.
+// In a batch they have a short form of four numbers, from which the message is rebuilt in
+// full. Only messages that it rebuilds exactly may take it.
 
-func heartbeatIndex(value *raft.Message) (index uint64, isHeartbeat bool) {
-	quiet := value.Kind == raft.MessageAppend && len(value.Entries) == 0 && value.LogTerm == value.Term && value.Index == value.Commit && value.Hint == 0
-	return value.Index, quiet && !value.Rejected && !value.Forced && value.Term <= math.MaxUint32
+// isPlain tells whether a message has nothing that the short form could not carry: no
+// entries, no flags, and a term that fits 32 bits.
+func isPlain(message *raft.Message) bool {
+	return len(message.Entries) == 0 && message.Hint == 0 && !message.Rejected && !message.Forced && message.Term <= math.MaxUint32
 }
 
-func heartbeatReplyIndex(value *raft.Message) (index uint64, isReply bool) {
-	quiet := value.Kind == raft.MessageAppendReply && len(value.Entries) == 0 && value.LogTerm == 0 && value.Commit == 0 && value.Hint == 0
-	return value.Index, quiet && !value.Rejected && !value.Forced && value.Term <= math.MaxUint32
+// isHeartbeat tells whether a message is an append without entries to a follower that has
+// the leader's whole log, all of it committed and its last entry of the current term.
+func isHeartbeat(message *raft.Message) bool {
+	return message.Kind == raft.MessageAppend && isPlain(message) && message.LogTerm == message.Term && message.Index == message.Commit
 }
 
-func encodeHeartbeats(made capnp.StructList[schema.Beat], err error, messages []raft.Message, short func(*raft.Message) (uint64, bool)) error {
-	at := 0
-	for position := 0; err == nil && position < len(messages); position++ {
-		message := &messages[position]
-		index, isShort := short(message)
-		if !isShort {
-			continue
-		}
-		heartbeat := made.At(at)
-		at++
-		heartbeat.SetGroup(message.Group)
-		heartbeat.SetTerm(uint32(message.Term))
-		heartbeat.SetIndex(index)
-		heartbeat.SetRound(message.Round)
-	}
-	return err
+// isHeartbeatReply tells whether a message accepts an append and says nothing else.
+func isHeartbeatReply(message *raft.Message) bool {
+	return message.Kind == raft.MessageAppendReply && isPlain(message) && message.LogTerm == 0 && message.Commit == 0
+}
+
+// encodeHeartbeat writes the short form of a heartbeat or of a reply to one.
+func encodeHeartbeat(target schema.Beat, message **raft.Message) error {
+	target.SetGroup((*message).Group)
+	target.SetTerm(uint32((*message).Term))
+	target.SetIndex((*message).Index)
+	target.SetRound((*message).Round)
+	return nil
+}
+
+func decodeHeartbeat(source schema.Beat, message *raft.Message) error {
+	*message = raft.Message{Kind: raft.MessageAppend, Group: source.Group(), Term: uint64(source.Term()), LogTerm: uint64(source.Term()),
+		Index: source.Index(), Commit: source.Index(), Round: source.Round()}
+	return nil
+}
+
+func decodeHeartbeatReply(source schema.Beat, message *raft.Message) error {
+	*message = raft.Message{Kind: raft.MessageAppendReply, Group: source.Group(), Term: uint64(source.Term()), Index: source.Index(), Round: source.Round()}
+	return nil
 }
 
-// encodeRaftBatch puts messages of one node to one other.
+// encodeRaftBatch writes the messages of one node to one other. All of them have the same
+// sender and receiver, which the batch has once.
 func encodeRaftBatch(target schema.AgreementBatch, value *RaftBatch) error {
-	heartbeats, replies, long := 0, 0, []*raft.Message{}
+	if len(value.Messages) == 0 {
+		return nil
+	}
+	heartbeats, replies := make([]*raft.Message, 0, len(value.Messages)), make([]*raft.Message, 0, len(value.Messages))
+	var others []*raft.Message
 	for position := range value.Messages {
 		message := &value.Messages[position]
-		if _, isHeartbeat := heartbeatIndex(message); isHeartbeat {
-			heartbeats++
-		} else if _, isAnswer := heartbeatReplyIndex(message); isAnswer {
-			replies++
-		} else {
-			long = append(long, message)
+		switch {
+		case isHeartbeat(message):
+			heartbeats = append(heartbeats, message)
+		case isHeartbeatReply(message):
+			replies = append(replies, message)
+		default:
+			others = append(others, message)
 		}
 	}
-	if len(value.Messages) > 0 {
-		if err := errors.Join(target.SetFrom(value.Messages[0].From), target.SetTo(value.Messages[0].To)); err != nil {
-			return err
-		}
+	if err := errors.Join(target.SetFrom(value.Messages[0].From), target.SetTo(value.Messages[0].To)); err != nil {
+		return err
 	}
-	if heartbeats > 0 {
-		made, err := target.NewBeats(int32(heartbeats))
-		if err := encodeHeartbeats(made, err, value.Messages, heartbeatIndex); err != nil {
+	if len(heartbeats) > 0 {
+		if err := encodeList(target.NewBeats, heartbeats, encodeHeartbeat); err != nil {
 			return err
 		}
 	}
-	if replies > 0 {
-		made, err := target.NewAnswers(int32(replies))
-		if err := encodeHeartbeats(made, err, value.Messages, heartbeatReplyIndex); err != nil {
+	if len(replies) > 0 {
+		if err := encodeList(target.NewAnswers, replies, encodeHeartbeat); err != nil {
 			return err
 		}
 	}
-	if len(long) == 0 {
+	if len(others) == 0 {
 		return nil
 	}
-	messages, err := target.NewMessages(int32(len(long)))
-	return encodeList(messages, err, long, func(made schema.AgreementMessage, message **raft.Message) error {
-		return encodeMessage(made, *message)
+	return encodeList(target.NewMessages, others, func(target schema.AgreementMessage, message **raft.Message) error {
+		return encodeMessage(target, *message)
 	})
 }
 
-// decodeRaftBatch gives a batch's messages, the short ones last; agreement bears any order.
+// decodeRaftBatch gives the messages of a batch: those in full first, then heartbeats, then
+// replies. Their order on the sender's side is not kept; Raft allows any order.
 func decodeRaftBatch(source schema.AgreementBatch, value *RaftBatch) error {
-	reading := &fieldReader{}
-	from, to := field(reading, source.From), field(reading, source.To)
-	messages, heartbeats, replies := field(reading, source.Messages), field(reading, source.Beats), field(reading, source.Answers)
-	if reading.err != nil {
-		return reading.err
-	}
-	value.Messages = make([]raft.Message, 0, messages.Len()+heartbeats.Len()+replies.Len())
-	for position := range messages.Len() {
-		message := raft.Message{}
-		if err := decodeMessage(messages.At(position), &message); err != nil {
-			return err
-		}
-		value.Messages = append(value.Messages, message)
-	}
-	for position := range heartbeats.Len() {
-		heartbeat := heartbeats.At(position)
-		value.Messages = append(value.Messages, raft.Message{Kind: raft.MessageAppend, Group: heartbeat.Group(), Term: uint64(heartbeat.Term()), LogTerm: uint64(heartbeat.Term()), Index: heartbeat.Index(), Commit: heartbeat.Index(), Round: heartbeat.Round()})
+	reader := &fieldReader{}
+	from, to := readField(reader, source.From), readField(reader, source.To)
+	others, heartbeats, replies := readField(reader, source.Messages), readField(reader, source.Beats), readField(reader, source.Answers)
+	if reader.err != nil {
+		return reader.err
 	}
-	for position := range replies.Len() {
-		heartbeat := replies.At(position)
-		value.Messages = append(value.Messages, raft.Message{Kind: raft.MessageAppendReply, Group: heartbeat.Group(), Term: uint64(heartbeat.Term()), Index: heartbeat.Index(), Round: heartbeat.Round()})
+	value.Messages = make([]raft.Message, others.Len()+heartbeats.Len()+replies.Len())
+	short := value.Messages[others.Len():]
+	if err := errors.Join(
+		decodeInto(value.Messages[:others.Len()], others, decodeMessage),
+		decodeInto(short[:heartbeats.Len()], heartbeats, decodeHeartbeat),
+		decodeInto(short[heartbeats.Len():], replies, decodeHeartbeatReply),
+	); err != nil {
+		return err
 	}
 	for position := range value.Messages {
 		value.Messages[position].From, value.Messages[position].To = from, to
--- a/system/wire/raft_codec.go
+++ b/system/wire/raft_codec.go
@@ -6,22 +6,21 @@
 )
 
 func encodeMembership(target schema.Replicas, value *raft.Membership) error {
-	voters, err := target.NewVoters(int32(len(value.Voters)))
-	if err := encodeTexts(voters, err, value.Voters); err != nil {
+	if err := encodeTexts(target.NewVoters, value.Voters); err != nil {
 		return err
 	}
-	learners, err := target.NewLearners(int32(len(value.Learners)))
-	return encodeTexts(learners, err, value.Learners)
+	return encodeTexts(target.NewLearners, value.Learners)
 }
 
 func decodeMembership(source schema.Replicas, value *raft.Membership) (err error) {
-	if value.Voters, err = decodeTexts(source.Voters()); err != nil {
+	if value.Voters, err = decodeTexts(source.Voters); err != nil {
 		return err
 	}
-	value.Learners, err = decodeTexts(source.Learners())
+	value.Learners, err = decodeTexts(source.Learners)
 	return err
 }
 
+// encodeEntry writes the data of an entry, or, for a membership entry, the membership.
 func encodeEntry(target schema.Entry, value *raft.Entry) error {
 	target.SetIndex(value.Index)
 	target.SetTerm(value.Term)
@@ -29,11 +28,7 @@
 	if value.Kind != raft.EntryMembership {
 		return target.SetData(value.Data)
 	}
-	replicas, err := target.NewReplicas()
-	if err != nil {
-		return err
-	}
-	return encodeMembership(replicas, &value.Membership)
+	return encodeNested(target.NewReplicas, &value.Membership, encodeMembership)
 }
 
 func decodeEntry(source schema.Entry, value *raft.Entry) (err error) {
@@ -42,11 +37,7 @@
 		value.Data, err = source.Data()
 		return err
 	}
-	replicas, err := source.Replicas()
-	if err != nil {
-		return err
-	}
-	return decodeMembership(replicas, &value.Membership)
+	return decodeNested(source.Replicas, &value.Membership, decodeMembership)
 }
 
 func encodeSnapshot(target schema.Checkpoint, value *raft.Snapshot) error {
@@ -55,11 +46,7 @@
 	if err := target.SetData(value.Data); err != nil {
 		return err
 	}
-	replicas, err := target.NewReplicas()
-	if err != nil {
-		return err
-	}
-	return encodeMembership(replicas, &value.Membership)
+	return encodeNested(target.NewReplicas, &value.Membership, encodeMembership)
 }
 
 func decodeSnapshot(source schema.Checkpoint, value *raft.Snapshot) (err error) {
@@ -67,30 +54,36 @@
 	if value.Data, err = source.Data(); err != nil {
 		return err
 	}
-	replicas, err := source.Replicas()
-	if err != nil {
-		return err
-	}
-	return decodeMembership(replicas, &value.Membership)
+	return decodeNested(source.Replicas, &value.Membership, decodeMembership)
 }
 
-func carriesSnapshot(kind raft.MessageKind) bool {
-	return kind == raft.MessageSnapshot || kind == raft.MessageSnapshotChunk
-}
-
-func encodeSnapshotChunk(target schema.SnapshotChunk, value *raft.SnapshotChunk) {
+func encodeSnapshotChunk(target schema.SnapshotChunk, value *raft.SnapshotChunk) error {
 	target.SetOffset(value.Offset)
 	target.SetTotal(value.Total)
 	target.SetContentSum(value.ContentChecksum)
 	target.SetChecksum(value.Checksum)
 	target.SetReason(uint16(value.Reason))
+	return nil
 }
 
-func decodeSnapshotChunk(source schema.SnapshotChunk) raft.SnapshotChunk {
-	return raft.SnapshotChunk{Offset: source.Offset(), Total: source.Total(), ContentChecksum: source.ContentSum(),
+func decodeSnapshotChunk(source schema.SnapshotChunk, value *raft.SnapshotChunk) error {
+	*value = raft.SnapshotChunk{Offset: source.Offset(), Total: source.Total(), ContentChecksum: source.ContentSum(),
 		Checksum: source.Checksum(), Reason: raft.SnapshotRejection(source.Reason())}
+	return nil
+}
+
+// hasSnapshot tells whether messages of a kind carry a snapshot, whole or a chunk of its
+// data. They carry no entries.
+func hasSnapshot(kind raft.MessageKind) bool {
+	return kind == raft.MessageSnapshot || kind == raft.MessageSnapshotChunk
+}
+
+// hasChunk tells whether messages of a kind describe a chunk of a snapshot.
+func hasChunk(kind raft.MessageKind) bool {
+	return kind == raft.MessageSnapshotChunk || kind == raft.MessageSnapshotReply
 }
 
+// encodeMessage writes all but the sender and receiver, which the batch has once.
 func encodeMessage(target schema.AgreementMessage, value *raft.Message) error {
 	target.SetGroup(value.Group)
 	target.SetKind(uint16(value.Kind))
@@ -102,57 +95,49 @@
 	target.SetRefused(value.Rejected)
 	target.SetHint(value.Hint)
 	target.SetForced(value.Forced)
-	if value.Kind == raft.MessageSnapshotChunk || value.Kind == raft.MessageSnapshotReply {
-		chunk, err := target.NewChunk()
-		if err != nil {
+	if hasChunk(value.Kind) {
+		if err := encodeNested(target.NewChunk, &value.Chunk, encodeSnapshotChunk); err != nil {
 			return err
 		}
-		encodeSnapshotChunk(chunk, &value.Chunk)
 	}
-	if carriesSnapshot(value.Kind) {
-		snapshot, err := target.NewCheckpoint()
-		if err != nil {
-			return err
-		}
-		return encodeSnapshot(snapshot, &value.Snapshot)
+	if hasSnapshot(value.Kind) {
+		return encodeNested(target.NewCheckpoint, &value.Snapshot, encodeSnapshot)
 	}
-	entries, err := target.NewEntries(int32(len(value.Entries)))
-	return encodeList(entries, err, value.Entries, encodeEntry)
+	return encodeList(target.NewEntries, value.Entries, encodeEntry)
 }
 
-func decodeMessage(source schema.AgreementMessage, value *raft.Message) error {
+func decodeMessage(source schema.AgreementMessage, value *raft.Message) (err error) {
 	*value = raft.Message{Group: source.Group(), Kind: raft.MessageKind(source.Kind()),
-		Term: source.Term(), Index: source.Index(), LogTerm: source.LogTerm(), Commit: source.Commit(), Round: source.Round(), Rejected: source.Refused(), Hint: source.Hint(), Forced: source.Forced()}
-	if value.Kind == raft.MessageSnapshotChunk || value.Kind == raft.MessageSnapshotReply {
-		chunk, err := source.Chunk()
-		if err != nil {
+		Term: source.Term(), Index: source.Index(), LogTerm: source.LogTerm(), Commit: source.Commit(), Round: source.Round(),
+		Rejected: source.Refused(), Hint: source.Hint(), Forced: source.Forced()}
+	if hasChunk(value.Kind) {
+		if err := decodeNested(source.Chunk, &value.Chunk, decodeSnapshotChunk); err != nil {
 			return err
 		}
-		value.Chunk = decodeSnapshotChunk(chunk)
 	}
-	if carriesSnapshot(value.Kind) {
-		snapshot, err := source.Checkpoint()
-		if err != nil {
-			return err
-		}
-		return decodeSnapshot(snapshot, &value.Snapshot)
+	if hasSnapshot(value.Kind) {
+		return decodeNested(source.Checkpoint, &value.Snapshot, decodeSnapshot)
 	}
-	list, err := source.Entries()
-	value.Entries, err = decodeList(list, err, decodeEntry)
+	value.Entries, err = decodeList(source.Entries, decodeEntry)
+	return err
+}
+
+func encodeHardState(target schema.State, value *raft.HardState) error {
+	target.SetTerm(value.Term)
+	return target.SetVoted(value.VotedFor)
+}
+
+func decodeHardState(source schema.State, value *raft.HardState) (err error) {
+	value.Term = source.Term()
+	value.VotedFor, err = source.Voted()
 	return err
 }
 
 func encodeStoredWrite(target schema.StoredWrite, value *StoredWrite) error {
-	state, err := target.NewState()
-	if err != nil {
+	if err := encodeNested(target.NewState, &value.HardState, encodeHardState); err != nil {
 		return err
 	}
-	state.SetTerm(value.HardState.Term)
-	if err := state.SetVoted(value.HardState.VotedFor); err != nil {
-		return err
-	}
-	entries, err := target.NewEntries(int32(len(value.Entries)))
-	if err := encodeList(entries, err, value.Entries, encodeEntry); err != nil {
+	if err := encodeList(target.NewEntries, value.Entries, encodeEntry); err != nil {
 		return err
 	}
 	target.SetPointed(value.HasSnapshot)
@@ -160,33 +145,19 @@
 	if !value.HasSnapshot {
 		return nil
 	}
-	snapshot, err := target.NewCheckpoint()
-	if err != nil {
-		return err
-	}
-	return encodeSnapshot(snapshot, &value.Snapshot)
+	return encodeNested(target.NewCheckpoint, &value.Snapshot, encodeSnapshot)
 }
 
-func decodeStoredWrite(source schema.StoredWrite, value *StoredWrite) error {
-	state, err := source.State()
-	if err != nil {
+func decodeStoredWrite(source schema.StoredWrite, value *StoredWrite) (err error) {
+	if err := decodeNested(source.State, &value.HardState, decodeHardState); err != nil {
 		return err
 	}
-	value.HardState.Term = state.Term()
-	if value.HardState.VotedFor, err = state.Voted(); err != nil {
-		return err
-	}
-	list, err := source.Entries()
-	if value.Entries, err = decodeList(list, err, decodeEntry); err != nil {
+	if value.Entries, err = decodeList(source.Entries, decodeEntry); err != nil {
 		return err
 	}
 	value.SnapshotDataSeparate = source.ContentApart()
 	if value.HasSnapshot = source.Pointed(); !value.HasSnapshot {
 		return nil
 	}
-	snapshot, err := source.Checkpoint()
-	if err != nil {
-		return err
-	}
-	return decodeSnapshot(snapshot, &value.Snapshot)
+	return decodeNested(source.Checkpoint, &value.Snapshot, decodeSnapshot)
 }
--- a/system/wire/session_codec.go
+++ b/system/wire/session_codec.go
@@ -21,63 +21,72 @@
 	return err
 }
 
-func encodeSession(target schema.Session, value *sessionlog.Session) error {
+// encodeSessionHeader writes what a session's reader sees of it: identity, retention and
+// positions. A snapshot has the rest too.
+func encodeSessionHeader(target schema.Session, value *sessionlog.Session) error {
 	target.SetCreatedAt(value.CreatedAt)
 	target.SetKeepFor(int64(value.Retention))
 	target.SetTouchedAt(value.UpdatedAt)
 	target.SetHead(value.Head)
 	target.SetArchivedSeq(value.ArchivedSeq)
+	return errors.Join(target.SetLine(value.Name), target.SetTeam(value.Team), target.SetProgram(value.Program), target.SetWorkKind(value.WorkKind))
+}
+
+func decodeSessionHeader(source schema.Session, value *sessionlog.Session) error {
+	reader := &fieldReader{}
+	*value = sessionlog.Session{
+		CreatedAt: source.CreatedAt(), Retention: time.Duration(source.KeepFor()), UpdatedAt: source.TouchedAt(), Head: source.Head(), ArchivedSeq: source.ArchivedSeq(),
+		Name: readField(reader, source.Line), Team: readField(reader, source.Team), Program: readField(reader, source.Program), WorkKind: readField(reader, source.WorkKind),
+	}
+	return reader.err
+}
+
+func encodeSession(target schema.Session, value *sessionlog.Session) error {
+	if err := encodeSessionHeader(target, value); err != nil {
+		return err
+	}
 	target.SetUntil(value.RetainUntil)
 	target.SetSpent(value.Spent)
 	target.SetReserved(value.Reserved)
-	if err := errors.Join(target.SetLine(value.Name), target.SetTeam(value.Team), target.SetProgram(value.Program), target.SetWorkKind(value.WorkKind)); err != nil {
+	if err := encodeList(target.NewProducers, value.Producers, encodeProducer); err != nil {
 		return err
 	}
-	producers, err := target.NewProducers(int32(len(value.Producers)))
-	if err := encodeList(producers, err, value.Producers, encodeProducer); err != nil {
+	if err := encodeList(target.NewHot, value.Unarchived, encodeEvent); err != nil {
 		return err
 	}
-	unarchived, err := target.NewHot(int32(len(value.Unarchived)))
-	if err := encodeList(unarchived, err, value.Unarchived, encodeEvent); err != nil {
-		return err
-	}
-	open, err := target.NewOpenTurns(int32(len(value.OpenTurns)))
+	openTurns, err := target.NewOpenTurns(int32(len(value.OpenTurns)))
 	if err != nil {
 		return err
 	}
 	for position, turn := range value.OpenTurns {
-		open.Set(position, turn)
+		openTurns.Set(position, turn)
 	}
 	if len(value.Prefixes) == 0 {
 		return nil
 	}
-	openings, err := target.NewOpenings(int32(len(value.Prefixes)))
-	return encodeTexts(openings, err, value.Prefixes)
+	return encodeTexts(target.NewOpenings, value.Prefixes)
 }
 
 func decodeSession(source schema.Session, value *sessionlog.Session) error {
-	reading := &fieldReader{}
-	*value = sessionlog.Session{CreatedAt: source.CreatedAt(), Retention: time.Duration(source.KeepFor()), UpdatedAt: source.TouchedAt(), Head: source.Head(), ArchivedSeq: source.ArchivedSeq(),
-		RetainUntil: source.Until(), Spent: source.Spent(), Reserved: source.Reserved(), Name: field(reading, source.Line), Team: field(reading, source.Team), Program: field(reading, source.Program), WorkKind: field(reading, source.WorkKind)}
-	if reading.err != nil {
-		return reading.err
+	err := decodeSessionHeader(source, value)
+	if err != nil {
+		return err
 	}
-	producers, err := source.Producers()
-	if value.Producers, err = decodeList(producers, err, decodeProducer); err != nil {
+	value.RetainUntil, value.Spent, value.Reserved = source.Until(), source.Spent(), source.Reserved()
+	if value.Producers, err = decodeList(source.Producers, decodeProducer); err != nil {
 		return err
 	}
-	unarchived, err := source.Hot()
-	if value.Unarchived, err = decodeList(unarchived, err, decodeEvent); err != nil {
+	if value.Unarchived, err = decodeList(source.Hot, decodeEvent); err != nil {
 		return err
 	}
-	open, err := source.OpenTurns()
+	openTurns, err := source.OpenTurns()
 	if err != nil {
 		return err
 	}
-	for position := range open.Len() {
-		value.OpenTurns = append(value.OpenTurns, open.At(position))
+	for position := range openTurns.Len() {
+		value.OpenTurns = append(value.OpenTurns, openTurns.At(position))
 	}
-	value.Prefixes, err = decodeTexts(source.Openings())
+	value.Prefixes, err = decodeTexts(source.Openings)
 	return err
 }
 
@@ -98,12 +107,10 @@
 	if err := target.SetName(value.Name); err != nil {
 		return err
 	}
-	reservations, err := target.NewReservations(int32(len(value.Reservations)))
-	if err := encodeList(reservations, err, value.Reservations, encodeReservation); err != nil {
+	if err := encodeList(target.NewReservations, value.Reservations, encodeReservation); err != nil {
 		return err
 	}
-	settled, err := target.NewSettled(int32(len(value.Settled)))
-	return encodeList(settled, err, value.Settled, encodeReservation)
+	return encodeList(target.NewSettled, value.Settled, encodeReservation)
 }
 
 func decodeQuotaUsage(source schema.Tally, value *sessionlog.QuotaUsage) (err error) {
@@ -111,75 +118,70 @@
 	if value.Name, err = source.Name(); err != nil {
 		return err
 	}
-	reservations, err := source.Reservations()
-	if value.Reservations, err = decodeList(reservations, err, decodeReservation); err != nil {
+	if value.Reservations, err = decodeList(source.Reservations, decodeReservation); err != nil {
 		return err
 	}
-	settled, err := source.Settled()
-	value.Settled, err = decodeList(settled, err, decodeReservation)
+	value.Settled, err = decodeList(source.Settled, decodeReservation)
 	return err
 }
 
+func encodeTurnRecord(target schema.TurnRecord, value *sessionlog.TurnRecord) error {
+	target.SetSeq(value.Seq)
+	target.SetEnded(value.EndSeq)
+	target.SetDeadline(value.Deadline)
+	target.SetTokens(value.Tokens)
+	return errors.Join(target.SetLine(value.Session), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
+}
+
+func decodeTurnRecord(source schema.TurnRecord, value *sessionlog.TurnRecord) error {
+	reader := &fieldReader{}
+	*value = sessionlog.TurnRecord{
+		Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(),
+		Session: readField(reader, source.Line), Name: readField(reader, source.Name), Follows: readField(reader, source.Follows),
+		Outcome: readField(reader, source.Outcome), Dispatch: readField(reader, source.Dispatch),
+	}
+	return reader.err
+}
+
 func encodeSharedPrefix(target schema.Opening, value *sessionlog.SharedPrefixRecord) error {
 	target.SetUntil(value.Until)
 	return errors.Join(target.SetName(value.Name), target.SetScope(value.Scope), target.SetData(value.Data))
 }
 
 func decodeSharedPrefix(source schema.Opening, value *sessionlog.SharedPrefixRecord) error {
-	reading := &fieldReader{}
-	*value = sessionlog.SharedPrefixRecord{Until: source.Until(), Name: field(reading, source.Name), Scope: field(reading, source.Scope), Data: readBytes(reading, source.Data)}
-	return reading.err
+	reader := &fieldReader{}
+	*value = sessionlog.SharedPrefixRecord{Until: source.Until(), Name: readField(reader, source.Name), Scope: readField(reader, source.Scope), Data: readBytes(reader, source.Data)}
+	return reader.err
 }
 
+// encodeSessionSnapshot writes the state of a session group. Without shared prefixes their
+// list is not allocated, so that the bytes are those of the version that had none.
 func encodeSessionSnapshot(target schema.LineImage, value *sessionlog.Snapshot) error {
 	target.SetVersion(value.Version)
 	target.SetClock(value.Clock)
-	sessions, err := target.NewSessions(int32(len(value.Sessions)))
-	if err := encodeList(sessions, err, value.Sessions, encodeSession); err != nil {
+	if err := encodeList(target.NewSessions, value.Sessions, encodeSession); err != nil {
 		return err
 	}
-	tallies, err := target.NewTallies(int32(len(value.QuotaUsages)))
-	if err := encodeList(tallies, err, value.QuotaUsages, encodeQuotaUsage); err != nil {
+	if err := encodeList(target.NewTallies, value.QuotaUsages, encodeQuotaUsage); err != nil {
 		return err
 	}
-	turns, err := target.NewTurns(int32(len(value.Turns)))
-	if err := encodeList(turns, err, value.Turns, encodeTurnRecord); err != nil || len(value.Prefixes) == 0 {
+	if err := encodeList(target.NewTurns, value.Turns, encodeTurnRecord); err != nil || len(value.Prefixes) == 0 {
 		return err
 	}
-	openings, err := target.NewOpenings(int32(len(value.Prefixes)))
-	return encodeList(openings, err, value.Prefixes, encodeSharedPrefix)
+	return encodeList(target.NewOpenings, value.Prefixes, encodeSharedPrefix)
 }
 
-func decodeSessionSnapshot(source schema.LineImage, value *sessionlog.Snapshot) error {
+func decodeSessionSnapshot(source schema.LineImage, value *sessionlog.Snapshot) (err error) {
 	*value = sessionlog.Snapshot{Version: source.Version(), Clock: source.Clock()}
-	sessions, err := source.Sessions()
-	if value.Sessions, err = decodeList(sessions, err, decodeSession); err != nil {
+	if value.Sessions, err = decodeList(source.Sessions, decodeSession); err != nil {
 		return err
 	}
-	tallies, err := source.Tallies()
-	if value.QuotaUsages, err = decodeList(tallies, err, decodeQuotaUsage); err != nil {
+	if value.QuotaUsages, err = decodeList(source.Tallies, decodeQuotaUsage); err != nil {
 		return err
 	}
-	turns, err := source.Turns()
-	if value.Turns, err = decodeList(turns, err, decodeTurnRecord); err != nil {
+	if value.Turns, err = decodeList(source.Turns, decodeTurnRecord); err != nil {
 		return err
 	}
-	openings, err := source.Openings()
-	value.Prefixes, err = decodeList(openings, err, decodeSharedPrefix)
+	value.Prefixes, err = decodeList(source.Openings, decodeSharedPrefix)
 	return err
 }
-
-func encodeTurnRecord(target schema.TurnRecord, value *sessionlog.TurnRecord) error {
-	target.SetSeq(value.Seq)
-	target.SetEnded(value.EndSeq)
-	target.SetDeadline(value.Deadline)
-	target.SetTokens(value.Tokens)
-	return errors.Join(target.SetLine(value.Session), target.SetName(value.Name), target.SetFollows(value.Follows), target.SetOutcome(value.Outcome), target.SetDispatch(value.Dispatch))
-}
-
-func decodeTurnRecord(source schema.TurnRecord, value *sessionlog.TurnRecord) error {
-	reading := &fieldReader{}
-	*value = sessionlog.TurnRecord{Seq: source.Seq(), EndSeq: source.Ended(), Deadline: source.Deadline(), Tokens: source.Tokens(), Session: field(reading, source.Line), Name: field(reading, source.Name),
-		Follows: field(reading, source.Follows), Outcome: field(reading, source.Outcome), Dispatch: field(reading, source.Dispatch)}
-	return reading.err
-}
--- a/system/wire/stored.go
+++ b/system/wire/stored.go
@@ -6,98 +6,97 @@
 	"capnproto.org/go/capnp/v3"
 	"capnproto.org/go/capnp/v3/pogs"
 
-	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire/schema"
 )
 
-// Encode turns a value into Cap'n Proto bytes under one of the schema's types.
+// storedType is how a type of the schema is allocated, written and read as the root of a
+// message of its own.
+type storedType struct {
+	newRoot rootConstructor
+	encode  func(capnp.Struct, any) error
+	decode  func(capnp.Struct, any) error
+}
+
+// storedTypes are the types that are stored by themselves, by the schema's identifiers.
+var storedTypes = map[uint64]storedType{
+	schema.Command_TypeID:        handCoded(schema.NewRootCommand, encodeCommand, decodeCommand),
+	schema.StoredWrite_TypeID:    handCoded(schema.NewRootStoredWrite, encodeStoredWrite, decodeStoredWrite),
+	schema.LineImage_TypeID:      handCoded(schema.NewRootLineImage, encodeSessionSnapshot, decodeSessionSnapshot),
+	schema.ColdChunkBatch_TypeID: handCoded(schema.NewRootColdChunkBatch, encodeChunkBatch, decodeChunkBatch),
+	schema.ColdIndex_TypeID:      handCoded(schema.NewRootColdIndex, encodeArchiveIndex, decodeArchiveIndex),
+	schema.ControlImage_TypeID:   reflected(schema.ControlImage_TypeID, schema.NewRootControlImage),
+	schema.View_TypeID:           reflected(schema.View_TypeID, schema.NewRootView),
+	schema.Change_TypeID:         reflected(schema.Change_TypeID, schema.NewRootChange),
+}
+
+// handCoded is a type with functions of its own.
+func handCoded[Struct ~capnp.StructKind, Value any](newRoot func(*capnp.Segment) (Struct, error), encode, decode func(Struct, *Value) error) storedType {
+	typed := func(code func(Struct, *Value) error) func(capnp.Struct, any) error {
+		return func(content capnp.Struct, value any) error {
+			typed, fits := value.(*Value)
+			if !fits {
+				return fmt.Errorf("a %T is not stored as a %T", value, typed)
+			}
+			return code(Struct(content), typed)
+		}
+	}
+	return storedType{newRoot: rootOf(newRoot), encode: typed(encode), decode: typed(decode)}
+}
+
+// reflected is a type that the library maps to Go by reflection.
+func reflected[Struct ~capnp.StructKind](typeID uint64, newRoot func(*capnp.Segment) (Struct, error)) storedType {
+	return storedType{
+		newRoot: rootOf(newRoot),
+		encode:  func(target capnp.Struct, value any) error { return pogs.Insert(typeID, target, value) },
+		decode:  func(source capnp.Struct, value any) error { return pogs.Extract(value, typeID, source) },
+	}
+}
+
+func storedTypeOf(typeID uint64) (storedType, error) {
+	stored, known := storedTypes[typeID]
+	if !known {
+		return storedType{}, fmt.Errorf("schema type %x is never stored by itself; add it to wire.storedTypes", typeID)
+	}
+	return stored, nil
+}
+
+// Encode gives the stored form of a value: an unpacked message whose root has the schema's
+// type of that identifier. The value is a pointer to the Go type that belongs to it.
 //
 //	data, err := wire.Encode(schema.Command_TypeID, &command)
 func Encode(typeID uint64, value any) ([]byte, error) {
-	root, known := rootConstructors[typeID]
-	if !known {
-		return nil, fmt.Errorf("type %x is never stored by itself", typeID)
-	}
-	encode, isHot := storedEncoders[typeID]
-	if !isHot {
-		encode = func(target capnp.Struct, value any) error { return pogs.Insert(typeID, target, value) }
+	stored, err := storedTypeOf(typeID)
+	if err != nil {
+		return nil, err
 	}
-	return appendMessage(nil, root, func(made capnp.Struct) error { return encode(made, value) })
+	return appendMessage(nil, stored.newRoot, func(target capnp.Struct) error { return stored.encode(target, value) })
 }
 
-// Decode fills value from Cap'n Proto bytes.
+// Decode reads a stored form into the value pointed to. Its byte fields may alias the data.
 //
 //	err := wire.Decode(schema.Command_TypeID, data, &command)
 func Decode(typeID uint64, data []byte, value any) error {
-	root, err := readRoot(data)
+	stored, err := storedTypeOf(typeID)
 	if err != nil {
 		return err
 	}
-	if decode, isHot := storedDecoders[typeID]; isHot {
-		return decode(root, value)
+	root, err := readRoot(data)
+	if err != nil {
+		return err
 	}
-	return pogs.Extract(value, typeID, root)
+	return stored.decode(root, value)
 }
 
-// MustEncode is Encode for values that this program itself made.
+// MustEncode is Encode for a value of a type in storedTypes that this process made. It
+// panics on an error, which only a field without its place in the schema, a value of
+// another type or a message beyond 4 GiB can cause: faults of the program, which tests of
+// this package find for every field.
 //
 //	data := wire.MustEncode(schema.View_TypeID, &view)
 func MustEncode(typeID uint64, value any) []byte {
 	data, err := Encode(typeID, value)
 	if err != nil {
-		panic(fmt.Sprintf("encode %x: %v", typeID, err))
+		panic(fmt.Sprintf("encode schema type %x: %v", typeID, err))
 	}
 	return data
 }
-
-var rootConstructors = map[uint64]func(*capnp.Segment) (capnp.Struct, error){
-	schema.Command_TypeID:        newRoot(schema.NewRootCommand),
-	schema.StoredWrite_TypeID:    newRoot(schema.NewRootStoredWrite),
-	schema.LineImage_TypeID:      newRoot(schema.NewRootLineImage),
-	schema.ControlImage_TypeID:   newRoot(schema.NewRootControlImage),
-	schema.View_TypeID:           newRoot(schema.NewRootView),
-	schema.Change_TypeID:         newRoot(schema.NewRootChange),
-	schema.ColdChunkBatch_TypeID: newRoot(schema.NewRootColdChunkBatch),
-	schema.ColdIndex_TypeID:      newRoot(schema.NewRootColdIndex),
-}
-
-// storedEncoders and storedDecoders are the stored types of the ordinary path.
-var storedEncoders = map[uint64]func(capnp.Struct, any) error{
-	schema.ColdChunkBatch_TypeID: func(target capnp.Struct, value any) error {
-		return encodeChunkBatch(schema.ColdChunkBatch(target), value.(*ArchiveChunkBatch))
-	},
-	schema.ColdIndex_TypeID: func(target capnp.Struct, value any) error {
-		index := value.(*ArchiveIndex)
-		places, err := schema.ColdIndex(target).NewPlaces(int32(len(index.Locations)))
-		return encodeList(places, err, index.Locations, encodeChunkLocation)
-	},
-	schema.Command_TypeID: func(target capnp.Struct, value any) error {
-		return encodeCommand(schema.Command(target), value.(*sessionlog.Command))
-	},
-	schema.LineImage_TypeID: func(target capnp.Struct, value any) error {
-		return encodeSessionSnapshot(schema.LineImage(target), value.(*sessionlog.Snapshot))
-	},
-	schema.StoredWrite_TypeID: func(target capnp.Struct, value any) error {
-		return encodeStoredWrite(schema.StoredWrite(target), value.(*StoredWrite))
-	},
-}
-
-var storedDecoders = map[uint64]func(capnp.Struct, any) error{
-	schema.ColdChunkBatch_TypeID: func(source capnp.Struct, value any) error {
-		return decodeChunkBatch(schema.ColdChunkBatch(source), value.(*ArchiveChunkBatch))
-	},
-	schema.ColdIndex_TypeID: func(source capnp.Struct, value any) (err error) {
-		list, err := schema.ColdIndex(source).Places()
-		value.(*ArchiveIndex).Locations, err = decodeList(list, err, decodeChunkLocation)
-		return err
-	},
-	schema.Command_TypeID: func(source capnp.Struct, value any) error {
-		return decodeCommand(schema.Command(source), value.(*sessionlog.Command))
-	},
-	schema.LineImage_TypeID: func(source capnp.Struct, value any) error {
-		return decodeSessionSnapshot(schema.LineImage(source), value.(*sessionlog.Snapshot))
-	},
-	schema.StoredWrite_TypeID: func(source capnp.Struct, value any) error {
-		return decodeStoredWrite(schema.StoredWrite(source), value.(*StoredWrite))
-	},
-}
