--- a/proof/simulator/adminrequests_test.go
+++ b/proof/simulator/adminrequests_test.go
@@ -333,8 +333,8 @@
 		defer caller.Close()
 		leader := cluster.leader().Control.Name()
 		queries := map[string]wire.Query{
-			"confirm":        {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true}},
-			"confirm shared": {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true, Wait: 200 * time.Millisecond}},
+			"confirm":        {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true}},
+			"confirm shared": {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true, Wait: 200 * time.Millisecond}},
 			"await":          {Which: schema.Query_Which_change, Change: &wire.ChangeQuery{AwaitView: 1}},
 			"change":         {Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.StateDrained}}}},
 		}
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -132,7 +132,7 @@
 			return err
 		}},
 		{"confirm", func(ctx context.Context) error {
-			_, err := caller.Call(ctx, machine.Host+":7000", &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true}})
+			_, err := caller.Call(ctx, machine.Host+":7000", &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true}})
 			return err
 		}},
 		{"await", func(ctx context.Context) error {
--- a/system/controlplane/feed_confirmation.go
+++ b/system/controlplane/feed_confirmation.go
@@ -72,7 +72,7 @@
 // anything.
 func (node *Node) fetchNewer(ctx context.Context, own *feedState, number uint64, wait time.Duration) (*confirmedState, error) {
 	sentAt := time.Now()
-	reply, err := node.forwardToLeader(ctx, &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{SessionOnly: true, After: number, Wait: wait, Packed: true}})
+	reply, err := node.forwardToLeader(ctx, &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true, After: number, Wait: wait, Packed: true}})
 	if err != nil {
 		return nil, err
 	}
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -25,7 +25,7 @@
 // nothing changes the answer is held for as long as the follower says.
 func (node *Node) handleFollow(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	follow, receivedAt := query.Follow, time.Now()
-	if follow.SessionOnly {
+	if follow.ConfirmOnly {
 		return node.handleConfirm(ctx, query, receivedAt)
 	}
 	node.recordHeard(follow.Member, 0, true)
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -37,7 +37,7 @@
 // noteForeignStore keeps the session of a store that names another fleet, while this one
 // has no store list: it may hold what this control plane has lost.
 func (node *Node) noteForeignStore(query *wire.Query) {
-	if query.Follow != nil && !query.Follow.SessionOnly && len(node.View().Stores) == 0 && query.Follow.Member.Role == feed.RoleStore {
+	if query.Follow != nil && !query.Follow.ConfirmOnly && len(node.View().Stores) == 0 && query.Follow.Member.Role == feed.RoleStore {
 		node.recordHeard(query.Follow.Member, 0, true)
 	}
 }
--- a/system/wire/archive.go
+++ b/system/wire/archive.go
@@ -4,7 +4,8 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// ArchiveChunk is a run of archived events of one line.
+// ArchiveChunk is a run of archived events of one session, from sequence number First to
+// Last. ExpiresAt is in Unix nanoseconds; the chunk may be deleted afterwards.
 type ArchiveChunk struct {
 	Group     uint32             `capnp:"group"`
 	Session   string             `capnp:"line"`
@@ -14,12 +15,13 @@
 	Events    []sessionlog.Event `capnp:"events"`
 }
 
-// ArchiveChunkBatch carries chunks.
+// ArchiveChunkBatch carries chunks of any sessions and groups.
 type ArchiveChunkBatch struct {
 	Chunks []ArchiveChunk `capnp:"chunks"`
 }
 
-// ChunkLocation says where in a cold file a chunk is.
+// ChunkLocation is where in an archive file a chunk is: Offset and Length in bytes, Checksum
+// over those bytes. Digest identifies the content, wherever it is stored.
 type ChunkLocation struct {
 	Group     uint32
 	Session   string
@@ -32,17 +34,18 @@
 	Digest    []byte
 }
 
-// ArchiveIndex lists the chunks of one cold file.
+// ArchiveIndex lists the chunks of one archive file.
 type ArchiveIndex struct{ Locations []ChunkLocation }
 
-// DigestQuery asks a store for the sums of a group's cold lines, one a bucket; with
-// buckets named, for the digests of the ranges in these.
+// DigestQuery asks a store for digests of a group's archive, to compare it with another
+// replica's (anti-entropy): one for each bucket of sessions, or, with Buckets, one for each
+// range in these buckets.
 type DigestQuery struct {
 	Group   uint32   `capnp:"group"`
 	Buckets []uint32 `capnp:"buckets"`
 }
 
-// RangeDigest is the digest of one cold range.
+// RangeDigest is the digest of one archived range of a session, from First to Last.
 type RangeDigest struct {
 	Session string `capnp:"line"`
 	First   uint64 `capnp:"first"`
@@ -50,13 +53,14 @@
 	Digest  []byte `capnp:"digest"`
 }
 
-// DigestReply answers a DigestQuery.
+// DigestReply answers a DigestQuery with Ranges if it named buckets, else with BucketDigests.
 type DigestReply struct {
 	Ranges        []RangeDigest `capnp:"ranges"`
 	BucketDigests []uint64      `capnp:"sums"`
 }
 
-// ReadArchiveQuery asks a store for its own cold events of a line.
+// ReadArchiveQuery asks a store for the events of a session that its own archive has, after
+// After and up to Through.
 type ReadArchiveQuery struct {
 	Session string `capnp:"line"`
 	After   uint64 `capnp:"after"`
--- a/system/wire/codec_test.go
+++ b/system/wire/codec_test.go
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if got, err := DecodeReply(data); err != nil || !reflect.DeepEqual(got, reply) {
-			t.Errorf("%+v came as %+v, %v", reply, got, err)
+			t.Errorf("%+v was read as %+v, %v", reply, got, err)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	snapshot.Version, snapshot.Turns = 1, nil // as the version before wrote it
 	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &snapshot), &stored); err != nil || other.Restore(stored) != nil {
-		t.Fatalf("an image of the version before is refused: %v", err)
+		t.Fatalf("a snapshot of the version before is rejected: %v", err)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	slices.SortFunc(got.Raft.Messages, func(left, right raft.Message) int { return int(left.Group) - int(right.Group) })
 	if !reflect.DeepEqual(got.Raft.Messages, messages) {
-		t.Fatalf("came as %+v", got.Raft.Messages)
+		t.Fatalf("read as %+v", got.Raft.Messages)
 	}
 	heartbeats := []raft.Message{}
 	for group := range uint32(16) {
@@ -137,22 +137,22 @@
 				t.Fatal(err)
 			}
 			if read, err := DecodeQuery(sent); err != nil || !bytes.Equal(read.Command.Commands[0].Data, data) {
-				t.Fatalf("%d %s came otherwise, %v", size, name, err)
+				t.Fatalf("%d %s were read as something else, %v", size, name, err)
 			}
 			for _, cut := range []int{1, 7, 8, 9, len(sent) / 2, len(sent) - 1} {
 				if read, err := DecodeQuery(sent[:cut]); err == nil && read == nil {
-					t.Fatalf("neither a query nor a failure from %d of %d bytes", cut, len(sent))
+					t.Fatalf("neither a query nor an error from %d of %d bytes", cut, len(sent))
 				}
 			}
 		}
 	}
 	if _, err := DecodeQuery([]byte{packedMarker, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0, 0xff}); err == nil {
-		t.Fatal("a length that is not there was believed")
+		t.Fatal("a message with a wrong size was read")
 	}
 }
 
-// FuzzDecodeQuery reads anything as a query; what can be read can be put and read
-// again.
+// FuzzDecodeQuery reads any bytes as a query; a query that was read can be written and is
+// read again as the same.
 func FuzzDecodeQuery(f *testing.F) {
 	for _, query := range []*Query{
 		{Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands}},
@@ -172,11 +172,11 @@
 		}
 		again, err := AppendQuery(nil, query)
 		if err != nil {
-			return // what was read by one pointer twice may not fit
+			return // content that two pointers shared may not fit when written twice
 		}
 		read, err := DecodeQuery(again)
 		if err != nil || !reflect.DeepEqual(read, query) {
-			t.Fatalf("%+v came as %+v, %v", query, read, err)
+			t.Fatalf("%+v was read as %+v, %v", query, read, err)
 		}
 		machine := sessionlog.NewStateMachine()
 		for position := range query.Command.Commands {
@@ -184,12 +184,12 @@
 		}
 		snapshot := machine.View().Snapshot()
 		if sessionlog.NewStateMachine().Restore(snapshot) != nil {
-			t.Fatal("the image of a group can't be restored")
+			t.Fatal("the snapshot of a group cannot be restored")
 		}
 	})
 }
 
-// FuzzDecodeReply reads anything as a reply.
+// FuzzDecodeReply reads any bytes as a reply.
 func FuzzDecodeReply(f *testing.F) {
 	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Outcome{{Seq: 4}}, History: []byte("in\nout\n")}})
 	if err != nil {
@@ -199,7 +199,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		reply, err := DecodeReply(data)
 		if err == nil && reply == nil {
-			t.Fatal("neither a reply nor a failure")
+			t.Fatal("neither a reply nor an error")
 		}
 	})
 }
--- a/system/wire/packed_view.go
+++ b/system/wire/packed_view.go
@@ -12,30 +12,31 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// A packed view is an encoded and compressed one. It begins with packedViewMarker, where an
-// encoded view that is not packed has a zero.
+// A packed view is packedViewMarker and the S2-compressed stored form of a view. A stored form
+// that is not packed begins with a zero, the first byte of its segment table.
 const (
 	packedViewMarker = 2
-	maxViewSize      = 256 << 20
-	// maxViewRatio is how many times its packed length a view may have, at most: what is
-	// repeated takes a few bytes for each 64 KiB.
+	maxViewSize      = 256 << 20 // bytes, unpacked
+	// maxViewRatio bounds how many times its packed length a view may have. S2 needs a few
+	// bytes for each 64 KiB of repeated content.
 	maxViewRatio = 1 << 14
 )
 
-var errDamagedView = errors.New("a packed view is damaged")
+var errDamagedView = errors.New("the packed view is damaged")
 
-// PackView encodes and compresses a view.
+// PackView gives the packed form of a view.
 //
 //	data := wire.PackView(view)
 func PackView(view *feed.View) []byte {
 	plain := MustEncode(schema.View_TypeID, view)
-	packed := make([]byte, 1+s2.MaxEncodedLen(len(plain)))
-	packed[0] = packedViewMarker
-	used := s2.Encode(packed[1:], plain)
-	return bytes.Clone(packed[:1+len(used)])
+	buffer := make([]byte, 1+s2.MaxEncodedLen(len(plain)))
+	buffer[0] = packedViewMarker
+	compressed := s2.Encode(buffer[1:], plain)
+	return bytes.Clone(buffer[:1+len(compressed)]) // kept for long; the buffer is larger
 }
 
-// UnpackView reads a packed view, or one that is only encoded, as older versions kept it.
+// UnpackView reads a packed view, or the stored form of one, as older versions kept it. Data
+// that cannot be read, or states a size out of bounds, is an error.
 //
 //	view, err := wire.UnpackView(reply.PackedView)
 func UnpackView(data []byte) (*feed.View, error) {
@@ -47,6 +48,7 @@
 	return view, Decode(schema.View_TypeID, plain, view)
 }
 
+// decompressView gives the stored form of a view.
 func decompressView(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != packedViewMarker {
 		return data, nil
@@ -62,7 +64,8 @@
 	return plain, nil
 }
 
-// PackedViewCache packs the view that is in force, once for all who ask for it.
+// PackedViewCache keeps the packed form of one view, the newest, for all followers that ask for
+// it. Its zero value is empty. It may be used concurrently.
 type PackedViewCache struct {
 	mutex  sync.Mutex
 	fleet  string
@@ -70,7 +73,8 @@
 	packed []byte
 }
 
-// Get is PackView for a view that others may have asked for as well.
+// Get gives the packed form of a view. Views of one fleet and number must be equal. The bytes
+// are shared and must not be changed.
 //
 //	reply.PackedView = node.views.Get(view)
 func (cache *PackedViewCache) Get(view *feed.View) []byte {
--- a/system/wire/packed_view_test.go
+++ b/system/wire/packed_view_test.go
@@ -32,8 +32,8 @@
 func TestDamagedPackedViewIsRejected(t *testing.T) {
 	packed := PackView(packedExample())
 	for name, data := range map[string][]byte{
-		"nothing": nil, "only its form": {packedViewMarker}, "cut": packed[:len(packed)/2],
-		"a length beyond its content": append([]byte{packedViewMarker, 0xff, 0xff, 0xff, 0xff, 0x07}, packed[3:]...),
+		"nothing": nil, "only the marker": {packedViewMarker}, "cut": packed[:len(packed)/2],
+		"a size beyond its content": append([]byte{packedViewMarker, 0xff, 0xff, 0xff, 0xff, 0x07}, packed[3:]...),
 	} {
 		if _, err := UnpackView(data); err == nil {
 			t.Errorf("%s was read", name)
--- a/system/wire/sessions.go
+++ b/system/wire/sessions.go
@@ -6,27 +6,27 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// CommandQuery asks a group's leader to commit commands.
+// CommandQuery asks the leader of a group to commit commands, in order.
 type CommandQuery struct {
 	Group    uint32
 	Commands []sessionlog.Command
 }
 
-// CommandReply answers a CommandQuery. History is what a turn that began goes on from:
-// the bytes of the chain of turns that it follows, oldest first.
+// CommandReply answers a CommandQuery with an outcome for each command. If a turn began,
+// History has the bytes of the turns that it follows, oldest first.
 type CommandReply struct {
 	Outcomes []sessionlog.Outcome
 	History  []byte
 }
 
-// FindTurnQuery asks a store whether a group that it leads knows a turn of a program.
+// FindTurnQuery asks a store for a turn, in whichever of the groups that it leads it is.
 type FindTurnQuery struct {
 	Name string `capnp:"name"`
 }
 
-// FindTurnReply answers a FindTurnQuery for the groups that a quorum confirmed the store to
-// lead. Chain is the turn found with all that it follows, oldest first; Open tells of
-// a turn that has not ended.
+// FindTurnReply answers a FindTurnQuery. SearchedGroups are the groups whose quorum confirmed
+// the store as leader; about others it says nothing. Chain is the turn with all that it
+// follows, oldest first; Open is set for a turn that has not ended.
 type FindTurnReply struct {
 	SearchedGroups []uint32                 `capnp:"covered"`
 	Found          bool                     `capnp:"found"`
@@ -34,8 +34,10 @@
 	Chain          []sessionlog.AdoptedTurn `capnp:"chain"`
 }
 
-// ReadQuery asks a group's leader for a line, or for a tally. With Wait it holds
-// the answer until there is something after After.
+// ReadQuery asks the leader of a session's group for the events after a sequence number, at
+// most Limit of them (0: as many as the store gives). With Wait the reply is delayed, at most
+// that long, until there is such an event. With QuotaUsage, Session is the name of a quota,
+// and its usage is read.
 type ReadQuery struct {
 	Session    string
 	After      uint64
@@ -44,18 +46,19 @@
 	QuotaUsage bool
 }
 
-// ReadReply answers a ReadQuery. On the way Session loses its hot events,
-// producers and open turns.
+// ReadReply answers a ReadQuery. Session travels without its unarchived events, producers and
+// open turns; Spent and Reserved are a quota's usage, in its unit.
 type ReadReply struct {
 	Session  sessionlog.Session
 	Events   []sessionlog.Event
 	Spent    uint64
 	Reserved uint64
-	// Clock is the time of the line's group, by which keeping times and deadlines go.
+	// Clock is the time of the session's group in Unix nanoseconds, by which retention and
+	// deadlines are judged.
 	Clock int64
 }
 
-// SharedPrefixQuery asks a replica for its copy of an opening.
+// SharedPrefixQuery asks a replica of a group for the content of a shared prefix.
 type SharedPrefixQuery struct {
 	Group uint32 `capnp:"group"`
 	Name  string `capnp:"name"`
--- a/system/wire/status.go
+++ b/system/wire/status.go
@@ -4,15 +4,19 @@
 	"yardrock.example/system/feed"
 )
 
-// StatusQuery asks a process who it is, and, if Traffic is set, what it said so far.
+// StatusQuery asks a process for its identity and state, and with Traffic for its message
+// counters. No version evaluates Address.
 type StatusQuery struct {
 	Address string `capnp:"address"`
 	Traffic bool   `capnp:"traffic"`
-	// SharedPrefixes asks for the openings that the groups led there hold.
+	// SharedPrefixes asks for the shared prefixes of the groups that are led there.
 	SharedPrefixes bool `capnp:"openings"`
 }
 
-// StatusReply tells who a process is.
+// StatusReply is the identity and state of a process. Fleet and ViewNumber are those of its
+// view, Uninitialized is set before it has one; Leader is the control leader that it knows,
+// Controls the control nodes, Founding the names of those that found the fleet. Fronts fill
+// RunnerLoads and Queued, the count of requests that wait for a runner.
 type StatusReply struct {
 	Name          string          `capnp:"name"`
 	Role          string          `capnp:"role"`
@@ -30,7 +34,8 @@
 	Traffic       []TrafficByKind `capnp:"traffic"`
 }
 
-// GroupStatus is a replica's word on one group; only a leader's counts.
+// GroupStatus is what a replica knows of one group. Voters and Learners are names of stores;
+// only those of the leader are authoritative.
 type GroupStatus struct {
 	Group          uint32               `capnp:"group"`
 	Leading        bool                 `capnp:"leading"`
@@ -39,8 +44,9 @@
 	SharedPrefixes []SharedPrefixStatus `capnp:"openings"`
 }
 
-// SharedPrefixStatus tells of an opening that a group holds once for many lines; Size is in
-// bytes. It never carries its content.
+// SharedPrefixStatus describes a prefix that a group stores once for all sessions of a scope
+// that begin with it, without its content. Size is in bytes, References counts the sessions
+// that need it, Corrupt is set if the stored bytes do not have the digest in the name.
 type SharedPrefixStatus struct {
 	Name       string `capnp:"name"`
 	Scope      string `capnp:"scope"`
@@ -49,16 +55,16 @@
 	Corrupt    bool   `capnp:"damaged"`
 }
 
-// RunnerLoad is what a front has out to a runner, and whether it takes the runner
-// for just started.
+// RunnerLoad is the count of requests that a front has in flight to a runner, and whether
+// the front treats the runner as warming up.
 type RunnerLoad struct {
 	Address   string `capnp:"address"`
 	InFlight  uint32 `capnp:"out"`
 	WarmingUp bool   `capnp:"cooled"`
 }
 
-// TrafficByKind counts the queries of one kind that a process asked and answered since
-// it started, and the bytes of their messages, queries and replies, both ways.
+// TrafficByKind counts the queries of one kind that a process sent and received since it
+// started, and the bytes of their messages, queries and replies together, in each direction.
 type TrafficByKind struct {
 	Kind            string `capnp:"kind"`
 	QueriesSent     uint64 `capnp:"asked"`
@@ -67,8 +73,8 @@
 	BytesIn         uint64 `capnp:"bytesIn"`
 }
 
-// RunnerWarmUpNote tells the other fronts that a runner looks just started, or that it
-// has answered again since.
+// RunnerWarmUpNote tells the other fronts that the sender treats a runner as just started, or,
+// without WarmingUp, that the runner has answered since.
 type RunnerWarmUpNote struct {
 	Address   string `capnp:"address"`
 	WarmingUp bool   `capnp:"cooled"`
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -14,7 +14,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// storedFolder has one file for each kind of stored message, as the version that wrote the
+// storedFolder has one file for each kind of stored record, as the version that wrote the
 // files encoded it. WRITE_STORED_DATA=1 writes files that are missing; existing ones are
 // never overwritten, as no later version may lose the ability to read them.
 const storedFolder = "testdata/stored"
@@ -56,8 +56,9 @@
 		Adopted: []sessionlog.AdoptedTurn{{Name: "adopted", Data: []byte("in\nout\n")}}, Scope: "scope", Prefix: "opening-2"}
 }
 
-// storedImage is an image with all that a format knows: turns since 2, openings since 3.
-func storedImage(version uint32) sessionlog.Snapshot {
+// storedGroupSnapshot has all that a version of a session group's snapshot knows: turns since
+// version 2, shared prefixes since 3.
+func storedGroupSnapshot(version uint32) sessionlog.Snapshot {
 	snapshot := sessionlog.Snapshot{Version: version, Clock: 20,
 		Sessions: []sessionlog.Session{{Name: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, Retention: time.Hour, UpdatedAt: 2, Head: 4, ArchivedSeq: 3,
 			Producers: []sessionlog.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Unarchived: []sessionlog.Event{storedEvent(sessionlog.TurnBegun)}, OpenTurns: []uint64{4}, RetainUntil: 21, Spent: 22, Reserved: 23}},
@@ -86,10 +87,10 @@
 		{Index: 6, Term: 3, Kind: raft.EntryMembership, Membership: raft.Membership{Voters: []string{"a", "b", "c"}, Learners: []string{"d"}}}}}
 }
 
-func storedApart() StoredWrite {
-	point := storedSnapshot()
-	point.Data = nil
-	return StoredWrite{HardState: raft.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: point, SnapshotDataSeparate: true}
+func storedSeparateWrite() StoredWrite {
+	snapshot := storedSnapshot()
+	snapshot.Data = nil
+	return StoredWrite{HardState: raft.HardState{Term: 3, VotedFor: "a"}, HasSnapshot: true, Snapshot: snapshot, SnapshotDataSeparate: true}
 }
 
 func storedChunks() ArchiveChunkBatch {
@@ -131,11 +132,11 @@
 		"view-unpacked":    {value: view, encode: func() []byte { return MustEncode(schema.View_TypeID, &view) }, decode: unpack},
 		"control-image-1":  storedAs(schema.ControlImage_TypeID, ControlSnapshot{Version: 1, View: view, Changes: []feed.Change{storedChange(feed.ChangeConfig)}}),
 		"control-image-2":  storedAs(schema.ControlImage_TypeID, ControlSnapshot{Version: 2, PackedView: []byte("packed"), Changes: []feed.Change{storedChange(feed.ChangeRunners)}, EarlierConfigs: earlier}),
-		"line-image-1":     storedAs(schema.LineImage_TypeID, storedImage(1)),
-		"line-image-2":     storedAs(schema.LineImage_TypeID, storedImage(2)),
-		"line-image-3":     storedAs(schema.LineImage_TypeID, storedImage(3)),
+		"line-image-1":     storedAs(schema.LineImage_TypeID, storedGroupSnapshot(1)),
+		"line-image-2":     storedAs(schema.LineImage_TypeID, storedGroupSnapshot(2)),
+		"line-image-3":     storedAs(schema.LineImage_TypeID, storedGroupSnapshot(3)),
 		"write":            storedAs(schema.StoredWrite_TypeID, storedWrite()),
-		"write-apart":      storedAs(schema.StoredWrite_TypeID, storedApart()),
+		"write-apart":      storedAs(schema.StoredWrite_TypeID, storedSeparateWrite()),
 		"cold-chunk-batch": storedAs(schema.ColdChunkBatch_TypeID, storedChunks()),
 		"cold-index":       storedAs(schema.ColdIndex_TypeID, storedIndex()),
 	}
@@ -172,9 +173,9 @@
 	}
 }
 
-// TestStoredImagesOfEarlierVersionsAreRestored makes each format of a group's image the
-// content of a state machine.
-func TestStoredImagesOfEarlierVersionsAreRestored(t *testing.T) {
+// TestStoredSnapshotsOfEarlierVersionsAreRestored restores a state machine from each version of a
+// group's snapshot.
+func TestStoredSnapshotsOfEarlierVersionsAreRestored(t *testing.T) {
 	for version := uint32(1); version <= 3; version++ {
 		data, err := os.ReadFile(filepath.Join(storedFolder, fmt.Sprintf("line-image-%d.bin", version)))
 		if err != nil {
@@ -186,15 +187,15 @@
 			t.Fatal(err)
 		}
 		if err := machine.Restore(snapshot); err != nil {
-			t.Fatalf("image of format %d: %v", version, err)
+			t.Fatalf("snapshot of version %d: %v", version, err)
 		}
-		want := storedImage(version)
+		want := storedGroupSnapshot(version)
 		want.Version = max(want.Version, 2)
 		if version > 1 {
 			want.Sessions[0].Turns = []string{"one", "turn"}
 		}
 		if got := machine.View().Snapshot(); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
-			t.Errorf("image of format %d is restored as\n%+v\nnot\n%+v", version, got, want)
+			t.Errorf("snapshot of version %d is restored as\n%+v\nnot\n%+v", version, got, want)
 		}
 	}
 }
