--- a/system/raft/membership.go
+++ b/system/raft/membership.go
@@ -40,7 +40,7 @@
 func (core *Core) quorum() int { return len(core.membership.Voters)/2 + 1 }
 
 func (core *Core) membershipChangePending() bool {
-	if core.termAt(core.commitIndex) != core.hardState.Term {
+	if !core.committedInTerm() {
 		return true
 	}
 	for _, entry := range core.entriesFrom(core.commitIndex + 1) {
--- a/system/raft/progress.go
+++ b/system/raft/progress.go
@@ -16,6 +16,11 @@
 	ticksSinceHeard int
 }
 
+// heard notes that a message of the peer in the current term has arrived.
+func (peer *progress) heard() {
+	peer.recentlyActive, peer.ticksSinceHeard = true, 0
+}
+
 // probe has the peer asked up to where it holds the log, from an index downwards.
 func (peer *progress) probe(next uint64) {
 	peer.probing, peer.nextIndex = true, next
@@ -48,3 +53,18 @@
 	slices.Sort(names)
 	return names
 }
+
+// quorumValue returns the highest value that a quorum of the voters has reached, given this
+// replica's own value and that of a peer's progress.
+func (core *Core) quorumValue(own uint64, of func(*progress) uint64) uint64 {
+	values := make([]uint64, 0, len(core.membership.Voters))
+	for _, name := range core.membership.Voters {
+		if name == core.settings.Name {
+			values = append(values, own)
+		} else if peer := core.peers[name]; peer != nil {
+			values = append(values, of(peer))
+		}
+	}
+	slices.Sort(values)
+	return values[len(values)-core.quorum()]
+}
--- a/system/raft/raft.go
+++ b/system/raft/raft.go
@@ -184,7 +184,7 @@
 	status := Status{
 		Term: core.hardState.Term, Leader: core.leader, Leading: core.role == roleLeader,
 		CommitIndex: core.commitIndex, LastIndex: core.lastIndex(), Membership: core.membership,
-		CommittedInTerm: core.role == roleLeader && core.termAt(core.commitIndex) == core.hardState.Term,
+		CommittedInTerm: core.role == roleLeader && core.committedInTerm(),
 	}
 	if core.role == roleLeader {
 		status.MatchIndex = map[string]uint64{core.settings.Name: core.stableIndex}
@@ -205,3 +205,8 @@
 //
 //	index := core.Applied()
 func (core *Core) Applied() uint64 { return core.lastApplied }
+
+// committedInTerm reports whether the last committed entry is of the current term.
+func (core *Core) committedInTerm() bool {
+	return core.termAt(core.commitIndex) == core.hardState.Term
+}
--- a/system/raft/read_index.go
+++ b/system/raft/read_index.go
@@ -1,7 +1,5 @@
 package raft
 
-import "slices"
-
 type pendingRead struct {
 	context uint64
 	index   uint64
@@ -9,7 +7,7 @@
 }
 
 func (core *Core) readIndex(context uint64) {
-	if core.role != roleLeader || core.termAt(core.commitIndex) != core.hardState.Term {
+	if core.role != roleLeader || !core.committedInTerm() {
 		core.output.ReadResults = append(core.output.ReadResults, ReadResult{Context: context, Rejected: true})
 		return
 	}
@@ -34,16 +32,7 @@
 	if len(core.pendingReads) == 0 {
 		return
 	}
-	rounds := []uint64{}
-	for _, name := range core.membership.Voters {
-		if name == core.settings.Name {
-			rounds = append(rounds, core.readRound)
-		} else if peer := core.peers[name]; peer != nil {
-			rounds = append(rounds, peer.ackedReadRound)
-		}
-	}
-	slices.Sort(rounds)
-	confirmed := rounds[len(rounds)-core.quorum()]
+	confirmed := core.quorumValue(core.readRound, func(peer *progress) uint64 { return peer.ackedReadRound })
 	for len(core.pendingReads) > 0 && core.pendingReads[0].round <= confirmed {
 		core.output.ReadResults = append(core.output.ReadResults, ReadResult{Context: core.pendingReads[0].context, Index: core.pendingReads[0].index})
 		core.pendingReads = core.pendingReads[1:]
--- a/system/raft/replication.go
+++ b/system/raft/replication.go
@@ -7,7 +7,6 @@
 	maxBytesPerMessage   = 256 << 10
 	// maxInflightEntries bounds the entries that are on their way to one peer.
 	maxInflightEntries = 512
-	checkpointTicks    = 100
 )
 
 func (core *Core) handleAppend(message Message) {
@@ -56,7 +55,7 @@
 	if core.role != roleLeader || peer == nil {
 		return
 	}
-	peer.recentlyActive, peer.ticksSinceHeard = true, 0
+	peer.heard()
 	peer.ackedReadRound = max(peer.ackedReadRound, message.Round)
 	core.confirmReads()
 	if message.Rejected {
@@ -83,9 +82,7 @@
 	if core.role == roleLeader && peer.nextIndex <= core.lastIndex() {
 		core.sendAppend(message.From, peer, false)
 	}
-	if core.role == roleLeader && core.transferTarget == message.From && peer.matchIndex == core.lastIndex() {
-		core.send(Message{Kind: MessageTimeoutNow, To: message.From, Term: core.hardState.Term})
-	}
+	core.continueTransfer(message.From)
 }
 
 func (core *Core) broadcast(heartbeat bool) {
@@ -130,16 +127,7 @@
 	if core.role != roleLeader {
 		return
 	}
-	matched := make([]uint64, 0, len(core.membership.Voters))
-	for _, name := range core.membership.Voters {
-		if name == core.settings.Name {
-			matched = append(matched, core.stableIndex)
-		} else if peer := core.peers[name]; peer != nil {
-			matched = append(matched, peer.matchIndex)
-		}
-	}
-	slices.Sort(matched)
-	index := matched[len(matched)-core.quorum()]
+	index := core.quorumValue(core.stableIndex, func(peer *progress) uint64 { return peer.matchIndex })
 	if index > core.commitIndex && core.termAt(index) == core.hardState.Term {
 		core.commitTo(index)
 		if !core.isVoter(core.settings.Name) && !core.membershipChangePending() {
--- a/system/raft/snapshot.go
+++ b/system/raft/snapshot.go
@@ -40,10 +40,7 @@
 	core.entries = slices.Clone(core.entriesFrom(index + 1))
 	core.snapshot = snapshot
 	core.stableIndex = max(core.stableIndex, index)
-	core.snapshotChanged = true
-	if len(core.entries) > 0 {
-		core.markUnwritten(index + 1)
-	}
+	core.markSnapshotChanged()
 }
 
 // handleSnapshot takes a whole snapshot in one message.
@@ -86,10 +83,16 @@
 	core.commitIndex = snapshot.Index
 	core.lastApplied = snapshot.Index
 	core.stableIndex = max(min(core.stableIndex, core.lastIndex()), snapshot.Index)
+	core.markSnapshotChanged()
+	core.refreshMembership()
+	core.output.Snapshot = &snapshot
+}
+
+// markSnapshotChanged has the next write contain the snapshot and all entries after it: a
+// stored snapshot without entries replaces the whole stored log.
+func (core *Core) markSnapshotChanged() {
 	core.snapshotChanged = true
 	if len(core.entries) > 0 {
-		core.markUnwritten(snapshot.Index + 1)
+		core.markUnwritten(core.snapshot.Index + 1)
 	}
-	core.refreshMembership()
-	core.output.Snapshot = &snapshot
 }
--- a/system/raft/snapshot_sender.go
+++ b/system/raft/snapshot_sender.go
@@ -73,11 +73,6 @@
 	core.send(message)
 }
 
-func (core *Core) rewind(name string, outgoing *outgoingSnapshot) {
-	outgoing.sentOffset, outgoing.resent = outgoing.ackedOffset, true
-	core.fillWindow(name, outgoing)
-}
-
 // handleSnapshotReply sends what follows, or again what the peer lacks. Doubled and late
 // answers have nothing sent twice: an answer to a chunk before what is known to be held
 // changes nothing, and what is missing is sent again once only before the next retry.
@@ -86,7 +81,7 @@
 	if core.role != roleLeader || peer == nil {
 		return
 	}
-	peer.recentlyActive, peer.ticksSinceHeard = true, 0
+	peer.heard()
 	outgoing, received := peer.outgoing, message.Chunk.Offset
 	if outgoing == nil || outgoing.index != message.Index || outgoing.index != core.snapshot.Index || outgoing.contentChecksum != message.Chunk.ContentChecksum {
 		return
@@ -99,18 +94,19 @@
 		outgoing.acknowledge(received)
 		core.fillWindow(message.From, outgoing)
 	case message.Rejected && message.Chunk.Reason == SnapshotOutOfOrder:
-		core.handleMissingChunk(message.From, outgoing, received)
+		core.resendMissing(message.From, outgoing, received)
 	case message.Rejected:
 		outgoing.ackedOffset = min(received, outgoing.ackedOffset) // it is sent again when its time is up
 	}
 }
 
-// handleMissingChunk sends again from where the peer lacks something: one chunk was lost, or the peer
-// has restarted and holds nothing any more.
-func (core *Core) handleMissingChunk(name string, outgoing *outgoingSnapshot, received uint64) {
+// resendMissing sends again from where the peer lacks something: a chunk was lost, or the peer
+// restarted and has nothing any more.
+func (core *Core) resendMissing(name string, outgoing *outgoingSnapshot, received uint64) {
 	if received == outgoing.ackedOffset && outgoing.resent {
 		return
 	}
 	outgoing.ackedOffset = received
-	core.rewind(name, outgoing)
+	outgoing.sentOffset, outgoing.resent = received, true
+	core.fillWindow(name, outgoing)
 }
--- a/system/raft/tick.go
+++ b/system/raft/tick.go
@@ -22,7 +22,7 @@
 		if peer.outgoing != nil {
 			peer.outgoing.ticksSinceSent++
 		}
-		if peer.ticksSinceHeard++; peer.ticksSinceHeard >= core.settings.ElectionTicks {
+		if peer.ticksSinceHeard++; core.isUnresponsive(peer) {
 			peer.probing = true
 		}
 	}
