--- a/system/raft/delayed_group_test.go
+++ b/system/raft/delayed_group_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// delayedGroup is a leader "a" with a voter "b" and a replica "c" that is far behind.
-// Messages take some ticks, and may be lost, doubled and overtaken.
+// delayedGroup is a leader "a" with a voter "b" and a voter "c" that is far behind. Messages
+// take some ticks, and may be lost, repeated and reordered.
 type delayedGroup struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -18,15 +18,15 @@
 	settings Settings
 	due      []dueMessage
 	now      int
-	// lost and doubled are out of a thousand messages; latest is the longest delay. Messages
-	// between two replicas keep their order, as on a connection, unless they overtake.
-	lost, doubled, latest int
-	overtake              bool
-	last                  map[[2]string]int
-	// seen, if set, is told of each message that arrives, and may change it.
-	seen       func(*Message)
+	// lost and repeated are out of a thousand messages; maxDelay is in ticks. Messages between
+	// two replicas keep their order, as on a connection, unless they are reordered.
+	lost, repeated, maxDelay int
+	reordered                bool
+	last                     map[[2]string]int
+	// intercept, if set, gets each message that arrives, and may change it.
+	intercept  func(*Message)
 	chunks     int
-	heartbeats []int // when "c" got appends
+	heartbeats []int // the ticks at which "c" received appends
 	rejections []SnapshotRejection
 }
 
@@ -35,7 +35,7 @@
 	message Message
 }
 
-// newDelayedGroup has a lead and a snapshot of that size at a high index.
+// newDelayedGroup returns a group in which "a" leads, with a snapshot of a size at a high index.
 func newDelayedGroup(t *testing.T, seed uint64, size int) *delayedGroup {
 	t.Helper()
 	group := &delayedGroup{t: t, random: rand.New(rand.NewPCG(seed, 2)), cores: map[string]*Core{}, disks: map[string]PersistentState{}, last: map[[2]string]int{}}
@@ -62,15 +62,15 @@
 	return group
 }
 
-// content is what a snapshot of that index holds.
-func (group *delayedGroup) content(index uint64, size int) []byte {
+// contentAt is the content of the snapshot at an index.
+func contentAt(index uint64, size int) []byte {
 	content := bytes.Repeat(fmt.Appendf(nil, "%d.", index), size/2+1)[:size]
 	return content
 }
 
 func (group *delayedGroup) compact(size int) {
 	index := group.cores["a"].Applied()
-	group.step("a", Input{Kind: InputCompact, Index: index, Data: group.content(index, size)})
+	group.step("a", Input{Kind: InputCompact, Index: index, Data: contentAt(index, size)})
 }
 
 func (group *delayedGroup) start(name string) {
@@ -85,8 +85,8 @@
 		if output.SnapshotRejected != nil {
 			group.rejections = append(group.rejections, output.SnapshotRejected.Reason)
 		}
-		if snapshot := output.Snapshot; snapshot != nil && !bytes.Equal(snapshot.Data, group.content(snapshot.Index, len(snapshot.Data))) {
-			group.t.Fatalf("%s took a snapshot of %d that nobody made", name, snapshot.Index)
+		if snapshot := output.Snapshot; snapshot != nil && !bytes.Equal(snapshot.Data, contentAt(snapshot.Index, len(snapshot.Data))) {
+			group.t.Fatalf("%s installed a snapshot of %d that nobody took", name, snapshot.Index)
 		}
 		for _, message := range output.Messages {
 			group.post(message)
@@ -104,7 +104,7 @@
 		group.chunks++
 	}
 	copies := 1
-	if group.random.IntN(1000) < group.doubled {
+	if group.random.IntN(1000) < group.repeated {
 		copies++
 	}
 	for range copies {
@@ -114,10 +114,10 @@
 	}
 }
 
-// arrival draws when a message arrives.
+// arrival draws the tick at which a message arrives.
 func (group *delayedGroup) arrival(message Message) int {
-	at, way := group.now+group.random.IntN(group.latest+1), [2]string{message.From, message.To}
-	if !group.overtake {
+	at, way := group.now+group.random.IntN(group.maxDelay+1), [2]string{message.From, message.To}
+	if !group.reordered {
 		at = max(at, group.last[way])
 		group.last[way] = at
 	}
@@ -143,14 +143,14 @@
 		if message.To == "c" && message.Kind == MessageAppend {
 			group.heartbeats = append(group.heartbeats, group.now)
 		}
-		if group.seen != nil {
-			group.seen(&message)
+		if group.intercept != nil {
+			group.intercept(&message)
 		}
 		group.step(message.To, Input{Kind: InputMessage, Message: message})
 	}
 }
 
-// caughtUp starts "c" and counts the ticks until it holds the leader's whole log.
+// caughtUp starts "c" and returns the number of ticks until it has the leader's complete log.
 func (group *delayedGroup) caughtUp(limit int, each func(tick int)) int {
 	group.t.Helper()
 	group.start("c")
@@ -163,6 +163,6 @@
 			return tick
 		}
 	}
-	group.t.Fatalf("c holds %d of %d after %d ticks; %d chunks were sent", group.cores["c"].Status().CommitIndex, group.cores["a"].Status().LastIndex, limit, group.chunks)
+	group.t.Fatalf("c has %d of %d after %d ticks; %d chunks were sent", group.cores["c"].Status().CommitIndex, group.cores["a"].Status().LastIndex, limit, group.chunks)
 	return 0
 }
--- a/system/raft/single_voter_test.go
+++ b/system/raft/durability_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// TestSingleVoterPersistsItsTermBeforeSendingEntries has a voter that needs nobody's vote lose
-// its power before the write of its term is synced. Entries of that term that had left
-// before would be replaced by others of the same index and term after its restart.
+// A voter that needs no other vote loses its power before the write of its term is durable.
+// Entries of that term that had been sent would be replaced by others of the same index and
+// term after its restart.
 func TestSingleVoterPersistsItsTermBeforeSendingEntries(t *testing.T) {
 	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: []string{"a"}, Learners: []string{"b"}}}}
 	settings := Settings{Name: "a", ElectionTicks: 1, HeartbeatTicks: 1}
 	core := New(settings, founding)
 	output := core.Step(Input{Kind: InputTick})
 	if term, leading := core.Leading(); !leading || term != 2 {
-		t.Fatalf("the lone voter leads: %v, in term %d", leading, term)
+		t.Fatalf("the single voter leads: %v, in term %d", leading, term)
 	}
 	sent := output.Messages
-	sent = append(sent, core.Step(Input{Kind: InputPropose, Data: []byte("lost with the power")}).Messages...)
+	sent = append(sent, core.Step(Input{Kind: InputPropose, Data: []byte("lost with the power supply")}).Messages...)
 	if len(sent) > 0 {
 		t.Fatalf("%d messages left before the term was stored, the first with %d entries", len(sent), len(sent[0].Entries))
 	}
--- a/system/raft/election.go
+++ b/system/raft/election.go
@@ -2,7 +2,9 @@
 
 import "slices"
 
-func (core *Core) become(next role, leaderName string) {
+// become changes the role, and starts a new election timeout. A leader that steps down
+// rejects the reads that it has not confirmed and discards its progress.
+func (core *Core) become(next role, leader string) {
 	if core.role == roleLeader && next != roleLeader {
 		for _, read := range core.pendingReads {
 			core.output.ReadResults = append(core.output.ReadResults, ReadResult{Context: read.context, Rejected: true})
@@ -12,12 +14,13 @@
 		core.transferTarget = ""
 	}
 	core.role = next
-	core.leader = leaderName
+	core.leader = leader
 	core.electionElapsed = 0
 	core.quorumElapsed = 0
 	core.electionTimeout = core.settings.ElectionTicks + core.random.IntN(core.settings.ElectionTicks)
 }
 
+// setTerm enters a later term, in which no vote is given yet.
 func (core *Core) setTerm(term uint64) {
 	if term > core.hardState.Term {
 		core.hardState = HardState{Term: term}
@@ -25,16 +28,17 @@
 	}
 }
 
-func (core *Core) followLeader(from string) {
-	if core.role != roleFollower || core.leader != from {
-		core.become(roleFollower, from)
+// followLeader notes that the leader of the current term was heard.
+func (core *Core) followLeader(name string) {
+	if core.role != roleFollower || core.leader != name {
+		core.become(roleFollower, name)
 	}
 	core.electionElapsed = 0
 }
 
-// suspectLeader ends the lease of a leader that may be gone. One that is still there is heard
-// of before this replica stands for election; of the others each waits longer than the
-// one before it, so that they do not stand against each other.
+// suspectLeader ends the lease of a leader whose connection ended, and shortens the election
+// timeout. A leader that still runs is heard before it is over. The voters wait in the order
+// of the membership, so that they do not split the votes.
 func (core *Core) suspectLeader(name string) {
 	if core.role != roleFollower || core.leader != name {
 		return
@@ -44,33 +48,37 @@
 	core.electionTimeout = min(core.electionTimeout, core.settings.HeartbeatTicks+1+3*rank)
 }
 
-// inLease tells that a leader was heard lately (or is this replica), so that no
-// other should be elected over it.
+// inLease reports whether this replica leads, or has heard a leader within the minimum
+// election timeout. Then it ignores requests for votes, which a replica that was cut off or
+// removed would otherwise disrupt the group with (paper 6, thesis 4.2.3).
 func (core *Core) inLease() bool {
 	return core.role == roleLeader || (core.leader != "" && core.electionElapsed < core.settings.ElectionTicks)
 }
 
-// shortenElectionTimeout shortens the wait for the next election, where no leader is known that could be
-// disturbed.
+// shortenElectionTimeout is for candidates. No leader is known that a new election could
+// disrupt.
 func (core *Core) shortenElectionTimeout() {
 	half := max(core.settings.ElectionTicks/2, 1)
 	core.electionTimeout = half + core.random.IntN(half)
 }
 
-// shortenPreVoteTimeout shortens the wait for the next pre-vote yet more: it disturbs nobody, as who has
-// a leader refuses it. So a group that starts anew waits only for its second replica.
+// shortenPreVoteTimeout is for pre-candidates and replicas that have just started. A pre-vote
+// disrupts nobody, as those that hear a leader reject it, so it is repeated sooner than an
+// election: a group that restarts waits for little more than its second replica.
 func (core *Core) shortenPreVoteTimeout() {
 	core.electionTimeout = max(core.settings.ElectionTicks/7, 1) + core.random.IntN(max(core.settings.ElectionTicks/2, 1))
 }
 
-// startPreVote asks first whether an election could be won, so that a replica that was
-// cut off does not depose a leader.
+// startPreVote asks whether an election could be won, without entering a new term (thesis
+// 9.6).
 func (core *Core) startPreVote() {
 	core.become(rolePreCandidate, "")
 	core.shortenPreVoteTimeout()
 	core.requestVotes(Message{Kind: MessagePreVote, Term: core.hardState.Term + 1})
 }
 
+// startElection enters the next term as a candidate (paper 5.2). A forced election, part of a
+// leadership transfer, is not held up by the lease of the leader.
 func (core *Core) startElection(forced bool) {
 	core.become(roleCandidate, "")
 	core.shortenElectionTimeout()
@@ -80,25 +88,28 @@
 	core.requestVotes(Message{Kind: MessageVote, Term: core.hardState.Term, Forced: forced})
 }
 
-func (core *Core) requestVotes(ask Message) {
+// requestVotes votes for this replica and sends a request to all other voters.
+func (core *Core) requestVotes(request Message) {
 	core.votes = map[string]bool{core.settings.Name: true}
-	if core.tallyVotes() {
+	if core.countVotes() {
 		return
 	}
-	ask.Index, ask.LogTerm = core.lastIndex(), core.termAt(core.lastIndex())
+	request.Index, request.LogTerm = core.lastIndex(), core.termAt(core.lastIndex())
 	for _, name := range core.membership.Voters {
 		if name != core.settings.Name {
-			ask.To = name
-			core.send(ask)
+			request.To = name
+			core.send(request)
 		}
 	}
 }
 
-// tallyVotes moves on when a majority said yes; a lone voter moves on at once.
-func (core *Core) tallyVotes() bool {
+// countVotes reports whether a quorum has granted the request, and then takes the next step:
+// from the pre-vote to the election, or from the election to leadership. A single voter
+// takes both at once. If a quorum rejects the request, the replica becomes a follower.
+func (core *Core) countVotes() bool {
 	granted, rejected := 0, 0
 	for _, name := range core.membership.Voters {
-		if answer, known := core.votes[name]; known && answer {
+		if vote, known := core.votes[name]; known && vote {
 			granted++
 		} else if known {
 			rejected++
@@ -118,6 +129,8 @@
 	return false
 }
 
+// becomeLeader starts to lead: with a no-op entry, whose commit also commits the entries of
+// earlier terms (paper 5.4.2), and a heartbeat that prevents other elections.
 func (core *Core) becomeLeader() {
 	core.become(roleLeader, core.settings.Name)
 	core.peers = map[string]*progress{}
@@ -128,11 +141,16 @@
 	core.broadcast(true)
 }
 
+// isLogUpToDate reports whether a candidate's log is at least as up to date as this replica's
+// (paper 5.4.1).
 func (core *Core) isLogUpToDate(message Message) bool {
 	ownTerm := core.termAt(core.lastIndex())
 	return message.LogTerm > ownTerm || (message.LogTerm == ownTerm && message.Index >= core.lastIndex())
 }
 
+// handlePreVote grants a pre-vote if this replica could vote for the sender in a later term.
+// Nothing is recorded: several replicas may be granted the same term. A grant repeats the
+// term of the request, a rejection tells this replica's own.
 func (core *Core) handlePreVote(message Message) {
 	grant := message.Term > core.hardState.Term && !core.inLease() && core.isLogUpToDate(message)
 	reply := Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term}
@@ -143,6 +161,8 @@
 	core.send(reply)
 }
 
+// handleVote grants one vote in each term, to a candidate whose log is up to date (paper 5.2,
+// 5.4.1). The reply waits until the vote is durable.
 func (core *Core) handleVote(message Message) {
 	free := core.hardState.VotedFor == "" || core.hardState.VotedFor == message.From
 	grant := free && core.isLogUpToDate(message) && core.role != roleLeader
@@ -156,14 +176,16 @@
 	core.send(Message{Kind: MessageVoteReply, To: message.From, Term: core.hardState.Term, Rejected: !grant})
 }
 
+// handleVoteReply counts a reply to the present request for votes; replies to earlier ones
+// are ignored.
 func (core *Core) handleVoteReply(message Message) {
-	asking := core.role == roleCandidate && message.Kind == MessageVoteReply && message.Term == core.hardState.Term
+	awaited := core.role == roleCandidate && message.Kind == MessageVoteReply && message.Term == core.hardState.Term
 	if core.role == rolePreCandidate && message.Kind == MessagePreVoteReply {
-		asking = message.Rejected || message.Term == core.hardState.Term+1
+		awaited = message.Rejected || message.Term == core.hardState.Term+1
 	}
-	if !asking {
+	if !awaited {
 		return
 	}
 	core.votes[message.From] = !message.Rejected
-	core.tallyVotes()
+	core.countVotes()
 }
--- a/system/raft/election_test.go
+++ b/system/raft/election_test.go
@@ -2,52 +2,71 @@
 
 import "testing"
 
-// TestRestartedGroupElectsALeaderSoonAfterItsSecondReplicaStarts lets three replicas start one
-// after another, as machines do after an outage. Messages arrive and disks sync in the tick
-// in which they are sent.
-func TestRestartedGroupElectsALeaderSoonAfterItsSecondReplicaStarts(t *testing.T) {
-	const between, most = 4, 8
+// restartedGroup is a group of three replicas that start one after another, as machines do
+// after an outage. Messages arrive and disks sync within the step that sends them.
+type restartedGroup struct {
+	names    []string
+	founding PersistentState
+	cores    map[string]*Core
+}
+
+func newRestartedGroup() *restartedGroup {
 	names := []string{"a", "b", "c"}
-	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}
-	sum := 0
-	for seed := range uint64(200) {
-		cores := map[string]*Core{}
-		var step func(name string, input Input)
-		step = func(name string, input Input) {
-			output := cores[name].Step(input)
-			if output.Write != nil {
-				step(name, Input{Kind: InputSynced, Number: output.Write.Number})
-			}
-			for _, message := range output.Messages {
-				if cores[message.To] != nil {
-					step(message.To, Input{Kind: InputMessage, Message: message})
-				}
-			}
+	return &restartedGroup{names: names, cores: map[string]*Core{},
+		founding: PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}}
+}
+
+func (group *restartedGroup) start(position int, seed uint64) {
+	name := group.names[position]
+	group.cores[name] = New(Settings{Name: name, ElectionTicks: 14, HeartbeatTicks: 4, Seed: 10*seed + uint64(position)}, group.founding)
+}
+
+func (group *restartedGroup) step(name string, input Input) {
+	output := group.cores[name].Step(input)
+	if output.Write != nil {
+		group.step(name, Input{Kind: InputSynced, Number: output.Write.Number})
+	}
+	for _, message := range output.Messages {
+		if group.cores[message.To] != nil {
+			group.step(message.To, Input{Kind: InputMessage, Message: message})
 		}
-		leaders := func() int {
-			count := 0
-			for _, core := range cores {
-				if _, leading := core.Leading(); leading {
-					count++
-				}
-			}
-			return count
+	}
+}
+
+func (group *restartedGroup) tick() {
+	for _, name := range group.names {
+		if group.cores[name] != nil {
+			group.step(name, Input{Kind: InputTick})
 		}
+	}
+}
+
+func (group *restartedGroup) leaders() int {
+	count := 0
+	for _, core := range group.cores {
+		if _, leading := core.Leading(); leading {
+			count++
+		}
+	}
+	return count
+}
+
+func TestRestartedGroupElectsALeaderSoonAfterItsSecondReplicaStarts(t *testing.T) {
+	const ticksBetweenStarts, maxTicks = 4, 8
+	sum := 0
+	for seed := range uint64(200) {
+		group := newRestartedGroup()
 		tick := 0
-		for ; leaders() == 0 && tick < 100; tick++ {
-			if position := tick / between; tick%between == 0 && position < len(names) {
-				cores[names[position]] = New(Settings{Name: names[position], ElectionTicks: 14, HeartbeatTicks: 4, Seed: 10*seed + uint64(position)}, founding)
-			}
-			for _, name := range names {
-				if cores[name] != nil {
-					step(name, Input{Kind: InputTick})
-				}
+		for ; group.leaders() == 0 && tick < 100; tick++ {
+			if position := tick / ticksBetweenStarts; tick%ticksBetweenStarts == 0 && position < len(group.names) {
+				group.start(position, seed)
 			}
+			group.tick()
 		}
-		took := tick - between
+		took := tick - ticksBetweenStarts
 		sum += took
-		if took > most || leaders() != 1 {
-			t.Errorf("seed %d: %d leaders %d ticks after the second replica's start, want one after %d at most", seed, leaders(), took, most)
+		if took > maxTicks || group.leaders() != 1 {
+			t.Errorf("seed %d: %d leaders %d ticks after the second replica's start, want one after %d at most", seed, group.leaders(), took, maxTicks)
 		}
 	}
 	if mean := float64(sum) / 200; mean > 4 {
--- a/system/raft/input.go
+++ b/system/raft/input.go
@@ -1,30 +1,35 @@
 package raft
 
-// InputKind selects the handler of an input.
+// InputKind selects what an [Input] means.
 type InputKind uint16
 
 const (
-	// InputTick tells that one tick went by, and the Number of ticks of the node.
+	// InputTick reports that one tick has passed. Number counts the ticks of the node, the
+	// same for all of its groups; it may be 0.
 	InputTick InputKind = iota
-	// InputMessage brings a peer's message.
+	// InputMessage delivers Message from a peer.
 	InputMessage
-	// InputSynced tells that the write with this Number lasts.
+	// InputSynced reports that the write with this Number, and all before it, are durable.
 	InputSynced
-	// InputPropose asks the leader to append a command.
+	// InputPropose asks the leader to append the command Data. [Output.ProposedIndex] tells
+	// where.
 	InputPropose
-	// InputChangeMembership asks the leader for a one-member change.
+	// InputChangeMembership asks the leader to append Membership, which may differ from the
+	// present one by one voter and any learners. [Output.ProposedIndex] tells where.
 	InputChangeMembership
-	// InputReadIndex asks the leader for a read index.
+	// InputReadIndex asks the leader for a read index. A [ReadResult] with the same Context
+	// follows, from this step or a later one.
 	InputReadIndex
-	// InputCompact hands over a checkpoint that replaces the log up to Index.
+	// InputCompact gives the state machine's content Data as of Index: a snapshot that
+	// replaces the log up to there. See [Core.CanCompact].
 	InputCompact
-	// InputTransferLeadership asks the leader to give leadership to Peer.
+	// InputTransferLeadership asks the leader to hand leadership to the voter Peer.
 	InputTransferLeadership
-	// InputSuspect tells that the connection from Peer has ended: it may be gone.
+	// InputSuspect reports that the connection from Peer ended, so that it may have failed.
 	InputSuspect
 )
 
-// Input is one event for Step.
+// Input is one event for [Core.Step]. Which fields have a meaning depends on the kind.
 type Input struct {
 	Kind       InputKind
 	Message    Message
@@ -35,18 +40,3 @@
 	Index      uint64
 	Peer       string
 }
-
-// Settings fix a replica's name and pace.
-type Settings struct {
-	Group          uint32
-	Name           string
-	ElectionTicks  int
-	HeartbeatTicks int
-	Seed           uint64
-	// InstallSnapshot, if set, puts a peer's snapshot into the state machine before the replica
-	// takes it. If it fails it must have changed nothing; the snapshot is then refused.
-	// Without it every snapshot counts as readable, and Output.Restore is all there is.
-	InstallSnapshot func(Snapshot) error
-	// ChunkBytes is how much of a snapshot goes in one message; 0 means 128 KiB.
-	ChunkBytes int
-}
--- a/system/raft/leadership_transfer.go
+++ b/system/raft/leadership_transfer.go
@@ -1,12 +1,15 @@
 package raft
 
-func (core *Core) transferLeadership(name string) {
-	if core.role != roleLeader || name == core.settings.Name || !core.isVoter(name) {
+// transferLeadership hands leadership to a voter (thesis 3.10). The leader accepts no
+// proposals until the transfer ends; once the target's log is complete it is asked to start
+// an election. After an election timeout the leader goes on itself.
+func (core *Core) transferLeadership(target string) {
+	if core.role != roleLeader || target == core.settings.Name || !core.isVoter(target) {
 		return
 	}
-	core.transferTarget = name
+	core.transferTarget = target
 	core.transferElapsed = 0
-	core.continueTransfer(name)
+	core.continueTransfer(target)
 }
 
 // continueTransfer tells the transfer target to start an election if it is the given peer and
@@ -20,6 +23,8 @@
 	}
 }
 
+// handleTimeoutNow starts an election without a pre-vote, which the leader's lease would have
+// rejected.
 func (core *Core) handleTimeoutNow(Message) {
 	if core.isVoter(core.settings.Name) {
 		core.startElection(true)
--- a/system/raft/log.go
+++ b/system/raft/log.go
@@ -2,8 +2,10 @@
 
 import "slices"
 
+// lastIndex returns the index of the last entry, or of the snapshot if no entry follows it.
 func (core *Core) lastIndex() uint64 { return core.snapshot.Index + uint64(len(core.entries)) }
 
+// termAt returns the term of the entry at an index, or 0 if the log does not have it.
 func (core *Core) termAt(index uint64) uint64 {
 	if index == core.snapshot.Index {
 		return core.snapshot.Term
@@ -14,6 +16,8 @@
 	return core.entries[index-core.snapshot.Index-1].Term
 }
 
+// entriesFrom returns the entries from an index on. The result shares memory with the log. It
+// is nil if the entry at the index was compacted or does not exist yet.
 func (core *Core) entriesFrom(index uint64) []Entry {
 	if index <= core.snapshot.Index || index > core.lastIndex() {
 		return nil
@@ -21,6 +25,8 @@
 	return core.entries[index-core.snapshot.Index-1:]
 }
 
+// propose appends an entry on the leader and sends it to the peers. While leadership is being
+// transferred nothing is appended, so that the target can catch up (thesis 3.10).
 func (core *Core) propose(entry Entry) {
 	if core.role != roleLeader || core.transferTarget != "" {
 		return
@@ -30,6 +36,7 @@
 	core.broadcast(false)
 }
 
+// appendEntry appends an entry in the current term and returns its index.
 func (core *Core) appendEntry(entry Entry) uint64 {
 	entry.Index = core.lastIndex() + 1
 	entry.Term = core.hardState.Term
@@ -38,6 +45,8 @@
 	return entry.Index
 }
 
+// truncate removes the entries from an index on, which conflict with the leader's. The
+// remaining ones are copied: an output may still refer to the old ones.
 func (core *Core) truncate(from uint64) {
 	if from > core.lastIndex() {
 		return
@@ -46,19 +55,21 @@
 	core.stableIndex = min(core.stableIndex, from-1)
 }
 
+// markUnwritten has the next write contain the entries from an index on.
 func (core *Core) markUnwritten(from uint64) {
 	if core.firstUnwritten == 0 || from < core.firstUnwritten {
 		core.firstUnwritten = from
 	}
 }
 
+// commitTo advances the commit index and gives the committed entries to the driver.
 func (core *Core) commitTo(index uint64) {
 	if index <= core.commitIndex {
 		return
 	}
 	core.commitIndex = index
 	if core.incoming != nil && index >= core.incoming.snapshot.Index {
-		core.incoming = nil
+		core.incoming = nil // the log has caught up without it
 	}
 	ready := core.entriesFrom(core.lastApplied + 1)
 	ready = ready[:index-core.lastApplied]
--- a/system/raft/membership_test.go
+++ b/system/raft/membership_test.go
@@ -16,10 +16,10 @@
 		{Voters: []string{"a"}, Learners: []string{"b", "b"}},
 	} {
 		if output := core.Step(Input{Kind: InputChangeMembership, Membership: next}); output.ProposedIndex != 0 {
-			t.Errorf("%v was taken", next)
+			t.Errorf("%v was accepted", next)
 		}
 	}
 	if output := core.Step(Input{Kind: InputChangeMembership, Membership: Membership{Voters: []string{"a", "b"}}}); output.ProposedIndex == 0 {
-		t.Error("a change that names each replica once was refused")
+		t.Error("a change that names each replica once was rejected")
 	}
 }
--- a/system/raft/message.go
+++ b/system/raft/message.go
@@ -1,61 +1,82 @@
 package raft
 
-// MessageKind tells what a message asks or answers.
+// MessageKind says what a message requests or replies to. The values are sent.
 type MessageKind uint16
 
 const (
-	// MessagePreVote asks whether an election could be won.
+	// MessagePreVote asks whether an election in the next term could be won (thesis 9.6).
 	MessagePreVote MessageKind = iota
-	// MessagePreVoteReply answers MessagePreVote.
+	// MessagePreVoteReply replies to MessagePreVote.
 	MessagePreVoteReply
-	// MessageVote asks for a vote.
+	// MessageVote requests a vote (RequestVote in the paper).
 	MessageVote
-	// MessageVoteReply answers MessageVote.
+	// MessageVoteReply replies to MessageVote.
 	MessageVoteReply
-	// MessageAppend carries entries; with none it is the heartbeat.
+	// MessageAppend carries entries (AppendEntries in the paper); without entries it is the
+	// heartbeat.
 	MessageAppend
-	// MessageAppendReply answers MessageAppend and MessageSnapshot.
+	// MessageAppendReply replies to MessageAppend and MessageSnapshot.
 	MessageAppendReply
-	// MessageSnapshot carries a whole checkpoint in one message, as versions before
-	// MessageSnapshotChunk send it.
+	// MessageSnapshot carries a snapshot in one message. Leaders send MessageSnapshotChunk
+	// instead; versions before it sent this kind, and it is still received.
 	MessageSnapshot
-	// MessageTimeoutNow tells a caught-up voter to stand for election at once.
+	// MessageTimeoutNow tells a voter whose log is complete to start an election at once
+	// (thesis 3.10).
 	MessageTimeoutNow
-	// MessageSnapshotChunk carries a part of a snapshot to a replica far behind.
+	// MessageSnapshotChunk carries a part of a snapshot to a replica whose missing entries
+	// the leader has discarded (InstallSnapshot in the paper).
 	MessageSnapshotChunk
-	// MessageSnapshotReply tells up to where a snapshot is held, or why a chunk is refused.
+	// MessageSnapshotReply replies to MessageSnapshotChunk: how many bytes have been
+	// received, or why the chunk was rejected.
 	MessageSnapshotReply
 )
 
-// Message is what replicas of one group send each other.
+// Message is what the replicas of one group send each other. Which fields have a meaning
+// depends on the kind.
 type Message struct {
-	Group    uint32
-	Kind     MessageKind
-	From     string
-	To       string
-	Term     uint64
-	Index    uint64 // last log index, previous index, or matched index
-	LogTerm  uint64 // term at Index
-	Commit   uint64
-	Round    uint64 // read-index round, echoed by the reply
+	Group uint32
+	Kind  MessageKind
+	// From and To are names of replicas.
+	From string
+	To   string
+	// Term is the sender's term, except in MessagePreVote and its grant: the term that the
+	// sender of the request would enter.
+	Term uint64
+	// Index is the candidate's last log index in requests for votes, the index before the
+	// first entry in MessageAppend, the match index (or, if rejected, the index that did
+	// not match) in MessageAppendReply, and the snapshot's index in MessageSnapshotReply.
+	Index uint64
+	// LogTerm is the term of the sender's entry at Index.
+	LogTerm uint64
+	// Commit is the leader's commit index.
+	Commit uint64
+	// Round is the leader's read index round, which the reply repeats.
+	Round uint64
+	// Rejected is set in replies that reject the request.
 	Rejected bool
-	Hint     uint64 // a refusing follower's last index
-	Forced   bool   // a handed-over election, which ignores the leader's lease
+	// Hint is, in a rejected MessageAppendReply, the highest index at which the follower's
+	// log may match, and in MessageSnapshotReply the offset of the chunk replied to.
+	Hint uint64
+	// Forced marks the election of a leadership transfer: voters grant it although they
+	// hear a leader (thesis 4.2.3).
+	Forced   bool
 	Entries  []Entry
 	Snapshot Snapshot
 	Chunk    SnapshotChunk
 }
 
-// SnapshotChunk places the part of a snapshot that Message.Checkpoint.Data holds. In a
-// reply Offset is what the receiver holds, and Message.Hint the offset of the chunk that
-// is answered.
+// SnapshotChunk locates the part of a snapshot that Message.Snapshot.Data holds.
 type SnapshotChunk struct {
+	// Offset is the chunk's first byte. In a reply it is the number of bytes that the
+	// receiver has, from the first on without gaps.
 	Offset uint64
-	Total  uint64
-	// ContentChecksum is the checksum of the whole content, and tells apart snapshots that
-	// two leaders made of one index.
+	// Total is the length of the snapshot's content in bytes.
+	Total uint64
+	// ContentChecksum is the CRC-32C of the whole content. It also distinguishes the
+	// snapshots that two leaders took at one index.
 	ContentChecksum uint32
-	// Checksum covers the chunk and all that places it.
+	// Checksum is the CRC-32C of the chunk and of all fields that locate it.
 	Checksum uint32
-	Reason   SnapshotRejection
+	// Reason is set in a reply that rejects the chunk.
+	Reason SnapshotRejection
 }
--- a/system/raft/persistent_state.go
+++ b/system/raft/persistent_state.go
@@ -5,23 +5,26 @@
 	"slices"
 )
 
-// HardState is what a replica must never forget.
+// HardState is the part of the persistent state that is not the log (paper, figure 2). A
+// replica that forgot it could vote twice in a term.
 type HardState struct {
-	Term     uint64
+	// Term is the latest term that the replica has seen.
+	Term uint64
+	// VotedFor is who got this replica's vote in Term; "" means nobody.
 	VotedFor string
 }
 
-// PersistentState is what a replica finds on its disk.
+// PersistentState is all that a replica must find again after a restart. The zero value is
+// that of a replica that waits to be added to a group.
 type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
-	Entries   []Entry
+	// Entries follow the snapshot without a gap.
+	Entries []Entry
 }
 
-// With folds a write into what the disk holds. The receiver's entries must not be
-// used afterwards: the usual write only adds to them.
-//
-//	stored = stored.With(output.Write)
+// With returns the state with a write applied. The receiver's entries must not be used
+// afterwards, since they may share memory with the result.
 func (stored PersistentState) With(write *Write) PersistentState {
 	stored.HardState = write.HardState
 	if write.Snapshot != nil {
@@ -38,10 +41,8 @@
 	return stored
 }
 
-// Check tells whether what the disk holds can be a replica's state: a log without gaps
-// that begins where the snapshot ends, whose terms never fall nor pass the current one.
-//
-//	if err := stored.Check(); err != nil { return err }
+// Check returns an error unless the state can be one that a replica stored: the log follows
+// the snapshot without gaps, and its terms neither decrease nor exceed the current term.
 func (stored PersistentState) Check() error {
 	index, term := stored.Snapshot.Index, stored.Snapshot.Term
 	for _, entry := range stored.Entries {
@@ -59,9 +60,8 @@
 	return nil
 }
 
-// PersistentState is everything that a disk slot must hold for this replica.
-//
-//	stored := core.PersistentState()
+// PersistentState returns the state that a full copy of this replica must hold. It includes
+// what was handed out in writes that are not synced yet.
 func (core *Core) PersistentState() PersistentState {
 	return PersistentState{HardState: core.hardState, Snapshot: core.snapshot, Entries: slices.Clone(core.entries)}
 }
--- a/system/raft/progress.go
+++ b/system/raft/progress.go
@@ -2,18 +2,26 @@
 
 import "slices"
 
+// progress is what a leader knows about one peer (paper, figure 2: nextIndex and matchIndex).
+//
+// A peer is in one of three modes. Ordinarily entries are sent ahead of their
+// acknowledgements, up to maxInflightEntries. While probing, it gets empty appends until one
+// matches its log. While outgoing is set, it is sent the snapshot.
 type progress struct {
-	matchIndex     uint64
-	nextIndex      uint64
+	// matchIndex is the last entry that is known to be durable in the peer's log.
+	matchIndex uint64
+	// nextIndex is the next entry to send.
+	nextIndex uint64
+	// ackedReadRound is the last round of read index heartbeats that the peer replied to.
 	ackedReadRound uint64
+	// recentlyActive says that the peer was heard since the last quorum check.
 	recentlyActive bool
-	// transfer is set while the peer is sent a snapshot.
-	outgoing *outgoingSnapshot
-	// probing tells that it is not known up to where the peer holds the log: it is
-	// asked with empty appends, and gets entries only once it has agreed to one.
-	probing bool
 	// ticksSinceHeard counts the ticks since the peer was heard.
 	ticksSinceHeard int
+	// probing says that it is unknown up to where the peer's log matches.
+	probing bool
+	// outgoing is the snapshot that is being sent to the peer, or nil.
+	outgoing *outgoingSnapshot
 }
 
 // heard notes that a message of the peer in the current term has arrived.
@@ -21,15 +29,17 @@
 	peer.recentlyActive, peer.ticksSinceHeard = true, 0
 }
 
-// probe has the peer asked up to where it holds the log, from an index downwards.
+// probe has the next empty append test whether the peer's log matches before an index.
 func (peer *progress) probe(next uint64) {
 	peer.probing, peer.nextIndex = true, next
 }
 
+// isUnresponsive reports whether a peer was silent for an election timeout.
 func (core *Core) isUnresponsive(peer *progress) bool {
 	return peer.ticksSinceHeard >= core.settings.ElectionTicks
 }
 
+// trackPeers has the leader track the progress of exactly the other members.
 func (core *Core) trackPeers() {
 	members := slices.Concat(core.membership.Voters, core.membership.Learners)
 	for _, name := range members {
@@ -44,7 +54,7 @@
 	}
 }
 
-// peerNames gives the peers in a fixed order, so that steps replay exactly.
+// peerNames returns the peers in a fixed order, so that equal inputs give equal outputs.
 func (core *Core) peerNames() []string {
 	names := make([]string, 0, len(core.peers))
 	for name := range core.peers {
--- a/system/raft/raft.go
+++ b/system/raft/raft.go
@@ -5,6 +5,8 @@
 	"slices"
 )
 
+// role is the state of a replica in the sense of the paper (5.1), with the pre-candidate of
+// the thesis (9.6).
 type role int
 
 const (
@@ -16,56 +18,83 @@
 
 // Core is one replica of one group. It is not safe for concurrent use.
 type Core struct {
-	settings   Settings
-	random     *rand.Rand
-	hardState  HardState
-	snapshot   Snapshot
-	entries    []Entry // entries[0].Index == checkpoint.Index+1
-	membership Membership
+	settings Settings
+	// random draws the election timeouts.
+	random *rand.Rand
+
+	// The persistent state (paper, figure 2), as it is once all writes are durable.
+	hardState HardState
+	snapshot  Snapshot
+	// entries follow the snapshot: entries[0].Index == snapshot.Index+1.
+	entries []Entry
 
-	role            role
-	leader          string
-	commitIndex     uint64
-	lastApplied     uint64
-	stableIndex     uint64
+	// membership is the latest in the log, committed or not (paper 6).
+	membership Membership
+	role       role
+	// leader is the leader of the current term as far as known, or "".
+	leader      string
+	commitIndex uint64
+	// lastApplied is the last entry that was given to the driver. It equals commitIndex
+	// after each step.
+	lastApplied uint64
+	// stableIndex is the last entry that is durable here. A leader counts itself only up to
+	// here when it advances the commit index.
+	stableIndex uint64
+
+	// electionElapsed counts the ticks since a leader was heard or a vote was granted.
 	electionElapsed int
-	// heartbeatElapsed counts the ticks since the leader last spoke to all peers.
+	// electionTimeout is the number of ticks after which an election is started.
+	electionTimeout int
+	// votes are the answers to the present request for votes, by voter.
+	votes map[string]bool
+
+	// The state of a leader; it is discarded when the replica steps down.
+
+	// peers has the progress of every other member.
+	peers map[string]*progress
+	// heartbeatElapsed counts the ticks since the last heartbeat to all peers.
 	heartbeatElapsed int
-	quorumElapsed    int
-	electionTimeout  int
-	votes            map[string]bool
-	peers            map[string]*progress
-	readRound        uint64
-	pendingReads     []pendingRead
-	// incomingSnapshot is the part of a snapshot that a leader has sent so far.
-	incoming *incomingSnapshot
-	// snapshotChecksum is the checksum of the content of the own snapshot, if that is at snapshotChecksumIndex.
+	// quorumElapsed counts the ticks since the leader last checked that it hears a quorum.
+	quorumElapsed int
+	// readRound is the number of the last round of heartbeats that confirms reads.
+	readRound    uint64
+	pendingReads []pendingRead
+	// transferTarget is the voter that is to become leader, or "".
+	transferTarget string
+	// transferElapsed counts the ticks since the leadership transfer began.
+	transferElapsed int
+	// snapshotChecksum is the checksum of the content of the snapshot at
+	// snapshotChecksumIndex, and outdated if that is not the present one.
 	snapshotChecksum      uint32
 	snapshotChecksumIndex uint64
-	transferTarget        string
-	transferElapsed       int
 
-	lastWrite       uint64
-	lastSynced      uint64
-	pendingWrites   []pendingWrite
-	pendingMessages []pendingMessage
-	// hardStateWrite is the number of the last write that changed the term or the vote.
-	hardStateWrite   uint64
+	// incoming is the snapshot that a leader is sending to this replica, or nil.
+	incoming *incomingSnapshot
+
+	// What is to be written, what is being written, and the messages that wait for it.
+
+	// hardStateChanged, snapshotChanged and firstUnwritten (0 if there is none) say what the
+	// write at the end of the step must contain.
 	hardStateChanged bool
-	firstUnwritten   uint64
 	snapshotChanged  bool
-	output           Output
-	outbox           []Message
+	firstUnwritten   uint64
+	// lastWrite and lastSynced are the numbers of the last write and the last durable one.
+	lastWrite  uint64
+	lastSynced uint64
+	// hardStateWrite is the number of the last write that changed the hard state.
+	hardStateWrite uint64
+	// pendingWrites are not durable yet, in order.
+	pendingWrites []pendingWrite
+	// outbox has the messages of this step; pendingMessages those of earlier steps that
+	// wait for a write.
+	outbox          []Message
+	pendingMessages []pendingMessage
+	output          Output
 }
 
-// New makes a replica from what its disk holds. An empty Stored is a replica
-// that waits to be told of a group; to found one, store a Checkpoint that names
-// the founding voters.
-//
-//	core := agreement.New(agreement.Settings{Name: "a", ElectionTicks: 10, HeartbeatTicks: 2}, agreement.PersistentState{
-//		Checkpoint: agreement.Snapshot{Replicas: agreement.Membership{Voters: []string{"a", "b", "c"}}},
-//	})
-//	output := core.Step(agreement.Input{Kind: agreement.InputTick})
+// New returns a replica that continues from its stored state, as a follower. With the zero
+// PersistentState it is a member of no group, and waits for a leader to add it. To bootstrap a
+// group, give all founding voters the same snapshot with them as its membership.
 func New(settings Settings, stored PersistentState) *Core {
 	core := &Core{
 		settings:    settings,
@@ -83,46 +112,29 @@
 	return core
 }
 
-var inputHandlers map[InputKind]func(*Core, Input)
-
-var messageHandlers map[MessageKind]func(*Core, Message)
-
-func init() {
-	inputHandlers = map[InputKind]func(*Core, Input){
-		InputTick:               func(core *Core, input Input) { core.tick(input.Number) },
-		InputMessage:            func(core *Core, input Input) { core.handleMessage(input.Message) },
-		InputSynced:             func(core *Core, input Input) { core.handleSynced(input.Number) },
-		InputPropose:            func(core *Core, input Input) { core.propose(Entry{Kind: EntryCommand, Data: input.Data}) },
-		InputChangeMembership:   func(core *Core, input Input) { core.changeMembership(input.Membership) },
-		InputReadIndex:          func(core *Core, input Input) { core.readIndex(input.Context) },
-		InputCompact:            func(core *Core, input Input) { core.compact(input.Index, input.Data) },
-		InputTransferLeadership: func(core *Core, input Input) { core.transferLeadership(input.Peer) },
-		InputSuspect:            func(core *Core, input Input) { core.suspectLeader(input.Peer) },
-	}
-	messageHandlers = map[MessageKind]func(*Core, Message){
-		MessageVote:         (*Core).handleVote,
-		MessageVoteReply:    (*Core).handleVoteReply,
-		MessagePreVoteReply: (*Core).handleVoteReply,
-		MessageAppend:       (*Core).handleAppend,
-		MessageAppendReply:  (*Core).handleAppendReply,
-		MessageSnapshot:     (*Core).handleSnapshot,
-		MessageTimeoutNow:   (*Core).handleTimeoutNow,
-
-		MessageSnapshotChunk: (*Core).handleSnapshotChunk,
-		MessageSnapshotReply: (*Core).handleSnapshotReply,
-	}
-}
-
-// Step feeds one input and returns what the shell must now do.
-//
-//	output := core.Step(agreement.Input{Kind: agreement.InputPropose, Data: []byte("put a 1")})
-//	if output.ProposedIndex == 0 {
-//		// not the leader: ask core.Status().Leader
-//	}
+// Step processes one input and returns what the driver must do. An input of an unknown kind,
+// such as a message of a later version, has no effect.
 func (core *Core) Step(input Input) Output {
 	core.output = Output{}
-	if handler, known := inputHandlers[input.Kind]; known {
-		handler(core, input)
+	switch input.Kind {
+	case InputTick:
+		core.tick(input.Number)
+	case InputMessage:
+		core.handleMessage(input.Message)
+	case InputSynced:
+		core.handleSynced(input.Number)
+	case InputPropose:
+		core.propose(Entry{Kind: EntryCommand, Data: input.Data})
+	case InputChangeMembership:
+		core.changeMembership(input.Membership)
+	case InputReadIndex:
+		core.readIndex(input.Context)
+	case InputCompact:
+		core.compact(input.Index, input.Data)
+	case InputTransferLeadership:
+		core.transferLeadership(input.Peer)
+	case InputSuspect:
+		core.suspectLeader(input.Peer)
 	}
 	core.flush()
 	return core.output
@@ -130,6 +142,7 @@
 
 func (core *Core) handleMessage(message Message) {
 	if message.Kind == MessageSnapshotChunk {
+		// A chunk is checked before its term is adopted: a damaged one must have no effect.
 		if rejection := core.checkChunk(message); rejection != SnapshotAccepted {
 			core.rejectChunk(message, rejection, core.receivedBytes(message), nil)
 			return
@@ -139,74 +152,51 @@
 		core.handlePreVote(message)
 		return
 	}
-	if message.Term > core.hardState.Term && message.Kind != MessagePreVoteReply {
-		if message.Kind == MessageVote && core.inLease() && !message.Forced {
-			return
-		}
-		core.setTerm(message.Term)
-		core.become(roleFollower, "")
-	}
-	if message.Kind == MessagePreVoteReply && message.Rejected && message.Term > core.hardState.Term {
-		core.setTerm(message.Term)
-		core.become(roleFollower, "")
+	if message.Term > core.hardState.Term && !core.adoptTerm(message) {
 		return
 	}
 	if message.Term < core.hardState.Term {
-		if message.Kind == MessageAppend || message.Kind == MessageSnapshot {
-			core.send(Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Rejected: true, Hint: core.lastIndex()})
-		}
+		core.rejectStaleLeader(message)
 		return
 	}
-	if handler, known := messageHandlers[message.Kind]; known {
-		handler(core, message)
+	switch message.Kind {
+	case MessageVote:
+		core.handleVote(message)
+	case MessageVoteReply, MessagePreVoteReply:
+		core.handleVoteReply(message)
+	case MessageAppend:
+		core.handleAppend(message)
+	case MessageAppendReply:
+		core.handleAppendReply(message)
+	case MessageSnapshot:
+		core.handleSnapshot(message)
+	case MessageTimeoutNow:
+		core.handleTimeoutNow(message)
+	case MessageSnapshotChunk:
+		core.handleSnapshotChunk(message)
+	case MessageSnapshotReply:
+		core.handleSnapshotReply(message)
 	}
 }
 
-// Status is a copy of what a replica believes.
-type Status struct {
-	Term                    uint64
-	Leader                  string
-	Leading                 bool
-	CommitIndex             uint64
-	LastIndex               uint64
-	Membership              Membership
-	MatchIndex              map[string]uint64
-	MembershipChangePending bool
-	CommittedInTerm         bool // the leader has committed an entry of its own term
-}
-
-// Status tells what this replica believes now.
-//
-//	if core.Status().Leading {
-//		// proposals may be put here
-//	}
-func (core *Core) Status() Status {
-	status := Status{
-		Term: core.hardState.Term, Leader: core.leader, Leading: core.role == roleLeader,
-		CommitIndex: core.commitIndex, LastIndex: core.lastIndex(), Membership: core.membership,
-		CommittedInTerm: core.role == roleLeader && core.committedInTerm(),
+// adoptTerm enters the later term of a message as a follower (paper 5.1), and reports
+// whether the message is to be processed further.
+func (core *Core) adoptTerm(message Message) bool {
+	if message.Kind == MessagePreVoteReply && !message.Rejected {
+		return true // a granted pre-vote names a term that nobody has entered yet
 	}
-	if core.role == roleLeader {
-		status.MatchIndex = map[string]uint64{core.settings.Name: core.stableIndex}
-		for name, peer := range core.peers {
-			status.MatchIndex[name] = peer.matchIndex
-		}
-		status.MembershipChangePending = core.membershipChangePending()
+	if message.Kind == MessageVote && core.inLease() && !message.Forced {
+		return false
 	}
-	return status
+	core.setTerm(message.Term)
+	core.become(roleFollower, "")
+	return message.Kind != MessagePreVoteReply
 }
 
-// Leading tells whether this replica leads, and its term.
-//
-//	term, leading := core.Leading()
-func (core *Core) Leading() (uint64, bool) { return core.hardState.Term, core.role == roleLeader }
-
-// Applied tells up to where entries were handed over for applying.
-//
-//	index := core.Applied()
-func (core *Core) Applied() uint64 { return core.lastApplied }
-
-// committedInTerm reports whether the last committed entry is of the current term.
-func (core *Core) committedInTerm() bool {
-	return core.termAt(core.commitIndex) == core.hardState.Term
+// rejectStaleLeader tells the leader of an earlier term of the present one. Other messages
+// of earlier terms are ignored.
+func (core *Core) rejectStaleLeader(message Message) {
+	if message.Kind == MessageAppend || message.Kind == MessageSnapshot {
+		core.send(Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Rejected: true, Hint: core.lastIndex()})
+	}
 }
--- a/system/raft/simulated_group_test.go
+++ b/system/raft/simulated_group_test.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// simulatedGroup drives cores over a lossy network and disks that forget what
-// was not synced, all from one seed.
+// simulatedGroup drives the cores of one group over a lossy network, and over disks that lose
+// what was not synced, from one seed. It checks safety after every step.
 type simulatedGroup struct {
 	random    *rand.Rand
 	names     []string
@@ -49,7 +49,7 @@
 func (group *simulatedGroup) start(name string) {
 	group.unsynced[name] = nil
 	if err := group.disks[name].Check(); err != nil {
-		group.failure = fmt.Errorf("%s starts on a disk that is refused: %w", name, err)
+		group.failure = fmt.Errorf("%s starts on a disk that is rejected: %w", name, err)
 	}
 	group.cores[name] = New(Settings{Name: name, ElectionTicks: 10, HeartbeatTicks: 2, Seed: group.random.Uint64(), ChunkBytes: 3}, group.disks[name])
 	group.applied[name] = group.disks[name].Snapshot.Index
@@ -61,6 +61,23 @@
 func (group *simulatedGroup) step(name string, input Input) Output {
 	core := group.cores[name]
 	output := core.Step(input)
+	group.checkApplied(name, output)
+	if output.Write != nil {
+		group.unsynced[name] = append(group.unsynced[name], output.Write)
+	}
+	if term, leading := core.Leading(); leading {
+		if other, seen := group.leaders[term]; seen && other != name {
+			group.failure = fmt.Errorf("term %d led by %s and %s", term, other, name)
+		}
+		group.leaders[term] = name
+	}
+	group.checkReads(output)
+	group.flying = append(group.flying, output.Messages...)
+	return output
+}
+
+// checkApplied checks that a replica applies the same entries as all others, without gaps.
+func (group *simulatedGroup) checkApplied(name string, output Output) {
 	if output.Snapshot != nil {
 		if !bytes.Equal(output.Snapshot.Data, snapshotAt(output.Snapshot.Index)) && output.Snapshot.Index > 1 {
 			group.failure = fmt.Errorf("%s took %q as the snapshot of %d", name, output.Snapshot.Data, output.Snapshot.Index)
@@ -78,25 +95,18 @@
 		}
 		group.committed[entry.Index] = entry
 	}
-	if output.Write != nil {
-		group.unsynced[name] = append(group.unsynced[name], output.Write)
-	}
-	if term, leading := core.Leading(); leading {
-		if other, seen := group.leaders[term]; seen && other != name {
-			group.failure = fmt.Errorf("term %d led by %s and %s", term, other, name)
-		}
-		group.leaders[term] = name
-	}
-	for _, answer := range output.ReadResults {
-		if !answer.Rejected {
+}
+
+// checkReads checks that a confirmed read covers what was committed when it was requested.
+func (group *simulatedGroup) checkReads(output Output) {
+	for _, result := range output.ReadResults {
+		if !result.Rejected {
 			group.readsSeen++
-			if answer.Index < group.reads[answer.Context] {
-				group.failure = fmt.Errorf("read %d at %d misses %d", answer.Context, answer.Index, group.reads[answer.Context])
+			if result.Index < group.reads[result.Context] {
+				group.failure = fmt.Errorf("read %d at %d misses %d", result.Context, result.Index, group.reads[result.Context])
 			}
 		}
 	}
-	group.flying = append(group.flying, output.Messages...)
-	return output
 }
 
 func (group *simulatedGroup) sync(name string, count int) {
@@ -136,6 +146,7 @@
 	return highest
 }
 
+// randomEvent lets one thing happen; faults only while the group is unhealthy.
 func (group *simulatedGroup) randomEvent(unhealthy bool) {
 	name := group.names[group.random.IntN(len(group.names))]
 	chance := group.random.IntN(1000)
@@ -160,15 +171,23 @@
 		group.changeOneReplica(name)
 	case chance < 903:
 		group.step(name, Input{Kind: InputTransferLeadership, Peer: group.names[group.random.IntN(3)]})
-	case unhealthy && chance < 930 && len(group.flying) > 0:
+	case unhealthy:
+		group.randomFault(name, chance)
+	}
+}
+
+// randomFault loses or repeats a message, restarts a replica, or cuts it off or connects it.
+func (group *simulatedGroup) randomFault(name string, chance int) {
+	switch {
+	case chance < 930 && len(group.flying) > 0:
 		position := group.random.IntN(len(group.flying))
 		group.flying = slices.Delete(group.flying, position, position+1)
-	case unhealthy && chance < 950 && len(group.flying) > 0:
+	case chance < 950 && len(group.flying) > 0:
 		group.flying = append(group.flying, group.flying[group.random.IntN(len(group.flying))])
-	case unhealthy && chance < 956:
+	case chance < 956:
 		group.sync(name, group.random.IntN(len(group.unsynced[name])+1)) // what was synced stays, the rest is lost
 		group.start(name)
-	case unhealthy && chance < 960:
+	case chance < 960:
 		group.cut[name] = !group.cut[name]
 	}
 }
--- a/system/raft/snapshot.go
+++ b/system/raft/snapshot.go
@@ -2,31 +2,29 @@
 
 import "slices"
 
-// Snapshot is a state machine's whole content as of Index.
+// Snapshot is the content of the state machine as of an index. It replaces the log up to
+// there (paper 7).
 type Snapshot struct {
-	Index      uint64
-	Term       uint64
+	// Index and Term are those of the last entry that the content includes.
+	Index uint64
+	Term  uint64
+	// Membership is the latest as of Index.
 	Membership Membership
-	Data       []byte
+	// Data is the content, in the state machine's own encoding.
+	Data []byte
 }
 
-// EntriesSinceSnapshot counts the applied entries that the log still carries.
-//
-//	if core.EntriesSinceSnapshot() >= 2048 {
-//		core.Step(agreement.Input{Kind: agreement.InputCompact, Index: core.Applied(), Data: image})
-//	}
+// EntriesSinceSnapshot returns the number of applied entries that are still in the log.
 func (core *Core) EntriesSinceSnapshot() uint64 { return core.lastApplied - core.snapshot.Index }
 
-// CanCompact tells whether the log still carries the applied entry of that index, so that a
-// snapshot of it may replace the log up to there.
-//
-//	if core.CanCompact(index) {
-//		core.Step(agreement.Input{Kind: agreement.InputCompact, Index: index, Data: image})
-//	}
+// CanCompact reports whether a snapshot at an index could replace the log up to there: the
+// entry has been applied, and no later snapshot has replaced it. Otherwise [InputCompact] has
+// no effect.
 func (core *Core) CanCompact(index uint64) bool {
 	return index > core.snapshot.Index && index <= core.lastApplied
 }
 
+// compact replaces the log up to an index by a snapshot that the driver took.
 func (core *Core) compact(index uint64, data []byte) {
 	if !core.CanCompact(index) {
 		return
@@ -43,7 +41,7 @@
 	core.markSnapshotChanged()
 }
 
-// handleSnapshot takes a whole snapshot in one message.
+// handleSnapshot receives a snapshot in one message, as earlier versions send it.
 func (core *Core) handleSnapshot(message Message) {
 	core.followLeader(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Round: message.Round}
@@ -64,6 +62,8 @@
 	core.send(reply)
 }
 
+// installSnapshot restores the state machine from a snapshot, or leaves it unchanged and
+// returns an error.
 func (core *Core) installSnapshot(snapshot Snapshot) error {
 	if core.settings.InstallSnapshot == nil {
 		return nil
@@ -71,8 +71,8 @@
 	return core.settings.InstallSnapshot(snapshot)
 }
 
-// restoreSnapshot makes a snapshot that the state machine holds the replica's own. Entries
-// after it stay only if the log agrees with it.
+// restoreSnapshot adopts a leader's snapshot that the state machine was restored from. The
+// entries after it are kept only if the log has the snapshot's last entry (paper 7).
 func (core *Core) restoreSnapshot(snapshot Snapshot) {
 	if core.termAt(snapshot.Index) == snapshot.Term && snapshot.Index <= core.lastIndex() {
 		core.entries = slices.Clone(core.entries[snapshot.Index-core.snapshot.Index:])
--- a/system/raft/snapshot_chunk.go
+++ b/system/raft/snapshot_chunk.go
@@ -6,14 +6,17 @@
 )
 
 const (
-	// defaultChunkBytes is how much of a snapshot goes in one message.
+	// defaultChunkBytes is the size of a chunk if Settings.ChunkBytes is 0. A chunk is small
+	// enough not to delay heartbeats on a slow connection.
 	defaultChunkBytes = 128 << 10
-	// maxSnapshotBytes bounds what a replica gathers of a snapshot.
+	// maxSnapshotBytes is the size of the largest snapshot that a replica receives. It is
+	// gathered in memory.
 	maxSnapshotBytes = 256 << 20
-	// maxInflightChunks is how many chunks may be out to one peer, so that a way that is slow
-	// does not make a transfer slow.
+	// maxInflightChunks is how many chunks may be sent to a peer before it acknowledges them,
+	// so that latency does not limit the transfer.
 	maxInflightChunks = 4
-	// chunkRetryHeartbeats is after how many heartbeats without an answer a chunk is sent again.
+	// chunkRetryHeartbeats is after how many heartbeat intervals without a reply a chunk is
+	// sent again.
 	chunkRetryHeartbeats = 2
 )
 
@@ -26,7 +29,8 @@
 	return defaultChunkBytes
 }
 
-// chunkChecksum covers a chunk's bytes and all that tells where they belong.
+// chunkChecksum returns the checksum of a chunk's content and of all that locates it: the
+// group, sender, receiver and term, the snapshot, and the position in it.
 func chunkChecksum(message Message) uint32 {
 	snapshot, chunk := message.Snapshot, message.Chunk
 	head := binary.LittleEndian.AppendUint32(nil, message.Group)
@@ -41,7 +45,7 @@
 	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, snapshot.Data)
 }
 
-// checkChunk tells what is wrong with a chunk by itself, before anything of it is heeded.
+// checkChunk checks a chunk by itself, before any of it has an effect.
 func (core *Core) checkChunk(message Message) SnapshotRejection {
 	chunk, length := message.Chunk, uint64(len(message.Snapshot.Data))
 	switch {
@@ -59,7 +63,8 @@
 	return SnapshotAccepted
 }
 
-// contentChecksum is the checksum of the snapshot's content, reckoned once for each snapshot.
+// contentChecksum returns the checksum of the snapshot's content, computed once for each
+// snapshot.
 func (core *Core) contentChecksum() uint32 {
 	if core.snapshotChecksumIndex != core.snapshot.Index {
 		core.snapshotChecksum = crc32.Checksum(core.snapshot.Data, castagnoli)
--- a/system/raft/snapshot_errors.go
+++ b/system/raft/snapshot_errors.go
@@ -2,67 +2,66 @@
 
 import "fmt"
 
-// SnapshotRejection tells why a snapshot, or a part of one, was not taken.
+// SnapshotRejection says why a snapshot, or a chunk of one, was rejected. The values are sent.
 type SnapshotRejection uint16
 
 const (
-	// SnapshotAccepted is the zero value: nothing was refused.
+	// SnapshotAccepted is the zero value: nothing was rejected.
 	SnapshotAccepted SnapshotRejection = iota
-	// SnapshotUnreadable: the state machine cannot read the content.
+	// SnapshotUnreadable says that the state machine cannot read the content.
 	SnapshotUnreadable
-	// SnapshotDamaged: a checksum does not match.
+	// SnapshotDamaged says that a checksum or a length does not match.
 	SnapshotDamaged
-	// SnapshotOutOfOrder: the chunk does not continue what is held.
+	// SnapshotOutOfOrder says that the chunk does not continue what was received.
 	SnapshotOutOfOrder
-	// SnapshotStaleTerm: the sender leads an older term.
+	// SnapshotStaleTerm says that the sender leads an earlier term.
 	SnapshotStaleTerm
-	// SnapshotWrongGroup: the chunk belongs to another group.
+	// SnapshotWrongGroup says that the chunk belongs to another group.
 	SnapshotWrongGroup
-	// SnapshotTooLarge: the snapshot is longer than a replica takes.
+	// SnapshotTooLarge says that the snapshot is larger than a replica receives.
 	SnapshotTooLarge
-	// SnapshotSuperseded: a newer snapshot of the same leader is being received.
+	// SnapshotSuperseded says that a later snapshot of the same leader is being received.
 	SnapshotSuperseded
 )
 
 var rejectionNames = map[SnapshotRejection]string{
 	SnapshotAccepted: "accepted", SnapshotUnreadable: "unreadable", SnapshotDamaged: "damaged",
-	SnapshotOutOfOrder: "out of order", SnapshotStaleTerm: "of another term",
+	SnapshotOutOfOrder: "out of order", SnapshotStaleTerm: "of an earlier term",
 	SnapshotWrongGroup: "of another group", SnapshotTooLarge: "too large",
 	SnapshotSuperseded: "superseded",
 }
 
-// String names the reason.
-//
-//	fmt.Println(agreement.SnapshotDamaged) // damaged
+// String returns the reason in words, as "out of order".
 func (rejection SnapshotRejection) String() string {
 	if name, known := rejectionNames[rejection]; known {
 		return name
 	}
-	return fmt.Sprintf("refusal %d", uint16(rejection))
+	return fmt.Sprintf("rejection %d", uint16(rejection))
 }
 
-// SnapshotError is a snapshot, or a part of one, that was refused. The replica that
-// refused it is as it was before.
+// SnapshotError reports a snapshot, or a chunk of one, that was rejected. The replica is
+// unchanged by it. The sender sends again what is missing; a driver should log it, as all
+// reasons but SnapshotOutOfOrder and SnapshotSuperseded are signs of a fault.
 type SnapshotError struct {
-	From   string
-	Index  uint64
+	// From is the sender.
+	From string
+	// Index is that of the snapshot.
+	Index uint64
+	// Offset is the first byte of the chunk; 0 if the snapshot was not sent in chunks.
 	Offset uint64
 	Reason SnapshotRejection
-	Cause  error
+	// Cause is the state machine's error if Reason is SnapshotUnreadable, else nil.
+	Cause error
 }
 
-// Error tells what was refused, and why.
-//
-//	log.Error(output.SnapshotRefused.Error())
-func (rejected *SnapshotError) Error() string {
-	text := fmt.Sprintf("snapshot %d at byte %d from %s refused: %s", rejected.Index, rejected.Offset, rejected.From, rejected.Reason)
-	if rejected.Cause != nil {
-		text += ": " + rejected.Cause.Error()
+// Error says what was rejected, and why.
+func (err *SnapshotError) Error() string {
+	text := fmt.Sprintf("snapshot %d at byte %d from %s rejected: %s", err.Index, err.Offset, err.From, err.Reason)
+	if err.Cause != nil {
+		text += ": " + err.Cause.Error()
 	}
 	return text
 }
 
-// Unwrap gives the state machine's own error, if there is one.
-//
-//	errors.Is(output.SnapshotRefused, errDecode)
-func (rejected *SnapshotError) Unwrap() error { return rejected.Cause }
+// Unwrap returns the state machine's error, if there is one.
+func (err *SnapshotError) Unwrap() error { return err.Cause }
--- a/system/raft/snapshot_receiver.go
+++ b/system/raft/snapshot_receiver.go
@@ -2,21 +2,25 @@
 
 import "hash/crc32"
 
-// incomingSnapshot is a receiver's side: the part of a snapshot that it holds, in memory only.
+// incomingSnapshot is the receiver's side of the transfer of a snapshot. It is in memory only:
+// after a restart the transfer starts over.
 type incomingSnapshot struct {
-	snapshot Snapshot // Data is what has come so far
-	chunk    SnapshotChunk
-	// leaderTerm is the term of the leader that sent the last part.
+	// snapshot is the snapshot with what has been received of its content.
+	snapshot Snapshot
+	// chunk is the first chunk's location, for the total size and the content's checksum.
+	chunk SnapshotChunk
+	// leaderTerm is the term of the leader that sent the last chunk.
 	leaderTerm uint64
 }
 
+// matches reports whether a chunk belongs to the snapshot that is being received.
 func (received *incomingSnapshot) matches(message Message) bool {
 	snapshot := message.Snapshot
 	return received != nil && received.snapshot.Index == snapshot.Index && received.snapshot.Term == snapshot.Term &&
 		received.chunk.Total == message.Chunk.Total && received.chunk.ContentChecksum == message.Chunk.ContentChecksum
 }
 
-// receivedBytes tells how much is held of the snapshot that a chunk claims to be of.
+// receivedBytes returns how much was received of the snapshot that a chunk claims to be of.
 func (core *Core) receivedBytes(message Message) uint64 {
 	if !core.incoming.matches(message) {
 		return 0
@@ -24,7 +28,7 @@
 	return uint64(len(core.incoming.snapshot.Data))
 }
 
-// handleSnapshotChunk adds a chunk, which was checked by itself, to what is held.
+// handleSnapshotChunk adds a chunk that checkChunk has accepted to what was received.
 func (core *Core) handleSnapshotChunk(message Message) {
 	core.followLeader(message.From)
 	snapshot, chunk := message.Snapshot, message.Chunk
@@ -58,7 +62,8 @@
 	core.completeSnapshot(message)
 }
 
-// checkFirstChunk tells whether a chunk of a snapshot that is not being received may begin it.
+// checkFirstChunk checks whether a chunk may start the transfer of another snapshot than the
+// one that is being received.
 func (core *Core) checkFirstChunk(message Message) SnapshotRejection {
 	if message.Chunk.Offset != 0 {
 		return SnapshotOutOfOrder
@@ -69,7 +74,7 @@
 	return SnapshotAccepted
 }
 
-// completeSnapshot takes a snapshot of which all has come, if it can be read.
+// completeSnapshot installs a snapshot whose last chunk has been received.
 func (core *Core) completeSnapshot(message Message) {
 	received := core.incoming
 	core.incoming = nil
@@ -85,11 +90,13 @@
 	core.send(Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Index: received.snapshot.Index})
 }
 
+// rejectChunk reports a chunk that has no effect to the driver and to the sender.
 func (core *Core) rejectChunk(message Message, reason SnapshotRejection, received uint64, cause error) {
 	core.output.SnapshotRejected = &SnapshotError{From: message.From, Index: message.Snapshot.Index, Offset: message.Chunk.Offset, Reason: reason, Cause: cause}
 	core.replyToChunk(message, Message{Rejected: true, Chunk: SnapshotChunk{Reason: reason}}, received)
 }
 
+// replyToChunk completes a reply to a chunk, with how many bytes were received, and sends it.
 func (core *Core) replyToChunk(message, reply Message, received uint64) {
 	reply.Kind, reply.To, reply.Term = MessageSnapshotReply, message.From, core.hardState.Term
 	reply.Index, reply.Hint = message.Snapshot.Index, message.Chunk.Offset
--- a/system/raft/snapshot_sender.go
+++ b/system/raft/snapshot_sender.go
@@ -1,32 +1,31 @@
 package raft
 
-// transfer is a leader's side of a snapshot on its way to one peer.
+// outgoingSnapshot is the leader's side of the transfer of a snapshot to one peer: a window of
+// maxInflightChunks chunks that moves as the peer acknowledges them.
 type outgoingSnapshot struct {
-	// index and sum name the snapshot.
+	// index and contentChecksum identify the snapshot.
 	index           uint64
 	contentChecksum uint32
-	// ackedOffset is up to where the peer is known to hold it, sent up to where it was sent.
+	// ackedOffset is the number of bytes that the peer is known to have, and sentOffset how
+	// many were sent.
 	ackedOffset uint64
 	sentOffset  uint64
-	// resent tells that what follows offset was already sent again for want of it.
+	// resent says that the chunks after ackedOffset have been sent a second time, because the
+	// peer reported them missing.
 	resent bool
-	// ticksSinceSent counts the ticks since a chunk was sent.
+	// ticksSinceSent counts the ticks since the last chunk was sent.
 	ticksSinceSent int
 }
 
-// acknowledge notes what the peer holds.
+// acknowledge notes how many bytes the peer has.
 func (outgoing *outgoingSnapshot) acknowledge(offset uint64) {
 	outgoing.resent = outgoing.resent && offset <= outgoing.ackedOffset
 	outgoing.ackedOffset = offset
 	outgoing.sentOffset = max(outgoing.sentOffset, offset)
 }
 
-// SendingSnapshot tells whether this leader sends its snapshot to a peer that answers. A
-// new snapshot now would have the peer begin anew.
-//
-//	if !core.SendingSnapshot() {
-//		core.Step(agreement.Input{Kind: agreement.InputCompact, Index: core.Applied(), Data: image})
-//	}
+// SendingSnapshot reports whether this leader is sending its snapshot to a peer that replies.
+// A new snapshot ([InputCompact]) would make that peer start over.
 func (core *Core) SendingSnapshot() bool {
 	for _, peer := range core.peers {
 		if peer.outgoing != nil && !core.isUnresponsive(peer) {
@@ -36,23 +35,23 @@
 	return false
 }
 
-// sendSnapshot begins to send the snapshot to a peer, or goes on if the last chunk was not
-// answered in time. A peer that is silent is sent nothing more until it is heard.
+// sendSnapshot starts to send the snapshot to a peer, or sends a chunk again if there was no
+// reply in time. Nothing is sent again to a peer that is unresponsive.
 func (core *Core) sendSnapshot(name string, peer *progress) {
 	if peer.outgoing == nil || peer.outgoing.index != core.snapshot.Index {
 		peer.outgoing = &outgoingSnapshot{index: core.snapshot.Index, contentChecksum: core.contentChecksum()}
-		core.sendChunk(name, peer.outgoing) // a snapshot without content is one chunk too
+		core.sendChunk(name, peer.outgoing) // an empty snapshot is one chunk too
 		core.fillWindow(name, peer.outgoing)
 		return
 	}
 	if peer.outgoing.ticksSinceSent >= chunkRetryHeartbeats*core.settings.HeartbeatTicks && !core.isUnresponsive(peer) {
-		// One chunk asks what the peer holds; its answer has the rest follow.
+		// A single chunk is enough: the reply tells how far the peer is, and the rest follows.
 		peer.outgoing.sentOffset, peer.outgoing.resent = peer.outgoing.ackedOffset, false
 		core.sendChunk(name, peer.outgoing)
 	}
 }
 
-// fillWindow sends chunks until as many are out as may be, or all were sent.
+// fillWindow sends chunks until the window is full or all were sent.
 func (core *Core) fillWindow(name string, outgoing *outgoingSnapshot) {
 	total, window := uint64(len(core.snapshot.Data)), maxInflightChunks*core.chunkBytes()
 	for outgoing.sentOffset < total && outgoing.sentOffset < outgoing.ackedOffset+window {
@@ -60,12 +59,14 @@
 	}
 }
 
+// sendChunk sends the chunk at sentOffset.
 func (core *Core) sendChunk(name string, outgoing *outgoingSnapshot) {
 	outgoing.ticksSinceSent = 0
 	snapshot := core.snapshot
 	total := uint64(len(snapshot.Data))
 	end := min(outgoing.sentOffset+core.chunkBytes(), total)
 	snapshot.Data = snapshot.Data[outgoing.sentOffset:end]
+	// Group and From are part of the checksum, so they are set here already.
 	message := Message{Kind: MessageSnapshotChunk, Group: core.settings.Group, From: core.settings.Name, To: name, Term: core.hardState.Term, Snapshot: snapshot,
 		Chunk: SnapshotChunk{Offset: outgoing.sentOffset, Total: total, ContentChecksum: outgoing.contentChecksum}}
 	message.Chunk.Checksum = chunkChecksum(message)
@@ -73,9 +74,9 @@
 	core.send(message)
 }
 
-// handleSnapshotReply sends what follows, or again what the peer lacks. Doubled and late
-// answers have nothing sent twice: an answer to a chunk before what is known to be held
-// changes nothing, and what is missing is sent again once only before the next retry.
+// handleSnapshotReply sends the next chunks, or those again that the peer lacks. Repeated and
+// late replies cause no chunk to be sent twice: a reply to a chunk before ackedOffset has no
+// effect, and what is missing is sent again only once before the next retry.
 func (core *Core) handleSnapshotReply(message Message) {
 	peer := core.peers[message.From]
 	if core.role != roleLeader || peer == nil {
@@ -96,7 +97,7 @@
 	case message.Rejected && message.Chunk.Reason == SnapshotOutOfOrder:
 		core.resendMissing(message.From, outgoing, received)
 	case message.Rejected:
-		outgoing.ackedOffset = min(received, outgoing.ackedOffset) // it is sent again when its time is up
+		outgoing.ackedOffset = min(received, outgoing.ackedOffset) // sent again by the retry
 	}
 }
 
--- a/system/raft/snapshot_test.go
+++ b/system/raft/snapshot_test.go
@@ -23,13 +23,13 @@
 		t.Fatalf("an unreadable snapshot left %+v", core.Status())
 	}
 	if rejected.SnapshotRejected == nil || rejected.SnapshotRejected.Reason != SnapshotUnreadable || !errors.Is(rejected.SnapshotRejected, errUnreadable) {
-		t.Fatalf("refused as %v", rejected.SnapshotRejected)
+		t.Fatalf("rejected as %v", rejected.SnapshotRejected)
 	}
 	if len(rejected.Messages) != 1 || !rejected.Messages[0].Rejected || rejected.Messages[0].Index != 0 {
 		t.Fatalf("answered %+v", rejected.Messages)
 	}
-	taken := send("readable")
-	if taken.Snapshot == nil || core.Applied() != 7 || taken.SnapshotRejected != nil {
-		t.Fatalf("a readable snapshot left %+v, %v", core.Status(), taken.SnapshotRejected)
+	installed := send("readable")
+	if installed.Snapshot == nil || core.Applied() != 7 || installed.SnapshotRejected != nil {
+		t.Fatalf("a readable snapshot left %+v, %v", core.Status(), installed.SnapshotRejected)
 	}
 }
--- a/system/raft/snapshot_transfer_test.go
+++ b/system/raft/snapshot_transfer_test.go
@@ -10,13 +10,13 @@
 func TestLaggingReplicaCatchesUpWhileHeartbeatsContinue(t *testing.T) {
 	const size = 5 << 20 // 40 chunks
 	group := newDelayedGroup(t, 1, size)
-	group.latest = 1
+	group.maxDelay = 1
 	ticks := group.caughtUp(120, nil)
-	if most := 2 * (size/defaultChunkBytes + 1); group.chunks > most {
+	if limit := 2 * (size/defaultChunkBytes + 1); group.chunks > limit {
 		t.Errorf("%d chunks were sent for a snapshot of %d", group.chunks, size/defaultChunkBytes)
 	}
 	for position := 1; position < len(group.heartbeats); position++ {
-		if gap := group.heartbeats[position] - group.heartbeats[position-1]; gap > group.settings.HeartbeatTicks+group.latest+1 {
+		if gap := group.heartbeats[position] - group.heartbeats[position-1]; gap > group.settings.HeartbeatTicks+group.maxDelay+1 {
 			t.Errorf("no heartbeat for %d ticks", gap)
 		}
 	}
@@ -32,7 +32,7 @@
 	worst := 0
 	for seed := range uint64(20) {
 		group := newDelayedGroup(t, seed, 1<<20) // 8 chunks
-		group.lost, group.doubled, group.latest, group.overtake = 200, 200, 3, true
+		group.lost, group.repeated, group.maxDelay, group.reordered = 200, 200, 3, true
 		worst = max(worst, group.caughtUp(400, nil))
 		if group.chunks > 100 {
 			t.Errorf("seed %d: %d chunks were sent", seed, group.chunks)
@@ -44,26 +44,26 @@
 func TestReceiverRestartedMidTransferStartsOverAtOnce(t *testing.T) {
 	const size = 4 << 20 // 32 chunks
 	undisturbed := newDelayedGroup(t, 1, size)
-	undisturbed.latest = 1
-	usual := undisturbed.caughtUp(200, nil)
+	undisturbed.maxDelay = 1
+	baseline := undisturbed.caughtUp(200, nil)
 	group := newDelayedGroup(t, 1, size)
-	group.latest = 1
-	restarted := usual * 2 / 3
+	group.maxDelay = 1
+	restarted := baseline * 2 / 3
 	ticks := group.caughtUp(400, func(tick int) {
 		if tick == restarted {
 			group.start("c")
 		}
 	})
-	// Two heartbeats to see that the chunk was lost, and one tick to ask for the first.
-	if most := restarted + usual + 3*group.settings.HeartbeatTicks; ticks > most {
-		t.Errorf("caught up after %d ticks, %d without a restart, the limit is %d", ticks, usual, most)
+	// Two heartbeats until the chunk counts as lost, and one tick to ask for the first.
+	if limit := restarted + baseline + 3*group.settings.HeartbeatTicks; ticks > limit {
+		t.Errorf("caught up after %d ticks, %d without a restart, the limit is %d", ticks, baseline, limit)
 	}
 }
 
 func TestReceiverPartitionedMidTransferResumesAtItsOffset(t *testing.T) {
 	const size = 4 << 20
 	group := newDelayedGroup(t, 1, size)
-	group.latest = 1
+	group.maxDelay = 1
 	cutAt, cutFor, before := 30, 60, 0
 	group.caughtUp(400, func(tick int) {
 		switch tick {
@@ -77,18 +77,18 @@
 			group.lost = 0
 		}
 	})
-	if most := size/defaultChunkBytes + 8; group.chunks > most {
-		t.Errorf("%d chunks were sent, the limit is %d", group.chunks, most)
+	if limit := size/defaultChunkBytes + 8; group.chunks > limit {
+		t.Errorf("%d chunks were sent, the limit is %d", group.chunks, limit)
 	}
 }
 
 func TestNewSnapshotReplacesTheTransferInProgress(t *testing.T) {
 	group := newDelayedGroup(t, 1, 4<<20)
-	group.latest = 1
+	group.maxDelay = 1
 	group.caughtUp(400, func(tick int) {
 		if tick == 20 {
 			if !group.cores["a"].SendingSnapshot() {
-				t.Error("the leader does not tell that it sends its snapshot")
+				t.Error("the leader does not report that it sends its snapshot")
 			}
 			group.step("a", Input{Kind: InputPropose, Data: []byte("later")})
 		}
@@ -96,7 +96,7 @@
 			group.compact(2 << 20)
 		}
 	})
-	for range 2 * group.settings.HeartbeatTicks { // until the leader has been told
+	for range 2 * group.settings.HeartbeatTicks { // until the leader has heard that it caught up
 		group.tick("a", "b", "c")
 	}
 	if group.cores["a"].SendingSnapshot() {
@@ -116,7 +116,7 @@
 
 const testChunk = 4
 
-// chunksOf gives a replica that waits for a snapshot, and the chunks for it.
+// chunksOf returns a replica that waits for a snapshot, and the chunks of one.
 func chunksOf(t *testing.T, content string) (*Core, []Message) {
 	t.Helper()
 	settings := Settings{Group: 4, Name: "b", ElectionTicks: 10, HeartbeatTicks: 2, ChunkBytes: testChunk, InstallSnapshot: func(snapshot Snapshot) error {
@@ -170,7 +170,7 @@
 			output := core.Step(Input{Kind: InputMessage, Message: bad})
 			after := core.Status()
 			if output.SnapshotRejected == nil || output.SnapshotRejected.Reason != one.rejected {
-				t.Fatalf("refused as %v", output.SnapshotRejected)
+				t.Fatalf("rejected as %v", output.SnapshotRejected)
 			}
 			if len(output.Messages) != 1 || !output.Messages[0].Rejected || output.Messages[0].Kind != MessageSnapshotReply {
 				t.Fatalf("answered %+v", output.Messages)
@@ -182,7 +182,7 @@
 				output = core.Step(Input{Kind: InputMessage, Message: chunk})
 			}
 			if output.Snapshot == nil || string(output.Snapshot.Data) != content {
-				t.Fatalf("the right chunks were not taken after it: %+v", output)
+				t.Fatalf("the valid chunks were not installed after it: %+v", output)
 			}
 		})
 	}
@@ -198,32 +198,32 @@
 		t.Fatalf("an unreadable snapshot left %+v", core.Status())
 	}
 	if output.SnapshotRejected == nil || output.SnapshotRejected.Reason != SnapshotUnreadable || !errors.Is(output.SnapshotRejected, errUnreadable) {
-		t.Fatalf("refused as %v", output.SnapshotRejected)
+		t.Fatalf("rejected as %v", output.SnapshotRejected)
 	}
 	if reply := output.Messages[0]; !reply.Rejected || reply.Chunk.Offset != 0 {
 		t.Fatalf("answered %+v", reply)
 	}
 }
 
-// One damaged chunk in ten, and then a snapshot that is refused at first.
+// One chunk in ten is damaged, and then a complete snapshot that is rejected at first.
 func TestSenderContinuesAfterRejections(t *testing.T) {
 	group := newDelayedGroup(t, 3, 2<<20)
-	group.latest = 1
-	group.seen = func(message *Message) {
+	group.maxDelay = 1
+	group.intercept = func(message *Message) {
 		if message.Kind == MessageSnapshotChunk && group.random.IntN(10) == 0 {
 			message.Snapshot.Data = bytes.Clone(message.Snapshot.Data)
 			message.Snapshot.Data[0] ^= 1
 		}
 	}
-	refuse := 2
+	failures := 2
 	group.settings.InstallSnapshot = func(Snapshot) error {
-		if refuse--; refuse >= 0 {
+		if failures--; failures >= 0 {
 			return errUnreadable
 		}
 		return nil
 	}
 	group.caughtUp(400, nil)
 	if !slices.Contains(group.rejections, SnapshotDamaged) || !slices.Contains(group.rejections, SnapshotUnreadable) {
-		t.Fatalf("nothing was refused: %v", group.rejections)
+		t.Fatalf("nothing was rejected: %v", group.rejections)
 	}
 }
