--- a/proof/simulator/chaos_routing_test.go
+++ b/proof/simulator/chaos_routing_test.go
@@ -72,7 +72,7 @@
 	digest := fmt.Sprintf("%d-%d", revision, random.Uint64())
 	err := chaos.cluster.requestChange(random.IntN(3), 8*time.Second, func(ctx context.Context, node *controlplane.Node) error {
 		if amends {
-			return node.AmendRouting(ctx, "root", base, config.RoutingPatch{Revision: revision, Routes: one.routing.Routes}, digest)
+			return node.PatchRouting(ctx, "root", base, config.RoutingPatch{Revision: revision, Routes: one.routing.Routes}, digest)
 		}
 		return node.ReplaceRouting(ctx, "root", base, one.routing, digest)
 	})
--- a/proof/simulator/history_test.go
+++ b/proof/simulator/history_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	amendment := config.RoutingPatch{Revision: base + 1, Routes: []config.Route{historyRoute(int(base)%historyRoutes, base+1)}}
 	err := cluster.requestChange(int(base), historyTimeout, func(ctx context.Context, node *controlplane.Node) error {
-		return node.AmendRouting(ctx, "root", base, amendment, fmt.Sprint("order ", base))
+		return node.PatchRouting(ctx, "root", base, amendment, fmt.Sprint("order ", base))
 	})
 	if err != nil {
 		t.Fatalf("revision %d: %v", base+1, err)
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -155,7 +155,7 @@
 		}
 		amend := func(from int, base uint64, amendment config.RoutingPatch, digest string) error {
 			return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
-				return node.AmendRouting(ctx, "root", base, amendment, digest)
+				return node.PatchRouting(ctx, "root", base, amendment, digest)
 			})
 		}
 		added := oneRoute(0, time.Second).Routes[0]
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -164,7 +164,7 @@
 func (cluster *Cluster) sendAmendment(from int, base uint64, operator, routes int) error {
 	amendment, digest := storedAmendment(base, operator, routes)
 	return cluster.requestChange(from, historyTimeout, func(ctx context.Context, node *controlplane.Node) error {
-		return node.AmendRouting(ctx, "root", base, amendment, digest)
+		return node.PatchRouting(ctx, "root", base, amendment, digest)
 	})
 }
 
--- a/system/controlplane/admin_tables.go
+++ b/system/controlplane/admin_tables.go
@@ -122,7 +122,7 @@
 	},
 	"openings": showSharedPrefixes,
 	"tallies": func(service adminService, ctx context.Context, view *feed.View, decoded *config.Config) ([]string, [][]string) {
-		stores := storeclient.New(service.node.caller, func() *feed.View { return view })
+		stores := storeclient.New(service.node.client, func() *feed.View { return view })
 		rows := [][]string{}
 		for _, name := range slices.Sorted(maps.Keys(decoded.Programs)) {
 			program := decoded.Programs[name]
@@ -144,7 +144,7 @@
 				continue
 			}
 			limited, cancel := context.WithTimeout(ctx, callTimeout)
-			reply, err := service.node.caller.Call(limited, member.Address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+			reply, err := service.node.client.Call(limited, member.Address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
 			cancel()
 			if err != nil || reply.Status == nil {
 				rows = append(rows, []string{member.Name, "unknown", "", "", ""})
@@ -199,9 +199,9 @@
 	feed.ChangeStores: "stores", feed.ChangeControls: "controls", feed.ChangeRoleLease: "assignment", feed.ChangeRecovered: "recovered",
 }
 
-func memberRows(listed []feed.Member) [][]string {
+func memberRows(members []feed.Member) [][]string {
 	rows := [][]string{}
-	for _, member := range listed {
+	for _, member := range members {
 		state := member.State
 		if state == "" {
 			state = feed.StateServing
--- a/system/controlplane/feed_replication.go
+++ b/system/controlplane/feed_replication.go
@@ -69,12 +69,12 @@
 // sendView has a store sync a view.
 func (node *Node) sendView(ctx context.Context, state *feedState, store string, query *wire.ReplicateViewQuery) error {
 	address := node.addressOf(store)
-	_, err := node.caller.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, ReplicateView: query})
+	_, err := node.client.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, ReplicateView: query})
 	switch {
 	case err == nil:
 		node.noteSynced(store, state.view.Number)
 	case ctx.Err() != nil:
-		node.caller.Drop(address)
+		node.client.Drop(address)
 	}
 	return err
 }
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -69,7 +69,7 @@
 type Node struct {
 	settings     Settings
 	network      link.Network
-	caller       *link.Client
+	client       *link.Client
 	host         *replica.Host
 	stateMachine *feedStateMachine
 	server       *link.Server
@@ -113,12 +113,12 @@
 		return nil, err
 	}
 	node := &Node{
-		settings: settings, network: network, caller: link.NewClient(network), stateMachine: newFeedStateMachine(), startedAt: time.Now(),
+		settings: settings, network: network, client: link.NewClient(network), stateMachine: newFeedStateMachine(), startedAt: time.Now(),
 		liveness: map[string]nodeLiveness{}, syncedNumbers: map[string]uint64{}, syncedChanged: make(chan struct{}), configRunners: newConfigRunnerSource(network),
 	}
 	node.SetSeeds(settings.Seeds)
 	node.context, node.stop = context.WithCancel(context.Background())
-	courier := replica.NewTransport(node.caller, node.addressOf, func() string { return node.View().Fleet })
+	courier := replica.NewTransport(node.client, node.addressOf, func() string { return node.View().Fleet })
 	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.stateMachine }, courier)
 	if err != nil {
 		return nil, err
@@ -195,7 +195,7 @@
 func (node *Node) Close() {
 	node.stop()
 	node.server.Close()
-	node.caller.Close()
+	node.client.Close()
 	node.tasks.Wait()
 	node.host.Close()
 }
--- a/system/controlplane/node_bootstrap.go
+++ b/system/controlplane/node_bootstrap.go
@@ -23,7 +23,7 @@
 	statuses := []*wire.StatusReply{}
 	for _, seed := range *node.seeds.Load() {
 		ctx, cancel := context.WithTimeout(node.context, callTimeout)
-		reply, err := node.caller.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+		reply, err := node.client.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
 		cancel()
 		if err != nil || reply.Status == nil {
 			continue
--- a/system/controlplane/node_forwarding.go
+++ b/system/controlplane/node_forwarding.go
@@ -29,7 +29,7 @@
 	tried := map[string]bool{}
 	for address := node.leaderAddress(); address != "" && !tried[address]; {
 		tried[address] = true
-		reply, err := node.caller.Call(ctx, address, &forwarded)
+		reply, err := node.client.Call(ctx, address, &forwarded)
 		if !apierror.Is(err, apierror.NotLeader) {
 			return reply, err
 		}
--- a/system/controlplane/node_gossip.go
+++ b/system/controlplane/node_gossip.go
@@ -65,8 +65,8 @@
 	ctx, cancel := context.WithTimeout(node.context, gossipInterval)
 	defer cancel()
 	if !wantReply {
-		node.caller.Notify(ctx, address, &query)
-	} else if _, err := node.caller.Call(ctx, address, &query); err != nil && ctx.Err() != nil {
-		node.caller.Drop(address)
+		node.client.Notify(ctx, address, &query)
+	} else if _, err := node.client.Call(ctx, address, &query); err != nil && ctx.Err() != nil {
+		node.client.Drop(address)
 	}
 }
--- a/system/controlplane/node_seeds.go
+++ b/system/controlplane/node_seeds.go
@@ -32,7 +32,7 @@
 	}
 	for _, seed := range *node.seeds.Load() {
 		ctx, cancel := context.WithTimeout(node.context, gossipInterval)
-		reply, err := node.caller.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+		reply, err := node.client.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
 		cancel()
 		if err != nil || reply.Status == nil {
 			continue
--- a/system/controlplane/routing_requests.go
+++ b/system/controlplane/routing_requests.go
@@ -33,13 +33,13 @@
 	return node.changeRouting(ctx, request, func(*config.Routing) (config.Routing, error) { return next, nil })
 }
 
-// AmendRouting changes the routing of the revision base by names, and returns once that
+// PatchRouting changes the routing of the revision base by names, and returns once that
 // is acknowledged, as ReplaceRouting does.
 //
-//	err := node.AmendRouting(ctx, "root", 7, config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
-func (node *Node) AmendRouting(ctx context.Context, by string, base uint64, amendment config.RoutingPatch, digest string) error {
-	request := routingRequest{operator: by, base: base, revision: amendment.Revision, digest: digest}
-	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Patched(amendment) })
+//	err := node.PatchRouting(ctx, "root", 7, config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
+func (node *Node) PatchRouting(ctx context.Context, by string, base uint64, patch config.RoutingPatch, digest string) error {
+	request := routingRequest{operator: by, base: base, revision: patch.Revision, digest: digest}
+	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Patched(patch) })
 }
 
 // routingRequest is an order to replace the routing of one revision by that of another.
@@ -61,8 +61,8 @@
 	if !history.IsEmpty() || routing == nil || len(routing.AcceptedRequests) == 0 {
 		return history
 	}
-	for _, taken := range routing.AcceptedRequests {
-		history = history.With(feed.AcceptedRequest{Digest: feed.RequestDigest(taken.Digest), Number: taken.Revision})
+	for _, accepted := range routing.AcceptedRequests {
+		history = history.With(feed.AcceptedRequest{Digest: feed.RequestDigest(accepted.Digest), Number: accepted.Revision})
 	}
 	if len(routing.AcceptedRequests) >= config.MaxAcceptedRequests {
 		history.Forgotten = max(history.Forgotten, routing.AcceptedRequests[0].Revision)
@@ -70,22 +70,22 @@
 	return history
 }
 
-// amendFunc makes a routing from the one in force.
-type amendFunc func(inForce *config.Routing) (config.Routing, error)
+// routingFunc makes a routing from the one in force.
+type routingFunc func(inForce *config.Routing) (config.Routing, error)
 
-func (node *Node) changeRouting(ctx context.Context, request routingRequest, amend amendFunc) error {
-	_, err := node.execute(ctx, func(view *feed.View) (decision, error) { return node.decideRouting(view, request, amend) })
+func (node *Node) changeRouting(ctx context.Context, request routingRequest, makeRouting routingFunc) error {
+	_, err := node.execute(ctx, func(view *feed.View) (decision, error) { return node.decideRouting(view, request, makeRouting) })
 	return err
 }
 
 // decideRouting finds what is left to do for an order of the routing on a view.
-func (node *Node) decideRouting(view *feed.View, request routingRequest, amend amendFunc) (decision, error) {
+func (node *Node) decideRouting(view *feed.View, request routingRequest, makeRouting routingFunc) (decision, error) {
 	decoded, err := node.decodeConfig(view)
 	if err != nil {
 		return decision{}, err
 	}
 	history := acceptedRoutingRequests(view, decoded.Routing)
-	if _, taken := history.NumberOf(request.accepted().Digest); taken {
+	if _, accepted := history.NumberOf(request.accepted().Digest); accepted {
 		return decision{acceptedAs: view.Number}, nil
 	}
 	if inForce := decoded.Routing.CurrentRevision(); inForce != request.base {
@@ -99,7 +99,7 @@
 			return decision{}, err
 		}
 	}
-	next, err := amend(decoded.Routing)
+	next, err := makeRouting(decoded.Routing)
 	if err != nil {
 		return decision{}, err
 	}
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -47,7 +47,7 @@
 	node.discovery.nextPoll = requestedAt.Add(interval)
 	limited, cancel := context.WithTimeout(ctx, runnerListTimeout)
 	defer cancel()
-	listed, err := source.List(limited)
+	runners, err := source.List(limited)
 	if err != nil {
 		if later := apierror.Of(err).RetryAfter; later > 0 {
 			node.discovery.nextPoll = time.Now().Add(later)
@@ -59,7 +59,7 @@
 		node.discovery.fencingToken, node.discovery.servingSince, node.discovery.warmUpEnds = lease.FencingToken, map[string]time.Time{}, map[string]time.Time{}
 	}
 	change := feed.Change{Kind: feed.ChangeRunners, By: node.Name(), RoleLease: lease, Expects: true, Expected: view.Number, Partial: true}
-	change.Runners, change.Removed = node.discovery.diff(view.Runners, listed, groups, requestedAt)
+	change.Runners, change.Removed = node.discovery.diff(view.Runners, runners, groups, requestedAt)
 	if len(change.Runners)+len(change.Removed) == 0 {
 		node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
 		return
--- a/system/controlplane/store_decommission.go
+++ b/system/controlplane/store_decommission.go
@@ -18,9 +18,9 @@
 // beginDecommission has a store of the list emptied, unless it is being emptied already. From
 // then on its groups move away by their own leaders, and the control leader takes it off
 // the list once it holds none.
-func (node *Node) beginDecommission(ctx context.Context, by, called string, is func(store feed.Member) bool) (*wire.ChangeReply, error) {
+func (node *Node) beginDecommission(ctx context.Context, by, target string, matches func(store feed.Member) bool) (*wire.ChangeReply, error) {
 	return node.execute(ctx, func(view *feed.View) (decision, error) {
-		change, err := planDecommission(view, called, is)
+		change, err := planDecommission(view, target, matches)
 		if err != nil || change == nil {
 			return decision{acceptedAs: view.Number}, err
 		}
@@ -30,13 +30,13 @@
 }
 
 // planDecommission makes the change that has a store emptied, none if it was begun already.
-func planDecommission(view *feed.View, called string, is func(store feed.Member) bool) (*feed.Change, error) {
-	at := slices.IndexFunc(view.Stores, is)
+func planDecommission(view *feed.View, target string, matches func(store feed.Member) bool) (*feed.Change, error) {
+	at := slices.IndexFunc(view.Stores, matches)
 	switch {
-	case at < 0 && (slices.ContainsFunc(view.Decommissioned, is) || wasDecommissionedLongAgo(view, called)):
+	case at < 0 && (slices.ContainsFunc(view.Decommissioned, matches) || wasDecommissionedLongAgo(view, target)):
 		return nil, nil
 	case at < 0:
-		return nil, apierror.New(apierror.NotFound, "no store of "+called+" is enrolled", "name one of those that the fleet query lists")
+		return nil, apierror.New(apierror.NotFound, "no store of "+target+" is enrolled", "name one of those that the fleet query lists")
 	case view.Stores[at].State == feed.StateDecommissioning:
 		return nil, nil
 	}
@@ -45,16 +45,16 @@
 	}
 	next := slices.Clone(view.Stores)
 	next[at].State = feed.StateDecommissioning
-	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: next, AdminRequest: decommissionDigest(called)}, nil
+	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: next, AdminRequest: decommissionDigest(target)}, nil
 }
 
 // decommissionDigest is how an order to retire a store is remembered once the view no longer
 // lists the store among those that were retired last.
-func decommissionDigest(called string) uint64 { return feed.RequestDigest("retire", called) }
+func decommissionDigest(target string) uint64 { return feed.RequestDigest("retire", target) }
 
-func wasDecommissionedLongAgo(view *feed.View, called string) bool {
-	_, taken := view.AdminRequests.NumberOf(decommissionDigest(called))
-	return taken
+func wasDecommissionedLongAgo(view *feed.View, target string) bool {
+	_, accepted := view.AdminRequests.NumberOf(decommissionDigest(target))
+	return accepted
 }
 
 // BeginDecommission has the store on a machine emptied, and returns once that is acknowledged;
--- a/system/controlplane/store_founding.go
+++ b/system/controlplane/store_founding.go
@@ -58,7 +58,7 @@
 	newest, answered := feed.View{}, []string{}
 	for _, store := range stores {
 		calls.Go(func() {
-			reply, err := node.caller.Call(ctx, store.Address, &wire.Query{To: store.Name, Which: schema.Query_Which_newest, NewestView: &wire.NewestViewQuery{Packed: true}})
+			reply, err := node.client.Call(ctx, store.Address, &wire.Query{To: store.Name, Which: schema.Query_Which_newest, NewestView: &wire.NewestViewQuery{Packed: true}})
 			if err != nil || reply.NewestView == nil {
 				return
 			}
--- a/system/controlplane/store_groups.go
+++ b/system/controlplane/store_groups.go
@@ -48,7 +48,7 @@
 		calls.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			reply, err := node.caller.Call(limited, node.addressOf(store.Name), &wire.Query{Which: schema.Query_Which_status, Status: &query})
+			reply, err := node.client.Call(limited, node.addressOf(store.Name), &wire.Query{Which: schema.Query_Which_status, Status: &query})
 			if err != nil || reply.Status == nil {
 				return
 			}
