--- /dev/null
+++ b/system/balancer/plain_simulation_test.go
@@ -0,0 +1,184 @@
+package balancer
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"yardrock.example/system/config"
+)
+
+// plainRunner simulates a runner of plain work: some slots, a short queue, slower when
+// nearly full.
+type plainRunner struct {
+	sim          *simulation
+	speed        float64
+	running      int
+	waiting      []func()
+	failureRatio float64 // fraction of its requests that fail
+	down         bool
+	completed    int
+}
+
+func (runner *plainRunner) accept(work float64, done func(Outcome)) {
+	switch {
+	case runner.down:
+		done(Lost)
+	case runner.running >= 6 && len(runner.waiting) >= 24:
+		done(Rejected)
+	default:
+		runner.waiting = append(runner.waiting, func() {
+			runner.running++
+			latency := work * runner.speed
+			if runner.running >= 5 {
+				latency *= 1.6
+			}
+			runner.sim.schedule(latency, func() {
+				runner.running--
+				runner.completed++
+				if runner.sim.random.Float64() < runner.failureRatio {
+					done(Failed)
+				} else {
+					done(Answered)
+				}
+				runner.next()
+			})
+		})
+		runner.next()
+	}
+}
+
+func (runner *plainRunner) next() {
+	for runner.running < 6 && len(runner.waiting) > 0 {
+		one := runner.waiting[0]
+		runner.waiting = runner.waiting[1:]
+		one()
+	}
+}
+
+type plainDeployment struct {
+	name                    string
+	runners, fronts         int
+	rate, work              float64
+	slow, fails             float64 // of the first runner
+	down                    bool    // whether the second runner flaps
+	random                  bool
+	waited, bad, worstFirst float64 // bounds: mean latency over work, fraction that failed, fraction served by the first runner
+}
+
+type plainResult struct {
+	latencies                                               []float64
+	unsuccessful, requested, crossDomain, connectionsOpened int
+	servers                                                 []*plainRunner
+}
+
+func (result plainResult) String() string {
+	requested := float64(result.requested)
+	return fmt.Sprintf("%d asked, wrong %.4f, mean %.1f ms, p99 %.0f ms, far %.2f, %d connections, the first runner did %.3f", result.requested,
+		float64(result.unsuccessful)/requested, mean(result.latencies), quantile(result.latencies, 0.99), float64(result.crossDomain)/requested, result.connectionsOpened, float64(result.servers[0].completed)/requested)
+}
+
+func simulatePlain(seed uint64, setup plainDeployment) plainResult {
+	result := plainResult{}
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 4))}
+	began := time.Unix(1_000_000, 0)
+	clock := func() time.Time { return began.Add(time.Duration(sim.now * float64(time.Millisecond))) }
+	route := routeTo(config.WeightedService{Service: "plain", Weight: 1})
+	listed := runnersOf("plain", setup.runners, 6)
+	state := stateOf([]config.Service{plainService()}, route, listed, setup.fronts)
+	byLife := map[string]*plainRunner{}
+	for _, runner := range listed {
+		one := &plainRunner{sim: sim, speed: 0.8 + 0.4*sim.random.Float64()}
+		byLife[runner.Life] = one
+		result.servers = append(result.servers, one)
+	}
+	servers := result.servers
+	servers[0].speed *= max(1, setup.slow)
+	servers[0].failureRatio = setup.fails
+	if setup.down {
+		var flap func()
+		flap = func() {
+			servers[1].down = !servers[1].down
+			sim.schedule(1500, flap)
+		}
+		flap()
+	}
+	balancers := []*Balancer{}
+	for at := range setup.fronts {
+		balancer := New(domains[at%3], seed+uint64(at), clock)
+		balancer.Update(state)
+		balancers = append(balancers, balancer)
+	}
+	idle := map[string][]float64{} // since when connections are idle, by front and runner
+	var arrive func()
+	arrive = func() {
+		sim.schedule(sim.random.ExpFloat64()*1000/setup.rate, arrive)
+		work, at := min(4*setup.work, sim.spread(setup.work, 1)), sim.random.IntN(setup.fronts)
+		began := sim.now
+		result.requested++
+		lease, err := balancers[at].Acquire(context.Background(), Request{Route: &route, Deadline: clock()})
+		if err != nil {
+			result.unsuccessful++
+			return
+		}
+		chosen := byLife[lease.Runner.Life]
+		if setup.random {
+			chosen = servers[sim.random.IntN(len(servers))]
+		}
+		if number := slices.Index(servers, chosen); number%3 != at%3 {
+			result.crossDomain++
+		}
+		way := fmt.Sprint(at, slices.Index(servers, chosen))
+		if last := len(idle[way]) - 1; last >= 0 && sim.now-idle[way][last] < 10_000 {
+			idle[way] = idle[way][:last]
+		} else {
+			result.connectionsOpened++
+			idle[way] = nil
+		}
+		sim.schedule(0.5, func() {
+			chosen.accept(work, func(outcome Outcome) {
+				sim.schedule(0.5, func() {
+					lease.Release(outcome, nil)
+					idle[way] = append(idle[way], sim.now)
+					if outcome != Answered {
+						result.unsuccessful++
+						return
+					}
+					result.latencies = append(result.latencies, sim.now-began)
+				})
+			})
+		})
+	}
+	arrive()
+	sim.run(30_000)
+	return result
+}
+
+var plainDeployments = []plainDeployment{
+	{name: "four runners", runners: 4, fronts: 6, rate: 130, work: 55, waited: 1.2, bad: 0.001, worstFirst: 0.4},
+	{name: "twenty-five runners", runners: 25, fronts: 6, rate: 300, work: 140, waited: 1.05, bad: 0.001, worstFirst: 0.1},
+	{name: "many fronts", runners: 22, fronts: 72, rate: 650, work: 55, waited: 1.05, bad: 0.001, worstFirst: 0.1},
+	{name: "one is slow", runners: 25, fronts: 6, rate: 300, work: 140, slow: 6, waited: 1.1, bad: 0.001, worstFirst: 0.015},
+	{name: "one fails in part", runners: 25, fronts: 6, rate: 300, work: 140, fails: 0.5, waited: 1.05, bad: 0.01, worstFirst: 0.015},
+	{name: "one goes down and up", runners: 25, fronts: 6, rate: 300, work: 140, down: true, waited: 1.05, bad: 0.02, worstFirst: 0.1},
+	{name: "one slow of four", runners: 4, fronts: 6, rate: 100, work: 55, slow: 6, waited: 1.35, bad: 0.001, worstFirst: 0.06},
+}
+
+func TestPlainWorkPrefersFastRunners(t *testing.T) {
+	for _, setup := range plainDeployments {
+		t.Run(setup.name, func(t *testing.T) {
+			chosen := simulatePlain(3, setup)
+			setup.random = true
+			chance := simulatePlain(3, setup)
+			waited, part := mean(chosen.latencies)/setup.work, float64(chosen.servers[0].completed)/float64(chosen.requested)
+			t.Logf("chosen:    %v", chosen)
+			t.Logf("by chance: %v", chance)
+			if waited > setup.waited || float64(chosen.unsuccessful) > setup.bad*float64(chosen.requested) || part > setup.worstFirst || chosen.connectionsOpened > chance.connectionsOpened {
+				t.Error("a bound is exceeded, or more connections than at random")
+			}
+		})
+	}
+}
