--- a/system/balancer/model_simulation_test.go
+++ b/system/balancer/model_simulation_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"yardrock.example/system/config"
+	"yardrock.example/system/feed"
 )
 
 // deployment are the parameters of a simulation.
@@ -45,148 +46,195 @@
 		result.meanFirstEvent(), quantile(result.firstEventLatencies, 0.9), quantile(result.firstEventLatencies, 0.99), mean(result.ratios), quantile(result.ratios, 0.9), result.peak, result.slowTurns, result.connectionsOpened)
 }
 
+// modelSimulation is a simulation of fronts, programs and model runners.
+type modelSimulation struct {
+	*simulation
+	setup         deployment
+	route         config.Route
+	listed        []feed.Runner
+	runners       map[string]*modelRunner
+	balancers     []*Balancer      // by front
+	homes         map[string][]int // fronts by domain
+	prefixWeights []float64
+	connections   *connectionCount
+	programs      int
+	result        *simulationResult
+}
+
+// conversation is what is left of a session of a program: turns that follow each other.
+type conversation struct {
+	program, session string
+	front            int   // through which most turns come
+	home             []int // the other fronts of its domain
+	parts            []PromptPart
+	left             int // turns
+	done             func()
+}
+
 // simulateModel simulates a deployment of model runners.
 func simulateModel(seed uint64, setup deployment) *simulationResult {
-	sim := &simulation{random: rand.New(rand.NewPCG(seed, 3))}
-	began := time.Unix(1_000_000, 0)
-	clock := func() time.Time { return began.Add(time.Duration(sim.now * float64(time.Millisecond))) }
+	sim := newModelSimulation(seed, setup)
+	sim.startPrograms()
+	sim.run(setup.seconds * 1000)
+	sim.result.connectionsOpened = sim.connections.opened
+	for _, arrivals := range sim.result.arrivals {
+		sim.result.peak = max(sim.result.peak, peakPerSecond(arrivals))
+	}
+	return sim.result
+}
+
+func newModelSimulation(seed uint64, setup deployment) *modelSimulation {
+	sim := &modelSimulation{
+		simulation: &simulation{random: rand.New(rand.NewPCG(seed, 3))}, setup: setup,
+		route: routeTo(config.WeightedService{Service: "model", Weight: 1}), listed: runnersOf("model", setup.runners, setup.slots),
+		runners: map[string]*modelRunner{}, homes: map[string][]int{}, prefixWeights: make([]float64, 16), connections: newConnectionCount(),
+		result: &simulationResult{perRunner: map[string]int{}, arrivals: map[string][]time.Time{}},
+	}
 	service := modelService(19)
 	service.Engine.Slots, service.Engine.CacheTokens = setup.slots, uint64(setup.cache)
-	route := routeTo(config.WeightedService{Service: "model", Weight: 1})
-	listed := runnersOf("model", setup.runners, setup.slots)
-	engines := map[string]*modelRunner{}
-	for at, runner := range listed {
-		engines[runner.Life] = &modelRunner{
-			sim: sim, slots: setup.slots, chunk: 2048, stepTime: setup.stepTime, perSlot: setup.perSlot, rate: 38,
+	for index, runner := range sim.listed {
+		sim.runners[runner.Life] = &modelRunner{
+			sim: sim.simulation, slots: setup.slots, chunk: 2048, stepTime: setup.stepTime, perSlot: setup.perSlot, rate: 38,
 			outputLatency: setup.first, cacheTokens: setup.cache, cachedParts: map[string]*cacheEntry{}, slowdown: 1,
 		}
-		if at == 1 && setup.slowRunner > 0 {
-			engines[runner.Life].slowdown = setup.slowRunner
+		if index == 1 && setup.slowRunner > 0 {
+			sim.runners[runner.Life].slowdown = setup.slowRunner
 		}
 	}
-	balancers, homes := []*Balancer{}, map[string][]int{}
-	state := stateOf([]config.Service{service}, route, listed, setup.fronts)
-	for at := range setup.fronts {
-		domain := domains[at%3]
-		balancer := New(domain, uint64(at), clock)
+	state := stateOf([]config.Service{service}, sim.route, sim.listed, setup.fronts)
+	for front := range setup.fronts {
+		domain := domains[front%3]
+		balancer := New(domain, uint64(front), sim.clock)
 		balancer.Update(state)
-		balancers = append(balancers, balancer)
-		homes[domain] = append(homes[domain], at)
-	}
-	result := &simulationResult{perRunner: map[string]int{}, arrivals: map[string][]time.Time{}}
-	prefixWeights := make([]float64, 16)
-	for at := range prefixWeights {
-		prefixWeights[at] = math.Pow(float64(at/2+1), -0.7)
-	}
-	idle := map[string][]float64{} // since when connections are idle, by front and runner
-	var take func(program, session string, front int, home []int, parts []PromptPart, left int, done func())
-	take = func(program, session string, front int, home []int, parts []PromptPart, left int, done func()) {
-		if left == 0 {
-			done()
-			return
-		}
-		fresh := min(5140, int(sim.spread(setup.newTokens, 0.7)))
-		parts = append(slices.Clone(parts), PromptPart{fmt.Sprintf("%s/%d", session, left), fresh})
-		at := front
-		if sim.random.Float64() >= setup.stays {
-			at = home[sim.random.IntN(len(home))]
-		}
-		balancer := balancers[at]
-		lease, err := balancer.Acquire(context.Background(), Request{Route: &route, Program: program, Session: session, PromptParts: parts, Deadline: clock()})
-		if err != nil {
-			result.rejected++
-			sim.schedule(200, func() { take(program, session, front, home, parts[:len(parts)-1], left, done) })
-			return
-		}
-		chosen := lease.Runner
-		if setup.random {
-			lease.Release(NotSent, nil)
-			chosen = listed[sim.random.IntN(len(listed))]
-		}
-		way := 0.2
-		if chosen.Domain != domains[at%3] {
-			way = 0.9
-			result.crossDomain++
-		}
-		result.turns++
-		link := fmt.Sprint(at, chosen.Life)
-		if last := len(idle[link]) - 1; last >= 0 && sim.now-idle[link][last] < 10_000 {
-			idle[link] = idle[link][:last]
-		} else {
-			result.connectionsOpened++
-			idle[link] = nil
-		}
-		requested := sim.now
-		result.perRunner[chosen.Life]++
-		result.arrivals[chosen.Life] = append(result.arrivals[chosen.Life], clock())
-		runner := engines[chosen.Life]
-		if runner.slowdown > 1 {
-			result.slowTurns++
-		}
-		one := &turn{parts: parts, outputTokens: 2 + int(sim.spread(32, 0.8)), requested: requested}
-		tokens, reading := 0, false
-		for _, part := range parts {
-			tokens += part.Tokens
-			known := runner.cachedParts[part.Name]
-			if reading = reading || known == nil; reading {
-				result.prefillTokens += part.Tokens
+		sim.balancers = append(sim.balancers, balancer)
+		sim.homes[domain] = append(sim.homes[domain], front)
+	}
+	for index := range sim.prefixWeights {
+		sim.prefixWeights[index] = math.Pow(float64(index/2+1), -0.7)
+	}
+	return sim
+}
+
+// startPrograms starts a program and schedules the next one.
+func (sim *modelSimulation) startPrograms() {
+	sim.schedule(sim.random.ExpFloat64()*1000/sim.setup.programs, sim.startPrograms)
+	sim.programs++
+	name, home := fmt.Sprint("program-", sim.programs), sim.homes[domains[sim.random.IntN(3)]]
+	pick, prefix := sim.random.Float64()*sum(sim.prefixWeights), 0
+	for pick > sim.prefixWeights[prefix] {
+		pick -= sim.prefixWeights[prefix]
+		prefix++
+	}
+	turns, started := max(1, int(sim.spread(sim.setup.turns, 0.4))), sim.now
+	sim.takeTurn(conversation{
+		program: name, session: name, front: home[sim.random.IntN(len(home))], home: home,
+		parts: []PromptPart{{fmt.Sprint("prefix-", prefix), 2560}}, left: turns,
+		done: func() {
+			unloaded := float64(turns) * (sim.setup.think + sim.setup.first + sim.setup.newTokens/38 + 34*(sim.setup.stepTime+sim.setup.perSlot))
+			sim.result.ratios = append(sim.result.ratios, (sim.now-started)/unloaded)
+		},
+	})
+}
+
+// takeTurn sends the next turn of a conversation, or ends the conversation.
+func (sim *modelSimulation) takeTurn(talk conversation) {
+	if talk.left == 0 {
+		talk.done()
+		return
+	}
+	fresh := min(5140, int(sim.spread(sim.setup.newTokens, 0.7)))
+	before := talk
+	talk.parts = append(slices.Clone(talk.parts), PromptPart{fmt.Sprintf("%s/%d", talk.session, talk.left), fresh})
+	front := talk.front
+	if sim.random.Float64() >= sim.setup.stays {
+		front = talk.home[sim.random.IntN(len(talk.home))]
+	}
+	lease, err := sim.balancers[front].Acquire(context.Background(), Request{Route: &sim.route, Program: talk.program, Session: talk.session, PromptParts: talk.parts, Deadline: sim.clock()})
+	if err != nil {
+		sim.result.rejected++
+		sim.schedule(200, func() { sim.takeTurn(before) })
+		return
+	}
+	chosen := lease.Runner
+	if sim.setup.random {
+		lease.Release(NotSent, nil)
+		lease = nil
+		chosen = sim.listed[sim.random.IntN(len(sim.listed))]
+	}
+	sim.sendTurn(talk, lease, chosen, front, fresh)
+}
+
+// sendTurn sends a turn to a runner; the lease is nil if the runner was chosen at random.
+func (sim *modelSimulation) sendTurn(talk conversation, lease *Lease, chosen feed.Runner, front, fresh int) {
+	way, result := 0.2, sim.result
+	if chosen.Domain != domains[front%3] {
+		way = 0.9
+		result.crossDomain++
+	}
+	link := fmt.Sprint(front, chosen.Life)
+	sim.connections.take(link, sim.now)
+	requested, runner := sim.now, sim.runners[chosen.Life]
+	sent := &turn{parts: talk.parts, outputTokens: 2 + int(sim.spread(32, 0.8)), requested: requested}
+	sim.countTurn(talk.parts, chosen.Life, fresh)
+	sent.first = func() {
+		sim.schedule(way, func() {
+			result.firstEventLatencies = append(result.firstEventLatencies, sim.now-requested)
+			if lease != nil {
+				lease.FirstEvent(time.Duration((sim.now - requested) * float64(time.Millisecond)))
 			}
-		}
-		result.tokens += tokens
-		result.newTokens += fresh
-		one.first = func() {
-			sim.schedule(way, func() {
-				result.firstEventLatencies = append(result.firstEventLatencies, sim.now-requested)
-				if !setup.random {
-					lease.FirstEvent(time.Duration((sim.now - requested) * float64(time.Millisecond)))
-				}
-			})
-		}
-		one.done = func() {
-			sim.schedule(way, func() {
-				idle[link] = append(idle[link], sim.now)
-				if !setup.random {
-					lease.Release(Answered, nil)
-				}
-				if left > 1 && sim.random.Float64() < setup.helpers {
-					open := 3
-					for helper := range open {
-						take(program, fmt.Sprintf("%s.%d.%d", session, left, helper), front, home, parts, 2, func() {
-							if open--; open == 0 {
-								take(program, session, front, home, parts, left-1, done)
-							}
-						})
-					}
-					return
-				}
-				sim.schedule(sim.spread(setup.think, 0.6), func() { take(program, session, front, home, parts, left-1, done) })
-			})
-		}
-		sim.schedule(way, func() { runner.accept(one) })
-	}
-	program := 0
-	var arrive func()
-	arrive = func() {
-		sim.schedule(sim.random.ExpFloat64()*1000/setup.programs, arrive)
-		program++
-		name, home := fmt.Sprint("program-", program), homes[domains[sim.random.IntN(3)]]
-		pick, prefix := sim.random.Float64()*sum(prefixWeights), 0
-		for pick > prefixWeights[prefix] {
-			pick -= prefixWeights[prefix]
-			prefix++
-		}
-		turns, started := max(1, int(sim.spread(setup.turns, 0.4))), sim.now
-		take(name, name, home[sim.random.IntN(len(home))], home, []PromptPart{{fmt.Sprint("prefix-", prefix), 2560}}, turns, func() {
-			idle := float64(turns) * (setup.think + setup.first + setup.newTokens/38 + 34*(setup.stepTime+setup.perSlot))
-			result.ratios = append(result.ratios, (sim.now-started)/idle)
 		})
 	}
-	arrive()
-	sim.run(setup.seconds * 1000)
-	for _, arrivals := range result.arrivals {
-		result.peak = max(result.peak, peakPerSecond(arrivals))
+	sent.done = func() {
+		sim.schedule(way, func() {
+			sim.connections.putBack(link, sim.now)
+			if lease != nil {
+				lease.Release(Answered, nil)
+			}
+			sim.goOn(talk)
+		})
+	}
+	sim.schedule(way, func() { runner.accept(sent) })
+}
+
+// countTurn counts a turn and its tokens.
+func (sim *modelSimulation) countTurn(parts []PromptPart, life string, fresh int) {
+	result, runner := sim.result, sim.runners[life]
+	result.turns++
+	result.perRunner[life]++
+	result.arrivals[life] = append(result.arrivals[life], sim.clock())
+	if runner.slowdown > 1 {
+		result.slowTurns++
+	}
+	uncached := false
+	for _, part := range parts {
+		result.tokens += part.Tokens
+		if uncached = uncached || runner.cachedParts[part.Name] == nil; uncached {
+			result.prefillTokens += part.Tokens
+		}
+	}
+	result.newTokens += fresh
+}
+
+// goOn continues a conversation after a turn: at once through three helpers, or after a
+// while with the next turn.
+func (sim *modelSimulation) goOn(talk conversation) {
+	next := talk
+	next.left--
+	if talk.left == 1 || sim.random.Float64() >= sim.setup.helpers {
+		sim.schedule(sim.spread(sim.setup.think, 0.6), func() { sim.takeTurn(next) })
+		return
+	}
+	open := 3
+	for number := range open {
+		helper := talk
+		helper.session, helper.left = fmt.Sprintf("%s.%d.%d", talk.session, talk.left, number), 2
+		helper.done = func() {
+			if open--; open == 0 {
+				sim.takeTurn(next)
+			}
+		}
+		sim.takeTurn(helper)
 	}
-	return result
 }
 
 func sum(values []float64) float64 { return mean(values) * float64(len(values)) }
--- a/system/balancer/plain_simulation_test.go
+++ b/system/balancer/plain_simulation_test.go
@@ -6,7 +6,6 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
-	"time"
 
 	"yardrock.example/system/config"
 )
@@ -77,25 +76,42 @@
 
 func (result plainResult) String() string {
 	requested := float64(result.requested)
-	return fmt.Sprintf("%d asked, wrong %.4f, mean %.1f ms, p99 %.0f ms, far %.2f, %d connections, the first runner did %.3f", result.requested,
+	return fmt.Sprintf("%d requests, failed %.4f, mean %.1f ms, p99 %.0f ms, cross-domain %.2f, %d connections, the first runner served %.3f", result.requested,
 		float64(result.unsuccessful)/requested, mean(result.latencies), quantile(result.latencies, 0.99), float64(result.crossDomain)/requested, result.connectionsOpened, float64(result.servers[0].completed)/requested)
 }
 
+// plainSimulation is a simulation of fronts and runners of plain work.
+type plainSimulation struct {
+	*simulation
+	setup       plainDeployment
+	route       config.Route
+	byLife      map[string]*plainRunner
+	balancers   []*Balancer
+	connections *connectionCount
+	result      plainResult
+}
+
+// simulatePlain simulates a deployment of runners of plain work for 30 seconds.
 func simulatePlain(seed uint64, setup plainDeployment) plainResult {
-	result := plainResult{}
-	sim := &simulation{random: rand.New(rand.NewPCG(seed, 4))}
-	began := time.Unix(1_000_000, 0)
-	clock := func() time.Time { return began.Add(time.Duration(sim.now * float64(time.Millisecond))) }
-	route := routeTo(config.WeightedService{Service: "plain", Weight: 1})
+	sim := newPlainSimulation(seed, setup)
+	sim.startRequests()
+	sim.run(30_000)
+	sim.result.connectionsOpened = sim.connections.opened
+	return sim.result
+}
+
+func newPlainSimulation(seed uint64, setup plainDeployment) *plainSimulation {
+	sim := &plainSimulation{
+		simulation: &simulation{random: rand.New(rand.NewPCG(seed, 4))}, setup: setup,
+		route: routeTo(config.WeightedService{Service: "plain", Weight: 1}), byLife: map[string]*plainRunner{}, connections: newConnectionCount(),
+	}
 	listed := runnersOf("plain", setup.runners, 6)
-	state := stateOf([]config.Service{plainService()}, route, listed, setup.fronts)
-	byLife := map[string]*plainRunner{}
 	for _, runner := range listed {
-		one := &plainRunner{sim: sim, speed: 0.8 + 0.4*sim.random.Float64()}
-		byLife[runner.Life] = one
-		result.servers = append(result.servers, one)
+		server := &plainRunner{sim: sim.simulation, speed: 0.8 + 0.4*sim.random.Float64()}
+		sim.byLife[runner.Life] = server
+		sim.result.servers = append(sim.result.servers, server)
 	}
-	servers := result.servers
+	servers := sim.result.servers
 	servers[0].speed *= max(1, setup.slow)
 	servers[0].failureRatio = setup.fails
 	if setup.down {
@@ -106,55 +122,49 @@
 		}
 		flap()
 	}
-	balancers := []*Balancer{}
-	for at := range setup.fronts {
-		balancer := New(domains[at%3], seed+uint64(at), clock)
+	state := stateOf([]config.Service{plainService()}, sim.route, listed, setup.fronts)
+	for front := range setup.fronts {
+		balancer := New(domains[front%3], seed+uint64(front), sim.clock)
 		balancer.Update(state)
-		balancers = append(balancers, balancer)
+		sim.balancers = append(sim.balancers, balancer)
 	}
-	idle := map[string][]float64{} // since when connections are idle, by front and runner
-	var arrive func()
-	arrive = func() {
-		sim.schedule(sim.random.ExpFloat64()*1000/setup.rate, arrive)
-		work, at := min(4*setup.work, sim.spread(setup.work, 1)), sim.random.IntN(setup.fronts)
-		began := sim.now
-		result.requested++
-		lease, err := balancers[at].Acquire(context.Background(), Request{Route: &route, Deadline: clock()})
-		if err != nil {
-			result.unsuccessful++
-			return
-		}
-		chosen := byLife[lease.Runner.Life]
-		if setup.random {
-			chosen = servers[sim.random.IntN(len(servers))]
-		}
-		if number := slices.Index(servers, chosen); number%3 != at%3 {
-			result.crossDomain++
-		}
-		way := fmt.Sprint(at, slices.Index(servers, chosen))
-		if last := len(idle[way]) - 1; last >= 0 && sim.now-idle[way][last] < 10_000 {
-			idle[way] = idle[way][:last]
-		} else {
-			result.connectionsOpened++
-			idle[way] = nil
-		}
-		sim.schedule(0.5, func() {
-			chosen.accept(work, func(outcome Outcome) {
-				sim.schedule(0.5, func() {
-					lease.Release(outcome, nil)
-					idle[way] = append(idle[way], sim.now)
-					if outcome != Answered {
-						result.unsuccessful++
-						return
-					}
-					result.latencies = append(result.latencies, sim.now-began)
-				})
+	return sim
+}
+
+// startRequests sends a request and schedules the next one.
+func (sim *plainSimulation) startRequests() {
+	sim.schedule(sim.random.ExpFloat64()*1000/sim.setup.rate, sim.startRequests)
+	work, front := min(4*sim.setup.work, sim.spread(sim.setup.work, 1)), sim.random.IntN(sim.setup.fronts)
+	began := sim.now
+	sim.result.requested++
+	lease, err := sim.balancers[front].Acquire(context.Background(), Request{Route: &sim.route, Deadline: sim.clock()})
+	if err != nil {
+		sim.result.unsuccessful++
+		return
+	}
+	servers, chosen := sim.result.servers, sim.byLife[lease.Runner.Life]
+	if sim.setup.random {
+		chosen = servers[sim.random.IntN(len(servers))]
+	}
+	number := slices.Index(servers, chosen)
+	if number%3 != front%3 {
+		sim.result.crossDomain++
+	}
+	link := fmt.Sprint(front, number)
+	sim.connections.take(link, sim.now)
+	sim.schedule(0.5, func() {
+		chosen.accept(work, func(outcome Outcome) {
+			sim.schedule(0.5, func() {
+				lease.Release(outcome, nil)
+				sim.connections.putBack(link, sim.now)
+				if outcome != Answered {
+					sim.result.unsuccessful++
+					return
+				}
+				sim.result.latencies = append(sim.result.latencies, sim.now-began)
 			})
 		})
-	}
-	arrive()
-	sim.run(30_000)
-	return result
+	})
 }
 
 var plainDeployments = []plainDeployment{
--- a/system/balancer/simulation_test.go
+++ b/system/balancer/simulation_test.go
@@ -5,6 +5,7 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+	"time"
 )
 
 // A discrete-event simulation of programs, fronts and model runners. The runners batch
@@ -60,6 +61,34 @@
 	return mean * math.Exp(by*sim.random.NormFloat64()-by*by/2)
 }
 
+// clock is the simulated time for balancers.
+func (sim *simulation) clock() time.Time {
+	return time.Unix(1_000_000, 0).Add(time.Duration(sim.now * float64(time.Millisecond)))
+}
+
+// connectionCount counts the connections that must be opened if they are kept for ten
+// seconds, by front and runner.
+type connectionCount struct {
+	idle   map[string][]float64 // since when connections are idle
+	opened int
+}
+
+func newConnectionCount() *connectionCount { return &connectionCount{idle: map[string][]float64{}} }
+
+func (count *connectionCount) take(link string, now float64) {
+	idle := count.idle[link]
+	if last := len(idle) - 1; last >= 0 && now-idle[last] < 10_000 {
+		count.idle[link] = idle[:last]
+		return
+	}
+	count.opened++
+	count.idle[link] = nil
+}
+
+func (count *connectionCount) putBack(link string, now float64) {
+	count.idle[link] = append(count.idle[link], now)
+}
+
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, value := range values {
--- a/system/balancer/slow_start_test.go
+++ b/system/balancer/slow_start_test.go
@@ -72,13 +72,7 @@
 	for range 600 { // 12 s in steps of 20 ms
 		clock.advance(20 * time.Millisecond)
 		if changing && random.IntN(75) == 0 {
-			at := random.IntN(len(live))
-			if random.IntN(2) == 0 && len(live) > 1 {
-				delete(balancers, live[at])
-				live = slices.Delete(slices.Clone(live), at, at+1)
-			} else {
-				live = append(slices.Clone(live), fmt.Sprintf("front-%d", 1000+started))
-			}
+			live = changeFronts(random, live, balancers, started)
 			publish()
 		}
 		deliveries = slices.DeleteFunc(deliveries, func(one delivery) bool {
@@ -106,6 +100,16 @@
 	return peak, sent
 }
 
+// changeFronts removes a front or adds one.
+func changeFronts(random *rand.Rand, live []string, balancers map[string]*Balancer, started int) []string {
+	index := random.IntN(len(live))
+	if random.IntN(2) == 0 && len(live) > 1 {
+		delete(balancers, live[index])
+		return slices.Delete(slices.Clone(live), index, index+1)
+	}
+	return append(slices.Clone(live), fmt.Sprintf("front-%d", 1000+started))
+}
+
 func TestSlowStartRateLimitHoldsAcrossFronts(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261204)
 	parameters.MinSuccessfulTests = 30
@@ -160,7 +164,7 @@
 		}, func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "west", State: feed.StateServing}}
 		}, false},
-		{"it left the list for a while", func(state *State) {}, func(state *State) {
+		{"it left the list for a while", func(*State) {}, func(state *State) {
 			state.View.Runners = state.View.Runners[1:]
 		}, false},
 		{"its service has no warm-up rate", func(*State) {}, func(state *State) {
