--- a/system/feedclient/controls.go
+++ b/system/feedclient/controls.go
@@ -11,13 +11,26 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// pickControls keeps to the control node that answered last, but comes home to the one that
-// is best for this node; else it takes the next few of those the view or the seeds name.
+const (
+	// seedTimeout bounds how long seeds are asked for control nodes.
+	seedTimeout = 500 * time.Millisecond
+	// preferredCheckInterval is how often the client checks whether its preferred control node
+	// is alive, to go back to it.
+	preferredCheckInterval = 15 * time.Second
+	// firstPreferredCheck is when it checks first after it changed to another control node.
+	firstPreferredCheck = 2 * time.Second
+	// maxParallelControls is how many control nodes are polled at once while none is known to
+	// reply.
+	maxParallelControls = 3
+)
+
+// pickControls gives the control nodes to poll next: the one that replied last, or the
+// preferred one if it is alive and a check is due; without one that replied, the next few
+// candidates.
 func (client *Client) pickControls() []string {
-	view := client.view.Load()
 	if client.control != "" && time.Since(client.chosenAt) > preferredCheckInterval {
 		client.chosenAt = time.Now()
-		if ranked := client.rankedControls(view); len(ranked) > 0 && client.isLive(ranked[0]) {
+		if ranked := client.rankedControls(client.view.Load()); len(ranked) > 0 && client.isLive(ranked[0]) {
 			client.control, client.candidates = ranked[0], ranked[1:]
 		}
 	}
@@ -25,23 +38,39 @@
 		return []string{client.control}
 	}
 	if len(client.candidates) == 0 {
-		client.candidates = client.rankedControls(view)
-		client.candidateRounds++
-		if len(client.candidates) == 0 || client.candidateRounds%2 == 0 {
-			for _, address := range client.discoverControls() {
-				if !slices.Contains(client.candidates, address) {
-					client.candidates = append(client.candidates, address)
-				}
-			}
-		}
+		client.refillCandidates()
 	}
 	picked := client.candidates[:min(maxParallelControls, len(client.candidates))]
 	client.candidates = client.candidates[len(picked):]
 	return picked
 }
 
-// rankedControls lists the control nodes of a view, those of this node's domain first, and spread
-// evenly over the nodes that ask.
+// refillCandidates lists the control nodes of the view and, every other time, those that the
+// seeds know: the view's may all have moved or be gone.
+func (client *Client) refillCandidates() {
+	client.candidates = client.rankedControls(client.view.Load())
+	client.candidateRounds++
+	if len(client.candidates) > 0 && client.candidateRounds%2 != 0 {
+		return
+	}
+	for _, address := range client.discoverControls() {
+		if !slices.Contains(client.candidates, address) {
+			client.candidates = append(client.candidates, address)
+		}
+	}
+}
+
+// keepControl keeps to a control node that confirmed. If it is another one than before, the
+// quickest of a few, the preferred one is checked soon.
+func (client *Client) keepControl(address string) {
+	if client.control != address {
+		client.control, client.chosenAt = address, time.Now().Add(firstPreferredCheck-preferredCheckInterval)
+	}
+}
+
+// rankedControls lists the addresses of a view's control nodes, the preferred one first: those
+// in this node's domain before others, each part in an order by this node's name, which
+// spreads nodes evenly.
 func (client *Client) rankedControls(view *feed.View) []string {
 	candidates, near, far := []placement.Candidate{}, []string{}, []string{}
 	for _, member := range view.Controls {
@@ -61,31 +90,37 @@
 	return slices.ContainsFunc(client.Members(), func(member feed.Member) bool { return member.Address == address })
 }
 
-// discoverControls asks all seeds at once, and gives what the first of use tells of control nodes.
+// discoverControls asks all seeds at once for the control nodes that they know, and gives the
+// first list that is not empty. The requests end with it.
 func (client *Client) discoverControls() []string {
 	seeds := *client.seeds.Load()
-	ctx, cancel := context.WithTimeout(client.context, seedTimeout)
+	ctx, cancel := context.WithTimeout(client.ctx, seedTimeout)
 	defer cancel()
-	answers := make(chan []string, len(seeds))
+	replies := make(chan []string, len(seeds))
 	for _, seed := range seeds {
-		go func() {
-			found := []string{}
-			reply, err := client.rpc.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
-			if err == nil && reply.Status != nil {
-				if reply.Status.Role == feed.RoleControl && !reply.Status.Uninitialized {
-					found = append(found, seed)
-				}
-				for _, member := range reply.Status.Controls {
-					found = append(found, member.Address)
-				}
-			}
-			answers <- found
-		}()
+		go func() { replies <- client.controlsKnownAt(ctx, seed) }()
 	}
 	for range seeds {
-		if found := <-answers; len(found) > 0 {
-			return found
+		if addresses := <-replies; len(addresses) > 0 {
+			return addresses
 		}
 	}
 	return nil
 }
+
+// controlsKnownAt asks one process for the control nodes that it knows, itself included if it
+// is one that has a view.
+func (client *Client) controlsKnownAt(ctx context.Context, address string) []string {
+	reply, err := client.rpc.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+	if err != nil || reply.Status == nil {
+		return nil
+	}
+	addresses := []string{}
+	if reply.Status.Role == feed.RoleControl && !reply.Status.Uninitialized {
+		addresses = append(addresses, address)
+	}
+	for _, member := range reply.Status.Controls {
+		addresses = append(addresses, member.Address)
+	}
+	return addresses
+}
--- a/system/feedclient/feedclient.go
+++ b/system/feedclient/feedclient.go
@@ -1,6 +1,20 @@
-// Package follower keeps a node's view of the feed: it renews the node's session
-// with a control node, takes changes from its place on, and knows until when the
+// Package feedclient keeps a process's view of the feed up to date, and knows until when the
 // view may be acted on.
+//
+// A Client polls one control node, its preferred one if it can, with long polling: each poll
+// is also the process's heartbeat, brings the changes after the client's view, and confirms
+// that nothing newer exists. When control nodes are late or unreachable, the client asks the
+// stores that replicate views; a majority of them includes one that has every acknowledged
+// change.
+//
+// Guarantees:
+//   - View only moves forward in number, and never to another fleet's view.
+//   - A view is shown only after the owner's onView accepted it, in order of numbers.
+//   - Fresh gives a view only within FreshnessWindow of a confirmation, counted from when the
+//     query for it was sent. So nobody acts on a view any more when FreshnessWindow has
+//     passed since a change of it was acknowledged.
+//
+// A Client owns the view in memory; its owner stores it on disk, in onView.
 package feedclient
 
 import (
@@ -15,61 +29,50 @@
 	"yardrock.example/system/link"
 )
 
-const (
-	// FreshnessWindow is how long one confirmation that nothing newer exists holds,
-	// counted from when it was asked for.
-	FreshnessWindow = 1500 * time.Millisecond
-	requestTimeout  = 600 * time.Millisecond
-	hedgeDelay      = 400 * time.Millisecond
-	seedTimeout     = 500 * time.Millisecond
-	// minPause is between the end of a round and the next; after rounds without a
-	// control node it grows to maxPause.
-	minPause = 50 * time.Millisecond
-	maxPause = 200 * time.Millisecond
-	// preferredCheckInterval is how often a node looks whether a nearer control node is there.
-	preferredCheckInterval = 15 * time.Second
-	firstPreferredCheck    = 2 * time.Second
-	// maxParallelControls is how many control nodes are asked while none is known to answer.
-	maxParallelControls = 3
-)
-
-// Client follows the feed for one node.
+// Client follows the feed for one process. Its methods may be called concurrently.
 type Client struct {
-	rpc               *link.Client
-	self              feed.Member
-	onView            func(*feed.View) error
-	startedAt         time.Time
-	seeds             atomic.Pointer[[]string]
-	view              atomic.Pointer[feed.View]
-	members           atomic.Pointer[memberList]
-	needsFullView     atomic.Bool                   // changes did not fit the view held
-	freshUntil        atomic.Int64                  // since began, on the monotonic clock
-	freshnessExtended atomic.Pointer[chan struct{}] // closed when freshUntil next grows
-	lastControlReply  atomic.Int64                  // when a control quorum answered last, since began
-	runnerListReadAt  atomic.Pointer[time.Time]     // when the runner list in the view was read; nil before any
-	adoptToken        chan struct{}                 // holds one token while no view is being taken
-	control           string
-	candidates        []string
-	candidateRounds   int
-	failures          int        // rounds in a row without an answer of a control node
-	chosenAt          time.Time  // when the control node was chosen
-	foreignFleet      chan error // holds what makes this node's data folder useless here
-	context           context.Context
-	stop              context.CancelFunc
-	done              chan struct{}
+	rpc       *link.Client
+	self      feed.Member
+	onView    func(*feed.View) error
+	startedAt time.Time // durations below count from it, on the monotonic clock
+
+	seeds            atomic.Pointer[[]string]
+	view             atomic.Pointer[feed.View]
+	members          atomic.Pointer[memberList]
+	needsFullView    atomic.Bool               // changes did not follow on the view
+	lastControlReply atomic.Int64              // duration; when a control quorum confirmed last; 0: never
+	runnerListReadAt atomic.Pointer[time.Time] // nil: not known
+
+	freshUntil        atomic.Int64                  // duration
+	freshnessExtended atomic.Pointer[chan struct{}] // closed when freshUntil grows
+
+	adoptToken   chan struct{} // a mutex that Adopt can give up waiting for; full: unlocked
+	foreignFleet chan error    // has room for the one error that is reported
+
+	// For the polling goroutine only.
+	control         string    // the control node that replied last; "" after a poll without a reply
+	chosenAt        time.Time // when control was last compared with the preferred one
+	candidates      []string  // control nodes to try next
+	candidateRounds int       // how often candidates was refilled
+	failures        int       // polls in a row without a confirmation by a control node
+
+	ctx  context.Context // ends with Stop
+	stop context.CancelFunc
+	done chan struct{} // closed when the polling goroutine has returned
 }
 
-// roll is a list of live members, and the digest that its control node gave it.
+// memberList is the live members of the fleet, and the digest that a control node gave them.
 type memberList struct {
 	members []feed.Member
 	digest  uint64
 }
 
-// Start begins to follow. The view given, if any, is what the node's disk held;
-// onView is called with every newer one, in order, before it is shown; what it refuses
-// is not shown, and is offered again.
+// Start begins to follow the feed for self until Stop is called. Seeds are addresses at which
+// control nodes may be found. The stored view, if any, is what the process has on disk.
+// onView is called with every newer view, one call at a time and in order of numbers, before
+// the view is shown; a view for which it gives an error is not shown, and is offered again.
 //
-//	following := follower.Start(caller, member, seeds, held, func(view *feed.View) error { ... })
+//	client := feedclient.Start(rpc, member, seeds, stored, func(view *feed.View) error { ... })
 func Start(rpc *link.Client, self feed.Member, seeds []string, stored *feed.View, onView func(*feed.View) error) *Client {
 	client := &Client{rpc: rpc, self: self, onView: onView, startedAt: time.Now(), foreignFleet: make(chan error, 1), adoptToken: make(chan struct{}, 1), done: make(chan struct{})}
 	if stored == nil {
@@ -79,39 +82,50 @@
 	client.freshnessExtended.Store(new(make(chan struct{})))
 	client.members.Store(&memberList{})
 	client.SetSeeds(seeds)
-	client.context, client.stop = context.WithCancel(context.Background())
+	client.ctx, client.stop = context.WithCancel(context.Background())
 	client.adoptToken <- struct{}{}
 	go client.run()
 	return client
 }
 
-// SetSeeds replaces the seed addresses, as SIGHUP does.
+// Stop ends polling and returns once the polling goroutine has. A request that was in flight
+// then is cancelled, but its goroutine is not waited for.
+//
+//	defer client.Stop()
+func (client *Client) Stop() {
+	client.stop()
+	<-client.done
+}
+
+// SetSeeds replaces the seed addresses; the daemons do so on SIGHUP.
 //
-//	following.SetSeeds([]string{"10.0.0.1:7000"})
+//	client.SetSeeds([]string{"10.0.0.1:7000"})
 func (client *Client) SetSeeds(seeds []string) {
 	seeds = slices.Clone(seeds)
 	client.seeds.Store(&seeds)
 }
 
-// View gives the newest view held, fresh or not.
+// View gives the newest view, fresh or not; an empty one before the first. It must not be
+// changed.
 //
-//	view := following.View()
+//	view := client.View()
 func (client *Client) View() *feed.View { return client.view.Load() }
 
-// Members gives the live nodes, by the control nodes' sessions.
+// Members gives the nodes that are alive by their heartbeats to the control nodes, as of the
+// last reply.
 //
-//	for _, member := range following.Members() { ... }
+//	for _, member := range client.Members() { ... }
 func (client *Client) Members() []feed.Member { return client.members.Load().members }
 
-// Adopt takes a view if it is newer, whoever brought it, and tells whether this node now
-// holds it or a newer one.
+// Adopt offers a view, from whichever source, and tells whether the client now has it or a
+// newer one. A view of another fleet is not adopted, nor one that onView does not accept.
 //
-//	if !following.Adopt(view) { ... }
+//	if !client.Adopt(view) { ... }
 func (client *Client) Adopt(view *feed.View) bool {
 	select {
 	case <-client.adoptToken:
 		defer func() { client.adoptToken <- struct{}{} }()
-	case <-client.context.Done():
+	case <-client.ctx.Done():
 		return false
 	}
 	current := client.view.Load()
@@ -122,23 +136,16 @@
 		return true
 	}
 	if err := client.onView(view); err != nil {
-		log.WithFields(log.Fields{"node": client.self.Name, "number": view.Number, "error": err.Error()}).Error("view_not_taken")
+		log.WithFields(log.Fields{"node": client.self.Name, "number": view.Number, "error": err.Error()}).Error("a newer view was not adopted")
 		return false
 	}
 	client.view.Store(view)
 	return true
 }
 
-// Stop ends following.
-//
-//	defer following.Stop()
-func (client *Client) Stop() {
-	client.stop()
-	<-client.done
-}
-
-// ForeignFleet gives the reason why a node that has just started can't go on: its data
-// folder belongs to another fleet than its seeds.
+// ForeignFleet receives an error if the control nodes at the seeds belong to another fleet
+// than the process's data directory, and no control node of its own fleet has replied since
+// the start. Such a process cannot go on.
 //
-//	err := <-following.ForeignFleet()
+//	err := <-client.ForeignFleet()
 func (client *Client) ForeignFleet() <-chan error { return client.foreignFleet }
--- a/system/feedclient/client_test.go
+++ b/system/feedclient/feedclient_test.go
@@ -16,11 +16,11 @@
 
 const testTimeout = 10 * time.Second
 
-// scriptedControl is a control node that gives its answers one after another; the last
-// one stays.
+// scriptedControl is a control node that gives its replies one after the other; the last one
+// is repeated.
 type scriptedControl struct {
 	mutex          sync.Mutex
-	replies        []func(asked *wire.FollowQuery) *wire.FollowReply
+	replies        []func(query *wire.FollowQuery) *wire.FollowReply
 	requestedAfter []uint64
 }
 
@@ -38,21 +38,21 @@
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: next(query.Follow)}
 }
 
-// startClient runs a follower of a scripted control node until it takes a view of a number, and
+// startClient runs a client of a scripted control node until it adopts a view of a number, and
 // gives that view.
-func startClient(t *testing.T, stored *feed.View, number uint64, answers ...func(*wire.FollowQuery) *wire.FollowReply) (*Client, *scriptedControl, *feed.View) {
+func startClient(t *testing.T, stored *feed.View, number uint64, replies ...func(*wire.FollowQuery) *wire.FollowReply) (*Client, *scriptedControl, *feed.View) {
 	t.Helper()
-	control := &scriptedControl{replies: answers}
+	control := &scriptedControl{replies: replies}
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := link.Serve(listener, control.answer)
 	t.Cleanup(server.Close)
-	caller := link.NewClient(link.TCP{})
-	t.Cleanup(caller.Close)
+	rpc := link.NewClient(link.TCP{})
+	t.Cleanup(rpc.Close)
 	reached := make(chan *feed.View, 1)
-	client := Start(caller, feed.Member{Name: "front"}, []string{listener.Addr().String()}, stored, func(view *feed.View) error {
+	client := Start(rpc, feed.Member{Name: "front"}, []string{listener.Addr().String()}, stored, func(view *feed.View) error {
 		if view.Number == number {
 			reached <- view
 		}
@@ -82,11 +82,11 @@
 	for number := range count {
 		view := feed.View{Fleet: "fleet", Number: uint64(number + 1), ConfigNumber: uint64(number + 1)}
 		for route := range 50 {
-			tries := route
+			attempts := route
 			if route == number%50 {
-				tries += number
+				attempts += number
 			}
-			view.Compiled = fmt.Appendf(view.Compiled, `{"name":"route-%d","host":"host-%d.example","tries":%d}`, route, route, tries)
+			view.Compiled = fmt.Appendf(view.Compiled, `{"name":"route-%d","host":"host-%d.example","tries":%d}`, route, route, attempts)
 		}
 		views = append(views, view)
 	}
@@ -97,8 +97,8 @@
 	return feed.Change{Number: after.Number, Kind: feed.ChangeConfig, Compiled: after.Compiled}.Compact(before)
 }
 
-// TestConfigMismatchIsRepairedByAFullView gives a follower a difference that was made on another config of
-// the number that it holds: it asks for a whole view, and holds what the leader holds.
+// TestConfigMismatchIsRepairedByAFullView gives a client a delta that was made on another config
+// of the number that it has: it asks for a full view, and has what the leader has.
 func TestConfigMismatchIsRepairedByAFullView(t *testing.T) {
 	views := configs(3)
 	other := views[1]
@@ -108,9 +108,9 @@
 		func(*wire.FollowQuery) *wire.FollowReply {
 			return &wire.FollowReply{Newest: 2, Changes: []feed.Change{wrong}}
 		},
-		func(asked *wire.FollowQuery) *wire.FollowReply {
-			if asked.After == 0 {
-				return fullViewReply(&views[3])(asked)
+		func(query *wire.FollowQuery) *wire.FollowReply {
+			if query.After == 0 {
+				return fullViewReply(&views[3])(query)
 			}
 			return &wire.FollowReply{Newest: 2, Changes: []feed.Change{wrong}}
 		})
@@ -124,23 +124,23 @@
 	}
 }
 
-// TestChangesAreAppliedInOrder gives a follower many differences at once.
+// TestChangesAreAppliedInOrder gives a client many deltas at once.
 func TestChangesAreAppliedInOrder(t *testing.T) {
 	views := configs(300)
 	changes := []feed.Change{}
 	for at := 2; at < len(views); at++ {
 		changes = append(changes, changeBetween(&views[at-1], &views[at]))
 	}
-	_, _, view := startClient(t, nil, 300, fullViewReply(&views[1]), func(asked *wire.FollowQuery) *wire.FollowReply {
-		return &wire.FollowReply{Newest: 300, Changes: changes[min(int(asked.After-1), len(changes)):]}
+	_, _, view := startClient(t, nil, 300, fullViewReply(&views[1]), func(query *wire.FollowQuery) *wire.FollowReply {
+		return &wire.FollowReply{Newest: 300, Changes: changes[min(int(query.After-1), len(changes)):]}
 	})
 	if !bytes.Equal(view.Compiled, views[300].Compiled) {
 		t.Errorf("%d bytes, not %d", len(view.Compiled), len(views[300].Compiled))
 	}
 }
 
-// TestClientAheadOfItsControlNodeKeepsItsView lets a control node that lags confirm: the
-// follower's own view is newer, and is confirmed with it.
+// TestClientAheadOfItsControlNodeKeepsItsView lets a control node that lags behind
+// confirm: the client's own view is newer, and is confirmed with it.
 func TestClientAheadOfItsControlNodeKeepsItsView(t *testing.T) {
 	views := configs(5)
 	client, _, _ := startClient(t, &views[5], 5, func(*wire.FollowQuery) *wire.FollowReply {
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestDamagedViewIsNotAdopted gives a follower a packed view that cannot be read.
+// TestDamagedViewIsNotAdopted gives a client a packed view that cannot be read.
 func TestDamagedViewIsNotAdopted(t *testing.T) {
 	views := configs(2)
 	damaged := wire.PackView(&views[1])
--- a/system/feedclient/freshness.go
+++ b/system/feedclient/freshness.go
@@ -9,10 +9,15 @@
 	"yardrock.example/system/wire"
 )
 
-// Fresh gives the view if it may be acted on: within the window, a control
-// quorum or a store majority said that nothing newer exists.
+// FreshnessWindow is how long a view may be acted on after the query was sent whose reply
+// confirmed that nothing newer exists.
+const FreshnessWindow = 1500 * time.Millisecond
+
+// Fresh gives the view if it may be acted on: within FreshnessWindow, a control quorum or a
+// majority of the stores that replicate views confirmed that nothing newer exists. Else the
+// error is an apierror.NotRun to be retried after a second.
 //
-//	view, err := following.Fresh()
+//	view, err := client.Fresh()
 func (client *Client) Fresh() (*feed.View, error) {
 	view := client.view.Load()
 	if view.Number == 0 || int64(time.Since(client.startedAt)) >= client.freshUntil.Load() {
@@ -21,31 +26,35 @@
 	return view, nil
 }
 
-// AwaitFresh is Fresh for those who can wait: a node that has just started, or whose view
-// was fresh until lately, mostly soon hears that nothing newer exists. Timeout counts from
-// when the view was fresh last, or from the start; once it is over, nobody waits.
+// AwaitFresh is Fresh, but waits for a confirmation while one is likely to come soon: until
+// timeout has passed since the view was fresh last, or since the start. So a process that was
+// cut off longer than that does not let its callers wait.
 //
-//	view, err := following.AwaitFresh(ctx, 1500*time.Millisecond)
+//	view, err := client.AwaitFresh(ctx, 1500*time.Millisecond)
 func (client *Client) AwaitFresh(ctx context.Context, timeout time.Duration) (*feed.View, error) {
 	for {
-		renewed := *client.freshnessExtended.Load()
+		// Loaded before the check, so that an extension in between is not missed.
+		extended := *client.freshnessExtended.Load()
 		view, err := client.Fresh()
 		left := time.Duration(client.freshUntil.Load()) + timeout - time.Since(client.startedAt)
 		if err == nil || left <= 0 {
 			return view, err
 		}
-		tick := time.NewTimer(left)
+		timer := time.NewTimer(left)
 		select {
-		case <-renewed:
-			tick.Stop()
-		case <-tick.C:
+		case <-extended:
+			timer.Stop()
+		case <-timer.C:
 		case <-ctx.Done():
-			tick.Stop()
+			timer.Stop()
 			return nil, err
 		}
 	}
 }
 
+// extendFreshness counts a confirmation from when its query was sent, as a change may have
+// been acknowledged at any time after that. When two replies race, the earlier one may win,
+// which only makes the view stale a little sooner.
 func (client *Client) extendFreshness(sentAt time.Time) {
 	until := int64(sentAt.Sub(client.startedAt) + FreshnessWindow)
 	if until > client.freshUntil.Load() {
@@ -54,27 +63,27 @@
 	}
 }
 
-// HeardControlWithin tells whether a control quorum answered that lately.
+// HeardControlWithin tells whether a control quorum confirmed a view at most that long ago.
 //
-//	if following.HeardControlWithin(5 * time.Second) { ... }
+//	if client.HeardControlWithin(5 * time.Second) { ... }
 func (client *Client) HeardControlWithin(age time.Duration) bool {
 	last := time.Duration(client.lastControlReply.Load())
 	return last > 0 && time.Since(client.startedAt)-last < age
 }
 
-// RosterRead tells when the runner list whose content is in the view was read last, by
-// this node's clock; zero if that is not known. What the list showed then is in the view
-// that View gives afterwards.
+// RunnerListReadAt gives when the control plane last read the runner list whose content is in
+// the view, by this process's clock and not later than it really was; zero if that is not
+// known. A view loaded afterwards has what the list had then.
 //
-//	if time.Since(following.RosterRead()) > time.Second { ... }
+//	if time.Since(client.RunnerListReadAt()) > time.Second { ... }
 func (client *Client) RunnerListReadAt() time.Time {
-	if read := client.runnerListReadAt.Load(); read != nil {
-		return *read
+	if readAt := client.runnerListReadAt.Load(); readAt != nil {
+		return *readAt
 	}
 	return time.Time{}
 }
 
-// recordRunnerListAge keeps when the runner list was read, by the answer to a query asked then.
+// recordRunnerListAge counts the age in a reply back from when its query was sent.
 func (client *Client) recordRunnerListAge(reply *wire.FollowReply, sentAt time.Time) {
 	readAt := sentAt.Add(-reply.RunnerListAge)
 	if reply.HasRunnerListAge && readAt.After(client.RunnerListReadAt()) {
--- a/system/feedclient/polling.go
+++ b/system/feedclient/polling.go
@@ -13,42 +13,72 @@
 	"yardrock.example/system/wire/schema"
 )
 
+const (
+	// requestTimeout is how long a reply may take beyond its long poll.
+	requestTimeout = 600 * time.Millisecond
+	// hedgeDelay is how late a reply of a control node is, beyond its long poll, when the
+	// stores are asked as well.
+	hedgeDelay = 400 * time.Millisecond
+	// minPause is between the end of a poll and the next; each further poll in a row without
+	// a confirmation by a control node adds as much, up to maxPause.
+	minPause = 50 * time.Millisecond
+	maxPause = 200 * time.Millisecond
+)
+
+// Long polls: how long a control node may delay its reply while nothing changes.
+const (
+	defaultLongPoll = 700 * time.Millisecond
+	// A front that knows only an old reading of the runner list shortens its long poll, so
+	// that it learns of the next reading before the one it has is too old to act on: to
+	// runnerListLongPoll less the reading's age, but not below minLongPoll.
+	runnerListLongPoll = 1100 * time.Millisecond
+	minLongPoll        = 300 * time.Millisecond
+	// startupPeriod is how long after its start a client that knows no reading yet polls
+	// without delay.
+	startupPeriod = 3 * time.Second
+)
+
+// longPollByRole has the roles whose long poll is fixed. Stores are few, and their heartbeats
+// are missed sooner.
+var longPollByRole = map[string]time.Duration{feed.RoleStore: 300 * time.Millisecond}
+
+// run polls until Stop is called. It is the only goroutine that uses the fields for polling.
 func (client *Client) run() {
 	defer close(client.done)
-	tick := time.NewTimer(0)
-	defer tick.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
-		case <-client.context.Done():
+		case <-client.ctx.Done():
 			return
-		case <-tick.C:
+		case <-timer.C:
 		}
 		if client.poll() {
 			client.failures = 0
 		} else {
 			client.failures++
 		}
-		tick.Reset(min(maxPause, minPause*time.Duration(max(1, client.failures))))
+		timer.Reset(min(maxPause, minPause*time.Duration(max(1, client.failures))))
 	}
 }
 
-// poll asks a control node, which may hold its answer for a while if it answered last
-// time, and the stores too if the answer is late. While no control node answers, a few are
-// asked at once: some may be gone and say nothing. It tells whether one confirmed.
+// poll asks the control node that replied last, with a long poll, or a few at once if none
+// did, as some may be unreachable. It hedges with the stores if the reply is late, and tells
+// whether a control node confirmed a view. The requests end with the poll.
 func (client *Client) poll() bool {
 	wait, addresses := time.Duration(0), client.pickControls()
 	if client.control != "" {
 		wait = client.longPoll()
 	}
-	ctx, cancel := context.WithTimeout(client.context, wait+requestTimeout)
+	ctx, cancel := context.WithTimeout(client.ctx, wait+requestTimeout)
 	defer cancel()
-	confirmed := make(chan string, len(addresses)) // the address that did, or ""
+	confirmations := make(chan string, len(addresses)) // the address that confirmed, or ""
 	for _, address := range addresses {
 		go func() {
 			if client.pollControl(ctx, address, wait) {
-				confirmed <- address
+				confirmations <- address
 			} else {
-				confirmed <- ""
+				confirmations <- ""
 			}
 		}()
 	}
@@ -57,11 +87,9 @@
 	hedged := false
 	for pending := len(addresses); pending > 0; {
 		select {
-		case address := <-confirmed:
+		case address := <-confirmations:
 			if pending--; address != "" {
-				if client.control != address { // the quickest of a few; home soon
-					client.control, client.chosenAt = address, time.Now().Add(firstPreferredCheck-preferredCheckInterval)
-				}
+				client.keepControl(address)
 				return true
 			}
 		case <-hedge.C:
@@ -76,21 +104,23 @@
 	return false
 }
 
-// longPoll is for how long a control node may hold its answer while nothing changes.
+// longPoll is how long the control node may delay its reply.
 func (client *Client) longPoll() time.Duration {
 	if wait, fixed := longPollByRole[client.self.Role]; fixed {
 		return wait
 	}
-	read := client.RunnerListReadAt()
-	if read.IsZero() && time.Since(client.startedAt) < startupPeriod {
+	readAt := client.RunnerListReadAt()
+	if readAt.IsZero() && time.Since(client.startedAt) < startupPeriod {
 		return 0
 	}
-	if read.IsZero() {
+	if readAt.IsZero() {
 		return defaultLongPoll
 	}
-	return max(minLongPoll, min(defaultLongPoll, runnerListLongPoll-time.Since(read)))
+	return max(minLongPoll, min(defaultLongPoll, runnerListLongPoll-time.Since(readAt)))
 }
 
+// pollControl sends one poll to a control node and takes in its reply. It tells whether the
+// reply confirmed the client's view.
 func (client *Client) pollControl(ctx context.Context, address string, wait time.Duration) bool {
 	sentAt, view := time.Now(), client.view.Load()
 	query := &wire.FollowQuery{Member: client.self, After: view.Number, Wait: wait, MembersDigest: client.members.Load().digest, Packed: true}
@@ -99,41 +129,55 @@
 	}
 	reply, err := client.rpc.Call(ctx, address, &wire.Query{Fleet: view.BoundFleet(), Which: schema.Query_Which_follow, Follow: query})
 	if err != nil || reply.Follow == nil {
-		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			client.rpc.Drop(address)
-		}
-		if ctx.Err() != context.Canceled && err != nil {
-			log.WithFields(log.Fields{"node": client.self.Name, "control": address, "error": err.Error()}).Warn("follow_failed")
-		}
-		client.reportForeignFleet(err)
+		client.onPollFailed(ctx, address, err)
 		return false
 	}
 	next, err := viewAfter(view, reply.Follow)
 	if err != nil {
-		log.WithFields(log.Fields{"node": client.self.Name, "control": address, "number": view.Number, "error": err.Error()}).Warn("whole_view_needed")
+		log.WithFields(log.Fields{"node": client.self.Name, "control": address, "number": view.Number, "error": err.Error()}).Warn("changes do not follow on this node's view; asking for a full view")
 		client.needsFullView.Store(true)
 		return false
 	}
-	if next.Number < reply.Follow.Newest {
+	return client.onReply(reply.Follow, next, sentAt, query.After == 0)
+}
+
+// onPollFailed closes the connection after a timeout, as the control node may be frozen or
+// gone, and logs the error unless the poll was cancelled.
+func (client *Client) onPollFailed(ctx context.Context, address string, err error) {
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		client.rpc.Drop(address)
+	}
+	if !errors.Is(ctx.Err(), context.Canceled) && err != nil {
+		log.WithFields(log.Fields{"node": client.self.Name, "control": address, "error": err.Error()}).Warn("a control node did not answer a poll of the feed")
+	}
+	client.reportForeignFleet(err)
+}
+
+// onReply adopts the view that a reply leads to and, with it, what the reply confirms about
+// it. isFull tells whether a full view was asked for.
+func (client *Client) onReply(reply *wire.FollowReply, next *feed.View, sentAt time.Time, isFull bool) bool {
+	if next.Number < reply.Newest {
 		return false
 	}
-	confirmed := sentAt.Add(reply.Follow.ConfirmationDelay)
-	client.lastControlReply.Store(int64(confirmed.Sub(client.startedAt)))
+	confirmedAt := sentAt.Add(reply.ConfirmationDelay)
+	client.lastControlReply.Store(int64(confirmedAt.Sub(client.startedAt)))
 	if !client.Adopt(next) {
 		return false
 	}
-	if query.After == 0 {
+	if isFull {
 		client.needsFullView.Store(false)
 	}
-	if reply.Follow.MembersDigest != 0 {
-		client.members.Store(&memberList{reply.Follow.Members, reply.Follow.MembersDigest})
+	if reply.MembersDigest != 0 {
+		client.members.Store(&memberList{reply.Members, reply.MembersDigest})
 	}
-	client.recordRunnerListAge(reply.Follow, sentAt)
-	client.extendFreshness(confirmed)
+	// After Adopt: whoever sees the new reading must find its content in the view.
+	client.recordRunnerListAge(reply, sentAt)
+	client.extendFreshness(confirmedAt)
 	return true
 }
 
-// viewAfter gives the view that a control node's answer leads to from the one held.
+// viewAfter gives the view that a reply leads to from the current one; an error if its
+// changes do not follow on that.
 func viewAfter(current *feed.View, reply *wire.FollowReply) (*feed.View, error) {
 	if reply.Reset {
 		return reply.FullView()
@@ -142,31 +186,15 @@
 	return &next, err
 }
 
-// reportForeignFleet tells, once, that the control plane belongs to another fleet, if this
-// node has not been with one of its own fleet since it started.
+// reportForeignFleet reports, once, a control node's rejection because of its fleet, unless a
+// control node of this fleet has replied since the start: then the seeds are merely wrong by
+// now.
 func (client *Client) reportForeignFleet(err error) {
 	if !apierror.Is(err, apierror.ForeignFleet) || client.lastControlReply.Load() > 0 {
 		return
 	}
 	select {
 	case client.foreignFleet <- err:
-	default:
+	default: // reported already
 	}
 }
-
-// longPollByRole tells for how long a control node may hold its answer while nothing changes.
-// Stores are few, and are missed soon.
-var longPollByRole = map[string]time.Duration{feed.RoleStore: 300 * time.Millisecond}
-
-const defaultLongPoll = 700 * time.Millisecond
-
-// A front that knows only an old reading of the runner list lets its control node hold the
-// answer for less long, so that it hears of the next reading before that one is too old
-// to act on: for runnerListLongPoll less the reading's age, and for minLongPoll at least.
-const (
-	runnerListLongPoll = 1100 * time.Millisecond
-	minLongPoll        = 300 * time.Millisecond
-	// startupPeriod is how long a front that has just started, and knows no reading yet, asks
-	// without letting answers be held.
-	startupPeriod = 3 * time.Second
-)
--- a/system/feedclient/stores.go
+++ b/system/feedclient/stores.go
@@ -9,46 +9,39 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// pollStores takes the newest view of a store majority; that majority meets every
-// one that a change was acknowledged by.
+// pollStores adopts the newest view that a majority of the stores that replicate views has
+// synced. A change is acknowledged only after a majority synced it, and two majorities have a
+// store in common: if none of them has a newer view than the client's, that one is confirmed.
+// The requests end with the call.
 func (client *Client) pollStores() {
 	sentAt, view := time.Now(), client.view.Load()
 	stores := feed.ViewReplicas(view.Stores)
 	if len(stores) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(client.context, requestTimeout)
+	ctx, cancel := context.WithTimeout(client.ctx, requestTimeout)
 	defer cancel()
-	answers := make(chan *wire.NewestViewReply, len(stores))
+	replies := make(chan *wire.NewestViewReply, len(stores))
 	for _, store := range stores {
-		go func() {
-			reply, err := client.rpc.Call(ctx, store.Address, &wire.Query{Fleet: view.BoundFleet(), To: store.Name, Which: schema.Query_Which_newest, NewestView: &wire.NewestViewQuery{After: view.Number, Packed: true}})
-			if err != nil {
-				answers <- nil
-				return
-			}
-			answers <- reply.NewestView
-		}()
+		go func() { replies <- client.newestViewAt(ctx, store, view) }()
 	}
+	quorum := len(stores)/2 + 1
 	answered, newest := 0, view
-	for range stores {
-		answer := <-answers
-		if answer == nil {
+	for received := 0; received < len(stores) && answered < quorum; received++ {
+		reply := <-replies
+		if reply == nil {
 			continue
 		}
-		if answer.Number > newest.Number {
-			full, err := answer.FullView()
+		if reply.Number > newest.Number {
+			full, err := reply.FullView()
 			if err != nil {
-				continue // as if it had not answered
+				continue // counts as no reply
 			}
 			newest = full
 		}
 		answered++
-		if answered >= len(stores)/2+1 {
-			break
-		}
 	}
-	if answered < len(stores)/2+1 {
+	if answered < quorum {
 		return
 	}
 	client.Adopt(newest)
@@ -56,3 +49,12 @@
 		client.extendFreshness(sentAt)
 	}
 }
+
+// newestViewAt asks a store for the view that it has if that is newer; nil without a reply.
+func (client *Client) newestViewAt(ctx context.Context, store feed.Member, view *feed.View) *wire.NewestViewReply {
+	reply, err := client.rpc.Call(ctx, store.Address, &wire.Query{Fleet: view.BoundFleet(), To: store.Name, Which: schema.Query_Which_newest, NewestView: &wire.NewestViewQuery{After: view.Number, Packed: true}})
+	if err != nil {
+		return nil
+	}
+	return reply.NewestView
+}
