--- a/system/forwarding/forwarder.go
+++ b/system/forwarding/forwarder.go
@@ -78,7 +78,7 @@
 
 // Serve forwards one request to a runner and relays the response. An error before
 // writer.Begin says why there is no response: NotRun promises that the request did not run
-// and never will, NotFound that there is no such route or turn, Exhausted that the
+// and never will, NotFound that there is no such route or turn, QuotaExhausted that the
 // program's output budget is used up, Unknown and RunnerFailure that it may have run.
 // After an error that comes later than Begin, the response must be aborted.
 //
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -28,7 +28,7 @@
 			request.slot.Release(node.outcomeOf(err))
 			return answer, err
 		}
-		if node.nextRunner(ctx, request, err) != nil {
+		if node.switchRunner(ctx, request, err) != nil {
 			return nil, err
 		}
 	}
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -84,18 +84,18 @@
 func chain(first []filter, more ...filter) []filter { return slices.Concat(first, more) }
 
 var (
-	authenticated     = []filter{requireFreshView, authenticate}
-	admission         = chain([]filter{refuseDraining}, authenticated...)
-	programAdmission  = chain(admission, findProgram, findKind)
-	recording         = chain([]filter{markRecorded}, authenticated...)
-	recordedAdmission = chain(recording, findProgram, findKind)
-	turnSteps         = []filter{checkTurn, refuseDraining, acquireSlot, reserveWords, beginTurn, confirmRunner, startRun}
-	turnChain         = chain(chain(recordedAdmission, servesTurns, nameSession, readSession), turnSteps...)
-	followChain       = chain(chain(recording, nameSession, readSession, requireSession, findProgram, findKind, servesTurns), turnSteps...)
-	lookupChain       = chain(programAdmission, servesLookups, acquireSlot, confirmRunner, askRunner)
-	onceChain         = chain(recordedAdmission, servesPlain, nameOnceSession, readSession, checkOnce, refuseDraining, acquireSlot, beginOnce, confirmRunner, runOnce)
-	toolChain         = chain(recording, nameSession, readSession, requireSession, findProgram, findKind, servesPlain, checkTool, refuseDraining, acquireSlot, beginTool, confirmRunner, runOnce)
-	helperChain       = chain(recordedAdmission, servesTurns, readParent, recordHelper)
+	authentication         = []filter{requireFreshView, authenticate}
+	admission              = chain([]filter{refuseDraining}, authentication...)
+	programAdmission       = chain(admission, findProgram, findKind)
+	recordedAuthentication = chain([]filter{markRecorded}, authentication...)
+	recordedAdmission      = chain(recordedAuthentication, findProgram, findKind)
+	turnSteps              = []filter{checkTurn, refuseDraining, acquireSlot, reserveWords, beginTurn, confirmRunner, startRun}
+	turnChain              = chain(chain(recordedAdmission, servesTurns, nameSession, readSession), turnSteps...)
+	followChain            = chain(chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesTurns), turnSteps...)
+	lookupChain            = chain(programAdmission, servesLookups, acquireSlot, confirmRunner, askRunner)
+	onceChain              = chain(recordedAdmission, servesPlain, nameOnceSession, readSession, checkOnce, refuseDraining, acquireSlot, beginOnce, confirmRunner, runOnce)
+	toolChain              = chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesPlain, checkTool, refuseDraining, acquireSlot, beginTool, confirmRunner, runOnce)
+	helperChain            = chain(recordedAdmission, servesTurns, readParent, recordHelper)
 )
 
 func markRecorded(_ context.Context, _ *Node, request *request) (any, error) {
@@ -128,20 +128,20 @@
 }
 
 func findProgram(_ context.Context, _ *Node, request *request) (any, error) {
-	terms, found := request.active.config.Programs[request.program]
-	if !found || terms.Team != request.team {
+	program, found := request.active.config.Programs[request.program]
+	if !found || program.Team != request.team {
 		return nil, apierror.New(apierror.NotFound, "the team has no program named "+strconv.Quote(request.program), "name a program of the team, or have an operator add it to the config")
 	}
-	request.programConfig = terms
+	request.programConfig = program
 	return nil, nil
 }
 
 func findKind(_ context.Context, _ *Node, request *request) (any, error) {
-	work, found := request.active.config.Kinds[request.kind]
+	workKind, found := request.active.config.Kinds[request.kind]
 	if !found {
 		return nil, apierror.New(apierror.NotFound, "no kind of work is named "+strconv.Quote(request.kind), "name a kind that the config has")
 	}
-	request.workKind = work
+	request.workKind = workKind
 	return nil, nil
 }
 
@@ -231,8 +231,8 @@
 
 // asNotRun tells a refusal that came before anything was begun.
 func asNotRun(err error) error {
-	failed := apierror.Of(err)
-	return &apierror.Error{Kind: apierror.NotRun, Message: failed.Message, Remedy: failed.Remedy, RetryAfter: max(failed.RetryAfter, time.Second)}
+	failure := apierror.Of(err)
+	return &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: failure.Remedy, RetryAfter: max(failure.RetryAfter, time.Second)}
 }
 
 // requireSession refuses a line that is not there; its program was read with it.
@@ -392,14 +392,14 @@
 // be fresh, the query allowed by the config now in force, and the runner one that
 // it may be sent to.
 func confirmRunner(ctx context.Context, node *Node, request *request) (any, error) {
-	err := node.confirm(ctx, request)
+	err := node.confirmDispatch(ctx, request)
 	if err != nil && request.begun.Seq > 0 {
 		return nil, node.recordNotRun(request, err)
 	}
 	return nil, err
 }
 
-func (node *Node) confirm(ctx context.Context, request *request) error {
+func (node *Node) confirmDispatch(ctx context.Context, request *request) error {
 	for {
 		if err := node.recheckActiveConfig(ctx, request); err != nil {
 			return err
@@ -422,8 +422,8 @@
 		return err
 	}
 	request.active = node.active.Load()
-	for _, still := range []filter{authenticate, findProgram, findKind} {
-		if _, err := still(ctx, node, request); err != nil {
+	for _, check := range []filter{authenticate, findProgram, findKind} {
+		if _, err := check(ctx, node, request); err != nil {
 			return err
 		}
 	}
@@ -467,25 +467,25 @@
 	if err == nil || errors.Is(err, errTurnLimit) {
 		return scheduler.Answered
 	}
-	failed := apierror.Of(err)
+	failure := apierror.Of(err)
 	switch {
 	case node.context.Err() != nil:
 		return scheduler.NotSent
-	case failed.Lost:
+	case failure.Lost:
 		return scheduler.Lost
-	case failed.NeverSent:
+	case failure.NeverSent:
 		return scheduler.NotSent
 	}
 	return scheduler.Faulted
 }
 
-// nextRunner takes another runner after one that provably was sent nothing.
-func (node *Node) nextRunner(ctx context.Context, request *request, failed error) error {
+// switchRunner takes another runner after one that provably was sent nothing.
+func (node *Node) switchRunner(ctx context.Context, request *request, failed error) error {
 	request.slot.Release(node.outcomeOf(failed))
 	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
 	if err != nil {
 		return err
 	}
 	request.slot = slot
-	return node.confirm(ctx, request)
+	return node.confirmDispatch(ctx, request)
 }
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -106,13 +106,13 @@
 // turn may be asked again as it is.
 func (request *request) fencedError(cause error) error {
 	request.provenNotRun = true
-	failed := apierror.Of(cause)
-	failure := &apierror.Error{Kind: apierror.NotRun, Message: failed.Message, Remedy: "ask again", RetryAfter: max(failed.RetryAfter, time.Second)}
+	failure := apierror.Of(cause)
+	notRun := &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: "ask again", RetryAfter: max(failure.RetryAfter, time.Second)}
 	if request.idempotencyKey != "" {
-		failure.Message += "; the query key is fenced off"
-		failure.Remedy = "send it under a new query key"
+		notRun.Message += "; the query key is fenced off"
+		notRun.Remedy = "send it under a new query key"
 	}
-	return failure
+	return notRun
 }
 
 // proveNotRun turns a refusal of work that is recorded into one that the record proves.
@@ -178,7 +178,7 @@
 // beginTurn records the begin. When the line went on meanwhile, by a tool, a helper
 // or another turn, it looks anew what that means for this one.
 func beginTurn(ctx context.Context, node *Node, request *request) (any, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, true)
 		if other == nil && !apierror.Is(err, apierror.Conflict) {
 			return nil, err
@@ -187,7 +187,7 @@
 		if checked != nil || answer != nil {
 			return answer, checked
 		}
-		if try == maxBeginAttempts {
+		if attempt == maxBeginAttempts {
 			return nil, apierror.NewRetryable(apierror.NotRun, "the conversation goes on faster than this turn can join it", "ask again", time.Second)
 		}
 	}
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -108,11 +108,11 @@
 	}()
 	committed := execution.commitPieces(cancel)
 	failed := <-dispatched
-	ending := node.outcomeOf(failed)
+	outcome := node.outcomeOf(failed)
 	if committed != nil {
-		ending = scheduler.NotSent // it was broken off from here
+		outcome = scheduler.NotSent // it was broken off from here
 	}
-	defer request.slot.Release(ending)
+	defer request.slot.Release(outcome)
 	execution.close(failed, committed)
 }
 
@@ -122,22 +122,22 @@
 	request, node := execution.request, execution.node
 	history := request.history.Messages(request.follows)
 	for dial := 1; ; dial++ {
-		asked := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Words: request.words, Limit: request.answerWordLimit()}
+		turn := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Words: request.words, Limit: request.answerWordLimit()}
 		began := time.Now()
-		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, asked, node.preSendCheck(request), func(words string) error {
+		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, turn, node.preSendCheck(request), func(words string) error {
 			if execution.timeToFirstPiece == 0 {
 				execution.timeToFirstPiece = time.Since(began)
 				request.slot.FirstEvent(execution.timeToFirstPiece)
 			}
-			kept, whole := execution.counter.CountUpTo(words, request.answerWordLimit())
-			if kept != "" {
+			accepted, fits := execution.counter.CountUpTo(words, request.answerWordLimit())
+			if accepted != "" {
 				select {
-				case execution.pieces <- kept:
+				case execution.pieces <- accepted:
 				case <-ctx.Done():
 					return ctx.Err()
 				}
 			}
-			if !whole {
+			if !fits {
 				return errTurnLimit
 			}
 			return nil
@@ -145,7 +145,7 @@
 		if err == nil || !apierror.Of(err).NeverSent || dial == maxDials {
 			return err
 		}
-		if node.nextRunner(ctx, request, err) != nil {
+		if node.switchRunner(ctx, request, err) != nil {
 			return err
 		}
 	}
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -37,7 +37,7 @@
 	return *optional
 }
 
-func (service workService) pass(ctx context.Context, authorization *string, request *request, chain []filter) (any, error) {
+func (service workService) runChain(ctx context.Context, authorization *string, request *request, chain []filter) (any, error) {
 	token, err := httpapi.BearerToken(authorization)
 	if err != nil {
 		return nil, err
@@ -46,8 +46,8 @@
 	return service.node.runChain(ctx, request, chain)
 }
 
-func (service workService) stream(ctx context.Context, authorization *string, request *request, chain []filter) (io.ReadCloser, error) {
-	answer, err := service.pass(ctx, authorization, request, chain)
+func (service workService) respondStream(ctx context.Context, authorization *string, request *request, chain []filter) (io.ReadCloser, error) {
+	answer, err := service.runChain(ctx, authorization, request, chain)
 	if err != nil {
 		return nil, err
 	}
@@ -57,8 +57,8 @@
 	return streaming, nil
 }
 
-func (service workService) outcome(ctx context.Context, authorization *string, request *request, chain []filter) (*work.Outcome, error) {
-	answer, err := service.pass(ctx, authorization, request, chain)
+func (service workService) respondOutcome(ctx context.Context, authorization *string, request *request, chain []filter) (*work.Outcome, error) {
+	answer, err := service.runChain(ctx, authorization, request, chain)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 
 // Start starts a conversation.
 func (service workService) Start(ctx context.Context, payload *work.StartPayload) (io.ReadCloser, error) {
-	return service.stream(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, turnChain)
+	return service.respondStream(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, turnChain)
 }
 
 // Turn follows a turn.
@@ -75,27 +75,27 @@
 	if payload.Follows == 0 {
 		return nil, apierror.New(apierror.Invalid, "follows is 0", "name the turn to follow")
 	}
-	return service.stream(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, followChain)
+	return service.respondStream(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, followChain)
 }
 
 // Tool calls a tool between turns.
 func (service workService) Tool(ctx context.Context, payload *work.ToolPayload) (*work.Outcome, error) {
-	return service.outcome(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, toolChain)
+	return service.respondOutcome(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, toolChain)
 }
 
 // Helper starts a conversation that its parent names.
 func (service workService) Helper(ctx context.Context, payload *work.HelperPayload) (io.ReadCloser, error) {
-	return service.stream(ctx, payload.Authorization, &request{parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, helperChain)
+	return service.respondStream(ctx, payload.Authorization, &request{parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, helperChain)
 }
 
 // Lookup asks what may be asked again.
 func (service workService) Lookup(ctx context.Context, payload *work.LookupPayload) (*work.Outcome, error) {
-	return service.outcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, lookupChain)
+	return service.respondOutcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, lookupChain)
 }
 
 // Once runs what may not be repeated.
 func (service workService) Once(ctx context.Context, payload *work.OncePayload) (*work.Outcome, error) {
-	return service.outcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, onceChain)
+	return service.respondOutcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, onceChain)
 }
 
 // Tail streams events after a cursor.
@@ -104,7 +104,7 @@
 	if payload.Turn != nil {
 		turn = *payload.Turn
 	}
-	return service.stream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
+	return service.respondStream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
 		if _, err := node.readAfter(ctx, call, payload.Cursor, 1); err != nil {
 			return nil, err
 		}
@@ -123,7 +123,7 @@
 
 // History reads committed events.
 func (service workService) History(ctx context.Context, payload *work.HistoryPayload) (*work.Transcript, error) {
-	answer, err := service.pass(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
+	answer, err := service.runChain(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
 		return node.readAfter(ctx, call, payload.After, payload.Limit)
 	}))
 	if err != nil {
@@ -168,7 +168,7 @@
 
 // QuotaUsage tells what a program has spent.
 func (service workService) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
-	answer, err := service.pass(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(ctx context.Context, node *Node, call *request) (any, error) {
+	answer, err := service.runChain(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(ctx context.Context, node *Node, call *request) (any, error) {
 		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 		defer cancel()
 		reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: call.quotaName(), QuotaUsage: true})
