--- /dev/null
+++ b/system/front/helper_conversations.go
@@ -0,0 +1,48 @@
+package front
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/sessionlog"
+)
+
+// readParent reads the parent's line; the turn that starts the helper must be in it.
+func readParent(ctx context.Context, node *Node, request *request) (any, error) {
+	parent := *request
+	parent.conversation = request.parent
+	if answer, err := readSession(ctx, node, &parent); answer != nil || err != nil {
+		return answer, err
+	}
+	if request.idempotencyKey == "" {
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each helper a key of its own")
+	}
+	return nil, checkFollowed(&parent)
+}
+
+// recordHelper names the helper in its parent's line, then starts it. A repeat
+// finds both.
+func recordHelper(ctx context.Context, node *Node, request *request) (any, error) {
+	helper := *request
+	helper.follows, helper.cleanups = 0, nil
+	if _, err := nameSession(ctx, node, &helper); err != nil {
+		return nil, err
+	}
+	committing, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	outcomes, err := node.stores.Command(committing, request.team+"/"+request.parent, sessionlog.Command{
+		Kind: sessionlog.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: 1,
+		Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted, Follows: request.follows, Name: helper.conversation}},
+	})
+	if err != nil {
+		return nil, asNotRun(err)
+	}
+	if outcomes[0].Status != sessionlog.Done {
+		return nil, apierror.NewRetryable(apierror.NotRun, "the parent's line refused the helper", "ask again", time.Second)
+	}
+	answer, err := node.runChain(ctx, &helper, turnChain)
+	request.provenNotRun = helper.provenNotRun
+	return answer, err
+}
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -4,10 +4,8 @@
 
 import (
 	"context"
-	"maps"
 	"math/rand/v2"
 	"net"
-	"slices"
 	"sync/atomic"
 	"time"
 
@@ -22,13 +20,10 @@
 	"yardrock.example/system/forwarding"
 	"yardrock.example/system/httpapi"
 	"yardrock.example/system/link"
-	"yardrock.example/system/placement"
 	"yardrock.example/system/runnerclient"
 	"yardrock.example/system/runnerpool"
 	"yardrock.example/system/scheduler"
 	"yardrock.example/system/storeclient"
-	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
 // Settings place a front node.
@@ -46,12 +41,6 @@
 	MaxBufferedBytes int64
 }
 
-// activeConfig is a view with its decoded config. It is replaced whole.
-type activeConfig struct {
-	view   *feed.View
-	config *config.Config
-}
-
 // Node is a running front node.
 type Node struct {
 	settings     Settings
@@ -117,57 +106,6 @@
 	return node, nil
 }
 
-// View gives the newest view held here, fresh or not.
-//
-//	view := node.View()
-func (node *Node) View() *feed.View { return node.active.Load().view }
-
-// applyView decodes a newer view's config and puts both in force.
-func (node *Node) applyView(view *feed.View) error {
-	decoded := node.active.Load().config
-	if view.ConfigNumber != node.active.Load().view.ConfigNumber || view.Fleet != node.active.Load().view.Fleet {
-		var err error
-		if decoded, err = config.Decode(view.Compiled); err != nil {
-			log.WithFields(log.Fields{"node": node.name, "number": view.Number, "error": err.Error()}).Error("config_unreadable")
-			return err
-		}
-	}
-	node.active.Store(&activeConfig{view: view, config: decoded})
-	node.updateBalancer()
-	log.WithFields(log.Fields{"node": node.name, "number": view.Number, "config": view.ConfigNumber}).Info("view applied")
-	return nil
-}
-
-// checkViewFresh tells whether the view held may be acted on.
-func (node *Node) checkViewFresh() error {
-	_, err := node.feedClient.Fresh()
-	return err
-}
-
-// awaitViewFresh is fresh for a query that can wait until the view was confirmed anew, as
-// after an outage of all control nodes.
-func (node *Node) awaitViewFresh(ctx context.Context) error {
-	_, err := node.feedClient.AwaitFresh(ctx, viewFreshTimeout)
-	return err
-}
-
-// activeRouting gives the routes in force.
-func (node *Node) activeRouting() forwarding.ActiveConfig {
-	rules := node.active.Load()
-	return forwarding.ActiveConfig{View: rules.view, Routing: rules.config.Routing, SharedPrefixes: rules.config.SharedPrefixes}
-}
-
-// updateBalancer tells the balancer what is in force and how many fronts share the runners.
-func (node *Node) updateBalancer() {
-	rules := node.active.Load()
-	if rules.config.Routing == nil {
-		return
-	}
-	fronts := *node.frontNames.Load()
-	node.balancer.Update(balancer.State{View: rules.view, Routing: rules.config.Routing, FrontCount: len(fronts), FrontName: node.name, FrontNames: fronts})
-	node.pool.Retain(rules.view.Runners)
-}
-
 // Forward carries a query to a runner by the routes in force, and its answer back.
 //
 //	err := node.Forward(ctx, query, answer)
@@ -175,115 +113,6 @@
 	return node.forwarder.Serve(ctx, request, answer)
 }
 
-// Bounds tells what callers of forwarded queries may send; all is 0 while no routes are
-// in force.
-//
-//	longest := node.Bounds().BodyBytes
-func (node *Node) Bounds() config.Bounds {
-	if routing := node.active.Load().config.Routing; routing != nil {
-		return routing.Bounds
-	}
-	return config.Bounds{}
-}
-
-// schedulerState tells the board which fronts share the runners. This one counts only
-// once it has been listed for a while, so that the others have heard of it too.
-func (node *Node) schedulerState() scheduler.State {
-	rules := node.active.Load()
-	fronts := []placement.Candidate{}
-	for _, member := range node.feedClient.Members() {
-		if member.Role == feed.RoleFront && node.hasJoined() {
-			fronts = append(fronts, placement.Candidate{Name: member.Name, Domain: member.Domain})
-		}
-	}
-	return scheduler.State{View: rules.view, Config: rules.config, Fronts: fronts}
-}
-
-// hasJoined tells whether the other fronts have had time to hear of this one.
-func (node *Node) hasJoined() bool {
-	since := node.listedSince.Load()
-	return since != nil && time.Since(*since) >= joinDelay
-}
-
-// notifyPeers lets the other fronts know that a runner looks just started, or
-// answers again. Each also finds out by itself; this only makes it sooner.
-func (node *Node) notifyPeers(address string, cooled bool) {
-	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner_noted")
-	for _, member := range node.peers() {
-		node.background.start(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
-	}
-}
-
-func (node *Node) notifyPeer(member feed.Member, note wire.RunnerWarmUpNote) {
-	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
-	defer cancel()
-	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.active.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
-		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note_not_taken")
-	}
-}
-
-func (node *Node) peers() []feed.Member {
-	return slices.DeleteFunc(slices.Clone(node.feedClient.Members()), func(member feed.Member) bool {
-		return member.Role != feed.RoleFront || member.Name == node.name
-	})
-}
-
-// watchPeers notes when this front is listed itself, and tells fronts that are new which
-// runners look just started.
-func (node *Node) watchPeers() {
-	ticker := time.NewTicker(peerPollInterval)
-	defer ticker.Stop()
-	known := map[string]bool{}
-	for {
-		select {
-		case <-ticker.C:
-		case <-node.context.Done():
-			return
-		}
-		if slices.ContainsFunc(node.feedClient.Members(), func(member feed.Member) bool { return member.Name == node.name }) {
-			node.listedSince.CompareAndSwap(nil, new(time.Now()))
-		}
-		now := map[string]bool{}
-		for _, member := range node.peers() {
-			now[member.Name] = true
-			if known[member.Name] {
-				continue
-			}
-			for _, address := range node.scheduler.SuspectedRestarts() {
-				node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: true})
-			}
-		}
-		fronts := append(slices.Collect(maps.Keys(now)), node.name)
-		slices.Sort(fronts)
-		if !slices.Equal(*node.frontNames.Swap(&fronts), fronts) {
-			node.updateBalancer()
-		}
-		known = now
-	}
-}
-
-// handleCall takes other fronts' notes, and tells other processes who this is, so that it
-// may serve as a seed.
-func (node *Node) handleCall(_ context.Context, request *wire.Query) *wire.Reply {
-	switch request.Which {
-	case schema.Query_Which_runner:
-		if fleet := node.active.Load().view.Fleet; request.Fleet != fleet {
-			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+request.Fleet+", this one to "+fleet, "correct its seeds"))
-		}
-		node.scheduler.ReportRestart(request.RunnerWarmUp.Address, request.RunnerWarmUp.WarmingUp)
-		return &wire.Reply{}
-	case schema.Query_Which_status:
-		view := node.feedClient.View()
-		out, waiting := node.scheduler.Status()
-		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
-			RunnerLoads: out, Queued: waiting,
-			Name: node.name, Role: feed.RoleFront, Address: node.settings.Address, Domain: node.settings.Domain,
-			Fleet: view.Fleet, ViewNumber: view.Number, Controls: view.Controls,
-		}}
-	}
-	return wire.ErrorReply(apierror.New(apierror.Invalid, "a front node answers only who it is, and takes notes on runners", "ask a store or control node"))
-}
-
 // Name is the node's name, made anew at each start.
 //
 //	name := node.Name()
--- /dev/null
+++ b/system/front/node_peers.go
@@ -0,0 +1,115 @@
+package front
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/apex/log"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/feed"
+	"yardrock.example/system/placement"
+	"yardrock.example/system/scheduler"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+// notifyPeers lets the other fronts know that a runner looks just started, or
+// answers again. Each also finds out by itself; this only makes it sooner.
+func (node *Node) notifyPeers(address string, cooled bool) {
+	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner_noted")
+	for _, member := range node.peers() {
+		node.background.start(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
+	}
+}
+
+func (node *Node) notifyPeer(member feed.Member, note wire.RunnerWarmUpNote) {
+	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
+	defer cancel()
+	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.active.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
+		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note_not_taken")
+	}
+}
+
+func (node *Node) peers() []feed.Member {
+	return slices.DeleteFunc(slices.Clone(node.feedClient.Members()), func(member feed.Member) bool {
+		return member.Role != feed.RoleFront || member.Name == node.name
+	})
+}
+
+// watchPeers notes when this front is listed itself, and tells fronts that are new which
+// runners look just started.
+func (node *Node) watchPeers() {
+	ticker := time.NewTicker(peerPollInterval)
+	defer ticker.Stop()
+	known := map[string]bool{}
+	for {
+		select {
+		case <-ticker.C:
+		case <-node.context.Done():
+			return
+		}
+		if slices.ContainsFunc(node.feedClient.Members(), func(member feed.Member) bool { return member.Name == node.name }) {
+			node.listedSince.CompareAndSwap(nil, new(time.Now()))
+		}
+		now := map[string]bool{}
+		for _, member := range node.peers() {
+			now[member.Name] = true
+			if known[member.Name] {
+				continue
+			}
+			for _, address := range node.scheduler.SuspectedRestarts() {
+				node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: true})
+			}
+		}
+		fronts := append(slices.Collect(maps.Keys(now)), node.name)
+		slices.Sort(fronts)
+		if !slices.Equal(*node.frontNames.Swap(&fronts), fronts) {
+			node.updateBalancer()
+		}
+		known = now
+	}
+}
+
+// schedulerState tells the board which fronts share the runners. This one counts only
+// once it has been listed for a while, so that the others have heard of it too.
+func (node *Node) schedulerState() scheduler.State {
+	rules := node.active.Load()
+	fronts := []placement.Candidate{}
+	for _, member := range node.feedClient.Members() {
+		if member.Role == feed.RoleFront && node.hasJoined() {
+			fronts = append(fronts, placement.Candidate{Name: member.Name, Domain: member.Domain})
+		}
+	}
+	return scheduler.State{View: rules.view, Config: rules.config, Fronts: fronts}
+}
+
+// hasJoined tells whether the other fronts have had time to hear of this one.
+func (node *Node) hasJoined() bool {
+	since := node.listedSince.Load()
+	return since != nil && time.Since(*since) >= joinDelay
+}
+
+// handleCall takes other fronts' notes, and tells other processes who this is, so that it
+// may serve as a seed.
+func (node *Node) handleCall(_ context.Context, request *wire.Query) *wire.Reply {
+	switch request.Which {
+	case schema.Query_Which_runner:
+		if fleet := node.active.Load().view.Fleet; request.Fleet != fleet {
+			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+request.Fleet+", this one to "+fleet, "correct its seeds"))
+		}
+		node.scheduler.ReportRestart(request.RunnerWarmUp.Address, request.RunnerWarmUp.WarmingUp)
+		return &wire.Reply{}
+	case schema.Query_Which_status:
+		view := node.feedClient.View()
+		out, waiting := node.scheduler.Status()
+		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
+			RunnerLoads: out, Queued: waiting,
+			Name: node.name, Role: feed.RoleFront, Address: node.settings.Address, Domain: node.settings.Domain,
+			Fleet: view.Fleet, ViewNumber: view.Number, Controls: view.Controls,
+		}}
+	}
+	return wire.ErrorReply(apierror.New(apierror.Invalid, "a front node answers only who it is, and takes notes on runners", "ask a store or control node"))
+}
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"strings"
 	"time"
 
 	"github.com/apex/log"
@@ -11,6 +12,7 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/runnerclient"
 	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/wire"
 )
 
 func (request *request) plainRequest() runnerclient.PlainRequest {
@@ -98,3 +100,81 @@
 		return nil, apierror.New(apierror.Unknown, "whether the work ran is not known: "+ended.Name, "find out at its receiver; it is never sent again under this query key")
 	}
 }
+
+// checkOnce answers a repeated query key with what was recorded.
+func checkOnce(ctx context.Context, node *Node, request *request) (any, error) {
+	request.producer = strings.Join([]string{request.program, "once", request.idempotencyKey}, "/")
+	return node.answerIfRecorded(ctx, request)
+}
+
+func checkTool(ctx context.Context, node *Node, request *request) (any, error) {
+	if request.idempotencyKey == "" {
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each tool call a key of its own")
+	}
+	if err := checkFollowed(request); err != nil {
+		return nil, err
+	}
+	request.producer = strings.Join([]string{request.program, "tool", request.idempotencyKey}, "/")
+	return node.answerIfRecorded(ctx, request)
+}
+
+func (node *Node) answerIfRecorded(ctx context.Context, request *request) (any, error) {
+	if event, found := request.history.StartByProducer(request.producer); found {
+		return node.answerRepeat(ctx, request, event)
+	}
+	return nil, nil
+}
+
+func beginOnce(ctx context.Context, node *Node, request *request) (any, error) {
+	return node.beginPlainWork(ctx, request, sessionlog.TurnBegun)
+}
+
+func beginTool(ctx context.Context, node *Node, request *request) (any, error) {
+	return node.beginPlainWork(ctx, request, sessionlog.ToolCalled)
+}
+
+func (node *Node) beginPlainWork(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
+	other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, false)
+	if err != nil {
+		return nil, err
+	}
+	if other != nil {
+		return node.answerRepeat(ctx, request, *other)
+	}
+	return nil, nil
+}
+
+// answerRepeat waits for the recorded outcome of work that another query began.
+func (node *Node) answerRepeat(ctx context.Context, request *request, begun sessionlog.Event) (any, error) {
+	if begun.Digest != request.digest() {
+		return nil, apierror.New(apierror.Conflict, "the query key was used with another body", "use a new query key for other work")
+	}
+	if begun.Kind == sessionlog.Fenced {
+		return nil, request.fencedEarlierError()
+	}
+	after := begun.Seq
+	for wait := time.Duration(0); ; wait = tailPollTimeout {
+		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
+		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: request.sessionName(), After: after, Wait: wait})
+		cancel()
+		if err != nil {
+			return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
+		}
+		for _, event := range reply.Events {
+			after = event.Seq
+			if event.Turn == begun.Seq && event.Kind == sessionlog.ClosingKind(begun.Kind) {
+				return node.recordedAnswer(request, event, true)
+			}
+		}
+		owner := node.ownerLiveness(ctx, begun)
+		switch {
+		case reply.Clock > begun.Deadline || owner == confirmedDead:
+			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeUnknown); err != nil {
+				return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
+			}
+		case owner == unreachable:
+			// It may only be frozen, and still record what came of the work.
+			return nil, apierror.NewRetryable(apierror.Unknown, "the work began at a node that is not heard of; its outcome is not recorded yet", "ask again with the same query key", 2*time.Second)
+		}
+	}
+}
--- /dev/null
+++ b/system/front/runner_slot.go
@@ -0,0 +1,117 @@
+package front
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/scheduler"
+)
+
+func acquireSlot(ctx context.Context, node *Node, request *request) (any, error) {
+	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
+	if err != nil {
+		return nil, err
+	}
+	request.slot = slot
+	request.cleanups = append(request.cleanups, func() { request.slot.Release(scheduler.NotSent) })
+	return nil, nil
+}
+
+// confirmRunner looks once more, just before the first byte: the view must still
+// be fresh, the query allowed by the config now in force, and the runner one that
+// it may be sent to.
+func confirmRunner(ctx context.Context, node *Node, request *request) (any, error) {
+	err := node.confirmDispatch(ctx, request)
+	if err != nil && request.begun.Seq > 0 {
+		return nil, node.recordNotRun(request, err)
+	}
+	return nil, err
+}
+
+func (node *Node) confirmDispatch(ctx context.Context, request *request) error {
+	for {
+		if err := node.recheckActiveConfig(ctx, request); err != nil {
+			return err
+		}
+		if request.runnerUsable() {
+			return nil
+		}
+		request.slot.Release(scheduler.NotSent)
+		slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
+		if err != nil {
+			return err
+		}
+		request.slot = slot
+	}
+}
+
+// recheckActiveConfig judges the query by the config now in force, if that is known.
+func (node *Node) recheckActiveConfig(ctx context.Context, request *request) error {
+	if _, err := node.feedClient.Fresh(); err != nil {
+		return err
+	}
+	request.active = node.active.Load()
+	for _, check := range []filter{authenticate, findProgram, findKind} {
+		if _, err := check(ctx, node, request); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// runnerUsable tells whether the chosen runner may still get the query.
+func (request *request) runnerUsable() bool {
+	weighed := request.active.config.Tables[request.workKind.Table][request.slot.Group] > 0
+	return weighed && scheduler.Usable(request.active.view, request.slot.Runner)
+}
+
+// preSendCheck is what the first byte waits for: the dial may have been slow, or this
+// process frozen, since the runner was chosen. It works on a copy, as the library
+// may ask it after the query was given up.
+func (node *Node) preSendCheck(request *request) runnerclient.PreSendCheck {
+	chosen := *request
+	return func() error {
+		now := chosen
+		if err := node.recheckActiveConfig(node.context, &now); err != nil {
+			return err
+		}
+		if chosen.reservation != "" && time.Since(chosen.reservedAt) > reservationDispatchWindow {
+			return apierror.NewRetryable(apierror.NotRun, "the reservation of words was not used in time", "ask again", time.Second)
+		}
+		if now.workKind != chosen.workKind || now.programConfig != chosen.programConfig || !now.runnerUsable() {
+			return apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", time.Second)
+		}
+		return nil
+	}
+}
+
+// outcomeOf tells what a failure says about the runner.
+func (node *Node) outcomeOf(err error) scheduler.Outcome {
+	if err == nil || errors.Is(err, errTurnLimit) {
+		return scheduler.Answered
+	}
+	failure := apierror.Of(err)
+	switch {
+	case node.context.Err() != nil:
+		return scheduler.NotSent
+	case failure.Lost:
+		return scheduler.Lost
+	case failure.NeverSent:
+		return scheduler.NotSent
+	}
+	return scheduler.Faulted
+}
+
+// switchRunner takes another runner after one that provably was sent nothing.
+func (node *Node) switchRunner(ctx context.Context, request *request, failed error) error {
+	request.slot.Release(node.outcomeOf(failed))
+	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
+	if err != nil {
+		return err
+	}
+	request.slot = slot
+	return node.confirmDispatch(ctx, request)
+}
--- /dev/null
+++ b/system/front/session_reading.go
@@ -0,0 +1,107 @@
+package front
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/google/uuid"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/conversation"
+	"yardrock.example/system/wire"
+)
+
+func fingerprint(parts ...string) string {
+	sum := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
+	return hex.EncodeToString(sum[:16])
+}
+
+func (request *request) digest() string {
+	return fingerprint(request.kind, request.words, request.idempotencyKey)
+}
+
+// sessionName is the conversation's name with its team, so that no team can name
+// another's.
+func (request *request) sessionName() string { return request.team + "/" + request.conversation }
+
+// nameSession names a new conversation by its query key, if it has one, so that a
+// repeat on any front finds the same line.
+func nameSession(_ context.Context, _ *Node, request *request) (any, error) {
+	switch {
+	case request.conversation != "":
+	case request.idempotencyKey != "":
+		request.conversation = "c-" + fingerprint(request.team, request.program, request.parent, request.idempotencyKey)
+	default:
+		request.conversation = "c-" + uuid.NewString()
+		request.newlyNamed = true
+	}
+	return nil, nil
+}
+
+func nameOnceSession(_ context.Context, _ *Node, request *request) (any, error) {
+	if request.idempotencyKey == "" {
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each piece of work a key of its own")
+	}
+	request.conversation = "q-" + fingerprint(request.team, request.program, request.idempotencyKey)
+	return nil, nil
+}
+
+// readSession reads all events of the line by a quorum read, unless the line was
+// named only now.
+func readSession(ctx context.Context, node *Node, request *request) (any, error) {
+	if request.newlyNamed {
+		request.history, request.newlyNamed = conversation.Fold(nil), false
+		return nil, nil
+	}
+	reading, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	events, last, err := node.stores.ReadAll(reading, request.sessionName())
+	if apierror.Is(err, apierror.NotFound) {
+		request.history = conversation.Fold(nil)
+		if request.follows > 0 {
+			return nil, apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
+		}
+		return nil, nil
+	}
+	if err != nil {
+		return nil, asNotRun(err)
+	}
+	request.history, request.sessionExists = conversation.Fold(events), true
+	request.history.Clock = last.Clock
+	if request.program == "" {
+		request.program = last.Session.Program
+	}
+	return nil, nil
+}
+
+// asNotRun tells a refusal that came before anything was begun.
+func asNotRun(err error) error {
+	failure := apierror.Of(err)
+	return &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: failure.Remedy, RetryAfter: max(failure.RetryAfter, time.Second)}
+}
+
+// requireSession refuses a line that is not there; its program was read with it.
+func requireSession(_ context.Context, _ *Node, request *request) (any, error) {
+	if !request.sessionExists {
+		return nil, apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
+	}
+	return nil, nil
+}
+
+// readAfter reads a page of a line; a cursor beyond its end is refused.
+func (node *Node) readAfter(ctx context.Context, request *request, after, limit uint64) (*wire.ReadReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: request.sessionName(), After: after, Limit: limit})
+	if err != nil {
+		return nil, err
+	}
+	if after > reply.Session.Head {
+		return nil, apierror.New(apierror.Invalid, "the cursor is beyond the last event "+strconv.FormatUint(reply.Session.Head, 10), "read from a seq that was given out")
+	}
+	return reply, nil
+}
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"strconv"
-	"strings"
 	"time"
 
 	"yardrock.example/system/apierror"
@@ -172,101 +171,3 @@
 	_, err := node.stores.Command(ctx, name, sessionlog.CloseOverdue(begun, outcome))
 	return err
 }
-
-const maxBeginAttempts = 4
-
-// beginTurn records the begin. When the line went on meanwhile, by a tool, a helper
-// or another turn, it looks anew what that means for this one.
-func beginTurn(ctx context.Context, node *Node, request *request) (any, error) {
-	for attempt := 1; ; attempt++ {
-		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, true)
-		if other == nil && !apierror.Is(err, apierror.Conflict) {
-			return nil, err
-		}
-		answer, checked := rereadAndCheckTurn(ctx, node, request)
-		if checked != nil || answer != nil {
-			return answer, checked
-		}
-		if attempt == maxBeginAttempts {
-			return nil, apierror.NewRetryable(apierror.NotRun, "the conversation goes on faster than this turn can join it", "ask again", time.Second)
-		}
-	}
-}
-
-// checkOnce answers a repeated query key with what was recorded.
-func checkOnce(ctx context.Context, node *Node, request *request) (any, error) {
-	request.producer = strings.Join([]string{request.program, "once", request.idempotencyKey}, "/")
-	return node.answerIfRecorded(ctx, request)
-}
-
-func checkTool(ctx context.Context, node *Node, request *request) (any, error) {
-	if request.idempotencyKey == "" {
-		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each tool call a key of its own")
-	}
-	if err := checkFollowed(request); err != nil {
-		return nil, err
-	}
-	request.producer = strings.Join([]string{request.program, "tool", request.idempotencyKey}, "/")
-	return node.answerIfRecorded(ctx, request)
-}
-
-func (node *Node) answerIfRecorded(ctx context.Context, request *request) (any, error) {
-	if event, found := request.history.StartByProducer(request.producer); found {
-		return node.answerRepeat(ctx, request, event)
-	}
-	return nil, nil
-}
-
-func beginOnce(ctx context.Context, node *Node, request *request) (any, error) {
-	return node.beginPlainWork(ctx, request, sessionlog.TurnBegun)
-}
-
-func beginTool(ctx context.Context, node *Node, request *request) (any, error) {
-	return node.beginPlainWork(ctx, request, sessionlog.ToolCalled)
-}
-
-func (node *Node) beginPlainWork(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
-	other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, false)
-	if err != nil {
-		return nil, err
-	}
-	if other != nil {
-		return node.answerRepeat(ctx, request, *other)
-	}
-	return nil, nil
-}
-
-// answerRepeat waits for the recorded outcome of work that another query began.
-func (node *Node) answerRepeat(ctx context.Context, request *request, begun sessionlog.Event) (any, error) {
-	if begun.Digest != request.digest() {
-		return nil, apierror.New(apierror.Conflict, "the query key was used with another body", "use a new query key for other work")
-	}
-	if begun.Kind == sessionlog.Fenced {
-		return nil, request.fencedEarlierError()
-	}
-	after := begun.Seq
-	for wait := time.Duration(0); ; wait = tailPollTimeout {
-		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
-		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: request.sessionName(), After: after, Wait: wait})
-		cancel()
-		if err != nil {
-			return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
-		}
-		for _, event := range reply.Events {
-			after = event.Seq
-			if event.Turn == begun.Seq && event.Kind == sessionlog.ClosingKind(begun.Kind) {
-				return node.recordedAnswer(request, event, true)
-			}
-		}
-		owner := node.ownerLiveness(ctx, begun)
-		switch {
-		case reply.Clock > begun.Deadline || owner == confirmedDead:
-			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeUnknown); err != nil {
-				return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
-			}
-		case owner == unreachable:
-			// It may only be frozen, and still record what came of the work.
-			return nil, apierror.NewRetryable(apierror.Unknown, "the work began at a node that is not heard of; its outcome is not recorded yet", "ask again with the same query key", 2*time.Second)
-		}
-	}
-}
--- /dev/null
+++ b/system/front/word_quota.go
@@ -0,0 +1,78 @@
+package front
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/conversation"
+	"yardrock.example/system/sessionlog"
+)
+
+func (request *request) quotaName() string {
+	return sessionlog.QuotaName(request.team, request.program, request.programConfig.Period)
+}
+
+// reserveWords reserves the new words and the longest answer before anything is
+// dispatched. If the answer to that is lost, it is settled at once, so that it can't
+// come to count later. What a front that died leaves, the stores settle.
+func reserveWords(ctx context.Context, node *Node, request *request) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	request.dispatchID = node.newDispatchID()
+	request.reservedWords = request.programConfig.TurnLimit
+	request.reservation, request.reservedAt = sessionlog.ReservationName(request.sessionName(), request.dispatchID), time.Now()
+	outcomes, err := node.stores.Command(ctx, request.quotaName(), sessionlog.Command{
+		Kind: sessionlog.Reserve, Reservation: request.reservation, Words: conversation.CountWords(request.words) + request.reservedWords, Quota: request.programConfig.Quota,
+		Lifetime: reservationDispatchWindow + time.Duration(request.workKind.Timeout) + deadlineMargin + reservationMargin,
+	})
+	request.cleanups = append(request.cleanups, func() { node.settle(request, 0) })
+	if err != nil {
+		return nil, asNotRun(err)
+	}
+	switch outcomes[0].Status {
+	case sessionlog.Done:
+		return nil, nil
+	case sessionlog.QuotaExceeded:
+		request.reservation = ""
+		return nil, apierror.New(apierror.QuotaExhausted, "program "+request.program+" has "+strconv.FormatUint(outcomes[0].Spent, 10)+" words spent and "+strconv.FormatUint(outcomes[0].Reserved, 10)+" out, of "+strconv.FormatUint(request.programConfig.Quota, 10),
+			"wait for the turns under way, or have an operator raise the allowance")
+	}
+	request.reservation = ""
+	return nil, apierror.NewRetryable(apierror.NotRun, "the reservation came too late", "ask again", time.Second)
+}
+
+// settle books what a turn used; it is tried until it lasts or timeout ends, and
+// what stays unsettled goes on counting as spent.
+func (node *Node) settle(request *request, words uint64) {
+	name, reservation := request.quotaName(), request.reservation
+	if reservation == "" {
+		return
+	}
+	request.reservation = ""
+	node.background.start(func() {
+		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
+		defer cancel()
+		for ctx.Err() == nil {
+			if _, err := node.stores.Command(ctx, name, sessionlog.Command{Kind: sessionlog.Settle, Reservation: reservation, Words: words}); err == nil {
+				return
+			}
+			awaitRetry(ctx)
+		}
+	})
+}
+
+// answerWordLimit is how many words the answer may hold: by the config in force, but never
+// more than was reserved under the one before.
+func (request *request) answerWordLimit() uint64 {
+	return min(request.reservedWords, request.programConfig.TurnLimit)
+}
+
+// awaitRetry keeps what is tried again in the background from doing so at once.
+func awaitRetry(ctx context.Context) {
+	select {
+	case <-time.After(backgroundRetryInterval):
+	case <-ctx.Done():
+	}
+}
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -5,7 +5,6 @@
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
 
 	goahttp "goa.design/goa/v3/http"
@@ -152,20 +151,6 @@
 	return record
 }
 
-// readAfter reads a page of a line; a cursor beyond its end is refused.
-func (node *Node) readAfter(ctx context.Context, request *request, after, limit uint64) (*wire.ReadReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
-	defer cancel()
-	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: request.sessionName(), After: after, Limit: limit})
-	if err != nil {
-		return nil, err
-	}
-	if after > reply.Session.Head {
-		return nil, apierror.New(apierror.Invalid, "the cursor is beyond the last event "+strconv.FormatUint(reply.Session.Head, 10), "read from a seq that was given out")
-	}
-	return reply, nil
-}
-
 // QuotaUsage tells what a program has spent.
 func (service workService) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
 	answer, err := service.runChain(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(ctx context.Context, node *Node, call *request) (any, error) {
@@ -182,41 +167,3 @@
 	}
 	return answer.(*work.TallyResult), nil
 }
-
-// readParent reads the parent's line; the turn that starts the helper must be in it.
-func readParent(ctx context.Context, node *Node, request *request) (any, error) {
-	parent := *request
-	parent.conversation = request.parent
-	if answer, err := readSession(ctx, node, &parent); answer != nil || err != nil {
-		return answer, err
-	}
-	if request.idempotencyKey == "" {
-		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each helper a key of its own")
-	}
-	return nil, checkFollowed(&parent)
-}
-
-// recordHelper names the helper in its parent's line, then starts it. A repeat
-// finds both.
-func recordHelper(ctx context.Context, node *Node, request *request) (any, error) {
-	helper := *request
-	helper.follows, helper.cleanups = 0, nil
-	if _, err := nameSession(ctx, node, &helper); err != nil {
-		return nil, err
-	}
-	committing, cancel := context.WithTimeout(ctx, commitTimeout)
-	defer cancel()
-	outcomes, err := node.stores.Command(committing, request.team+"/"+request.parent, sessionlog.Command{
-		Kind: sessionlog.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: 1,
-		Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted, Follows: request.follows, Name: helper.conversation}},
-	})
-	if err != nil {
-		return nil, asNotRun(err)
-	}
-	if outcomes[0].Status != sessionlog.Done {
-		return nil, apierror.NewRetryable(apierror.NotRun, "the parent's line refused the helper", "ask again", time.Second)
-	}
-	answer, err := node.runChain(ctx, &helper, turnChain)
-	request.provenNotRun = helper.provenNotRun
-	return answer, err
-}
