--- a/system/front/active_config.go
+++ b/system/front/active_config.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"github.com/apex/log"
 
@@ -11,24 +12,30 @@
 	"yardrock.example/system/forwarding"
 )
 
-// activeConfig is a view with its decoded config. It is replaced whole.
+// viewFreshTimeout is how long after its view was fresh last, or after its start, a front
+// lets requests wait for a fresh view rather than reject them.
+const viewFreshTimeout = 1500 * time.Millisecond
+
+// activeConfig is a view with its decoded configuration. It is immutable; a newer one
+// replaces it as a whole.
 type activeConfig struct {
 	view   *feed.View
 	config *config.Config
 }
 
-// View gives the newest view held here, fresh or not.
+// View returns the newest view that the node has, fresh or not.
 //
 //	view := node.View()
 func (node *Node) View() *feed.View { return node.active.Load().view }
 
-// applyView decodes a newer view's config and puts both in force.
+// applyView decodes a newer view's configuration and puts both in force. An error leaves
+// the earlier ones in force; the feed client tries the view again.
 func (node *Node) applyView(view *feed.View) error {
 	decoded := node.active.Load().config
 	if view.ConfigNumber != node.active.Load().view.ConfigNumber || view.Fleet != node.active.Load().view.Fleet {
 		var err error
 		if decoded, err = config.Decode(view.Compiled); err != nil {
-			log.WithFields(log.Fields{"node": node.name, "number": view.Number, "error": err.Error()}).Error("config_unreadable")
+			log.WithFields(log.Fields{"node": node.name, "number": view.Number, "error": err.Error()}).Error("configuration of a view is unreadable")
 			return err
 		}
 	}
@@ -38,26 +45,27 @@
 	return nil
 }
 
-// checkViewFresh tells whether the view held may be acted on.
+// checkViewFresh returns an error while the view is too old to be acted on.
 func (node *Node) checkViewFresh() error {
 	_, err := node.feedClient.Fresh()
 	return err
 }
 
-// awaitViewFresh is fresh for a query that can wait until the view was confirmed anew, as
-// after an outage of all control nodes.
+// awaitViewFresh is checkViewFresh for a request that can wait until the view is confirmed
+// again, as after an outage of all control nodes.
 func (node *Node) awaitViewFresh(ctx context.Context) error {
 	_, err := node.feedClient.AwaitFresh(ctx, viewFreshTimeout)
 	return err
 }
 
-// activeRouting gives the routes in force.
+// activeRouting returns the part of the configuration in force that forwarding needs.
 func (node *Node) activeRouting() forwarding.ActiveConfig {
 	rules := node.active.Load()
 	return forwarding.ActiveConfig{View: rules.view, Routing: rules.config.Routing, SharedPrefixes: rules.config.SharedPrefixes}
 }
 
-// updateBalancer tells the balancer what is in force and how many fronts share the runners.
+// updateBalancer gives the balancer the configuration in force and the fronts that share
+// the runners, and closes connections to runners that are no longer listed.
 func (node *Node) updateBalancer() {
 	rules := node.active.Load()
 	if rules.config.Routing == nil {
@@ -68,10 +76,10 @@
 	node.pool.Retain(rules.view.Runners)
 }
 
-// Bounds tells what callers of forwarded queries may send; all is 0 while no routes are
-// in force.
+// Bounds returns the limits for callers of forwarded requests; all fields are 0 while no
+// routes are in force.
 //
-//	longest := node.Bounds().BodyBytes
+//	maxBody := node.Bounds().BodyBytes
 func (node *Node) Bounds() config.Bounds {
 	if routing := node.active.Load().config.Routing; routing != nil {
 		return routing.Bounds
--- a/system/front/event_buffer.go
+++ b/system/front/event_buffer.go
@@ -7,8 +7,7 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// journal holds the committed events of one run, in memory, for those who stream
-// it. It only grows.
+// eventBuffer has the committed events of one run for those who stream it. It only grows.
 type eventBuffer struct {
 	mutex  sync.Mutex
 	events []sessionlog.Event
@@ -17,8 +16,10 @@
 	grown  chan struct{}
 }
 
+// newEventBuffer makes an empty buffer.
 func newEventBuffer() *eventBuffer { return &eventBuffer{grown: make(chan struct{})} }
 
+// append adds events and wakes all readers; ended means that these are the last.
 func (buffer *eventBuffer) append(failed error, ended bool, events ...sessionlog.Event) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
@@ -28,7 +29,8 @@
 	buffer.grown = make(chan struct{})
 }
 
-// after waits for events beyond a place.
+// after returns the events beyond an offset and whether they are the last, and waits for
+// one or the other. An error comes only with the end.
 func (buffer *eventBuffer) after(ctx context.Context, offset int) ([]sessionlog.Event, bool, error) {
 	for {
 		buffer.mutex.Lock()
--- a/system/front/event_stream.go
+++ b/system/front/event_stream.go
@@ -15,63 +15,93 @@
 	"yardrock.example/system/wire"
 )
 
-// tail streams committed events of a line after a cursor, from the stores. With a
-// turn it streams only that turn and stops at its end; it reads the turn from its
+// tailPollTimeout is how long one read at the stores waits for new events.
+const tailPollTimeout = time.Second
+
+// tail streams committed events of a session after a cursor, from the stores. With a turn
+// other than 0 it streams only that turn and stops at its end; it reads the turn from its
 // beginning, wherever the cursor is, so that it knows its deadline and its end.
 func (node *Node) tail(name, conversationName string, cursor, turn uint64) *eventStream {
-	reached := cursor
+	reader := &tailReader{node: node, sessionName: name, cursor: cursor, turn: turn, reached: cursor}
 	if turn != 0 {
-		reached = turn - 1
+		reader.reached = turn - 1
+	}
+	return &eventStream{conversation: conversationName, turn: turn, next: reader.next}
+}
+
+// tailReader reads a session page by page for one stream.
+type tailReader struct {
+	node        *Node
+	sessionName string
+	// cursor is the seq after which events are returned; turn is as in tail.
+	cursor uint64
+	turn   uint64
+	// reached is the seq up to which the session was read; begun is the turn's first event.
+	reached uint64
+	begun   sessionlog.Event
+	// wait is how long the next read waits for new events: the first one does not.
+	wait time.Duration
+}
+
+// next returns the events of the next page and whether the stream ends with them. It closes
+// the turn if that is overdue or its owner seems dead.
+func (reader *tailReader) next(ctx context.Context) ([]sessionlog.Event, bool, error) {
+	waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
+	defer cancel()
+	reply, err := reader.node.stores.Read(waiting, wire.ReadQuery{Session: reader.sessionName, After: reader.reached, Limit: storeclient.MaxEventsPerPage, Wait: reader.wait})
+	if err != nil {
+		return nil, true, err
 	}
-	var begun sessionlog.Event
-	wait := time.Duration(0)
-	return &eventStream{conversation: conversationName, turn: turn, next: func(ctx context.Context) ([]sessionlog.Event, bool, error) {
-		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
-		defer cancel()
-		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: name, After: reached, Limit: storeclient.MaxEventsPerPage, Wait: wait})
-		if err != nil {
-			return nil, true, err
+	reader.wait = tailPollTimeout
+	found, ended := reader.take(reply.Events)
+	silent := len(reply.Events) == 0 && reader.turn != 0 && !ended
+	if silent && (reply.Clock > reader.begun.Deadline || reader.node.ownerPresumedDead(ctx, reader.begun)) {
+		if err := reader.node.closeOverdueRun(ctx, reader.sessionName, reader.begun, sessionlog.OutcomeCut); err != nil {
+			return found, true, err
 		}
-		wait = tailPollTimeout
-		found, ended := []sessionlog.Event{}, false
-		for _, event := range reply.Events {
-			reached = event.Seq
-			if turn != 0 && event.Turn != turn {
-				continue
-			}
-			if event.Kind == sessionlog.TurnBegun {
-				begun = event
-			}
-			ended = ended || (turn != 0 && event.Kind == sessionlog.TurnEnded)
-			if event.Seq > cursor || ended {
-				found = append(found, event)
-			}
+	}
+	return found, ended, nil
+}
+
+// take advances over a page and returns those of its events that belong to the stream, and
+// whether the turn ends with them. The turn's end is returned even before the cursor, as
+// the stream ends with it.
+func (reader *tailReader) take(page []sessionlog.Event) (found []sessionlog.Event, ended bool) {
+	found = []sessionlog.Event{}
+	for _, event := range page {
+		reader.reached = event.Seq
+		if reader.turn != 0 && event.Turn != reader.turn {
+			continue
 		}
-		silent := len(reply.Events) == 0 && turn != 0 && !ended
-		if silent && (reply.Clock > begun.Deadline || node.ownerPresumedDead(ctx, begun)) {
-			if err := node.closeOverdueRun(ctx, name, begun, sessionlog.OutcomeCut); err != nil {
-				return found, true, err
-			}
+		if event.Kind == sessionlog.TurnBegun {
+			reader.begun = event
+		}
+		ended = ended || (reader.turn != 0 && event.Kind == sessionlog.TurnEnded)
+		if event.Seq > reader.cursor || ended {
+			found = append(found, event)
 		}
-		return found, ended, nil
-	}}
+	}
+	return found, ended
 }
 
-// eventStream writes events as one JSON object a line. It ends with an explicit mark,
-// or with a failure in the same form.
+// eventStream writes events as one JSON object a line. It ends with an explicit mark, or
+// with an error in the same form.
 type eventStream struct {
 	conversation string
 	turn         uint64
-	next         func(ctx context.Context) ([]sessionlog.Event, bool, error)
-	context      context.Context
+	// next returns the next events and whether they are the last; it waits for some.
+	next func(ctx context.Context) ([]sessionlog.Event, bool, error)
+	// context is the caller's; it is set before WriteTo, which has no parameter for it.
+	context context.Context
 }
 
-// Read is never used: goa calls WriteTo.
-func (stream *eventStream) Read([]byte) (int, error) { return 0, io.EOF }
+// Read is never called, as goa prefers WriteTo.
+func (*eventStream) Read([]byte) (int, error) { return 0, io.EOF }
 
-// Close has nothing to give back.
-func (stream *eventStream) Close() error { return nil }
+// Close has nothing to release.
+func (*eventStream) Close() error { return nil }
 
+// streamRecord is one line of a stream.
 type streamRecord struct {
 	Conversation string `json:"conversation,omitempty"`
 	Turn         uint64 `json:"turn,omitempty"`
@@ -87,12 +117,13 @@
 	Remedy       string `json:"remedy,omitempty"`
 }
 
+// eventNames are the names of the kinds of events on the interface.
 var eventNames = map[sessionlog.EventKind]string{
 	sessionlog.TurnBegun: "turn_begun", sessionlog.OutputPart: "piece", sessionlog.TurnEnded: "turn_ended", sessionlog.ToolCalled: "tool_called",
 	sessionlog.ToolAnswered: "tool_answered", sessionlog.HelperStarted: "helper_started", sessionlog.Fenced: "fenced",
 }
 
-// WriteTo streams until the end mark, a failure or the caller's leaving.
+// WriteTo streams until the end mark, an error, or the end of the caller's context.
 func (stream *eventStream) WriteTo(target io.Writer) (int64, error) {
 	ctx := stream.context
 	written := int64(0)
@@ -101,7 +132,7 @@
 		controller := http.NewResponseController(writer)
 		flush = func() {
 			if err := controller.Flush(); err != nil && ctx.Err() == nil {
-				log.WithField("error", err.Error()).Debug("flush_failed")
+				log.WithField("error", err.Error()).Debug("stream not flushed to the caller")
 			}
 		}
 	}
@@ -128,6 +159,7 @@
 	}
 }
 
+// toStreamRecord converts an event to its line.
 func toStreamRecord(event sessionlog.Event) streamRecord {
 	record := streamRecord{Seq: event.Seq, Event: eventNames[event.Kind], Turn: event.Turn, Follows: event.Follows, Name: event.Name, Words: event.Text}
 	if event.Kind == sessionlog.TurnEnded {
@@ -136,11 +168,13 @@
 	return record
 }
 
+// countingWriter counts the bytes that it writes.
 type countingWriter struct {
 	target io.Writer
 	count  *int64
 }
 
+// Write writes and counts.
 func (writer countingWriter) Write(data []byte) (int, error) {
 	written, err := writer.target.Write(data)
 	*writer.count += int64(written)
--- a/system/front/filters.go
+++ b/system/front/filters.go
@@ -9,18 +9,21 @@
 	"yardrock.example/system/config"
 )
 
+// markRecorded marks a request whose work is recorded in a session log.
 func markRecorded(_ context.Context, _ *Node, request *request) (any, error) {
 	request.recorded = true
 	return nil, nil
 }
 
-func refuseDraining(_ context.Context, node *Node, _ *request) (any, error) {
+// rejectDraining rejects a request while the node drains.
+func rejectDraining(_ context.Context, node *Node, _ *request) (any, error) {
 	if node.draining.Load() {
 		return nil, apierror.NewRetryable(apierror.NotRun, "this node is going away", "ask at another node", time.Second)
 	}
 	return nil, nil
 }
 
+// requireFreshView takes the configuration in force, if the view is fresh.
 func requireFreshView(_ context.Context, node *Node, request *request) (any, error) {
 	if _, err := node.feedClient.Fresh(); err != nil {
 		return nil, err
@@ -29,6 +32,7 @@
 	return nil, nil
 }
 
+// authenticate finds the team that the bearer token belongs to.
 func authenticate(_ context.Context, _ *Node, request *request) (any, error) {
 	team, known := config.PrincipalByToken(request.active.config.Teams, request.token)
 	if !known {
@@ -38,6 +42,7 @@
 	return nil, nil
 }
 
+// findProgram finds the configuration of the request's program, which must be the team's.
 func findProgram(_ context.Context, _ *Node, request *request) (any, error) {
 	program, found := request.active.config.Programs[request.program]
 	if !found || program.Team != request.team {
@@ -47,6 +52,7 @@
 	return nil, nil
 }
 
+// findKind finds the configuration of the request's kind of work.
 func findKind(_ context.Context, _ *Node, request *request) (any, error) {
 	workKind, found := request.active.config.Kinds[request.kind]
 	if !found {
@@ -56,6 +62,7 @@
 	return nil, nil
 }
 
+// servesTurns rejects kinds of work that are no turns.
 func servesTurns(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.workKind.Serves != "turn" {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is no turn of a conversation", "send it as a lookup, a request or a tool call")
@@ -63,6 +70,7 @@
 	return nil, nil
 }
 
+// servesPlain rejects kinds of work that are turns.
 func servesPlain(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.workKind.Serves != "plain" {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is a turn of a conversation", "start or follow a conversation with it")
@@ -70,6 +78,7 @@
 	return nil, nil
 }
 
+// servesLookups rejects kinds of work that may not run more than once.
 func servesLookups(ctx context.Context, node *Node, request *request) (any, error) {
 	if !request.workKind.Repeatable {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" may not be repeated", "send it as a request, with a query key")
--- a/system/front/helper_conversations.go
+++ b/system/front/helper_conversations.go
@@ -9,7 +9,7 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// readParent reads the parent's line; the turn that starts the helper must be in it.
+// readParent reads the parent's session; the turn that starts the helper must be in it.
 func readParent(ctx context.Context, node *Node, request *request) (any, error) {
 	parent := *request
 	parent.conversation = request.parent
@@ -22,7 +22,7 @@
 	return nil, checkFollowed(&parent)
 }
 
-// recordHelper names the helper in its parent's line, then starts it. A repeat
+// recordHelper records the helper's name in its parent's session, then starts it. A repeat
 // finds both.
 func recordHelper(ctx context.Context, node *Node, request *request) (any, error) {
 	helper := *request
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -1,5 +1,23 @@
-// Package front is a front node: the caller API, the chain of filters that each
-// query passes, turns and their runs.
+// Package front is a front node. It serves callers in two ways: it forwards HTTP requests
+// to runners by routes (Forward, package forwarding), and it serves the work API of its
+// own: conversations, turns, tool calls, lookups and work that runs at most once.
+//
+// A request of the work API passes a chain of filters (request.go, filters.go): view and
+// token, program and kind of work, the session log of its conversation, a slot at a runner,
+// a reservation of words, the record of its begin, a last check, and the dispatch.
+//
+// Guarantees:
+//   - A begin is committed before anything is sent to a runner, and the end before the
+//     caller sees it. A turn is streamed from what is committed only.
+//   - apierror.NotRun on recorded work is proven by the session log: its begin is closed as
+//     not run, or a fence has taken its place.
+//   - Work of the kind Once is sent to a runner at most once under one idempotency key.
+//   - Until the first byte leaves, the view must be fresh, and the configuration and the
+//     runner those that the request was admitted with.
+//
+// A front stores nothing. Its view of the fleet comes from the feed (feedclient), what lasts
+// is in the stores (storeclient). What a front that died leaves open is closed by the next
+// reader once it is overdue, and its reservations are settled by the stores.
 package front
 
 import (
@@ -26,22 +44,26 @@
 	"yardrock.example/system/storeclient"
 )
 
-// Settings place a front node.
+// Settings configure a front node.
 type Settings struct {
-	Address       string // for other processes
-	PublicAddress string // for callers of the own interface; "" serves none
-	Domain        string
-	Seeds         []string
-	// Machine is what the operators call this machine; it may be empty.
+	// Address is where other nodes call this one.
+	Address string
+	// PublicAddress is where callers reach the work API; "" serves none.
+	PublicAddress string
+	// Domain is the failure domain of this machine.
+	Domain string
+	// Seeds are addresses of nodes that know the fleet; one that answers is enough.
+	Seeds []string
+	// Machine is the operators' name of this machine; it may be "".
 	Machine string
-	// HeaderNames names the headers of runners that queries are forwarded to.
+	// Dialect names the HTTP header fields of the runners that requests are forwarded to.
 	Dialect runnerpool.HeaderNames
-	// MaxBufferedBytes bounds the forwarded queries and histories that are held at once; 0 means
-	// forwarding.UsualHeldBytes.
+	// MaxBufferedBytes bounds the forwarded requests and histories that are buffered at
+	// once; 0 means forwarding.DefaultMaxBufferedBytes.
 	MaxBufferedBytes int64
 }
 
-// Node is a running front node.
+// Node is a running front node. It is safe for concurrent use.
 type Node struct {
 	settings     Settings
 	name         string
@@ -57,41 +79,27 @@
 	publicServer *httpapi.Server
 	active       atomic.Pointer[activeConfig]
 	draining     atomic.Bool
-	// listedSince is since when this node's own session has been in the list.
+	// listedSince is since when this node has been on the member list; nil before.
 	listedSince atomic.Pointer[time.Time]
-	// frontNames names the live fronts that share the runners, this one included, in order.
+	// frontNames are the live fronts that share the runners, this one included, sorted.
 	frontNames atomic.Pointer[[]string]
 
+	// context ends with Close; background tasks and work under way run under it.
 	context    context.Context
 	stop       context.CancelFunc
 	background *taskGroup
 }
 
-// Start runs a front node until Close.
+// Start starts a front node; Close ends it. An error is of the kind BadSettings.
 //
 //	node, err := front.Start(settings, link.TCP{})
 //	defer node.Close()
 func Start(settings Settings, network link.Network) (*Node, error) {
-	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerclient.New(network), background: newTaskGroup()}
-	node.context, node.stop = context.WithCancel(context.Background())
-	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
-	node.frontNames.Store(&[]string{node.name})
-	node.stores = storeclient.New(node.caller, func() *feed.View { return node.active.Load().view })
-	node.scheduler = scheduler.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
-	node.pool = runnerpool.New(network, settings.Dialect)
-	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
-	node.forwarder = forwarding.New(forwarding.Settings{Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.activeRouting, Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes})
-	linkListener, err := network.Listen(settings.Address)
+	linkListener, publicListener, err := listen(settings, network)
 	if err != nil {
-		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
-	}
-	var publicListener net.Listener
-	if settings.PublicAddress != "" {
-		if publicListener, err = network.Listen(settings.PublicAddress); err != nil {
-			linkListener.Close()
-			return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.PublicAddress+": "+err.Error(), "use an address of this machine that is free")
-		}
+		return nil, err
 	}
+	node := newNode(settings, network)
 	member := feed.Member{Name: node.name, Role: feed.RoleFront, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
 	node.feedClient = feedclient.Start(node.caller, member, settings.Seeds, nil, node.applyView)
 	node.balancer.SetListReadTime(node.feedClient.RunnerListReadAt)
@@ -102,18 +110,57 @@
 			return max(node.active.Load().config.Limits.BodyBytes, 1024)
 		})
 	}
-	log.WithFields(log.Fields{"node": node.name, "address": settings.Address, "public": settings.PublicAddress}).Info("front_started")
+	log.WithFields(log.Fields{"node": node.name, "address": settings.Address, "public": settings.PublicAddress}).Info("front started")
 	return node, nil
 }
 
-// Forward carries a query to a runner by the routes in force, and its answer back.
+// newNode makes a node with all that needs no network yet.
+func newNode(settings Settings, network link.Network) *Node {
+	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerclient.New(network), background: newTaskGroup()}
+	node.context, node.stop = context.WithCancel(context.Background())
+	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
+	node.frontNames.Store(&[]string{node.name})
+	node.stores = storeclient.New(node.caller, func() *feed.View { return node.active.Load().view })
+	node.scheduler = scheduler.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
+	node.pool = runnerpool.New(network, settings.Dialect)
+	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
+	node.forwarder = forwarding.New(forwarding.Settings{
+		Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.activeRouting,
+		Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes,
+	})
+	return node
+}
+
+// listen opens the listeners for other nodes and, if it is set, for callers.
+func listen(settings Settings, network link.Network) (linkListener, publicListener net.Listener, err error) {
+	if linkListener, err = listenOn(settings.Address, network); err != nil || settings.PublicAddress == "" {
+		return linkListener, nil, err
+	}
+	if publicListener, err = listenOn(settings.PublicAddress, network); err != nil {
+		linkListener.Close()
+		return nil, nil, err
+	}
+	return linkListener, publicListener, nil
+}
+
+// listenOn opens one listener.
+func listenOn(address string, network link.Network) (net.Listener, error) {
+	listener, err := network.Listen(address)
+	if err != nil {
+		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+address+": "+err.Error(), "use an address of this machine that is free")
+	}
+	return listener, nil
+}
+
+// Forward forwards a request to a runner by the routes in force and relays the response.
+// Its errors are those of forwarding.Forwarder.Serve.
 //
-//	err := node.Forward(ctx, query, answer)
+//	err := node.Forward(ctx, request, writer)
 func (node *Node) Forward(ctx context.Context, request *forwarding.Request, answer forwarding.ResponseWriter) error {
 	return node.forwarder.Serve(ctx, request, answer)
 }
 
-// Name is the node's name, made anew at each start.
+// Name returns the node's name, which is made anew at each start.
 //
 //	name := node.Name()
 func (node *Node) Name() string { return node.name }
@@ -123,7 +170,7 @@
 //	node.SetSeeds(settings.Seeds)
 func (node *Node) SetSeeds(seeds []string) { node.feedClient.SetSeeds(seeds) }
 
-// Ready tells whether the node may take work now.
+// Ready reports whether the node may take requests now.
 //
 //	if node.Ready() { ... }
 func (node *Node) Ready() bool {
@@ -131,7 +178,8 @@
 	return err == nil && view.ConfigNumber > 0 && len(view.Stores) > 0 && len(node.schedulerState().Fronts) > 0 && !node.draining.Load()
 }
 
-// Drain refuses new work and waits until the runs under way have ended.
+// Drain rejects new work and returns once the work under way and its commits have ended,
+// or the context ends.
 //
 //	node.Drain(ctx)
 func (node *Node) Drain(ctx context.Context) {
@@ -150,11 +198,11 @@
 		return
 	}
 	if err := node.publicServer.Drain(ctx); err != nil {
-		log.WithFields(log.Fields{"node": node.name, "error": err.Error()}).Warn("drain_cut_short")
+		log.WithFields(log.Fields{"node": node.name, "error": err.Error()}).Warn("drain ended before all requests")
 	}
 }
 
-// Close stops the node at once. Runs under way are broken off.
+// Close stops the node at once. Work under way is cancelled.
 //
 //	node.Close()
 func (node *Node) Close() {
@@ -172,22 +220,13 @@
 }
 
 const (
-	commitTimeout  = 6 * time.Second
-	fenceTimeout   = 4 * time.Second
-	deadlineMargin = 5 * time.Second
-	settleTimeout  = 30 * time.Second
-	// reservationDispatchWindow is how long after its asking a reservation may be dispatched
-	// under; past that and the run's own time, the stores settle it.
-	reservationDispatchWindow = 15 * time.Second
-	reservationMargin         = 15 * time.Second
-	tailPollTimeout           = time.Second
-	probeTimeout              = 500 * time.Millisecond
-	joinDelay                 = time.Second
-	// viewFreshTimeout is how long after its view was fresh last, or after its start, a front
-	// lets queries wait rather than refuse them.
-	viewFreshTimeout        = 1500 * time.Millisecond
-	peerPollInterval        = 300 * time.Millisecond
+	// commitTimeout bounds a command or read at the stores.
+	commitTimeout = 6 * time.Second
+	// settleTimeout is how long an end of work or a settlement is tried in the background.
+	settleTimeout = 30 * time.Second
+	// backgroundRetryInterval is the pause between two such attempts.
 	backgroundRetryInterval = 300 * time.Millisecond
-	proveNotRunTimeout      = 1500 * time.Millisecond
-	memberListMaxAge        = 1500 * time.Millisecond
+	// deadlineMargin is how much longer than its runner's timeout a run may stay open
+	// before any front may close it.
+	deadlineMargin = 5 * time.Second
 )
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -16,31 +16,43 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// notifyPeers lets the other fronts know that a runner looks just started, or
-// answers again. Each also finds out by itself; this only makes it sooner.
+const (
+	// joinDelay is how long a front must have been on the member list before it takes a
+	// share of the runners, so that the other fronts have heard of it too.
+	joinDelay = time.Second
+	// peerPollInterval is the pause between two looks at the member list.
+	peerPollInterval = 300 * time.Millisecond
+)
+
+// notifyPeers lets the other fronts know that a runner seems to have just started (cold),
+// or answers again. Each front also finds out by itself; this only makes it sooner, so a
+// note that is lost is not sent again.
 func (node *Node) notifyPeers(address string, cooled bool) {
-	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner_noted")
+	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner state noted")
 	for _, member := range node.peers() {
 		node.background.start(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
 	}
 }
 
+// notifyPeer sends a note on a runner to one other front.
 func (node *Node) notifyPeer(member feed.Member, note wire.RunnerWarmUpNote) {
 	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
 	defer cancel()
 	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.active.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
-		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note_not_taken")
+		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note on a runner not delivered")
 	}
 }
 
+// peers returns the other fronts on the member list.
 func (node *Node) peers() []feed.Member {
 	return slices.DeleteFunc(slices.Clone(node.feedClient.Members()), func(member feed.Member) bool {
 		return member.Role != feed.RoleFront || member.Name == node.name
 	})
 }
 
-// watchPeers notes when this front is listed itself, and tells fronts that are new which
-// runners look just started.
+// watchPeers notes since when this front is listed, tells new fronts which runners seem to
+// have just started, and updates the balancer when the set of fronts changes. It runs in a
+// goroutine of its own until the node's context ends.
 func (node *Node) watchPeers() {
 	ticker := time.NewTicker(peerPollInterval)
 	defer ticker.Stop()
@@ -73,8 +85,8 @@
 	}
 }
 
-// schedulerState tells the board which fronts share the runners. This one counts only
-// once it has been listed for a while, so that the others have heard of it too.
+// schedulerState returns the fronts that share the runners. This one counts only once it
+// has joined.
 func (node *Node) schedulerState() scheduler.State {
 	rules := node.active.Load()
 	fronts := []placement.Candidate{}
@@ -86,14 +98,14 @@
 	return scheduler.State{View: rules.view, Config: rules.config, Fronts: fronts}
 }
 
-// hasJoined tells whether the other fronts have had time to hear of this one.
+// hasJoined reports whether the other fronts have had time to hear of this one.
 func (node *Node) hasJoined() bool {
 	since := node.listedSince.Load()
 	return since != nil && time.Since(*since) >= joinDelay
 }
 
-// handleCall takes other fronts' notes, and tells other processes who this is, so that it
-// may serve as a seed.
+// handleCall answers calls of other nodes: notes of fronts on runners, and the status, so
+// that this node may serve as a seed.
 func (node *Node) handleCall(_ context.Context, request *wire.Query) *wire.Reply {
 	switch request.Which {
 	case schema.Query_Which_runner:
--- a/system/front/owner_liveness.go
+++ b/system/front/owner_liveness.go
@@ -4,6 +4,7 @@
 	"context"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/google/uuid"
 
@@ -14,24 +15,33 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// newDispatchID names a dispatch after the node that makes it, so that others can
-// look whether anything more can come from it.
+const (
+	// probeTimeout bounds one call to another front.
+	probeTimeout = 500 * time.Millisecond
+	// memberListMaxAge is how old the member list may be for an absence from it to count.
+	memberListMaxAge = 1500 * time.Millisecond
+)
+
+// newDispatchID names a dispatch after the node that makes it, so that other nodes can find
+// out whether anything more can come from it.
 func (node *Node) newDispatchID() string {
 	return node.name + "@" + node.settings.Address + "/" + uuid.NewString()
 }
 
-// liveness tells what is known of the front that began a run.
+// liveness is what is known of the front that owns a run.
 type liveness int
 
 const (
+	// alive fronts answer, are listed, or may be alive for all that is known.
 	alive liveness = iota
-	// unreachable fronts have no session and do not answer: lost, cut off or frozen.
+	// unreachable fronts are not on the member list and do not answer: crashed, cut off
+	// by a network partition, or frozen.
 	unreachable
-	// confirmedDead fronts have ended: nobody, or another process, is at their address.
+	// confirmedDead fronts have ended: no process, or another one, is at their address.
 	confirmedDead
 )
 
-// ownerLiveness looks for the front that began a run.
+// ownerLiveness probes the front that began a run, by its address in the dispatch id.
 func (node *Node) ownerLiveness(ctx context.Context, begun sessionlog.Event) liveness {
 	name, rest, _ := strings.Cut(begun.Dispatch, "@")
 	address, _, found := strings.Cut(rest, "/")
@@ -55,8 +65,9 @@
 	return unreachable
 }
 
-// ownerPresumedDead tells that a run will most likely never go on. Closing it fences its
-// front off, should it wake, so for what may be asked again that is enough.
+// ownerPresumedDead reports whether a run will most likely never go on. That is enough to
+// close a turn, which may be asked again: closing it fences its owner off, should that
+// still run. It is not enough for work that must run at most once.
 func (node *Node) ownerPresumedDead(ctx context.Context, begun sessionlog.Event) bool {
 	return node.ownerLiveness(ctx, begun) != alive
 }
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -15,12 +15,13 @@
 	"yardrock.example/system/wire"
 )
 
+// plainRequest is what the runner gets of the request.
 func (request *request) plainRequest() runnerclient.PlainRequest {
 	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.words}
 }
 
-// sendPlainWork sends plain work to a runner, and to another only while provably nothing
-// was sent.
+// sendPlainWork sends plain work to a runner, and to another one only while provably
+// nothing was sent. It releases the slot.
 func (node *Node) sendPlainWork(ctx context.Context, request *request) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.workKind.Timeout))
 	defer cancel()
@@ -36,7 +37,7 @@
 	}
 }
 
-// askRunner answers a lookup. It may be asked again, so it leaves no record.
+// askRunner answers a lookup. That may run again, so it is not recorded.
 func askRunner(ctx context.Context, node *Node, request *request) (any, error) {
 	answer, err := node.sendPlainWork(ctx, request)
 	if err != nil && apierror.Of(err).NeverSent {
@@ -48,27 +49,28 @@
 	return &work.Outcome{Outcome: sessionlog.OutcomeComplete, Answer: answer}, nil
 }
 
-// runOnce dispatches work that is recorded as begun, and tells its outcome only
-// once that is recorded too. It goes on if the caller leaves.
+// runOnce dispatches work that is recorded as begun, and answers only once its outcome is
+// recorded too. It goes on in the background if the caller leaves.
 func runOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	request.cleanups = nil
 	type result struct {
-		reported any
-		err      error
+		answer any
+		err    error
 	}
 	done := make(chan result, 1)
 	node.background.start(func() {
-		reported, err := node.executeOnce(request)
-		done <- result{reported, err}
+		answer, err := node.executeOnce(request)
+		done <- result{answer, err}
 	})
 	select {
 	case finished := <-done:
-		return finished.reported, finished.err
+		return finished.answer, finished.err
 	case <-ctx.Done():
 		return nil, apierror.New(apierror.Unknown, "the caller left before the outcome", "ask again with the same query key")
 	}
 }
 
+// executeOnce dispatches the work and records its outcome.
 func (node *Node) executeOnce(request *request) (any, error) {
 	answer, failed := node.sendPlainWork(node.context, request)
 	ended := sessionlog.Event{Outcome: sessionlog.OutcomeComplete, Text: string(answer)}
@@ -78,18 +80,19 @@
 		ended = sessionlog.Event{Outcome: sessionlog.OutcomeNotRun, Name: apierror.Of(failed).Message}
 	default:
 		ended = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(failed).Message}
-		log.WithFields(log.Fields{"node": node.name, "line": request.sessionName(), "runner": request.slot.Runner.Address, "error": failed.Error()}).Warn("outcome_unknown")
+		log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Address, "error": failed.Error()}).Warn("outcome of work that runs once is unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
 	if _, err := node.recordEnd(ctx, request, 2, ended.Outcome, ended.Text, ended.Name); err != nil {
 		return nil, apierror.NewRetryable(apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
 	}
-	return node.recordedAnswer(request, ended, false)
+	return recordedAnswer(request, ended, false)
 }
 
-// told turns a recorded outcome into one of the three answers.
-func (node *Node) recordedAnswer(request *request, ended sessionlog.Event, repeated bool) (any, error) {
+// recordedAnswer turns a recorded outcome into one of the three answers: complete, NotRun
+// or Unknown.
+func recordedAnswer(request *request, ended sessionlog.Event, repeated bool) (any, error) {
 	switch ended.Outcome {
 	case sessionlog.OutcomeComplete:
 		name := request.conversation
@@ -101,12 +104,13 @@
 	}
 }
 
-// checkOnce answers a repeated query key with what was recorded.
+// checkOnce answers a repeated idempotency key with what is recorded.
 func checkOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	request.producer = strings.Join([]string{request.program, "once", request.idempotencyKey}, "/")
 	return node.answerIfRecorded(ctx, request)
 }
 
+// checkTool is checkOnce for a tool call between turns.
 func checkTool(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.idempotencyKey == "" {
 		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each tool call a key of its own")
@@ -118,6 +122,7 @@
 	return node.answerIfRecorded(ctx, request)
 }
 
+// answerIfRecorded answers a request whose work is recorded already; nil means it is not.
 func (node *Node) answerIfRecorded(ctx context.Context, request *request) (any, error) {
 	if event, found := request.history.StartByProducer(request.producer); found {
 		return node.answerRepeat(ctx, request, event)
@@ -125,14 +130,17 @@
 	return nil, nil
 }
 
+// beginOnce records the begin of work that must run at most once.
 func beginOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	return node.beginPlainWork(ctx, request, sessionlog.TurnBegun)
 }
 
+// beginTool records the begin of a tool call.
 func beginTool(ctx context.Context, node *Node, request *request) (any, error) {
 	return node.beginPlainWork(ctx, request, sessionlog.ToolCalled)
 }
 
+// beginPlainWork records a begin, or answers with the outcome of the one that is recorded.
 func (node *Node) beginPlainWork(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
 	other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, false)
 	if err != nil {
@@ -144,7 +152,7 @@
 	return nil, nil
 }
 
-// answerRepeat waits for the recorded outcome of work that another query began.
+// answerRepeat waits for the recorded outcome of work that another request began.
 func (node *Node) answerRepeat(ctx context.Context, request *request, begun sessionlog.Event) (any, error) {
 	if begun.Digest != request.digest() {
 		return nil, apierror.New(apierror.Conflict, "the query key was used with another body", "use a new query key for other work")
@@ -163,7 +171,7 @@
 		for _, event := range reply.Events {
 			after = event.Seq
 			if event.Turn == begun.Seq && event.Kind == sessionlog.ClosingKind(begun.Kind) {
-				return node.recordedAnswer(request, event, true)
+				return recordedAnswer(request, event, true)
 			}
 		}
 		owner := node.ownerLiveness(ctx, begun)
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -12,20 +12,21 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// request is one caller's query on its way through the filters.
+// request is one request of a caller on its way through the filters.
 type request struct {
-	token          string
+	token          string // the caller's bearer token
 	program        string
 	kind           string
 	words          string
 	idempotencyKey string
-	// conversation names the line; follows is the turn that is followed, 0 starts.
+	// conversation names the session within its team; follows is the seq of the turn to
+	// follow, 0 starts a conversation; parent is the conversation that starts a helper.
 	conversation string
 	follows      uint64
 	parent       string
 
-	// recorded queries leave a record; "not run" is told of them only once that is
-	// proven in the record, and then proven is set.
+	// recorded requests leave a record in a session log. They are answered with NotRun only
+	// once the record proves it; then provenNotRun is set.
 	recorded     bool
 	provenNotRun bool
 
@@ -36,24 +37,26 @@
 	history       *conversation.View
 	sessionExists bool
 	newlyNamed    bool // named at random just now, so there is nothing to read
-	producer      string
-	slot          *scheduler.Slot
-	dispatchID    string
-	reservation   string
-	// reservedAt is when the reservation was asked for; its life counts from then.
+	// producer identifies the work in its session; the sessions dedupe by it.
+	producer    string
+	slot        *scheduler.Slot
+	dispatchID  string
+	reservation string // "" if there is nothing to settle
+	// reservedAt is when the reservation was requested; its lifetime counts from then.
 	reservedAt time.Time
-	// reservedWords is the longest answer that the reservation holds.
+	// reservedWords is the longest answer that the reservation allows.
 	reservedWords uint64
 	begun         sessionlog.Event
-	cleanups      []func()
+	// cleanups give back what filters acquired, last first. Who takes it over clears them.
+	cleanups []func()
 }
 
-// filter looks at a query and may answer it; the chain ends with the first that
-// does, or that fails.
+// filter looks at a request and may answer it; the chain ends with the first filter that
+// returns an answer or an error.
 type filter func(ctx context.Context, node *Node, request *request) (any, error)
 
-// runChain sends a query through a chain. What filters took is given back unless the
-// last one kept it.
+// runChain passes a request through a chain. What the filters acquired is given back by
+// their cleanups, in reverse order, unless the last filter took it over.
 func (node *Node) runChain(ctx context.Context, request *request, chain []filter) (any, error) {
 	defer func() {
 		for position := len(request.cleanups) - 1; position >= 0; position-- {
@@ -72,20 +75,23 @@
 	return nil, apierror.New(apierror.Unavailable, "no filter answered", "report this")
 }
 
-// chain joins filters to the end of a chain.
+// chain appends filters to a chain.
 func chain(first []filter, more ...filter) []filter { return slices.Concat(first, more) }
 
+// The chains of filters, one for each method of the work API and their common beginnings.
+// Draining is checked late for work that may be recorded already: a repeat of it is still
+// answered.
 var (
 	authentication         = []filter{requireFreshView, authenticate}
-	admission              = chain([]filter{refuseDraining}, authentication...)
+	admission              = chain([]filter{rejectDraining}, authentication...)
 	programAdmission       = chain(admission, findProgram, findKind)
 	recordedAuthentication = chain([]filter{markRecorded}, authentication...)
 	recordedAdmission      = chain(recordedAuthentication, findProgram, findKind)
-	turnSteps              = []filter{checkTurn, refuseDraining, acquireSlot, reserveWords, beginTurn, confirmRunner, startRun}
+	turnSteps              = []filter{checkTurn, rejectDraining, acquireSlot, reserveWords, beginTurn, confirmRunner, startRun}
 	turnChain              = chain(chain(recordedAdmission, servesTurns, nameSession, readSession), turnSteps...)
 	followChain            = chain(chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesTurns), turnSteps...)
 	lookupChain            = chain(programAdmission, servesLookups, acquireSlot, confirmRunner, askRunner)
-	onceChain              = chain(recordedAdmission, servesPlain, nameOnceSession, readSession, checkOnce, refuseDraining, acquireSlot, beginOnce, confirmRunner, runOnce)
-	toolChain              = chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesPlain, checkTool, refuseDraining, acquireSlot, beginTool, confirmRunner, runOnce)
+	onceChain              = chain(recordedAdmission, servesPlain, nameOnceSession, readSession, checkOnce, rejectDraining, acquireSlot, beginOnce, confirmRunner, runOnce)
+	toolChain              = chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesPlain, checkTool, rejectDraining, acquireSlot, beginTool, confirmRunner, runOnce)
 	helperChain            = chain(recordedAdmission, servesTurns, readParent, recordHelper)
 )
--- a/system/front/runner_slot.go
+++ b/system/front/runner_slot.go
@@ -10,6 +10,11 @@
 	"yardrock.example/system/scheduler"
 )
 
+// maxDials is how many runners a piece of work is sent to at most; after the first, only
+// if the one before provably got nothing.
+const maxDials = 3
+
+// acquireSlot gets a runner with a free slot from the scheduler.
 func acquireSlot(ctx context.Context, node *Node, request *request) (any, error) {
 	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
 	if err != nil {
@@ -20,9 +25,8 @@
 	return nil, nil
 }
 
-// confirmRunner looks once more, just before the first byte: the view must still
-// be fresh, the query allowed by the config now in force, and the runner one that
-// it may be sent to.
+// confirmRunner checks again before the dispatch: the view must be fresh, the request
+// allowed by the configuration in force, and the runner one that it may be sent to.
 func confirmRunner(ctx context.Context, node *Node, request *request) (any, error) {
 	err := node.confirmDispatch(ctx, request)
 	if err != nil && request.begun.Seq > 0 {
@@ -31,6 +35,8 @@
 	return nil, err
 }
 
+// confirmDispatch is confirmRunner without a record; it takes another runner if the chosen
+// one may no longer be used.
 func (node *Node) confirmDispatch(ctx context.Context, request *request) error {
 	for {
 		if err := node.recheckActiveConfig(ctx, request); err != nil {
@@ -48,7 +54,7 @@
 	}
 }
 
-// recheckActiveConfig judges the query by the config now in force, if that is known.
+// recheckActiveConfig checks the request against the configuration now in force.
 func (node *Node) recheckActiveConfig(ctx context.Context, request *request) error {
 	if _, err := node.feedClient.Fresh(); err != nil {
 		return err
@@ -62,15 +68,15 @@
 	return nil
 }
 
-// runnerUsable tells whether the chosen runner may still get the query.
+// runnerUsable reports whether the chosen runner may still get the request.
 func (request *request) runnerUsable() bool {
 	weighed := request.active.config.Tables[request.workKind.Table][request.slot.Group] > 0
 	return weighed && scheduler.Usable(request.active.view, request.slot.Runner)
 }
 
-// preSendCheck is what the first byte waits for: the dial may have been slow, or this
-// process frozen, since the runner was chosen. It works on a copy, as the library
-// may ask it after the query was given up.
+// preSendCheck returns the check that the first byte waits for: the dial may have been
+// slow, or this process frozen, since the runner was chosen. It has a copy of the request,
+// as the HTTP library may call it after the request was given up.
 func (node *Node) preSendCheck(request *request) runnerclient.PreSendCheck {
 	chosen := *request
 	return func() error {
@@ -88,7 +94,7 @@
 	}
 }
 
-// outcomeOf tells what a failure says about the runner.
+// outcomeOf says what the result of a dispatch shows of the runner, for the scheduler.
 func (node *Node) outcomeOf(err error) scheduler.Outcome {
 	if err == nil || errors.Is(err, errTurnLimit) {
 		return scheduler.Answered
@@ -105,7 +111,7 @@
 	return scheduler.Faulted
 }
 
-// switchRunner takes another runner after one that provably was sent nothing.
+// switchRunner takes another runner after one that provably got nothing.
 func (node *Node) switchRunner(ctx context.Context, request *request, failed error) error {
 	request.slot.Release(node.outcomeOf(failed))
 	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
--- a/system/front/session_reading.go
+++ b/system/front/session_reading.go
@@ -15,21 +15,24 @@
 	"yardrock.example/system/wire"
 )
 
+// fingerprint hashes parts to a name: the first 16 bytes of SHA-256 in hex.
 func fingerprint(parts ...string) string {
 	sum := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
 	return hex.EncodeToString(sum[:16])
 }
 
+// digest identifies the request's content: a repeat has the same digest, other work under
+// the same key has another.
 func (request *request) digest() string {
 	return fingerprint(request.kind, request.words, request.idempotencyKey)
 }
 
-// sessionName is the conversation's name with its team, so that no team can name
-// another's.
+// sessionName is the conversation's name with its team, so that no team can name another
+// team's sessions.
 func (request *request) sessionName() string { return request.team + "/" + request.conversation }
 
-// nameSession names a new conversation by its query key, if it has one, so that a
-// repeat on any front finds the same line.
+// nameSession names a new conversation by its idempotency key, if it has one, so that a
+// repeat on any front finds the same session.
 func nameSession(_ context.Context, _ *Node, request *request) (any, error) {
 	switch {
 	case request.conversation != "":
@@ -42,6 +45,7 @@
 	return nil, nil
 }
 
+// nameOnceSession names the session that records work which must run at most once.
 func nameOnceSession(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.idempotencyKey == "" {
 		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each piece of work a key of its own")
@@ -50,8 +54,8 @@
 	return nil, nil
 }
 
-// readSession reads all events of the line by a quorum read, unless the line was
-// named only now.
+// readSession reads all events of the session by a quorum read, unless it was named at
+// random just now.
 func readSession(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.newlyNamed {
 		request.history, request.newlyNamed = conversation.Fold(nil), false
@@ -78,13 +82,13 @@
 	return nil, nil
 }
 
-// asNotRun tells a refusal that came before anything was begun.
+// asNotRun makes the error for a rejection that came before anything was begun.
 func asNotRun(err error) error {
 	failure := apierror.Of(err)
 	return &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: failure.Remedy, RetryAfter: max(failure.RetryAfter, time.Second)}
 }
 
-// requireSession refuses a line that is not there; its program was read with it.
+// requireSession rejects a session that does not exist; readSession has read its program.
 func requireSession(_ context.Context, _ *Node, request *request) (any, error) {
 	if !request.sessionExists {
 		return nil, apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
@@ -92,7 +96,7 @@
 	return nil, nil
 }
 
-// readAfter reads a page of a line; a cursor beyond its end is refused.
+// readAfter reads one page of a session; a cursor beyond its end is Invalid.
 func (node *Node) readAfter(ctx context.Context, request *request, after, limit uint64) (*wire.ReadReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -10,9 +10,18 @@
 	"yardrock.example/system/wire"
 )
 
-// recordBegin records that work is about to be dispatched. It returns nil only when the
-// record is committed and this query's own. A repeat that lost the race gets the
-// event that won.
+const (
+	// fenceTimeout bounds the fence that is set if it is not known whether a begin was
+	// committed.
+	fenceTimeout = 4 * time.Second
+	// proveNotRunTimeout bounds the fence that is set before a request is rejected; it is
+	// shorter, as the caller waits for nothing but a rejection.
+	proveNotRunTimeout = 1500 * time.Millisecond
+)
+
+// recordBegin records that work is about to be dispatched. It returns nil, nil only once
+// the record is committed and this request's own; a repeat that lost the race gets the
+// event that won. With expects, the begin fails if the session has grown since it was read.
 func (node *Node) recordBegin(ctx context.Context, request *request, event sessionlog.Event, expects bool) (*sessionlog.Event, error) {
 	event.Text, event.Digest, event.Follows = request.words, request.digest(), request.follows
 	if request.dispatchID == "" {
@@ -48,9 +57,9 @@
 	return nil, nil
 }
 
-// readBegin reads the event that opened the run of a producer pair, or its fence; the
-// pair's last seq may be of a later event of the run. If the begin is this query's
-// own, a lost answer had hidden that it was committed.
+// readBegin reads the event that opened the run of a producer, or its fence. The event at
+// seq may be a later one of the same run. If the begin is this request's own, only the
+// reply to its commit was lost, and nil is returned.
 func (node *Node) readBegin(ctx context.Context, request *request, seq uint64, dispatch string) (*sessionlog.Event, error) {
 	event, err := node.readEvent(ctx, request.sessionName(), seq)
 	if err == nil && event.Turn != 0 && event.Turn != event.Seq {
@@ -66,6 +75,7 @@
 	return &event, nil
 }
 
+// readEvent reads one event of a session.
 func (node *Node) readEvent(ctx context.Context, name string, seq uint64) (sessionlog.Event, error) {
 	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: name, After: seq - 1, Limit: 1})
 	if err != nil {
@@ -77,9 +87,9 @@
 	return reply.Events[0], nil
 }
 
-// fenceOff settles whether a query began: either the fence takes its place, so that it
-// can never begin, or the begin is there, is this query's own, and is closed as not
-// run, as nothing was sent. Another query's begin is given back.
+// fenceOff decides whether a request began: either the fence takes the place of its begin,
+// so that it never can; or the begin is there and this request's own, and is closed as not
+// run, as nothing was sent. The begin of another request is returned.
 func (node *Node) fenceOff(request *request, event sessionlog.Event, cause error, timeout time.Duration) (*sessionlog.Event, error) {
 	ctx, cancel := context.WithTimeout(node.context, timeout)
 	defer cancel()
@@ -101,8 +111,8 @@
 	return nil, node.recordNotRun(request, cause)
 }
 
-// fencedError tells a refusal that the record proves. Without a query key the same
-// turn may be asked again as it is.
+// fencedError makes the NotRun error that the session log proves. Without an idempotency
+// key the same turn may be sent again as it is.
 func (request *request) fencedError(cause error) error {
 	request.provenNotRun = true
 	failure := apierror.Of(cause)
@@ -114,10 +124,10 @@
 	return notRun
 }
 
-// proveNotRun turns a refusal of work that is recorded into one that the record proves.
-// An earlier query for the same work may be on its way at another front: only a
-// fence in its place keeps that from running after "not run" was told. Where no
-// fence can be set at once, the answer is that it is not known, and when to ask again.
+// proveNotRun turns the rejection of recorded work into one that the session log proves. An
+// earlier request for the same work may be on its way at another front: only a fence in
+// its place keeps that from running after this one was answered with NotRun. Where no fence
+// can be set at once, the answer is Unknown and when to ask again.
 func (node *Node) proveNotRun(request *request, err error) error {
 	repeatable := request.idempotencyKey == "" && request.follows == 0
 	if !request.recorded || request.provenNotRun || repeatable || !apierror.Is(err, apierror.NotRun) {
@@ -137,8 +147,8 @@
 	return unknown
 }
 
-// recordEnd ends a run that this query began. It returns nil once the end is
-// committed; TurnClosed means that another node has closed it.
+// recordEnd ends a run that this request began. It returns the end's seq once that is
+// committed; Unknown also means that another node has closed the run.
 func (node *Node) recordEnd(ctx context.Context, request *request, producerSeq uint64, outcome, words, detail string) (uint64, error) {
 	outcomes, err := node.stores.Command(ctx, request.sessionName(), sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: producerSeq, Events: []sessionlog.Event{{
 		Kind: sessionlog.ClosingKind(request.begun.Kind), Turn: request.begun.Seq, Outcome: outcome, Text: words, Name: detail,
@@ -152,8 +162,8 @@
 	return outcomes[0].Seq, nil
 }
 
-// recordNotRun ends a run of which provably nothing was sent. Only once that is
-// committed may the caller be told "not run".
+// recordNotRun ends a run of which provably nothing was sent. Only once that is committed
+// may the caller get NotRun.
 func (node *Node) recordNotRun(request *request, cause error) error {
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
@@ -163,8 +173,8 @@
 	return request.fencedError(cause)
 }
 
-// closeOverdueRun ends a run whose node is gone, after its runner's time is over.
-// Who still ran it finds the line closed.
+// closeOverdueRun ends a run whose owner is gone, after its runner's time is over. An owner
+// that still runs it finds the run closed.
 func (node *Node) closeOverdueRun(ctx context.Context, name string, begun sessionlog.Event, outcome string) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
--- a/system/front/task_group.go
+++ b/system/front/task_group.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// runs counts what goes on behind callers' backs. Unlike a WaitGroup it may be
-// waited for while more is started, and takes nothing more once closed.
+// taskGroup counts background tasks. Unlike a sync.WaitGroup it may be waited for while more
+// start, and takes none any more once closed.
 type taskGroup struct {
 	mutex  sync.Mutex
 	ended  sync.Cond
@@ -11,13 +11,14 @@
 	closed bool
 }
 
+// newTaskGroup makes an empty group.
 func newTaskGroup() *taskGroup {
 	made := &taskGroup{}
 	made.ended.L = &made.mutex
 	return made
 }
 
-// start runs a task, unless the node is closing.
+// start runs a task in a goroutine of its own, unless the group is closed.
 func (tasks *taskGroup) start(task func()) {
 	tasks.mutex.Lock()
 	defer tasks.mutex.Unlock()
@@ -36,7 +37,7 @@
 	}()
 }
 
-// wait returns once nothing is under way.
+// wait returns once no task runs.
 func (tasks *taskGroup) wait() {
 	tasks.mutex.Lock()
 	defer tasks.mutex.Unlock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// close takes nothing more, and waits for what is under way.
+// close takes no more tasks and waits for those that run.
 func (tasks *taskGroup) close() {
 	tasks.mutex.Lock()
 	tasks.closed = true
--- a/system/front/turn_admission.go
+++ b/system/front/turn_admission.go
@@ -9,6 +9,7 @@
 	"yardrock.example/system/sessionlog"
 )
 
+// checkFollowed returns an error unless the turn to follow is complete.
 func checkFollowed(request *request) error {
 	followed, found := request.history.Turn(request.follows)
 	switch {
@@ -22,10 +23,10 @@
 	return nil
 }
 
-// checkTurn decides whether a turn may begin: the followed one must be complete,
-// and no other may follow it. A repeat is answered with the turn that is there. Each
-// attempt at one place has a producer of its own; one that was closed without an
-// answer, or fenced off, makes room for the next.
+// checkTurn decides whether a turn may begin: the turn it follows must be complete, and no
+// other may follow that one. A repeat is answered with the stream of the turn that is there.
+// Each attempt to follow the same turn has a producer of its own, so that one which was
+// closed without an answer, or fenced off, makes room for the next.
 func checkTurn(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.follows > 0 {
 		if err := checkFollowed(request); err != nil {
@@ -38,44 +39,57 @@
 		if !found {
 			return nil, nil
 		}
-		same := begun.Digest == request.digest()
-		if begun.Kind == sessionlog.Fenced {
-			if same && request.idempotencyKey != "" {
-				return nil, request.fencedEarlierError()
-			}
-			continue
+		answer, makesRoom, err := checkEarlierAttempt(ctx, node, request, begun)
+		if !makesRoom {
+			return answer, err
 		}
-		turn, _ := request.history.Turn(begun.Seq)
-		if turn.Overdue(request.history.Clock) || (turn.Ended == nil && node.ownerPresumedDead(ctx, begun)) {
-			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeCut); err != nil {
-				return nil, asNotRun(err)
-			}
-			return rereadAndCheckTurn(ctx, node, request)
+	}
+}
+
+// checkEarlierAttempt decides what a recorded attempt to follow the same turn means for
+// this one: it makes room for the next attempt, or the request ends with its answer or an
+// error.
+func checkEarlierAttempt(ctx context.Context, node *Node, request *request, begun sessionlog.Event) (answer any, makesRoom bool, err error) {
+	same := begun.Digest == request.digest()
+	sameKey := same && request.idempotencyKey != ""
+	if begun.Kind == sessionlog.Fenced {
+		if sameKey {
+			return nil, false, request.fencedEarlierError()
 		}
-		switch {
-		case turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeNotRun && same && request.idempotencyKey != "":
-			return nil, request.recordedNotRun("this turn did not run: " + turn.Ended.Name)
-		case turn.Ended != nil && !turn.Complete():
-			continue
-		case same:
-			return node.tail(request.sessionName(), request.conversation, begun.Seq-1, begun.Seq), nil
+		return nil, true, nil
+	}
+	turn, _ := request.history.Turn(begun.Seq)
+	if turn.Overdue(request.history.Clock) || (turn.Ended == nil && node.ownerPresumedDead(ctx, begun)) {
+		if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeCut); err != nil {
+			return nil, false, asNotRun(err)
 		}
-		return nil, apierror.New(apierror.Conflict, "another turn ("+strconv.FormatUint(begun.Seq, 10)+") already follows turn "+strconv.FormatUint(request.follows, 10), "read the history and follow its last complete turn")
+		answer, err := rereadAndCheckTurn(ctx, node, request)
+		return answer, false, err
+	}
+	switch {
+	case turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeNotRun && sameKey:
+		return nil, false, request.recordedNotRun("this turn did not run: " + turn.Ended.Name)
+	case turn.Ended != nil && !turn.Complete():
+		return nil, true, nil
+	case same:
+		return node.tail(request.sessionName(), request.conversation, begun.Seq-1, begun.Seq), false, nil
 	}
+	return nil, false, apierror.New(apierror.Conflict, "another turn ("+strconv.FormatUint(begun.Seq, 10)+") already follows turn "+strconv.FormatUint(request.follows, 10), "read the history and follow its last complete turn")
 }
 
-// recordedNotRun tells what the record proves: nothing ran, and nothing will, under this
-// query key.
+// recordedNotRun makes the error for what the session log proves: nothing ran, and nothing
+// will, under this idempotency key.
 func (request *request) recordedNotRun(message string) error {
 	request.provenNotRun = true
 	return apierror.NewRetryable(apierror.NotRun, message, "send it under a new query key", time.Second)
 }
 
+// fencedEarlierError is recordedNotRun for a key that an earlier request fenced off.
 func (request *request) fencedEarlierError() error {
 	return request.recordedNotRun("an earlier query under this query key was refused, and the key fenced off")
 }
 
-// rereadAndCheckTurn rereads the line and decides anew.
+// rereadAndCheckTurn reads the session again and repeats checkTurn.
 func rereadAndCheckTurn(ctx context.Context, node *Node, request *request) (any, error) {
 	if answer, err := readSession(ctx, node, request); answer != nil || err != nil {
 		return answer, err
@@ -83,10 +97,11 @@
 	return checkTurn(ctx, node, request)
 }
 
+// maxBeginAttempts bounds how often a begin is tried on a session that others append to.
 const maxBeginAttempts = 4
 
-// beginTurn records the begin. When the line went on meanwhile, by a tool, a helper
-// or another turn, it looks anew what that means for this one.
+// beginTurn records the begin of a turn. When another turn, a tool call or a helper was
+// appended to the session meanwhile, checkTurn decides again what that means for this one.
 func beginTurn(ctx context.Context, node *Node, request *request) (any, error) {
 	for attempt := 1; ; attempt++ {
 		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, true)
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -14,27 +14,31 @@
 	"yardrock.example/system/sessionlog"
 )
 
-const (
-	maxDials         = 3
-	pieceQueueLength = 256
-)
+// pieceQueueLength is how many pieces of an answer may wait for their commit, and how many
+// one commit takes at most. A full queue stops the reading from the runner.
+const pieceQueueLength = 256
 
+// errTurnLimit ends the stream of a runner whose answer is longer than was reserved.
 var errTurnLimit = errors.New("the answer reached its reservation")
 
-// turnExecution is one turn that this front feeds from a runner into the line.
+// turnExecution is one turn that this front streams from a runner into a session. Its own
+// goroutine (execute) owns it; dispatch runs in a second one and hands the pieces over.
 type turnExecution struct {
-	node             *Node
-	request          *request
-	buffer           *eventBuffer
-	counter          conversation.WordCounter
-	pieces           chan string
-	nextProducerSeq  uint64 // producer seq of the next append
-	parts            uint64
+	node    *Node
+	request *request
+	buffer  *eventBuffer
+	counter conversation.WordCounter
+	// pieces are those that the runner has sent and that are not committed yet; dispatch
+	// closes the channel.
+	pieces          chan string
+	nextProducerSeq uint64 // of the next append
+	parts           uint64 // pieces taken for a commit so far
+	// timeToFirstPiece is 0 until the first piece comes; only dispatch uses it.
 	timeToFirstPiece time.Duration
 }
 
-// startRun takes over slot and reservation and feeds the turn whether or not the
-// caller stays. It answers once there is something to stream.
+// startRun takes over the slot and the reservation and executes the turn in the background,
+// whether or not the caller stays. It answers once there is something to stream.
 func startRun(ctx context.Context, node *Node, request *request) (any, error) {
 	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pieces: make(chan string, pieceQueueLength), nextProducerSeq: 2}
 	request.cleanups = nil
@@ -52,7 +56,7 @@
 	}}, nil
 }
 
-// execute dispatches, commits pieces as they come, and closes the turn.
+// execute dispatches the turn, commits pieces as they come, and closes the turn.
 func (execution *turnExecution) execute() {
 	request, node := execution.request, execution.node
 	ctx, cancel := context.WithTimeout(node.context, time.Duration(request.workKind.Timeout))
@@ -62,27 +66,27 @@
 		defer close(execution.pieces)
 		dispatched <- execution.dispatch(ctx)
 	}()
-	committed := execution.commitPieces(cancel)
-	failed := <-dispatched
-	outcome := node.outcomeOf(failed)
-	if committed != nil {
-		outcome = scheduler.NotSent // it was broken off from here
+	commitErr := execution.commitPieces(cancel)
+	dispatchErr := <-dispatched
+	outcome := node.outcomeOf(dispatchErr)
+	if commitErr != nil {
+		outcome = scheduler.NotSent // this front cancelled it, which says nothing of the runner
 	}
 	defer request.slot.Release(outcome)
-	execution.close(failed, committed)
+	execution.close(dispatchErr, commitErr)
 }
 
-// dispatch sends the turn to a runner, and to another one only while provably
-// nothing was sent.
+// dispatch sends the turn to a runner, and to another one only while provably nothing was
+// sent.
 func (execution *turnExecution) dispatch(ctx context.Context) error {
 	request, node := execution.request, execution.node
 	history := request.history.Messages(request.follows)
 	for dial := 1; ; dial++ {
 		turn := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Words: request.words, Limit: request.answerWordLimit()}
-		began := time.Now()
+		startedAt := time.Now()
 		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, turn, node.preSendCheck(request), func(words string) error {
 			if execution.timeToFirstPiece == 0 {
-				execution.timeToFirstPiece = time.Since(began)
+				execution.timeToFirstPiece = time.Since(startedAt)
 				request.slot.FirstEvent(execution.timeToFirstPiece)
 			}
 			accepted, fits := execution.counter.CountUpTo(words, request.answerWordLimit())
@@ -107,8 +111,8 @@
 	}
 }
 
-// commitPieces commits whatever has come since the last commit as one append, and
-// only then lets it be streamed.
+// commitPieces commits what has come since the last commit as one append, and only then
+// lets it be streamed. After an error it stops the dispatch and drops the rest.
 func (execution *turnExecution) commitPieces(stop context.CancelFunc) error {
 	for words := range execution.pieces {
 		batch := []string{words}
@@ -132,6 +136,7 @@
 	return nil
 }
 
+// commit appends one batch of pieces to the session and the event buffer.
 func (execution *turnExecution) commit(batch []string) error {
 	request := execution.request
 	events := make([]sessionlog.Event, len(batch))
@@ -156,49 +161,66 @@
 	return nil
 }
 
-// close records how the turn ended. An answer counts as complete only once that
-// is committed.
-func (execution *turnExecution) close(failed, uncommitted error) {
+// close records how the turn ended, settles its reservation, and ends the event buffer. An
+// answer counts as complete only once that is committed.
+func (execution *turnExecution) close(dispatchErr, commitErr error) {
 	request, node := execution.request, execution.node
-	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
-	defer cancel()
 	words := conversation.CountWords(request.words) + execution.counter.Count
-	if uncommitted != nil {
+	if commitErr != nil {
 		node.settle(request, words)
-		node.background.start(func() {
-			ctx, cancel := context.WithTimeout(node.context, settleTimeout)
-			defer cancel()
-			err := node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
-			for err != nil && ctx.Err() == nil {
-				awaitRetry(ctx)
-				err = node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
-			}
-			if err != nil {
-				log.WithFields(log.Fields{"node": node.name, "line": request.sessionName(), "turn": request.begun.Seq, "error": err.Error()}).Warn("turn_left_open")
-			}
-		})
-		execution.buffer.append(apierror.New(apierror.Unknown, "the answer's pieces could not be committed: "+uncommitted.Error(), "tail the conversation from the last seq you have"), true)
+		execution.cutInBackground()
+		execution.buffer.append(apierror.New(apierror.Unknown, "the answer's pieces could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"), true)
 		return
 	}
-	outcome, detail := sessionlog.OutcomeComplete, ""
-	switch {
-	case errors.Is(failed, errTurnLimit):
-		outcome, detail = sessionlog.OutcomeCut, "turn_limit"
-	case failed != nil && execution.parts == 0 && (apierror.Of(failed).NeverSent || apierror.Is(failed, apierror.NotRun)):
-		outcome, detail, words = sessionlog.OutcomeNotRun, "runner_unreachable", 0
-	case failed != nil:
-		outcome, detail = sessionlog.OutcomeCut, "runner_mishap"
-		log.WithFields(log.Fields{"node": node.name, "line": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Address, "error": failed.Error()}).Warn("turn_cut")
+	outcome, detail := execution.turnOutcome(dispatchErr)
+	if outcome == sessionlog.OutcomeNotRun {
+		words = 0
 	}
+	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
+	defer cancel()
 	seq, err := node.recordEnd(ctx, request, execution.nextProducerSeq, outcome, "", detail)
 	node.settle(request, words)
 	if err != nil {
 		execution.buffer.append(apierror.New(apierror.Unknown, "the end of the answer could not be committed: "+err.Error(), "tail the conversation from the last seq you have"), true)
 		return
 	}
-	var reported error
+	var streamErr error
 	if outcome == sessionlog.OutcomeNotRun {
-		reported = request.fencedError(failed)
+		streamErr = request.fencedError(dispatchErr)
 	}
-	execution.buffer.append(reported, true, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.begun.Seq, Outcome: outcome, Name: detail})
+	execution.buffer.append(streamErr, true, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.begun.Seq, Outcome: outcome, Name: detail})
+}
+
+// turnOutcome returns the outcome to record for the result of the dispatch, and the reason
+// if it is not complete.
+func (execution *turnExecution) turnOutcome(dispatchErr error) (outcome, detail string) {
+	switch {
+	case dispatchErr == nil:
+		return sessionlog.OutcomeComplete, ""
+	case errors.Is(dispatchErr, errTurnLimit):
+		return sessionlog.OutcomeCut, "turn_limit"
+	case execution.parts == 0 && (apierror.Of(dispatchErr).NeverSent || apierror.Is(dispatchErr, apierror.NotRun)):
+		return sessionlog.OutcomeNotRun, "runner_unreachable"
+	}
+	request := execution.request
+	log.WithFields(log.Fields{"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Address, "error": dispatchErr.Error()}).Warn("turn cut off by its runner")
+	return sessionlog.OutcomeCut, "runner_mishap"
+}
+
+// cutInBackground closes the turn as cut after its pieces could not be committed. Until
+// that succeeds the turn looks open; whoever reads it once it is overdue closes it too.
+func (execution *turnExecution) cutInBackground() {
+	request, node := execution.request, execution.node
+	node.background.start(func() {
+		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
+		defer cancel()
+		err := node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
+		for err != nil && ctx.Err() == nil {
+			awaitRetry(ctx)
+			err = node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
+		}
+		if err != nil {
+			log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "turn": request.begun.Seq, "error": err.Error()}).Warn("turn left open until it is overdue")
+		}
+	})
 }
--- a/system/front/word_quota.go
+++ b/system/front/word_quota.go
@@ -10,13 +10,21 @@
 	"yardrock.example/system/sessionlog"
 )
 
+const (
+	// reservationDispatchWindow is how long after the reservation the work may be sent to a
+	// runner. After that time, the runner's timeout and both margins the stores settle it.
+	reservationDispatchWindow = 15 * time.Second
+	reservationMargin         = 15 * time.Second
+)
+
+// quotaName names the session that counts the program's words of the current period.
 func (request *request) quotaName() string {
 	return sessionlog.QuotaName(request.team, request.program, request.programConfig.Period)
 }
 
 // reserveWords reserves the new words and the longest answer before anything is
-// dispatched. If the answer to that is lost, it is settled at once, so that it can't
-// come to count later. What a front that died leaves, the stores settle.
+// dispatched. If the reply is lost, the reservation is settled with 0 at once, so that it
+// can't count later. The stores settle what a front that died leaves.
 func reserveWords(ctx context.Context, node *Node, request *request) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -43,8 +51,9 @@
 	return nil, apierror.NewRetryable(apierror.NotRun, "the reservation came too late", "ask again", time.Second)
 }
 
-// settle books what a turn used; it is tried until it lasts or timeout ends, and
-// what stays unsettled goes on counting as spent.
+// settle commits in the background how much of the reservation a turn used. It is tried
+// until that is committed or settleTimeout is over; until the stores settle it, an
+// unsettled reservation counts as spent.
 func (node *Node) settle(request *request, words uint64) {
 	name, reservation := request.quotaName(), request.reservation
 	if reservation == "" {
@@ -63,13 +72,13 @@
 	})
 }
 
-// answerWordLimit is how many words the answer may hold: by the config in force, but never
-// more than was reserved under the one before.
+// answerWordLimit returns how many words the answer may have: by the configuration in
+// force, but never more than was reserved under an earlier one.
 func (request *request) answerWordLimit() uint64 {
 	return min(request.reservedWords, request.programConfig.TurnLimit)
 }
 
-// awaitRetry keeps what is tried again in the background from doing so at once.
+// awaitRetry waits for the next attempt of a background task, or for the end of the context.
 func awaitRetry(ctx context.Context) {
 	select {
 	case <-time.After(backgroundRetryInterval):
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -26,9 +26,10 @@
 	return mux
 }
 
-// workService joins the generated interface to the chains.
+// workService implements the generated interface with the chains.
 type workService struct{ node *Node }
 
+// text returns an optional text, or "".
 func text(optional *string) string {
 	if optional == nil {
 		return ""
@@ -36,6 +37,7 @@
 	return *optional
 }
 
+// runChain passes a request with its bearer token through a chain.
 func (service workService) runChain(ctx context.Context, authorization *string, request *request, chain []filter) (any, error) {
 	token, err := httpapi.BearerToken(authorization)
 	if err != nil {
@@ -45,6 +47,7 @@
 	return service.node.runChain(ctx, request, chain)
 }
 
+// respondStream runs a chain whose answer is a stream.
 func (service workService) respondStream(ctx context.Context, authorization *string, request *request, chain []filter) (io.ReadCloser, error) {
 	answer, err := service.runChain(ctx, authorization, request, chain)
 	if err != nil {
@@ -56,6 +59,7 @@
 	return streaming, nil
 }
 
+// respondOutcome runs a chain whose answer is an outcome.
 func (service workService) respondOutcome(ctx context.Context, authorization *string, request *request, chain []filter) (*work.Outcome, error) {
 	answer, err := service.runChain(ctx, authorization, request, chain)
 	if err != nil {
@@ -69,7 +73,7 @@
 	return service.respondStream(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, turnChain)
 }
 
-// Turn follows a turn.
+// Turn follows a turn of a conversation.
 func (service workService) Turn(ctx context.Context, payload *work.TurnPayload) (io.ReadCloser, error) {
 	if payload.Follows == 0 {
 		return nil, apierror.New(apierror.Invalid, "follows is 0", "name the turn to follow")
@@ -82,17 +86,17 @@
 	return service.respondOutcome(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, toolChain)
 }
 
-// Helper starts a conversation that its parent names.
+// Helper starts a conversation that its parent's session names.
 func (service workService) Helper(ctx context.Context, payload *work.HelperPayload) (io.ReadCloser, error) {
 	return service.respondStream(ctx, payload.Authorization, &request{parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, helperChain)
 }
 
-// Lookup asks what may be asked again.
+// Lookup sends plain work that may run more than once.
 func (service workService) Lookup(ctx context.Context, payload *work.LookupPayload) (*work.Outcome, error) {
 	return service.respondOutcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, lookupChain)
 }
 
-// Once runs what may not be repeated.
+// Once sends plain work that must run at most once.
 func (service workService) Once(ctx context.Context, payload *work.OncePayload) (*work.Outcome, error) {
 	return service.respondOutcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, onceChain)
 }
@@ -120,7 +124,7 @@
 	}))
 }
 
-// History reads committed events.
+// History reads a page of committed events.
 func (service workService) History(ctx context.Context, payload *work.HistoryPayload) (*work.Transcript, error) {
 	answer, err := service.runChain(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
 		return node.readAfter(ctx, call, payload.After, payload.Limit)
@@ -136,6 +140,7 @@
 	return transcript, nil
 }
 
+// toRecord converts an event to its form in a transcript.
 func toRecord(event sessionlog.Event) *work.Record {
 	record := &work.Record{Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind]}
 	for target, value := range map[**string]string{&record.Words: event.Text, &record.Outcome: event.Outcome, &record.Name: event.Name} {
@@ -151,7 +156,7 @@
 	return record
 }
 
-// QuotaUsage tells what a program has spent.
+// Tally returns what a program has spent and reserved of its quota.
 func (service workService) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
 	answer, err := service.runChain(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(ctx context.Context, node *Node, call *request) (any, error) {
 		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
