--- /dev/null
+++ b/system/storeclient/find_turn.go
@@ -0,0 +1,64 @@
+package storeclient
+
+import (
+	"context"
+	"time"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
+)
+
+// findTurn looks for a turn in the sessions of all groups and returns the chain of turns up
+// to it. An error of the kind NotFound is proven: the leader of every group, confirmed by a
+// quorum, knows no such turn.
+func (client *Client) findTurn(ctx context.Context, name string) ([]sessionlog.AdoptedTurn, error) {
+	covered := map[uint32]bool{}
+	for timeout := hedgeDelay; ; timeout = min(2*timeout, callTimeout) {
+		chain, err := client.findTurnOnce(ctx, name, timeout, covered)
+		if chain != nil || err != nil {
+			return chain, err
+		}
+		select {
+		case <-time.After(maxBackoff):
+		case <-ctx.Done():
+			return nil, apierror.NewRetryable(apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", retryAfter)
+		}
+	}
+}
+
+// findTurnOnce asks every store for the turn in the groups that it leads, and adds these to
+// covered. It waits for no more replies once the turn is found or every group is covered.
+// nil, nil means that groups are left.
+func (client *Client) findTurnOnce(ctx context.Context, name string, timeout time.Duration, covered map[uint32]bool) ([]sessionlog.AdoptedTurn, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	view := client.view()
+	replies := make(chan *wire.FindTurnReply, len(view.Stores))
+	for _, member := range view.Stores {
+		go func() { // ends with the call; replies has room for all
+			reply, err := client.caller.Call(ctx, member.Address, &wire.Query{Fleet: view.Fleet, Which: schema.Query_Which_find, FindTurn: &wire.FindTurnQuery{Name: name}})
+			if err != nil || reply.FoundTurn == nil {
+				reply = &wire.Reply{FoundTurn: &wire.FindTurnReply{}}
+			}
+			replies <- reply.FoundTurn
+		}()
+	}
+	for range view.Stores {
+		reply := <-replies
+		switch {
+		case reply.Found:
+			return reply.Chain, nil
+		case reply.Open:
+			return nil, beginErrors[sessionlog.TurnOpen]()
+		}
+		for _, group := range reply.SearchedGroups {
+			covered[group] = true
+		}
+		if view.Groups > 0 && len(covered) >= int(view.Groups) {
+			return nil, unknownTurnError()
+		}
+	}
+	return nil, nil
+}
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -6,70 +6,80 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/sessionlog"
-	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
 // Turn is a turn of a program that is about to begin.
 type Turn struct {
-	// Session is the program's, Name the query's; a name is used once.
+	// SessionName names the session that records the turn, Name the turn in it. A name
+	// identifies one turn in the fleet; the same begin again finds it.
 	SessionName string
 	Name        string
-	// Follows names the turn to go on from; "" starts.
+	// Follows names the turn that this one continues; "" starts a conversation.
 	Follows string
-	// Input is what the turn brings. With Keeps it is kept for the turns that follow.
+	// Input is what the turn brings. With KeepHistory it is stored for the turns that
+	// follow.
 	Input       []byte
 	KeepHistory bool
-	// PrefixScope is whose opening the input may share; "" shares none.
+	// PrefixScope names the turns that the input may share a stored prefix with; "" means
+	// that it shares none.
 	PrefixScope string
-	// Retention is how long the turn is kept from the end of its answer.
+	// Retention is how long the turn is stored after the end of its answer.
 	Retention time.Duration
-	// HasQuota turns put out Most tokens at most, of the program's Allowance.
+	// HasTokenQuota says whether the turn's output counts against TokenQuota, the tokens
+	// that all turns of the session may put out. MaxOutputTokens are reserved of it.
 	HasTokenQuota   bool
 	MaxOutputTokens uint64
 	TokenQuota      uint64
 	// DispatchID names the one attempt that may run the turn.
 	DispatchID string
-	// Lifetime is how long the turn may be open.
+	// Lifetime is how long the turn may stay open before the stores close it.
 	Lifetime time.Duration
 }
 
-// BegunTurn is a turn that was begun.
+// BegunTurn is a turn whose begin is committed.
 type BegunTurn struct {
+	// Seq is the position of the begin in the session.
 	Seq uint64
-	// History is, for a turn that is kept, each turn of the chain that it follows, oldest
-	// first: its input, then its output.
+	// History is, for a turn with KeepHistory, that of each turn in the chain that it
+	// follows, oldest first: its input, then its output.
 	History []byte
 }
 
-// TurnEnd is how a turn ended. Output is the data of its events, each with a line feed
-// after it; Tokens are those that were put out to the caller.
+// TurnEnd is how a turn ended.
 type TurnEnd struct {
 	SessionName string
 	Name        string
 	Seq         uint64
-	Output      []byte
-	Tokens      uint64
+	// Output is the data of the answer's events, each with a line feed after it. It is
+	// stored only with KeepHistory and a complete outcome.
+	Output []byte
+	// Tokens are those that were put out, whether or not the caller got them.
+	Tokens uint64
+	// Outcome is one of sessionlog's outcomes.
 	Outcome     string
 	KeepHistory bool
 }
 
 const (
-	// minSessionRetention is how long a program's line is kept at least, so that its tally is not
-	// forgotten while the program still runs.
+	// minSessionRetention is how long a program's session is stored at least, so that its
+	// quota usage is not forgotten while the program runs.
 	minSessionRetention = 10 * time.Minute
-	shortRetryAfter     = 200 * time.Millisecond
-	retryAfter          = 500 * time.Millisecond
-	fenceTimeout        = 5 * time.Second
+	// shortRetryAfter is when to retry what another turn prevents, retryAfter when to retry
+	// what the stores could not do in time.
+	shortRetryAfter = 200 * time.Millisecond
+	retryAfter      = 500 * time.Millisecond
+	// fenceTimeout bounds the background task that closes a turn of unknown state.
+	fenceTimeout = 5 * time.Second
 )
 
-// BeginTurn reserves what a turn may put out and records its beginning, in one commit.
-// Its failures: NotFound proves that there is no such turn as Follows, Exhausted that
-// the allowance does not bear the turn. NotRun tells that it can't be told in time; then
-// nothing that was begun will ever be used. Conflict tells that another dispatch began
-// the turn.
+// BeginTurn reserves a turn's maximal output and records its begin, in one commit.
 //
-//	begun, err := origin.BeginTurn(ctx, storeorigin.Turn{Line: "program/3fa81c", Name: "9c41d07b", Input: body, Keeps: true, Keep: time.Minute, Dispatch: "front-1/7", Life: time.Minute})
+// Kinds of errors: NotFound proves that there is no such turn as Follows. QuotaExhausted
+// means that the quota does not allow the turn. Conflict means that another dispatch began
+// the turn. NotRun means that the begin could not be committed in time; if it was committed
+// after all, nobody will use it, and it is closed in the background.
+//
+//	begun, err := client.BeginTurn(ctx, storeclient.Turn{SessionName: "program/3fa81c", Name: "9c41d07b", Input: body, KeepHistory: true, Retention: time.Minute, DispatchID: "front-1/7", Lifetime: time.Minute})
 func (client *Client) BeginTurn(ctx context.Context, turn Turn) (*BegunTurn, error) {
 	command := sessionlog.Command{Kind: sessionlog.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory,
 		Retention: max(turn.Retention, minSessionRetention), HasQuota: turn.HasTokenQuota, Tokens: turn.MaxOutputTokens, Quota: turn.TokenQuota, Lifetime: turn.Lifetime}
@@ -78,7 +88,7 @@
 		command.Data = turn.Input
 	}
 	for {
-		outcome, history, err := client.commitTurnCommand(ctx, turn.SessionName, command)
+		outcome, history, err := client.commitTurn(ctx, turn.SessionName, command)
 		if apierror.Is(err, apierror.OutcomeUnknown) {
 			go client.fenceTurn(turn)
 		}
@@ -101,6 +111,7 @@
 	}
 }
 
+// beginErrors are the errors of BeginTurn for the statuses that forbid a turn.
 var beginErrors = map[sessionlog.Status]func() error{
 	sessionlog.QuotaExceeded: func() error {
 		return apierror.New(apierror.QuotaExhausted, "the program's allowance does not bear one more turn", "raise the allowance, or end the program")
@@ -123,33 +134,35 @@
 	},
 }
 
+// unknownTurnError is for a turn to follow that no session has as complete.
 func unknownTurnError() error {
 	return apierror.New(apierror.NotFound, "no turn of that name was answered whole", "check the name; a turn is forgotten when its keeping time is over")
 }
 
-// EndTurn records a turn's output and outcome and books its tokens, in one commit.
-// Unclear means that it may have been recorded; any other failure that it was not, and
-// the answer must not look complete.
+// EndTurn records a turn's output and outcome and settles its reservation, in one commit.
+// An error of the kind OutcomeUnknown means that the end may be recorded; any other that it
+// is not, and that the response must not look complete.
 //
-//	err := origin.EndTurn(ctx, storeorigin.TurnEnd{Line: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: sessionlog.OutcomeComplete, Kept: true})
+//	err := client.EndTurn(ctx, storeclient.TurnEnd{SessionName: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 func (client *Client) EndTurn(ctx context.Context, end TurnEnd) error {
 	command := sessionlog.Command{Kind: sessionlog.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention}
 	if end.KeepHistory && end.Outcome == sessionlog.OutcomeComplete {
 		command.Data = end.Output
 	}
-	outcome, _, err := client.commitTurnCommand(ctx, end.SessionName, command)
+	outcome, _, err := client.commitTurn(ctx, end.SessionName, command)
 	if err != nil {
 		return err
 	}
 	if outcome.Status == sessionlog.Done {
 		return nil
 	}
-	if failed, known := endErrors[outcome.Status]; known {
-		return failed()
+	if rejected, known := endErrors[outcome.Status]; known {
+		return rejected()
 	}
 	return apierror.New(apierror.Invalid, "a turn's end needs a name and an outcome", "name both")
 }
 
+// endErrors are the errors of EndTurn for the statuses that forbid an end.
 var endErrors = map[sessionlog.Status]func() error{
 	sessionlog.UnknownTurn: func() error {
 		return apierror.New(apierror.NotFound, "the turn is not in its line any more", "break the answer off")
@@ -159,79 +172,21 @@
 	},
 }
 
-// fenceTurn ends a turn of which it is not known whether it began, so that it is not left
-// open and what it reserved does not count.
+// fenceTurn closes a turn of which it is not known whether it began, so that it does not
+// stay open with its reservation. It runs in a goroutine of its own, which nobody waits for
+// and fenceTimeout ends.
 func (client *Client) fenceTurn(turn Turn) {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
-	_ = client.EndTurn(ctx, TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Outcome: sessionlog.OutcomeNotRun}) // else it counts at its most
+	// If it fails, the reservation counts until the turn's lifetime is over.
+	_ = client.EndTurn(ctx, TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Outcome: sessionlog.OutcomeNotRun})
 }
 
-func (client *Client) commitTurnCommand(ctx context.Context, name string, command sessionlog.Command) (sessionlog.Outcome, []byte, error) {
-	command.Session = name
-	reply, arrived, err := client.call(ctx, name, callTimeout, func(group uint32) *wire.Query {
-		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: []sessionlog.Command{command}}}
-	})
-	if err != nil && arrived {
-		return sessionlog.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
-	}
+// commitTurn commits one command of a turn. The history is that of the turn it follows.
+func (client *Client) commitTurn(ctx context.Context, name string, command sessionlog.Command) (outcome sessionlog.Outcome, history []byte, err error) {
+	reply, err := client.commit(ctx, name, []sessionlog.Command{command})
 	if err != nil {
 		return sessionlog.Outcome{}, nil, err
 	}
-	if reply.Outcomes == nil || len(reply.Outcomes.Outcomes) != 1 {
-		return sessionlog.Outcome{}, nil, apierror.New(apierror.OutcomeUnknown, "a store answered out of form", "run matching versions of the programs")
-	}
-	return reply.Outcomes.Outcomes[0], reply.Outcomes.History, nil
-}
-
-// findTurn looks for a turn in all groups. NotFound is proven: the leader of every group,
-// confirmed by a quorum, knows no such turn.
-func (client *Client) findTurn(ctx context.Context, name string) ([]sessionlog.AdoptedTurn, error) {
-	covered := map[uint32]bool{}
-	for timeout := hedgeDelay; ; timeout = min(2*timeout, callTimeout) {
-		chain, err := client.findTurnOnce(ctx, name, timeout, covered)
-		if chain != nil || err != nil {
-			return chain, err
-		}
-		select {
-		case <-time.After(maxBackoff):
-		case <-ctx.Done():
-			return nil, apierror.NewRetryable(apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", retryAfter)
-		}
-	}
-}
-
-// findTurnOnce asks every store for the groups that it leads. It waits for no more answers
-// once the turn is found, or every group is covered. Neither a chain nor a failure
-// tells that groups are left.
-func (client *Client) findTurnOnce(ctx context.Context, name string, timeout time.Duration, covered map[uint32]bool) ([]sessionlog.AdoptedTurn, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	view := client.view()
-	replies := make(chan *wire.FindTurnReply, len(view.Stores))
-	for _, member := range view.Stores {
-		go func() {
-			reply, err := client.caller.Call(ctx, member.Address, &wire.Query{Fleet: view.Fleet, Which: schema.Query_Which_find, FindTurn: &wire.FindTurnQuery{Name: name}})
-			if err != nil || reply.FoundTurn == nil {
-				reply = &wire.Reply{FoundTurn: &wire.FindTurnReply{}}
-			}
-			replies <- reply.FoundTurn
-		}()
-	}
-	for range view.Stores {
-		reply := <-replies
-		switch {
-		case reply.Found:
-			return reply.Chain, nil
-		case reply.Open:
-			return nil, beginErrors[sessionlog.TurnOpen]()
-		}
-		for _, group := range reply.SearchedGroups {
-			covered[group] = true
-		}
-		if view.Groups > 0 && len(covered) >= int(view.Groups) {
-			return nil, unknownTurnError()
-		}
-	}
-	return nil, nil
+	return reply.Outcomes[0], reply.History, nil
 }
