--- /dev/null
+++ b/system/httpapi/errors.go
@@ -0,0 +1,71 @@
+package httpapi
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	goahttp "goa.design/goa/v3/http"
+	goa "goa.design/goa/v3/pkg"
+
+	"yardrock.example/system/apierror"
+)
+
+// statusOfKind maps kinds of errors to HTTP statuses; others are 500.
+var statusOfKind = map[apierror.Kind]int{
+	apierror.Invalid: http.StatusBadRequest, apierror.Unauthorized: http.StatusUnauthorized, apierror.Forbidden: http.StatusForbidden,
+	apierror.NotFound: http.StatusNotFound, apierror.Conflict: http.StatusConflict, apierror.TooLarge: http.StatusRequestEntityTooLarge,
+	apierror.QuotaExhausted: http.StatusForbidden, apierror.NotRun: http.StatusServiceUnavailable, apierror.NoQuorum: http.StatusServiceUnavailable,
+	apierror.Gap: http.StatusServiceUnavailable, apierror.Unavailable: http.StatusServiceUnavailable, apierror.NotLeader: http.StatusServiceUnavailable,
+	apierror.Unknown: http.StatusBadGateway, apierror.RunnerFailure: http.StatusBadGateway, apierror.OutcomeUnknown: http.StatusGatewayTimeout,
+}
+
+// Error is the body of every response that is no success.
+type Error struct {
+	// Kind is an apierror.Kind, for programs to switch on.
+	Kind    string `json:"kind"`
+	Message string `json:"message"`
+	// Remedy says what the caller can do.
+	Remedy string `json:"remedy"`
+	// RetryAfter is when a retry may succeed, in milliseconds; 0 if that is not known.
+	RetryAfter int64 `json:"retry_after_ms,omitempty"`
+	statusCode int
+}
+
+// StatusCode returns the HTTP status of the error; goa calls it.
+//
+//	status := body.StatusCode()
+func (body *Error) StatusCode() int { return body.statusCode }
+
+// Error lets clients of the interface treat a decoded body as an error.
+//
+//	return body.Error()
+func (body *Error) Error() string {
+	return body.Message + " [" + body.Kind + "; remedy: " + body.Remedy + "]"
+}
+
+// FormatError turns an error into a response body, and sets the Retry-After field, in whole
+// seconds, if the error says when to retry; goa calls it.
+//
+//	server := workserver.New(endpoints, mux, decoder, encoder, nil, httpapi.FormatError, nil)
+func FormatError(ctx context.Context, err error) goahttp.Statuser {
+	failure := apierror.Of(err)
+	var service *goa.ServiceError
+	if errors.As(err, &service) {
+		failure = &apierror.Error{Kind: apierror.Invalid, Message: service.Message, Remedy: "correct the query as the message says"}
+		if strings.Contains(service.Message, "request body too large") {
+			failure = &apierror.Error{Kind: apierror.TooLarge, Message: "the body is larger than the config allows", Remedy: "send less in one query"}
+		}
+	}
+	status, known := statusOfKind[failure.Kind]
+	if !known {
+		status = http.StatusInternalServerError
+	}
+	if writer, found := ctx.Value(writerKey{}).(http.ResponseWriter); found && failure.RetryAfter > 0 {
+		writer.Header().Set("Retry-After", strconv.Itoa(int((failure.RetryAfter+time.Second-1)/time.Second)))
+	}
+	return &Error{Kind: string(failure.Kind), Message: failure.Message, Remedy: failure.Remedy, RetryAfter: failure.RetryAfter.Milliseconds(), statusCode: status}
+}
