--- a/system/forwarding/forwarder.go
+++ b/system/forwarding/forwarder.go
@@ -27,6 +27,7 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/config"
 	"yardrock.example/system/storeclient"
+	"yardrock.example/system/taskgroup"
 )
 
 // shortRetryAfter is when a caller should retry after a rejection whose cause is expected
@@ -40,9 +41,9 @@
 	context context.Context
 	stop    context.CancelFunc
 	// turnCommits are the ends of turns that are being committed in the background.
-	turnCommits taskGroup
+	turnCommits taskgroup.Group
 	// discardedAttempts are the attempts that go on though the caller has its response.
-	discardedAttempts taskGroup
+	discardedAttempts taskgroup.Group
 	bufferedBytes     atomic.Int64
 }
 
@@ -65,15 +66,15 @@
 //	forwarder.Close()
 func (forwarder *Forwarder) Close() {
 	forwarder.stop()
-	forwarder.turnCommits.wait(context.Background())
-	forwarder.discardedAttempts.wait(context.Background())
+	forwarder.turnCommits.Wait(context.Background())
+	forwarder.discardedAttempts.Wait(context.Background())
 }
 
 // AwaitTurnCommits waits until the ends of all turns are committed, or the context ends.
 //
 //	forwarder.AwaitTurnCommits(ctx)
 func (forwarder *Forwarder) AwaitTurnCommits(ctx context.Context) {
-	forwarder.turnCommits.wait(ctx)
+	forwarder.turnCommits.Wait(ctx)
 }
 
 // Serve forwards one request to a runner and relays the response. An error before
--- a/system/forwarding/hedging.go
+++ b/system/forwarding/hedging.go
@@ -187,7 +187,7 @@
 		}
 	}
 	left := len(attempts.inFlight)
-	attempts.forwarder.discardedAttempts.start(func() {
+	attempts.forwarder.discardedAttempts.Go(func() {
 		for range left {
 			(<-attempts.finished).discard()
 		}
--- a/system/forwarding/turns.go
+++ b/system/forwarding/turns.go
@@ -154,7 +154,7 @@
 	if exchange.turn == nil {
 		return
 	}
-	forwarder.turnCommits.start(func() {
+	forwarder.turnCommits.Go(func() {
 		ctx, cancel := context.WithTimeout(forwarder.context, backgroundEndTurnTimeout)
 		defer cancel()
 		for ctx.Err() == nil && !isFinal(forwarder.endTurn(ctx, exchange, outcome)) {
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -42,6 +42,7 @@
 	"yardrock.example/system/runnerpool"
 	"yardrock.example/system/scheduler"
 	"yardrock.example/system/storeclient"
+	"yardrock.example/system/taskgroup"
 )
 
 // Settings configure a front node.
@@ -87,7 +88,7 @@
 	// context ends with Close; background tasks and work under way run under it.
 	context    context.Context
 	stop       context.CancelFunc
-	background *taskGroup
+	background taskgroup.Group
 }
 
 // Start starts a front node; Close ends it. An error is of the kind BadSettings.
@@ -116,7 +117,7 @@
 
 // newNode makes a node with all that needs no network yet.
 func newNode(settings Settings, network link.Network) *Node {
-	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerclient.New(network), background: newTaskGroup()}
+	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerclient.New(network)}
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
 	node.frontNames.Store(&[]string{node.name})
@@ -185,15 +186,7 @@
 func (node *Node) Drain(ctx context.Context) {
 	node.draining.Store(true)
 	node.forwarder.AwaitTurnCommits(ctx)
-	ended := make(chan struct{})
-	go func() {
-		node.background.wait()
-		close(ended)
-	}()
-	select {
-	case <-ended:
-	case <-ctx.Done():
-	}
+	node.background.Wait(ctx)
 	if node.publicServer == nil {
 		return
 	}
@@ -215,7 +208,7 @@
 	node.pool.Close()
 	node.feedClient.Stop()
 	node.linkServer.Close()
-	node.background.close()
+	node.background.Close()
 	node.caller.Close()
 }
 
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -30,7 +30,7 @@
 func (node *Node) notifyPeers(address string, cooled bool) {
 	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner state noted")
 	for _, member := range node.peers() {
-		node.background.start(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
+		node.background.Go(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
 	}
 }
 
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -58,7 +58,7 @@
 		err    error
 	}
 	done := make(chan result, 1)
-	node.background.start(func() {
+	node.background.Go(func() {
 		answer, err := node.executeOnce(request)
 		done <- result{answer, err}
 	})
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -42,7 +42,7 @@
 func startRun(ctx context.Context, node *Node, request *request) (any, error) {
 	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pieces: make(chan string, pieceQueueLength), nextProducerSeq: 2}
 	request.cleanups = nil
-	node.background.start(execution.execute)
+	node.background.Go(execution.execute)
 	_, ended, failed := execution.buffer.after(ctx, 0)
 	if ended && apierror.Is(failed, apierror.NotRun) {
 		request.provenNotRun = true // its end is recorded
@@ -211,7 +211,7 @@
 // that succeeds the turn looks open; whoever reads it once it is overdue closes it too.
 func (execution *turnExecution) cutInBackground() {
 	request, node := execution.request, execution.node
-	node.background.start(func() {
+	node.background.Go(func() {
 		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 		defer cancel()
 		err := node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
--- a/system/front/word_quota.go
+++ b/system/front/word_quota.go
@@ -60,7 +60,7 @@
 		return
 	}
 	request.reservation = ""
-	node.background.start(func() {
+	node.background.Go(func() {
 		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
