--- a/system/front/active_config.go
+++ b/system/front/active_config.go
@@ -29,7 +29,7 @@
 func (node *Node) View() *feed.View { return node.active.Load().view }
 
 // applyView decodes a newer view's configuration and puts both in force. An error leaves
-// the earlier ones in force; the feed client tries the view again.
+// the earlier ones in force.
 func (node *Node) applyView(view *feed.View) error {
 	decoded := node.active.Load().config
 	if view.ConfigNumber != node.active.Load().view.ConfigNumber || view.Fleet != node.active.Load().view.Fleet {
@@ -60,20 +60,20 @@
 
 // activeRouting returns the part of the configuration in force that forwarding needs.
 func (node *Node) activeRouting() forwarding.ActiveConfig {
-	rules := node.active.Load()
-	return forwarding.ActiveConfig{View: rules.view, Routing: rules.config.Routing, SharedPrefixes: rules.config.SharedPrefixes}
+	active := node.active.Load()
+	return forwarding.ActiveConfig{View: active.view, Routing: active.config.Routing, SharedPrefixes: active.config.SharedPrefixes}
 }
 
 // updateBalancer gives the balancer the configuration in force and the fronts that share
 // the runners, and closes connections to runners that are no longer listed.
 func (node *Node) updateBalancer() {
-	rules := node.active.Load()
-	if rules.config.Routing == nil {
+	active := node.active.Load()
+	if active.config.Routing == nil {
 		return
 	}
 	fronts := *node.frontNames.Load()
-	node.balancer.Update(balancer.State{View: rules.view, Routing: rules.config.Routing, FrontCount: len(fronts), FrontName: node.name, FrontNames: fronts})
-	node.pool.Retain(rules.view.Runners)
+	node.balancer.Update(balancer.State{View: active.view, Routing: active.config.Routing, FrontCount: len(fronts), FrontName: node.name, FrontNames: fronts})
+	node.pool.Retain(active.view.Runners)
 }
 
 // Bounds returns the limits for callers of forwarded requests; all fields are 0 while no
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -157,8 +157,8 @@
 // Its errors are those of forwarding.Forwarder.Serve.
 //
 //	err := node.Forward(ctx, request, writer)
-func (node *Node) Forward(ctx context.Context, request *forwarding.Request, answer forwarding.ResponseWriter) error {
-	return node.forwarder.Serve(ctx, request, answer)
+func (node *Node) Forward(ctx context.Context, request *forwarding.Request, writer forwarding.ResponseWriter) error {
+	return node.forwarder.Serve(ctx, request, writer)
 }
 
 // Name returns the node's name, which is made anew at each start.
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -24,13 +24,13 @@
 	peerPollInterval = 300 * time.Millisecond
 )
 
-// notifyPeers lets the other fronts know that a runner seems to have just started (cold),
-// or answers again. Each front also finds out by itself; this only makes it sooner, so a
-// note that is lost is not sent again.
-func (node *Node) notifyPeers(address string, cooled bool) {
-	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner state noted")
+// notifyPeers lets the other fronts know that a runner seems to have just started
+// (warmingUp) or answers again. Each front also finds out by itself; this only makes it
+// sooner, so a note that is lost is not sent again.
+func (node *Node) notifyPeers(address string, warmingUp bool) {
+	log.WithFields(log.Fields{"node": node.name, "runner": address, "warming_up": warmingUp}).Info("runner state noted")
 	for _, member := range node.peers() {
-		node.background.Go(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
+		node.background.Go(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: warmingUp}) })
 	}
 }
 
@@ -66,9 +66,9 @@
 		if slices.ContainsFunc(node.feedClient.Members(), func(member feed.Member) bool { return member.Name == node.name }) {
 			node.listedSince.CompareAndSwap(nil, new(time.Now()))
 		}
-		now := map[string]bool{}
+		listed := map[string]bool{}
 		for _, member := range node.peers() {
-			now[member.Name] = true
+			listed[member.Name] = true
 			if known[member.Name] {
 				continue
 			}
@@ -76,26 +76,26 @@
 				node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: true})
 			}
 		}
-		fronts := append(slices.Collect(maps.Keys(now)), node.name)
+		fronts := append(slices.Collect(maps.Keys(listed)), node.name)
 		slices.Sort(fronts)
 		if !slices.Equal(*node.frontNames.Swap(&fronts), fronts) {
 			node.updateBalancer()
 		}
-		known = now
+		known = listed
 	}
 }
 
 // schedulerState returns the fronts that share the runners. This one counts only once it
 // has joined.
 func (node *Node) schedulerState() scheduler.State {
-	rules := node.active.Load()
+	active := node.active.Load()
 	fronts := []placement.Candidate{}
 	for _, member := range node.feedClient.Members() {
 		if member.Role == feed.RoleFront && node.hasJoined() {
 			fronts = append(fronts, placement.Candidate{Name: member.Name, Domain: member.Domain})
 		}
 	}
-	return scheduler.State{View: rules.view, Config: rules.config, Fronts: fronts}
+	return scheduler.State{View: active.view, Config: active.config, Fronts: fronts}
 }
 
 // hasJoined reports whether the other fronts have had time to hear of this one.
@@ -116,9 +116,9 @@
 		return &wire.Reply{}
 	case schema.Query_Which_status:
 		view := node.feedClient.View()
-		out, waiting := node.scheduler.Status()
+		loads, queued := node.scheduler.Status()
 		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
-			RunnerLoads: out, Queued: waiting,
+			RunnerLoads: loads, Queued: queued,
 			Name: node.name, Role: feed.RoleFront, Address: node.settings.Address, Domain: node.settings.Domain,
 			Fleet: view.Fleet, ViewNumber: view.Number, Controls: view.Controls,
 		}}
--- a/system/httpapi/server.go
+++ b/system/httpapi/server.go
@@ -49,7 +49,7 @@
 	done chan struct{}
 }
 
-// Serve serves requests on a listener, in goroutines that Close ends. limit returns the
+// Serve serves requests on a listener until Close. limit returns the
 // largest request body allowed now, in bytes.
 //
 //	server := httpapi.Serve(listener, mux, func() int64 { return 1 << 20 })
