--- /dev/null
+++ b/system/scheduler/weighted_round_robin.go
@@ -0,0 +1,45 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+
+	"yardrock.example/system/feed"
+)
+
+// pickGroup turns the wheel of a weight table over the groups that have usable
+// runners: over any window each group's share stays within one of its weight.
+func (scheduler *Scheduler) pickGroup(state State, table string) (string, bool) {
+	weights := map[string]float64{}
+	total := 0.0
+	for group, weight := range state.Config.Tables[table] {
+		usable := slices.ContainsFunc(state.View.Runners, func(runner feed.Runner) bool {
+			return runner.Group == group && Usable(state.View, runner)
+		})
+		if usable && weight > 0 {
+			weights[group] = weight
+			total += weight
+		}
+	}
+	credits, found := scheduler.roundRobin[table]
+	if !found {
+		credits = map[string]float64{}
+		scheduler.roundRobin[table] = credits
+	}
+	for group := range credits {
+		if _, still := weights[group]; !still {
+			delete(credits, group)
+		}
+	}
+	best := ""
+	for _, group := range slices.Sorted(maps.Keys(weights)) {
+		credits[group] += weights[group] / total
+		if best == "" || credits[group] > credits[best] {
+			best = group
+		}
+	}
+	if best != "" {
+		credits[best]--
+	}
+	return best, best != ""
+}
