--- a/system/scheduler/front_shares.go
+++ b/system/scheduler/front_shares.go
@@ -8,53 +8,56 @@
 	"yardrock.example/system/placement"
 )
 
-const (
-	// shareTakeoverDelay is how long a front waits before it takes over the share of one
-	// that has left: the others must have heard of the change too.
-	shareTakeoverDelay = time.Second
-)
+// shareTakeoverDelay is how long a front waits before it uses a share that became larger
+// because another front left: the others must have heard of the change too.
+const shareTakeoverDelay = time.Second
 
-// frontList is which fronts were live, until the next list came.
+// frontList is a list of the live fronts. Lists that were replaced count for
+// shareTakeoverDelay more.
 type frontList struct {
 	fronts     []placement.Candidate
-	replacedAt time.Time
-	ranks      map[string]int // of this front, by runner address
+	replacedAt time.Time      // zero: it is the current one
+	ranks      map[string]int // this front's rank by runner address, as far as computed
 }
 
-// rank tells which place this front has among those that share a runner.
-func (list frontList) rank(runner string, itself func(placement.Candidate) bool) int {
+// rank returns this front's rank for a runner by rendezvous hashing; 0 is the highest.
+func (list frontList) rank(runner string, isSelf func(placement.Candidate) bool) int {
 	rank, known := list.ranks[runner]
 	if !known {
-		rank = slices.IndexFunc(placement.Rank(runner, list.fronts), itself)
+		rank = slices.IndexFunc(placement.Rank(runner, list.fronts), isSelf)
 		list.ranks[runner] = rank
 	}
 	return rank
 }
 
-// share cuts a runner's limit by key over the live fronts, so that all fronts
-// together keep to it; where it bears less than one a front, some have none. What a
-// change of the fronts takes away counts at once, what it gives only after a while.
-func (scheduler *Scheduler) share(runner feed.Runner, total int, fronts []placement.Candidate, now time.Time) int {
+// share returns this front's share of a runner's limit. The shares of all fronts never
+// exceed the limit, also while the fronts hear of a change at different times: the
+// smallest share under the lists of the last shareTakeoverDelay counts. What does not
+// divide evenly goes to the fronts with the highest ranks, so that with a limit below the
+// number of fronts some have no share.
+func (scheduler *Scheduler) share(runner feed.Runner, limit int, fronts []placement.Candidate, now time.Time) int {
 	if !slices.ContainsFunc(fronts, scheduler.isSelf) {
 		return 0
 	}
 	scheduler.recordFronts(fronts, now)
-	share := total
+	smallest := limit
 	for _, list := range scheduler.frontLists {
-		mine := total / len(list.fronts)
-		if list.rank(runner.Address, scheduler.isSelf) < total%len(list.fronts) {
-			mine++
+		share := limit / len(list.fronts)
+		if list.rank(runner.Address, scheduler.isSelf) < limit%len(list.fronts) {
+			share++
 		}
-		share = min(share, mine)
+		smallest = min(smallest, share)
 	}
-	return share
+	return smallest
 }
 
-func (scheduler *Scheduler) isSelf(place placement.Candidate) bool {
-	return place.Name == scheduler.front
+// isSelf reports whether a front is this one.
+func (scheduler *Scheduler) isSelf(front placement.Candidate) bool {
+	return front.Name == scheduler.front
 }
 
-// recordFronts keeps the list of fronts and those that were replaced a short time ago.
+// recordFronts makes a list of fronts the current one and drops the lists that were
+// replaced long enough ago.
 func (scheduler *Scheduler) recordFronts(fronts []placement.Candidate, now time.Time) {
 	last := len(scheduler.frontLists) - 1
 	if last < 0 || !slices.Equal(scheduler.frontLists[last].fronts, fronts) {
--- a/system/scheduler/slot.go
+++ b/system/scheduler/slot.go
@@ -7,34 +7,35 @@
 	"yardrock.example/system/feed"
 )
 
-// Outcome tells how a slot was used.
+// Outcome is how a slot was used, as far as it says something about the runner.
 type Outcome int
 
-// The ways in which a slot can end.
+// The outcomes of a slot.
 const (
-	// NotSent slots were given back before anything was sent.
+	// NotSent: no byte of the request was sent.
 	NotSent Outcome = iota
-	// Answered tells that the runner did its work.
+	// Answered: the runner completed the work.
 	Answered
-	// Faulted tells of a broken answer that says nothing about the runner's warmth.
+	// Faulted: the response was broken, in a way that does not suggest a restart.
 	Faulted
-	// Lost tells that the runner refused, was not there, or went away: it may have
-	// just started anew, whatever the platform's list says.
+	// Lost: the runner refused the connection, was not there or went away. It may have
+	// restarted, whatever the platform's runner list says.
 	Lost
 )
 
-// Slot is the right to send one query to a runner. Release must be called once.
+// Slot is the permission to send one request to one runner. It must be released.
 type Slot struct {
 	scheduler *Scheduler
 	Runner    feed.Runner
-	Group     string
+	Group     string // of the runner
 	team      string
-	once      sync.Once
+	once      sync.Once // of Release
 }
 
-// Release gives the slot back and tells how it was used.
+// Release ends the use of a slot and reports the outcome. Only the first call counts.
+// Waiting requests may be served.
 //
-//	slot.Release(scheduling.Answered)
+//	slot.Release(scheduler.Answered)
 func (slot *Slot) Release(outcome Outcome) {
 	slot.once.Do(func() {
 		scheduler := slot.scheduler
@@ -47,8 +48,7 @@
 		}
 		switch outcome {
 		case Answered:
-			if !stats.restartSuspectedAt.IsZero() && stats.slowStartAt.IsZero() {
-				stats.slowStartAt = time.Now()
+			if stats.confirmRunning() {
 				scheduler.notify(slot.Runner.Address, false)
 			}
 		case Faulted:
@@ -61,20 +61,20 @@
 	})
 }
 
-// FirstEvent notes how long the first piece took. Much longer than usual is a sign that
-// the runner has just started, or bears too much.
+// FirstEvent reports the time from sending the request to the first part of the
+// response. Much longer than usual suggests that the runner has restarted or is
+// overloaded.
 //
-//	slot.FirstEvent(time.Since(began))
-func (slot *Slot) FirstEvent(took time.Duration) {
+//	slot.FirstEvent(time.Since(sent))
+func (slot *Slot) FirstEvent(latency time.Duration) {
 	scheduler := slot.scheduler
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	stats := scheduler.statsOf(slot.Runner.Address)
-	if stats.firstEventSamples >= minFirstEventSamples && took > minSlowFirstEvent && took > slowFirstEventFactor*stats.meanFirstEvent {
+	if stats.isSlow(latency) {
 		stats.avoidUntil = time.Now().Add(faultBackoff)
 		scheduler.suspectRestart(slot.Runner.Address, stats)
 		return
 	}
-	stats.firstEventSamples++
-	stats.meanFirstEvent += (took - stats.meanFirstEvent) / time.Duration(min(stats.firstEventSamples, 4*minFirstEventSamples))
+	stats.recordFirstEvent(latency)
 }
--- a/system/scheduler/slow_start.go
+++ b/system/scheduler/slow_start.go
@@ -8,28 +8,34 @@
 )
 
 const (
-	// maxRestartSuspicion is how long a front that gets no work for a cooled runner waits
-	// to be told that it answers again.
+	// maxRestartSuspicion is how long a front that gets no work for a runner keeps to the
+	// warm-up concurrency while it waits to hear that the runner answers again.
 	maxRestartSuspicion = 10 * time.Second
-	// A first piece is slow if it takes so many times the usual, and at least this.
+	// A first event is slow if it takes slowFirstEventFactor times the mean and more than
+	// minSlowFirstEvent. The mean counts after minFirstEventSamples and is then taken over
+	// maxFirstEventSamples.
 	slowFirstEventFactor = 4
 	minSlowFirstEvent    = 500 * time.Millisecond
 	minFirstEventSamples = 8
+	maxFirstEventSamples = 4 * minFirstEventSamples
 )
 
+// runnerStats is what this front knows of a runner.
 type runnerStats struct {
-	inFlight   int
-	avoidUntil time.Time
-	// cooled is when the runner was last taken for just started; zero if it is not.
+	inFlight   int       // this front's slots in use
+	avoidUntil time.Time // after a fault it is chosen only if others are nearly full
+	// restartSuspectedAt is when the runner was last suspected to have restarted; zero if
+	// it is not suspected.
 	restartSuspectedAt time.Time
-	// slowStartAt is when its limit began to grow; zero while it does not.
+	// slowStartAt is when its limit began to grow; zero while the limit does not grow.
 	slowStartAt       time.Time
-	meanFirstEvent    time.Duration // to the first piece
+	meanFirstEvent    time.Duration
 	firstEventSamples int
 }
 
-// limit is how many queries a runner bears now, over all fronts. All times are by
-// this process's steady clock, so that no machine's wrong wall clock counts.
+// limit returns how many requests a runner may have at a time, over all fronts: the
+// warm-up concurrency while the list says that it warms up or it is suspected to have
+// restarted, then growing to the full concurrency within the group's slow start.
 func (stats *runnerStats) limit(runner feed.Runner, capacity config.Group, now time.Time) int {
 	slowStart := time.Duration(capacity.SlowStart)
 	switch {
@@ -51,7 +57,29 @@
 	return capacity.WarmUpConcurrency + int(float64(capacity.Concurrency-capacity.WarmUpConcurrency)*float64(elapsed)/float64(slowStart))
 }
 
-// suspectRestart takes a runner for just started, here and, if that is news, at the others.
+// confirmRunning begins the slow start of a runner that was suspected to have restarted
+// and answers; it reports whether that is news.
+func (stats *runnerStats) confirmRunning() bool {
+	if stats.restartSuspectedAt.IsZero() || !stats.slowStartAt.IsZero() {
+		return false
+	}
+	stats.slowStartAt = time.Now()
+	return true
+}
+
+// isSlow reports whether a first event came much later than usual.
+func (stats *runnerStats) isSlow(latency time.Duration) bool {
+	return stats.firstEventSamples >= minFirstEventSamples && latency > minSlowFirstEvent && latency > slowFirstEventFactor*stats.meanFirstEvent
+}
+
+// recordFirstEvent takes the latency of a first event into the mean.
+func (stats *runnerStats) recordFirstEvent(latency time.Duration) {
+	stats.firstEventSamples++
+	stats.meanFirstEvent += (latency - stats.meanFirstEvent) / time.Duration(min(stats.firstEventSamples, maxFirstEventSamples))
+}
+
+// suspectRestart notes that a runner has probably restarted, and notifies the other
+// fronts if that is news.
 func (scheduler *Scheduler) suspectRestart(address string, stats *runnerStats) {
 	changed := stats.restartSuspectedAt.IsZero() || !stats.slowStartAt.IsZero()
 	stats.restartSuspectedAt, stats.slowStartAt = time.Now(), time.Time{}
@@ -60,10 +88,10 @@
 	}
 }
 
-// Cooled lists the runners that are taken for just started and have not answered
-// since, for a front that is new.
+// SuspectedRestarts returns the addresses of the runners that have probably restarted and
+// whose slow start is not over, so that a new front can be told.
 //
-//	for _, address := range board.Cooled() { ... }
+//	for _, address := range runners.SuspectedRestarts() { ... }
 func (scheduler *Scheduler) SuspectedRestarts() []string {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -76,18 +104,17 @@
 	return found
 }
 
-// ReportRestart takes another front's word that a runner looks just started, or answers
-// again.
+// ReportRestart takes over from another front that a runner has probably restarted, or
+// answers again. The other fronts are not notified.
 //
-//	board.ReportRestart("10.0.3.1:8000", true)
+//	runners.ReportRestart("10.0.3.1:8000", true)
 func (scheduler *Scheduler) ReportRestart(address string, suspected bool) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	stats := scheduler.statsOf(address)
-	switch {
-	case suspected:
+	if suspected {
 		stats.restartSuspectedAt, stats.slowStartAt = time.Now(), time.Time{}
-	case !stats.restartSuspectedAt.IsZero() && stats.slowStartAt.IsZero():
-		stats.slowStartAt = time.Now()
+		return
 	}
+	stats.confirmRunning()
 }
--- a/system/scheduler/status.go
+++ b/system/scheduler/status.go
@@ -7,17 +7,19 @@
 	"yardrock.example/system/wire"
 )
 
-// Status tells what is out to each runner, and how many queries wait.
+// Status returns the load of the runners that have this front's requests in flight or
+// have probably restarted, by address, and the number of waiting requests.
 //
-//	out, waiting := board.Status()
+//	runners, waiting := scheduler.Status()
 func (scheduler *Scheduler) Status() ([]wire.RunnerLoad, uint32) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	out := []wire.RunnerLoad{}
+	loads := []wire.RunnerLoad{}
 	for _, address := range slices.Sorted(maps.Keys(scheduler.runners)) {
-		if stats := scheduler.runners[address]; stats.inFlight > 0 || !stats.restartSuspectedAt.IsZero() {
-			out = append(out, wire.RunnerLoad{Address: address, InFlight: uint32(stats.inFlight), WarmingUp: !stats.restartSuspectedAt.IsZero()})
+		stats := scheduler.runners[address]
+		if suspected := !stats.restartSuspectedAt.IsZero(); stats.inFlight > 0 || suspected {
+			loads = append(loads, wire.RunnerLoad{Address: address, InFlight: uint32(stats.inFlight), WarmingUp: suspected})
 		}
 	}
-	return out, uint32(len(scheduler.queues[0]) + len(scheduler.queues[1]) + len(scheduler.queues[2]))
+	return loads, uint32(scheduler.queued())
 }
--- a/system/scheduler/wait_queue.go
+++ b/system/scheduler/wait_queue.go
@@ -6,26 +6,38 @@
 	"slices"
 	"time"
 
-	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
 )
 
-const (
-	queueRecheckInterval = 250 * time.Millisecond
-)
+// queueRecheckInterval is how often the queues are checked while requests wait: limits
+// grow and lists change without a Release.
+const queueRecheckInterval = 250 * time.Millisecond
 
-// waiter waits for a slot; the channel is closed if another team's takes its place.
+// waiter is a request that waits for a slot.
 type waiter struct {
-	group   string
-	team    string
+	group string
+	team  string
+	// granted receives the runner; it has room for it, so that granting never blocks. It is
+	// closed if the request is evicted from the queue.
 	granted chan feed.Runner
 }
 
-// evictForFairness refuses the newest in a full queue of the team that has most there, if
-// that is more than the asking team has: no team's crowd keeps the others out.
+// enqueue appends a request to the queue of its urgency.
+func (scheduler *Scheduler) enqueue(group, team string, urgency int) *waiter {
+	waiting := &waiter{group: group, team: team, granted: make(chan feed.Runner, 1)}
+	scheduler.queues[urgency] = append(scheduler.queues[urgency], waiting)
+	if scheduler.recheckTimer == nil {
+		scheduler.recheckTimer = time.AfterFunc(queueRecheckInterval, scheduler.recheckQueues)
+	}
+	return waiting
+}
+
+// evictForFairness makes room in a full queue for a team: it evicts the newest request of
+// the team with the most requests there, provided that this team still has more than the
+// other one afterwards. It reports whether it did.
 func (scheduler *Scheduler) evictForFairness(urgency int, team string) bool {
-	counts := map[string]int{}
-	for _, waiting := range scheduler.queues[urgency] {
+	queue, counts := scheduler.queues[urgency], map[string]int{}
+	for _, waiting := range queue {
 		counts[waiting.team]++
 	}
 	largest := team
@@ -37,7 +49,6 @@
 	if counts[largest] <= counts[team]+1 {
 		return false
 	}
-	queue := scheduler.queues[urgency]
 	for position := len(queue) - 1; position >= 0; position-- {
 		if queue[position].team == largest {
 			close(queue[position].granted)
@@ -48,11 +59,7 @@
 	return false
 }
 
-func overloadError(group string) error {
-	return apierror.NewRetryable(apierror.NotRun, "all runners of group "+group+" are busy", "ask again later", time.Second)
-}
-
-// hasWaiter tells whether someone as urgent already waits for the group.
+// hasWaiter reports whether a request of the same group waits that is at least as urgent.
 func (scheduler *Scheduler) hasWaiter(urgency int, group string) bool {
 	for _, queue := range scheduler.queues[:urgency+1] {
 		if slices.ContainsFunc(queue, func(waiting *waiter) bool { return waiting.group == group }) {
@@ -62,51 +69,69 @@
 	return false
 }
 
+// await waits until a slot is granted, the request is evicted, the timeout passes or ctx
+// ends.
 func (scheduler *Scheduler) await(ctx context.Context, waiting *waiter, urgency int, timeout time.Duration) (*Slot, error) {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
-	served := func(runner feed.Runner, given bool) (*Slot, error) {
-		if !given {
-			return nil, overloadError(waiting.group)
-		}
-		return &Slot{scheduler: scheduler, Runner: runner, Group: waiting.group, team: waiting.team}, nil
-	}
 	select {
-	case runner, given := <-waiting.granted:
-		return served(runner, given)
+	case runner, granted := <-waiting.granted:
+		return scheduler.slotFor(waiting, runner, granted)
 	case <-expired.C:
 	case <-ctx.Done():
 	}
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
+	// A slot that was granted in the meantime is used: nobody else would release it.
 	select {
-	case runner, given := <-waiting.granted:
-		return served(runner, given)
+	case runner, granted := <-waiting.granted:
+		return scheduler.slotFor(waiting, runner, granted)
 	default:
 	}
-	scheduler.queues[urgency] = slices.DeleteFunc(scheduler.queues[urgency], func(one *waiter) bool { return one == waiting })
+	scheduler.queues[urgency] = slices.DeleteFunc(scheduler.queues[urgency], func(other *waiter) bool { return other == waiting })
 	return nil, overloadError(waiting.group)
 }
 
-// recheckQueues serves those who wait, as long as there are any.
+// slotFor returns the slot of a request whose wait has ended, or the error if it was
+// evicted.
+func (scheduler *Scheduler) slotFor(waiting *waiter, runner feed.Runner, granted bool) (*Slot, error) {
+	if !granted {
+		return nil, overloadError(waiting.group)
+	}
+	return &Slot{scheduler: scheduler, Runner: runner, Group: waiting.group, team: waiting.team}, nil
+}
+
+// recheckQueues serves the queues, and schedules itself again until they are empty. It
+// runs on the timer's goroutine.
 func (scheduler *Scheduler) recheckQueues() {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	scheduler.serveQueues()
-	if len(scheduler.queues[0])+len(scheduler.queues[1])+len(scheduler.queues[2]) == 0 {
+	if scheduler.queued() == 0 {
 		scheduler.recheckTimer = nil
 		return
 	}
 	scheduler.recheckTimer.Reset(queueRecheckInterval)
 }
 
-// serveQueues gives free slots to those who wait: the most urgent first, of these
-// the team that has least out, of these who came first.
+// queued returns the number of waiting requests.
+func (scheduler *Scheduler) queued() int {
+	total := 0
+	for _, queue := range scheduler.queues {
+		total += len(queue)
+	}
+	return total
+}
+
+// serveQueues grants free slots to waiting requests: the most urgent first, among them
+// those of the team with the fewest slots in use, among them the oldest.
 func (scheduler *Scheduler) serveQueues() {
 	state := scheduler.state()
 	now, full := time.Now(), map[string]bool{}
 	for urgency := range scheduler.queues {
-		clear(full) // the less urgent have less room, the more urgent had none to leave
+		// A group that is full for one urgency is checked again for the next: the limits
+		// that the slots are counted against differ.
+		clear(full)
 		for {
 			next := scheduler.nextWaiter(urgency, full)
 			if next < 0 {
@@ -125,6 +150,8 @@
 	}
 }
 
+// nextWaiter returns the position of the request in a queue that is served next, leaving
+// out full groups; -1: none.
 func (scheduler *Scheduler) nextWaiter(urgency int, full map[string]bool) int {
 	best := -1
 	for position, waiting := range scheduler.queues[urgency] {
--- a/system/scheduler/weighted_round_robin.go
+++ b/system/scheduler/weighted_round_robin.go
@@ -7,8 +7,9 @@
 	"yardrock.example/system/feed"
 )
 
-// pickGroup turns the wheel of a weight table over the groups that have usable
-// runners: over any window each group's share stays within one of its weight.
+// pickGroup picks one of the groups of a weight table that have usable runners, by
+// smooth weighted round-robin: over any sequence of picks each group's count stays within
+// one of its weight's share. It returns false if no group has usable runners.
 func (scheduler *Scheduler) pickGroup(state State, table string) (string, bool) {
 	weights := map[string]float64{}
 	total := 0.0
