--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -35,6 +35,7 @@
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
+	"yardrock.example/system/roundrobin"
 )
 
 // noRunnerRetryAfter is the retry delay given to callers of a route none of whose
@@ -58,8 +59,8 @@
 	seed     uint64
 	runners  map[string]*runnerState  // by runnerKey
 	services map[string]*serviceStats // by service name
-	// roundRobin holds the credits of the weighted round-robin by route, then by service.
-	roundRobin map[string]map[string]float64
+	// roundRobin holds the state of the weighted round-robin over services, by route.
+	roundRobin map[string]roundrobin.Credits
 	domains    map[string]feed.Domain // of the previous view
 	fronts     frontSet
 	// listReadTime returns when the runner list of the newest view was read; nil means
@@ -85,7 +86,7 @@
 		domain: domain, now: now, started: now(), seed: seed,
 		random:  rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		runners: map[string]*runnerState{}, services: map[string]*serviceStats{},
-		roundRobin: map[string]map[string]float64{}, domains: map[string]feed.Domain{},
+		roundRobin: map[string]roundrobin.Credits{}, domains: map[string]feed.Domain{},
 	}
 	balancer.topology.Store(&topology{})
 	return balancer
--- a/system/balancer/weighted_round_robin.go
+++ b/system/balancer/weighted_round_robin.go
@@ -1,72 +1,51 @@
 package balancer
 
 import (
-	"slices"
-
 	"yardrock.example/system/config"
+	"yardrock.example/system/roundrobin"
 )
 
-// pickService picks one of a route's services that have candidates, by smooth weighted
-// round-robin: over any sequence of picks each service's count stays within one of its
-// weight's share. The newest definition of the route counts. It returns false if no
-// service has candidates.
+// pickService picks one of a route's services that have candidates, by weighted
+// round-robin. The newest definition of the route counts. It returns false if no service
+// has candidates.
 func (balancer *Balancer) pickService(requested *config.Route) (*servicePool, bool) {
 	current := balancer.topology.Load()
 	route := current.routes[requested.Name]
 	if route == nil {
 		route = requested
 	}
-	total, usable := 0.0, 0
-	var only *servicePool
-	for _, share := range route.Shares {
-		if pool := current.usablePool(share); pool != nil {
-			total += share.Weight
-			usable++
-			only = pool
-		}
-	}
-	if usable <= 1 {
+	pools, shares := current.usablePools(route)
+	if len(pools) <= 1 {
 		delete(balancer.roundRobin, route.Name)
-		return only, usable == 1
+		if len(pools) == 0 {
+			return nil, false
+		}
+		return pools[0], true
 	}
 	credits, known := balancer.roundRobin[route.Name]
 	if !known {
-		credits = map[string]float64{}
+		credits = roundrobin.Credits{}
 		balancer.roundRobin[route.Name] = credits
 	}
-	var best *servicePool
-	for _, share := range route.Shares {
-		pool := current.usablePool(share)
-		if pool == nil {
-			delete(credits, share.Service)
-			continue
-		}
-		credits[share.Service] += share.Weight / total
-		if best == nil || credits[share.Service] > credits[best.service.Name] {
-			best = pool
-		}
-	}
-	for name := range credits {
-		if !slices.ContainsFunc(route.Shares, func(share config.WeightedService) bool { return share.Service == name }) {
-			delete(credits, name)
-		}
-	}
-	credits[best.service.Name]--
-	return best, true
+	return pools[credits.Pick(shares)], true
 }
 
-// usablePool returns the pool of a share that can take requests, or nil.
-func (current *topology) usablePool(share config.WeightedService) *servicePool {
-	pool := current.services[share.Service]
-	if pool == nil || share.Weight <= 0 || len(pool.candidates) == 0 {
-		return nil
+// usablePools returns the pools of a route that have a share and candidates, with the
+// shares.
+func (current *topology) usablePools(route *config.Route) ([]*servicePool, []roundrobin.Share) {
+	pools, shares := make([]*servicePool, 0, len(route.Shares)), make([]roundrobin.Share, 0, len(route.Shares))
+	for _, share := range route.Shares {
+		if pool := current.services[share.Service]; pool != nil && share.Weight > 0 && len(pool.candidates) > 0 {
+			pools = append(pools, pool)
+			shares = append(shares, roundrobin.Share{Name: share.Service, Weight: share.Weight})
+		}
 	}
-	return pool
+	return pools, shares
 }
 
 // returnPick undoes a pick that led to no lease.
 func (balancer *Balancer) returnPick(requested *config.Route, service string) {
 	if credits, known := balancer.roundRobin[requested.Name]; known {
-		credits[service]++
+		credits.Return(service)
 	}
 }
--- a/system/scheduler/scheduler.go
+++ b/system/scheduler/scheduler.go
@@ -29,6 +29,7 @@
 	"yardrock.example/system/config"
 	"yardrock.example/system/feed"
 	"yardrock.example/system/placement"
+	"yardrock.example/system/roundrobin"
 )
 
 const (
@@ -75,7 +76,7 @@
 
 	mutex        sync.Mutex // guards all that follows
 	frontLists   []frontList
-	roundRobin   map[string]map[string]float64 // credits by table, then by group
+	roundRobin   map[string]roundrobin.Credits // of groups, by table
 	runners      map[string]*runnerStats       // by address
 	teamInFlight map[string]int                // slots in use
 	queues       [urgencyLevels][]*waiter
@@ -89,7 +90,7 @@
 //
 //	runners := scheduler.New("front-1", "east", state, notify)
 func New(front, domain string, state func() State, notify func(address string, suspected bool)) *Scheduler {
-	return &Scheduler{front: front, domain: domain, state: state, notify: notify, roundRobin: map[string]map[string]float64{}, runners: map[string]*runnerStats{}, teamInFlight: map[string]int{}}
+	return &Scheduler{front: front, domain: domain, state: state, notify: notify, roundRobin: map[string]roundrobin.Credits{}, runners: map[string]*runnerStats{}, teamInFlight: map[string]int{}}
 }
 
 // Usable reports whether a runner may get new work under a view: it is listed and not
--- a/system/scheduler/weighted_round_robin.go
+++ b/system/scheduler/weighted_round_robin.go
@@ -5,42 +5,29 @@
 	"slices"
 
 	"yardrock.example/system/feed"
+	"yardrock.example/system/roundrobin"
 )
 
 // pickGroup picks one of the groups of a weight table that have usable runners, by
-// smooth weighted round-robin: over any sequence of picks each group's count stays within
-// one of its weight's share. It returns false if no group has usable runners.
+// weighted round-robin. It returns false if no group has usable runners.
 func (scheduler *Scheduler) pickGroup(state State, table string) (string, bool) {
-	weights := map[string]float64{}
-	total := 0.0
-	for group, weight := range state.Config.Tables[table] {
+	shares, weights := []roundrobin.Share{}, state.Config.Tables[table]
+	for _, group := range slices.Sorted(maps.Keys(weights)) {
 		usable := slices.ContainsFunc(state.View.Runners, func(runner feed.Runner) bool {
 			return runner.Group == group && Usable(state.View, runner)
 		})
-		if usable && weight > 0 {
-			weights[group] = weight
-			total += weight
+		if usable && weights[group] > 0 {
+			shares = append(shares, roundrobin.Share{Name: group, Weight: weights[group]})
 		}
 	}
 	credits, found := scheduler.roundRobin[table]
 	if !found {
-		credits = map[string]float64{}
+		credits = roundrobin.Credits{}
 		scheduler.roundRobin[table] = credits
 	}
-	for group := range credits {
-		if _, still := weights[group]; !still {
-			delete(credits, group)
-		}
-	}
-	best := ""
-	for _, group := range slices.Sorted(maps.Keys(weights)) {
-		credits[group] += weights[group] / total
-		if best == "" || credits[group] > credits[best] {
-			best = group
-		}
-	}
-	if best != "" {
-		credits[best]--
+	best := credits.Pick(shares)
+	if best < 0 {
+		return "", false
 	}
-	return best, best != ""
+	return shares[best].Name, true
 }
