--- a/system/sessionlog/archive_progress.go
+++ b/system/sessionlog/archive_progress.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Unarchived iterates over the lines that have events to be archived.
+// Unarchived iterates over the sessions that have events to be archived, in no certain order.
 //
 //	for session := range view.Unarchived() { ... }
 func (view *View) Unarchived() iter.Seq[*Session] {
@@ -20,25 +20,33 @@
 	}
 }
 
-// ackArchived advances archive progress, evicts what the cold store holds, and
-// forgets lines and producers whose keeping time is over by the leader's clock.
+// ackArchived advances the archive progress of sessions and evicts the events that are
+// archived. Acks that are out of date or beyond a session's head are passed over. Then it
+// removes expired sessions and idle prefixes, which needs a command so that all replicas do it
+// at the same index.
 func (view *View) ackArchived(command *Command) Outcome {
 	for _, ack := range command.Acks {
-		existing, found := view.sessions.Get(ack.Session)
-		if !found || ack.ArchivedSeq <= existing.ArchivedSeq || ack.ArchivedSeq > existing.Head {
-			continue
-		}
-		session := *existing
-		session.ArchivedSeq = ack.ArchivedSeq
-		session.Unarchived = slices.Clone(session.Unarchived[ack.ArchivedSeq-existing.ArchivedSeq:])
-		view.sessions = view.sessions.Set(session.Name, &session)
-		view.archiveDigests.Toggle(session.Name, existing.ArchivedSeq)
-		view.archiveDigests.Toggle(session.Name, session.ArchivedSeq)
-		if len(session.Unarchived) == 0 {
-			view.unarchived = view.unarchived.Delete(session.Name)
-		}
+		view.evictArchived(ack)
 	}
 	view.removeExpired()
 	view.freeIdlePrefixes()
 	return Outcome{}
 }
+
+// evictArchived drops a session's events up to an acknowledged sequence number.
+func (view *View) evictArchived(ack Ack) {
+	existing, found := view.sessions.Get(ack.Session)
+	if !found || ack.ArchivedSeq <= existing.ArchivedSeq || ack.ArchivedSeq > existing.Head {
+		return
+	}
+	session := *existing
+	session.ArchivedSeq = ack.ArchivedSeq
+	// The rest is copied, as a part of the old array would hold the evicted events in memory.
+	session.Unarchived = slices.Clone(session.Unarchived[ack.ArchivedSeq-existing.ArchivedSeq:])
+	view.sessions = view.sessions.Set(session.Name, &session)
+	view.archiveDigests.Toggle(session.Name, existing.ArchivedSeq)
+	view.archiveDigests.Toggle(session.Name, session.ArchivedSeq)
+	if len(session.Unarchived) == 0 {
+		view.unarchived = view.unarchived.Delete(session.Name)
+	}
+}
--- a/system/sessionlog/digests.go
+++ b/system/sessionlog/digests.go
@@ -5,26 +5,31 @@
 	"hash/fnv"
 )
 
-// BucketCount is how many digests a group's lines are cut into.
+// BucketCount is the number of buckets into which a group's sessions are hashed.
 const BucketCount = 64
 
-// Sums are digests over a group's lines, one a bucket of them.
+// BucketDigests are digests of how far a group's sessions are archived, one for each bucket.
+// Two replicas compare their archives by them at a cost that does not grow with the number of
+// sessions (anti-entropy). Equal digests mean equal progress but for collisions of 64 bits.
 type BucketDigests [BucketCount]uint64
 
-// BucketOf tells in which bucket a line is.
+// BucketOf returns the bucket of a session, from 0 to BucketCount-1.
 //
-//	bucket := line.BucketOf("team/c-1")
+//	bucket := sessionlog.BucketOf("team/c-1")
 func BucketOf(name string) int { return int(hashNumbered(name, 0) % BucketCount) }
 
-// Toggle puts a line's archive progress into the sums, or takes it out again.
+// Toggle adds a session's archive progress to the digests, or removes it if it is in them. A
+// session of which nothing is archived does not count.
 //
-//	sums.Toggle("team/c-1", 40)
+//	digests.Toggle("team/c-1", 40)
 func (digests *BucketDigests) Toggle(name string, archived uint64) {
 	if archived > 0 {
 		digests[BucketOf(name)] ^= hashNumbered(name, archived)
 	}
 }
 
+// hashNumbered is a hash of a name and a number. All replicas must agree on it, whatever
+// version of the program they run.
 func hashNumbered(name string, number uint64) uint64 {
 	digest := fnv.New64a()
 	digest.Write([]byte(name))
@@ -32,7 +37,7 @@
 	return digest.Sum64()
 }
 
-// Sums gives the digests of how far the group's lines are archived.
+// ArchiveDigests returns the digests of how far the group's sessions are archived.
 //
-//	if view.Sums() == told { ... }
+//	if view.ArchiveDigests() == store.BucketDigests(group) { ... }
 func (view *View) ArchiveDigests() BucketDigests { return view.archiveDigests }
--- a/system/sessionlog/shared_prefixes.go
+++ b/system/sessionlog/shared_prefixes.go
@@ -13,40 +13,46 @@
 )
 
 const (
-	// MinPrefixBytes is how many bytes an opening holds at least; shorter ones save nothing.
+	// MinPrefixBytes is the least length of a shared prefix; sharing a shorter one saves
+	// nothing.
 	MinPrefixBytes = 256
-	// MaxPrefixBytes is how many bytes one may hold.
+	// MaxPrefixBytes is the greatest length of a shared prefix.
 	MaxPrefixBytes = 64 << 10
-	// MaxPrefixesPerScope is how many a scope may have in one group.
+	// MaxPrefixesPerScope bounds the shared prefixes of one scope in one group.
 	MaxPrefixesPerScope = 32
-	// idlePrefixLifetime is how long, by the group's clock, an opening is held to which no line
+	// idlePrefixLifetime is how long, by the group's clock, a prefix stays to which no session
 	// refers.
 	idlePrefixLifetime = time.Minute
 )
 
-// Opening is what the inputs of many conversations' first turns have in common at their
-// beginning. A group holds it once for all its lines; a process holds it once for all its
-// groups. It is never changed once published.
+// SharedPrefix is a beginning that the inputs of first turns of several sessions have in
+// common. A group stores it once for all its sessions, and a process keeps it in memory once
+// for all its groups. It is never changed once published.
 type SharedPrefix struct {
-	Name  string
+	// Name is a digest of the scope and the content (SharedPrefixName).
+	Name string
+	// Scope is whose sessions may share the prefix, as the route's configuration says.
 	Scope string
-	// Size is in bytes.
+	// Size is the length of the content in bytes.
 	Size uint64
-	// References is how many lines refer to it, Until how long it is held without any.
+	// References is the number of sessions that refer to the prefix. While it is 0, the
+	// prefix stays until KeepUntil, in nanoseconds of the group's clock.
 	References uint64
 	KeepUntil  int64
-	// Corrupt tells that the content is not what the name says; then there is none.
+	// Corrupt tells that the content did not match the name; then there is none.
 	Corrupt bool
 
 	content unique.Handle[prefixContent]
 }
 
-// prefixContent is compared byte for byte, and never across scopes.
+// prefixContent is what a process keeps once for all its groups. The whole text is compared,
+// not a digest of it, and texts of two scopes are never the same one.
 type prefixContent struct{ scope, data string }
 
-// SharedPrefixName names an opening by its scope, its length and a digest.
+// SharedPrefixName returns the name of a shared prefix: a digest of its scope and content, and
+// its length. It is stored.
 //
-//	name := line.SharedPrefixName("identity", data)
+//	name := sessionlog.SharedPrefixName("identity", data)
 func SharedPrefixName(scope string, data []byte) string {
 	digest := sha256.New()
 	digest.Write([]byte(scope + "\x00"))
@@ -54,9 +60,9 @@
 	return hex.EncodeToString(digest.Sum(nil)[:16]) + "-" + strconv.Itoa(len(data))
 }
 
-// Text is the content; "" of a damaged one.
+// Text returns the content; "" of a corrupt prefix.
 //
-//	if strings.HasPrefix(input, opening.Text()) { ... }
+//	if strings.HasPrefix(input, prefix.Text()) { ... }
 func (prefix *SharedPrefix) Text() string {
 	if prefix.Corrupt {
 		return ""
@@ -64,9 +70,9 @@
 	return prefix.content.Value().data
 }
 
-// SavedBytes is how many bytes each replica of the group need not hold.
+// SavedBytes returns how many bytes each replica of the group saves by the prefix.
 //
-//	saved += opening.SavedBytes()
+//	saved += prefix.SavedBytes()
 func (prefix *SharedPrefix) SavedBytes() uint64 {
 	if prefix.References == 0 {
 		return 0
@@ -74,19 +80,20 @@
 	return (prefix.References - 1) * prefix.Size
 }
 
-// Opening finds an opening by name.
+// SharedPrefix finds a shared prefix by name.
 //
-//	opening, found := machine.View().Opening(event.Opening)
+//	prefix, found := machine.View().SharedPrefix(event.Prefix)
 func (view *View) SharedPrefix(name string) (*SharedPrefix, bool) { return view.prefixes.Get(name) }
 
-// Openings iterates over all openings of the group.
+// SharedPrefixes iterates over all shared prefixes of the group, in no certain order.
 //
-//	for opening := range view.Openings() { ... }
+//	for prefix := range view.SharedPrefixes() { ... }
 func (view *View) SharedPrefixes() iter.Seq[*SharedPrefix] { return values(view.prefixes) }
 
-// LongestSharedPrefix finds the longest opening of a scope that begins an input, byte for byte.
+// LongestSharedPrefix finds the longest prefix of a scope with which an input begins, byte for
+// byte.
 //
-//	opening, found := machine.View().LongestSharedPrefix("identity", input)
+//	prefix, found := machine.View().LongestSharedPrefix("identity", input)
 func (view *View) LongestSharedPrefix(scope string, input []byte) (*SharedPrefix, bool) {
 	known, _ := view.prefixesByScope.Get(scope)
 	for _, prefix := range known {
@@ -97,10 +104,10 @@
 	return nil, false
 }
 
-// FullData gives all of an event's data. False: it refers to an opening of which there is no
-// sound copy here.
+// FullData returns an event's data with the shared prefix to which it refers. It reports false
+// if this replica has no intact copy of that prefix.
 //
-//	data, sound := view.FullData(&event)
+//	data, intact := view.FullData(&event)
 func (view *View) FullData(event *Event) ([]byte, bool) {
 	if event.Prefix == "" {
 		return event.Data, true
@@ -112,7 +119,7 @@
 	return slices.Concat([]byte(prefix.Text()), event.Data), true
 }
 
-// HasIdlePrefix tells whether some opening may be freed at a time.
+// HasIdlePrefix tells whether some shared prefix may be freed at a time.
 //
 //	if view.HasIdlePrefix(clock) { ... }
 func (view *View) HasIdlePrefix(clock int64) bool {
@@ -124,12 +131,14 @@
 	return false
 }
 
+// idle tells whether the prefix may be freed: no session has referred to it for a while.
 func (prefix *SharedPrefix) idle(clock int64) bool {
 	return prefix.References == 0 && prefix.KeepUntil < clock
 }
 
-// sharePrefix holds an opening from now on, or mends a damaged copy of it, and refers
-// those lines to it that are named and still have it whole before them.
+// sharePrefix stores a prefix, or repairs a corrupt copy of it, and makes the sessions that
+// are named refer to it as far as their first turns begin with it. At an intact replica a
+// repair changes nothing, so replicas stay the same.
 func (view *View) sharePrefix(command *Command) Outcome {
 	size := len(command.Data)
 	if command.Scope == "" || size < MinPrefixBytes || size > MaxPrefixBytes {
@@ -150,14 +159,14 @@
 		repaired.Corrupt, repaired.content = false, internContent(command.Scope, command.Data)
 		view.setPrefix(&repaired)
 	}
-	for _, one := range command.Acks {
-		view.factorOutPrefix(one.Session, name, command.Data)
+	for _, ack := range command.Acks {
+		view.factorOutPrefix(ack.Session, name, command.Data)
 	}
 	return Outcome{Deduped: found}
 }
 
-// factorOutPrefix refers the first turns of a line to an opening that they hold whole, byte for
-// byte, as far as they are not archived. Views that were published keep what they had.
+// factorOutPrefix replaces a prefix by a reference in the first turns of a session that begin
+// with it, byte for byte, and are not archived. Views that were published keep their data.
 func (view *View) factorOutPrefix(sessionName, name string, data []byte) {
 	existing, found := view.sessions.Get(sessionName)
 	if !found {
@@ -180,8 +189,9 @@
 	view.sessions = view.sessions.Set(sessionName, &session)
 }
 
-// beginTurnWithPrefix is beginTurn with an input that begins with an opening of the same
-// scope. One that is not held (any more) begins nothing.
+// beginTurnWithPrefix is beginTurn with an input that begins with a shared prefix of the same
+// scope. It is rejected if the group does not have that prefix (any more). A repeat is not
+// checked again, as it begins nothing.
 func (view *View) beginTurnWithPrefix(command *Command) Outcome {
 	if _, repeat := view.Turn(command.Session, command.Producer); !repeat {
 		prefix, found := view.prefixes.Get(command.Prefix)
@@ -193,7 +203,8 @@
 	return view.beginTurn(command)
 }
 
-// addPrefixReference counts a line that is not published yet among those that refer to an opening.
+// addPrefixReference makes a session that is not published yet refer to a prefix, which the
+// caller knows to exist.
 func (view *View) addPrefixReference(session *Session, name string) {
 	if slices.Contains(session.Prefixes, name) {
 		return
@@ -205,7 +216,7 @@
 	view.setPrefix(&prefix)
 }
 
-// releasePrefixes takes a line that is forgotten off the openings that it referred to.
+// releasePrefixes drops the references of a session that is removed.
 func (view *View) releasePrefixes(session *Session) {
 	for _, name := range session.Prefixes {
 		known, found := view.prefixes.Get(name)
@@ -219,8 +230,8 @@
 	}
 }
 
-// freeIdlePrefixes frees the openings that no line has referred to for a while. Whoever reads by
-// an earlier view still has them; a turn that would refer to one is refused by name.
+// freeIdlePrefixes frees the prefixes to which no session has referred for a while. A reader of
+// an earlier view still has them; a turn that would refer to one gets UnknownPrefix.
 func (view *View) freeIdlePrefixes() {
 	for prefix := range view.SharedPrefixes() {
 		if prefix.idle(view.clock) {
@@ -229,7 +240,7 @@
 	}
 }
 
-// setPrefix puts an opening into the view, in place of one of its name.
+// setPrefix puts a prefix into the view, in place of the one of its name.
 func (view *View) setPrefix(prefix *SharedPrefix) {
 	view.removePrefix(prefix)
 	view.prefixes = view.prefixes.Set(prefix.Name, prefix)
@@ -244,10 +255,11 @@
 	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, known)
 }
 
+// removePrefix takes a prefix out of the view.
 func (view *View) removePrefix(prefix *SharedPrefix) {
 	view.prefixes = view.prefixes.Delete(prefix.Name)
 	known, _ := view.prefixesByScope.Get(prefix.Scope)
-	others := slices.DeleteFunc(slices.Clone(known), func(one *SharedPrefix) bool { return one.Name == prefix.Name })
+	others := slices.DeleteFunc(slices.Clone(known), func(other *SharedPrefix) bool { return other.Name == prefix.Name })
 	if len(others) == 0 {
 		view.prefixesByScope = view.prefixesByScope.Delete(prefix.Scope)
 		return
@@ -255,6 +267,7 @@
 	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, others)
 }
 
+// internContent returns the one copy of a content that this process keeps.
 func internContent(scope string, data []byte) unique.Handle[prefixContent] {
 	return unique.Make(prefixContent{scope, string(data)})
 }
--- a/system/sessionlog/snapshot.go
+++ b/system/sessionlog/snapshot.go
@@ -10,24 +10,27 @@
 	"yardrock.example/system/apierror"
 )
 
-// SnapshotVersion is the newest checkpoint format that this program reads.
+// SnapshotVersion is the newest snapshot format, which this program reads and writes.
 const SnapshotVersion = 3
 
-// snapshotVersionWithoutPrefixes is written as long as a group holds none, so that programs that know
-// no openings read it.
+// snapshotVersionWithoutPrefixes is written as long as a group has no shared prefixes, so that
+// programs which know none can read it.
 const snapshotVersionWithoutPrefixes = 2
 
-// Snapshot is a group's whole content, as checkpoints carry it.
+// Snapshot is a group's whole content, as Raft snapshots carry it. It is encoded by package
+// wire, whose schema names its fields otherwise.
 type Snapshot struct {
 	Version     uint32
 	Clock       int64
 	Sessions    []Session
 	QuotaUsages []QuotaUsage
-	Turns       []TurnRecord
-	Prefixes    []SharedPrefixRecord
+	// Turns has the turns of each session in the order in which they began, so that a turn
+	// comes after the one that it follows.
+	Turns    []TurnRecord
+	Prefixes []SharedPrefixRecord
 }
 
-// TurnRecord is a turn as checkpoints carry it.
+// TurnRecord is a Turn in a snapshot. Follows is the name of the followed turn.
 type TurnRecord struct {
 	Session  string
 	Name     string
@@ -40,7 +43,7 @@
 	Tokens   uint64
 }
 
-// SharedPrefixRecord is an opening as checkpoints carry it.
+// SharedPrefixRecord is a SharedPrefix in a snapshot, or on the way between two replicas.
 type SharedPrefixRecord struct {
 	Name  string `capnp:"name"`
 	Scope string `capnp:"scope"`
@@ -48,9 +51,9 @@
 	Until int64  `capnp:"until"`
 }
 
-// Snapshot copies a view's content for a checkpoint.
+// Snapshot returns a view's content. It shares slices with the view, so it must not be changed.
 //
-//	image := machine.View().Snapshot()
+//	snapshot := machine.View().Snapshot()
 func (view *View) Snapshot() Snapshot {
 	snapshot := Snapshot{Version: snapshotVersionWithoutPrefixes, Clock: view.clock}
 	for session := range view.Sessions() {
@@ -66,22 +69,34 @@
 	return snapshot
 }
 
-// Restore replaces the whole content by a checkpoint's.
+// Restore replaces the whole content by a snapshot's. A snapshot of a newer format gives an
+// apierror of kind FormatTooNew and changes nothing.
 //
-//	err := machine.Restore(image)
+//	err := machine.Restore(snapshot)
 func (machine *StateMachine) Restore(snapshot Snapshot) error {
 	if snapshot.Version > SnapshotVersion {
-		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("checkpoint of format %d, this program knows up to %d", snapshot.Version, SnapshotVersion), "run the newer version of the program")
+		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("the snapshot has format %d, and this program reads up to %d", snapshot.Version, SnapshotVersion), "run the newer version of the program")
 	}
-	sessions, usages := immutable.NewMapBuilder[string, *Session](nil), immutable.NewMapBuilder[string, *QuotaUsage](nil)
-	unarchived, expiries := immutable.NewMapBuilder[string, struct{}](nil), immutable.NewSortedMapBuilder[string, string](nil)
 	view := &View{clock: snapshot.Clock}
-	names := map[string][]string{}
+	view.restoreSessions(snapshot)
+	view.restoreQuotaUsages(snapshot)
+	view.turns = indexTurnRecords(snapshot.Turns)
+	view.restorePrefixes(snapshot)
+	machine.published.Store(view)
+	return nil
+}
+
+// restoreSessions fills in the sessions and the indexes that are derived from them.
+func (view *View) restoreSessions(snapshot Snapshot) {
+	turnNames := map[string][]string{}
 	for _, turn := range snapshot.Turns {
-		names[turn.Session] = append(names[turn.Session], turn.Name)
+		turnNames[turn.Session] = append(turnNames[turn.Session], turn.Name)
 	}
+	sessions := immutable.NewMapBuilder[string, *Session](nil)
+	unarchived := immutable.NewMapBuilder[string, struct{}](nil)
+	expiries := immutable.NewSortedMapBuilder[string, string](nil)
 	for _, session := range snapshot.Sessions {
-		session.Turns = names[session.Name]
+		session.Turns = turnNames[session.Name]
 		sessions.Set(session.Name, &session)
 		expiries.Set(expiryKey(&session), session.Name)
 		view.archiveDigests.Toggle(session.Name, session.ArchivedSeq)
@@ -89,16 +104,18 @@
 			unarchived.Set(session.Name, struct{}{})
 		}
 	}
+	view.sessions, view.unarchived, view.expiries = sessions.Map(), unarchived.Map(), expiries.Map()
+}
+
+func (view *View) restoreQuotaUsages(snapshot Snapshot) {
+	usages := immutable.NewMapBuilder[string, *QuotaUsage](nil)
 	for _, usage := range snapshot.QuotaUsages {
 		usages.Set(usage.Name, &usage)
 	}
-	view.sessions, view.quotaUsages, view.unarchived, view.expiries = sessions.Map(), usages.Map(), unarchived.Map(), expiries.Map()
-	view.turns = indexTurnRecords(snapshot.Turns)
-	view.restorePrefixes(snapshot)
-	machine.published.Store(view)
-	return nil
+	view.quotaUsages = usages.Map()
 }
 
+// appendTurnRecords appends the records of a session's turns to others.
 func (view *View) appendTurnRecords(records []TurnRecord, session *Session) []TurnRecord {
 	for _, name := range session.Turns {
 		turn, found := view.Turn(session.Name, name)
@@ -114,24 +131,25 @@
 	return records
 }
 
-// indexTurnRecords makes the index of turns anew; each turn comes after the one that it
+// indexTurnRecords builds the index of turns. Each record must come after the one that it
 // follows.
 func indexTurnRecords(records []TurnRecord) *immutable.Map[string, []*Turn] {
 	type key struct{ session, name string }
-	made, turns := map[key]*Turn{}, map[string][]*Turn{}
+	made, byName := map[key]*Turn{}, map[string][]*Turn{}
 	for _, record := range records {
 		turn := &Turn{Session: record.Session, Name: record.Name, Seq: record.Seq, EndSeq: record.EndSeq, Outcome: record.Outcome, Dispatch: record.Dispatch, Deadline: record.Deadline, Tokens: record.Tokens,
 			Follows: made[key{record.Session, record.Follows}]}
 		made[key{record.Session, record.Name}] = turn
-		turns[record.Name] = append(turns[record.Name], turn)
+		byName[record.Name] = append(byName[record.Name], turn)
 	}
 	builder := immutable.NewMapBuilder[string, []*Turn](nil)
-	for name, known := range turns {
-		builder.Set(name, known)
+	for name, turns := range byName {
+		builder.Set(name, turns)
 	}
 	return builder.Map()
 }
 
+// prefixRecords returns the records of all shared prefixes. A corrupt one has no data.
 func (view *View) prefixRecords() []SharedPrefixRecord {
 	var records []SharedPrefixRecord
 	for prefix := range view.SharedPrefixes() {
@@ -140,8 +158,9 @@
 	return records
 }
 
-// restorePrefixes makes the openings anew, with those whose content is not what their name says
-// marked as damaged, and counts the lines that refer to each.
+// restorePrefixes restores the shared prefixes and counts the sessions that refer to each. One
+// whose content does not match the digest in its name is marked as corrupt; the sessions stay,
+// and repair fetches the content from a peer.
 func (view *View) restorePrefixes(snapshot Snapshot) {
 	references := map[string]uint64{}
 	for _, session := range snapshot.Sessions {
@@ -153,7 +172,7 @@
 	for _, record := range snapshot.Prefixes {
 		prefix := &SharedPrefix{Name: record.Name, Scope: record.Scope, KeepUntil: record.Until, References: references[record.Name], Corrupt: SharedPrefixName(record.Scope, record.Data) != record.Name}
 		_, size, _ := strings.Cut(record.Name, "-")
-		prefix.Size, _ = strconv.ParseUint(size, 10, 64) // a name that tells none is damaged
+		prefix.Size, _ = strconv.ParseUint(size, 10, 64) // a name without a size is corrupt
 		if !prefix.Corrupt {
 			prefix.content = internContent(record.Scope, record.Data)
 		}
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -1,29 +1,29 @@
 package sessionlog
 
-import (
-	"slices"
-)
+import "slices"
 
-// Turn is one turn of a program as of a view. It is never changed once published. One
-// that others follow was answered whole and stays as it is.
+// Turn is one turn of a program, as of a view. It is never changed once published. A turn that
+// others follow is complete and stays as it is.
 type Turn struct {
 	Name    string
 	Session string
-	// Seq is that of the event that began the turn, Ended of the one that ended it, or
-	// 0 while the turn is open. An adopted turn has one event.
-	Seq     uint64
-	EndSeq  uint64
+	// Seq is that of the event that began the turn, EndSeq of the one that ended it, or 0
+	// while the turn is open. An adopted or fenced turn has one event, so they are the same.
+	Seq    uint64
+	EndSeq uint64
+	// Follows is the turn that this one continues; nil if it begins a history.
 	Follows *Turn
+	// Outcome is one of the Outcome constants, "" while the turn is open.
 	Outcome string
 	// Dispatch names the one attempt that may run the turn.
 	Dispatch string
-	// Deadline is how long the turn may be open, by the group's clock.
+	// Deadline is how long the turn may be open, in nanoseconds of the group's clock.
 	Deadline int64
 	// Tokens are reserved while the turn is open.
 	Tokens uint64
 }
 
-// Chain gives the turns that lead to this one and itself, oldest first.
+// Chain returns the turns that lead to this one and itself, oldest first.
 //
 //	for _, turn := range followed.Chain() { ... }
 func (turn *Turn) Chain() []*Turn {
@@ -35,18 +35,18 @@
 	return chain
 }
 
-// Complete tells whether the turn was answered whole, so that others may follow it.
+// Complete tells whether the turn was answered completely, so that others may follow it.
 //
 //	if turn.Complete() { ... }
 func (turn *Turn) Complete() bool { return turn.EndSeq != 0 && turn.Outcome == OutcomeComplete }
 
-// Open tells whether the turn may still be answered whole, by the group's clock. One
-// whose time is over counts as cut, also while nobody has ended it.
+// Open tells whether the turn may still become complete, by the group's clock. One whose
+// deadline has passed counts as cut, also while nobody has ended it.
 //
 //	if turn.Open(view.Clock()) { ... }
 func (turn *Turn) Open(clock int64) bool { return turn.EndSeq == 0 && clock <= turn.Deadline }
 
-// Turn finds a turn in a line.
+// Turn finds a turn of a session.
 //
 //	turn, found := machine.View().Turn("program/3fa81c", "9c41d07b")
 func (view *View) Turn(sessionName, name string) (*Turn, bool) {
@@ -59,8 +59,8 @@
 	return nil, false
 }
 
-// TurnInAnySession finds a turn in whichever line of the group it is, rather one that was
-// answered whole.
+// TurnInAnySession finds a turn in whichever session of the group has it. A complete one is
+// preferred.
 //
 //	turn, found := machine.View().TurnInAnySession("9c41d07b")
 func (view *View) TurnInAnySession(name string) (*Turn, bool) {
@@ -76,8 +76,8 @@
 	return known[0], true
 }
 
-// beginTurn makes the line if it is absent, reserves what the turn may put out and
-// begins the turn, or does none of it. What is reserved counts as spent.
+// beginTurn creates the session if it is absent, reserves what the turn may put out and
+// records its beginning, or does nothing of this. Reserved tokens count as spent.
 func (view *View) beginTurn(command *Command) Outcome {
 	session := view.sessionToChange(command)
 	if command.Producer == "" || command.Producer == command.Follows {
@@ -86,7 +86,7 @@
 	if known, found := view.Turn(command.Session, command.Producer); found {
 		return session.outcome(repeatStatus(known, command), known.Seq, true)
 	}
-	if committed := session.Spent + session.Reserved; command.HasQuota && (command.Tokens > command.Quota || committed > command.Quota-command.Tokens) {
+	if session.exceedsQuota(command) {
 		return session.outcome(QuotaExceeded, 0, false)
 	}
 	followed, status := view.followedTurn(command)
@@ -99,31 +99,12 @@
 	if followed == nil {
 		followed = view.adoptTurns(&session, command)
 	}
-	turn := &Turn{Name: command.Producer, Session: command.Session, Follows: followed, Dispatch: command.Dispatch, Deadline: view.clock + int64(command.Lifetime)}
-	if command.HasQuota {
-		turn.Tokens = command.Tokens
-		session.Reserved += command.Tokens
-	}
-	event := Event{At: view.clock, Kind: TurnBegun, Turn: session.Head + 1, Dispatch: command.Dispatch, Name: command.Producer, Producer: command.Producer, ProducerSeq: 1, Deadline: turn.Deadline}
-	if command.KeepData {
-		event.Data = command.Data
-	}
-	if command.Kind == BeginTurnWithPrefix {
-		event.Prefix = command.Prefix
-		view.addPrefixReference(&session, command.Prefix)
-	}
-	if followed != nil {
-		event.Follows = followed.Seq
-	}
-	turn.Seq = session.appendEvent(event)
-	session.Turns = append(session.Turns, turn.Name)
-	session.RetainUntil = max(session.RetainUntil, turn.Deadline+int64(session.Retention))
-	view.indexTurn(turn)
+	turn := view.recordBegin(&session, command, followed)
 	view.setSession(&session)
 	return session.outcome(Done, turn.Seq, false)
 }
 
-// repeatStatus tells what a begin of a turn that is known already answers.
+// repeatStatus returns the status of a BeginTurn whose turn is known already.
 func repeatStatus(known *Turn, command *Command) Status {
 	switch {
 	case known.Outcome == OutcomeNotRun:
@@ -134,8 +115,15 @@
 	return Done
 }
 
-// followedTurn finds the turn to go on from; none is found if it comes with the command,
-// or if there is none to go on from.
+// exceedsQuota tells whether a turn may put out more tokens than its program has left. The
+// subtraction can't overflow, as Tokens is compared with Quota first.
+func (session *Session) exceedsQuota(command *Command) bool {
+	committed := session.Spent + session.Reserved
+	return command.HasQuota && (command.Tokens > command.Quota || committed > command.Quota-command.Tokens)
+}
+
+// followedTurn finds the turn that a command continues. It is nil with status Done if there is
+// none to continue, or if it comes with the command.
 func (view *View) followedTurn(command *Command) (*Turn, Status) {
 	if command.Follows == "" {
 		return nil, Done
@@ -155,8 +143,31 @@
 	return nil, TurnIncomplete
 }
 
-// adoptTurns copies the turns of another line that come with a command, as far as this
-// line does not know them, and gives the last.
+// recordBegin adds a turn that was admitted to a session.
+func (view *View) recordBegin(session *Session, command *Command, followed *Turn) *Turn {
+	turn := &Turn{Name: command.Producer, Session: command.Session, Follows: followed, Dispatch: command.Dispatch, Deadline: view.clock + int64(command.Lifetime)}
+	if command.HasQuota {
+		turn.Tokens = command.Tokens
+		session.Reserved += command.Tokens
+	}
+	event := Event{At: view.clock, Kind: TurnBegun, Turn: session.Head + 1, Dispatch: command.Dispatch, Name: command.Producer, Producer: command.Producer, ProducerSeq: 1, Deadline: turn.Deadline}
+	if command.KeepData {
+		event.Data = command.Data
+	}
+	if command.Kind == BeginTurnWithPrefix {
+		event.Prefix = command.Prefix
+		view.addPrefixReference(session, command.Prefix)
+	}
+	if followed != nil {
+		event.Follows = followed.Seq
+	}
+	view.addTurn(session, turn, event)
+	session.RetainUntil = max(session.RetainUntil, turn.Deadline+int64(session.Retention))
+	return turn
+}
+
+// adoptTurns copies the completed turns of another session that come with a command, as far
+// as this session does not have them, and returns the last.
 func (view *View) adoptTurns(session *Session, command *Command) *Turn {
 	var last *Turn
 	for _, adopted := range command.Adopted {
@@ -169,17 +180,15 @@
 		if last != nil {
 			event.Follows = last.Seq
 		}
-		turn.Seq = session.appendEvent(event)
-		turn.EndSeq = turn.Seq
-		session.Turns = append(session.Turns, turn.Name)
-		view.indexTurn(turn)
+		turn.EndSeq = session.Head + 1
+		view.addTurn(session, turn, event)
 		last = turn
 	}
 	return last
 }
 
-// endTurn records a turn's output and outcome and books what it put out, at once. A
-// turn that never began may be ended as not run, so that it can't begin any more.
+// endTurn records a turn's output and outcome and settles its tokens. A turn that never began
+// may be ended as not run, so that it can't begin any more.
 func (view *View) endTurn(command *Command) Outcome {
 	session := view.sessionToChange(command)
 	turn, found := view.Turn(command.Session, command.Producer)
@@ -209,32 +218,36 @@
 	return session.outcome(Done, ended.EndSeq, false)
 }
 
-// fenceTurn closes a turn that has not begun.
+// fenceTurn closes a turn that has not begun, so that a late BeginTurn finds it closed.
 func (view *View) fenceTurn(session *Session, command *Command) Outcome {
-	turn := &Turn{Name: command.Producer, Session: command.Session, Outcome: OutcomeNotRun, Dispatch: command.Dispatch}
-	turn.Seq = session.appendEvent(Event{At: view.clock, Kind: Fenced, Turn: session.Head + 1, Producer: command.Producer, ProducerSeq: 2, Outcome: OutcomeNotRun})
-	turn.EndSeq = turn.Seq
+	seq := session.Head + 1
+	turn := &Turn{Name: command.Producer, Session: command.Session, EndSeq: seq, Outcome: OutcomeNotRun, Dispatch: command.Dispatch}
+	view.addTurn(session, turn, Event{At: view.clock, Kind: Fenced, Turn: seq, Producer: command.Producer, ProducerSeq: 2, Outcome: OutcomeNotRun})
+	view.setSession(session)
+	return session.outcome(Done, seq, false)
+}
+
+// addTurn appends a turn's first event to a session and puts the turn into the index.
+func (view *View) addTurn(session *Session, turn *Turn, first Event) {
+	turn.Seq = session.appendEvent(first)
 	session.Turns = append(session.Turns, turn.Name)
 	view.indexTurn(turn)
-	view.setSession(session)
-	return session.outcome(Done, turn.Seq, false)
 }
 
 func (session *Session) outcome(status Status, seq uint64, deduped bool) Outcome {
 	return Outcome{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
 }
 
-// indexTurn puts a turn into the index, in place of what its line knew under its name.
+// indexTurn puts a turn into the index, in place of the one that its session had under its
+// name.
 func (view *View) indexTurn(turn *Turn) {
-	known, _ := view.turns.Get(turn.Name)
-	others := slices.DeleteFunc(slices.Clone(known), func(one *Turn) bool { return one.Session == turn.Session })
-	view.turns = view.turns.Set(turn.Name, append(others, turn))
+	view.turns = view.turns.Set(turn.Name, append(view.turnsOfOthers(turn.Name, turn.Session), turn))
 }
 
+// removeTurns takes all turns of a session out of the index.
 func (view *View) removeTurns(session *Session) {
 	for _, name := range session.Turns {
-		known, _ := view.turns.Get(name)
-		others := slices.DeleteFunc(slices.Clone(known), func(one *Turn) bool { return one.Session == session.Name })
+		others := view.turnsOfOthers(name, session.Name)
 		if len(others) == 0 {
 			view.turns = view.turns.Delete(name)
 		} else {
@@ -242,3 +255,9 @@
 		}
 	}
 }
+
+// turnsOfOthers returns a copy of what other sessions than one have under a turn's name.
+func (view *View) turnsOfOthers(name, sessionName string) []*Turn {
+	known, _ := view.turns.Get(name)
+	return slices.DeleteFunc(slices.Clone(known), func(turn *Turn) bool { return turn.Session == sessionName })
+}
