--- /dev/null
+++ b/system/config/routing_lookup.go
@@ -0,0 +1,93 @@
+package config
+
+import (
+	"net"
+	"strings"
+)
+
+// Service finds a service by name.
+//
+//	service, found := routing.Service("chat-small")
+func (routing *Routing) Service(name string) (*Service, bool) {
+	if routing == nil {
+		return nil, false
+	}
+	if routing.index != nil {
+		service, found := routing.index.services[name]
+		return service, found
+	}
+	for position := range routing.Services {
+		if routing.Services[position].Name == name {
+			return &routing.Services[position], true
+		}
+	}
+	return nil, false
+}
+
+// routeIndex finds the routes of a host by prefix. It is never changed once made.
+type routeIndex struct {
+	hosts    map[string]*hostRoutes
+	services map[string]*Service
+}
+
+type hostRoutes struct {
+	prefixes      map[string]*Route
+	longestPrefix int
+}
+
+// BuildIndex makes lookups cheap from now on; Decode has done it already. The routes and
+// services must not be changed afterwards.
+//
+//	routing.BuildIndex()
+func (routing *Routing) BuildIndex() {
+	index := &routeIndex{hosts: map[string]*hostRoutes{}, services: make(map[string]*Service, len(routing.Services))}
+	for position := range routing.Services {
+		index.services[routing.Services[position].Name] = &routing.Services[position]
+	}
+	for position := range routing.Routes {
+		route := &routing.Routes[position]
+		host := strings.ToLower(route.Host)
+		routes := index.hosts[host]
+		if routes == nil {
+			routes = &hostRoutes{prefixes: map[string]*Route{}}
+			index.hosts[host] = routes
+		}
+		routes.prefixes[route.Prefix] = route
+		routes.longestPrefix = max(routes.longestPrefix, len(route.Prefix))
+	}
+	routing.index = index
+}
+
+// Match finds the route of a query: of its host's routes the one with the longest prefix
+// that begins the path. The host may have a port and capital letters. A lookup allocates
+// nothing if the host is written as in the route.
+//
+//	route, found := routing.Match("chat.example", "/talk/7")
+func (routing *Routing) Match(host, path string) (*Route, bool) {
+	if routing == nil {
+		return nil, false
+	}
+	if routing.index == nil {
+		routing = &Routing{Routes: routing.Routes, Services: routing.Services}
+		routing.BuildIndex()
+	}
+	routes, found := routing.index.hosts[host]
+	if !found {
+		if bare, _, err := net.SplitHostPort(host); err == nil {
+			host = bare
+		}
+		if routes, found = routing.index.hosts[strings.ToLower(host)]; !found {
+			return nil, false
+		}
+	}
+	// Every prefix ends with a slash, so only the places after one can match.
+	for end := min(len(path), routes.longestPrefix); end > 0; end-- {
+		if path[end-1] != '/' {
+			continue
+		}
+		if route, found := routes.prefixes[path[:end]]; found {
+			return route, true
+		}
+	}
+	return nil, false
+}
