--- a/system/config/compile.go
+++ b/system/config/compile.go
@@ -16,10 +16,13 @@
 	"yardrock.example/system/apierror"
 )
 
-// Compile checks CUE source and gives the config and its compiled form. What is
-// wrong is told with its path and the remedy.
+//go:embed schema.cue
+var schemaSource string
+
+// Compile checks CUE source and gives the config and its compiled form. The error names every
+// field that the schema rejects, with its position, or the first name that refers to nothing.
 //
-//	made, compiled, err := config.Compile(source)
+//	config, compiled, err := config.Compile(source)
 func Compile(source string) (*Config, []byte, error) {
 	context := cuecontext.New()
 	definition := context.CompileString(schemaSource, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Config"))
@@ -42,6 +45,7 @@
 	return config, compiled, config.checkReferences()
 }
 
+// invalidConfig turns errors of the CUE library into one of this package.
 func invalidConfig(err error) error {
 	problems := []string{}
 	for _, problem := range errors.Errors(err) {
@@ -56,9 +60,10 @@
 	return apierror.New(apierror.Invalid, "the config is invalid: "+strings.Join(problems, "; "), "correct the named fields; nothing was changed")
 }
 
-// Decode reads a compiled config.
+// Decode reads the compiled form of a config, and indexes its routing. No data is an empty
+// config, the one before the first.
 //
-//	made, err := config.Decode(view.Compiled)
+//	config, err := config.Decode(view.Compiled)
 func Decode(compiled []byte) (*Config, error) {
 	config := &Config{}
 	if len(compiled) == 0 {
@@ -73,9 +78,10 @@
 	return config, nil
 }
 
-// Encode gives a config's compiled form, which Decode reads.
+// Encode gives a config's compiled form. Parts in their operator's own words (Original) are
+// written unchanged.
 //
-//	compiled, err := made.Encode()
+//	compiled, err := config.Encode()
 func (config *Config) Encode() ([]byte, error) {
 	var compiled bytes.Buffer
 	encoder := json.NewEncoder(&compiled)
@@ -86,33 +92,23 @@
 	return bytes.TrimRight(compiled.Bytes(), "\n"), nil
 }
 
-// checkReferences finds names that point nowhere.
+// checkReferences checks what the schema cannot: that names refer to something, that a table has
+// a weight above 0, and the rules of routing.
 func (config *Config) checkReferences() error {
-	missing := func(path, name, kind string) error {
-		return apierror.New(apierror.Invalid, fmt.Sprintf("the config is invalid: %s: no %s is named %q", path, kind, name), "add it, or name one that is there; nothing was changed")
-	}
 	for _, name := range slices.Sorted(maps.Keys(config.Programs)) {
-		if _, found := config.Teams[config.Programs[name].Team]; !found {
-			return missing("programs."+name+".team", config.Programs[name].Team, "team")
+		if team := config.Programs[name].Team; !hasKey(config.Teams, team) {
+			return missingName("programs."+name+".team", team, "team")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(config.Kinds)) {
-		table, found := config.Tables[config.Kinds[name].Table]
-		if !found {
-			return missing("kinds."+name+".table", config.Kinds[name].Table, "table")
-		}
-		total := 0.0
-		for _, weight := range table {
-			total += weight
-		}
-		if total == 0 {
-			return apierror.New(apierror.Invalid, "the config is invalid: tables."+config.Kinds[name].Table+": all weights are 0", "give one group a weight above 0; nothing was changed")
+		if err := config.checkTableOf(name, config.Kinds[name].Table); err != nil {
+			return err
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(config.Tables)) {
 		for _, group := range slices.Sorted(maps.Keys(config.Tables[name])) {
-			if _, found := config.Groups[group]; !found {
-				return missing("tables."+name+"."+group, group, "group")
+			if !hasKey(config.Groups, group) {
+				return missingName("tables."+name+"."+group, group, "group")
 			}
 		}
 	}
@@ -122,5 +118,27 @@
 	return nil
 }
 
-//go:embed schema.cue
-var schemaSource string
+// checkTableOf checks the weight table of a kind of work.
+func (config *Config) checkTableOf(kind, name string) error {
+	table, found := config.Tables[name]
+	if !found {
+		return missingName("kinds."+kind+".table", name, "table")
+	}
+	total := 0.0
+	for _, weight := range table {
+		total += weight
+	}
+	if total == 0 {
+		return apierror.New(apierror.Invalid, "the config is invalid: tables."+name+": all weights are 0", "give one group a weight above 0; nothing was changed")
+	}
+	return nil
+}
+
+func hasKey[Value any](items map[string]Value, name string) bool {
+	_, found := items[name]
+	return found
+}
+
+func missingName(path, name, kind string) error {
+	return apierror.New(apierror.Invalid, fmt.Sprintf("the config is invalid: %s: no %s is named %q", path, kind, name), "add it, or name one that is there; nothing was changed")
+}
--- a/system/config/config_test.go
+++ b/system/config/config_test.go
@@ -26,7 +26,7 @@
 	if err != nil || again.Groups["large"].Concurrency != 3 || time.Duration(again.Programs["manifest"].Retention) != 24*time.Hour {
 		t.Fatalf("compiled form differs: %+v %v", again, err)
 	}
-	if config.Kinds["chat"].Repeatable != true || config.Limits.Queue != 200 {
+	if !config.Kinds["chat"].Repeatable || config.Limits.Queue != 200 {
 		t.Fatalf("defaults are missing: %+v", config)
 	}
 	for broken, path := range map[string]string{
--- a/system/config/principals.go
+++ b/system/config/principals.go
@@ -6,7 +6,8 @@
 	"encoding/hex"
 )
 
-// HashToken is how a token is kept.
+// HashToken gives the form in which a token is stored: its SHA-256 in hexadecimal. Tokens are
+// long random texts, so a fast hash without salt is enough.
 //
 //	stored := config.HashToken("team-secret")
 func HashToken(token string) string {
@@ -14,14 +15,16 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Principal is a team or an operator, known by the hashes of its tokens.
+// Principal is a team or an operator, who proves its identity by any of its tokens. Only their
+// hashes (HashToken) are in the config.
 type Principal struct {
 	TokenHashes []string `json:"token_hashes"`
 }
 
-// PrincipalByToken finds whose token it is.
+// PrincipalByToken gives the name of the principal who has a token. Every hash is compared, in
+// constant time, so that the time taken says nothing about the token.
 //
-//	team, found := config.PrincipalByToken(made.Teams, token)
+//	team, found := config.PrincipalByToken(config.Teams, token)
 func PrincipalByToken(principals map[string]Principal, token string) (string, bool) {
 	hashed := []byte(HashToken(token))
 	owner, found := "", false
--- a/system/config/routing_check.go
+++ b/system/config/routing_check.go
@@ -10,40 +10,46 @@
 
 // isLabel is #Label of the schema.
 func isLabel(text string) bool {
-	return len(text) >= 1 && len(text) <= 255 && !strings.ContainsFunc(text, func(letter rune) bool { return letter < '!' || letter > '~' })
+	return len(text) >= 1 && len(text) <= maxLabel && !strings.ContainsFunc(text, func(letter rune) bool { return letter < '!' || letter > '~' })
 }
 
+// isPath is the rule of a health path in the schema.
 func isPath(text string) bool {
 	return strings.HasPrefix(text, "/") && !strings.ContainsFunc(text, func(letter rune) bool { return letter < ' ' || letter > '~' })
 }
 
+// isPrefix is the rule of a route's prefix in the schema.
 func isPrefix(text string) bool {
 	return isPath(text) && strings.HasSuffix(text, "/") && !strings.Contains(text, " ")
 }
 
 const (
-	labelRemedy    = "use 1 to 255 visible ASCII letters without spaces"
+	maxLabel    = 255 // bytes
+	maxUrgency  = 1000
+	maxAttempts = 1000
+
 	durationRemedy = "use 0 or more"
-	maxUrgency     = 1000
-	maxAttempts    = 1000
 )
 
 var (
+	labelRemedy    = fmt.Sprintf("use 1 to %d visible ASCII letters without spaces", maxLabel)
 	urgencyRemedy  = fmt.Sprintf("use 0 to %d", maxUrgency)
 	attemptsRemedy = fmt.Sprintf("use 1 to %d", maxAttempts)
 )
 
 var routeKinds = map[RouteKind]bool{Repeatable: true, Once: true, Streaming: true}
 
-// fieldRule is one thing that a field must not be.
+// fieldRule is a rule for one field, and what its error says.
 type fieldRule struct {
 	violated bool
 	field    string
-	what     string // with a verb for the value, if there is one
+	what     string // a format for the value, if there is one
 	value    any
 	remedy   string
 }
 
+// firstViolation gives the error of the first rule that is violated, for fields of the item at
+// a path.
 func firstViolation(path string, rules []fieldRule) error {
 	for _, rule := range rules {
 		if !rule.violated {
@@ -58,7 +64,7 @@
 	return nil
 }
 
-// checkUniqueNames refuses items of which two have one name.
+// checkUniqueNames rejects items of which two have the same name.
 func checkUniqueNames[Item any](path string, items []Item, name func(Item) string) error {
 	seen := make(map[string]bool, len(items))
 	for position, item := range items {
@@ -70,12 +76,14 @@
 	return nil
 }
 
+// invalidRouting is the error of a field of the routing.
 func invalidRouting(field, what, remedy string) error {
 	return apierror.New(apierror.Invalid, "the routing is invalid: "+field+": "+what, remedy+"; nothing was changed")
 }
 
-// check holds the same rules as #Route of the schema, which is too slow for hundreds of
-// items on a small machine, and those that no schema can hold.
+// check applies the rules of #Route in the schema and those that no schema can express: that a
+// share names one of the services, and that the weights add up to more than 0. A weight that
+// is not a number violates them.
 func (route *Route) check(path string, services map[string]bool) error {
 	if err := firstViolation(path, []fieldRule{
 		{!isLabel(route.Name), ".name", "%q is no name", route.Name, labelRemedy},
@@ -108,7 +116,7 @@
 	return nil
 }
 
-// check holds the same rules as #Service of the schema.
+// check applies the rules of #Service in the schema.
 func (service *Service) check(path string) error {
 	rules := []fieldRule{
 		{!isLabel(service.Name), ".name", "%q is no name", service.Name, labelRemedy},
@@ -123,6 +131,7 @@
 	return firstViolation(path, rules)
 }
 
+// check applies the rules of bounds in the schema.
 func (bounds *Bounds) check() error {
 	return firstViolation("bounds", []fieldRule{
 		{bounds.HeaderBytes < 0, ".header_bytes", "it is below 0", nil, "use 0 or more; 0 is the usual"},
@@ -132,8 +141,8 @@
 	})
 }
 
-// Check refuses a routing that can't be in force, whatever was in force before: the
-// error names the field and the remedy.
+// Check applies the rules that a routing must satisfy whatever was active before. The error
+// names the first field that violates one.
 //
 //	if err := routing.Check(); apierror.Is(err, apierror.Invalid) { ... }
 func (routing *Routing) Check() error {
--- a/system/config/routing_lookup.go
+++ b/system/config/routing_lookup.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Service finds a service by name.
+// Service finds a service by name. A nil routing has none.
 //
 //	service, found := routing.Service("chat-small")
 func (routing *Routing) Service(name string) (*Service, bool) {
@@ -24,19 +24,21 @@
 	return nil, false
 }
 
-// routeIndex finds the routes of a host by prefix. It is never changed once made.
+// routeIndex finds routes by host and prefix, and services by name. It is never changed once
+// made.
 type routeIndex struct {
 	hosts    map[string]*hostRoutes
 	services map[string]*Service
 }
 
+// hostRoutes has the routes of one host by prefix, and the length of the longest prefix.
 type hostRoutes struct {
 	prefixes      map[string]*Route
 	longestPrefix int
 }
 
-// BuildIndex makes lookups cheap from now on; Decode has done it already. The routes and
-// services must not be changed afterwards.
+// BuildIndex makes lookups fast; without it Match builds an index at each call. Decode has built
+// it already. The routes and services must not be changed afterwards.
 //
 //	routing.BuildIndex()
 func (routing *Routing) BuildIndex() {
@@ -58,9 +60,9 @@
 	routing.index = index
 }
 
-// Match finds the route of a query: of its host's routes the one with the longest prefix
-// that begins the path. The host may have a port and capital letters. A lookup allocates
-// nothing if the host is written as in the route.
+// Match finds the route of a request: of its host's routes the one with the longest prefix that
+// begins the path. The host may have a port and capital letters; a lookup allocates nothing if
+// it is written as in the route. A nil routing has no routes.
 //
 //	route, found := routing.Match("chat.example", "/talk/7")
 func (routing *Routing) Match(host, path string) (*Route, bool) {
@@ -80,7 +82,7 @@
 			return nil, false
 		}
 	}
-	// Every prefix ends with a slash, so only the places after one can match.
+	// Every prefix ends with a slash, so only positions after one can match.
 	for end := min(len(path), routes.longestPrefix); end > 0; end-- {
 		if path[end-1] != '/' {
 			continue
--- a/system/config/routing_revisions.go
+++ b/system/config/routing_revisions.go
@@ -7,28 +7,29 @@
 	"slices"
 )
 
-// MaxAcceptedRequests is how many orders a routing itself remembers. The feed remembers many more;
-// nodes of the version before look only here.
+// MaxAcceptedRequests is how many requests a routing remembers. The feed remembers many more
+// (feed.RequestHistory); nodes of the version before it look only here.
 const MaxAcceptedRequests = 64
 
-// Taken is a revision that was taken, with the digest of the order that brought it, so
-// that the same order sent again is known.
+// AcceptedRequest is a revision and the digest of the request that brought it, so that the same
+// request, if it is sent again, is recognized.
 type AcceptedRequest struct {
 	Revision uint64 `json:"revision"`
 	Digest   string `json:"digest"`
 }
 
-// RoutingPatch changes a routing by names: items are removed first, then added or put in
-// the place of those that have their names.
+// RoutingPatch is a change of a routing by names: first the named items are removed, then each
+// given item replaces the one of its name or is added at the end.
 type RoutingPatch struct {
 	Revision       uint64
 	Routes         []Route
 	Services       []Service
 	RemoveRoutes   []string
 	RemoveServices []string
-	Bounds         *Bounds // nil: they stay
+	Bounds         *Bounds // nil: unchanged
 }
 
+// check rejects a patch that gives an item twice.
 func (patch *RoutingPatch) check() error {
 	if err := checkUniqueNames("services", patch.Services, serviceName); err != nil {
 		return err
@@ -40,9 +41,10 @@
 
 func serviceName(service Service) string { return service.Name }
 
-// RevisionOf tells whether an order of this digest was taken, under which revision.
+// RevisionOf gives the revision that a request of a digest brought, if it is remembered. A nil
+// routing remembers none.
 //
-//	if revision, taken := routing.RevisionOf(digest); taken { ... }
+//	if revision, accepted := routing.RevisionOf(digest); accepted { ... }
 func (routing *Routing) RevisionOf(digest string) (uint64, bool) {
 	if routing == nil {
 		return 0, false
@@ -55,8 +57,9 @@
 	return 0, false
 }
 
-// Patched gives the routing with an amendment carried out; the receiver, which may be
-// nil, stays as it is. A name to remove that is not there is left alone.
+// Patched gives the routing with a patch applied. The receiver, which may be nil, is not changed.
+// Removing a name that is not there is no error. The accepted requests are left to
+// WithRouting.
 //
 //	next, err := routing.Patched(config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}})
 func (routing *Routing) Patched(patch RoutingPatch) (Routing, error) {
@@ -76,7 +79,8 @@
 	return next, next.Check()
 }
 
-// mergeByName keeps the order of the items that stay.
+// mergeByName applies the part of a patch for one kind of item. Items that stay keep their
+// order.
 func mergeByName[Item any](items []Item, remove []string, put []Item, name func(Item) string) []Item {
 	next := slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return slices.Contains(remove, name(item)) })
 	positions := make(map[string]int, len(next))
@@ -93,9 +97,9 @@
 	return next
 }
 
-// CurrentRevision tells the routing's revision; there is none before the first.
+// CurrentRevision gives the routing's revision; 0 if there is no routing yet.
 //
-//	base := made.Routing.CurrentRevision()
+//	base := config.Routing.CurrentRevision()
 func (routing *Routing) CurrentRevision() uint64 {
 	if routing == nil {
 		return 0
@@ -103,16 +107,17 @@
 	return routing.Revision
 }
 
-// WithRouting gives the config with another routing, and its compiled form. The routing
-// must be valid and its revision above the one in force; the order's digest is kept.
+// WithRouting gives the config with another routing, and its compiled form. The routing must be
+// valid, and its revision above the current one. The digest of the request that brought it is
+// remembered with it, in place of the oldest beyond MaxAcceptedRequests.
 //
-//	next, compiled, err := made.WithRouting(routing, digest)
+//	next, compiled, err := config.WithRouting(routing, digest)
 func (config *Config) WithRouting(routing Routing, digest string) (*Config, []byte, error) {
 	if err := routing.Check(); err != nil {
 		return nil, nil, err
 	}
-	if inForce := config.Routing.CurrentRevision(); routing.Revision <= inForce {
-		return nil, nil, invalidRouting("revision", fmt.Sprintf("%d is not above %d, which is in force", routing.Revision, inForce), "give it a higher one")
+	if current := config.Routing.CurrentRevision(); routing.Revision <= current {
+		return nil, nil, invalidRouting("revision", fmt.Sprintf("%d is not above %d, which is in force", routing.Revision, current), "give it a higher one")
 	}
 	routing.AcceptedRequests = nil
 	if config.Routing != nil {
@@ -132,31 +137,33 @@
 	return &next, compiled, err
 }
 
-// InheritRouting carries the routing in force over into a config that an operator wrote: a
-// config without one keeps it, one of the same revision must be the same, and a revision
-// may not fall.
+// InheritRouting completes a config that an operator wrote by the current one's routing, and
+// gives its compiled form. A config without routing gets the current one; a routing of the same
+// revision must have the same content; a smaller revision is rejected. The accepted requests are
+// the current ones in any case.
 //
-//	compiled, err := made.InheritRouting(inForce)
-func (config *Config) InheritRouting(inForce *Config) ([]byte, error) {
-	if inForce.Routing != nil {
+//	compiled, err := config.InheritRouting(current)
+func (config *Config) InheritRouting(current *Config) ([]byte, error) {
+	if current.Routing != nil {
 		switch {
 		case config.Routing == nil:
-			config.Routing = inForce.Routing
-		case config.Routing.Revision < inForce.Routing.Revision:
-			return nil, invalidRouting("routing.revision", fmt.Sprintf("%d is below %d, which is in force", config.Routing.Revision, inForce.Routing.Revision), "leave routing out to keep what is in force, or give it a higher revision")
-		case config.Routing.Revision == inForce.Routing.Revision && !config.Routing.equal(inForce.Routing):
+			config.Routing = current.Routing
+		case config.Routing.Revision < current.Routing.Revision:
+			return nil, invalidRouting("routing.revision", fmt.Sprintf("%d is below %d, which is in force", config.Routing.Revision, current.Routing.Revision), "leave routing out to keep what is in force, or give it a higher revision")
+		case config.Routing.Revision == current.Routing.Revision && !config.Routing.equal(current.Routing):
 			return nil, invalidRouting("routing.revision", fmt.Sprintf("%d is in force with other content", config.Routing.Revision), "give it a higher revision")
 		}
 		inherited := *config.Routing
-		inherited.AcceptedRequests = inForce.Routing.AcceptedRequests
+		inherited.AcceptedRequests = current.Routing.AcceptedRequests
 		config.Routing = &inherited
 	}
 	return config.Encode()
 }
 
-// equal tells whether two routings do the same.
+// equal tells whether two routings have the same effect: how their operators wrote them, unknown
+// fields and accepted requests do not count.
 func (routing *Routing) equal(other *Routing) bool {
-	bare := func(routing Routing) []byte {
+	effect := func(routing Routing) []byte {
 		routing.AcceptedRequests, routing.UnknownFields, routing.Bounds.Original = nil, nil, nil
 		routing.Routes, routing.Services = slices.Clone(routing.Routes), slices.Clone(routing.Services)
 		for position := range routing.Routes {
@@ -165,8 +172,8 @@
 		for position := range routing.Services {
 			routing.Services[position].Original = nil
 		}
-		data, _ := json.Marshal(routing)
+		data, _ := json.Marshal(routing) // fails only for a weight that is no number, which Check rejects
 		return data
 	}
-	return bytes.Equal(bare(*routing), bare(*other))
+	return bytes.Equal(effect(*routing), effect(*other))
 }
--- a/system/config/routing_test.go
+++ b/system/config/routing_test.go
@@ -55,13 +55,13 @@
 		for _, one := range []*Routing{&routing, &plain} {
 			route, found := one.Match(query[0], query[1])
 			if found != (want != "") || (found && route.Name != want) {
-				t.Errorf("%v goes to %+v, want %q", query, route, want)
+				t.Errorf("%v matches %+v, want %q", query, route, want)
 			}
 		}
 	}
 	var none *Routing
 	if _, found := none.Match("one.example", "/"); found {
-		t.Error("no routing has a route")
+		t.Error("a nil routing has a route")
 	}
 	if service, found := routing.Service("chat-new"); !found || service.WarmUpRate != 2.5 {
 		t.Errorf("service %+v", service)
@@ -74,27 +74,33 @@
 	}
 }
 
-// TestGoChecksAndSchemaRejectTheSame gives each broken routing to the checks in Go and,
-// as part of a config, to the schema.
-func TestGoChecksAndSchemaRejectTheSame(t *testing.T) {
+// sourceOf gives a config in CUE that has only a routing; JSON is valid CUE.
+func sourceOf(t *testing.T, routing *Routing) string {
+	t.Helper()
+	data, err := json.Marshal(routing)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return "routing: " + string(data)
+}
+
+func TestGoChecksAndSchemaAcceptAValidRouting(t *testing.T) {
 	good := exampleRouting()
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
-	written := func(routing Routing) string {
-		data, err := json.Marshal(routing)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return "routing: " + string(data)
-	}
-	config, compiled, err := Compile(written(good))
+	config, compiled, err := Compile(sourceOf(t, &good))
 	if err != nil || config.Routing == nil || !config.Routing.equal(&good) {
 		t.Fatalf("%+v %v", config, err)
 	}
 	if again, err := Decode(compiled); err != nil || again.Routing.index == nil || !again.Routing.equal(&good) {
 		t.Fatalf("%+v %v", again, err)
 	}
+}
+
+// TestGoChecksAndSchemaRejectTheSame gives each broken routing to the checks in Go and,
+// as part of a config, to the schema.
+func TestGoChecksAndSchemaRejectTheSame(t *testing.T) {
 	for field, broken := range map[string]func(*Routing){
 		"routes[1].name":               func(routing *Routing) { routing.Routes[1].Name = "" },
 		"routes[2].name":               func(routing *Routing) { routing.Routes[2].Name = "two words" },
@@ -135,52 +141,76 @@
 		if !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), field) || !strings.Contains(err.Error(), "remedy") {
 			t.Errorf("%s: %v", field, err)
 		}
-		if _, _, err := Compile(written(routing)); !apierror.Is(err, apierror.Invalid) {
-			t.Errorf("%s is let through by the schema: %v", field, err)
+		if _, _, err := Compile(sourceOf(t, &routing)); !apierror.Is(err, apierror.Invalid) {
+			t.Errorf("%s is accepted by the schema: %v", field, err)
 		}
 		if _, _, err := (&Config{}).WithRouting(routing, "digest"); !apierror.Is(err, apierror.Invalid) {
-			t.Errorf("%s is put in force: %v", field, err)
+			t.Errorf("%s is accepted as the next routing: %v", field, err)
 		}
 	}
+}
+
+// TestWeightThatIsNotANumberIsRejected has a weight that JSON cannot express.
+func TestWeightThatIsNotANumberIsRejected(t *testing.T) {
 	notANumber := exampleRouting()
 	notANumber.Routes[0].Shares = []WeightedService{{"chat", math.NaN()}}
 	if err := notANumber.Check(); !apierror.Is(err, apierror.Invalid) {
-		t.Errorf("a weight that is no number: %v", err)
+		t.Errorf("a weight that is not a number: %v", err)
 	}
 }
 
-func TestRoutingNeedsAHigherRevision(t *testing.T) {
+// firstRouting is a valid config, without routing, and the next one with the example routing.
+func firstRouting(t *testing.T, routing *Routing) (base, next *Config, compiled []byte) {
+	t.Helper()
 	base, _, err := Compile(validSource)
 	if err != nil {
 		t.Fatal(err)
 	}
+	if next, compiled, err = base.WithRouting(*routing, "first"); err != nil {
+		t.Fatal(err)
+	}
+	return base, next, compiled
+}
+
+func TestWithRoutingRemembersTheRequestAndKeepsOriginals(t *testing.T) {
 	routing := exampleRouting()
 	routing.Routes[0].Original = json.RawMessage(`{"name":"<&>","wait":4000.0}`)
-	next, compiled, err := base.WithRouting(routing, "first")
-	if err != nil || base.Routing != nil {
-		t.Fatal(err)
+	base, _, compiled := firstRouting(t, &routing)
+	if base.Routing != nil {
+		t.Fatalf("the earlier config was changed: %+v", base.Routing)
 	}
 	again, err := Decode(compiled)
 	if err != nil || !again.Routing.equal(&routing) || again.Groups["large"].Concurrency != 3 || string(again.Routing.Routes[0].Original) != `{"name":"<&>","wait":4000.0}` {
 		t.Fatalf("%+v %v", again.Routing, err)
 	}
-	if revision, taken := again.Routing.RevisionOf("first"); !taken || revision != 7 {
-		t.Fatalf("taken: %+v", again.Routing.AcceptedRequests)
+	if revision, accepted := again.Routing.RevisionOf("first"); !accepted || revision != 7 {
+		t.Fatalf("accepted: %+v", again.Routing.AcceptedRequests)
 	}
+}
+
+func TestRoutingNeedsAHigherRevision(t *testing.T) {
+	routing := exampleRouting()
+	_, next, _ := firstRouting(t, &routing)
 	for _, revision := range []uint64{0, 6, 7} {
 		routing.Revision = revision
 		if _, _, err := next.WithRouting(routing, "second"); !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), "revision") {
 			t.Errorf("revision %d: %v", revision, err)
 		}
 	}
+}
+
+func TestOldestAcceptedRequestsAreForgotten(t *testing.T) {
+	routing := exampleRouting()
+	_, next, _ := firstRouting(t, &routing)
+	var err error
 	for revision := uint64(8); revision < 200; revision++ {
 		routing.Revision = revision
 		if next, _, err = next.WithRouting(routing, fmt.Sprint(revision)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, taken := next.Routing.RevisionOf("199"); !taken || len(next.Routing.AcceptedRequests) != 64 {
-		t.Fatalf("%d orders are kept", len(next.Routing.AcceptedRequests))
+	if _, accepted := next.Routing.RevisionOf("199"); !accepted || len(next.Routing.AcceptedRequests) != 64 {
+		t.Fatalf("%d requests are remembered", len(next.Routing.AcceptedRequests))
 	}
 }
 
@@ -202,13 +232,13 @@
 		t.Fatalf("%+v %v", next, err)
 	}
 	if names(before) != "whole talk talk-late other" || before.Routes[1].Timeout == changed.Timeout {
-		t.Fatalf("the routing amended was changed: %+v", before)
+		t.Fatalf("the patched routing was changed: %+v", before)
 	}
 	if _, err := before.Patched(RoutingPatch{Revision: 9, RemoveServices: []string{"chat-new"}}); !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), `"chat-new"`) {
-		t.Fatalf("a service that routes name was removed: %v", err)
+		t.Fatalf("a service that a route names was removed: %v", err)
 	}
 	if _, err := before.Patched(RoutingPatch{Revision: 9, Routes: []Route{added, added}}); !apierror.Is(err, apierror.Invalid) {
-		t.Fatalf("one name was put twice: %v", err)
+		t.Fatalf("one name was given twice: %v", err)
 	}
 	var none *Routing
 	if next, err := none.Patched(RoutingPatch{Revision: 1, Services: before.Services, Routes: before.Routes}); err != nil || !next.equal(&Routing{Revision: 1, Routes: before.Routes, Services: before.Services}) {
@@ -246,8 +276,8 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if _, taken := config.Routing.RevisionOf("first"); !taken {
-			t.Errorf("%s: orders are forgotten: %+v", name, config.Routing)
+		if _, accepted := config.Routing.RevisionOf("first"); !accepted {
+			t.Errorf("%s: accepted requests are forgotten: %+v", name, config.Routing)
 		}
 	}
 	for name, change := range map[string]func(*Routing){
@@ -259,8 +289,8 @@
 	}
 }
 
-// BenchmarkTwoHundredRoutes measures what an order costs a control node: checks, encoding
-// and decoding.
+// BenchmarkTwoHundredRoutes measures what a request with 200 routes costs a control node: checks,
+// encoding and decoding.
 func BenchmarkTwoHundredRoutes(b *testing.B) {
 	routing := exampleRouting()
 	for position := range 200 {
--- a/system/config/schema.cue
+++ b/system/config/schema.cue
@@ -4,7 +4,7 @@
 // What the operators of routing call their routes, services and hosts.
 #Label: =~"^[!-~]{1,255}$"
 
-// A route says what is done with queries for a host whose path begins with a prefix.
+// A route is how requests for a host are forwarded whose path begins with a prefix.
 #Route: {
 	name:     #Label
 	host:     =~"^[!-.0-~]{1,255}$"
@@ -52,7 +52,7 @@
 		idle:         #Duration | *"0s"
 		written?:     _
 	}
-	// orders that were taken already
+	// requests that were accepted already
 	taken: [...{revision: int & >=0, digest: string}] | *[]
 	// parts that this version does not know, as they were written
 	unread?: _
@@ -64,13 +64,13 @@
 	teams: [#Name]: token_hashes: [...=~"^[0-9a-f]{64}$"]
 	programs: [#Name]: {
 		team: #Name
-		// words that the program may speak in one period
+		// quota: words that the program may put out in one period
 		allowance: int & >0
 		// words that one answer may hold; it is cut there
 		turn_limit: int & >0 & <=100000
-		// a new period text starts the tally anew
+		// a new period text starts the quota's usage anew
 		period: #Name | *"first"
-		// how long the program's lines are kept after their last event
+		// retention: how long the program's sessions are kept after their last event
 		keep: #Duration | *"24h"
 	}
 	// groups of runners, as the platform's list names them
@@ -92,7 +92,7 @@
 	}
 	limits: {
 		body_bytes: int & >=1024 & <=16777216 | *1048576
-		// waiting queries per urgency on one front
+		// waiting requests per urgency on one front
 		queue: int & >=0 & <=100000 | *200
 		queue_patience: #Duration | *"2s"
 	}
@@ -100,8 +100,8 @@
 		runner_list: =~"^http://" | *""
 		poll: #Duration | *"1s"
 	}
-	// whether the beginnings that conversations of one route have in common are kept once
+	// whether a beginning that conversations of one route have in common is stored once
 	openings?: share: bool | *false
-	// how queries are forwarded unchanged; left out, what is in force stays
+	// how requests are forwarded unchanged; left out, the current routing stays
 	routing?: #Routing
 }
