--- a/system/controlplane/admin_domains.go
+++ b/system/controlplane/admin_domains.go
@@ -34,8 +34,7 @@
 	if state == feed.StateDrained && !force && isLastServing(view, name) {
 		return nil, apierror.New(apierror.Conflict, name+" is the last domain that serves", "refill another domain first, or say force")
 	}
-	change := newDomainChange(view, name, state)
-	return &change, nil
+	return &feed.Change{Kind: feed.ChangeDomain, Expects: true, Expected: view.Number, Domain: feed.Domain{Name: name, State: state, Since: time.Now().UnixNano()}}, nil
 }
 
 // isLastServing reports whether all runners outside a domain are in drained domains.
@@ -48,11 +47,6 @@
 	return true
 }
 
-// newDomainChange makes the change of a domain's state.
-func newDomainChange(view *feed.View, name, state string) feed.Change {
-	return feed.Change{Kind: feed.ChangeDomain, Expects: true, Expected: view.Number, Domain: feed.Domain{Name: name, State: state, Since: time.Now().UnixNano()}}
-}
-
 // SetDomainState drains or refills a domain and returns once that is acknowledged; if it is
 // in that state already, once that is. The error is Invalid if the state is neither
 // feed.StateServing nor feed.StateDrained.
@@ -63,12 +57,12 @@
 		return apierror.New(apierror.Invalid, fmt.Sprintf("%q is no state of a domain", state), "use serving or emptied")
 	}
 	_, err := node.execute(ctx, func(view *feed.View) (decision, error) {
-		if view.DomainDrained(name) == (state == feed.StateDrained) {
-			return decision{acceptedAs: view.Number}, nil
+		change, err := planDomain(view, name, state, true)
+		if err != nil || change == nil {
+			return decision{acceptedAs: view.Number}, err
 		}
-		change := newDomainChange(view, name, state)
 		change.By = by
-		return decision{change: &change}, nil
+		return decision{change: change}, nil
 	})
 	return err
 }
--- a/system/controlplane/admin_request.go
+++ b/system/controlplane/admin_request.go
@@ -50,7 +50,7 @@
 		return decision{acceptedAs: view.Number}, nil
 	}
 	if change == nil { // a change that changes nothing, so that the request has a number
-		change = &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: view.Stores}
+		change = newStoresChange(view, view.Stores)
 	}
 	change.By, change.Statement = request.operator, request.statement
 	if request.expected != nil || change.AdminRequest == 0 {
--- /dev/null
+++ b/system/controlplane/admin_tables_config.go
@@ -0,0 +1,68 @@
+package controlplane
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// listWeights lists the weights of the config.
+func listWeights(_ context.Context, source tableSource) ([]string, [][]string) {
+	rows := [][]string{}
+	for _, table := range slices.Sorted(maps.Keys(source.config.Tables)) {
+		for _, group := range slices.Sorted(maps.Keys(source.config.Tables[table])) {
+			rows = append(rows, []string{table, group, strconv.FormatFloat(source.config.Tables[table][group], 'g', -1, 64)})
+		}
+	}
+	return []string{"table", "group", "weight"}, rows
+}
+
+// listRoutes lists the routes of the routing in force.
+func listRoutes(_ context.Context, source tableSource) ([]string, [][]string) {
+	rows := [][]string{}
+	if source.config.Routing != nil {
+		for _, route := range source.config.Routing.Routes {
+			shares := []string{}
+			for _, share := range route.Shares {
+				shares = append(shares, share.Service+":"+strconv.FormatFloat(share.Weight, 'g', -1, 64))
+			}
+			rows = append(rows, []string{route.Name, route.Host, route.Prefix, string(route.Kind), time.Duration(route.Timeout).String(),
+				strconv.Itoa(route.Urgency), strings.Join(shares, " "), strconv.FormatUint(source.config.Routing.Revision, 10)})
+		}
+	}
+	return []string{"name", "host", "prefix", "kind", "patience", "urgency", "shares", "revision"}, rows
+}
+
+// listServices lists the services of the routing in force, with their numbers of runners.
+func listServices(_ context.Context, source tableSource) ([]string, [][]string) {
+	rows := [][]string{}
+	if source.config.Routing != nil {
+		counts := map[string]int{}
+		for _, runner := range source.view.Runners {
+			counts[runner.Group]++
+		}
+		for _, service := range source.config.Routing.Services {
+			rows = append(rows, []string{service.Name, service.HealthPath, strconv.Itoa(service.MaxConnections), time.Duration(service.WarmUp).String(),
+				strconv.FormatFloat(service.WarmUpRate, 'g', -1, 64), strconv.Itoa(counts[service.Name])})
+		}
+	}
+	return []string{"name", "health_path", "most_connections", "cold_for", "cold_rate", "runners"}, rows
+}
+
+// listPrograms lists the programs of the config.
+func listPrograms(_ context.Context, source tableSource) ([]string, [][]string) {
+	rows := [][]string{}
+	for _, name := range slices.Sorted(maps.Keys(source.config.Programs)) {
+		program := source.config.Programs[name]
+		rows = append(rows, []string{name, program.Team, strconv.FormatUint(program.Quota, 10), strconv.FormatUint(program.TurnLimit, 10), program.Period})
+	}
+	return []string{"name", "team", "allowance", "turn_limit", "period"}, rows
+}
+
+// listConfig lists the number of the config in force and of the newest view.
+func listConfig(_ context.Context, source tableSource) ([]string, [][]string) {
+	return []string{"number", "newest", "fleet"}, [][]string{{strconv.FormatUint(source.view.ConfigNumber, 10), strconv.FormatUint(source.view.Number, 10), source.view.Fleet}}
+}
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -109,44 +109,76 @@
 //
 //	node, err := controlplane.Start(settings, directory, link.TCP{})
 //	defer node.Close()
-func Start(settings Settings, folder vfs.Directory, network link.Network) (*Node, error) {
-	durable, records, err := durablelog.Open(folder, feed.RoleControl)
+func Start(settings Settings, directory vfs.Directory, network link.Network) (*Node, error) {
+	durable, records, err := durablelog.Open(directory, feed.RoleControl)
 	if err != nil {
 		return nil, err
 	}
+	node := newNode(settings, network)
+	if err := node.openHost(durable, records); err != nil {
+		node.stop()
+		node.client.Close()
+		return nil, err
+	}
+	listener, err := network.Listen(settings.Address)
+	if err != nil {
+		node.stop()
+		node.client.Close()
+		node.host.Close()
+		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
+	}
+	node.server = link.Serve(listener, node.Handle)
+	node.startTasks()
+	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("control node started")
+	return node, nil
+}
+
+// newNode makes a node that runs nothing yet.
+func newNode(settings Settings, network link.Network) *Node {
 	node := &Node{
 		settings: settings, network: network, client: link.NewClient(network), stateMachine: newFeedStateMachine(), startedAt: time.Now(),
 		liveness: map[string]nodeLiveness{}, syncedNumbers: map[string]uint64{}, syncedChanged: make(chan struct{}), configRunners: newConfigRunnerSource(network),
 	}
 	node.SetSeeds(settings.Seeds)
 	node.context, node.stop = context.WithCancel(context.Background())
+	return node
+}
+
+// openHost starts the Raft host from what the durable log has, and loads the stored addresses
+// of the control nodes. The host owns the log from then on.
+func (node *Node) openHost(durable *durablelog.Log, records []durablelog.Record) error {
 	transport := replica.NewTransport(node.client, node.addressOf, func() string { return node.View().Fleet })
-	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.stateMachine }, transport)
+	host, err := replica.Open(node.settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.stateMachine }, transport)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	if data := node.host.StoredValue(controlAddressesKey); data != nil {
-		var noted feed.View
-		if err := wire.Decode(schema.View_TypeID, data, &noted); err != nil {
-			node.host.Close()
-			return nil, apierror.New(apierror.Damaged, "the noted control nodes cannot be read: "+err.Error(), "run the version of the program that wrote them")
+	if data := host.StoredValue(controlAddressesKey); data != nil {
+		var stored feed.View
+		if err := wire.Decode(schema.View_TypeID, data, &stored); err != nil {
+			host.Close()
+			return apierror.New(apierror.Damaged, "the noted control nodes cannot be read: "+err.Error(), "run the version of the program that wrote them")
 		}
-		node.savedControls = noted.Controls
-	}
-	listener, err := network.Listen(settings.Address)
-	if err != nil {
-		node.host.Close()
-		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
+		node.savedControls = stored.Controls
 	}
-	node.server = link.Serve(listener, node.Handle)
+	node.host = host
+	return nil
+}
+
+// startTasks starts the periodic tasks, which run until the node is closed.
+func (node *Node) startTasks() {
 	every := func(interval time.Duration, task func()) func() time.Duration {
 		return func() time.Duration { task(); return interval }
 	}
-	for _, task := range []func() time.Duration{every(foundingInterval, node.bootstrapFleet), every(gossipInterval, node.gossip), node.reconcileFleet, node.runRoleLeases, every(gossipInterval, node.recordQuorumContact), every(reconcileInterval, node.finishDecommissions)} {
+	for _, task := range []func() time.Duration{
+		every(foundingInterval, node.bootstrapFleet),
+		every(gossipInterval, node.gossip),
+		every(gossipInterval, node.recordQuorumContact),
+		every(reconcileInterval, node.finishDecommissions),
+		node.reconcileFleet,
+		node.runRoleLeases,
+	} {
 		node.tasks.Go(func() { node.runPeriodically(task) })
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("control node started")
-	return node, nil
 }
 
 // runPeriodically runs a task until the node is closed. The task returns how long to wait
--- a/system/controlplane/node_bootstrap.go
+++ b/system/controlplane/node_bootstrap.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"context"
 	"crypto/sha256"
 	"encoding/hex"
 	"slices"
@@ -12,7 +11,6 @@
 
 	"yardrock.example/system/feed"
 	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
 // foundingInterval is how often a node with an empty disk tries to found the fleet.
@@ -28,18 +26,16 @@
 	}
 	statuses := []*wire.StatusReply{}
 	for _, seed := range *node.seeds.Load() {
-		ctx, cancel := context.WithTimeout(node.context, callTimeout)
-		reply, err := node.client.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
-		cancel()
-		if err != nil || reply.Status == nil {
+		status, err := node.queryStatus(node.context, seed, callTimeout, wire.StatusQuery{})
+		if err != nil {
 			continue
 		}
-		if !reply.Status.Uninitialized && slices.Contains(reply.Status.Founding, node.Name()) {
-			node.bootstrapFleetWith(bootstrapView(reply.Status.Founding, reply.Status.Controls, node.settings))
+		if !status.Uninitialized && slices.Contains(status.Founding, node.Name()) {
+			node.bootstrapFleetWith(bootstrapView(status.Founding, status.Controls, node.settings))
 			return
 		}
-		if reply.Status.Role == feed.RoleControl && reply.Status.Uninitialized {
-			statuses = append(statuses, reply.Status)
+		if status.Role == feed.RoleControl && status.Uninitialized {
+			statuses = append(statuses, status)
 		}
 	}
 	if node.settings.JoinExisting || len(statuses) != len(*node.seeds.Load()) {
--- a/system/controlplane/node_queries.go
+++ b/system/controlplane/node_queries.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"time"
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
@@ -65,3 +67,20 @@
 	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
 	return &wire.Reply{}, nil
 }
+
+// errNoStatus reports a reply without a status, which no known version sends.
+var errNoStatus = errors.New("the reply to a status query has no status")
+
+// queryStatus asks another node for its status.
+func (node *Node) queryStatus(ctx context.Context, address string, timeout time.Duration, query wire.StatusQuery) (*wire.StatusReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	reply, err := node.client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &query})
+	if err != nil {
+		return nil, err
+	}
+	if reply.Status == nil {
+		return nil, errNoStatus
+	}
+	return reply.Status, nil
+}
--- a/system/controlplane/node_seeds.go
+++ b/system/controlplane/node_seeds.go
@@ -35,16 +35,14 @@
 		addresses = append(addresses, member.Address)
 	}
 	for _, seed := range *node.seeds.Load() {
-		ctx, cancel := context.WithTimeout(node.context, gossipInterval)
-		reply, err := node.client.Call(ctx, seed, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
-		cancel()
-		if err != nil || reply.Status == nil {
+		status, err := node.queryStatus(node.context, seed, gossipInterval, wire.StatusQuery{})
+		if err != nil {
 			continue
 		}
-		if reply.Status.Role == feed.RoleControl {
-			addresses = append(addresses, reply.Status.Address)
+		if status.Role == feed.RoleControl {
+			addresses = append(addresses, status.Address)
 		}
-		for _, member := range reply.Status.Controls {
+		for _, member := range status.Controls {
 			addresses = append(addresses, member.Address)
 		}
 	}
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -31,52 +31,56 @@
 }
 
 // discoverRunners reads the runner list if it is due, and publishes what changed on the feed
-// under the fencing token of the lease. If the source names a RetryAfter it is not asked
-// before.
+// under the fencing token of the lease. If the source names a RetryAfter it is not read before.
 func (node *Node) discoverRunners(ctx context.Context, view *feed.View, lease feed.RoleLease) {
-	if time.Now().Before(node.discovery.nextPoll) {
+	discovery := &node.discovery
+	if time.Now().Before(discovery.nextPoll) {
 		return
 	}
-	// A RunnerSource of the settings reports itself when a runner has warmed up.
-	source, groups, interval := node.settings.RunnerSource, map[string]config.Group(nil), runnerListInterval
+	source, groups, interval := node.runnerSource(view)
 	if source == nil {
-		decoded, err := node.decodeConfig(view)
-		if err != nil || decoded.Platform.RunnerList == "" {
-			return
-		}
-		node.configRunners.url = decoded.Platform.RunnerList
-		source, groups, interval = &node.configRunners, decoded.Groups, time.Duration(decoded.Platform.Poll)
+		return
 	}
 	requestedAt := time.Now()
-	node.discovery.nextPoll = requestedAt.Add(interval)
+	discovery.nextPoll = requestedAt.Add(interval)
 	limited, cancel := context.WithTimeout(ctx, runnerListTimeout)
 	defer cancel()
 	runners, err := source.List(limited)
 	if err != nil {
-		if later := apierror.Of(err).RetryAfter; later > 0 {
-			node.discovery.nextPoll = time.Now().Add(later)
+		if retryAfter := apierror.Of(err).RetryAfter; retryAfter > 0 {
+			discovery.nextPoll = time.Now().Add(retryAfter)
 		}
 		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot read the runner list")
 		return
 	}
-	if node.discovery.fencingToken != lease.FencingToken {
-		node.discovery.fencingToken, node.discovery.servingSince, node.discovery.warmUpEnds = lease.FencingToken, map[string]time.Time{}, map[string]time.Time{}
-	}
+	discovery.beginLease(lease.FencingToken)
 	change := feed.Change{Kind: feed.ChangeRunners, By: node.Name(), RoleLease: lease, Expects: true, Expected: view.Number, Partial: true}
-	change.Runners, change.Removed = node.discovery.diff(view.Runners, runners, groups, requestedAt)
-	if len(change.Runners)+len(change.Removed) == 0 {
-		node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
-		return
-	}
-	if _, err := node.Change(ctx, change); err != nil {
-		node.discovery.nextPoll = requestedAt // try again: the feed has changed meanwhile
-		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot publish the runner list")
-		return
+	change.Runners, change.Removed = discovery.diff(view.Runners, runners, groups, requestedAt)
+	if len(change.Runners)+len(change.Removed) > 0 {
+		if _, err := node.Change(ctx, change); err != nil {
+			discovery.nextPoll = requestedAt // try again: the feed has changed meanwhile
+			log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot publish the runner list")
+			return
+		}
+		discovery.recordPublished(change.Runners, change.Removed, requestedAt)
 	}
-	node.discovery.recordPublished(change.Runners, change.Removed, requestedAt)
 	node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
 }
 
+// runnerSource returns where to read the runner list and how often, nil if no list is
+// configured. Groups are nil if the source reports itself when a runner has warmed up.
+func (node *Node) runnerSource(view *feed.View) (source RunnerSource, groups map[string]config.Group, interval time.Duration) {
+	if node.settings.RunnerSource != nil {
+		return node.settings.RunnerSource, nil, runnerListInterval
+	}
+	decoded, err := node.decodeConfig(view)
+	if err != nil || decoded.Platform.RunnerList == "" {
+		return nil, nil, 0
+	}
+	node.configRunners.url = decoded.Platform.RunnerList
+	return &node.configRunners, decoded.Groups, time.Duration(decoded.Platform.Poll)
+}
+
 // runnerDiscovery is what the holder of RunnerDiscoveryRole keeps in memory. Only the role
 // lease task uses it. A new lease starts with empty maps.
 type runnerDiscovery struct {
@@ -91,15 +95,21 @@
 	fencingToken uint64
 }
 
+// beginLease forgets what was recorded under another lease.
+func (discovery *runnerDiscovery) beginLease(fencingToken uint64) {
+	if discovery.fencingToken != fencingToken {
+		discovery.fencingToken = fencingToken
+		discovery.servingSince, discovery.warmUpEnds = map[string]time.Time{}, map[string]time.Time{}
+	}
+}
+
 // diff returns the runners of a list that are new or differ from those on the feed, and the
-// identities of those that are no longer listed. It sets Since to when each runner entered
-// its state, where a restarted slow start counts as a new state, and Warmed once the runner
-// has served for as long as its group's slow start lasts. Groups are nil if the source sets
-// Warmed itself.
+// identities of those that are no longer listed. Of runners listed twice the first counts.
+// Groups are nil if the source reports itself when a runner has warmed up.
 func (discovery *runnerDiscovery) diff(before, listed []feed.Runner, groups map[string]config.Group, now time.Time) (changed []feed.Runner, removed []string) {
-	known := make(map[string]feed.Runner, len(before))
+	published := make(map[string]feed.Runner, len(before))
 	for _, runner := range before {
-		known[runner.Identity()] = runner
+		published[runner.Identity()] = runner
 	}
 	seen := make(map[string]bool, len(listed))
 	for _, runner := range listed {
@@ -108,21 +118,12 @@
 			continue
 		}
 		seen[name] = true
-		old, found := known[name]
+		old, found := published[name]
 		runner.Since, runner.Warmed = now.UnixNano(), false
 		if found && old.State == runner.State && !discovery.warmsUpAgain(runner, now) {
 			runner.Since, runner.Warmed = old.Since, old.Warmed
 		}
-		since, served := discovery.servingSince[name]
-		switch {
-		case runner.State != feed.StateServing:
-			delete(discovery.servingSince, name)
-		case !served:
-			discovery.servingSince[name] = now
-			runner.Warmed = runner.Warmed || groups == nil
-		default:
-			runner.Warmed = runner.Warmed || now.Sub(since) >= time.Duration(groups[runner.Group].SlowStart)
-		}
+		runner.Warmed = discovery.recordServing(runner, groups, now) || runner.Warmed
 		if !found || runnerDiffers(old, runner) {
 			changed = append(changed, runner)
 		}
@@ -136,6 +137,23 @@
 	return changed, removed
 }
 
+// recordServing records since when a runner has been seen serving, and reports whether that is
+// as long as its group's slow start lasts.
+func (discovery *runnerDiscovery) recordServing(runner feed.Runner, groups map[string]config.Group, now time.Time) bool {
+	name := runner.Identity()
+	since, served := discovery.servingSince[name]
+	switch {
+	case runner.State != feed.StateServing:
+		delete(discovery.servingSince, name)
+		return false
+	case !served:
+		discovery.servingSince[name] = now
+		return groups == nil
+	default:
+		return now.Sub(since) >= time.Duration(groups[runner.Group].SlowStart)
+	}
+}
+
 // runnerDiffers reports whether a runner differs from what is on the feed. A slow start that
 // only has less time left is no difference.
 func runnerDiffers(old, runner feed.Runner) bool {
--- a/system/controlplane/store_decommission.go
+++ b/system/controlplane/store_decommission.go
@@ -47,7 +47,9 @@
 	}
 	next := slices.Clone(view.Stores)
 	next[at].State = feed.StateDecommissioning
-	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: next, AdminRequest: decommissionDigest(target)}, nil
+	change := newStoresChange(view, next)
+	change.AdminRequest = decommissionDigest(target)
+	return change, nil
 }
 
 // decommissionDigest identifies a decommission request in the request history, which reaches
@@ -81,6 +83,11 @@
 	return func(store feed.Member) bool { return store.Name == name }
 }
 
+// isDecommissioning matches the stores that are being emptied.
+func isDecommissioning(store feed.Member) bool {
+	return store.State == feed.StateDecommissioning
+}
+
 // onMachine matches the store on a machine.
 func onMachine(machine string) func(store feed.Member) bool {
 	return func(store feed.Member) bool { return machine != "" && store.Machine == machine }
@@ -146,7 +153,7 @@
 // still need what the leaving store has.
 func (node *Node) finishDecommissions() {
 	view := node.View()
-	if !node.IsLeader() || !slices.ContainsFunc(view.Stores, func(store feed.Member) bool { return store.State == feed.StateDecommissioning }) {
+	if !node.IsLeader() || !slices.ContainsFunc(view.Stores, isDecommissioning) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(node.context, 2*callTimeout)
@@ -154,10 +161,12 @@
 	if node.countUnhealedGroups(ctx, view) > 0 {
 		return
 	}
-	at := slices.IndexFunc(view.Stores, func(store feed.Member) bool { return store.State == feed.StateDecommissioning })
+	at := slices.IndexFunc(view.Stores, isDecommissioning)
 	store := view.Stores[at]
 	log.WithFields(log.Fields{"node": node.Name(), "store": store.Name, "machine": store.Machine}).Info("store is empty, taking it off the store list")
 	store.State = feed.StateDecommissioned
 	next := slices.Delete(slices.Clone(view.Stores), at, at+1)
-	node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: next, Member: store})
+	change := newStoresChange(view, next)
+	change.By, change.Member = node.Name(), store
+	node.proposeOrLog(ctx, *change)
 }
--- a/system/controlplane/store_founding.go
+++ b/system/controlplane/store_founding.go
@@ -44,7 +44,9 @@
 		return
 	}
 	if len(stores) >= node.settings.FoundingStores && len(answered) == len(stores) {
-		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: stores})
+		change := newStoresChange(view, stores)
+		change.By = node.Name()
+		node.proposeOrLog(ctx, *change)
 	}
 }
 
--- a/system/controlplane/store_groups.go
+++ b/system/controlplane/store_groups.go
@@ -8,7 +8,6 @@
 	"yardrock.example/system/feed"
 	"yardrock.example/system/placement"
 	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
 // countUnhealedGroups counts the groups that have no confirmed leader, or whose voters are
@@ -49,15 +48,13 @@
 	leaders := map[uint32]leaderStatus{}
 	for _, store := range view.Stores {
 		calls.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, callTimeout)
-			defer cancel()
-			reply, err := node.client.Call(limited, node.addressOf(store.Name), &wire.Query{Which: schema.Query_Which_status, Status: &query})
-			if err != nil || reply.Status == nil {
+			storeStatus, err := node.queryStatus(ctx, node.addressOf(store.Name), callTimeout, query)
+			if err != nil {
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			for _, status := range reply.Status.Groups {
+			for _, status := range storeStatus.Groups {
 				if status.Leading {
 					leaders[status.Group] = leaderStatus{status, store.Name}
 				}
--- a/system/controlplane/store_membership.go
+++ b/system/controlplane/store_membership.go
@@ -42,10 +42,17 @@
 	stores[at] = added
 }
 
+// newStoresChange makes the change that replaces the store list of a view.
+func newStoresChange(view *feed.View, stores []feed.Member) *feed.Change {
+	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: stores}
+}
+
 // proposeStores proposes a store list if it is not the one of the view.
 func (node *Node) proposeStores(ctx context.Context, view *feed.View, next []feed.Member) {
 	if !slices.Equal(next, view.Stores) {
-		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: next})
+		change := newStoresChange(view, next)
+		change.By = node.Name()
+		node.proposeOrLog(ctx, *change)
 	}
 }
 
@@ -120,10 +127,10 @@
 	next, member := slices.Clone(view.Stores), live[found]
 	if at >= 0 {
 		next[at] = member
-		return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: next}, nil
+		return newStoresChange(view, next), nil
 	}
 	if other := slices.IndexFunc(next, func(store feed.Member) bool { return store.Address == member.Address }); other >= 0 {
 		return nil, apierror.New(apierror.Conflict, "the address "+member.Address+" belongs to "+next[other].Name, "retire that store first, or use another address")
 	}
-	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: append(next, member)}, nil
+	return newStoresChange(view, append(next, member)), nil
 }
