--- a/system/cmd/yardrock-shell/main.go
+++ b/system/cmd/yardrock-shell/main.go
@@ -3,25 +3,19 @@
 package main
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
 
 	"github.com/alexflint/go-arg"
-	"github.com/peterh/liner"
 
-	"yardrock.example/system/apierror"
 	"yardrock.example/system/httpapi"
-	"yardrock.example/system/querylanguage"
 	"yardrock.example/system/settings"
 )
 
@@ -36,24 +30,6 @@
 // Version tells the program's version; go-arg calls it.
 func (options) Version() string { return "yardrock-shell " + settings.Version }
 
-// Exit codes for scripts.
-const (
-	exitRejected    = 1
-	exitUsage       = 2
-	exitUnreachable = 3
-	exitUnclear     = 4
-)
-
-var exitCodes = map[string]int{string(apierror.OutcomeUnknown): exitUnclear, string(apierror.Unavailable): exitUnreachable, string(apierror.NoQuorum): exitUnreachable}
-
-type queryResult struct {
-	Columns      []string   `json:"columns"`
-	Rows         [][]string `json:"rows"`
-	Number       *uint64    `json:"number,omitempty"`
-	Acknowledged *bool      `json:"acknowledged,omitempty"`
-	Would        *string    `json:"would,omitempty"`
-}
-
 func main() {
 	var chosen options
 	arg.MustParse(&chosen)
@@ -83,45 +59,6 @@
 	output   io.Writer
 }
 
-// query tries the control nodes in turn; each passes on to the leader itself. A
-// command is sent to another node only if it provably did not arrive.
-func (shell *shell) query(text string) (*queryResult, error) {
-	body, err := json.Marshal(map[string]string{"text": text})
-	if err != nil {
-		return nil, err
-	}
-	var last error
-	for _, control := range shell.controls {
-		request, err := http.NewRequest(http.MethodPost, "http://"+control+"/v1/query", bytes.NewReader(body))
-		if err != nil {
-			return nil, err
-		}
-		request.Header.Set("Authorization", "Bearer "+shell.token)
-		request.Header.Set("Content-Type", "application/json")
-		response, err := http.DefaultClient.Do(request)
-		if err != nil {
-			last = &httpapi.Error{Kind: string(apierror.Unavailable), Message: err.Error(), Remedy: "check the address, or name more control nodes"}
-			if !strings.Contains(err.Error(), "connect") && !strings.HasPrefix(text, "show") {
-				return nil, &httpapi.Error{Kind: string(apierror.OutcomeUnknown), Message: err.Error(), Remedy: "show changes, then decide whether to send the command again"}
-			}
-			continue
-		}
-		defer response.Body.Close()
-		if response.StatusCode == http.StatusOK {
-			result := &queryResult{}
-			return result, json.NewDecoder(response.Body).Decode(result)
-		}
-		failure := &httpapi.Error{}
-		if err := json.NewDecoder(response.Body).Decode(failure); err != nil {
-			return nil, fmt.Errorf("%s answered %s", control, response.Status)
-		}
-		if last = failure; failure.Kind != string(apierror.NoQuorum) {
-			return nil, failure
-		}
-	}
-	return nil, last
-}
-
 // run asks one line and gives the exit code.
 func (shell *shell) run(text string) int {
 	result, err := shell.query(text)
@@ -181,46 +118,3 @@
 		time.Sleep(300 * time.Millisecond)
 	}
 }
-
-// interact reads lines with history and completion until end of input.
-func (shell *shell) interact() {
-	line := liner.NewLiner()
-	defer line.Close()
-	line.SetCtrlCAborts(true)
-	line.SetCompleter(complete)
-	history := ""
-	if home, err := os.UserHomeDir(); err == nil {
-		history = filepath.Join(home, ".yardrock_history")
-		if file, err := os.Open(history); err == nil {
-			line.ReadHistory(file)
-			file.Close()
-		}
-	}
-	for {
-		text, err := line.Prompt("yardrock> ")
-		if err != nil {
-			break
-		}
-		if text = strings.TrimSpace(text); text == "" {
-			continue
-		}
-		if text == "exit" || text == "quit" {
-			break
-		}
-		line.AppendHistory(text)
-		shell.run(text)
-	}
-	if file, err := os.Create(history); err == nil {
-		line.WriteHistory(file)
-		file.Close()
-	}
-}
-
-// complete offers what may follow a beginning.
-func complete(prefix string) []string {
-	completions := []string{"set weight ", "set allowance ", "set limit ", "empty domain ", "refill domain ", "enrol store ", "retire store ", "restore config "}
-	for _, table := range querylanguage.Tables {
-		completions = append(completions, "show "+table)
-	}
-	return slices.DeleteFunc(completions, func(offer string) bool { return !strings.HasPrefix(offer, prefix) })
-}
--- /dev/null
+++ b/system/querylanguage/print.go
@@ -0,0 +1,85 @@
+package querylanguage
+
+import (
+	"fmt"
+	"strconv"
+)
+
+// String prints the statement so that it parses back to itself.
+//
+//	fmt.Println(statement)
+func (statement *Statement) String() string {
+	text := ""
+	switch {
+	case statement.Show != nil:
+		text = statement.Show.String()
+	case statement.Set != nil:
+		text = statement.Set.String()
+	case statement.Empty != nil:
+		text = "empty domain " + statement.Empty.Name
+		if statement.Empty.Force {
+			text += " force"
+		}
+	case statement.Refill != nil:
+		text = "refill domain " + statement.Refill.Name
+	case statement.Enrol != nil:
+		text = "enrol store " + statement.Enrol.Name
+	case statement.Retire != nil:
+		text = "retire store " + statement.Retire.Name
+	case statement.Restore != nil:
+		text = fmt.Sprintf("restore config %d", statement.Restore.Number)
+	}
+	if statement.Expect != nil {
+		text += fmt.Sprintf(" expect %d", *statement.Expect)
+	}
+	if statement.DryRun {
+		text += " dry run"
+	}
+	return text
+}
+
+// String prints the pair with its dot.
+//
+//	path := "tables." + pair.String()
+func (pair *Pair) String() string {
+	if pair.Second == "" {
+		return pair.First
+	}
+	return pair.First + "." + pair.Second
+}
+
+// String prints the command.
+//
+//	fmt.Println(set)
+func (set *Set) String() string {
+	for kind, pair := range map[string]*Pair{"weight": set.Weight, "allowance": set.Allowance, "limit": set.Limit} {
+		if pair != nil {
+			return "set " + kind + " " + pair.String() + " " + set.Value
+		}
+	}
+	return ""
+}
+
+// String prints the query.
+//
+//	fmt.Println(show)
+func (show *Show) String() string {
+	text := "show " + show.What
+	for position, condition := range show.Where {
+		joint := " where "
+		if position > 0 {
+			joint = " and "
+		}
+		text += joint + condition.Field + " " + condition.Operator + " " + strconv.Quote(condition.Value)
+	}
+	if show.Order != nil {
+		text += " order by " + show.Order.Field
+		if show.Order.Descending {
+			text += " desc"
+		}
+	}
+	if show.Limit != nil {
+		text += fmt.Sprintf(" limit %d", *show.Limit)
+	}
+	return text
+}
--- /dev/null
+++ b/system/settings/validate.go
@@ -0,0 +1,105 @@
+package settings
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"strconv"
+
+	"yardrock.example/system/apierror"
+)
+
+type loadable interface {
+	common() *Common
+	validate() error
+}
+
+func (common *Common) common() *Common { return common }
+
+func invalid(field, message, remedy string) error {
+	return apierror.New(apierror.BadSettings, field+": "+message, remedy)
+}
+
+func validateAddress(field, address string) error {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil || net.ParseIP(host) == nil {
+		return invalid(field, strconv.Quote(address)+" is no IP and port", "write it like 10.0.0.1:7000")
+	}
+	if number, err := strconv.ParseUint(port, 10, 16); err != nil || number == 0 {
+		return invalid(field, strconv.Quote(port)+" is no port", "use a port from 1 to 65535")
+	}
+	return nil
+}
+
+func (common *Common) validateCommon() error {
+	if err := validateAddress("address", common.Address); err != nil {
+		return err
+	}
+	if common.Listen != "" {
+		if err := validateAddress("listen", common.Listen); err != nil {
+			return err
+		}
+	}
+	if common.Domain == "" {
+		return invalid("domain", "is missing", "name the zone of this machine")
+	}
+	if len(common.Seeds) != 3 {
+		return invalid("seeds", fmt.Sprintf("has %d addresses", len(common.Seeds)), "name three addresses of other processes")
+	}
+	for _, seed := range common.Seeds {
+		if err := validateAddress("seeds", seed); err != nil {
+			return err
+		}
+	}
+	if sorted := slices.Sorted(slices.Values(common.Seeds)); len(slices.Compact(sorted)) != 3 {
+		return invalid("seeds", "names an address twice", "name three different addresses")
+	}
+	if common.Memory < 0 {
+		return invalid("memory", strconv.FormatInt(common.Memory, 10)+" is below 0", "use the bytes that this process may use, or 0 for no limit")
+	}
+	if !slices.Contains([]string{"", "debug", "info", "warn", "error"}, common.Log) {
+		return invalid("log", strconv.Quote(common.Log)+" is no level", "use debug, info, warn or error")
+	}
+	return nil
+}
+
+func (settings *DataPlane) validate() error {
+	if err := settings.validateCommon(); err != nil {
+		return err
+	}
+	switch settings.Role {
+	case "front":
+		return validateAddress("public", settings.PublicAddress)
+	case "store":
+		if settings.DataFolder == "" {
+			return invalid("folder", "is missing", "name the data folder of this store")
+		}
+		if settings.HealthAddress != "" {
+			return validateAddress("health", settings.HealthAddress)
+		}
+		return nil
+	}
+	return invalid("role", strconv.Quote(settings.Role)+" is no role", "use front or store")
+}
+
+func (settings *ControlPlane) validate() error {
+	if err := settings.validateCommon(); err != nil {
+		return err
+	}
+	if settings.DataFolder == "" {
+		return invalid("folder", "is missing", "name the data folder of this control node")
+	}
+	if settings.FoundingStores < 1 {
+		return invalid("founding_stores", "is below 1", "use 3, or the number of stores at the start")
+	}
+	if settings.ReplicationFactor%2 == 0 || settings.ReplicationFactor > 9 {
+		return invalid("copies", strconv.Itoa(int(settings.ReplicationFactor)), "use an odd number from 1 to 9")
+	}
+	if settings.Groups < 1 || settings.Groups > 4096 {
+		return invalid("groups", "is out of range", "use 1 to 4096")
+	}
+	if settings.MaxControls < 1 || settings.MaxControls > 9 {
+		return invalid("most_controls", "is out of range", "use 1 to 9, best 3 or 5")
+	}
+	return validateAddress("administration", settings.AdminAddress)
+}
