--- a/system/balancer/balancer_test.go
+++ b/system/balancer/balancer_test.go
@@ -458,9 +458,9 @@
 		}
 		began := time.Now()
 		_, err := balancer.Acquire(t.Context(), Request{Route: &route, Deadline: began.Add(time.Second)})
-		held := time.Since(began)
-		if failed := apierror.Of(err); failed.Kind != apierror.NotRun || failed.RetryAfter <= 0 || held >= time.Duration(route.FirstByteTarget)/4 {
-			t.Fatalf("rejected after %v: %v", held, err)
+		waited := time.Since(began)
+		if failed := apierror.Of(err); failed.Kind != apierror.NotRun || failed.RetryAfter <= 0 || waited >= time.Duration(route.FirstByteTarget)/4 {
+			t.Fatalf("rejected after %v: %v", waited, err)
 		}
 		if out := totalInFlight(balancer); out != queueFactor {
 			t.Fatalf("%d in flight", out)
--- a/system/balancer/health_checks.go
+++ b/system/balancer/health_checks.go
@@ -8,11 +8,11 @@
 
 const (
 	// A cancelled request counts against its runner if the runner was silent for
-	// silenceFactor times the expected latency and at least minSilence; it has the weight
-	// silenceWeight, because a slow runner and an impatient caller look the same.
-	silenceFactor = 4
-	minSilence    = 500 * time.Millisecond
-	silenceWeight = 0.5
+	// unresponsiveFactor times the expected latency and at least minUnresponsive. It has the
+	// weight unresponsiveWeight, because a slow runner and an impatient caller look alike.
+	unresponsiveFactor = 4
+	minUnresponsive    = 500 * time.Millisecond
+	unresponsiveWeight = 0.5
 )
 
 // recordOutcome is the passive health check: it takes the outcome of a lease into
@@ -40,7 +40,7 @@
 			state.slowStart.refund()
 		}
 	case Cancelled:
-		lease.recordSilence(now)
+		lease.recordCancelled(now)
 	}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // recordMisdirection removes a runner whose address belongs to another one. Without a
-// life it cannot be told from its successor and is only ejected.
+// life it cannot be distinguished from its successor and is only ejected.
 func (lease *Lease) recordMisdirection(now time.Duration) {
 	if lease.Runner.Life == "" {
 		lease.state.health.recordLoss(lease.acquiredAt, now)
@@ -66,14 +66,14 @@
 	lease.balancer.removeRunner(lease.state)
 }
 
-// recordSilence records a cancelled request. Only a long silence counts against the
+// recordCancelled records a cancelled request. Only a long silence counts against the
 // runner.
-func (lease *Lease) recordSilence(now time.Duration) {
+func (lease *Lease) recordCancelled(now time.Duration) {
 	expected, silent := lease.expectedLatency(), milliseconds(now-lease.acquiredAt)
-	if lease.firstEventSeen || silent < max(milliseconds(minSilence), silenceFactor*expected) {
+	if lease.firstEventSeen || silent < max(milliseconds(minUnresponsive), unresponsiveFactor*expected) {
 		return
 	}
-	lease.recordFailure(silenceWeight, now)
+	lease.recordFailure(unresponsiveWeight, now)
 	if lease.Service.Engine != nil {
 		lease.state.excessLatency.add(silent-expected, firstEventWeight, now)
 	} else {
--- a/system/balancer/outlier_ejection_test.go
+++ b/system/balancer/outlier_ejection_test.go
@@ -156,10 +156,10 @@
 
 func TestEjectionLeavesEnoughRunners(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261205))
-	properties.Property("never more than a third is ejected, nor more than the demand allows", prop.ForAll(func(seed uint64, runners, held int) string {
+	properties.Property("never more than a third is ejected, nor more than the demand allows", prop.ForAll(func(seed uint64, runners, occupied int) string {
 		random := rand.New(rand.NewPCG(seed, 2))
 		balancer, clock, request := newPlainBalancer(runners, 2)
-		for range min(held, 4*runners) {
+		for range min(occupied, 4*runners) {
 			mustAcquire(t, balancer, request)
 		}
 		for range 400 {
@@ -180,7 +180,7 @@
 			if 3*ejected > runners {
 				return fmt.Sprintf("%d of %d are ejected", ejected, runners)
 			}
-			if demand := 2 * min(held, 4*runners); ejected > 0 && clock.time.Sub(balancer.started) > 10*time.Second && demand > slots {
+			if demand := 2 * min(occupied, 4*runners); ejected > 0 && clock.time.Sub(balancer.started) > 10*time.Second && demand > slots {
 				return fmt.Sprintf("%d are ejected, %d slots are left for %d", ejected, slots, demand)
 			}
 		}
--- a/system/runnerpool/event_stream_test.go
+++ b/system/runnerpool/event_stream_test.go
@@ -204,9 +204,9 @@
 			}
 		}
 		raw, data := read(min(max(size, 1), 1000))
-		whole, all := read(len(text) + 1)
-		if raw != text || whole != text || data != all {
-			t.Errorf("%q became %q and %q, with %s and %s", text, raw, whole, data, all)
+		unsplit, all := read(len(text) + 1)
+		if raw != text || unsplit != text || data != all {
+			t.Errorf("%q became %q and %q, with %s and %s", text, raw, unsplit, data, all)
 		}
 	})
 }
--- a/system/runnerpool/exchange_test.go
+++ b/system/runnerpool/exchange_test.go
@@ -36,7 +36,7 @@
 			for _, end := range []string{"|CLOSE", "|RESET"} {
 				for cut := range len(answer) {
 					if strings.HasSuffix(answer[:cut], "NAM") || strings.Contains(answer[cut:], "AME") && strings.HasSuffix(answer[:cut], "N") {
-						continue // the placeholder is replaced as a whole
+						continue // the placeholder is replaced as a unit
 					}
 					synctest.Test(t, func(t *testing.T) {
 						script := newScriptedRunner([]string{answer[:cut] + end})
@@ -130,7 +130,7 @@
 type runnerBehavior int
 
 const (
-	answersWhole runnerBehavior = iota
+	answersCompletely runnerBehavior = iota
 	answersInChunks
 	answersAfterInterim
 	answersAfterForeign
@@ -199,57 +199,57 @@
 	if act != rejects && act != misdirects {
 		runner.ran[name]++
 	}
-	whole, named := responseTo(name), "Query-Name: "+name+"\r\n"
+	complete, named := responseTo(name), "Query-Name: "+name+"\r\n"
 	if head {
-		whole = strings.TrimSuffix(whole, "done "+name)
+		complete = strings.TrimSuffix(complete, "done "+name)
 	}
-	return behaviors[act](drawnResponse{name: name, earlier: earlier, whole: whole, named: named, head: head, random: runner.random})
+	return behaviors[act](drawnResponse{name: name, earlier: earlier, complete: complete, named: named, head: head, random: runner.random})
 }
 
 // drawnResponse is what a runner's behavior makes its response from.
 type drawnResponse struct {
-	name    string // ID of the request
-	earlier string // ID of an earlier request
-	whole   string // complete response
-	named   string // header line with the ID
-	head    bool   // the request's method is HEAD
-	random  *rand.Rand
+	name     string // ID of the request
+	earlier  string // ID of an earlier request
+	complete string // complete response
+	named    string // header line with the ID
+	head     bool   // the request's method is HEAD
+	random   *rand.Rand
 }
 
 // behaviors return what is sent now, what is sent before the next response, and whether
 // the connection stays open.
 var behaviors = [allActs]func(drawn drawnResponse) (now, later string, open bool){
-	answersWhole: func(drawn drawnResponse) (string, string, bool) { return drawn.whole, "", true },
+	answersCompletely: func(drawn drawnResponse) (string, string, bool) { return drawn.complete, "", true },
 	answersInChunks: func(drawn drawnResponse) (string, string, bool) {
 		if drawn.head {
-			return drawn.whole, "", true
+			return drawn.complete, "", true
 		}
 		return "HTTP/1.1 200 OK\r\n" + drawn.named + "Transfer-Encoding: chunked\r\n\r\n5\r\ndone \r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(drawn.name), drawn.name), "", true
 	},
 	answersAfterInterim: func(drawn drawnResponse) (string, string, bool) {
-		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + drawn.named + "\r\n" + drawn.whole, "", true
+		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + drawn.named + "\r\n" + drawn.complete, "", true
 	},
 	answersAfterForeign: func(drawn drawnResponse) (string, string, bool) {
-		return responseTo("q-foreign") + drawn.whole, "", true
+		return responseTo("q-foreign") + drawn.complete, "", true
 	},
 	answersAfterEarlier: func(drawn drawnResponse) (string, string, bool) {
-		return responseTo(drawn.earlier) + drawn.whole, "", true
+		return responseTo(drawn.earlier) + drawn.complete, "", true
 	},
-	answersTwice:      func(drawn drawnResponse) (string, string, bool) { return drawn.whole + drawn.whole, "", true },
-	answersTwiceLater: func(drawn drawnResponse) (string, string, bool) { return drawn.whole, drawn.whole, true },
-	answersWithJunk:   func(drawn drawnResponse) (string, string, bool) { return drawn.whole, "junk\r\n", true },
+	answersTwice:      func(drawn drawnResponse) (string, string, bool) { return drawn.complete + drawn.complete, "", true },
+	answersTwiceLater: func(drawn drawnResponse) (string, string, bool) { return drawn.complete, drawn.complete, true },
+	answersWithJunk:   func(drawn drawnResponse) (string, string, bool) { return drawn.complete, "junk\r\n", true },
 	answersNoContent: func(drawn drawnResponse) (string, string, bool) {
 		return "HTTP/1.1 204 No Content\r\n" + drawn.named + "\r\n", "", true
 	},
 	answersCutOff: func(drawn drawnResponse) (string, string, bool) {
-		return drawn.whole[:drawn.random.IntN(len(drawn.whole))], "", false
+		return drawn.complete[:drawn.random.IntN(len(drawn.complete))], "", false
 	},
 	answersGarbage: func(drawnResponse) (string, string, bool) { return "\x16\x03\x01 no answer\r\n\r\n", "", true },
 	answersUnnamed: func(drawn drawnResponse) (string, string, bool) {
-		return strings.Replace(drawn.whole, drawn.named, "", 1), "", true
+		return strings.Replace(drawn.complete, drawn.named, "", 1), "", true
 	},
 	answersAndCloses: func(drawn drawnResponse) (string, string, bool) {
-		return strings.Replace(drawn.whole, "\r\n", "\r\nConnection: close\r\n", 1), "", false
+		return strings.Replace(drawn.complete, "\r\n", "\r\nConnection: close\r\n", 1), "", false
 	},
 	rejects: func(drawn drawnResponse) (string, string, bool) {
 		return "HTTP/1.1 503 Full\r\n" + drawn.named + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "", true
@@ -258,7 +258,7 @@
 		return "HTTP/1.1 421 Misdirected\r\n" + drawn.named + "Content-Length: 0\r\n\r\n", "", true
 	},
 	resetsSilently: func(drawnResponse) (string, string, bool) { return "", "", false },
-	staysSilent:    func(drawn drawnResponse) (string, string, bool) { return "", drawn.whole, true },
+	staysSilent:    func(drawn drawnResponse) (string, string, bool) { return "", drawn.complete, true },
 }
 
 // TestRandomExchanges: whatever a runner sends, a response is returned only for the request
--- a/system/runnerpool/response.go
+++ b/system/runnerpool/response.go
@@ -26,7 +26,7 @@
 	body     io.Reader
 	reusable bool // the connection may be kept if the body is read completely
 	// closeDelimited means that the end of the body is the end of the connection (RFC 9112,
-	// section 6.3), which cannot be told from a broken connection.
+	// section 6.3), which looks like a broken connection.
 	closeDelimited bool
 	complete       bool
 	err            error // of all further reads
--- a/system/runnerpool/send.go
+++ b/system/runnerpool/send.go
@@ -111,9 +111,9 @@
 	if request.BeforeSend != nil {
 		if err := request.BeforeSend(); err != nil {
 			trip.returnUnused()
-			heldBack := *apierror.Of(err) // a copy: the caller's error stays as it is
-			heldBack.NeverSent = true
-			return nil, false, &heldBack
+			unsent := *apierror.Of(err) // a copy: the caller's error stays as it is
+			unsent.NeverSent = true
+			return nil, false, &unsent
 		}
 	}
 	trip.write(length)
--- a/system/scheduler/scheduler_test.go
+++ b/system/scheduler/scheduler_test.go
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		state := newState(map[string]float64{"a": 1}, 1)
 		scheduler := New("front", "east", func() State { return state }, func(string, bool) {})
-		held, err := scheduler.Acquire(t.Context(), talk, "depot")
+		occupied, err := scheduler.Acquire(t.Context(), talk, "depot")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -98,19 +98,19 @@
 		if got := <-order; got != "not_run 1s" {
 			t.Fatalf("beyond the queue: %s", got)
 		}
-		held.Release(Answered)
+		occupied.Release(Answered)
 		for _, want := range []string{"urgent", "normal", "normal", "bulk"} {
 			if got := <-order; got != want {
 				t.Fatalf("served %s, want %s", got, want)
 			}
 		}
-		held, _ = scheduler.Acquire(t.Context(), talk, "depot")
+		occupied, _ = scheduler.Acquire(t.Context(), talk, "depot")
 		began := time.Now()
 		go ask("normal")
 		if got := <-order; got != "not_run 1s" || time.Since(began) != 2*time.Second {
 			t.Fatalf("after the queue timeout: %s in %s", got, time.Since(began))
 		}
-		held.Release(Answered)
+		occupied.Release(Answered)
 		state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
 		if _, err := scheduler.Acquire(t.Context(), talk, "depot"); !apierror.Is(err, apierror.NotRun) {
 			t.Fatalf("a drained domain got work: %v", err)
--- a/system/scheduler/slow_start.go
+++ b/system/scheduler/slow_start.go
@@ -89,7 +89,7 @@
 }
 
 // SuspectedRestarts returns the addresses of the runners that have probably restarted and
-// whose slow start is not over, so that a new front can be told.
+// whose slow start is not over, so that they can be reported to a new front.
 //
 //	for _, address := range runners.SuspectedRestarts() { ... }
 func (scheduler *Scheduler) SuspectedRestarts() []string {
