--- a/system/settings/load.go
+++ b/system/settings/load.go
@@ -13,7 +13,10 @@
 	"yardrock.example/system/placement"
 )
 
-// LoadDataPlane reads the settings of yardrock-data-plane.
+// LoadDataPlane loads the settings of yardrock-data-plane from arguments, without the
+// program's name, and from the file that they name. Help and version are written to
+// output. The error is ErrHelpShown or an *apierror.Error of kind BadSettings; the
+// settings are not complete then.
 //
 //	loaded, err := settings.LoadDataPlane(os.Args[1:], os.Stdout)
 func LoadDataPlane(arguments []string, output io.Writer) (*DataPlane, error) {
@@ -21,7 +24,8 @@
 	return loaded, load(loaded, "yardrock-data-plane", arguments, output)
 }
 
-// LoadControlPlane reads the settings of yardrock-control-plane.
+// LoadControlPlane loads the settings of yardrock-control-plane as LoadDataPlane does,
+// with the defaults that the help texts name.
 //
 //	loaded, err := settings.LoadControlPlane(os.Args[1:], os.Stdout)
 func LoadControlPlane(arguments []string, output io.Writer) (*ControlPlane, error) {
@@ -29,10 +33,11 @@
 	return loaded, load(loaded, "yardrock-control-plane", arguments, output)
 }
 
-// ErrHelpShown tells that help or version was asked for and shown.
+// ErrHelpShown is returned after the help or the version was requested and written.
 var ErrHelpShown = errors.New("shown")
 
-// load reads flags to find the file, then the file, then the flags again over it.
+// load parses the flags to find the file, then the file, and then the flags again so
+// that they override it. A program without a file needs only the flags.
 func load(target loadable, program string, arguments []string, output io.Writer) error {
 	parser, err := arg.NewParser(arg.Config{Program: program, IgnoreDefault: true}, target)
 	if err != nil {
--- a/system/settings/settings.go
+++ b/system/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads a daemon's settings from a file and from flags, checks
-// them, and names the field and the remedy of what is wrong.
+// Package settings loads the settings of a daemon from a JSON file and from flags and
+// validates them. Flags override the file. Every error names the setting that is wrong
+// and what to do about it. The package keeps no state.
 package settings
 
 import (
@@ -11,10 +12,11 @@
 	"yardrock.example/system/vfs"
 )
 
-// Version is what --version tells.
+// Version is the version that --version prints.
 const Version = "0.1.0"
 
-// Common is what every daemon is told.
+// Common are the settings that all daemons have. The help text of each field is its
+// description for operators.
 type Common struct {
 	File       string   `arg:"--settings" json:"-" help:"settings file (JSON); flags win over it"`
 	Address    string   `arg:"--address" json:"address" help:"IP and port for other processes"`
@@ -24,15 +26,16 @@
 	DataFolder string   `arg:"--folder" json:"folder" help:"data folder"`
 	Log        string   `arg:"--log" json:"log" help:"log level: debug, info, warn or error"`
 	Memory     int64    `arg:"--memory" json:"memory" help:"bytes of memory that this process may use; 0 sets no limit [default: 0]"`
-	// FaultyDisk is for trials of failure only.
+	// FaultyDisk, a file that names disk faults, is for fault injection in tests only.
 	FaultyDisk string `arg:"--trial-disk" json:"trial_disk" help:"for trials only: keep unsynced writes in memory, and obey the disk faults that this file names"`
 }
 
-// peerTimeout is within what a caller can still wait for after a connection was cut.
+// peerTimeout is after what time without acknowledgement a connection counts as broken:
+// early enough that a caller can still be answered over another one.
 const peerTimeout = 2500 * time.Millisecond
 
-// Network is how the process reaches others and is reached: it dials from its own
-// address's IP.
+// Network returns the network of the process. It dials from the IP of Address, and
+// listens on Listen, if set, where others use Address.
 //
 //	node, err := front.Start(front.Settings{...}, loaded.Network())
 func (common *Common) Network() link.TCP {
@@ -46,7 +49,8 @@
 	return network
 }
 
-// OpenFolder opens the data folder, or one below it.
+// OpenFolder opens the data folder, or a folder in it, and creates it if needed. With
+// FaultyDisk the folder injects disk faults.
 //
 //	folder, err := loaded.OpenFolder("cold")
 func (common *Common) OpenFolder(subfolder string) (vfs.Directory, error) {
@@ -57,7 +61,7 @@
 	return vfs.NewFaultDirectory(folder, common.FaultyDisk), nil
 }
 
-// DataPlane is what yardrock-data-plane is told.
+// DataPlane are the settings of yardrock-data-plane.
 type DataPlane struct {
 	Common
 	Role          string `arg:"--role" json:"role" help:"front or store"`
@@ -65,19 +69,19 @@
 	HealthAddress string `arg:"--health" json:"health" help:"IP and port for health queries (store)"`
 }
 
-// Version tells the program's version; go-arg calls it.
+// Version returns the program's name and version; go-arg prints it.
 //
 //	fmt.Println(DataPlane{}.Version())
 func (DataPlane) Version() string { return "yardrock-data-plane " + Version }
 
-// Description tells what the program does; go-arg calls it.
+// Description returns what the program does; go-arg prints it.
 //
 //	fmt.Println(DataPlane{}.Description())
 func (DataPlane) Description() string {
 	return "A front node takes callers' work; a store node keeps lines of record."
 }
 
-// ControlPlane is what yardrock-control-plane is told.
+// ControlPlane are the settings of yardrock-control-plane.
 type ControlPlane struct {
 	Common
 	AdminAddress      string `arg:"--administration" json:"administration" help:"IP and port for operators"`
@@ -88,12 +92,12 @@
 	RootTokenHash     string `arg:"--root-token-hash" json:"root_token_hash" help:"SHA-256 (hex) of the token that administers until a config names operators"`
 }
 
-// Version tells the program's version; go-arg calls it.
+// Version returns the program's name and version; go-arg prints it.
 //
 //	fmt.Println(ControlPlane{}.Version())
 func (ControlPlane) Version() string { return "yardrock-control-plane " + Version }
 
-// Description tells what the program does; go-arg calls it.
+// Description returns what the program does; go-arg prints it.
 //
 //	fmt.Println(ControlPlane{}.Description())
 func (ControlPlane) Description() string {
--- a/system/settings/validate.go
+++ b/system/settings/validate.go
@@ -9,17 +9,21 @@
 	"yardrock.example/system/apierror"
 )
 
+// loadable is a pointer to the settings of a daemon.
 type loadable interface {
 	common() *Common
 	validate() error
 }
 
+// common returns the settings themselves, whichever daemon's they are part of.
 func (common *Common) common() *Common { return common }
 
+// invalid is the error for a setting with a wrong value.
 func invalid(field, message, remedy string) error {
 	return apierror.New(apierror.BadSettings, field+": "+message, remedy)
 }
 
+// validateAddress validates an address with an IP and a port other than 0.
 func validateAddress(field, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
@@ -31,6 +35,7 @@
 	return nil
 }
 
+// validateCommon validates the settings that all daemons have.
 func (common *Common) validateCommon() error {
 	if err := validateAddress("address", common.Address); err != nil {
 		return err
@@ -63,6 +68,7 @@
 	return nil
 }
 
+// validate validates all settings; which are required depends on the role.
 func (settings *DataPlane) validate() error {
 	if err := settings.validateCommon(); err != nil {
 		return err
@@ -82,6 +88,7 @@
 	return invalid("role", strconv.Quote(settings.Role)+" is no role", "use front or store")
 }
 
+// validate validates all settings.
 func (settings *ControlPlane) validate() error {
 	if err := settings.validateCommon(); err != nil {
 		return err
