--- a/system/daemon/daemon.go
+++ b/system/daemon/daemon.go
@@ -1,5 +1,8 @@
-// Package daemon is what both programs do round their node: logs, signals,
-// settings that are read again, and a drained stop.
+// Package daemon contains what the programs do around their node: logging, signals, the
+// memory limit, reloading of settings, and a graceful stop.
+//
+// Serve runs on the main goroutine and owns the running service: it reloads it, drains it
+// and closes it.
 package daemon
 
 import (
@@ -19,19 +22,26 @@
 	"yardrock.example/system/settings"
 )
 
+// drainTimeout is how long requests in flight may take to finish after a stop signal.
 const drainTimeout = 25 * time.Second
 
-// Service is a started node as the program sees it.
+// exitFailure is the exit code of a daemon that could not start or go on.
+const exitFailure = 2
+
+// Service is a started node, as the program around it needs it.
 type Service struct {
+	// Reload replaces the addresses of the seeds.
 	Reload func(seeds []string)
-	Drain  func(ctx context.Context)
-	Close  func()
-	// Failed, if any, gives the reason why the process can't go on.
+	// Drain stops taking requests and waits for those in flight until ctx ends.
+	Drain func(ctx context.Context)
+	// Close stops everything else. It is called once, after Drain.
+	Close func()
+	// Failed receives the reason why the process cannot go on; nil: it never does.
 	Failed <-chan error
 }
 
-// Signals begins to take signals. It is called before anything else, since the
-// platform may tell a process of changed settings while it still starts.
+// Signals starts to receive the signals that Serve handles. Call it before anything
+// else: the platform may send SIGHUP while the process still starts, which would end it.
 //
 //	signals := daemon.Signals()
 func Signals() <-chan os.Signal {
@@ -40,7 +50,8 @@
 	return signals
 }
 
-// ConfigureLogging sends one key=value line per event to standard error.
+// ConfigureLogging makes the log write one line of key=value pairs per event to standard
+// error, from a level on; the default is info.
 //
 //	daemon.ConfigureLogging("info")
 func ConfigureLogging(level string) {
@@ -51,12 +62,12 @@
 	log.SetLevelFromString(level)
 }
 
-// heapFraction is the part of a process's memory that the runtime may take; the rest is for the
-// program itself and for bytes that arrived and were not read.
+// heapFraction is the fraction of a process's memory that the Go runtime may use. The rest
+// is for the program's own image and for received bytes that are still in the kernel.
 const heapFraction = 0.6
 
-// LimitMemory sets a soft limit for the runtime from the bytes that the process may use: near
-// it, garbage is collected more often. 0 leaves the runtime as it is.
+// LimitMemory sets the runtime's soft memory limit from the number of bytes that the
+// process may use; near it, garbage is collected more often. 0 or less sets no limit.
 //
 //	daemon.LimitMemory(loaded.Memory)
 func LimitMemory(limit int64) {
@@ -65,7 +76,8 @@
 	}
 }
 
-// ReportError tells a failure with its remedy and gives the exit code.
+// ReportError writes an error with its remedy to standard error and returns the exit
+// code. After the help was shown there is nothing to report, and the code is 0.
 //
 //	os.Exit(daemon.ReportError(err))
 func ReportError(err error) int {
@@ -74,26 +86,17 @@
 	}
 	failed := apierror.Of(err)
 	fmt.Fprintf(os.Stderr, "%s\nremedy: %s\n", failed.Message, failed.Remedy)
-	return 2
+	return exitFailure
 }
 
-// Serve serves until SIGTERM or SIGINT, then drains. SIGHUP reads the settings
-// again; what is wrong with them is told and the old ones stay. An error is why the
-// process can't go on.
+// Serve blocks until SIGTERM, SIGINT or a failure of the service, then drains and closes
+// it. SIGHUP reloads the settings: readSeeds reads them again, and if they are invalid,
+// the error is logged and the previous ones stay in force. Serve returns the failure of
+// the service, or nil after a signal.
 //
-//	err := daemon.Serve(signals, running, func() ([]string, error) { ... })
-func Serve(signals <-chan os.Signal, service Service, seeds func() ([]string, error)) error {
-	var failed error
-	for serving := true; serving; {
-		select {
-		case failed = <-service.Failed:
-			serving = false
-		case received := <-signals:
-			if serving = received == syscall.SIGHUP; serving {
-				reload(service, seeds)
-			}
-		}
-	}
+//	err := daemon.Serve(signals, service, func() ([]string, error) { ... })
+func Serve(signals <-chan os.Signal, service Service, readSeeds func() ([]string, error)) error {
+	failed := awaitStop(signals, service, readSeeds)
 	log.Info("draining")
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
@@ -103,12 +106,28 @@
 	return failed
 }
 
-func reload(service Service, seeds func() ([]string, error)) {
-	read, err := seeds()
+// awaitStop handles signals until the service must stop.
+func awaitStop(signals <-chan os.Signal, service Service, readSeeds func() ([]string, error)) error {
+	for {
+		select {
+		case failed := <-service.Failed:
+			return failed
+		case received := <-signals:
+			if received != syscall.SIGHUP {
+				return nil
+			}
+			reload(service, readSeeds)
+		}
+	}
+}
+
+// reload reads the seeds again and passes them to the service.
+func reload(service Service, readSeeds func() ([]string, error)) {
+	seeds, err := readSeeds()
 	if err != nil {
-		log.WithField("error", err.Error()).Error("settings_refused")
+		log.WithError(err).Error("settings not reloaded, the previous ones stay in force")
 		return
 	}
-	service.Reload(read)
-	log.WithField("seeds", fmt.Sprint(read)).Info("settings_reread")
+	service.Reload(seeds)
+	log.WithField("seeds", fmt.Sprint(seeds)).Info("settings reloaded")
 }
