--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -135,9 +135,9 @@
 			return nil, "", missing("group", set.Weight.Second, groups)
 		}
 	}
-	if set.Allowance != nil {
-		if programs := slices.Sorted(maps.Keys(decoded.Programs)); !slices.Contains(programs, set.Allowance.First) {
-			return nil, "", missing("program", set.Allowance.First, programs)
+	if set.Quota != nil {
+		if programs := slices.Sorted(maps.Keys(decoded.Programs)); !slices.Contains(programs, set.Quota.First) {
+			return nil, "", missing("program", set.Quota.First, programs)
 		}
 	}
 	var value any = set.Value
--- a/system/querylanguage/grammar.go
+++ b/system/querylanguage/grammar.go
@@ -5,7 +5,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Statement is one query or command. Exactly one of its parts is filled.
+// Statement is one query or command. Exactly one of the first seven fields is not nil.
 type Statement struct {
 	Show    *Show    `parser:"(  'show' @@"`
 	Set     *Set     `parser:" | 'set' @@"`
@@ -14,41 +14,43 @@
 	Enrol   *Name    `parser:" | 'enrol' 'store' @@"`
 	Retire  *Name    `parser:" | 'retire' 'store' @@"`
 	Restore *Restore `parser:" | 'restore' 'config' @@ )"`
-	Expect  *uint64  `parser:"( 'expect' @Number )?"`
-	DryRun  bool     `parser:"@( 'dry' 'run' )?"`
+	// Expect is the number of the config that a command is meant for; nil: any.
+	Expect *uint64 `parser:"( 'expect' @Number )?"`
+	// DryRun asks what a command would do.
+	DryRun bool `parser:"@( 'dry' 'run' )?"`
 }
 
-// Name is what a command is about.
+// Name is the name of the domain or store that a command is about.
 type Name struct {
 	Name string `parser:"@(Word|Number)"`
 }
 
-// Empty empties a domain; Force does so even to the last one that serves.
+// Empty drains a domain; Force does so even if it is the last one that serves.
 type Empty struct {
 	Name  string `parser:"@(Word|Number)"`
 	Force bool   `parser:"@'force'?"`
 }
 
-// Restore brings an earlier config back as a new number.
+// Restore makes the config with an earlier number the current one, under a new number.
 type Restore struct {
 	Number uint64 `parser:"@Number"`
 }
 
-// Set changes one value of the config.
+// Set changes one value of the config. Exactly one of the first three fields is not nil.
 type Set struct {
-	Weight    *Pair  `parser:"(  'weight' @@"`
-	Allowance *Pair  `parser:" | 'allowance' @@"`
-	Limit     *Pair  `parser:" | 'limit' @@ )"`
-	Value     string `parser:"@(Number|Word)"`
+	Weight *Pair  `parser:"(  'weight' @@"`
+	Quota  *Pair  `parser:" | 'allowance' @@"`
+	Limit  *Pair  `parser:" | 'limit' @@ )"`
+	Value  string `parser:"@(Number|Word)"`
 }
 
-// Pair is a name, or two joined by a dot.
+// Pair is a name, or two names joined by a dot.
 type Pair struct {
 	First  string `parser:"@Word"`
 	Second string `parser:"( '.' @Word )?"`
 }
 
-// Show asks what is in force.
+// Show is a query for the rows of a table.
 type Show struct {
 	What  string       `parser:"@Word"`
 	Where []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
@@ -56,19 +58,20 @@
 	Limit *uint64      `parser:"( 'limit' @Number )?"`
 }
 
-// Condition keeps rows whose field compares so.
+// Condition selects the rows whose field compares to a value in some way.
 type Condition struct {
 	Field    string `parser:"@Word"`
 	Operator string `parser:"@( '=' | '!' '=' | '<' | '>' | '~' )"`
 	Value    string `parser:"@(Word|Number|Text)"`
 }
 
-// Order sorts rows by a field.
+// Order sorts rows by a field, ascending by default.
 type Order struct {
 	Field      string `parser:"@Word"`
 	Descending bool   `parser:"@'desc'?"`
 }
 
+// tokenRules are the tokens of the language. White space separates them and is dropped.
 var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Text", Pattern: `"[^"]*"`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?(ms|s|m|h)?\b`},
@@ -77,7 +80,9 @@
 	{Name: "space", Pattern: `\s+`},
 })
 
+// parser is built from the struct tags of the grammar. MustBuild panics only if they are
+// malformed, which any test of the package would show.
 var parser = participle.MustBuild[Statement](participle.Lexer(tokenRules), participle.Unquote("Text"), participle.UseLookahead(4))
 
-// Tables are what can be shown.
+// Tables are the names of the tables that can be shown.
 var Tables = []string{"changes", "config", "controls", "demand", "domains", "assignments", "groups", "nodes", "openings", "programs", "routes", "runners", "services", "stores", "tallies", "weights"}
--- a/system/querylanguage/parse.go
+++ b/system/querylanguage/parse.go
@@ -1,5 +1,9 @@
-// Package querylanguage parses and prints the one-line queries and commands that
-// operators drive a fleet with.
+// Package querylanguage is the language of one-line queries and commands with which
+// operators inspect and change a fleet: its grammar, parser and printer, and the
+// filtering, sorting and limiting of the rows of a query's result.
+//
+// A printed statement parses back to itself. The names of the grammar's types are shown
+// in parse errors. The package keeps no state.
 package querylanguage
 
 import (
@@ -14,7 +18,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// Parse reads one line. A failure names the column and what was expected.
+// Parse parses one line. The error is an *apierror.Error of kind Invalid that names the
+// column and what was expected there, or the nearest table to one that does not exist.
 //
 //	statement, err := querylanguage.Parse("set weight talk.small 3 expect 12")
 func Parse(text string) (*Statement, error) {
@@ -32,7 +37,8 @@
 	return statement, nil
 }
 
-// Path tells which value of the config is set.
+// Path returns the path of the value in the config that the command sets. The error is an
+// *apierror.Error of kind Invalid: a weight without a group.
 //
 //	path, err := set.Path()
 func (set *Set) Path() (string, error) {
@@ -41,8 +47,8 @@
 		return "tables." + set.Weight.String(), nil
 	case set.Weight != nil:
 		return "", apierror.New(apierror.Invalid, "a weight needs table and group", "write: set weight TABLE.GROUP NUMBER")
-	case set.Allowance != nil:
-		return "programs." + set.Allowance.First + ".allowance", nil
+	case set.Quota != nil:
+		return "programs." + set.Quota.First + ".allowance", nil
 	}
 	return "limits." + set.Limit.First, nil
 }
--- a/system/querylanguage/print.go
+++ b/system/querylanguage/print.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// String prints the statement so that it parses back to itself.
+// String returns the statement as text that parses back to it.
 //
 //	fmt.Println(statement)
 func (statement *Statement) String() string {
@@ -38,7 +38,7 @@
 	return text
 }
 
-// String prints the pair with its dot.
+// String returns the pair as it is written.
 //
 //	path := "tables." + pair.String()
 func (pair *Pair) String() string {
@@ -48,11 +48,11 @@
 	return pair.First + "." + pair.Second
 }
 
-// String prints the command.
+// String returns the command as it is written.
 //
 //	fmt.Println(set)
 func (set *Set) String() string {
-	for kind, pair := range map[string]*Pair{"weight": set.Weight, "allowance": set.Allowance, "limit": set.Limit} {
+	for kind, pair := range map[string]*Pair{"weight": set.Weight, "allowance": set.Quota, "limit": set.Limit} {
 		if pair != nil {
 			return "set " + kind + " " + pair.String() + " " + set.Value
 		}
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// String prints the query.
+// String returns the query as it is written, with all values quoted.
 //
 //	fmt.Println(show)
 func (show *Show) String() string {
--- a/system/querylanguage/querylanguage_test.go
+++ b/system/querylanguage/querylanguage_test.go
@@ -29,7 +29,7 @@
 	case 2:
 		statement.Set = &Set{Weight: &Pair{name, other}, Value: fmt.Sprint(second)}
 	case 3:
-		statement.Set = &Set{Allowance: &Pair{First: name}, Value: fmt.Sprint(second)}
+		statement.Set = &Set{Quota: &Pair{First: name}, Value: fmt.Sprint(second)}
 	case 4:
 		statement.Empty = &Empty{name, flag}
 	case 5:
--- a/system/querylanguage/rows.go
+++ b/system/querylanguage/rows.go
@@ -8,7 +8,9 @@
 	"yardrock.example/system/apierror"
 )
 
-// Apply keeps, sorts and limits rows. Fields are named by columns.
+// Apply selects, sorts and limits the rows of a table with some columns, as the query
+// says. The rows passed are not changed. The error is an *apierror.Error of kind Invalid
+// that names a column that does not exist.
 //
 //	rows, err := show.Apply(columns, rows)
 func (show *Show) Apply(columns []string, rows [][]string) ([][]string, error) {
@@ -45,7 +47,7 @@
 	return rows, nil
 }
 
-// compare orders numbers as numbers and all else as text.
+// compare orders two texts as numbers if both are, otherwise as texts.
 func compare(left, right string) int {
 	leftNumber, leftErr := strconv.ParseFloat(left, 64)
 	rightNumber, rightErr := strconv.ParseFloat(right, 64)
@@ -58,6 +60,7 @@
 	return strings.Compare(left, right)
 }
 
+// comparisons are the operators of conditions.
 var comparisons = map[string]func(have, want string) bool{
 	"=":  func(have, want string) bool { return have == want },
 	"!=": func(have, want string) bool { return have != want },
@@ -66,4 +69,6 @@
 	"~":  strings.Contains,
 }
 
+// matches reports whether a field compares to a value as an operator says. The grammar
+// admits only operators of comparisons.
 func matches(have, operator, want string) bool { return comparisons[operator](have, want) }
--- a/system/querylanguage/suggest.go
+++ b/system/querylanguage/suggest.go
@@ -1,13 +1,17 @@
 package querylanguage
 
-// Suggest suggests the known name that is nearest to a wrong one.
+// maxSuggestDistance is how many edits a suggested name may differ by.
+const maxSuggestDistance = 3
+
+// Suggest returns the end of an error message that suggests the known name nearest to a
+// wrong one, or nothing if none is near.
 //
 //	message += querylanguage.Suggest("wieghts", names)
 func Suggest(wrong string, known []string) string {
-	best, bestDistance := "", 4
+	best, bestDistance := "", maxSuggestDistance+1
 	for _, name := range known {
-		if far := editDistance(wrong, name); far < bestDistance {
-			best, bestDistance = name, far
+		if distance := editDistance(wrong, name); distance < bestDistance {
+			best, bestDistance = name, distance
 		}
 	}
 	if best == "" {
@@ -16,21 +20,22 @@
 	return "; did you mean " + best + "?"
 }
 
-// editDistance counts the edits between two words.
+// editDistance returns the Levenshtein distance between two words, in bytes. It keeps one
+// row of the usual table.
 func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
-	for position := range row {
-		row[position] = position
+	for column := range row {
+		row[column] = column
 	}
-	for line := range len(left) {
-		before := row[0]
+	for index := range len(left) {
+		diagonal := row[0]
 		row[0]++
 		for column := range len(right) {
-			cost := before
-			if left[line] != right[column] {
-				cost = min(before, row[column], row[column+1]) + 1
+			cost := diagonal
+			if left[index] != right[column] {
+				cost = min(diagonal, row[column], row[column+1]) + 1
 			}
-			before, row[column+1] = row[column+1], cost
+			diagonal, row[column+1] = row[column+1], cost
 		}
 	}
 	return row[len(right)]
