--- a/system/cmd/yardrock-control-plane/main.go
+++ b/system/cmd/yardrock-control-plane/main.go
@@ -19,6 +19,7 @@
 	}
 }
 
+// run runs the node until it is stopped or fails.
 func run() error {
 	signals := daemon.Signals()
 	loaded, err := settings.LoadControlPlane(os.Args[1:], os.Stdout)
@@ -47,7 +48,7 @@
 		Reload: node.SetSeeds,
 		Drain: func(ctx context.Context) {
 			node.Drain()
-			server.Drain(ctx)
+			_ = server.Drain(ctx) // what is left when ctx ends is ended by Close
 		},
 		Close: func() {
 			server.Close()
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -22,8 +22,10 @@
 	}
 }
 
+// roles starts the node of each role that the settings allow.
 var roles = map[string]func(*settings.DataPlane) (daemon.Service, error){"front": startFront, "store": startStore}
 
+// run runs the node until it is stopped or fails.
 func run() error {
 	signals := daemon.Signals()
 	loaded, err := settings.LoadDataPlane(os.Args[1:], os.Stdout)
@@ -42,6 +44,7 @@
 	})
 }
 
+// startFront starts a front node.
 func startFront(loaded *settings.DataPlane) (daemon.Service, error) {
 	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.PublicAddress, Domain: loaded.Domain, Seeds: loaded.Seeds}, loaded.Network())
 	if err != nil {
@@ -50,6 +53,8 @@
 	return daemon.Service{Reload: node.SetSeeds, Drain: node.Drain, Close: node.Close}, nil
 }
 
+// startStore starts a store node, with a server for health checks if the settings ask for
+// one.
 func startStore(loaded *settings.DataPlane) (daemon.Service, error) {
 	folder, err := loaded.OpenFolder("")
 	if err != nil {
--- a/system/cmd/yardrock-shell/client.go
+++ b/system/cmd/yardrock-shell/client.go
@@ -11,16 +11,22 @@
 	"yardrock.example/system/httpapi"
 )
 
+// queryResult is the response of a control node to a query or command.
 type queryResult struct {
-	Columns      []string   `json:"columns"`
-	Rows         [][]string `json:"rows"`
-	Number       *uint64    `json:"number,omitempty"`
-	Acknowledged *bool      `json:"acknowledged,omitempty"`
-	Would        *string    `json:"would,omitempty"`
+	// Columns and Rows are the result of a query.
+	Columns []string   `json:"columns"`
+	Rows    [][]string `json:"rows"`
+	// Number is the feed number of the change that a command made, and Acknowledged says
+	// whether the stores that must obey it have confirmed it. Both are present or neither.
+	Number       *uint64 `json:"number,omitempty"`
+	Acknowledged *bool   `json:"acknowledged,omitempty"`
+	// Would is what a command in a dry run would do.
+	Would *string `json:"would,omitempty"`
 }
 
-// query tries the control nodes in turn; each passes on to the leader itself. A
-// command is sent to another node only if it provably did not arrive.
+// query sends a query or command to the control nodes in turn until one answers; each
+// forwards it to the leader itself. A command is sent to another node only if it did not
+// arrive at the one before.
 func (shell *shell) query(text string) (*queryResult, error) {
 	body, err := json.Marshal(map[string]string{"text": text})
 	if err != nil {
@@ -28,32 +34,39 @@
 	}
 	var last error
 	for _, control := range shell.controls {
-		request, err := http.NewRequest(http.MethodPost, "http://"+control+"/v1/query", bytes.NewReader(body))
-		if err != nil {
-			return nil, err
-		}
-		request.Header.Set("Authorization", "Bearer "+shell.token)
-		request.Header.Set("Content-Type", "application/json")
-		response, err := http.DefaultClient.Do(request)
-		if err != nil {
-			last = &httpapi.Error{Kind: string(apierror.Unavailable), Message: err.Error(), Remedy: "check the address, or name more control nodes"}
-			if !strings.Contains(err.Error(), "connect") && !strings.HasPrefix(text, "show") {
-				return nil, &httpapi.Error{Kind: string(apierror.OutcomeUnknown), Message: err.Error(), Remedy: "show changes, then decide whether to send the command again"}
-			}
-			continue
-		}
-		defer response.Body.Close()
-		if response.StatusCode == http.StatusOK {
-			result := &queryResult{}
-			return result, json.NewDecoder(response.Body).Decode(result)
-		}
-		failure := &httpapi.Error{}
-		if err := json.NewDecoder(response.Body).Decode(failure); err != nil {
-			return nil, fmt.Errorf("%s answered %s", control, response.Status)
-		}
-		if last = failure; failure.Kind != string(apierror.NoQuorum) {
-			return nil, failure
+		result, retry, err := shell.queryNode(control, text, body)
+		if !retry {
+			return result, err
 		}
+		last = err
 	}
 	return nil, last
 }
+
+// queryNode sends a query or command to one control node. retry says that the next node
+// may be asked: this one did not get it or has no quorum.
+func (shell *shell) queryNode(control, text string, body []byte) (result *queryResult, retry bool, err error) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+control+"/v1/query", bytes.NewReader(body))
+	if err != nil {
+		return nil, false, err
+	}
+	request.Header.Set("Authorization", "Bearer "+shell.token)
+	request.Header.Set("Content-Type", "application/json")
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		if !strings.Contains(err.Error(), "connect") && !strings.HasPrefix(text, "show") {
+			return nil, false, &httpapi.Error{Kind: string(apierror.OutcomeUnknown), Message: err.Error(), Remedy: "show changes, then decide whether to send the command again"}
+		}
+		return nil, true, &httpapi.Error{Kind: string(apierror.Unavailable), Message: err.Error(), Remedy: "check the address, or name more control nodes"}
+	}
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusOK {
+		result := &queryResult{}
+		return result, false, json.NewDecoder(response.Body).Decode(result)
+	}
+	failure := &httpapi.Error{}
+	if err := json.NewDecoder(response.Body).Decode(failure); err != nil {
+		return nil, false, fmt.Errorf("%s answered %s", control, response.Status)
+	}
+	return nil, failure.Kind == string(apierror.NoQuorum), failure
+}
--- a/system/cmd/yardrock-shell/interactive.go
+++ b/system/cmd/yardrock-shell/interactive.go
@@ -11,19 +11,17 @@
 	"yardrock.example/system/querylanguage"
 )
 
-// interact reads lines with history and completion until end of input.
+// interact reads lines from the terminal and runs them, with history and completion,
+// until the end of input. A history that cannot be read or written is left out.
 func (shell *shell) interact() {
 	line := liner.NewLiner()
-	defer line.Close()
+	defer func() { _ = line.Close() }() // restores the terminal
 	line.SetCtrlCAborts(true)
 	line.SetCompleter(complete)
-	history := ""
-	if home, err := os.UserHomeDir(); err == nil {
-		history = filepath.Join(home, ".yardrock_history")
-		if file, err := os.Open(history); err == nil {
-			line.ReadHistory(file)
-			file.Close()
-		}
+	history := historyFile()
+	if file, err := os.Open(history); err == nil {
+		_, _ = line.ReadHistory(file)
+		file.Close()
 	}
 	for {
 		text, err := line.Prompt("yardrock> ")
@@ -40,16 +38,26 @@
 		shell.run(text)
 	}
 	if file, err := os.Create(history); err == nil {
-		line.WriteHistory(file)
+		_, _ = line.WriteHistory(file)
 		file.Close()
 	}
 }
 
-// complete offers what may follow a beginning.
+// historyFile returns the path of the file with earlier lines, or "" without a home
+// folder; the history is not kept then.
+func historyFile() string {
+	home, err := os.UserHomeDir()
+	if err != nil {
+		return ""
+	}
+	return filepath.Join(home, ".yardrock_history")
+}
+
+// complete returns the beginnings of statements that begin with a prefix.
 func complete(prefix string) []string {
 	completions := []string{"set weight ", "set allowance ", "set limit ", "empty domain ", "refill domain ", "enrol store ", "retire store ", "restore config "}
 	for _, table := range querylanguage.Tables {
 		completions = append(completions, "show "+table)
 	}
-	return slices.DeleteFunc(completions, func(offer string) bool { return !strings.HasPrefix(offer, prefix) })
+	return slices.DeleteFunc(completions, func(completion string) bool { return !strings.HasPrefix(completion, prefix) })
 }
--- a/system/cmd/yardrock-shell/main.go
+++ b/system/cmd/yardrock-shell/main.go
@@ -1,5 +1,5 @@
-// Command yardrock-shell asks a fleet's control nodes in the query language, line
-// by line or once by argument.
+// Command yardrock-shell sends queries and commands in the query language to a fleet's
+// control nodes: one from its arguments, or line by line from the terminal.
 package main
 
 import (
@@ -19,6 +19,8 @@
 	"yardrock.example/system/settings"
 )
 
+// options are the flags and arguments. The help texts describe them; that of the
+// positional argument also shows the name of its field.
 type options struct {
 	Controls  string        `arg:"--controls,required" help:"administration addresses of control nodes, joined by commas"`
 	TokenFile string        `arg:"--token-file" help:"file with the operator's token [default: environment YARDROCK_TOKEN]"`
@@ -27,7 +29,7 @@
 	Line      []string      `arg:"positional" help:"one query or command; without it the shell asks for lines"`
 }
 
-// Version tells the program's version; go-arg calls it.
+// Version returns the program's name and version; go-arg prints it.
 func (options) Version() string { return "yardrock-shell " + settings.Version }
 
 func main() {
@@ -52,14 +54,15 @@
 	shell.interact()
 }
 
+// shell sends statements to control nodes and prints the results.
 type shell struct {
-	controls []string
-	token    string
-	json     bool
+	controls []string // administration addresses
+	token    string   // of the operator
+	json     bool     // print results as JSON
 	output   io.Writer
 }
 
-// run asks one line and gives the exit code.
+// run sends one line, prints the result or the error, and returns the exit code.
 func (shell *shell) run(text string) int {
 	result, err := shell.query(text)
 	if err != nil {
@@ -75,7 +78,8 @@
 		return exitRejected
 	}
 	if shell.json {
-		json.NewEncoder(shell.output).Encode(result)
+		// An output that was closed ends the process by SIGPIPE, here as in print.
+		_ = json.NewEncoder(shell.output).Encode(result)
 	} else {
 		shell.print(result)
 	}
@@ -85,13 +89,14 @@
 	return 0
 }
 
+// print prints a result for people.
 func (shell *shell) print(result *queryResult) {
 	if len(result.Columns) > 0 {
 		table := tabwriter.NewWriter(shell.output, 0, 4, 2, ' ', 0)
 		for _, row := range append([][]string{result.Columns}, result.Rows...) {
 			fmt.Fprintln(table, strings.Join(row, "\t"))
 		}
-		table.Flush()
+		_ = table.Flush()
 	}
 	if result.Would != nil {
 		fmt.Fprintln(shell.output, *result.Would)
@@ -101,8 +106,11 @@
 	}
 }
 
-// waitReady is for release scripts: it ends once every group is led and no
-// replica is on its way.
+// readyInterval is the time between two checks of waitReady.
+const readyInterval = 300 * time.Millisecond
+
+// waitReady waits until every group has a leader and no replica is being moved, for
+// release scripts, and returns the exit code.
 func (shell *shell) waitReady(timeout time.Duration) int {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -115,6 +123,6 @@
 			fmt.Fprintln(os.Stderr, "not ready in time:", err)
 			return exitUnreachable
 		}
-		time.Sleep(300 * time.Millisecond)
+		time.Sleep(readyInterval)
 	}
 }
