--- a/system/link/client.go
+++ b/system/link/client.go
@@ -7,24 +7,27 @@
 	"time"
 )
 
-// Client asks other processes, over one connection to each.
+// Client calls other processes. It owns one connection to each address, with two goroutines;
+// they end with the connection or with Close. Its methods may be called concurrently.
 type Client struct {
 	network     Network
 	mutex       sync.Mutex
 	connections map[string]*clientConnection
-	closed      context.Context
+	closed      context.Context // ends with Close
 	close       context.CancelFunc
 }
 
-// NewClient makes a caller on a network.
+// NewClient makes a client of a network.
 //
-//	caller := link.NewClient(link.TCP{})
+//	client := link.NewClient(link.TCP{})
 func NewClient(network Network) *Client {
 	client := &Client{network: network, connections: map[string]*clientConnection{}}
 	client.closed, client.close = context.WithCancel(context.Background())
 	return client
 }
 
+// connect gives the open connection to an address, and dials if there is none. Calls that come
+// meanwhile wait for the same dial, which goes on when one of them is cancelled.
 func (client *Client) connect(ctx context.Context, address string) (*clientConnection, error) {
 	client.mutex.Lock()
 	conn, found := client.connections[address]
@@ -46,17 +49,18 @@
 }
 
 const (
+	// dialTimeout bounds all attempts to connect together.
 	dialTimeout = 2 * time.Second
-	// minDialAttempt is how long the first try to connect may take; each further one may take
-	// twice as long, up to maxDialAttempt: a try that began before a cut was mended is all
-	// that a node may have to wait for.
+	// minDialAttempt bounds the first attempt; each further one may take twice as long, up to
+	// maxDialAttempt. An attempt that began before the other side was back is all that a call
+	// may have to wait for.
 	minDialAttempt = 250 * time.Millisecond
 	maxDialAttempt = 500 * time.Millisecond
 )
 
-// dialWithRetries connects by several tries: an opening packet that was swallowed, by a machine that
-// was still without power or by a full queue, is sent again by the system only after a
-// second or more.
+// dialWithRetries connects in several short attempts. The system sends a lost SYN again only
+// after a second or more; a SYN is lost when the other machine is still starting, or its accept
+// queue is full. An attempt that the other side rejects is not repeated.
 func (client *Client) dialWithRetries(ctx context.Context, address string) (net.Conn, error) {
 	for timeout := minDialAttempt; ; timeout = min(2*timeout, maxDialAttempt) {
 		attempt, cancel := context.WithTimeout(ctx, timeout)
@@ -69,6 +73,7 @@
 	}
 }
 
+// dialConnection opens a connection, or removes it with the error. Either makes it ready.
 func (client *Client) dialConnection(conn *clientConnection, address string) {
 	ctx, cancel := context.WithTimeout(client.closed, dialTimeout)
 	defer cancel()
@@ -83,14 +88,10 @@
 		close(conn.ready)
 		return
 	}
-	conn.stream, conn.writer = stream, &frameWriter{stream: stream, queued: []byte(preamble)}
-	conn.flushRequested, conn.done, conn.calls = make(chan struct{}, 1), make(chan struct{}), map[uint64]chan []byte{}
-	conn.lastReceived.Store(int64(time.Since(clockStart)))
-	go conn.readLoop()
-	go conn.writeLoop()
-	close(conn.ready)
+	conn.start(stream)
 }
 
+// remove forgets a connection, so that the next call dials, unless that has happened already.
 func (client *Client) remove(address string, conn *clientConnection) {
 	client.mutex.Lock()
 	if client.connections[address] == conn {
@@ -99,10 +100,11 @@
 	client.mutex.Unlock()
 }
 
-// Drop closes the connection to an address, so that the next call dials anew. A
-// call that ran out of time uses it: the other side may be frozen or gone.
+// Drop closes the connection to an address, so that the next call dials. It is for callers
+// whose call timed out, as the other side may be frozen or gone. Calls in flight on the
+// connection fail. It does not wait for a dial that is under way.
 //
-//	caller.Drop("10.0.0.7:7000")
+//	client.Drop("10.0.0.7:7000")
 func (client *Client) Drop(address string) {
 	client.mutex.Lock()
 	conn := client.connections[address]
@@ -113,10 +115,10 @@
 	}
 }
 
-// DropIfSilent is Drop unless something came from there lately: then the other side is
-// only slow, and others may wait for answers on the same connection.
+// DropIfSilent is Drop unless a frame came from there within the timeout: then the other side
+// is only slow with one call, and other calls on the connection may still be answered.
 //
-//	caller.DropIfSilent("10.0.0.7:7000", time.Second)
+//	client.DropIfSilent("10.0.0.7:7000", time.Second)
 func (client *Client) DropIfSilent(address string, timeout time.Duration) {
 	client.mutex.Lock()
 	conn := client.connections[address]
@@ -127,7 +129,7 @@
 	select {
 	case <-conn.ready:
 	default:
-		return // a dial ends by itself
+		return // a dial has a timeout of its own
 	}
 	if conn.dialErr == nil && time.Since(clockStart)-time.Duration(conn.lastReceived.Load()) < timeout {
 		return
@@ -136,9 +138,9 @@
 	conn.close()
 }
 
-// Close ends all connections.
+// Close ends all connections and dials. Calls in flight and later ones fail.
 //
-//	defer caller.Close()
+//	defer client.Close()
 func (client *Client) Close() {
 	client.close()
 	client.mutex.Lock()
--- a/system/link/client_call.go
+++ b/system/link/client_call.go
@@ -10,10 +10,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Call asks one process and gives its reply, or its typed failure. A failure
-// marked NeverSent provably left nothing at the other side.
+// Call sends a query to the process at an address and gives its reply. Errors are
+// *apierror.Error: the one that the reply carries, or Unavailable. One marked NeverSent is sure
+// to have left nothing at the other side. When ctx ends, the handler's context is cancelled.
+// Call sets the query's Version.
 //
-//	reply, err := caller.Call(ctx, "10.0.0.7:7000", &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+//	reply, err := client.Call(ctx, "10.0.0.7:7000", &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
 func (client *Client) Call(ctx context.Context, address string, query *wire.Query) (*wire.Reply, error) {
 	conn, err := client.connect(ctx, address)
 	if err != nil {
@@ -21,11 +23,8 @@
 	}
 	query.Version = wire.Version
 	call, waiting := conn.registerCall()
-	if err := conn.enqueue(frameQuery, call, maxQueuedBytes, query); err != nil {
+	if err := client.send(address, conn, frameQuery, call, maxQueuedBytes, query); err != nil {
 		conn.unregisterCall(call)
-		if conn.isClosed() {
-			client.remove(address, conn)
-		}
 		return nil, noReplyError(address, err)
 	}
 	select {
@@ -33,7 +32,7 @@
 		return decodeReply(address, query.Which, body)
 	case <-conn.done:
 		client.remove(address, conn)
-		select {
+		select { // the reply may have been the last that came
 		case body := <-waiting:
 			return decodeReply(address, query.Which, body)
 		default:
@@ -41,32 +40,43 @@
 		}
 	case <-ctx.Done():
 		if conn.unregisterCall(call) {
-			_ = conn.enqueue(frameCancel, call, maxQueuedBytes, nil) // else the connection is over
+			_ = conn.enqueue(frameCancel, call, maxQueuedBytes, nil) // fails only if the connection ended or is about to
 		}
 		return nil, apierror.New(apierror.Unavailable, "no answer in time from "+address, "ask again; whether the query arrived is not known")
 	}
 }
 
-// Notify sends a query that needs no answer, if it can: what can't be sent now is left
-// out, and nobody learns whether it arrived. What is told on one connection is taken
-// one after the other.
+// Notify sends a query that needs no reply. It is dropped if there is no connection, or if too
+// much is queued on it, and nobody learns whether it arrived. Notifications on one connection
+// are handled in order. Notify waits for a dial, but never for the other side. It sets the
+// query's Version.
 //
-//	caller.Notify(ctx, "10.0.0.7:7000", &wire.Query{Which: schema.Query_Which_agreement, Agreement: &batch})
+//	client.Notify(ctx, "10.0.0.7:7000", &wire.Query{Which: schema.Query_Which_agreement, Raft: &batch})
 func (client *Client) Notify(ctx context.Context, address string, query *wire.Query) {
 	conn, err := client.connect(ctx, address)
 	if err != nil {
 		return
 	}
 	query.Version = wire.Version
-	if err := conn.enqueue(frameNotification, 0, maxQueuedNotificationBytes, query); err != nil && conn.isClosed() {
+	_ = client.send(address, conn, frameNotification, 0, maxQueuedNotificationBytes, query) // may be dropped
+}
+
+// send enqueues a query on a connection, and removes the connection if it turns out to have
+// ended.
+func (client *Client) send(address string, conn *clientConnection, kind byte, call uint64, limit int, query *wire.Query) error {
+	err := conn.enqueue(kind, call, limit, query)
+	if err != nil && conn.isClosed() {
 		client.remove(address, conn)
 	}
+	return err
 }
 
+// noReplyError is the error of a call that may have arrived.
 func noReplyError(address string, err error) error {
 	return apierror.New(apierror.Unavailable, "no answer from "+address+": "+err.Error(), "ask again; whether the query arrived is not known")
 }
 
+// decodeReply gives a reply, or the error that it carries.
 func decodeReply(address string, which schema.Query_Which, body []byte) (*wire.Reply, error) {
 	countReplyReceived(which, len(body))
 	reply, err := wire.DecodeReply(body)
--- a/system/link/client_connection.go
+++ b/system/link/client_connection.go
@@ -10,26 +10,38 @@
 	"yardrock.example/system/wire"
 )
 
-// clientConnection is the caller's side of one connection.
+// clientConnection is the client's side of one connection. Its fields below dialErr are set
+// before ready is closed, and only if dialErr is nil.
 type clientConnection struct {
-	ready   chan struct{}
+	ready   chan struct{} // closed when the dial has ended
 	dialErr error
 
 	stream         net.Conn
 	writer         *frameWriter
-	flushRequested chan struct{} // wakes the writer
-	done           chan struct{}
-	lastReceived   atomic.Int64 // when the last frame came, by the caller's steady clock
+	flushRequested chan struct{} // wakes writeLoop
+	done           chan struct{} // closed when readLoop has ended
+	lastReceived   atomic.Int64  // when the last frame came; a duration since clockStart
 
 	mutex    sync.Mutex
-	calls    map[uint64]chan []byte
+	calls    map[uint64]chan []byte // where the body of each pending call's reply goes; has room for it
 	lastCall uint64
 }
 
-// clockStart is what the times of connections count from.
+// clockStart makes times of connections durations on the monotonic clock.
 var clockStart = time.Now()
 
-// read hands replies to those who wait for them, until the connection ends.
+// start begins the connection on a dialled stream, and makes it ready.
+func (conn *clientConnection) start(stream net.Conn) {
+	conn.stream, conn.writer = stream, &frameWriter{stream: stream, queued: []byte(preamble)}
+	conn.flushRequested, conn.done, conn.calls = make(chan struct{}, 1), make(chan struct{}), map[uint64]chan []byte{}
+	conn.lastReceived.Store(int64(time.Since(clockStart)))
+	go conn.readLoop()
+	go conn.writeLoop()
+	close(conn.ready)
+}
+
+// readLoop gives replies to the calls that they belong to, until the stream ends, which the
+// other side, close or a failed write causes.
 func (conn *clientConnection) readLoop() {
 	source := bufio.NewReaderSize(conn.stream, readBufferSize)
 	for {
@@ -39,7 +51,7 @@
 		}
 		conn.lastReceived.Store(int64(time.Since(clockStart)))
 		if received.kind != frameReply {
-			continue // a newer version's kind, which this one does not know
+			continue // a kind of a later version
 		}
 		conn.mutex.Lock()
 		waiting, found := conn.calls[received.call]
@@ -53,8 +65,8 @@
 	conn.stream.Close()
 }
 
-// writeLoop writes for the callers, none of whom may be held up by a side that reads
-// nothing.
+// writeLoop writes what was enqueued. Callers do not write themselves, as the other side may
+// read nothing. It ends with readLoop.
 func (conn *clientConnection) writeLoop() {
 	for {
 		select {
@@ -66,14 +78,16 @@
 	}
 }
 
-// enqueue sends a frame; it never blocks.
+// enqueue queues a frame with a query, or without a body, for writeLoop. It does not block: the
+// channel has room for one request to flush, and the writer asks for a second only after the
+// first was served.
 func (conn *clientConnection) enqueue(kind byte, call uint64, limit int, query *wire.Query) error {
 	var body func([]byte) ([]byte, error)
 	if query != nil {
 		body = func(target []byte) ([]byte, error) { return wire.AppendQuery(target, query) }
 	}
-	flushes, size, err := conn.writer.enqueue(kind, call, limit, body)
-	if flushes {
+	mustFlush, size, err := conn.writer.enqueue(kind, call, limit, body)
+	if mustFlush {
 		conn.flushRequested <- struct{}{}
 	}
 	if err == nil && query != nil {
@@ -82,6 +96,7 @@
 	return err
 }
 
+// isClosed tells whether the connection ended, or could not be dialled.
 func (conn *clientConnection) isClosed() bool {
 	select {
 	case <-conn.ready:
@@ -99,6 +114,7 @@
 	}
 }
 
+// close ends the connection, after its dial.
 func (conn *clientConnection) close() {
 	<-conn.ready
 	if conn.dialErr == nil {
@@ -106,7 +122,7 @@
 	}
 }
 
-// registerCall makes a place for a reply.
+// registerCall gives a new call's number and the channel that gets the body of its reply.
 func (conn *clientConnection) registerCall() (uint64, chan []byte) {
 	waiting := make(chan []byte, 1)
 	conn.mutex.Lock()
@@ -116,7 +132,8 @@
 	return conn.lastCall, waiting
 }
 
-// unregisterCall tells whether a reply was still waited for, and waits no more.
+// unregisterCall drops the reply of a call that still comes. It tells whether the call was
+// pending.
 func (conn *clientConnection) unregisterCall(call uint64) bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
--- a/system/link/frame_writer.go
+++ b/system/link/frame_writer.go
@@ -7,22 +7,23 @@
 	"sync"
 )
 
-// sender gathers frames to be written. What comes while a write is under way goes with
-// the next.
+// frameWriter queues frames and writes them in batches: what is queued while a write is under way
+// goes with the next. At most one goroutine flushes at a time, the one that enqueue told to.
 type frameWriter struct {
 	stream  net.Conn
 	mutex   sync.Mutex
 	queued  []byte
-	spare   []byte
-	writing bool
-	err     error
+	spare   []byte // an empty buffer to queue in next; nil while it is being written
+	writing bool   // somebody flushes, or was told to
+	err     error  // of the first write that failed
 }
 
-var errQueueFull = errors.New("too much waits to be sent")
+var errQueueFull = errors.New("too many bytes are queued on the connection")
 
-// enqueue adds a frame whose body is appended by a function. It tells whether the caller
-// has to see that it is flushed, as nobody is doing so.
-func (writer *frameWriter) enqueue(kind byte, call uint64, limit int, body func([]byte) ([]byte, error)) (flushes bool, size int, err error) {
+// enqueue adds a frame, unless more than limit bytes are queued already. The function, if any,
+// appends its body. mustFlush tells the caller to have flush called, as nobody is about to;
+// size is that of the body in bytes. On an error nothing is queued.
+func (writer *frameWriter) enqueue(kind byte, call uint64, limit int, body func([]byte) ([]byte, error)) (mustFlush bool, size int, err error) {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
 	if writer.err != nil {
@@ -43,11 +44,12 @@
 	grown[start+4] = kind
 	binary.LittleEndian.PutUint64(grown[start+8:], call)
 	writer.queued = grown
-	flushes, writer.writing = !writer.writing, true
-	return flushes, size, nil
+	mustFlush, writer.writing = !writer.writing, true
+	return mustFlush, size, nil
 }
 
-// flush writes all that waits, and what comes meanwhile.
+// flush writes what is queued until nothing is, or a write fails. A failed write closes the
+// stream.
 func (writer *frameWriter) flush() {
 	for {
 		writer.mutex.Lock()
@@ -69,7 +71,7 @@
 		}
 		writer.mutex.Unlock()
 		if err != nil {
-			writer.stream.Close() // its reader ends, and all who wait with it
+			writer.stream.Close() // ends the reader, and with it the calls in flight
 		}
 	}
 }
--- a/system/link/link_test.go
+++ b/system/link/link_test.go
@@ -70,9 +70,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := make(chan []byte, 200)
+	received := make(chan []byte, 200)
 	server := Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply {
-		kept <- query.Raft.Messages[0].Entries[0].Data
+		received <- query.Raft.Messages[0].Entries[0].Data
 		return &wire.Reply{}
 	})
 	defer server.Close()
@@ -86,13 +86,14 @@
 		}
 	}
 	for number := range 200 {
-		if data := <-kept; !bytes.Equal(data, bytes.Repeat([]byte{byte(number)}, 100)) {
+		if data := <-received; !bytes.Equal(data, bytes.Repeat([]byte{byte(number)}, 100)) {
 			t.Fatalf("the bytes of query %d have changed to %x", number, data)
 		}
 	}
 }
 
-// TestNotificationsArriveInOrderWithoutReplies tells many queries and then asks one.
+// TestNotificationsArriveInOrderWithoutReplies sends many notifications and
+// then a call.
 func TestNotificationsArriveInOrderWithoutReplies(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -118,12 +119,12 @@
 	}
 	for want := range uint64(queries) {
 		if got := <-taken; got != want {
-			t.Fatalf("%d came in the place of %d", got, want)
+			t.Fatalf("%d was received in place of %d", got, want)
 		}
 	}
 }
 
-// TestCancelledCallCancelsItsHandler, and others on the same connection go on.
+// TestCancelledCallCancelsItsHandler checks also that other calls on the connection go on.
 func TestCancelledCallCancelsItsHandler(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -163,7 +164,7 @@
 	}
 }
 
-// TestServerClosesConnectionsOfAnotherProtocol, and goes on with the others.
+// TestServerClosesConnectionsOfAnotherProtocol checks also that the server goes on with others.
 func TestServerClosesConnectionsOfAnotherProtocol(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -185,7 +186,7 @@
 		}
 		stream.Close()
 	}
-	// A query that can't be read is told so.
+	// A query that cannot be read is answered with an error.
 	stream, err := TCP{}.Dial(t.Context(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -195,11 +196,11 @@
 	if _, err := stream.Write(frame); err != nil {
 		t.Fatal(err)
 	}
-	told, err := readFrame(bufio.NewReader(stream))
-	if err != nil || told.kind != frameReply || told.call != 7 {
-		t.Fatalf("%+v, %v", told, err)
+	received, err := readFrame(bufio.NewReader(stream))
+	if err != nil || received.kind != frameReply || received.call != 7 {
+		t.Fatalf("%+v, %v", received, err)
 	}
-	if reply, err := wire.DecodeReply(told.body); err != nil || !apierror.Is(reply.Err(), apierror.Invalid) {
+	if reply, err := wire.DecodeReply(received.body); err != nil || !apierror.Is(reply.Err(), apierror.Invalid) {
 		t.Fatalf("%+v, %v", reply, err)
 	}
 	client := NewClient(TCP{})
@@ -209,8 +210,8 @@
 	}
 }
 
-// TestCallToAPeerThatReadsNothingTimesOut talks to a listener that
-// accepts and then is as good as frozen, until all buffers between are full.
+// TestCallToAPeerThatReadsNothingTimesOut calls a listener that accepts and then reads nothing,
+// until all buffers in between are full.
 func TestCallToAPeerThatReadsNothingTimesOut(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -244,8 +245,8 @@
 	client.Drop(listener.Addr().String())
 }
 
-// lossyDial is a network that swallows opening packets until a time, like a machine that
-// has no power yet. What was swallowed is never answered.
+// lossyDial is a network that loses SYN packets until a time, like a machine that has no power
+// yet. A lost packet is never answered.
 type lossyDial struct {
 	TCP
 	until time.Time
@@ -265,20 +266,20 @@
 		if _, err := io.ReadFull(source, make([]byte, len(preamble))); err != nil {
 			return
 		}
-		asked, err := readFrame(source)
+		received, err := readFrame(source)
 		if err != nil {
 			return
 		}
-		answering := &frameWriter{stream: far}
-		if _, _, err := answering.enqueue(frameReply, asked.call, maxQueuedBytes, func(target []byte) ([]byte, error) { return wire.AppendReply(target, &wire.Reply{}) }); err == nil {
-			answering.flush()
+		writer := &frameWriter{stream: far}
+		if _, _, err := writer.enqueue(frameReply, received.call, maxQueuedBytes, func(target []byte) ([]byte, error) { return wire.AppendReply(target, &wire.Reply{}) }); err == nil {
+			writer.flush()
 		}
 	}()
 	return near, nil
 }
 
-// TestLostSYNIsRetriedSoon: who dials it while it has
-// no power does not wait for the system to send the opening packet again.
+// TestLostSYNIsRetriedSoon checks that who dialled a machine while it had no power does not wait
+// for the system to send the SYN again.
 func TestLostSYNIsRetriedSoon(t *testing.T) {
 	for _, without := range []time.Duration{0, 100 * time.Millisecond, 600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -291,8 +292,8 @@
 			if _, err := client.Call(ctx, "10.0.0.1:7000", &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}}); err != nil {
 				t.Fatalf("without power for %s: %v", without, err)
 			}
-			if took, most := time.Since(began), without+max(minDialAttempt, without); took > most {
-				t.Fatalf("without power for %s: answered after %s, want at most %s, %d dials", without, took, most, network.dials.Load())
+			if took, limit := time.Since(began), without+max(minDialAttempt, without); took > limit {
+				t.Fatalf("without power for %s: answered after %s, want at most %s, %d dials", without, took, limit, network.dials.Load())
 			}
 		})
 	}
@@ -302,7 +303,7 @@
 		client := NewClient(&lossyDial{until: began.Add(time.Hour)})
 		defer client.Close()
 		_, err := client.Call(t.Context(), "10.0.0.1:7000", &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
-		if told := apierror.Of(err); !told.NeverSent || time.Since(began) != dialTimeout {
+		if typed := apierror.Of(err); !typed.NeverSent || time.Since(began) != dialTimeout {
 			t.Fatalf("after %s: %v", time.Since(began), err)
 		}
 	})
--- a/system/link/exchanges_test.go
+++ b/system/link/peer_faults_test.go
@@ -28,7 +28,7 @@
 	dials int
 }
 
-func (network *pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (*pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 func (network *pipeNetwork) Dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
@@ -40,7 +40,7 @@
 	return near, nil
 }
 
-// statusQuery asks who is there; scripted peers answer with the address that it brings.
+// statusQuery is a status query; scripted peers reply with the address in it as their name.
 func statusQuery(address string) *wire.Query {
 	return &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{Address: address}}
 }
@@ -55,18 +55,18 @@
 	return gathering.queued
 }
 
-// statusFrame is a frame that bears the reply to a status query.
+// statusFrame is a frame with the reply to a status query.
 func statusFrame(t *testing.T, kind byte, call uint64, name string) []byte {
 	t.Helper()
 	reply := &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{Name: name}}
 	return encodeFrame(t, kind, call, func(target []byte) ([]byte, error) { return wire.AppendReply(target, reply) })
 }
 
-// receivedFrames gives what comes over a connection until its end.
+// receivedFrames gives the frames that come over a connection until its end.
 func receivedFrames(far net.Conn) <-chan frame {
-	came := make(chan frame)
+	received := make(chan frame)
 	go func() {
-		defer close(came)
+		defer close(received)
 		source := bufio.NewReader(far)
 		if _, err := io.ReadFull(source, make([]byte, len(preamble))); err != nil {
 			return
@@ -76,26 +76,26 @@
 			if err != nil {
 				return
 			}
-			came <- read
+			received <- read
 		}
 	}()
-	return came
+	return received
 }
 
-// closeAndDrain closes a connection and lets go of what still came.
-func closeAndDrain(far net.Conn, came <-chan frame) {
+// closeAndDrain closes a connection and discards what still comes.
+func closeAndDrain(far net.Conn, received <-chan frame) {
 	far.Close()
-	for range came {
+	for range received {
 	}
 }
 
-// randomPeer answers calls in any order, twice, late, under foreign numbers, in frames of
-// other kinds, and cuts connections anywhere.
+// randomPeer answers calls in any order, twice, late, under numbers of other calls, in frames of
+// other kinds, and closes connections within a frame.
 type randomPeer struct {
-	t      *testing.T
-	random *rand.Rand
-	mutex  sync.Mutex
-	came   map[string]int
+	t        *testing.T
+	random   *rand.Rand
+	mutex    sync.Mutex
+	received map[string]int
 }
 
 // pending is a call that may be answered; answered ones stay, to be answered again.
@@ -105,11 +105,11 @@
 }
 
 func (peer *randomPeer) serve(_ int, far net.Conn) {
-	came, calls := receivedFrames(far), []pending{}
-	defer closeAndDrain(far, came)
+	received, calls := receivedFrames(far), []pending{}
+	defer closeAndDrain(far, received)
 	for {
 		select {
-		case read, open := <-came:
+		case read, open := <-received:
 			if !open {
 				return
 			}
@@ -122,7 +122,7 @@
 				return
 			}
 			peer.mutex.Lock()
-			peer.came[query.Status.Address]++
+			peer.received[query.Status.Address]++
 			peer.mutex.Unlock()
 			calls = append(calls, pending{read.call, query.Status.Address})
 		case <-time.After(time.Millisecond):
@@ -133,19 +133,19 @@
 	}
 }
 
-// act does one thing by chance; false ends the connection.
+// act does one thing at random; false ends the connection.
 func (peer *randomPeer) act(far net.Conn, calls []pending) bool {
 	peer.mutex.Lock()
 	chosen := calls[peer.random.IntN(len(calls))]
 	drawn, cut := peer.random.IntN(40), peer.random.IntN(frameHeaderSize*2)
 	peer.mutex.Unlock()
-	whole := statusFrame(peer.t, frameReply, chosen.call, chosen.name)
+	complete := statusFrame(peer.t, frameReply, chosen.call, chosen.name)
 	switch {
 	case drawn < 24:
-		_, err := far.Write(whole)
+		_, err := far.Write(complete)
 		return err == nil
 	case drawn < 28:
-		_, err := far.Write(append(whole, whole...))
+		_, err := far.Write(append(complete, complete...))
 		return err == nil
 	case drawn < 31:
 		_, err := far.Write(statusFrame(peer.t, frameReply, chosen.call+1000, "a foreign call's"))
@@ -154,19 +154,19 @@
 		_, err := far.Write(statusFrame(peer.t, frameUnknown, chosen.call, "another kind's"))
 		return err == nil
 	case drawn < 35:
-		far.Write(whole[:cut])
+		far.Write(complete[:cut])
 		return false
 	}
 	return true // silence
 }
 
-// TestRandomRepliesReachOnlyTheirCalls: whatever a peer sends, a reply reaches only the call that it is for,
-// and no call is sent twice.
+// TestRandomRepliesReachOnlyTheirCalls checks that, whatever a peer sends, a reply reaches only
+// the call that it is for, and that no call is sent twice.
 func TestRandomRepliesReachOnlyTheirCalls(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				peer := &randomPeer{t: t, random: rand.New(rand.NewPCG(seed, 3)), came: map[string]int{}}
+				peer := &randomPeer{t: t, random: rand.New(rand.NewPCG(seed, 3)), received: map[string]int{}}
 				client := NewClient(&pipeNetwork{serve: peer.serve})
 				answered := 0
 				var callers sync.WaitGroup
@@ -178,17 +178,17 @@
 							reply, err := client.Call(ctx, "peer", statusQuery(name))
 							cancel()
 							peer.mutex.Lock()
-							came := peer.came[name]
+							received := peer.received[name]
 							switch {
 							case err == nil && (reply.Status == nil || reply.Status.Name != name):
 								t.Errorf("%s got the reply of %+v", name, reply.Status)
 							case err == nil:
 								answered++
-							case apierror.Of(err).NeverSent && came > 0:
-								t.Errorf("%s is told as never sent, and came", name)
+							case apierror.Of(err).NeverSent && received > 0:
+								t.Errorf("%s is marked as never sent, and was received", name)
 							}
-							if came > 1 {
-								t.Errorf("%s was sent %d times", name, came)
+							if received > 1 {
+								t.Errorf("%s was sent %d times", name, received)
 							}
 							peer.mutex.Unlock()
 						}
@@ -204,7 +204,7 @@
 	}
 }
 
-// TestFrameOfAnotherKindIsNotAReply, though it bears the number of a call.
+// TestFrameOfAnotherKindIsNotAReply sends one with the number of a call.
 func TestFrameOfAnotherKindIsNotAReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(&pipeNetwork{serve: func(_ int, far net.Conn) {
@@ -223,27 +223,27 @@
 	})
 }
 
-// TestReplyTruncatedAtEachByte fails its call, which may have run; the next call gets
-// its own reply over a new connection.
+// TestReplyTruncatedAtEachByte checks that the call fails, as one that may have run, and that the
+// next call gets its own reply over a new connection.
 func TestReplyTruncatedAtEachByte(t *testing.T) {
 	length := len(statusFrame(t, frameReply, 1, "first"))
 	for cut := range length {
 		synctest.Test(t, func(t *testing.T) {
 			network := &pipeNetwork{serve: func(number int, far net.Conn) {
-				came := receivedFrames(far)
-				defer closeAndDrain(far, came)
-				for read := range came {
+				received := receivedFrames(far)
+				defer closeAndDrain(far, received)
+				for read := range received {
 					query, err := wire.DecodeQuery(read.body)
 					if err != nil {
 						t.Error(err)
 						return
 					}
-					whole := statusFrame(t, frameReply, read.call, query.Status.Address)
+					complete := statusFrame(t, frameReply, read.call, query.Status.Address)
 					if number == 0 {
-						far.Write(whole[:cut])
+						far.Write(complete[:cut])
 						return
 					}
-					far.Write(whole)
+					far.Write(complete)
 				}
 			}}
 			client := NewClient(network)
@@ -270,15 +270,15 @@
 	}
 	return nil, net.ErrClosed
 }
-func (listener oneConnection) Close() error   { close(listener.accepted); return nil }
-func (listener oneConnection) Addr() net.Addr { return &net.TCPAddr{} }
+func (listener oneConnection) Close() error { close(listener.accepted); return nil }
+func (oneConnection) Addr() net.Addr        { return &net.TCPAddr{} }
 
-// TestQueryTruncatedAtEachByteIsNotHandled is not handled.
+// TestQueryTruncatedAtEachByteIsNotHandled has a complete query as its last case, which is.
 func TestQueryTruncatedAtEachByteIsNotHandled(t *testing.T) {
 	ask := func(target []byte) ([]byte, error) { return wire.AppendQuery(target, statusQuery("a")) }
 	for _, kind := range []byte{frameQuery, frameNotification} {
-		whole := append([]byte(preamble), encodeFrame(t, kind, 1, ask)...)
-		for cut := range len(whole) + 1 {
+		complete := append([]byte(preamble), encodeFrame(t, kind, 1, ask)...)
+		for cut := range len(complete) + 1 {
 			synctest.Test(t, func(t *testing.T) {
 				handled := 0
 				listener := oneConnection{make(chan net.Conn, 1)}
@@ -286,14 +286,14 @@
 				listener.accepted <- far
 				server := Serve(listener, func(context.Context, *wire.Query) *wire.Reply { handled++; return &wire.Reply{} })
 				go io.Copy(io.Discard, near)
-				if _, err := near.Write(whole[:cut]); err != nil && !errors.Is(err, io.ErrClosedPipe) {
+				if _, err := near.Write(complete[:cut]); err != nil && !errors.Is(err, io.ErrClosedPipe) {
 					t.Fatal(err)
 				}
 				synctest.Wait()
 				near.Close()
 				server.Close()
-				if want := cut / len(whole); handled != want {
-					t.Errorf("kind %d: %d bytes of %d were handled %d times", kind, cut, len(whole), handled)
+				if want := cut / len(complete); handled != want {
+					t.Errorf("kind %d: %d bytes of %d were handled %d times", kind, cut, len(complete), handled)
 				}
 			})
 		}
--- a/system/link/server.go
+++ b/system/link/server.go
@@ -10,17 +10,20 @@
 	"yardrock.example/system/wire"
 )
 
-// Handler answers one query.
+// Handler answers one query. The context ends when the caller cancels or the connection ends; a
+// notification's only with the connection, and its reply is dropped. The reply must not be nil.
 type Handler func(ctx context.Context, query *wire.Query) *wire.Reply
 
-// Server answers queries that come over a listener.
+// Server answers the queries that come over a listener. It owns the listener, a goroutine that
+// accepts, one for each connection, and workers that handle queries. Workers are kept for the
+// next query, as the stacks that handlers grow would else be grown anew for each.
 type Server struct {
 	listener net.Listener
 	handler  Handler
-	// idleWorkers takes tasks for goroutines that have done theirs and wait for another.
+	// idleWorkers hands a task to a worker that waits for one.
 	idleWorkers chan task
 	idleCount   atomic.Int32
-	closing     chan struct{}
+	closing     chan struct{} // closed by Close
 
 	mutex       sync.Mutex
 	connections map[net.Conn]bool
@@ -28,10 +31,10 @@
 	goroutines  sync.WaitGroup
 }
 
-// maxIdleWorkers is how many goroutines wait for another query.
+// maxIdleWorkers bounds the workers that wait for another query.
 const maxIdleWorkers = 16
 
-// Serve starts answering.
+// Serve starts to answer queries, until Close is called.
 //
 //	server := link.Serve(listener, node.Answer)
 //	defer server.Close()
@@ -41,6 +44,7 @@
 	return server
 }
 
+// acceptLoop accepts connections until the listener is closed.
 func (server *Server) acceptLoop() {
 	for {
 		stream, err := server.listener.Accept()
@@ -61,12 +65,12 @@
 
 // task is one query to be answered.
 type task struct {
-	conn    *serverConnection
-	context context.Context
-	frame   frame
+	conn  *serverConnection
+	ctx   context.Context
+	frame frame
 }
 
-// dispatch has a task done by a goroutine that waits for one, or by a new one.
+// dispatch gives a task to an idle worker, or to a new one.
 func (server *Server) dispatch(next task) {
 	select {
 	case server.idleWorkers <- next:
@@ -75,9 +79,10 @@
 	}
 }
 
+// runWorker does a task, and further ones while few enough workers are idle.
 func (server *Server) runWorker(next task) {
 	for {
-		next.conn.handleQuery(next.context, next.frame)
+		next.conn.handleQuery(next.ctx, next.frame)
 		if server.idleCount.Add(1) > maxIdleWorkers {
 			server.idleCount.Add(-1)
 			return
@@ -91,6 +96,8 @@
 	}
 }
 
+// handle rejects queries of later versions, and adds what only this package knows to the reply of
+// a status query.
 func (server *Server) handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	if query.Version > wire.Version {
 		return wire.ErrorReply(apierror.New(apierror.FormatTooNew, "the query is of a newer form", "update this process to the version of its peers"))
@@ -102,7 +109,8 @@
 	return reply
 }
 
-// Close stops answering and ends all connections.
+// Close closes the listener and all connections, which cancels the contexts of handlers, and
+// waits until the connections' goroutines have ended. It does not wait for handlers.
 //
 //	server.Close()
 func (server *Server) Close() {
--- a/system/link/server_connection.go
+++ b/system/link/server_connection.go
@@ -12,17 +12,18 @@
 
 // serverConnection is the server's side of one connection.
 type serverConnection struct {
-	server  *Server
-	writer  *frameWriter
-	context context.Context
-	mutex   sync.Mutex
-	calls   map[uint64]context.CancelFunc
+	server *Server
+	writer *frameWriter
+	ctx    context.Context // ends with the connection
+	mutex  sync.Mutex
+	calls  map[uint64]context.CancelFunc // of the queries being handled
 }
 
+// connectionKey is the key of a connection's context in the contexts of its queries.
 type connectionKey struct{}
 
-// ConnectionContext gives, for the context of a query that is being answered, one that ends
-// with the connection on which the query came.
+// ConnectionContext gives, for the context of a query that is being handled, the context that
+// ends with the connection on which the query came; for another context that one itself.
 //
 //	context.AfterFunc(link.ConnectionContext(ctx), func() { ... })
 func ConnectionContext(ctx context.Context) context.Context {
@@ -32,6 +33,7 @@
 	return ctx
 }
 
+// serveConnection reads frames until the connection ends or sends what is no frame.
 func (server *Server) serveConnection(stream net.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ctx = context.WithValue(ctx, connectionKey{}, ctx)
@@ -43,34 +45,40 @@
 		server.mutex.Unlock()
 	}()
 	source := bufio.NewReaderSize(stream, readBufferSize)
-	if hello, err := source.Peek(len(preamble)); err != nil || string(hello) != preamble {
+	if start, err := source.Peek(len(preamble)); err != nil || string(start) != preamble {
 		return
 	}
 	if _, err := source.Discard(len(preamble)); err != nil {
 		return
 	}
-	conn := &serverConnection{server: server, writer: &frameWriter{stream: stream}, context: ctx, calls: map[uint64]context.CancelFunc{}}
+	conn := &serverConnection{server: server, writer: &frameWriter{stream: stream}, ctx: ctx, calls: map[uint64]context.CancelFunc{}}
 	for {
-		read, err := readFrame(source)
+		received, err := readFrame(source)
 		if err != nil {
 			return
 		}
-		switch read.kind {
+		switch received.kind {
 		case frameQuery:
-			ctx, cancel := context.WithCancel(ctx)
-			conn.mutex.Lock()
-			conn.calls[read.call] = cancel
-			conn.mutex.Unlock()
-			server.dispatch(task{conn: conn, context: ctx, frame: read})
+			server.dispatch(task{conn: conn, ctx: conn.beginCall(received.call), frame: received})
 		case frameNotification:
-			conn.handleNotification(read.body)
+			conn.handleNotification(received.body)
 		case frameCancel:
-			conn.cancelCall(read.call)
+			conn.endCall(received.call)
 		}
 	}
 }
 
-func (conn *serverConnection) cancelCall(call uint64) {
+// beginCall gives the context of a call, which endCall and the connection's end cancel.
+func (conn *serverConnection) beginCall(call uint64) context.Context {
+	ctx, cancel := context.WithCancel(conn.ctx)
+	conn.mutex.Lock()
+	conn.calls[call] = cancel
+	conn.mutex.Unlock()
+	return ctx
+}
+
+// endCall cancels a call's context, if the call has not ended yet.
+func (conn *serverConnection) endCall(call uint64) {
 	conn.mutex.Lock()
 	cancel, found := conn.calls[call]
 	delete(conn.calls, call)
@@ -80,13 +88,17 @@
 	}
 }
 
+// handleNotification runs on the goroutine that reads, which keeps notifications in order. One
+// that cannot be read is dropped.
 func (conn *serverConnection) handleNotification(body []byte) {
 	if query, err := wire.DecodeQuery(body); err == nil {
 		countQueryReceived(query.Which, len(body))
-		conn.server.handle(conn.context, query)
+		conn.server.handle(conn.ctx, query)
 	}
 }
 
+// handleQuery answers one query. A reply that cannot be queued, as the caller is gone or reads
+// nothing, or cannot be encoded is dropped; the caller waits until its context ends.
 func (conn *serverConnection) handleQuery(ctx context.Context, received frame) {
 	query, err := wire.DecodeQuery(received.body)
 	var reply *wire.Reply
@@ -97,12 +109,12 @@
 		countQueryReceived(query.Which, len(received.body))
 		reply = conn.server.handle(ctx, query)
 	}
-	conn.cancelCall(received.call)
-	flushes, size, err := conn.writer.enqueue(frameReply, received.call, maxQueuedBytes, func(target []byte) ([]byte, error) { return wire.AppendReply(target, reply) })
+	conn.endCall(received.call)
+	mustFlush, size, err := conn.writer.enqueue(frameReply, received.call, maxQueuedBytes, func(target []byte) ([]byte, error) { return wire.AppendReply(target, reply) })
 	if err == nil {
 		countReplySent(query.Which, size)
 	}
-	if flushes {
+	if mustFlush {
 		conn.writer.flush()
 	}
 }
--- a/system/link/traffic.go
+++ b/system/link/traffic.go
@@ -7,14 +7,15 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// maxKinds bounds the kinds of query that are counted; what is beyond is left out.
+// maxKinds bounds the kinds of query that are counted. A kind beyond it, which only a later
+// version can have, is not.
 const maxKinds = 64
 
-// kindCounters counts the calls and bytes of one kind of query.
+// kindCounters counts the queries of one kind, and the bytes of them and their replies.
 type kindCounters struct{ queriesSent, queriesReceived, bytesOut, bytesIn atomic.Uint64 }
 
-// counters is of the whole process: a process is one node, which may hold several
-// callers and servers.
+// counters are those of the whole process, by kind of query. A process is one node, which may
+// have several clients and servers.
 var counters [maxKinds]kindCounters
 
 func countQuerySent(kind schema.Query_Which, size int) {
@@ -43,9 +44,9 @@
 	}
 }
 
-// Traffic gives what this process asked and answered since it started, one entry a
-// kind of query that occurred, in bytes of Cap'n Proto messages (the frames' headers
-// and TCP's are not in them). Counters only grow.
+// Traffic gives what this process sent and received since it started, one entry for each kind of
+// query that occurred. Bytes are those of Cap'n Proto messages, without headers of frames and
+// of TCP. Counters only grow.
 //
 //	for _, kind := range link.Traffic() { fmt.Println(kind.Kind, kind.QueriesSent, kind.BytesOut) }
 func Traffic() []wire.TrafficByKind {
--- a/system/link/traffic_test.go
+++ b/system/link/traffic_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestTrafficIsCountedByKindOnBothSides has both sides in one process, so each query
-// is counted once as asked and once as answered, its bytes once out and once in.
+// is counted once as sent and once as received, its bytes once out and once in.
 func TestTrafficIsCountedByKindOnBothSides(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -44,8 +44,8 @@
 		}
 	}
 	after := trafficOf("agreement")
-	if asked, answered := after.QueriesSent-before.QueriesSent, after.QueriesReceived-before.QueriesReceived; asked != queries || answered != queries {
-		t.Fatalf("counted %d asked and %d answered, want %d of each", asked, answered, queries)
+	if sent, received := after.QueriesSent-before.QueriesSent, after.QueriesReceived-before.QueriesReceived; sent != queries || received != queries {
+		t.Fatalf("counted %d sent and %d received, want %d of each", sent, received, queries)
 	}
 	for side, grown := range map[string]uint64{"out": after.BytesOut - before.BytesOut, "in": after.BytesIn - before.BytesIn} {
 		if grown < queries*size || grown > queries*(size+2048) {
@@ -57,13 +57,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if told := len(reply.Status.Traffic) > 0; told != want {
-			t.Errorf("traffic asked for: %t, told: %t", asks, told)
+		if reported := len(reply.Status.Traffic) > 0; reported != want {
+			t.Errorf("traffic requested: %t, reported: %t", asks, reported)
 		}
 	}
 }
 
-func TestUnknownKindsAreNotCounted(t *testing.T) {
+func TestUnknownKindsAreNotCounted(*testing.T) {
 	countQuerySent(maxKinds, 0)
 	countQueryReceived(maxKinds+1, 0)
 	countReplyReceived(maxKinds+2, 0)
--- a/system/link/usertimeout_linux.go
+++ b/system/link/usertimeout_linux.go
@@ -8,6 +8,7 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
 const tcpUserTimeout = 18
 
+// setUserTimeout sets TCP_USER_TIMEOUT, in whole milliseconds.
 func setUserTimeout(descriptor int, timeout time.Duration) error {
 	return syscall.SetsockoptInt(descriptor, syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 }
--- a/system/link/usertimeout_other.go
+++ b/system/link/usertimeout_other.go
@@ -4,5 +4,6 @@
 
 import "time"
 
-// setSilence does nothing: probes of keep-alive alone find a silent other side here.
-func setSilence(int, time.Duration) error { return nil }
+// setUserTimeout does nothing where the option is not known; keep-alive probes alone find out
+// there that the other side is gone.
+func setUserTimeout(int, time.Duration) error { return nil }
