--- a/system/replica/host_proposals.go
+++ b/system/replica/host_proposals.go
@@ -20,30 +20,6 @@
 	err          error
 }
 
-func outcomeUnknown() error {
-	return apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end", "ask again with the same producer pair; it is deduped")
-}
-
-func (host *Host) notLeader(group *raftGroup) error {
-	leader := ""
-	if group != nil {
-		leader = group.core.Status().Leader
-	}
-	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica does not lead the group", Remedy: "ask its leader", Leader: leader, RetryAfter: 200 * time.Millisecond}
-}
-
-func (host *Host) failPending() {
-	close(host.diskJobs)
-	for _, group := range host.groups {
-		for _, waiting := range group.proposals {
-			waiting.result <- proposalResult{commandIndex: waiting.commandIndex, err: outcomeUnknown()}
-		}
-		for _, waiting := range group.reads {
-			waiting <- host.notLeader(nil)
-		}
-	}
-}
-
 // Propose commits commands, in order, in one group and gives what applying each
 // answered. NotLeader proves that none ran; Unclear leaves it open.
 //
@@ -95,32 +71,14 @@
 	return outcomes, failed
 }
 
-// Read returns once all that was committed before the call is applied here and
-// a quorum confirmed that this replica leads.
-//
-//	if err := host.Read(ctx, 7); err != nil { return err }
-//	session, found := machine.View().Session(name)
-func (host *Host) Read(ctx context.Context, groupID uint32) error {
-	answer := make(chan error, 1)
-	running := host.runOnLoop(func() {
-		group := host.groups[groupID]
-		if group == nil {
-			answer <- host.notLeader(nil)
-			return
-		}
-		host.lastReadID++
-		group.reads[host.lastReadID] = answer
-		host.step(groupID, raft.Input{Kind: raft.InputReadIndex, Context: host.lastReadID})
-	})
-	if !running {
-		return host.notLeader(nil)
-	}
-	select {
-	case err := <-answer:
-		return err
-	case <-ctx.Done():
-		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "ask again", time.Second)
-	case <-host.stopped:
-		return host.notLeader(nil)
+func outcomeUnknown() error {
+	return apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end", "ask again with the same producer pair; it is deduped")
+}
+
+func (host *Host) notLeader(group *raftGroup) error {
+	leader := ""
+	if group != nil {
+		leader = group.core.Status().Leader
 	}
+	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica does not lead the group", Remedy: "ask its leader", Leader: leader, RetryAfter: 200 * time.Millisecond}
 }
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -10,8 +10,6 @@
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/durablelog"
 	"yardrock.example/system/raft"
-	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
 // Open starts a host on what its log holds. Machines makes an empty state
@@ -66,30 +64,6 @@
 	return stored, nil
 }
 
-var errSnapshotContentMissing = errors.New("the content of its snapshot is missing")
-
-// decodeWrite decodes a write, whose snapshot's content may have come in the record
-// before it.
-func decodeWrite(record durablelog.Record, contents map[uint32][]byte) (*raft.Write, error) {
-	var kept wire.StoredWrite
-	if err := wire.Decode(schema.StoredWrite_TypeID, record.Data, &kept); err != nil {
-		return nil, err
-	}
-	write := &raft.Write{HardState: kept.HardState, Entries: kept.Entries}
-	if kept.SnapshotDataSeparate {
-		content, found := contents[record.Group]
-		if !found {
-			return nil, errSnapshotContentMissing
-		}
-		delete(contents, record.Group)
-		kept.Snapshot.Data = content
-	}
-	if kept.HasSnapshot {
-		write.Snapshot = &kept.Snapshot
-	}
-	return write, nil
-}
-
 // restoreGroups restores all groups, several at a time: after an outage this is most
 // of what a start takes.
 func (host *Host) restoreGroups(stored map[uint32]raft.PersistentState) error {
--- /dev/null
+++ b/system/replica/host_recovery_test.go
@@ -0,0 +1,42 @@
+package replica
+
+import (
+	"testing"
+
+	"yardrock.example/system/apierror"
+	"yardrock.example/system/durablelog"
+	"yardrock.example/system/raft"
+	"yardrock.example/system/wire"
+)
+
+func TestUnreadablePersistentStateIsRejected(t *testing.T) {
+	voters := raft.Membership{Voters: []string{"a", "b", "c"}}
+	snapshot := raft.Snapshot{Index: 5, Term: 2, Membership: voters, Data: []byte(textPrefix)}
+	state := raft.HardState{Term: 3, VotedFor: "a"}
+	whole := testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: snapshot})
+	cut := whole
+	cut.Data = cut.Data[:len(cut.Data)/2]
+	unreadable := snapshot
+	unreadable.Data = []byte("no such form")
+	entry := func(index, term uint64) []raft.Entry { return []raft.Entry{{Index: index, Term: term}} }
+	for name, records := range map[string][]durablelog.Record{
+		"record is cut":             {cut},
+		"snapshot is unreadable":    {testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: unreadable})},
+		"log does not follow":       {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(8, 3)})},
+		"term falls":                {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 1)})},
+		"log is of a term to come":  {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 9)})},
+		"record is of another kind": {{Group: 1, Kind: 77}},
+	} {
+		_, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, records...)
+		if !apierror.Is(err, apierror.Damaged) && !apierror.Is(err, apierror.FormatTooNew) || apierror.Of(err).Remedy == "" {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	host, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, whole)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if status, here := host.Status(1); !here || status.CommitIndex != 5 || status.Term != 3 {
+		t.Fatalf("the whole record gives %+v", status)
+	}
+}
--- a/system/replica/host_snapshots.go
+++ b/system/replica/host_snapshots.go
@@ -3,7 +3,6 @@
 import (
 	"github.com/apex/log"
 
-	"yardrock.example/system/apierror"
 	"yardrock.example/system/raft"
 )
 
@@ -62,26 +61,3 @@
 	}
 	entry.Error("snapshot_refused")
 }
-
-// installSnapshot puts a peer's snapshot into the state machine, which is unchanged if it fails.
-func (group *raftGroup) installSnapshot(snapshot raft.Snapshot) error {
-	if len(snapshot.Data) > 0 {
-		return group.stateMachine.Restore(snapshot.Data)
-	}
-	// What was founded empty comes without content, to a replica that has none either.
-	if group.core.Applied() > 0 {
-		return apierror.New(apierror.Damaged, "a snapshot without content came to a replica that has some", "the sender goes on; look at its data folder")
-	}
-	return nil
-}
-
-// handleRestored settles what waited for entries that a peer's snapshot now stands for.
-func (group *raftGroup) handleRestored(snapshot *raft.Snapshot) {
-	group.snapshotBytes, group.bytesSinceSnapshot = len(snapshot.Data), 0
-	for index, waiting := range group.proposals {
-		if index <= snapshot.Index {
-			waiting.result <- proposalResult{commandIndex: waiting.commandIndex, err: outcomeUnknown()}
-			delete(group.proposals, index)
-		}
-	}
-}
--- a/system/replica/host_snapshots_test.go
+++ b/system/replica/host_snapshots_test.go
@@ -13,50 +13,6 @@
 	"yardrock.example/system/wire"
 )
 
-const testTimeout = 20 * time.Second
-
-// bootstrapAlone founds group 1 with this host alone, and waits until it leads.
-func bootstrapAlone(t *testing.T, host *Host) {
-	t.Helper()
-	host.Bootstrap(1, []string{host.Name()}, nil)
-	await(t, "the host leads", func() bool {
-		status, _ := host.Status(1)
-		return status.CommittedInTerm
-	})
-}
-
-func await(t *testing.T, what string, reached func() bool) {
-	t.Helper()
-	ticker := time.NewTicker(2 * time.Millisecond)
-	defer ticker.Stop()
-	for until := time.Now().Add(testTimeout); !reached(); <-ticker.C {
-		if time.Now().After(until) {
-			t.Fatalf("not within %s: %s", testTimeout, what)
-		}
-	}
-}
-
-func (host *Host) logSinceSnapshot() (entries uint64, bytes int) {
-	host.runOnLoop(func() { entries, bytes = host.groups[1].core.EntriesSinceSnapshot(), host.groups[1].bytesSinceSnapshot })
-	return entries, bytes
-}
-
-func propose(t *testing.T, host *Host, data []byte) {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-	defer cancel()
-	if _, err := host.Propose(ctx, 1, [][]byte{data}); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// fastSettings has hosts decide in milliseconds, and make no snapshot by the count of entries.
-func fastSettings() Settings {
-	settings := DefaultSettings(1)
-	settings.Tick, settings.SnapshotEntries = 2*time.Millisecond, 1<<40
-	return settings
-}
-
 func TestLogIsBoundedByBytes(t *testing.T) {
 	path, machine := t.TempDir(), &textStateMachine{}
 	host, err := openHost(t, path, fastSettings(), machine)
@@ -106,21 +62,6 @@
 	await(t, "a snapshot by count", func() bool { entries, _ := host.logSinceSnapshot(); return entries < 60 })
 }
 
-// lastCommandStateMachine keeps the last command only.
-type lastCommandStateMachine struct{ textStateMachine }
-
-func (machine *lastCommandStateMachine) Apply(entry raft.Entry) any {
-	machine.content = entry.Data
-	return nil
-}
-
-func heapInUse() int {
-	runtime.GC()
-	var told runtime.MemStats
-	runtime.ReadMemStats(&told)
-	return int(told.HeapInuse)
-}
-
 // What a host keeps in memory is bounded by its state, not by what led there.
 func TestLargeProposalsAreNotRetainedInMemory(t *testing.T) {
 	const size, count, most = 4 << 20, 20, 10 // times the state
--- a/system/replica/host_storage_test.go
+++ b/system/replica/host_storage_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"os"
-	"path/filepath"
 	"testing"
 )
 
@@ -21,21 +19,6 @@
 	}
 }
 
-// directoryBytes adds up the files below a folder.
-func directoryBytes(t *testing.T, path string) (total int64) {
-	t.Helper()
-	err := filepath.Walk(path, func(_ string, file os.FileInfo, err error) error {
-		if err == nil && !file.IsDir() {
-			total += file.Size()
-		}
-		return err
-	})
-	if err != nil && !os.IsNotExist(err) {
-		t.Fatal(err)
-	}
-	return total
-}
-
 // TestDataDirectoryFitsASmallDisk: on a disk that is smaller than what the log may usually
 // grow to, slots are written early enough.
 func TestDataDirectoryFitsASmallDisk(t *testing.T) {
--- a/system/replica/transport.go
+++ b/system/replica/transport.go
@@ -11,18 +11,6 @@
 	"yardrock.example/system/wire/schema"
 )
 
-const (
-	maxQueuedMessages = 4096
-	sendTimeout       = 2 * time.Second
-	// maxInflightChunks is how many parts of snapshots are out to a peer, over all groups, and
-	// maxQueuedChunks how many may wait.
-	maxInflightChunks = 4
-	maxQueuedChunks   = 256
-	// connectionCheckInterval is how often, while there is something to bring, a batch asks for an
-	// answer, so that a way that swallows all is given up.
-	connectionCheckInterval = 500 * time.Millisecond
-)
-
 // Transport brings agreement messages to peers. Nobody waits for them to arrive; what
 // is too much is dropped, as Raft allows.
 type Transport struct {
@@ -35,15 +23,6 @@
 	close          context.CancelFunc
 }
 
-type peerQueue struct {
-	mutex         sync.Mutex
-	messages      []raft.Message
-	messagesReady chan struct{}
-	// chunks are parts of snapshots, none of them twice, and chunked wakes who brings them.
-	chunks      []raft.Message
-	chunksReady chan struct{}
-}
-
 // NewTransport makes a courier; resolve gives the address of a node's name, or "".
 //
 //	courier := replica.NewTransport(caller, view.AddressOf, fleet)
@@ -69,48 +48,17 @@
 	target.enqueue(messages)
 }
 
-// enqueue queues messages, the parts of snapshots beside all others.
-func (target *peerQueue) enqueue(messages []raft.Message) {
-	target.mutex.Lock()
-	defer target.mutex.Unlock()
-	room := len(target.messages) < maxQueuedMessages
-	for _, message := range messages {
-		if message.Kind == raft.MessageSnapshotChunk {
-			target.enqueueChunk(message)
-			signal(target.chunksReady)
-		} else if room {
-			target.messages = append(target.messages, message)
-			signal(target.messagesReady)
-		}
-	}
-}
-
-func (target *peerQueue) enqueueChunk(message raft.Message) {
-	for _, waiting := range target.chunks {
-		if waiting.Group == message.Group && waiting.Chunk.Checksum == message.Chunk.Checksum && waiting.Chunk.Offset == message.Chunk.Offset {
-			return
-		}
-	}
-	if len(target.chunks) < maxQueuedChunks {
-		target.chunks = append(target.chunks, message)
-	}
-}
-
-// dequeueChunks gives the parts that go next, which are not many.
-func (target *peerQueue) dequeueChunks() []raft.Message {
-	target.mutex.Lock()
-	defer target.mutex.Unlock()
-	next := target.chunks[:min(len(target.chunks), maxInflightChunks)]
-	target.chunks = target.chunks[len(next):]
-	return next
-}
-
-func signal(sleeper chan<- struct{}) {
-	select {
-	case sleeper <- struct{}{}:
-	default:
-	}
-}
+const (
+	maxQueuedMessages = 4096
+	sendTimeout       = 2 * time.Second
+	// maxInflightChunks is how many parts of snapshots are out to a peer, over all groups, and
+	// maxQueuedChunks how many may wait.
+	maxInflightChunks = 4
+	maxQueuedChunks   = 256
+	// connectionCheckInterval is how often, while there is something to bring, a batch asks for an
+	// answer, so that a way that swallows all is given up.
+	connectionCheckInterval = 500 * time.Millisecond
+)
 
 // sendChunkLoop brings parts of snapshots a few at a time, each batch after the answer to the
 // one before it, so that heartbeats to the same peer never wait behind more than one batch.
