--- a/system/replica/helpers_test.go
+++ b/system/replica/helpers_test.go
@@ -20,7 +20,7 @@
 
 const testTimeout = 20 * time.Second
 
-// bootstrapAlone founds group 1 with this host alone, and waits until it leads.
+// bootstrapAlone bootstraps group 1 with this host alone, and waits until it leads.
 func bootstrapAlone(t *testing.T, host *Host) {
 	t.Helper()
 	host.Bootstrap(1, []string{host.Name()}, nil)
@@ -41,9 +41,11 @@
 	}
 }
 
-func (host *Host) logSinceSnapshot() (entries uint64, bytes int) {
-	host.runOnLoop(func() { entries, bytes = host.groups[1].core.EntriesSinceSnapshot(), host.groups[1].bytesSinceSnapshot })
-	return entries, bytes
+func (host *Host) logSinceSnapshot() (entries uint64, logged int) {
+	host.runOnLoop(func() {
+		entries, logged = host.groups[1].core.EntriesSinceSnapshot(), host.groups[1].bytesSinceSnapshot
+	})
+	return entries, logged
 }
 
 func propose(t *testing.T, host *Host, data []byte) {
@@ -55,17 +57,18 @@
 	}
 }
 
-// fastSettings has hosts decide in milliseconds, and make no snapshot by the count of entries.
+// fastSettings returns settings for elections within milliseconds, and without snapshots by the
+// count of entries.
 func fastSettings() Settings {
 	settings := DefaultSettings(1)
 	settings.Tick, settings.SnapshotEntries = 2*time.Millisecond, 1<<40
 	return settings
 }
 
-// textPrefix is what the content of a snapshot begins with that textStateMachine reads.
+// textPrefix begins the content of the snapshots that textStateMachine can read.
 const textPrefix = "text:"
 
-// textStateMachine keeps all commands, one after the other.
+// textStateMachine appends all commands to its content.
 type textStateMachine struct{ content []byte }
 
 func (machine *textStateMachine) Apply(entry raft.Entry) any {
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// lastCommandStateMachine keeps the last command only.
+// lastCommandStateMachine has only the last command as its content.
 type lastCommandStateMachine struct{ textStateMachine }
 
 func (machine *lastCommandStateMachine) Apply(entry raft.Entry) any {
@@ -104,7 +107,7 @@
 	return durablelog.Record{Group: 1, Kind: recordWrite, Data: data}
 }
 
-// openHost starts a host, which nobody answers, in a folder on what records hold.
+// openHost starts a host in a folder, with extra records after the stored ones. It has no peers.
 func openHost(t *testing.T, path string, settings Settings, machine StateMachine, extra ...durablelog.Record) (*Host, error) {
 	t.Helper()
 	return openHostTo(t, path, settings, machine, "", extra...)
@@ -135,7 +138,7 @@
 	return host, err
 }
 
-// directoryBytes adds up the files below a folder.
+// directoryBytes returns the size of all files below a folder.
 func directoryBytes(t *testing.T, path string) (total int64) {
 	t.Helper()
 	err := filepath.Walk(path, func(_ string, file os.FileInfo, err error) error {
@@ -152,7 +155,7 @@
 
 func heapInUse() int {
 	runtime.GC()
-	var told runtime.MemStats
-	runtime.ReadMemStats(&told)
-	return int(told.HeapInuse)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int(stats.HeapInuse)
 }
--- a/system/replica/host.go
+++ b/system/replica/host.go
@@ -8,59 +8,72 @@
 	"yardrock.example/system/raft"
 )
 
-// Host runs the replicas of one node.
+// Host runs the replicas of one node. Its methods may be called from any goroutine; those
+// that take no context wait for the loop, which does not block on the disk or the network.
 type Host struct {
 	settings        Settings
 	name            string
-	durableLog      *durablelog.Log
 	newStateMachine func(group uint32) StateMachine
 	transport       *Transport
+	// durableLog belongs to the disk goroutine, except for the sizes: the loop reads them
+	// while no job runs.
+	durableLog *durablelog.Log
 
-	actions      chan func()
+	// actions are functions that are to run on the loop.
+	actions chan func()
+	// diskJobs and finishedJobs connect the loop and the disk goroutine. At most one job is
+	// under way.
 	diskJobs     chan *diskJob
 	finishedJobs chan *diskJob
-	stopping     chan struct{}
-	stopped      chan struct{}
+	// stopping is closed by Close, and stopped by the loop when it ends.
+	stopping chan struct{}
+	stopped  chan struct{}
 
-	groups           map[uint32]*raftGroup
-	values           map[uint32][]byte
+	// The following fields belong to the loop.
+
+	groups map[uint32]*raftGroup
+	// removed are the groups that have moved away from here.
+	removed map[uint32]bool
+	// values are what StoreValue stored.
+	values map[uint32][]byte
+	// pendingRecords are to be written with the next disk job, and pendingCallbacks to be
+	// called once it is durable.
 	pendingRecords   []durablelog.Record
 	pendingCallbacks []func()
-	runningJob       *diskJob
-	outbox           map[string][]raft.Message
-	lastReadID       uint64
-	ticks            uint64
-	removed          map[uint32]bool
-	statuses         atomic.Pointer[map[uint32]raft.Status]
-	// connections are those on which peers' messages came, with the peer.
+	// runningJob is the job of the disk goroutine, or nil.
+	runningJob *diskJob
+	// outbox has the messages of this turn of the loop, by receiver.
+	outbox map[string][]raft.Message
+	// lastReadID is the context of the last read.
+	lastReadID uint64
+	ticks      uint64
+
+	// statuses is a copy of all groups' statuses, replaced at each tick.
+	statuses atomic.Pointer[map[uint32]raft.Status]
+	// connections maps the contexts of the connections on which messages came to the peer.
 	connections sync.Map
 }
 
-// Name is the disk's identity.
-//
-//	name := host.Name()
+// Name returns the name of the data folder, which is this node's name in every group.
 func (host *Host) Name() string { return host.name }
 
-// Statuses gives what every group here believes, as of the last loop.
-//
-//	for number, status := range host.Statuses() { ... }
+// Statuses returns the status of every group here, as of the last tick. The map must not be
+// changed.
 func (host *Host) Statuses() map[uint32]raft.Status { return *host.statuses.Load() }
 
-// Status gives what one group here believes right now; false tells that it is not here.
-//
-//	status, here := host.Status(7)
-func (host *Host) Status(groupID uint32) (status raft.Status, here bool) {
+// Status returns the present status of a group; found is false if it is not here or the host
+// has stopped.
+func (host *Host) Status(groupID uint32) (status raft.Status, found bool) {
 	host.runOnLoop(func() {
 		if group := host.groups[groupID]; group != nil {
-			status, here = group.core.Status(), true
+			status, found = group.core.Status(), true
 		}
 	})
-	return status, here
+	return status, found
 }
 
-// StateMachine gives a group's state machine, or nil.
-//
-//	machine := host.StateMachine(7)
+// StateMachine returns a group's state machine, or nil if the group is not here. The state
+// machine itself must allow what its caller does beside the loop.
 func (host *Host) StateMachine(groupID uint32) StateMachine {
 	var stateMachine StateMachine
 	host.runOnLoop(func() {
@@ -71,14 +84,9 @@
 	return stateMachine
 }
 
-// Syncs counts the synced frames of this node.
-//
-//	syncs := host.Syncs()
-func (host *Host) Syncs() uint64 { return host.durableLog.Syncs() }
-
-// Close stops the loop. What was not synced may be lost.
-//
-//	host.Close()
+// Close stops the host and its transport. Proposals and reads that wait fail. What is not
+// durable yet may be lost; the disk goroutine ends with the write that it has begun, which
+// Close does not wait for. It must be called once.
 func (host *Host) Close() {
 	close(host.stopping)
 	<-host.stopped
--- a/system/replica/host_leadership.go
+++ b/system/replica/host_leadership.go
@@ -2,9 +2,8 @@
 
 import "yardrock.example/system/raft"
 
-// TransferLeadership asks a group that is led here to follow another voter.
-//
-//	host.TransferLeadership(7, "store-b")
+// TransferLeadership asks a group that is led here to hand leadership to another voter. It
+// does not wait for the outcome, which [Host.Status] tells. Elsewhere it has no effect.
 func (host *Host) TransferLeadership(groupID uint32, peer string) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] != nil {
@@ -13,9 +12,8 @@
 	})
 }
 
-// TransferAllLeaderships gives up leadership of every group, as a node does that drains.
-//
-//	host.TransferAllLeaderships()
+// TransferAllLeaderships hands leadership of every group that is led here to another voter, as
+// a node does that is being drained. It does not wait for the outcomes.
 func (host *Host) TransferAllLeaderships() {
 	host.runOnLoop(func() {
 		for groupID, group := range host.groups {
@@ -26,7 +24,8 @@
 	})
 }
 
-// transferLeadership gives leadership to the voter that holds most.
+// transferLeadership hands leadership to the voter whose log is most complete. It must be
+// called on the loop.
 func (host *Host) transferLeadership(groupID uint32, group *raftGroup) {
 	status := group.core.Status()
 	best := ""
--- a/system/replica/host_loop.go
+++ b/system/replica/host_loop.go
@@ -6,6 +6,7 @@
 	"yardrock.example/system/raft"
 )
 
+// loop is the goroutine that owns the host's state. It ends when stopping is closed.
 func (host *Host) loop() {
 	defer close(host.stopped)
 	ticker := time.NewTicker(host.settings.Tick)
@@ -19,8 +20,8 @@
 			host.tick()
 		case job := <-host.finishedJobs:
 			host.runningJob = nil
-			for _, done := range job.callbacks {
-				done()
+			for _, callback := range job.callbacks {
+				callback()
 			}
 		case <-host.stopping:
 			host.failPending()
@@ -30,7 +31,21 @@
 	}
 }
 
-// runOnLoop runs a function on the loop; false means that the host has stopped.
+// runQueuedActions runs the actions that are queued already, so that one flush serves them
+// all. Their number is bounded so that ticks are not delayed.
+func (host *Host) runQueuedActions() {
+	for range cap(host.actions) {
+		select {
+		case action := <-host.actions:
+			action()
+		default:
+			return
+		}
+	}
+}
+
+// runOnLoop runs a function on the loop and waits for it. It returns false if the host has
+// stopped; then the function may not have run. It must not be called from the loop.
 func (host *Host) runOnLoop(action func()) bool {
 	done := make(chan struct{})
 	select {
@@ -46,7 +61,8 @@
 	}
 }
 
-// enqueue has a function run on the loop some time.
+// enqueue has a function run on the loop and does not wait for it. It blocks while the queue
+// is full.
 func (host *Host) enqueue(action func()) {
 	select {
 	case host.actions <- action:
@@ -54,17 +70,8 @@
 	}
 }
 
-func (host *Host) runQueuedActions() {
-	for range cap(host.actions) {
-		select {
-		case action := <-host.actions:
-			action()
-		default:
-			return
-		}
-	}
-}
-
+// tick advances all groups by one tick. A node whose disk has stalled gives up leadership,
+// since it commits slowly, if at all, and delays every write of its groups.
 func (host *Host) tick() {
 	host.ticks++
 	stalled := host.runningJob != nil && time.Since(host.runningJob.started) > host.settings.StallTimeout
@@ -77,7 +84,17 @@
 	host.publishStatuses()
 }
 
-// flush hands the disk its next job and the courier its messages.
+func (host *Host) publishStatuses() {
+	statuses := make(map[uint32]raft.Status, len(host.groups))
+	for groupID, group := range host.groups {
+		statuses[groupID] = group.core.Status()
+	}
+	host.statuses.Store(&statuses)
+}
+
+// flush passes on what a turn of the loop has produced: messages to the transport and, if the
+// disk goroutine is idle, all pending records as its next job. When the log has grown to its
+// threshold the job is a snapshot of the whole state, which includes the pending records.
 func (host *Host) flush() {
 	for to, messages := range host.outbox {
 		host.transport.Send(to, messages)
@@ -93,22 +110,15 @@
 	}
 }
 
-func (host *Host) publishStatuses() {
-	statuses := make(map[uint32]raft.Status, len(host.groups))
-	for groupID, group := range host.groups {
-		statuses[groupID] = group.core.Status()
-	}
-	host.statuses.Store(&statuses)
-}
-
+// failPending ends the disk goroutine and fails all proposals and reads that wait.
 func (host *Host) failPending() {
 	close(host.diskJobs)
 	for _, group := range host.groups {
-		for _, waiting := range group.proposals {
-			waiting.result <- proposalResult{commandIndex: waiting.commandIndex, err: outcomeUnknown()}
+		for _, pending := range group.proposals {
+			pending.result <- proposalResult{commandIndex: pending.commandIndex, err: outcomeUnknown()}
 		}
-		for _, waiting := range group.reads {
-			waiting <- host.notLeader(nil)
+		for _, result := range group.reads {
+			result <- notLeader(nil)
 		}
 	}
 }
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -8,11 +8,9 @@
 	"yardrock.example/system/wire"
 )
 
-// Bootstrap starts a group with its founding voters, unless it is here already or
-// was moved away from here.
-// Every founder must name the same voters and content.
-//
-//	host.Bootstrap(7, []string{"a", "b", "c"}, nil)
+// Bootstrap starts a group with its founding voters and the content of its first snapshot,
+// which may be empty. Every founding voter must be given the same. It has no effect if the
+// group is here, or was removed from here.
 func (host *Host) Bootstrap(groupID uint32, voters []string, content []byte) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] != nil || host.removed[groupID] {
@@ -21,16 +19,15 @@
 		snapshot := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Voters: voters}, Data: content}
 		stored := raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: snapshot}
 		if err := host.addGroup(groupID, stored); err != nil {
-			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("founding_failed")
+			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("Bootstrapping a group failed")
 			return
 		}
 		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, wire.StoredWrite{HardState: stored.HardState, HasSnapshot: true, Snapshot: snapshot})...)
 	})
 }
 
-// Remove forgets a group that has moved away.
-//
-//	host.Remove(7)
+// Remove discards a group that has moved away. The caller must know that this replica is no
+// member of the group any more. A leader may add it again.
 func (host *Host) Remove(groupID uint32) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] == nil {
@@ -42,9 +39,9 @@
 	})
 }
 
-// ChangeMembership asks a group that is led here for a one-member change.
-//
-//	changed := host.ChangeMembership(7, next)
+// ChangeMembership asks a group that is led here for another membership, which may differ by
+// one voter, and reports whether the leader accepted it. It does not wait for the commit,
+// which [Host.Status] tells.
 func (host *Host) ChangeMembership(groupID uint32, next raft.Membership) bool {
 	index := uint64(0)
 	host.runOnLoop(func() {
--- a/system/replica/host_raft.go
+++ b/system/replica/host_raft.go
@@ -7,6 +7,8 @@
 	"yardrock.example/system/wire"
 )
 
+// step gives a group's core one input and carries out its output, in the order that package
+// raft demands. It must be called on the loop, for a group that is here.
 func (host *Host) step(groupID uint32, input raft.Input) raft.Output {
 	group := host.groups[groupID]
 	output := group.core.Step(input)
@@ -17,60 +19,39 @@
 		host.logSnapshotRejection(groupID, output.SnapshotRejected)
 	}
 	for _, entry := range output.CommittedEntries {
-		host.applyEntry(group, entry)
+		group.applyEntry(entry)
 	}
 	if output.Write != nil {
-		kept := wire.StoredWrite{HardState: output.Write.HardState, Entries: output.Write.Entries}
-		if output.Write.Snapshot != nil {
-			kept.HasSnapshot, kept.Snapshot = true, *output.Write.Snapshot
-		}
-		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, kept)...)
-		written := output.Write.Number
-		host.pendingCallbacks = append(host.pendingCallbacks, func() {
-			if host.groups[groupID] == group {
-				host.step(groupID, raft.Input{Kind: raft.InputSynced, Number: written})
-			}
-		})
+		host.queueWrite(groupID, group, output.Write)
 	}
 	for _, message := range output.Messages {
 		host.outbox[message.To] = append(host.outbox[message.To], message)
 	}
-	for _, answer := range output.ReadResults {
-		waiting := group.reads[answer.Context]
-		delete(group.reads, answer.Context)
-		if waiting != nil && answer.Rejected {
-			waiting <- host.notLeader(group)
-		} else if waiting != nil {
-			waiting <- nil
-		}
+	for _, result := range output.ReadResults {
+		group.finishRead(result)
 	}
 	host.maybeSnapshot(groupID, group)
 	return output
 }
 
-func (host *Host) applyEntry(group *raftGroup, entry raft.Entry) {
-	var outcome any
-	group.bytesSinceSnapshot += len(entry.Data) + entryOverheadBytes
-	if entry.Kind == raft.EntryCommand {
-		outcome = group.stateMachine.Apply(entry)
+// queueWrite has the next disk job store a write, and then reports it to the core as synced.
+func (host *Host) queueWrite(groupID uint32, group *raftGroup, write *raft.Write) {
+	stored := wire.StoredWrite{HardState: write.HardState, Entries: write.Entries}
+	if write.Snapshot != nil {
+		stored.HasSnapshot, stored.Snapshot = true, *write.Snapshot
 	}
-	waiting, found := group.proposals[entry.Index]
-	if !found {
-		return
-	}
-	delete(group.proposals, entry.Index)
-	answer := proposalResult{commandIndex: waiting.commandIndex, outcome: outcome}
-	if waiting.term != entry.Term {
-		answer = proposalResult{commandIndex: waiting.commandIndex, err: host.notLeader(group)}
-	}
-	waiting.result <- answer
+	host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, stored)...)
+	host.pendingCallbacks = append(host.pendingCallbacks, func() {
+		if host.groups[groupID] == group { // not removed meanwhile
+			host.step(groupID, raft.Input{Kind: raft.InputSynced, Number: write.Number})
+		}
+	})
 }
 
-// Receive takes a peer's messages, and does not wait until they are worked off. A
-// group that a leader speaks of and that is not here yet starts empty. When the
-// connection on which they came ends, the peer may be gone.
-//
-//	host.Receive(link.Connection(ctx), query.Agreement.Messages)
+// Receive queues a peer's messages for the groups, and does not wait until they are
+// processed. A group of which a leader sends something and that is not here yet is added
+// empty. connection is the context of the connection on which the messages came: when it
+// ends, the peer is suspected of having failed.
 func (host *Host) Receive(connection context.Context, messages []raft.Message) {
 	if len(messages) == 0 {
 		return
@@ -84,28 +65,34 @@
 	}
 	host.enqueue(func() {
 		for _, message := range messages {
-			if message.To != host.name {
-				continue
-			}
-			if host.groups[message.Group] == nil {
-				if !isFromLeader(message.Kind) {
-					continue
-				}
-				if err := host.addGroup(message.Group, raft.PersistentState{}); err != nil {
-					continue
-				}
-				delete(host.removed, message.Group)
-			}
-			host.step(message.Group, raft.Input{Kind: raft.InputMessage, Message: message})
+			host.receiveMessage(message)
 		}
 	})
 }
 
-// isFromLeader tells whether only a leader sends messages of this kind.
+func (host *Host) receiveMessage(message raft.Message) {
+	if message.To != host.name {
+		return // for the node that had this address before
+	}
+	if host.groups[message.Group] == nil {
+		if !isFromLeader(message.Kind) {
+			return
+		}
+		// An empty group has nothing that could be unreadable, so adding it does not fail.
+		if err := host.addGroup(message.Group, raft.PersistentState{}); err != nil {
+			return
+		}
+		delete(host.removed, message.Group)
+	}
+	host.step(message.Group, raft.Input{Kind: raft.InputMessage, Message: message})
+}
+
+// isFromLeader reports whether only a leader sends messages of a kind.
 func isFromLeader(kind raft.MessageKind) bool {
 	return kind == raft.MessageAppend || kind == raft.MessageSnapshot || kind == raft.MessageSnapshotChunk
 }
 
+// suspect tells all groups that the connection from a peer has ended.
 func (host *Host) suspect(peer string) {
 	host.enqueue(func() {
 		for groupID := range host.groups {
--- a/system/replica/host_reads.go
+++ b/system/replica/host_reads.go
@@ -8,32 +8,30 @@
 	"yardrock.example/system/raft"
 )
 
-// Read returns once all that was committed before the call is applied here and
-// a quorum confirmed that this replica leads.
-//
-//	if err := host.Read(ctx, 7); err != nil { return err }
-//	session, found := machine.View().Session(name)
+// Read waits until a linearizable read of a group may be served here: a quorum has confirmed
+// that this replica leads, and all that was committed before the call is applied (thesis
+// 6.4). The error is an [apierror.Error]: NotLeader, or NoQuorum if ctx ended first.
 func (host *Host) Read(ctx context.Context, groupID uint32) error {
-	answer := make(chan error, 1)
+	result := make(chan error, 1)
 	running := host.runOnLoop(func() {
 		group := host.groups[groupID]
 		if group == nil {
-			answer <- host.notLeader(nil)
+			result <- notLeader(nil)
 			return
 		}
 		host.lastReadID++
-		group.reads[host.lastReadID] = answer
+		group.reads[host.lastReadID] = result
 		host.step(groupID, raft.Input{Kind: raft.InputReadIndex, Context: host.lastReadID})
 	})
 	if !running {
-		return host.notLeader(nil)
+		return notLeader(nil)
 	}
 	select {
-	case err := <-answer:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
 		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "ask again", time.Second)
 	case <-host.stopped:
-		return host.notLeader(nil)
+		return notLeader(nil)
 	}
 }
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -12,14 +12,16 @@
 	"yardrock.example/system/raft"
 )
 
-// Open starts a host on what its log holds. Machines makes an empty state
-// machine for a group.
+// Open starts a host with the groups that its durable log has. records are those that
+// [durablelog.Open] returned. newStateMachine returns an empty state machine for a group; it
+// is called from several goroutines at once. The host uses the log and the transport until
+// Close, and closes the transport.
 //
-//	host, err := replica.Open(replica.Usual(1), log, records, machines, courier)
-//	defer host.Close()
-func Open(settings Settings, durable *durablelog.Log, records []durablelog.Record, machines func(uint32) StateMachine, transport *Transport) (*Host, error) {
+// The error is an [apierror.Error]: Damaged if the state of a group cannot be read,
+// FormatTooNew if a newer version has written it.
+func Open(settings Settings, durableLog *durablelog.Log, records []durablelog.Record, newStateMachine func(uint32) StateMachine, transport *Transport) (*Host, error) {
 	host := &Host{
-		settings: settings, name: durable.Identity().Name, durableLog: durable, newStateMachine: machines, transport: transport,
+		settings: settings, name: durableLog.Identity().Name, durableLog: durableLog, newStateMachine: newStateMachine, transport: transport,
 		actions: make(chan func(), 1024), diskJobs: make(chan *diskJob), finishedJobs: make(chan *diskJob, 1),
 		stopping: make(chan struct{}), stopped: make(chan struct{}),
 		groups: map[uint32]*raftGroup{}, removed: map[uint32]bool{}, values: map[uint32][]byte{}, outbox: map[string][]raft.Message{},
@@ -37,7 +39,8 @@
 	return host, nil
 }
 
-// replay folds what the log holds into the last state of each group.
+// replay returns the state of each group that the records amount to, and restores the values
+// and the list of removed groups.
 func (host *Host) replay(records []durablelog.Record) (map[uint32]raft.PersistentState, error) {
 	stored, contents := map[uint32]raft.PersistentState{}, map[uint32][]byte{}
 	for _, record := range records {
@@ -64,58 +67,61 @@
 	return stored, nil
 }
 
-// restoreGroups restores all groups, several at a time: after an outage this is most
-// of what a start takes.
+// restoreGroups restores all groups, several at a time: most of a start after an outage is
+// the decoding of snapshots.
 func (host *Host) restoreGroups(stored map[uint32]raft.PersistentState) error {
-	var mutex sync.Mutex
+	var mutex sync.Mutex // guards failed and host.groups
 	var restoring sync.WaitGroup
 	var failed error
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
-	for groupID, content := range stored {
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	for groupID, state := range stored {
 		restoring.Go(func() {
-			places <- struct{}{}
-			made, err := host.newGroup(groupID, content)
-			<-places
+			slots <- struct{}{}
+			group, err := host.newGroup(groupID, state)
+			<-slots
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
 				failed = errors.Join(failed, err)
 				return
 			}
-			host.groups[groupID] = made
+			host.groups[groupID] = group
 		})
 	}
 	restoring.Wait()
 	return failed
 }
 
+// addGroup adds a group that is not here yet. It must be called on the loop.
 func (host *Host) addGroup(groupID uint32, stored raft.PersistentState) error {
-	made, err := host.newGroup(groupID, stored)
+	group, err := host.newGroup(groupID, stored)
 	if err == nil {
-		host.groups[groupID] = made
+		host.groups[groupID] = group
 	}
 	return err
 }
 
-// newGroup makes a replica of what the disk holds. What cannot be read is refused, so
-// that no replica votes or leads that lacks what it once promised.
+// newGroup returns a replica with a stored state. A state that cannot be read is an error: a
+// replica without what it promised must neither vote nor lead.
 func (host *Host) newGroup(groupID uint32, stored raft.PersistentState) (*raftGroup, error) {
 	if err := stored.Check(); err != nil {
 		return nil, groupDamaged(groupID, err)
 	}
-	made := &raftGroup{stateMachine: host.newStateMachine(groupID), proposals: map[uint64]proposal{}, reads: map[uint64]chan error{}, snapshotBytes: len(stored.Snapshot.Data)}
+	group := &raftGroup{stateMachine: host.newStateMachine(groupID), proposals: map[uint64]proposal{}, reads: map[uint64]chan error{}, snapshotBytes: len(stored.Snapshot.Data)}
 	if len(stored.Snapshot.Data) > 0 {
-		if err := made.stateMachine.Restore(stored.Snapshot.Data); err != nil {
+		if err := group.stateMachine.Restore(stored.Snapshot.Data); err != nil {
 			return nil, groupDamaged(groupID, err)
 		}
 	}
-	made.core = raft.New(raft.Settings{
+	group.core = raft.New(raft.Settings{
 		Group: groupID, Name: host.name, ElectionTicks: host.settings.ElectionTicks, HeartbeatTicks: host.settings.HeartbeatTicks, Seed: host.settings.Seed,
-		InstallSnapshot: made.installSnapshot,
+		InstallSnapshot: group.installSnapshot,
 	}, stored)
-	return made, nil
+	return group, nil
 }
 
+// groupDamaged returns the error of a group whose stored state cannot be read, or the cause
+// itself if a newer version has written it.
 func groupDamaged(groupID uint32, cause error) error {
 	if apierror.Is(cause, apierror.FormatTooNew) {
 		return cause
--- a/system/replica/host_recovery_test.go
+++ b/system/replica/host_recovery_test.go
@@ -13,8 +13,8 @@
 	voters := raft.Membership{Voters: []string{"a", "b", "c"}}
 	snapshot := raft.Snapshot{Index: 5, Term: 2, Membership: voters, Data: []byte(textPrefix)}
 	state := raft.HardState{Term: 3, VotedFor: "a"}
-	whole := testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: snapshot})
-	cut := whole
+	complete := testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: snapshot})
+	cut := complete
 	cut.Data = cut.Data[:len(cut.Data)/2]
 	unreadable := snapshot
 	unreadable.Data = []byte("no such form")
@@ -22,9 +22,9 @@
 	for name, records := range map[string][]durablelog.Record{
 		"record is cut":             {cut},
 		"snapshot is unreadable":    {testRecord(t, wire.StoredWrite{HardState: state, HasSnapshot: true, Snapshot: unreadable})},
-		"log does not follow":       {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(8, 3)})},
-		"term falls":                {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 1)})},
-		"log is of a term to come":  {whole, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 9)})},
+		"log does not follow":       {complete, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(8, 3)})},
+		"term falls":                {complete, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 1)})},
+		"log is of a term to come":  {complete, testRecord(t, wire.StoredWrite{HardState: state, Entries: entry(6, 9)})},
 		"record is of another kind": {{Group: 1, Kind: 77}},
 	} {
 		_, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, records...)
@@ -32,11 +32,11 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	host, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, whole)
+	host, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, complete)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if status, here := host.Status(1); !here || status.CommitIndex != 5 || status.Term != 3 {
-		t.Fatalf("the whole record gives %+v", status)
+		t.Fatalf("the complete record gives %+v", status)
 	}
 }
--- a/system/replica/host_snapshots.go
+++ b/system/replica/host_snapshots.go
@@ -7,57 +7,62 @@
 )
 
 const (
-	// minLogDivisor: a count of entries leads to a checkpoint only once the log since the
-	// last is a fourth of its size, so that what is written for checkpoints stays in
-	// proportion to what happens.
-	minLogDivisor = 4
-	// minSnapshotLogBytes is up to how many bytes the log may grow however small the snapshot is.
+	// minSnapshotLogBytes is how many bytes of entries a group always may apply before it
+	// takes a snapshot, however small that is.
 	minSnapshotLogBytes = 1 << 20
-	// transferGrowthFactor is how many times more the log may grow while the snapshot is being
-	// sent, as a new one has the receiver begin anew.
+	// minLogDivisor limits what snapshots cost: the count of entries leads to one only if
+	// their bytes are this part of the last snapshot's, so that the bytes written for
+	// snapshots stay in proportion to those that were proposed.
+	minLogDivisor = 4
+	// transferGrowthFactor is how many times more a group may apply while its snapshot is being
+	// sent, since a new one makes the receiver start over.
 	transferGrowthFactor = 4
-	// entryOverheadBytes is what an entry takes beside its data.
+	// entryOverheadBytes is about what an entry takes beside its data.
 	entryOverheadBytes = 64
 )
 
-// snapshotDue tells whether the log since the last snapshot has grown so far that a new
-// one is made: past its budget of bytes, which is the snapshot's own size, or the count of
-// entries, whichever comes first.
+// snapshotDue reports whether a group has applied so much since its last snapshot that it
+// takes another: more bytes than the last one has, or more than SnapshotEntries entries,
+// whichever comes first.
 func (host *Host) snapshotDue(group *raftGroup) bool {
 	entries, bytes := group.core.EntriesSinceSnapshot(), uint64(group.bytesSinceSnapshot)
-	most, budget, share := host.settings.SnapshotEntries, uint64(max(minSnapshotLogBytes, group.snapshotBytes)), uint64(group.snapshotBytes/minLogDivisor)
+	limit, budget, share := host.settings.SnapshotEntries, uint64(max(minSnapshotLogBytes, group.snapshotBytes)), uint64(group.snapshotBytes/minLogDivisor)
 	if group.core.SendingSnapshot() {
-		most, budget, share = transferGrowthFactor*most, transferGrowthFactor*budget, transferGrowthFactor*share
+		limit, budget, share = transferGrowthFactor*limit, transferGrowthFactor*budget, transferGrowthFactor*share
 	}
-	return bytes >= budget || entries >= most && bytes >= share
+	return bytes >= budget || entries >= limit && bytes >= share
 }
 
-// maybeSnapshot lets a group's content be encoded, off the loop, once enough has happened.
+// maybeSnapshot takes a snapshot of a group if one is due. It is encoded on a goroutine of its
+// own, which ends with the encoding or with the host.
 func (host *Host) maybeSnapshot(groupID uint32, group *raftGroup) {
 	if group.snapshotting || !host.snapshotDue(group) {
 		return
 	}
 	group.snapshotting = true
 	index, encode := group.core.Applied(), group.stateMachine.Snapshot()
-	logged := group.bytesSinceSnapshot
+	included := group.bytesSinceSnapshot
 	go func() {
 		data := encode()
 		host.runOnLoop(func() {
 			group.snapshotting = false
+			// Meanwhile the group may have been removed, or have received a later snapshot.
 			if host.groups[groupID] != group || !group.core.CanCompact(index) {
 				return
 			}
-			group.snapshotBytes, group.bytesSinceSnapshot = len(data), group.bytesSinceSnapshot-logged
+			group.snapshotBytes, group.bytesSinceSnapshot = len(data), group.bytesSinceSnapshot-included
 			host.step(groupID, raft.Input{Kind: raft.InputCompact, Index: index, Data: data})
 		})
 	}()
 }
 
-func (host *Host) logSnapshotRejection(groupID uint32, refused *raft.SnapshotError) {
-	entry := log.WithFields(log.Fields{"node": host.name, "group": groupID, "reason": refused.Reason.String(), "error": refused.Error()})
-	if refused.Reason == raft.SnapshotOutOfOrder || refused.Reason == raft.SnapshotSuperseded {
-		entry.Info("snapshot_chunk_refused") // the sender goes on where this replica is
+// logSnapshotRejection logs why a leader's snapshot was rejected. Chunks out of order are
+// usual: the sender continues where this replica is.
+func (host *Host) logSnapshotRejection(groupID uint32, rejected *raft.SnapshotError) {
+	entry := log.WithFields(log.Fields{"node": host.name, "group": groupID, "reason": rejected.Reason.String(), "error": rejected.Error()})
+	if rejected.Reason == raft.SnapshotOutOfOrder || rejected.Reason == raft.SnapshotSuperseded {
+		entry.Info("A snapshot chunk was rejected")
 		return
 	}
-	entry.Error("snapshot_refused")
+	entry.Error("A snapshot was rejected")
 }
--- a/system/replica/host_snapshots_test.go
+++ b/system/replica/host_snapshots_test.go
@@ -24,9 +24,9 @@
 	for proposal := range 100 { // 10 MB in all
 		propose(t, host, bytes.Repeat([]byte{byte(proposal)}, each))
 		_, logged := host.logSinceSnapshot()
-		// What comes while a snapshot is encoded is over the budget; it is not much.
-		if most := max(minSnapshotLogBytes, len(machine.content)) + 10*each; logged > most {
-			t.Fatalf("the log has %d bytes after %d proposals, the limit is %d", logged, proposal+1, most)
+		// What is applied while a snapshot is encoded exceeds the limit, but not by much.
+		if limit := max(minSnapshotLogBytes, len(machine.content)) + 10*each; logged > limit {
+			t.Fatalf("the log has %d bytes after %d proposals, the limit is %d", logged, proposal+1, limit)
 		}
 	}
 	await(t, "a snapshot by bytes", func() bool { entries, _ := host.logSinceSnapshot(); return entries < 80 })
@@ -62,9 +62,9 @@
 	await(t, "a snapshot by count", func() bool { entries, _ := host.logSinceSnapshot(); return entries < 60 })
 }
 
-// What a host keeps in memory is bounded by its state, not by what led there.
+// What a host has in memory is bounded by the size of its state, not by its history.
 func TestLargeProposalsAreNotRetainedInMemory(t *testing.T) {
-	const size, count, most = 4 << 20, 20, 10 // times the state
+	const size, count, maxFactor = 4 << 20, 20, 10
 	path, before := t.TempDir(), heapInUse()
 	host, err := openHost(t, path, fastSettings(), &lastCommandStateMachine{})
 	if err != nil {
@@ -74,8 +74,8 @@
 	for proposal := range count {
 		propose(t, host, bytes.Repeat([]byte{byte(proposal)}, size))
 	}
-	if kept := heapInUse() - before; kept > most*size {
-		t.Errorf("%d bytes are kept for a state of %d", kept, size)
+	if retained := heapInUse() - before; retained > maxFactor*size {
+		t.Errorf("%d bytes are retained for a state of %d", retained, size)
 	}
 	host.Close()
 	before = heapInUse()
@@ -83,8 +83,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kept := heapInUse() - before; kept > most*size {
-		t.Errorf("%d bytes are kept after a start for a state of %d", kept, size)
+	if retained := heapInUse() - before; retained > maxFactor*size {
+		t.Errorf("%d bytes are retained after a start for a state of %d", retained, size)
 	}
 	runtime.KeepAlive(reopened)
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// A core leads and sends its snapshot to a host, which answers over a connection.
+// A core leads and sends its snapshot to a host, which replies over a connection.
 func TestHostInstallsAChunkedSnapshot(t *testing.T) {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -154,7 +154,7 @@
 			feed(raft.Input{Kind: raft.InputTick})
 		}
 		if time.Now().After(until) {
-			t.Fatalf("the host holds %v of %d", leader.Status().MatchIndex, leader.Status().LastIndex)
+			t.Fatalf("the host has %v of %d", leader.Status().MatchIndex, leader.Status().LastIndex)
 		}
 	}
 	host.runOnLoop(func() {
--- a/system/replica/settings.go
+++ b/system/replica/settings.go
@@ -2,46 +2,55 @@
 
 import "time"
 
-// Settings fix a host's pace.
+const (
+	// maxDiskFraction is the part of a disk that snapshot files and logs may take together.
+	maxDiskFraction = 0.75
+	// minLogBytes is the least size at which the log is compacted, whatever the size of the
+	// disk.
+	minLogBytes = 1 << 20
+)
+
+// Settings configure a host. [DefaultSettings] has the defaults.
 type Settings struct {
-	Tick            time.Duration
-	ElectionTicks   int
-	HeartbeatTicks  int
+	// Tick is the unit of all Raft timers; 50 ms by default.
+	Tick time.Duration
+	// ElectionTicks is the lower bound of the election timeout, in ticks; 14 by default.
+	ElectionTicks int
+	// HeartbeatTicks is the heartbeat interval, in ticks; 4 by default.
+	HeartbeatTicks int
+	// SnapshotEntries is the number of log entries after which a group takes a snapshot, if
+	// their bytes do not require it earlier; 2048 by default.
 	SnapshotEntries uint64
+	// CompactionBytes is the size of the durable log, in bytes, at which it is compacted: all
+	// state is written to a snapshot file and a new log begins. It is more if the snapshot
+	// file is large and less if the disk is small; 16 MiB by default.
 	CompactionBytes int64
-	// DiskBytes is the size of the disk that the data folder is on; 0 is not known.
+	// DiskBytes is the size of the disk with the data folder, in bytes; 0, the default, means
+	// that it is unknown and sets no limit.
 	DiskBytes int64
-	Seed      uint64
-	// StallTimeout is how long a sync may hang before leadership is handed over.
+	// Seed seeds the election timeouts.
+	Seed uint64
+	// StallTimeout is how long a sync may take before the node transfers the leadership of
+	// its groups to others; 1 s by default.
 	StallTimeout time.Duration
 }
 
-// DefaultSettings gives the settings that daemons run with.
-//
-//	settings := replica.DefaultSettings(seed)
+// DefaultSettings returns the settings that daemons run with.
 func DefaultSettings(seed uint64) Settings {
 	return Settings{Tick: 50 * time.Millisecond, ElectionTicks: 14, HeartbeatTicks: 4, SnapshotEntries: 2048, CompactionBytes: 16 << 20, Seed: seed, StallTimeout: time.Second}
 }
 
-// WithDiskSize gives the settings for a disk of a size; 0 is not known.
-//
-//	settings := replica.Usual(seed).WithDiskSize(128 << 20)
+// WithDiskSize returns the settings for a disk of a size in bytes; 0 means unknown.
 func (settings Settings) WithDiskSize(size int64) Settings {
 	settings.DiskBytes = size
 	return settings
 }
 
-const (
-	// maxDiskFraction is the part of a disk that slots and logs may take together.
-	maxDiskFraction = 0.75
-	// minLogBytes is the least that the log may grow to before a slot is due, whatever the
-	// size of the disk.
-	minLogBytes = 1 << 20
-)
-
-// compactionThreshold gives the size of the log at which a slot is due. A folder holds two slots and
-// two logs while one is written, and the new slot may be larger than the last by the log;
-// all must fit the disk, as a slot that finds no room keeps the logs from being dropped.
+// compactionThreshold returns the size of the durable log, in bytes, at which it is compacted,
+// given the size of the newest snapshot file. While a snapshot file is written, the data
+// folder has two of them and two logs, and the new snapshot may be larger than the last by
+// the log. All must fit the disk: a snapshot file that finds no space would keep the logs
+// from being removed.
 func (settings Settings) compactionThreshold(snapshotBytes int64) int64 {
 	limit := max(settings.CompactionBytes, 2*snapshotBytes)
 	if settings.DiskBytes <= 0 {
--- a/system/replica/host_storage_test.go
+++ b/system/replica/settings_test.go
@@ -6,21 +6,21 @@
 )
 
 func TestCompactionThresholdFitsTheDisk(t *testing.T) {
-	for _, one := range []struct{ disk, slot, want int64 }{
+	for _, one := range []struct{ disk, snapshot, want int64 }{
 		{0, 40 << 20, 80 << 20},
 		{128 << 20, 1 << 20, 16 << 20},
 		{128 << 20, 24 << 20, 16 << 20},
 		{128 << 20, 36 << 20, 8 << 20},
 		{128 << 20, 60 << 20, minLogBytes},
 	} {
-		if got := DefaultSettings(1).WithDiskSize(one.disk).compactionThreshold(one.slot); got != one.want {
-			t.Errorf("disk %d, slot %d: a slot is due at %d, want %d", one.disk, one.slot, got, one.want)
+		if got := DefaultSettings(1).WithDiskSize(one.disk).compactionThreshold(one.snapshot); got != one.want {
+			t.Errorf("disk %d, snapshot %d: the log is compacted at %d, want %d", one.disk, one.snapshot, got, one.want)
 		}
 	}
 }
 
-// TestDataDirectoryFitsASmallDisk: on a disk that is smaller than what the log may usually
-// grow to, slots are written early enough.
+// On a disk that is smaller than the log may otherwise grow to, the log is compacted early
+// enough.
 func TestDataDirectoryFitsASmallDisk(t *testing.T) {
 	const disk, each = 12 << 20, 1 << 20
 	path := t.TempDir()
@@ -31,8 +31,8 @@
 	bootstrapAlone(t, host)
 	for proposal := range 60 {
 		propose(t, host, bytes.Repeat([]byte{byte(proposal)}, each))
-		if held := directoryBytes(t, path); held > disk {
-			t.Fatalf("the folder has %d bytes after %d proposals, on a disk of %d", held, proposal+1, disk)
+		if used := directoryBytes(t, path); used > disk {
+			t.Fatalf("the folder has %d bytes after %d proposals, on a disk of %d", used, proposal+1, disk)
 		}
 	}
 }
--- a/system/replica/transport.go
+++ b/system/replica/transport.go
@@ -11,130 +11,137 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Transport brings agreement messages to peers. Nobody waits for them to arrive; what
-// is too much is dropped, as Raft allows.
+const (
+	// maxQueuedMessages bounds the messages that wait for a peer, about.
+	maxQueuedMessages = 4096
+	// sendTimeout bounds the sending of one batch, and the wait for the reply to it.
+	sendTimeout = 2 * time.Second
+	// maxInflightChunks is how many snapshot chunks, of all groups, are sent to a peer at a
+	// time, and maxQueuedChunks how many may wait.
+	maxInflightChunks = 4
+	maxQueuedChunks   = 256
+	// connectionCheckInterval is how often a batch to a peer asks for a reply, while there is
+	// something to send. A connection that swallows everything is found so.
+	connectionCheckInterval = 500 * time.Millisecond
+)
+
+// Transport sends Raft messages to the peers, in batches of all groups. Messages that cannot be
+// sent in time are dropped, which Raft allows: the cores send again what matters.
 type Transport struct {
-	caller         *link.Client
+	client *link.Client
+	// resolveAddress returns the address of a node, or "" if it is unknown.
 	resolveAddress func(name string) string
-	fleet          func() string
-	mutex          sync.Mutex
-	queues         map[string]*peerQueue
-	closed         context.Context
-	close          context.CancelFunc
+	// fleet returns the name of the fleet, which every query carries.
+	fleet func() string
+	// context ends with Close, and with it all goroutines.
+	context context.Context
+	close   context.CancelFunc
+
+	mutex  sync.Mutex // guards queues
+	queues map[string]*peerQueue
 }
 
-// NewTransport makes a courier; resolve gives the address of a node's name, or "".
-//
-//	courier := replica.NewTransport(caller, view.AddressOf, fleet)
-func NewTransport(caller *link.Client, resolve func(string) string, fleet func() string) *Transport {
-	transport := &Transport{caller: caller, resolveAddress: resolve, fleet: fleet, queues: map[string]*peerQueue{}}
-	transport.closed, transport.close = context.WithCancel(context.Background())
+// NewTransport returns a transport that sends with a client, which the caller closes after the
+// transport. resolveAddress returns the address of a node by its name, or "" if it is unknown;
+// fleet returns the name of the fleet, or "". Both are called from several goroutines.
+func NewTransport(client *link.Client, resolveAddress func(string) string, fleet func() string) *Transport {
+	transport := &Transport{client: client, resolveAddress: resolveAddress, fleet: fleet, queues: map[string]*peerQueue{}}
+	transport.context, transport.close = context.WithCancel(context.Background())
 	return transport
 }
 
-// Send queues messages for one peer and never blocks.
-//
-//	courier.Send("store-b", messages)
+// Send queues messages for one peer. It does not block.
 func (transport *Transport) Send(to string, messages []raft.Message) {
 	transport.mutex.Lock()
-	target, found := transport.queues[to]
+	queue, found := transport.queues[to]
 	if !found {
-		target = &peerQueue{messagesReady: make(chan struct{}, 1), chunksReady: make(chan struct{}, 1)}
-		transport.queues[to] = target
-		go transport.sendLoop(to, target)
-		go transport.sendChunkLoop(to, target)
+		queue = &peerQueue{messagesReady: make(chan struct{}, 1), chunksReady: make(chan struct{}, 1)}
+		transport.queues[to] = queue
+		go transport.sendLoop(to, queue)
+		go transport.sendChunkLoop(to, queue)
 	}
 	transport.mutex.Unlock()
-	target.enqueue(messages)
-}
-
-const (
-	maxQueuedMessages = 4096
-	sendTimeout       = 2 * time.Second
-	// maxInflightChunks is how many parts of snapshots are out to a peer, over all groups, and
-	// maxQueuedChunks how many may wait.
-	maxInflightChunks = 4
-	maxQueuedChunks   = 256
-	// connectionCheckInterval is how often, while there is something to bring, a batch asks for an
-	// answer, so that a way that swallows all is given up.
-	connectionCheckInterval = 500 * time.Millisecond
-)
-
-// sendChunkLoop brings parts of snapshots a few at a time, each batch after the answer to the
-// one before it, so that heartbeats to the same peer never wait behind more than one batch.
-func (transport *Transport) sendChunkLoop(to string, source *peerQueue) {
-	for {
-		select {
-		case <-source.chunksReady:
-		case <-transport.closed.Done():
-			return
-		}
-		for chunks := source.dequeueChunks(); len(chunks) > 0; chunks = source.dequeueChunks() {
-			if address := transport.resolveAddress(to); address != "" {
-				transport.sendChunks(address, chunks)
-			}
-		}
-	}
-}
-
-func (transport *Transport) sendChunks(address string, chunks []raft.Message) {
-	ctx, cancel := context.WithTimeout(transport.closed, sendTimeout)
-	defer cancel()
-	// What did not arrive is sent again by the group's leader.
-	_, _ = transport.caller.Call(ctx, address, transport.newRequest(chunks))
+	queue.enqueue(messages)
 }
 
-func (transport *Transport) newRequest(messages []raft.Message) *wire.Query {
-	return &wire.Query{Fleet: transport.fleet(), Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: messages}}
-}
+// Close ends the goroutines of the transport, and does not wait for them. What is queued is
+// dropped.
+func (transport *Transport) Close() { transport.close() }
 
-func (transport *Transport) sendLoop(to string, source *peerQueue) {
+// sendLoop sends a peer all messages but snapshot chunks. It waits for no reply, except that
+// from time to time one batch asks for one on a goroutine of its own, to check the connection.
+func (transport *Transport) sendLoop(to string, queue *peerQueue) {
 	lastCheck := time.Time{}
-	checking := make(chan struct{}, 1)
+	checking := make(chan struct{}, 1) // full while a check is under way
 	for {
 		select {
-		case <-source.messagesReady:
-		case <-transport.closed.Done():
+		case <-queue.messagesReady:
+		case <-transport.context.Done():
 			return
 		}
-		source.mutex.Lock()
-		messages := source.messages
-		source.messages = nil
-		source.mutex.Unlock()
+		messages := queue.dequeue()
 		address := transport.resolveAddress(to)
 		if len(messages) == 0 || address == "" {
 			continue
 		}
-		query := transport.newRequest(messages)
+		query := transport.newQuery(messages)
 		if time.Since(lastCheck) >= connectionCheckInterval {
 			select {
 			case checking <- struct{}{}:
 				lastCheck = time.Now()
 				go func() {
-					transport.sendAndAwaitReply(address, query)
+					transport.sendAndCheck(address, query)
 					<-checking
 				}()
 				continue
 			default:
 			}
 		}
-		ctx, cancel := context.WithTimeout(transport.closed, sendTimeout)
-		transport.caller.Notify(ctx, address, query)
-		cancel()
+		transport.send(address, query)
 	}
 }
 
-// sendAndAwaitReply sends a batch and waits for the answer. Without one in time the connection is
-// given up, so that the next batch dials anew.
-func (transport *Transport) sendAndAwaitReply(address string, query *wire.Query) {
-	ctx, cancel := context.WithTimeout(transport.closed, sendTimeout)
+func (transport *Transport) newQuery(messages []raft.Message) *wire.Query {
+	return &wire.Query{Fleet: transport.fleet(), Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: messages}}
+}
+
+// send sends a batch without waiting for a reply.
+func (transport *Transport) send(address string, query *wire.Query) {
+	ctx, cancel := context.WithTimeout(transport.context, sendTimeout)
 	defer cancel()
-	if _, err := transport.caller.Call(ctx, address, query); err != nil && ctx.Err() != nil && transport.closed.Err() == nil {
-		transport.caller.DropIfSilent(address, sendTimeout)
+	transport.client.Notify(ctx, address, query)
+}
+
+// sendAndCheck sends a batch and waits for the reply. Without one in time the connection is
+// dropped, so that the next batch dials a new one.
+func (transport *Transport) sendAndCheck(address string, query *wire.Query) {
+	ctx, cancel := context.WithTimeout(transport.context, sendTimeout)
+	defer cancel()
+	if _, err := transport.client.Call(ctx, address, query); err != nil && ctx.Err() != nil && transport.context.Err() == nil {
+		transport.client.DropIfSilent(address, sendTimeout)
 	}
 }
 
-// Close stops sending.
-//
-//	courier.Close()
-func (transport *Transport) Close() { transport.close() }
+// sendChunkLoop sends a peer snapshot chunks, a few at a time: each batch waits for the reply
+// to the one before, so that a heartbeat is never behind more than one batch.
+func (transport *Transport) sendChunkLoop(to string, queue *peerQueue) {
+	for {
+		select {
+		case <-queue.chunksReady:
+		case <-transport.context.Done():
+			return
+		}
+		for chunks := queue.dequeueChunks(); len(chunks) > 0; chunks = queue.dequeueChunks() {
+			if address := transport.resolveAddress(to); address != "" {
+				transport.sendChunks(address, chunks)
+			}
+		}
+	}
+}
+
+func (transport *Transport) sendChunks(address string, chunks []raft.Message) {
+	ctx, cancel := context.WithTimeout(transport.context, sendTimeout)
+	defer cancel()
+	// A failure needs no action here: the group's leader sends again what was not acknowledged.
+	_, _ = transport.client.Call(ctx, address, transport.newQuery(chunks))
+}
--- a/system/replica/transport_queue.go
+++ b/system/replica/transport_queue.go
@@ -6,54 +6,69 @@
 	"yardrock.example/system/raft"
 )
 
+// peerQueue has the messages that wait to be sent to one peer.
 type peerQueue struct {
-	mutex         sync.Mutex
-	messages      []raft.Message
+	mutex sync.Mutex // guards messages and chunks
+	// messages are all but snapshot chunks; chunks has each chunk once.
+	messages []raft.Message
+	chunks   []raft.Message
+	// messagesReady and chunksReady wake the goroutines that send them.
 	messagesReady chan struct{}
-	// chunks are parts of snapshots, none of them twice, and chunked wakes who brings them.
-	chunks      []raft.Message
-	chunksReady chan struct{}
+	chunksReady   chan struct{}
 }
 
-// enqueue queues messages, the parts of snapshots beside all others.
-func (target *peerQueue) enqueue(messages []raft.Message) {
-	target.mutex.Lock()
-	defer target.mutex.Unlock()
-	room := len(target.messages) < maxQueuedMessages
+// enqueue queues messages. Those for which there is no room are dropped.
+func (queue *peerQueue) enqueue(messages []raft.Message) {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	room := len(queue.messages) < maxQueuedMessages
 	for _, message := range messages {
 		if message.Kind == raft.MessageSnapshotChunk {
-			target.enqueueChunk(message)
-			signal(target.chunksReady)
+			queue.enqueueChunk(message)
+			signal(queue.chunksReady)
 		} else if room {
-			target.messages = append(target.messages, message)
-			signal(target.messagesReady)
+			queue.messages = append(queue.messages, message)
+			signal(queue.messagesReady)
 		}
 	}
 }
 
-func (target *peerQueue) enqueueChunk(message raft.Message) {
-	for _, waiting := range target.chunks {
-		if waiting.Group == message.Group && waiting.Chunk.Checksum == message.Chunk.Checksum && waiting.Chunk.Offset == message.Chunk.Offset {
+// enqueueChunk queues a chunk unless it waits already: the core sends a chunk again if no
+// reply came in time, which may be because of this queue. The mutex must be held.
+func (queue *peerQueue) enqueueChunk(message raft.Message) {
+	for _, queued := range queue.chunks {
+		if queued.Group == message.Group && queued.Chunk.Checksum == message.Chunk.Checksum && queued.Chunk.Offset == message.Chunk.Offset {
 			return
 		}
 	}
-	if len(target.chunks) < maxQueuedChunks {
-		target.chunks = append(target.chunks, message)
+	if len(queue.chunks) < maxQueuedChunks {
+		queue.chunks = append(queue.chunks, message)
 	}
 }
 
-// dequeueChunks gives the parts that go next, which are not many.
-func (target *peerQueue) dequeueChunks() []raft.Message {
-	target.mutex.Lock()
-	defer target.mutex.Unlock()
-	next := target.chunks[:min(len(target.chunks), maxInflightChunks)]
-	target.chunks = target.chunks[len(next):]
+// dequeue takes all messages.
+func (queue *peerQueue) dequeue() []raft.Message {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	messages := queue.messages
+	queue.messages = nil
+	return messages
+}
+
+// dequeueChunks takes the next chunks, maxInflightChunks at most.
+func (queue *peerQueue) dequeueChunks() []raft.Message {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	next := queue.chunks[:min(len(queue.chunks), maxInflightChunks)]
+	queue.chunks = queue.chunks[len(next):]
 	return next
 }
 
-func signal(sleeper chan<- struct{}) {
+// signal wakes the receiver of a channel with a buffer of one. If it was signalled already
+// nothing is lost: it takes everything that is queued by the time it wakes.
+func signal(ready chan<- struct{}) {
 	select {
-	case sleeper <- struct{}{}:
+	case ready <- struct{}{}:
 	default:
 	}
 }
--- a/system/replica/transport_test.go
+++ b/system/replica/transport_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestSnapshotChunksDoNotDelayHeartbeats has a peer that answers no chunk: one batch is out, the
-// others wait, none of them twice, and heartbeats pass.
+// A peer replies to no chunk: one batch is in flight, the others wait, each chunk once, and
+// heartbeats pass.
 func TestSnapshotChunksDoNotDelayHeartbeats(t *testing.T) {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	transport.Send("b", []raft.Message{chunk(1, 0)})
 	if first := next(t, chunks); first.Group != 1 {
-		t.Fatalf("came first: %+v", first)
+		t.Fatalf("the first chunk is %+v", first)
 	}
 	for round := range uint64(3) {
 		for offset := range uint64(maxInflightChunks) {
@@ -64,7 +64,7 @@
 		next(t, heartbeats)
 	}
 	if len(chunks) > 0 {
-		t.Fatalf("a second batch was sent before the first was answered: %+v", <-chunks)
+		t.Fatalf("a second batch was sent before the reply to the first: %+v", <-chunks)
 	}
 	answer()
 	for offset := range uint64(maxInflightChunks) {
@@ -75,6 +75,6 @@
 		}
 	}
 	if rest := transport.queues["b"].dequeueChunks(); len(rest) > 0 {
-		t.Fatalf("chunks wait twice: %+v", rest)
+		t.Fatalf("chunks are queued twice: %+v", rest)
 	}
 }
