--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -508,7 +508,7 @@
 		}
 		defer foreign.Kill()
 		select {
-		case err := <-foreign.Store.Foreign():
+		case err := <-foreign.Store.ForeignFleet():
 			if !apierror.Is(err, apierror.ForeignFleet) {
 				t.Fatal(err)
 			}
@@ -527,7 +527,7 @@
 			}
 		}
 		select {
-		case err := <-cluster.Stores[1].Store.Foreign():
+		case err := <-cluster.Stores[1].Store.ForeignFleet():
 			t.Fatalf("a store of a fleet that recovers was refused: %v", err)
 		case <-time.After(20 * time.Second):
 		}
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return daemon.Service{}, err
 	}
-	running := daemon.Service{Reload: node.SetSeeds, Drain: func(context.Context) { node.Drain() }, Close: node.Close, Failed: node.Foreign()}
+	running := daemon.Service{Reload: node.SetSeeds, Drain: func(context.Context) { node.Drain() }, Close: node.Close, Failed: node.ForeignFleet()}
 	if loaded.HealthAddress == "" {
 		return running, nil
 	}
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"cmp"
 	"context"
 	"slices"
 	"time"
@@ -13,12 +14,16 @@
 )
 
 const (
-	repairInterval    = 10 * time.Second
+	// repairInterval is how often the archives of the groups led here are compared.
+	repairInterval = 10 * time.Second
+	// repairBatchChunks bounds the chunks that are sent to a peer in one query.
 	repairBatchChunks = 64
-	scrubBatchChunks  = 512
+	// scrubBatchChunks is how many chunks of its own archive a node verifies in each round.
+	scrubBatchChunks = 512
 )
 
-// repairAll compares the cold copies of the groups led here and mends them.
+// repairAll verifies a part of this node's archive, then compares the archives of the groups
+// led here with the replicated state and repairs them.
 func (node *Node) repairAll() {
 	node.archiveStore.Scrub(scrubBatchChunks)
 	for group, status := range node.host.Statuses() {
@@ -32,7 +37,8 @@
 	}
 }
 
-// repairReplica mends this node's own copy or a peer's, and tells whether it is whole then.
+// repairReplica repairs the archive of this node or of a peer. It reports whether that archive
+// has all ranges then that are archived as of a view of the group.
 func (node *Node) repairReplica(group uint32, view *sessionlog.View, voter string) bool {
 	if voter == node.Name() {
 		return node.repairSelf(group, view)
@@ -40,72 +46,74 @@
 	return node.repairPeer(group, view, voter)
 }
 
-// differingBuckets lists the buckets of lines in which a copy is not as far as the record
-// says. Each is compared by one digest, so that copies which agree cost next to
-// nothing, however many lines they hold.
+// differingBuckets lists the buckets in which an archive is not as far as the view says. Each
+// is compared by one digest, so that archives which agree cost next to nothing, however many
+// sessions they have.
 func differingBuckets(view *sessionlog.View, digests []uint64) []uint32 {
-	wanted, found := view.ArchiveDigests(), []uint32{}
+	wanted, differing := view.ArchiveDigests(), []uint32{}
 	for bucket := range wanted {
 		if bucket >= len(digests) || digests[bucket] != wanted[bucket] {
-			found = append(found, uint32(bucket))
+			differing = append(differing, uint32(bucket))
 		}
 	}
-	return found
+	return differing
 }
 
-// missingRanges lists, for the archived part of each line in some buckets, what a copy's
-// ranges lack.
+// missingRanges lists, for the archived part of each session in some buckets, the ranges that
+// an archive lacks.
 func missingRanges(view *sessionlog.View, buckets []uint32, ranges []wire.RangeDigest) []wire.ReadArchiveQuery {
 	bySession := map[string][]wire.RangeDigest{}
 	for _, one := range ranges {
 		bySession[one.Session] = append(bySession[one.Session], one)
 	}
-	found := []wire.ReadArchiveQuery{}
+	missing := []wire.ReadArchiveQuery{}
 	for session := range view.Sessions() {
-		if !slices.Contains(buckets, uint32(sessionlog.BucketOf(session.Name))) {
-			continue
-		}
-		have := bySession[session.Name]
-		slices.SortFunc(have, func(left, right wire.RangeDigest) int { return int(left.First) - int(right.First) })
-		reached := uint64(0)
-		for _, one := range have {
-			if one.First > reached+1 {
-				found = append(found, wire.ReadArchiveQuery{Session: session.Name, After: reached, Through: one.First - 1})
-			}
-			reached = max(reached, one.Last)
+		if slices.Contains(buckets, uint32(sessionlog.BucketOf(session.Name))) {
+			missing = append(missing, missingOf(session, bySession[session.Name])...)
 		}
-		if reached < session.ArchivedSeq {
-			found = append(found, wire.ReadArchiveQuery{Session: session.Name, After: reached, Through: session.ArchivedSeq})
+	}
+	return missing
+}
+
+// missingOf lists the gaps between the ranges that an archive has of a session, up to what is
+// archived of it.
+func missingOf(session *sessionlog.Session, ranges []wire.RangeDigest) (missing []wire.ReadArchiveQuery) {
+	slices.SortFunc(ranges, func(left, right wire.RangeDigest) int { return cmp.Compare(left.First, right.First) })
+	through := uint64(0)
+	for _, one := range ranges {
+		if one.First > through+1 {
+			missing = append(missing, wire.ReadArchiveQuery{Session: session.Name, After: through, Through: one.First - 1})
 		}
+		through = max(through, one.Last)
 	}
-	return found
+	if through < session.ArchivedSeq {
+		missing = append(missing, wire.ReadArchiveQuery{Session: session.Name, After: through, Through: session.ArchivedSeq})
+	}
+	return missing
 }
 
-// readMissing reads what fills holes from this node's own copy, or from peers.
-func (node *Node) readMissing(group uint32, view *sessionlog.View, missing []wire.ReadArchiveQuery) ([]wire.ArchiveChunk, bool) {
+// readMissing reads missing ranges from this node's archive, or from peers. It reports false
+// if some could not be read completely; those are left out.
+func (node *Node) readMissing(group uint32, view *sessionlog.View, missing []wire.ReadArchiveQuery) (chunks []wire.ArchiveChunk, complete bool) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	chunks, complete := []wire.ArchiveChunk{}, true
-	for _, hole := range missing {
-		session, found := view.Session(hole.Session)
+	complete = true
+	for _, wanted := range missing {
+		session, found := view.Session(wanted.Session)
 		if !found {
 			continue
 		}
-		events, err := node.archiveStore.Read(hole.Session, hole.After, hole.Through)
-		if err != nil || uint64(len(events)) != hole.Through-hole.After {
-			events = node.archivedFromPeers(ctx, group, hole.Session, hole.After, hole.Through, events)
-		}
-		if uint64(len(events)) != hole.Through-hole.After {
+		events, err := node.readArchive(ctx, group, wanted.Session, wanted.After, wanted.Through)
+		if err != nil || uint64(len(events)) != wanted.Through-wanted.After {
 			complete = false
 			continue
 		}
-		chunks = append(chunks, wire.ArchiveChunk{Group: group, Session: hole.Session, First: hole.After + 1, Last: hole.Through, ExpiresAt: session.ExpiresAt().UnixNano(), Events: events})
+		chunks = append(chunks, wire.ArchiveChunk{Group: group, Session: wanted.Session, First: wanted.After + 1, Last: wanted.Through, ExpiresAt: session.ExpiresAt().UnixNano(), Events: events})
 	}
 	return chunks, complete
 }
 
-// repairSelf fills this node's own holes from its peers. It tells whether this node holds
-// all that a view of the group tells to be archived.
+// repairSelf reads the ranges that this node's archive lacks from its peers and stores them.
 func (node *Node) repairSelf(group uint32, view *sessionlog.View) bool {
 	digests := node.archiveStore.BucketDigests(group)
 	buckets := differingBuckets(view, digests[:])
@@ -118,30 +126,18 @@
 	}
 	chunks, complete := node.readMissing(group, view, missing)
 	if err := node.archiveStore.Put(chunks); err != nil {
-		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).Warn("repair_failed")
+		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).Warn("cannot repair the archive")
 		return false
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "chunks": len(chunks)}).Info("cold_mended")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "chunks": len(chunks)}).Info("archive repaired")
 	return complete
 }
 
-// repairPeer compares a peer's copy by its ranges' digests and sends what it lacks.
-// It tells whether the peer holds all that a view of the group tells to be archived.
+// repairPeer compares a peer's archive by digests and sends the ranges that it lacks.
 func (node *Node) repairPeer(group uint32, view *sessionlog.View, peer string) bool {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	fleet, address := node.view.Load().BoundFleet(), node.addressOf(peer)
-	fetchDigests := func(buckets []uint32) (*wire.DigestReply, error) {
-		reply, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, Which: schema.Query_Which_digests, Digests: &wire.DigestQuery{Group: group, Buckets: buckets}})
-		if err != nil {
-			return nil, err
-		}
-		if reply.Digests == nil {
-			return &wire.DigestReply{}, nil
-		}
-		return reply.Digests, nil
-	}
-	digests, err := fetchDigests(nil)
+	digests, err := node.digestsOf(ctx, peer, group, nil)
 	if err != nil {
 		return false
 	}
@@ -149,7 +145,7 @@
 	if len(buckets) == 0 {
 		return true
 	}
-	if digests, err = fetchDigests(buckets); err != nil {
+	if digests, err = node.digestsOf(ctx, peer, group, buckets); err != nil {
 		return false
 	}
 	missing := missingRanges(view, buckets, digests.Ranges)
@@ -157,22 +153,35 @@
 		return true
 	}
 	chunks, complete := node.readMissing(group, view, missing)
-	for len(chunks) > 0 {
-		batch := chunks[:min(len(chunks), repairBatchChunks)]
-		chunks = chunks[len(batch):]
-		if _, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: batch}}); err != nil {
+	for batch := range slices.Chunk(chunks, repairBatchChunks) {
+		if _, err := node.callPeer(ctx, peer, &wire.Query{Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: batch}}); err != nil {
 			return false
 		}
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "peer": peer, "holes": len(missing)}).Info("cold_mended")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "peer": peer, "ranges": len(missing)}).Info("archive of a peer repaired")
 	return complete
 }
 
-func (node *Node) handleGetArchived(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+// digestsOf asks a peer for the digests of its archive of a group: of all buckets, and of the
+// ranges in some of them.
+func (node *Node) digestsOf(ctx context.Context, peer string, group uint32, buckets []uint32) (*wire.DigestReply, error) {
+	reply, err := node.callPeer(ctx, peer, &wire.Query{Which: schema.Query_Which_digests, Digests: &wire.DigestQuery{Group: group, Buckets: buckets}})
+	if err != nil {
+		return nil, err
+	}
+	if reply.Digests == nil {
+		return &wire.DigestReply{}, nil
+	}
+	return reply.Digests, nil
+}
+
+// handleReadArchive answers with what this node's own archive has of a range.
+func (node *Node) handleReadArchive(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	events, err := node.archiveStore.Read(query.ReadArchive.Session, query.ReadArchive.After, query.ReadArchive.Through)
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, err
 }
 
+// handleDigests answers with the digests of this node's own archive.
 func (node *Node) handleDigests(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	digests := node.archiveStore.BucketDigests(query.Digests.Group)
 	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{BucketDigests: digests[:], Ranges: node.archiveStore.RangeDigests(query.Digests.Group, query.Digests.Buckets)}}, nil
--- a/system/store/archive_replication.go
+++ b/system/store/archive_replication.go
@@ -8,12 +8,18 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// stragglerTimeout is how long the archiver waits for more replicas once a majority has
-// stored what is archived. Those that are late are mended.
+// stragglerTimeout is how long the archiver waits for more replicas once a majority has stored
+// a batch. Those that are late are repaired.
 const stragglerTimeout = 300 * time.Millisecond
 
-// replicateChunks has the replicas put chunks into their cold stores, and gives the names of
-// those that have. Peers hold the events themselves, as a rule, and are only told which.
+// chunkKey names a chunk within one batch of a group.
+type chunkKey struct {
+	session string
+	first   uint64
+}
+
+// replicateChunks has the replicas store chunks in their archives, and returns the names of
+// those that have synced them. The others are marked as lagging.
 func (node *Node) replicateChunks(ctx context.Context, group uint32, voters []string, chunks []wire.ArchiveChunk) (holders []string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -21,7 +27,7 @@
 		voter string
 		err   error
 	}
-	results := make(chan stored, len(voters))
+	results := make(chan stored, len(voters)) // so that no sender blocks
 	for _, voter := range voters {
 		go func() {
 			if voter == node.Name() {
@@ -31,6 +37,7 @@
 			results <- stored{voter, node.sendChunks(ctx, voter, chunks)}
 		}()
 	}
+	var straggling *time.Timer // cancels the calls that are late; nil without a majority
 	for range voters {
 		result := <-results
 		if result.err != nil {
@@ -38,44 +45,50 @@
 			continue
 		}
 		holders = append(holders, result.voter)
-		if isMajority(holders, voters) {
-			straggling := time.AfterFunc(stragglerTimeout, cancel)
-			defer straggling.Stop()
+		if straggling == nil && isMajority(holders, voters) {
+			straggling = time.AfterFunc(stragglerTimeout, cancel)
 		}
 	}
+	if straggling != nil {
+		straggling.Stop()
+	}
 	return holders
 }
 
-// sendChunks has one peer put chunks from what it holds, then sends those that it lacks.
+// sendChunks has a peer store chunks from what it has applied itself, and sends it the events
+// of those that it lacks. As a rule that is none, so archiving costs little traffic.
 func (node *Node) sendChunks(ctx context.Context, peer string, chunks []wire.ArchiveChunk) error {
 	ranges := make([]wire.ArchiveChunk, len(chunks))
 	for position, chunk := range chunks {
 		chunk.Events = nil
 		ranges[position] = chunk
 	}
-	fleet, address := node.view.Load().BoundFleet(), node.addressOf(peer)
-	reply, err := node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: ranges}})
+	reply, err := node.putArchive(ctx, peer, ranges)
 	if err != nil || reply.Chunks == nil {
 		return err
 	}
-	type key struct {
-		name  string
-		first uint64
-	}
-	isMissing, missing := map[key]bool{}, []wire.ArchiveChunk{}
-	for _, one := range reply.Chunks.Chunks {
-		isMissing[key{one.Session, one.First}] = true
+	isMissing, missing := map[chunkKey]bool{}, []wire.ArchiveChunk{}
+	for _, chunk := range reply.Chunks.Chunks {
+		isMissing[chunkKey{chunk.Session, chunk.First}] = true
 	}
 	for _, chunk := range chunks {
-		if isMissing[key{chunk.Session, chunk.First}] {
+		if isMissing[chunkKey{chunk.Session, chunk.First}] {
 			missing = append(missing, chunk)
 		}
 	}
-	_, err = node.caller.Call(ctx, address, &wire.Query{Fleet: fleet, To: peer, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: missing}})
+	_, err = node.putArchive(ctx, peer, missing)
 	return err
 }
 
-func (node *Node) handlePutArchived(_ context.Context, query *wire.Query) (*wire.Reply, error) {
+// putArchive asks one certain store to put chunks into its archive; another one that has its
+// address by now rejects the query.
+func (node *Node) putArchive(ctx context.Context, peer string, chunks []wire.ArchiveChunk) (*wire.Reply, error) {
+	return node.callPeer(ctx, peer, &wire.Query{To: peer, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: chunks}})
+}
+
+// handlePutArchive stores chunks in this node's archive and answers once they are synced. Of
+// chunks without events it answers with those that it does not have itself.
+func (node *Node) handlePutArchive(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	complete, missing := node.fillChunks(query.PutArchive.Chunks)
 	if err := node.archiveStore.Put(complete); err != nil {
 		return nil, err
@@ -86,8 +99,8 @@
 	return &wire.Reply{Which: schema.Reply_Which_chunks, Chunks: &wire.ArchiveChunkBatch{Chunks: missing}}, nil
 }
 
-// fillChunks gives chunks with their events: those that come without are filled from what
-// this replica has applied. It tells which it lacks.
+// fillChunks fills the chunks that come without events from what this replica has applied. It
+// returns those to store and those that it lacks; chunks in the archive are in neither.
 func (node *Node) fillChunks(chunks []wire.ArchiveChunk) (complete, missing []wire.ArchiveChunk) {
 	for _, chunk := range chunks {
 		if len(chunk.Events) == 0 && !node.fillChunk(&chunk) {
@@ -99,8 +112,9 @@
 	return complete, missing
 }
 
-// fillChunk puts the events of a range into a chunk, unless its line has them in its cold
-// store. What is applied is the same at all replicas.
+// fillChunk puts the events of a range into a chunk, unless this node's archive has them. It
+// reports false if they are neither there nor unarchived here. What is applied is the same at
+// all replicas, so these are the leader's events.
 func (node *Node) fillChunk(chunk *wire.ArchiveChunk) bool {
 	if node.archiveStore.Covers(*chunk) {
 		return true
--- a/system/store/commands.go
+++ b/system/store/commands.go
@@ -8,41 +8,50 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// handleCommand stamps the leader's time on commands and commits them in order.
+// handleCommand commits a batch of commands to a group that is led here, in their order, and
+// answers with their outcomes (the write path of the Starcite paper). For a turn that began it
+// adds the history that the turn continues.
 func (node *Node) handleCommand(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	commands := make([][]byte, len(query.Command.Commands))
-	for position, command := range query.Command.Commands {
-		command.Now = node.clock(query.Command.Group)
-		node.setExpectedSeq(query.Command.Group, &command)
-		node.usePrefix(query.Command.Group, &command)
-		commands[position] = wire.MustEncode(schema.Command_TypeID, &command)
+	group, requested := query.Command.Group, query.Command.Commands
+	encoded := make([][]byte, len(requested))
+	for position, command := range requested {
+		node.prepare(group, &command)
+		encoded[position] = wire.MustEncode(schema.Command_TypeID, &command)
 	}
-	outcomes, err := node.host.Propose(ctx, query.Command.Group, commands)
+	results, err := node.host.Propose(ctx, group, encoded)
 	if err != nil {
 		return nil, err
 	}
-	list := &wire.CommandReply{}
-	for position, outcome := range outcomes {
-		result := outcome.(applyResult)
+	reply := &wire.CommandReply{}
+	for position, applied := range results {
+		command, result := &requested[position], applied.(applyResult) // as groupStateMachine.Apply returned it
 		if result.outcome.Status == sessionlog.UnknownPrefix {
-			if result, err = node.beginWithFullInput(ctx, query.Command.Group, query.Command.Commands[position]); err != nil {
+			if result, err = node.beginWithFullInput(ctx, group, *command); err != nil {
 				return nil, err
 			}
 		}
-		list.Outcomes = append(list.Outcomes, result.outcome)
-		if command := &query.Command.Commands[position]; command.Kind == sessionlog.BeginTurn && command.KeepData && result.outcome.Status == sessionlog.Done {
-			if list.History, err = node.history(ctx, query.Command.Group, result.view, command.Session, command.Producer); err != nil {
+		reply.Outcomes = append(reply.Outcomes, result.outcome)
+		if command.Kind == sessionlog.BeginTurn && command.KeepData && result.outcome.Status == sessionlog.Done {
+			if reply.History, err = node.history(ctx, group, result.view, command.Session, command.Producer); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return &wire.Reply{Which: schema.Reply_Which_outcomes, Outcomes: list}, nil
+	return &wire.Reply{Which: schema.Reply_Which_outcomes, Outcomes: reply}, nil
 }
 
-// setExpectedSeq gives the beginning of a turn the position that it counts on: where the turn
-// that it follows ended. The state machine checks it.
+// prepare adds to a command what its group's leader decides: the group's clock, the position
+// that a turn counts on, and the shared prefix to which its input may refer.
+func (node *Node) prepare(group uint32, command *sessionlog.Command) {
+	command.Now = node.clock(group)
+	node.setExpectedSeq(group, command)
+	node.usePrefix(group, command)
+}
+
+// setExpectedSeq has a turn begin only if the turn that it follows ended where it did as of
+// now. The state machine checks it.
 func (node *Node) setExpectedSeq(group uint32, command *sessionlog.Command) {
 	machine := node.stateMachine(group)
 	if command.Kind != sessionlog.BeginTurn || command.Follows == "" || machine == nil {
@@ -53,8 +62,8 @@
 	}
 }
 
-// beginWithFullInput begins a turn with its whole input: the opening that it was to refer to was
-// freed meanwhile, and nothing had begun.
+// beginWithFullInput begins a turn with its complete input. The shared prefix to which it was
+// to refer was freed in between, so it did not begin.
 func (node *Node) beginWithFullInput(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
 	command.Now = node.clock(group)
 	return node.propose(ctx, group, command)
--- a/system/store/group_clock.go
+++ b/system/store/group_clock.go
@@ -1,20 +1,18 @@
 package store
 
-import (
-	"time"
-)
+import "time"
 
-// clockAnchor ties a group's clock to this process's steady clock.
+// clockAnchor ties a group's clock to this process's monotonic clock.
 type clockAnchor struct {
 	clock int64
 	at    time.Time
 }
 
-// clock is a group's time, carried on from what it was when this process first saw
-// it by the steady time that went by since. Walls of machines may be wrong by hours
-// and jump; only the first command that a group ever gets takes its time from one.
-// So a group's clock may fall behind, by what went by while nobody was there to
-// carry it on, but never runs ahead: no keeping time or deadline ends early.
+// clock returns a group's time in nanoseconds since 1970: what it was when this process first
+// saw it, carried on by the monotonic time since. The wall clocks of machines may be wrong by
+// hours and jump; only the first command that a group ever gets takes its time from one. So a
+// group's clock may fall behind, by the time in which nobody was there to carry it on, but it
+// never runs ahead: no retention or deadline ends early. It is 0 if no replica is here.
 func (node *Node) clock(group uint32) int64 {
 	machine := node.stateMachine(group)
 	if machine == nil {
--- a/system/store/group_move.go
+++ b/system/store/group_move.go
@@ -11,22 +11,24 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// groupMove is one look at a group led here that is not where it should be.
+// groupMove is one look at a group that is led here and not where it should be.
 type groupMove struct {
 	node   *Node
 	group  uint32
 	status raft.Status
-	// content is what the group holds at the time of the look: who is to keep what is
-	// archived is judged by it.
+	// content is what the group held at that time. Who must have which archived ranges is
+	// decided on it, and changeReplicas checks that it still holds.
 	content *sessionlog.View
-	target  []string
-	// surplus are the voters that the store list does not want there.
+	// target are the stores where the store list wants the group.
+	target []string
+	// surplus are the voters that are not in target.
 	surplus []string
 }
 
-// moveGroup takes one step for a group: enrol a missing replica as learner, make a
-// learner that holds everything a voter, or let a voter go that is not wanted. One whose
-// store is gone goes before the learner votes, so that it is never counted beside it.
+// moveGroup takes one step of a group's move: it adds a missing replica as a learner, makes a
+// learner a voter that has the log and all archived ranges, or removes a surplus voter. One
+// whose store has departed is removed before the learner votes, so that the two never count
+// together. One member changes at a time (Raft thesis 4.1).
 func (node *Node) moveGroup(group uint32, target []string, view *feed.View) {
 	status, _ := node.host.Status(group)
 	if !status.CommittedInTerm || status.MembershipChangePending {
@@ -49,54 +51,55 @@
 	}
 }
 
-func (move *groupMove) change(event, name string, next raft.Membership) {
+// change proposes a membership and logs what it does if it was proposed.
+func (move *groupMove) change(message, replica string, next raft.Membership) {
 	if move.node.changeReplicas(move.group, move.content.ArchiveDigests(), next) {
-		log.WithFields(log.Fields{"node": move.node.Name(), "group": move.group, "replica": name}).Info(event)
+		log.WithFields(log.Fields{"node": move.node.Name(), "group": move.group, "replica": replica}).Info(message)
 	}
 }
 
 func (move *groupMove) addLearner(name string) {
-	replicas := move.status.Membership
-	move.change("replica_enrolled", name, raft.Membership{Voters: replicas.Voters, Learners: append(slices.Clone(replicas.Learners), name)})
+	members := move.status.Membership
+	move.change("adding a replica as a learner", name, raft.Membership{Voters: members.Voters, Learners: append(slices.Clone(members.Learners), name)})
 }
 
-// promoteOrRemoveLearner lets a learner vote once it holds the log and the archived ranges, or lets
-// it go if it is not wanted any more.
+// promoteOrRemoveLearner makes a learner a voter once it has the log and the archived ranges,
+// or removes it if it is not wanted any more.
 func (move *groupMove) promoteOrRemoveLearner(learner string) {
-	replicas := move.status.Membership
-	without := raft.Without(replicas.Learners, learner)
+	members := move.status.Membership
+	without := raft.Without(members.Learners, learner)
 	if !slices.Contains(move.target, learner) {
-		move.change("replica_removed", learner, raft.Membership{Voters: replicas.Voters, Learners: without})
+		move.change("removing a learner", learner, raft.Membership{Voters: members.Voters, Learners: without})
 		return
 	}
 	if !move.isCaughtUp(learner) || !move.node.repairReplica(move.group, move.content, learner) {
 		return
 	}
-	if at := slices.IndexFunc(move.surplus, move.node.hasDeparted); at >= 0 && len(replicas.Voters) >= len(move.target) {
-		move.removeDepartedVoter(move.surplus[at])
+	if departed := slices.IndexFunc(move.surplus, move.node.hasDeparted); departed >= 0 && len(members.Voters) >= len(move.target) {
+		move.removeDepartedVoter(move.surplus[departed])
 		return
 	}
-	move.change("replica_votes", learner, raft.Membership{Voters: append(slices.Clone(replicas.Voters), learner), Learners: without})
+	move.change("making a learner a voter", learner, raft.Membership{Voters: append(slices.Clone(members.Voters), learner), Learners: without})
 }
 
-// isCaughtUp tells whether a replica holds the group's log but for what is on its way.
+// isCaughtUp tells whether a replica has the group's log but for what is in flight.
 func (move *groupMove) isCaughtUp(name string) bool {
 	matched := move.status.MatchIndex[name]
 	return matched > 0 && matched+raft.MaxLearnerLag >= move.status.CommitIndex
 }
 
-// removeDepartedVoter lets a voter go whose store has left the list and has no session, once a
-// majority of those that are left hold all that is archived.
+// removeDepartedVoter removes a voter whose store has left the list and is not live, once a
+// majority of the others have all that is archived.
 func (move *groupMove) removeDepartedVoter(name string) {
 	next := raft.Without(move.status.Membership.Voters, name)
 	if move.countComplete(next) >= len(next)/2+1 {
-		move.change("replica_removed", name, raft.Membership{Voters: next, Learners: move.status.Membership.Learners})
+		move.change("removing a voter whose store has departed", name, raft.Membership{Voters: next, Learners: move.status.Membership.Learners})
 	}
 }
 
-// removeVoter lets a voter go that may be switched off, with its disk, as soon as it is told
-// to be free: each of those that stay must hold all that it holds. A leader that is not
-// wanted has one of them lead first.
+// removeVoter removes a voter whose store may be switched off, with its disk, as soon as it has
+// no replicas: each of those that stay must have all that it has. A leader that is to go
+// transfers its leadership first.
 func (move *groupMove) removeVoter(name string) {
 	next := raft.Without(move.status.Membership.Voters, name)
 	behind := func(voter string) bool { return !move.isCaughtUp(voter) }
@@ -109,10 +112,10 @@
 		move.node.host.TransferLeadership(move.group, best)
 		return
 	}
-	move.change("replica_removed", name, raft.Membership{Voters: next, Learners: move.status.Membership.Learners})
+	move.change("removing a surplus voter", name, raft.Membership{Voters: next, Learners: move.status.Membership.Learners})
 }
 
-// countComplete counts the replicas that hold all that is archived, and mends the others.
+// countComplete counts the replicas that have all that is archived, and repairs the others.
 func (move *groupMove) countComplete(names []string) int {
 	complete := 0
 	for _, name := range names {
--- a/system/store/group_placement.go
+++ b/system/store/group_placement.go
@@ -15,43 +15,47 @@
 )
 
 const (
+	// placementInterval is how often the placement of groups is looked at, movingInterval
+	// how often while groups led here are moving.
 	placementInterval = time.Second
-	movingInterval    = 50 * time.Millisecond // while groups led here are moving
-	// maxConcurrentMoves bounds the groups that one leader lets catch up at a time.
+	movingInterval    = 50 * time.Millisecond
+	// maxConcurrentMoves bounds the groups that one leader moves at a time, as each learner
+	// gets the whole content of its group.
 	maxConcurrentMoves = 4
 )
 
-// runPlacement moves groups whenever the view changes, and goes on while any is moving.
+// runPlacement moves groups to where the store list wants them: whenever the view changes, and
+// at an interval, as stores come and go.
 func (node *Node) runPlacement() {
-	tick := time.NewTimer(placementInterval)
-	defer tick.Stop()
+	timer := time.NewTimer(placementInterval)
+	defer timer.Stop()
 	for {
 		select {
 		case <-node.context.Done():
 			return
 		case <-node.viewChanged:
-		case <-tick.C:
+		case <-timer.C:
 		}
 		next := placementInterval
 		if node.reconcilePlacement() {
 			next = movingInterval
 		}
-		tick.Reset(next)
+		timer.Reset(next)
 	}
 }
 
-// reconcilePlacement brings the groups led here one step nearer to where the store list
-// wants them, and tells whether any is under way. The leader of a group does this
-// alone; its term is the fence.
+// reconcilePlacement brings the groups led here one step nearer to where the store list wants
+// them, and tells whether any is moving. Only a group's leader does this, and its membership
+// changes are entries of its log, so the term is the fencing token.
 func (node *Node) reconcilePlacement() bool {
 	view := node.view.Load()
 	if len(view.Stores) == 0 {
 		return false
 	}
-	places, moving := view.PlacementCandidates(), 0
+	candidates, moving := view.PlacementCandidates(), 0
 	var steps sync.WaitGroup
 	for group, status := range node.host.Statuses() {
-		target := placement.ReplicasOf(group, places, view.ReplicationFactor())
+		target := placement.ReplicasOf(group, candidates, view.ReplicationFactor())
 		if !status.CommittedInTerm {
 			node.leaveIfRemoved(group, status, target)
 			continue
@@ -65,8 +69,8 @@
 	return moving > 0
 }
 
-// canMove tells that a group is not where it should be, and that a step towards there can
-// be taken now.
+// canMove tells whether a group is not where it should be and a step towards there can be
+// taken now.
 func (node *Node) canMove(status raft.Status, target []string) bool {
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	if status.MembershipChangePending {
@@ -82,28 +86,37 @@
 	return len(voters) > len(target) && !slices.ContainsFunc(target, func(name string) bool { return !node.isLive(name) })
 }
 
-// leaveIfRemoved forgets a replica that its group has let go: it hears of no
-// leader, and the confirmed leader's replica set lacks it.
+// leaveIfRemoved deletes a replica that was removed from its group: it hears of no leader, and
+// the leader, confirmed by a majority, does not count it among the members.
 func (node *Node) leaveIfRemoved(group uint32, status raft.Status, target []string) {
 	if status.Leader != "" || slices.Contains(target, node.Name()) {
 		return
 	}
 	for _, name := range target {
-		ctx, cancel := context.WithTimeout(node.context, callTimeout)
-		reply, err := node.caller.Call(ctx, node.addressOf(name), &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
-		cancel()
-		if err != nil || reply.Status == nil {
+		reported, found := node.leaderStatusAt(name, group)
+		if !found || slices.Contains(reported.Voters, node.Name()) || slices.Contains(reported.Learners, node.Name()) {
 			continue
 		}
-		for _, reported := range reply.Status.Groups {
-			if reported.Group == group && reported.Leading && !slices.Contains(reported.Voters, node.Name()) && !slices.Contains(reported.Learners, node.Name()) {
-				// It may have been taken in again meanwhile.
-				if now, _ := node.host.Status(group); now.Leader == "" && now.LastIndex == status.LastIndex && now.Term == status.Term {
-					log.WithFields(log.Fields{"node": node.Name(), "group": group}).Info("replica_left")
-					node.host.Remove(group)
-				}
-				return
-			}
+		// The group may have added this replica again since; then its log or term has moved.
+		if now, _ := node.host.Status(group); now.Leader == "" && now.LastIndex == status.LastIndex && now.Term == status.Term {
+			log.WithFields(log.Fields{"node": node.Name(), "group": group}).Info("deleting a replica that was removed from its group")
+			node.host.Remove(group)
 		}
+		return
+	}
+}
+
+// leaderStatusAt returns a store's status of a group, if that store leads it.
+func (node *Node) leaderStatusAt(store string, group uint32) (reported wire.GroupStatus, found bool) {
+	ctx, cancel := context.WithTimeout(node.context, callTimeout)
+	defer cancel()
+	reply, err := node.caller.Call(ctx, node.addressOf(store), &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+	if err != nil || reply.Status == nil {
+		return wire.GroupStatus{}, false
+	}
+	at := slices.IndexFunc(reply.Status.Groups, func(status wire.GroupStatus) bool { return status.Group == group && status.Leading })
+	if at < 0 {
+		return wire.GroupStatus{}, false
 	}
+	return reply.Status.Groups[at], true
 }
--- a/system/store/lagging_replicas.go
+++ b/system/store/lagging_replicas.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// laggingRepairInterval is how soon a replica is mended that is known to lack an archived range,
-// or may lack one, from when it is heard again.
+// laggingRepairInterval is how soon a replica is repaired that is known to lack an archived
+// range, or may lack one, once it is live again.
 const laggingRepairInterval = time.Second
 
 // replicaKey names one replica of a group.
@@ -20,11 +20,11 @@
 	node.laggingReplicas.Store(replicaKey{group, name}, true)
 }
 
-// laggingRepairer gives the task that mends the replicas that may lack archived ranges as
-// soon as they are heard again. A node that has come to lead a group does not know which
-// of its replicas do, so it looks at all of them once.
+// laggingRepairer returns the task that repairs the replicas which may lack archived ranges as
+// soon as they are live again. A node that has become a group's leader does not know which of
+// its replicas do, so it marks all of them once a term.
 func (node *Node) laggingRepairer() func() {
-	checkedTerm := map[uint32]uint64{} // the term in which the replicas of a group were noted
+	checkedTerm := map[uint32]uint64{} // by group, the term in which its replicas were marked
 	return func() {
 		for group, status := range node.host.Statuses() {
 			if !status.CommittedInTerm || checkedTerm[group] == status.Term {
@@ -45,7 +45,8 @@
 	}
 }
 
-// repairLagging tells whether nothing is left to do for a replica that may lack ranges.
+// repairLagging repairs a replica that may lack ranges, and reports whether nothing is left to
+// do for it. That is so too if the group is not led here any more, or not replicated there.
 func (node *Node) repairLagging(replica replicaKey) bool {
 	status := node.host.Statuses()[replica.group]
 	if !status.CommittedInTerm || !slices.Contains(status.Membership.Voters, replica.name) {
--- a/system/store/node_groups.go
+++ b/system/store/node_groups.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"slices"
 
 	"yardrock.example/system/feed"
@@ -13,13 +14,23 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// groupStateMachine puts a sessionlog.Machine under the host.
+// groupStateMachine makes a sessionlog.StateMachine the replica.StateMachine of one group: it
+// decodes commands and encodes snapshots. The host calls Apply, Restore and Snapshot from its
+// loop alone; View may be called from anywhere.
 type groupStateMachine struct {
 	*sessionlog.StateMachine
-	onApplied func(name string)
+	// onApplied is called with the session's name after each command.
+	onApplied func(sessionName string)
 }
 
-// Apply carries out a committed command.
+// applyResult is what Apply returns for a command: its outcome, and the view right after it.
+type applyResult struct {
+	outcome sessionlog.Outcome
+	view    *sessionlog.View
+}
+
+// Apply carries out a committed command and returns an applyResult. One that can't be decoded
+// is a bad command at every replica alike.
 func (machine *groupStateMachine) Apply(entry raft.Entry) any {
 	var command sessionlog.Command
 	if err := wire.Decode(schema.Command_TypeID, entry.Data, &command); err != nil {
@@ -30,13 +41,7 @@
 	return applyResult{outcome, machine.View()}
 }
 
-// applied is what a command answered, and the view right after it.
-type applyResult struct {
-	outcome sessionlog.Outcome
-	view    *sessionlog.View
-}
-
-// Snapshot gives the checkpoint of what the view holds now.
+// Snapshot returns a function that encodes the content as it is now, at any later time.
 func (machine *groupStateMachine) Snapshot() func() []byte {
 	view := machine.View()
 	return func() []byte {
@@ -45,21 +50,23 @@
 	}
 }
 
-// Restore takes a checkpoint.
+// Restore replaces the content by an encoded snapshot's.
 func (machine *groupStateMachine) Restore(data []byte) error {
 	var snapshot sessionlog.Snapshot
 	if err := wire.Decode(schema.LineImage_TypeID, data, &snapshot); err != nil {
-		return err
+		return fmt.Errorf("decode a group's snapshot: %w", err)
 	}
 	return machine.StateMachine.Restore(snapshot)
 }
 
+// newStateMachine makes the empty state machine of a group and remembers it.
 func (node *Node) newStateMachine(group uint32) replica.StateMachine {
 	machine := &groupStateMachine{StateMachine: sessionlog.NewStateMachine(), onApplied: node.wakeTailReaders}
 	node.stateMachines.Store(group, machine)
 	return machine
 }
 
+// stateMachine returns the state machine of a group, or nil if no replica of it was ever here.
 func (node *Node) stateMachine(group uint32) *groupStateMachine {
 	machine, found := node.stateMachines.Load(group)
 	if !found {
@@ -68,8 +75,8 @@
 	return machine.(*groupStateMachine)
 }
 
-// StateMachine gives the state machine of a group that has a replica here, for tests that
-// damage it; nil is none.
+// StateMachine returns the state machine of a group that has a replica here, or nil. It is for
+// measurements, and for tests that damage its content.
 //
 //	view := node.StateMachine(3).View()
 func (node *Node) StateMachine(group uint32) *sessionlog.StateMachine {
@@ -79,6 +86,8 @@
 	return nil
 }
 
+// bootstrapGroups creates the replicas that this node has among the fleet's founding stores.
+// The host ignores those that exist already.
 func (node *Node) bootstrapGroups(view *feed.View) {
 	founders := feed.PlacementCandidates(view.FoundingStores)
 	for group := uint32(0); len(founders) > 0 && group < view.Groups; group++ {
@@ -89,12 +98,14 @@
 	}
 }
 
+// propose commits one command to a group that is led here and returns its result.
 func (node *Node) propose(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	outcomes, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)})
+	results, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)})
 	if err != nil {
 		return applyResult{}, err
 	}
-	return outcomes[0].(applyResult), nil
+	// The host returns what groupStateMachine.Apply returned, one result for each command.
+	return results[0].(applyResult), nil
 }
--- a/system/store/quota.go
+++ b/system/store/quota.go
@@ -2,20 +2,22 @@
 
 import (
 	"context"
+	"time"
 
 	"github.com/apex/log"
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/conversation"
 	"yardrock.example/system/sessionlog"
-	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
-// quotaSettler gives the task that settles what fronts left behind: reservations of
-// turns that are closed, overdue, or never began. It looks only at those that were
-// out at the round before, so that what is under way is left alone. The leader of
-// the tally's group does this alone; its commands are fenced by its term.
+// settleInterval is how often reservations are looked at that fronts may have left behind.
+const settleInterval = 5 * time.Second
+
+// quotaSettler returns the task that settles reservations which fronts left behind: those of
+// turns that are closed, overdue, or never began. It takes those only that were outstanding in
+// the round before, so that it leaves alone what is in flight. The leader of the quota's group
+// does this; as it commits, the term is its fencing token.
 func (node *Node) quotaSettler() func() {
 	seenBefore := map[string]bool{}
 	return func() {
@@ -38,31 +40,31 @@
 	}
 }
 
-// settleReservation looks what became of a reservation's turn and books what it spoke. While
-// that cannot be told, the reservation goes on counting as spent.
+// settleReservation replaces a reservation by what its turn used, if that is final. Until then
+// the reservation counts as spent.
 func (node *Node) settleReservation(group uint32, quota string, reservation sessionlog.Reservation, clock int64) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	words, ended := node.wordsSpent(ctx, reservation, clock > reservation.ExpiresAt)
-	if !ended {
+	words, final := node.wordsSpent(ctx, reservation, clock > reservation.ExpiresAt)
+	if !final {
 		return
 	}
 	command := sessionlog.Command{Kind: sessionlog.Settle, Session: quota, Now: clock, Reservation: reservation.Name, Words: words}
-	if _, err := node.host.Propose(ctx, group, [][]byte{wire.MustEncode(schema.Command_TypeID, &command)}); err != nil {
-		return
+	if _, err := node.propose(ctx, group, command); err != nil {
+		return // the next round tries again
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "tally": quota, "reservation": reservation.Name, "words": words}).Info("reservation_settled")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "quota": quota, "reservation": reservation.Name, "words": words}).Info("reservation of a lost front settled")
 }
 
-// wordsSpent tells how many words a reservation's turn spoke, once nothing can be added
-// any more. A turn that did not begin within the reservation's life never will: its
-// front looks at the life before the first byte leaves. An open one is closed, which
-// fences whoever runs it.
-func (node *Node) wordsSpent(ctx context.Context, reservation sessionlog.Reservation, over bool) (uint64, bool) {
-	name, dispatch := reservation.Turn()
-	events, _, err := node.storeClient.ReadAll(ctx, name)
+// wordsSpent returns how many words a reservation's turn used, and whether that is final. A
+// turn that did not begin within the reservation's lifetime never will: its front checks the
+// lifetime before the first byte leaves. An open turn whose reservation has expired is closed,
+// which fences whoever still runs it, and the next round sees the result.
+func (node *Node) wordsSpent(ctx context.Context, reservation sessionlog.Reservation, expired bool) (words uint64, final bool) {
+	sessionName, dispatch := reservation.Turn()
+	events, _, err := node.storeClient.ReadAll(ctx, sessionName)
 	if apierror.Is(err, apierror.NotFound) {
-		return 0, over
+		return 0, expired
 	}
 	if err != nil {
 		return 0, false
@@ -74,9 +76,9 @@
 		}
 		turn, _ := view.Run(event.Seq)
 		switch {
-		case turn.Ended == nil && over:
+		case turn.Ended == nil && expired:
 			closing := sessionlog.CloseOverdue(event, sessionlog.OutcomeCut)
-			_, _ = node.storeClient.Command(ctx, name, closing) // the next round reads what came of it
+			_, _ = node.storeClient.Command(ctx, sessionName, closing) // the next round sees whether it took effect
 			return 0, false
 		case turn.Ended == nil:
 			return 0, false
@@ -85,5 +87,5 @@
 		}
 		return turn.WordCount(), true
 	}
-	return 0, over
+	return 0, expired
 }
--- a/system/store/reads.go
+++ b/system/store/reads.go
@@ -11,16 +11,16 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// handleRead serves a quorum read. With Wait, it holds the answer until there is
-// news or the catch-up time is over, and then confirms again.
+// maxReadEvents bounds the events of one read.
+const maxReadEvents = 4096
+
+// handleRead serves a linearizable read of a session's events after a cursor, or of a quota's
+// usage. It fails with NotFound if there is no such session, and with Gap rather than leave
+// out an event.
 func (node *Node) handleRead(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	read := query.Read
 	group := placement.GroupOf(read.Session, node.view.Load().Groups)
-	var woken chan struct{}
-	if read.Wait > 0 {
-		woken = node.tailWaiter(read.Session)
-	}
-	view, err := node.linearizableView(ctx, group)
+	view, err := node.viewForRead(ctx, group, read)
 	if err != nil {
 		return nil, err
 	}
@@ -29,34 +29,21 @@
 		return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Spent: usage.Spent, Reserved: usage.Reserved()}}, nil
 	}
 	session, found := view.Session(read.Session)
-	if read.Wait > 0 && found && session.Head <= read.After {
-		tick := time.NewTimer(min(read.Wait, CatchUpInterval))
-		defer tick.Stop()
-		select {
-		case <-woken:
-		case <-tick.C:
-			node.wakeTailReaders(read.Session)
-		case <-ctx.Done():
-		case <-node.context.Done():
-		}
-		if view, err = node.linearizableView(ctx, group); err != nil {
-			return nil, err
-		}
-		session, found = view.Session(read.Session)
-	}
 	if !found {
-		return nil, apierror.New(apierror.NotFound, "no line is named "+read.Session, "check the name; a line is forgotten when its keeping time is over")
+		return nil, apierror.New(apierror.NotFound, "no session is named "+read.Session, "check the name; a session is removed when its retention is over")
 	}
 	events, err := node.readEvents(ctx, group, session, read.After, read.Limit)
-	if err == nil {
-		err = node.expandPrefixes(ctx, group, view, events)
-	}
 	if err != nil {
 		return nil, err
 	}
+	if err := node.expandPrefixes(ctx, group, view, events); err != nil {
+		return nil, err
+	}
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Session: *session, Events: events, Clock: node.clock(group)}}, nil
 }
 
+// linearizableView returns a view of a group that has all commands which were acknowledged
+// before the call (Raft's read index).
 func (node *Node) linearizableView(ctx context.Context, group uint32) (*sessionlog.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -66,8 +53,9 @@
 	return node.stateMachine(group).View(), nil
 }
 
-// readEvents joins hot events with cold ones, asks peers for cold events that are
-// missing here, and refuses a range that still has a gap.
+// readEvents returns the events of a session after a sequence number, at most limit of them,
+// from the archive and from memory. Events may still refer to shared prefixes. A range with a
+// gap fails.
 func (node *Node) readEvents(ctx context.Context, group uint32, session *sessionlog.Session, after, limit uint64) ([]sessionlog.Event, error) {
 	if limit == 0 || limit > maxReadEvents {
 		limit = maxReadEvents
@@ -78,37 +66,50 @@
 	through := min(session.Head, after+limit)
 	events := []sessionlog.Event{}
 	if after < session.ArchivedSeq {
-		last := min(session.ArchivedSeq, through)
-		found, err := node.archiveStore.Read(session.Name, after, last)
-		if err != nil {
+		var err error
+		if events, err = node.readArchive(ctx, group, session.Name, after, min(session.ArchivedSeq, through)); err != nil {
 			return nil, err
 		}
-		if uint64(len(found)) != last-after {
-			found = node.archivedFromPeers(ctx, group, session.Name, after, last, found)
-		}
-		events = found
 	}
 	for _, event := range session.Unarchived {
 		if event.Seq > after && event.Seq <= through {
 			events = append(events, event)
 		}
 	}
+	if !isComplete(events, after, through) {
+		return nil, gapError(session.Name)
+	}
+	return events, nil
+}
+
+// isComplete tells whether events are all those after a sequence number and through another,
+// in order.
+func isComplete(events []sessionlog.Event, after, through uint64) bool {
 	for position, event := range events {
 		if event.Seq != after+uint64(position)+1 {
-			return nil, gapError(session.Name)
+			return false
 		}
 	}
-	if uint64(len(events)) != through-after {
-		return nil, gapError(session.Name)
-	}
-	return events, nil
+	return uint64(len(events)) == through-after
+}
+
+func gapError(sessionName string) error {
+	return apierror.NewRetryable(apierror.Gap, "a part of "+sessionName+" cannot be read now", "ask again; the store nodes repair their archives from each other", time.Second)
 }
 
-func gapError(name string) error {
-	return apierror.NewRetryable(apierror.Gap, "a part of "+name+" cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
+// readArchive reads a range of archived events here, and what is missing here from peers. The
+// result is in order and may have gaps.
+func (node *Node) readArchive(ctx context.Context, group uint32, sessionName string, after, through uint64) ([]sessionlog.Event, error) {
+	events, err := node.archiveStore.Read(sessionName, after, through)
+	if err != nil || uint64(len(events)) == through-after {
+		return events, err
+	}
+	return node.completeFromPeers(ctx, group, sessionName, after, through, events), nil
 }
 
-func (node *Node) archivedFromPeers(ctx context.Context, group uint32, name string, after, through uint64, found []sessionlog.Event) []sessionlog.Event {
+// completeFromPeers adds to a range what peers have of it in their archives, as far as it can
+// be reached.
+func (node *Node) completeFromPeers(ctx context.Context, group uint32, sessionName string, after, through uint64, found []sessionlog.Event) []sessionlog.Event {
 	bySeq := map[uint64]sessionlog.Event{}
 	for _, event := range found {
 		bySeq[event.Seq] = event
@@ -117,13 +118,7 @@
 		if peer == node.Name() || uint64(len(bySeq)) == through-after {
 			continue
 		}
-		callContext, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_getCold, ReadArchive: &wire.ReadArchiveQuery{Session: name, After: after, Through: through}})
-		cancel()
-		if err != nil || reply.Read == nil {
-			continue
-		}
-		for _, event := range reply.Read.Events {
+		for _, event := range node.archivedAt(ctx, peer, sessionName, after, through) {
 			bySeq[event.Seq] = event
 		}
 	}
@@ -135,3 +130,14 @@
 	}
 	return events
 }
+
+// archivedAt returns what a peer's archive has of a range; nothing if the peer does not answer.
+func (node *Node) archivedAt(ctx context.Context, peer, sessionName string, after, through uint64) []sessionlog.Event {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	reply, err := node.callPeer(ctx, peer, &wire.Query{Which: schema.Query_Which_getCold, ReadArchive: &wire.ReadArchiveQuery{Session: sessionName, After: after, Through: through}})
+	if err != nil || reply.Read == nil {
+		return nil
+	}
+	return reply.Read.Events
+}
--- a/system/store/requests.go
+++ b/system/store/requests.go
@@ -9,34 +9,37 @@
 	"yardrock.example/system/wire/schema"
 )
 
+// handlers has the method that answers each kind of query.
 var handlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
 	schema.Query_Which_status:    (*Node).handleStatus,
 	schema.Query_Which_agreement: (*Node).handleRaft,
 	schema.Query_Which_command:   (*Node).handleCommand,
 	schema.Query_Which_read:      (*Node).handleRead,
-	schema.Query_Which_hold:      (*Node).handleHold,
-	schema.Query_Which_newest:    (*Node).handleNewest,
-	schema.Query_Which_putCold:   (*Node).handlePutArchived,
-	schema.Query_Which_getCold:   (*Node).handleGetArchived,
+	schema.Query_Which_hold:      (*Node).handleReplicateView,
+	schema.Query_Which_newest:    (*Node).handleNewestView,
+	schema.Query_Which_putCold:   (*Node).handlePutArchive,
+	schema.Query_Which_getCold:   (*Node).handleReadArchive,
 	schema.Query_Which_digests:   (*Node).handleDigests,
-	schema.Query_Which_find:      (*Node).handleFind,
+	schema.Query_Which_find:      (*Node).handleFindTurn,
 	schema.Query_Which_opening:   (*Node).handleSharedPrefix,
 }
 
-// Answer answers one query of another process.
+// Handle answers one query of another process; failures are typed replies. It rejects a query
+// of another fleet, but for the two by which processes find out who is who, and one that is
+// meant for another process which had this address before.
 //
-//	reply := node.Answer(ctx, query)
-func (node *Node) Answer(ctx context.Context, query *wire.Query) *wire.Reply {
+//	reply := node.Handle(ctx, query)
+func (node *Node) Handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	handle, known := handlers[query.Which]
 	if !known {
 		return wire.ErrorReply(apierror.New(apierror.Invalid, "a store node does not answer this query", "ask a control node"))
 	}
-	exempt := query.Which == schema.Query_Which_newest || query.Which == schema.Query_Which_status
-	if fleet := node.view.Load().BoundFleet(); !exempt && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
+	anyFleet := query.Which == schema.Query_Which_newest || query.Which == schema.Query_Which_status
+	if fleet := node.view.Load().BoundFleet(); !anyFleet && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
 		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
 	}
-	if refusal := query.MisdirectedReply(node.Name()); refusal != nil {
-		return refusal
+	if rejection := query.MisdirectedReply(node.Name()); rejection != nil {
+		return rejection
 	}
 	reply, err := handle(node, ctx, query)
 	if err != nil {
@@ -45,6 +48,7 @@
 	return reply
 }
 
+// handleRaft hands a batch of Raft messages to the replicas; their replies go the same way.
 func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
 	return &wire.Reply{}, nil
--- a/system/store/shared_prefix.go
+++ b/system/store/shared_prefix.go
@@ -12,9 +12,9 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// usePrefix lets the beginning of a program's first turn refer to an opening that the group
-// holds, if its scope shares any, and notices new ones. Only leaders' commands last, so
-// the group's term is the fence.
+// usePrefix makes the first turn of a program refer to a shared prefix of the group, if its
+// scope shares any, and detects new prefixes. What a deposed leader decides here is never
+// committed, so the term is the fencing token.
 func (node *Node) usePrefix(group uint32, command *sessionlog.Command) {
 	machine := node.stateMachine(group)
 	if command.Kind != sessionlog.BeginTurn || command.Scope == "" || command.Follows != "" || !command.KeepData || machine == nil {
@@ -26,13 +26,14 @@
 		node.tasks.Go(func() { node.proposePrefix(group, scope, input[:candidate.Length], candidate.Sessions) })
 	}
 	if !found {
-		command.Scope = ""
+		command.Scope = "" // nobody needs it in the log
 		return
 	}
 	command.Kind, command.Prefix, command.Data = sessionlog.BeginTurnWithPrefix, prefix.Name, input[prefix.Size:]
 }
 
-// proposePrefix lets the group hold an opening, and refers the lines to it that it was noticed in.
+// proposePrefix has the group store a prefix, and the sessions refer to it in which it was
+// detected. Should it fail, the prefix will be detected again.
 func (node *Node) proposePrefix(group uint32, scope string, data []byte, sessions []string) {
 	command := sessionlog.Command{Kind: sessionlog.SharePrefix, Now: node.clock(group), Scope: scope, Data: data}
 	for _, name := range sessions {
@@ -40,29 +41,30 @@
 	}
 	result, err := node.propose(node.context, group, command)
 	if err != nil || result.outcome.Status != sessionlog.Done {
-		return // it will be noticed again
+		return
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "scope": scope, "opening": sessionlog.SharedPrefixName(scope, data), "bytes": len(data), "lines": len(sessions)}).Info("opening_merged")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "scope": scope, "prefix": sessionlog.SharedPrefixName(scope, data), "bytes": len(data), "sessions": len(sessions)}).Info("storing a prefix once that sessions share")
 }
 
-// fullData gives all of an event's data as of a view. A damaged opening is mended first; if
-// it can't be, nothing shorter is given.
+// fullData returns an event's data, with the shared prefix to which it refers, as of a view. A
+// corrupt prefix is repaired first; if it can't be, the call fails with Gap. Of no event there
+// is no data.
 func (node *Node) fullData(ctx context.Context, group uint32, view *sessionlog.View, event *sessionlog.Event) ([]byte, error) {
 	if event == nil {
 		return nil, nil
 	}
-	if data, sound := view.FullData(event); sound {
+	if data, intact := view.FullData(event); intact {
 		return data, nil
 	}
 	if repaired, err := node.repairPrefix(ctx, group, view, event.Prefix); err == nil {
-		if data, sound := repaired.FullData(event); sound {
+		if data, intact := repaired.FullData(event); intact {
 			return data, nil
 		}
 	}
-	return nil, apierror.NewRetryable(apierror.Gap, "the opening "+event.Prefix+" that a turn refers to cannot be read now", "ask again; the store nodes mend their copies from each other", time.Second)
+	return nil, apierror.NewRetryable(apierror.Gap, "the shared prefix "+event.Prefix+" that a turn refers to cannot be read now", "ask again; the store nodes repair their copies from each other", time.Second)
 }
 
-// expandPrefixes fills in the data of events that refer to openings.
+// expandPrefixes replaces references to shared prefixes in events by the data.
 func (node *Node) expandPrefixes(ctx context.Context, group uint32, view *sessionlog.View, events []sessionlog.Event) error {
 	for position := range events {
 		if events[position].Prefix == "" {
@@ -77,34 +79,43 @@
 	return nil
 }
 
-// repairPrefix asks peers for an opening and gives it to the group anew; its name tells
-// whether a copy is sound.
+// repairPrefix gets a corrupt prefix from a peer and commits it anew, which repairs the copy of
+// every replica. It returns the view after that.
 func (node *Node) repairPrefix(ctx context.Context, group uint32, view *sessionlog.View, name string) (*sessionlog.View, error) {
-	damaged, found := view.SharedPrefix(name)
+	corrupt, found := view.SharedPrefix(name)
 	if !found {
-		return nil, apierror.New(apierror.Gap, "no opening "+name+" is held", "ask again")
+		return nil, apierror.New(apierror.Gap, "the group has no shared prefix "+name, "ask again")
 	}
 	for _, peer := range node.host.Statuses()[group].Membership.Voters {
 		if peer == node.Name() {
 			continue
 		}
-		callContext, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := node.caller.Call(callContext, node.addressOf(peer), &wire.Query{Fleet: node.view.Load().BoundFleet(), Which: schema.Query_Which_opening, SharedPrefix: &wire.SharedPrefixQuery{Group: group, Name: name}})
-		cancel()
-		if err != nil || reply.SharedPrefix == nil || sessionlog.SharedPrefixName(damaged.Scope, reply.SharedPrefix.Data) != name {
+		data, intact := node.prefixAt(ctx, peer, group, name, corrupt.Scope)
+		if !intact {
 			continue
 		}
-		result, err := node.propose(ctx, group, sessionlog.Command{Kind: sessionlog.SharePrefix, Now: node.clock(group), Scope: damaged.Scope, Data: reply.SharedPrefix.Data})
+		result, err := node.propose(ctx, group, sessionlog.Command{Kind: sessionlog.SharePrefix, Now: node.clock(group), Scope: corrupt.Scope, Data: data})
 		if err != nil {
 			return nil, err
 		}
-		log.WithFields(log.Fields{"node": node.Name(), "group": group, "opening": name, "peer": peer}).Info("opening_mended")
+		log.WithFields(log.Fields{"node": node.Name(), "group": group, "prefix": name, "peer": peer}).Info("shared prefix repaired")
 		return result.view, nil
 	}
-	return nil, apierror.New(apierror.Gap, "no peer has a sound copy of "+name, "ask again")
+	return nil, apierror.New(apierror.Gap, "no peer has an intact copy of the shared prefix "+name, "ask again")
+}
+
+// prefixAt returns a peer's copy of a shared prefix, if it is what the name says.
+func (node *Node) prefixAt(ctx context.Context, peer string, group uint32, name, scope string) (data []byte, intact bool) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	reply, err := node.callPeer(ctx, peer, &wire.Query{Which: schema.Query_Which_opening, SharedPrefix: &wire.SharedPrefixQuery{Group: group, Name: name}})
+	if err != nil || reply.SharedPrefix == nil || sessionlog.SharedPrefixName(scope, reply.SharedPrefix.Data) != name {
+		return nil, false
+	}
+	return reply.SharedPrefix.Data, true
 }
 
-// handleSharedPrefix gives this replica's own copy.
+// handleSharedPrefix answers with this replica's own copy of a shared prefix.
 func (node *Node) handleSharedPrefix(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	machine := node.stateMachine(query.SharedPrefix.Group)
 	if machine == nil {
@@ -112,7 +123,7 @@
 	}
 	prefix, found := machine.View().SharedPrefix(query.SharedPrefix.Name)
 	if !found || prefix.Corrupt {
-		return nil, apierror.New(apierror.NotFound, "no sound copy of this opening is here", "ask another store")
+		return nil, apierror.New(apierror.NotFound, "no intact copy of this shared prefix is here", "ask another store")
 	}
 	return &wire.Reply{Which: schema.Reply_Which_opening, SharedPrefix: &sessionlog.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
 }
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -10,28 +10,26 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// confirmTimeout is how long a leader may take to hear from a majority when it is asked
-// what it leads.
+// confirmTimeout is how long a leader may take to hear from a majority when it is asked what
+// it leads.
 const confirmTimeout = 500 * time.Millisecond
 
-// handleStatus tells what this node is and which groups it has replicas of. It says that
-// it leads a group only after a majority has confirmed that since the question came: by
-// this word stores are switched off, and replicas forgotten.
+// handleStatus tells who this node is and which groups it has replicas of. It says that it
+// leads a group only after a majority has confirmed that since the query came: on this word
+// stores are switched off, and replicas deleted.
 func (node *Node) handleStatus(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	view := node.view.Load()
 	statuses := node.host.Statuses()
-	groups := make([]wire.GroupStatus, len(statuses))
+	groups := make([]wire.GroupStatus, 0, len(statuses))
 	var confirming sync.WaitGroup
-	position := 0
 	for number, status := range statuses {
-		reported := &groups[position]
-		position++
-		*reported = wire.GroupStatus{Group: number, Voters: status.Membership.Voters, Learners: status.Membership.Learners}
+		groups = append(groups, wire.GroupStatus{Group: number, Voters: status.Membership.Voters, Learners: status.Membership.Learners})
 		if !status.CommittedInTerm {
 			continue
 		}
+		reported := &groups[len(groups)-1]
 		confirming.Go(func() {
 			*reported = node.confirmedStatus(ctx, *reported)
 			if reported.Leading && query.Status != nil && query.Status.SharedPrefixes {
@@ -46,8 +44,8 @@
 	}}, nil
 }
 
-// confirmedStatus adds to what is told of a group whether it is led here, by the word of a
-// majority, and with which replicas, if none is about to change.
+// confirmedStatus adds to a group's status whether it is led here, as a majority confirms, and
+// its members. A leader whose membership is about to change does not count as leading.
 func (node *Node) confirmedStatus(ctx context.Context, reported wire.GroupStatus) wire.GroupStatus {
 	if err := node.host.Read(ctx, reported.Group); err != nil {
 		return reported
@@ -58,6 +56,7 @@
 	return reported
 }
 
+// prefixStatuses describes the shared prefixes of a group, without their content.
 func (node *Node) prefixStatuses(group uint32) []wire.SharedPrefixStatus {
 	statuses := []wire.SharedPrefixStatus{}
 	for prefix := range node.stateMachine(group).View().SharedPrefixes() {
--- a/system/store/tail.go
+++ b/system/store/tail.go
@@ -1,20 +1,62 @@
 package store
 
-// wakeTailReaders is the cursor update: it lets the tail readers of a line look again.
-func (node *Node) wakeTailReaders(name string) {
+import (
+	"context"
+	"time"
+
+	"yardrock.example/system/sessionlog"
+	"yardrock.example/system/wire"
+)
+
+// catchUpInterval is how long a tail reader waits at most before it reads again, so that one
+// which missed an event because the leader changed still gets it soon.
+const catchUpInterval = 5 * time.Second
+
+// viewForRead returns a view of a group for a read. With Wait it returns once the session has
+// an event after the cursor, the time is over or the reader has gone.
+func (node *Node) viewForRead(ctx context.Context, group uint32, read *wire.ReadQuery) (*sessionlog.View, error) {
+	if read.Wait <= 0 {
+		return node.linearizableView(ctx, group)
+	}
+	// The waiter comes before the view: an event that is applied between the two wakes it.
+	woken := node.tailWaiter(read.Session)
+	view, err := node.linearizableView(ctx, group)
+	if err != nil {
+		return nil, err
+	}
+	session, found := view.Session(read.Session)
+	if !found || session.Head > read.After {
+		return view, nil
+	}
+	timer := time.NewTimer(min(read.Wait, catchUpInterval))
+	defer timer.Stop()
+	select {
+	case <-woken:
+	case <-timer.C:
+		node.wakeTailReaders(read.Session)
+	case <-ctx.Done():
+	case <-node.context.Done():
+	}
+	return node.linearizableView(ctx, group)
+}
+
+// wakeTailReaders lets the tail readers of a session read again (the cursor update of the
+// Starcite paper).
+func (node *Node) wakeTailReaders(sessionName string) {
 	node.tailMutex.Lock()
-	if waiting, found := node.tailWaiters[name]; found {
-		close(waiting)
-		delete(node.tailWaiters, name)
+	defer node.tailMutex.Unlock()
+	if waiter, found := node.tailWaiters[sessionName]; found {
+		close(waiter)
+		delete(node.tailWaiters, sessionName)
 	}
-	node.tailMutex.Unlock()
 }
 
-func (node *Node) tailWaiter(name string) chan struct{} {
+// tailWaiter returns a channel that is closed when a command of a session is applied here.
+func (node *Node) tailWaiter(sessionName string) chan struct{} {
 	node.tailMutex.Lock()
 	defer node.tailMutex.Unlock()
-	if _, found := node.tailWaiters[name]; !found {
-		node.tailWaiters[name] = make(chan struct{})
+	if _, found := node.tailWaiters[sessionName]; !found {
+		node.tailWaiters[sessionName] = make(chan struct{})
 	}
-	return node.tailWaiters[name]
+	return node.tailWaiters[sessionName]
 }
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"time"
 
@@ -11,30 +12,22 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// history joins the bytes of the turns that a turn follows, oldest first: each turn's
-// input, then its output. It is whole or not at all.
+// history joins the bytes of the turns that a turn follows, oldest first: each turn's input,
+// then its output. It is complete or fails.
 func (node *Node) history(ctx context.Context, group uint32, view *sessionlog.View, sessionName, name string) ([]byte, error) {
 	turn, found := view.Turn(sessionName, name)
 	if !found || turn.Follows == nil {
 		return nil, nil
 	}
-	parts, err := node.turnData(ctx, group, view, turn.Follows.Chain())
+	data, err := node.turnData(ctx, group, view, turn.Follows.Chain())
 	if err != nil {
 		return nil, err
 	}
-	size := 0
-	for _, piece := range parts {
-		size += len(piece)
-	}
-	joined := make([]byte, 0, size)
-	for _, piece := range parts {
-		joined = append(joined, piece...)
-	}
-	return joined, nil
+	return slices.Concat(data...), nil
 }
 
-// pieces gives the bytes of a chain's events, two for each turn; the second of an
-// adopted turn is empty.
+// turnData returns the bytes of a chain's events, two for each turn: its input and its output.
+// An adopted turn has both in the first, and the second is empty.
 func (node *Node) turnData(ctx context.Context, group uint32, view *sessionlog.View, chain []*sessionlog.Turn) ([][]byte, error) {
 	session, found := view.Session(chain[0].Session)
 	if !found {
@@ -42,11 +35,11 @@
 	}
 	seqs := make([]uint64, 0, 2*len(chain))
 	for _, turn := range chain {
-		ended := turn.EndSeq
-		if ended == turn.Seq {
-			ended = 0
+		endSeq := turn.EndSeq
+		if endSeq == turn.Seq {
+			endSeq = 0 // an adopted turn
 		}
-		seqs = append(seqs, turn.Seq, ended)
+		seqs = append(seqs, turn.Seq, endSeq)
 	}
 	archived, err := node.archivedEvents(ctx, group, session, seqs)
 	if err != nil {
@@ -68,8 +61,8 @@
 	return data, nil
 }
 
-// archivedEvents reads those of a line's events that are archived, without a gap, as they are
-// kept.
+// archivedEvents reads those of a session's events that are archived, as they are stored. It
+// reads the range from the first to the last of them, without a gap.
 func (node *Node) archivedEvents(ctx context.Context, group uint32, session *sessionlog.Session, seqs []uint64) (map[uint64]*sessionlog.Event, error) {
 	wanted := map[uint64]*sessionlog.Event{}
 	first, last := uint64(0), uint64(0)
@@ -97,28 +90,29 @@
 	return wanted, nil
 }
 
-// findTimeout is how long a quorum may take to confirm a group; others are not held up
-// by one that has none.
+// findTimeout is how long a quorum may take to confirm a group, so that one without a quorum
+// does not hold up the search in the others.
 const findTimeout = 300 * time.Millisecond
 
-// handleFind looks for a turn in every group that a quorum confirms to be led here.
-func (node *Node) handleFind(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
+// handleFindTurn looks for a turn in every group that is led here, as a quorum confirms, and
+// tells which groups it has searched.
+func (node *Node) handleFindTurn(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	var mutex sync.Mutex
+	var mutex sync.Mutex // guards reply and failed
 	var searching sync.WaitGroup
-	answer := &wire.FindTurnReply{}
+	reply := &wire.FindTurnReply{}
 	var failed error
 	for group, status := range node.host.Statuses() {
 		if !status.Leading {
 			continue
 		}
 		searching.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, findTimeout)
-			view, err := node.linearizableView(limited, group)
+			confirming, cancel := context.WithTimeout(ctx, findTimeout)
+			view, err := node.linearizableView(confirming, group)
 			cancel()
 			if err != nil {
-				return
+				return // the group does not count as searched
 			}
 			chain, open, err := node.findTurn(ctx, group, view, query.FindTurn.Name)
 			mutex.Lock()
@@ -127,35 +121,35 @@
 				failed = err
 				return
 			}
-			answer.SearchedGroups = append(answer.SearchedGroups, group)
-			answer.Open = answer.Open || open
+			reply.SearchedGroups = append(reply.SearchedGroups, group)
+			reply.Open = reply.Open || open
 			if len(chain) > 0 {
-				answer.Found, answer.Chain = true, chain
+				reply.Found, reply.Chain = true, chain
 			}
 		})
 	}
 	searching.Wait()
-	if failed != nil && !answer.Found {
+	if failed != nil && !reply.Found {
 		return nil, apierror.Of(failed)
 	}
-	return &wire.Reply{Which: schema.Reply_Which_found, FoundTurn: answer}, nil
+	return &wire.Reply{Which: schema.Reply_Which_found, FoundTurn: reply}, nil
 }
 
-// findTurn looks for a turn in one group, and gives it with all that it follows, or tells
-// that it is still open.
+// findTurn looks for a turn in one group. It returns a complete one with all turns that it
+// follows, oldest first, or tells that the turn is still open.
 func (node *Node) findTurn(ctx context.Context, group uint32, view *sessionlog.View, name string) (chain []sessionlog.AdoptedTurn, open bool, err error) {
-	turn, found := view.TurnInAnySession(name)
-	if !found || !turn.Complete() {
-		return nil, found && turn.Open(view.Clock()), nil
+	found, known := view.TurnInAnySession(name)
+	if !known || !found.Complete() {
+		return nil, known && found.Open(view.Clock()), nil
 	}
-	turns := turn.Chain()
-	parts, err := node.turnData(ctx, group, view, turns)
+	turns := found.Chain()
+	data, err := node.turnData(ctx, group, view, turns)
 	if err != nil {
 		return nil, false, err
 	}
-	for position, one := range turns {
-		data := append(append([]byte{}, parts[2*position]...), parts[2*position+1]...)
-		chain = append(chain, sessionlog.AdoptedTurn{Name: one.Name, Data: data})
+	for position, turn := range turns {
+		joined := append(append([]byte{}, data[2*position]...), data[2*position+1]...)
+		chain = append(chain, sessionlog.AdoptedTurn{Name: turn.Name, Data: joined})
 	}
 	return chain, false, nil
 }
