--- a/system/apierror/apierror.go
+++ b/system/apierror/apierror.go
@@ -1,5 +1,9 @@
-// Package apierror holds the typed failures that yardrock tells: each has a kind
-// that programs can switch on and a message that names the remedy.
+// Package apierror has the typed errors of yardrock. Each has a kind, which programs can act on,
+// a message that says what went wrong, and a remedy that says what to do. Kind, message, remedy,
+// leader and retry time travel between processes (package wire) and to callers; the other fields
+// are what the process that made the error knows of its own connection.
+//
+// The texts of kinds are part of the interfaces, and never change.
 package apierror
 
 import (
@@ -9,89 +13,110 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Kind names what sort of failure happened.
+// Kind is what sort of error it is.
 type Kind string
 
-// The kinds that cross process borders.
+// The kinds of error.
 const (
-	NotRun          Kind = "not_run"
-	Unknown         Kind = "unknown"
-	Invalid         Kind = "invalid"
-	Unauthorized    Kind = "unauthorized"
-	Forbidden       Kind = "forbidden"
-	NotFound        Kind = "not_found"
-	Conflict        Kind = "conflict"
-	TooLarge        Kind = "too_large"
-	QuotaExhausted  Kind = "allowance_exhausted"
-	NotLeader       Kind = "not_leader"
-	NoQuorum        Kind = "no_quorum"
-	OutcomeUnknown  Kind = "unclear"
-	Gap             Kind = "gap"
-	Damaged         Kind = "damaged"
-	FormatTooNew    Kind = "format_too_new"
-	BadSettings     Kind = "bad_settings"
-	Unavailable     Kind = "unavailable"
-	RunnerFailure   Kind = "runner_mishap"
+	// NotRun: it is proven that the request was not executed, and will not be.
+	NotRun Kind = "not_run"
+	// Unknown: whether the request was executed, or how it ended, is not known.
+	Unknown Kind = "unknown"
+	// Invalid: the request, config or data is wrong in itself.
+	Invalid Kind = "invalid"
+	// Unauthorized: there is no valid token.
+	Unauthorized Kind = "unauthorized"
+	// Forbidden: the token does not allow this.
+	Forbidden Kind = "forbidden"
+	NotFound  Kind = "not_found"
+	// Conflict: the state is not the one that the request expects.
+	Conflict Kind = "conflict"
+	TooLarge Kind = "too_large"
+	// QuotaExhausted: the program's quota does not allow another turn.
+	QuotaExhausted Kind = "allowance_exhausted"
+	// NotLeader: another replica leads the group; Error.Leader names it if it is known.
+	NotLeader Kind = "not_leader"
+	// NoQuorum: too few replicas answered in time.
+	NoQuorum Kind = "no_quorum"
+	// OutcomeUnknown: a change may or may not have been committed. It may be sent again, as
+	// repeats are recognized.
+	OutcomeUnknown Kind = "unclear"
+	// Gap: a part of the data cannot be read from any replica that answered.
+	Gap Kind = "gap"
+	// Damaged: stored or received data is incomplete, or cannot be read.
+	Damaged Kind = "damaged"
+	// FormatTooNew: data or a query is of a later version than this process understands.
+	FormatTooNew Kind = "format_too_new"
+	BadSettings  Kind = "bad_settings"
+	// Unavailable: the other process did not answer; also what an untyped error becomes.
+	Unavailable Kind = "unavailable"
+	// RunnerFailure: the runner answered wrongly, or broke off.
+	RunnerFailure Kind = "runner_mishap"
+	// ForeignFleet: the other process belongs to another fleet.
 	ForeignFleet    Kind = "foreign_fleet"
 	DiskUnavailable Kind = "disk_unavailable"
-	Cancelled       Kind = "cancelled"
+	// Cancelled: the caller cancelled the request, or left.
+	Cancelled Kind = "cancelled"
 )
 
-// Error is one typed failure.
+// Error is one typed error.
 type Error struct {
-	Kind       Kind
-	Message    string
-	Remedy     string
+	Kind    Kind
+	Message string
+	// Remedy is what the reader of the message can do.
+	Remedy string
+	// RetryAfter is how long to wait before the request is sent again; 0: nothing is said.
 	RetryAfter time.Duration
-	// Leader is where a not_leader reply points, if it knows.
+	// Leader is the name of the leader that a NotLeader error points to; "" if not known.
 	Leader string
-	// NeverSent tells that the query provably did not reach the other side.
+	// NeverSent is set if it is proven that nothing of the request reached the other side.
 	NeverSent bool
-	// ConnectionRefused tells that the other machine said that no process listens there.
+	// ConnectionRefused is set if the other machine answered that no process listens there.
 	ConnectionRefused bool
-	// Lost tells that the other side refused for want of room, was not there, or went
-	// away: it may have just started anew.
+	// Lost is set if a runner was not there, broke the connection off, or rejected the request
+	// for lack of room: it may have just restarted.
 	Lost bool
-	// Misdirected tells that another process has the address now than the one meant.
+	// Misdirected is set if another process has the address now than the one meant.
 	Misdirected bool
 }
 
-// Error gives the message with its remedy.
+// Error gives the message with its kind and remedy.
 //
 //	fmt.Println(apierror.New(apierror.Invalid, "follows is negative", "name an earlier turn").Error())
 func (err *Error) Error() string {
 	return err.Message + " [" + string(err.Kind) + "; remedy: " + err.Remedy + "]"
 }
 
-// New makes a typed failure, with the place where it arose.
+// New makes a typed error, wrapped with the stack of its caller, which %+v formats.
 //
 //	return apierror.New(apierror.Conflict, "turn 7 was already followed", "read the history and follow its last turn")
 func New(kind Kind, message, remedy string) error {
 	return merry.WrapSkipping(&Error{Kind: kind, Message: message, Remedy: remedy}, 1)
 }
 
-// NewRetryable makes a typed failure that tells when to come back.
+// NewRetryable is New for an error after which the request may be sent again, after a time.
 //
 //	return apierror.NewRetryable(apierror.NotRun, "the queue is full", "ask again later", 2*time.Second)
 func NewRetryable(kind Kind, message, remedy string, retryAfter time.Duration) error {
 	return merry.WrapSkipping(&Error{Kind: kind, Message: message, Remedy: remedy, RetryAfter: retryAfter}, 1)
 }
 
-// Of finds the typed failure in an error; an untyped one becomes Unavailable.
+// Of gives the typed error that an error is or wraps; an untyped one becomes Unavailable. The
+// error must not be nil.
 //
 //	if apierror.Of(err).Kind == apierror.NotLeader { ... }
 func Of(err error) *Error {
-	var found *Error
-	if errors.As(err, &found) {
-		return found
+	var typed *Error
+	if errors.As(err, &typed) {
+		return typed
 	}
 	return &Error{Kind: Unavailable, Message: err.Error(), Remedy: "ask again; if it stays, read the log of the node that answered"}
 }
 
-// Is tells whether an error is of the kind.
+// Is tells whether an error is, or wraps, a typed error of the kind; nil is none.
 //
 //	if apierror.Is(err, apierror.NoQuorum) { ... }
 func Is(err error, kind Kind) bool {
-	var found *Error
-	return errors.As(err, &found) && found.Kind == kind
+	var typed *Error
+	return errors.As(err, &typed) && typed.Kind == kind
 }
--- a/system/delta/delta.go
+++ b/system/delta/delta.go
@@ -1,7 +1,17 @@
-// Package delta makes and applies the difference between two versions of some bytes: a
-// list of copies from the base and of inserted bytes. Applying a difference to the base
-// that it was made on gives the other version byte for byte; on another base the result
-// is arbitrary, so callers check a digest of it.
+// Package delta makes and applies deltas between two versions of some bytes (delta encoding): a
+// delta is a list of ranges to copy from the base and of bytes to insert. It has no state.
+//
+// Guarantees:
+//   - A delta applied to the base that it was made on gives the other version byte for byte. On
+//     another base the result may be any bytes, so callers compare a digest.
+//   - Apply ends, without a panic and within maxResultSize, whatever the delta's bytes are.
+//
+// Format: the length of the result, then operations, all numbers as unsigned varints. An
+// operation begins with its length shifted left by one, with copyFlag in the lowest bit. A copy
+// has the offset in the base next, an insertion its bytes.
+//
+// Equal parts are found with an index of the base's blocks by hash, and extended in both
+// directions.
 package delta
 
 import (
@@ -12,67 +22,68 @@
 )
 
 const (
-	// blockSize is the length of the blocks by which equal parts are found; shorter parts
-	// are inserted again.
+	// blockSize is the length in bytes of the blocks by which equal parts are found; shorter
+	// equal parts may be inserted anew.
 	blockSize = 32
-	// maxResultSize bounds what a damaged difference can ask for.
+	// maxResultSize bounds, in bytes, the result that a damaged delta may state.
 	maxResultSize = 256 << 20
-	// copyFlag marks a copy in an operation's first number; the rest of it is a length.
+	// copyFlag marks a copy in the first number of an operation.
 	copyFlag = 1
-	// After missesPerStep places without a match the search takes larger steps, so that
-	// unrelated content costs little. The largest step is odd: then any long equal part is
-	// met at the start of a block sooner or later.
+	// After each missesPerStep positions in a row without a match the search takes larger
+	// steps, up to maxStep, so that unrelated content costs little. maxStep is odd, so that the
+	// search meets the start of a block in every long enough equal part.
 	missesPerStep = 256
 	maxStep       = 7
 )
 
-// ErrMismatch tells that a difference is damaged or was made on another base.
-var ErrMismatch = errors.New("the difference does not fit its base")
+// ErrMismatch is the error of a delta that is damaged or was made on another base.
+var ErrMismatch = errors.New("the delta does not fit its base")
 
-// Make gives the difference that turns base into next.
+// Make gives the delta that turns base into next.
 //
-//	difference := delta.Make(base, next)
+//	encoded := delta.Make(base, next)
 func Make(base, next []byte) []byte {
-	difference, _ := MakeWithin(base, next, math.MaxInt)
-	return difference
+	delta, _ := MakeWithin(base, next, math.MaxInt)
+	return delta
 }
 
-// MakeWithin is Make, but gives up as soon as the difference would be longer than a limit.
+// MakeWithin is Make, but gives up as soon as the delta would be longer than limit bytes.
 //
-//	difference, fits := delta.MakeWithin(base, next, len(next)/2)
-func MakeWithin(base, next []byte, limit int) (difference []byte, fits bool) {
+//	encoded, fits := delta.MakeWithin(base, next, len(next)/2)
+func MakeWithin(base, next []byte, limit int) (delta []byte, fits bool) {
 	writer := operationWriter{encoded: binary.AppendUvarint(nil, uint64(len(next)))}
 	blocks := newBlockIndex(base)
-	inserted := 0 // where the bytes begin that no operation covers yet
+	covered := 0 // up to here the operations so far give next
 	misses := 0
 	for at := 0; at+blockSize <= len(next); {
 		offset, found := blocks.find(next[at : at+blockSize])
 		if !found {
 			misses++
-			if len(writer.encoded)+at-inserted > limit {
+			if len(writer.encoded)+at-covered > limit {
 				return nil, false
 			}
 			at += min(1+misses/missesPerStep, maxStep)
 			continue
 		}
 		misses = 0
-		begin := at
-		for begin > inserted && offset > 0 && base[offset-1] == next[begin-1] {
-			begin--
+		start := at
+		for start > covered && offset > 0 && base[offset-1] == next[start-1] {
+			start--
 			offset--
 		}
-		length := commonPrefix(base[offset:], next[begin:])
-		writer.insert(next[inserted:begin])
+		length := commonPrefix(base[offset:], next[start:])
+		writer.insert(next[covered:start])
 		writer.copy(offset, length)
-		inserted, at = begin+length, begin+length
+		covered, at = start+length, start+length
 	}
-	writer.insert(next[inserted:])
+	writer.insert(next[covered:])
 	return writer.encoded, len(writer.encoded) <= limit
 }
 
-// operationWriter encodes a difference.
+// operationWriter encodes the operations of a delta.
 type operationWriter struct{ encoded []byte }
 
+// insert encodes an insertion; of nothing, none.
 func (writer *operationWriter) insert(data []byte) {
 	if len(data) == 0 {
 		return
@@ -81,19 +92,22 @@
 	writer.encoded = append(writer.encoded, data...)
 }
 
+// copy encodes a copy of a range of the base.
 func (writer *operationWriter) copy(offset, length int) {
 	writer.encoded = binary.AppendUvarint(writer.encoded, uint64(length)<<1|copyFlag)
 	writer.encoded = binary.AppendUvarint(writer.encoded, uint64(offset))
 }
 
-// blockIndex finds blocks of a base by a hash.
+// blockIndex finds blocks of a base by a hash of their content. Of blocks with the same hash the
+// first counts.
 type blockIndex struct {
 	base  []byte
-	shift int
-	// blockNumbers holds for each hash the number of a block, counted from 1.
+	shift int // takes a 64-bit hash to an index of blockNumbers
+	// blockNumbers has, for each hash, the number of a block, counted from 1; 0: none.
 	blockNumbers []uint32
 }
 
+// newBlockIndex indexes the whole blocks of a base.
 func newBlockIndex(base []byte) blockIndex {
 	count := len(base) / blockSize
 	width := bits.Len(uint(count)) + 1
@@ -107,6 +121,7 @@
 	return index
 }
 
+// hash mixes the words of a block (Fibonacci hashing).
 func (index *blockIndex) hash(data []byte) uint64 {
 	const factor = 0x9e3779b97f4a7c15
 	mixed := uint64(0)
@@ -117,7 +132,7 @@
 	return mixed * factor >> index.shift
 }
 
-// find gives where in the base a block is.
+// find gives the offset in the base of a block with the same content.
 func (index *blockIndex) find(block []byte) (int, bool) {
 	number := index.blockNumbers[index.hash(block)]
 	if number == 0 {
@@ -127,6 +142,7 @@
 	return offset, string(index.base[offset:offset+blockSize]) == string(block)
 }
 
+// commonPrefix gives the length of the longest common prefix.
 func commonPrefix(left, right []byte) int {
 	length := min(len(left), len(right))
 	for at := range length {
@@ -137,16 +153,18 @@
 	return length
 }
 
-// Apply gives the version that a difference makes of base.
+// Apply gives the result of a delta on its base, or ErrMismatch. See the package comment for what
+// a result on another base is worth.
 //
-//	next, err := delta.Apply(base, difference)
-func Apply(base, difference []byte) ([]byte, error) {
-	reader := uvarintReader{remaining: difference}
+//	next, err := delta.Apply(base, encoded)
+func Apply(base, delta []byte) ([]byte, error) {
+	reader := uvarintReader{remaining: delta}
 	size := reader.next()
 	if reader.failed || size > maxResultSize {
 		return nil, ErrMismatch
 	}
-	result := make([]byte, 0, min(size, uint64(len(base)+len(difference))))
+	// No more is allocated at first than data is there: the stated size may be wrong.
+	result := make([]byte, 0, min(size, uint64(len(base)+len(delta))))
 	for len(reader.remaining) > 0 {
 		operation := reader.next()
 		source, offset, length := reader.remaining, uint64(0), operation>>1
@@ -168,10 +186,10 @@
 	return result, nil
 }
 
-// uvarintReader reads the numbers of a difference.
+// uvarintReader reads numbers from the start of a delta, and has what remains.
 type uvarintReader struct {
 	remaining []byte
-	failed    bool
+	failed    bool // a number was cut off or out of range; it was read as 0
 }
 
 func (reader *uvarintReader) next() uint64 {
--- a/system/delta/delta_test.go
+++ b/system/delta/delta_test.go
@@ -45,9 +45,9 @@
 	base := joined(items)
 	items[700] = strings.ReplaceAll(items[700], "item-700", "other")
 	items = append(items[:100], items[101:]...)
-	difference := Make(base, joined(items))
-	if len(difference) > 1024 {
-		t.Errorf("%d bytes for a change of %d", len(difference), len(base))
+	delta := Make(base, joined(items))
+	if len(delta) > 1024 {
+		t.Errorf("%d bytes for a change of %d", len(delta), len(base))
 	}
 }
 
@@ -62,9 +62,9 @@
 		{base, 64, true}, {append(bytes.Clone(base), other...), 64, false}, {other, len(other) / 2, false},
 		{other, len(other) + 64, true}, {nil, 1, true},
 	} {
-		difference, fits := MakeWithin(base, test.next, test.limit)
-		if fits != test.fits || (fits && len(difference) > test.limit) {
-			t.Errorf("%d bytes within %d: %v, %d", len(test.next), test.limit, fits, len(difference))
+		delta, fits := MakeWithin(base, test.next, test.limit)
+		if fits != test.fits || (fits && len(delta) > test.limit) {
+			t.Errorf("%d bytes within %d: %v, %d", len(test.next), test.limit, fits, len(delta))
 		}
 	}
 }
@@ -72,17 +72,17 @@
 func TestDamagedDeltaIsRejected(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	base := joined(itemsOf(20))
-	difference := Make(base, append([]byte("before"), base...))
-	for _, wrong := range [][]byte{nil, {0xff}, difference[:len(difference)-1], append(bytes.Clone(difference), 0xff)} {
+	delta := Make(base, append([]byte("before"), base...))
+	for _, wrong := range [][]byte{nil, {0xff}, delta[:len(delta)-1], append(bytes.Clone(delta), 0xff)} {
 		if _, err := Apply(base, wrong); err == nil {
 			t.Errorf("%x was applied", wrong)
 		}
 	}
-	if _, err := Apply(base[:100], difference); err == nil {
-		t.Error("a difference was applied to a shorter base")
+	if _, err := Apply(base[:100], delta); err == nil {
+		t.Error("a delta was applied to a shorter base")
 	}
 	for range 5000 {
-		wrong := bytes.Clone(difference)
+		wrong := bytes.Clone(delta)
 		for range 1 + random.IntN(4) {
 			wrong[random.IntN(len(wrong))] = byte(random.Uint32())
 		}
--- a/system/placement/placement.go
+++ b/system/placement/placement.go
@@ -1,5 +1,10 @@
-// Package placement says where things belong. Every node that holds the same
-// store list computes the same answer on its own.
+// Package placement decides which nodes have which groups and roles, by rendezvous hashing
+// (highest random weight). It has no state and does no I/O: every node with the same list of
+// candidates computes the same result, and a candidate that is added or removed moves only what
+// it gets or had.
+//
+// Results are part of what fleets rely on: the group of a session must not change while the
+// fleet exists, so the hash and its inputs may not either.
 package placement
 
 import (
@@ -9,24 +14,24 @@
 	"strings"
 )
 
-// DefaultReplicas is how many replicas a group has where nothing else is said: a majority
-// outlives the loss of one.
+// DefaultReplicas is the count of replicas of a group unless the fleet was founded with another:
+// a majority survives the loss of one.
 const DefaultReplicas = 3
 
-// ReplicasToSurvive is how many replicas a group needs so that a majority outlives the loss of some
-// at once, with their disks.
+// ReplicasToSurvive gives how many replicas a group needs for a majority to survive that many
+// simultaneous failures, disks included; at least DefaultReplicas.
 //
-//	copies := placement.ReplicasToSurvive(2) // 5
+//	replicas := placement.ReplicasToSurvive(2) // 5
 func ReplicasToSurvive(failures int) int { return max(2*failures+1, DefaultReplicas) }
 
-// Candidate is one node that may be picked, with its domain.
+// Candidate is a node that may be chosen, and its failure domain.
 type Candidate struct {
 	Name   string
 	Domain string
 }
 
-// rendezvousScore is FNV-1a over the parts, with a zero byte between them, then mixed so
-// that near inputs land far apart.
+// rendezvousScore is FNV-1a over the parts, each followed by a zero byte, and the finalizer of
+// MurmurHash3, which spreads inputs that differ only in their last bytes.
 func rendezvousScore(parts ...string) uint64 {
 	hash := fnv.New64a()
 	for _, part := range parts {
@@ -41,16 +46,17 @@
 	return value ^ value>>33
 }
 
-// GroupOf gives the group of a line or a tally.
+// GroupOf gives the group, from 0, of a session or a quota by its name. The hash is
+// keyed "line", an earlier word for a session; the key must stay, or sessions change groups.
 //
 //	group := placement.GroupOf("team/c-1", 32)
 func GroupOf(session string, groups uint32) uint32 {
 	return uint32(rendezvousScore("line", session) % uint64(max(groups, 1)))
 }
 
-// Rank orders the places for a key, best first.
+// Rank orders candidates for a key, best first. Keys are independent of each other.
 //
-//	owner := placement.Rank("roster", places)[0]
+//	preferred := placement.Rank(nodeName, candidates)[0]
 func Rank(key string, candidates []Candidate) []Candidate {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(left, right Candidate) int {
@@ -66,8 +72,9 @@
 	return ranked
 }
 
-// ReplicasOf gives a group's replica set: the highest scores, but no domain holds more
-// than another by two while that one has a place left.
+// ReplicasOf gives the names of a group's replicas, at most as many as there are candidates: the
+// best ranked, but from each domain only its second once every domain with a candidate left has
+// given one, and so on. So no domain has a majority where the candidates allow it.
 //
 //	names := placement.ReplicasOf(7, stores, 3)
 func ReplicasOf(group uint32, candidates []Candidate, replicas int) []string {
--- a/system/placement/placement_test.go
+++ b/system/placement/placement_test.go
@@ -7,22 +7,21 @@
 )
 
 func candidates(domains ...int) []Candidate {
-	made := []Candidate{}
+	list := []Candidate{}
 	for domain, count := range domains {
 		for index := range count {
-			made = append(made, Candidate{Name: fmt.Sprintf("store-%d-%d", domain, index), Domain: fmt.Sprint(domain)})
+			list = append(list, Candidate{Name: fmt.Sprintf("store-%d-%d", domain, index), Domain: fmt.Sprint(domain)})
 		}
 	}
-	return made
+	return list
 }
 
-// A group's copies are spread so that no domain holds a majority of them where the
-// stores allow it.
+// TestNoDomainHoldsAMajorityOfAGroup checks it where the stores allow it.
 func TestNoDomainHoldsAMajorityOfAGroup(t *testing.T) {
-	for _, one := range []struct {
-		stores []Candidate
-		copies int
-		most   int // copies in one domain
+	for _, test := range []struct {
+		stores   []Candidate
+		replicas int
+		max      int // replicas in one domain
 	}{
 		{candidates(1, 1, 1), 3, 1},
 		{candidates(3, 3, 2), 3, 1},
@@ -32,18 +31,18 @@
 		{candidates(2, 1), 5, 2},
 	} {
 		for group := range uint32(64) {
-			chosen := ReplicasOf(group, one.stores, one.copies)
-			if want := min(one.copies, len(one.stores)); len(chosen) != want {
-				t.Fatalf("group %d has %d copies, not %d", group, len(chosen), want)
+			chosen := ReplicasOf(group, test.stores, test.replicas)
+			if want := min(test.replicas, len(test.stores)); len(chosen) != want {
+				t.Fatalf("group %d has %d replicas, not %d", group, len(chosen), want)
 			}
 			used := map[string]int{}
 			for _, name := range chosen {
-				at := slices.IndexFunc(one.stores, func(place Candidate) bool { return place.Name == name })
-				used[one.stores[at].Domain]++
+				at := slices.IndexFunc(test.stores, func(candidate Candidate) bool { return candidate.Name == name })
+				used[test.stores[at].Domain]++
 			}
 			for domain, count := range used {
-				if count > one.most {
-					t.Fatalf("domain %s holds %d of %v", domain, count, chosen)
+				if count > test.max {
+					t.Fatalf("domain %s has %d of %v", domain, count, chosen)
 				}
 			}
 		}
@@ -51,9 +50,9 @@
 }
 
 func TestReplicasSurviveTheFailuresTheyAreChosenFor(t *testing.T) {
-	for lost, copies := range map[int]int{0: 3, 1: 3, 2: 5, 3: 7} {
-		if got := ReplicasToSurvive(lost); got != copies {
-			t.Errorf("the loss of %d needs %d copies, not %d", lost, copies, got)
+	for failures, replicas := range map[int]int{0: 3, 1: 3, 2: 5, 3: 7} {
+		if got := ReplicasToSurvive(failures); got != replicas {
+			t.Errorf("%d failures need %d replicas, not %d", failures, replicas, got)
 		}
 	}
 }
