--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -13,46 +13,70 @@
 // minVoters is the number of voters below which a lost one is removed only for a replacement.
 const minVoters = 3
 
+// membershipStep is a change of the control group by one member.
+type membershipStep struct {
+	message, control string // for the log
+	next             raft.Membership
+}
+
 // reconcileVoters makes one step towards a control group of live nodes, one member at a time
-// (Raft thesis, section 4.1), and reports whether a change is pending. A live control node
-// first becomes a learner, and a voter once it has the log. A lost voter is removed when a
-// learner is ready to replace it, or if enough voters are left; if it returns it is enrolled
-// again. It is removed before the learner votes, so that the quorum never counts both
-// (docs/consistency/membership.md).
+// (Raft thesis, section 4.1), and reports whether a change is pending.
 func (node *Node) reconcileVoters(ctx context.Context) bool {
 	status, _ := node.host.Status(controlGroup)
 	if !status.Leading || status.MembershipChangePending {
 		return status.Leading
 	}
-	voters, learners := status.Membership.Voters, status.Membership.Learners
 	live := node.LiveMembers()
-	change := func(message, name string, next raft.Membership) bool {
-		log.WithFields(log.Fields{"node": node.Name(), "control": name}).Info(message)
-		return node.host.ChangeMembership(controlGroup, next)
+	if step := node.nextMembershipStep(status, live); step != nil {
+		log.WithFields(log.Fields{"node": node.Name(), "control": step.control}).Info(step.message)
+		return node.host.ChangeMembership(controlGroup, step.next)
 	}
+	node.publishControls(ctx, status.Membership.Voters, live)
+	return len(status.Membership.Learners) > 0
+}
+
+// nextMembershipStep returns the next change of the control group, nil if none is needed. A
+// live control node first becomes a learner, and a voter once it has the log. A lost voter is
+// removed when a learner is ready to replace it, or if enough voters are left; if it returns
+// it is enrolled again. It is removed before the learner votes, so that the quorum never
+// counts both (docs/consistency/membership.md).
+func (node *Node) nextMembershipStep(status raft.Status, live []feed.Member) *membershipStep {
+	voters, learners := status.Membership.Voters, status.Membership.Learners
 	if lost := node.removableVoter(voters, learners, status); lost != "" {
-		return change("removing a lost voter from the control group", lost, raft.Membership{Voters: raft.Without(voters, lost), Learners: learners})
+		return &membershipStep{"removing a lost voter from the control group", lost, raft.Membership{Voters: raft.Without(voters, lost), Learners: learners}}
 	}
 	suspected := slices.ContainsFunc(voters, func(name string) bool { return node.isSilent(name, suspectTimeout) })
 	for _, learner := range learners {
 		if !suspected && node.isCaughtUp(status, learner) {
-			return change("making a learner of the control group a voter", learner, raft.Membership{Voters: append(slices.Clone(voters), learner), Learners: raft.Without(learners, learner)})
+			return &membershipStep{"making a learner of the control group a voter", learner, raft.Membership{Voters: append(slices.Clone(voters), learner), Learners: raft.Without(learners, learner)}}
 		}
 	}
 	for _, learner := range learners {
 		if node.isSilent(learner, replaceableTimeout) {
-			return change("removing a lost learner from the control group", learner, raft.Membership{Voters: voters, Learners: raft.Without(learners, learner)})
+			return &membershipStep{"removing a lost learner from the control group", learner, raft.Membership{Voters: voters, Learners: raft.Without(learners, learner)}}
+		}
+	}
+	if added := node.enrollableControl(voters, learners, live); added != "" {
+		return &membershipStep{"adding a learner to the control group", added, raft.Membership{Voters: voters, Learners: append(slices.Clone(learners), added)}}
+	}
+	return nil
+}
+
+// enrollableControl returns a live control node that is to become a learner, empty if there is
+// none. Lost voters do not count against Settings.MaxControls, so that they can be replaced.
+func (node *Node) enrollableControl(voters, learners []string, live []feed.Member) string {
+	members, present := slices.Concat(voters, learners), len(learners)
+	for _, voter := range voters {
+		if !node.isSilent(voter, replaceableTimeout) {
+			present++
 		}
 	}
-	members := slices.Concat(voters, learners)
-	silent := slices.DeleteFunc(slices.Clone(voters), func(name string) bool { return !node.isSilent(name, replaceableTimeout) })
 	for _, member := range live {
-		if member.Role == feed.RoleControl && !slices.Contains(members, member.Name) && !node.isSilent(member.Name, suspectTimeout) && len(members)-len(silent) < node.settings.MaxControls {
-			return change("adding a learner to the control group", member.Name, raft.Membership{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
+		if member.Role == feed.RoleControl && !slices.Contains(members, member.Name) && !node.isSilent(member.Name, suspectTimeout) && present < node.settings.MaxControls {
+			return member.Name
 		}
 	}
-	node.publishControls(ctx, voters, live)
-	return len(learners) > 0
+	return ""
 }
 
 // removableVoter returns a lost voter that may be removed, empty if there is none: one whose
--- a/system/controlplane/feed_state_machine_test.go
+++ b/system/controlplane/feed_state_machine_test.go
@@ -6,7 +6,6 @@
 	"math/rand/v2"
 	"reflect"
 	"testing"
-	"time"
 
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/feed"
@@ -148,33 +147,3 @@
 		t.Errorf("%v, number %d", outcome.err, machine.state().view.Number)
 	}
 }
-
-func TestFollowReplies(t *testing.T) {
-	machine, node := newFeedStateMachine(), &Node{}
-	applyRouteChanges(t, machine, 20, 40)
-	state := &confirmedState{feedState: machine.state()}
-	state.view.Fleet = "fleet"
-	for name, test := range map[string]struct {
-		fleet   string
-		follow  wire.FollowQuery
-		reset   bool
-		packed  bool
-		changes int
-	}{
-		"up to date":           {"fleet", wire.FollowQuery{After: 40, Packed: true}, false, false, 0},
-		"a few behind":         {"fleet", wire.FollowQuery{After: 37, Packed: true}, false, false, 3},
-		"new":                  {"fleet", wire.FollowQuery{Packed: true}, true, true, 0},
-		"ahead":                {"fleet", wire.FollowQuery{After: 50, Packed: true}, true, false, 0},
-		"an older version":     {"fleet", wire.FollowQuery{After: 37}, true, false, 0},
-		"older and up to date": {"fleet", wire.FollowQuery{After: 40}, false, false, 0},
-		"of no fleet yet":      {"", wire.FollowQuery{After: 37, Packed: true}, true, true, 0},
-	} {
-		answer := node.followReply(state, &wire.Query{Fleet: test.fleet, Follow: &test.follow}, time.Now())
-		if answer.Newest != 40 || answer.Reset != test.reset || (len(answer.PackedView) > 0) != test.packed || len(answer.Changes) != test.changes {
-			t.Errorf("%s: %d, reset %v, %d bytes, %d changes", name, answer.Newest, answer.Reset, len(answer.PackedView), len(answer.Changes))
-		}
-		if whole, err := answer.FullView(); err != nil || (test.reset && whole.Number != 40) {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
-}
--- a/system/controlplane/node_gossip.go
+++ b/system/controlplane/node_gossip.go
@@ -24,17 +24,40 @@
 }
 
 // gossip sends the members that this node has heard directly, itself among them, to the other
-// control nodes. A control node that is not a member yet sends to the members.
+// control nodes. A control node that is not a member yet sends to the members. Each gossip in
+// flight is ended by the node's context or after gossipInterval.
 func (node *Node) gossip() {
-	notes := []wire.MemberSession{{Member: node.self()}}
+	heard, targets := node.heardDirectly(), node.gossipTargets()
+	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, MemberSessions: heard}
+	node.gossipCount++
+	wantReply := node.gossipCount%gossipsPerCall == 0
+	for address := range targets {
+		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
+			continue // the last gossip to it is still in flight
+		}
+		go func() {
+			defer node.gossiping.Delete(address)
+			node.sendGossip(address, *query, wantReply)
+		}()
+	}
+	node.saveControlAddresses()
+}
+
+// heardDirectly returns the live members that this node has heard itself, and this node.
+func (node *Node) heardDirectly() *wire.MemberSessionBatch {
+	batch := &wire.MemberSessionBatch{From: node.Name(), Sessions: []wire.MemberSession{{Member: node.self()}}}
 	node.mutex.Lock()
+	defer node.mutex.Unlock()
 	for _, entry := range node.liveness {
 		if age := time.Since(entry.lastHeard); entry.direct && age < livenessTimeout {
-			notes = append(notes, wire.MemberSession{Member: entry.member, Age: age})
+			batch.Sessions = append(batch.Sessions, wire.MemberSession{Member: entry.member, Age: age})
 		}
 	}
-	node.mutex.Unlock()
-	batch := &wire.MemberSessionBatch{From: node.Name(), Sessions: notes}
+	return batch
+}
+
+// gossipTargets returns the addresses of the other control nodes, as far as they are known.
+func (node *Node) gossipTargets() map[string]bool {
 	targets := map[string]bool{}
 	for _, member := range node.View().Controls {
 		targets[member.Address] = true
@@ -52,19 +75,7 @@
 		}
 	}
 	delete(targets, node.settings.Address)
-	node.gossipCount++
-	wantReply := node.gossipCount%gossipsPerCall == 0
-	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, MemberSessions: batch}
-	for address := range targets {
-		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
-			continue // the last gossip to it is still in flight
-		}
-		go func() {
-			defer node.gossiping.Delete(address)
-			node.sendGossip(address, *query, wantReply)
-		}()
-	}
-	node.saveControlAddresses()
+	return targets
 }
 
 // sendGossip sends what was heard to one control node. With wantReply it waits for a reply
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -81,22 +81,30 @@
 			live = append(live, entry.member)
 		}
 	}
+	live = node.withoutReplaced(live)
+	slices.SortFunc(live, func(left, right feed.Member) int { return strings.Compare(left.Name, right.Name) })
+	return live
+}
+
+// withoutReplaced leaves out the members that another one has replaced at their address. It
+// reuses the slice. The mutex must be held.
+func (node *Node) withoutReplaced(members []feed.Member) []feed.Member {
 	livenessOf := func(member feed.Member) nodeLiveness {
 		if member.Name == node.Name() {
 			return nodeLiveness{firstHeard: node.startedAt, lastHeard: time.Now()}
 		}
 		return node.liveness[member.Name]
 	}
-	slices.SortFunc(live, func(left, right feed.Member) int {
+	slices.SortFunc(members, func(left, right feed.Member) int {
 		return cmp.Or(strings.Compare(left.Address, right.Address), strings.Compare(left.Role, right.Role), livenessOf(left).firstHeard.Compare(livenessOf(right).firstHeard))
 	})
+	// The next member may be read while members are deleted: DeleteFunc writes only to places
+	// before the one that it looks at.
 	next := 0
-	live = slices.DeleteFunc(live, func(member feed.Member) bool {
+	return slices.DeleteFunc(members, func(member feed.Member) bool {
 		next++
-		return next < len(live) && live[next].Address == member.Address && live[next].Role == member.Role && livenessOf(live[next]).firstHeard.After(livenessOf(member).lastHeard)
+		return next < len(members) && members[next].Address == member.Address && members[next].Role == member.Role && livenessOf(members[next]).firstHeard.After(livenessOf(member).lastHeard)
 	})
-	slices.SortFunc(live, func(left, right feed.Member) int { return strings.Compare(left.Name, right.Name) })
-	return live
 }
 
 // isSilent reports whether a node was not heard for longer than a timeout, or was replaced:
--- a/system/controlplane/store_membership.go
+++ b/system/controlplane/store_membership.go
@@ -56,11 +56,9 @@
 	}
 }
 
-// autoEnrolStores makes the store list follow the live stores without an admin request. A new
-// store takes the place of one of its domain that is silent. If there is none it is added,
-// once there has been time to notice a silent one. A lost store is removed as long as enough
-// others are live. The groups' own leaders then move the replicas, and give up none before
-// the group has made up for it; so a store that was given up by mistake costs only copying.
+// autoEnrolStores makes the store list follow the live stores without an admin request. The
+// groups' own leaders then move the replicas, and give up none before the group has made up
+// for it; so a store that was given up by mistake costs only copying.
 func (node *Node) autoEnrolStores(ctx context.Context) {
 	view := node.View()
 	if len(view.Stores) == 0 {
@@ -68,37 +66,51 @@
 	}
 	next := slices.Clone(view.Stores)
 	for _, added := range node.unlistedStores(view) {
-		if slices.ContainsFunc(next, func(store feed.Member) bool { return store.Address == added.Address }) {
-			continue // replaceWipedStores decides
-		}
-		silent := func(timeout time.Duration) int {
-			return slices.IndexFunc(next, func(store feed.Member) bool {
-				return store.Domain == added.Domain && store.State != feed.StateDecommissioning && node.isSilent(store.Name, timeout)
-			})
-		}
-		if at := silent(replaceableTimeout); at >= 0 {
-			node.replaceStore(next, at, added)
-		} else if node.knownFor(added.Name) >= suspectTimeout && silent(suspectTimeout) < 0 {
-			log.WithFields(log.Fields{"node": node.Name(), "store": added.Name}).Info("adding a store to the store list")
-			next = append(next, added)
-		}
+		next = node.withNewStore(next, added)
+	}
+	node.proposeStores(ctx, view, node.withoutLostStores(next, view.ReplicationFactor()))
+}
+
+// withNewStore puts a new store into a list, which it may change. The store takes the place of
+// one of its domain that is silent; if there is none it is added, once there has been time to
+// notice a silent one.
+func (node *Node) withNewStore(stores []feed.Member, added feed.Member) []feed.Member {
+	if slices.ContainsFunc(stores, func(store feed.Member) bool { return store.Address == added.Address }) {
+		return stores // replaceWipedStores decides
+	}
+	silent := func(timeout time.Duration) int {
+		return slices.IndexFunc(stores, func(store feed.Member) bool {
+			return store.Domain == added.Domain && store.State != feed.StateDecommissioning && node.isSilent(store.Name, timeout)
+		})
+	}
+	if at := silent(replaceableTimeout); at >= 0 {
+		node.replaceStore(stores, at, added)
+	} else if node.knownFor(added.Name) >= suspectTimeout && silent(suspectTimeout) < 0 {
+		log.WithFields(log.Fields{"node": node.Name(), "store": added.Name}).Info("adding a store to the store list")
+		stores = append(stores, added)
 	}
+	return stores
+}
+
+// withoutLostStores removes the lost stores from a list, which it may change, if enough others
+// are live for all replicas of a group.
+func (node *Node) withoutLostStores(stores []feed.Member, replicas int) []feed.Member {
 	reachable := 0
-	for _, candidate := range feed.PlacementCandidates(next) {
+	for _, candidate := range feed.PlacementCandidates(stores) {
 		if !node.isSilent(candidate.Name, replaceableTimeout) {
 			reachable++
 		}
 	}
-	if reachable >= view.ReplicationFactor() {
-		next = slices.DeleteFunc(next, func(store feed.Member) bool {
-			lost := store.State != feed.StateDecommissioning && node.isSilent(store.Name, lostTimeout)
-			if lost {
-				log.WithFields(log.Fields{"node": node.Name(), "store": store.Name}).Info("removing a lost store from the store list")
-			}
-			return lost
-		})
+	if reachable < replicas {
+		return stores
 	}
-	node.proposeStores(ctx, view, next)
+	return slices.DeleteFunc(stores, func(store feed.Member) bool {
+		lost := store.State != feed.StateDecommissioning && node.isSilent(store.Name, lostTimeout)
+		if lost {
+			log.WithFields(log.Fields{"node": node.Name(), "store": store.Name}).Info("removing a lost store from the store list")
+		}
+		return lost
+	})
 }
 
 // EnrolStore adds a live store to the store list and returns once that is acknowledged; if
