--- a/system/controlplane/admin_requests_model_test.go
+++ b/system/controlplane/admin_requests_model_test.go
@@ -15,13 +15,13 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// modelRequest is an order that an operator of the model sent, and what is known of it.
+// modelRequest is a request that an operator of the model sent, and what is known of it.
 type modelRequest struct {
 	routing      routingRequest
-	admin        *adminRequest // an order of the administration API, if set
+	admin        *adminRequest // a request of the admin API, if set
 	committed    uint64        // the number of its change; 0 if none was committed
 	acknowledged bool
-	refused      bool
+	rejected     bool
 }
 
 func (request *modelRequest) base() string {
@@ -31,15 +31,15 @@
 	return "routing " + strconv.FormatUint(request.routing.base, 10)
 }
 
-// proposal is a change on its way to the agreement, which may lose or reorder it.
+// modelProposal is a change that was proposed to Raft, which may lose or reorder it.
 type modelProposal struct {
 	request *modelRequest
 	change  feed.Change
 }
 
-// requestsModel walks over the decisions on orders and the state machine that carries them
-// out, without a network: proposals are committed in any order or lost, the machine is
-// restored from its image or recovered from what the stores hold.
+// requestsModel checks the decisions on requests against the state machine that carries them
+// out, without a network: proposals are committed in any order or lost, the state machine is
+// restored from its snapshot or recovered from what the stores have synced.
 type requestsModel struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -78,7 +78,7 @@
 	return decoded.Routing
 }
 
-// decide does what a node does with an order that comes to it.
+// decide does what a node does with a request that comes to it.
 func (model *requestsModel) decide(request *modelRequest) (decision, error) {
 	view := model.view()
 	if request.admin != nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-// create makes an order that builds on what is in force, or on something older.
+// create makes a request that builds on what is in force, or on something older.
 func (model *requestsModel) create() *modelRequest {
 	model.sent++
 	by := fmt.Sprint("operator ", model.random.IntN(2))
@@ -111,39 +111,39 @@
 	return &modelRequest{routing: routingRequest{operator: by, base: base, revision: revision, digest: fmt.Sprint(by, " ", model.sent)}}
 }
 
-// send gives an order to a node, and checks the answer against what is known of it.
+// send gives a request to a node, and checks the answer against what is known of it.
 func (model *requestsModel) send(request *modelRequest) {
 	decided, err := model.decide(request)
 	switch {
 	case apierror.Is(err, apierror.NoQuorum):
 		if request.committed == 0 && model.isRecent(request) {
-			model.t.Fatalf("an order on %s that is not old is called forgotten: %v", request.base(), err)
+			model.t.Fatalf("a request on %s that is not old is reported as forgotten: %v", request.base(), err)
 		}
 	case err != nil:
 		if request.committed > 0 {
-			model.t.Fatalf("an order on %s that was carried out is refused: %v", request.base(), err)
+			model.t.Fatalf("a request on %s that was carried out is rejected: %v", request.base(), err)
 		}
-		request.refused = true
+		request.rejected = true
 	case decided.change != nil:
 		if request.committed > 0 {
-			model.t.Fatalf("an order on %s would be carried out twice", request.base())
+			model.t.Fatalf("a request on %s would be carried out twice", request.base())
 		}
-		if request.refused {
-			model.t.Fatalf("an order on %s that was refused would be carried out", request.base())
+		if request.rejected {
+			model.t.Fatalf("a request on %s that was rejected would be carried out", request.base())
 		}
 		model.proposals = append(model.proposals, modelProposal{request, compactForLog(model.view(), *decided.change)})
 	default:
 		if request.committed == 0 {
-			model.t.Fatalf("an order on %s that was not carried out is acknowledged", request.base())
+			model.t.Fatalf("a request on %s that was not carried out is acknowledged", request.base())
 		}
 		if request.admin != nil && decided.acceptedAs != request.committed {
-			model.t.Fatalf("the order of number %d is acknowledged as %d", request.committed, decided.acceptedAs)
+			model.t.Fatalf("the request of number %d is acknowledged as %d", request.committed, decided.acceptedAs)
 		}
 		model.acknowledge(request)
 	}
 }
 
-// isRecent tells that an order builds on something that is surely remembered.
+// isRecent reports whether a request builds on something that is surely remembered.
 func (model *requestsModel) isRecent(request *modelRequest) bool {
 	view := model.view()
 	if request.admin != nil {
@@ -152,19 +152,19 @@
 	return request.routing.revision > view.RoutingRequests.Forgotten
 }
 
-// acknowledge has the stores hold what is in force, and checks that no other order on the
+// acknowledge has the stores sync what is in force, and checks that no other request on the
 // same base was acknowledged.
 func (model *requestsModel) acknowledge(request *modelRequest) {
 	model.synced = model.view()
 	request.acknowledged = true
 	for _, other := range model.requests {
 		if other != request && other.acknowledged && other.base() == request.base() {
-			model.t.Fatalf("two orders on %s are acknowledged", request.base())
+			model.t.Fatalf("two requests on %s are acknowledged", request.base())
 		}
 	}
 }
 
-// commit has the agreement commit any proposal; its answer may be lost.
+// commit commits any proposal; the outcome may be lost.
 func (model *requestsModel) commit() {
 	if len(model.proposals) == 0 {
 		return
@@ -180,10 +180,10 @@
 		return // the node decides anew
 	}
 	if proposal.request.committed > 0 {
-		model.t.Fatalf("an order on %s was carried out twice", proposal.request.base())
+		model.t.Fatalf("a request on %s was carried out twice", proposal.request.base())
 	}
-	if proposal.request.refused {
-		model.t.Fatalf("an order on %s that was refused was carried out", proposal.request.base())
+	if proposal.request.rejected {
+		model.t.Fatalf("a request on %s that was rejected was carried out", proposal.request.base())
 	}
 	proposal.request.committed = outcome.number
 	if model.random.IntN(2) == 0 {
@@ -191,17 +191,17 @@
 	}
 }
 
-// restore replaces the machine by one that starts from its image.
+// restore replaces the state machine by one that starts from its snapshot.
 func (model *requestsModel) restore() {
-	image := model.machine.Snapshot()()
+	snapshot := model.machine.Snapshot()()
 	model.machine = newFeedStateMachine()
-	if err := model.machine.Restore(image); err != nil {
+	if err := model.machine.Restore(snapshot); err != nil {
 		model.t.Fatal(err)
 	}
 }
 
-// recover loses all control nodes' disks: what the stores hold is put in force again, and
-// what was not acknowledged may be gone.
+// recover loses all control nodes' disks: what the stores have synced is put in force again,
+// and what was not acknowledged may be lost.
 func (model *requestsModel) recover() {
 	if len(model.synced.Stores) == 0 {
 		return
@@ -219,7 +219,7 @@
 		}
 	}
 	for _, request := range model.requests {
-		request.refused = request.refused && !lost // one that was refused for what is lost may be taken now
+		request.rejected = request.rejected && !lost // one that was rejected for what is lost may be accepted now
 	}
 	synced.Number += recoveredNumberStep
 	if outcome := model.apply(feed.Change{Kind: feed.ChangeRecovered, View: synced}); outcome.err != nil {
@@ -230,7 +230,7 @@
 	model.node.decodedConfig.Store(nil)
 }
 
-// checkRead compares what is in force with the newest order that was carried out.
+// checkRead compares what is in force with the newest request that was carried out.
 func (model *requestsModel) checkRead() {
 	newest := uint64(0)
 	for _, request := range model.requests {
@@ -238,7 +238,7 @@
 			newest = max(newest, request.routing.revision)
 		}
 		if request.acknowledged && request.committed == 0 {
-			model.t.Fatalf("an acknowledged order on %s is lost", request.base())
+			model.t.Fatalf("an acknowledged request on %s is lost", request.base())
 		}
 	}
 	if read := model.routing().CurrentRevision(); read != newest {
@@ -249,7 +249,7 @@
 	}
 }
 
-// step does one thing at random.
+// step takes one random action.
 func (model *requestsModel) step() {
 	switch draw := model.random.IntN(100); {
 	case draw < 35:
@@ -269,7 +269,7 @@
 	}
 }
 
-// TestAdminRequestsModel walks at random from many seeds.
+// TestAdminRequestsModel takes random actions from many seeds.
 func TestAdminRequestsModel(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
@@ -283,7 +283,7 @@
 	}
 }
 
-// TestAdminRequestsModelBeyondHistory walks on where many orders are forgotten already.
+// TestAdminRequestsModelBeyondHistory takes random actions where many requests are forgotten.
 func TestAdminRequestsModelBeyondHistory(t *testing.T) {
 	const burst, steps = 5500, 1500
 	model := newRequestsModel(t, 7)
@@ -301,9 +301,9 @@
 	}
 	view := model.view()
 	if view.RoutingRequests.Forgotten == 0 {
-		t.Fatalf("no order was forgotten of %d", len(model.requests))
+		t.Fatalf("no request was forgotten of %d", len(model.requests))
 	}
-	t.Logf("%d orders, routing orders up to revision %d are forgotten", len(model.requests), view.RoutingRequests.Forgotten)
+	t.Logf("%d requests, routing requests up to revision %d are forgotten", len(model.requests), view.RoutingRequests.Forgotten)
 	for _, request := range model.requests {
 		model.send(request)
 	}
--- a/system/controlplane/config_history_bench_test.go
+++ b/system/controlplane/config_history_bench_test.go
@@ -31,8 +31,8 @@
 		Timeout: config.Duration(time.Second), MaxAttempts: 1 + version%5, Shares: []config.WeightedService{{Service: "chat", Weight: 1}}, Original: json.RawMessage(written)}
 }
 
-// applyRouteChanges applies changes to a machine, each of which replaces one route, in the form in
-// which a leader puts them into the log. It gives the bytes of the log entries.
+// applyRouteChanges applies changes to a state machine, each of which replaces one route, as a
+// leader proposes them. It returns the bytes of the log entries.
 func applyRouteChanges(tb testing.TB, machine *feedStateMachine, routes, changes int) (logged int) {
 	tb.Helper()
 	decoded, _, err := config.Compile("")
@@ -77,7 +77,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-// BenchmarkConfigHistory reports what a control node's state machine holds, what its
+// BenchmarkConfigHistory reports what a control node's state machine keeps in memory, what its
 // snapshot and its log entries take, and how long a restore takes, after changes that
 // replace one route each.
 //
@@ -90,17 +90,17 @@
 					before := heapBytes()
 					machine := newFeedStateMachine()
 					logged := applyRouteChanges(b, machine, routes, changes)
-					held := heapBytes() - before
-					image := machine.Snapshot()()
+					heap := heapBytes() - before
+					snapshot := machine.Snapshot()()
 					began := time.Now()
-					if err := newFeedStateMachine().Restore(image); err != nil {
+					if err := newFeedStateMachine().Restore(snapshot); err != nil {
 						b.Fatal(err)
 					}
 					restored := time.Since(began)
 					view := machine.state().view
 					b.ReportMetric(float64(len(view.Source)+len(view.Compiled))/1024, "config-KiB")
-					b.ReportMetric(held/1024, "held-KiB")
-					b.ReportMetric(float64(len(image))/1024, "snapshot-KiB")
+					b.ReportMetric(heap/1024, "held-KiB")
+					b.ReportMetric(float64(len(snapshot))/1024, "snapshot-KiB")
 					b.ReportMetric(float64(logged)/1024, "log-KiB")
 					b.ReportMetric(float64(restored.Microseconds())/1000, "restore-ms")
 					runtime.KeepAlive(machine)
--- a/system/controlplane/feed_serving_test.go
+++ b/system/controlplane/feed_serving_test.go
@@ -27,11 +27,11 @@
 		"older and up to date": {"fleet", wire.FollowQuery{After: 40}, false, false, 0},
 		"of no fleet yet":      {"", wire.FollowQuery{After: 37, Packed: true}, true, true, 0},
 	} {
-		answer := node.followReply(state, &wire.Query{Fleet: test.fleet, Follow: &test.follow}, time.Now())
-		if answer.Newest != 40 || answer.Reset != test.reset || (len(answer.PackedView) > 0) != test.packed || len(answer.Changes) != test.changes {
-			t.Errorf("%s: %d, reset %v, %d bytes, %d changes", name, answer.Newest, answer.Reset, len(answer.PackedView), len(answer.Changes))
+		reply := node.followReply(state, &wire.Query{Fleet: test.fleet, Follow: &test.follow}, time.Now())
+		if reply.Newest != 40 || reply.Reset != test.reset || (len(reply.PackedView) > 0) != test.packed || len(reply.Changes) != test.changes {
+			t.Errorf("%s: %d, reset %v, %d bytes, %d changes", name, reply.Newest, reply.Reset, len(reply.PackedView), len(reply.Changes))
 		}
-		if whole, err := answer.FullView(); err != nil || (test.reset && whole.Number != 40) {
+		if view, err := reply.FullView(); err != nil || (test.reset && view.Number != 40) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/system/controlplane/feed_state_machine_test.go
+++ b/system/controlplane/feed_state_machine_test.go
@@ -24,11 +24,11 @@
 		logged := applyRouteChanges(t, machine, test.routes, test.changes)
 		view := machine.state().view
 		config := len(view.Compiled) + len(view.Source)
-		if image := machine.Snapshot()(); len(image) > config+snapshotSlack {
-			t.Errorf("%d changes of %d routes: a snapshot of %d bytes for a config of %d", test.changes, test.routes, len(image), config)
+		if snapshot := machine.Snapshot()(); len(snapshot) > config+snapshotSlack {
+			t.Errorf("%d changes of %d routes: a snapshot of %d bytes for a config of %d", test.changes, test.routes, len(snapshot), config)
 		}
-		if most := 2*config + test.changes*2048; logged > most {
-			t.Errorf("%d changes of %d routes: %d bytes of log entries, not %d", test.changes, test.routes, logged, most)
+		if limit := 2*config + test.changes*2048; logged > limit {
+			t.Errorf("%d changes of %d routes: %d bytes of log entries, not %d", test.changes, test.routes, logged, limit)
 		}
 	}
 }
@@ -44,8 +44,8 @@
 		view := machine.state().view
 		applyChange(t, machine, compactForLog(view, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Compiled: compiled}))
 	}
-	if image := machine.Snapshot()(); len(image) > 2*size+snapshotSlack {
-		t.Errorf("a snapshot of %d bytes for a config of %d", len(image), size)
+	if snapshot := machine.Snapshot()(); len(snapshot) > 2*size+snapshotSlack {
+		t.Errorf("a snapshot of %d bytes for a config of %d", len(snapshot), size)
 	}
 }
 
@@ -73,35 +73,35 @@
 	}
 }
 
-// TestRestoreReadsFirstSnapshotFormat holds for folders and peers of older versions: a
-// whole view, and changes with whole configs.
+// TestRestoreReadsFirstSnapshotFormat covers data directories and peers of older versions: a
+// complete view, and changes with complete configs.
 func TestRestoreReadsFirstSnapshotFormat(t *testing.T) {
-	image := wire.ControlSnapshot{Version: fullConfigsFormat}
+	snapshot := wire.ControlSnapshot{Version: fullConfigsFormat}
 	for number := range uint64(30) {
 		change := feed.Change{Number: number + 1, Kind: feed.ChangeConfig, By: "root", Source: fmt.Sprint("source ", number), Compiled: bytes.Repeat([]byte{byte(number)}, 500)}
-		view, err := feed.Fold(image.View, change)
+		view, err := feed.Fold(snapshot.View, change)
 		if err != nil {
 			t.Fatal(err)
 		}
-		image.View, image.Changes = view, append(image.Changes, change)
+		snapshot.View, snapshot.Changes = view, append(snapshot.Changes, change)
 	}
 	machine := newFeedStateMachine()
-	if err := machine.Restore(wire.MustEncode(schema.ControlImage_TypeID, &image)); err != nil {
+	if err := machine.Restore(wire.MustEncode(schema.ControlImage_TypeID, &snapshot)); err != nil {
 		t.Fatal(err)
 	}
 	state := machine.state()
-	if state.view.Number != 30 || state.newestCommand != 30 || state.view.Source != image.View.Source || !bytes.Equal(state.view.Compiled, image.View.Compiled) {
+	if state.view.Number != 30 || state.newestCommand != 30 || state.view.Source != snapshot.View.Source || !bytes.Equal(state.view.Compiled, snapshot.View.Compiled) {
 		t.Errorf("%+v", state.view)
 	}
-	for _, change := range image.Changes[1:] {
+	for _, change := range snapshot.Changes[1:] {
 		if source, compiled, kept, err := state.history.ConfigAt(state.view, change.Number); err != nil || !kept || source != change.Source || !bytes.Equal(compiled, change.Compiled) {
 			t.Errorf("config %d: kept %v, %v", change.Number, kept, err)
 		}
 	}
 }
 
-// TestApplyAcceptsFullConfigs holds for log entries of older versions, and for those
-// that expect no number: they lead to the same state as differences do.
+// TestApplyAcceptsFullConfigs covers log entries of older versions, and those that expect no
+// number: they lead to the same state as differences do.
 func TestApplyAcceptsFullConfigs(t *testing.T) {
 	full, differences := newFeedStateMachine(), newFeedStateMachine()
 	for number := range 20 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestApplyRejectsDeltaOnConfigOfSameLength: only the digest of the result tells such
-// a base apart.
+// TestApplyRejectsDeltaOnConfigOfSameLength has a base that differs in one bit: only the digest
+// of the result shows it.
 func TestApplyRejectsDeltaOnConfigOfSameLength(t *testing.T) {
 	machine := newFeedStateMachine()
 	applyRouteChanges(t, machine, 50, 3)
--- a/system/controlplane/runner_discovery_test.go
+++ b/system/controlplane/runner_discovery_test.go
@@ -10,10 +10,10 @@
 )
 
 // TestRunnerDiffReportsOnlyChanges compares lists that follow one another, each so long
-// after the last, and names the runners that are told as changed and as gone.
+// after the last, and names the runners that are reported as changed and as removed.
 func TestRunnerDiffReportsOnlyChanges(t *testing.T) {
-	runner := func(life, state string, cold time.Duration) feed.Runner {
-		return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: cold}
+	runner := func(life, state string, warmUpLeft time.Duration) feed.Runner {
+		return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: warmUpLeft}
 	}
 	a, b := runner("a", feed.StateServing, 0), runner("b", feed.StateServing, 0)
 	moved := a
@@ -25,7 +25,7 @@
 		removed []string
 	}
 	for name, steps := range map[string][]step{
-		"new, the same, gone": {
+		"new, the same, removed": {
 			{0, []feed.Runner{a, b}, []string{"a", "b"}, nil},
 			{time.Second, []feed.Runner{b, a}, nil, nil},
 			{time.Second, []feed.Runner{b}, nil, []string{"a"}},
@@ -40,18 +40,18 @@
 			{0, []feed.Runner{a}, []string{"a"}, nil},
 			{time.Second, []feed.Runner{moved}, []string{"a"}, nil},
 		},
-		"cold that counts down, and is over": {
+		"a slow start that counts down, and is over": {
 			{0, []feed.Runner{runner("a", feed.StateWarmingUp, 3*time.Second)}, []string{"a"}, nil},
 			{time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 2*time.Second)}, nil, nil},
 			{time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 900*time.Millisecond)}, nil, nil},
 			{time.Second, []feed.Runner{a}, []string{"a"}, nil},
 		},
-		"cold again while cold": {
+		"a slow start that is restarted": {
 			{0, []feed.Runner{runner("a", feed.StateWarmingUp, 3*time.Second)}, []string{"a"}, nil},
 			{2 * time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 2800*time.Millisecond)}, []string{"a"}, nil},
 			{time.Second, []feed.Runner{runner("a", feed.StateWarmingUp, 1900*time.Millisecond)}, nil, nil},
 		},
-		"leaving": {
+		"draining": {
 			{0, []feed.Runner{a, b}, []string{"a", "b"}, nil},
 			{time.Second, []feed.Runner{a, runner("b", feed.StateDraining, 0)}, []string{"b"}, nil},
 		},
@@ -68,7 +68,7 @@
 				}
 				slices.Sort(names)
 				if !slices.Equal(names, step.changed) || !slices.Equal(removed, step.removed) {
-					t.Fatalf("step %d tells %v and gone %v, not %v and %v", position, names, removed, step.changed, step.removed)
+					t.Fatalf("step %d reports %v and removed %v, not %v and %v", position, names, removed, step.changed, step.removed)
 				}
 				discovery.recordPublished(changed, removed, now)
 				view = fold(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRunners, Partial: true, Runners: changed, Removed: removed})
@@ -80,38 +80,39 @@
 	}
 }
 
-// TestNewLeaseHolderReportsWarmingRunnersAgain has a runner become cold again while it is cold, and
-// the assignment change hands before that is reported: the new owner can't know that the
-// feed's time was nearly over. What it has reported itself it doesn't repeat.
+// TestNewLeaseHolderReportsWarmingRunnersAgain has the slow start of a runner restart, and the
+// role lease change hands before that is published: the new holder can't know that the slow
+// start on the feed was nearly over. What it has published itself it doesn't repeat.
 func TestNewLeaseHolderReportsWarmingRunnersAgain(t *testing.T) {
-	cold := feed.Runner{Life: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.StateWarmingUp, WarmUpLeft: 3 * time.Second}
+	warming := feed.Runner{Life: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.StateWarmingUp, WarmUpLeft: 3 * time.Second}
 	earlier := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 	now, view := time.Unix(1000, 0), feed.View{}
-	take := func(owner *runnerDiscovery, left time.Duration) int {
-		cold.WarmUpLeft = left
-		changed, removed := owner.diff(view.Runners, []feed.Runner{cold}, nil, now)
-		owner.recordPublished(changed, removed, now)
+	publish := func(holder *runnerDiscovery, left time.Duration) int {
+		warming.WarmUpLeft = left
+		changed, removed := holder.diff(view.Runners, []feed.Runner{warming}, nil, now)
+		holder.recordPublished(changed, removed, now)
 		view = fold(t, view, feed.Change{Number: view.Number + 1, Kind: feed.ChangeRunners, Partial: true, Runners: changed, Removed: removed})
 		return len(changed)
 	}
-	take(&earlier, 3*time.Second)
+	publish(&earlier, 3*time.Second)
 	since := view.Runners[0].Since
 	now = now.Add(2800 * time.Millisecond)
 	later := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
-	if take(&later, 2200*time.Millisecond) != 1 || view.Runners[0].WarmUpLeft != 2200*time.Millisecond || view.Runners[0].Since == since {
-		t.Fatalf("the new owner leaves %+v", view.Runners)
+	if publish(&later, 2200*time.Millisecond) != 1 || view.Runners[0].WarmUpLeft != 2200*time.Millisecond || view.Runners[0].Since == since {
+		t.Fatalf("the new holder leaves %+v", view.Runners)
 	}
 	now = now.Add(time.Second)
-	if take(&later, 1200*time.Millisecond) != 0 {
-		t.Fatal("the new owner repeats what it reported")
+	if publish(&later, 1200*time.Millisecond) != 0 {
+		t.Fatal("the new holder repeats what it published")
 	}
-	// Cold again for exactly as long as was reported last: fronts must see a difference.
+	// Restarted for exactly as long as was published last: fronts must see a difference.
 	since = view.Runners[0].Since
-	if take(&later, 2200*time.Millisecond) != 1 || view.Runners[0].Since == since {
-		t.Fatalf("cold again leaves %+v", view.Runners)
+	if publish(&later, 2200*time.Millisecond) != 1 || view.Runners[0].Since == since {
+		t.Fatalf("a restarted slow start leaves %+v", view.Runners)
 	}
 }
 
+// fold applies one change that must fit the view.
 func fold(t *testing.T, view feed.View, change feed.Change) feed.View {
 	t.Helper()
 	next, err := feed.Fold(view, change)
@@ -121,7 +122,7 @@
 	return next
 }
 
-// TestRunnerIsWarmAfterSlowStart holds for lists that don't tell it.
+// TestRunnerIsWarmAfterSlowStart covers lists that don't report it themselves.
 func TestRunnerIsWarmAfterSlowStart(t *testing.T) {
 	discovery := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 	groups := map[string]config.Group{"small": {SlowStart: config.Duration(2 * time.Second)}}
--- a/system/controlplane/store_decommission_test.go
+++ b/system/controlplane/store_decommission_test.go
@@ -8,8 +8,8 @@
 	"yardrock.example/system/feed"
 )
 
-// TestRepeatedDecommissionAfterManyOthersIsAccepted folds more retirements than a view lists,
-// and decides on the first order again.
+// TestRepeatedDecommissionAfterManyOthersIsAccepted folds more decommissions than a view lists,
+// and decides on the first request again.
 func TestRepeatedDecommissionAfterManyOthersIsAccepted(t *testing.T) {
 	stores := []feed.Member{}
 	for position := range 104 {
