--- a/system/link/doc.go
+++ b/system/link/doc.go
@@ -2,7 +2,7 @@
 // (package wire) in frames, over any Network that can dial and listen.
 //
 // A Client has at most one connection to each address, opened at the first call and opened
-// again after it ended; calls on it run concurrently and are told apart by number. A Server
+// again after it ended; calls on it run concurrently and are identified by number. A Server
 // answers each query on a goroutine of its own, and notifications of one connection one after
 // the other.
 //
--- a/system/link/frame_writer.go
+++ b/system/link/frame_writer.go
@@ -8,13 +8,13 @@
 )
 
 // frameWriter queues frames and writes them in batches: what is queued while a write is under way
-// goes with the next. At most one goroutine flushes at a time, the one that enqueue told to.
+// goes with the next. At most one goroutine flushes at a time, the one whose enqueue returned mustFlush.
 type frameWriter struct {
 	stream  net.Conn
 	mutex   sync.Mutex
 	queued  []byte
 	spare   []byte // an empty buffer to queue in next; nil while it is being written
-	writing bool   // somebody flushes, or was told to
+	writing bool   // somebody flushes, or has to
 	err     error  // of the first write that failed
 }
 
