--- a/system/durablelog/frame.go
+++ b/system/durablelog/frame.go
@@ -5,22 +5,8 @@
 	"hash/crc32"
 )
 
-const (
-	frameMagic          = 0x79724652 // "yrFR": records of the log, or a whole slot of format 1
-	snapshotRecordMagic = 0x79725352 // "yrSR": one record of a slot
-	snapshotEndMagic    = 0x79725345 // "yrSE": the end of a slot
-	frameHeaderBytes    = 20
-	recordHeaderBytes   = 10
-)
-
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func appendRecordHeader(target []byte, record Record) []byte {
-	target = binary.LittleEndian.AppendUint32(target, record.Group)
-	target = binary.LittleEndian.AppendUint16(target, record.Kind)
-	return binary.LittleEndian.AppendUint32(target, uint32(len(record.Data)))
-}
-
 // putFrameHeader fills a frame's header, for a body that is given in parts, and gives the
 // checksum in it.
 func putFrameHeader(header []byte, magic uint32, sequence uint64, size int, body ...[]byte) uint32 {
@@ -52,19 +38,6 @@
 	return binary.LittleEndian.Uint64(data[8:]), body, true
 }
 
-// decodeRecords splits a frame's body; false means that a record is cut.
-func decodeRecords(body []byte) (records []Record, complete bool) {
-	for len(body) >= recordHeaderBytes {
-		end := recordHeaderBytes + int(binary.LittleEndian.Uint32(body[6:]))
-		if end > len(body) {
-			return nil, false
-		}
-		records = append(records, Record{Group: binary.LittleEndian.Uint32(body), Kind: binary.LittleEndian.Uint16(body[4:]), Data: body[recordHeaderBytes:end]})
-		body = body[end:]
-	}
-	return records, true
-}
-
 // decodeFrame gives the frame at the start of data; size 0 means there is none.
 func decodeFrame(data []byte) (sequence uint64, records []Record, size int) {
 	sequence, body, complete := frameBody(data, frameMagic)
