--- a/system/durablelog/buffered_writer.go
+++ b/system/durablelog/buffered_writer.go
@@ -2,17 +2,20 @@
 
 import "yardrock.example/system/vfs"
 
+// writeBufferBytes is the size of the buffer for small writes.
 const writeBufferBytes = 64 << 10
 
-// bufferedWriter writes a file from an offset on. It gathers what is small, and writes what
-// is large without copying it.
+// bufferedWriter writes a file from an offset on. It gathers small writes, and makes large ones
+// without copying them.
 type bufferedWriter struct {
 	directory vfs.Directory
 	file      string
-	offset    int64
-	buffer    []byte
+	// offset is where the next write to the file begins.
+	offset int64
+	buffer []byte
 }
 
+// write writes data, at the latest with the next flush.
 func (writer *bufferedWriter) write(data []byte) error {
 	if len(writer.buffer)+len(data) <= writeBufferBytes {
 		writer.buffer = append(writer.buffer, data...)
@@ -25,16 +28,17 @@
 		writer.buffer = append(writer.buffer, data...)
 		return nil
 	}
-	return writer.put(data)
+	return writer.writeThrough(data)
 }
 
 func (writer *bufferedWriter) flush() error {
-	err := writer.put(writer.buffer)
+	err := writer.writeThrough(writer.buffer)
 	writer.buffer = writer.buffer[:0]
 	return err
 }
 
-func (writer *bufferedWriter) put(data []byte) error {
+// writeThrough writes data to the file, past the buffer.
+func (writer *bufferedWriter) writeThrough(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
@@ -45,7 +49,7 @@
 	return nil
 }
 
-// writeFrame writes records as one frame of the log.
+// writeFrame writes records as one frame of a log.
 func (writer *bufferedWriter) writeFrame(sequence uint64, records []Record) error {
 	size, body := 0, make([][]byte, 0, 2*len(records))
 	for _, record := range records {
--- a/system/durablelog/durablelog_test.go
+++ b/system/durablelog/durablelog_test.go
@@ -16,11 +16,11 @@
 
 func openDirectory(t *testing.T, path string) (*Log, []Record, error) {
 	t.Helper()
-	folder, err := vfs.Open(path)
+	directory, err := vfs.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Open(folder, testRole)
+	return Open(directory, testRole)
 }
 
 func must(t *testing.T, err error) {
@@ -34,16 +34,16 @@
 	return Record{Group: group, Kind: 1, Data: []byte(value)}
 }
 
-// content folds records as a node does: the last value of each group counts.
+// content replays records as a node does: the last value of each group counts.
 func content(records []Record) string {
-	held := map[uint32]string{}
+	values := map[uint32]string{}
 	for _, one := range records {
-		held[one.Group] = string(one.Data)
+		values[one.Group] = string(one.Data)
 	}
-	return fmt.Sprint(held)
+	return fmt.Sprint(values)
 }
 
-// filledDirectory has slot 1 in slot-0, slot 2 in slot-1, and logs 1 and 2.
+// filledDirectory makes a folder with snapshot 1 in slot-0, snapshot 2 in slot-1, and logs 1 and 2.
 func filledDirectory(t *testing.T) (path, want string) {
 	t.Helper()
 	path = t.TempDir()
@@ -90,30 +90,30 @@
 		"newest log is missing":        remove(logName(2)),
 		"all logs are missing":         remove(logName(1), logName(2)),
 		"all but the identity missing": remove(logName(1), logName(2), snapshotFiles[0], snapshotFiles[1]),
-		"slots are missing":            remove(snapshotFiles[0], snapshotFiles[1]),
-		"newest slot torn, its log missing": func(t *testing.T, path string) {
+		"snapshots are missing":        remove(snapshotFiles[0], snapshotFiles[1]),
+		"newest snapshot torn, its log missing": func(t *testing.T, path string) {
 			must(t, tear(path, snapshotFiles[1]))
 			must(t, os.Remove(filepath.Join(path, logName(2))))
 		},
-		"newest slot torn, older log missing": func(t *testing.T, path string) {
+		"newest snapshot torn, older log missing": func(t *testing.T, path string) {
 			must(t, tear(path, snapshotFiles[1]))
 			must(t, os.Remove(filepath.Join(path, logName(1))))
 		},
-		"both slots torn": func(t *testing.T, path string) {
+		"both snapshots torn": func(t *testing.T, path string) {
 			must(t, tear(path, snapshotFiles[0]))
 			must(t, tear(path, snapshotFiles[1]))
 		},
 		"log renamed": func(t *testing.T, path string) {
 			must(t, os.Rename(filepath.Join(path, logName(2)), filepath.Join(path, logName(2)+".old")))
 		},
-		"slot renamed": func(t *testing.T, path string) {
+		"snapshot renamed": func(t *testing.T, path string) {
 			must(t, os.Rename(filepath.Join(path, snapshotFiles[1]), filepath.Join(path, snapshotFiles[1]+".new")))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path, _ := filledDirectory(t)
 			harm(t, path)
-			for range 2 { // a refusal mends nothing by itself
+			for range 2 { // a rejected folder is unchanged
 				_, records, err := openDirectory(t, path)
 				if !apierror.Is(err, apierror.Damaged) || apierror.Of(err).Remedy == "" {
 					t.Fatalf("opened with %v and %s", err, content(records))
@@ -134,7 +134,7 @@
 	}
 }
 
-// Power may go while a new folder gets its first files; it is still empty then.
+// Power may be lost while a new folder gets its first files; it counts as empty then.
 func TestInterruptedFirstStartStartsOver(t *testing.T) {
 	for name, files := range map[string][]string{
 		"only the first log":      {logName(0)},
@@ -152,7 +152,7 @@
 	}
 }
 
-// A slot that is interrupted again and again must never be written over the whole one.
+// A snapshot that is interrupted again and again must never overwrite the complete one.
 func TestInterruptedSnapshotsKeepTheCompleteOne(t *testing.T) {
 	path, want := filledDirectory(t)
 	for attempt := range 5 {
@@ -161,7 +161,7 @@
 		if content(records) != want {
 			t.Fatalf("attempt %d: %s instead of %s", attempt, content(records), want)
 		}
-		kept := log.snapshotFile
+		completeFile := log.snapshotFile
 		interrupted := func(yield func(Record) bool) {
 			yield(Record{Group: 9, Kind: 1, Data: make([]byte, 2*writeBufferBytes)})
 			panic("power is lost")
@@ -171,7 +171,7 @@
 			_ = log.WriteSnapshot(interrupted)
 		}()
 		for _, name := range snapshotFiles {
-			if name != kept {
+			if name != completeFile {
 				must(t, os.WriteFile(filepath.Join(path, name), []byte("RSry torn"), 0o600))
 			}
 		}
@@ -183,7 +183,7 @@
 	}
 	names, err := log.directory.List()
 	must(t, err)
-	if len(names) != 5 { // identity, two slots, two logs
+	if len(names) != 5 { // identity, two snapshot files, two logs
 		t.Fatalf("files are left over: %v", names)
 	}
 	if _, records, err := openDirectory(t, path); err != nil || content(records) != content([]Record{record(1, "round 2")}) {
@@ -191,7 +191,7 @@
 	}
 }
 
-// encodeFrame makes a frame of the log in one piece, as format 1 also made its slots.
+// encodeFrame encodes a frame in one piece, as format 1 also encoded its snapshots.
 func encodeFrame(sequence uint64, records []Record) []byte {
 	size := 0
 	for _, record := range records {
@@ -205,7 +205,7 @@
 	return frame
 }
 
-// A folder of format 1 has slots of one frame, and its newest log may not be made yet.
+// A folder of format 1 has snapshots of one frame, and its newest log may be missing.
 func TestDirectoryOfFormatOneIsRead(t *testing.T) {
 	path := t.TempDir()
 	write := func(name string, data []byte) { must(t, os.WriteFile(filepath.Join(path, name), data, 0o600)) }
@@ -248,6 +248,6 @@
 	}
 	must(t, log.WriteSnapshot(slices.Values([]Record{})))
 	if _, read, err = openDirectory(t, path); err != nil || len(read) != 0 {
-		t.Fatalf("an empty slot: %d records, %v", len(read), err)
+		t.Fatalf("an empty snapshot: %d records, %v", len(read), err)
 	}
 }
--- a/system/durablelog/frame.go
+++ b/system/durablelog/frame.go
@@ -5,14 +5,26 @@
 	"hash/crc32"
 )
 
+// A frame is the unit that is complete or not: a header of 20 bytes and a body. The header has,
+// little-endian, the magic number (uint32), the length of the body (uint32), a number
+// (uint64) and the CRC-32C of length, number and body (uint32). In a log the number counts the
+// frames from 1 on, and the body has the records of one append. In a snapshot file it is the
+// generation.
+const (
+	frameMagic          = 0x79724652 // "yrFR": records of a log, or a complete snapshot of format 1
+	snapshotRecordMagic = 0x79725352 // "yrSR": one record of a snapshot
+	snapshotEndMagic    = 0x79725345 // "yrSE": the end of a snapshot
+	frameHeaderBytes    = 20
+)
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// putFrameHeader fills a frame's header, for a body that is given in parts, and gives the
+// putFrameHeader fills in a frame's header, for a body that is given in parts, and returns the
 // checksum in it.
-func putFrameHeader(header []byte, magic uint32, sequence uint64, size int, body ...[]byte) uint32 {
+func putFrameHeader(header []byte, magic uint32, number uint64, size int, body ...[]byte) uint32 {
 	binary.LittleEndian.PutUint32(header[0:], magic)
 	binary.LittleEndian.PutUint32(header[4:], uint32(size))
-	binary.LittleEndian.PutUint64(header[8:], sequence)
+	binary.LittleEndian.PutUint64(header[8:], number)
 	checksum := crc32.Checksum(header[4:16], castagnoli)
 	for _, part := range body {
 		checksum = crc32.Update(checksum, castagnoli, part)
@@ -21,9 +33,9 @@
 	return checksum
 }
 
-// frameBody gives the body of the frame at the start of data; false means there is none
-// of that kind, or it is damaged.
-func frameBody(data []byte, magic uint32) (sequence uint64, body []byte, complete bool) {
+// frameBody returns the number and body of the frame at the start of data. It returns false if
+// there is none with the magic number, or if it is incomplete or damaged.
+func frameBody(data []byte, magic uint32) (number uint64, body []byte, complete bool) {
 	if len(data) < frameHeaderBytes || binary.LittleEndian.Uint32(data) != magic {
 		return 0, nil, false
 	}
@@ -38,14 +50,15 @@
 	return binary.LittleEndian.Uint64(data[8:]), body, true
 }
 
-// decodeFrame gives the frame at the start of data; size 0 means there is none.
-func decodeFrame(data []byte) (sequence uint64, records []Record, size int) {
-	sequence, body, complete := frameBody(data, frameMagic)
+// decodeFrame decodes the frame of records at the start of data. Size 0 means that there is
+// none.
+func decodeFrame(data []byte) (number uint64, records []Record, size int) {
+	number, body, complete := frameBody(data, frameMagic)
 	if !complete {
 		return 0, nil, 0
 	}
 	if records, complete = decodeRecords(body); !complete {
 		return 0, nil, 0
 	}
-	return sequence, records, frameHeaderBytes + len(body)
+	return number, records, frameHeaderBytes + len(body)
 }
--- a/system/durablelog/identity.go
+++ b/system/durablelog/identity.go
@@ -13,43 +13,38 @@
 	"yardrock.example/system/apierror"
 )
 
-// Identity is the random name of a disk, made when it was empty. A wiped disk
-// gets a new one and so is a new node.
+const (
+	identityFile = "identity"
+	// formatVersion is the format of new folders. Since format 2 a snapshot is written record
+	// by record, and each log is created before what refers to it: the first before the
+	// identity, any other before its snapshot. A missing log is always a loss then.
+	formatVersion = 2
+	// logFirstFormat is the first format with that order.
+	logFirstFormat = 2
+)
+
+// Identity is the content of the identity file.
 type Identity struct {
-	Name   string `json:"name"`
-	Format int    `json:"format"`
-	Role   string `json:"role"`
+	// Name is random and made with the folder. A node whose disk is replaced gets another name
+	// and so is another node, which does not answer for what the former one promised.
+	Name string `json:"name"`
+	// Format is that of the version which made the folder.
+	Format int `json:"format"`
+	// Role is the kind of process that the folder belongs to, such as "store".
+	Role string `json:"role"`
 }
 
+// loadIdentity reads the identity, or makes that of an empty folder.
 func (log *Log) loadIdentity(names []string, role string) error {
 	data, err := log.directory.ReadFile(identityFile)
 	if errors.Is(err, fs.ErrNotExist) {
-		if err := log.checkNoState(names); err != nil {
-			return err
-		}
-		if err := log.createLog(0); err != nil {
-			return err
-		}
-		log.identity = Identity{Name: role + "-" + uuid.NewString(), Format: formatVersion, Role: role}
-		data, err := json.Marshal(log.identity)
-		if err != nil {
-			return err
-		}
-		return log.writeSynced(identityFile, data)
+		return log.createIdentity(names, role)
 	}
 	if err != nil {
-		return err
+		return fmt.Errorf("read the identity of the data folder: %w", err)
 	}
 	if json.Unmarshal(data, &log.identity) != nil {
-		others := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == identityFile })
-		if log.checkNoState(others) != nil || slices.ContainsFunc(others, func(name string) bool { return name != logName(0) }) {
-			return apierror.New(apierror.Damaged, "the identity file cannot be read", "empty the data folder so that the node joins as a new one")
-		}
-		// Power was lost while an empty disk got its first file: still empty.
-		if err := log.directory.Remove(identityFile); err != nil {
-			return err
-		}
-		return log.loadIdentity(nil, role)
+		return log.replaceTornIdentity(names, role)
 	}
 	if log.identity.Format > formatVersion {
 		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("the data folder has format %d, this program knows up to %d", log.identity.Format, formatVersion), "run the newer version of the program that wrote it")
@@ -60,8 +55,40 @@
 	return nil
 }
 
-// checkNoState refuses a folder without identity that has state. Only the first log may
-// be there, still empty: it is made before the identity.
+// createIdentity makes the first log and then the identity of a folder without state.
+func (log *Log) createIdentity(names []string, role string) error {
+	if err := log.checkNoState(names); err != nil {
+		return err
+	}
+	if err := log.createLog(0); err != nil {
+		return fmt.Errorf("create the first log of the data folder: %w", err)
+	}
+	log.identity = Identity{Name: role + "-" + uuid.NewString(), Format: formatVersion, Role: role}
+	data, err := json.Marshal(log.identity)
+	if err != nil {
+		return fmt.Errorf("encode the identity of the data folder: %w", err)
+	}
+	if err := log.writeSynced(identityFile, data); err != nil {
+		return fmt.Errorf("write the identity of the data folder: %w", err)
+	}
+	return nil
+}
+
+// replaceTornIdentity makes a new identity if power was lost while an empty folder got its
+// first one. Beside anything but an empty first log, an unreadable identity is damage.
+func (log *Log) replaceTornIdentity(names []string, role string) error {
+	others := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == identityFile })
+	if log.checkNoState(others) != nil || slices.ContainsFunc(others, func(name string) bool { return name != logName(0) }) {
+		return apierror.New(apierror.Damaged, "the identity file cannot be read", "empty the data folder so that the node joins as a new one")
+	}
+	if err := log.directory.Remove(identityFile); err != nil {
+		return fmt.Errorf("remove the torn identity of the data folder: %w", err)
+	}
+	return log.createIdentity(nil, role)
+}
+
+// checkNoState rejects a folder without an identity that has state. Only the first log may be
+// there, still empty, since it is created before the identity.
 func (log *Log) checkNoState(names []string) error {
 	for _, name := range names {
 		if name == logName(0) {
--- a/system/durablelog/log.go
+++ b/system/durablelog/log.go
@@ -8,65 +8,65 @@
 	"yardrock.example/system/vfs"
 )
 
-// Log is an open data folder.
+const (
+	logPrefix      = "log-"
+	snapshotPrefix = "slot-"
+)
+
+// Log is an open data folder. One goroutine at a time may use it, and one process at a time the
+// folder.
 type Log struct {
-	directory     vfs.Directory
-	identity      Identity
-	generation    uint64
-	offset        int64
-	sequence      uint64
-	snapshotBytes int64
-	syncs         uint64
-	appendFailed  bool
-	// snapshotGeneration is the generation of the newest whole slot, in snapshotFile; 0 if there is none.
+	directory vfs.Directory
+	identity  Identity
+
+	// generation is that of the log that is appended to, offset its length in bytes, and
+	// sequence the number of its last frame.
+	generation uint64
+	offset     int64
+	sequence   uint64
+	// appendFailed says that a part of a frame may follow offset.
+	appendFailed bool
+
+	// snapshotGeneration is that of the newest complete snapshot, in snapshotFile with a size
+	// of snapshotBytes. It is 0 and "" if there is none.
 	snapshotGeneration uint64
 	snapshotFile       string
-	// oldestLogGeneration is the generation of the oldest log that is kept.
+	snapshotBytes      int64
+	// oldestLogGeneration is that of the oldest log in the folder.
 	oldestLogGeneration uint64
 }
 
-const (
-	// formatVersion 2: the first log is made before the identity, and a slot's log before
-	// the slot, so that a missing log is always a loss.
-	formatVersion  = 2
-	logFirstFormat = 2
-	identityFile   = "identity"
-	logPrefix      = "log-"
-	snapshotPrefix = "slot-"
-)
-
 func logName(generation uint64) string { return fmt.Sprintf("%s%020d", logPrefix, generation) }
 
-// Open reads a data folder, or makes the identity of an empty one, and gives
-// the records in the order in which they are to be replayed.
+// Open opens a data folder, or makes the identity of an empty one, and returns the records in
+// the order in which they are to be replayed. They share the memory of the files' contents.
+// role is that of the process, such as "store".
 //
-//	log, records, err := durablelog.Open(folder, "store")
+// Beside errors of the directory, the error is an [apierror.Error]: Damaged if something that
+// was durable is missing, FormatTooNew if a newer version made the folder, BadSettings if a
+// process of another role did.
 func Open(directory vfs.Directory, role string) (*Log, []Record, error) {
 	log := &Log{directory: directory}
 	names, err := directory.List()
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("list the data folder: %w", err)
 	}
 	if err := log.loadIdentity(names, role); err != nil {
 		return nil, nil, err
 	}
-	if names, err = directory.List(); err != nil { // a new folder got its first log
-		return nil, nil, err
+	if names, err = directory.List(); err != nil { // a new folder has its first log now
+		return nil, nil, fmt.Errorf("list the data folder: %w", err)
 	}
 	records, err := log.replay(names)
 	return log, records, err
 }
 
+// createLog makes an empty log durable.
 func (log *Log) createLog(generation uint64) error {
-	if err := log.directory.WriteAt(logName(generation), 0, nil); err != nil {
-		return err
-	}
-	if err := log.directory.Truncate(logName(generation), 0); err != nil {
-		return err
-	}
-	return log.directory.Sync(logName(generation))
+	return log.writeSynced(logName(generation), nil)
 }
 
+// writeSynced makes a file durable, in place of the one before.
 func (log *Log) writeSynced(name string, data []byte) error {
 	if err := log.directory.WriteAt(name, 0, data); err != nil {
 		return err
@@ -77,20 +77,12 @@
 	return log.directory.Sync(name)
 }
 
-// Identity tells the disk's name.
-//
-//	name := log.Identity().Name
+// Identity returns the identity of the data folder.
 func (log *Log) Identity() Identity { return log.identity }
 
-// Syncs counts the syncs of frames so far.
-//
-//	before := log.Syncs()
-func (log *Log) Syncs() uint64 { return log.syncs }
-
-// Append writes records as one frame and returns once they last. After a
-// failure the same call may be made again: it writes over what did not last.
-//
-//	err := log.Append([]durablelog.Record{{Group: 3, Kind: 1, Data: data}})
+// Append appends records as one frame and returns once they are durable. After an error, which
+// is an [apierror.Error] DiskUnavailable, they may be durable or not; the caller must append
+// the same records again until it succeeds, or end.
 func (log *Log) Append(records []Record) error {
 	name := logName(log.generation)
 	if log.appendFailed {
@@ -109,16 +101,11 @@
 	log.appendFailed = false
 	log.offset = writer.offset
 	log.sequence++
-	log.syncs++
 	return nil
 }
 
-// LogBytes tells how long the log since the newest slot is.
-//
-//	if log.LogBytes() > 8<<20 { ... }
+// LogBytes returns the size in bytes of the log since the newest snapshot.
 func (log *Log) LogBytes() int64 { return log.offset }
 
-// SnapshotBytes tells the size of the newest slot.
-//
-//	limit := max(8<<20, 2*log.SnapshotBytes())
+// SnapshotBytes returns the size in bytes of the newest snapshot; 0 if there is none.
 func (log *Log) SnapshotBytes() int64 { return log.snapshotBytes }
--- a/system/durablelog/record.go
+++ b/system/durablelog/record.go
@@ -2,11 +2,16 @@
 
 import "encoding/binary"
 
-// Record is one group-tagged piece of state.
+// recordHeaderBytes is the size of a record's header: group (uint32), kind (uint16) and length
+// of the data (uint32), little-endian.
+const recordHeaderBytes = 10
+
+// Record is a piece of state of one group. The log does not interpret it.
 type Record struct {
 	Group uint32
-	Kind  uint16
-	Data  []byte
+	// Kind says what Data is, to the caller.
+	Kind uint16
+	Data []byte
 }
 
 func appendRecordHeader(target []byte, record Record) []byte {
@@ -15,7 +20,8 @@
 	return binary.LittleEndian.AppendUint32(target, uint32(len(record.Data)))
 }
 
-// decodeRecords splits a frame's body; false means that a record is cut.
+// decodeRecords decodes the records in a frame's body, whose memory they share. It returns
+// false if the last one is incomplete.
 func decodeRecords(body []byte) (records []Record, complete bool) {
 	for len(body) >= recordHeaderBytes {
 		end := recordHeaderBytes + int(binary.LittleEndian.Uint32(body[6:]))
@@ -27,11 +33,3 @@
 	}
 	return records, true
 }
-
-const (
-	frameMagic          = 0x79724652 // "yrFR": records of the log, or a whole slot of format 1
-	snapshotRecordMagic = 0x79725352 // "yrSR": one record of a slot
-	snapshotEndMagic    = 0x79725345 // "yrSE": the end of a slot
-	frameHeaderBytes    = 20
-	recordHeaderBytes   = 10
-)
--- a/system/durablelog/replay.go
+++ b/system/durablelog/replay.go
@@ -2,13 +2,15 @@
 
 import (
 	"errors"
+	"fmt"
 	"io/fs"
 	"slices"
 	"strconv"
 	"strings"
 )
 
-// replay gives the records of the newest whole slot and of all logs from it on.
+// replay returns the records of the newest complete snapshot and of all logs from its
+// generation on.
 func (log *Log) replay(names []string) ([]Record, error) {
 	snapshot, err := log.newestCompleteSnapshot(names)
 	if err != nil {
@@ -38,14 +40,14 @@
 	return records, nil
 }
 
-// logGenerations gives the generations of the logs, in order. A file that is named like
-// state, but is none, shows that the folder was meddled with.
+// logGenerations returns the generations of the logs, in order. A file that is named nearly
+// like a log or a snapshot file was renamed by hand; the state in it would be missed.
 func logGenerations(names []string) ([]uint64, error) {
 	logs := []uint64{}
 	for _, name := range names {
 		number, isLog := strings.CutPrefix(name, logPrefix)
 		if strings.HasPrefix(name, snapshotPrefix) && !slices.Contains(snapshotFiles, name) {
-			return nil, damagedError("the data folder has a file %s, which is no slot", name)
+			return nil, damagedError("the data folder has a file %s, which is no snapshot file", name)
 		}
 		if !isLog {
 			continue
@@ -60,61 +62,82 @@
 	return logs, nil
 }
 
-// checkLogs refuses a folder that lacks a log that must be there. A log is made before
-// the slot that it follows, so its absence is a loss; only folders of format 1 and their
-// slots leave it open whether the newest log was ever made.
+// checkLogs rejects a folder that lacks a log that must be there. Since format 2 a log is
+// created before the snapshot that it follows, so its absence is a loss. In format 1 it is
+// unknown whether the newest log was ever created.
 func (log *Log) checkLogs(snapshot snapshot, logs []uint64) error {
 	first := snapshot.generation
 	strict := snapshot.streamed || !snapshot.found && log.identity.Format >= logFirstFormat
 	later := len(logs) > 0 && (logs[len(logs)-1] > first || !snapshot.found)
 	if !slices.Contains(logs, first) && (strict || later) {
-		return damagedError("no readable slot precedes the logs that are left (log %d is missing)", first)
+		return damagedError("no readable snapshot file precedes the logs that are left (log %d is missing)", first)
 	}
 	if strict && snapshot.otherTorn && !slices.Contains(logs, first+1) {
-		return damagedError("a slot cannot be read, and the log that was made before it (log %d) is missing", first+1)
+		return damagedError("a snapshot file cannot be read, and the log that was made before it (log %d) is missing", first+1)
 	}
 	return nil
 }
 
+// replayLog returns the records of one log, and notes its end as that of the log. The newest
+// one may end in a torn frame, of an append that was interrupted: it is cut off.
 func (log *Log) replayLog(generation uint64, newest bool) ([]Record, error) {
-	data, err := log.directory.ReadFile(logName(generation))
+	name := logName(generation)
+	data, err := log.directory.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) && newest {
 		log.offset, log.sequence = 0, 0
 		return nil, nil
 	}
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, damagedError("%s is missing although a later log exists", logName(generation))
+		return nil, damagedError("%s is missing although a later log exists", name)
 	}
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read a log of the data folder: %w", err)
+	}
+	records, offset, frames := decodeLog(data)
+	if offset < len(data) {
+		if hasFrameAfter(data[offset:], frames+1) {
+			return nil, damagedError("%s is damaged at byte %d, before later records that are complete", name, offset)
+		}
+		if !newest {
+			return nil, damagedError("%s is cut at byte %d although a later log exists", name, offset)
+		}
+		if err := log.truncateSynced(name, int64(offset)); err != nil {
+			return nil, fmt.Errorf("cut off the torn end of a log of the data folder: %w", err)
+		}
 	}
-	var records []Record
-	offset, next := 0, uint64(1)
+	log.offset, log.sequence = int64(offset), frames
+	return records, nil
+}
+
+// decodeLog decodes the frames of a log up to the first that is torn or out of order, and
+// returns where it begins and how many there are before it.
+func decodeLog(data []byte) (records []Record, offset int, frames uint64) {
 	for offset < len(data) {
 		sequence, content, size := decodeFrame(data[offset:])
-		if size == 0 || sequence != next {
+		if size == 0 || sequence != frames+1 {
 			break
 		}
 		records = append(records, content...)
 		offset += size
-		next++
+		frames++
 	}
-	if offset < len(data) {
-		for at := offset; at+frameHeaderBytes <= len(data); at++ {
-			if sequence, _, size := decodeFrame(data[at:]); size > 0 && sequence > next {
-				return nil, damagedError("%s is damaged at byte %d, before later records that are whole", logName(generation), offset)
-			}
-		}
-		if !newest {
-			return nil, damagedError("%s is cut at byte %d although a later log exists", logName(generation), offset)
-		}
-		if err := log.directory.Truncate(logName(generation), int64(offset)); err != nil {
-			return nil, err
-		}
-		if err := log.directory.Sync(logName(generation)); err != nil {
-			return nil, err
+	return records, offset, frames
+}
+
+// hasFrameAfter reports whether a complete frame with a higher number than one that is torn
+// stands anywhere in data. Then the torn one was durable: a later append was synced after it.
+func hasFrameAfter(data []byte, torn uint64) bool {
+	for at := 0; at+frameHeaderBytes <= len(data); at++ {
+		if sequence, _, size := decodeFrame(data[at:]); size > 0 && sequence > torn {
+			return true
 		}
 	}
-	log.offset, log.sequence = int64(offset), next-1
-	return records, nil
+	return false
+}
+
+func (log *Log) truncateSynced(name string, size int64) error {
+	if err := log.directory.Truncate(name, size); err != nil {
+		return err
+	}
+	return log.directory.Sync(name)
 }
--- a/system/durablelog/snapshot_reader.go
+++ b/system/durablelog/snapshot_reader.go
@@ -1,33 +1,39 @@
 package durablelog
 
 import (
+	"cmp"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"hash/crc32"
 	"io/fs"
 	"slices"
 )
 
+// snapshotFiles are the snapshot files, which are written in turn.
 var snapshotFiles = []string{snapshotPrefix + "0", snapshotPrefix + "1"}
 
+// snapshotEndBytes is the size of the body of a snapshot's last frame: the number of records
+// (uint64) and the checksum of all their checksums (uint32).
 const snapshotEndBytes = 12
 
-// snapshot is what is read of the newest whole slot; found is false if there is none.
+// snapshot is the newest complete snapshot of a folder.
 type snapshot struct {
+	// found is false if there is none.
 	found      bool
 	fileName   string
 	generation uint64
 	size       int64
 	records    []Record
-	// streamed tells that the slot has a frame for each record, and that its log was made
-	// before it.
+	// streamed says that the snapshot has a frame for each record, as since format 2, and that
+	// its log was created before it.
 	streamed bool
-	// otherTorn tells that the other slot is there but cannot be read.
+	// otherTorn says that another snapshot file is there but cannot be read.
 	otherTorn bool
 }
 
-// newestCompleteSnapshot looks at the headers of both slots and reads the newer one; the other
-// only if that one is damaged.
+// newestCompleteSnapshot looks at the headers of both snapshot files, and reads the newer one,
+// and the other only if that one is damaged.
 func (log *Log) newestCompleteSnapshot(names []string) (snapshot, error) {
 	type candidate struct {
 		file       string
@@ -45,16 +51,11 @@
 		}
 		candidates = append(candidates, candidate{file, binary.LittleEndian.Uint64(header[8:])})
 	}
-	slices.SortFunc(candidates, func(left, right candidate) int {
-		if left.generation > right.generation {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(candidates, func(left, right candidate) int { return cmp.Compare(right.generation, left.generation) })
 	for _, one := range candidates {
 		data, err := log.directory.ReadFile(one.file)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return snapshot{}, err
+			return snapshot{}, fmt.Errorf("read a snapshot file of the data folder: %w", err)
 		}
 		if read := decodeSnapshot(data); read.found {
 			read.fileName, read.otherTorn = one.file, torn
@@ -70,6 +71,7 @@
 	return magic == frameMagic || magic == snapshotRecordMagic || magic == snapshotEndMagic
 }
 
+// decodeSnapshot decodes a snapshot file of any format.
 func decodeSnapshot(data []byte) snapshot {
 	if generation, records, size := decodeFrame(data); size > 0 {
 		return snapshot{found: true, generation: generation, records: records, size: int64(size)}
@@ -77,8 +79,9 @@
 	return decodeStreamedSnapshot(data)
 }
 
-// decodeStreamedSnapshot reads a slot of one frame a record. It is whole only if its end
-// tells the count of records and the checksum of all their checksums.
+// decodeStreamedSnapshot decodes a snapshot with a frame for each record. It is complete only
+// if its last frame has the number of records and the checksum of all their checksums, and
+// nothing follows: part of an older snapshot may be left in the file.
 func decodeStreamedSnapshot(data []byte) snapshot {
 	read := snapshot{size: int64(len(data)), streamed: true}
 	chain := uint32(0)
--- a/system/durablelog/snapshot_writer.go
+++ b/system/durablelog/snapshot_writer.go
@@ -8,15 +8,17 @@
 	"yardrock.example/system/apierror"
 )
 
-// snapshotWriter writes a slot's records one after the other, so that no two of them need be
-// in memory.
+// snapshotWriter writes a snapshot file record by record, so that only one record need be in
+// memory.
 type snapshotWriter struct {
 	bufferedWriter
 	generation uint64
 	records    uint64
-	chain      uint32
+	// chain is the checksum of the checksums of all frames so far.
+	chain uint32
 }
 
+// add writes a record as one frame.
 func (writer *snapshotWriter) add(record Record) error {
 	header := make([]byte, frameHeaderBytes, frameHeaderBytes+recordHeaderBytes)
 	header = appendRecordHeader(header, record)
@@ -29,7 +31,7 @@
 	return writer.write(record.Data)
 }
 
-// finish writes the slot's end, cuts off what an older slot left behind it, and syncs.
+// finish writes the last frame, cuts off what is left of an older snapshot, and syncs.
 func (writer *snapshotWriter) finish() error {
 	end := make([]byte, frameHeaderBytes, frameHeaderBytes+snapshotEndBytes)
 	end = binary.LittleEndian.AppendUint64(end, writer.records)
@@ -47,11 +49,12 @@
 	return writer.directory.Sync(writer.file)
 }
 
-// WriteSnapshot starts a new log and stores the whole state, which it takes record by record,
-// in the slot that is not the newest. The newest slot and its logs stay until the slot
-// after, so that one bad slot is survived. After a failure it may be called again.
-//
-//	err := log.WriteSnapshot(slices.Values(records))
+// WriteSnapshot compacts the log: it creates the next log and writes records, which must be the
+// whole state, to the snapshot file that is not the newest. The newest one and its log stay
+// until the next snapshot is complete. After an error, which is an [apierror.Error]
+// DiskUnavailable, the caller must repeat the call, with the same or a later state, before it
+// appends: an append to the old log that is torn beside the new one would count as damage. It
+// must not follow an append that failed and was not repeated.
 func (log *Log) WriteSnapshot(records iter.Seq[Record]) error {
 	if log.appendFailed {
 		return apierror.New(apierror.DiskUnavailable, "the log's last write is not settled", "append again first")
@@ -73,10 +76,16 @@
 	if err := writer.finish(); err != nil {
 		return diskError(err)
 	}
-	kept := log.snapshotGeneration
+	previous := log.snapshotGeneration
 	log.generation, log.snapshotGeneration, log.snapshotFile = next, next, file
 	log.offset, log.sequence, log.snapshotBytes = 0, 0, writer.offset
-	for ; log.oldestLogGeneration < kept; log.oldestLogGeneration++ {
+	return log.removeLogsBefore(previous)
+}
+
+// removeLogsBefore removes the logs that no snapshot in the folder needs any more. After an
+// error the next snapshot removes them.
+func (log *Log) removeLogsBefore(generation uint64) error {
+	for ; log.oldestLogGeneration < generation; log.oldestLogGeneration++ {
 		if err := log.directory.Remove(logName(log.oldestLogGeneration)); err != nil {
 			return diskError(err)
 		}
