--- a/proof/simulator/durable_test.go
+++ b/proof/simulator/durable_test.go
@@ -205,7 +205,7 @@
 	if read := disk.TakeRead(); read > stored/50 {
 		t.Fatalf("opening read %d bytes of %d stored", read, stored)
 	}
-	if events, err := again.Read("depot/c-7", 10, 200); err != nil || len(events) != 190 || events[0].Seq != 11 {
-		t.Fatalf("%d events, %v", len(events), err)
+	if events := again.Read("depot/c-7", 10, 200); len(events) != 190 || events[0].Seq != 11 {
+		t.Fatalf("%d events", len(events))
 	}
 }
--- a/system/archive/locations.go
+++ b/system/archive/locations.go
@@ -9,33 +9,39 @@
 	"yardrock.example/system/wire"
 )
 
+// chunkLocation is where a chunk is: length bytes at an offset of a file, both in bytes.
 type chunkLocation struct {
-	file    uint64
-	offset  int64
-	length  int
-	group   uint32
-	first   uint64
-	last    uint64
-	expires int64
-	sum     uint32
-	digest  [sha256.Size]byte
+	file   uint64
+	offset int64
+	length int
+	group  uint32
+	// first and last are the sequence numbers of the chunk's first and last event.
+	first uint64
+	last  uint64
+	// expires is when the session's retention ended as of the archiving, in nanoseconds of the
+	// group's clock.
+	expires  int64
+	checksum uint32
+	digest   [sha256.Size]byte
 }
 
+// addLocation adds a chunk of a file to the index. The caller holds mutex, or is Open.
 func (store *Store) addLocation(file uint64, location wire.ChunkLocation) {
-	made := chunkLocation{file: file, offset: int64(location.Offset), length: int(location.Length), group: location.Group, first: location.First, last: location.Last, expires: location.ExpiresAt, sum: location.Checksum}
+	made := chunkLocation{file: file, offset: int64(location.Offset), length: int(location.Length), group: location.Group, first: location.First, last: location.Last, expires: location.ExpiresAt, checksum: location.Checksum}
 	copy(made.digest[:], location.Digest)
 	store.setLocations(location.Session, location.Group, append(slices.Clip(store.locations[location.Session]), made))
 	store.liveChunks[file]++
 }
 
-// setLocations replaces where a line's chunks are, and brings its group's sums up to date.
+// setLocations replaces the chunks of a session in the index, and brings the digests of its
+// group up to date. The caller holds mutex, or is Open.
 func (store *Store) setLocations(name string, group uint32, locations []chunkLocation) {
-	sums, found := store.digests[group]
+	digests, found := store.digests[group]
 	if !found {
-		sums = &sessionlog.BucketDigests{}
-		store.digests[group], store.sessionsByGroup[group] = sums, map[string]bool{}
+		digests = &sessionlog.BucketDigests{}
+		store.digests[group], store.sessionsByGroup[group] = digests, map[string]bool{}
 	}
-	sums.Toggle(name, contiguousThrough(store.locations[name]))
+	digests.Toggle(name, contiguousThrough(store.locations[name]))
 	if len(locations) == 0 {
 		delete(store.locations, name)
 		delete(store.sessionsByGroup[group], name)
@@ -43,10 +49,11 @@
 	}
 	store.locations[name] = locations
 	store.sessionsByGroup[group][name] = true
-	sums.Toggle(name, contiguousThrough(locations))
+	digests.Toggle(name, contiguousThrough(locations))
 }
 
-// contiguousThrough tells up to which seq places hold a line without a hole.
+// contiguousThrough returns the sequence number up to which chunks hold a session's events from
+// the first on without a gap.
 func contiguousThrough(locations []chunkLocation) uint64 {
 	sorted, through := locations, uint64(0)
 	byFirst := func(left, right chunkLocation) int { return cmp.Compare(left.first, right.first) }
@@ -62,21 +69,21 @@
 	return through
 }
 
-// BucketDigests gives the digests of how far a group's lines are here, one a bucket.
+// BucketDigests returns the digests of how far the sessions of a group are here without a gap.
 //
-//	if cold.BucketDigests(7) == view.BucketDigests() { ... }
+//	if archiveStore.BucketDigests(7) == view.ArchiveDigests() { ... }
 func (store *Store) BucketDigests(group uint32) sessionlog.BucketDigests {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
-	if sums, found := store.digests[group]; found {
-		return *sums
+	if digests, found := store.digests[group]; found {
+		return *digests
 	}
 	return sessionlog.BucketDigests{}
 }
 
-// RangeDigests lists the ranges of some buckets of a group with their digests.
+// RangeDigests lists the chunks of a group's sessions in some buckets, with their digests.
 //
-//	ranges := cold.RangeDigests(7, []uint32{0, 12})
+//	ranges := archiveStore.RangeDigests(7, []uint32{0, 12})
 func (store *Store) RangeDigests(group uint32, buckets []uint32) []wire.RangeDigest {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
--- a/system/archive/retention.go
+++ b/system/archive/retention.go
@@ -1,17 +1,22 @@
 package archive
 
-import (
-	"slices"
-)
+import "slices"
 
-// Expire forgets chunks whose keeping time is over by their group's clock and
-// removes files in which nothing counts any more. Live tells whether a line is still
-// kept by its group. A group that has no clock here keeps what it has.
+// Expire drops the sessions whose retention is over, and removes the files of which no chunk is
+// needed any more. A session expires by its chunks and the clock of its group, unless retained
+// reports that the group still has it, as it may have been changed since. A group without a
+// clock here (0) keeps what it has.
 //
-//	err := cold.Expire(clock, func(name string) bool { return known(name) })
+//	err := archiveStore.Expire(node.clock, node.isRetained)
 func (store *Store) Expire(clock func(group uint32) int64, retained func(name string) bool) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
+	store.dropExpired(clock, retained)
+	return store.removeEmptyFiles()
+}
+
+// dropExpired takes expired sessions out of the index. It asks for each clock once.
+func (store *Store) dropExpired(clock func(group uint32) int64, retained func(name string) bool) {
 	clocks := map[uint32]int64{}
 	unexpired := func(location chunkLocation) bool {
 		now, known := clocks[location.group]
@@ -30,6 +35,10 @@
 		}
 		store.setLocations(name, locations[0].group, nil)
 	}
+}
+
+// removeEmptyFiles removes the files without chunks in the index.
+func (store *Store) removeEmptyFiles() error {
 	for number, count := range store.liveChunks {
 		if count == 0 {
 			if err := store.folder.Remove(fileName(number)); err != nil {
--- a/system/archive/scrub.go
+++ b/system/archive/scrub.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// Scrub reads the next so many chunks again and drops from the index what has
-// rotted, so that repair finds the hole.
+// Scrub verifies about as many chunks as it is told, session by session, from where the last
+// call ended. It takes damaged ones out of the index, so that repair finds the gap, and returns
+// how many these are.
 //
-//	dropped := cold.Scrub(256)
-func (store *Store) Scrub(maxChunks int) int {
+//	dropped := archiveStore.Scrub(256)
+func (store *Store) Scrub(maxChunks int) (dropped int) {
 	store.mutex.RLock()
 	names := slices.Sorted(maps.Keys(store.locations))
 	store.mutex.RUnlock()
@@ -17,7 +18,7 @@
 	if found {
 		from++
 	}
-	dropped, checked := 0, 0
+	checked := 0
 	for _, name := range names[from:] {
 		if checked >= maxChunks {
 			return dropped
@@ -32,12 +33,18 @@
 				continue
 			}
 			dropped++
-			store.mutex.Lock()
-			store.setLocations(name, location.group, slices.DeleteFunc(slices.Clone(store.locations[name]), func(one chunkLocation) bool { return one == location }))
-			store.liveChunks[location.file]--
-			store.mutex.Unlock()
+			store.dropLocation(name, location)
 		}
 	}
-	store.scrubCursor = "" // begin anew with the next call
+	store.scrubCursor = "" // the next call begins again
 	return dropped
 }
+
+// dropLocation takes one chunk out of the index.
+func (store *Store) dropLocation(name string, dropped chunkLocation) {
+	store.mutex.Lock()
+	defer store.mutex.Unlock()
+	others := slices.DeleteFunc(slices.Clone(store.locations[name]), func(location chunkLocation) bool { return location == dropped })
+	store.setLocations(name, dropped.group, others)
+	store.liveChunks[dropped.file]--
+}
--- a/system/archive/store.go
+++ b/system/archive/store.go
@@ -1,48 +1,59 @@
-// Package coldstore keeps archived runs of events on a store node's own disk.
-// One Put is one file and one sync, whatever number of lines it holds. A file
-// begins with an index of its chunks, so that opening reads no events.
+// Package archive keeps the archived events of sessions on a store node's own disk: the cold
+// tier of the Starcite paper's read path.
+//
+// Events are stored in chunks, each a run of events of one session. Each Put writes one file
+// and syncs it once, however many sessions it holds; files are never changed, and removed once
+// none of their chunks is needed any more. A file begins with an index of its chunks, so that
+// Open reads no events.
+//
+// Guarantees:
+//
+//   - A chunk is durable once Put has returned.
+//   - Chunks are verified by a checksum whenever they are read. A damaged one reads as missing,
+//     and Scrub takes it out of the index, so that package store's repair fetches it again from
+//     a peer. Read may therefore return a range with gaps; the caller checks.
+//   - Put is idempotent: a range that one chunk covers is not written again.
 package archive
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"hash/crc32"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 
-	"yardrock.example/system/apierror"
 	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/vfs"
 	"yardrock.example/system/wire"
-	"yardrock.example/system/wire/schema"
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
-
-// Store is an open cold store.
+// Store is an open archive. Its methods may be called from any goroutine, but for Scrub, which
+// one at a time may call.
 type Store struct {
 	folder vfs.Directory
-	// writeMutex lets one Put write at a time, and guards next; mutex guards what is known,
-	// and is never held while the disk works, so that reads go on while a sync is slow.
+	// writeMutex lets one Put write at a time, and guards nextFile. mutex guards the index
+	// below and is never held while events are read or written, so that reads go on while a
+	// sync is slow.
 	writeMutex sync.Mutex
 	mutex      sync.RWMutex
-	locations  map[string][]chunkLocation
-	liveChunks map[uint64]int // how many chunks of each file still count
-	// digests are digests of how far each line is here without a hole, by group; sessionsByGroup
-	// names the lines of a group.
-	digests         map[uint32]*sessionlog.BucketDigests
+	// nextFile is the number of the next file to write.
+	nextFile uint64
+	// locations has the chunks of each session. A slice is replaced, never changed.
+	locations map[string][]chunkLocation
+	// liveChunks counts the chunks of each file that are in locations.
+	liveChunks map[uint64]int
+	// digests are digests, by group, of how far each session is here without a gap, as in
+	// sessionlog.View.ArchiveDigests.
+	digests map[uint32]*sessionlog.BucketDigests
+	// sessionsByGroup has the names of a group's sessions in locations.
 	sessionsByGroup map[uint32]map[string]bool
-	nextFile        uint64
-	// scrubCursor is the line that Scrub came to; only Scrub's caller touches it.
+	// scrubCursor is the session that Scrub verified last; only Scrub touches it.
 	scrubCursor string
 }
 
-// Open reads the index of each file. A file whose index was torn was never
-// confirmed and is left out; what it should hold is fetched anew by repair.
+// Open reads the index of each file in a folder. A file whose index is torn or damaged counts
+// as empty: its Put was never confirmed, or repair fetches its chunks again.
 //
-//	cold, err := coldstore.Open(folder)
+//	archiveStore, err := archive.Open(folder)
 func Open(folder vfs.Directory) (*Store, error) {
 	store := &Store{folder: folder, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{}, digests: map[uint32]*sessionlog.BucketDigests{}, sessionsByGroup: map[uint32]map[string]bool{}, nextFile: 1}
 	names, err := folder.List()
@@ -64,65 +75,44 @@
 	return store, nil
 }
 
-// Put stores chunks and returns once they last. What is there already is not
-// written again.
+// Put stores chunks and returns once they are synced. A range that is here already is not
+// written again. If the disk fails, the error is of kind apierror.DiskUnavailable, and none of
+// the chunks counts as stored.
 //
-//	err := cold.Put([]wire.ArchiveChunk{{Line: "team/c-1", First: 1, Last: 9, Events: events}})
+//	err := archiveStore.Put([]wire.ArchiveChunk{{Session: "team/c-1", First: 1, Last: 9, Events: events}})
 func (store *Store) Put(chunks []wire.ArchiveChunk) error {
 	store.writeMutex.Lock()
 	defer store.writeMutex.Unlock()
-	var bodies []byte
-	index := wire.ArchiveIndex{}
-	for _, chunk := range chunks {
-		if store.Covers(chunk) {
-			continue
-		}
-		body, err := wire.Encode(schema.ColdChunkBatch_TypeID, &wire.ArchiveChunkBatch{Chunks: []wire.ArchiveChunk{chunk}})
-		if err != nil {
-			return err
-		}
-		digest := sha256.Sum256(body)
-		index.Locations = append(index.Locations, wire.ChunkLocation{Group: chunk.Group, Session: chunk.Session, First: chunk.First, Last: chunk.Last, ExpiresAt: chunk.ExpiresAt,
-			Offset: uint64(len(bodies)), Length: uint32(len(body)), Checksum: crc32.Checksum(body, checksums), Digest: digest[:]})
-		bodies = append(bodies, body...)
-	}
-	if len(index.Locations) == 0 {
+	chunks = slices.DeleteFunc(slices.Clone(chunks), store.Covers)
+	if len(chunks) == 0 {
 		return nil
 	}
-	// The index has the same size whatever the offsets are.
-	size := uint64(frameHeader + len(wire.MustEncode(schema.ColdIndex_TypeID, &index)))
-	for position := range index.Locations {
-		index.Locations[position].Offset += size
+	data, locations, err := encodeFile(chunks)
+	if err != nil {
+		return err
 	}
-	encodedIndex := wire.MustEncode(schema.ColdIndex_TypeID, &index)
-	data := binary.LittleEndian.AppendUint32(nil, uint32(len(encodedIndex)))
-	data = binary.LittleEndian.AppendUint32(data, crc32.Checksum(encodedIndex, checksums))
-	data = append(append(data, encodedIndex...), bodies...)
 	number := store.nextFile
 	store.nextFile++
-	if err := store.folder.WriteAt(fileName(number), 0, data); err != nil {
-		return apierror.New(apierror.DiskUnavailable, "the cold store took no write: "+err.Error(), "free space on the disk or replace it")
-	}
-	if err := store.folder.Sync(fileName(number)); err != nil {
-		return apierror.New(apierror.DiskUnavailable, "the cold store could not sync: "+err.Error(), "free space on the disk or replace it")
+	if err := store.writeFile(number, data); err != nil {
+		return err
 	}
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	for _, location := range index.Locations {
+	for _, location := range locations {
 		store.addLocation(number, location)
 	}
 	return nil
 }
 
-// Read gives the events of a line after one seq and through another, as far as
-// this store has them; there may be gaps.
+// Read returns the events of a session after one sequence number and through another, in
+// order, as far as they are here; there may be gaps.
 //
-//	events, err := cold.Read("team/c-1", 0, 9)
-func (store *Store) Read(name string, after, through uint64) ([]sessionlog.Event, error) {
+//	events := archiveStore.Read("team/c-1", 0, 9)
+func (store *Store) Read(sessionName string, after, through uint64) []sessionlog.Event {
 	store.mutex.RLock()
-	locations := store.locations[name]
+	locations := store.locations[sessionName]
 	store.mutex.RUnlock()
-	found := map[uint64]sessionlog.Event{}
+	bySeq := map[uint64]sessionlog.Event{} // chunks may overlap
 	for _, location := range locations {
 		if location.last <= after || location.first > through {
 			continue
@@ -133,21 +123,16 @@
 		}
 		for _, event := range chunk.Events {
 			if event.Seq > after && event.Seq <= through {
-				found[event.Seq] = event
+				bySeq[event.Seq] = event
 			}
 		}
 	}
-	events := make([]sessionlog.Event, 0, len(found))
-	for _, event := range found {
-		events = append(events, event)
-	}
-	slices.SortFunc(events, func(left, right sessionlog.Event) int { return int(left.Seq) - int(right.Seq) })
-	return events, nil
+	return inOrder(bySeq)
 }
 
-// Covers tells whether a chunk's range is here, as part of one.
+// Covers tells whether a chunk's range is here as part of one chunk.
 //
-//	if cold.Covers(wire.ArchiveChunk{Line: "team/c-1", First: 1, Last: 9}) { ... }
+//	if archiveStore.Covers(wire.ArchiveChunk{Session: "team/c-1", First: 1, Last: 9}) { ... }
 func (store *Store) Covers(chunk wire.ArchiveChunk) bool {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -103,8 +103,8 @@
 		if !found {
 			continue
 		}
-		events, err := node.readArchive(ctx, group, wanted.Session, wanted.After, wanted.Through)
-		if err != nil || uint64(len(events)) != wanted.Through-wanted.After {
+		events := node.readArchive(ctx, group, wanted.Session, wanted.After, wanted.Through)
+		if uint64(len(events)) != wanted.Through-wanted.After {
 			complete = false
 			continue
 		}
@@ -177,8 +177,8 @@
 
 // handleReadArchive answers with what this node's own archive has of a range.
 func (node *Node) handleReadArchive(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	events, err := node.archiveStore.Read(query.ReadArchive.Session, query.ReadArchive.After, query.ReadArchive.Through)
-	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, err
+	events := node.archiveStore.Read(query.ReadArchive.Session, query.ReadArchive.After, query.ReadArchive.Through)
+	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, nil
 }
 
 // handleDigests answers with the digests of this node's own archive.
--- a/system/store/reads.go
+++ b/system/store/reads.go
@@ -66,10 +66,7 @@
 	through := min(session.Head, after+limit)
 	events := []sessionlog.Event{}
 	if after < session.ArchivedSeq {
-		var err error
-		if events, err = node.readArchive(ctx, group, session.Name, after, min(session.ArchivedSeq, through)); err != nil {
-			return nil, err
-		}
+		events = node.readArchive(ctx, group, session.Name, after, min(session.ArchivedSeq, through))
 	}
 	for _, event := range session.Unarchived {
 		if event.Seq > after && event.Seq <= through {
@@ -99,12 +96,12 @@
 
 // readArchive reads a range of archived events here, and what is missing here from peers. The
 // result is in order and may have gaps.
-func (node *Node) readArchive(ctx context.Context, group uint32, sessionName string, after, through uint64) ([]sessionlog.Event, error) {
-	events, err := node.archiveStore.Read(sessionName, after, through)
-	if err != nil || uint64(len(events)) == through-after {
-		return events, err
+func (node *Node) readArchive(ctx context.Context, group uint32, sessionName string, after, through uint64) []sessionlog.Event {
+	events := node.archiveStore.Read(sessionName, after, through)
+	if uint64(len(events)) == through-after {
+		return events
 	}
-	return node.completeFromPeers(ctx, group, sessionName, after, through, events), nil
+	return node.completeFromPeers(ctx, group, sessionName, after, through, events)
 }
 
 // completeFromPeers adds to a range what peers have of it in their archives, as far as it can
