--- a/system/wire/query_codec.go
+++ b/system/wire/query_codec.go
@@ -15,46 +15,42 @@
 	decode func(schema.Query, *Query) error
 }
 
-// handCodedQueries are the kinds of the ordinary path; see the package comment.
-var handCodedQueries = map[schema.Query_Which]queryCodec{
-	schema.Query_Which_agreement: {
-		func(target schema.Query, query *Query) error {
-			return encodeNested(target.NewAgreement, query.Raft, encodeRaftBatch)
-		},
-		func(source schema.Query, query *Query) error {
-			query.Raft = &RaftBatch{}
-			return decodeNested(source.Agreement, query.Raft, decodeRaftBatch)
-		},
-	},
-	schema.Query_Which_command: {
-		func(target schema.Query, query *Query) error {
-			return encodeNested(target.NewCommand, query.Command, encodeCommandQuery)
-		},
-		func(source schema.Query, query *Query) error {
-			query.Command = &CommandQuery{}
-			return decodeNested(source.Command, query.Command, decodeCommandQuery)
-		},
-	},
-	schema.Query_Which_read: {
-		func(target schema.Query, query *Query) error {
-			return encodeNested(target.NewRead, query.Read, encodeReadQuery)
-		},
-		func(source schema.Query, query *Query) error {
-			query.Read = &ReadQuery{}
-			return decodeNested(source.Read, query.Read, decodeReadQuery)
+// contentCodec is the codec of a kind whose content is one struct: content gives the query's
+// field for it, newStruct and getStruct are the generated accessors.
+func contentCodec[Value any, Struct ~capnp.StructKind](content func(*Query) **Value, newStruct, getStruct func(schema.Query) (Struct, error), encode, decode func(Struct, *Value) error) queryCodec {
+	return queryCodec{
+		encode: func(target schema.Query, query *Query) error {
+			nested, err := newStruct(target)
+			if err != nil {
+				return err
+			}
+			return encode(nested, *content(query))
 		},
-	},
-	schema.Query_Which_putCold: {
-		func(target schema.Query, query *Query) error {
-			return encodeNested(target.NewPutCold, query.PutArchive, encodeChunkBatch)
+		decode: func(source schema.Query, query *Query) error {
+			nested, err := getStruct(source)
+			if err != nil {
+				return err
+			}
+			*content(query) = new(Value)
+			return decode(nested, *content(query))
 		},
-		func(source schema.Query, query *Query) error {
-			query.PutArchive = &ArchiveChunkBatch{}
-			return decodeNested(source.PutCold, query.PutArchive, decodeChunkBatch)
-		},
-	},
+	}
+}
+
+// handCodedQueries are the kinds of the ordinary path; see the package comment.
+var handCodedQueries = map[schema.Query_Which]queryCodec{
+	schema.Query_Which_agreement: contentCodec(func(query *Query) **RaftBatch { return &query.Raft },
+		schema.Query.NewAgreement, schema.Query.Agreement, encodeRaftBatch, decodeRaftBatch),
+	schema.Query_Which_command: contentCodec(func(query *Query) **CommandQuery { return &query.Command },
+		schema.Query.NewCommand, schema.Query.Command, encodeCommandQuery, decodeCommandQuery),
+	schema.Query_Which_read: contentCodec(func(query *Query) **ReadQuery { return &query.Read },
+		schema.Query.NewRead, schema.Query.Read, encodeReadQuery, decodeReadQuery),
+	schema.Query_Which_putCold: contentCodec(func(query *Query) **ArchiveChunkBatch { return &query.PutArchive },
+		schema.Query.NewPutCold, schema.Query.PutCold, encodeChunkBatch, decodeChunkBatch),
 }
 
+// encodeQuery writes a query. Forwarded is left out for hand-coded kinds, which only control
+// nodes could set and none forwards.
 func encodeQuery(target schema.Query, query *Query) error {
 	codec, handCoded := handCodedQueries[query.Which]
 	if !handCoded {
@@ -72,6 +68,7 @@
 	return codec.encode(target, query)
 }
 
+// decodeQuery reads a query of any kind.
 func decodeQuery(source schema.Query) (*Query, error) {
 	query := &Query{}
 	codec, handCoded := handCodedQueries[source.Which()]
--- a/system/wire/reply_codec.go
+++ b/system/wire/reply_codec.go
@@ -10,6 +10,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
+// encodeReply writes a reply, or only the failure that it carries.
 func encodeReply(target schema.Reply, reply *Reply) error {
 	switch {
 	case reply.Failure.Kind != "":
@@ -26,6 +27,7 @@
 	return pogs.Insert(schema.Reply_TypeID, capnp.Struct(target), reply)
 }
 
+// decodeReply reads a reply of any kind.
 func decodeReply(source schema.Reply) (*Reply, error) {
 	reply := &Reply{Which: source.Which()}
 	if source.HasFailure() {
