--- a/system/vfs/sync_other.go
+++ b/system/vfs/sync_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package files
+package vfs
 
 import "os"
 
