--- a/system/vfs/os_directory.go
+++ b/system/vfs/os_directory.go
@@ -10,12 +10,18 @@
 	"sync"
 )
 
-// OSDirectory is a Folder in the machine's file system. The files written last stay open.
+// maxOpenFiles bounds the files that an OSDirectory keeps open: the log and the snapshot file
+// that are written, and two more.
+const maxOpenFiles = 4
+
+// OSDirectory is a [Directory] in the file system of the operating system. It keeps the files
+// written last open for the life of the process.
 type OSDirectory struct {
-	path      string
-	mutex     sync.Mutex
+	path  string
+	mutex sync.Mutex // guards openFiles and syncedNames
+	// openFiles are open for writing, in the order in which they were opened.
 	openFiles []openFile
-	// syncedNames are the files whose presence in the folder was synced since it was opened.
+	// syncedNames are the files whose names in the directory are durable.
 	syncedNames map[string]bool
 }
 
@@ -24,13 +30,8 @@
 	file *os.File
 }
 
-// maxOpenFiles bounds the files that stay open.
-const maxOpenFiles = 4
-
-// Open makes the folder if it is missing, and makes its presence last: a power loss
-// must not take it away together with the synced files in it.
-//
-//	folder, err := files.Open("/var/lib/yardrock")
+// Open opens a directory. It is created if it is missing, and its name made durable: a loss of
+// power must not remove it together with the synced files in it.
 func Open(path string) (*OSDirectory, error) {
 	if err := createDirectory(path, syncDirectory); err != nil {
 		return nil, err
@@ -38,10 +39,10 @@
 	return &OSDirectory{path: path, syncedNames: map[string]bool{}}, nil
 }
 
-// createDirectory makes a folder and those above it that are missing, and syncs each folder
-// that names one of them. The folder above is synced also if the folder is there: an
-// earlier process may have made it and ended before the sync.
-func createDirectory(path string, sync func(path string) error) error {
+// createDirectory creates a directory and its missing parents, and syncs each parent that has
+// a new name in it. The direct parent is synced even if the directory exists: an earlier
+// process may have created it and ended before the sync.
+func createDirectory(path string, syncParent func(path string) error) error {
 	path = filepath.Clean(path)
 	parents := []string{filepath.Dir(path)}
 	for !exists(parents[len(parents)-1]) {
@@ -51,7 +52,7 @@
 		return err
 	}
 	for _, parent := range parents {
-		if err := sync(parent); err != nil {
+		if err := syncParent(parent); err != nil {
 			return err
 		}
 	}
@@ -63,7 +64,7 @@
 	return !errors.Is(err, fs.ErrNotExist)
 }
 
-// syncDirectory makes the names in a folder last.
+// syncDirectory makes the names in a directory durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -72,7 +73,8 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// openForWriting gives a file for writing; the mutex must be held.
+// openForWriting returns a file that is open for writing, and closes the one that has been open
+// longest if there are too many. The mutex must be held.
 func (directory *OSDirectory) openForWriting(name string) (*os.File, error) {
 	for _, one := range directory.openFiles {
 		if one.name == name {
@@ -91,7 +93,8 @@
 	return file, err
 }
 
-// closeFile closes a file that is open; the mutex must be held.
+// closeFile closes a file that is open, and forgets that its name is durable. The mutex must be
+// held.
 func (directory *OSDirectory) closeFile(name string) error {
 	delete(directory.syncedNames, name)
 	for position, one := range directory.openFiles {
@@ -107,16 +110,12 @@
 	return filepath.Join(directory.path, name)
 }
 
-// ReadFile gives a whole file.
-//
-//	data, err := folder.ReadFile("identity")
+// ReadFile returns the content of a file.
 func (directory *OSDirectory) ReadFile(name string) ([]byte, error) {
 	return os.ReadFile(directory.filePath(name))
 }
 
-// ReadRange gives a part of a file.
-//
-//	data, err := folder.ReadRange("cold-7", 128, 64)
+// ReadRange returns a part of a file.
 func (directory *OSDirectory) ReadRange(name string, offset int64, length int) ([]byte, error) {
 	file, err := os.Open(directory.filePath(name))
 	if err != nil {
@@ -128,9 +127,7 @@
 	return data, err
 }
 
-// WriteAt writes without syncing.
-//
-//	err := folder.WriteAt("log-1", 0, header)
+// WriteAt writes to a file without syncing it.
 func (directory *OSDirectory) WriteAt(name string, offset int64, data []byte) error {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -142,21 +139,16 @@
 	return err
 }
 
-// Truncate cuts a file.
-//
-//	err := folder.Truncate("log-1", 4096)
+// Truncate shortens a file without syncing it.
 func (directory *OSDirectory) Truncate(name string, size int64) error {
 	return os.Truncate(directory.filePath(name), size)
 }
 
-// Sync syncs the file, and the first time the folder that names it.
-//
-//	err := folder.Sync("log-1")
+// Sync syncs a file and, the first time, the directory. Other files can be used meanwhile.
 func (directory *OSDirectory) Sync(name string) error {
-	// The mutex is not held while the disk works, so that other files can be used.
 	directory.mutex.Lock()
 	file, err := directory.openForWriting(name)
-	named := directory.syncedNames[name]
+	nameSynced := directory.syncedNames[name]
 	directory.mutex.Unlock()
 	if err != nil {
 		return err
@@ -164,7 +156,7 @@
 	if err := syncData(file); err != nil {
 		return err
 	}
-	if named {
+	if nameSynced {
 		return nil
 	}
 	if err := syncDirectory(directory.path); err != nil {
@@ -176,22 +168,18 @@
 	return nil
 }
 
-// Remove deletes a file.
-//
-//	err := folder.Remove("log-1")
+// Remove closes and removes a file. The removal is not synced.
 func (directory *OSDirectory) Remove(name string) error {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	closed := directory.closeFile(name)
+	closeError := directory.closeFile(name)
 	if err := os.Remove(directory.filePath(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	return closed
+	return closeError
 }
 
-// List lists the regular files.
-//
-//	names, err := folder.List()
+// List returns the names of the regular files that are not hidden, sorted.
 func (directory *OSDirectory) List() ([]string, error) {
 	found, err := os.ReadDir(directory.path)
 	if err != nil {
--- a/system/vfs/os_directory_test.go
+++ b/system/vfs/os_directory_test.go
@@ -10,46 +10,52 @@
 	"testing"
 )
 
-func TestOSDirectoryWritesTruncatesAndRemoves(t *testing.T) {
-	directory, err := Open(t.TempDir())
-	if err != nil {
+// must fails the test if one of the errors is not nil.
+func must(t *testing.T, errs ...error) {
+	t.Helper()
+	if err := errors.Join(errs...); err != nil {
 		t.Fatal(err)
 	}
-	want := []string{}
-	for number := range 3 * maxOpenFiles { // more files than stay open
+}
+
+// writtenDirectory makes a directory of more files than stay open, each with the content
+// "two thr", and returns their names.
+func writtenDirectory(t *testing.T) (*OSDirectory, []string) {
+	t.Helper()
+	directory, err := Open(t.TempDir())
+	must(t, err)
+	names := []string{}
+	for number := range 3 * maxOpenFiles {
 		name := fmt.Sprintf("log-%02d", number)
-		want = append(want, name)
+		names = append(names, name)
 		for _, part := range []string{"one", "two"} {
-			if err := errors.Join(directory.WriteAt(name, int64(len(part)-3), []byte(part)), directory.Sync(name)); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := errors.Join(directory.WriteAt(name, 3, []byte(" three")), directory.Truncate(name, 7), directory.Sync(name)); err != nil {
-			t.Fatal(err)
+			must(t, directory.WriteAt(name, int64(len(part)-3), []byte(part)), directory.Sync(name))
 		}
+		must(t, directory.WriteAt(name, 3, []byte(" three")), directory.Truncate(name, 7), directory.Sync(name))
 	}
+	return directory, names
+}
+
+func TestOSDirectoryWritesTruncatesAndRemoves(t *testing.T) {
+	directory, want := writtenDirectory(t)
 	for _, name := range want {
 		if data, err := directory.ReadFile(name); err != nil || string(data) != "two thr" {
-			t.Fatalf("%s holds %q, %v", name, data, err)
+			t.Fatalf("%s has %q, %v", name, data, err)
 		}
 		if part, err := directory.ReadRange(name, 4, 3); err != nil || string(part) != "thr" {
-			t.Fatalf("%s holds %q, %v", name, part, err)
+			t.Fatalf("%s has %q, %v", name, part, err)
 		}
 	}
 	if names, err := directory.List(); err != nil || !slices.Equal(names, want) {
 		t.Fatalf("%v, %v", names, err)
 	}
-	// A file that was removed and comes again is another one, also while it was open.
+	// A file that was removed and is written again is another one, also if it was open.
 	last := want[len(want)-1]
-	if err := errors.Join(directory.Remove(last), directory.Remove(last)); err != nil {
-		t.Fatal(err)
-	}
+	must(t, directory.Remove(last), directory.Remove(last))
 	if _, err := directory.ReadFile(last); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("a removed file is there: %v", err)
 	}
-	if err := errors.Join(directory.WriteAt(last, 0, []byte("new")), directory.Sync(last)); err != nil {
-		t.Fatal(err)
-	}
+	must(t, directory.WriteAt(last, 0, []byte("new")), directory.Sync(last))
 	if data, err := os.ReadFile(directory.filePath(last)); err != nil || string(data) != "new" {
 		t.Fatalf("%q, %v", data, err)
 	}
--- a/system/vfs/pending_write.go
+++ b/system/vfs/pending_write.go
@@ -1,14 +1,13 @@
 package vfs
 
-// PendingWrite is one write that is not synced yet, or with no data one cut.
+// PendingWrite is a write to a file that was not synced yet or, if Data is nil, a truncation.
 type PendingWrite struct {
+	// Offset is where the data is written, or the size that the file is truncated to.
 	Offset int64
 	Data   []byte
 }
 
-// ApplyTo gives a file's content after the write.
-//
-//	content = write.ApplyTo(content)
+// ApplyTo returns a file's content after the write. It may change content itself.
 func (write PendingWrite) ApplyTo(content []byte) []byte {
 	if write.Data == nil {
 		return content[:min(int64(len(content)), write.Offset)]
--- a/system/vfs/sync_linux.go
+++ b/system/vfs/sync_linux.go
@@ -1,21 +1,23 @@
 package vfs
 
 import (
+	"errors"
 	"os"
 	"syscall"
 )
 
-// syncData makes a file's bytes and its length last, but not its times.
+// syncData makes a file's content and size durable. It leaves out the times, which fsync would
+// write too.
 func syncData(file *os.File) error {
-	raw, err := file.SyscallConn()
+	connection, err := file.SyscallConn()
 	if err != nil {
 		return err
 	}
-	failed := error(syscall.EINTR)
-	for failed == syscall.EINTR {
-		if err := raw.Control(func(descriptor uintptr) { failed = syscall.Fdatasync(int(descriptor)) }); err != nil {
+	syncError := error(syscall.EINTR)
+	for errors.Is(syncError, syscall.EINTR) {
+		if err := connection.Control(func(descriptor uintptr) { syncError = syscall.Fdatasync(int(descriptor)) }); err != nil {
 			return err
 		}
 	}
-	return failed
+	return syncError
 }
--- a/system/vfs/sync_other.go
+++ b/system/vfs/sync_other.go
@@ -4,5 +4,5 @@
 
 import "os"
 
-// syncData makes a file's bytes and its length last.
+// syncData makes a file's content and size durable.
 func syncData(file *os.File) error { return file.Sync() }
