--- a/system/controlplane/feed_changes.go
+++ b/system/controlplane/feed_changes.go
@@ -43,7 +43,11 @@
 	if query.Change.AwaitView > 0 {
 		return node.handleAwait(ctx, query.Change.AwaitView)
 	}
-	change := query.Change.Change
+	return node.proposeChange(ctx, query.Change.Change)
+}
+
+// proposeChange proposes a change as leader, and waits until it is acknowledged.
+func (node *Node) proposeChange(ctx context.Context, change feed.Change) (*wire.Reply, error) {
 	change.At = time.Now().UnixNano()
 	outcomes, err := node.host.Propose(ctx, controlGroup, [][]byte{wire.MustEncode(schema.Change_TypeID, &change)})
 	if apierror.Is(err, apierror.OutcomeUnknown) {
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -12,8 +12,8 @@
 // maxFollowWait bounds how long a follower may wait for news.
 const maxFollowWait = 2 * time.Second
 
-// handleFollow replys a follower of the feed: it records that the follower is live, waits
-// for a newer state for as long as the follower asks, and replys with a state that a quorum
+// handleFollow answers a follower of the feed: it records that the follower is live, waits
+// for a newer state for as long as the follower asks, and answers with a state that a quorum
 // confirmed after that.
 func (node *Node) handleFollow(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	follow, receivedAt := query.Follow, time.Now()
@@ -70,8 +70,8 @@
 	}
 }
 
-// followReply replys a follower with what is newer than the view it has: the changes since
-// that one if the history has them, else the complete view. Followers of another fleet always
+// followReply makes the reply to a follower, with what is newer than the view that it has: the
+// changes since that one if the history has them, else the complete view. Followers of another fleet always
 // get a complete view, as their numbers are not comparable. ReceivedAt is when the query came.
 func (node *Node) followReply(state *confirmedState, query *wire.Query, receivedAt time.Time) *wire.FollowReply {
 	follow := query.Follow
