--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	streaming := answer.(*eventStream)
+	streaming := answer.(*eventStream) // the chains of turns, helpers and tails answer with nothing else
 	streaming.context = ctx
 	httpapi.SetContentType(ctx, "application/x-ndjson")
 	return streaming, nil
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return answer.(*work.Outcome), nil
+	return answer.(*work.Outcome), nil // the chains of plain work answer with nothing else
 }
 
 // Start starts a conversation.
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	reply := answer.(*wire.ReadReply)
+	reply := answer.(*wire.ReadReply) // the chain's last filter answers with nothing else
 	transcript := &work.Transcript{Conversation: payload.Conversation, Program: reply.Session.Program, Head: reply.Session.Head, Events: []*work.Record{}}
 	for _, event := range reply.Events {
 		transcript.Events = append(transcript.Events, toRecord(event))
@@ -170,5 +170,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return answer.(*work.TallyResult), nil
+	return answer.(*work.TallyResult), nil // the chain's last filter answers with nothing else
 }
