--- a/system/front/helper_conversations.go
+++ b/system/front/helper_conversations.go
@@ -33,7 +33,7 @@
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	outcomes, err := node.stores.Command(committing, request.team+"/"+request.parent, sessionlog.Command{
-		Kind: sessionlog.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: 1,
+		Kind: sessionlog.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: beginProducerSeq,
 		Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted, Follows: request.follows, Name: helper.conversation}},
 	})
 	if err != nil {
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -84,7 +84,7 @@
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
-	if _, err := node.recordEnd(ctx, request, 2, ended.Outcome, ended.Text, ended.Name); err != nil {
+	if _, err := node.recordEnd(ctx, request, afterBeginProducerSeq, ended.Outcome, ended.Text, ended.Name); err != nil {
 		return nil, apierror.NewRetryable(apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
 	}
 	return recordedAnswer(request, ended, false)
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -19,6 +19,15 @@
 	proveNotRunTimeout = 1500 * time.Millisecond
 )
 
+const (
+	// beginProducerSeq is the producer sequence number of a begin and of the fence in its
+	// place, so that a session takes only one of them.
+	beginProducerSeq = 1
+	// afterBeginProducerSeq is that of the producer's next append: the first pieces of a
+	// turn, or the end.
+	afterBeginProducerSeq = 2
+)
+
 // recordBegin records that work is about to be dispatched. It returns nil, nil only once
 // the record is committed and this request's own; a repeat that lost the race gets the
 // event that won. With expects, the begin fails if the session has grown since it was read.
@@ -33,7 +42,7 @@
 	if !request.sessionExists {
 		commands = append(commands, sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)})
 	}
-	commands = append(commands, sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: 1, HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event}})
+	commands = append(commands, sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq, HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event}})
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	outcomes, err := node.stores.Command(committing, request.sessionName(), commands...)
@@ -96,7 +105,7 @@
 	unknown := apierror.NewRetryable(apierror.Unknown, "whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")", "ask again with the same query key", time.Second)
 	outcomes, err := node.stores.Command(ctx, request.sessionName(),
 		sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)},
-		sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: 1, Events: []sessionlog.Event{{Kind: sessionlog.Fenced, Digest: request.digest()}}})
+		sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq, Events: []sessionlog.Event{{Kind: sessionlog.Fenced, Digest: request.digest()}}})
 	if err != nil {
 		return nil, unknown
 	}
@@ -167,7 +176,7 @@
 func (node *Node) recordNotRun(request *request, cause error) error {
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
-	if _, err := node.recordEnd(ctx, request, 2, sessionlog.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
+	if _, err := node.recordEnd(ctx, request, afterBeginProducerSeq, sessionlog.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
 		return apierror.NewRetryable(apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
 	}
 	return request.fencedError(cause)
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -40,7 +40,7 @@
 // startRun takes over the slot and the reservation and executes the turn in the background,
 // whether or not the caller stays. It answers once there is something to stream.
 func startRun(ctx context.Context, node *Node, request *request) (any, error) {
-	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pieces: make(chan string, pieceQueueLength), nextProducerSeq: 2}
+	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pieces: make(chan string, pieceQueueLength), nextProducerSeq: afterBeginProducerSeq}
 	request.cleanups = nil
 	node.background.Go(execution.execute)
 	_, ended, failed := execution.buffer.after(ctx, 0)
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -70,6 +70,10 @@
 	retryAfter      = 500 * time.Millisecond
 	// fenceTimeout bounds the background task that closes a turn of unknown state.
 	fenceTimeout = 5 * time.Second
+	// beginProducerSeq and endProducerSeq are the producer sequence numbers of a turn's
+	// begin and end: each turn is a producer of these two commands, so repeats are deduped.
+	beginProducerSeq = 1
+	endProducerSeq   = 2
 )
 
 // BeginTurn reserves a turn's maximal output and records its begin, in one commit.
@@ -81,7 +85,7 @@
 //
 //	begun, err := client.BeginTurn(ctx, storeclient.Turn{SessionName: "program/3fa81c", Name: "9c41d07b", Input: body, KeepHistory: true, Retention: time.Minute, DispatchID: "front-1/7", Lifetime: time.Minute})
 func (client *Client) BeginTurn(ctx context.Context, turn Turn) (*BegunTurn, error) {
-	command := sessionlog.Command{Kind: sessionlog.BeginTurn, Producer: turn.Name, ProducerSeq: 1, Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory,
+	command := sessionlog.Command{Kind: sessionlog.BeginTurn, Producer: turn.Name, ProducerSeq: beginProducerSeq, Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory,
 		Retention: max(turn.Retention, minSessionRetention), HasQuota: turn.HasTokenQuota, Tokens: turn.MaxOutputTokens, Quota: turn.TokenQuota, Lifetime: turn.Lifetime}
 	if turn.KeepHistory {
 		command.Scope = turn.PrefixScope
@@ -149,7 +153,7 @@
 //
 //	err := client.EndTurn(ctx, storeclient.TurnEnd{SessionName: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 func (client *Client) EndTurn(ctx context.Context, end TurnEnd) error {
-	command := sessionlog.Command{Kind: sessionlog.EndTurn, Producer: end.Name, ProducerSeq: 2, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention}
+	command := sessionlog.Command{Kind: sessionlog.EndTurn, Producer: end.Name, ProducerSeq: endProducerSeq, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention}
 	if end.KeepHistory && end.Outcome == sessionlog.OutcomeComplete {
 		command.Data = end.Output
 	}
