--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -80,7 +80,9 @@
 		ended = sessionlog.Event{Outcome: sessionlog.OutcomeNotRun, Name: apierror.Of(failed).Message}
 	default:
 		ended = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(failed).Message}
-		log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Address, "error": failed.Error()}).Warn("outcome of work that runs once is unknown")
+		log.WithFields(log.Fields{
+			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Address, "error": failed.Error(),
+		}).Warn("outcome of work that runs once is unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -92,6 +92,7 @@
 	followChain            = chain(chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesTurns), turnSteps...)
 	lookupChain            = chain(programAdmission, servesLookups, acquireSlot, confirmRunner, askRunner)
 	onceChain              = chain(recordedAdmission, servesPlain, nameOnceSession, readSession, checkOnce, rejectDraining, acquireSlot, beginOnce, confirmRunner, runOnce)
-	toolChain              = chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesPlain, checkTool, rejectDraining, acquireSlot, beginTool, confirmRunner, runOnce)
-	helperChain            = chain(recordedAdmission, servesTurns, readParent, recordHelper)
+	toolChain              = chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesPlain,
+		checkTool, rejectDraining, acquireSlot, beginTool, confirmRunner, runOnce)
+	helperChain = chain(recordedAdmission, servesTurns, readParent, recordHelper)
 )
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -40,9 +40,12 @@
 	event.Deadline = int64(time.Duration(request.workKind.Timeout) + deadlineMargin)
 	commands := []sessionlog.Command{}
 	if !request.sessionExists {
-		commands = append(commands, sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)})
+		commands = append(commands, request.createSession())
 	}
-	commands = append(commands, sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq, HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event}})
+	commands = append(commands, sessionlog.Command{
+		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq,
+		HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event},
+	})
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	outcomes, err := node.stores.Command(committing, request.sessionName(), commands...)
@@ -66,6 +69,12 @@
 	return nil, nil
 }
 
+// createSession is the command that makes the request's session; it changes nothing if that
+// exists.
+func (request *request) createSession() sessionlog.Command {
+	return sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)}
+}
+
 // readBegin reads the event that opened the run of a producer, or its fence. The event at
 // seq may be a later one of the same run. If the begin is this request's own, only the
 // reply to its commit was lost, and nil is returned.
@@ -102,10 +111,13 @@
 func (node *Node) fenceOff(request *request, event sessionlog.Event, cause error, timeout time.Duration) (*sessionlog.Event, error) {
 	ctx, cancel := context.WithTimeout(node.context, timeout)
 	defer cancel()
-	unknown := apierror.NewRetryable(apierror.Unknown, "whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")", "ask again with the same query key", time.Second)
-	outcomes, err := node.stores.Command(ctx, request.sessionName(),
-		sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)},
-		sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq, Events: []sessionlog.Event{{Kind: sessionlog.Fenced, Digest: request.digest()}}})
+	unknown := apierror.NewRetryable(apierror.Unknown,
+		"whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")",
+		"ask again with the same query key", time.Second)
+	outcomes, err := node.stores.Command(ctx, request.sessionName(), request.createSession(), sessionlog.Command{
+		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq,
+		Events: []sessionlog.Event{{Kind: sessionlog.Fenced, Digest: request.digest()}},
+	})
 	if err != nil {
 		return nil, unknown
 	}
@@ -142,7 +154,9 @@
 	if !request.recorded || request.provenNotRun || repeatable || !apierror.Is(err, apierror.NotRun) {
 		return err
 	}
-	unknown := apierror.NewRetryable(apierror.Unknown, "this node sent nothing, but cannot tell what became of an earlier query for the same work ("+apierror.Of(err).Message+")", "ask again with the same query key", max(apierror.Of(err).RetryAfter, time.Second))
+	unknown := apierror.NewRetryable(apierror.Unknown,
+		"this node sent nothing, but cannot tell what became of an earlier query for the same work ("+apierror.Of(err).Message+")",
+		"ask again with the same query key", max(apierror.Of(err).RetryAfter, time.Second))
 	if request.producer == "" {
 		return unknown
 	}
--- a/system/front/turn_admission.go
+++ b/system/front/turn_admission.go
@@ -74,7 +74,9 @@
 	case same:
 		return node.tail(request.sessionName(), request.conversation, begun.Seq-1, begun.Seq), false, nil
 	}
-	return nil, false, apierror.New(apierror.Conflict, "another turn ("+strconv.FormatUint(begun.Seq, 10)+") already follows turn "+strconv.FormatUint(request.follows, 10), "read the history and follow its last complete turn")
+	return nil, false, apierror.New(apierror.Conflict,
+		"another turn ("+strconv.FormatUint(begun.Seq, 10)+") already follows turn "+strconv.FormatUint(request.follows, 10),
+		"read the history and follow its last complete turn")
 }
 
 // recordedNotRun makes the error for what the session log proves: nothing ran, and nothing
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -146,7 +146,9 @@
 	}
 	ctx, cancel := context.WithTimeout(execution.node.context, commitTimeout)
 	defer cancel()
-	outcomes, err := execution.node.stores.Command(ctx, request.sessionName(), sessionlog.Command{Kind: sessionlog.AppendEvents, Producer: request.producer, ProducerSeq: execution.nextProducerSeq, Events: events})
+	outcomes, err := execution.node.stores.Command(ctx, request.sessionName(), sessionlog.Command{
+		Kind: sessionlog.AppendEvents, Producer: request.producer, ProducerSeq: execution.nextProducerSeq, Events: events,
+	})
 	if err != nil {
 		return err
 	}
@@ -203,7 +205,9 @@
 		return sessionlog.OutcomeNotRun, "runner_unreachable"
 	}
 	request := execution.request
-	log.WithFields(log.Fields{"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Address, "error": dispatchErr.Error()}).Warn("turn cut off by its runner")
+	log.WithFields(log.Fields{
+		"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Address, "error": dispatchErr.Error(),
+	}).Warn("turn cut off by its runner")
 	return sessionlog.OutcomeCut, "runner_mishap"
 }
 
--- a/system/front/word_quota.go
+++ b/system/front/word_quota.go
@@ -44,7 +44,9 @@
 		return nil, nil
 	case sessionlog.QuotaExceeded:
 		request.reservation = ""
-		return nil, apierror.New(apierror.QuotaExhausted, "program "+request.program+" has "+strconv.FormatUint(outcomes[0].Spent, 10)+" words spent and "+strconv.FormatUint(outcomes[0].Reserved, 10)+" out, of "+strconv.FormatUint(request.programConfig.Quota, 10),
+		spent, reserved := strconv.FormatUint(outcomes[0].Spent, 10), strconv.FormatUint(outcomes[0].Reserved, 10)
+		return nil, apierror.New(apierror.QuotaExhausted,
+			"program "+request.program+" has "+spent+" words spent and "+reserved+" out, of "+strconv.FormatUint(request.programConfig.Quota, 10),
 			"wait for the turns under way, or have an operator raise the allowance")
 	}
 	request.reservation = ""
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -70,7 +70,9 @@
 
 // Start starts a conversation.
 func (service workService) Start(ctx context.Context, payload *work.StartPayload) (io.ReadCloser, error) {
-	return service.respondStream(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, turnChain)
+	return service.respondStream(ctx, payload.Authorization, &request{
+		program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey),
+	}, turnChain)
 }
 
 // Turn follows a turn of a conversation.
@@ -78,27 +80,37 @@
 	if payload.Follows == 0 {
 		return nil, apierror.New(apierror.Invalid, "follows is 0", "name the turn to follow")
 	}
-	return service.respondStream(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, followChain)
+	return service.respondStream(ctx, payload.Authorization, &request{
+		conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey),
+	}, followChain)
 }
 
 // Tool calls a tool between turns.
 func (service workService) Tool(ctx context.Context, payload *work.ToolPayload) (*work.Outcome, error) {
-	return service.respondOutcome(ctx, payload.Authorization, &request{conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, toolChain)
+	return service.respondOutcome(ctx, payload.Authorization, &request{
+		conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey,
+	}, toolChain)
 }
 
 // Helper starts a conversation that its parent's session names.
 func (service workService) Helper(ctx context.Context, payload *work.HelperPayload) (io.ReadCloser, error) {
-	return service.respondStream(ctx, payload.Authorization, &request{parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, helperChain)
+	return service.respondStream(ctx, payload.Authorization, &request{
+		parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey,
+	}, helperChain)
 }
 
 // Lookup sends plain work that may run more than once.
 func (service workService) Lookup(ctx context.Context, payload *work.LookupPayload) (*work.Outcome, error) {
-	return service.respondOutcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey)}, lookupChain)
+	return service.respondOutcome(ctx, payload.Authorization, &request{
+		program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey),
+	}, lookupChain)
 }
 
 // Once sends plain work that must run at most once.
 func (service workService) Once(ctx context.Context, payload *work.OncePayload) (*work.Outcome, error) {
-	return service.respondOutcome(ctx, payload.Authorization, &request{program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey}, onceChain)
+	return service.respondOutcome(ctx, payload.Authorization, &request{
+		program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey,
+	}, onceChain)
 }
 
 // Tail streams events after a cursor.
@@ -107,12 +119,18 @@
 	if payload.Turn != nil {
 		turn = *payload.Turn
 	}
-	return service.respondStream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
-		if _, err := node.readAfter(ctx, call, payload.Cursor, 1); err != nil {
+	return service.respondStream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, tailAfter(payload.Cursor, turn)))
+}
+
+// tailAfter is the last filter of Tail. It answers with the stream only if the cursor and
+// the turn exist.
+func tailAfter(cursor, turn uint64) filter {
+	return func(ctx context.Context, node *Node, request *request) (any, error) {
+		if _, err := node.readAfter(ctx, request, cursor, 1); err != nil {
 			return nil, err
 		}
 		if turn != 0 {
-			reply, err := node.readAfter(ctx, call, turn-1, 1)
+			reply, err := node.readAfter(ctx, request, turn-1, 1)
 			if err != nil {
 				return nil, err
 			}
@@ -120,19 +138,17 @@
 				return nil, apierror.New(apierror.NotFound, "the conversation has no turn "+strconv.FormatUint(turn, 10), "read the history and name one of its turns")
 			}
 		}
-		return node.tail(call.sessionName(), call.conversation, payload.Cursor, turn), nil
-	}))
+		return node.tail(request.sessionName(), request.conversation, cursor, turn), nil
+	}
 }
 
 // History reads a page of committed events.
 func (service workService) History(ctx context.Context, payload *work.HistoryPayload) (*work.Transcript, error) {
-	answer, err := service.runChain(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, func(ctx context.Context, node *Node, call *request) (any, error) {
-		return node.readAfter(ctx, call, payload.After, payload.Limit)
-	}))
+	answer, err := service.runChain(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, readPage(payload.After, payload.Limit)))
 	if err != nil {
 		return nil, err
 	}
-	reply := answer.(*wire.ReadReply) // the chain's last filter answers with nothing else
+	reply := answer.(*wire.ReadReply) // readPage answers with nothing else
 	transcript := &work.Transcript{Conversation: payload.Conversation, Program: reply.Session.Program, Head: reply.Session.Head, Events: []*work.Record{}}
 	for _, event := range reply.Events {
 		transcript.Events = append(transcript.Events, toRecord(event))
@@ -140,35 +156,47 @@
 	return transcript, nil
 }
 
-// toRecord converts an event to its form in a transcript.
+// readPage is the last filter of History.
+func readPage(after, limit uint64) filter {
+	return func(ctx context.Context, node *Node, request *request) (any, error) {
+		return node.readAfter(ctx, request, after, limit)
+	}
+}
+
+// toRecord converts an event to its form in a transcript, which leaves out zero values.
 func toRecord(event sessionlog.Event) *work.Record {
-	record := &work.Record{Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind]}
-	for target, value := range map[**string]string{&record.Words: event.Text, &record.Outcome: event.Outcome, &record.Name: event.Name} {
-		if value != "" {
-			*target = &value
-		}
+	return &work.Record{
+		Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind],
+		Words: optional(event.Text), Outcome: optional(event.Outcome), Name: optional(event.Name),
+		Turn: optional(event.Turn), Follows: optional(event.Follows),
 	}
-	for target, value := range map[**uint64]uint64{&record.Turn: event.Turn, &record.Follows: event.Follows} {
-		if value != 0 {
-			*target = &value
-		}
+}
+
+// optional returns a pointer to a value, or nil if it is zero.
+func optional[Value comparable](value Value) *Value {
+	var zero Value
+	if value == zero {
+		return nil
 	}
-	return record
+	return &value
 }
 
 // Tally returns what a program has spent and reserved of its quota.
 func (service workService) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
-	answer, err := service.runChain(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, func(ctx context.Context, node *Node, call *request) (any, error) {
-		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
-		defer cancel()
-		reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: call.quotaName(), QuotaUsage: true})
-		if err != nil {
-			return nil, err
-		}
-		return &work.TallyResult{Program: call.program, Allowance: call.programConfig.Quota, Spent: reply.Spent, Reserved: reply.Reserved}, nil
-	}))
+	answer, err := service.runChain(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, readQuotaUsage))
+	if err != nil {
+		return nil, err
+	}
+	return answer.(*work.TallyResult), nil // readQuotaUsage answers with nothing else
+}
+
+// readQuotaUsage is the last filter of Tally.
+func readQuotaUsage(ctx context.Context, node *Node, request *request) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: request.quotaName(), QuotaUsage: true})
 	if err != nil {
 		return nil, err
 	}
-	return answer.(*work.TallyResult), nil // the chain's last filter answers with nothing else
+	return &work.TallyResult{Program: request.program, Allowance: request.programConfig.Quota, Spent: reply.Spent, Reserved: reply.Reserved}, nil
 }
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -85,8 +85,11 @@
 //
 //	begun, err := client.BeginTurn(ctx, storeclient.Turn{SessionName: "program/3fa81c", Name: "9c41d07b", Input: body, KeepHistory: true, Retention: time.Minute, DispatchID: "front-1/7", Lifetime: time.Minute})
 func (client *Client) BeginTurn(ctx context.Context, turn Turn) (*BegunTurn, error) {
-	command := sessionlog.Command{Kind: sessionlog.BeginTurn, Producer: turn.Name, ProducerSeq: beginProducerSeq, Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory,
-		Retention: max(turn.Retention, minSessionRetention), HasQuota: turn.HasTokenQuota, Tokens: turn.MaxOutputTokens, Quota: turn.TokenQuota, Lifetime: turn.Lifetime}
+	command := sessionlog.Command{
+		Kind: sessionlog.BeginTurn, Producer: turn.Name, ProducerSeq: beginProducerSeq,
+		Follows: turn.Follows, Dispatch: turn.DispatchID, KeepData: turn.KeepHistory, Retention: max(turn.Retention, minSessionRetention),
+		HasQuota: turn.HasTokenQuota, Tokens: turn.MaxOutputTokens, Quota: turn.TokenQuota, Lifetime: turn.Lifetime,
+	}
 	if turn.KeepHistory {
 		command.Scope = turn.PrefixScope
 		command.Data = turn.Input
@@ -153,7 +156,10 @@
 //
 //	err := client.EndTurn(ctx, storeclient.TurnEnd{SessionName: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 func (client *Client) EndTurn(ctx context.Context, end TurnEnd) error {
-	command := sessionlog.Command{Kind: sessionlog.EndTurn, Producer: end.Name, ProducerSeq: endProducerSeq, Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention}
+	command := sessionlog.Command{
+		Kind: sessionlog.EndTurn, Producer: end.Name, ProducerSeq: endProducerSeq,
+		Outcome: end.Outcome, Tokens: end.Tokens, KeepData: end.KeepHistory, Retention: minSessionRetention,
+	}
 	if end.KeepHistory && end.Outcome == sessionlog.OutcomeComplete {
 		command.Data = end.Output
 	}
