--- a/system/archive/scrub.go
+++ b/system/archive/scrub.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Scrub verifies about as many chunks as it is told, session by session, from where the last
-// call ended. It takes damaged ones out of the index, so that repair finds the gap, and returns
-// how many these are.
+// Scrub verifies the next maxChunks chunks or a few more, session by session, from where the
+// last call ended. It takes damaged ones out of the index, so that repair finds the gap, and
+// returns how many these are.
 //
 //	dropped := archiveStore.Scrub(256)
 func (store *Store) Scrub(maxChunks int) (dropped int) {
