--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -1,49 +1,81 @@
-// Package conversation folds a line's events into the view that turns need: which
-// turns there are, how each ended, and what was said up to one of them.
+// Package conversation folds the events of a session into what a turn needs to know: which
+// runs there are, how each ended, and which messages lead to one of them. It also counts words,
+// the unit of quotas and of recorded answers.
+//
+// A View is made once from complete events and holds no resources. It may be read by any
+// goroutine as long as nobody changes its fields.
 package conversation
 
 import (
+	"cmp"
 	"slices"
 	"strings"
-	"unicode"
 
 	"yardrock.example/system/runnerclient"
 	"yardrock.example/system/sessionlog"
 )
 
-// Run is one run of a line: a turn, a tool call, or work that runs once.
+// Run is a turn, a tool call or work that runs once. It begins with one event, may have parts
+// of its output, and ends with another event.
 type Run struct {
 	Begun sessionlog.Event
+	// Parts are the recorded parts of the output, in the order of the session.
 	Parts []sessionlog.Event
+	// Ended is the event that closed the run; nil while it is open.
 	Ended *sessionlog.Event
 }
 
-// Complete tells whether the turn ended as it should.
+// Complete tells whether the run ended with a complete answer.
 //
 //	if !turn.Complete() { ... }
-func (turn *Run) Complete() bool {
-	return turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeComplete
+func (run *Run) Complete() bool {
+	return run.Ended != nil && run.Ended.Outcome == sessionlog.OutcomeComplete
 }
 
-// Overdue tells whether the turn is open though its runner's time is over, by the
-// clock of the line's group.
+// Overdue tells whether the run is open though its deadline has passed, by the clock of the
+// session's group in nanoseconds. Its front is presumed to have failed.
 //
 //	if turn.Overdue(reply.Clock) { ... }
-func (turn *Run) Overdue(clock int64) bool {
-	return turn.Ended == nil && clock > turn.Begun.Deadline
+func (run *Run) Overdue(clock int64) bool {
+	return run.Ended == nil && clock > run.Begun.Deadline
 }
 
-// View is a line's events, folded.
+// Output joins the parts of a run's output, as far as it is recorded.
+//
+//	answer := turn.Output()
+func (run *Run) Output() string {
+	var text strings.Builder
+	parts := slices.Clone(run.Parts)
+	slices.SortFunc(parts, func(left, right sessionlog.Event) int { return cmp.Compare(left.Part, right.Part) })
+	for _, part := range parts {
+		text.WriteString(part.Text)
+	}
+	return text.String()
+}
+
+// WordCount returns the words that a turn uses of its quota: those of its input, without the
+// history, and those of its output as far as it is recorded.
+//
+//	words := turn.WordCount()
+func (run *Run) WordCount() uint64 {
+	return CountWords(run.Begun.Text) + CountWords(run.Output())
+}
+
+// View is the folded content of a session.
 type View struct {
+	// Head is the sequence number of the newest event, 0 without events.
 	Head uint64
-	// Clock is the time of the line's group when the events were read.
-	Clock            int64
+	// Clock is the time of the session's group when the events were read, in nanoseconds.
+	// Fold leaves it 0.
+	Clock int64
+
 	runsBySeq        map[uint64]*Run
-	runs             []*Run
+	runs             []*Run // in the order of the session
 	startsByProducer map[string]sessionlog.Event
 }
 
-// Fold makes the view of a line's events, which must be all from the first on.
+// Fold makes a view of a session's events, which must be all from the first on. Then the run of
+// each part and end is known, as the session's state machine appends these to open runs only.
 //
 //	view := conversation.Fold(events)
 func Fold(events []sessionlog.Event) *View {
@@ -52,10 +84,10 @@
 		view.Head = event.Seq
 		switch event.Kind {
 		case sessionlog.TurnBegun, sessionlog.ToolCalled:
-			turn := &Run{Begun: event}
-			view.runsBySeq[event.Seq] = turn
+			run := &Run{Begun: event}
+			view.runsBySeq[event.Seq] = run
 			view.startsByProducer[event.Producer] = event
-			view.runs = append(view.runs, turn)
+			view.runs = append(view.runs, run)
 		case sessionlog.Fenced:
 			view.startsByProducer[event.Producer] = event
 		case sessionlog.OutputPart:
@@ -67,7 +99,7 @@
 	return view
 }
 
-// Run finds a turn, tool call or work by the seq of its first event.
+// Run finds a run by the sequence number of its first event.
 //
 //	run, found := view.Run(7)
 func (view *View) Run(seq uint64) (*Run, bool) {
@@ -75,97 +107,51 @@
 	return run, found
 }
 
-// WordCount counts the words of a turn: those that were new, and those of its answer as
-// far as it is recorded.
+// Turn finds a run that is a turn by the sequence number of its first event.
 //
-//	words := turn.WordCount()
-func (turn *Run) WordCount() uint64 {
-	return CountWords(turn.Begun.Text) + CountWords(turn.Output())
+//	turn, found := view.Turn(7)
+func (view *View) Turn(seq uint64) (*Run, bool) {
+	run, found := view.runsBySeq[seq]
+	return run, found && run.Begun.Kind == sessionlog.TurnBegun
 }
 
-// Run finds a turn by its name, the seq of its first event.
+// StartByProducer finds the event that opened a run for a producer, or that fenced it.
 //
-//	turn, found := view.Run(7)
-func (view *View) Turn(seq uint64) (*Run, bool) {
-	turn, found := view.runsBySeq[seq]
-	return turn, found && turn.Begun.Kind == sessionlog.TurnBegun
+//	event, found := view.StartByProducer("manifest/once/key-7")
+func (view *View) StartByProducer(producer string) (sessionlog.Event, bool) {
+	event, found := view.startsByProducer[producer]
+	return event, found
 }
 
-// Messages gives what was said up to and with a turn: the chain of turns that it
-// follows, with the tools that those called, in the order of the line.
+// Messages returns the messages that a turn's model must see: those of the chain of turns that
+// it follows and of itself, with the complete tool calls of these turns, in the order of the
+// session.
 //
 //	history := view.Messages(7)
 func (view *View) Messages(seq uint64) []runnerclient.Message {
-	chain := map[uint64]bool{}
-	for at := seq; at != 0; {
-		turn, found := view.Turn(at)
-		if !found {
-			break
-		}
-		chain[at] = true
-		at = turn.Begun.Follows
-	}
+	chain := view.chain(seq)
 	messages := []runnerclient.Message{}
-	for _, turn := range view.runs {
+	for _, run := range view.runs {
 		switch {
-		case turn.Begun.Kind == sessionlog.TurnBegun && chain[turn.Begun.Seq]:
-			messages = append(messages, runnerclient.Message{Role: "caller", Words: turn.Begun.Text}, runnerclient.Message{Role: "model", Words: turn.Output()})
-		case turn.Begun.Kind == sessionlog.ToolCalled && chain[turn.Begun.Follows] && turn.Complete():
-			messages = append(messages, runnerclient.Message{Role: "tool_call", Name: turn.Begun.Name, Words: turn.Begun.Text}, runnerclient.Message{Role: "tool_result", Name: turn.Begun.Name, Words: turn.Ended.Text})
+		case run.Begun.Kind == sessionlog.TurnBegun && chain[run.Begun.Seq]:
+			messages = append(messages, runnerclient.Message{Role: "caller", Words: run.Begun.Text}, runnerclient.Message{Role: "model", Words: run.Output()})
+		case run.Begun.Kind == sessionlog.ToolCalled && chain[run.Begun.Follows] && run.Complete():
+			messages = append(messages, runnerclient.Message{Role: "tool_call", Name: run.Begun.Name, Words: run.Begun.Text}, runnerclient.Message{Role: "tool_result", Name: run.Begun.Name, Words: run.Ended.Text})
 		}
 	}
 	return messages
 }
 
-// Words joins a turn's pieces.
-//
-//	answer := turn.Words()
-func (turn *Run) Output() string {
-	var text strings.Builder
-	parts := slices.Clone(turn.Parts)
-	slices.SortFunc(parts, func(left, right sessionlog.Event) int { return int(left.Part) - int(right.Part) })
-	for _, part := range parts {
-		text.WriteString(part.Text)
-	}
-	return text.String()
-}
-
-// WordCounter counts words over pieces that may split them. A word is a longest run
-// of characters that are no white space.
-type WordCounter struct {
-	Count  uint64
-	inWord bool
-}
-
-// CountUpTo counts a piece as far as a limit allows and gives that part of it; false
-// tells that the piece was cut.
-//
-//	kept, whole := counter.CountUpTo(piece, 500)
-func (counter *WordCounter) CountUpTo(text string, limit uint64) (string, bool) {
-	for position, character := range text {
-		space := unicode.IsSpace(character)
-		if !space && !counter.inWord {
-			if counter.Count == limit {
-				return text[:position], false
-			}
-			counter.Count++
+// chain returns the sequence numbers of a turn and of those that it follows.
+func (view *View) chain(seq uint64) map[uint64]bool {
+	chain := map[uint64]bool{}
+	for at := seq; at != 0; {
+		turn, found := view.Turn(at)
+		if !found {
+			break
 		}
-		counter.inWord = !space
+		chain[at] = true
+		at = turn.Begun.Follows
 	}
-	return text, true
-}
-
-// CountWords counts the words of a whole text.
-//
-//	words := conversation.CountWords("three short words")
-func CountWords(text string) uint64 {
-	return uint64(len(strings.Fields(text)))
-}
-
-// StartByProducer finds the event that opened a run for a producer, or fenced it off.
-//
-//	event, found := view.StartByProducer("manifest/once/key-7")
-func (view *View) StartByProducer(producer string) (sessionlog.Event, bool) {
-	event, found := view.startsByProducer[producer]
-	return event, found
+	return chain
 }
--- /dev/null
+++ b/system/conversation/words.go
@@ -0,0 +1,38 @@
+package conversation
+
+import (
+	"strings"
+	"unicode"
+)
+
+// WordCounter counts the words of a text that comes in parts, which may split words. A word is
+// a longest run of characters that are not white space. The zero value has counted nothing.
+type WordCounter struct {
+	Count  uint64
+	inWord bool
+}
+
+// CountUpTo counts the words of the next part of a text, as long as Count does not exceed a
+// limit. It returns the text up to there and reports whether that is all of it.
+//
+//	accepted, fits := counter.CountUpTo(part, 500)
+func (counter *WordCounter) CountUpTo(text string, limit uint64) (accepted string, fits bool) {
+	for position, character := range text {
+		space := unicode.IsSpace(character)
+		if !space && !counter.inWord {
+			if counter.Count == limit {
+				return text[:position], false
+			}
+			counter.Count++
+		}
+		counter.inWord = !space
+	}
+	return text, true
+}
+
+// CountWords returns the number of words in a text.
+//
+//	words := conversation.CountWords("three short words")
+func CountWords(text string) uint64 {
+	return uint64(len(strings.Fields(text)))
+}
--- a/system/sharedprefix/detector.go
+++ b/system/sharedprefix/detector.go
@@ -1,5 +1,10 @@
-// Package openings notices which beginnings the inputs of conversations' first turns have
-// in common. It only proposes; what is merged is compared byte for byte elsewhere.
+// Package sharedprefix detects prefixes that the inputs of first turns of several sessions have
+// in common, so that a group can store them once.
+//
+// It only proposes candidates, by digests of what it saw lately. Whether sessions really begin
+// with a candidate is compared byte for byte by package sessionlog when they are made to share
+// it, so a wrong proposal costs work and never data. It keeps no input, only digests, in bounded
+// memory; nothing of it is stored or replicated.
 package sharedprefix
 
 import (
@@ -15,27 +20,32 @@
 )
 
 const (
-	// polynomial is fixed, so that all stores cut at the same places.
-	polynomial    = chunker.Pol(0x3DA3358B4DC173)
+	// MinSessions is how many sessions must have a prefix in common before it is worth sharing.
+	MinSessions = 3
+
+	// Inputs are cut into chunks at places that depend on their content alone
+	// (content-defined chunking), so that inputs with a common prefix are cut alike in it. A
+	// candidate ends where a chunk does. The polynomial is fixed, so that all stores cut alike.
+	polynomial = chunker.Pol(0x3DA3358B4DC173)
+	// minChunkBytes and maxChunkBytes bound a chunk; with averageBits it has about 128 bytes.
 	minChunkBytes = 64
 	maxChunkBytes = 512
-	// averageBits makes chunks of about 128 bytes.
-	averageBits = 6
-	// MinSessions is how many lines must begin alike before they are worth merging.
-	MinSessions = 3
-	// maxTracked bounds the beginnings that are remembered; then all are forgotten.
+	averageBits   = 6
+
+	// maxTracked bounds the prefixes that are remembered; beyond it all are dropped, and
+	// detection begins again.
 	maxTracked = 8192
-	// reportInterval is how long after a beginning was told it may be told again: it could not
-	// be merged, or what was merged was freed since.
+	// reportInterval is how long after a candidate was reported it may be reported again. It
+	// may not have been shared, or was freed since.
 	reportInterval = 10 * time.Second
 )
 
-// Detector remembers digests of the beginnings seen lately. Its zero value is ready; any
-// goroutine may use it.
+// Detector remembers digests of the prefixes seen lately. Its zero value is ready; any goroutine
+// may use it.
 type Detector struct {
 	mutex   sync.Mutex
-	chunker *chunker.Chunker
-	chunk   []byte
+	chunker *chunker.Chunker // made with the first input, then used again
+	chunk   []byte           // the chunker's buffer
 	seen    map[prefixKey]*occurrences
 }
 
@@ -45,24 +55,27 @@
 	digest [sha256.Size]byte
 }
 
-// occurrences are the last lines that began so, and when that was last told.
+// occurrences are the last sessions that had a prefix, at most MinSessions, and when it was last
+// reported.
 type occurrences struct {
 	sessions   []string
 	reportedAt time.Time
 }
 
-// Candidate is a beginning that some lines seem to have in common: its length in bytes, and
-// the lines in which it was last seen.
+// Candidate is a prefix that some sessions seem to have in common.
 type Candidate struct {
-	Length   int
+	// Length is the number of bytes of the input that the prefix has.
+	Length int
+	// Sessions are the MinSessions sessions in which it was seen last.
 	Sessions []string
 }
 
-// Observe takes the input of a line's first turn and tells the longest beginning that
-// enough lines of the group and scope had lately. It tells each again only after a while.
+// Observe takes the input of a session's first turn and reports the longest prefix of it that
+// MinSessions sessions of the group and scope had lately, the same one only once in ten
+// seconds. An empty scope shares nothing; a prefix has at least sessionlog.MinPrefixBytes.
 //
-//	common, found := noticer.Observe(group, "identity", "program/3fa81c", input)
-func (detector *Detector) Observe(group uint32, scope, sessionName string, input []byte) (Candidate, bool) {
+//	candidate, found := detector.Observe(group, "identity", "program/3fa81c", input)
+func (detector *Detector) Observe(group uint32, scope, sessionName string, input []byte) (candidate Candidate, found bool) {
 	if scope == "" || len(input) < sessionlog.MinPrefixBytes {
 		return Candidate{}, false
 	}
@@ -71,9 +84,18 @@
 	if len(detector.seen) > maxTracked || detector.seen == nil {
 		detector.seen = map[prefixKey]*occurrences{}
 	}
-	var longest *occurrences
-	length, from := 0, 0
-	digest := sha256.New()
+	longest, length := detector.longestShared(group, scope, sessionName, input)
+	if longest == nil || time.Since(longest.reportedAt) < reportInterval {
+		return Candidate{}, false
+	}
+	longest.reportedAt = time.Now()
+	return Candidate{Length: length, Sessions: slices.Clone(longest.sessions)}, true
+}
+
+// longestShared records a session's prefixes, one for each chunk, and returns the longest that
+// enough sessions had, or nil. The caller holds the mutex.
+func (detector *Detector) longestShared(group uint32, scope, sessionName string, input []byte) (longest *occurrences, length int) {
+	digest, from := sha256.New(), 0
 	digest.Write([]byte(scope + "\x00"))
 	for _, end := range detector.chunkEnds(input) {
 		digest.Write(input[from:end])
@@ -83,26 +105,28 @@
 		}
 		key := prefixKey{group: group}
 		digest.Sum(key.digest[:0])
-		seen := detector.seen[key]
-		if seen == nil {
-			seen = &occurrences{}
-			detector.seen[key] = seen
-		}
-		if !slices.Contains(seen.sessions, sessionName) {
-			seen.sessions = append(seen.sessions[max(0, len(seen.sessions)-MinSessions+1):], sessionName)
-		}
+		seen := detector.record(key, sessionName)
 		if len(seen.sessions) >= MinSessions {
 			longest, length = seen, end
 		}
 	}
-	if longest == nil || time.Since(longest.reportedAt) < reportInterval {
-		return Candidate{}, false
+	return longest, length
+}
+
+// record adds a session to those that had a prefix, in place of the oldest if there are enough.
+func (detector *Detector) record(key prefixKey, sessionName string) *occurrences {
+	seen := detector.seen[key]
+	if seen == nil {
+		seen = &occurrences{}
+		detector.seen[key] = seen
 	}
-	longest.reportedAt = time.Now()
-	return Candidate{Length: length, Sessions: slices.Clone(longest.sessions)}, true
+	if !slices.Contains(seen.sessions, sessionName) {
+		seen.sessions = append(seen.sessions[max(0, len(seen.sessions)-MinSessions+1):], sessionName)
+	}
+	return seen
 }
 
-// chunkEnds gives where an input's chunks end. They depend on its content alone, so that two
+// chunkEnds returns where an input's chunks end, in bytes, up to sessionlog.MaxPrefixBytes. Two
 // inputs are cut alike up to the chunk in which they differ.
 func (detector *Detector) chunkEnds(input []byte) []int {
 	reader := bytes.NewReader(input[:min(len(input), sessionlog.MaxPrefixBytes)])
@@ -116,7 +140,7 @@
 	for {
 		cut, err := detector.chunker.Next(detector.chunk[:0])
 		if err != nil {
-			return ends
+			return ends // io.EOF: a bytes.Reader has no other error
 		}
 		detector.chunk = cut.Data
 		ends = append(ends, int(cut.Start+cut.Length))
--- a/system/sharedprefix/detector_test.go
+++ b/system/sharedprefix/detector_test.go
@@ -29,13 +29,13 @@
 			found          bool
 		}{
 			{1, "identity", "a", 1, false},
-			{1, "identity", "a", 2, false}, // the same line counts once
+			{1, "identity", "a", 2, false}, // the same session counts once
 			{1, "identity", "b", 3, false},
 			{1, "permits", "c", 4, false}, // another scope does not count
 			{2, "identity", "c", 5, false},
 			{1, "", "c", 6, false},
 			{1, "identity", "c", 7, true},
-			{1, "identity", "d", 8, false}, // told already
+			{1, "identity", "d", 8, false}, // reported already
 		} {
 			candidate, found := detector.Observe(step.group, step.scope, step.session, input(step.words))
 			if found != step.found {
@@ -47,7 +47,7 @@
 		}
 		time.Sleep(reportInterval)
 		if candidate, found := detector.Observe(1, "identity", "e", input(9)); !found || len(candidate.Sessions) != MinSessions || candidate.Sessions[MinSessions-1] != "e" {
-			t.Fatalf("it is not told again: %+v", candidate)
+			t.Fatalf("it is not reported again: %+v", candidate)
 		}
 	})
 }
