--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -97,8 +97,9 @@
 
 // Acquire chooses a runner for a request and returns a lease on it, which must be
 // released. While no runner can take the request, Acquire waits up to a fifth of the
-// route's first-byte target and of the time until the deadline; waiting requests are
-// served by urgency and then by finish time.
+// route's first-byte target and of the time until the deadline, and longer only for this
+// front's first reading of the runner list; waiting requests are served by urgency and
+// then by finish time.
 //
 // The error is always an *apierror.Error of kind NotRun with a retry delay: no runner
 // of the route is usable, all are busy, or ctx ended.
--- a/system/balancer/topology.go
+++ b/system/balancer/topology.go
@@ -40,8 +40,8 @@
 	slots       int // sum over the candidates
 	domainCount int // number of domains with candidates
 	localCount  int // candidates in this front's domain
-	// preferLocal says that this front's domain has its fair share of the candidates, so
-	// that affinity may be restricted to them without overloading them.
+	// preferLocal says that this front's domain has at least half of its fair share of the
+	// candidates, so that affinity may be restricted to them without overloading them.
 	preferLocal bool
 }
 
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -22,6 +22,9 @@
 	}
 }
 
+// maxHealthBodyBytes is the size limit of a health check's body, which is normally empty.
+const maxHealthBodyBytes = 1024
+
 // roles starts the node of each role that the settings allow.
 var roles = map[string]func(*settings.DataPlane) (daemon.Service, error){"front": startFront, "store": startStore}
 
@@ -34,11 +37,11 @@
 	}
 	daemon.ConfigureLogging(loaded.Log)
 	daemon.LimitMemory(loaded.Memory)
-	running, err := roles[loaded.Role](loaded)
+	service, err := roles[loaded.Role](loaded)
 	if err != nil {
 		return err
 	}
-	return daemon.Serve(signals, running, func() ([]string, error) {
+	return daemon.Serve(signals, service, func() ([]string, error) {
 		again, err := settings.LoadDataPlane(os.Args[1:], io.Discard)
 		return again.Seeds, err
 	})
@@ -68,19 +71,19 @@
 	if err != nil {
 		return daemon.Service{}, err
 	}
-	running := daemon.Service{Reload: node.SetSeeds, Drain: func(context.Context) { node.Drain() }, Close: node.Close, Failed: node.ForeignFleet()}
+	service := daemon.Service{Reload: node.SetSeeds, Drain: func(context.Context) { node.Drain() }, Close: node.Close, Failed: node.ForeignFleet()}
 	if loaded.HealthAddress == "" {
-		return running, nil
+		return service, nil
 	}
 	listener, err := link.TCP{}.Listen(loaded.HealthAddress)
 	if err != nil {
 		node.Close()
 		return daemon.Service{}, err
 	}
-	server := httpapi.Serve(listener, httpapi.HealthHandler(node.Ready), func() int64 { return 1024 })
-	running.Close = func() {
+	server := httpapi.Serve(listener, httpapi.HealthHandler(node.Ready), func() int64 { return maxHealthBodyBytes })
+	service.Close = func() {
 		server.Close()
 		node.Close()
 	}
-	return running, nil
+	return service, nil
 }
--- a/system/scheduler/scheduler.go
+++ b/system/scheduler/scheduler.go
@@ -98,8 +98,8 @@
 //
 //	if !scheduler.Usable(view, slot.Runner) { ... }
 func Usable(view *feed.View, runner feed.Runner) bool {
-	listed := slices.ContainsFunc(view.Runners, func(one feed.Runner) bool {
-		return one.Address == runner.Address && one.State != feed.StateDraining
+	listed := slices.ContainsFunc(view.Runners, func(listed feed.Runner) bool {
+		return listed.Address == runner.Address && listed.State != feed.StateDraining
 	})
 	return listed && !view.DomainDrained(runner.Domain)
 }
