--- a/system/durablelog/doc.go
+++ b/system/durablelog/doc.go
@@ -1,4 +1,4 @@
-// Package durablelog stores the whole durable state of a node in one data folder: records of
+// Package durablelog stores the complete durable state of a node in one data folder: records of
 // all its groups, in one log that is compacted into snapshot files.
 //
 // # Files
--- a/system/durablelog/snapshot_writer.go
+++ b/system/durablelog/snapshot_writer.go
@@ -50,7 +50,7 @@
 }
 
 // WriteSnapshot compacts the log: it creates the next log and writes records, which must be the
-// whole state, to the snapshot file that is not the newest. The newest one and its log stay
+// complete state, to the snapshot file that is not the newest. The newest one and its log stay
 // until the next snapshot is complete. After an error, which is an [apierror.Error]
 // DiskUnavailable, the caller must repeat the call, with the same or a later state, before it
 // appends: an append to the old log that is torn beside the new one would count as damage. It
--- a/system/raft/durability.go
+++ b/system/raft/durability.go
@@ -29,7 +29,7 @@
 // it counts itself only up to stableIndex. But its term must be durable: a single voter that
 // loses power would otherwise lead the same term again with other entries. Pre-votes and
 // their grants promise nothing, as nobody has entered their term. Everything else promises
-// something that must be durable first; so does a rejected pre-vote, which tells the term.
+// something that must be durable first; so does a rejected pre-vote, which has the term.
 func (core *Core) requiredWrite(message Message) uint64 {
 	switch message.Kind {
 	case MessageAppend, MessageSnapshotChunk, MessageTimeoutNow:
--- a/system/raft/election.go
+++ b/system/raft/election.go
@@ -150,7 +150,7 @@
 
 // handlePreVote grants a pre-vote if this replica could vote for the sender in a later term.
 // Nothing is recorded: several replicas may be granted the same term. A grant repeats the
-// term of the request, a rejection tells this replica's own.
+// term of the request, a rejection has this replica's own.
 func (core *Core) handlePreVote(message Message) {
 	grant := message.Term > core.hardState.Term && !core.inLease() && core.isLogUpToDate(message)
 	reply := Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term}
--- a/system/raft/input.go
+++ b/system/raft/input.go
@@ -11,11 +11,10 @@
 	InputMessage
 	// InputSynced reports that the write with this Number, and all before it, are durable.
 	InputSynced
-	// InputPropose asks the leader to append the command Data. [Output.ProposedIndex] tells
-	// where.
+	// InputPropose asks the leader to append the command Data, at [Output.ProposedIndex].
 	InputPropose
 	// InputChangeMembership asks the leader to append Membership, which may differ from the
-	// present one by one voter and any learners. [Output.ProposedIndex] tells where.
+	// present one by one voter and any learners, at [Output.ProposedIndex].
 	InputChangeMembership
 	// InputReadIndex asks the leader for a read index. A [ReadResult] with the same Context
 	// follows, from this step or a later one.
--- a/system/raft/message.go
+++ b/system/raft/message.go
@@ -72,7 +72,7 @@
 	Offset uint64
 	// Total is the length of the snapshot's content in bytes.
 	Total uint64
-	// ContentChecksum is the CRC-32C of the whole content. It also distinguishes the
+	// ContentChecksum is the CRC-32C of the complete content. It also distinguishes the
 	// snapshots that two leaders took at one index.
 	ContentChecksum uint32
 	// Checksum is the CRC-32C of the chunk and of all fields that locate it.
--- a/system/raft/progress.go
+++ b/system/raft/progress.go
@@ -65,7 +65,8 @@
 }
 
 // quorumValue returns the highest value that a quorum of the voters has reached, given this
-// replica's own value and that of a peer's progress.
+// replica's own value and that of a peer's progress. Only a leader has progress, and trackPeers
+// keeps it for every other voter, so that each voter has a value.
 func (core *Core) quorumValue(own uint64, of func(*progress) uint64) uint64 {
 	values := make([]uint64, 0, len(core.membership.Voters))
 	for _, name := range core.membership.Voters {
--- a/system/raft/raft.go
+++ b/system/raft/raft.go
@@ -193,7 +193,7 @@
 	return message.Kind != MessagePreVoteReply
 }
 
-// rejectStaleLeader tells the leader of an earlier term of the present one. Other messages
+// rejectStaleLeader informs the leader of an earlier term of the present one. Other messages
 // of earlier terms are ignored.
 func (core *Core) rejectStaleLeader(message Message) {
 	if message.Kind == MessageAppend || message.Kind == MessageSnapshot {
--- a/system/raft/snapshot.go
+++ b/system/raft/snapshot.go
@@ -89,7 +89,7 @@
 }
 
 // markSnapshotChanged has the next write contain the snapshot and all entries after it: a
-// stored snapshot without entries replaces the whole stored log.
+// stored snapshot without entries replaces the complete stored log.
 func (core *Core) markSnapshotChanged() {
 	core.snapshotChanged = true
 	if len(core.entries) > 0 {
--- a/system/raft/snapshot_errors.go
+++ b/system/raft/snapshot_errors.go
@@ -40,8 +40,8 @@
 }
 
 // SnapshotError reports a snapshot, or a chunk of one, that was rejected. The replica is
-// unchanged by it. The sender sends again what is missing; a driver should log it, as all
-// reasons but SnapshotOutOfOrder and SnapshotSuperseded are signs of a fault.
+// unchanged by it, and the sender sends again what is missing. A driver should log it: of the
+// reasons only SnapshotOutOfOrder and SnapshotSuperseded are usual.
 type SnapshotError struct {
 	// From is the sender.
 	From string
--- a/system/raft/snapshot_sender.go
+++ b/system/raft/snapshot_sender.go
@@ -45,7 +45,7 @@
 		return
 	}
 	if peer.outgoing.ticksSinceSent >= chunkRetryHeartbeats*core.settings.HeartbeatTicks && !core.isUnresponsive(peer) {
-		// A single chunk is enough: the reply tells how far the peer is, and the rest follows.
+		// A single chunk is enough: the reply says how far the peer is, and the rest follows.
 		peer.outgoing.sentOffset, peer.outgoing.resent = peer.outgoing.ackedOffset, false
 		core.sendChunk(name, peer.outgoing)
 	}
--- a/system/replica/doc.go
+++ b/system/replica/doc.go
@@ -2,7 +2,7 @@
 // time, the network and the disk.
 //
 // A [Host] owns all groups of the node, their state machines, the durable log and what waits
-// for it. It has these goroutines, all of which end with [Host.Close]:
+// for it. It has these goroutines, which end after [Host.Close]:
 //
 //   - The loop owns the state: every step of a core and every call of a state machine, except
 //     for the encoding of a snapshot, runs on it. Other goroutines have functions run there.
--- a/system/replica/host.go
+++ b/system/replica/host.go
@@ -8,8 +8,9 @@
 	"yardrock.example/system/raft"
 )
 
-// Host runs the replicas of one node. Its methods may be called from any goroutine; those
-// that take no context wait for the loop, which does not block on the disk or the network.
+// Host runs the replicas of one node. Its methods may be called from any goroutine but the
+// loop, that is, not by a state machine. Those that need the loop wait for their turn on it; the
+// loop itself does not wait for the disk or the network.
 type Host struct {
 	settings        Settings
 	name            string
--- a/system/replica/host_leadership.go
+++ b/system/replica/host_leadership.go
@@ -3,7 +3,7 @@
 import "yardrock.example/system/raft"
 
 // TransferLeadership asks a group that is led here to hand leadership to another voter. It
-// does not wait for the outcome, which [Host.Status] tells. Elsewhere it has no effect.
+// does not wait for the outcome, which [Host.Status] shows. Elsewhere it has no effect.
 func (host *Host) TransferLeadership(groupID uint32, peer string) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] != nil {
--- a/system/replica/host_loop.go
+++ b/system/replica/host_loop.go
@@ -94,7 +94,7 @@
 
 // flush passes on what a turn of the loop has produced: messages to the transport and, if the
 // disk goroutine is idle, all pending records as its next job. When the log has grown to its
-// threshold the job is a snapshot of the whole state, which includes the pending records.
+// threshold the job is a snapshot of the complete state, which includes the pending records.
 func (host *Host) flush() {
 	for to, messages := range host.outbox {
 		host.transport.Send(to, messages)
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -41,7 +41,7 @@
 
 // ChangeMembership asks a group that is led here for another membership, which may differ by
 // one voter, and reports whether the leader accepted it. It does not wait for the commit,
-// which [Host.Status] tells.
+// which [Host.Status] shows.
 func (host *Host) ChangeMembership(groupID uint32, next raft.Membership) bool {
 	index := uint64(0)
 	host.runOnLoop(func() {
--- a/system/replica/host_records.go
+++ b/system/replica/host_records.go
@@ -62,7 +62,7 @@
 	return write, nil
 }
 
-// snapshotRecords returns the records of the whole state of the host, for a snapshot file. The
+// snapshotRecords returns the records of the complete state of the host, for a snapshot file. The
 // state is that of this call, which must be on the loop. The sequence may be read on another
 // goroutine; it encodes each group only when its record is needed, so that memory is needed
 // for one at a time.
--- a/system/replica/settings.go
+++ b/system/replica/settings.go
@@ -18,8 +18,9 @@
 	ElectionTicks int
 	// HeartbeatTicks is the heartbeat interval, in ticks; 4 by default.
 	HeartbeatTicks int
-	// SnapshotEntries is the number of log entries after which a group takes a snapshot, if
-	// their bytes do not require it earlier; 2048 by default.
+	// SnapshotEntries is the number of applied entries after which a group takes a snapshot,
+	// unless they are small beside the last one; their bytes may require it earlier. 2048 by
+	// default.
 	SnapshotEntries uint64
 	// CompactionBytes is the size of the durable log, in bytes, at which it is compacted: all
 	// state is written to a snapshot file and a new log begins. It is more if the snapshot
