--- a/system/archive/files.go
+++ b/system/archive/files.go
@@ -38,8 +38,10 @@
 			return nil, nil, fmt.Errorf("encode events %d to %d of %s for the archive: %w", chunk.First, chunk.Last, chunk.Session, err)
 		}
 		digest := sha256.Sum256(body)
-		index.Locations = append(index.Locations, wire.ChunkLocation{Group: chunk.Group, Session: chunk.Session, First: chunk.First, Last: chunk.Last, ExpiresAt: chunk.ExpiresAt,
-			Offset: uint64(len(bodies)), Length: uint32(len(body)), Checksum: crc32.Checksum(body, checksums), Digest: digest[:]})
+		index.Locations = append(index.Locations, wire.ChunkLocation{
+			Group: chunk.Group, Session: chunk.Session, First: chunk.First, Last: chunk.Last, ExpiresAt: chunk.ExpiresAt,
+			Offset: uint64(len(bodies)), Length: uint32(len(body)), Checksum: crc32.Checksum(body, checksums), Digest: digest[:],
+		})
 		bodies = append(bodies, body...)
 	}
 	// Offsets count from the file's beginning, so they depend on the length of the index. That
--- a/system/archive/locations.go
+++ b/system/archive/locations.go
@@ -27,7 +27,10 @@
 
 // addLocation adds a chunk of a file to the index. The caller holds mutex, or is Open.
 func (store *Store) addLocation(file uint64, location wire.ChunkLocation) {
-	made := chunkLocation{file: file, offset: int64(location.Offset), length: int(location.Length), group: location.Group, first: location.First, last: location.Last, expires: location.ExpiresAt, checksum: location.Checksum}
+	made := chunkLocation{
+		file: file, offset: int64(location.Offset), length: int(location.Length), checksum: location.Checksum,
+		group: location.Group, first: location.First, last: location.Last, expires: location.ExpiresAt,
+	}
 	copy(made.digest[:], location.Digest)
 	store.setLocations(location.Session, location.Group, append(slices.Clip(store.locations[location.Session]), made))
 	store.liveChunks[file]++
--- a/system/archive/store.go
+++ b/system/archive/store.go
@@ -55,7 +55,10 @@
 //
 //	archiveStore, err := archive.Open(folder)
 func Open(folder vfs.Directory) (*Store, error) {
-	store := &Store{folder: folder, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{}, digests: map[uint32]*sessionlog.BucketDigests{}, sessionsByGroup: map[uint32]map[string]bool{}, nextFile: 1}
+	store := &Store{
+		folder: folder, nextFile: 1, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{},
+		digests: map[uint32]*sessionlog.BucketDigests{}, sessionsByGroup: map[uint32]map[string]bool{},
+	}
 	names, err := folder.List()
 	if err != nil {
 		return nil, err
@@ -136,5 +139,7 @@
 func (store *Store) Covers(chunk wire.ArchiveChunk) bool {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
-	return slices.ContainsFunc(store.locations[chunk.Session], func(location chunkLocation) bool { return location.first <= chunk.First && location.last >= chunk.Last })
+	return slices.ContainsFunc(store.locations[chunk.Session], func(location chunkLocation) bool {
+		return location.first <= chunk.First && location.last >= chunk.Last
+	})
 }
--- a/system/sessionlog/quota.go
+++ b/system/sessionlog/quota.go
@@ -100,7 +100,8 @@
 	if !fits && !lastTurn {
 		return usage.outcome(QuotaExceeded, false)
 	}
-	usage.Reservations = append(slices.Clip(usage.Reservations), Reservation{Name: command.Reservation, Words: command.Words, ExpiresAt: view.clock + int64(command.Lifetime)})
+	reservation := Reservation{Name: command.Reservation, Words: command.Words, ExpiresAt: view.clock + int64(command.Lifetime)}
+	usage.Reservations = append(slices.Clip(usage.Reservations), reservation)
 	view.quotaUsages = view.quotaUsages.Set(command.Session, &usage)
 	return usage.outcome(Done, false)
 }
--- a/system/sessionlog/shared_prefixes.go
+++ b/system/sessionlog/shared_prefixes.go
@@ -95,8 +95,8 @@
 //
 //	prefix, found := machine.View().LongestSharedPrefix("identity", input)
 func (view *View) LongestSharedPrefix(scope string, input []byte) (*SharedPrefix, bool) {
-	known, _ := view.prefixesByScope.Get(scope)
-	for _, prefix := range known {
+	prefixes, _ := view.prefixesByScope.Get(scope)
+	for _, prefix := range prefixes {
 		if !prefix.Corrupt && prefix.Size <= uint64(len(input)) && string(input[:prefix.Size]) == prefix.Text() {
 			return prefix, true
 		}
@@ -146,14 +146,17 @@
 	}
 	name := SharedPrefixName(command.Scope, command.Data)
 	prefix, found := view.prefixes.Get(name)
-	known, _ := view.prefixesByScope.Get(command.Scope)
+	ofScope, _ := view.prefixesByScope.Get(command.Scope)
 	switch {
 	case found && !prefix.Corrupt && prefix.Text() != string(command.Data):
 		return Outcome{Status: BadCommand}
-	case !found && len(known) >= MaxPrefixesPerScope:
+	case !found && len(ofScope) >= MaxPrefixesPerScope:
 		return Outcome{Status: TooManyPrefixes}
 	case !found:
-		view.setPrefix(&SharedPrefix{Name: name, Scope: command.Scope, Size: uint64(size), KeepUntil: view.clock + int64(idlePrefixLifetime), content: internContent(command.Scope, command.Data)})
+		view.setPrefix(&SharedPrefix{
+			Name: name, Scope: command.Scope, Size: uint64(size), KeepUntil: view.clock + int64(idlePrefixLifetime),
+			content: internContent(command.Scope, command.Data),
+		})
 	case prefix.Corrupt:
 		repaired := *prefix
 		repaired.Corrupt, repaired.content = false, internContent(command.Scope, command.Data)
@@ -210,8 +213,8 @@
 		return
 	}
 	session.Prefixes = append(slices.Clip(session.Prefixes), name)
-	known, _ := view.prefixes.Get(name)
-	prefix := *known
+	existing, _ := view.prefixes.Get(name)
+	prefix := *existing
 	prefix.References++
 	view.setPrefix(&prefix)
 }
@@ -219,11 +222,11 @@
 // releasePrefixes drops the references of a session that is removed.
 func (view *View) releasePrefixes(session *Session) {
 	for _, name := range session.Prefixes {
-		known, found := view.prefixes.Get(name)
+		existing, found := view.prefixes.Get(name)
 		if !found {
 			continue
 		}
-		prefix := *known
+		prefix := *existing
 		prefix.References--
 		prefix.KeepUntil = view.clock + int64(idlePrefixLifetime)
 		view.setPrefix(&prefix)
@@ -244,22 +247,22 @@
 func (view *View) setPrefix(prefix *SharedPrefix) {
 	view.removePrefix(prefix)
 	view.prefixes = view.prefixes.Set(prefix.Name, prefix)
-	known, _ := view.prefixesByScope.Get(prefix.Scope)
-	known = append(slices.Clip(known), prefix)
-	slices.SortFunc(known, func(left, right *SharedPrefix) int {
+	ofScope, _ := view.prefixesByScope.Get(prefix.Scope)
+	ofScope = append(slices.Clip(ofScope), prefix)
+	slices.SortFunc(ofScope, func(left, right *SharedPrefix) int {
 		if left.Size != right.Size {
 			return int(right.Size) - int(left.Size)
 		}
 		return strings.Compare(left.Name, right.Name)
 	})
-	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, known)
+	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, ofScope)
 }
 
 // removePrefix takes a prefix out of the view.
 func (view *View) removePrefix(prefix *SharedPrefix) {
 	view.prefixes = view.prefixes.Delete(prefix.Name)
-	known, _ := view.prefixesByScope.Get(prefix.Scope)
-	others := slices.DeleteFunc(slices.Clone(known), func(other *SharedPrefix) bool { return other.Name == prefix.Name })
+	ofScope, _ := view.prefixesByScope.Get(prefix.Scope)
+	others := slices.DeleteFunc(slices.Clone(ofScope), func(other *SharedPrefix) bool { return other.Name == prefix.Name })
 	if len(others) == 0 {
 		view.prefixesByScope = view.prefixesByScope.Delete(prefix.Scope)
 		return
--- a/system/sessionlog/shared_prefixes_test.go
+++ b/system/sessionlog/shared_prefixes_test.go
@@ -63,8 +63,8 @@
 		t.Fatal("a prefix is found that the input does not begin with")
 	}
 	session, _ := view.Session("program/a")
-	if got, sound := view.FullData(&session.Unarchived[0]); !sound || string(got) != prefix+"x" || len(session.Unarchived[0].Data) != 1 {
-		t.Fatalf("%q %t", got, sound)
+	if got, intact := view.FullData(&session.Unarchived[0]); !intact || string(got) != prefix+"x" || len(session.Unarchived[0].Data) != 1 {
+		t.Fatalf("%q %t", got, intact)
 	}
 	// The longest prefix is used.
 	longer := shareCommand("identity", prefix+repeatLetter("b", 300))
@@ -112,8 +112,8 @@
 		session, _ := machine.View().Session("program/" + name)
 		earlier, _ := before.Session("program/" + name)
 		for position := range session.Unarchived {
-			got, sound := machine.View().FullData(&session.Unarchived[position])
-			if !sound || string(got) != string(earlier.Unarchived[position].Data) {
+			got, intact := machine.View().FullData(&session.Unarchived[position])
+			if !intact || string(got) != string(earlier.Unarchived[position].Data) {
 				t.Fatalf("%s: %q", name, got)
 			}
 		}
@@ -150,14 +150,14 @@
 		if _, found := machine.View().SharedPrefix(name); found != step.found {
 			t.Fatalf("at %s the prefix is stored: %t", step.now, found)
 		}
-		if got, sound := late.FullData(&Event{Prefix: name, Data: []byte("x")}); !sound || string(got) != prefix+"x" {
+		if got, intact := late.FullData(&Event{Prefix: name, Data: []byte("x")}); !intact || string(got) != prefix+"x" {
 			t.Fatalf("at %s a reader of an earlier view got %q", step.now, got)
 		}
 	}
 	if got := at(time.Hour, beginShared("program/b", "two", "identity", name, "x")); got.Status != UnknownPrefix {
 		t.Fatalf("a turn refers to a prefix that was freed: %+v", got)
 	}
-	if _, sound := machine.View().FullData(&Event{Prefix: name, Data: []byte("x")}); sound {
+	if _, intact := machine.View().FullData(&Event{Prefix: name, Data: []byte("x")}); intact {
 		t.Fatal("a reference to a freed prefix gave something")
 	}
 	if _, found := machine.View().Session("program/b"); found || machine.View().prefixesByScope.Len() != 0 {
@@ -184,19 +184,19 @@
 		t.Fatal(err)
 	}
 	event := Event{Prefix: name, Data: []byte("x")}
-	if got, sound := damaged.View().FullData(&event); sound {
+	if got, intact := damaged.View().FullData(&event); intact {
 		t.Fatalf("a corrupt prefix was read: %q", got)
 	}
 	if _, found := damaged.View().LongestSharedPrefix("identity", []byte(prefix)); found {
 		t.Fatal("a corrupt prefix is offered")
 	}
-	// It goes on as its sound peers do.
+	// It goes on as its intact peers do.
 	for _, command := range []Command{beginShared("program/b", "two", "identity", name, "y"), shareCommand("identity", prefix)} {
 		if left, right := machine.Apply(&command), damaged.Apply(&command); left != right {
 			t.Fatalf("%+v and %+v", left, right)
 		}
 	}
-	if got, sound := damaged.View().FullData(&event); !sound || string(got) != prefix+"x" {
+	if got, intact := damaged.View().FullData(&event); !intact || string(got) != prefix+"x" {
 		t.Fatalf("the prefix was not repaired: %q", got)
 	}
 	if !reflect.DeepEqual(machine.View().Snapshot(), damaged.View().Snapshot()) {
--- a/system/sessionlog/snapshot.go
+++ b/system/sessionlog/snapshot.go
@@ -75,7 +75,8 @@
 //	err := machine.Restore(snapshot)
 func (machine *StateMachine) Restore(snapshot Snapshot) error {
 	if snapshot.Version > SnapshotVersion {
-		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("the snapshot has format %d, and this program reads up to %d", snapshot.Version, SnapshotVersion), "run the newer version of the program")
+		message := fmt.Sprintf("the snapshot has format %d, and this program reads up to %d", snapshot.Version, SnapshotVersion)
+		return apierror.New(apierror.FormatTooNew, message, "run the newer version of the program")
 	}
 	view := &View{clock: snapshot.Clock}
 	view.restoreSessions(snapshot)
@@ -122,7 +123,10 @@
 		if !found {
 			continue
 		}
-		record := TurnRecord{Session: turn.Session, Name: turn.Name, Seq: turn.Seq, EndSeq: turn.EndSeq, Outcome: turn.Outcome, Dispatch: turn.Dispatch, Deadline: turn.Deadline, Tokens: turn.Tokens}
+		record := TurnRecord{
+			Session: turn.Session, Name: turn.Name, Seq: turn.Seq, EndSeq: turn.EndSeq,
+			Outcome: turn.Outcome, Dispatch: turn.Dispatch, Deadline: turn.Deadline, Tokens: turn.Tokens,
+		}
 		if turn.Follows != nil {
 			record.Follows = turn.Follows.Name
 		}
@@ -137,8 +141,10 @@
 	type key struct{ session, name string }
 	made, byName := map[key]*Turn{}, map[string][]*Turn{}
 	for _, record := range records {
-		turn := &Turn{Session: record.Session, Name: record.Name, Seq: record.Seq, EndSeq: record.EndSeq, Outcome: record.Outcome, Dispatch: record.Dispatch, Deadline: record.Deadline, Tokens: record.Tokens,
-			Follows: made[key{record.Session, record.Follows}]}
+		turn := &Turn{
+			Session: record.Session, Name: record.Name, Seq: record.Seq, EndSeq: record.EndSeq, Follows: made[key{record.Session, record.Follows}],
+			Outcome: record.Outcome, Dispatch: record.Dispatch, Deadline: record.Deadline, Tokens: record.Tokens,
+		}
 		made[key{record.Session, record.Name}] = turn
 		byName[record.Name] = append(byName[record.Name], turn)
 	}
@@ -153,11 +159,18 @@
 func (view *View) prefixRecords() []SharedPrefixRecord {
 	var records []SharedPrefixRecord
 	for prefix := range view.SharedPrefixes() {
-		records = append(records, SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil})
+		records = append(records, *prefix.Record())
 	}
 	return records
 }
 
+// Record returns the prefix as a snapshot has it; a corrupt one without data.
+//
+//	reply.SharedPrefix = prefix.Record()
+func (prefix *SharedPrefix) Record() *SharedPrefixRecord {
+	return &SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}
+}
+
 // restorePrefixes restores the shared prefixes and counts the sessions that refer to each. One
 // whose content does not match the digest in its name is marked as corrupt; the sessions stay,
 // and repair fetches the content from a peer.
@@ -170,7 +183,10 @@
 	}
 	view.prefixes, view.prefixesByScope = immutable.NewMap[string, *SharedPrefix](nil), immutable.NewMap[string, []*SharedPrefix](nil)
 	for _, record := range snapshot.Prefixes {
-		prefix := &SharedPrefix{Name: record.Name, Scope: record.Scope, KeepUntil: record.Until, References: references[record.Name], Corrupt: SharedPrefixName(record.Scope, record.Data) != record.Name}
+		prefix := &SharedPrefix{
+			Name: record.Name, Scope: record.Scope, KeepUntil: record.Until, References: references[record.Name],
+			Corrupt: SharedPrefixName(record.Scope, record.Data) != record.Name,
+		}
 		_, size, _ := strings.Cut(record.Name, "-")
 		prefix.Size, _ = strconv.ParseUint(size, 10, 64) // a name without a size is corrupt
 		if !prefix.Corrupt {
--- a/system/sessionlog/state_machine_test.go
+++ b/system/sessionlog/state_machine_test.go
@@ -78,30 +78,30 @@
 	parameters := gopter.DefaultTestParametersWithSeed(20260103)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
-	properties.Property("spent and reserved stay within allowance and one turn", prop.ForAll(func(steps []uint16) string {
+	properties.Property("spent and reserved stay within the quota and one turn", prop.ForAll(func(steps []uint16) string {
 		machine := NewStateMachine()
 		const quota, turn = 100, 30
-		out, spoken := map[string]uint64{}, uint64(0)
+		reserved, settled := map[string]uint64{}, uint64(0)
 		for position, step := range steps {
 			name := fmt.Sprint(step % 12)
 			if step%3 != 0 {
-				command := Command{Kind: Reserve, Session: "tally", Reservation: name, Words: turn, Quota: quota}
+				command := Command{Kind: Reserve, Session: "quota", Reservation: name, Words: turn, Quota: quota}
 				if outcome := machine.Apply(&command); outcome.Status == Done && !outcome.Deduped {
-					out[name] = turn
+					reserved[name] = turn
 				}
-				if again := machine.Apply(&command); out[name] > 0 && !again.Deduped {
+				if again := machine.Apply(&command); reserved[name] > 0 && !again.Deduped {
 					return "a repeated reservation reserved twice"
 				}
-			} else if words, reserved := out[name]; reserved {
+			} else if words, isReserved := reserved[name]; isReserved {
 				used := min(uint64(step%37), words)
-				machine.Apply(&Command{Kind: Settle, Session: "tally", Reservation: name, Words: uint64(step % 37)})
-				machine.Apply(&Command{Kind: Settle, Session: "tally", Reservation: name, Words: uint64(step % 37)})
-				spoken += used
-				delete(out, name)
+				machine.Apply(&Command{Kind: Settle, Session: "quota", Reservation: name, Words: uint64(step % 37)})
+				machine.Apply(&Command{Kind: Settle, Session: "quota", Reservation: name, Words: uint64(step % 37)})
+				settled += used
+				delete(reserved, name)
 			}
-			usage := machine.View().QuotaUsage("tally")
-			if usage.Spent != spoken {
-				return fmt.Sprintf("step %d: %d are booked, %d were spoken", position, usage.Spent, spoken)
+			usage := machine.View().QuotaUsage("quota")
+			if usage.Spent != settled {
+				return fmt.Sprintf("step %d: %d are spent, %d were used", position, usage.Spent, settled)
 			}
 			if usage.Spent+usage.Reserved() > quota+turn {
 				return fmt.Sprintf("step %d: %d spent and %d reserved", position, usage.Spent, usage.Reserved())
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -23,6 +23,12 @@
 	Tokens uint64
 }
 
+// The producer numbers of a turn's events, whose producer is the turn's name. They are stored.
+const (
+	beginNumber = 1
+	endNumber   = 2
+)
+
 // Chain returns the turns that lead to this one and itself, oldest first.
 //
 //	for _, turn := range followed.Chain() { ... }
@@ -50,8 +56,8 @@
 //
 //	turn, found := machine.View().Turn("program/3fa81c", "9c41d07b")
 func (view *View) Turn(sessionName, name string) (*Turn, bool) {
-	known, _ := view.turns.Get(name)
-	for _, turn := range known {
+	turns, _ := view.turns.Get(name)
+	for _, turn := range turns {
 		if turn.Session == sessionName {
 			return turn, true
 		}
@@ -64,16 +70,16 @@
 //
 //	turn, found := machine.View().TurnInAnySession("9c41d07b")
 func (view *View) TurnInAnySession(name string) (*Turn, bool) {
-	known, _ := view.turns.Get(name)
-	for _, turn := range known {
+	turns, _ := view.turns.Get(name)
+	for _, turn := range turns {
 		if turn.Complete() {
 			return turn, true
 		}
 	}
-	if len(known) == 0 {
+	if len(turns) == 0 {
 		return nil, false
 	}
-	return known[0], true
+	return turns[0], true
 }
 
 // beginTurn creates the session if it is absent, reserves what the turn may put out and
@@ -83,8 +89,8 @@
 	if command.Producer == "" || command.Producer == command.Follows {
 		return session.outcome(BadCommand, 0, false)
 	}
-	if known, found := view.Turn(command.Session, command.Producer); found {
-		return session.outcome(repeatStatus(known, command), known.Seq, true)
+	if existing, found := view.Turn(command.Session, command.Producer); found {
+		return session.outcome(repeatStatus(existing, command), existing.Seq, true)
 	}
 	if session.exceedsQuota(command) {
 		return session.outcome(QuotaExceeded, 0, false)
@@ -104,12 +110,12 @@
 	return session.outcome(Done, turn.Seq, false)
 }
 
-// repeatStatus returns the status of a BeginTurn whose turn is known already.
-func repeatStatus(known *Turn, command *Command) Status {
+// repeatStatus returns the status of a BeginTurn whose turn exists already.
+func repeatStatus(existing *Turn, command *Command) Status {
 	switch {
-	case known.Outcome == OutcomeNotRun:
+	case existing.Outcome == OutcomeNotRun:
 		return TurnClosed
-	case known.Dispatch != command.Dispatch || known.EndSeq != 0:
+	case existing.Dispatch != command.Dispatch || existing.EndSeq != 0:
 		return TurnTaken
 	}
 	return Done
@@ -128,12 +134,12 @@
 	if command.Follows == "" {
 		return nil, Done
 	}
-	turn, known := view.Turn(command.Session, command.Follows)
+	turn, found := view.Turn(command.Session, command.Follows)
 	adopted := len(command.Adopted) > 0 && command.Adopted[len(command.Adopted)-1].Name == command.Follows
 	switch {
-	case !known && adopted:
+	case !found && adopted:
 		return nil, Done
-	case !known:
+	case !found:
 		return nil, UnknownTurn
 	case turn.Complete():
 		return turn, Done
@@ -145,12 +151,18 @@
 
 // recordBegin adds a turn that was admitted to a session.
 func (view *View) recordBegin(session *Session, command *Command, followed *Turn) *Turn {
-	turn := &Turn{Name: command.Producer, Session: command.Session, Follows: followed, Dispatch: command.Dispatch, Deadline: view.clock + int64(command.Lifetime)}
+	turn := &Turn{
+		Name: command.Producer, Session: command.Session, Follows: followed, Dispatch: command.Dispatch,
+		Deadline: view.clock + int64(command.Lifetime),
+	}
 	if command.HasQuota {
 		turn.Tokens = command.Tokens
 		session.Reserved += command.Tokens
 	}
-	event := Event{At: view.clock, Kind: TurnBegun, Turn: session.Head + 1, Dispatch: command.Dispatch, Name: command.Producer, Producer: command.Producer, ProducerSeq: 1, Deadline: turn.Deadline}
+	event := Event{
+		At: view.clock, Kind: TurnBegun, Turn: session.Head + 1, Dispatch: command.Dispatch, Name: command.Producer,
+		Producer: command.Producer, ProducerSeq: beginNumber, Deadline: turn.Deadline,
+	}
 	if command.KeepData {
 		event.Data = command.Data
 	}
@@ -171,12 +183,15 @@
 func (view *View) adoptTurns(session *Session, command *Command) *Turn {
 	var last *Turn
 	for _, adopted := range command.Adopted {
-		if known, found := view.Turn(command.Session, adopted.Name); found && known.Complete() {
-			last = known
+		if existing, found := view.Turn(command.Session, adopted.Name); found && existing.Complete() {
+			last = existing
 			continue
 		}
 		turn := &Turn{Name: adopted.Name, Session: command.Session, Follows: last, Outcome: OutcomeComplete}
-		event := Event{At: view.clock, Kind: TurnAdopted, Turn: session.Head + 1, Name: adopted.Name, Producer: adopted.Name, ProducerSeq: 2, Data: adopted.Data, Outcome: OutcomeComplete}
+		event := Event{
+			At: view.clock, Kind: TurnAdopted, Turn: session.Head + 1, Name: adopted.Name,
+			Producer: adopted.Name, ProducerSeq: endNumber, Data: adopted.Data, Outcome: OutcomeComplete,
+		}
 		if last != nil {
 			event.Follows = last.Seq
 		}
@@ -208,7 +223,10 @@
 	ended.Outcome, ended.Tokens = command.Outcome, 0
 	session.Reserved -= turn.Tokens
 	session.Spent += command.Tokens
-	event := Event{At: view.clock, Kind: TurnEnded, Turn: turn.Seq, Outcome: command.Outcome, Producer: command.Producer, ProducerSeq: 2, Part: command.Tokens}
+	event := Event{
+		At: view.clock, Kind: TurnEnded, Turn: turn.Seq, Outcome: command.Outcome,
+		Producer: command.Producer, ProducerSeq: endNumber, Part: command.Tokens,
+	}
 	if command.KeepData && ended.Outcome == OutcomeComplete {
 		event.Data = command.Data
 	}
@@ -222,7 +240,9 @@
 func (view *View) fenceTurn(session *Session, command *Command) Outcome {
 	seq := session.Head + 1
 	turn := &Turn{Name: command.Producer, Session: command.Session, EndSeq: seq, Outcome: OutcomeNotRun, Dispatch: command.Dispatch}
-	view.addTurn(session, turn, Event{At: view.clock, Kind: Fenced, Turn: seq, Producer: command.Producer, ProducerSeq: 2, Outcome: OutcomeNotRun})
+	view.addTurn(session, turn, Event{
+		At: view.clock, Kind: Fenced, Turn: seq, Producer: command.Producer, ProducerSeq: endNumber, Outcome: OutcomeNotRun,
+	})
 	view.setSession(session)
 	return session.outcome(Done, seq, false)
 }
@@ -258,6 +278,6 @@
 
 // turnsOfOthers returns a copy of what other sessions than one have under a turn's name.
 func (view *View) turnsOfOthers(name, sessionName string) []*Turn {
-	known, _ := view.turns.Get(name)
-	return slices.DeleteFunc(slices.Clone(known), func(turn *Turn) bool { return turn.Session == sessionName })
+	turns, _ := view.turns.Get(name)
+	return slices.DeleteFunc(slices.Clone(turns), func(turn *Turn) bool { return turn.Session == sessionName })
 }
--- a/system/store/archive_guard.go
+++ b/system/store/archive_guard.go
@@ -78,7 +78,8 @@
 	}
 	command := sessionlog.Command{Kind: sessionlog.AckArchived, Now: node.clock(group), Acks: acks}
 	if _, err := node.propose(ctx, group, command); err != nil {
-		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).Warn("cannot commit that events are archived, they stay in memory until the next round")
+		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).
+			Warn("cannot commit that events are archived, they stay in memory until the next round")
 		status, _ = node.host.Status(group)
 		guard.inDoubtTerm, guard.inDoubtThrough = status.Term, status.LastIndex
 	}
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -108,7 +108,10 @@
 			complete = false
 			continue
 		}
-		chunks = append(chunks, wire.ArchiveChunk{Group: group, Session: wanted.Session, First: wanted.After + 1, Last: wanted.Through, ExpiresAt: session.ExpiresAt().UnixNano(), Events: events})
+		chunks = append(chunks, wire.ArchiveChunk{
+			Group: group, Session: wanted.Session, First: wanted.After + 1, Last: wanted.Through,
+			ExpiresAt: session.ExpiresAt().UnixNano(), Events: events,
+		})
 	}
 	return chunks, complete
 }
@@ -154,7 +157,8 @@
 	}
 	chunks, complete := node.readMissing(group, view, missing)
 	for batch := range slices.Chunk(chunks, repairBatchChunks) {
-		if _, err := node.callPeer(ctx, peer, &wire.Query{Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: batch}}); err != nil {
+		query := &wire.Query{Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: batch}}
+		if _, err := node.callPeer(ctx, peer, query); err != nil {
 			return false
 		}
 	}
@@ -177,12 +181,15 @@
 
 // handleReadArchive answers with what this node's own archive has of a range.
 func (node *Node) handleReadArchive(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	events := node.archiveStore.Read(query.ReadArchive.Session, query.ReadArchive.After, query.ReadArchive.Through)
+	requested := query.ReadArchive
+	events := node.archiveStore.Read(requested.Session, requested.After, requested.Through)
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, nil
 }
 
 // handleDigests answers with the digests of this node's own archive.
 func (node *Node) handleDigests(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	digests := node.archiveStore.BucketDigests(query.Digests.Group)
-	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{BucketDigests: digests[:], Ranges: node.archiveStore.RangeDigests(query.Digests.Group, query.Digests.Buckets)}}, nil
+	requested := query.Digests
+	digests := node.archiveStore.BucketDigests(requested.Group)
+	ranges := node.archiveStore.RangeDigests(requested.Group, requested.Buckets)
+	return &wire.Reply{Which: schema.Reply_Which_digests, Digests: &wire.DigestReply{BucketDigests: digests[:], Ranges: ranges}}, nil
 }
--- a/system/store/archiver.go
+++ b/system/store/archiver.go
@@ -86,7 +86,9 @@
 		events := session.Unarchived[:min(len(session.Unarchived), budget)]
 		budget -= len(events)
 		first, last := events[0].Seq, events[len(events)-1].Seq
-		chunks = append(chunks, wire.ArchiveChunk{Group: group, Session: session.Name, First: first, Last: last, ExpiresAt: expires, Events: events})
+		chunks = append(chunks, wire.ArchiveChunk{
+			Group: group, Session: session.Name, First: first, Last: last, ExpiresAt: expires, Events: events,
+		})
 		acks = append(acks, sessionlog.Ack{Session: session.Name, ArchivedSeq: last})
 	}
 	return chunks, acks
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -140,7 +140,10 @@
 	if settings.WallClock == nil {
 		settings.WallClock = time.Now
 	}
-	node := &Node{settings: settings, caller: link.NewClient(network), archiveStore: archiveStore, viewChanged: make(chan struct{}, 1), tailWaiters: map[string]chan struct{}{}}
+	node := &Node{
+		settings: settings, caller: link.NewClient(network), archiveStore: archiveStore,
+		viewChanged: make(chan struct{}, 1), tailWaiters: map[string]chan struct{}{},
+	}
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.view.Store(&feed.View{})
 	node.storeClient = storeclient.New(node.caller, node.view.Load)
@@ -163,8 +166,11 @@
 	if err != nil {
 		return apierror.New(apierror.BadSettings, "cannot listen on "+node.settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
-	member := feed.Member{Name: node.Name(), Role: feed.RoleStore, Address: node.settings.Address, Domain: node.settings.Domain, Machine: node.settings.Machine}
-	node.feedClient.Store(feedclient.Start(node.caller, member, node.settings.Seeds, view, node.acceptView))
+	self := feed.Member{
+		Name: node.Name(), Role: feed.RoleStore, Address: node.settings.Address,
+		Domain: node.settings.Domain, Machine: node.settings.Machine,
+	}
+	node.feedClient.Store(feedclient.Start(node.caller, self, node.settings.Seeds, view, node.acceptView))
 	node.server = link.Serve(listener, node.Handle)
 	node.bootstrapGroups(view)
 	return nil
--- a/system/store/quota.go
+++ b/system/store/quota.go
@@ -53,7 +53,8 @@
 	if _, err := node.propose(ctx, group, command); err != nil {
 		return // the next round tries again
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "quota": quota, "reservation": reservation.Name, "words": words}).Info("reservation of a lost front settled")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "quota": quota, "reservation": reservation.Name, "words": words}).
+		Info("reservation that its front did not settle is settled")
 }
 
 // wordsSpent returns how many words a reservation's turn used, and whether that is final. A
--- a/system/store/reads.go
+++ b/system/store/reads.go
@@ -91,7 +91,8 @@
 }
 
 func gapError(sessionName string) error {
-	return apierror.NewRetryable(apierror.Gap, "a part of "+sessionName+" cannot be read now", "ask again; the store nodes repair their archives from each other", time.Second)
+	return apierror.NewRetryable(apierror.Gap, "a part of "+sessionName+" cannot be read now",
+		"ask again; the store nodes repair their archives from each other", time.Second)
 }
 
 // readArchive reads a range of archived events here, and what is missing here from peers. The
@@ -132,7 +133,9 @@
 func (node *Node) archivedAt(ctx context.Context, peer, sessionName string, after, through uint64) []sessionlog.Event {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := node.callPeer(ctx, peer, &wire.Query{Which: schema.Query_Which_getCold, ReadArchive: &wire.ReadArchiveQuery{Session: sessionName, After: after, Through: through}})
+	reply, err := node.callPeer(ctx, peer, &wire.Query{
+		Which: schema.Query_Which_getCold, ReadArchive: &wire.ReadArchiveQuery{Session: sessionName, After: after, Through: through},
+	})
 	if err != nil || reply.Read == nil {
 		return nil
 	}
--- a/system/store/requests.go
+++ b/system/store/requests.go
@@ -36,7 +36,8 @@
 	}
 	anyFleet := query.Which == schema.Query_Which_newest || query.Which == schema.Query_Which_status
 	if fleet := node.view.Load().BoundFleet(); !anyFleet && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
-		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
+		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet,
+			"correct its seeds, or empty its data folder so that it joins this fleet"))
 	}
 	if rejection := query.MisdirectedReply(node.Name()); rejection != nil {
 		return rejection
--- a/system/store/shared_prefix.go
+++ b/system/store/shared_prefix.go
@@ -22,7 +22,9 @@
 	}
 	input, scope := command.Data, command.Scope
 	prefix, found := machine.View().LongestSharedPrefix(scope, input)
-	if candidate, detected := node.prefixDetector.Observe(group, scope, command.Session, input); detected && (!found || uint64(candidate.Length) >= prefix.Size+sessionlog.MinPrefixBytes) {
+	candidate, detected := node.prefixDetector.Observe(group, scope, command.Session, input)
+	// A prefix that is only a little longer than the one that is shared already saves little.
+	if detected && (!found || uint64(candidate.Length) >= prefix.Size+sessionlog.MinPrefixBytes) {
 		node.tasks.Go(func() { node.proposePrefix(group, scope, input[:candidate.Length], candidate.Sessions) })
 	}
 	if !found {
@@ -43,7 +45,10 @@
 	if err != nil || result.outcome.Status != sessionlog.Done {
 		return
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "scope": scope, "prefix": sessionlog.SharedPrefixName(scope, data), "bytes": len(data), "sessions": len(sessions)}).Info("storing a prefix once that sessions share")
+	log.WithFields(log.Fields{
+		"node": node.Name(), "group": group, "scope": scope, "prefix": sessionlog.SharedPrefixName(scope, data),
+		"bytes": len(data), "sessions": len(sessions),
+	}).Info("storing a prefix once that sessions share")
 }
 
 // fullData returns an event's data, with the shared prefix to which it refers, as of a view. A
@@ -61,7 +66,8 @@
 			return data, nil
 		}
 	}
-	return nil, apierror.NewRetryable(apierror.Gap, "the shared prefix "+event.Prefix+" that a turn refers to cannot be read now", "ask again; the store nodes repair their copies from each other", time.Second)
+	return nil, apierror.NewRetryable(apierror.Gap, "the shared prefix "+event.Prefix+" that a turn refers to cannot be read now",
+		"ask again; the store nodes repair their copies from each other", time.Second)
 }
 
 // expandPrefixes replaces references to shared prefixes in events by the data.
@@ -108,7 +114,9 @@
 func (node *Node) prefixAt(ctx context.Context, peer string, group uint32, name, scope string) (data []byte, intact bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := node.callPeer(ctx, peer, &wire.Query{Which: schema.Query_Which_opening, SharedPrefix: &wire.SharedPrefixQuery{Group: group, Name: name}})
+	reply, err := node.callPeer(ctx, peer, &wire.Query{
+		Which: schema.Query_Which_opening, SharedPrefix: &wire.SharedPrefixQuery{Group: group, Name: name},
+	})
 	if err != nil || reply.SharedPrefix == nil || sessionlog.SharedPrefixName(scope, reply.SharedPrefix.Data) != name {
 		return nil, false
 	}
@@ -125,5 +133,5 @@
 	if !found || prefix.Corrupt {
 		return nil, apierror.New(apierror.NotFound, "no intact copy of this shared prefix is here", "ask another store")
 	}
-	return &wire.Reply{Which: schema.Reply_Which_opening, SharedPrefix: &sessionlog.SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}}, nil
+	return &wire.Reply{Which: schema.Reply_Which_opening, SharedPrefix: prefix.Record()}, nil
 }
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -60,7 +60,9 @@
 func (node *Node) prefixStatuses(group uint32) []wire.SharedPrefixStatus {
 	statuses := []wire.SharedPrefixStatus{}
 	for prefix := range node.stateMachine(group).View().SharedPrefixes() {
-		statuses = append(statuses, wire.SharedPrefixStatus{Name: prefix.Name, Scope: prefix.Scope, Size: prefix.Size, References: prefix.References, Corrupt: prefix.Corrupt})
+		statuses = append(statuses, wire.SharedPrefixStatus{
+			Name: prefix.Name, Scope: prefix.Scope, Size: prefix.Size, References: prefix.References, Corrupt: prefix.Corrupt,
+		})
 	}
 	return statuses
 }
