--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -11,6 +11,7 @@
 	"yardrock.example/system/api/gen/work"
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/scheduler"
 	"yardrock.example/system/sessionlog"
 	"yardrock.example/system/wire"
 )
@@ -32,6 +33,8 @@
 			return answer, err
 		}
 		if node.switchRunner(ctx, request, err) != nil {
+			// It may have acquired another slot before its check failed.
+			request.slot.Release(scheduler.NotSent)
 			return nil, err
 		}
 	}
