--- a/system/raft/delayed_group_test.go
+++ b/system/raft/delayed_group_test.go
@@ -41,9 +41,9 @@
 	group := &delayedGroup{t: t, random: rand.New(rand.NewPCG(seed, 2)), cores: map[string]*Core{}, disks: map[string]PersistentState{}, last: map[[2]string]int{}}
 	group.settings = Settings{Group: 4, ElectionTicks: 14, HeartbeatTicks: 4, Seed: seed}
 	names := []string{"a", "b", "c"}
-	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}
+	bootstrap := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}
 	for _, name := range names {
-		group.disks[name] = founding
+		group.disks[name] = bootstrap
 		if name != "c" {
 			group.start(name)
 		}
--- a/system/raft/durability_test.go
+++ b/system/raft/durability_test.go
@@ -6,9 +6,9 @@
 // Entries of that term that had been sent would be replaced by others of the same index and
 // term after its restart.
 func TestSingleVoterPersistsItsTermBeforeSendingEntries(t *testing.T) {
-	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: []string{"a"}, Learners: []string{"b"}}}}
+	bootstrap := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: []string{"a"}, Learners: []string{"b"}}}}
 	settings := Settings{Name: "a", ElectionTicks: 1, HeartbeatTicks: 1}
-	core := New(settings, founding)
+	core := New(settings, bootstrap)
 	output := core.Step(Input{Kind: InputTick})
 	if term, leading := core.Leading(); !leading || term != 2 {
 		t.Fatalf("the single voter leads: %v, in term %d", leading, term)
--- a/system/raft/election_test.go
+++ b/system/raft/election_test.go
@@ -5,20 +5,20 @@
 // restartedGroup is a group of three replicas that start one after another, as machines do
 // after an outage. Messages arrive and disks sync within the step that sends them.
 type restartedGroup struct {
-	names    []string
-	founding PersistentState
-	cores    map[string]*Core
+	names     []string
+	bootstrap PersistentState
+	cores     map[string]*Core
 }
 
 func newRestartedGroup() *restartedGroup {
 	names := []string{"a", "b", "c"}
 	return &restartedGroup{names: names, cores: map[string]*Core{},
-		founding: PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}}
+		bootstrap: PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}}
 }
 
 func (group *restartedGroup) start(position int, seed uint64) {
 	name := group.names[position]
-	group.cores[name] = New(Settings{Name: name, ElectionTicks: 14, HeartbeatTicks: 4, Seed: 10*seed + uint64(position)}, group.founding)
+	group.cores[name] = New(Settings{Name: name, ElectionTicks: 14, HeartbeatTicks: 4, Seed: 10*seed + uint64(position)}, group.bootstrap)
 }
 
 func (group *restartedGroup) step(name string, input Input) {
--- a/system/raft/membership_test.go
+++ b/system/raft/membership_test.go
@@ -5,8 +5,8 @@
 // TestMembershipChangeWithDuplicateNamesIsRejected asks for memberships in which one replica
 // could be a majority by itself, or be voter and learner at once.
 func TestMembershipChangeWithDuplicateNamesIsRejected(t *testing.T) {
-	founding := Membership{Voters: []string{"a"}}
-	core := New(Settings{Name: "a", ElectionTicks: 1, HeartbeatTicks: 1}, PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: founding}})
+	bootstrap := Membership{Voters: []string{"a"}}
+	core := New(Settings{Name: "a", ElectionTicks: 1, HeartbeatTicks: 1}, PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: bootstrap}})
 	output := core.Step(Input{Kind: InputTick})
 	core.Step(Input{Kind: InputSynced, Number: output.Write.Number})
 	for _, next := range []Membership{
--- a/system/raft/simulated_group_test.go
+++ b/system/raft/simulated_group_test.go
@@ -10,42 +10,51 @@
 // simulatedGroup drives the cores of one group over a lossy network, and over disks that lose
 // what was not synced, from one seed. It checks safety after every step.
 type simulatedGroup struct {
-	random    *rand.Rand
-	names     []string
-	cores     map[string]*Core
-	disks     map[string]PersistentState
-	unsynced  map[string][]*Write
-	flying    []Message
+	random *rand.Rand
+	names  []string
+	cores  map[string]*Core
+	disks  map[string]PersistentState
+	// unsynced are the writes of each replica that its disk may still lose.
+	unsynced map[string][]*Write
+	inFlight []Message
+	// cut are the replicas that are cut off from all others.
+	cut map[string]bool
+
+	// What the checks compare with: the leader of each term, the committed entry of each index,
+	// the last entry that each replica applied, and what was committed when a read began.
 	leaders   map[uint64]string
 	committed map[uint64]Entry
 	applied   map[string]uint64
-	confirmed map[string]bool
 	reads     map[uint64]uint64
+
+	// readsSeen counts the confirmed reads, and proposed the commands and reads.
 	readsSeen int
 	proposed  int
-	cut       map[string]bool
-	failure   error
+	// failure is the first broken property.
+	failure error
 }
 
+// newSimulatedGroup bootstraps a group with three voters and starts all replicas.
 func newSimulatedGroup(seed uint64, size int) *simulatedGroup {
 	group := &simulatedGroup{
 		random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, disks: map[string]PersistentState{},
 		unsynced: map[string][]*Write{}, leaders: map[uint64]string{}, committed: map[uint64]Entry{},
-		applied: map[string]uint64{}, confirmed: map[string]bool{}, reads: map[uint64]uint64{}, cut: map[string]bool{},
+		applied: map[string]uint64{}, reads: map[uint64]uint64{}, cut: map[string]bool{},
 	}
 	for index := range size {
 		group.names = append(group.names, fmt.Sprintf("node%d", index))
 	}
-	founding := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: group.names[:3]}}}
+	bootstrap := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: group.names[:3]}}}
 	for index, name := range group.names {
 		if index < 3 {
-			group.disks[name] = founding
+			group.disks[name] = bootstrap
 		}
 		group.start(name)
 	}
 	return group
 }
 
+// start starts a replica with what its disk has.
 func (group *simulatedGroup) start(name string) {
 	group.unsynced[name] = nil
 	if err := group.disks[name].Check(); err != nil {
@@ -58,6 +67,7 @@
 // snapshotAt is the content of every replica's snapshot of an index.
 func snapshotAt(index uint64) []byte { return fmt.Appendf(nil, "snapshot of %d", index) }
 
+// step gives a replica one input, checks the output and carries it out.
 func (group *simulatedGroup) step(name string, input Input) Output {
 	core := group.cores[name]
 	output := core.Step(input)
@@ -72,7 +82,7 @@
 		group.leaders[term] = name
 	}
 	group.checkReads(output)
-	group.flying = append(group.flying, output.Messages...)
+	group.inFlight = append(group.inFlight, output.Messages...)
 	return output
 }
 
@@ -109,6 +119,7 @@
 	}
 }
 
+// sync makes a replica's oldest writes durable.
 func (group *simulatedGroup) sync(name string, count int) {
 	writes := group.unsynced[name][:count]
 	group.unsynced[name] = group.unsynced[name][count:]
@@ -120,14 +131,16 @@
 	}
 }
 
+// deliver delivers the message at a position, unless sender or receiver is cut off.
 func (group *simulatedGroup) deliver(position int) {
-	message := group.flying[position]
-	group.flying = slices.Delete(group.flying, position, position+1)
+	message := group.inFlight[position]
+	group.inFlight = slices.Delete(group.inFlight, position, position+1)
 	if !group.cut[message.From] && !group.cut[message.To] {
 		group.step(message.To, Input{Kind: InputMessage, Message: message})
 	}
 }
 
+// leader returns the leader of the latest term, or "".
 func (group *simulatedGroup) leader() string {
 	best, bestTerm := "", uint64(0)
 	for _, name := range group.names {
@@ -138,7 +151,7 @@
 	return best
 }
 
-func (group *simulatedGroup) highest() uint64 {
+func (group *simulatedGroup) highestCommitted() uint64 {
 	highest := uint64(0)
 	for index := range group.committed {
 		highest = max(highest, index)
@@ -153,8 +166,8 @@
 	switch {
 	case chance < 150:
 		group.step(name, Input{Kind: InputTick})
-	case chance < 600 && len(group.flying) > 0:
-		group.deliver(group.random.IntN(len(group.flying)))
+	case chance < 600 && len(group.inFlight) > 0:
+		group.deliver(group.random.IntN(len(group.inFlight)))
 	case chance < 750:
 		group.sync(name, group.random.IntN(len(group.unsynced[name])+1))
 	case chance < 850:
@@ -163,12 +176,12 @@
 	case chance < 880:
 		group.proposed++
 		context := uint64(group.proposed)
-		group.reads[context] = group.highest()
+		group.reads[context] = group.highestCommitted()
 		group.step(name, Input{Kind: InputReadIndex, Context: context})
 	case chance < 890:
 		group.step(name, Input{Kind: InputCompact, Index: group.applied[name], Data: snapshotAt(group.applied[name])})
 	case chance < 900:
-		group.changeOneReplica(name)
+		group.changeOneMember(name)
 	case chance < 903:
 		group.step(name, Input{Kind: InputTransferLeadership, Peer: group.names[group.random.IntN(3)]})
 	case unhealthy:
@@ -179,11 +192,11 @@
 // randomFault loses or repeats a message, restarts a replica, or cuts it off or connects it.
 func (group *simulatedGroup) randomFault(name string, chance int) {
 	switch {
-	case chance < 930 && len(group.flying) > 0:
-		position := group.random.IntN(len(group.flying))
-		group.flying = slices.Delete(group.flying, position, position+1)
-	case chance < 950 && len(group.flying) > 0:
-		group.flying = append(group.flying, group.flying[group.random.IntN(len(group.flying))])
+	case chance < 930 && len(group.inFlight) > 0:
+		position := group.random.IntN(len(group.inFlight))
+		group.inFlight = slices.Delete(group.inFlight, position, position+1)
+	case chance < 950 && len(group.inFlight) > 0:
+		group.inFlight = append(group.inFlight, group.inFlight[group.random.IntN(len(group.inFlight))])
 	case chance < 956:
 		group.sync(name, group.random.IntN(len(group.unsynced[name])+1)) // what was synced stays, the rest is lost
 		group.start(name)
@@ -192,10 +205,11 @@
 	}
 }
 
-func (group *simulatedGroup) changeOneReplica(name string) {
-	replicas := group.cores[name].Status().Membership
+// changeOneMember adds a learner, makes one a voter, or removes a voter.
+func (group *simulatedGroup) changeOneMember(name string) {
+	membership := group.cores[name].Status().Membership
 	other := group.names[group.random.IntN(len(group.names))]
-	next := Membership{Voters: slices.Clone(replicas.Voters), Learners: slices.Clone(replicas.Learners)}
+	next := Membership{Voters: slices.Clone(membership.Voters), Learners: slices.Clone(membership.Learners)}
 	if at := slices.Index(next.Voters, other); at >= 0 && len(next.Voters) > 2 {
 		next.Voters = slices.Delete(next.Voters, at, at+1)
 	} else if at := slices.Index(next.Learners, other); at >= 0 {
@@ -207,8 +221,8 @@
 	group.step(name, Input{Kind: InputChangeMembership, Membership: next})
 }
 
-// heal ends all faults and lets the group run evenly until a new command is
-// committed by every voter.
+// heal ends all faults and runs the group evenly until every voter has applied a new command.
+// It returns false if that takes too long.
 func (group *simulatedGroup) heal() bool {
 	group.cut = map[string]bool{}
 	target := uint64(0)
@@ -217,7 +231,7 @@
 			group.step(name, Input{Kind: InputTick})
 			group.sync(name, len(group.unsynced[name]))
 		}
-		for len(group.flying) > 0 && group.failure == nil {
+		for len(group.inFlight) > 0 && group.failure == nil {
 			group.deliver(0)
 			for _, name := range group.names {
 				group.sync(name, len(group.unsynced[name]))
