--- /dev/null
+++ b/system/conversation/conversation_test.go
@@ -0,0 +1,109 @@
+package conversation
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+
+	"yardrock.example/system/runnerclient"
+	"yardrock.example/system/sessionlog"
+)
+
+// branched is a session in which two turns follow the first, the second of them with a tool.
+func branched() []sessionlog.Event {
+	events := []sessionlog.Event{
+		{Kind: sessionlog.TurnBegun, Producer: "one", Text: "hello there"},
+		{Kind: sessionlog.OutputPart, Turn: 1, Part: 2, Text: "caller"},
+		{Kind: sessionlog.OutputPart, Turn: 1, Part: 1, Text: "dear "},
+		{Kind: sessionlog.TurnEnded, Turn: 1, Outcome: sessionlog.OutcomeComplete},
+		{Kind: sessionlog.TurnBegun, Producer: "left", Follows: 1, Text: "left", Deadline: 100},
+		{Kind: sessionlog.TurnBegun, Producer: "right", Follows: 1, Text: "right"},
+		{Kind: sessionlog.ToolCalled, Producer: "tool", Follows: 6, Name: "clock", Text: "when"},
+		{Kind: sessionlog.ToolCalled, Producer: "late", Follows: 6, Name: "clock", Text: "again"},
+		{Kind: sessionlog.ToolAnswered, Turn: 7, Outcome: sessionlog.OutcomeComplete, Text: "now"},
+		{Kind: sessionlog.Fenced, Producer: "fenced"},
+		{Kind: sessionlog.TurnEnded, Turn: 6, Outcome: sessionlog.OutcomeCut},
+	}
+	for position := range events {
+		events[position].Seq = uint64(position + 1)
+	}
+	return events
+}
+
+func TestFoldFindsRunsAndTheirEnds(t *testing.T) {
+	view := Fold(branched())
+	first, found := view.Turn(1)
+	if !found || !first.Complete() || first.Output() != "dear caller" || first.WordCount() != 4 {
+		t.Errorf("the first turn: %+v", first)
+	}
+	left, _ := view.Turn(5)
+	if left.Complete() || left.Overdue(100) || !left.Overdue(101) || first.Overdue(101) {
+		t.Errorf("the open turn: %+v", left)
+	}
+	if _, found := view.Turn(7); found {
+		t.Error("a tool call is taken for a turn")
+	}
+	if call, found := view.Run(7); !found || !call.Complete() {
+		t.Errorf("the tool call: %+v", call)
+	}
+}
+
+func TestStartsAreFoundByProducer(t *testing.T) {
+	view := Fold(branched())
+	for producer, seq := range map[string]uint64{"one": 1, "right": 6, "tool": 7, "fenced": 10} {
+		if event, found := view.StartByProducer(producer); !found || event.Seq != seq {
+			t.Errorf("%s started with %+v", producer, event)
+		}
+	}
+	if _, found := view.StartByProducer("none"); found || view.Head != 11 {
+		t.Errorf("head %d", view.Head)
+	}
+}
+
+func TestMessagesFollowTheChainOfTurns(t *testing.T) {
+	view := Fold(branched())
+	first := []runnerclient.Message{{Role: "caller", Words: "hello there"}, {Role: "model", Words: "dear caller"}}
+	for seq, further := range map[uint64][]runnerclient.Message{
+		1: nil,
+		5: {{Role: "caller", Words: "left"}, {Role: "model"}},
+		6: {{Role: "caller", Words: "right"}, {Role: "model"}, {Role: "tool_call", Name: "clock", Words: "when"}, {Role: "tool_result", Name: "clock", Words: "now"}},
+	} {
+		want := append(append([]runnerclient.Message{}, first...), further...)
+		if got := view.Messages(seq); !reflect.DeepEqual(got, want) {
+			t.Errorf("turn %d hears %+v, want %+v", seq, got, want)
+		}
+	}
+	if got := view.Messages(0); len(got) != 0 {
+		t.Errorf("a new history hears %+v", got)
+	}
+}
+
+func TestWordsCountAlikeHoweverATextIsSplit(t *testing.T) {
+	text := " one  two\tthree\nfour, five\u00a0six "
+	for size := 1; size <= len(text); size++ {
+		counter := &WordCounter{}
+		for rest := text; rest != ""; {
+			part := rest[:min(size, len(rest))]
+			if strings.ToValidUTF8(part, "") != part {
+				part = rest[:min(size+1, len(rest))] // don't split a character
+			}
+			if accepted, fits := counter.CountUpTo(part, 100); !fits || accepted != part {
+				t.Fatalf("%q of %q was accepted", accepted, part)
+			}
+			rest = rest[len(part):]
+		}
+		if counter.Count != CountWords(text) || counter.Count != 6 {
+			t.Fatalf("%d words in parts of %d bytes", counter.Count, size)
+		}
+	}
+}
+
+func TestCountingStopsBeforeTheWordThatExceedsTheLimit(t *testing.T) {
+	counter := &WordCounter{}
+	if accepted, fits := counter.CountUpTo("one two thr", 3); !fits || accepted != "one two thr" {
+		t.Fatalf("%q", accepted)
+	}
+	if accepted, fits := counter.CountUpTo("ee four five", 3); fits || accepted != "ee " || counter.Count != 3 {
+		t.Fatalf("%q, %d words", accepted, counter.Count)
+	}
+}
