--- a/system/cmd/yardrock-shell/main.go
+++ b/system/cmd/yardrock-shell/main.go
@@ -102,6 +102,7 @@
 		fmt.Fprintln(shell.output, *result.Would)
 	}
 	if result.Number != nil {
+		// Control nodes send both or neither (queryResult).
 		fmt.Fprintf(shell.output, "number %d, acknowledged: %t\n", *result.Number, *result.Acknowledged)
 	}
 }
@@ -115,6 +116,7 @@
 	deadline := time.Now().Add(timeout)
 	for {
 		result, err := shell.query("show groups")
+		// The columns of this table are group, leader, voters and learners.
 		ready := err == nil && len(result.Rows) > 0 && !slices.ContainsFunc(result.Rows, func(row []string) bool { return row[1] == "" || row[3] != "" })
 		if ready {
 			return 0
--- a/system/querylanguage/grammar.go
+++ b/system/querylanguage/grammar.go
@@ -72,6 +72,8 @@
 }
 
 // tokenRules are the tokens of the language. White space separates them and is dropped.
+// MustSimple panics only if a pattern is malformed, which any test of the package would
+// show.
 var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Text", Pattern: `"[^"]*"`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?(ms|s|m|h)?\b`},
--- a/system/settings/load.go
+++ b/system/settings/load.go
@@ -48,7 +48,7 @@
 		parser.WriteHelp(output)
 		return ErrHelpShown
 	case errors.Is(err, arg.ErrVersion):
-		fmt.Fprintln(output, target.(interface{ Version() string }).Version())
+		fmt.Fprintln(output, target.Version())
 		return ErrHelpShown
 	case err != nil:
 		return invalid("flags", err.Error(), "see --help")
--- a/system/settings/validate.go
+++ b/system/settings/validate.go
@@ -11,6 +11,7 @@
 
 // loadable is a pointer to the settings of a daemon.
 type loadable interface {
+	Version() string
 	common() *Common
 	validate() error
 }
