--- a/proof/cmd/faults/main.go
+++ b/proof/cmd/faults/main.go
@@ -108,26 +108,26 @@
 	}
 	report := <-reports
 	running.CheckConfig(ctx)
-	told := map[string]any{"report": report, "script": struck}
+	reported := map[string]any{"report": report, "script": struck}
 	if chosen.Outage {
-		before, failed := loadgen.Tally(ctx, running.Target(), "tight")
+		before, failed := loadgen.Quota(ctx, running.Target(), "tight")
 		missing, took, err := running.TotalOutage(ctx, rand.New(rand.NewPCG(chosen.Seed, 9)))
-		told["outage"] = map[string]any{"missing": missing, "took": took.String()}
+		reported["outage"] = map[string]any{"missing": missing, "took": took.String()}
 		running.Checks.Check("outage", err == nil, "%v", err)
 		again := loadgen.Revisit(ctx, running.Target(), report.ToRevisit, chosen.Seed)
 		report.Violations = append(report.Violations, again.Violations...)
 		running.Checks.Check("turns stay known", len(again.Violations) == 0 && again.Histories > 0, "%d histories, %v", again.Histories, again.Violations)
-		after, failedLater := loadgen.Tally(ctx, running.Target(), "tight")
+		after, failedLater := loadgen.Quota(ctx, running.Target(), "tight")
 		running.Checks.Check("allowance", errors.Join(failed, failedLater) == nil && after >= before, "the tally was %d before the outage, is %d (%v, %v)", before, after, failed, failedLater)
-		told["revisited"] = again.Histories
+		reported["revisited"] = again.Histories
 		running.CheckConfig(ctx)
 	}
 	report.Violations = append(report.Violations, running.Panics()...)
 	report.Violations = append(report.Violations, running.Checks.Violations...)
-	told["judged"] = running.Checks.Checked
+	reported["judged"] = running.Checks.Checked
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", " ")
-	if err := encoder.Encode(told); err != nil {
+	if err := encoder.Encode(reported); err != nil {
 		return err
 	}
 	if untested := running.Checks.Untested(rules); chosen.Each && chosen.Outage && len(untested) > 0 {
--- a/proof/cmd/measure/main.go
+++ b/proof/cmd/measure/main.go
@@ -35,9 +35,9 @@
 	size := flag.Int("size", 1000, "bytes of each input and of each output")
 	takes := flag.Duration("sync", 5*time.Millisecond, "how long each sync takes at least")
 	profile := flag.String("profile", "", "write a processor profile of them to this file")
-	openings := flag.Bool("openings", false, "measure them as programs with openings in common, shared and not, in turn")
+	prefixes := flag.Bool("openings", false, "measure them as programs with openings in common, shared and not, in turn")
 	flag.Parse()
-	if *openings {
+	if *prefixes {
 		if err := sharedPrefixCosts(max(*pace, 1), *number, *size, *takes); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -113,13 +113,13 @@
 	slices.Sort(ratios)
 	slices.Sort(direct)
 	slices.Sort(through)
-	told := map[string]any{
+	reported := map[string]any{
 		"groups": groups, "idle_bytes_per_second": int64(float64(idle.bytes-before.bytes) / idleTime.Seconds()), "idle_syncs_per_second": float64(idle.syncs-before.syncs) / idleTime.Seconds(),
 		"pieces_per_turn": float64(pieces) / turns, "syncs_per_turn_all_stores": float64(after.syncs-idle.syncs) / turns, "idle_messages_per_second": float64(idle.messages-before.messages) / idleTime.Seconds(), "messages_per_turn": (after.messages - idle.messages) / turns,
 		"bytes_per_turn":     (after.bytes - idle.bytes) / turns,
 		"first_piece_direct": direct[turns/2].String(), "first_piece_through": through[turns/2].String(), "first_piece_ratio": ratios[turns/2],
 	}
-	data, err := json.Marshal(told)
+	data, err := json.Marshal(reported)
 	fmt.Println(string(data))
 	return err
 }
--- a/proof/cmd/measure/sharedprefixes.go
+++ b/proof/cmd/measure/sharedprefixes.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// openingBytes are those that first turns of one scope have in common, openingScopes
+	// prefixBytes are those that first turns of one scope have in common, prefixScopes
 	// how many scopes there are.
-	openingBytes  = 2560
-	openingScopes = 4
+	prefixBytes  = 2560
+	prefixScopes = 4
 	// turnsOfAProgram are those of each program; the first brings the opening.
 	turnsOfAProgram = 2
 	// archivePause is long enough for lines to be quiet and then archived.
@@ -31,17 +31,17 @@
 
 // sharingArm is what was seen with openings shared, or not.
 type sharingArm struct {
-	Turns         int           `json:"turns"`
-	Failed        int           `json:"failed"`
-	Wrong         int           `json:"wrong_histories"`
-	BeginHalf     time.Duration `json:"begin_50_ns"`
-	Begin99       time.Duration `json:"begin_99_ns"`
-	NetworkBytes  int64         `json:"network_bytes"`
-	ColdBytes     int64         `json:"cold_bytes"`
-	HotBytes      int64         `json:"hot_data_bytes"`
-	CheckpointHot int           `json:"checkpoint_bytes_before_archiving"`
-	Checkpoint    int           `json:"checkpoint_bytes_after_archiving"`
-	begins        []time.Duration
+	Turns        int           `json:"turns"`
+	Failed       int           `json:"failed"`
+	Wrong        int           `json:"wrong_histories"`
+	BeginHalf    time.Duration `json:"begin_50_ns"`
+	Begin99      time.Duration `json:"begin_99_ns"`
+	NetworkBytes int64         `json:"network_bytes"`
+	ColdBytes    int64         `json:"cold_bytes"`
+	HotBytes     int64         `json:"hot_data_bytes"`
+	SnapshotHot  int           `json:"checkpoint_bytes_before_archiving"`
+	Snapshot     int           `json:"checkpoint_bytes_after_archiving"`
+	begins       []time.Duration
 }
 
 // sharedPrefixCosts runs programs at a pace against three stores, in turn with their openings
@@ -62,9 +62,9 @@
 		}
 		return made.String()[:length]
 	}
-	openings := []string{}
-	for range openingScopes {
-		openings = append(openings, words(openingBytes))
+	prefixes := []string{}
+	for range prefixScopes {
+		prefixes = append(prefixes, words(prefixBytes))
 	}
 	inputs := []string{}
 	for range 64 {
@@ -76,18 +76,18 @@
 	for _, name := range []string{"off", "on"} {
 		arm := arms[name]
 		network, cold := fleet.network.bytes.Load(), fleet.archivedBytes()
-		fleet.sharedPrefixRound(func(int) (*sharingArm, string) { return arm, name }, "alone", pace, count, openings, inputs)
+		fleet.sharedPrefixRound(func(int) (*sharingArm, string) { return arm, name }, "alone", pace, count, prefixes, inputs)
 		arm.NetworkBytes = fleet.network.bytes.Load() - network
-		arm.HotBytes, arm.CheckpointHot = fleet.held(name)
+		arm.HotBytes, arm.SnapshotHot = fleet.stateBytes(name)
 		time.Sleep(archivePause)
-		_, arm.Checkpoint = fleet.held(name)
+		_, arm.Snapshot = fleet.stateBytes(name)
 		arm.ColdBytes = fleet.archivedBytes() - cold
 		arm.begins = nil
 	}
 	fleet.sharedPrefixRound(func(number int) (*sharingArm, string) {
-		name := []string{"off", "on"}[number/openingScopes%2]
+		name := []string{"off", "on"}[number/prefixScopes%2]
 		return arms[name], name
-	}, "beside", pace, 2*count, openings, inputs)
+	}, "beside", pace, 2*count, prefixes, inputs)
 	for _, arm := range arms {
 		slices.Sort(arm.begins)
 		arm.BeginHalf, arm.Begin99 = arm.begins[len(arm.begins)/2], arm.begins[len(arm.begins)*99/100]
@@ -98,7 +98,7 @@
 }
 
 // sharedPrefixRound runs programs, each turn once the one before it has ended.
-func (fleet *storesOnLoopback) sharedPrefixRound(armOf func(number int) (*sharingArm, string), round string, pace, count int, openings, inputs []string) {
+func (fleet *storesOnLoopback) sharedPrefixRound(armOf func(number int) (*sharingArm, string), round string, pace, count int, prefixes, inputs []string) {
 	var mutex sync.Mutex
 	var working sync.WaitGroup
 	tick := time.NewTicker(time.Second * turnsOfAProgram / time.Duration(pace))
@@ -108,23 +108,23 @@
 		working.Go(func() {
 			arm, name := armOf(number)
 			program, said, follows := fmt.Sprintf("program/%s-%s-%d", name, round, number), "", ""
-			scope, origin := number%openingScopes, fleet.origins[number%len(fleet.origins)]
+			scope, client := number%prefixScopes, fleet.origins[number%len(fleet.origins)]
 			for position := range turnsOfAProgram {
 				turn := storeclient.Turn{SessionName: program, Name: fmt.Sprintf("%s-%d", program, position), Follows: follows, Input: []byte(inputs[(number+position)%len(inputs)]), KeepHistory: true, Retention: time.Minute, DispatchID: "d", Lifetime: time.Minute}
 				if position == 0 {
-					turn.Input = []byte(openings[scope] + string(turn.Input))
+					turn.Input = []byte(prefixes[scope] + string(turn.Input))
 				}
 				if name == "on" {
 					turn.PrefixScope = fmt.Sprint("route-", scope)
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				began := time.Now()
-				begun, err := origin.BeginTurn(ctx, turn)
+				begun, err := client.BeginTurn(ctx, turn)
 				took := time.Since(began)
 				wrong := err == nil && string(begun.History) != said
 				output := inputs[number%len(inputs)]
 				if err == nil {
-					err = origin.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: turn.Name, Seq: begun.Seq, Output: []byte(output), Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
+					err = client.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: turn.Name, Seq: begun.Seq, Output: []byte(output), Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 				}
 				cancel()
 				said, follows = said+string(turn.Input)+output, turn.Name
@@ -147,34 +147,34 @@
 	working.Wait()
 }
 
-// held sums, over all stores, the data of an arm's events that are not archived, and what
-// checkpoints of its lines would take, the openings that they refer to included.
-func (fleet *storesOnLoopback) held(name string) (data int64, checkpoint int) {
+// stateBytes sums, over all stores, the data of an arm's events that are not archived and the
+// size of snapshots of its sessions, both with the shared prefixes that they refer to.
+func (fleet *storesOnLoopback) stateBytes(name string) (data int64, snapshotBytes int) {
 	for _, node := range fleet.nodes {
 		for group := range uint32(32) {
 			machine := node.StateMachine(group)
 			if machine == nil {
 				continue
 			}
-			image, needed := machine.View().Snapshot(), map[string]bool{}
-			image.Sessions = slices.DeleteFunc(image.Sessions, func(session sessionlog.Session) bool { return !strings.HasPrefix(session.Name, "program/"+name+"-") })
-			image.Turns = slices.DeleteFunc(image.Turns, func(turn sessionlog.TurnRecord) bool { return !strings.HasPrefix(turn.Session, "program/"+name+"-") })
-			for _, session := range image.Sessions {
-				for _, opening := range session.Prefixes {
-					needed[opening] = true
+			snapshot, needed := machine.View().Snapshot(), map[string]bool{}
+			snapshot.Sessions = slices.DeleteFunc(snapshot.Sessions, func(session sessionlog.Session) bool { return !strings.HasPrefix(session.Name, "program/"+name+"-") })
+			snapshot.Turns = slices.DeleteFunc(snapshot.Turns, func(turn sessionlog.TurnRecord) bool { return !strings.HasPrefix(turn.Session, "program/"+name+"-") })
+			for _, session := range snapshot.Sessions {
+				for _, prefix := range session.Prefixes {
+					needed[prefix] = true
 				}
 				for _, event := range session.Unarchived {
 					data += int64(len(event.Data))
 				}
 			}
-			image.Prefixes = slices.DeleteFunc(image.Prefixes, func(opening sessionlog.SharedPrefixRecord) bool { return !needed[opening.Name] })
-			for _, opening := range image.Prefixes {
-				data += int64(len(opening.Data))
+			snapshot.Prefixes = slices.DeleteFunc(snapshot.Prefixes, func(prefix sessionlog.SharedPrefixRecord) bool { return !needed[prefix.Name] })
+			for _, prefix := range snapshot.Prefixes {
+				data += int64(len(prefix.Data))
 			}
-			checkpoint += len(wire.MustEncode(schema.LineImage_TypeID, &image))
+			snapshotBytes += len(wire.MustEncode(schema.LineImage_TypeID, &snapshot))
 		}
 	}
-	return data, checkpoint
+	return data, snapshotBytes
 }
 
 // archivedBytes sums the files of all cold stores.
@@ -186,8 +186,8 @@
 			if err != nil || entry.IsDir() {
 				return nil // a file that was removed meanwhile
 			}
-			if told, err := entry.Info(); err == nil {
-				total += told.Size()
+			if reported, err := entry.Info(); err == nil {
+				total += reported.Size()
 			}
 			return nil
 		})
--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -233,7 +233,7 @@
 	idle := time.Since(idleBegan).Seconds()
 	cpu, messages, bytes, synced := taken()
 	perSecond := func(now, before int64) float64 { return float64(now-before) / idle }
-	told := map[string]any{"idle_cpu_ms_per_second": float64((cpu - idleCPU).Microseconds()) / 1000 / idle, "idle_messages_per_second": perSecond(messages, idleMessages), "idle_bytes_per_second": perSecond(bytes, idleBytes), "idle_syncs_per_second": perSecond(synced, idleSyncs)}
+	reported := map[string]any{"idle_cpu_ms_per_second": float64((cpu - idleCPU).Microseconds()) / 1000 / idle, "idle_messages_per_second": perSecond(messages, idleMessages), "idle_bytes_per_second": perSecond(bytes, idleBytes), "idle_syncs_per_second": perSecond(synced, idleSyncs)}
 	if profile != "" {
 		file, err := os.Create(profile)
 		if err != nil {
@@ -250,16 +250,16 @@
 	spent := time.Since(began).Seconds()
 	afterCPU, afterMessages, afterBytes, afterSyncs := taken()
 	turns := float64(count)
-	told["turns"], told["failed"], told["turns_per_second"] = count, failed, turns/spent
-	told["cpu_ms_per_turn"] = float64((afterCPU - cpu).Microseconds()) / 1000 / turns
-	told["messages_per_turn"] = float64(afterMessages-messages) / turns
-	told["bytes_per_turn"] = float64(afterBytes-bytes) / turns
+	reported["turns"], reported["failed"], reported["turns_per_second"] = count, failed, turns/spent
+	reported["cpu_ms_per_turn"] = float64((afterCPU - cpu).Microseconds()) / 1000 / turns
+	reported["messages_per_turn"] = float64(afterMessages-messages) / turns
+	reported["bytes_per_turn"] = float64(afterBytes-bytes) / turns
 	for kind, now := range bytesOut() {
-		told["bytes_out_per_turn_"+kind] = float64(now-kinds[kind]) / turns
+		reported["bytes_out_per_turn_"+kind] = float64(now-kinds[kind]) / turns
 	}
-	told["syncs_per_turn"] = float64(afterSyncs-synced) / turns
-	told["commit_half"], told["commit_99"] = commits[len(commits)/2].String(), commits[len(commits)*99/100].String()
-	data, err := json.MarshalIndent(told, "", " ")
+	reported["syncs_per_turn"] = float64(afterSyncs-synced) / turns
+	reported["commit_half"], reported["commit_99"] = commits[len(commits)/2].String(), commits[len(commits)*99/100].String()
+	data, err := json.MarshalIndent(reported, "", " ")
 	fmt.Println(string(data))
 	return err
 }
--- a/proof/cmd/mutations/main.go
+++ b/proof/cmd/mutations/main.go
@@ -67,16 +67,16 @@
 			caught, err := one.test(chosen)
 			mutex.Lock()
 			defer mutex.Unlock()
-			told := "caught"
+			reported := "caught"
 			switch {
 			case err != nil:
-				told = "misused"
+				reported = "misused"
 				misused = append(misused, fmt.Errorf("%s: %w", one.name, err))
 			case !caught:
-				told = "NOT CAUGHT"
+				reported = "NOT CAUGHT"
 				green = append(green, one.name)
 			}
-			fmt.Printf("rule=%q mutation=%s tests=%q %s after %s\n", one.rule, one.name, one.tests, told, time.Since(began).Round(time.Second))
+			fmt.Printf("rule=%q mutation=%s tests=%q %s after %s\n", one.rule, one.name, one.tests, reported, time.Since(began).Round(time.Second))
 		})
 	}
 	working.Wait()
--- a/proof/cmd/scale/main.go
+++ b/proof/cmd/scale/main.go
@@ -113,7 +113,7 @@
 		return err
 	}
 	defer os.Remove(folder) // only if empty: a failed step's logs stay
-	told := report{Label: chosen.Label, Against: chosen.Against, Began: time.Now().UTC(), Cores: runtime.NumCPU()}
+	reported := report{Label: chosen.Label, Against: chosen.Against, Began: time.Now().UTC(), Cores: runtime.NumCPU()}
 	for _, step := range steps {
 		limited, cancel := context.WithTimeout(ctx, chosen.Timeout)
 		measured, failed := scale.Run(limited, scale.Settings{Programs: chosen.Binaries, Folder: folder, IdlePeriod: chosen.Quiet, StartInterval: chosen.Pace, Real: scale.RealProcesses, LoadsStores: scale.LoadsStores(chosen.Against)}, step)
@@ -122,20 +122,20 @@
 			measured.Failed = failed.Error()
 		}
 		if len(measured.Figures) > 0 {
-			told.Measured = append(told.Measured, measured)
+			reported.Measured = append(reported.Measured, measured)
 		}
 		if failed != nil {
 			err = failed
 			break
 		}
 	}
-	slopes, failed := scale.Slopes(chosen.Against, told.Measured)
-	told.Slopes = slopes
+	slopes, failed := scale.Slopes(chosen.Against, reported.Measured)
+	reported.Slopes = slopes
 	encoder := json.NewEncoder(output)
 	encoder.SetIndent("", "  ")
-	err = errors.Join(err, failed, encoder.Encode(told))
-	if chosen.Plot != "" && len(told.Measured) > 0 {
-		err = errors.Join(err, draw(chosen, told))
+	err = errors.Join(err, failed, encoder.Encode(reported))
+	if chosen.Plot != "" && len(reported.Measured) > 0 {
+		err = errors.Join(err, draw(chosen, reported))
 	}
 	for _, slope := range slopes {
 		if slope.Worse {
--- a/proof/fleet/faults.go
+++ b/proof/fleet/faults.go
@@ -81,12 +81,12 @@
 
 // identity reads the name of the process's disk.
 func (process *Process) identity() string {
-	var told struct{ Name string }
+	var reported struct{ Name string }
 	data, err := os.ReadFile(filepath.Join(process.Folder, "identity"))
-	if err != nil || json.Unmarshal(data, &told) != nil {
+	if err != nil || json.Unmarshal(data, &reported) != nil {
 		return ""
 	}
-	return told.Name
+	return reported.Name
 }
 
 // awaitHealed waits until the new disk is enrolled, as many stores and controls
@@ -97,28 +97,28 @@
 	defer cancel()
 	for {
 		name := fresh.identity()
-		var told struct {
+		var reported struct {
 			Members, Stores, Controls []struct{ Name, Role string }
 			Unhealed                  int `json:"unhealed_groups"`
 		}
-		err := fleet.Administer(limited, http.MethodGet, "/v1/fleet", nil, &told)
+		err := fleet.Administer(limited, http.MethodGet, "/v1/fleet", nil, &reported)
 		live := map[string]bool{}
-		for _, member := range told.Members {
+		for _, member := range reported.Members {
 			live[member.Name] = true
 		}
 		enrolled, taken := 0, false
-		for _, member := range append(told.Stores, told.Controls...) {
+		for _, member := range append(reported.Stores, reported.Controls...) {
 			if live[member.Name] {
 				enrolled++
 			}
 			taken = taken || (name != "" && member.Name == name)
 		}
-		if err == nil && taken && told.Unhealed == 0 && len(told.Stores) == fleet.Deployment.Stores && len(told.Controls) == fleet.Deployment.Controls && enrolled == fleet.Deployment.Stores+fleet.Deployment.Controls {
+		if err == nil && taken && reported.Unhealed == 0 && len(reported.Stores) == fleet.Deployment.Stores && len(reported.Controls) == fleet.Deployment.Controls && enrolled == fleet.Deployment.Stores+fleet.Deployment.Controls {
 			return nil
 		}
 		select {
 		case <-limited.Done():
-			return fmt.Errorf("not healed: %d stores, %d controls listed, %d of them live, %d groups unhealed (%v)", len(told.Stores), len(told.Controls), enrolled, told.Unhealed, err)
+			return fmt.Errorf("not healed: %d stores, %d controls listed, %d of them live, %d groups unhealed (%v)", len(reported.Stores), len(reported.Controls), enrolled, reported.Unhealed, err)
 		case <-time.After(300 * time.Millisecond):
 		}
 	}
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -54,8 +54,8 @@
 
 // Terms of the program whose allowance runs out.
 const (
-	tightAllowance = 200
-	tightTurn      = 30
+	tightQuota = 200
+	tightTurn  = 30
 )
 
 // Process is one process of a fleet. Its arguments stay the same over restarts.
@@ -320,7 +320,7 @@
 	activation: {serves: "plain", table: "plain", path: "/plain", repeatable: false, urgency: "urgent"}
 }
 platform: runner_list: "http://%s/runners"
-`, config.HashToken(RootToken), config.HashToken(TeamToken), tightAllowance, tightTurn, fleet.Platform)
+`, config.HashToken(RootToken), config.HashToken(TeamToken), tightQuota, tightTurn, fleet.Platform)
 }
 
 func (fleet *Fleet) putFirstConfig(ctx context.Context) error {
@@ -372,29 +372,29 @@
 		return err
 	}
 	defer got.Body.Close()
-	told, err := io.ReadAll(got.Body)
+	reported, err := io.ReadAll(got.Body)
 	if err != nil {
 		return err
 	}
 	if got.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s", got.Status, strings.TrimSpace(string(told)))
+		return fmt.Errorf("%s: %s", got.Status, strings.TrimSpace(string(reported)))
 	}
 	if answer == nil {
 		return nil
 	}
-	return json.Unmarshal(told, answer)
+	return json.Unmarshal(reported, answer)
 }
 
 // ReadConfig reads the newest config back.
 //
 //	number, source, err := running.ReadConfig(ctx)
 func (fleet *Fleet) ReadConfig(ctx context.Context) (uint64, string, error) {
-	var told struct {
+	var reported struct {
 		Number uint64 `json:"number"`
 		Source string `json:"source"`
 	}
-	err := fleet.Administer(ctx, http.MethodGet, "/v1/config", nil, &told)
-	return told.Number, told.Source, err
+	err := fleet.Administer(ctx, http.MethodGet, "/v1/config", nil, &reported)
+	return reported.Number, reported.Source, err
 }
 
 // ChangeResult is what a change answers.
@@ -463,7 +463,7 @@
 //
 //	report := loadgen.Run(ctx, running.Target(), mix, duration, seed)
 func (fleet *Fleet) Target() loadgen.Target {
-	target := loadgen.Target{Fronts: fleet.Fronts(), Token: TeamToken, Allowance: tightAllowance, TurnLimit: tightTurn + 2}
+	target := loadgen.Target{Fronts: fleet.Fronts(), Token: TeamToken, Quota: tightQuota, TurnLimit: tightTurn + 2}
 	for _, runner := range fleet.Runners {
 		target.Runners = append(target.Runners, runner.Address)
 	}
--- a/proof/fleet/operators.go
+++ b/proof/fleet/operators.go
@@ -173,16 +173,16 @@
 
 // changeConfig sends one change of the config and remembers what was acknowledged.
 func (fleet *Fleet) changeConfig(ctx context.Context, method string, body map[string]any) (ChangeResult, error) {
-	var told ChangeResult
-	err := fleet.Administer(ctx, method, "/v1/config", body, &told)
+	var reported ChangeResult
+	err := fleet.Administer(ctx, method, "/v1/config", body, &reported)
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	if err != nil || !told.Acknowledged {
+	if err != nil || !reported.Acknowledged {
 		fleet.unclear = true // it may be in force all the same
-	} else if told.Number > fleet.acknowledged {
-		fleet.acknowledged, fleet.unclear = told.Number, false
+	} else if reported.Number > fleet.acknowledged {
+		fleet.acknowledged, fleet.unclear = reported.Number, false
 	}
-	return told, err
+	return reported, err
 }
 
 // CheckConfig reads the config back, which must be the newest acknowledged one.
@@ -253,16 +253,16 @@
 		if err != nil {
 			return err
 		}
-		var asked sync.WaitGroup
+		var sent sync.WaitGroup
 		taken := make([]bool, 2)
 		for operator := range taken {
 			value := 1 + random.IntN(9)
-			asked.Go(func() {
-				told, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.large", "value": value, "expected": number})
-				taken[operator] = err == nil && told.Acknowledged
+			sent.Go(func() {
+				reported, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.large", "value": value, "expected": number})
+				taken[operator] = err == nil && reported.Acknowledged
 			})
 		}
-		asked.Wait()
+		sent.Wait()
 		fleet.Checks.Check("two operators", !(taken[0] && taken[1]), "both operators replaced config %d", number)
 	}
 	return nil
--- a/proof/loadgen/callers.go
+++ b/proof/loadgen/callers.go
@@ -58,9 +58,9 @@
 func (generator *generator) tool(ctx context.Context, random *rand.Rand, program, name string, follows uint64, key string, said []runnerclient.Message) ([]runnerclient.Message, bool) {
 	generator.count(func(report *Report) { report.Tools++ })
 	question := "stock of " + key
-	told, answer := generator.requestPlain(ctx, random, "/v1/conversations/"+name+"/tools", program, "receipt", key, map[string]any{"kind": "receipt", "words": question, "follows": follows, "query_key": key})
-	if told != "complete" {
-		return said, told == "not_run"
+	reported, answer := generator.requestPlain(ctx, random, "/v1/conversations/"+name+"/tools", program, "receipt", key, map[string]any{"kind": "receipt", "words": question, "follows": follows, "query_key": key})
+	if reported != "complete" {
+		return said, reported == "not_run"
 	}
 	return append(said, runnerclient.Message{Role: "tool_call", Name: "receipt", Words: question}, runnerclient.Message{Role: "tool_result", Name: "receipt", Words: answer}), true
 }
@@ -68,10 +68,10 @@
 // requestPlain sends work that may not be repeated until its outcome is told, and notes
 // what was told for the check at the end.
 func (generator *generator) requestPlain(ctx context.Context, random *rand.Rand, path, program, kind, key string, body map[string]any) (string, string) {
-	told, text := "unanswered", ""
+	reported, text := "unanswered", ""
 	for range maxAttempts {
-		asked, cancel := context.WithTimeout(ctx, answerTimeout)
-		answer, apierror, err := generator.send(asked, http.MethodPost, generator.front(random), path, body)
+		callContext, cancel := context.WithTimeout(ctx, answerTimeout)
+		answer, apierror, err := generator.send(callContext, http.MethodPost, generator.front(random), path, body)
 		if err != nil {
 			cancel()
 			pause(ctx, nil)
@@ -80,7 +80,7 @@
 		if apierror != nil {
 			cancel()
 			generator.rejected(apierror, path, body)
-			told = apierror.Kind
+			reported = apierror.Kind
 			if apierror.Kind == "unknown" && apierror.RetryAfter > 0 {
 				pause(ctx, apierror)
 				continue
@@ -98,7 +98,7 @@
 			pause(ctx, nil)
 			continue
 		}
-		told, text = done.Outcome, string(done.Answer)
+		reported, text = done.Outcome, string(done.Answer)
 		want := standin.PlainAnswer(runnerclient.PlainRequest{Kind: kind, RequestKey: key, Words: body["words"].(string)})
 		got := map[string]string{}
 		if json.Unmarshal(done.Answer, &got) != nil || got["proof"] != want["proof"] {
@@ -107,9 +107,9 @@
 		break
 	}
 	generator.mutex.Lock()
-	generator.outcomeOfKey[program+"/"+kind+"/"+key] = told
+	generator.outcomeOfKey[program+"/"+kind+"/"+key] = reported
 	generator.mutex.Unlock()
-	return told, text
+	return reported, text
 }
 
 func (generator *generator) once(ctx context.Context, random *rand.Rand, name string) {
@@ -123,9 +123,9 @@
 func (generator *generator) lookup(ctx context.Context, random *rand.Rand, number int) {
 	generator.count(func(report *Report) { report.Lookups++ })
 	question := fmt.Sprintf("where is %d", number)
-	asked, cancel := context.WithTimeout(ctx, answerTimeout)
+	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	answer, apierror, err := generator.send(asked, http.MethodPost, generator.front(random), "/v1/lookups", map[string]any{"program": "counter", "kind": "lookup", "words": question})
+	answer, apierror, err := generator.send(callContext, http.MethodPost, generator.front(random), "/v1/lookups", map[string]any{"program": "counter", "kind": "lookup", "words": question})
 	if apierror != nil {
 		generator.rejected(apierror, "/v1/lookups", map[string]any{})
 	}
@@ -144,9 +144,9 @@
 // tight starts a turn of the program with the small allowance. What it is heard
 // to speak must stay within the allowance and one turn.
 func (generator *generator) tight(ctx context.Context, random *rand.Rand, number int) {
-	asked, cancel := context.WithTimeout(ctx, answerTimeout)
+	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	answer, apierror, err := generator.send(asked, http.MethodPost, generator.front(random), "/v1/conversations", map[string]any{"program": "tight", "kind": "talk", "words": fmt.Sprintf("tight %d", number)})
+	answer, apierror, err := generator.send(callContext, http.MethodPost, generator.front(random), "/v1/conversations", map[string]any{"program": "tight", "kind": "talk", "words": fmt.Sprintf("tight %d", number)})
 	if apierror != nil {
 		generator.rejected(apierror, "/v1/conversations", map[string]any{})
 	}
--- a/proof/loadgen/checks.go
+++ b/proof/loadgen/checks.go
@@ -14,7 +14,7 @@
 // checkHistory reads the whole conversation at some front and compares it with
 // what was said.
 func (generator *generator) checkHistory(ctx context.Context, random *rand.Rand, name string, said []runnerclient.Message) {
-	var told struct {
+	var reported struct {
 		Head   uint64 `json:"head"`
 		Events []struct {
 			Seq     uint64 `json:"seq"`
@@ -25,10 +25,10 @@
 		} `json:"events"`
 	}
 	for try := 0; ; try++ {
-		asked, cancel := context.WithTimeout(ctx, answerTimeout)
-		answer, apierror, err := generator.send(asked, http.MethodGet, generator.front(random), "/v1/conversations/"+name, nil)
+		callContext, cancel := context.WithTimeout(ctx, answerTimeout)
+		answer, apierror, err := generator.send(callContext, http.MethodGet, generator.front(random), "/v1/conversations/"+name, nil)
 		if err == nil && apierror == nil {
-			err = json.NewDecoder(answer.Body).Decode(&told)
+			err = json.NewDecoder(answer.Body).Decode(&reported)
 			answer.Body.Close()
 			cancel()
 			if err == nil {
@@ -51,7 +51,7 @@
 	}
 	generator.count(func(report *Report) { report.Histories++ })
 	pieces, complete := map[uint64]string{}, map[uint64]bool{}
-	for position, event := range told.Events {
+	for position, event := range reported.Events {
 		if event.Seq != uint64(position)+1 {
 			generator.violation("streams", "history of %s has seq %d at place %d", name, event.Seq, position+1)
 		}
@@ -105,29 +105,29 @@
 			generator.violation("once", "%s ran %d times", key, count)
 		}
 	}
-	for key, told := range generator.outcomeOfKey {
-		generator.report.Rejections["once told "+told]++
-		if told == "complete" && counts[key] != 1 {
+	for key, reported := range generator.outcomeOfKey {
+		generator.report.Rejections["once told "+reported]++
+		if reported == "complete" && counts[key] != 1 {
 			generator.violation("once", "%s was told complete and ran %d times", key, counts[key])
 		}
-		if told == "not_run" && counts[key] != 0 {
+		if reported == "not_run" && counts[key] != 0 {
 			generator.violation("not run", "%s was told not run and ran", key)
 		}
 	}
 }
 
-// Tally asks what a program has spent.
+// Quota asks what a program has spent.
 //
-//	spent, err := loadgen.Tally(ctx, target, "tight")
-func Tally(ctx context.Context, target Target, program string) (int, error) {
+//	spent, err := loadgen.Quota(ctx, target, "tight")
+func Quota(ctx context.Context, target Target, program string) (int, error) {
 	generator := newGenerator(target, Mix{})
 	for try := 0; ; try++ {
 		answer, apierror, err := generator.send(ctx, http.MethodGet, target.Fronts[try%len(target.Fronts)], "/v1/tallies/"+program, nil)
 		if err == nil && apierror == nil {
-			var told struct{ Spent, Reserved int }
-			err = json.NewDecoder(answer.Body).Decode(&told)
+			var reported struct{ Spent, Reserved int }
+			err = json.NewDecoder(answer.Body).Decode(&reported)
 			answer.Body.Close()
-			return told.Spent, err
+			return reported.Spent, err
 		}
 		if try == maxAttempts {
 			return 0, fmt.Errorf("no tally: %v %v", apierror, err)
--- a/proof/loadgen/loadgen.go
+++ b/proof/loadgen/loadgen.go
@@ -40,8 +40,8 @@
 	Runners []string
 	Token   string
 	Client  *http.Client
-	// Allowance and Turn are the words of the small program's terms.
-	Allowance int
+	// Quota and Turn are the words of the small program's terms.
+	Quota     int
 	TurnLimit int
 }
 
@@ -146,8 +146,8 @@
 	arrive(4, mix.Tight, func(random *rand.Rand, number int) { generator.tight(ctx, random, number) })
 	callers.Wait()
 	generator.checkExecutions(ctx)
-	if generator.report.TightWords > target.Allowance+target.TurnLimit {
-		generator.violation("allowance", "%d words were spoken of %d and one turn of %d", generator.report.TightWords, target.Allowance, target.TurnLimit)
+	if generator.report.TightWords > target.Quota+target.TurnLimit {
+		generator.violation("allowance", "%d words were spoken of %d and one turn of %d", generator.report.TightWords, target.Quota, target.TurnLimit)
 	}
 	generator.report.FirstPiece = quantiles(generator.delays)
 	return &generator.report
--- a/proof/loadgen/loadgen_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -129,7 +129,7 @@
 		if violation == "overspends" {
 			mix.Tight = 10
 		}
-		report = Run(t.Context(), Target{Fronts: []string{"front"}, Runners: []string{"runner"}, Client: client, Allowance: 100, TurnLimit: 30}, mix, 5*time.Second, 3, nil)
+		report = Run(t.Context(), Target{Fronts: []string{"front"}, Runners: []string{"runner"}, Client: client, Quota: 100, TurnLimit: 30}, mix, 5*time.Second, 3, nil)
 		server.Close()
 		<-time.After(time.Minute)
 	})
--- a/proof/loadgen/requests.go
+++ b/proof/loadgen/requests.go
@@ -85,37 +85,37 @@
 	lines.Buffer(make([]byte, 0, 4096), 1<<20)
 	pieces := 0
 	for lines.Scan() {
-		var told streamRecord
-		if err := json.Unmarshal(lines.Bytes(), &told); err != nil {
+		var reported streamRecord
+		if err := json.Unmarshal(lines.Bytes(), &reported); err != nil {
 			return // a connection that broke within a line
 		}
-		if told.Conversation != "" {
-			if heard.conversation != "" && heard.turn != told.Turn {
-				generator.violation("streams", "turn %d of %s was resumed as turn %d", heard.turn, heard.conversation, told.Turn)
+		if reported.Conversation != "" {
+			if heard.conversation != "" && heard.turn != reported.Turn {
+				generator.violation("streams", "turn %d of %s was resumed as turn %d", heard.turn, heard.conversation, reported.Turn)
 			}
-			heard.conversation, heard.turn = told.Conversation, told.Turn
+			heard.conversation, heard.turn = reported.Conversation, reported.Turn
 			if heard.last == 0 {
-				heard.last = told.Turn
+				heard.last = reported.Turn
 			}
 		}
-		if told.Event == "piece" {
-			if told.Seq <= heard.last {
-				generator.violation("streams", "%s repeats seq %d after %d", heard.conversation, told.Seq, heard.last)
+		if reported.Event == "piece" {
+			if reported.Seq <= heard.last {
+				generator.violation("streams", "%s repeats seq %d after %d", heard.conversation, reported.Seq, heard.last)
 			}
-			if told.Seq != heard.last+1 {
-				generator.violation("streams", "%s skips from seq %d to %d", heard.conversation, heard.last, told.Seq)
+			if reported.Seq != heard.last+1 {
+				generator.violation("streams", "%s skips from seq %d to %d", heard.conversation, heard.last, reported.Seq)
 			}
-			heard.last = told.Seq
+			heard.last = reported.Seq
 			if heard.first.IsZero() {
 				heard.first = time.Now()
 			}
-			heard.words.WriteString(told.Words)
+			heard.words.WriteString(reported.Words)
 			if pieces++; pieces == stopAfter {
 				return
 			}
 		}
-		if told.End != "" {
-			heard.end = told.End
+		if reported.End != "" {
+			heard.end = reported.End
 			return
 		}
 	}
@@ -128,9 +128,9 @@
 	var last string
 	resume := random.Float64() < generator.mix.ResumeShare
 	for try := range maxAttempts {
-		asked, cancel := context.WithTimeout(ctx, answerTimeout)
+		callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 		began := time.Now()
-		answer, apierror, err := generator.send(asked, http.MethodPost, generator.front(random), path, body)
+		answer, apierror, err := generator.send(callContext, http.MethodPost, generator.front(random), path, body)
 		if apierror != nil {
 			last = apierror.Kind
 			generator.rejected(apierror, path, body)
@@ -194,10 +194,10 @@
 // resume tails the turn at another front from the last seq that was heard.
 func (generator *generator) resume(ctx context.Context, random *rand.Rand, got *streamedAnswer) {
 	generator.count(func(report *Report) { report.Resumed++ })
-	asked, cancel := context.WithTimeout(ctx, answerTimeout)
+	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	got.end = ""
-	answer, apierror, err := generator.send(asked, http.MethodGet, generator.front(random), fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", got.conversation, got.last, got.turn), nil)
+	answer, apierror, err := generator.send(callContext, http.MethodGet, generator.front(random), fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", got.conversation, got.last, got.turn), nil)
 	if err != nil || apierror != nil {
 		if apierror != nil && (apierror.Kind == "not_found" || apierror.Kind == "invalid") {
 			generator.violation("turns stay known", "resuming %s at %d: %s", got.conversation, got.last, apierror.Message)
--- a/proof/loadgen/revisit.go
+++ b/proof/loadgen/revisit.go
@@ -36,8 +36,8 @@
 func AwaitTurn(ctx context.Context, target Target, front string) error {
 	generator := newGenerator(target, Mix{})
 	for {
-		asked, cancel := context.WithTimeout(ctx, 10*time.Second)
-		answer, apierror, err := generator.send(asked, http.MethodPost, front, "/v1/conversations", map[string]any{"program": "dialogue", "kind": "talk", "words": "are you there"})
+		callContext, cancel := context.WithTimeout(ctx, 10*time.Second)
+		answer, apierror, err := generator.send(callContext, http.MethodPost, front, "/v1/conversations", map[string]any{"program": "dialogue", "kind": "talk", "words": "are you there"})
 		if err == nil && apierror == nil {
 			got := &streamedAnswer{}
 			generator.readStream(answer.Body, got, 0)
--- a/proof/loadgen/spike.go
+++ b/proof/loadgen/spike.go
@@ -21,13 +21,13 @@
 func Spike(ctx context.Context, target Target, lasts time.Duration, perSecond int) SpikeResult {
 	generator := newGenerator(target, Mix{})
 	var mutex sync.Mutex
-	var asked sync.WaitGroup
+	var sent sync.WaitGroup
 	seen := SpikeResult{}
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 3))
 	for number := range int(lasts.Seconds() * float64(perSecond)) {
 		front := generator.front(random)
 		urgent := number%20 == 0
-		asked.Go(func() {
+		sent.Go(func() {
 			path, body := "/v1/lookups", map[string]any{"program": "dialogue", "kind": "lookup", "words": "where is everybody"}
 			if urgent {
 				path, body = "/v1/queries", map[string]any{"program": "counter", "kind": "activation", "words": "now", "query_key": fmt.Sprintf("crowd-%d-%d", time.Now().UnixNano(), number)}
@@ -63,6 +63,6 @@
 		case <-ctx.Done():
 		}
 	}
-	asked.Wait()
+	sent.Wait()
 	return seen
 }
--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -309,13 +309,13 @@
 }
 
 func (world *World) checkRead(stepped *replica, answer raft.ReadResult) {
-	asked, known := world.history.finishRead(answer.Context)
+	sent, known := world.history.finishRead(answer.Context)
 	if !known || answer.Rejected {
 		return
 	}
 	world.outcomes.ConfirmedReads++
-	if answer.Index < asked.committed {
-		world.violate(ReadsAreLinearizable, "%s confirms a read at %d, asked for when %d was committed", stepped.name, answer.Index, asked.committed)
+	if answer.Index < sent.committed {
+		world.violate(ReadsAreLinearizable, "%s confirms a read at %d, asked for when %d was committed", stepped.name, answer.Index, sent.committed)
 	}
 }
 
--- a/proof/modelcheck/walk.go
+++ b/proof/modelcheck/walk.go
@@ -44,10 +44,10 @@
 }
 
 const (
-	// mostFlying bounds the messages in flight: beyond it one is lost before the next action.
-	mostFlying = 24
-	// mostWipes bounds the disks that a walk loses, if it loses any.
-	mostWipes = 2
+	// maxInFlight bounds the messages in flight: beyond it one is lost before the next action.
+	maxInFlight = 24
+	// maxWipes bounds the disks that a walk loses, if it loses any.
+	maxWipes = 2
 	// stepsPerCut is how many actions a replica is cut off, or none is, in the mean.
 	stepsPerCut = 50
 )
@@ -89,7 +89,7 @@
 	for kind := range actionKinds {
 		walk.limits[kind] = math.MaxUint16 // the length of the walk bounds it
 	}
-	walk.limits[ActionWipe] = uint16(mostWipes * (random.IntN(4) / 3)) // none in three walks of four
+	walk.limits[ActionWipe] = uint16(maxWipes * (random.IntN(4) / 3)) // none in three walks of four
 	walk.world = NewWorld(&walk.model)
 	return walk
 }
@@ -134,7 +134,7 @@
 		}
 		byKind[action.Kind] = append(byKind[action.Kind], action)
 	}
-	if drops := byKind[ActionDrop]; len(walk.world.flying) > mostFlying {
+	if drops := byKind[ActionDrop]; len(walk.world.flying) > maxInFlight {
 		return drops[walk.random.IntN(len(drops))]
 	}
 	chance := walk.random.IntN(total)
--- a/proof/scale/hollownodes_test.go
+++ b/proof/scale/hollownodes_test.go
@@ -63,17 +63,17 @@
 			t.Fatal(err)
 		}
 		for position := range 6 {
-			asked := time.Now()
+			sent := time.Now()
 			number, err := propose(ctx, caller, controls, domainChange(position%2 == 0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			delays, err := hollow.Delays(ctx, number, asked)
+			delays, err := hollow.Delays(ctx, number, sent)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if most := delays[len(delays)-1]; most > 2*time.Second || len(delays) != nodes {
-				t.Errorf("change %d was in force at %d nodes after %s", number, len(delays), most)
+			if maximum := delays[len(delays)-1]; maximum > 2*time.Second || len(delays) != nodes {
+				t.Errorf("change %d was in force at %d nodes after %s", number, len(delays), maximum)
 			}
 		}
 	})
@@ -102,16 +102,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if most := delays[len(delays)-1]; most > 6*time.Second {
-			t.Errorf("the change was in force everywhere %s after its leader's end", most)
+		if maximum := delays[len(delays)-1]; maximum > 6*time.Second {
+			t.Errorf("the change was in force everywhere %s after its leader's end", maximum)
 		}
 	})
 }
 
-// TestHollowNodeTrafficGrowsAtMostLinearly is the small peer of the scale
+// TestHollowNodeTrafficGrowsLinearly is the small peer of the scale
 // run against nodes: with every node told of all others, a node's part grows with the
 // fleet at most, never with its square.
-func TestHollowNodeTrafficGrowsAtMostLinearly(t *testing.T) {
+func TestHollowNodeTrafficGrowsLinearly(t *testing.T) {
 	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string) {
 		sizes, read := []float64{}, []float64{}
 		for _, nodes := range []int{8, 16, 32} {
--- a/proof/scale/load.go
+++ b/proof/scale/load.go
@@ -95,8 +95,8 @@
 	failed := error(nil)
 	for ctx.Err() == nil {
 		for _, address := range controls {
-			asked, cancel := context.WithTimeout(ctx, 2*time.Second)
-			reply, err := caller.Call(asked, address, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: change}})
+			callContext, cancel := context.WithTimeout(ctx, 2*time.Second)
+			reply, err := caller.Call(callContext, address, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: change}})
 			cancel()
 			if err == nil && reply.Change != nil && reply.Change.Acknowledged {
 				return reply.Change.Number, nil
--- a/proof/scale/run.go
+++ b/proof/scale/run.go
@@ -76,11 +76,11 @@
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return Measurement{}, err
 	}
-	told, err := measure(ctx, settings, step, folder)
+	reported, err := measure(ctx, settings, step, folder)
 	if err != nil {
-		return told, fmt.Errorf("%w (logs are in %s)", err, folder)
+		return reported, fmt.Errorf("%w (logs are in %s)", err, folder)
 	}
-	return told, os.RemoveAll(folder)
+	return reported, os.RemoveAll(folder)
 }
 
 func measure(ctx context.Context, settings Settings, step Step, folder string) (Measurement, error) {
@@ -278,26 +278,26 @@
 		if !found {
 			continue
 		}
-		told := ProcessUsage{Name: process.Name, Role: process.Role, Rate: RateOf(before.processes[process.Name], used)}
+		reported := ProcessUsage{Name: process.Name, Role: process.Role, Rate: RateOf(before.processes[process.Name], used)}
 		role := process.Role
 		if role == "control" {
 			status, err := trial.status(ctx, process.Address)
 			if err != nil {
 				return err
 			}
-			if told.Leading = status.Leader == status.Name; told.Leading {
+			if reported.Leading = status.Leader == status.Name; reported.Leading {
 				role = "control.leader"
 			} else {
 				role = "control.other"
 			}
-			figures["control.most.cores"] = max(figures["control.most.cores"], told.Cores)
-			figures["control.most.memory_mib"] = max(figures["control.most.memory_mib"], told.Memory)
+			figures["control.most.cores"] = max(figures["control.most.cores"], reported.Cores)
+			figures["control.most.memory_mib"] = max(figures["control.most.memory_mib"], reported.Memory)
 		}
 		counts[role]++
-		for name, value := range map[string]float64{"cores": told.Cores, "memory_mib": told.Memory, "messages_per_s": told.Messages, "bytes_out_per_s": told.BytesOut, "bytes_in_per_s": told.BytesIn} {
+		for name, value := range map[string]float64{"cores": reported.Cores, "memory_mib": reported.Memory, "messages_per_s": reported.Messages, "bytes_out_per_s": reported.BytesOut, "bytes_in_per_s": reported.BytesIn} {
 			figures[role+"."+name] += value
 		}
-		trial.measurement.Processes = append(trial.measurement.Processes, told)
+		trial.measurement.Processes = append(trial.measurement.Processes, reported)
 	}
 	for name := range figures {
 		for role, count := range counts {
@@ -335,22 +335,22 @@
 		if err != nil {
 			return err
 		}
-		asked := time.Now()
+		sent := time.Now()
 		number, err := propose(ctx, trial.caller, trial.controls(), change)
 		if err != nil {
 			return err
 		}
-		slowest = max(slowest, time.Since(asked))
-		taken = append(taken, proposed{number, asked})
+		slowest = max(slowest, time.Since(sent))
+		taken = append(taken, proposed{number, sent})
 	}
 	acknowledged := time.Since(began)
-	most, medians := time.Duration(0), time.Duration(0)
+	maximum, medians := time.Duration(0), time.Duration(0)
 	for _, change := range taken {
 		delays, err := trial.hollow.Delays(ctx, change.number, change.at)
 		if err != nil {
 			return err
 		}
-		most = max(most, delays[len(delays)-1])
+		maximum = max(maximum, delays[len(delays)-1])
 		medians += delays[len(delays)/2]
 	}
 	after, err := trial.sample(ctx)
@@ -361,7 +361,7 @@
 	figures[name+".acknowledged_most_s"] = slowest.Seconds()
 	figures[name+".acknowledged_mean_s"] = acknowledged.Seconds() / float64(count)
 	figures[name+".in_force_median_s"] = medians.Seconds() / float64(count)
-	figures[name+".in_force_most_s"] = most.Seconds()
+	figures[name+".in_force_most_s"] = maximum.Seconds()
 	figures[name+".bytes_in_per_hollow"] = float64(after.read-before.read) / float64(trial.step.Nodes*count)
 	seconds, processes := map[string]float64{}, map[string]float64{}
 	for _, process := range trial.fleet.Processes {
@@ -397,7 +397,7 @@
 func (trial *stepRun) runnerLeaves(ctx context.Context) error {
 	list := RunnerList(trial.step.Runners)
 	list[0].State = feed.StateDraining
-	asked := time.Now()
+	sent := time.Now()
 	if err := putRunnerList(ctx, trial.fleet.Platform, list); err != nil {
 		return err
 	}
@@ -409,7 +409,7 @@
 		}
 		return false
 	})
-	trial.measurement.Figures["runner_leaves.in_force_most_s"] = time.Since(asked).Seconds()
+	trial.measurement.Figures["runner_leaves.in_force_most_s"] = time.Since(sent).Seconds()
 	return err
 }
 
@@ -429,14 +429,14 @@
 	leader.Kill()
 	killed := time.Now()
 	staleNow, staleAt := 0, time.Now()
-	staleSeconds, mostStale, lastStale := 0.0, 0, time.Duration(0)
+	staleSeconds, maximumStale, lastStale := 0.0, 0, time.Duration(0)
 	sample := func() {
 		now := time.Now()
 		staleSeconds += float64(staleNow) * now.Sub(staleAt).Seconds()
 		if staleNow, staleAt = trial.hollow.Stale(), now; staleNow > 0 {
 			lastStale = now.Sub(killed)
 		}
-		mostStale = max(mostStale, staleNow)
+		maximumStale = max(maximumStale, staleNow)
 	}
 	type outcome struct {
 		number uint64
@@ -475,7 +475,7 @@
 		}
 	}
 	figures["failover.stale_seconds_per_hollow"] = staleSeconds / float64(trial.step.Nodes)
-	figures["failover.most_stale_share"] = float64(mostStale) / float64(trial.step.Nodes)
+	figures["failover.most_stale_share"] = float64(maximumStale) / float64(trial.step.Nodes)
 	figures["failover.last_stale_s"] = lastStale.Seconds()
 	return trial.restart(ctx, leader, got.number)
 }
@@ -545,7 +545,7 @@
 
 // withinMemory refuses to go on past half of the machine's memory.
 func (trial *stepRun) withinMemory(context.Context) error {
-	whole, err := machineMemory()
+	complete, err := machineMemory()
 	if err != nil {
 		return err
 	}
@@ -563,8 +563,8 @@
 		}
 		taken += usage.Memory
 	}
-	if taken > whole*memoryShare {
-		return &StepError{fmt.Sprintf("the step %+v takes %.0f MiB, more than half of the machine's %.0f", trial.step, taken, whole), "measure smaller steps and stretch the slope"}
+	if taken > complete*memoryShare {
+		return &StepError{fmt.Sprintf("the step %+v takes %.0f MiB, more than half of the machine's %.0f", trial.step, taken, complete), "measure smaller steps and stretch the slope"}
 	}
 	return nil
 }
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -43,15 +43,15 @@
 func turn(ctx context.Context, stores *storeclient.Client, program, name, follows string, input, output []byte) (begun, ended time.Duration, history int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
-	asked := time.Now()
+	sent := time.Now()
 	began, err := stores.BeginTurn(ctx, storeclient.Turn{SessionName: program, Name: name, Follows: follows, Input: input, KeepHistory: true, Retention: time.Hour, DispatchID: "scale/" + name, Lifetime: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 1 << 40})
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	begun = time.Since(asked)
-	asked = time.Now()
+	begun = time.Since(sent)
+	sent = time.Now()
 	err = stores.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: name, Seq: began.Seq, Output: output, Tokens: 80, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
-	return begun, time.Since(asked), len(began.History), err
+	return begun, time.Since(sent), len(began.History), err
 }
 
 // makePrograms has the stores keep all programs with their histories.
--- a/proof/scale/usage.go
+++ b/proof/scale/usage.go
@@ -79,11 +79,11 @@
 	if err != nil {
 		return 0, err
 	}
-	told, err := system.Meminfo()
+	reported, err := system.Meminfo()
 	if err != nil {
 		return 0, err
 	}
-	return float64(*told.MemTotal) / 1024, nil
+	return float64(*reported.MemTotal) / 1024, nil
 }
 
 // cpuTime is how long all processors of the machine were busy, and in all, in
@@ -95,11 +95,11 @@
 	if err != nil {
 		return cpuTime{}, err
 	}
-	told, err := system.Stat()
+	reported, err := system.Stat()
 	if err != nil {
 		return cpuTime{}, err
 	}
-	all := told.CPUTotal
+	all := reported.CPUTotal
 	busy := all.User + all.Nice + all.System + all.IRQ + all.SoftIRQ + all.Steal
 	return cpuTime{busy: busy, total: busy + all.Idle + all.Iowait}, nil
 }
--- a/proof/simulator/adminrequests_test.go
+++ b/proof/simulator/adminrequests_test.go
@@ -39,12 +39,12 @@
 		next := oneRoute(revision, time.Duration(operator+1)*time.Second)
 		orders = append(orders, sentRequestOfOperator{base: base, next: next, digest: fmt.Sprintf("%d by %d", revision, operator)})
 	}
-	told := make([]chan error, len(orders))
+	reported := make([]chan error, len(orders))
 	for operator, order := range orders {
-		told[operator] = make(chan error, 1)
-		go func() { told[operator] <- cluster.sendRoutingRequest(operator, order) }()
+		reported[operator] = make(chan error, 1)
+		go func() { reported[operator] <- cluster.sendRoutingRequest(operator, order) }()
 	}
-	results := []error{<-told[0], <-told[1]}
+	results := []error{<-reported[0], <-reported[1]}
 	winner := slices.Index(results, nil)
 	if winner < 0 || !apierror.Is(results[1-winner], apierror.Conflict) {
 		t.Fatalf("two operators on revision %d: %v", base, results)
@@ -192,9 +192,9 @@
 			lost := make(chan error, len(orders))
 			for operator, order := range orders {
 				node := cluster.Controls[random.IntN(3)].Control
-				patience := time.Duration(random.IntN(40)) * time.Millisecond
+				timeout := time.Duration(random.IntN(40)) * time.Millisecond
 				go func() {
-					ctx, cancel := context.WithTimeout(context.Background(), patience)
+					ctx, cancel := context.WithTimeout(context.Background(), timeout)
 					defer cancel()
 					lost <- node.ReplaceRouting(ctx, fmt.Sprint("operator ", operator), order.base, order.next, order.digest)
 				}()
@@ -289,11 +289,11 @@
 		}
 		taken := []done{}
 		for position, order := range orders {
-			told, err := cluster.fleet()
+			reported, err := cluster.fleet()
 			if err != nil {
 				t.Fatal(err)
 			}
-			sent := order.body(told.ConfigNumber)
+			sent := order.body(reported.ConfigNumber)
 			changed, err := cluster.administered(order.method, order.path, sent)
 			if err != nil {
 				t.Fatalf("order %d: %v", position, err)
@@ -364,12 +364,12 @@
 // revisionShown reads the revision in an answer to "show routes".
 func revisionShown(t *testing.T, answer *Answer) uint64 {
 	t.Helper()
-	var told struct{ Rows [][]string }
-	if err := json.Unmarshal(answer.Body, &told); err != nil || len(told.Rows) != 1 {
+	var reported struct{ Rows [][]string }
+	if err := json.Unmarshal(answer.Body, &reported); err != nil || len(reported.Rows) != 1 {
 		t.Fatalf("%v: %s", err, answer)
 	}
 	var revision uint64
-	if _, err := fmt.Sscan(told.Rows[0][len(told.Rows[0])-1], &revision); err != nil {
+	if _, err := fmt.Sscan(reported.Rows[0][len(reported.Rows[0])-1], &revision); err != nil {
 		t.Fatal(err)
 	}
 	return revision
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestNoRequestIsHeldPastItsRoutesTimeout though its caller has more time: not by runners that
+// TestNoRequestWaitsPastItsRoutesTimeout though its caller has more time: not by runners that
 // say nothing, not by stores or control nodes that can't be reached.
-func TestNoRequestIsHeldPastItsRoutesTimeout(t *testing.T) {
+func TestNoRequestWaitsPastItsRoutesTimeout(t *testing.T) {
 	const slack = 250 * time.Millisecond
 	timeouts := map[string]time.Duration{"/lookup/": 2 * time.Second, "/order/": 3 * time.Second, "/talk/kept/": 4 * time.Second, "/talk/chat/": 4 * time.Second}
 	troubles := map[string]func(cluster *Cluster){
@@ -201,10 +201,10 @@
 		},
 		"cut off": func(cluster *Cluster) { cluster.Network.Isolate(cluster.Fronts[0].Host) },
 	}
-	for name, trouble := range troubles {
+	for name, fault := range troubles {
 		t.Run(name, func(t *testing.T) {
 			simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-				trouble(cluster)
+				fault(cluster)
 				var asking sync.WaitGroup
 				for path, timeout := range timeouts {
 					for number := range 6 {
--- a/proof/simulator/bounds_test.go
+++ b/proof/simulator/bounds_test.go
@@ -24,9 +24,9 @@
 		for position := 0; ctx.Err() == nil; position++ {
 			front := cluster.Fronts[position%len(cluster.Fronts)]
 			go func() {
-				asked, cancel := context.WithTimeout(ctx, 20*time.Second)
+				callContext, cancel := context.WithTimeout(ctx, 20*time.Second)
 				defer cancel()
-				cluster.Ask(asked, http.MethodPost, front.Host+":7100", "/v1/conversations", TeamToken, map[string]any{"program": "dialogue", "kind": "talk", "words": fmt.Sprintf("load %d", position)})
+				cluster.Ask(callContext, http.MethodPost, front.Host+":7100", "/v1/conversations", TeamToken, map[string]any{"program": "dialogue", "kind": "talk", "words": fmt.Sprintf("load %d", position)})
 			}()
 			select {
 			case <-time.After(every):
@@ -139,9 +139,9 @@
 			for position := 0; ctx.Err() == nil; position++ {
 				front := cluster.Fronts[position%3]
 				go func() {
-					asked, cancel := context.WithTimeout(ctx, 10*time.Second)
+					callContext, cancel := context.WithTimeout(ctx, 10*time.Second)
 					defer cancel()
-					cluster.Ask(asked, http.MethodPost, front.Host+":7100", "/v1/lookups", TeamToken, map[string]any{"program": "dialogue", "kind": "lookup", "words": "which"})
+					cluster.Ask(callContext, http.MethodPost, front.Host+":7100", "/v1/lookups", TeamToken, map[string]any{"program": "dialogue", "kind": "lookup", "words": "which"})
 				}()
 				<-time.After(15 * time.Millisecond)
 			}
@@ -218,13 +218,13 @@
 		<-time.After(2 * time.Second)
 		before := cold.Runner.TakeMaxInFlight()
 		<-time.After(3 * time.Second)
-		most := cold.Runner.TakeMaxInFlight()
-		t.Logf("most queries at once: %d warm, %d cold", before, most)
+		maximum := cold.Runner.TakeMaxInFlight()
+		t.Logf("most queries at once: %d warm, %d cold", before, maximum)
 		if before < 3 {
 			t.Fatalf("only %d queries at once before: the runner was never crowded", before)
 		}
-		if most > 2 {
-			t.Fatalf("a runner that bears 2 while cold had %d at once", most)
+		if maximum > 2 {
+			t.Fatalf("a runner that bears 2 while cold had %d at once", maximum)
 		}
 	})
 }
@@ -244,25 +244,25 @@
 func TestTwoOperatorsNeverOverwriteEachOther(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		type result struct {
-			allowance int
-			changed   ChangeResult
+			quota   int
+			changed ChangeResult
 		}
 		var acknowledged []result
 		for round := range 12 {
-			var told struct{ Number uint64 }
+			var reported struct{ Number uint64 }
 			answer, err := cluster.Administer(http.MethodGet, "/v1/config", nil)
-			if err != nil || json.Unmarshal(answer.Body, &told) != nil {
+			if err != nil || json.Unmarshal(answer.Body, &reported) != nil {
 				t.Fatal(err)
 			}
 			results := make(chan result, 2)
 			for operator := range 2 {
 				go func() {
-					allowance := 1000 + 10*round + operator
+					quota := 1000 + 10*round + operator
 					ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 					defer cancel()
 					answer, err := cluster.Ask(ctx, http.MethodPatch, cluster.Controls[(round+operator)%3].Host+":7200", "/v1/config", RootToken,
-						map[string]any{"path": "programs.dialogue.allowance", "value": allowance, "expected": told.Number})
-					done := result{allowance: allowance}
+						map[string]any{"path": "programs.dialogue.allowance", "value": quota, "expected": reported.Number})
+					done := result{quota: quota}
 					if err == nil && answer.Status == http.StatusOK {
 						json.Unmarshal(answer.Body, &done.changed)
 					}
@@ -271,7 +271,7 @@
 			}
 			won := slices.DeleteFunc([]result{<-results, <-results}, func(one result) bool { return !one.changed.Acknowledged })
 			if len(won) > 1 {
-				t.Fatalf("round %d: both operators replaced config %d", round, told.Number)
+				t.Fatalf("round %d: both operators replaced config %d", round, reported.Number)
 			}
 			acknowledged = append(acknowledged, won...)
 			if round%4 == 3 {
@@ -288,8 +288,8 @@
 		}
 		last := acknowledged[len(acknowledged)-1]
 		answer, err := cluster.Administer(http.MethodGet, "/v1/config", nil)
-		if err != nil || !strings.Contains(string(answer.Body), fmt.Sprint(last.allowance)) {
-			t.Fatalf("the config read back lacks %d: %v %s", last.allowance, err, answer.Body)
+		if err != nil || !strings.Contains(string(answer.Body), fmt.Sprint(last.quota)) {
+			t.Fatalf("the config read back lacks %d: %v %s", last.quota, err, answer.Body)
 		}
 	})
 }
@@ -327,15 +327,15 @@
 			}
 			for step := range 10 {
 				<-time.After(ramp / 20)
-				most := runner.Runner.TakeMaxInFlight()
+				maximum := runner.Runner.TakeMaxInFlight()
 				bound := cold + (bears-cold)*(step+1)/20 + 1 // the ramp starts with the first answer
-				if most > bound {
-					t.Fatalf("round %d: %d queries at once %s after the return, which bears %d", round, most, time.Duration(step+1)*ramp/20, bound)
+				if maximum > bound {
+					t.Fatalf("round %d: %d queries at once %s after the return, which bears %d", round, maximum, time.Duration(step+1)*ramp/20, bound)
 				}
 			}
 			<-time.After(ramp)
-			if most := runner.Runner.TakeMaxInFlight(); most < bears/2 || most > bears {
-				t.Fatalf("round %d: %d queries at once after the ramp, of %d", round, most, bears)
+			if maximum := runner.Runner.TakeMaxInFlight(); maximum < bears/2 || maximum > bears {
+				t.Fatalf("round %d: %d queries at once after the ramp, of %d", round, maximum, bears)
 			}
 		}
 	})
@@ -397,9 +397,9 @@
 			slowest         time.Duration
 		}
 		var mutex sync.Mutex
-		var asked sync.WaitGroup
+		var sent sync.WaitGroup
 		ask := func(into *seen, token, program, kind, words string, number int) {
-			asked.Go(func() {
+			sent.Go(func() {
 				ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 				defer cancel()
 				began := time.Now()
@@ -435,7 +435,7 @@
 				}
 				<-time.After(time.Duration(float64(time.Second) / (times * bears)))
 			}
-			asked.Wait()
+			sent.Wait()
 			ended := time.Since(began) - lasts
 			goodput[times] = float64(crowd.served) / (lasts + 2*time.Second).Seconds()
 			t.Logf("%v times: crowd %+v, urgent %+v, other team %+v, %.1f a second, over %s after", times, *crowd, *urgent, *other, goodput[times], ended)
--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func (cluster *Cluster) fleet() (told struct {
+func (cluster *Cluster) fleet() (reported struct {
 	Number       uint64        `json:"number"`
 	ConfigNumber uint64        `json:"config_number"`
 	Stores       []feed.Member `json:"stores"`
@@ -63,12 +63,12 @@
 }, err error) {
 	answer, err := cluster.Administer(http.MethodGet, "/v1/fleet", nil)
 	if err != nil {
-		return told, err
+		return reported, err
 	}
 	if answer.Status != http.StatusOK {
-		return told, &answer.Error
+		return reported, &answer.Error
 	}
-	return told, json.Unmarshal(answer.Body, &told)
+	return reported, json.Unmarshal(answer.Body, &reported)
 }
 
 func TestAConfigOutlivesTheLossOfAllControlDisks(t *testing.T) {
@@ -136,15 +136,15 @@
 			}
 			cluster.Controls[index] = fresh
 			err := cluster.Await(60*time.Second, "exchanged control node", func() error {
-				told, err := cluster.fleet()
+				reported, err := cluster.fleet()
 				if err != nil {
 					return err
 				}
 				listed := func(host string) bool {
-					return slices.ContainsFunc(told.Controls, func(member feed.Member) bool { return strings.HasPrefix(member.Address, host+":") })
+					return slices.ContainsFunc(reported.Controls, func(member feed.Member) bool { return strings.HasPrefix(member.Address, host+":") })
 				}
-				if len(told.Controls) != 3 || !listed(fresh.Host) || listed(old.Host) {
-					return fmt.Errorf("controls: %v", told.Controls)
+				if len(reported.Controls) != 3 || !listed(fresh.Host) || listed(old.Host) {
+					return fmt.Errorf("controls: %v", reported.Controls)
 				}
 				return nil
 			})
@@ -286,9 +286,9 @@
 		if answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{}); err != nil || answer.Status != http.StatusOK {
 			t.Fatalf("the order to enrol a store, repeated, is not acknowledged: %v %+v", err, answer)
 		}
-		told, err := cluster.fleet()
-		if err != nil || len(told.Stores) != 4 || listings(told.Stores, fresh.Store.Name()) != 1 {
-			t.Fatalf("a store was enrolled twice: %v %+v", err, told.Stores)
+		reported, err := cluster.fleet()
+		if err != nil || len(reported.Stores) != 4 || listings(reported.Stores, fresh.Store.Name()) != 1 {
+			t.Fatalf("a store was enrolled twice: %v %+v", err, reported.Stores)
 		}
 		old := cluster.Stores[0]
 		name := old.Store.Name()
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -59,7 +59,7 @@
 		chaos.checkWarmUp(life)
 	}
 	for name, ran := range runs {
-		asked, found := chaos.asked[name]
+		sent, found := chaos.sent[name]
 		if !found {
 			if !strings.HasPrefix(name, "ready-") {
 				chaos.violation("UNASKED", "%s ran and was never asked", name)
@@ -67,22 +67,22 @@
 			continue
 		}
 		for _, one := range ran {
-			chaos.checkExecution(asked, one)
+			chaos.checkExecution(sent, one)
 		}
 	}
 	spent, served, all := map[string]uint64{}, 0, 0
-	for name, asked := range chaos.asked {
-		if asked.answer == nil {
+	for name, sent := range chaos.sent {
+		if sent.answer == nil {
 			chaos.violation("LOST", "%s was never ended", name)
 			continue
 		}
 		slices.SortFunc(runs[name], func(left, right execution) int { return left.At.Compare(right.At) })
-		chaos.checkAnswer(asked, runs[name])
-		if asked.query.HasOutputBudget {
-			spent[asked.query.Program] += 4 * uint64(strings.Count(string(asked.answer.Body), "data: "))
+		chaos.checkAnswer(sent, runs[name])
+		if sent.query.HasOutputBudget {
+			spent[sent.query.Program] += 4 * uint64(strings.Count(string(sent.answer.Body), "data: "))
 		}
-		if !strings.HasPrefix(asked.query.Path, "/only-") {
-			if all++; asked.answer.Complete() {
+		if !strings.HasPrefix(sent.query.Path, "/only-") {
+			if all++; sent.answer.Complete() {
 				served++
 			}
 		}
@@ -123,9 +123,9 @@
 }
 
 // checkExecution judges one run of a query that was asked.
-func (chaos *chaosRun) checkExecution(asked *sentRequest, one execution) {
-	query, name := asked.query, asked.query.Name
-	want := asked.chain + string(query.Body)
+func (chaos *chaosRun) checkExecution(sent *sentRequest, one execution) {
+	query, name := sent.query, sent.query.Name
+	want := sent.chain + string(query.Body)
 	if !strings.HasPrefix(query.Path, "/talk/kept/") {
 		want = string(query.Body)
 	}
@@ -140,7 +140,7 @@
 	if !allowed {
 		chaos.violation("ROUTE", "%s %s ran at a runner of %s, which no routing allows", name, query.Path, one.life.group)
 	}
-	touch := chaos.touch(asked.front, one.At)
+	touch := chaos.touch(sent.front, one.At)
 	if left := one.life.leavingAt; touch && !left.IsZero() && one.At.Sub(left) > drainBound {
 		chaos.violation("DRAIN", "%s ran at %s %s after it was leaving", name, one.life.engine.Life, one.At.Sub(left))
 	}
@@ -149,30 +149,30 @@
 			chaos.violation("EVAC", "%s ran in %s %s after it was emptied", name, span.domain, one.At.Sub(span.drained))
 		}
 	}
-	if chaos.touch(asked.front, asked.at) && touch && !chaos.obeys(asked, one.At, func(services []string, found bool) bool {
+	if chaos.touch(sent.front, sent.at) && touch && !chaos.obeys(sent, one.At, func(services []string, found bool) bool {
 		return found && slices.Contains(services, one.life.group)
 	}) {
-		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, query.Path, asked.at.Format("05.000"), one.life.group)
+		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, query.Path, sent.at.Format("05.000"), one.life.group)
 	}
 }
 
 // obeys tells whether a routing that is to be obeyed handles a query that way.
-func (chaos *chaosRun) obeys(asked *sentRequest, ended time.Time, way func(services []string, found bool) bool) bool {
+func (chaos *chaosRun) obeys(sent *sentRequest, ended time.Time, way func(services []string, found bool) bool) bool {
 	floor := uint64(0)
 	for _, order := range chaos.orders {
-		if !order.acked.IsZero() && asked.at.Sub(order.acked) > applyBound {
+		if !order.acked.IsZero() && sent.at.Sub(order.acked) > applyBound {
 			floor = max(floor, order.revision)
 		}
 	}
 	return slices.ContainsFunc(chaos.orders, func(order *routingChange) bool {
-		services, found := order.services(pathOf(asked.query))
+		services, found := order.services(pathOf(sent.query))
 		return order.revision >= floor && !order.refused && order.sent.Before(ended) && way(services, found)
 	})
 }
 
 // checkAnswer judges what a caller got.
-func (chaos *chaosRun) checkAnswer(asked *sentRequest, runs []execution) {
-	query, name, answer := asked.query, asked.query.Name, asked.answer
+func (chaos *chaosRun) checkAnswer(sent *sentRequest, runs []execution) {
+	query, name, answer := sent.query, sent.query.Name, sent.answer
 	if !mayRepeat(query) {
 		if len(runs) > 1 {
 			chaos.violation("TWICE", "%s %s ran %d times", name, query.Path, len(runs))
@@ -182,58 +182,58 @@
 		}
 	}
 	if apierror.Is(answer.Err, apierror.QuotaExhausted) {
-		chaos.checkExhausted(asked, runs)
+		chaos.checkExhausted(sent, runs)
 	}
 	if apierror.Is(answer.Err, apierror.NotFound) && answer.Status == 0 {
-		chaos.checkNotFound(asked, runs)
+		chaos.checkNotFound(sent, runs)
 	}
 	if answer.Status != 0 {
-		chaos.checkBody(asked, runs)
+		chaos.checkBody(sent, runs)
 	}
 	// What was under way when its front began to leave in order is answered whole.
-	if left := asked.front.left; !left.IsZero() && asked.at.Before(left) && asked.back.After(left) && answer.Err != nil && len(runs) > 0 && !asked.left &&
-		chaos.touch(asked.front, asked.at) && chaos.touch(asked.front, asked.back) && asked.back.Before(query.Deadline.Add(-500*time.Millisecond)) &&
+	if left := sent.front.left; !left.IsZero() && sent.at.Before(left) && sent.back.After(left) && answer.Err != nil && len(runs) > 0 && !sent.left &&
+		chaos.touch(sent.front, sent.at) && chaos.touch(sent.front, sent.back) && sent.back.Before(query.Deadline.Add(-500*time.Millisecond)) &&
 		!slices.ContainsFunc(runs, func(one execution) bool { return one.Fault != standin.NoFault || !one.life.endedAt.IsZero() }) {
 		chaos.violation("LOST", "%s %s was broken off while its front left in order: %v", name, query.Path, answer.Err)
 	}
 }
 
-func (chaos *chaosRun) checkExhausted(asked *sentRequest, runs []execution) {
+func (chaos *chaosRun) checkExhausted(sent *sentRequest, runs []execution) {
 	if len(runs) > 0 {
-		chaos.violation("REFUSED", "%s was refused for its allowance and ran", asked.query.Name)
+		chaos.violation("REFUSED", "%s was refused for its allowance and ran", sent.query.Name)
 	}
-	most := uint64(0)
-	for _, other := range chaos.asked {
-		if other.query.Program == asked.query.Program && other.query.HasOutputBudget && !other.at.After(asked.back) {
-			most += turnTokens
+	maximum := uint64(0)
+	for _, other := range chaos.sent {
+		if other.query.Program == sent.query.Program && other.query.HasOutputBudget && !other.at.After(sent.back) {
+			maximum += turnTokens
 		}
 	}
-	if most <= asked.query.OutputBudget {
-		chaos.violation("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", asked.query.Name, asked.query.OutputBudget, most)
+	if maximum <= sent.query.OutputBudget {
+		chaos.violation("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", sent.query.Name, sent.query.OutputBudget, maximum)
 	}
 }
 
-func (chaos *chaosRun) checkNotFound(asked *sentRequest, runs []execution) {
-	name, path := asked.query.Name, asked.query.Path
+func (chaos *chaosRun) checkNotFound(sent *sentRequest, runs []execution) {
+	name, path := sent.query.Name, sent.query.Path
 	if strings.HasPrefix(path, "/talk/") || strings.HasPrefix(path, "/lookup/") || strings.HasPrefix(path, "/order/") {
-		if followed := chaos.asked[asked.query.Follows]; followed != nil {
-			chaos.violation("LOST", "%s: %s, answered whole at %s, is told unknown at %s: %v", name, asked.query.Follows, followed.back.Format("05.000"), asked.back.Format("05.000"), asked.answer.Err)
+		if followed := chaos.sent[sent.query.Follows]; followed != nil {
+			chaos.violation("LOST", "%s: %s, answered whole at %s, is told unknown at %s: %v", name, sent.query.Follows, followed.back.Format("05.000"), sent.back.Format("05.000"), sent.answer.Err)
 		} else {
-			chaos.violation("DENIED", "%s %s has a route: %v", name, path, asked.answer.Err)
+			chaos.violation("DENIED", "%s %s has a route: %v", name, path, sent.answer.Err)
 		}
 		return
 	}
 	if len(runs) > 0 {
 		chaos.violation("DENIED", "%s %s ran and was told to have no route", name, path)
 	}
-	if chaos.touch(asked.front, asked.at) && chaos.touch(asked.front, asked.back) && !chaos.obeys(asked, asked.back, func(_ []string, found bool) bool { return !found }) {
-		chaos.violation("CONFIG", "%s %s, asked at %s, was told to have no route, as only an older routing allows", name, path, asked.at.Format("05.000"))
+	if chaos.touch(sent.front, sent.at) && chaos.touch(sent.front, sent.back) && !chaos.obeys(sent, sent.back, func(_ []string, found bool) bool { return !found }) {
+		chaos.violation("CONFIG", "%s %s, asked at %s, was told to have no route, as only an older routing allows", name, path, sent.at.Format("05.000"))
 	}
 }
 
 // checkBody holds an answer that began against what its runners did.
-func (chaos *chaosRun) checkBody(asked *sentRequest, runs []execution) {
-	query, name, answer := asked.query, asked.query.Name, asked.answer
+func (chaos *chaosRun) checkBody(sent *sentRequest, runs []execution) {
+	query, name, answer := sent.query, sent.query.Name, sent.answer
 	seal := answer.Header.Get("Seal")
 	at := slices.IndexFunc(runs, func(one execution) bool { return one.life.engine.Life+"/"+name == seal })
 	if at < 0 {
@@ -266,18 +266,18 @@
 	for _, front := range chaos.fronts {
 		seen, seenAt := uint64(0), time.Time{}
 		probes := []*sentRequest{}
-		for _, asked := range chaos.asked {
-			if asked.front == front && strings.HasPrefix(asked.query.Path, "/only-") && asked.answer != nil {
-				probes = append(probes, asked)
+		for _, sent := range chaos.sent {
+			if sent.front == front && strings.HasPrefix(sent.query.Path, "/only-") && sent.answer != nil {
+				probes = append(probes, sent)
 			}
 		}
 		slices.SortFunc(probes, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
-		for _, asked := range probes {
+		for _, sent := range probes {
 			var revision uint64
-			fmt.Sscanf(asked.query.Path, "/only-%d/", &revision)
-			ran := runs[asked.query.Name]
-			if len(ran) > 0 && revision < seen && asked.at.Sub(seenAt) > answerSlack {
-				chaos.violation("CONFIG", "%s goes back from %d to %d: %s ran", front.machine.Host, seen, revision, asked.query.Name)
+			fmt.Sscanf(sent.query.Path, "/only-%d/", &revision)
+			ran := runs[sent.query.Name]
+			if len(ran) > 0 && revision < seen && sent.at.Sub(seenAt) > answerSlack {
+				chaos.violation("CONFIG", "%s goes back from %d to %d: %s ran", front.machine.Host, seen, revision, sent.query.Name)
 			}
 			if len(ran) > 0 && revision > seen {
 				seen, seenAt = revision, ran[0].At
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -55,8 +55,8 @@
 	chaos.t.Logf("%s: the machines' trouble ends", time.Now().Format("05.000"))
 }
 
-func while(random *rand.Rand, least, most time.Duration) {
-	<-time.After(least + time.Duration(random.Int64N(int64(most-least))))
+func while(random *rand.Rand, least, maximum time.Duration) {
+	<-time.After(least + time.Duration(random.Int64N(int64(maximum-least))))
 }
 
 func (chaos *chaosRun) someFront(random *rand.Rand) (*Machine, func()) {
@@ -349,11 +349,11 @@
 func (chaos *chaosRun) outage(random *rand.Rand) {
 	chaos.note("core")
 	cluster := chaos.cluster
-	whole := []*sentRequest{}
+	complete := []*sentRequest{}
 	chaos.mutex.Lock()
-	for _, asked := range chaos.asked {
-		if asked.answer != nil && asked.answer.Complete() && strings.HasPrefix(asked.query.Path, "/talk/kept/") && time.Since(asked.back) < 90*time.Second {
-			whole = append(whole, asked)
+	for _, sent := range chaos.sent {
+		if sent.answer != nil && sent.answer.Complete() && strings.HasPrefix(sent.query.Path, "/talk/kept/") && time.Since(sent.back) < 90*time.Second {
+			complete = append(complete, sent)
 		}
 	}
 	newest := uint64(0)
@@ -363,7 +363,7 @@
 		}
 	}
 	chaos.mutex.Unlock()
-	slices.SortFunc(whole, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
+	slices.SortFunc(complete, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
 	for _, machine := range cluster.Fronts {
 		chaos.endFront(machine)
 	}
@@ -382,8 +382,8 @@
 		chaos.t.Errorf("LOST: revision %d was acknowledged, %d is read back", newest, read.Revision)
 	}
 	served, all := 0, 0
-	for position, asked := range whole {
-		if position%max(1, len(whole)/60) != 0 {
+	for position, sent := range complete {
+		if position%max(1, len(complete)/60) != 0 {
 			continue
 		}
 		words := fmt.Sprintf("after %d. ", position)
@@ -391,8 +391,8 @@
 		chaos.mutex.Lock()
 		chaos.budgets[program] = 1000
 		chaos.mutex.Unlock()
-		chain := asked.chain + string(asked.query.Body) + asked.answer.Text()
-		query := forwarding.Request{Path: "/talk/kept/1", Follows: asked.query.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
+		chain := sent.chain + string(sent.query.Body) + sent.answer.Text()
+		query := forwarding.Request{Path: "/talk/kept/1", Follows: sent.query.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
 		on := chaos.attempt(random, query, chain, 4*time.Second, 0)
 		lookup := chaos.attempt(random, forwarding.Request{Method: http.MethodGet, Path: "/lookup/1"}, "", 2*time.Second, 0)
 		for _, one := range []*sentRequest{on, lookup} {
@@ -401,7 +401,7 @@
 			}
 		}
 		if !on.answer.Complete() {
-			chaos.t.Logf("after the outage, on from %s: %v", asked.query.Name, on.answer.Err)
+			chaos.t.Logf("after the outage, on from %s: %v", sent.query.Name, on.answer.Err)
 		}
 	}
 	if served*4 < all*3 {
--- a/proof/simulator/chaos_routing_test.go
+++ b/proof/simulator/chaos_routing_test.go
@@ -26,8 +26,8 @@
 // route is there for this revision and the next.
 func routingAt(revision uint64, random *rand.Rand) config.Routing {
 	seconds := func(count float64) config.Duration { return config.Duration(count * float64(time.Second)) }
-	route := func(name, prefix string, kind config.RouteKind, timeout float64, tries int, shares ...config.WeightedService) config.Route {
-		return config.Route{Name: name, Host: RoutedHost, Prefix: prefix, Kind: kind, Timeout: seconds(timeout), FirstByteTarget: seconds(0.25), EventGapTarget: seconds(0.4), Shares: shares, MaxAttempts: tries}
+	route := func(name, prefix string, kind config.RouteKind, timeout float64, attempts int, shares ...config.WeightedService) config.Route {
+		return config.Route{Name: name, Host: RoutedHost, Prefix: prefix, Kind: kind, Timeout: seconds(timeout), FirstByteTarget: seconds(0.25), EventGapTarget: seconds(0.4), Shares: shares, MaxAttempts: attempts}
 	}
 	shares := func() []config.WeightedService {
 		switch random.IntN(3) {
@@ -108,15 +108,15 @@
 		}
 		base = read.Revision
 		count := 1 + random.IntN(3)/2
-		told := make(chan bool, count)
+		reported := make(chan bool, count)
 		for range count {
 			newest = max(newest, base) + 1 + uint64(random.IntN(3))
 			seed, revision := random.Uint64(), newest
-			go func() { told <- chaos.changeRouting(rand.New(rand.NewPCG(seed, 3)), base, revision, seed%2 == 0) }()
+			go func() { reported <- chaos.changeRouting(rand.New(rand.NewPCG(seed, 3)), base, revision, seed%2 == 0) }()
 		}
 		acked := 0
 		for range count {
-			if <-told {
+			if <-reported {
 				acked++
 			}
 		}
--- a/proof/simulator/chaos_test.go
+++ b/proof/simulator/chaos_test.go
@@ -42,7 +42,7 @@
 	cluster *Cluster
 
 	mutex    sync.Mutex
-	asked    map[string]*sentRequest
+	sent     map[string]*sentRequest
 	names    int
 	fronts   []*frontLife
 	runners  []*runnerLife
@@ -203,8 +203,8 @@
 		query.Method = http.MethodPost
 	}
 	query.Header = http.Header{standin.Dialect.RequestID: {query.Name}, "X-Other": {"goes along"}}
-	asked := &sentRequest{query: query, at: time.Now(), front: life, chain: chain, left: leaves > 0}
-	chaos.asked[query.Name] = asked
+	sent := &sentRequest{query: query, at: time.Now(), front: life, chain: chain, left: leaves > 0}
+	chaos.sent[query.Name] = sent
 	chaos.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(life.context, timeout)
 	if leaves > 0 {
@@ -220,9 +220,9 @@
 	life.open.Add(-1)
 	chaos.mutex.Lock()
 	answer.Err = err
-	asked.answer, asked.back = &answer.ForwardedAnswer, time.Now()
+	sent.answer, sent.back = &answer.ForwardedAnswer, time.Now()
 	chaos.mutex.Unlock()
-	return asked
+	return sent
 }
 
 // ask tries as callers do: again after a promise, and after any failure what may be
@@ -233,18 +233,18 @@
 	if random.IntN(40) == 0 {
 		leaves = time.Duration(1+random.IntN(120)) * time.Millisecond
 	}
-	for tries := 0; ; tries++ {
-		asked := chaos.attempt(random, query, chain, time.Until(until), leaves)
-		if asked != nil {
-			answer := asked.answer
+	for attempts := 0; ; attempts++ {
+		sent := chaos.attempt(random, query, chain, time.Until(until), leaves)
+		if sent != nil {
+			answer := sent.answer
 			again := answer.Rejected() || repeatable && !answer.Complete() && !apierror.Is(answer.Err, apierror.NotFound)
-			if leaves > 0 || !again || tries > 4 {
-				return asked
+			if leaves > 0 || !again || attempts > 4 {
+				return sent
 			}
 		}
 		pause := time.Duration(100+random.IntN(200)) * time.Millisecond
 		if time.Until(until) < 2*pause {
-			return asked
+			return sent
 		}
 		<-time.After(pause)
 	}
@@ -289,10 +289,10 @@
 		if random.IntN(4) == 0 {
 			query.Path, query.Follows, repeatable = "/talk/chat/1", "", true
 		}
-		asked := chaos.ask(random, query, chain, repeatable, 4*time.Second)
+		sent := chaos.ask(random, query, chain, repeatable, 4*time.Second)
 		switch {
-		case asked == nil || !asked.answer.Complete():
-			if asked != nil && apierror.Is(asked.answer.Err, apierror.QuotaExhausted) && !one.runs {
+		case sent == nil || !sent.answer.Complete():
+			if sent != nil && apierror.Is(sent.answer.Err, apierror.QuotaExhausted) && !one.runs {
 				return
 			}
 			if failures++; failures > 2 {
@@ -301,7 +301,7 @@
 			<-time.After(time.Duration(100+random.IntN(300)) * time.Millisecond)
 			continue
 		case !repeatable:
-			follows, chain = asked.query.Name, chain+words+asked.answer.Text()
+			follows, chain = sent.query.Name, chain+words+sent.answer.Text()
 		}
 		if random.IntN(5) == 0 || one.runs {
 			chaos.branch(one, random, follows, chain, depth+1)
@@ -350,7 +350,7 @@
 
 // startChaos puts the first routing in force on a cluster of chaosShape.
 func startChaos(t *testing.T, cluster *Cluster) *chaosRun {
-	chaos := &chaosRun{t: t, cluster: cluster, asked: map[string]*sentRequest{}, budgets: map[string]uint64{}, hosts: 50}
+	chaos := &chaosRun{t: t, cluster: cluster, sent: map[string]*sentRequest{}, budgets: map[string]uint64{}, hosts: 50}
 	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
 		settings.MaxControls, settings.JoinExisting = 3, !chaos.founds.Load()
 	}
--- a/proof/simulator/chaos_warmup_test.go
+++ b/proof/simulator/chaos_warmup_test.go
@@ -28,16 +28,16 @@
 			while(random, 100*time.Millisecond, 2*time.Second)
 		}
 		wait()
-		most := 0
+		maximum := 0
 		for _, life := range chaos.runners {
 			chaos.checkWarmUp(life)
 			if len(life.warmingUp) > 0 {
-				most = max(most, len(life.engine.Arrivals()))
+				maximum = max(maximum, len(life.engine.Arrivals()))
 			}
 		}
-		t.Logf("%d tries; a cold runner got %d at most", len(chaos.asked), most)
-		if most < 30 {
-			t.Errorf("a cold runner got only %d queries", most)
+		t.Logf("%d tries; a cold runner got %d at most", len(chaos.sent), maximum)
+		if maximum < 30 {
+			t.Errorf("a cold runner got only %d queries", maximum)
 		}
 		setFault(cluster, standin.NoFault)
 	})
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -483,11 +483,11 @@
 		if err != nil || answer.Status != http.StatusOK {
 			return errors.Join(err, fmt.Errorf("read: %+v", answer))
 		}
-		var told struct{ Number uint64 }
-		if err := json.Unmarshal(answer.Body, &told); err != nil {
+		var reported struct{ Number uint64 }
+		if err := json.Unmarshal(answer.Body, &reported); err != nil {
 			return err
 		}
-		answer, err = cluster.Administer(http.MethodPut, "/v1/config", map[string]any{"source": Config(rules), "expected": told.Number})
+		answer, err = cluster.Administer(http.MethodPut, "/v1/config", map[string]any{"source": Config(rules), "expected": reported.Number})
 		if err != nil || answer.Status != http.StatusOK {
 			return errors.Join(err, fmt.Errorf("put: %s", answer.Body))
 		}
@@ -567,19 +567,19 @@
 	said := &StreamedAnswer{}
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
-		var told StreamRecord
-		if err := json.Unmarshal(lines.Bytes(), &told); err != nil {
+		var reported StreamRecord
+		if err := json.Unmarshal(lines.Bytes(), &reported); err != nil {
 			return said, err
 		}
-		if told.Conversation != "" {
-			said.Conversation, said.Turn = told.Conversation, told.Turn
+		if reported.Conversation != "" {
+			said.Conversation, said.Turn = reported.Conversation, reported.Turn
 		}
-		if told.Event == "piece" {
-			said.Words += told.Words
-			said.Seqs = append(said.Seqs, told.Seq)
+		if reported.Event == "piece" {
+			said.Words += reported.Words
+			said.Seqs = append(said.Seqs, reported.Seq)
 		}
-		if told.End != "" {
-			said.End, said.Reason, said.Error = told.End, told.Reason, told.Kind
+		if reported.End != "" {
+			said.End, said.Reason, said.Error = reported.End, reported.Reason, reported.Kind
 			return said, nil
 		}
 	}
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -263,9 +263,9 @@
 	}
 	<-time.After(time.Until(until))
 	cluster.end(cut, victim)
-	mended := time.Now()
-	cluster.mustServe(t, cut, victim, base, mended)
-	took = time.Since(mended)
+	repaired := time.Now()
+	cluster.mustServe(t, cut, victim, base, repaired)
+	took = time.Since(repaired)
 	if took > servesWithin {
 		t.Errorf("%s: served again after %s", cut, took)
 	}
@@ -320,7 +320,7 @@
 func TestPausedControlLeaderResumesAndReportsNothingOld(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		base := uint64(0)
-		for round, trouble := range []struct {
+		for round, fault := range []struct {
 			begin, end func(victim *Machine)
 			duration   time.Duration
 		}{
@@ -334,8 +334,8 @@
 			}
 			base++
 			victim := cluster.leader()
-			trouble.begin(victim)
-			until := time.Now().Add(trouble.duration)
+			fault.begin(victim)
+			until := time.Now().Add(fault.duration)
 			var newest struct {
 				sync.Mutex
 				revision uint64
@@ -354,8 +354,8 @@
 						if err != nil || answer.Status != http.StatusOK {
 							continue
 						}
-						if told := revisionShown(t, answer); told < atLeast {
-							t.Errorf("round %d: revision %d was told, %d was acknowledged before", round, told, atLeast)
+						if reported := revisionShown(t, answer); reported < atLeast {
+							t.Errorf("round %d: revision %d was told, %d was acknowledged before", round, reported, atLeast)
 						}
 						<-time.After(100 * time.Millisecond)
 					}
@@ -372,11 +372,11 @@
 				newest.Unlock()
 				<-time.After(300 * time.Millisecond)
 			}
-			trouble.end(victim)
-			mended := time.Now()
-			cluster.mustServe(t, networkCut{leads: true, manner: "frozen or slow", duration: trouble.duration}, victim, base, mended)
+			fault.end(victim)
+			repaired := time.Now()
+			cluster.mustServe(t, networkCut{leads: true, manner: "frozen or slow", duration: fault.duration}, victim, base, repaired)
 			base++
-			if took := time.Since(mended); took > servesWithin {
+			if took := time.Since(repaired); took > servesWithin {
 				t.Errorf("round %d: served again after %s", round, took)
 			}
 			asking.Wait()
--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// asked sends work under a key in the background.
-func (cluster *Cluster) asked(front *Machine, path string, body map[string]any) <-chan *Answer {
+// sent sends work under a key in the background.
+func (cluster *Cluster) sent(front *Machine, path string, body map[string]any) <-chan *Answer {
 	answers := make(chan *Answer, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
@@ -39,14 +39,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told struct {
+	var reported struct {
 		Events []struct{ Words string }
 	}
-	if err := json.Unmarshal(answer.Body, &told); err != nil {
+	if err := json.Unmarshal(answer.Body, &reported); err != nil {
 		t.Fatal(err)
 	}
 	spoken := 0
-	for _, event := range told.Events {
+	for _, event := range reported.Events {
 		spoken += len(wordsOf(event.Words))
 	}
 	return spoken
@@ -92,11 +92,11 @@
 			}
 			return nil
 		}
-		cluster.asked(dead, "/v1/queries", receipt("dead-once", "pay !slow"))
-		cluster.asked(dead, "/v1/conversations", talk("dead-turn", "go on !endless"))
+		cluster.sent(dead, "/v1/queries", receipt("dead-once", "pay !slow"))
+		cluster.sent(dead, "/v1/conversations", talk("dead-turn", "go on !endless"))
 		<-time.After(200 * time.Millisecond)
 		dead.Kill()
-		once := within("work of a killed front", 1500*time.Millisecond, cluster.asked(other, "/v1/queries", receipt("dead-once", "pay !slow")))
+		once := within("work of a killed front", 1500*time.Millisecond, cluster.sent(other, "/v1/queries", receipt("dead-once", "pay !slow")))
 		if once.Error.Kind != "unknown" || once.Error.RetryAfter != 0 {
 			t.Fatalf("work of a killed front: %s", once)
 		}
@@ -110,12 +110,12 @@
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		cluster.asked(dead, "/v1/queries", receipt("frozen-once", "pay !slow"))
-		cluster.asked(dead, "/v1/conversations", talk("frozen-turn", "go on !endless"))
+		cluster.sent(dead, "/v1/queries", receipt("frozen-once", "pay !slow"))
+		cluster.sent(dead, "/v1/conversations", talk("frozen-turn", "go on !endless"))
 		<-time.After(200 * time.Millisecond)
 		cluster.Network.Freeze(dead.Host)
 		<-time.After(4 * time.Second) // its session is over
-		once = within("work of a frozen front", 2*time.Second, cluster.asked(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+		once = within("work of a frozen front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
 		if once.Error.Kind != "unknown" || once.Error.RetryAfter == 0 {
 			t.Fatalf("work of a frozen front: %s", once)
 		}
@@ -125,7 +125,7 @@
 		}
 		cluster.Network.Thaw(dead.Host)
 		<-time.After(2 * time.Second)
-		once = within("work of a woken front", 2*time.Second, cluster.asked(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+		once = within("work of a woken front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
 		if once.Status != http.StatusOK {
 			t.Fatalf("work of a woken front: %s", once)
 		}
@@ -142,14 +142,14 @@
 	Reserved int `json:"reserved"`
 }
 
-func (cluster *Cluster) quota(front *Machine, program string) (told quotaUsage, err error) {
+func (cluster *Cluster) quota(front *Machine, program string) (reported quotaUsage, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	answer, err := cluster.Ask(ctx, http.MethodGet, front.Host+":7100", "/v1/tallies/"+program, TeamToken, nil)
 	if err != nil {
-		return told, err
+		return reported, err
 	}
-	return told, json.Unmarshal(answer.Body, &told)
+	return reported, json.Unmarshal(answer.Body, &reported)
 }
 
 // TestReservationsOfLostFrontsAreSettled lets fronts die amid turns of a program, and
@@ -169,7 +169,7 @@
 				for _, store := range cluster.Stores {
 					cluster.Network.CutOneWay(store.Host, front.Host)
 				}
-				answers := cluster.asked(front, "/v1/conversations", ask)
+				answers := cluster.sent(front, "/v1/conversations", ask)
 				<-time.After(500 * time.Millisecond)
 				front.Kill()
 				<-answers
@@ -177,11 +177,11 @@
 					cluster.Network.Heal(store.Host, front.Host)
 				}
 			default:
-				answers := cluster.asked(front, "/v1/conversations", ask)
+				answers := cluster.sent(front, "/v1/conversations", ask)
 				<-time.After(time.Duration(60+cluster.Random(uint64(round)).IntN(300)) * time.Millisecond)
 				front.Kill()
 				<-answers
-				<-cluster.asked(cluster.Fronts[2], "/v1/conversations", ask)
+				<-cluster.sent(cluster.Fronts[2], "/v1/conversations", ask)
 			}
 			if err := front.Start(); err != nil {
 				t.Fatal(err)
@@ -190,10 +190,10 @@
 				t.Fatal(err)
 			}
 		}
-		var told quotaUsage
+		var reported quotaUsage
 		err := cluster.Await(90*time.Second, "settled tally", func() (err error) {
-			if told, err = cluster.quota(cluster.Fronts[2], "tight"); err == nil && told.Reserved > 0 {
-				err = fmt.Errorf("%d words are still reserved", told.Reserved)
+			if reported, err = cluster.quota(cluster.Fronts[2], "tight"); err == nil && reported.Reserved > 0 {
+				err = fmt.Errorf("%d words are still reserved", reported.Reserved)
 			}
 			return err
 		})
@@ -204,9 +204,9 @@
 		for _, round := range []int{0, 1, 2, 5} {
 			spoken += cluster.spokenIn(t, cluster.Fronts[2], named("tight", fmt.Sprintf("lost-%d", round)))
 		}
-		t.Logf("%d words are recorded, %d are counted", spoken, told.Spent)
-		if spoken < 300 || told.Spent < spoken || told.Spent > 900+150 {
-			t.Fatalf("%d words are recorded, %d are counted", spoken, told.Spent)
+		t.Logf("%d words are recorded, %d are counted", spoken, reported.Spent)
+		if spoken < 300 || reported.Spent < spoken || reported.Spent > 900+150 {
+			t.Fatalf("%d words are recorded, %d are counted", spoken, reported.Spent)
 		}
 		if _, err := cluster.Turn(cluster.Fronts[2], map[string]any{"program": "tight", "kind": "talk", "words": "once more"}); err != nil {
 			t.Fatalf("the program cannot go on: %v", err)
@@ -226,8 +226,8 @@
 			}
 			away := cluster.Stores[round]
 			away.Kill()
-			live := cluster.asked(cluster.Fronts[0], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
-			again := cluster.asked(cluster.Fronts[1], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
+			live := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
+			again := cluster.sent(cluster.Fronts[1], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
 			for _, answers := range []<-chan *Answer{live, again} {
 				if answer := <-answers; answer == nil || answer.Status != http.StatusOK {
 					t.Fatalf("a live run was closed early: %s", answer)
--- a/proof/simulator/decommission_test.go
+++ b/proof/simulator/decommission_test.go
@@ -33,8 +33,8 @@
 func (cluster *Cluster) awaitStores(t *testing.T, count int) {
 	t.Helper()
 	err := cluster.Await(30*time.Second, "all stores listed", func() error {
-		told, err := cluster.fleet()
-		if err == nil && (len(told.Stores) != count || told.Unhealed > 0) {
+		reported, err := cluster.fleet()
+		if err == nil && (len(reported.Stores) != count || reported.Unhealed > 0) {
 			err = errors.New("not yet")
 		}
 		return err
@@ -118,9 +118,9 @@
 		if err := others[1].Start(); err != nil {
 			t.Fatal(err)
 		}
-		told, err := cluster.fleet()
-		if err != nil || len(told.Stores) != 3 {
-			t.Fatalf("%+v %v", told, err)
+		reported, err := cluster.fleet()
+		if err != nil || len(reported.Stores) != 3 {
+			t.Fatalf("%+v %v", reported, err)
 		}
 	})
 }
--- a/proof/simulator/decommissionarchive_test.go
+++ b/proof/simulator/decommissionarchive_test.go
@@ -22,9 +22,9 @@
 	<-time.After((elapsed/period+1)*period - elapsed + offset)
 }
 
-// withoutMostSpare gives all stores but the one that has replicas of the fewest groups: the
+// withoutLeastLoaded gives all stores but the one that has replicas of the fewest groups: the
 // others share the most groups.
-func (cluster *Cluster) withoutMostSpare() []*Machine {
+func (cluster *Cluster) withoutLeastLoaded() []*Machine {
 	spare := slices.MinFunc(cluster.Stores, func(left, right *Machine) int {
 		return len(left.Store.Host().Statuses()) - len(right.Store.Host().Statuses())
 	})
@@ -48,7 +48,7 @@
 func TestDecommissionedStoreKeepsNewestArchivedRangeAvailable(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
-		sharing := cluster.withoutMostSpare()
+		sharing := cluster.withoutLeastLoaded()
 		at := cluster.Random(61).IntN(len(sharing))
 		cut := sharing[at]
 		sharing = slices.Delete(sharing, at, at+1)
@@ -73,9 +73,9 @@
 		returned := time.Now()
 		state := feed.StateDecommissioning
 		for time.Since(returned) < successorTime {
-			if told, err := cluster.retireState(1, machine); err == nil && told == feed.StateDecommissioned && state == feed.StateDecommissioning {
+			if reported, err := cluster.retireState(1, machine); err == nil && reported == feed.StateDecommissioned && state == feed.StateDecommissioning {
 				t.Logf("retired %s after the cut", time.Since(returned))
-				state = told
+				state = reported
 				leaving.LosePower()
 				leaving.Wipe()
 			}
@@ -213,7 +213,7 @@
 			cluster.Network.Rejoin(machine.Host)
 		},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range troubles {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 				cluster.awaitStores(t, 4)
@@ -227,7 +227,7 @@
 				if err := cluster.beginRetire(0, machine); err != nil {
 					t.Fatal(err)
 				}
-				trouble(t, cluster, victim)
+				fault(t, cluster, victim)
 				over := time.Now()
 				cluster.awaitRetired(t, machine)
 				leaving.LosePower()
--- a/proof/simulator/diskloss_test.go
+++ b/proof/simulator/diskloss_test.go
@@ -84,9 +84,9 @@
 		cluster.Network.Rejoin(lags.Host)
 		cluster.wantConfig(t, "the first")
 		if err := cluster.Await(40*time.Second, "three controls", func() error {
-			told, err := cluster.fleet()
-			if err == nil && len(told.Controls) != 3 {
-				err = fmt.Errorf("%d controls are listed", len(told.Controls))
+			reported, err := cluster.fleet()
+			if err == nil && len(reported.Controls) != 3 {
+				err = fmt.Errorf("%d controls are listed", len(reported.Controls))
 			}
 			return err
 		}); err != nil {
@@ -125,9 +125,9 @@
 			}
 		}
 		cluster.wantConfig(t, "the second")
-		told, err := cluster.fleet()
-		if err != nil || len(told.Stores) != 4 {
-			t.Fatalf("the store list has %v (%v)", told.Stores, err)
+		reported, err := cluster.fleet()
+		if err != nil || len(reported.Stores) != 4 {
+			t.Fatalf("the store list has %v (%v)", reported.Stores, err)
 		}
 		if err := cluster.AwaitServing(20 * time.Second); err != nil {
 			t.Fatal(err)
@@ -140,19 +140,19 @@
 func (cluster *Cluster) awaitHealed(t *testing.T) {
 	t.Helper()
 	err := cluster.Await(60*time.Second, "healed fleet", func() error {
-		told, err := cluster.fleet()
+		reported, err := cluster.fleet()
 		if err != nil {
 			return err
 		}
-		if told.Unhealed > 0 {
-			return fmt.Errorf("%d groups are not healed", told.Unhealed)
+		if reported.Unhealed > 0 {
+			return fmt.Errorf("%d groups are not healed", reported.Unhealed)
 		}
 		for _, machine := range cluster.Stores {
 			if machine.Store == nil {
 				continue
 			}
 			listed := false
-			for _, member := range told.Stores {
+			for _, member := range reported.Stores {
 				listed = listed || member.Name == machine.Store.Name()
 			}
 			if !listed {
--- a/proof/simulator/durable_test.go
+++ b/proof/simulator/durable_test.go
@@ -19,11 +19,11 @@
 
 // replayed folds records as the node does: the last value of each group counts.
 func replayed(records []durablelog.Record) map[uint32]string {
-	held := map[uint32]string{}
+	buffered := map[uint32]string{}
 	for _, record := range records {
-		held[record.Group] = string(record.Data)
+		buffered[record.Group] = string(record.Data)
 	}
-	return held
+	return buffered
 }
 
 func TestDataFolderKeepsSyncedRecordsOverPowerLoss(t *testing.T) {
@@ -47,11 +47,11 @@
 				}
 				model[record.Group] = string(record.Data)
 			case step < 180:
-				image := []durablelog.Record{}
+				snapshot := []durablelog.Record{}
 				for group, value := range model {
-					image = append(image, durablelog.Record{Group: group, Kind: 1, Data: []byte(value)})
+					snapshot = append(snapshot, durablelog.Record{Group: group, Kind: 1, Data: []byte(value)})
 				}
-				if err := log.WriteSnapshot(slices.Values(image)); err != nil {
+				if err := log.WriteSnapshot(slices.Values(snapshot)); err != nil {
 					return err.Error()
 				}
 			case step < 200: // a write that fails and is written again
@@ -114,7 +114,7 @@
 		}
 		model[group] = value
 	}
-	image := func() []durablelog.Record {
+	snapshot := func() []durablelog.Record {
 		records := []durablelog.Record{}
 		for group, value := range model {
 			records = append(records, durablelog.Record{Group: group, Kind: 1, Data: []byte(value)})
@@ -125,7 +125,7 @@
 		for group := range uint32(4) {
 			append1(group, fmt.Sprintf("round %d", round))
 		}
-		if err := log.WriteSnapshot(slices.Values(image())); err != nil {
+		if err := log.WriteSnapshot(slices.Values(snapshot())); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -178,9 +178,9 @@
 	}
 }
 
-// TestOpeningTheArchiveReadsNoEvents keeps the start after an outage short,
+// TestArchiveStartReadsNoEvents keeps the start after an outage short,
 // however much was archived.
-func TestOpeningTheArchiveReadsNoEvents(t *testing.T) {
+func TestArchiveStartReadsNoEvents(t *testing.T) {
 	disk := NewDisk(1)
 	cold, err := archive.Open(disk)
 	if err != nil {
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -82,9 +82,9 @@
 		for round := range 10 {
 			key := fmt.Sprintf("race-%d", round)
 			answers := make([]*Answer, 6)
-			var asked sync.WaitGroup
+			var sent sync.WaitGroup
 			for position := range answers {
-				asked.Go(func() {
+				sent.Go(func() {
 					answer, err := cluster.once(cluster.Fronts[position%2], key, "book seat 4")
 					if err != nil {
 						t.Error(err)
@@ -93,7 +93,7 @@
 					answers[position] = answer
 				})
 			}
-			asked.Wait()
+			sent.Wait()
 			for position, answer := range answers {
 				if answer == nil || answer.Status != http.StatusOK {
 					t.Fatalf("%s, query %d: %+v", key, position, answer)
@@ -112,7 +112,7 @@
 // line, or the front itself, at many moments of its course.
 func TestUnrepeatableWorkOverKilledLeadersAndFronts(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 2}, func(t *testing.T, cluster *Cluster) {
-		told := map[string]int{}
+		reported := map[string]int{}
 		for round := range 24 {
 			key := fmt.Sprintf("kill-%d", round)
 			front := cluster.Fronts[round%2]
@@ -130,7 +130,7 @@
 			seen := []*Answer{}
 			if answer := <-answers; answer != nil {
 				seen = append(seen, answer)
-				told[answer.Error.Kind]++
+				reported[answer.Error.Kind]++
 			}
 			if err := victim.Start(); err != nil {
 				t.Fatal(err)
@@ -147,7 +147,7 @@
 				t.Fatal(err)
 			}
 		}
-		t.Logf("first answers by kind: %v", told)
+		t.Logf("first answers by kind: %v", reported)
 	})
 }
 
@@ -238,13 +238,13 @@
 				t.Fatal(err)
 			}
 			results := make([]error, 4)
-			var asked sync.WaitGroup
+			var sent sync.WaitGroup
 			for position := range results {
-				asked.Go(func() {
+				sent.Go(func() {
 					_, results[position] = cluster.Turn(cluster.Fronts[position%2], map[string]any{"conversation": first.Conversation, "follows": first.Turn, "kind": "talk", "words": fmt.Sprintf("way %d", position)})
 				})
 			}
-			asked.Wait()
+			sent.Wait()
 			won := 0
 			for _, err := range results {
 				if err == nil {
@@ -265,9 +265,9 @@
 		var mutex sync.Mutex
 		spoken, exhausted := 0, 0
 		for round := range 3 {
-			var asked sync.WaitGroup
+			var sent sync.WaitGroup
 			for position := range 9 {
-				asked.Go(func() {
+				sent.Go(func() {
 					said, err := cluster.Turn(cluster.Fronts[position%3], map[string]any{"program": "tight", "kind": "talk", "words": "say more"})
 					mutex.Lock()
 					defer mutex.Unlock()
@@ -279,7 +279,7 @@
 					}
 				})
 			}
-			asked.Wait()
+			sent.Wait()
 			if round == 0 {
 				cluster.Fronts[0].Kill()
 				for _, store := range cluster.Stores {
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -59,46 +59,46 @@
 // down.
 //
 //	runners, err := cluster.RunnerList.List(ctx)
-func (roster *RunnerList) List(context.Context) ([]feed.Runner, error) {
-	roster.mutex.Lock()
-	defer roster.mutex.Unlock()
-	roster.polls++
-	runners := append([]feed.Runner{}, roster.runners...)
+func (runnerList *RunnerList) List(context.Context) ([]feed.Runner, error) {
+	runnerList.mutex.Lock()
+	defer runnerList.mutex.Unlock()
+	runnerList.polls++
+	runners := append([]feed.Runner{}, runnerList.runners...)
 	for position, runner := range runners {
-		if left := runner.WarmUpLeft - time.Since(roster.put); runner.WarmUpLeft > 0 && left > 0 {
+		if left := runner.WarmUpLeft - time.Since(runnerList.put); runner.WarmUpLeft > 0 && left > 0 {
 			runners[position].WarmUpLeft = left
 		} else if runner.WarmUpLeft > 0 {
 			runners[position].State, runners[position].WarmUpLeft = feed.StateServing, 0
 		}
 	}
-	return runners, roster.failing
+	return runners, runnerList.failing
 }
 
 // Polls tells how often the list was asked for.
 //
 //	asks := cluster.RunnerList.Polls()
-func (roster *RunnerList) Polls() int {
-	roster.mutex.Lock()
-	defer roster.mutex.Unlock()
-	return roster.polls
+func (runnerList *RunnerList) Polls() int {
+	runnerList.mutex.Lock()
+	defer runnerList.mutex.Unlock()
+	return runnerList.polls
 }
 
 // Put replaces the list.
 //
 //	cluster.RunnerList.Put(runners)
-func (roster *RunnerList) Put(runners []feed.Runner) {
-	roster.mutex.Lock()
-	roster.runners, roster.put = append([]feed.Runner{}, runners...), time.Now()
-	roster.mutex.Unlock()
+func (runnerList *RunnerList) Put(runners []feed.Runner) {
+	runnerList.mutex.Lock()
+	runnerList.runners, runnerList.put = append([]feed.Runner{}, runners...), time.Now()
+	runnerList.mutex.Unlock()
 }
 
 // Fail makes asking for the list fail, until it is nil.
 //
 //	cluster.RunnerList.Fail(errors.New("throttled"))
-func (roster *RunnerList) Fail(err error) {
-	roster.mutex.Lock()
-	roster.failing = err
-	roster.mutex.Unlock()
+func (runnerList *RunnerList) Fail(err error) {
+	runnerList.mutex.Lock()
+	runnerList.failing = err
+	runnerList.mutex.Unlock()
 }
 
 // Runner is the engine as the platform's list names it.
@@ -240,15 +240,15 @@
 //	err := cluster.AwaitForwarding(12 * time.Second)
 func (cluster *Cluster) AwaitForwarding(timeout time.Duration) error {
 	began := time.Now()
-	tries := 0
+	attempts := 0
 	for _, machine := range cluster.Fronts {
 		if machine.Front == nil {
 			continue
 		}
 		for _, path := range []string{"/lookup/ready", "/talk/kept/ready"} {
 			if err := cluster.Await(timeout-time.Since(began), path+" at "+machine.Host, func() error {
-				tries++
-				name := fmt.Sprintf("ready-%s-%d-%d", machine.Host, began.UnixNano(), tries)
+				attempts++
+				name := fmt.Sprintf("ready-%s-%d-%d", machine.Host, began.UnixNano(), attempts)
 				answer := cluster.Forward(machine, forwarding.Request{Name: name, Path: path, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 				if !answer.Complete() {
 					return fmt.Errorf("%d: %w", answer.Status, answer.Err)
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestKeptTurnsCarryTheirWholeChainFromAnyFront(t *testing.T) {
+func TestKeptTurnsCarryTheirCompleteChainFromAnyFront(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		turn := func(front int, program, name, follows, words string) string {
 			answer := cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -22,11 +22,11 @@
 
 // streamOf is the whole stream that a prompt is answered with.
 func streamOf(prompt string) string {
-	whole := ""
+	complete := ""
 	for number := 1; number <= 5; number++ {
-		whole += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData(prompt, number))
+		complete += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData(prompt, number))
 	}
-	return whole
+	return complete
 }
 
 func TestFrontRejectsAtOnceWhatItCannotBuffer(t *testing.T) {
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestASuccessWithoutEventsCountsAtItsMostAndIsKeptIfItsTurnIs(t *testing.T) {
+func TestSuccessWithoutEventsCountsAsMaximumAndIsKeptWithItsTurn(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		setFault(cluster, standin.FaultPlainAnswer)
 		plain := cluster.kept(0, "plain", "", "one ")
--- a/proof/simulator/history_test.go
+++ b/proof/simulator/history_test.go
@@ -53,8 +53,8 @@
 func (cluster *Cluster) awaitConfig(t *testing.T, host string, number uint64, view func() *feed.View) []byte {
 	t.Helper()
 	err := cluster.Await(historyTimeout, fmt.Sprintf("config %d at %s", number, host), func() error {
-		if held := view().ConfigNumber; held != number {
-			return fmt.Errorf("it holds %d", held)
+		if buffered := view().ConfigNumber; buffered != number {
+			return fmt.Errorf("it holds %d", buffered)
 		}
 		return nil
 	})
@@ -75,7 +75,7 @@
 		if view == nil {
 			continue
 		}
-		if held := cluster.awaitConfig(t, machine.Host, newest.ConfigNumber, view); !bytes.Equal(held, digest) {
+		if buffered := cluster.awaitConfig(t, machine.Host, newest.ConfigNumber, view); !bytes.Equal(buffered, digest) {
 			t.Fatalf("%s: %s holds another config of number %d", when, machine.Host, newest.ConfigNumber)
 		}
 	}
@@ -119,8 +119,8 @@
 			if err := machine.Start(); err != nil {
 				t.Fatal(err)
 			}
-			if read, most := machine.Disk.TakeRead(), startBytes(cluster); read > most {
-				t.Errorf("%s read %d bytes at its start, more than %d", machine.Host, read, most)
+			if read, maximum := machine.Disk.TakeRead(), startBytes(cluster); read > maximum {
+				t.Errorf("%s read %d bytes at its start, more than %d", machine.Host, read, maximum)
 			}
 			cluster.checkSameConfig(t, "after a restart")
 		}
@@ -171,8 +171,8 @@
 			}
 		}
 		for _, machine := range behind {
-			if held := machine.view()().Number; held > before.Number {
-				t.Errorf("%s was cut off at %d and holds %d", machine.Host, before.Number, held)
+			if buffered := machine.view()().Number; buffered > before.Number {
+				t.Errorf("%s was cut off at %d and holds %d", machine.Host, before.Number, buffered)
 			}
 			cluster.Network.Rejoin(machine.Host)
 		}
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -53,21 +53,21 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		words, asked, told := state.(string), input.(sessionInput), output.(sessionOutput)
+		words, sent, reported := state.(string), input.(sessionInput), output.(sessionOutput)
 		head := uint64(strings.Count(words, ","))
-		if asked.read {
-			return told.unknown || told.words == words, words
+		if sent.read {
+			return reported.unknown || reported.words == words, words
 		}
-		matches := !asked.expects || asked.expected == head
+		matches := !sent.expects || sent.expected == head
 		switch {
-		case told.unknown && !matches:
+		case reported.unknown && !matches:
 			return true, words
-		case told.unknown:
-			return true, words + asked.word + ","
-		case told.refused:
+		case reported.unknown:
+			return true, words + sent.word + ","
+		case reported.refused:
 			return !matches, words
 		}
-		return matches && told.seq == head+1, words + asked.word + ","
+		return matches && reported.seq == head+1, words + sent.word + ","
 	},
 	Equal: func(left, right any) bool { return left.(string) == right.(string) },
 }
@@ -178,24 +178,24 @@
 // another takes it under the next fence, and what the old one puts is refused.
 func TestPausedLeaseHolderThatResumesIsFenced(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		held := cluster.Controls[0].Control.View().RoleLeaseOf("roster")
+		buffered := cluster.Controls[0].Control.View().RoleLeaseOf("roster")
 		var owner *Machine
 		for _, machine := range cluster.Controls {
-			if machine.Control.Name() == held.Holder {
+			if machine.Control.Name() == buffered.Holder {
 				owner = machine
 			}
 		}
 		if owner == nil {
-			t.Fatalf("nobody owns the roster assignment: %+v", held)
+			t.Fatalf("nobody owns the roster assignment: %+v", buffered)
 		}
 		cluster.Network.Isolate(owner.Host)
 		err := cluster.Await(20*time.Second, "new owner", func() error {
 			for _, machine := range cluster.Controls {
-				if now := machine.Control.View().RoleLeaseOf("roster"); machine != owner && now.FencingToken > held.FencingToken && now.Holder != held.Holder {
+				if now := machine.Control.View().RoleLeaseOf("roster"); machine != owner && now.FencingToken > buffered.FencingToken && now.Holder != buffered.Holder {
 					return nil
 				}
 			}
-			return fmt.Errorf("the assignment stays with %s", held.Holder)
+			return fmt.Errorf("the assignment stays with %s", buffered.Holder)
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -204,7 +204,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		err = cluster.Await(10*time.Second, "refusal", func() error {
-			_, err := owner.Control.Change(ctx, feed.Change{Kind: feed.ChangeRunners, RoleLease: held, Runners: []feed.Runner{}})
+			_, err := owner.Control.Change(ctx, feed.Change{Kind: feed.ChangeRunners, RoleLease: buffered, Runners: []feed.Runner{}})
 			if apierror.Is(err, apierror.Conflict) {
 				return nil
 			}
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -109,8 +109,8 @@
 		<-time.After(5 * time.Second)
 		// The owner of the assignment dies as the list changes.
 		for round := range 3 {
-			held := cluster.Controls[0].Control.View().RoleLeaseOf(controlplane.RunnerDiscoveryRole)
-			at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Name() == held.Holder })
+			buffered := cluster.Controls[0].Control.View().RoleLeaseOf(controlplane.RunnerDiscoveryRole)
+			at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Name() == buffered.Holder })
 			owner := cluster.Controls[at]
 			if round == 0 {
 				owner.Kill()
@@ -225,9 +225,9 @@
 		// The last copies are never given up.
 		left[2].LosePower()
 		<-time.After(20 * time.Second)
-		told, err := cluster.fleet()
-		if err != nil || len(told.Stores) != 3 {
-			t.Fatalf("stores: %v (%v)", told.Stores, err)
+		reported, err := cluster.fleet()
+		if err != nil || len(reported.Stores) != 3 {
+			t.Fatalf("stores: %v (%v)", reported.Stores, err)
 		}
 		if err := left[2].Start(); err != nil {
 			t.Fatal(err)
@@ -323,7 +323,7 @@
 func TestWhatSessionsCostIsBoundAsTheFleetGrows(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 1, Applications: 1, Engines: 1}, func(t *testing.T, cluster *Cluster) {
 		const span = 10
-		measure := func() (messages, bytes, most int64) {
+		measure := func() (messages, bytes, maximum int64) {
 			before := map[string][2]int64{}
 			for _, machine := range cluster.Controls {
 				sent, writes := cluster.Network.Sent(machine.Host)
@@ -334,22 +334,22 @@
 				sent, writes := cluster.Network.Sent(machine.Host)
 				messages += writes - before[machine.Host][1]
 				bytes += sent - before[machine.Host][0]
-				most = max(most, writes-before[machine.Host][1])
+				maximum = max(maximum, writes-before[machine.Host][1])
 			}
-			return messages / span, bytes / span, most / span
+			return messages / span, bytes / span, maximum / span
 		}
 		<-time.After(5 * time.Second)
-		messages, bytes, most := measure()
-		t.Logf("5 nodes that follow: %d messages and %d bytes a second from all control nodes, %d messages from one", messages, bytes, most)
+		messages, bytes, maximum := measure()
+		t.Logf("5 nodes that follow: %d messages and %d bytes a second from all control nodes, %d messages from one", messages, bytes, maximum)
 		cluster.watch(t, 60)
 		<-time.After(5 * time.Second)
-		moreMessages, moreBytes, mostOfMore := measure()
-		t.Logf("65 nodes that follow: %d messages and %d bytes a second from all control nodes, %d messages from one", moreMessages, moreBytes, mostOfMore)
+		moreMessages, moreBytes, maximumOfMore := measure()
+		t.Logf("65 nodes that follow: %d messages and %d bytes a second from all control nodes, %d messages from one", moreMessages, moreBytes, maximumOfMore)
 		if perNode := float64(moreMessages-messages) / 60; perNode > 6 || moreBytes > 400_000 {
 			t.Errorf("a node more costs the control nodes %.1f messages a second, and all 65 %d bytes", perNode, moreBytes)
 		}
-		if 10*mostOfMore > 7*moreMessages {
-			t.Errorf("one control node writes %d of %d messages", mostOfMore, moreMessages)
+		if 10*maximumOfMore > 7*moreMessages {
+			t.Errorf("one control node writes %d of %d messages", maximumOfMore, moreMessages)
 		}
 	})
 }
@@ -381,7 +381,7 @@
 // others go on from them, while one store after another loses its disk.
 func TestTurnsAreNeverUnknownWhileStoresAreReplaced(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.storeClient("10.8.0.1")
+		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -390,7 +390,7 @@
 			defer cancel()
 			wanted := programTurn(program, name, follows)
 			wanted.HasTokenQuota = false
-			begun, err := origin.BeginTurn(limited, wanted)
+			begun, err := client.BeginTurn(limited, wanted)
 			if apierror.Is(err, apierror.NotFound) {
 				t.Errorf("%s: turn %s goes on from %s, which was answered whole: %v", program, name, follows, err)
 			}
@@ -400,7 +400,7 @@
 			if string(begun.History) != history {
 				t.Errorf("%s: turn %s has the history %q, not %q", program, name, begun.History, history)
 			}
-			return origin.EndTurn(limited, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)) == nil
+			return client.EndTurn(limited, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)) == nil
 		}
 		var taking sync.WaitGroup
 		taken := atomic.Int64{}
@@ -412,7 +412,7 @@
 					if !turn(program, name, follows, history) {
 						continue
 					}
-					follows, history = name, history+whole(name)
+					follows, history = name, history+complete(name)
 					taken.Add(1)
 					if step%5 == 0 { // another program goes on from it
 						turn(fmt.Sprintf("%s-%d", program, step), name+"-other", follows, history)
--- a/proof/simulator/network.go
+++ b/proof/simulator/network.go
@@ -249,7 +249,7 @@
 		network.awaitThawed(host.name, nil)
 		network.mutex.Lock()
 		way, changed, found := network.reachable(host.name, hostOf(target)) && network.reachable(hostOf(target), host.name), network.changed, network.listeners[target]
-		frozen, held := network.frozen[host.name], network.frozen[hostOf(target)]
+		frozen, buffered := network.frozen[host.name], network.frozen[hostOf(target)]
 		refused := network.refused[[2]string{host.name, hostOf(target)}]
 		network.mutex.Unlock()
 		if frozen {
@@ -262,7 +262,7 @@
 			return network.connect(host.name, found)
 		}
 		var lost <-chan time.Time
-		if !held {
+		if !buffered {
 			lost, changed = time.After(again), nil
 			again *= 2
 		}
--- a/proof/simulator/notrun_test.go
+++ b/proof/simulator/notrun_test.go
@@ -22,10 +22,10 @@
 		}
 		random := cluster.Random(5)
 		var mutex sync.Mutex
-		var asked sync.WaitGroup
-		told, why := map[string]map[string]int{}, map[string][]string{}
+		var sent sync.WaitGroup
+		reported, why := map[string]map[string]int{}, map[string][]string{}
 		ask := func(front *Machine, key string, later time.Duration) {
-			asked.Go(func() {
+			sent.Go(func() {
 				<-time.After(later)
 				ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 				defer cancel()
@@ -34,11 +34,11 @@
 				defer mutex.Unlock()
 				switch {
 				case err != nil:
-					told[key]["lost"]++
+					reported[key]["lost"]++
 				case answer.Status == http.StatusOK:
-					told[key]["done"]++
+					reported[key]["done"]++
 				default:
-					told[key][answer.Error.Kind]++
+					reported[key][answer.Error.Kind]++
 					why[key] = append(why[key], answer.Error.Message)
 					if answer.Error.Kind == "not_run" && answer.Header.Get("Retry-After") == "" {
 						t.Errorf("%s was refused without saying when to come back", key)
@@ -50,7 +50,7 @@
 			for number := range 8 {
 				key := fmt.Sprintf("key-%d-%d", round, number)
 				mutex.Lock()
-				told[key] = map[string]int{}
+				reported[key] = map[string]int{}
 				mutex.Unlock()
 				for _, position := range random.Perm(3) {
 					ask(cluster.Fronts[position], key, time.Duration(random.IntN(400))*time.Millisecond)
@@ -90,10 +90,10 @@
 			case 5: // a crowd alone
 			}
 		}
-		asked.Wait()
+		sent.Wait()
 		<-time.After(30 * time.Second) // whoever was late has woken
 		sums := map[string]int{}
-		for key, kinds := range told {
+		for key, kinds := range reported {
 			count := cluster.executions("dialogue/receipt/" + key)
 			sums["ran"] += count
 			for kind, times := range kinds {
--- a/proof/simulator/outdatedrunnerlist_test.go
+++ b/proof/simulator/outdatedrunnerlist_test.go
@@ -29,24 +29,24 @@
 	return pressing.Wait
 }
 
-// mostArrivals is the most that came to a runner in one second between two moments.
-func (life *runnerLife) mostArrivals(from, to time.Time) int {
+// maxArrivalsPerSecond is the most that came to a runner in one second between two moments.
+func (life *runnerLife) maxArrivalsPerSecond(from, to time.Time) int {
 	came := slices.DeleteFunc(life.engine.Arrivals(), func(at time.Time) bool { return at.Before(from) || at.After(to) })
-	most, first := 0, 0
+	maximum, first := 0, 0
 	for last := range came {
 		for came[last].Sub(came[first]) >= time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		maximum = max(maximum, last-first+1)
 	}
-	return most
+	return maximum
 }
 
 // TestOutdatedRunnerListLimitsAllRunners lets runners turn cold by themselves while no list is
 // read: fronts can't know which, so that each runner gets no more than a cold one once the
 // last reading is too old. Before and after, runners get more than that.
 func TestOutdatedRunnerListLimitsAllRunners(t *testing.T) {
-	for name, strike := range map[string]func(chaos *chaosRun) (mend func()){
+	for name, strike := range map[string]func(chaos *chaosRun) (repair func()){
 		"list fails": func(chaos *chaosRun) func() {
 			chaos.cluster.RunnerList.Fail(errors.New("the list gives no answer"))
 			return func() { chaos.cluster.RunnerList.Fail(nil) }
@@ -120,19 +120,19 @@
 	calm := time.Now()
 	wait := chaos.pressLookups(24, calm.Add(4*span))
 	<-time.After(span)
-	mend := strike(chaos)
+	repair := strike(chaos)
 	struck := time.Now()
 	<-time.After(span)
-	mended := time.Now()
-	mend()
+	repaired := time.Now()
+	repair()
 	wait()
 	served, before, during, after := 0, 0, 0, 0
 	for _, life := range chaos.runners {
-		before = max(before, life.mostArrivals(calm, struck))
-		during = max(during, life.mostArrivals(struck.Add(warmUpNoticeBound), mended))
-		after = max(after, life.mostArrivals(mended.Add(span), time.Now()))
+		before = max(before, life.maxArrivalsPerSecond(calm, struck))
+		during = max(during, life.maxArrivalsPerSecond(struck.Add(warmUpNoticeBound), repaired))
+		after = max(after, life.maxArrivalsPerSecond(repaired.Add(span), time.Now()))
 		for _, at := range life.engine.Arrivals() {
-			if at.After(struck.Add(warmUpNoticeBound)) && at.Before(mended) {
+			if at.After(struck.Add(warmUpNoticeBound)) && at.Before(repaired) {
 				served++
 			}
 		}
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -105,12 +105,12 @@
 		for round := range 6 {
 			digest := func(operator int) string { return fmt.Sprintf("%d-%d", round, operator) }
 			orders := []config.Routing{oneRoute(base+1+uint64(random.IntN(5)), time.Second), oneRoute(base+1+uint64(random.IntN(5)), 2*time.Second)}
-			told := make([]chan error, len(orders))
+			reported := make([]chan error, len(orders))
 			began := time.Now()
 			for operator, next := range orders {
-				told[operator] = make(chan error, 1)
+				reported[operator] = make(chan error, 1)
 				from := random.IntN(5)
-				go func() { told[operator] <- cluster.replace(from, base, next, digest(operator)) }()
+				go func() { reported[operator] <- cluster.replace(from, base, next, digest(operator)) }()
 			}
 			var killed *Machine
 			if round%2 == 1 {
@@ -118,7 +118,7 @@
 				killed = cluster.leader()
 				killed.Kill()
 			}
-			results := []error{<-told[0], <-told[1]}
+			results := []error{<-reported[0], <-reported[1]}
 			winner := slices.Index(results, nil)
 			if winner < 0 || !apierror.Is(results[1-winner], apierror.Conflict) {
 				t.Fatalf("round %d: %v", round, results)
--- a/proof/simulator/seconddiskloss_test.go
+++ b/proof/simulator/seconddiskloss_test.go
@@ -130,10 +130,10 @@
 					run.loseDisks(lost...)
 					<-time.After(time.Duration(random.IntN(1500)) * time.Millisecond)
 					run.restore(lost...)
-					whole := make(chan struct{})
-					go func() { defer close(whole); run.awaitFull() }()
+					complete := make(chan struct{})
+					go func() { defer close(complete); run.awaitFull() }()
 					run.record()
-					<-whole
+					<-complete
 				}
 				t.Logf("full copies at most %s after a successor's start", run.slowest)
 				run.check()
--- a/proof/simulator/sharedprefix_test.go
+++ b/proof/simulator/sharedprefix_test.go
@@ -46,10 +46,10 @@
 type agent struct {
 	cluster  *Cluster
 	program  string
-	opening  string
+	prefix   string
 	history  string
 	follows  string
-	tries    int
+	attempts int
 	complete []string
 	refused  []string
 	broken   []string
@@ -60,11 +60,11 @@
 func (agent *agent) turn(t *testing.T, front int) {
 	t.Helper()
 	for began := time.Now(); ; {
-		agent.tries++
-		name := fmt.Sprintf("%s-t%d", agent.program, agent.tries)
+		agent.attempts++
+		name := fmt.Sprintf("%s-t%d", agent.program, agent.attempts)
 		words := fmt.Sprintf(" turn %d of %s. ", len(agent.complete), agent.program)
 		if agent.follows == "" {
-			words = agent.opening + words
+			words = agent.prefix + words
 		}
 		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(words), Program: agent.program, HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
 		if executionsOf(agent.cluster, name) > 0 && promptOf(agent.cluster, name) != agent.history+words {
@@ -91,13 +91,13 @@
 // check compares what the agent was told with what the engines did.
 func (agent *agent) check(t *testing.T) {
 	t.Helper()
-	for _, told := range []struct {
-		names       []string
-		least, most int
+	for _, reported := range []struct {
+		names          []string
+		least, maximum int
 	}{{agent.complete, 1, 1}, {agent.refused, 0, 0}, {agent.broken, 0, 1}} {
-		for _, name := range told.names {
-			if runs := executionsOf(agent.cluster, name); runs < told.least || runs > told.most {
-				t.Errorf("%s ran %d times, not %d to %d", name, runs, told.least, told.most)
+		for _, name := range reported.names {
+			if runs := executionsOf(agent.cluster, name); runs < reported.least || runs > reported.maximum {
+				t.Errorf("%s ran %d times, not %d to %d", name, runs, reported.least, reported.maximum)
 			}
 		}
 	}
@@ -163,14 +163,14 @@
 // awaitMerged waits until so many lines of a group refer to an opening, and gives the agents
 // that began meanwhile: a merge that fails with its store is proposed again as
 // conversations begin.
-func (cluster *Cluster) awaitMerged(t *testing.T, group uint32, least uint64, opening string) []*agent {
+func (cluster *Cluster) awaitMerged(t *testing.T, group uint32, least uint64, prefix string) []*agent {
 	t.Helper()
 	late, begun := programsOf(group, "late", 60), []*agent{}
 	if err := cluster.Await(45*time.Second, "a merged opening", func() error {
 		if lines, _, _ := cluster.sharing(t, group); lines >= least {
 			return nil
 		}
-		one := &agent{cluster: cluster, program: late[len(begun)], opening: opening}
+		one := &agent{cluster: cluster, program: late[len(begun)], prefix: prefix}
 		begun = append(begun, one)
 		one.turn(t, 0)
 		cluster.Sleep(time.Second)
@@ -202,7 +202,7 @@
 				opening, agents := prose(7, 2560), []*agent{}
 				join := func(prefix string, count int) {
 					for _, program := range programsOf(group, prefix, count) {
-						agents = append(agents, &agent{cluster: cluster, program: program, opening: opening})
+						agents = append(agents, &agent{cluster: cluster, program: program, prefix: opening})
 					}
 				}
 				round := func() {
@@ -211,7 +211,7 @@
 					}
 				}
 				during := func(work func()) { cluster.during(t, fault, agents[0], work) }
-				wantHeld := func(least uint64) {
+				wantBuffered := func(least uint64) {
 					t.Helper()
 					agents = append(agents, cluster.awaitMerged(t, group, least, opening)...)
 				}
@@ -227,7 +227,7 @@
 				during(func() { <-merging })
 				join("second", 5)
 				round()
-				wantHeld(3)
+				wantBuffered(3)
 				during(round)                   // while it is held
 				cluster.Sleep(25 * time.Second) // quiet lines are archived
 				during(round)                   // and archived
@@ -254,7 +254,7 @@
 		random, all := cluster.Random(11), []*agent{}
 		join := func(prefix string, count int) {
 			for _, program := range programsOf(group, prefix, count) {
-				one := &agent{cluster: cluster, program: program, opening: prose(7, 2560)}
+				one := &agent{cluster: cluster, program: program, prefix: prose(7, 2560)}
 				one.turn(t, random.IntN(2))
 				all = append(all, one)
 			}
@@ -293,13 +293,13 @@
 		agents := []*agent{}
 		join := func(prefix string) {
 			for _, program := range programsOf(group, prefix, 4) {
-				agents = append(agents, &agent{cluster: cluster, program: program, opening: prose(8, 2560)})
+				agents = append(agents, &agent{cluster: cluster, program: program, prefix: prose(8, 2560)})
 			}
 		}
 		for position, step := range []struct {
-			rules string
-			share bool
-			most  uint64
+			rules   string
+			share   bool
+			maximum uint64
 		}{{RoutedConfig, false, 0}, {sharingConfig, true, 8}, {RoutedConfig, false, 8}, {sharingConfig, true, 16}} {
 			if err := cluster.PutConfig(step.rules); err != nil {
 				t.Fatal(err)
@@ -313,7 +313,7 @@
 				}
 			}
 			after, _, state := cluster.sharing(t, group)
-			if grew := after > before; grew != step.share || after > step.most {
+			if grew := after > before; grew != step.share || after > step.maximum {
 				t.Fatalf("step %d: %d lines referred to openings, now %d", position, before, after)
 			}
 			if _, rows := cluster.show(t, "show openings where group = all"); len(rows) != 1 || (rows[0][7] == "on") != step.share || state == "damaged" {
@@ -329,15 +329,15 @@
 // TestScopesNeverSharePrefixes lets two scopes bring the same opening.
 func TestScopesNeverSharePrefixes(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.storeClient("10.8.0.1")
+		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		const group = 2
-		opening := prose(9, 2560)
+		prefix := prose(9, 2560)
 		for position, name := range programsOf(group, "p", 8) {
 			scope := []string{"identity", "permits", "identity", "permits", "identity", "identity", "", "alone"}[position]
 			turn := programTurn(name, name, "")
-			turn.PrefixScope, turn.Input = scope, []byte(opening+name)
-			if _, err := origin.BeginTurn(context.Background(), turn); err != nil {
+			turn.PrefixScope, turn.Input = scope, []byte(prefix+name)
+			if _, err := client.BeginTurn(context.Background(), turn); err != nil {
 				t.Fatal(err)
 			}
 			cluster.Sleep(200 * time.Millisecond)
@@ -357,32 +357,32 @@
 // is not what its name says.
 func TestDamagedSharedPrefixIsRepairedFromAPeer(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.storeClient("10.8.0.1")
+		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		const group = 2
-		opening, names := prose(9, 2560), programsOf(group, "p", 5)
+		prefix, names := prose(9, 2560), programsOf(group, "p", 5)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		for _, name := range names {
 			turn := programTurn(name, name, "")
-			turn.PrefixScope, turn.Input = "identity", []byte(opening+"in "+name+"\n")
-			begun, err := origin.BeginTurn(ctx, turn)
+			turn.PrefixScope, turn.Input = "identity", []byte(prefix+"in "+name+"\n")
+			begun, err := client.BeginTurn(ctx, turn)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := origin.EndTurn(ctx, programTurnEnd(name, name, sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
+			if err := client.EndTurn(ctx, programTurnEnd(name, name, sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
 				t.Fatal(err)
 			}
 			cluster.Sleep(200 * time.Millisecond)
 		}
 		leader := cluster.leaderOf("program/" + names[0])
 		damage := func(machine *Machine) {
-			held := machine.Store.StateMachine(group)
-			image := held.View().Snapshot()
-			for position := range image.Prefixes {
-				image.Prefixes[position].Data[100] ^= 1
+			buffered := machine.Store.StateMachine(group)
+			snapshot := buffered.View().Snapshot()
+			for position := range snapshot.Prefixes {
+				snapshot.Prefixes[position].Data[100] ^= 1
 			}
-			if err := held.Restore(image); err != nil {
+			if err := buffered.Restore(snapshot); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -390,14 +390,14 @@
 		if _, _, state := cluster.sharing(t, group); state != "damaged" {
 			t.Fatalf("the opening is %s", state)
 		}
-		whole := func(name string) string { return opening + "in " + name + "\nout " + name + "\n" }
+		complete := func(name string) string { return prefix + "in " + name + "\nout " + name + "\n" }
 		turn := func(name, follows string) (*storeclient.BegunTurn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
-			return origin.BeginTurn(ctx, programTurn(follows, name, follows))
+			return client.BeginTurn(ctx, programTurn(follows, name, follows))
 		}
 		begun, err := turn("next", names[4])
-		if err != nil || string(begun.History) != whole(names[4]) {
+		if err != nil || string(begun.History) != complete(names[4]) {
 			t.Fatalf("%.200q, %v", fmt.Sprint(begun), err)
 		}
 		if _, _, state := cluster.sharing(t, group); state != "held" {
@@ -414,21 +414,21 @@
 		}
 		short, over := context.WithTimeout(ctx, 4*time.Second)
 		defer over()
-		if _, err := origin.Read(short, wire.ReadQuery{Session: "program/" + names[3]}); !apierror.Is(err, apierror.Gap) && !apierror.Is(err, apierror.NoQuorum) {
+		if _, err := client.Read(short, wire.ReadQuery{Session: "program/" + names[3]}); !apierror.Is(err, apierror.Gap) && !apierror.Is(err, apierror.NoQuorum) {
 			t.Fatalf("%v", err)
 		}
 		// The same opening said anew mends it.
 		fresh := programsOf(group, "q", 3)
 		for _, name := range fresh {
 			again := programTurn(name, name, "")
-			again.PrefixScope, again.Input = "identity", []byte(opening+"in "+name+"\n")
-			if _, err := origin.BeginTurn(ctx, again); err != nil {
+			again.PrefixScope, again.Input = "identity", []byte(prefix+"in "+name+"\n")
+			if _, err := client.BeginTurn(ctx, again); err != nil {
 				t.Fatal(err)
 			}
 			cluster.Sleep(5 * time.Second)
 		}
 		begun, err = turn("later", names[2])
-		if err != nil || string(begun.History) != whole(names[2]) {
+		if err != nil || string(begun.History) != complete(names[2]) {
 			t.Fatalf("%.200q, %v", fmt.Sprint(begun), err)
 		}
 	})
@@ -438,18 +438,18 @@
 // turn, on one fleet; the network's delays are the same for both.
 func TestTurnWaitsForNoMoreWithSharedPrefixes(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.storeClient("10.8.0.1")
+		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
-		opening, waited := prose(9, 2560), map[string][]time.Duration{}
+		prefix, waited := prose(9, 2560), map[string][]time.Duration{}
 		take := func(turn storeclient.Turn, arm, want string) {
 			began := time.Now()
-			begun, err := origin.BeginTurn(context.Background(), turn)
+			begun, err := client.BeginTurn(context.Background(), turn)
 			if err != nil || string(begun.History) != want {
 				t.Fatalf("%s: %v", turn.Name, err)
 			}
 			waited[arm] = append(waited[arm], time.Since(began))
 			ended := storeclient.TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Seq: begun.Seq, Output: []byte("out"), Outcome: sessionlog.OutcomeComplete, KeepHistory: true}
-			if err := origin.EndTurn(context.Background(), ended); err != nil {
+			if err := client.EndTurn(context.Background(), ended); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -457,11 +457,11 @@
 			for arm, scope := range map[string]string{"off": "", "on": "identity"} {
 				name := fmt.Sprintf("%s-%d", arm, number)
 				first := programTurn(name, name, "")
-				first.PrefixScope, first.Input, first.HasTokenQuota = scope, []byte(opening+name), false
+				first.PrefixScope, first.Input, first.HasTokenQuota = scope, []byte(prefix+name), false
 				take(first, arm, "")
 				second := programTurn(name, name+"-second", name)
 				second.PrefixScope, second.HasTokenQuota = scope, false
-				take(second, arm, opening+name+"out")
+				take(second, arm, prefix+name+"out")
 			}
 		}
 		for _, part := range []int{50, 99} {
--- a/proof/simulator/showtables_test.go
+++ b/proof/simulator/showtables_test.go
@@ -17,14 +17,14 @@
 	if err != nil || answer.Status != http.StatusOK {
 		t.Fatalf("%s: %v %s", text, err, answer)
 	}
-	var told struct {
+	var reported struct {
 		Columns []string
 		Rows    [][]string
 	}
-	if err := json.Unmarshal(answer.Body, &told); err != nil {
+	if err := json.Unmarshal(answer.Body, &reported); err != nil {
 		t.Fatal(err)
 	}
-	return told.Columns, told.Rows
+	return reported.Columns, reported.Rows
 }
 
 // TestEveryTableShowsWhatIsInForce shows each table of the query language on a fleet
@@ -35,7 +35,7 @@
 		if err := cluster.replace(0, 0, oneRoute(4, time.Second), "shown"); err != nil {
 			t.Fatal(err)
 		}
-		hung := cluster.asked(cluster.Fronts[0], "/v1/queries", receipt("shown", "pay !slow"))
+		hung := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt("shown", "pay !slow"))
 		for _, table := range querylanguage.Tables {
 			columns, rows := cluster.show(t, "show "+table)
 			if len(columns) == 0 || (len(rows) == 0 && table != "domains") {
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -130,13 +130,13 @@
 // storedSessions reads lines whole, as a client does.
 func (cluster *Cluster) storedSessions(t *testing.T, names []string) map[string]storedSession {
 	t.Helper()
-	origin, end := cluster.storeClient("10.8.0.2")
+	client, end := cluster.storeClient("10.8.0.2")
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	read := map[string]storedSession{}
 	for _, name := range names {
-		events, last, err := origin.ReadAll(ctx, name)
+		events, last, err := client.ReadAll(ctx, name)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -195,8 +195,8 @@
 		if voting := cluster.votingControls(); !slices.Contains(voting, machine.Host+" "+machine.Control.Name()) {
 			return fmt.Errorf("voting: %v", voting)
 		}
-		if held, newest := machine.Control.View().Number, cluster.leader().Control.View().Number; held < newest {
-			return fmt.Errorf("it holds change %d of %d", held, newest)
+		if buffered, newest := machine.Control.View().Number, cluster.leader().Control.View().Number; buffered < newest {
+			return fmt.Errorf("it holds change %d of %d", buffered, newest)
 		}
 		return nil
 	}); err != nil {
@@ -306,16 +306,16 @@
 	}
 	cluster.repeatAmendments(t)
 
-	opening, agents := prose(7, 2560), []*agent{}
+	prefix, agents := prose(7, 2560), []*agent{}
 	for _, program := range programsOf(storedGroup, "first", 4) {
-		agents = append(agents, &agent{cluster: cluster, program: program, opening: opening})
+		agents = append(agents, &agent{cluster: cluster, program: program, prefix: prefix})
 	}
 	for round := range 2 {
 		for _, one := range agents {
 			one.turn(t, round)
 		}
 	}
-	agents = append(agents, cluster.awaitMerged(t, storedGroup, 3, opening)...)
+	agents = append(agents, cluster.awaitMerged(t, storedGroup, 3, prefix)...)
 	for number := range 3 {
 		conversation := storedConversation{}
 		cluster.converse(t, &conversation, fmt.Sprintf("hello %d", number))
@@ -350,22 +350,22 @@
 // storedTurns has a client take turns, of which the last stays open.
 func (cluster *Cluster) storedTurns(t *testing.T, fleet *storedFleet) {
 	t.Helper()
-	origin, end := cluster.storeClient("10.8.0.1")
+	client, end := cluster.storeClient("10.8.0.1")
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	follows := ""
 	for _, name := range []string{"a", "b"} {
-		begun, err := origin.BeginTurn(ctx, storedTurn(name, follows))
+		begun, err := client.BeginTurn(ctx, storedTurn(name, follows))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := origin.EndTurn(ctx, programTurnEnd("p", name, sessionlog.OutcomeComplete, begun.Seq, 7)); err != nil {
+		if err := client.EndTurn(ctx, programTurnEnd("p", name, sessionlog.OutcomeComplete, begun.Seq, 7)); err != nil {
 			t.Fatal(err)
 		}
 		follows = name
 	}
-	begun, err := origin.BeginTurn(ctx, storedTurn("open", "b"))
+	begun, err := client.BeginTurn(ctx, storedTurn("open", "b"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -422,11 +422,11 @@
 	}
 	fleet.Sessions = cluster.storedSessions(t, names)
 	for _, program := range []string{"dialogue", "tight"} {
-		told, err := cluster.quota(cluster.Fronts[0], program)
+		reported, err := cluster.quota(cluster.Fronts[0], program)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet.Quotas[program] = told.Spent
+		fleet.Quotas[program] = reported.Spent
 	}
 	fleet.Sharing, _, _ = cluster.sharing(t, storedGroup)
 }
@@ -592,33 +592,33 @@
 		cluster.converse(t, &conversation, "and now?")
 	}
 	for _, program := range want.Programs {
-		one := &agent{cluster: cluster, program: program.Name, follows: program.Follows, history: program.History, tries: 100}
+		one := &agent{cluster: cluster, program: program.Name, follows: program.Follows, history: program.History, attempts: 100}
 		one.turn(t, 0)
 		one.check(t)
 	}
-	origin, end := cluster.storeClient("10.8.0.1")
+	client, end := cluster.storeClient("10.8.0.1")
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := origin.BeginTurn(ctx, storedTurn("c", "open")); !apierror.Is(err, apierror.NotRun) {
+	if _, err := client.BeginTurn(ctx, storedTurn("c", "open")); !apierror.Is(err, apierror.NotRun) {
 		t.Errorf("a turn went on from an open one: %v", err)
 	}
 	rest := storedTurn("rest", "b") // two turns used 7 tokens each, and one reserves its most
-	rest.MaxOutputTokens = turnAllowance - 2*7 - turnMost + 1
-	if _, err := origin.BeginTurn(ctx, rest); !apierror.Is(err, apierror.QuotaExhausted) {
+	rest.MaxOutputTokens = turnQuota - 2*7 - turnLimit + 1
+	if _, err := client.BeginTurn(ctx, rest); !apierror.Is(err, apierror.QuotaExhausted) {
 		t.Errorf("beyond the allowance: %v", err)
 	}
 	rest.MaxOutputTokens--
-	if _, err := origin.BeginTurn(ctx, rest); err != nil {
+	if _, err := client.BeginTurn(ctx, rest); err != nil {
 		t.Errorf("the rest of the allowance: %v", err)
 	}
-	if err := origin.EndTurn(ctx, programTurnEnd("p", "rest", sessionlog.OutcomeComplete, 0, 0)); err != nil {
+	if err := client.EndTurn(ctx, programTurnEnd("p", "rest", sessionlog.OutcomeComplete, 0, 0)); err != nil {
 		t.Errorf("%v", err)
 	}
-	if err := origin.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeComplete, want.OpenSeq, 10)); err != nil {
+	if err := client.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeComplete, want.OpenSeq, 10)); err != nil {
 		t.Errorf("the open turn's end: %v", err)
 	}
-	if begun, err := origin.BeginTurn(ctx, storedTurn("c", "open")); err != nil || string(begun.History) != whole("a")+whole("b")+whole("open") {
+	if begun, err := client.BeginTurn(ctx, storedTurn("c", "open")); err != nil || string(begun.History) != complete("a")+complete("b")+complete("open") {
 		t.Errorf("%+v, %v", begun, err)
 	}
 	if answer, err := cluster.Administer(http.MethodPost, "/v1/query", map[string]any{"text": fmt.Sprintf("restore config %d", want.Earlier)}); err != nil || answer.Status != http.StatusOK {
--- a/proof/simulator/streams_test.go
+++ b/proof/simulator/streams_test.go
@@ -47,12 +47,12 @@
 		random := cluster.Random(29)
 		complete, resumed := 0, 0
 		for round := range 8 {
-			var asked sync.WaitGroup
+			var sent sync.WaitGroup
 			var mutex sync.Mutex
 			for number := range 6 {
 				question := fmt.Sprintf("round %d, question %d", round, number)
 				order, leaves := random.Perm(3), time.Duration(60+random.IntN(150))*time.Millisecond
-				asked.Go(func() {
+				sent.Go(func() {
 					want := words(standin.Answer(nil, question))
 					heard := &streamPosition{}
 					for try := range 12 {
@@ -119,7 +119,7 @@
 					cluster.Network.Heal(store.Host, front.Host)
 				}
 			}
-			asked.Wait()
+			sent.Wait()
 			if err := cluster.AwaitServing(12 * time.Second); err != nil {
 				t.Fatal(err)
 			}
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -17,7 +17,7 @@
 )
 
 // storeClient asks the stores from a host of its own, until closed.
-func (cluster *Cluster) storeClient(host string) (origin *storeclient.Client, end func()) {
+func (cluster *Cluster) storeClient(host string) (client *storeclient.Client, end func()) {
 	caller := link.NewClient(cluster.Network.At(host))
 	following := feedclient.Start(caller, feed.Member{Name: host, Role: "client", Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
 	for following.View().Groups == 0 || len(following.View().Stores) == 0 {
@@ -30,62 +30,62 @@
 }
 
 const (
-	turnMost      = 20
-	turnAllowance = 400
+	turnLimit = 20
+	turnQuota = 400
 )
 
 func programTurn(program, name, follows string) storeclient.Turn {
 	return storeclient.Turn{SessionName: "program/" + program, Name: name, Follows: follows, Input: []byte("in " + name + "\n"), KeepHistory: true, Retention: 5 * time.Minute,
-		HasTokenQuota: true, MaxOutputTokens: turnMost, TokenQuota: turnAllowance, DispatchID: "here/" + name, Lifetime: time.Minute}
+		HasTokenQuota: true, MaxOutputTokens: turnLimit, TokenQuota: turnQuota, DispatchID: "here/" + name, Lifetime: time.Minute}
 }
 
 func programTurnEnd(program, name, outcome string, seq, tokens uint64) storeclient.TurnEnd {
 	return storeclient.TurnEnd{SessionName: "program/" + program, Name: name, Seq: seq, Output: []byte("out " + name + "\n"), Tokens: tokens, Outcome: outcome, KeepHistory: true}
 }
 
-// whole is what a turn answered whole adds to a history.
-func whole(name string) string { return "in " + name + "\nout " + name + "\n" }
+// complete is what a turn answered whole adds to a history.
+func complete(name string) string { return "in " + name + "\nout " + name + "\n" }
 
 func TestTurnsOfProgramsFollowEachOther(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.storeClient("10.8.0.1")
+		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
 		take := func(program, name, follows, history string) {
 			t.Helper()
-			begun, err := origin.BeginTurn(ctx, programTurn(program, name, follows))
+			begun, err := client.BeginTurn(ctx, programTurn(program, name, follows))
 			if err != nil || string(begun.History) != history {
 				t.Fatalf("%s: %+v, %v; want the history %q", name, begun, err, history)
 			}
-			again, err := origin.BeginTurn(ctx, programTurn(program, name, follows))
+			again, err := client.BeginTurn(ctx, programTurn(program, name, follows))
 			if err != nil || again.Seq != begun.Seq || string(again.History) != history {
 				t.Fatalf("%s repeated: %+v, %v; want the history %q", name, again, err, history)
 			}
 			for range 2 {
-				if err := origin.EndTurn(ctx, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)); err != nil {
+				if err := client.EndTurn(ctx, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)); err != nil {
 					t.Fatalf("%s: %v", name, err)
 				}
 			}
 		}
 		refused := func(kind apierror.Kind, program, name, follows string) {
 			t.Helper()
-			if _, err := origin.BeginTurn(ctx, programTurn(program, name, follows)); !apierror.Is(err, kind) {
+			if _, err := client.BeginTurn(ctx, programTurn(program, name, follows)); !apierror.Is(err, kind) {
 				t.Fatalf("%s: %v, want %s", name, err, kind)
 			}
 		}
 		take("p", "a", "", "")
-		take("p", "b", "a", whole("a"))
-		take("p", "c", "a", whole("a"))
-		take("p", "d", "b", whole("a")+whole("b"))
+		take("p", "b", "a", complete("a"))
+		take("p", "c", "a", complete("a"))
+		take("p", "d", "b", complete("a")+complete("b"))
 		// Also once what was said is archived, and in another line, whose group may be another.
 		for round := range 2 {
-			take("p", fmt.Sprint("e", round), "d", whole("a")+whole("b")+whole("d"))
+			take("p", fmt.Sprint("e", round), "d", complete("a")+complete("b")+complete("d"))
 			for number := range 4 {
 				program, name := fmt.Sprintf("q%d-%d", round, number), fmt.Sprintf("f%d-%d", round, number)
-				take(program, name, "c", whole("a")+whole("c"))
-				take(program, name+"-on", name, whole("a")+whole("c")+whole(name))
-				take(program, name+"-beside", "a", whole("a"))
+				take(program, name, "c", complete("a")+complete("c"))
+				take(program, name+"-on", name, complete("a")+complete("c")+complete(name))
+				take(program, name+"-beside", "a", complete("a"))
 			}
 			<-time.After(25 * time.Second)
 			if names, err := cluster.Stores[0].Archive.List(); err != nil || len(names) == 0 {
@@ -94,7 +94,7 @@
 		}
 		refused(apierror.NotFound, "p", "g", "none")
 		refused(apierror.NotFound, "new", "g", "none")
-		begun, err := origin.BeginTurn(ctx, programTurn("p", "open", "d"))
+		begun, err := client.BeginTurn(ctx, programTurn("p", "open", "d"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,17 +102,17 @@
 		refused(apierror.NotRun, "new", "h", "open")
 		other := programTurn("p", "open", "d")
 		other.DispatchID = "elsewhere"
-		if _, err := origin.BeginTurn(ctx, other); !apierror.Is(err, apierror.Conflict) {
+		if _, err := client.BeginTurn(ctx, other); !apierror.Is(err, apierror.Conflict) {
 			t.Fatalf("a second dispatch began the turn: %v", err)
 		}
-		if err := origin.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeCut, begun.Seq, 3)); err != nil {
+		if err := client.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeCut, begun.Seq, 3)); err != nil {
 			t.Fatal(err)
 		}
 		refused(apierror.NotFound, "p", "h", "open")
 		refused(apierror.NotFound, "new", "h", "open")
 		large := programTurn("p", "i", "d")
-		large.MaxOutputTokens = turnAllowance
-		if _, err := origin.BeginTurn(ctx, large); !apierror.Is(err, apierror.QuotaExhausted) {
+		large.MaxOutputTokens = turnQuota
+		if _, err := client.BeginTurn(ctx, large); !apierror.Is(err, apierror.QuotaExhausted) {
 			t.Fatalf("beyond the allowance: %v", err)
 		}
 		// One store less, and a turn of another line is found in time, or proven unknown.
@@ -122,10 +122,10 @@
 			soon, give := context.WithTimeout(ctx, 2500*time.Millisecond)
 			began := time.Now()
 			program, name := fmt.Sprintf("less%d", number), fmt.Sprintf("less%d", number)
-			if begun, err := origin.BeginTurn(soon, programTurn(program, name, "d")); err != nil || string(begun.History) != whole("a")+whole("b")+whole("d") {
+			if begun, err := client.BeginTurn(soon, programTurn(program, name, "d")); err != nil || string(begun.History) != complete("a")+complete("b")+complete("d") {
 				t.Fatalf("with a store less: %+v, %v", begun, err)
 			}
-			if _, err := origin.BeginTurn(soon, programTurn(program, name+"-not", "none")); !apierror.Is(err, apierror.NotFound) {
+			if _, err := client.BeginTurn(soon, programTurn(program, name+"-not", "none")); !apierror.Is(err, apierror.NotFound) {
 				t.Fatalf("with a store less: %v", err)
 			}
 			give()
@@ -137,7 +137,7 @@
 		cluster.Network.Isolate(cluster.Stores[1].Host)
 		short, give := context.WithTimeout(ctx, 3*time.Second)
 		defer give()
-		if _, err := origin.BeginTurn(short, programTurn("p", "j", "none")); !apierror.Is(err, apierror.NotRun) {
+		if _, err := client.BeginTurn(short, programTurn("p", "j", "none")); !apierror.Is(err, apierror.NotRun) {
 			t.Fatalf("without a quorum: %v", err)
 		}
 	})
@@ -151,57 +151,57 @@
 // turnHistory runs programs against the stores: each turn goes on from one that was
 // answered whole, of this program or of another.
 type turnHistory struct {
-	mutex  sync.Mutex
-	whole  []completedTurn
-	handed map[string]uint64
-	begun  int
-	failed []string
+	mutex    sync.Mutex
+	complete []completedTurn
+	handed   map[string]uint64
+	begun    int
+	failed   []string
 }
 
-func (told *turnHistory) fail(text string, values ...any) {
-	told.mutex.Lock()
-	told.failed = append(told.failed, fmt.Sprintf(text, values...))
-	told.mutex.Unlock()
+func (reported *turnHistory) fail(text string, values ...any) {
+	reported.mutex.Lock()
+	reported.failed = append(reported.failed, fmt.Sprintf(text, values...))
+	reported.mutex.Unlock()
 }
 
-func (told *turnHistory) run(origin *storeclient.Client, random *rand.Rand, number int, stop context.Context) {
+func (reported *turnHistory) run(client *storeclient.Client, random *rand.Rand, number int, stop context.Context) {
 	for position := 0; stop.Err() == nil; position++ {
 		name, program := fmt.Sprintf("t%d-%d", number, position), fmt.Sprintf("p%d", random.IntN(6)+6*(position/40))
 		followed := completedTurn{}
-		told.mutex.Lock()
-		if count := len(told.whole); count > 0 && random.IntN(5) > 0 {
-			followed = told.whole[max(0, count-1-random.IntN(30))]
+		reported.mutex.Lock()
+		if count := len(reported.complete); count > 0 && random.IntN(5) > 0 {
+			followed = reported.complete[max(0, count-1-random.IntN(30))]
 		}
-		told.mutex.Unlock()
+		reported.mutex.Unlock()
 		if random.IntN(8) > 0 && followed.program != "" {
 			program = followed.program
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
-		begun, err := origin.BeginTurn(ctx, programTurn(program, name, followed.name))
+		begun, err := client.BeginTurn(ctx, programTurn(program, name, followed.name))
 		cancel()
 		if err == nil {
-			told.take(origin, random, program, name, followed, begun)
+			reported.take(client, random, program, name, followed, begun)
 		} else if apierror.Is(err, apierror.NotFound) {
-			told.fail("%s was answered whole and is not known: %v", followed.name, err)
+			reported.fail("%s was answered whole and is not known: %v", followed.name, err)
 		} else if !apierror.Is(err, apierror.NotRun) && !apierror.Is(err, apierror.QuotaExhausted) {
-			told.fail("%s: %v", name, err)
+			reported.fail("%s: %v", name, err)
 		}
 		<-time.After(time.Duration(random.IntN(150)) * time.Millisecond)
 	}
 }
 
-func (told *turnHistory) take(origin *storeclient.Client, random *rand.Rand, program, name string, followed completedTurn, begun *storeclient.BegunTurn) {
+func (reported *turnHistory) take(client *storeclient.Client, random *rand.Rand, program, name string, followed completedTurn, begun *storeclient.BegunTurn) {
 	if string(begun.History) != followed.history {
-		told.fail("%s goes on from %q, want %q", name, begun.History, followed.history)
+		reported.fail("%s goes on from %q, want %q", name, begun.History, followed.history)
 	}
-	told.mutex.Lock()
-	told.begun++
-	tokens := uint64(random.IntN(turnMost + 1))
-	told.handed[program] += tokens
-	if told.handed[program] > turnAllowance+turnMost {
-		told.failed = append(told.failed, fmt.Sprintf("%s handed out %d", program, told.handed[program]))
+	reported.mutex.Lock()
+	reported.begun++
+	tokens := uint64(random.IntN(turnLimit + 1))
+	reported.handed[program] += tokens
+	if reported.handed[program] > turnQuota+turnLimit {
+		reported.failed = append(reported.failed, fmt.Sprintf("%s handed out %d", program, reported.handed[program]))
 	}
-	told.mutex.Unlock()
+	reported.mutex.Unlock()
 	<-time.After(time.Duration(random.IntN(80)) * time.Millisecond)
 	outcome := sessionlog.OutcomeComplete
 	switch random.IntN(8) {
@@ -212,14 +212,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
-	err := origin.EndTurn(ctx, programTurnEnd(program, name, outcome, begun.Seq, tokens))
+	err := client.EndTurn(ctx, programTurnEnd(program, name, outcome, begun.Seq, tokens))
 	if err == nil && outcome == sessionlog.OutcomeComplete {
-		told.mutex.Lock()
-		told.whole = append(told.whole, completedTurn{name: name, program: program, history: followed.history + whole(name)})
-		told.mutex.Unlock()
+		reported.mutex.Lock()
+		reported.complete = append(reported.complete, completedTurn{name: name, program: program, history: followed.history + complete(name)})
+		reported.mutex.Unlock()
 	}
 	if err != nil && !apierror.Is(err, apierror.OutcomeUnknown) && !apierror.Is(err, apierror.NoQuorum) {
-		told.fail("the end of %s: %v", name, err)
+		reported.fail("the end of %s: %v", name, err)
 	}
 }
 
@@ -228,14 +228,14 @@
 // histories are exact, and no program hands out more than its allowance and one turn.
 func TestEveryCompleteTurnStaysKnownUnderFaults(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 4, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		told := &turnHistory{handed: map[string]uint64{}}
+		reported := &turnHistory{handed: map[string]uint64{}}
 		stop, cancel := context.WithCancel(context.Background())
 		var working sync.WaitGroup
 		for number := range 4 {
-			origin, end := cluster.storeClient(fmt.Sprintf("10.8.0.%d", number+1))
+			client, end := cluster.storeClient(fmt.Sprintf("10.8.0.%d", number+1))
 			working.Go(func() {
 				defer end()
-				told.run(origin, cluster.Random(uint64(50+number)), number, stop)
+				reported.run(client, cluster.Random(uint64(50+number)), number, stop)
 			})
 		}
 		random := cluster.Random(49)
@@ -256,11 +256,11 @@
 		}
 		cancel()
 		working.Wait()
-		t.Logf("%d turns begun, %d answered whole", told.begun, len(told.whole))
-		if told.begun < 200 {
-			t.Errorf("only %d turns were begun", told.begun)
+		t.Logf("%d turns begun, %d answered whole", reported.begun, len(reported.complete))
+		if reported.begun < 200 {
+			t.Errorf("only %d turns were begun", reported.begun)
 		}
-		for _, failure := range told.failed {
+		for _, failure := range reported.failed {
 			t.Error(failure)
 		}
 		// After an outage of all, programs with new names go on from any of them.
@@ -270,14 +270,14 @@
 		for _, store := range cluster.Stores {
 			store.Start()
 		}
-		origin, end := cluster.storeClient("10.8.0.9")
+		client, end := cluster.storeClient("10.8.0.9")
 		defer end()
-		for position, one := range told.whole {
+		for position, one := range reported.complete {
 			if position%7 != 0 {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-			begun, err := origin.BeginTurn(ctx, programTurn(fmt.Sprintf("after-%d", position), fmt.Sprintf("after-%d", position), one.name))
+			begun, err := client.BeginTurn(ctx, programTurn(fmt.Sprintf("after-%d", position), fmt.Sprintf("after-%d", position), one.name))
 			cancel()
 			if err != nil || string(begun.History) != one.history {
 				t.Fatalf("after the outage %s: %+v, %v; want %q", one.name, begun, err, one.history)
@@ -290,7 +290,7 @@
 // asks for a turn in each group all the while.
 func TestAnotherStoreTakesOverTurnsOfALostOne(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.storeClient("10.8.0.1")
+		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		slowest := func(round string) time.Duration {
 			var mutex sync.Mutex
@@ -301,7 +301,7 @@
 					ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 					defer cancel()
 					began, name := time.Now(), fmt.Sprintf("%s-%d", round, number)
-					_, err := origin.BeginTurn(ctx, programTurn(name, name, ""))
+					_, err := client.BeginTurn(ctx, programTurn(name, name, ""))
 					mutex.Lock()
 					defer mutex.Unlock()
 					longest = max(longest, time.Since(began))
@@ -341,18 +341,18 @@
 // TestHistoryIsCompleteOrWithheld lets the archived copies of a turn rot at every store.
 func TestHistoryIsCompleteOrWithheld(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		origin, end := cluster.storeClient("10.8.0.1")
+		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		begin := func(program, name, follows string) (*storeclient.BegunTurn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
-			return origin.BeginTurn(ctx, programTurn(program, name, follows))
+			return client.BeginTurn(ctx, programTurn(program, name, follows))
 		}
 		begun, err := begin("p", "a", "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := origin.EndTurn(t.Context(), programTurnEnd("p", "a", sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
+		if err := client.EndTurn(t.Context(), programTurnEnd("p", "a", sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(25 * time.Second)
@@ -368,7 +368,7 @@
 			}
 		}
 		rot(cluster.Stores[:2])
-		if begun, err = begin("p", "b", "a"); err != nil || string(begun.History) != whole("a") {
+		if begun, err = begin("p", "b", "a"); err != nil || string(begun.History) != complete("a") {
 			t.Fatalf("with one good copy: %+v, %v", begun, err)
 		}
 		rot(cluster.Stores[2:])
--- a/proof/simulator/wildrunner_test.go
+++ b/proof/simulator/wildrunner_test.go
@@ -171,7 +171,7 @@
 
 // spoil makes a whole answer wrong, by what was drawn.
 func (runner *wildRunner) spoil(drawn int, parts []string, earlier, name string) wildAnswer {
-	whole := strings.Join(parts, "")
+	complete := strings.Join(parts, "")
 	switch drawn {
 	case 1: // an answer to an earlier query comes first
 		return wildAnswer{parts: append([]string{runner.plain(earlier)}, parts...)}
@@ -180,17 +180,17 @@
 	case 3:
 		return wildAnswer{parts: append([]string{"HTTP/1.1 100 Continue\r\n\r\n"}, parts...)}
 	case 4:
-		return wildAnswer{parts: append(slices.Clone(parts), whole)}
+		return wildAnswer{parts: append(slices.Clone(parts), complete)}
 	case 5, 6, 7: // once more, in the place of the next answer
-		return wildAnswer{parts: parts, later: whole}
+		return wildAnswer{parts: parts, later: complete}
 	case 8:
 		return wildAnswer{parts: append(slices.Clone(parts), "junk\r\n")}
 	case 9, 10: // broken off anywhere, also before the first byte
-		return wildAnswer{parts: []string{whole[:runner.draw(len(whole))]}, ends: true}
+		return wildAnswer{parts: []string{complete[:runner.draw(len(complete))]}, ends: true}
 	case 11:
 		return wildAnswer{parts: []string{"\x16\x03\x01 this is no answer\r\n\r\n"}}
 	case 12: // silence, and the answer in the place of the next one
-		return wildAnswer{later: whole, silent: time.Duration(runner.draw(1500)) * time.Millisecond}
+		return wildAnswer{later: complete, silent: time.Duration(runner.draw(1500)) * time.Millisecond}
 	case 13: // all connections are reset
 		runner.reset()
 		return wildAnswer{ends: true}
--- a/proof/standin/engine.go
+++ b/proof/standin/engine.go
@@ -249,13 +249,13 @@
 		io.WriteString(connection, "\x16\x03\x01 this is no answer\r\n\r\n")
 		return
 	}
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, name, engine.Life, name, len("done "+name), name)
-	io.WriteString(connection, whole)
+	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, name, engine.Life, name, len("done "+name), name)
+	io.WriteString(connection, complete)
 	// The extra one comes with the next query, if any comes before the connection is idle
 	// for long.
 	connection.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if count, _ := connection.Read(make([]byte, 1)); count > 0 {
-		io.WriteString(connection, whole)
+		io.WriteString(connection, complete)
 	}
 }
 
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -100,9 +100,9 @@
 func (runner *Runner) TakeMaxInFlight() int {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	most := runner.record.MaxInFlight
+	maximum := runner.record.MaxInFlight
 	runner.record.MaxInFlight = runner.inFlight
-	return most
+	return maximum
 }
 
 const (
@@ -174,20 +174,20 @@
 }
 
 func (runner *Runner) turn(writer http.ResponseWriter, query *http.Request) {
-	var asked runnerclient.TurnRequest
-	if err := json.NewDecoder(query.Body).Decode(&asked); err != nil {
+	var sent runnerclient.TurnRequest
+	if err := json.NewDecoder(query.Body).Decode(&sent); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
 	runner.mutex.Lock()
 	runner.record.Turns++
 	runner.mutex.Unlock()
-	if strings.Contains(asked.Words, "!refuse") {
+	if strings.Contains(sent.Words, "!refuse") {
 		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if strings.Contains(asked.Words, "!type") {
+	if strings.Contains(sent.Words, "!type") {
 		writer.Header().Set("Content-Type", "text/html")
 		fmt.Fprint(writer, "<p>hello</p>")
 		return
@@ -206,21 +206,21 @@
 		}
 	}
 	time.Sleep(runner.latencies.FirstPiece)
-	for position, piece := range Answer(asked.History, asked.Words) {
+	for position, piece := range Answer(sent.History, sent.Words) {
 		if !say(piece) {
 			return
 		}
-		if position == 2 && strings.Contains(asked.Words, "!stop") {
+		if position == 2 && strings.Contains(sent.Words, "!stop") {
 			panic(http.ErrAbortHandler)
 		}
-		if position == 2 && strings.Contains(asked.Words, "!early") {
+		if position == 2 && strings.Contains(sent.Words, "!early") {
 			return
 		}
-		if position == 2 && strings.Contains(asked.Words, "!nonsense") {
+		if position == 2 && strings.Contains(sent.Words, "!nonsense") {
 			fmt.Fprintln(writer, "{nonsense")
 		}
 	}
-	for strings.Contains(asked.Words, "!endless") {
+	for strings.Contains(sent.Words, "!endless") {
 		if !say(" more") {
 			return
 		}
@@ -229,19 +229,19 @@
 }
 
 func (runner *Runner) plain(writer http.ResponseWriter, query *http.Request) {
-	var asked runnerclient.PlainRequest
-	if err := json.NewDecoder(query.Body).Decode(&asked); err != nil {
+	var sent runnerclient.PlainRequest
+	if err := json.NewDecoder(query.Body).Decode(&sent); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if strings.Contains(asked.Words, "!refuse") {
+	if strings.Contains(sent.Words, "!refuse") {
 		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if asked.RequestKey != "" {
+	if sent.RequestKey != "" {
 		runner.mutex.Lock()
-		key := asked.Program + "/" + asked.Kind + "/" + asked.RequestKey
+		key := sent.Program + "/" + sent.Kind + "/" + sent.RequestKey
 		runner.record.Executions[key]++
 		if runner.file != nil {
 			fmt.Fprintln(runner.file, key)
@@ -249,21 +249,21 @@
 		runner.mutex.Unlock()
 	}
 	time.Sleep(runner.latencies.PlainAnswer)
-	if strings.Contains(asked.Words, "!slow") {
+	if strings.Contains(sent.Words, "!slow") {
 		time.Sleep(slowAnswer)
 	}
 	switch {
-	case strings.Contains(asked.Words, "!lose"):
+	case strings.Contains(sent.Words, "!lose"):
 		panic(http.ErrAbortHandler)
-	case strings.Contains(asked.Words, "!type"):
+	case strings.Contains(sent.Words, "!type"):
 		writer.Header().Set("Content-Type", "text/html")
 		fmt.Fprint(writer, "<p>hello</p>")
 		return
-	case strings.Contains(asked.Words, "!nonsense"):
+	case strings.Contains(sent.Words, "!nonsense"):
 		writer.Header().Set("Content-Type", "application/json")
 		fmt.Fprint(writer, "{nonsense")
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(writer).Encode(PlainAnswer(asked))
+	json.NewEncoder(writer).Encode(PlainAnswer(sent))
 }
