--- /dev/null
+++ b/proof/simulator/runnerlist.go
@@ -0,0 +1,137 @@
+package simulator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"yardrock.example/proof/standin"
+	"yardrock.example/system/feed"
+)
+
+// EngineMachine is one host with a stand-in engine.
+type EngineMachine struct {
+	Host   string
+	Domain string
+	Group  string
+	Engine *standin.Engine
+	server *http.Server
+}
+
+// RunnerList is the platform's list of engines, as control nodes ask it.
+type RunnerList struct {
+	mutex   sync.Mutex
+	runners []feed.Runner
+	put     time.Time
+	failing error
+	polls   int
+}
+
+// List gives the list, or the failure that was put. For how long runners stay cold counts
+// down.
+//
+//	runners, err := cluster.RunnerList.List(ctx)
+func (runnerList *RunnerList) List(context.Context) ([]feed.Runner, error) {
+	runnerList.mutex.Lock()
+	defer runnerList.mutex.Unlock()
+	runnerList.polls++
+	runners := append([]feed.Runner{}, runnerList.runners...)
+	for position, runner := range runners {
+		if left := runner.WarmUpLeft - time.Since(runnerList.put); runner.WarmUpLeft > 0 && left > 0 {
+			runners[position].WarmUpLeft = left
+		} else if runner.WarmUpLeft > 0 {
+			runners[position].State, runners[position].WarmUpLeft = feed.StateServing, 0
+		}
+	}
+	return runners, runnerList.failing
+}
+
+// Polls tells how often the list was asked for.
+//
+//	asks := cluster.RunnerList.Polls()
+func (runnerList *RunnerList) Polls() int {
+	runnerList.mutex.Lock()
+	defer runnerList.mutex.Unlock()
+	return runnerList.polls
+}
+
+// Put replaces the list.
+//
+//	cluster.RunnerList.Put(runners)
+func (runnerList *RunnerList) Put(runners []feed.Runner) {
+	runnerList.mutex.Lock()
+	runnerList.runners, runnerList.put = append([]feed.Runner{}, runners...), time.Now()
+	runnerList.mutex.Unlock()
+}
+
+// Fail makes asking for the list fail, until it is nil.
+//
+//	cluster.RunnerList.Fail(errors.New("throttled"))
+func (runnerList *RunnerList) Fail(err error) {
+	runnerList.mutex.Lock()
+	runnerList.failing = err
+	runnerList.mutex.Unlock()
+}
+
+// Runner is the engine as the platform's list names it.
+//
+//	cluster.RunnerList.Put([]feed.Runner{machine.Runner()})
+func (machine *EngineMachine) Runner() feed.Runner {
+	return feed.Runner{Life: machine.Engine.Life, Address: machine.Host + ":8000", Group: machine.Group, Domain: machine.Domain, State: feed.StateServing, Slots: 32}
+}
+
+// Stop ends the engine's process.
+//
+//	machine.Stop()
+func (machine *EngineMachine) Stop() { machine.server.Close() }
+
+// Start starts the engine again, in a new life.
+//
+//	err := machine.Start(cluster)
+func (machine *EngineMachine) Start(cluster *Cluster, life string) error {
+	listener, err := cluster.Network.At(machine.Host).Listen(machine.Host + ":8000")
+	if err != nil {
+		return err
+	}
+	machine.Engine = standin.NewEngine(life, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond})
+	machine.server = &http.Server{Handler: machine.Engine}
+	go machine.server.Serve(listener)
+	return nil
+}
+
+func (cluster *Cluster) startEngines(shape Shape) error {
+	var failed error
+	for group, count := range map[string]int{"engines": shape.Engines, "tools": shape.Tools} {
+		for index := range count {
+			machine := &EngineMachine{Host: fmt.Sprintf("10.0.6.%d", len(cluster.Engines)+1), Domain: domain(index), Group: group}
+			failed = errors.Join(failed, machine.Start(cluster, fmt.Sprintf("life-%d", len(cluster.Engines)+1)))
+			cluster.Engines = append(cluster.Engines, machine)
+		}
+	}
+	if cluster.RunnerList != nil {
+		cluster.ListEngines()
+	}
+	return failed
+}
+
+// ListEngines puts all runners on the list that control nodes are given.
+//
+//	cluster.ListEngines()
+func (cluster *Cluster) ListEngines() {
+	listed := []feed.Runner{}
+	for _, machine := range cluster.Engines {
+		listed = append(listed, machine.Runner())
+	}
+	for _, machine := range cluster.Runners {
+		group := "small"
+		if strings.HasPrefix(machine.Host, "10.0.4.") {
+			group = "application"
+		}
+		listed = append(listed, feed.Runner{Address: machine.Host + ":8000", Group: group, Domain: machine.Domain, State: feed.StateServing})
+	}
+	cluster.RunnerList.Put(listed)
+}
--- /dev/null
+++ b/proof/simulator/warmup_test.go
@@ -0,0 +1,81 @@
+package simulator
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"yardrock.example/proof/standin"
+)
+
+func TestWarmingUpRunnerIsNotFlooded(t *testing.T) {
+	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
+		stop := cluster.callers(12 * time.Millisecond)
+		defer stop()
+		<-time.After(2 * time.Second)
+		cold := cluster.Runners[0]
+		cluster.listRunners(func(runner *standin.ListedRunner) {
+			if runner.Address == cold.Host+":8000" {
+				runner.State = "cold"
+			}
+		})
+		<-time.After(2 * time.Second)
+		before := cold.Runner.TakeMaxInFlight()
+		<-time.After(3 * time.Second)
+		maximum := cold.Runner.TakeMaxInFlight()
+		t.Logf("most queries at once: %d warm, %d cold", before, maximum)
+		if before < 3 {
+			t.Fatalf("only %d queries at once before: the runner was never crowded", before)
+		}
+		if maximum > 2 {
+			t.Fatalf("a runner that bears 2 while cold had %d at once", maximum)
+		}
+	})
+}
+
+// TestRestartedRunnerWarmsUpWithoutFlood restarts a runner under a crowd while the
+// platform's list goes on calling it serving, and lets a front come and go meanwhile.
+// Refusals and lost connections alone must bring its limit down, at every front.
+func TestRestartedRunnerWarmsUpWithoutFlood(t *testing.T) {
+	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 4, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
+		const ramp, bears, cold = 4 * time.Second, 6, 1
+		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `small: {concurrency: 16, cold_concurrency: 2, ramp: "1s"}`, `small: {concurrency: 6, cold_concurrency: 1, ramp: "4s"}`)); err != nil {
+			t.Fatal(err)
+		}
+		<-time.After(6 * time.Second)
+		stop := cluster.callers(15 * time.Millisecond)
+		defer stop()
+		<-time.After(3 * time.Second)
+		runner, random := cluster.Runners[0], cluster.Random(17)
+		if before := runner.Runner.TakeMaxInFlight(); before < bears/2 || before > bears {
+			t.Fatalf("%d queries at once before, of %d: nothing is tested", before, bears)
+		}
+		for round := range 2 {
+			runner.Stop()
+			<-time.After(time.Duration(300+random.IntN(1500)) * time.Millisecond)
+			runner.Runner.TakeMaxInFlight()
+			if err := runner.Start(cluster); err != nil {
+				t.Fatal(err)
+			}
+			if round > 0 {
+				front := cluster.Fronts[random.IntN(3)]
+				front.Kill()
+				if err := front.Start(); err != nil {
+					t.Fatal(err)
+				}
+			}
+			for step := range 10 {
+				<-time.After(ramp / 20)
+				maximum := runner.Runner.TakeMaxInFlight()
+				bound := cold + (bears-cold)*(step+1)/20 + 1 // the ramp starts with the first answer
+				if maximum > bound {
+					t.Fatalf("round %d: %d queries at once %s after the return, which bears %d", round, maximum, time.Duration(step+1)*ramp/20, bound)
+				}
+			}
+			<-time.After(ramp)
+			if maximum := runner.Runner.TakeMaxInFlight(); maximum < bears/2 || maximum > bears {
+				t.Fatalf("round %d: %d queries at once after the ramp, of %d", round, maximum, bears)
+			}
+		}
+	})
+}
