--- a/system/apierror/apierror.go
+++ b/system/apierror/apierror.go
@@ -1,7 +1,7 @@
 // Package apierror has the typed errors of yardrock. Each has a kind, which programs can act on,
 // a message that says what went wrong, and a remedy that says what to do. Kind, message, remedy,
 // leader and retry time travel between processes (package wire) and to callers; the other fields
-// are what the process that made the error knows of its own connection.
+// are what the process that made the error knows of its own connection, and of the cause.
 //
 // The texts of kinds are part of the interfaces, and never change.
 package apierror
@@ -78,6 +78,9 @@
 	Lost bool
 	// Misdirected is set if another process has the address now than the one meant.
 	Misdirected bool
+	// Cause is the error that this one was made for, which errors.Is and errors.As then find
+	// too; nil if there is none. It is not part of the message, and stays in this process.
+	Cause error
 }
 
 // Error gives the message with its kind and remedy.
@@ -87,6 +90,12 @@
 	return err.Message + " [" + string(err.Kind) + "; remedy: " + err.Remedy + "]"
 }
 
+// Unwrap returns the cause, or nil. Of and Is never look at it, as they take the outermost typed
+// error: the kind of a cause is not the kind of the error.
+//
+//	refused := errors.Is(err, syscall.ECONNREFUSED)
+func (err *Error) Unwrap() error { return err.Cause }
+
 // New makes a typed error, wrapped with the stack of its caller, which %+v formats.
 //
 //	return apierror.New(apierror.Conflict, "turn 7 was already followed", "read the history and follow its last turn")
@@ -101,8 +110,23 @@
 	return merry.WrapSkipping(&Error{Kind: kind, Message: message, Remedy: remedy, RetryAfter: retryAfter}, 1)
 }
 
-// Of gives the typed error that an error is or wraps; an untyped one becomes Unavailable. The
-// error must not be nil.
+// Wrap is New for an error with a cause. The message is complete in itself: a text of the cause
+// that the reader needs stands in it.
+//
+//	return apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+address+": "+err.Error(), "use an address that is free")
+func Wrap(cause error, kind Kind, message, remedy string) error {
+	return merry.WrapSkipping(&Error{Kind: kind, Message: message, Remedy: remedy, Cause: cause}, 1)
+}
+
+// WrapRetryable is Wrap for an error after which the request may be sent again, after a time.
+//
+//	return apierror.WrapRetryable(err, apierror.Unknown, "the outcome could not be recorded", "ask again", time.Second)
+func WrapRetryable(cause error, kind Kind, message, remedy string, retryAfter time.Duration) error {
+	return merry.WrapSkipping(&Error{Kind: kind, Message: message, Remedy: remedy, RetryAfter: retryAfter, Cause: cause}, 1)
+}
+
+// Of gives the typed error that an error is or wraps, the outermost one; an untyped error becomes
+// the cause of an Unavailable one. The error must not be nil.
 //
 //	if apierror.Of(err).Kind == apierror.NotLeader { ... }
 func Of(err error) *Error {
@@ -110,10 +134,11 @@
 	if errors.As(err, &typed) {
 		return typed
 	}
-	return &Error{Kind: Unavailable, Message: err.Error(), Remedy: "ask again; if it stays, read the log of the node that answered"}
+	return &Error{Kind: Unavailable, Message: err.Error(), Remedy: "ask again; if it stays, read the log of the node that answered", Cause: err}
 }
 
-// Is tells whether an error is, or wraps, a typed error of the kind; nil is none.
+// Is tells whether an error's typed error, as Of finds it, is of the kind; nil and untyped errors
+// are of none.
 //
 //	if apierror.Is(err, apierror.NoQuorum) { ... }
 func Is(err error, kind Kind) bool {
--- a/system/archive/files.go
+++ b/system/archive/files.go
@@ -59,10 +59,10 @@
 // writeFile writes a new file and syncs it.
 func (store *Store) writeFile(number uint64, data []byte) error {
 	if err := store.folder.WriteAt(fileName(number), 0, data); err != nil {
-		return apierror.New(apierror.DiskUnavailable, "the archive could not be written: "+err.Error(), "free space on the disk or replace it")
+		return apierror.Wrap(err, apierror.DiskUnavailable, "the archive could not be written: "+err.Error(), "free space on the disk or replace it")
 	}
 	if err := store.folder.Sync(fileName(number)); err != nil {
-		return apierror.New(apierror.DiskUnavailable, "the archive could not be synced: "+err.Error(), "free space on the disk or replace it")
+		return apierror.Wrap(err, apierror.DiskUnavailable, "the archive could not be synced: "+err.Error(), "free space on the disk or replace it")
 	}
 	return nil
 }
--- a/system/config/compile.go
+++ b/system/config/compile.go
@@ -70,7 +70,7 @@
 		return config, nil
 	}
 	if err := json.Unmarshal(compiled, config); err != nil {
-		return nil, apierror.New(apierror.Invalid, "the compiled config cannot be read: "+err.Error(), "run matching versions of the programs")
+		return nil, apierror.Wrap(err, apierror.Invalid, "the compiled config cannot be read: "+err.Error(), "run matching versions of the programs")
 	}
 	if config.Routing != nil {
 		config.Routing.BuildIndex()
@@ -87,7 +87,7 @@
 	encoder := json.NewEncoder(&compiled)
 	encoder.SetEscapeHTML(false)
 	if err := encoder.Encode(config); err != nil {
-		return nil, apierror.New(apierror.Invalid, "the config cannot be encoded: "+err.Error(), "correct what it names; nothing was changed")
+		return nil, apierror.Wrap(err, apierror.Invalid, "the config cannot be encoded: "+err.Error(), "correct what it names; nothing was changed")
 	}
 	return bytes.TrimRight(compiled.Bytes(), "\n"), nil
 }
--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -40,7 +40,7 @@
 func ServeAdmin(node *Node, rootHash string) (*httpapi.Server, error) {
 	listener, err := node.network.Listen(node.settings.Administration)
 	if err != nil {
-		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+node.settings.Administration+": "+err.Error(), "use an address of this machine that is free")
+		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+node.settings.Administration+": "+err.Error(), "use an address of this machine that is free")
 	}
 	return httpapi.Serve(listener, adminService{node: node, root: rootHash}.handler(), func() int64 { return maxConfigBytes }), nil
 }
--- a/system/controlplane/feed_state_machine.go
+++ b/system/controlplane/feed_state_machine.go
@@ -115,7 +115,7 @@
 	view, err := feed.Fold(*state.view, change)
 	if err != nil {
 		log.WithFields(log.Fields{"number": state.view.Number, "error": err.Error()}).Error("a committed config difference does not fit the config in force")
-		return changeOutcome{number: state.view.Number, err: apierror.New(apierror.Conflict, err.Error(), "read what is in force and decide anew")}
+		return changeOutcome{number: state.view.Number, err: apierror.Wrap(err, apierror.Conflict, err.Error(), "read what is in force and decide anew")}
 	}
 	next := &feedState{view: &view, history: state.history.With(state.view, &view, change), newestCommand: state.newestCommand}
 	if !change.Kind.IsObservation() {
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -125,7 +125,7 @@
 		node.stop()
 		node.client.Close()
 		node.host.Close()
-		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
+		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
 	node.server = link.Serve(listener, node.Handle)
 	node.startTasks()
@@ -156,7 +156,7 @@
 		var stored feed.View
 		if err := wire.Decode(schema.View_TypeID, data, &stored); err != nil {
 			host.Close()
-			return apierror.New(apierror.Damaged, "the noted control nodes cannot be read: "+err.Error(), "run the version of the program that wrote them")
+			return apierror.Wrap(err, apierror.Damaged, "the noted control nodes cannot be read: "+err.Error(), "run the version of the program that wrote them")
 		}
 		node.savedControls = stored.Controls
 	}
--- a/system/controlplane/runner_source.go
+++ b/system/controlplane/runner_source.go
@@ -40,11 +40,11 @@
 func (source *configRunnerSource) List(ctx context.Context) ([]feed.Runner, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, source.url, nil)
 	if err != nil {
-		return nil, apierror.New(apierror.Invalid, "the runner list's address cannot be used: "+err.Error(), "correct platform.runner_list in the config")
+		return nil, apierror.Wrap(err, apierror.Invalid, "the runner list's address cannot be used: "+err.Error(), "correct platform.runner_list in the config")
 	}
 	response, err := source.client.Do(request)
 	if err != nil {
-		return nil, apierror.New(apierror.Unavailable, "the runner list cannot be reached: "+err.Error(), "check platform.runner_list in the config; the last list stays in force")
+		return nil, apierror.Wrap(err, apierror.Unavailable, "the runner list cannot be reached: "+err.Error(), "check platform.runner_list in the config; the last list stays in force")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -53,7 +53,7 @@
 	}
 	var list runnerListDocument
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxRunnerListBytes)).Decode(&list); err != nil {
-		return nil, apierror.New(apierror.Invalid, "the runner list cannot be read: "+err.Error(), "mend the list; the last one stays in force")
+		return nil, apierror.Wrap(err, apierror.Invalid, "the runner list cannot be read: "+err.Error(), "mend the list; the last one stays in force")
 	}
 	runners := make([]feed.Runner, 0, len(list.Runners))
 	for _, listed := range list.Runners {
--- a/system/durablelog/errors.go
+++ b/system/durablelog/errors.go
@@ -14,5 +14,5 @@
 
 // diskError returns the error of a write that failed. The caller tries again.
 func diskError(err error) error {
-	return apierror.New(apierror.DiskUnavailable, "the data folder took no write: "+err.Error(), "free space on the disk or replace it; the node goes on by itself")
+	return apierror.Wrap(err, apierror.DiskUnavailable, "the data folder took no write: "+err.Error(), "free space on the disk or replace it; the node goes on by itself")
 }
--- a/system/forwarding/turns.go
+++ b/system/forwarding/turns.go
@@ -121,7 +121,7 @@
 	}
 	if err != nil {
 		log.WithFields(log.Fields{"node": forwarder.settings.Node, "session": exchange.sessionName, "request": exchange.Name, "error": err.Error()}).Warn("turn end not committed, response aborted")
-		return errors.Join(errNoRetry, &apierror.Error{Kind: apierror.Unknown, Message: "the turn ran, but could not be kept", Remedy: "ask anew"})
+		return errors.Join(errNoRetry, &apierror.Error{Kind: apierror.Unknown, Message: "the turn ran, but could not be kept", Remedy: "ask anew", Cause: err})
 	}
 	return nil
 }
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -148,7 +148,7 @@
 func listenOn(address string, network link.Network) (net.Listener, error) {
 	listener, err := network.Listen(address)
 	if err != nil {
-		return nil, apierror.New(apierror.BadSettings, "cannot listen on "+address+": "+err.Error(), "use an address of this machine that is free")
+		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+address+": "+err.Error(), "use an address of this machine that is free")
 	}
 	return listener, nil
 }
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -69,7 +69,7 @@
 	case finished := <-done:
 		return finished.answer, finished.err
 	case <-ctx.Done():
-		return nil, apierror.New(apierror.Unknown, "the caller left before the outcome", "ask again with the same query key")
+		return nil, apierror.Wrap(ctx.Err(), apierror.Unknown, "the caller left before the outcome", "ask again with the same query key")
 	}
 }
 
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
 	if _, err := node.recordEnd(ctx, request, afterBeginProducerSeq, ended.Outcome, ended.Text, ended.Name); err != nil {
-		return nil, apierror.NewRetryable(apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
+		return nil, apierror.WrapRetryable(err, apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
 	}
 	return recordedAnswer(request, ended, false)
 }
@@ -171,7 +171,7 @@
 		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: request.sessionName(), After: after, Wait: wait})
 		cancel()
 		if err != nil {
-			return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
+			return nil, apierror.WrapRetryable(err, apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
 		}
 		for _, event := range reply.Events {
 			after = event.Seq
@@ -183,7 +183,7 @@
 		switch {
 		case reply.Clock > begun.Deadline || owner == confirmedDead:
 			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeUnknown); err != nil {
-				return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
+				return nil, apierror.WrapRetryable(err, apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
 			}
 		case owner == unreachable:
 			// It may only be frozen, and still record what came of the work.
--- a/system/front/session_reading.go
+++ b/system/front/session_reading.go
@@ -85,7 +85,7 @@
 // asNotRun makes the error for a rejection that came before anything was begun.
 func asNotRun(err error) error {
 	failure := apierror.Of(err)
-	return &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: failure.Remedy, RetryAfter: max(failure.RetryAfter, time.Second)}
+	return &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: failure.Remedy, RetryAfter: max(failure.RetryAfter, time.Second), Cause: err}
 }
 
 // requireSession rejects a session that does not exist; readSession has read its program.
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -84,7 +84,7 @@
 		event, err = node.readEvent(ctx, request.sessionName(), event.Turn)
 	}
 	if err != nil {
-		return nil, apierror.NewRetryable(apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
+		return nil, apierror.WrapRetryable(err, apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
 	}
 	if event.Kind != sessionlog.Fenced && event.Dispatch == dispatch {
 		request.begun = event
@@ -111,7 +111,7 @@
 func (node *Node) fenceOff(request *request, event sessionlog.Event, cause error, timeout time.Duration) (*sessionlog.Event, error) {
 	ctx, cancel := context.WithTimeout(node.context, timeout)
 	defer cancel()
-	unknown := apierror.NewRetryable(apierror.Unknown,
+	unknown := apierror.WrapRetryable(cause, apierror.Unknown,
 		"whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")",
 		"ask again with the same query key", time.Second)
 	outcomes, err := node.stores.Command(ctx, request.sessionName(), request.createSession(), sessionlog.Command{
@@ -137,7 +137,7 @@
 func (request *request) fencedError(cause error) error {
 	request.provenNotRun = true
 	failure := apierror.Of(cause)
-	notRun := &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: "ask again", RetryAfter: max(failure.RetryAfter, time.Second)}
+	notRun := &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: "ask again", RetryAfter: max(failure.RetryAfter, time.Second), Cause: cause}
 	if request.idempotencyKey != "" {
 		notRun.Message += "; the query key is fenced off"
 		notRun.Remedy = "send it under a new query key"
@@ -154,7 +154,7 @@
 	if !request.recorded || request.provenNotRun || repeatable || !apierror.Is(err, apierror.NotRun) {
 		return err
 	}
-	unknown := apierror.NewRetryable(apierror.Unknown,
+	unknown := apierror.WrapRetryable(err, apierror.Unknown,
 		"this node sent nothing, but cannot tell what became of an earlier query for the same work ("+apierror.Of(err).Message+")",
 		"ask again with the same query key", max(apierror.Of(err).RetryAfter, time.Second))
 	if request.producer == "" {
@@ -191,7 +191,7 @@
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
 	if _, err := node.recordEnd(ctx, request, afterBeginProducerSeq, sessionlog.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
-		return apierror.NewRetryable(apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
+		return apierror.WrapRetryable(err, apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
 	}
 	return request.fencedError(cause)
 }
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -171,7 +171,7 @@
 	if commitErr != nil {
 		node.settle(request, words)
 		execution.cutInBackground()
-		execution.buffer.append(apierror.New(apierror.Unknown, "the answer's pieces could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"), true)
+		execution.buffer.append(apierror.Wrap(commitErr, apierror.Unknown, "the answer's pieces could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"), true)
 		return
 	}
 	outcome, detail := execution.turnOutcome(dispatchErr)
@@ -183,7 +183,7 @@
 	seq, err := node.recordEnd(ctx, request, execution.nextProducerSeq, outcome, "", detail)
 	node.settle(request, words)
 	if err != nil {
-		execution.buffer.append(apierror.New(apierror.Unknown, "the end of the answer could not be committed: "+err.Error(), "tail the conversation from the last seq you have"), true)
+		execution.buffer.append(apierror.Wrap(err, apierror.Unknown, "the end of the answer could not be committed: "+err.Error(), "tail the conversation from the last seq you have"), true)
 		return
 	}
 	var streamErr error
--- a/system/link/client_call.go
+++ b/system/link/client_call.go
@@ -19,7 +19,7 @@
 func (client *Client) Call(ctx context.Context, address string, query *wire.Query) (*wire.Reply, error) {
 	conn, err := client.connect(ctx, address)
 	if err != nil {
-		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach " + address + ": " + err.Error(), Remedy: "check that the process runs and that its address is right", NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED)}
+		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach " + address + ": " + err.Error(), Remedy: "check that the process runs and that its address is right", NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Cause: err}
 	}
 	query.Version = wire.Version
 	call, waiting := conn.registerCall()
@@ -73,7 +73,7 @@
 
 // noReplyError is the error of a call that may have arrived.
 func noReplyError(address string, err error) error {
-	return apierror.New(apierror.Unavailable, "no answer from "+address+": "+err.Error(), "ask again; whether the query arrived is not known")
+	return apierror.Wrap(err, apierror.Unavailable, "no answer from "+address+": "+err.Error(), "ask again; whether the query arrived is not known")
 }
 
 // decodeReply gives a reply, or the error that it carries.
@@ -81,7 +81,7 @@
 	countReplyReceived(which, len(body))
 	reply, err := wire.DecodeReply(body)
 	if err != nil {
-		return nil, apierror.New(apierror.Unavailable, "bad answer from "+address+": "+err.Error(), "run matching versions of the programs")
+		return nil, apierror.Wrap(err, apierror.Unavailable, "bad answer from "+address+": "+err.Error(), "run matching versions of the programs")
 	}
 	if err := reply.Err(); err != nil {
 		return nil, err
--- a/system/link/server_connection.go
+++ b/system/link/server_connection.go
@@ -104,7 +104,7 @@
 	var reply *wire.Reply
 	if err != nil {
 		query = &wire.Query{}
-		reply = wire.ErrorReply(apierror.New(apierror.Invalid, "the query can't be read: "+err.Error(), "run matching versions of the programs"))
+		reply = wire.ErrorReply(apierror.Wrap(err, apierror.Invalid, "the query can't be read: "+err.Error(), "run matching versions of the programs"))
 	} else {
 		countQueryReceived(query.Which, len(received.body))
 		reply = conn.server.handle(ctx, query)
--- a/system/querylanguage/parse.go
+++ b/system/querylanguage/parse.go
@@ -29,7 +29,7 @@
 		if errors.As(err, &failed) {
 			return nil, apierror.New(apierror.Invalid, fmt.Sprintf("column %d: %s", failed.Position().Column, failed.Message()), "the operators' page lists the queries and commands")
 		}
-		return nil, apierror.New(apierror.Invalid, err.Error(), "the operators' page lists the queries and commands")
+		return nil, apierror.Wrap(err, apierror.Invalid, err.Error(), "the operators' page lists the queries and commands")
 	}
 	if statement.Show != nil && !slices.Contains(Tables, statement.Show.What) {
 		return nil, apierror.New(apierror.Invalid, "column 6: nothing is named "+strconv.Quote(statement.Show.What)+Suggest(statement.Show.What, Tables), "show one of "+strings.Join(Tables, ", "))
--- a/system/runnerclient/client.go
+++ b/system/runnerclient/client.go
@@ -94,7 +94,7 @@
 		}
 		var next streamPiece
 		if err := json.Unmarshal([]byte(text), &next); err != nil {
-			return apierror.New(apierror.RunnerFailure, "runner "+address+" streams what is no JSON", "see the runner's own log")
+			return apierror.Wrap(err, apierror.RunnerFailure, "runner "+address+" streams what is no JSON", "see the runner's own log")
 		}
 		if next.End {
 			return nil
@@ -111,5 +111,5 @@
 
 // brokenOffError is for a response that did not come to its end.
 func brokenOffError(address string, cause error) error {
-	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " broke off: " + cause.Error(), Remedy: "see the runner's own log", Lost: true}
+	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " broke off: " + cause.Error(), Remedy: "see the runner's own log", Lost: true, Cause: cause}
 }
--- a/system/runnerclient/send.go
+++ b/system/runnerclient/send.go
@@ -85,7 +85,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
-		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: err.Error(), Remedy: "correct the path of the kind of work", NeverSent: true}
+		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: err.Error(), Remedy: "correct the path of the kind of work", NeverSent: true, Cause: err}
 	}
 	request.GetBody = nil // the library must never send a body twice
 	request.Header.Set("Content-Type", "application/json")
@@ -93,9 +93,9 @@
 	if err != nil {
 		neverSent := send.abandon()
 		if refused := send.rejection.Load(); neverSent && refused != nil {
-			return nil, &apierror.Error{Kind: refused.Kind, Message: refused.Message, Remedy: refused.Remedy, RetryAfter: refused.RetryAfter, NeverSent: true}
+			return nil, &apierror.Error{Kind: refused.Kind, Message: refused.Message, Remedy: refused.Remedy, RetryAfter: refused.RetryAfter, NeverSent: true, Cause: refused}
 		}
-		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + ": " + err.Error(), Remedy: "see the runner's own log", NeverSent: neverSent, Lost: true}
+		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + ": " + err.Error(), Remedy: "see the runner's own log", NeverSent: neverSent, Lost: true, Cause: err}
 	}
 	return response, nil
 }
--- a/system/runnerpool/acquire.go
+++ b/system/runnerpool/acquire.go
@@ -32,7 +32,7 @@
 		connection.learnIdleTimeout(now)
 		pool.discard(connection)
 		if ctx.Err() != nil {
-			return nil, cancelled(request.Runner.Address, true)
+			return nil, cancelled(ctx, request.Runner.Address, true)
 		}
 	}
 }
@@ -81,10 +81,10 @@
 	if err != nil {
 		pool.release(runner)
 		if ctx.Err() != nil {
-			return nil, cancelled(address, true)
+			return nil, cancelled(ctx, address, true)
 		}
 		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach runner " + address + ": " + err.Error(), Remedy: "check that the runner runs and that its address is right",
-			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: ownTimeout || dialling.Err() == nil}
+			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: ownTimeout || dialling.Err() == nil, Cause: err}
 	}
 	pool.dials.Add(1)
 	connection := newConnection(stream, runner)
--- a/system/runnerpool/scripted_runner_test.go
+++ b/system/runnerpool/scripted_runner_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -271,7 +270,7 @@
 
 // isExactly reports whether an error is a certain one and does not only wrap it: callers
 // of Read compare with io.EOF itself.
-func isExactly(err, want error) bool { return errors.Is(err, want) && errors.Unwrap(err) == nil }
+func isExactly(err, want error) bool { return any(err) == any(want) }
 
 // sendAndRead sends a request, reads the whole body and closes the response.
 func sendAndRead(t *testing.T, pool *Pool, request Request) (int, string, error) {
--- a/system/runnerpool/send.go
+++ b/system/runnerpool/send.go
@@ -71,7 +71,7 @@
 	}
 	for {
 		if ctx.Err() != nil {
-			return nil, cancelled(request.Runner.Address, true)
+			return nil, cancelled(ctx, request.Runner.Address, true)
 		}
 		if _, err := millisecondsLeft(&request); err != nil {
 			return nil, err
@@ -103,7 +103,7 @@
 	connection.buffers.writes = head
 	if trip.ctx.Err() != nil {
 		trip.returnUnused()
-		return nil, false, cancelled(request.Runner.Address, true)
+		return nil, false, cancelled(trip.ctx, request.Runner.Address, true)
 	}
 	if trip.ctx.Done() != nil {
 		trip.stopWatch = context.AfterFunc(trip.ctx, func() { connection.SetDeadline(pastDeadline) })
--- a/system/settings/load.go
+++ b/system/settings/load.go
@@ -51,20 +51,20 @@
 		fmt.Fprintln(output, target.Version())
 		return ErrHelpShown
 	case err != nil:
-		return invalid("flags", err.Error(), "see --help")
+		return unreadable(err, "flags", err.Error(), "see --help")
 	}
 	if file := target.common().File; file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
-			return invalid("settings", err.Error(), "name a file that can be read")
+			return unreadable(err, "settings", err.Error(), "name a file that can be read")
 		}
 		decoder := json.NewDecoder(strings.NewReader(string(data)))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(target); err != nil {
-			return invalid("settings", file+": "+err.Error(), "correct the named key; --help lists the keys")
+			return unreadable(err, "settings", file+": "+err.Error(), "correct the named key; --help lists the keys")
 		}
 		if err := parser.Parse(arguments); err != nil {
-			return invalid("flags", err.Error(), "see --help")
+			return unreadable(err, "flags", err.Error(), "see --help")
 		}
 	}
 	return target.validate()
--- a/system/settings/validate.go
+++ b/system/settings/validate.go
@@ -24,6 +24,11 @@
 	return apierror.New(apierror.BadSettings, field+": "+message, remedy)
 }
 
+// unreadable is invalid for a value that could not be read, with the error as cause.
+func unreadable(cause error, field, message, remedy string) error {
+	return apierror.Wrap(cause, apierror.BadSettings, field+": "+message, remedy)
+}
+
 // validateAddress validates an address with an IP and a port other than 0.
 func validateAddress(field, address string) error {
 	host, port, err := net.SplitHostPort(address)
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -164,7 +164,7 @@
 	node.view.Store(view)
 	listener, err := network.Listen(node.settings.Address)
 	if err != nil {
-		return apierror.New(apierror.BadSettings, "cannot listen on "+node.settings.Address+": "+err.Error(), "use an address of this machine that is free")
+		return apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+node.settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
 	self := feed.Member{
 		Name: node.Name(), Role: feed.RoleStore, Address: node.settings.Address,
--- a/system/store/node_view.go
+++ b/system/store/node_view.go
@@ -34,7 +34,7 @@
 	}
 	view, err := wire.UnpackView(data)
 	if err != nil {
-		return nil, apierror.New(apierror.Damaged, "the stored view cannot be read: "+err.Error(), "run the version of the program that wrote it")
+		return nil, apierror.Wrap(err, apierror.Damaged, "the stored view cannot be read: "+err.Error(), "run the version of the program that wrote it")
 	}
 	return view, nil
 }
@@ -69,7 +69,7 @@
 		err = feed.ErrBaseMismatch
 	}
 	if err != nil {
-		return nil, apierror.New(apierror.Conflict, "the view cannot be made from the one that is here: "+err.Error(), "send a complete view")
+		return nil, apierror.Wrap(err, apierror.Conflict, "the view cannot be made from the one that is here: "+err.Error(), "send a complete view")
 	}
 	if !node.feedClient.Load().Adopt(view) {
 		return nil, apierror.NewRetryable(apierror.DiskUnavailable, "the view was not synced here", "ask again", time.Second)
--- a/system/storeclient/client.go
+++ b/system/storeclient/client.go
@@ -105,7 +105,7 @@
 		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: commands}}
 	})
 	if err != nil && arrived {
-		return nil, apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
+		return nil, apierror.Wrap(err, apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
 	}
 	if err != nil {
 		return nil, err
--- a/system/storeclient/find_turn.go
+++ b/system/storeclient/find_turn.go
@@ -23,7 +23,7 @@
 		select {
 		case <-time.After(maxBackoff):
 		case <-ctx.Done():
-			return nil, apierror.NewRetryable(apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", retryAfter)
+			return nil, apierror.WrapRetryable(ctx.Err(), apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", retryAfter)
 		}
 	}
 }
--- a/system/storeclient/leader_search.go
+++ b/system/storeclient/leader_search.go
@@ -86,7 +86,7 @@
 			if search.last != nil && search.last.Kind == apierror.Gap {
 				return nil, true, search.last
 			}
-			return nil, search.arrived || len(search.inFlight) > 0, apierror.NewRetryable(apierror.NoQuorum, "the stores of this line did not answer in time", "ask again", time.Second)
+			return nil, search.arrived || len(search.inFlight) > 0, apierror.WrapRetryable(ctx.Err(), apierror.NoQuorum, "the stores of this line did not answer in time", "ask again", time.Second)
 		}
 	}
 }
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -100,7 +100,7 @@
 			go client.fenceTurn(turn)
 		}
 		if err != nil {
-			return nil, apierror.NewRetryable(apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", retryAfter)
+			return nil, apierror.WrapRetryable(err, apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", retryAfter)
 		}
 		switch outcome.Status {
 		case sessionlog.Done:
