--- a/tools/glossary/main.go
+++ b/tools/glossary/main.go
@@ -1,6 +1,8 @@
 // Command glossary checks that the words which docs/glossary.md withdraws stand in none of
 // the packages that are finished. It looks at the names that a package declares, word by
-// word, and at its comments. Generated files are passed over.
+// word, and at its comments. Generated files are passed over, and so are single names that
+// the list excepts with a reason: in one package, where they are declared, and as whole words
+// of its comments. An exception that excepts nothing is a finding itself.
 //
 //	glossary -root .. -words glossary/withdrawn.txt
 //
@@ -20,6 +22,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"unicode"
 )
@@ -38,8 +41,13 @@
 	comments map[string]string
 	// packages are the folders, from the root, that are finished.
 	packages []string
+	// exceptions are the names that may be declared all the same, and say why.
+	exceptions map[exception]string
 }
 
+// exception is one name that one package may declare although it has a withdrawn word.
+type exception struct{ folder, name string }
+
 // finding is one withdrawn word in a file.
 type finding struct {
 	position token.Position
@@ -75,9 +83,9 @@
 }
 
 // readList reads lines of the form "name WORD = TERM", "comment WORD = TERM", "both WORD =
-// TERM" and "package FOLDER". Empty lines and lines that begin with # are passed over.
+// TERM", "package FOLDER" and "except FOLDER NAME = REASON". Empty lines and lines that begin with # are passed over.
 func readList(path string) (list, error) {
-	withdrawn := list{names: map[string]string{}, comments: map[string]string{}}
+	withdrawn := list{names: map[string]string{}, comments: map[string]string{}, exceptions: map[exception]string{}}
 	file, err := os.Open(path)
 	if err != nil {
 		return withdrawn, fmt.Errorf("read the withdrawn words: %w", err)
@@ -89,10 +97,23 @@
 			return withdrawn, fmt.Errorf("%s:%d: %w", path, number, err)
 		}
 	}
-	return withdrawn, lines.Err()
+	if err := lines.Err(); err != nil {
+		return withdrawn, fmt.Errorf("read the withdrawn words: %w", err)
+	}
+	return withdrawn, withdrawn.checkExceptions()
+}
+
+// checkExceptions returns an error for an exception in a package that is not checked.
+func (withdrawn *list) checkExceptions() error {
+	for one := range withdrawn.exceptions {
+		if !slices.Contains(withdrawn.packages, one.folder) {
+			return fmt.Errorf("%s is excepted in %s, which no package line names: remove the exception or add the line", one.name, one.folder)
+		}
+	}
+	return nil
 }
 
-var errMalformed = errors.New(`write "name WORD = TERM", "comment WORD = TERM", "both WORD = TERM" or "package FOLDER"`)
+var errMalformed = errors.New(`write "name WORD = TERM", "comment WORD = TERM", "both WORD = TERM", "package FOLDER" or "except FOLDER NAME = REASON"`)
 
 func (withdrawn *list) add(text string) error {
 	if text == "" || strings.HasPrefix(text, "#") {
@@ -108,6 +129,12 @@
 		return errMalformed
 	}
 	switch kind {
+	case "except":
+		folder, name, isPair := strings.Cut(word, " ")
+		if !isPair || !token.IsIdentifier(name) {
+			return errMalformed
+		}
+		withdrawn.exceptions[exception{folder, name}] = term
 	case "name":
 		withdrawn.names[word] = term
 	case "comment":
@@ -128,6 +155,7 @@
 		return nil, fmt.Errorf("read the package: %w", err)
 	}
 	var findings []finding
+	check := checker{withdrawn: withdrawn, folder: folder, excepted: map[string]bool{}}
 	for _, entry := range entries {
 		if entry.IsDir() || entry.Type()&fs.ModeType != 0 || !strings.HasSuffix(entry.Name(), ".go") {
 			continue
@@ -140,19 +168,48 @@
 		if ast.IsGenerated(parsed) {
 			continue
 		}
-		findings = append(findings, checkNames(files, parsed, withdrawn)...)
-		findings = append(findings, checkComments(files, parsed, withdrawn)...)
+		findings = append(findings, check.names(files, parsed)...)
+		findings = append(findings, check.comments(files, parsed)...)
+	}
+	return append(findings, check.unusedExceptions(path)...), nil
+}
+
+// checker checks the files of one package.
+type checker struct {
+	withdrawn list
+	folder    string
+	// excepted are the names that an exception let pass.
+	excepted map[string]bool
+}
+
+// isExcepted reports whether the package may declare a name that has a withdrawn word.
+func (check *checker) isExcepted(name string) bool {
+	_, found := check.withdrawn.exceptions[exception{check.folder, name}]
+	if found {
+		check.excepted[name] = true
+	}
+	return found
+}
+
+// unusedExceptions are the exceptions of the package that let no name pass, sorted.
+func (check *checker) unusedExceptions(path string) []finding {
+	var findings []finding
+	for one, reason := range check.withdrawn.exceptions {
+		if one.folder == check.folder && !check.excepted[one.name] {
+			findings = append(findings, finding{token.Position{Filename: path}, "the exception for", one.name, "none, as nothing is excepted (" + reason + "): remove the line"})
+		}
 	}
-	return findings, nil
+	slices.SortFunc(findings, func(left, right finding) int { return strings.Compare(left.word, right.word) })
+	return findings
 }
 
-// checkNames looks at each name where it is declared.
-func checkNames(files *token.FileSet, parsed *ast.File, withdrawn list) []finding {
+// names looks at each name where it is declared.
+func (check *checker) names(files *token.FileSet, parsed *ast.File) []finding {
 	var findings []finding
-	check := func(names ...*ast.Ident) {
+	look := func(names ...*ast.Ident) {
 		for _, name := range names {
 			for _, word := range wordsOf(name.Name) {
-				if term, ok := withdrawn.names[word]; ok {
+				if term, ok := check.withdrawn.names[word]; ok && !check.isExcepted(name.Name) {
 					findings = append(findings, finding{files.Position(name.Pos()), "the name " + name.Name, word, term})
 				}
 			}
@@ -161,20 +218,20 @@
 	ast.Inspect(parsed, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.FuncDecl:
-			check(node.Name)
+			look(node.Name)
 		case *ast.TypeSpec:
-			check(node.Name)
+			look(node.Name)
 		case *ast.ValueSpec:
-			check(node.Names...)
+			look(node.Names...)
 		case *ast.Field:
-			check(node.Names...)
+			look(node.Names...)
 		case *ast.AssignStmt:
 			if node.Tok == token.DEFINE {
-				check(identifiers(node.Lhs)...)
+				look(identifiers(node.Lhs)...)
 			}
 		case *ast.RangeStmt:
 			if node.Tok == token.DEFINE {
-				check(identifiers([]ast.Expr{node.Key, node.Value})...)
+				look(identifiers([]ast.Expr{node.Key, node.Value})...)
 			}
 		}
 		return true
@@ -209,10 +266,10 @@
 
 var wordPattern = regexp.MustCompile(`[A-Za-z]+`)
 
-// checkComments looks at the words of comments. Names that a comment cites in camel case
-// are left to checkNames, and so is what stands in quotation marks or backticks: texts that
+// comments looks at the words of comments. Names that a comment cites in camel case
+// are left to names, and so is what stands in quotation marks or backticks: texts that
 // go to the wire or the disk are cited like that.
-func checkComments(files *token.FileSet, parsed *ast.File, withdrawn list) []finding {
+func (check *checker) comments(files *token.FileSet, parsed *ast.File) []finding {
 	quoted := regexp.MustCompile("\"[^\"]*\"|`[^`]*`")
 	var findings []finding
 	for _, group := range parsed.Comments {
@@ -221,9 +278,9 @@
 				continue
 			}
 			for _, word := range wordPattern.FindAllString(quoted.ReplaceAllString(comment.Text, ""), -1) {
-				word = strings.ToLower(word)
-				if term, ok := withdrawn.comments[word]; ok {
-					findings = append(findings, finding{files.Position(comment.Pos()), "a comment", word, term})
+				lower := strings.ToLower(word)
+				if term, ok := check.withdrawn.comments[lower]; ok && !check.isExcepted(word) {
+					findings = append(findings, finding{files.Position(comment.Pos()), "a comment", lower, term})
 				}
 			}
 		}
