--- a/system/wire/raft_batch_codec.go
+++ b/system/wire/raft_batch_codec.go
@@ -4,6 +4,8 @@
 	"errors"
 	"math"
 
+	"capnproto.org/go/capnp/v3"
+
 	"yardrock.example/system/raft"
 	"yardrock.example/system/wire/schema"
 )
@@ -12,6 +14,27 @@
 // In a batch they have a short form of four numbers, from which the message is rebuilt in
 // full. Only messages that it rebuilds exactly may take it.
 
+// batchForm is how a message travels in a batch, which has a list for each form.
+type batchForm int
+
+const (
+	fullForm batchForm = iota
+	heartbeatForm
+	heartbeatReplyForm
+	batchFormCount
+)
+
+// formOf gives the shortest form that a message may take.
+func formOf(message *raft.Message) batchForm {
+	switch {
+	case isHeartbeat(message):
+		return heartbeatForm
+	case isHeartbeatReply(message):
+		return heartbeatReplyForm
+	}
+	return fullForm
+}
+
 // isPlain tells whether a message has nothing that the short form could not carry: no
 // entries, no flags, and a term that fits 32 bits.
 func isPlain(message *raft.Message) bool {
@@ -30,11 +53,11 @@
 }
 
 // encodeHeartbeat writes the short form of a heartbeat or of a reply to one.
-func encodeHeartbeat(target schema.Beat, message **raft.Message) error {
-	target.SetGroup((*message).Group)
-	target.SetTerm(uint32((*message).Term))
-	target.SetIndex((*message).Index)
-	target.SetRound((*message).Round)
+func encodeHeartbeat(target schema.Beat, message *raft.Message) error {
+	target.SetGroup(message.Group)
+	target.SetTerm(uint32(message.Term))
+	target.SetIndex(message.Index)
+	target.SetRound(message.Round)
 	return nil
 }
 
@@ -49,44 +72,51 @@
 	return nil
 }
 
-// encodeRaftBatch writes the messages of one node to one other. All of them have the same
-// sender and receiver, which the batch has once.
-func encodeRaftBatch(target schema.AgreementBatch, value *RaftBatch) error {
-	if len(value.Messages) == 0 {
+// encodeForm allocates the list of one form, unless it would be empty, and encodes the
+// messages that take this form into it. The messages are counted beforehand rather than
+// collected, as this runs for every batch and should allocate nothing but the list.
+func encodeForm[Struct ~capnp.StructKind](newList func(int32) (capnp.StructList[Struct], error), form batchForm, count int32, messages []raft.Message, encode func(Struct, *raft.Message) error) error {
+	if count == 0 {
 		return nil
 	}
-	heartbeats, replies := make([]*raft.Message, 0, len(value.Messages)), make([]*raft.Message, 0, len(value.Messages))
-	var others []*raft.Message
-	for position := range value.Messages {
-		message := &value.Messages[position]
-		switch {
-		case isHeartbeat(message):
-			heartbeats = append(heartbeats, message)
-		case isHeartbeatReply(message):
-			replies = append(replies, message)
-		default:
-			others = append(others, message)
-		}
-	}
-	if err := errors.Join(target.SetFrom(value.Messages[0].From), target.SetTo(value.Messages[0].To)); err != nil {
+	list, err := newList(count)
+	if err != nil {
 		return err
 	}
-	if len(heartbeats) > 0 {
-		if err := encodeList(target.NewBeats, heartbeats, encodeHeartbeat); err != nil {
-			return err
+	next := 0
+	for position := range messages {
+		if formOf(&messages[position]) != form {
+			continue
 		}
-	}
-	if len(replies) > 0 {
-		if err := encodeList(target.NewAnswers, replies, encodeHeartbeat); err != nil {
+		if err := encode(list.At(next), &messages[position]); err != nil {
 			return err
 		}
+		next++
 	}
-	if len(others) == 0 {
+	return nil
+}
+
+// encodeRaftBatch writes the messages of one node to one other. All of them have the same
+// sender and receiver, which the batch has once.
+func encodeRaftBatch(target schema.AgreementBatch, value *RaftBatch) error {
+	messages := value.Messages
+	if len(messages) == 0 {
 		return nil
 	}
-	return encodeList(target.NewMessages, others, func(target schema.AgreementMessage, message **raft.Message) error {
-		return encodeMessage(target, *message)
-	})
+	var counts [batchFormCount]int32
+	for position := range messages {
+		counts[formOf(&messages[position])]++
+	}
+	if err := errors.Join(target.SetFrom(messages[0].From), target.SetTo(messages[0].To)); err != nil {
+		return err
+	}
+	if err := encodeForm(target.NewBeats, heartbeatForm, counts[heartbeatForm], messages, encodeHeartbeat); err != nil {
+		return err
+	}
+	if err := encodeForm(target.NewAnswers, heartbeatReplyForm, counts[heartbeatReplyForm], messages, encodeHeartbeat); err != nil {
+		return err
+	}
+	return encodeForm(target.NewMessages, fullForm, counts[fullForm], messages, encodeMessage)
 }
 
 // decodeRaftBatch gives the messages of a batch: those in full first, then heartbeats, then
