--- a/system/replica/helpers_test.go
+++ b/system/replica/helpers_test.go
@@ -131,13 +131,25 @@
 			select {
 			case <-host.stopped: // the test closed it
 			default:
-				host.Close()
+				closeHost(t, host)
 			}
 		})
 	}
 	return host, err
 }
 
+// closeHost closes a host and waits until nothing is written to its folder any more, so that it
+// may be removed or opened again.
+func closeHost(t *testing.T, host *Host) {
+	t.Helper()
+	host.Close()
+	select {
+	case <-host.diskStopped:
+	case <-time.After(testTimeout):
+		t.Errorf("the disk goroutine has not ended within %s of Close", testTimeout)
+	}
+}
+
 // directoryBytes returns the size of all files below a folder.
 func directoryBytes(t *testing.T, path string) (total int64) {
 	t.Helper()
--- a/system/replica/host.go
+++ b/system/replica/host.go
@@ -26,9 +26,11 @@
 	// under way.
 	diskJobs     chan *diskJob
 	finishedJobs chan *diskJob
-	// stopping is closed by Close, and stopped by the loop when it ends.
-	stopping chan struct{}
-	stopped  chan struct{}
+	// stopping is closed by Close, stopped by the loop when it ends, and diskStopped by the
+	// disk goroutine.
+	stopping    chan struct{}
+	stopped     chan struct{}
+	diskStopped chan struct{}
 
 	// The following fields belong to the loop.
 
@@ -85,9 +87,13 @@
 	return stateMachine
 }
 
-// Close stops the host and its transport. Proposals and reads that wait fail. What is not
-// durable yet may be lost; the disk goroutine ends with the write that it has begun, which
-// Close does not wait for. It must be called once.
+// Close stops the host and its transport. Proposals and reads that wait fail. It must be called
+// once.
+//
+// Close does not wait for the write that the disk goroutine has begun: a stalled disk would keep
+// the process from ending, and a loss of power does not wait either. The write goes on until it
+// has succeeded or failed, and then diskStopped is closed; before that nobody else may open or
+// remove the data folder in this process. What is not durable yet may be lost.
 func (host *Host) Close() {
 	close(host.stopping)
 	<-host.stopped
--- a/system/replica/host_disk.go
+++ b/system/replica/host_disk.go
@@ -27,6 +27,7 @@
 // fails. finishedJobs has room for the last job, so that it does not wait for a loop that has
 // ended.
 func (host *Host) diskLoop() {
+	defer close(host.diskStopped)
 	for job := range host.diskJobs {
 		for {
 			err := host.runJob(job)
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -15,7 +15,8 @@
 // Open starts a host with the groups that its durable log has. records are those that
 // [durablelog.Open] returned. newStateMachine returns an empty state machine for a group; it
 // is called from several goroutines at once. The host uses the log and the transport until
-// Close, and closes the transport.
+// Close, and closes the transport; after an error both stay with the caller. The log needs no
+// Close: its files belong to the [vfs.Directory] that it was opened in.
 //
 // The error is an [apierror.Error]: Damaged if the state of a group cannot be read,
 // FormatTooNew if a newer version has written it.
@@ -23,7 +24,7 @@
 	host := &Host{
 		settings: settings, name: durableLog.Identity().Name, durableLog: durableLog, newStateMachine: newStateMachine, transport: transport,
 		actions: make(chan func(), 1024), diskJobs: make(chan *diskJob), finishedJobs: make(chan *diskJob, 1),
-		stopping: make(chan struct{}), stopped: make(chan struct{}),
+		stopping: make(chan struct{}), stopped: make(chan struct{}), diskStopped: make(chan struct{}),
 		groups: map[uint32]*raftGroup{}, removed: map[uint32]bool{}, values: map[uint32][]byte{}, outbox: map[string][]raft.Message{},
 	}
 	stored, err := host.replay(records)
--- a/system/replica/host_snapshots_test.go
+++ b/system/replica/host_snapshots_test.go
@@ -31,7 +31,7 @@
 	}
 	await(t, "a snapshot by bytes", func() bool { entries, _ := host.logSinceSnapshot(); return entries < 80 })
 	want := bytes.Clone(machine.content)
-	host.Close()
+	closeHost(t, host)
 	again := &textStateMachine{}
 	reopened, err := openHost(t, path, fastSettings(), again)
 	if err != nil {
@@ -77,7 +77,7 @@
 	if retained := heapInUse() - before; retained > maxFactor*size {
 		t.Errorf("%d bytes are retained for a state of %d", retained, size)
 	}
-	host.Close()
+	closeHost(t, host)
 	before = heapInUse()
 	reopened, err := openHost(t, path, fastSettings(), &lastCommandStateMachine{})
 	if err != nil {
