--- a/system/replica/host_loop.go
+++ b/system/replica/host_loop.go
@@ -93,8 +93,8 @@
 }
 
 // flush passes on what a turn of the loop has produced: messages to the transport and, if the
-// disk goroutine is idle, all pending records as its next job. When the log has grown to its
-// threshold the job is a snapshot of the complete state, which includes the pending records.
+// disk goroutine is idle, all pending records as its next job. When they would have the log grow
+// beyond its threshold the job is a snapshot of the complete state, which includes them.
 func (host *Host) flush() {
 	for to, messages := range host.outbox {
 		host.transport.Send(to, messages)
@@ -102,7 +102,9 @@
 	clear(host.outbox)
 	if host.runningJob == nil && (len(host.pendingRecords) > 0 || len(host.pendingCallbacks) > 0) {
 		job := &diskJob{records: host.pendingRecords, callbacks: host.pendingCallbacks, started: time.Now()}
-		if host.durableLog.LogBytes() > host.settings.compactionThreshold(host.durableLog.SnapshotBytes()) {
+		// The pending records count too: one job can have a large entry and a group's snapshot.
+		logBytes := host.durableLog.LogBytes() + dataBytes(job.records)
+		if logBytes > host.settings.compactionThreshold(host.durableLog.SnapshotBytes()) {
 			job.snapshot, job.records = host.snapshotRecords(), nil
 		}
 		host.pendingRecords, host.pendingCallbacks, host.runningJob = nil, nil, job
--- a/system/replica/host_records.go
+++ b/system/replica/host_records.go
@@ -38,6 +38,14 @@
 	return append(records, durablelog.Record{Group: groupID, Kind: recordWrite, Data: wire.MustEncode(schema.StoredWrite_TypeID, &write)})
 }
 
+// dataBytes returns the size of the data of records.
+func dataBytes(records []durablelog.Record) (total int64) {
+	for _, record := range records {
+		total += int64(len(record.Data))
+	}
+	return total
+}
+
 var errSnapshotContentMissing = errors.New("the content of its snapshot is missing")
 
 // decodeWrite decodes a recordWrite. The content of its snapshot may have been in a record
--- a/system/replica/settings_test.go
+++ b/system/replica/settings_test.go
@@ -36,3 +36,20 @@
 		}
 	}
 }
+
+// One job that is larger than the log may become is written as a snapshot file at once, not
+// appended and then compacted: the folder would have it twice.
+func TestCompactionCountsRecordsToBeWritten(t *testing.T) {
+	host, err := openHost(t, t.TempDir(), fastSettings().WithDiskSize(1), &textStateMachine{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := host.StoreValue(t.Context(), 1, make([]byte, 2*minLogBytes)); err != nil {
+		t.Fatal(err)
+	}
+	host.runOnLoop(func() {
+		if logged, snapshot := host.durableLog.LogBytes(), host.durableLog.SnapshotBytes(); logged > 0 || snapshot < 2*minLogBytes {
+			t.Errorf("the log has %d bytes and the snapshot file %d", logged, snapshot)
+		}
+	})
+}
