--- a/system/controlplane/admin_tables.go
+++ b/system/controlplane/admin_tables.go
@@ -23,7 +23,7 @@
 // tableFunc returns the columns and rows of a table of the query language.
 type tableFunc func(ctx context.Context, source tableSource) ([]string, [][]string)
 
-// tables are the tables of the query language, by their names in it.
+// tables are the tables of the query language but for changesTable, by their names in it.
 var tables = map[string]tableFunc{
 	"nodes":       listNodes,
 	"stores":      listStores,
@@ -54,7 +54,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// Never nil: the parser accepts only the names of tables.
+	// Never nil: the parser accepts only querylanguage.Tables, and
+	// TestEveryTableOfTheQueryLanguageIsServed ties those to the map.
 	columns, rows := tables[table](ctx, tableSource{node: service.node, view: state.view, config: decoded})
 	return columns, rows, nil
 }
@@ -104,7 +105,7 @@
 
 // listNodes lists the live nodes.
 func listNodes(_ context.Context, source tableSource) ([]string, [][]string) {
-	return memberColumns, memberRows(source.node.LiveMembers())
+	return memberColumns, memberRows(source.node.liveMembers())
 }
 
 // listStores lists the store list.
--- a/system/querylanguage/grammar.go
+++ b/system/querylanguage/grammar.go
@@ -86,5 +86,6 @@
 // malformed, which any test of the package would show.
 var parser = participle.MustBuild[Statement](participle.Lexer(tokenRules), participle.Unquote("Text"), participle.UseLookahead(4))
 
-// Tables are the names of the tables that can be shown.
+// Tables are the names of the tables that can be shown. Package controlplane has the function of
+// each; a test there ties the two together.
 var Tables = []string{"changes", "config", "controls", "demand", "domains", "assignments", "groups", "nodes", "openings", "programs", "routes", "runners", "services", "stores", "tallies", "weights"}
