--- a/system/querylanguage/parse.go
+++ b/system/querylanguage/parse.go
@@ -18,6 +18,10 @@
 	"yardrock.example/system/apierror"
 )
 
+// tableColumn is where the table of a show query stands: after "show ". It is that of a query
+// without further white space, as the grammar keeps no positions.
+const tableColumn = "column 6"
+
 // Parse parses one line. The error is an *apierror.Error of kind Invalid that names the
 // column and what was expected there, or the nearest table to one that does not exist.
 //
@@ -25,19 +29,20 @@
 func Parse(text string) (*Statement, error) {
 	statement, err := parser.ParseString("", text)
 	if err != nil {
+		message := err.Error()
 		var failed participle.Error
 		if errors.As(err, &failed) {
-			return nil, apierror.New(apierror.Invalid, fmt.Sprintf("column %d: %s", failed.Position().Column, failed.Message()), "the operators' page lists the queries and commands")
+			message = fmt.Sprintf("column %d: %s", failed.Position().Column, failed.Message())
 		}
-		return nil, apierror.Wrap(err, apierror.Invalid, err.Error(), "the operators' page lists the queries and commands")
+		return nil, apierror.Wrap(err, apierror.Invalid, message, "the operators' page lists the queries and commands")
 	}
 	if statement.Show != nil && !slices.Contains(Tables, statement.Show.What) {
-		return nil, apierror.New(apierror.Invalid, "column 6: nothing is named "+strconv.Quote(statement.Show.What)+Suggest(statement.Show.What, Tables), "show one of "+strings.Join(Tables, ", "))
+		return nil, apierror.New(apierror.Invalid, tableColumn+": nothing is named "+strconv.Quote(statement.Show.What)+Suggest(statement.Show.What, Tables), "show one of "+strings.Join(Tables, ", "))
 	}
 	return statement, nil
 }
 
-// Path returns the path of the value in the config that the command sets. The error is an
+// Path returns the dotted path of the value in the config that the command sets. The error is an
 // *apierror.Error of kind Invalid: a weight without a group.
 //
 //	path, err := set.Path()
--- a/system/querylanguage/print.go
+++ b/system/querylanguage/print.go
@@ -52,12 +52,14 @@
 //
 //	fmt.Println(set)
 func (set *Set) String() string {
-	for kind, pair := range map[string]*Pair{"weight": set.Weight, "allowance": set.Quota, "limit": set.Limit} {
-		if pair != nil {
-			return "set " + kind + " " + pair.String() + " " + set.Value
-		}
+	kind, pair := "weight", set.Weight
+	switch {
+	case set.Quota != nil:
+		kind, pair = "allowance", set.Quota
+	case set.Limit != nil:
+		kind, pair = "limit", set.Limit
 	}
-	return ""
+	return "set " + kind + " " + pair.String() + " " + set.Value
 }
 
 // String returns the query as it is written, with all values quoted.
--- a/system/querylanguage/rows.go
+++ b/system/querylanguage/rows.go
@@ -69,6 +69,6 @@
 	"~":  strings.Contains,
 }
 
-// matches reports whether a field compares to a value as an operator says. The grammar
-// admits only operators of comparisons.
+// matches reports whether a field compares to a value as an operator says. Operator must be one
+// of comparisons, which has all that the grammar of Condition admits.
 func matches(have, operator, want string) bool { return comparisons[operator](have, want) }
