--- a/system/config/compile.go
+++ b/system/config/compile.go
@@ -19,14 +19,14 @@
 //go:embed schema.cue
 var schemaSource string
 
-// Compile checks CUE source and gives the config and its compiled form. The error names every
+// Compile checks CUE source and returns the config and its compiled form. The error names every
 // field that the schema rejects, with its position, or the first name that refers to nothing.
 //
 //	config, compiled, err := config.Compile(source)
 func Compile(source string) (*Config, []byte, error) {
-	context := cuecontext.New()
-	definition := context.CompileString(schemaSource, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Config"))
-	value := context.CompileString(source, cue.Filename("config.cue"))
+	cueContext := cuecontext.New()
+	definition := cueContext.CompileString(schemaSource, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Config"))
+	value := cueContext.CompileString(source, cue.Filename("config.cue"))
 	if err := value.Err(); err != nil {
 		return nil, nil, invalidConfig(err)
 	}
@@ -78,11 +78,9 @@
 	return config, nil
 }
 
-// Encode gives a config's compiled form. Parts in their operator's own words (Original) are
+// encode returns a config's compiled form. Parts in their operator's own words (Original) are
 // written unchanged.
-//
-//	compiled, err := config.Encode()
-func (config *Config) Encode() ([]byte, error) {
+func (config *Config) encode() ([]byte, error) {
 	var compiled bytes.Buffer
 	encoder := json.NewEncoder(&compiled)
 	encoder.SetEscapeHTML(false)
@@ -134,11 +132,13 @@
 	return nil
 }
 
+// hasKey reports whether a map has an item of a name.
 func hasKey[Value any](items map[string]Value, name string) bool {
 	_, found := items[name]
 	return found
 }
 
+// missingName is the error of a field that refers to an item which is not in the config.
 func missingName(path, name, kind string) error {
 	return apierror.New(apierror.Invalid, fmt.Sprintf("the config is invalid: %s: no %s is named %q", path, kind, name), "add it, or name one that is there; nothing was changed")
 }
--- a/system/config/config.go
+++ b/system/config/config.go
@@ -37,50 +37,64 @@
 	return []byte(time.Duration(duration).String()), nil
 }
 
-// Program is an agent program that a team runs. Quota is how many words it may put out in one
-// Period, TurnLimit how many one answer may have; it is cut there. A new Period text starts
-// the quota's usage anew. Retention is how long its sessions are kept after their last event.
+// Program is an agent program that a team runs.
 type Program struct {
-	Team      string   `json:"team"`
-	Quota     uint64   `json:"allowance"`
-	TurnLimit uint64   `json:"turn_limit"`
-	Period    string   `json:"period"`
+	// Team is the name of the team that it belongs to.
+	Team string `json:"team"`
+	// Quota is how many words it may put out in one Period; above 0.
+	Quota uint64 `json:"allowance"`
+	// TurnLimit is how many words one answer may have, 1 to 100000; the answer is cut there.
+	TurnLimit uint64 `json:"turn_limit"`
+	// Period names the time that Quota is for. A new text starts the quota's usage anew; the
+	// default is "first".
+	Period string `json:"period"`
+	// Retention is how long its sessions are kept after their last event; the default is 24 h.
 	Retention Duration `json:"keep"`
 }
 
-// Group is the capacity of each runner of a group: how many requests it serves at once, and how
-// many of them while it warms up, for SlowStart after its start.
+// Group is the capacity of each runner of a group.
 type Group struct {
-	Concurrency       int      `json:"concurrency"`
-	WarmUpConcurrency int      `json:"cold_concurrency"`
-	SlowStart         Duration `json:"ramp"`
+	// Concurrency is how many requests a runner serves at once; the default is 8.
+	Concurrency int `json:"concurrency"`
+	// WarmUpConcurrency is how many it serves at once while it warms up; the default is 1.
+	WarmUpConcurrency int `json:"cold_concurrency"`
+	// SlowStart is how long it warms up after its start; the default is 10 s.
+	SlowStart Duration `json:"ramp"`
 }
 
-// WorkKind is a kind of work that callers may ask for by name. Serves is "turn" for turns of
-// conversations or "plain" for requests to Path of a runner. Table names the weights by which
-// the work is spread over groups. Work that is not Repeatable needs a request key, and is
-// recorded. Urgency is "urgent", "normal" or "bulk". Timeout is how long a caller waits.
+// WorkKind is a kind of work that callers may ask for by name.
 type WorkKind struct {
-	Serves     string   `json:"serves"`
-	Table      string   `json:"table"`
-	Repeatable bool     `json:"repeatable"`
-	Urgency    string   `json:"urgency"`
-	Timeout    Duration `json:"patience"`
-	Path       string   `json:"path"`
+	// Serves is "turn" for turns of conversations, "plain" for single requests to a runner.
+	Serves string `json:"serves"`
+	// Table names the weights by which the work is spread over groups.
+	Table string `json:"table"`
+	// Repeatable work may be executed more than once; it is the default. Other work needs a
+	// request key, and is recorded.
+	Repeatable bool `json:"repeatable"`
+	// Urgency is "urgent", "normal" or "bulk"; the default is "normal".
+	Urgency string `json:"urgency"`
+	// Timeout is how long a caller waits; the default is 20 s.
+	Timeout Duration `json:"patience"`
+	// Path is the path of the requests to runners; the default is "/".
+	Path string `json:"path"`
 }
 
-// Limits bound what one front accepts: BodyBytes of one request, Queue waiting requests of each
-// urgency, for at most QueueTimeout.
+// Limits bound what one front accepts.
 type Limits struct {
-	BodyBytes    int64    `json:"body_bytes"`
-	Queue        int      `json:"queue"`
+	// BodyBytes is the size of one request's body, 1 KiB to 16 MiB; the default is 1 MiB.
+	BodyBytes int64 `json:"body_bytes"`
+	// Queue is how many requests of each urgency may wait, up to 100000; the default is 200.
+	Queue int `json:"queue"`
+	// QueueTimeout is how long a request may wait; the default is 2 s.
 	QueueTimeout Duration `json:"queue_patience"`
 }
 
-// Platform is where the runner list comes from: an http URL, "" for none, read every Poll.
+// Platform is where the runner list comes from.
 type Platform struct {
-	RunnerList string   `json:"runner_list"`
-	Poll       Duration `json:"poll"`
+	// RunnerList is an http URL; empty for none, which is the default.
+	RunnerList string `json:"runner_list"`
+	// Poll is how often the list is read; the default is 1 s.
+	Poll Duration `json:"poll"`
 }
 
 // Config is a checked configuration. The maps are keyed by name. Tables have the weights of
--- a/system/config/principals.go
+++ b/system/config/principals.go
@@ -6,7 +6,7 @@
 	"encoding/hex"
 )
 
-// HashToken gives the form in which a token is stored: its SHA-256 in hexadecimal. Tokens are
+// HashToken returns the form in which a token is stored: its SHA-256 in hexadecimal. Tokens are
 // long random texts, so a fast hash without salt is enough.
 //
 //	stored := config.HashToken("team-secret")
@@ -21,7 +21,7 @@
 	TokenHashes []string `json:"token_hashes"`
 }
 
-// PrincipalByToken gives the name of the principal who has a token. Every hash is compared, in
+// PrincipalByToken returns the name of the principal who has a token. Every hash is compared, in
 // constant time, so that the time taken says nothing about the token.
 //
 //	team, found := config.PrincipalByToken(config.Teams, token)
--- a/system/config/routing_check.go
+++ b/system/config/routing_check.go
@@ -48,7 +48,7 @@
 	remedy   string
 }
 
-// firstViolation gives the error of the first rule that is violated, for fields of the item at
+// firstViolation returns the error of the first rule that is violated, for fields of the item at
 // a path.
 func firstViolation(path string, rules []fieldRule) error {
 	for _, rule := range rules {
--- a/system/config/routing_revisions.go
+++ b/system/config/routing_revisions.go
@@ -21,12 +21,12 @@
 // RoutingPatch is a change of a routing by names: first the named items are removed, then each
 // given item replaces the one of its name or is added at the end.
 type RoutingPatch struct {
-	Revision       uint64
-	Routes         []Route
-	Services       []Service
-	RemoveRoutes   []string
-	RemoveServices []string
-	Bounds         *Bounds // nil: unchanged
+	Revision       uint64    // of the routing that it makes
+	Routes         []Route   // to add, or in place of those of their names
+	Services       []Service // likewise
+	RemoveRoutes   []string  // names
+	RemoveServices []string  // names
+	Bounds         *Bounds   // nil: unchanged
 }
 
 // check rejects a patch that gives an item twice.
@@ -37,11 +37,12 @@
 	return checkUniqueNames("routes", patch.Routes, routeName)
 }
 
+// routeName and serviceName are the keys by which items of a routing are told apart.
 func routeName(route Route) string { return route.Name }
 
 func serviceName(service Service) string { return service.Name }
 
-// RevisionOf gives the revision that a request of a digest brought, if it is remembered. A nil
+// RevisionOf returns the revision that a request of a digest brought, if it is remembered. A nil
 // routing remembers none.
 //
 //	if revision, accepted := routing.RevisionOf(digest); accepted { ... }
@@ -57,7 +58,7 @@
 	return 0, false
 }
 
-// Patched gives the routing with a patch applied. The receiver, which may be nil, is not changed.
+// Patched returns the routing with a patch applied. The receiver, which may be nil, is not changed.
 // Removing a name that is not there is no error. The accepted requests are left to
 // WithRouting.
 //
@@ -97,7 +98,7 @@
 	return next
 }
 
-// CurrentRevision gives the routing's revision; 0 if there is no routing yet.
+// CurrentRevision returns the routing's revision; 0 if there is no routing yet.
 //
 //	base := config.Routing.CurrentRevision()
 func (routing *Routing) CurrentRevision() uint64 {
@@ -107,7 +108,7 @@
 	return routing.Revision
 }
 
-// WithRouting gives the config with another routing, and its compiled form. The routing must be
+// WithRouting returns the config with another routing, and its compiled form. The routing must be
 // valid, and its revision above the current one. The digest of the request that brought it is
 // remembered with it, in place of the oldest beyond MaxAcceptedRequests.
 //
@@ -133,7 +134,7 @@
 	}
 	next := *config
 	next.Routing = &routing
-	compiled, err := next.Encode()
+	compiled, err := next.encode()
 	return &next, compiled, err
 }
 
@@ -157,10 +158,10 @@
 		inherited.AcceptedRequests = current.Routing.AcceptedRequests
 		config.Routing = &inherited
 	}
-	return config.Encode()
+	return config.encode()
 }
 
-// equal tells whether two routings have the same effect: how their operators wrote them, unknown
+// equal reports whether two routings have the same effect: how their operators wrote them, unknown
 // fields and accepted requests do not count.
 func (routing *Routing) equal(other *Routing) bool {
 	effect := func(routing Routing) []byte {
