--- a/system/feedclient/controls.go
+++ b/system/feedclient/controls.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// seedTimeout bounds how long seeds are asked for control nodes.
+	// seedTimeout bounds one round of asking the seeds for control nodes.
 	seedTimeout = 500 * time.Millisecond
 	// preferredCheckInterval is how often the client checks whether its preferred control node
 	// is alive, to go back to it.
@@ -24,12 +24,12 @@
 	maxParallelControls = 3
 )
 
-// pickControls gives the control nodes to poll next: the one that replied last, or the
+// pickControls returns the control nodes to poll next: the one that replied last, or the
 // preferred one if it is alive and a check is due; without one that replied, the next few
 // candidates.
 func (client *Client) pickControls() []string {
-	if client.control != "" && time.Since(client.chosenAt) > preferredCheckInterval {
-		client.chosenAt = time.Now()
+	if client.control != "" && time.Now().After(client.preferredCheckAt) {
+		client.preferredCheckAt = time.Now().Add(preferredCheckInterval)
 		if ranked := client.rankedControls(client.view.Load()); len(ranked) > 0 && client.isLive(ranked[0]) {
 			client.control, client.candidates = ranked[0], ranked[1:]
 		}
@@ -46,7 +46,7 @@
 }
 
 // refillCandidates lists the control nodes of the view and, every other time, those that the
-// seeds know: the view's may all have moved or be gone.
+// seeds know: those of the view may all have moved or be gone.
 func (client *Client) refillCandidates() {
 	client.candidates = client.rankedControls(client.view.Load())
 	client.candidateRounds++
@@ -60,11 +60,11 @@
 	}
 }
 
-// keepControl keeps to a control node that confirmed. If it is another one than before, the
-// quickest of a few, the preferred one is checked soon.
+// keepControl keeps polling a control node that confirmed. If it is another one than before, it
+// was merely the quickest of a few, so the preferred one is checked soon.
 func (client *Client) keepControl(address string) {
 	if client.control != address {
-		client.control, client.chosenAt = address, time.Now().Add(firstPreferredCheck-preferredCheckInterval)
+		client.control, client.preferredCheckAt = address, time.Now().Add(firstPreferredCheck)
 	}
 }
 
@@ -86,12 +86,14 @@
 	return append(near, far...)
 }
 
+// isLive reports whether a live member has an address.
 func (client *Client) isLive(address string) bool {
 	return slices.ContainsFunc(client.Members(), func(member feed.Member) bool { return member.Address == address })
 }
 
 // discoverControls asks all seeds at once for the control nodes that they know, and gives the
-// first list that is not empty. The requests end with it.
+// first list that is not empty, nil if there is none within seedTimeout. The requests that are
+// still in flight then are cancelled and not waited for.
 func (client *Client) discoverControls() []string {
 	seeds := *client.seeds.Load()
 	ctx, cancel := context.WithTimeout(client.ctx, seedTimeout)
--- a/system/feedclient/feedclient.go
+++ b/system/feedclient/feedclient.go
@@ -10,8 +10,8 @@
 // Guarantees:
 //   - View only moves forward in number, and never to another fleet's view.
 //   - A view is shown only after the owner's onView accepted it, in order of numbers.
-//   - Fresh gives a view only within FreshnessWindow of a confirmation, counted from when the
-//     query for it was sent. So nobody acts on a view any more when FreshnessWindow has
+//   - Fresh gives a view only within freshnessWindow of a confirmation, counted from when the
+//     query for it was sent. So nobody acts on a view any more when freshnessWindow has
 //     passed since a change of it was acknowledged.
 //
 // A Client owns the view in memory; its owner stores it on disk, in onView.
@@ -34,7 +34,7 @@
 	rpc       *link.Client
 	self      feed.Member
 	onView    func(*feed.View) error
-	startedAt time.Time // durations below count from it, on the monotonic clock
+	startedAt time.Time // the durations below count from it, on the monotonic clock
 
 	seeds            atomic.Pointer[[]string]
 	view             atomic.Pointer[feed.View]
@@ -43,18 +43,18 @@
 	lastControlReply atomic.Int64              // duration; when a control quorum confirmed last; 0: never
 	runnerListReadAt atomic.Pointer[time.Time] // nil: not known
 
-	freshUntil        atomic.Int64                  // duration
+	freshUntil        atomic.Int64                  // duration; 0: never fresh yet
 	freshnessExtended atomic.Pointer[chan struct{}] // closed when freshUntil grows
 
 	adoptToken   chan struct{} // a mutex that Adopt can give up waiting for; full: unlocked
 	foreignFleet chan error    // has room for the one error that is reported
 
 	// For the polling goroutine only.
-	control         string    // the control node that replied last; "" after a poll without a reply
-	chosenAt        time.Time // when control was last compared with the preferred one
-	candidates      []string  // control nodes to try next
-	candidateRounds int       // how often candidates was refilled
-	failures        int       // polls in a row without a confirmation by a control node
+	control          string    // address of the control node that confirmed last; "" after a poll without one
+	preferredCheckAt time.Time // when to compare control with the preferred one
+	candidates       []string  // addresses of control nodes to try next
+	candidateRounds  int       // how often candidates was refilled
+	failures         int       // polls in a row without a confirmation by a control node
 
 	ctx  context.Context // ends with Stop
 	stop context.CancelFunc
@@ -105,13 +105,13 @@
 	client.seeds.Store(&seeds)
 }
 
-// View gives the newest view, fresh or not; an empty one before the first. It must not be
+// View returns the newest view, fresh or not; an empty one before the first. It must not be
 // changed.
 //
 //	view := client.View()
 func (client *Client) View() *feed.View { return client.view.Load() }
 
-// Members gives the nodes that are alive by their heartbeats to the control nodes, as of the
+// Members returns the nodes that are alive by their heartbeats to the control nodes, as of the
 // last reply.
 //
 //	for _, member := range client.Members() { ... }
--- a/system/feedclient/freshness.go
+++ b/system/feedclient/freshness.go
@@ -9,11 +9,11 @@
 	"yardrock.example/system/wire"
 )
 
-// FreshnessWindow is how long a view may be acted on after the query was sent whose reply
+// freshnessWindow is how long a view may be acted on after the query was sent whose reply
 // confirmed that nothing newer exists.
-const FreshnessWindow = 1500 * time.Millisecond
+const freshnessWindow = 1500 * time.Millisecond
 
-// Fresh gives the view if it may be acted on: within FreshnessWindow, a control quorum or a
+// Fresh returns the view if it may be acted on: within freshnessWindow, a control quorum or a
 // majority of the stores that replicate views confirmed that nothing newer exists. Else the
 // error is an apierror.NotRun to be retried after a second.
 //
@@ -27,8 +27,9 @@
 }
 
 // AwaitFresh is Fresh, but waits for a confirmation while one is likely to come soon: until
-// timeout has passed since the view was fresh last, or since the start. So a process that was
-// cut off longer than that does not let its callers wait.
+// timeout has passed since the view was fresh last, or since the start. So the callers of a
+// process that was cut off for longer than that do not wait. The error is that of Fresh, also
+// when the context ends.
 //
 //	view, err := client.AwaitFresh(ctx, 1500*time.Millisecond)
 func (client *Client) AwaitFresh(ctx context.Context, timeout time.Duration) (*feed.View, error) {
@@ -56,14 +57,14 @@
 // been acknowledged at any time after that. When two replies race, the earlier one may win,
 // which only makes the view stale a little sooner.
 func (client *Client) extendFreshness(sentAt time.Time) {
-	until := int64(sentAt.Sub(client.startedAt) + FreshnessWindow)
+	until := int64(sentAt.Sub(client.startedAt) + freshnessWindow)
 	if until > client.freshUntil.Load() {
 		client.freshUntil.Store(until)
 		close(*client.freshnessExtended.Swap(new(make(chan struct{}))))
 	}
 }
 
-// HeardControlWithin tells whether a control quorum confirmed a view at most that long ago.
+// HeardControlWithin reports whether a control quorum confirmed a view at most that long ago.
 //
 //	if client.HeardControlWithin(5 * time.Second) { ... }
 func (client *Client) HeardControlWithin(age time.Duration) bool {
@@ -71,7 +72,7 @@
 	return last > 0 && time.Since(client.startedAt)-last < age
 }
 
-// RunnerListReadAt gives when the control plane last read the runner list whose content is in
+// RunnerListReadAt returns when the control plane last read the runner list whose content is in
 // the view, by this process's clock and not later than it really was; zero if that is not
 // known. A view loaded afterwards has what the list had then.
 //
--- a/system/feedclient/polling.go
+++ b/system/feedclient/polling.go
@@ -63,8 +63,9 @@
 }
 
 // poll asks the control node that replied last, with a long poll, or a few at once if none
-// did, as some may be unreachable. It hedges with the stores if the reply is late, and tells
-// whether a control node confirmed a view. The requests end with the poll.
+// did, as some may be unreachable. It hedges with the stores if the reply is late, and reports
+// whether a control node confirmed a view. The requests are cancelled when it returns; their
+// goroutines are not waited for.
 func (client *Client) poll() bool {
 	wait, addresses := time.Duration(0), client.pickControls()
 	if client.control != "" {
@@ -119,7 +120,7 @@
 	return max(minLongPoll, min(defaultLongPoll, runnerListLongPoll-time.Since(readAt)))
 }
 
-// pollControl sends one poll to a control node and takes in its reply. It tells whether the
+// pollControl sends one poll to a control node and applies its reply. It reports whether the
 // reply confirmed the client's view.
 func (client *Client) pollControl(ctx context.Context, address string, wait time.Duration) bool {
 	sentAt, view := time.Now(), client.view.Load()
@@ -134,7 +135,7 @@
 	}
 	next, err := viewAfter(view, reply.Follow)
 	if err != nil {
-		log.WithFields(log.Fields{"node": client.self.Name, "control": address, "number": view.Number, "error": err.Error()}).Warn("changes do not follow on this node's view; asking for a full view")
+		log.WithFields(log.Fields{"node": client.self.Name, "address": address, "number": view.Number, "error": err.Error()}).Warn("changes do not follow on this node's view; asking for a full view")
 		client.needsFullView.Store(true)
 		return false
 	}
@@ -148,17 +149,20 @@
 		client.rpc.Drop(address)
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) && err != nil {
-		log.WithFields(log.Fields{"node": client.self.Name, "control": address, "error": err.Error()}).Warn("a control node did not answer a poll of the feed")
+		log.WithFields(log.Fields{"node": client.self.Name, "address": address, "error": err.Error()}).Warn("a control node did not answer a poll of the feed")
 	}
 	client.reportForeignFleet(err)
 }
 
 // onReply adopts the view that a reply leads to and, with it, what the reply confirms about
-// it. isFull tells whether a full view was asked for.
+// it. isFull says that a full view was asked for. It reports whether the client's view is
+// confirmed now.
 func (client *Client) onReply(reply *wire.FollowReply, next *feed.View, sentAt time.Time, isFull bool) bool {
 	if next.Number < reply.Newest {
 		return false
 	}
+	// The quorum confirmed at the earliest when the node began to ask it, and that was at least
+	// ConfirmationDelay after the query was sent.
 	confirmedAt := sentAt.Add(reply.ConfirmationDelay)
 	client.lastControlReply.Store(int64(confirmedAt.Sub(client.startedAt)))
 	if !client.Adopt(next) {
@@ -176,7 +180,7 @@
 	return true
 }
 
-// viewAfter gives the view that a reply leads to from the current one; an error if its
+// viewAfter returns the view that a reply leads to from the current one; an error if its
 // changes do not follow on that.
 func viewAfter(current *feed.View, reply *wire.FollowReply) (*feed.View, error) {
 	if reply.Reset {
--- a/system/feedclient/stores.go
+++ b/system/feedclient/stores.go
@@ -12,7 +12,7 @@
 // pollStores adopts the newest view that a majority of the stores that replicate views has
 // synced. A change is acknowledged only after a majority synced it, and two majorities have a
 // store in common: if none of them has a newer view than the client's, that one is confirmed.
-// The requests end with the call.
+// The requests are cancelled when it returns; their goroutines are not waited for.
 func (client *Client) pollStores() {
 	sentAt, view := time.Now(), client.view.Load()
 	stores := feed.ViewReplicas(view.Stores)
@@ -45,6 +45,8 @@
 		return
 	}
 	client.Adopt(newest)
+	// Only a round that finds nothing newer confirms the view; one that was just adopted is
+	// confirmed by the next round.
 	if newest == view {
 		client.extendFreshness(sentAt)
 	}
