--- a/system/feed/change_history.go
+++ b/system/feed/change_history.go
@@ -2,15 +2,20 @@
 
 import "slices"
 
-// Limits of a History. They are in bytes of memory, so that what a control node holds depends
-// on what is in force and not on how many changes led there (docs/consistency/feed.md).
+// Limits of a History. Those in bytes are of estimated memory, so that what a control node holds
+// depends on what is in force and not on how many changes led there (docs/consistency/feed.md).
 const (
 	maxChangesBytes = 1 << 20 // of the last changes together
-	maxChanges      = 512     // and their number
+	maxChanges      = 512     // the number of the last changes
 	maxEarlierBytes = 1 << 20 // of the earlier configs together
-	changeOverhead  = 512     // the fixed fields of a change
-	requestSize     = 16      // a remembered request
-	itemOverhead    = 128     // a runner or member without its texts
+)
+
+// Estimates of how many bytes of memory an item takes without its texts.
+const (
+	changeOverhead  = 512 // a change
+	requestOverhead = 16  // an accepted request
+	itemOverhead    = 128 // a runner, member or earlier config
+	nameOverhead    = 16  // a name alone
 )
 
 // EarlierConfig is a config that was once in force, encoded as the difference from the one
@@ -50,7 +55,7 @@
 // earlierConfigsWith appends the config that was replaced. If its difference exceeds the
 // limit all earlier ones are dropped too, as they are only reachable through it.
 func (history History) earlierConfigsWith(before, after *View) []EarlierConfig {
-	difference, fits := NewConfigDelta(after, before.Source, before.Compiled, maxEarlierBytes)
+	difference, fits := newConfigDelta(after, before.Source, before.Compiled, maxEarlierBytes)
 	if !fits {
 		return nil
 	}
@@ -75,7 +80,7 @@
 // size estimates how many bytes a change takes in memory.
 func (change Change) size() int {
 	size := changeOverhead + len(change.Source) + len(change.Compiled) + change.Delta.size() + len(change.By) + len(change.Statement)
-	size += requestSize * len(change.RoutingRequests)
+	size += requestOverhead * len(change.RoutingRequests)
 	for _, runner := range change.Runners {
 		size += itemOverhead + len(runner.Life) + len(runner.Address) + len(runner.Group) + len(runner.Domain) + len(runner.State) + len(runner.Revision)
 	}
@@ -83,7 +88,7 @@
 		size += itemOverhead + len(member.Name) + len(member.Address) + len(member.Domain) + len(member.Administration) + len(member.Machine)
 	}
 	for _, name := range change.Removed {
-		size += itemOverhead/8 + len(name)
+		size += nameOverhead + len(name)
 	}
 	return size
 }
--- a/system/feed/config_delta.go
+++ b/system/feed/config_delta.go
@@ -44,11 +44,9 @@
 	return hash.Sum(nil)[:configDigestSize]
 }
 
-// NewConfigDelta encodes a config as its difference from the config of a view. Fits is
+// newConfigDelta encodes a config as its difference from the config of a view. Fits is
 // false if the difference would be longer than limit bytes.
-//
-//	difference, fits := feed.NewConfigDelta(view, source, compiled, limit)
-func NewConfigDelta(base *View, source string, compiled []byte, limit int) (difference ConfigDelta, fits bool) {
+func newConfigDelta(base *View, source string, compiled []byte, limit int) (difference ConfigDelta, fits bool) {
 	difference.Base = base.ConfigNumber
 	if difference.Source, fits = delta.MakeWithin([]byte(base.Source), []byte(source), limit); !fits {
 		return ConfigDelta{}, false
@@ -99,7 +97,7 @@
 		return change
 	}
 	limit := (len(change.Source) + len(change.Compiled)) / 2
-	if difference, fits := NewConfigDelta(base, change.Source, change.Compiled, limit); fits {
+	if difference, fits := newConfigDelta(base, change.Source, change.Compiled, limit); fits {
 		change.Source, change.Compiled, change.Delta = "", nil, difference
 	}
 	return change
--- a/system/feed/fold.go
+++ b/system/feed/fold.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"slices"
 )
 
@@ -69,7 +70,7 @@
 		}
 	}
 	next = append(next, changed...)
-	SortRunners(next)
+	sortRunners(next)
 	return next
 }
 
@@ -114,7 +115,7 @@
 func FoldAll(view View, changes []Change) (View, error) {
 	for _, change := range changes {
 		if change.Number > view.Number+1 {
-			return view, ErrGap
+			return view, fmt.Errorf("%w: change %d comes after number %d", ErrGap, change.Number, view.Number)
 		}
 		next, err := Fold(view, change)
 		if err != nil {
--- a/system/feed/request_history.go
+++ b/system/feed/request_history.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// maxRequests bounds each RequestHistory; a request takes 16 bytes.
+// maxRequests bounds each RequestHistory; a request takes packedRequestSize bytes.
 const maxRequests = 2048
 
 // AcceptedRequest is an admin request that was carried out.
@@ -31,9 +31,11 @@
 	Forgotten uint64 `capnp:"forgotten"`
 }
 
-// packedRequestSize is how many bytes a request takes: the digest, then the number, both
-// big-endian.
-const packedRequestSize = 16
+// A packed request is the digest, then the number, both big-endian.
+const (
+	packedDigestSize  = 8
+	packedRequestSize = packedDigestSize + 8
+)
 
 // appendPacked appends the request in its packed form.
 func (request AcceptedRequest) appendPacked(target []byte) []byte {
@@ -43,7 +45,7 @@
 
 // unpackRequest reads the first request of a packed list, which must not be empty.
 func unpackRequest(packed []byte) AcceptedRequest {
-	return AcceptedRequest{Digest: binary.BigEndian.Uint64(packed), Number: binary.BigEndian.Uint64(packed[8:])}
+	return AcceptedRequest{Digest: binary.BigEndian.Uint64(packed), Number: binary.BigEndian.Uint64(packed[packedDigestSize:])}
 }
 
 // All iterates over the requests that are remembered, oldest first.
@@ -65,7 +67,7 @@
 //	digest := feed.RequestDigest("root", "put config", "7", source)
 func RequestDigest(parts ...string) uint64 {
 	sum := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
-	return binary.BigEndian.Uint64(sum[:8])
+	return binary.BigEndian.Uint64(sum[:])
 }
 
 // IsEmpty reports whether no request is remembered.
--- a/system/feed/runner.go
+++ b/system/feed/runner.go
@@ -37,10 +37,8 @@
 //	runners[runner.Identity()] = runner
 func (runner Runner) Identity() string { return cmp.Or(runner.Life, runner.Address) }
 
-// SortRunners sorts runners by address, then by life, which is their order in a view.
-//
-//	feed.SortRunners(view.Runners)
-func SortRunners(runners []Runner) {
+// sortRunners sorts runners by address, then by life, which is their order in a view.
+func sortRunners(runners []Runner) {
 	slices.SortFunc(runners, func(left, right Runner) int {
 		return cmp.Or(cmp.Compare(left.Address, right.Address), cmp.Compare(left.Life, right.Life))
 	})
--- a/system/feed/view.go
+++ b/system/feed/view.go
@@ -22,7 +22,7 @@
 	Compiled []byte `capnp:"compiled"`
 	// Domains are those that were ever drained. A domain that is not listed serves.
 	Domains []Domain `capnp:"domains"`
-	// Runners are the platform's runners, sorted as SortRunners does.
+	// Runners are the platform's runners, sorted by address, then by life.
 	Runners []Runner `capnp:"runners"`
 	// FoundingStores are the first store list, from which groups were first placed.
 	FoundingStores []Member `capnp:"foundingStores"`
@@ -35,7 +35,7 @@
 	// Groups is the number of session log groups, fixed when the fleet is founded.
 	Groups uint32 `capnp:"groups"`
 	// Replicas is how many replicas a group has, fixed when the fleet is founded; 0 is
-	// placement.Factor. ReplicationFactor resolves it.
+	// placement.DefaultReplicas. ReplicationFactor resolves it.
 	Replicas uint32 `capnp:"copies"`
 	// Founding are the names of the control nodes that founded the fleet, sorted.
 	Founding []string `capnp:"founding"`
@@ -48,7 +48,8 @@
 }
 
 // EqualExceptObservations reports whether two views differ in nothing but what observations
-// bring (runners and role leases) and their numbers.
+// bring (runners and role leases) and their numbers. Replicas is not compared: it is fixed when
+// the fleet is founded. A new field that commands change must be added here.
 //
 //	if view.EqualExceptObservations(previous) { ... }
 func (view *View) EqualExceptObservations(other *View) bool {
