--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -21,19 +21,20 @@
 	// a store is decommissioned.
 	administrationTimeout = 5 * time.Second
 	decommissionTimeout   = 2 * time.Minute
-	// maxConfigBytes bounds the body of a request.
-	maxConfigBytes = 8 << 20
+	// maxBodyBytes bounds the body of a request; the largest has a complete config.
+	maxBodyBytes = 8 << 20
 )
 
 // adminService is the admin API of a control node, as the generated goa server calls it.
 type adminService struct {
 	node *Node
-	// root is the hash of the token that is accepted while no config names operators.
-	root string
+	// rootHash is the config.HashToken of the token that is accepted while no config names
+	// operators.
+	rootHash string
 }
 
 // ServeAdmin serves the admin API of a control node until the server is closed. RootHash is
-// the hash of a token that may administer while no config names operators. It fails with
+// the config.HashToken of a token that may administer while no config names operators. It fails with
 // BadSettings if the address cannot be listened on.
 //
 //	server, err := controlplane.ServeAdmin(node, rootHash)
@@ -42,7 +43,7 @@
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+node.settings.Administration+": "+err.Error(), "use an address of this machine that is free")
 	}
-	return httpapi.Serve(listener, adminService{node: node, root: rootHash}.handler(), func() int64 { return maxConfigBytes }), nil
+	return httpapi.Serve(listener, adminService{node: node, rootHash: rootHash}.handler(), func() int64 { return maxBodyBytes }), nil
 }
 
 // handler routes the admin API's requests and the health checks.
@@ -82,8 +83,8 @@
 	if err != nil {
 		return authenticatedOperator{}, err
 	}
-	by, err := service.operatorName(state.view, token)
-	return authenticatedOperator{name: by, state: state.feedState}, err
+	name, err := service.operatorName(state.view, token)
+	return authenticatedOperator{name: name, state: state.feedState}, err
 }
 
 // operatorName returns the name of the operator to whom a token belongs.
@@ -95,7 +96,7 @@
 	if name, known := config.PrincipalByToken(decoded.Operators, token); known {
 		return name, nil
 	}
-	if len(decoded.Operators) == 0 && config.HashToken(token) == service.root {
+	if len(decoded.Operators) == 0 && config.HashToken(token) == service.rootHash {
 		return "root", nil
 	}
 	return "", apierror.New(apierror.Unauthorized, "the token belongs to no operator", "send a token of an operator that the config names, or the root token while it names none")
--- a/system/controlplane/admin_execution.go
+++ b/system/controlplane/admin_execution.go
@@ -41,8 +41,10 @@
 		case err == nil && reply.Acknowledged:
 			return reply, nil
 		case err == nil:
-			failed = unclearChangeError()
+			failed = outcomeUnknownError()
 		case !apierror.Is(failed, apierror.OutcomeUnknown):
+			// Kept over later errors: once an attempt may have made the change, only an
+			// acknowledgement or a rejection settles what became of it.
 			failed = err
 		}
 		select {
@@ -67,7 +69,7 @@
 		return nil, rejected, nil
 	}
 	if decided.change == nil {
-		reply, err = node.AwaitAcknowledged(ctx, decided.acceptedAs)
+		reply, err = node.awaitAcknowledged(ctx, decided.acceptedAs)
 	} else {
 		reply, err = node.Change(ctx, *decided.change)
 	}
--- a/system/controlplane/admin_fleet.go
+++ b/system/controlplane/admin_fleet.go
@@ -1,10 +1,13 @@
 package controlplane
 
 import (
+	"cmp"
 	"context"
-	"sort"
+	"slices"
+	"strings"
 
 	"yardrock.example/system/api/gen/administration"
+	"yardrock.example/system/feed"
 )
 
 // EnrolStore adds a live store to the store list.
@@ -14,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return changeResult(service.node.EnrolStore(ctx, from.name, payload.Name))
+	return changeResult(service.node.enrolStore(ctx, from.name, payload.Name))
 }
 
 // RetireStore decommissions a store and answers once its machine may be switched off.
@@ -24,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return changeResult(service.node.DecommissionStore(ctx, from.name, payload.Name))
+	return changeResult(service.node.decommissionStore(ctx, from.name, payload.Name))
 }
 
 // Fleet returns the live members and what is in force.
@@ -35,9 +38,9 @@
 		return nil, err
 	}
 	view := from.state.view
-	live := service.node.LiveMembers()
-	sort.Slice(live, func(left, right int) bool {
-		return live[left].Role+live[left].Domain < live[right].Role+live[right].Domain
+	live := service.node.liveMembers()
+	slices.SortFunc(live, func(left, right feed.Member) int {
+		return cmp.Or(strings.Compare(left.Role, right.Role), strings.Compare(left.Domain, right.Domain))
 	})
 	unhealed := service.node.countUnhealedGroups(ctx, view)
 	return map[string]any{
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -43,9 +43,9 @@
 // it would do.
 func (service adminService) execute(ctx context.Context, from authenticatedOperator, statement *querylanguage.Statement) (*administration.QueryResult, error) {
 	plan := service.planFor(from.state, statement)
-	expected := statement.Expect
-	request := newAdminRequest(from.name, expected, statement.String())
+	request := newAdminRequest(from.name, statement.Expect, statement.String())
 	request.statement = statement.String()
+	// Operators see both numbers and may expect either.
 	inForce := func(view *feed.View) []uint64 { return []uint64{view.Number, view.ConfigNumber} }
 	result := &administration.QueryResult{Columns: []string{}, Rows: [][]string{}}
 	if statement.DryRun {
@@ -105,7 +105,7 @@
 			change, err := service.node.planEnrol(view, statement.Enrol.Name)
 			return change, "store " + statement.Enrol.Name + " would be in the store list", err
 		}
-	default:
+	default: // Retire: exactly one of a statement's fields is set, and Show never comes here
 		return func(view *feed.View) (*feed.Change, string, error) {
 			name := statement.Retire.Name
 			change, err := planDecommission(view, name, hasName(name))
--- a/system/controlplane/admin_request.go
+++ b/system/controlplane/admin_request.go
@@ -49,10 +49,13 @@
 	if change == nil && request.expected == nil {
 		return decision{acceptedAs: view.Number}, nil
 	}
-	if change == nil { // a change that changes nothing, so that the request has a number
+	if change == nil {
+		// A change that changes nothing: the request needs a number under which it is remembered.
 		change = newStoresChange(view, view.Stores)
 	}
 	change.By, change.Statement = request.operator, request.statement
+	// A digest that the plan chose (decommissionDigest) stays, unless the request names a number
+	// and so has a digest by which it can be recognised itself.
 	if request.expected != nil || change.AdminRequest == 0 {
 		change.AdminRequest = request.digest
 	}
--- a/system/controlplane/admin_tables_live.go
+++ b/system/controlplane/admin_tables_live.go
@@ -47,7 +47,7 @@
 // does not answer.
 func listRunnerLoads(ctx context.Context, source tableSource) ([]string, [][]string) {
 	rows := [][]string{}
-	for _, member := range source.node.LiveMembers() {
+	for _, member := range source.node.liveMembers() {
 		if member.Role != feed.RoleFront {
 			continue
 		}
--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -10,23 +10,28 @@
 	"yardrock.example/system/raft"
 )
 
-// minVoters is the number of voters below which a lost one is removed only for a replacement.
+// minVoters is how many voters stay listed, lost ones among them, unless a learner is ready to
+// replace a lost one.
 const minVoters = 3
 
 // membershipStep is a change of the control group by one member.
 type membershipStep struct {
-	message, control string // for the log
-	next             raft.Membership
+	message string // what is logged when it is begun
+	control string // the name of the control node that it is about
+	next    raft.Membership
 }
 
 // reconcileVoters makes one step towards a control group of live nodes, one member at a time
 // (Raft thesis, section 4.1), and reports whether a change is pending.
 func (node *Node) reconcileVoters(ctx context.Context) bool {
 	status, _ := node.host.Status(controlGroup)
-	if !status.Leading || status.MembershipChangePending {
-		return status.Leading
+	if !status.Leading {
+		return false
 	}
-	live := node.LiveMembers()
+	if status.MembershipChangePending {
+		return true
+	}
+	live := node.liveMembers()
 	if step := node.nextMembershipStep(status, live); step != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "control": step.control}).Info(step.message)
 		return node.host.ChangeMembership(controlGroup, step.next)
--- a/system/controlplane/feed_changes.go
+++ b/system/controlplane/feed_changes.go
@@ -11,11 +11,11 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Change proposes one change and waits until it is acknowledged: committed by a majority of
-// the control group and, unless it is an observation, synced by a majority of the stores
-// listed before it and of those listed now. Acknowledged is false if the context ended while
-// it waited for the stores. The error is Conflict if the change was rejected,
-// OutcomeUnknown if it may or may not have been committed.
+// Change proposes one change, through the leader where that is another node, and waits until
+// it is acknowledged: committed by a majority of the control group and, unless it is an
+// observation, synced by a majority of the stores listed before it and of those listed now.
+// Acknowledged is false if the context ended while it waited for the stores. The error is
+// Conflict if the change was rejected, OutcomeUnknown if it may or may not have been committed.
 //
 //	reply, err := node.Change(ctx, feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.StateDrained}})
 func (node *Node) Change(ctx context.Context, change feed.Change) (*wire.ChangeReply, error) {
@@ -26,9 +26,11 @@
 	return reply.Change, nil
 }
 
-// handleChange carries out a change query, at the leader.
+// handleChange carries out a change query, at the leader. A query either has a change to make
+// or, if AwaitView is not 0, waits for the acknowledgement of the change of that number.
 func (node *Node) handleChange(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	if query.Change.AwaitView == 0 {
+		// Before it may be forwarded, so that a config is sent as a difference, too.
 		compact := *query
 		compact.Change = &wire.ChangeQuery{Change: compactForLog(node.View(), query.Change.Change)}
 		query = &compact
@@ -36,7 +38,7 @@
 	if !node.IsLeader() {
 		reply, err := node.forwardToLeader(ctx, query)
 		if apierror.Is(err, apierror.Unavailable) && !apierror.Of(err).NeverSent {
-			return nil, unclearChangeError()
+			return nil, outcomeUnknownError()
 		}
 		return reply, err
 	}
@@ -51,7 +53,7 @@
 	change.At = time.Now().UnixNano()
 	outcomes, err := node.host.Propose(ctx, controlGroup, [][]byte{wire.MustEncode(schema.Change_TypeID, &change)})
 	if apierror.Is(err, apierror.OutcomeUnknown) {
-		return nil, unclearChangeError()
+		return nil, outcomeUnknownError()
 	}
 	if err != nil {
 		return nil, err
@@ -67,16 +69,17 @@
 		reply.Acknowledged = true
 		return &wire.Reply{Which: schema.Reply_Which_change, Change: reply}, nil
 	}
-	reply.Acknowledged = node.awaitStores(ctx, outcome.number, feed.ViewReplicas(outcome.storesBefore)) && node.awaitStores(ctx, outcome.number, feed.ViewReplicas(node.View().Stores))
+	// Both lists: until a majority of the earlier one has synced the change, a recovery that
+	// finds only stores of that list would miss it.
+	reply.Acknowledged = node.awaitStores(ctx, outcome.number, feed.ViewReplicas(outcome.storesBefore)) &&
+		node.awaitStores(ctx, outcome.number, feed.ViewReplicas(node.View().Stores))
 	return &wire.Reply{Which: schema.Reply_Which_change, Change: reply}, nil
 }
 
-// AwaitAcknowledged waits until a committed change is acknowledged: a majority of the stores
+// awaitAcknowledged waits until a committed change is acknowledged: a majority of the stores
 // has synced the view of its number, or a newer one. The error is Conflict if no change has
 // that number.
-//
-//	reply, err := node.AwaitAcknowledged(ctx, view.ConfigNumber)
-func (node *Node) AwaitAcknowledged(ctx context.Context, number uint64) (*wire.ChangeReply, error) {
+func (node *Node) awaitAcknowledged(ctx context.Context, number uint64) (*wire.ChangeReply, error) {
 	reply, err := node.handleChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{AwaitView: number}})
 	if err != nil {
 		return nil, err
@@ -97,7 +100,7 @@
 	return &wire.Reply{Which: schema.Reply_Which_change, Change: reply}, nil
 }
 
-// unclearChangeError says that a change was proposed and its outcome is unknown.
-func unclearChangeError() error {
+// outcomeUnknownError says that a change was proposed and its outcome is unknown.
+func outcomeUnknownError() error {
 	return apierror.New(apierror.OutcomeUnknown, "the change may or may not have been taken", "read back what is in force, then decide whether to send it again with the number expected")
 }
--- a/system/controlplane/feed_confirmation.go
+++ b/system/controlplane/feed_confirmation.go
@@ -21,11 +21,12 @@
 	// leaderConfirmInterval is that of the leader, which asks its peers for each of them. It
 	// is as long as the heartbeat interval, so that a confirmation stands in for a heartbeat.
 	leaderConfirmInterval = 200 * time.Millisecond
-	confirmTimeout        = 500 * time.Millisecond
+	// confirmTimeout bounds one shared confirmation.
+	confirmTimeout = 500 * time.Millisecond
 )
 
-// confirmedState is a state that a quorum confirmed as the newest.
-type confirmedState struct {
+// quorumState is a state that a quorum confirmed as the newest.
+type quorumState struct {
 	*feedState
 	// runnersReadAt is when the lease holder requested the runner list whose content is in
 	// force in this state, by this node's clock; zero if unknown.
@@ -33,14 +34,15 @@
 }
 
 // confirmNow is confirm without waiting for others to share the confirmation.
-func (node *Node) confirmNow(ctx context.Context) (*confirmedState, error) {
+func (node *Node) confirmNow(ctx context.Context) (*quorumState, error) {
 	return node.confirm(ctx, 0)
 }
 
 // confirm returns a state that is at least as new as every change acknowledged before the
 // call: a linearizable read by the leader's read index (Raft thesis, section 6.4), wherever
-// the leader is. The leader may wait that long for others to share the confirmation.
-func (node *Node) confirm(ctx context.Context, wait time.Duration) (*confirmedState, error) {
+// the leader is. If wait is not 0 the leader may let others share the confirmation, and so
+// answer up to leaderConfirmInterval later.
+func (node *Node) confirm(ctx context.Context, wait time.Duration) (*quorumState, error) {
 	if node.IsLeader() {
 		return node.confirmAsLeader(ctx)
 	}
@@ -49,7 +51,7 @@
 
 // confirmAsLeader is confirm on the leader. It fails with NotLeader if this node is not, or
 // no longer, the leader.
-func (node *Node) confirmAsLeader(ctx context.Context) (*confirmedState, error) {
+func (node *Node) confirmAsLeader(ctx context.Context) (*quorumState, error) {
 	if err := node.host.Read(ctx, controlGroup); err != nil {
 		return nil, err
 	}
@@ -59,9 +61,9 @@
 // stateAsLeader returns the applied state of a leader that a quorum has just confirmed. The
 // time of the runner list is loaded before the state: what the list changed was committed
 // before that time was stored, so the state has it.
-func (node *Node) stateAsLeader() *confirmedState {
+func (node *Node) stateAsLeader() *quorumState {
 	reading := node.runnersReading.Load()
-	state := &confirmedState{feedState: node.stateMachine.state()}
+	state := &quorumState{feedState: node.stateMachine.state()}
 	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); reading != nil && lease.Holder == node.Name() && lease.FencingToken == reading.fencingToken {
 		state.runnersReadAt = reading.requestedAt
 	}
@@ -70,7 +72,7 @@
 
 // confirmThroughLeader has the leader confirm its newest number and send what this replica
 // has not applied yet. If that does not fit this replica's state it asks for a complete view.
-func (node *Node) confirmThroughLeader(ctx context.Context, wait time.Duration) (*confirmedState, error) {
+func (node *Node) confirmThroughLeader(ctx context.Context, wait time.Duration) (*quorumState, error) {
 	own := node.stateMachine.state()
 	newest, err := node.fetchNewer(ctx, own, own.view.Number, wait)
 	if errors.Is(err, feed.ErrBaseMismatch) || errors.Is(err, feed.ErrGap) {
@@ -82,7 +84,7 @@
 
 // fetchNewer has the leader send what is newer than a number of this replica's own state, if
 // anything, and returns the resulting state.
-func (node *Node) fetchNewer(ctx context.Context, own *feedState, number uint64, wait time.Duration) (*confirmedState, error) {
+func (node *Node) fetchNewer(ctx context.Context, own *feedState, number uint64, wait time.Duration) (*quorumState, error) {
 	sentAt := time.Now()
 	reply, err := node.forwardToLeader(ctx, &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true, After: number, Wait: wait, Packed: true}})
 	if err != nil {
@@ -96,7 +98,7 @@
 		runnersReadAt = sentAt.Add(-reply.Follow.RunnerListAge)
 	}
 	if now := node.stateMachine.state(); now.view.Number >= reply.Follow.Newest {
-		return &confirmedState{now, runnersReadAt}, nil
+		return &quorumState{now, runnersReadAt}, nil
 	}
 	// This replica has not learned yet that the newest changes are committed.
 	if reply.Follow.Reset {
@@ -104,16 +106,20 @@
 		if err != nil || view.Number < reply.Follow.Newest {
 			return nil, noQuorumError()
 		}
-		return &confirmedState{&feedState{view: view, lacksHistory: true}, runnersReadAt}, nil
+		return &quorumState{&feedState{view: view, lacksHistory: true}, runnersReadAt}, nil
 	}
 	next, err := own.advance(reply.Follow.Changes)
-	if err == nil && next.view.Number < reply.Follow.Newest {
+	if err != nil {
+		return nil, err
+	}
+	if next.view.Number < reply.Follow.Newest {
 		return nil, noQuorumError()
 	}
-	return &confirmedState{next, runnersReadAt}, err
+	return &quorumState{next, runnersReadAt}, nil
 }
 
-// advance returns the state after the changes that follow on it; older ones are skipped.
+// advance returns the state after the changes that follow on it; older ones are skipped. The
+// result answers one question and is never published: only view and history are set.
 func (state *feedState) advance(changes []feed.Change) (*feedState, error) {
 	view, history := *state.view, state.history
 	for _, change := range changes {
@@ -130,8 +136,9 @@
 	return &feedState{view: &view, history: history}, nil
 }
 
-// confirmationBatch lets all who ask at about the same time share one confirmation. A
-// confirmation may be joined only until it starts, so it starts after each of its askers came.
+// confirmationBatch lets all who ask at about the same time share one confirmation. It may be
+// joined only until it starts: a confirmation that began before a question came would prove
+// nothing about the changes acknowledged in between.
 type confirmationBatch struct {
 	mutex sync.Mutex
 	next  *confirmation // has not started yet; nil if nobody waits for one
@@ -143,7 +150,7 @@
 type confirmation struct {
 	done      chan struct{}
 	startedAt time.Time
-	state     *confirmedState
+	state     *quorumState
 	err       error
 	// forwarded reports that another control node asks, so that it must not be forwarded
 	// again. It is guarded by the batch's mutex.
@@ -152,7 +159,7 @@
 
 // confirmBatched is confirm shared by all who ask within confirmInterval. It also returns when
 // the confirmation started, which is after the call.
-func (node *Node) confirmBatched(ctx context.Context, forwarded bool) (*confirmedState, time.Time, error) {
+func (node *Node) confirmBatched(ctx context.Context, forwarded bool) (*quorumState, time.Time, error) {
 	shared := &node.confirmations
 	shared.mutex.Lock()
 	joined := shared.next
@@ -193,6 +200,7 @@
 	} else {
 		shared.state, shared.err = node.confirm(ctx, leaderConfirmInterval)
 	}
+	// What a call returns when this context ends names the context, not what the caller can do.
 	if shared.err != nil && ctx.Err() != nil && !apierror.Is(shared.err, apierror.NoQuorum) {
 		shared.err = noQuorumError()
 	}
@@ -209,8 +217,8 @@
 	return state.view, nil
 }
 
-// confirmedState is confirmedView with the changes that led to the view.
-func (node *Node) confirmedState(ctx context.Context) (*confirmedState, error) {
+// confirmedState is confirmedView with the history of the view.
+func (node *Node) confirmedState(ctx context.Context) (*quorumState, error) {
 	state, err := node.confirmNow(ctx)
 	if err != nil {
 		return nil, leaderlessAsNoQuorum(err)
--- a/system/controlplane/feed_replication.go
+++ b/system/controlplane/feed_replication.go
@@ -12,8 +12,9 @@
 )
 
 // awaitStores waits until a majority of the given stores has synced a number, and reports
-// false if the context ends first. The pushes that it starts are ended by the node's context
-// and by callTimeout.
+// false if the context ends first. No stores are a majority of themselves: before there is a
+// store list a change is acknowledged by its commit. The pushes that it starts are ended by the
+// node's context and by callTimeout; nobody waits for them.
 func (node *Node) awaitStores(ctx context.Context, number uint64, stores []feed.Member) bool {
 	for {
 		node.mutex.Lock()
@@ -38,7 +39,8 @@
 }
 
 // pushViews sends the newest view to every store that is not known to have synced the newest
-// ordered change. Stores follow the feed by themselves too, and report how far they are.
+// command, and returns once each has answered or callTimeout has passed. Stores follow the feed
+// by themselves too, and report how far they are.
 func (node *Node) pushViews() {
 	state := node.stateMachine.state()
 	var pushes sync.WaitGroup
@@ -65,6 +67,7 @@
 			return
 		}
 	}
+	// An error leaves the store's number as it is, so the next round sends again.
 	_ = node.sendView(ctx, state, store, &wire.ReplicateViewQuery{PackedView: node.views.Get(state.view)})
 }
 
@@ -74,15 +77,15 @@
 	_, err := node.client.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, ReplicateView: query})
 	switch {
 	case err == nil:
-		node.noteSynced(store, state.view.Number)
+		node.recordSynced(store, state.view.Number)
 	case ctx.Err() != nil:
-		node.client.Drop(address)
+		node.client.Drop(address) // the connection may be dead, and the next call needs a new one
 	}
 	return err
 }
 
-// noteSynced records up to which number a store has synced the feed.
-func (node *Node) noteSynced(store string, number uint64) {
+// recordSynced records up to which number a store has synced the feed.
+func (node *Node) recordSynced(store string, number uint64) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	if node.syncedNumbers[store] < number {
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -29,11 +29,11 @@
 		return nil, err
 	}
 	if query.Fleet == state.view.Fleet && follow.Member.Role == feed.RoleStore {
-		node.noteSynced(follow.Member.Name, follow.After)
+		node.recordSynced(follow.Member.Name, follow.After)
 	}
 	reply := node.followReply(state, query, receivedAt)
 	reply.ConfirmationDelay = max(0, startedAt.Sub(receivedAt))
-	if live := node.cachedLiveMembers(); live.digest != follow.MembersDigest {
+	if live := node.cachedMemberList(); live.digest != follow.MembersDigest {
 		reply.Members, reply.MembersDigest = live.members, live.digest
 	}
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: reply}, nil
@@ -42,10 +42,10 @@
 // handleConfirm confirms the newest number for another control node. What that one forwarded
 // is not forwarded again.
 func (node *Node) handleConfirm(ctx context.Context, query *wire.Query, receivedAt time.Time) (*wire.Reply, error) {
-	var state *confirmedState
+	var state *quorumState
 	var err error
 	switch {
-	case query.Follow.Wait > 0:
+	case query.Follow.Wait > 0: // the other node shares its own confirmations, and can wait
 		state, _, err = node.confirmBatched(ctx, query.Forwarded)
 	case query.Forwarded:
 		state, err = node.confirmAsLeader(ctx)
@@ -71,9 +71,10 @@
 }
 
 // followReply makes the reply to a follower, with what is newer than the view that it has: the
-// changes since that one if the history has them, else the complete view. Followers of another fleet always
-// get a complete view, as their numbers are not comparable. ReceivedAt is when the query came.
-func (node *Node) followReply(state *confirmedState, query *wire.Query, receivedAt time.Time) *wire.FollowReply {
+// changes since that one if the history has them, else the complete view. Followers of another
+// fleet always get a complete view, as their numbers are not comparable. ReceivedAt is when the
+// query came.
+func (node *Node) followReply(state *quorumState, query *wire.Query, receivedAt time.Time) *wire.FollowReply {
 	follow := query.Follow
 	reply := &wire.FollowReply{Newest: state.view.Number}
 	if !state.runnersReadAt.IsZero() {
--- a/system/controlplane/feed_serving_test.go
+++ b/system/controlplane/feed_serving_test.go
@@ -10,7 +10,7 @@
 func TestFollowReplies(t *testing.T) {
 	machine, node := newFeedStateMachine(), &Node{}
 	applyRouteChanges(t, machine, 20, 40)
-	state := &confirmedState{feedState: machine.state()}
+	state := &quorumState{feedState: machine.state()}
 	state.view.Fleet = "fleet"
 	for name, test := range map[string]struct {
 		fleet   string
--- a/system/controlplane/feed_state_machine.go
+++ b/system/controlplane/feed_state_machine.go
@@ -37,6 +37,7 @@
 	// from the leader of a replica that is far behind.
 	lacksHistory bool
 	// superseded is closed once there is a newer state.
+	// It is nil in a state that was never published.
 	superseded chan struct{}
 }
 
--- a/system/controlplane/fleet_reconcile.go
+++ b/system/controlplane/fleet_reconcile.go
@@ -51,7 +51,7 @@
 // list a round.
 func (node *Node) updateAddresses(ctx context.Context) {
 	live := map[string]feed.Member{}
-	for _, member := range node.LiveMembers() {
+	for _, member := range node.liveMembers() {
 		live[member.Name] = member
 	}
 	view := node.View()
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -30,17 +30,18 @@
 	Administration string
 	// Domain is the failure domain that the node runs in.
 	Domain string
-	// Seeds are the addresses at which control nodes are looked for. SetSeeds replaces them.
+	// Seeds are the addresses, host and port, at which control nodes are looked for. SetSeeds
+	// replaces them. A fleet is founded by the nodes at its seeds.
 	Seeds []string
 	// FoundingStores is how many stores must be live before the first store list is made.
 	FoundingStores int
 	// Groups is the number of session log groups of a fleet that this node founds.
 	Groups uint32
 	// ReplicationFactor is how many replicas a group has in a fleet that this node founds;
-	// 0 is placement.Factor.
+	// 0 is placement.DefaultReplicas.
 	ReplicationFactor uint32
-	// MaxControls is how many members, voters and learners, the control group may have. More
-	// live control nodes stay outside as spares.
+	// MaxControls is how many members, voters and learners, the control group may have. Lost
+	// voters do not count. More live control nodes stay outside as spares.
 	MaxControls int
 	// Replica configures the Raft host.
 	Replica replica.Settings
@@ -91,9 +92,9 @@
 	configRunners configRunnerSource // used if the settings name no source
 
 	// runnersReading is the last list whose content this node put in force; nil if none.
-	runnersReading  atomic.Pointer[runnersReading]
-	decodedConfig   atomic.Pointer[decodedConfig]
-	lastLiveMembers atomic.Pointer[liveMembers]
+	runnersReading atomic.Pointer[runnersReading]
+	decodedConfig  atomic.Pointer[decodedConfig]
+	lastMemberList atomic.Pointer[memberList]
 	// views and viewsWithoutRequests share the packed newest view between all who ask. Fronts
 	// get it without the request histories, which they don't need.
 	views                wire.PackedViewCache
@@ -127,7 +128,7 @@
 		node.host.Close()
 		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+settings.Address+": "+err.Error(), "use an address of this machine that is free")
 	}
-	node.server = link.Serve(listener, node.Handle)
+	node.server = link.Serve(listener, node.handle)
 	node.startTasks()
 	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("control node started")
 	return node, nil
--- a/system/controlplane/node_bootstrap.go
+++ b/system/controlplane/node_bootstrap.go
@@ -44,7 +44,7 @@
 	members, names := []feed.Member{}, []string{}
 	for _, status := range statuses {
 		if slices.Contains(names, status.Name) {
-			return
+			return // two seeds lead to one node; its vote must not count twice
 		}
 		names = append(names, status.Name)
 		members = append(members, feed.Member{Name: status.Name, Role: feed.RoleControl, Address: status.Address, Domain: status.Domain})
--- a/system/controlplane/node_gossip.go
+++ b/system/controlplane/node_gossip.go
@@ -10,6 +10,7 @@
 )
 
 const (
+	// gossipInterval is between two gossips, and how long one of them may take.
 	gossipInterval = 500 * time.Millisecond
 	// gossipsPerCall is how many gossips to a node come before one that awaits a reply.
 	gossipsPerCall = 4
@@ -17,8 +18,8 @@
 
 // handleGossip records the members that another control node has heard.
 func (node *Node) handleGossip(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	for _, note := range query.MemberSessions.Sessions {
-		node.recordHeard(note.Member, note.Age, false)
+	for _, session := range query.MemberSessions.Sessions {
+		node.recordHeard(session.Member, session.Age, false)
 	}
 	return &wire.Reply{}, nil
 }
@@ -62,7 +63,7 @@
 	for _, member := range node.View().Controls {
 		targets[member.Address] = true
 	}
-	for _, member := range node.LiveMembers() {
+	for _, member := range node.liveMembers() {
 		if member.Role == feed.RoleControl {
 			targets[member.Address] = true
 		}
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -25,8 +25,12 @@
 	suspectTimeout = 1200 * time.Millisecond
 )
 
-// liveMembersMaxAge bounds the age of the list of live members that followers are sent.
-const liveMembersMaxAge = 200 * time.Millisecond
+const (
+	// memberListMaxAge bounds the age of the list of live members that followers are sent.
+	memberListMaxAge = 200 * time.Millisecond
+	// livenessRetention is how long a node is remembered after it was last heard.
+	livenessRetention = 10 * livenessTimeout
+)
 
 // nodeLiveness records when a node was heard of. A node is live (its session stands) while
 // that is less than livenessTimeout ago.
@@ -39,7 +43,8 @@
 	direct bool
 }
 
-// recordHeard records that a member was heard so long ago.
+// recordHeard records that a member was heard an age ago, directly or through gossip. What is
+// older than the last record changes nothing.
 func (node *Node) recordHeard(member feed.Member, age time.Duration, direct bool) {
 	if member.Name == "" {
 		return
@@ -56,26 +61,24 @@
 	}
 }
 
-// noteForeignStore records that a store of another fleet is live, while this fleet has no
+// recordForeignStore records that a store of another fleet is live, while this fleet has no
 // store list: the store may have synced a view that this control plane has lost.
-func (node *Node) noteForeignStore(query *wire.Query) {
+func (node *Node) recordForeignStore(query *wire.Query) {
 	if query.Follow != nil && !query.Follow.ConfirmOnly && len(node.View().Stores) == 0 && query.Follow.Member.Role == feed.RoleStore {
 		node.recordHeard(query.Follow.Member, 0, true)
 	}
 }
 
-// LiveMembers returns the live nodes, this one among them, sorted by name. If a node was
+// liveMembers returns the live nodes, this one among them, sorted by name. If a node was
 // heard at an address only after another one of its role had last been heard there, it has
 // replaced that one, which is left out.
-//
-//	for _, member := range node.LiveMembers() { ... }
-func (node *Node) LiveMembers() []feed.Member {
+func (node *Node) liveMembers() []feed.Member {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	live := []feed.Member{node.self()}
 	for name, entry := range node.liveness {
 		switch age := time.Since(entry.lastHeard); {
-		case age > 10*livenessTimeout:
+		case age > livenessRetention:
 			delete(node.liveness, name)
 		case age < livenessTimeout && name != node.Name():
 			live = append(live, entry.member)
@@ -142,30 +145,31 @@
 			return true
 		}
 	}
+	// This node is not among those in liveness. It has replaced whoever had its address before.
 	return member.Name != node.Name() && member.Address == node.settings.Address && member.Role == feed.RoleControl
 }
 
-// knownFor returns how long ago a node was first heard of.
+// knownFor returns how long ago a node was first heard of. The node must have been heard.
 func (node *Node) knownFor(name string) time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	return time.Since(node.liveness[name].firstHeard)
 }
 
-// liveMembers is the result of LiveMembers as it is sent to followers.
-type liveMembers struct {
+// memberList is the list of live members as it is sent to followers.
+type memberList struct {
 	members []feed.Member
 	// digest identifies the list, so that it is sent only to followers that have another.
 	digest   uint64
 	listedAt time.Time
 }
 
-// cachedLiveMembers returns a list of live members that is at most liveMembersMaxAge old.
-func (node *Node) cachedLiveMembers() *liveMembers {
-	if last := node.lastLiveMembers.Load(); last != nil && time.Since(last.listedAt) < liveMembersMaxAge {
+// cachedMemberList returns a list of live members that is at most memberListMaxAge old.
+func (node *Node) cachedMemberList() *memberList {
+	if last := node.lastMemberList.Load(); last != nil && time.Since(last.listedAt) < memberListMaxAge {
 		return last
 	}
-	next := &liveMembers{members: node.LiveMembers(), listedAt: time.Now()}
+	next := &memberList{members: node.liveMembers(), listedAt: time.Now()}
 	hash := fnv.New64a()
 	for _, member := range next.members {
 		for _, part := range []string{member.Name, member.Role, member.Address, member.Domain, member.State, member.Administration, member.Machine} {
@@ -174,6 +178,6 @@
 		}
 	}
 	next.digest = max(hash.Sum64(), 1) // 0 is the digest of who knows none
-	node.lastLiveMembers.Store(next)
+	node.lastMemberList.Store(next)
 	return next
 }
--- a/system/controlplane/node_queries.go
+++ b/system/controlplane/node_queries.go
@@ -25,16 +25,14 @@
 // by their disks, and a fleet that is recovered changes its name back.
 var anyFleetQueries = map[schema.Query_Which]bool{schema.Query_Which_status: true, schema.Query_Which_agreement: true, schema.Query_Which_sessions: true}
 
-// Handle answers one query of another process.
-//
-//	reply := node.Handle(ctx, query)
-func (node *Node) Handle(ctx context.Context, query *wire.Query) *wire.Reply {
+// handle answers one query of another process.
+func (node *Node) handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	handler, known := queryHandlers[query.Which]
 	if !known {
 		return wire.ErrorReply(apierror.New(apierror.Invalid, "a control node does not answer this query", "ask a store node"))
 	}
 	if fleet := node.View().Fleet; !anyFleetQueries[query.Which] && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
-		node.noteForeignStore(query)
+		node.recordForeignStore(query)
 		if node.View().BoundFleet() == "" {
 			// This control plane may have lost its disks, and may still recover the feed of the
 			// sender's fleet.
--- a/system/controlplane/role_lease.go
+++ b/system/controlplane/role_lease.go
@@ -7,7 +7,7 @@
 	"yardrock.example/system/feed"
 )
 
-// roleLeaseInterval is how often a node that does not hold the leases looks whether it should.
+// roleLeaseInterval is how often a node that does not hold the leases checks whether it should.
 const roleLeaseInterval = 50 * time.Millisecond
 
 // RunnerDiscoveryRole is the key of the singleton role whose holder polls the platform's
--- a/system/controlplane/runner_source.go
+++ b/system/controlplane/runner_source.go
@@ -65,8 +65,8 @@
 // RunnerSource reads the platform's runner list.
 type RunnerSource interface {
 	// List returns the complete list in any order, and an error if any part of it is missing.
-	// An apierror.Error with RetryAfter says when to ask again. ColdFor of the runners counts
-	// from the call.
+	// An apierror.Error with RetryAfter says when to ask again. WarmUpLeft of the runners
+	// counts from the call.
 	List(ctx context.Context) ([]feed.Runner, error)
 }
 
--- a/system/controlplane/store_decommission.go
+++ b/system/controlplane/store_decommission.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/wire"
 )
 
-// decommissionPollInterval is how often a waiting request looks whether a store has left.
+// decommissionPollInterval is how often a waiting request checks whether a store has left.
 const decommissionPollInterval = 200 * time.Millisecond
 
 // beginDecommission has a listed store emptied, unless that was begun before. From then on
@@ -48,6 +48,8 @@
 	next := slices.Clone(view.Stores)
 	next[at].State = feed.StateDecommissioning
 	change := newStoresChange(view, next)
+	// In place of the request's own digest, so that the request history remembers the store by its
+	// name or machine, whoever asked. A request that names a number keeps its own (decide).
 	change.AdminRequest = decommissionDigest(target)
 	return change, nil
 }
@@ -117,12 +119,10 @@
 	return state, err
 }
 
-// DecommissionStore decommissions the store of a name, and returns once no group has a
+// decommissionStore decommissions the store of a name, and returns once no group has a
 // replica on it, so that its machine may be switched off. If the context ends first the error
 // is OutcomeUnknown, and it goes on by itself.
-//
-//	reply, err := node.DecommissionStore(ctx, "root", "store-…")
-func (node *Node) DecommissionStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
+func (node *Node) decommissionStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
 	beginning, cancel := context.WithTimeout(ctx, administrationTimeout)
 	defer cancel()
 	if _, err := node.beginDecommission(beginning, by, name, hasName(name)); err != nil {
@@ -137,7 +137,7 @@
 	isStore := hasName(name)
 	for {
 		if view := node.View(); slices.ContainsFunc(view.Decommissioned, isStore) && !slices.ContainsFunc(view.Stores, isStore) {
-			return node.AwaitAcknowledged(ctx, view.Number)
+			return node.awaitAcknowledged(ctx, view.Number)
 		}
 		select {
 		case <-time.After(decommissionPollInterval):
--- a/system/controlplane/store_founding.go
+++ b/system/controlplane/store_founding.go
@@ -30,7 +30,7 @@
 		return
 	}
 	stores := []feed.Member{}
-	for _, member := range node.LiveMembers() {
+	for _, member := range node.liveMembers() {
 		if member.Role == feed.RoleStore {
 			stores = append(stores, member)
 		}
@@ -96,6 +96,8 @@
 // recoverFeed proposes a view that stores had synced as the one in force, if a majority of
 // that view's stores has answered: then no acknowledged change is missing.
 func (node *Node) recoverFeed(ctx context.Context, recovered feed.View, answered []string) {
+	// Every acknowledged change was synced by a majority of these stores, so any other majority
+	// of them has a store that knows it.
 	heard, replicas := 0, feed.ViewReplicas(recovered.Stores)
 	for _, store := range replicas {
 		if slices.Contains(answered, store.Name) {
--- a/system/controlplane/store_groups.go
+++ b/system/controlplane/store_groups.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/wire"
 )
 
-// countUnhealedGroups counts the groups that have no confirmed leader, or whose voters are
-// not exactly the replicas that the store list calls for.
+// countUnhealedGroups counts the groups that have no leader confirmed by a majority of them, that
+// have learners, or whose voters are not exactly the replicas that the store list calls for.
 func (node *Node) countUnhealedGroups(ctx context.Context, view *feed.View) int {
 	leaders := node.groupLeaders(ctx, view)
 	count := 0
--- a/system/controlplane/store_membership.go
+++ b/system/controlplane/store_membership.go
@@ -15,7 +15,7 @@
 // unlistedStores returns the stores that were heard just now and are not in the store list,
 // but for those that were decommissioned.
 func (node *Node) unlistedStores(view *feed.View) []feed.Member {
-	return slices.DeleteFunc(node.LiveMembers(), func(member feed.Member) bool {
+	return slices.DeleteFunc(node.liveMembers(), func(member feed.Member) bool {
 		listed := slices.ContainsFunc(view.Stores, func(store feed.Member) bool { return store.Name == member.Name })
 		return member.Role != feed.RoleStore || listed || view.WasDecommissioned(member) || node.isSilent(member.Name, suspectTimeout)
 	})
@@ -113,12 +113,10 @@
 	})
 }
 
-// EnrolStore adds a live store to the store list and returns once that is acknowledged; if
+// enrolStore adds a live store to the store list and returns once that is acknowledged; if
 // the store is listed already it is acknowledged at once. The error is NotFound if no such
 // store is live, Conflict if its address belongs to another one.
-//
-//	reply, err := node.EnrolStore(ctx, "root", "store-…")
-func (node *Node) EnrolStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
+func (node *Node) enrolStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
 	request := newAdminRequest(by, nil, "enrol", name)
 	return node.execute(ctx, func(view *feed.View) (decision, error) {
 		return request.decide(view, nil, func() (*feed.Change, error) { return node.planEnrol(view, name) })
@@ -131,7 +129,7 @@
 	if at >= 0 && view.Stores[at].State != feed.StateDecommissioning {
 		return nil, nil
 	}
-	live := node.LiveMembers()
+	live := node.liveMembers()
 	found := slices.IndexFunc(live, func(member feed.Member) bool { return member.Name == name && member.Role == feed.RoleStore })
 	if found < 0 {
 		return nil, apierror.New(apierror.NotFound, "no store named "+name+" has a session", "start it with the seeds of this fleet; the fleet query lists who is there")
