--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -124,21 +124,8 @@
 	if err != nil {
 		return nil, "", err
 	}
-	missing := func(kind, name string, known []string) error {
-		return apierror.New(apierror.Invalid, "no "+kind+" is named "+strconv.Quote(name)+querylanguage.Suggest(name, known), "name one of "+strings.Join(known, ", "))
-	}
-	if set.Weight != nil {
-		if tables := slices.Sorted(maps.Keys(decoded.Tables)); !slices.Contains(tables, set.Weight.First) {
-			return nil, "", missing("table", set.Weight.First, tables)
-		}
-		if groups := slices.Sorted(maps.Keys(decoded.Groups)); !slices.Contains(groups, set.Weight.Second) {
-			return nil, "", missing("group", set.Weight.Second, groups)
-		}
-	}
-	if set.Quota != nil {
-		if programs := slices.Sorted(maps.Keys(decoded.Programs)); !slices.Contains(programs, set.Quota.First) {
-			return nil, "", missing("program", set.Quota.First, programs)
-		}
+	if err := checkSetNames(set, decoded); err != nil {
+		return nil, "", err
 	}
 	var value any = set.Value
 	if number, err := strconv.ParseFloat(set.Value, 64); err == nil {
@@ -148,6 +135,30 @@
 	return change, path + " would be " + set.Value, err
 }
 
+// checkSetNames checks that the names in a set statement exist in the config. Limits are left to
+// the schema.
+func checkSetNames(set *querylanguage.Set, decoded *config.Config) error {
+	switch {
+	case set.Weight != nil:
+		if err := checkName("table", set.Weight.First, decoded.Tables); err != nil {
+			return err
+		}
+		return checkName("group", set.Weight.Second, decoded.Groups)
+	case set.Quota != nil:
+		return checkName("program", set.Quota.First, decoded.Programs)
+	}
+	return nil
+}
+
+// checkName fails with Invalid, and suggests a name, if none of the items has the name.
+func checkName[Item any](kind, name string, items map[string]Item) error {
+	if _, found := items[name]; found {
+		return nil
+	}
+	known := slices.Sorted(maps.Keys(items))
+	return apierror.New(apierror.Invalid, "no "+kind+" is named "+strconv.Quote(name)+querylanguage.Suggest(name, known), "name one of "+strings.Join(known, ", "))
+}
+
 // planRestore plans the change that puts an earlier config in force again, if the history of
 // a confirmed state has it. The routing in force stays: its revisions never fall.
 func (service adminService) planRestore(view *feed.View, state *feedState, number uint64) (*feed.Change, error) {
--- a/system/controlplane/feed_confirmation.go
+++ b/system/controlplane/feed_confirmation.go
@@ -101,14 +101,7 @@
 		return &quorumState{now, runnersReadAt}, nil
 	}
 	// This replica has not learned yet that the newest changes are committed.
-	if reply.Follow.Reset {
-		view, err := reply.Follow.FullView()
-		if err != nil || view.Number < reply.Follow.Newest {
-			return nil, noQuorumError()
-		}
-		return &quorumState{&feedState{view: view, lacksHistory: true}, runnersReadAt}, nil
-	}
-	next, err := own.advance(reply.Follow.Changes)
+	next, err := own.stateAfter(reply.Follow)
 	if err != nil {
 		return nil, err
 	}
@@ -118,6 +111,19 @@
 	return &quorumState{next, runnersReadAt}, nil
 }
 
+// stateAfter returns the state that a leader's reply leads to from this one. It fails as advance
+// does, and with NoQuorum if a complete view in the reply cannot be read.
+func (state *feedState) stateAfter(reply *wire.FollowReply) (*feedState, error) {
+	if !reply.Reset {
+		return state.advance(reply.Changes)
+	}
+	view, err := reply.FullView()
+	if err != nil {
+		return nil, noQuorumError()
+	}
+	return &feedState{view: view, lacksHistory: true}, nil
+}
+
 // advance returns the state after the changes that follow on it; older ones are skipped. The
 // result answers one question and is never published: only view and history are set.
 func (state *feedState) advance(changes []feed.Change) (*feedState, error) {
--- a/system/controlplane/feed_state_machine.go
+++ b/system/controlplane/feed_state_machine.go
@@ -93,6 +93,17 @@
 	},
 }
 
+// checkPreconditions returns the error that rejects a change on a view, nil if it may be applied.
+func checkPreconditions(view *feed.View, change feed.Change) error {
+	if inForce := numberInForce(view, change); change.Expects && change.Expected != inForce {
+		return apierror.New(apierror.Conflict, fmt.Sprintf("expected number %d, but %d is in force", change.Expected, inForce), "read what is in force and decide anew")
+	}
+	if check, guarded := changePreconditions[change.Kind]; guarded {
+		return check(view, change)
+	}
+	return nil
+}
+
 // Apply numbers and folds a committed change, or rejects it. It returns a changeOutcome.
 func (machine *feedStateMachine) Apply(entry raft.Entry) any {
 	var change feed.Change
@@ -100,18 +111,12 @@
 		return changeOutcome{err: err}
 	}
 	state := machine.state()
-	if change.Expects && change.Expected != numberInForce(state.view, change) {
-		return changeOutcome{number: state.view.Number, err: apierror.New(apierror.Conflict,
-			fmt.Sprintf("expected number %d, but %d is in force", change.Expected, numberInForce(state.view, change)), "read what is in force and decide anew")}
-	}
-	if check, guarded := changePreconditions[change.Kind]; guarded {
-		if err := check(state.view, change); err != nil {
-			return changeOutcome{number: state.view.Number, err: err}
-		}
+	if err := checkPreconditions(state.view, change); err != nil {
+		return changeOutcome{number: state.view.Number, err: err}
 	}
 	change.Number = state.view.Number + 1
 	if change.Kind == feed.ChangeRecovered {
-		change.Number = change.View.Number
+		change.Number = change.View.Number // jumps ahead, by recoveredNumberStep
 	}
 	view, err := feed.Fold(*state.view, change)
 	if err != nil {
--- a/system/controlplane/node_bootstrap.go
+++ b/system/controlplane/node_bootstrap.go
@@ -41,15 +41,22 @@
 	if node.settings.JoinExisting || len(statuses) != len(*node.seeds.Load()) {
 		return
 	}
-	members, names := []feed.Member{}, []string{}
+	if names, members, distinct := founders(statuses); distinct {
+		node.bootstrapFleetWith(bootstrapView(names, members, node.settings))
+	}
+}
+
+// founders returns the nodes that are to found a fleet. Distinct is false if two of the statuses
+// are of one node, whose vote must not count twice.
+func founders(statuses []*wire.StatusReply) (names []string, members []feed.Member, distinct bool) {
 	for _, status := range statuses {
 		if slices.Contains(names, status.Name) {
-			return // two seeds lead to one node; its vote must not count twice
+			return nil, nil, false
 		}
 		names = append(names, status.Name)
 		members = append(members, feed.Member{Name: status.Name, Role: feed.RoleControl, Address: status.Address, Domain: status.Domain})
 	}
-	node.bootstrapFleetWith(bootstrapView(names, members, node.settings))
+	return names, members, true
 }
 
 // bootstrapView returns the first view of a fleet, which is the same on every founder: it
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -53,18 +53,29 @@
 		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot read the runner list")
 		return
 	}
+	if node.publishRunners(ctx, view, lease, groups, runners, requestedAt) {
+		// After the change is committed: stateAsLeader relies on this order.
+		node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
+	}
+}
+
+// publishRunners proposes what differs between a list, requested at a time, and the runners of a
+// view. It reports whether the list's content is in force.
+func (node *Node) publishRunners(ctx context.Context, view *feed.View, lease feed.RoleLease, groups map[string]config.Group, listed []feed.Runner, requestedAt time.Time) bool {
+	discovery := &node.discovery
 	discovery.beginLease(lease.FencingToken)
 	change := feed.Change{Kind: feed.ChangeRunners, By: node.Name(), RoleLease: lease, Expects: true, Expected: view.Number, Partial: true}
-	change.Runners, change.Removed = discovery.diff(view.Runners, runners, groups, requestedAt)
-	if len(change.Runners)+len(change.Removed) > 0 {
-		if _, err := node.Change(ctx, change); err != nil {
-			discovery.nextPoll = requestedAt // try again: the feed has changed meanwhile
-			log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot publish the runner list")
-			return
-		}
-		discovery.recordPublished(change.Runners, change.Removed, requestedAt)
+	change.Runners, change.Removed = discovery.diff(view.Runners, listed, groups, requestedAt)
+	if len(change.Runners)+len(change.Removed) == 0 {
+		return true
+	}
+	if _, err := node.Change(ctx, change); err != nil {
+		discovery.nextPoll = requestedAt // due at once: mostly the feed has changed meanwhile
+		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot publish the runner list")
+		return false
 	}
-	node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
+	discovery.recordPublished(change.Runners, change.Removed, requestedAt)
+	return true
 }
 
 // runnerSource returns where to read the runner list and how often, nil if no list is
