--- a/proof/fleet/administration.go
+++ b/proof/fleet/administration.go
@@ -83,13 +83,13 @@
 	if err != nil {
 		return err
 	}
-	query, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
-	query.Header.Set("Authorization", "Bearer "+RootToken)
-	query.Header.Set("Content-Type", "application/json")
-	got, err := (&http.Client{Timeout: 8 * time.Second}).Do(query)
+	request.Header.Set("Authorization", "Bearer "+RootToken)
+	request.Header.Set("Content-Type", "application/json")
+	got, err := (&http.Client{Timeout: 8 * time.Second}).Do(request)
 	if err != nil {
 		return err
 	}
--- a/proof/fleet/runners.go
+++ b/proof/fleet/runners.go
@@ -14,11 +14,11 @@
 // readRecord asks a runner what it saw; take also begins to count its crowd anew.
 func readRecord(ctx context.Context, address, what string) (standin.Record, error) {
 	var seen standin.Record
-	query, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/"+what, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/"+what, nil)
 	if err != nil {
 		return seen, err
 	}
-	answer, err := http.DefaultClient.Do(query)
+	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return seen, err
 	}
@@ -39,11 +39,11 @@
 	if err != nil {
 		return err
 	}
-	query, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+fleet.Platform+"/runners", bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+fleet.Platform+"/runners", bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(query)
+	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
--- a/proof/fleet/setup.go
+++ b/proof/fleet/setup.go
@@ -141,11 +141,11 @@
 //	err := fleet.AwaitReady(ctx, front.PublicAddress)
 func AwaitReady(ctx context.Context, address string) error {
 	for {
-		query, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", nil)
 		if err != nil {
 			return err
 		}
-		got, err := http.DefaultClient.Do(query)
+		got, err := http.DefaultClient.Do(request)
 		if err == nil {
 			got.Body.Close()
 			if got.StatusCode == http.StatusOK {
--- a/proof/loadgen/callers.go
+++ b/proof/loadgen/callers.go
@@ -13,6 +13,8 @@
 	"yardrock.example/system/runnerclient"
 )
 
+// converse holds one conversation: some turns, with tool calls and helpers between them, and a
+// check of its history.
 func (generator *generator) converse(ctx context.Context, random *rand.Rand, name string) {
 	generator.count(func(report *Report) { report.Conversations++ })
 	program := []string{"dialogue", "permits"}[random.IntN(2)]
@@ -48,13 +50,13 @@
 	}
 	generator.checkHistory(ctx, random, conversationName, said)
 	generator.count(func(report *Report) {
-		report.ToRevisit = append(report.ToRevisit, Conversation{Conversation: conversationName, LastTurn: follows, History: said})
+		report.ToRevisit = append(report.ToRevisit, Conversation{Name: conversationName, LastTurn: follows, History: said})
 	})
 }
 
-// tool calls a tool between turns; its call and result become part of what was
-// said once it is told complete. An unknown one ends the conversation, as what
-// the model will see is not known to this caller.
+// tool calls a tool between turns. Its call and result become messages of the conversation once
+// the call is reported as complete. An unknown outcome ends the conversation, as this caller
+// then does not know what the model will receive.
 func (generator *generator) tool(ctx context.Context, random *rand.Rand, program, name string, follows uint64, key string, said []runnerclient.Message) ([]runnerclient.Message, bool) {
 	generator.count(func(report *Report) { report.Tools++ })
 	question := "stock of " + key
@@ -65,8 +67,8 @@
 	return append(said, runnerclient.Message{Role: "tool_call", Name: "receipt", Words: question}, runnerclient.Message{Role: "tool_result", Name: "receipt", Words: answer}), true
 }
 
-// requestPlain sends work that may not be repeated until its outcome is told, and notes
-// what was told for the check at the end.
+// requestPlain sends work that is not idempotent until its outcome is reported, and records the
+// outcome for checkExecutions.
 func (generator *generator) requestPlain(ctx context.Context, random *rand.Rand, path, program, kind, key string, body map[string]any) (string, string) {
 	reported, text := "unanswered", ""
 	for range maxAttempts {
@@ -112,6 +114,7 @@
 	return reported, text
 }
 
+// once requests work that is not idempotent.
 func (generator *generator) once(ctx context.Context, random *rand.Rand, name string) {
 	generator.count(func(report *Report) { report.Once++ })
 	kind := generator.mix.OnceKinds[random.IntN(len(generator.mix.OnceKinds))]
@@ -120,6 +123,7 @@
 	generator.requestPlain(ctx, random, path, "counter", kind, key, map[string]any{"program": "counter", "kind": kind, "words": "work " + name, "query_key": key})
 }
 
+// lookup requests idempotent work and checks its answer.
 func (generator *generator) lookup(ctx context.Context, random *rand.Rand, number int) {
 	generator.count(func(report *Report) { report.Lookups++ })
 	question := fmt.Sprintf("where is %d", number)
@@ -141,8 +145,8 @@
 	}
 }
 
-// tight starts a turn of the program with the small allowance. What it is heard
-// to speak must stay within the allowance and one turn.
+// tight starts a turn of the program with the small quota. The words of all its answers must stay
+// within the quota and one turn.
 func (generator *generator) tight(ctx context.Context, random *rand.Rand, number int) {
 	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
--- a/proof/loadgen/loadgen.go
+++ b/proof/loadgen/loadgen.go
@@ -1,5 +1,7 @@
-// Package loadgen drives a deployment with its callers' mix and checks every answer
-// against the rules of the brief.
+// Package loadgen generates the load of a deployment's callers and checks every answer. An answer
+// of the stand-in runners depends on everything that they received, so the generator knows what
+// each answer must be; a Report lists the rules that were violated. Rules and loads are those of
+// the users' brief.
 package loadgen
 
 import (
@@ -14,7 +16,7 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// Mix is what callers send each second, on average.
+// Mix is what callers send in a second, on average.
 type Mix struct {
 	Conversations float64
 	Turns         []int // lengths of conversations, drawn evenly
@@ -34,18 +36,18 @@
 	"logistics": {Conversations: 26, Turns: []int{3, 3, 3, 3, 3, 7}, Lookups: 15, Once: 12, OnceKinds: []string{"receipt", "invoice"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.1, Tight: 1},
 }
 
-// Target is the system under load.
+// Target is the system under load, with the runners whose records are checked.
 type Target struct {
 	Fronts  []string
 	Runners []string
 	Token   string
 	Client  *http.Client
-	// Quota and Turn are the words of the small program's terms.
+	// Quota and TurnLimit are the words that program "tight" may use in all and in one turn.
 	Quota     int
 	TurnLimit int
 }
 
-// Report is what was seen. Broken rules make the load generator fail.
+// Report is what a run observed. Violations make it fail.
 type Report struct {
 	Conversations int            `json:"conversations"`
 	Turns         int            `json:"turns"`
@@ -61,18 +63,18 @@
 	FirstPiece    Quantiles      `json:"first_piece"`
 	TightWords    int            `json:"tight_words"`
 	Violations    []string       `json:"broken"`
-	// Kept are conversations to come back to later.
+	// ToRevisit are the conversations that ended well, for Revisit.
 	ToRevisit []Conversation `json:"-"`
 }
 
-// Kept is a conversation that ended well, with all that was said.
+// Conversation is one that ended well, with its messages.
 type Conversation struct {
-	Conversation string
-	LastTurn     uint64
-	History      []runnerclient.Message
+	Name     string
+	LastTurn uint64
+	History  []runnerclient.Message
 }
 
-// Quantiles are of a measured time.
+// Quantiles are those of the measured delays, as texts such as "12ms".
 type Quantiles struct {
 	P50   string `json:"p50"`
 	P99   string `json:"p99"`
@@ -80,27 +82,31 @@
 	Count int    `json:"counts"`
 }
 
+// generator is one run. Its mutex guards the report, the delays and the outcomes.
 type generator struct {
 	target       Target
 	mix          Mix
 	mutex        sync.Mutex
 	report       Report
 	delays       []time.Duration
-	outcomeOfKey map[string]string // executions key to what callers were told
+	outcomeOfKey map[string]string // what callers got, by the key of standin.Record.Executions
 }
 
 const (
-	maxAttempts   = 12
-	answerTimeout = 40 * time.Second
-	maxViolations = 20
+	maxAttempts   = 12               // of one request
+	maxResumes    = 3                // of one stream
+	answerTimeout = 40 * time.Second // of one attempt
+	maxViolations = 20               // that a report lists
 )
 
+// count changes the report.
 func (generator *generator) count(change func(report *Report)) {
 	generator.mutex.Lock()
 	change(&generator.report)
 	generator.mutex.Unlock()
 }
 
+// violation adds a violated rule to the report, unless it lists maxViolations already.
 func (generator *generator) violation(rule, format string, arguments ...any) {
 	generator.count(func(report *Report) {
 		if len(report.Violations) < maxViolations {
@@ -109,8 +115,8 @@
 	})
 }
 
-// Run drives the mix for a time or until it is told to end, lets what is under way
-// end, and checks.
+// Run generates the load of a mix for a duration, or until the channel is closed, waits for what
+// is in flight, and checks. Arrivals are random with the mix's rates; the seed determines them.
 //
 //	report := loadgen.Run(ctx, target, loadgen.Mixes["agency"], time.Minute, 7, nil)
 func Run(ctx context.Context, target Target, mix Mix, duration time.Duration, seed uint64, until <-chan struct{}) *Report {
--- a/proof/loadgen/loadgen_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -62,7 +62,7 @@
 	fmt.Fprintf(writer, `{"kind":%q,"message":"did not run","remedy":"none"}`, kind)
 }
 
-func (server *fakeServer) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
+func (server *fakeServer) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	var body struct {
@@ -71,10 +71,10 @@
 		Words   string `json:"words"`
 		Key     string `json:"query_key"`
 	}
-	json.NewDecoder(query.Body).Decode(&body)
-	parts := strings.Split(strings.TrimPrefix(query.URL.Path, "/v1/"), "/")
+	json.NewDecoder(request.Body).Decode(&body)
+	parts := strings.Split(strings.TrimPrefix(request.URL.Path, "/v1/"), "/")
 	switch {
-	case query.URL.Path == "/standin/record":
+	case request.URL.Path == "/standin/record":
 		json.NewEncoder(writer).Encode(standin.Record{Executions: server.ran})
 	case parts[0] == "conversations" && len(parts) == 1:
 		server.starts++
@@ -152,7 +152,7 @@
 }
 
 func (pipes *pipeListener) Close() error   { pipes.once.Do(func() { close(pipes.closed) }); return nil }
-func (pipes *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipes"} }
+func (*pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipes"} }
 
 func TestGeneratorReportsEveryViolationAndNothingElse(t *testing.T) {
 	honest := drive(t, "")
--- a/proof/loadgen/requests.go
+++ b/proof/loadgen/requests.go
@@ -15,22 +15,25 @@
 	"yardrock.example/system/httpapi"
 )
 
+// front draws a front.
 func (generator *generator) front(random *rand.Rand) string {
 	return generator.target.Fronts[random.IntN(len(generator.target.Fronts))]
 }
 
+// send sends one request. An error response comes as an httpapi.Error, a lost connection as an
+// error; a response without kind, message and remedy is a violation.
 func (generator *generator) send(ctx context.Context, method, front, path string, body any) (*http.Response, *httpapi.Error, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, nil, err
 	}
-	query, err := http.NewRequestWithContext(ctx, method, "http://"+front+path, bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+front+path, bytes.NewReader(data))
 	if err != nil {
 		return nil, nil, err
 	}
-	query.Header.Set("Authorization", "Bearer "+generator.target.Token)
-	query.Header.Set("Content-Type", "application/json")
-	answer, err := generator.target.Client.Do(query)
+	request.Header.Set("Authorization", "Bearer "+generator.target.Token)
+	request.Header.Set("Content-Type", "application/json")
+	answer, err := generator.target.Client.Do(request)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -46,7 +49,7 @@
 	return nil, failure, nil
 }
 
-// pause waits as long as a refusal said, or a little after a lost connection.
+// pause waits as long as an error response demands, or 300 ms.
 func pause(ctx context.Context, apierror *httpapi.Error) {
 	wait := 300 * time.Millisecond
 	if apierror != nil && apierror.RetryAfter > 0 {
@@ -58,6 +61,7 @@
 	}
 }
 
+// streamRecord is one line of a streamed answer.
 type streamRecord struct {
 	Conversation string `json:"conversation"`
 	Turn         uint64 `json:"turn"`
@@ -68,7 +72,7 @@
 	Kind         string `json:"kind"`
 }
 
-// streamedAnswer is an answer as it comes in, perhaps over several connections.
+// streamedAnswer is what was received of an answer, perhaps over several connections.
 type streamedAnswer struct {
 	conversation string
 	turn         uint64
@@ -78,9 +82,10 @@
 	first        time.Time // when the first piece came
 }
 
-// readStream reads one connection's lines on top of what was heard. A break leaves
-// the rest to be resumed; a gap or repeat is a broken rule.
-func (generator *generator) readStream(body io.Reader, heard *streamedAnswer, stopAfter int) {
+// readStream adds what one connection delivers to an answer. If the connection breaks, the rest
+// can be resumed; a gap or a repeated event is a violation. It stops after a number of pieces,
+// unless that is 0.
+func (generator *generator) readStream(body io.Reader, answer *streamedAnswer, stopAfter int) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), 1<<20)
 	pieces := 0
@@ -90,52 +95,53 @@
 			return // a connection that broke within a line
 		}
 		if reported.Conversation != "" {
-			if heard.conversation != "" && heard.turn != reported.Turn {
-				generator.violation("streams", "turn %d of %s was resumed as turn %d", heard.turn, heard.conversation, reported.Turn)
+			if answer.conversation != "" && answer.turn != reported.Turn {
+				generator.violation("streams", "turn %d of %s was resumed as turn %d", answer.turn, answer.conversation, reported.Turn)
 			}
-			heard.conversation, heard.turn = reported.Conversation, reported.Turn
-			if heard.last == 0 {
-				heard.last = reported.Turn
+			answer.conversation, answer.turn = reported.Conversation, reported.Turn
+			if answer.last == 0 {
+				answer.last = reported.Turn
 			}
 		}
 		if reported.Event == "piece" {
-			if reported.Seq <= heard.last {
-				generator.violation("streams", "%s repeats seq %d after %d", heard.conversation, reported.Seq, heard.last)
+			if reported.Seq <= answer.last {
+				generator.violation("streams", "%s repeats seq %d after %d", answer.conversation, reported.Seq, answer.last)
 			}
-			if reported.Seq != heard.last+1 {
-				generator.violation("streams", "%s skips from seq %d to %d", heard.conversation, heard.last, reported.Seq)
+			if reported.Seq != answer.last+1 {
+				generator.violation("streams", "%s skips from seq %d to %d", answer.conversation, answer.last, reported.Seq)
 			}
-			heard.last = reported.Seq
-			if heard.first.IsZero() {
-				heard.first = time.Now()
+			answer.last = reported.Seq
+			if answer.first.IsZero() {
+				answer.first = time.Now()
 			}
-			heard.words.WriteString(reported.Words)
+			answer.words.WriteString(reported.Words)
 			if pieces++; pieces == stopAfter {
 				return
 			}
 		}
 		if reported.End != "" {
-			heard.end = reported.End
+			answer.end = reported.End
 			return
 		}
 	}
 }
 
-// requestTurn sends a turn until it is complete or will not become so. It returns nil if
-// it had to be given up.
+// requestTurn sends a turn until it is complete or cannot become so. It returns nil if the turn
+// was abandoned.
 func (generator *generator) requestTurn(ctx context.Context, random *rand.Rand, path string, body map[string]any, want string) *streamedAnswer {
 	generator.count(func(report *Report) { report.Turns++ })
 	var last string
 	resume := random.Float64() < generator.mix.ResumeShare
-	for try := range maxAttempts {
-		callContext, cancel := context.WithTimeout(ctx, answerTimeout)
-		began := time.Now()
-		answer, apierror, err := generator.send(callContext, http.MethodPost, generator.front(random), path, body)
+	for attempt := range maxAttempts {
+		stopAfter := 0
+		if resume && attempt == 0 {
+			stopAfter = 2
+		}
+		got, apierror := generator.attemptTurn(ctx, random, path, body, attempt == 0, stopAfter)
 		if apierror != nil {
 			last = apierror.Kind
 			generator.rejected(apierror, path, body)
-			cancel()
-			if apierror.Kind != "not_run" && apierror.Kind != "unavailable" && apierror.Kind != "unknown" && !(apierror.Kind == "conflict" && try > 0) {
+			if !mayAttemptAgain(apierror, attempt) {
 				break
 			}
 			if apierror.Kind == "not_run" && body["query_key"] != nil {
@@ -144,46 +150,16 @@
 			pause(ctx, apierror)
 			continue
 		}
-		if err != nil {
+		if got == nil {
 			last = "connection"
-			cancel()
 			pause(ctx, nil)
 			continue
 		}
-		got := &streamedAnswer{}
-		stopAfter := 0
-		if resume && try == 0 {
-			stopAfter = 2
-		}
-		generator.readStream(answer.Body, got, stopAfter)
-		answer.Body.Close()
-		cancel()
-		if try == 0 && !got.first.IsZero() {
-			generator.mutex.Lock()
-			generator.delays = append(generator.delays, got.first.Sub(began))
-			generator.mutex.Unlock()
-		}
-		for again := 0; got.end == "" || got.end == "failed"; again++ {
-			if got.conversation == "" || again == 3 {
-				break
-			}
+		for again := 0; (got.end == "" || got.end == "failed") && got.conversation != "" && again < maxResumes; again++ {
 			generator.resume(ctx, random, got)
 		}
-		switch got.end {
-		case "complete":
-			generator.count(func(report *Report) { report.Complete++ })
-			if got.words.String() != want {
-				generator.violation("answers", "%s turn %d: heard %q, want %q", got.conversation, got.turn, got.words.String(), want)
-			}
+		if last = generator.checkEnd(got, want); got.end == "complete" {
 			return got
-		case "cut", "not_run", "unknown":
-			last = "ended " + got.end
-			generator.count(func(report *Report) { report.Rejections[last]++ })
-			if !strings.HasPrefix(want, got.words.String()) {
-				generator.violation("answers", "%s turn %d: a cut answer %q is no beginning of %q", got.conversation, got.turn, got.words.String(), want)
-			}
-		default:
-			last = "no end"
 		}
 		pause(ctx, nil)
 	}
@@ -191,7 +167,61 @@
 	return nil
 }
 
-// resume tails the turn at another front from the last seq that was heard.
+// mayAttemptAgain reports whether a turn may be sent again after an error. A conflict of a
+// repeated attempt may come from an earlier one whose answer was lost.
+func mayAttemptAgain(apierror *httpapi.Error, attempt int) bool {
+	switch apierror.Kind {
+	case "not_run", "unavailable", "unknown":
+		return true
+	case "conflict":
+		return attempt > 0
+	}
+	return false
+}
+
+// attemptTurn sends a turn once and reads the first connection's part of its answer. Without
+// an answer or an error in the protocol's form, both results are nil: the connection was lost.
+func (generator *generator) attemptTurn(ctx context.Context, random *rand.Rand, path string, body map[string]any, measured bool, stopAfter int) (*streamedAnswer, *httpapi.Error) {
+	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
+	defer cancel()
+	began := time.Now()
+	answer, apierror, err := generator.send(callContext, http.MethodPost, generator.front(random), path, body)
+	if apierror != nil || err != nil {
+		return nil, apierror
+	}
+	defer answer.Body.Close()
+	got := &streamedAnswer{}
+	generator.readStream(answer.Body, got, stopAfter)
+	if measured && !got.first.IsZero() {
+		generator.mutex.Lock()
+		generator.delays = append(generator.delays, got.first.Sub(began))
+		generator.mutex.Unlock()
+	}
+	return got, nil
+}
+
+// checkEnd compares an answer with the expected one as far as its end allows, and returns the
+// end's name in the report; "" is complete.
+func (generator *generator) checkEnd(got *streamedAnswer, want string) string {
+	switch got.end {
+	case "complete":
+		generator.count(func(report *Report) { report.Complete++ })
+		if got.words.String() != want {
+			generator.violation("answers", "%s turn %d: heard %q, want %q", got.conversation, got.turn, got.words.String(), want)
+		}
+		return ""
+	case "cut", "not_run", "unknown":
+		ended := "ended " + got.end
+		generator.count(func(report *Report) { report.Rejections[ended]++ })
+		if !strings.HasPrefix(want, got.words.String()) {
+			generator.violation("answers", "%s turn %d: a cut answer %q is no beginning of %q", got.conversation, got.turn, got.words.String(), want)
+		}
+		return ended
+	}
+	return "no end"
+}
+
+// resume reads on at another front after the last event that was received.
 func (generator *generator) resume(ctx context.Context, random *rand.Rand, got *streamedAnswer) {
 	generator.count(func(report *Report) { report.Resumed++ })
 	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
@@ -209,6 +239,8 @@
 	answer.Body.Close()
 }
 
+// rejected counts an error response. That a turn is unknown is a violation, as callers name
+// only turns that they got.
 func (generator *generator) rejected(apierror *httpapi.Error, path string, body map[string]any) {
 	generator.count(func(report *Report) { report.Rejections[apierror.Kind]++ })
 	if apierror.Kind == "not_found" {
--- a/proof/loadgen/revisit.go
+++ b/proof/loadgen/revisit.go
@@ -11,26 +11,27 @@
 	"yardrock.example/proof/standin"
 )
 
+// revisits is how many conversations Revisit follows up at most.
 const revisits = 40
 
-// Revisit follows up conversations of an earlier run, and reads them back: their
-// turns must be known and heard as they were said.
+// Revisit continues conversations of an earlier run and reads them back: their turns must be
+// known, and the model must get their messages as they were.
 //
 //	again := loadgen.Revisit(ctx, target, report.ToRevisit, 7)
 func Revisit(ctx context.Context, target Target, kept []Conversation, seed uint64) *Report {
 	generator := newGenerator(target, Mix{})
 	random := rand.New(rand.NewPCG(seed, 77))
 	for _, position := range random.Perm(len(kept))[:min(len(kept), revisits)] {
-		one := kept[position]
-		question := "and after " + one.Conversation
-		generator.requestTurn(ctx, random, "/v1/conversations/"+one.Conversation+"/turns", map[string]any{"kind": "talk", "words": question, "follows": one.LastTurn, "query_key": "revisit"},
-			strings.Join(standin.Answer(one.History, question), ""))
-		generator.checkHistory(ctx, random, one.Conversation, one.History)
+		conversation := kept[position]
+		question := "and after " + conversation.Name
+		generator.requestTurn(ctx, random, "/v1/conversations/"+conversation.Name+"/turns", map[string]any{"kind": "talk", "words": question, "follows": conversation.LastTurn, "query_key": "revisit"},
+			strings.Join(standin.Answer(conversation.History, question), ""))
+		generator.checkHistory(ctx, random, conversation.Name, conversation.History)
 	}
 	return &generator.report
 }
 
-// AwaitTurn waits until one front has served a whole turn.
+// AwaitTurn waits until a front has completed a turn.
 //
 //	err := loadgen.AwaitTurn(ctx, target, front)
 func AwaitTurn(ctx context.Context, target Target, front string) error {
--- a/proof/loadgen/spike.go
+++ b/proof/loadgen/spike.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// SpikeResult is what a crowd got.
+// SpikeResult counts the requests of a traffic spike. Wrong ones were rejected as not run without
+// a time after which to come back.
 type SpikeResult struct {
 	Sent, Served, Rejected, Wrong int
 	Urgent, UrgentServed          int
 }
 
-// Spike sends lookups at a rate on top of all else, with urgent work among them.
+// Spike sends lookups at a rate, on top of all other load, with one urgent request in 20.
 //
 //	seen := loadgen.Spike(ctx, target, 4*time.Second, 500)
 func Spike(ctx context.Context, target Target, lasts time.Duration, perSecond int) SpikeResult {
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -54,7 +54,7 @@
 	runs := map[string][]execution{}
 	for _, life := range chaos.runners {
 		for _, one := range life.engine.Executions() {
-			runs[one.Query] = append(runs[one.Query], execution{one, life})
+			runs[one.RequestID] = append(runs[one.RequestID], execution{one, life})
 		}
 		chaos.checkWarmUp(life)
 	}
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -34,7 +34,7 @@
 	runs := 0
 	for _, machine := range cluster.Engines {
 		for _, one := range machine.Engine.Executions() {
-			if one.Query == name {
+			if one.RequestID == name {
 				runs++
 			}
 		}
@@ -46,7 +46,7 @@
 func promptOf(cluster *Cluster, name string) string {
 	for _, machine := range cluster.Engines {
 		for _, one := range machine.Engine.Executions() {
-			if one.Query == name {
+			if one.RequestID == name {
 				return one.Body
 			}
 		}
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -118,7 +118,7 @@
 		seal := answer.Header.Get("Seal")
 		for _, machine := range cluster.Engines {
 			ran := machine.Engine.Executions()
-			if len(ran) > 0 && ran[len(ran)-1].Query == "chat" && ran[len(ran)-1].Header.Get(standin.Dialect.LastEventID) == "" && seal != machine.Engine.Life+"/chat" {
+			if len(ran) > 0 && ran[len(ran)-1].RequestID == "chat" && ran[len(ran)-1].Header.Get(standin.Dialect.LastEventID) == "" && seal != machine.Engine.Life+"/chat" {
 				t.Fatalf("the seal is %s, not that of the first runner %s", seal, machine.Engine.Life)
 			}
 		}
--- a/proof/standin/engine.go
+++ b/proof/standin/engine.go
@@ -14,59 +14,62 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// HeaderNames is how stand-in engines name their headers.
+// Dialect names the headers that stand-in engines read and write.
 var Dialect = runnerpool.HeaderNames{
 	RequestID: "Query-Name", NotRun: "Not-Run", ExpectedRunner: "Expected-Runner", Timeout: "Time-Left", Load: "Runner-Load",
 	Urgency: "Urgency", LastEventID: "Last-Event-ID", RunnerID: "Runner", WarmUpLeft: "Cold-For",
 }
 
-// Fault is what goes wrong with one query at an engine.
+// Fault selects how an engine mishandles one request. The texts are only shown in test
+// messages.
 type Fault string
 
 // The faults.
 const (
 	NoFault Fault = ""
-	// FaultNotRun vouches that the query did not run.
+	// FaultNotRun answers 503 with the header that vouches that the request did not run.
 	FaultNotRun Fault = "refuses"
-	// FaultLoseAnswer runs the query and closes the connection.
+	// FaultLoseAnswer runs the request and closes the connection without an answer.
 	FaultLoseAnswer Fault = "loses"
-	// FaultBreakStream breaks a stream off after its second event.
+	// FaultBreakStream closes the connection after the second event of a stream.
 	FaultBreakStream Fault = "breaks"
 	// FaultServerError answers 500.
 	FaultServerError Fault = "fails"
-	// FaultUnavailable answers 503 without vouching for anything.
+	// FaultUnavailable answers 503 without vouching that the request did not run.
 	FaultUnavailable Fault = "unvouched"
-	// FaultWrongName answers under another query's name.
+	// FaultWrongName runs the request and answers under another request's ID.
 	FaultWrongName Fault = "foreign"
-	// FaultExtraAnswer answers, and once more with the name of the same query, where the answer to
-	// the next query should come.
+	// FaultExtraAnswer answers twice under the same request ID; the second answer comes
+	// where the next request's answer should be.
 	FaultExtraAnswer Fault = "extra"
-	// FaultGarbledAnswer runs the query and answers with bytes that are no answer.
+	// FaultGarbledAnswer runs the request and answers with bytes that are not HTTP.
 	FaultGarbledAnswer Fault = "garbles"
-	// FaultHang runs the query and never answers.
+	// FaultHang runs the request and never answers.
 	FaultHang Fault = "hangs"
-	// Plain answers a stream's query plainly, with success.
+	// FaultPlainAnswer answers a streaming request with a plain success.
 	FaultPlainAnswer Fault = "plain"
-	// FaultUnprocessable answers 422 of its own.
+	// FaultUnprocessable runs the request and answers 422.
 	FaultUnprocessable Fault = "rejects"
-	// FaultRestartStream breaks a stream off after its second event, and gives it from its beginning
-	// to whoever resumes it.
+	// FaultRestartStream closes the connection after the second event of a stream, and
+	// restarts the stream from its first event when it is resumed.
 	FaultRestartStream Fault = "repeats"
 )
 
-// Ran is one run of a query at an engine.
+// Execution is one request that an engine ran.
 type Execution struct {
-	Query  string
-	Method string
-	Target string
-	Body   string
-	At     time.Time
-	Header http.Header
-	Fault  Fault
+	RequestID string
+	Method    string
+	Target    string
+	Body      string
+	At        time.Time
+	Header    http.Header
+	Fault     Fault
 }
 
-// Engine is a stand-in runner that queries are forwarded to unchanged.
+// Engine is a stand-in runner to which fronts forward requests unchanged. Its methods are safe
+// for concurrent use; its fields must not change once it serves.
 type Engine struct {
+	// Life identifies this start of the runner.
 	Life      string
 	Latencies Latencies
 	// Events is how many events a stream has.
@@ -77,18 +80,18 @@
 	defaultFault Fault
 	executions   []Execution
 	arrivals     []time.Time
-	misdirected  int // away as meant for another runner
-	cancelled    []string
+	misdirected  int      // requests that were meant for another runner
+	cancelled    []string // IDs of requests whose connection ended while they ran
 }
 
-// NewEngine makes an engine.
+// NewEngine returns an engine that streams five events and injects no fault.
 //
-//	http.Serve(listener, standin.NewEngine("life-1", standin.Latencies{Piece: time.Millisecond}))
-func NewEngine(life string, pace Latencies) *Engine {
-	return &Engine{Life: life, Latencies: pace, Events: 5}
+//	http.Serve(listener, standin.NewEngine("life-1", standin.Latencies{NextPiece: time.Millisecond}))
+func NewEngine(life string, latencies Latencies) *Engine {
+	return &Engine{Life: life, Latencies: latencies, Events: 5}
 }
 
-// InjectFaults makes the next queries go wrong, one after the other.
+// InjectFaults queues faults for the next requests, one fault for each.
 //
 //	engine.InjectFaults(standin.FaultLoseAnswer)
 func (engine *Engine) InjectFaults(faults ...Fault) {
@@ -97,7 +100,7 @@
 	engine.mutex.Unlock()
 }
 
-// SetFault makes all queries go wrong from now on.
+// SetFault sets the fault of all requests for which none is queued.
 //
 //	engine.SetFault(standin.FaultServerError)
 func (engine *Engine) SetFault(fault Fault) {
@@ -106,16 +109,16 @@
 	engine.mutex.Unlock()
 }
 
-// Ran gives what ran here.
+// Executions returns the requests that ran here, in order.
 //
-//	for _, one := range engine.Ran() { ... }
+//	for _, execution := range engine.Executions() { ... }
 func (engine *Engine) Executions() []Execution {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return append([]Execution{}, engine.executions...)
 }
 
-// Misdirected tells how many queries were turned away as meant for another runner.
+// Misdirected counts the requests that were rejected because they named another runner.
 //
 //	count := engine.Misdirected()
 func (engine *Engine) Misdirected() int {
@@ -124,7 +127,7 @@
 	return engine.misdirected
 }
 
-// Cancelled names the queries whose connection ended while they ran here.
+// Cancelled returns the IDs of plain requests whose connection ended while they ran here.
 //
 //	names := engine.Cancelled()
 func (engine *Engine) Cancelled() []string {
@@ -133,19 +136,20 @@
 	return append([]string{}, engine.cancelled...)
 }
 
-// work lets the time of a plain query go by.
-func (engine *Engine) work(query *http.Request) {
+// work waits as long as a plain request takes, and records it as cancelled if its connection
+// ends meanwhile.
+func (engine *Engine) work(request *http.Request) {
 	select {
 	case <-time.After(engine.Latencies.PlainAnswer):
-	case <-query.Context().Done():
+	case <-request.Context().Done():
 		engine.mutex.Lock()
-		engine.cancelled = append(engine.cancelled, query.Header.Get(Dialect.RequestID))
+		engine.cancelled = append(engine.cancelled, request.Header.Get(Dialect.RequestID))
 		engine.mutex.Unlock()
-		panic(http.ErrAbortHandler)
+		panic(http.ErrAbortHandler) // net/http closes the connection without an answer
 	}
 }
 
-// Arrivals gives when queries came that were meant for this runner, run or not.
+// Arrivals returns when requests came that were meant for this runner, run or not.
 //
 //	count := len(engine.Arrivals())
 func (engine *Engine) Arrivals() []time.Time {
@@ -154,7 +158,7 @@
 	return append([]time.Time{}, engine.arrivals...)
 }
 
-// nextFault notes an arrival and draws what goes wrong with it.
+// nextFault records an arrival and returns its fault.
 func (engine *Engine) nextFault() Fault {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -167,14 +171,15 @@
 	return fault
 }
 
-func (engine *Engine) run(query *http.Request, body string, fault Fault) {
+// run records an execution.
+func (engine *Engine) run(request *http.Request, body string, fault Fault) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.executions = append(engine.executions, Execution{Query: query.Header.Get(Dialect.RequestID), Method: query.Method, Target: query.URL.RequestURI(), Body: body, At: time.Now(), Header: query.Header.Clone(), Fault: fault})
+	engine.executions = append(engine.executions, Execution{RequestID: request.Header.Get(Dialect.RequestID), Method: request.Method, Target: request.URL.RequestURI(), Body: body, At: time.Now(), Header: request.Header.Clone(), Fault: fault})
 }
 
-// EventData is what an engine puts into one event of a stream. It depends on the whole
-// prompt, so that any difference shows.
+// EventData returns the data of one event of a stream. It depends on the complete prompt, so
+// that a test notices any difference in what the engine received.
 //
 //	data := standin.EventData(prompt, 3)
 func EventData(prompt string, number int) string {
@@ -182,21 +187,21 @@
 	return fmt.Sprintf("%d of %s", number, hex.EncodeToString(sum[:6]))
 }
 
-// ServeHTTP answers GET /health, streams on paths that begin with /talk/, and answers
-// plainly on all others.
-func (engine *Engine) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
+// ServeHTTP answers GET /health, streams on paths that begin with /talk/, and gives a plain
+// answer on all others.
+func (engine *Engine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	header := writer.Header()
 	header.Set(Dialect.RunnerID, engine.Life)
-	if query.URL.Path == "/health" {
+	if request.URL.Path == "/health" {
 		return
 	}
-	body, err := io.ReadAll(query.Body)
+	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	name := query.Header.Get(Dialect.RequestID)
+	name := request.Header.Get(Dialect.RequestID)
 	header.Set(Dialect.RequestID, name)
-	if expected := query.Header.Get(Dialect.ExpectedRunner); expected != "" && expected != engine.Life {
+	if expected := request.Header.Get(Dialect.ExpectedRunner); expected != "" && expected != engine.Life {
 		engine.mutex.Lock()
 		engine.misdirected++
 		engine.mutex.Unlock()
@@ -215,14 +220,20 @@
 	case FaultWrongName:
 		header.Set(Dialect.RequestID, "another")
 	}
-	engine.run(query, string(body), fault)
+	engine.run(request, string(body), fault)
 	header.Set("Seal", engine.Life+"/"+name)
+	engine.answer(writer, request, string(body), fault)
+}
+
+// answer answers a request that was run, or fails to, as its fault says.
+func (engine *Engine) answer(writer http.ResponseWriter, request *http.Request, body string, fault Fault) {
+	name := request.Header.Get(Dialect.RequestID)
 	switch {
 	case fault == FaultLoseAnswer:
 		time.Sleep(engine.Latencies.PlainAnswer)
 		panic(http.ErrAbortHandler)
 	case fault == FaultHang:
-		<-query.Context().Done()
+		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
 	case fault == FaultGarbledAnswer || fault == FaultExtraAnswer:
 		engine.answerRaw(writer, name, fault)
@@ -230,15 +241,15 @@
 		writer.WriteHeader(http.StatusUnprocessableEntity)
 	case fault == FaultServerError:
 		writer.WriteHeader(http.StatusInternalServerError)
-	case strings.HasPrefix(query.URL.Path, "/talk/") && fault != FaultPlainAnswer:
-		engine.stream(writer, query, string(body), fault)
+	case strings.HasPrefix(request.URL.Path, "/talk/") && fault != FaultPlainAnswer:
+		engine.stream(writer, request, body, fault)
 	default:
-		engine.work(query)
+		engine.work(request)
 		fmt.Fprintf(writer, "done %s", name)
 	}
 }
 
-// answerRaw writes bytes that no server would.
+// answerRaw writes bytes to the connection that net/http would not write.
 func (engine *Engine) answerRaw(writer http.ResponseWriter, name string, fault Fault) {
 	connection, _, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
@@ -251,16 +262,17 @@
 	}
 	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, name, engine.Life, name, len("done "+name), name)
 	io.WriteString(connection, complete)
-	// The extra one comes with the next query, if any comes before the connection is idle
-	// for long.
+	// The extra answer is written when the next request comes on this connection, if one
+	// comes within 3 s.
 	connection.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if count, _ := connection.Read(make([]byte, 1)); count > 0 {
 		io.WriteString(connection, complete)
 	}
 }
 
-func (engine *Engine) stream(writer http.ResponseWriter, query *http.Request, prompt string, fault Fault) {
-	first, _ := strconv.Atoi(query.Header.Get(Dialect.LastEventID))
+// stream writes the events of a stream, from the one after the Last-Event-ID on.
+func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, prompt string, fault Fault) {
+	first, _ := strconv.Atoi(request.Header.Get(Dialect.LastEventID))
 	breaks := fault == FaultBreakStream || fault == FaultRestartStream && first == 0
 	if fault == FaultRestartStream {
 		first = 0
@@ -276,7 +288,7 @@
 		controller.Flush()
 		select {
 		case <-time.After(engine.Latencies.NextPiece):
-		case <-query.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
--- a/proof/standin/platform.go
+++ b/proof/standin/platform.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ListedRunner is one entry of the platform's list.
+// ListedRunner is one entry of the platform's runner list.
 type ListedRunner struct {
 	Address string `json:"address"`
 	Group   string `json:"group"`
@@ -16,10 +16,13 @@
 	State   string `json:"state"`
 }
 
-// Platform is a stand-in for the platform's list of runners. It lags behind what
-// was put, and throttles those who ask too often.
+// Platform is a stand-in for the platform's runner list. Its methods are safe for concurrent
+// use.
 type Platform struct {
-	Lag       time.Duration
+	// Lag is how long after Put the list is still served as it was before.
+	Lag time.Duration
+	// Throttle is the shortest time between two polls; a poll that comes sooner is answered
+	// with 429.
 	Throttle  time.Duration
 	mutex     sync.Mutex
 	versions  []listVersion
@@ -28,12 +31,13 @@
 	throttled int
 }
 
+// listVersion is the list from one Put on.
 type listVersion struct {
 	since   time.Time
 	runners []ListedRunner
 }
 
-// Put replaces the list.
+// Put replaces the list; callers see the new one after Lag.
 //
 //	platform.Put([]standin.ListedRunner{{Address: "127.0.0.1:8000", Group: "small", Domain: "east", State: "serving"}})
 func (platform *Platform) Put(runners []ListedRunner) {
@@ -42,7 +46,7 @@
 	platform.mutex.Unlock()
 }
 
-// SetThrottle changes the shortest time between two list queries.
+// SetThrottle changes the shortest time between two polls.
 //
 //	platform.SetThrottle(2 * time.Second)
 func (platform *Platform) SetThrottle(shortest time.Duration) {
@@ -51,20 +55,20 @@
 	platform.mutex.Unlock()
 }
 
-// Polls tells how often the list was asked for, and how often that was refused.
+// Polls counts the polls of the list, and those of them that were answered with 429.
 //
-//	asks, refused := platform.Polls()
-func (platform *Platform) Polls() (int, int) {
+//	polls, throttled := platform.Polls()
+func (platform *Platform) Polls() (polls, throttled int) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	return platform.polls, platform.throttled
 }
 
 // ServeHTTP answers GET and PUT /runners.
-func (platform *Platform) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
-	if query.Method == http.MethodPut {
+func (platform *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	if request.Method == http.MethodPut {
 		var runners []ListedRunner
-		if err := json.NewDecoder(query.Body).Decode(&runners); err != nil {
+		if err := json.NewDecoder(request.Body).Decode(&runners); err != nil {
 			http.Error(writer, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -1,5 +1,7 @@
-// Package standin holds stand-ins for what is outside yardrock: model runners,
-// application runners and the platform's list of runners.
+// Package standin provides stand-ins for what yardrock depends on and does not contain: model
+// and application runners (Runner), runners that get forwarded requests (Engine) and the
+// platform's runner list (Platform). Their answers depend on everything that they were sent,
+// and they record what they ran, so that tests can compare both with what callers got.
 package standin
 
 import (
@@ -19,27 +21,30 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// Latencies is how fast a stand-in runner works.
+// Latencies are how long a stand-in runner takes.
 type Latencies struct {
-	FirstPiece  time.Duration
-	NextPiece   time.Duration
-	PlainAnswer time.Duration
+	FirstPiece  time.Duration // until the first piece or event of a stream
+	NextPiece   time.Duration // between two of them
+	PlainAnswer time.Duration // until a plain answer
 }
 
-// Record is what a runner saw, for the checks.
+// Record is what a runner received, for checks.
 type Record struct {
-	// Executions counts how often each program/kind/query key was carried out.
+	// Executions counts the executions of each program/kind/request key.
 	Executions map[string]int `json:"executions"`
-	// Arrivals are the Unix nanoseconds at which queries arrived, the last thousands.
+	// Arrivals are the times at which requests arrived, in Unix nanoseconds, the first
+	// maxArrivals of them.
 	Arrivals []int64 `json:"arrivals"`
-	Turns    int     `json:"turns"`
-	// MaxInFlight is the most queries that were there at once since it was last taken.
+	// Turns counts the turns that were requested.
+	Turns int `json:"turns"`
+	// MaxInFlight is the most requests that were in flight at once since it was last taken.
 	MaxInFlight int `json:"most_out"`
-	// LastArrival tells when the last query came on each path, in Unix nanoseconds.
+	// LastArrival has the time of the last request of each path, in Unix nanoseconds.
 	LastArrival map[string]int64 `json:"last_on"`
 }
 
-// Runner is a stand-in model and application runner.
+// Runner is a stand-in model and application runner. Words in a request such as "!refuse" or
+// "!slow" select a fault. Its methods are safe for concurrent use.
 type Runner struct {
 	latencies Latencies
 	mutex     sync.Mutex
@@ -49,15 +54,15 @@
 	file      *os.File
 }
 
-// NewRunner makes a runner of a pace.
+// NewRunner returns a runner that answers with these latencies.
 //
-//	http.Serve(listener, standin.NewRunner(standin.Latencies{Piece: time.Millisecond}))
-func NewRunner(pace Latencies) *Runner {
-	return &Runner{latencies: pace, record: Record{Executions: map[string]int{}, LastArrival: map[string]int64{}}, paths: map[int64]string{}}
+//	http.Serve(listener, standin.NewRunner(standin.Latencies{NextPiece: time.Millisecond}))
+func NewRunner(latencies Latencies) *Runner {
+	return &Runner{latencies: latencies, record: Record{Executions: map[string]int{}, LastArrival: map[string]int64{}}, paths: map[int64]string{}}
 }
 
-// OpenLedger keeps the executions in a file over restarts, as the ledger of a real
-// application would be kept.
+// OpenLedger keeps the executions in a file, so that they are known after a restart, as those
+// of a real application would be. Call it before the runner serves.
 //
 //	err := runner.OpenLedger("/tmp/executions")
 func (runner *Runner) OpenLedger(path string) error {
@@ -72,9 +77,9 @@
 	return err
 }
 
-// Record gives a copy of what the runner saw.
+// Record returns a copy of what the runner received.
 //
-//	seen := runner.Record()
+//	record := runner.Record()
 func (runner *Runner) Record() Record {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
@@ -85,7 +90,7 @@
 	return copied
 }
 
-// Paths tells on which path each query came, by its Unix nanoseconds.
+// Paths returns the path of each request in Record.Arrivals, by its time.
 //
 //	for at, path := range runner.Paths() { ... }
 func (runner *Runner) Paths() map[int64]string {
@@ -94,9 +99,9 @@
 	return maps.Clone(runner.paths)
 }
 
-// TakeMaxInFlight gives the most queries that were there at once since the last call.
+// TakeMaxInFlight returns the most requests that were in flight at once since the last call.
 //
-//	most := runner.TakeMaxInFlight()
+//	maximum := runner.TakeMaxInFlight()
 func (runner *Runner) TakeMaxInFlight() int {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
@@ -106,8 +111,8 @@
 }
 
 const (
-	maxArrivals = 50000
-	slowAnswer  = 2 * time.Second
+	maxArrivals = 50000           // bounds the memory of a record
+	slowAnswer  = 2 * time.Second // what "!slow" adds to a plain answer
 )
 
 func (runner *Runner) enter(path string) {
@@ -130,8 +135,8 @@
 
 // ServeHTTP answers POST /turn, POST on any other path, GET /standin/record, and GET
 // /standin/take, which also begins to count MaxInFlight anew.
-func (runner *Runner) ServeHTTP(writer http.ResponseWriter, query *http.Request) {
-	switch query.URL.Path {
+func (runner *Runner) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	switch request.URL.Path {
 	case "/standin/record":
 		writer.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(writer).Encode(runner.Record())
@@ -141,23 +146,23 @@
 		writer.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(writer).Encode(taken)
 	case "/turn":
-		runner.enter(query.URL.Path)
+		runner.enter(request.URL.Path)
 		defer runner.leave()
-		runner.turn(writer, query)
+		runner.turn(writer, request)
 	default:
-		runner.enter(query.URL.Path)
+		runner.enter(request.URL.Path)
 		defer runner.leave()
-		runner.plain(writer, query)
+		runner.plain(writer, request)
 	}
 }
 
-// Answer is what a model runner says to a history and new words. It depends on
-// all of it, so that any difference shows.
+// Answer returns the pieces of a model runner's answer to a history and new words. It depends
+// on both, so that a test notices any difference in what the runner received.
 //
 //	pieces := standin.Answer(history, "hello")
 func Answer(history []runnerclient.Message, words string) []string {
-	said, _ := json.Marshal(append(append([]runnerclient.Message{}, history...), runnerclient.Message{Role: "caller", Words: words}))
-	sum := sha256.Sum256(said)
+	prompt, _ := json.Marshal(append(append([]runnerclient.Message{}, history...), runnerclient.Message{Role: "caller", Words: words}))
+	sum := sha256.Sum256(prompt)
 	pieces := []string{"seen " + hex.EncodeToString(sum[:8])}
 	for position := range 4 + int(sum[0]%12) {
 		pieces = append(pieces, fmt.Sprintf(" word%d", position))
@@ -165,17 +170,18 @@
 	return pieces
 }
 
-// PlainAnswer is what an application runner answers.
+// PlainAnswer returns what an application runner answers.
 //
 //	answer := standin.PlainAnswer(query)
-func PlainAnswer(query runnerclient.PlainRequest) map[string]string {
-	sum := sha256.Sum256([]byte(query.Kind + "\x00" + query.RequestKey + "\x00" + query.Words))
-	return map[string]string{"done": query.Kind, "proof": hex.EncodeToString(sum[:8])}
+func PlainAnswer(request runnerclient.PlainRequest) map[string]string {
+	sum := sha256.Sum256([]byte(request.Kind + "\x00" + request.RequestKey + "\x00" + request.Words))
+	return map[string]string{"done": request.Kind, "proof": hex.EncodeToString(sum[:8])}
 }
 
-func (runner *Runner) turn(writer http.ResponseWriter, query *http.Request) {
+// turn answers a turn with a stream of pieces, or with the fault that its words select.
+func (runner *Runner) turn(writer http.ResponseWriter, request *http.Request) {
 	var sent runnerclient.TurnRequest
-	if err := json.NewDecoder(query.Body).Decode(&sent); err != nil {
+	if err := json.NewDecoder(request.Body).Decode(&sent); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -192,26 +198,31 @@
 		fmt.Fprint(writer, "<p>hello</p>")
 		return
 	}
+	runner.streamTurn(writer, request, &sent)
+}
+
+// streamTurn writes the pieces of a turn's answer and its end.
+func (runner *Runner) streamTurn(writer http.ResponseWriter, request *http.Request, sent *runnerclient.TurnRequest) {
 	writer.Header().Set("Content-Type", "application/x-ndjson")
 	controller := http.NewResponseController(writer)
 	encoder := json.NewEncoder(writer)
-	say := func(piece string) bool {
+	write := func(piece string) bool {
 		encoder.Encode(map[string]string{"piece": piece})
 		controller.Flush()
 		select {
 		case <-time.After(runner.latencies.NextPiece):
 			return true
-		case <-query.Context().Done():
+		case <-request.Context().Done():
 			return false
 		}
 	}
 	time.Sleep(runner.latencies.FirstPiece)
 	for position, piece := range Answer(sent.History, sent.Words) {
-		if !say(piece) {
+		if !write(piece) {
 			return
 		}
 		if position == 2 && strings.Contains(sent.Words, "!stop") {
-			panic(http.ErrAbortHandler)
+			panic(http.ErrAbortHandler) // net/http closes the connection
 		}
 		if position == 2 && strings.Contains(sent.Words, "!early") {
 			return
@@ -221,16 +232,17 @@
 		}
 	}
 	for strings.Contains(sent.Words, "!endless") {
-		if !say(" more") {
+		if !write(" more") {
 			return
 		}
 	}
 	encoder.Encode(map[string]bool{"end": true})
 }
 
-func (runner *Runner) plain(writer http.ResponseWriter, query *http.Request) {
+// plain runs a plain request, records it and answers, or fails as its words select.
+func (runner *Runner) plain(writer http.ResponseWriter, request *http.Request) {
 	var sent runnerclient.PlainRequest
-	if err := json.NewDecoder(query.Body).Decode(&sent); err != nil {
+	if err := json.NewDecoder(request.Body).Decode(&sent); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -254,7 +266,7 @@
 	}
 	switch {
 	case strings.Contains(sent.Words, "!lose"):
-		panic(http.ErrAbortHandler)
+		panic(http.ErrAbortHandler) // net/http closes the connection
 	case strings.Contains(sent.Words, "!type"):
 		writer.Header().Set("Content-Type", "text/html")
 		fmt.Fprint(writer, "<p>hello</p>")
