--- a/proof/modelcheck/action.go
+++ b/proof/modelcheck/action.go
@@ -25,7 +25,7 @@
 	ActionCrash
 	// ActionWipe takes a replica away for good and starts an empty one under a new name.
 	ActionWipe
-	// ActionCompact replaces a replica's applied log by a checkpoint.
+	// ActionCompact replaces a replica's applied log by a snapshot.
 	ActionCompact
 	// ActionTransferLeadership asks a leader to give leadership to Peer.
 	ActionTransferLeadership
@@ -82,7 +82,7 @@
 		if !found {
 			return fmt.Sprintf("%s a message that is not in flight", action.Kind)
 		}
-		return fmt.Sprintf("%s %s", action.Kind, describeMessage(world.flying[position].message))
+		return fmt.Sprintf("%s %s", action.Kind, describeMessage(world.inFlight[position].message))
 	case ActionCrash:
 		return fmt.Sprintf("crash %s after %d of its %d pending writes", action.Replica, action.Count, len(world.replica(action.Replica).pending))
 	case ActionChange:
--- a/proof/modelcheck/enabled.go
+++ b/proof/modelcheck/enabled.go
@@ -24,8 +24,8 @@
 }
 
 func (world *World) addMessages(found []Action, limits Limits) []Action {
-	for position, sent := range world.flying {
-		if position > 0 && world.flying[position-1].key == sent.key {
+	for position, sent := range world.inFlight {
+		if position > 0 && world.inFlight[position-1].key == sent.key {
 			continue // it is a copy of the one before it
 		}
 		action := Action{Kind: ActionDeliver, Replica: sent.message.To, Message: sent.key}
--- a/proof/modelcheck/fingerprint.go
+++ b/proof/modelcheck/fingerprint.go
@@ -29,6 +29,8 @@
 // encode adds a canonical form of any value, unexported fields included: equal values
 // give equal bytes, and nil is as good as empty. It follows the types, so a field that
 // the core gains later is part of the state without a change here.
+//
+//revive:disable-next-line:cyclomatic one case for each kind of value
 func encode(buffer []byte, value reflect.Value) []byte {
 	kind := value.Kind()
 	if (kind == reflect.Struct || kind == reflect.Pointer) && encodingSkips[value.Type()] {
@@ -119,10 +121,10 @@
 func (world *World) fingerprint() fingerprint {
 	buffer := make([]byte, 0, 1024)
 	for _, replica := range world.replicas {
-		print := replica.fingerprint()
-		buffer = append(buffer, print[:]...)
+		sum := replica.fingerprint()
+		buffer = append(buffer, sum[:]...)
 	}
-	for _, packet := range world.flying {
+	for _, packet := range world.inFlight {
 		buffer = binary.BigEndian.AppendUint64(buffer, uint64(packet.key))
 	}
 	buffer = encode(buffer, reflect.ValueOf(&world.history).Elem())
--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -12,26 +12,34 @@
 type Invariant string
 
 const (
-	// OneLeaderPerTerm: at most one replica leads in a term.
+	// OneLeaderPerTerm is Election Safety (Raft paper, figure 3): at most one replica leads in
+	// a term.
 	OneLeaderPerTerm Invariant = "one leader per term"
-	// LogMatching: two logs that agree on the term of an index agree on all before it.
+	// LogMatching is Log Matching (figure 3): two logs with the same term at an index are
+	// identical up to that index.
 	LogMatching Invariant = "log matching"
-	// LeaderCompleteness: what is committed is in the log of every later leader.
+	// LeaderCompleteness is Leader Completeness (figure 3): a committed entry is in the log of
+	// every later leader.
 	LeaderCompleteness Invariant = "leader completeness"
-	// CommittedStays: no log and no disk that holds a committed entry ever loses it.
+	// CommittedStays means that no log and no disk that has a committed entry ever loses it.
 	CommittedStays Invariant = "a committed entry is never replaced"
-	// CommittedOnMajority: what a leader commits is on the disks of a majority of voters.
+	// CommittedOnMajority means that what a leader commits is on the disks of a majority of
+	// the voters.
 	CommittedOnMajority Invariant = "a committed entry is on the disks of a majority"
-	// StateMachineSafety: the same entry is applied at an index everywhere, in order.
+	// StateMachineSafety is State Machine Safety (figure 3): all replicas apply the same entry
+	// at an index, in order.
 	StateMachineSafety Invariant = "state machine safety"
-	// ReadsAreLinearizable: a confirmed read covers what was committed when it was asked for.
+	// ReadsAreLinearizable means that a confirmed read index covers everything that was
+	// committed when the read was requested (thesis, section 6.4).
 	ReadsAreLinearizable Invariant = "a confirmed read is fresh"
-	// PromisesArePersisted: a promise is on the disk before its message leaves.
+	// PromisesArePersisted means that what a message promises (a vote, a term, an acknowledged
+	// append) is on disk before the message leaves.
 	PromisesArePersisted Invariant = "a promise is on disk before it leaves"
-	// MajoritiesOverlap: voter sets that follow each other share a replica in every two
-	// majorities, and no change is appended before the one before it is committed.
+	// MajoritiesOverlap means that any majorities of two successive voter sets share a replica,
+	// and that no membership change is appended before the previous one is committed
+	// (thesis, section 4.1).
 	MajoritiesOverlap Invariant = "successive majorities overlap"
-	// Monotonicity: terms, votes, commits and checkpoints never go back.
+	// Monotonicity means that terms, votes, commit indexes and snapshots never go back.
 	Monotonicity Invariant = "nothing goes back"
 )
 
@@ -85,10 +93,10 @@
 	world.checkState(stepped.name, before.stored, stepped.stored)
 }
 
-// checkState looks at the term, vote and checkpoint of a core or of a disk.
+// checkState looks at the term, vote and snapshot of a core or of a disk.
 func (world *World) checkState(name string, before, after raft.PersistentState) {
 	if after.HardState.Term < before.HardState.Term || after.Snapshot.Index < before.Snapshot.Index {
-		world.violate(Monotonicity, "%s went from term %d checkpoint %d to term %d checkpoint %d", name,
+		world.violate(Monotonicity, "%s went from term %d snapshot %d to term %d snapshot %d", name,
 			before.HardState.Term, before.Snapshot.Index, after.HardState.Term, after.Snapshot.Index)
 	}
 	if after.HardState.Term == before.HardState.Term && before.HardState.VotedFor != "" && after.HardState.VotedFor != before.HardState.VotedFor {
@@ -190,11 +198,11 @@
 	}
 	term, committed := world.history.termAt(point.Index)
 	if !committed || term != point.Term {
-		world.violate(StateMachineSafety, "%s has a checkpoint at %d of term %d, where term %d is committed", name, point.Index, point.Term, term)
+		world.violate(StateMachineSafety, "%s has a snapshot at %d of term %d, where term %d is committed", name, point.Index, point.Term, term)
 		return
 	}
 	if want := world.history.replicasAt(point.Index); !sameReplicas(want, point.Membership) {
-		world.violate(StateMachineSafety, "%s has a checkpoint at %d with the members %v, where %v are committed", name, point.Index, point.Membership, want)
+		world.violate(StateMachineSafety, "%s has a snapshot at %d with the members %v, where %v are committed", name, point.Index, point.Membership, want)
 	}
 }
 
@@ -341,7 +349,7 @@
 	return entry.Term
 }
 
-// containsEntry tells that a log has an entry, or a checkpoint that stands for it.
+// containsEntry tells that a log has an entry, or a snapshot that stands for it.
 func containsEntry(stored raft.PersistentState, entry raft.Entry) bool {
 	if stored.Snapshot.Index >= entry.Index {
 		return true
--- a/proof/modelcheck/scenarios.go
+++ b/proof/modelcheck/scenarios.go
@@ -126,7 +126,7 @@
 
 // to gives the delivery of a message that is in flight.
 func (script *Script) to(receiver, sender string, kind raft.MessageKind) Action {
-	for _, sent := range script.world.flying {
+	for _, sent := range script.world.inFlight {
 		if sent.message.To == receiver && sent.message.From == sender && sent.message.Kind == kind {
 			return Action{Kind: ActionDeliver, Replica: receiver, Message: sent.key}
 		}
@@ -176,7 +176,7 @@
 	script.Win("a", "c")
 }
 
-// lagging has c without the entries that a has replaced by a checkpoint, which is on its
+// lagging has c without the entries that a has replaced by a snapshot, which is on its
 // way to c.
 func lagging(script *Script) {
 	steady(script)
--- a/proof/modelcheck/script.go
+++ b/proof/modelcheck/script.go
@@ -45,7 +45,7 @@
 			return true
 		}
 	}
-	for _, sent := range script.world.flying {
+	for _, sent := range script.world.inFlight {
 		if slices.Contains(names, sent.message.From) && slices.Contains(names, sent.message.To) {
 			script.Do(Action{Kind: ActionDeliver, Replica: sent.message.To, Message: sent.key})
 			return true
@@ -59,7 +59,7 @@
 
 // drop loses the messages in flight that are chosen.
 func (script *Script) drop(chosen func(*raft.Message) bool) {
-	for _, sent := range slices.Clone(script.world.flying) {
+	for _, sent := range slices.Clone(script.world.inFlight) {
 		if chosen(sent.message) {
 			script.Do(Action{Kind: ActionDrop, Replica: sent.message.To, Message: sent.key})
 		}
@@ -68,7 +68,7 @@
 
 // appendAt gives the delivery of the append whose first entry is at an index.
 func (script *Script) appendAt(receiver string, index uint64) Action {
-	for _, sent := range script.world.flying {
+	for _, sent := range script.world.inFlight {
 		entries := sent.message.Entries
 		if sent.message.To == receiver && len(entries) > 0 && entries[0].Index == index {
 			return Action{Kind: ActionDeliver, Replica: receiver, Message: sent.key}
@@ -87,7 +87,7 @@
 // messagesOf gives all messages of a kind that are on their way to a replica.
 func (script *Script) messagesOf(receiver string, kind raft.MessageKind) []raft.Message {
 	found := []raft.Message{}
-	for _, sent := range script.world.flying {
+	for _, sent := range script.world.inFlight {
 		if sent.message.To == receiver && sent.message.Kind == kind {
 			found = append(found, *sent.message)
 		}
@@ -112,7 +112,7 @@
 	script.Do(Action{Kind: ActionChange, Replica: name, Change: change, Peer: peer})
 }
 
-// Compact replaces a replica's applied log by a checkpoint.
+// Compact replaces a replica's applied log by a snapshot.
 func (script *Script) Compact(name string) { script.Do(Action{Kind: ActionCompact, Replica: name}) }
 
 // Win has a replica elected by itself and its supporters, whose leases end first. It
@@ -141,7 +141,7 @@
 	}
 }
 
-// CommitIndex has a leader commit all it has with the help of others.
+// Commit has a leader commit all that it has with the help of others.
 func (script *Script) Commit(name string, helpers ...string) {
 	among := append([]string{name}, helpers...)
 	script.Settle(among...)
--- a/proof/modelcheck/shorten.go
+++ b/proof/modelcheck/shorten.go
@@ -7,7 +7,7 @@
 func shorten(model *Model, actions []Action, broken *Violation) *Violation {
 	shortest, kept := replay(model, actions)
 	if shortest == nil || shortest.Invariant != broken.Invariant {
-		return broken // it is not repeatable, which is told by its trace being empty
+		return broken // not repeatable; its trace is empty
 	}
 	for size := len(kept) / 2; size > 0; {
 		shorter := false
--- a/proof/modelcheck/walk.go
+++ b/proof/modelcheck/walk.go
@@ -116,7 +116,7 @@
 		return false
 	}
 	at, _ := walk.world.find(action.Message)
-	message := walk.world.flying[at].message
+	message := walk.world.inFlight[at].message
 	return message.From == walk.cutOff || message.To == walk.cutOff
 }
 
@@ -134,7 +134,7 @@
 		}
 		byKind[action.Kind] = append(byKind[action.Kind], action)
 	}
-	if drops := byKind[ActionDrop]; len(walk.world.flying) > maxInFlight {
+	if drops := byKind[ActionDrop]; len(walk.world.inFlight) > maxInFlight {
 		return drops[walk.random.IntN(len(drops))]
 	}
 	chance := walk.random.IntN(total)
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -1,5 +1,5 @@
 // Package modelcheck walks the states of raft.Core: groups of a few replicas with
-// small logs, every order of messages, syncs, crashes, wiped disks, checkpoints and
+// small logs, every order of messages, syncs, crashes, wiped disks, snapshots and
 // membership changes, within stated limits. After every step it checks the invariants
 // that the rest of the system builds on (see invariants.go and history.go).
 //
@@ -58,7 +58,7 @@
 	core    *raft.Core
 	disk    raft.PersistentState
 	pending []*raft.Write
-	// wiped tells that the disk was wiped: the name stays a member, but never answers.
+	// wiped reports that the disk was wiped: the name stays a member, but never answers.
 	wiped bool
 
 	// begin and inputs rebuild the core when the World is forked.
@@ -75,10 +75,10 @@
 type World struct {
 	model      *Model
 	replicas   []*replica
-	owned      uint64 // bit set of the replicas that no other World shares
-	flying     []packet
+	owned      uint64   // bit set of the replicas that no other World shares
+	inFlight   []packet // sorted by key
 	history    history
-	spent      [actionKinds]uint16
+	spent      [actionKinds]uint16 // actions so far, against Limits
 	outcomes   *Outcomes
 	violation  *Violation
 	generation int
@@ -102,6 +102,7 @@
 	return world
 }
 
+// add starts a replica on a disk.
 func (world *World) add(name string, disk raft.PersistentState) {
 	added := &replica{name: name, disk: disk}
 	added.start(world.model)
@@ -109,6 +110,7 @@
 	world.replicas = append(world.replicas, added)
 }
 
+// settings derives each replica's seed from its name, so that a copy decides the same.
 func (replica *replica) settings(model *Model) raft.Settings {
 	seed := model.Seed
 	for _, letter := range replica.name {
@@ -145,23 +147,24 @@
 	return &copied
 }
 
+// cloneStored copies the entries, which a core may change in place.
 func cloneStored(stored raft.PersistentState) raft.PersistentState {
 	stored.Entries = slices.Clone(stored.Entries)
 	return stored
 }
 
-// fork gives a World that goes on from here on its own. The model must be Replayable.
+// fork returns a copy of the World that continues independently. The model must be Replayable.
 func (world *World) fork() *World {
 	copied := *world
 	copied.replicas = slices.Clone(world.replicas)
 	copied.owned = 0
-	copied.flying = slices.Clone(world.flying)
+	copied.inFlight = slices.Clone(world.inFlight)
 	copied.history = world.history.fork()
 	copied.outcomes = &Outcomes{}
 	return &copied
 }
 
-// own makes the replica at a position this World's alone.
+// own returns the replica at a position, copied if another World shares it.
 func (world *World) own(position int) *replica {
 	if world.owned&(1<<position) == 0 {
 		world.replicas[position] = world.replicas[position].copy(world.model)
@@ -174,7 +177,7 @@
 	return slices.IndexFunc(world.replicas, func(one *replica) bool { return one.name == name })
 }
 
-// replica gives the replica of a name, or nil.
+// replica returns the replica of a name, or nil.
 func (world *World) replica(name string) *replica {
 	position := world.position(name)
 	if position < 0 {
@@ -183,11 +186,12 @@
 	return world.replicas[position]
 }
 
-// find gives the place of a message in flight.
+// find returns the index of a message in flight, or where it would be inserted.
 func (world *World) find(key messageKey) (int, bool) {
-	return slices.BinarySearchFunc(world.flying, key, func(one packet, key messageKey) int { return cmp.Compare(one.key, key) })
+	return slices.BinarySearchFunc(world.inFlight, key, func(one packet, key messageKey) int { return cmp.Compare(one.key, key) })
 }
 
+// send puts a message in flight, unless its receiver is wiped.
 func (world *World) send(message raft.Message) {
 	receiver := world.replica(message.To)
 	if receiver == nil || receiver.wiped {
@@ -195,11 +199,13 @@
 	}
 	sent := packet{key: keyOf(&message), message: &message}
 	at, _ := world.find(sent.key)
-	world.flying = slices.Insert(world.flying, at, sent)
+	world.inFlight = slices.Insert(world.inFlight, at, sent)
 }
 
-// Apply does one action and checks the invariants after it. It tells false, and does
-// nothing, if the action is not possible in this state.
+// Apply does one action and checks the invariants. It returns false, and does nothing, if the
+// action is not enabled in this state.
+//
+//revive:disable-next-line:cyclomatic one case for each kind of action
 func (world *World) Apply(action Action) bool {
 	position := world.position(action.Replica)
 	if position < 0 || world.replicas[position].wiped || !world.isEnabled(action) {
@@ -240,6 +246,7 @@
 	return true
 }
 
+// isEnabled reports whether an action is possible in this state.
 func (world *World) isEnabled(action Action) bool {
 	chosen := world.replica(action.Replica)
 	switch action.Kind {
@@ -258,18 +265,20 @@
 	return true
 }
 
+// deliver takes a message out of flight, unless it is duplicated, and steps its receiver with
+// it, unless it is dropped.
 func (world *World) deliver(receiver *replica, action Action) {
 	at, _ := world.find(action.Message)
-	message := world.flying[at].message
+	message := world.inFlight[at].message
 	if action.Kind != ActionDuplicate {
-		world.flying = slices.Delete(world.flying, at, at+1)
+		world.inFlight = slices.Delete(world.inFlight, at, at+1)
 	}
 	if action.Kind != ActionDrop {
 		world.step(receiver, raft.Input{Kind: raft.InputMessage, Message: *message})
 	}
 }
 
-// step feeds one input to a core and takes what it gives.
+// step feeds one input to a core and takes its output.
 func (world *World) step(stepped *replica, input raft.Input) {
 	before := observed{status: stepped.status, stored: stepped.stored}
 	if world.model.Replayable {
@@ -297,6 +306,7 @@
 	return write
 }
 
+// sync completes the oldest pending write of a replica and tells its core.
 func (world *World) sync(owner *replica) {
 	write := world.store(owner)
 	world.step(owner, raft.Input{Kind: raft.InputSynced, Number: write.Number})
@@ -311,12 +321,12 @@
 	world.checkRestart(crashed)
 }
 
-// wipe takes a replica away for good and starts an empty one under a new name.
+// wipe removes a replica permanently and starts an empty one under a new name.
 func (world *World) wipe(wiped *replica) {
 	wiped.wiped = true
 	wiped.pending = nil
 	wiped.hashed = false
-	world.flying = slices.DeleteFunc(world.flying, func(one packet) bool { return one.message.To == wiped.name })
+	world.inFlight = slices.DeleteFunc(world.inFlight, func(one packet) bool { return one.message.To == wiped.name })
 	world.generation++
 	world.add(fmt.Sprintf("%s%d", wiped.name[:1], world.generation+1), raft.PersistentState{})
 }
@@ -349,7 +359,7 @@
 	return bytes.Repeat(fmt.Appendf(nil, "%d by %s;", index, maker), parts)
 }
 
-// isSnapshot tells that a snapshot's content is what one replica made at an index.
+// isSnapshot reports that a snapshot's content is what one replica made at an index.
 func (model *Model) isSnapshot(content []byte, index uint64) bool {
 	first, _, _ := bytes.Cut(content, []byte(";"))
 	maker, found := bytes.CutPrefix(first, fmt.Appendf(nil, "%d by ", index))
