--- a/proof/cmd/measure/sharedprefixes.go
+++ b/proof/cmd/measure/sharedprefixes.go
@@ -29,7 +29,7 @@
 	archivePause = 25 * time.Second
 )
 
-// sharingArm is what was seen with openings shared, or not.
+// sharingArm is what was measured with prefixes shared, or not.
 type sharingArm struct {
 	Turns        int           `json:"turns"`
 	Failed       int           `json:"failed"`
@@ -44,8 +44,8 @@
 	begins       []time.Duration
 }
 
-// sharedPrefixCosts runs programs at a pace against three stores, in turn with their openings
-// shared and not, and tells what each way cost.
+// sharedPrefixCosts runs programs at a pace against three stores, alternately with their
+// prefixes shared and not, and returns what each way cost.
 func sharedPrefixCosts(pace, count, size int, takes time.Duration) error {
 	fleet, err := startStores(takes)
 	if fleet != nil {
--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -93,7 +93,7 @@
 	return sent
 }
 
-// freeAddresses gives addresses of this machine on which nobody listens.
+// freeAddresses returns addresses of this machine on which nobody listens.
 func freeAddresses(count int) ([]string, error) {
 	found := []string{}
 	for range count {
@@ -172,7 +172,7 @@
 }
 
 // turnCosts runs turns of programs at a pace against three stores on loopback, with
-// real files, and tells what each cost over all processes, fronts' part included.
+// real files, and returns what each cost over all processes, fronts' part included.
 func turnCosts(pace, count, size int, takes time.Duration, profile string) error {
 	fleet, err := startStores(takes)
 	if fleet != nil {
--- a/proof/cmd/modelcheck/main.go
+++ b/proof/cmd/modelcheck/main.go
@@ -90,7 +90,7 @@
 	return nil, fmt.Errorf("no scenario is named %q: choose one of %q", name, known)
 }
 
-// revision gives the commit that the program was built from, as the Go command notes it.
+// revision returns the commit that the program was built from, as the Go command notes it.
 func revision() string {
 	build, known := debug.ReadBuildInfo()
 	if !known {
--- a/proof/fleet/administration.go
+++ b/proof/fleet/administration.go
@@ -64,7 +64,7 @@
 // Administer sends one administration query to the first control node that
 // answers it with success, and decodes the answer.
 //
-//	err := running.Administer(ctx, http.MethodGet, "/v1/fleet", nil, &told)
+//	err := running.Administer(ctx, http.MethodGet, "/v1/fleet", nil, &view)
 func (fleet *Fleet) Administer(ctx context.Context, method, path string, body, answer any) error {
 	var failed error
 	for _, control := range fleet.ProcessesOf("control") {
@@ -77,7 +77,7 @@
 
 // Administer sends one administration query to one control node.
 //
-//	err := fleet.Administer(ctx, control.PublicAddress, http.MethodGet, "/v1/fleet", nil, &told)
+//	err := fleet.Administer(ctx, control.PublicAddress, http.MethodGet, "/v1/fleet", nil, &view)
 func Administer(ctx context.Context, address, method, path string, body, answer any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -41,7 +41,7 @@
 	mutex    sync.Mutex
 	seeds    []string
 	added    int // how many daemons were added
-	// acknowledged is the newest config number that was; unclear tells that a later
+	// acknowledged is the newest config number that was; unclear reports that a later
 	// change may have been taken.
 	acknowledged uint64
 	unclear      bool
@@ -133,7 +133,7 @@
 	return slices.DeleteFunc(slices.Clone(fleet.Processes), func(process *Process) bool { return process.Role != role })
 }
 
-// Find gives a process by name.
+// Find returns a process by name.
 //
 //	store := running.Find("store-1")
 func (fleet *Fleet) Find(name string) *Process {
--- a/proof/fleet/linkproxy.go
+++ b/proof/fleet/linkproxy.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -8,8 +9,8 @@
 )
 
 // LinkProxy are the ways between a fleet's daemons: each is reached through a listener
-// of ours, and tells who it is by the IP that its connections come from. What crosses
-// a cut way waits, as TCP keeps it, until the way is mended or the connection ends.
+// of ours, and returns who it is by the IP that its connections come from. What crosses
+// a cut way waits, as TCP keeps it, until the link is healed or the connection ends.
 type LinkProxy struct {
 	mutex   sync.Mutex
 	states  map[[2]string]linkState
@@ -83,7 +84,7 @@
 			}
 		}
 		if err != nil {
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				links.awaitOpen(direction) // the end travels no faster than the data
 			}
 			return
--- a/proof/fleet/operators.go
+++ b/proof/fleet/operators.go
@@ -97,7 +97,7 @@
 }
 
 // twoOperators lets two operators change the same config by its number: at most one
-// of them may be told that it was taken.
+// of them may be acknowledged.
 func twoOperators(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	for range 6 {
 		number, _, err := fleet.ReadConfig(ctx)
--- a/proof/loadgen/loadgen_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-func (pipes *pipeListener) Close() error   { pipes.once.Do(func() { close(pipes.closed) }); return nil }
-func (*pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipes"} }
+func (pipes *pipeListener) Close() error { pipes.once.Do(func() { close(pipes.closed) }); return nil }
+func (*pipeListener) Addr() net.Addr     { return &net.UnixAddr{Name: "pipes"} }
 
 func TestGeneratorReportsEveryViolationAndNothingElse(t *testing.T) {
 	honest := drive(t, "")
--- a/proof/modelcheck/action.go
+++ b/proof/modelcheck/action.go
@@ -12,7 +12,7 @@
 	ActionDuplicate
 	// ActionDrop loses a message in flight.
 	ActionDrop
-	// ActionSync lets the oldest pending write of a replica reach its disk, and tells it.
+	// ActionSync lets the oldest pending write of a replica reach its disk, and returns it.
 	ActionSync
 	// ActionTick lets one tick go by at one replica.
 	ActionTick
@@ -42,7 +42,7 @@
 	"crash", "wipe", "compact", "hand-over", "change", "suspect",
 }
 
-// String gives the name that reports use.
+// String returns the name that reports use.
 func (kind ActionKind) String() string { return actionNames[kind] }
 
 // ChangeKind is one way to change a group's membership.
@@ -74,7 +74,7 @@
 	Count   int
 }
 
-// describe tells an action in one line; the message is the one that it delivers, if any.
+// describe returns an action in one line; the message is the one that it delivers, if any.
 func (action Action) describe(world *World) string {
 	switch action.Kind {
 	case ActionDeliver, ActionDuplicate, ActionDrop:
--- a/proof/modelcheck/explore.go
+++ b/proof/modelcheck/explore.go
@@ -37,7 +37,7 @@
 	Purpose  string `json:"purpose"`
 	// Depth is how many actions every run was followed for, in every order.
 	Depth int `json:"depth"`
-	// Exhausted tells that no new state was left: a greater depth would find none.
+	// Exhausted reports that no new state was left: a greater depth would find none.
 	Exhausted   bool              `json:"exhausted"`
 	States      int               `json:"states"`
 	Transitions uint64            `json:"transitions"`
@@ -214,7 +214,7 @@
 	}
 }
 
-// add tells whether a state is new.
+// add reports whether a state is new.
 func (set *visitedSet) add(state fingerprint) bool {
 	part := &set.parts[state[0]%64]
 	part.mutex.Lock()
--- a/proof/modelcheck/history.go
+++ b/proof/modelcheck/history.go
@@ -49,7 +49,7 @@
 // highest is the highest committed index.
 func (history *history) highest() uint64 { return foundingIndex + uint64(len(history.committed)) }
 
-// committedAt gives the entry that is committed at an index, if one is.
+// committedAt returns the entry that is committed at an index, if one is.
 func (history *history) committedAt(index uint64) (commitment, bool) {
 	if index <= foundingIndex || index > history.highest() {
 		return commitment{}, false
@@ -57,7 +57,7 @@
 	return history.committed[index-foundingIndex-1], true
 }
 
-// termAt gives the term of what is committed at an index.
+// termAt returns the term of what is committed at an index.
 func (history *history) termAt(index uint64) (uint64, bool) {
 	if index == foundingIndex {
 		return foundingTerm, true
@@ -66,7 +66,7 @@
 	return found.entry.Term, known
 }
 
-// replicasAt gives the membership as of a committed index.
+// replicasAt returns the membership as of a committed index.
 func (history *history) replicasAt(index uint64) raft.Membership {
 	for ; index > foundingIndex; index-- {
 		found, known := history.committedAt(index)
@@ -86,7 +86,7 @@
 	return ""
 }
 
-// nextCommand gives data that no other command has, of at least a number of bytes.
+// nextCommand returns data that no other command has, of at least a number of bytes.
 func (history *history) nextCommand(size int) []byte {
 	history.commands++
 	data := fmt.Appendf(nil, "command %d", history.commands)
--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -277,7 +277,7 @@
 	}
 }
 
-// majoritiesOverlap tells that each majority of one set shares a member with each of the other.
+// majoritiesOverlap reports that each majority of one set shares a member with each of the other.
 func majoritiesOverlap(one, other []string) bool {
 	union := len(one)
 	for _, name := range other {
@@ -349,7 +349,7 @@
 	return entry.Term
 }
 
-// containsEntry tells that a log has an entry, or a snapshot that stands for it.
+// containsEntry reports that a log has an entry, or a snapshot that stands for it.
 func containsEntry(stored raft.PersistentState, entry raft.Entry) bool {
 	if stored.Snapshot.Index >= entry.Index {
 		return true
--- a/proof/modelcheck/report.go
+++ b/proof/modelcheck/report.go
@@ -17,7 +17,7 @@
 	Seconds      float64       `json:"seconds"`
 }
 
-// Violations gives all broken invariants of a run.
+// Violations returns all broken invariants of a run.
 func (report Report) Violations() []*Violation {
 	found := []*Violation{}
 	for _, exploration := range report.Explorations {
--- a/proof/modelcheck/scenarios.go
+++ b/proof/modelcheck/scenarios.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// to gives the delivery of a message that is in flight.
+// to returns the delivery of a message that is in flight.
 func (script *Script) to(receiver, sender string, kind raft.MessageKind) Action {
 	for _, sent := range script.world.inFlight {
 		if sent.message.To == receiver && sent.message.From == sender && sent.message.Kind == kind {
--- a/proof/modelcheck/script.go
+++ b/proof/modelcheck/script.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// appendAt gives the delivery of the append whose first entry is at an index.
+// appendAt returns the delivery of the append whose first entry is at an index.
 func (script *Script) appendAt(receiver string, index uint64) Action {
 	for _, sent := range script.world.inFlight {
 		entries := sent.message.Entries
@@ -84,7 +84,7 @@
 	}
 }
 
-// messagesOf gives all messages of a kind that are on their way to a replica.
+// messagesOf returns all messages of a kind that are on their way to a replica.
 func (script *Script) messagesOf(receiver string, kind raft.MessageKind) []raft.Message {
 	found := []raft.Message{}
 	for _, sent := range script.world.inFlight {
--- a/proof/modelcheck/shorten.go
+++ b/proof/modelcheck/shorten.go
@@ -27,7 +27,7 @@
 	return shortest
 }
 
-// replay does those of the actions that are possible, and tells which they were and what
+// replay does those of the actions that are possible, and returns which they were and what
 // they broke.
 func replay(model *Model, actions []Action) (*Violation, []Action) {
 	world := NewWorld(model)
--- a/proof/modelcheck/walk.go
+++ b/proof/modelcheck/walk.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// isCut tells whether an action needs a message to pass a cut.
+// isCut reports whether an action needs a message to pass a cut.
 func (walk *walker) isCut(action Action) bool {
 	if walk.cutOff == "" || action.Kind != ActionDeliver && action.Kind != ActionDuplicate {
 		return false
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -331,7 +331,7 @@
 	world.add(fmt.Sprintf("%s%d", wiped.name[:1], world.generation+1), raft.PersistentState{})
 }
 
-// changed gives the membership that a change asks for.
+// changed returns the membership that a change asks for.
 func (replica *replica) changed(action Action) raft.Membership {
 	now := replica.status.Membership
 	next := raft.Membership{Voters: slices.Clone(now.Voters), Learners: raft.Without(now.Learners, action.Peer)}
--- a/proof/scale/bench_test.go
+++ b/proof/scale/bench_test.go
@@ -9,7 +9,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// BenchmarkFeedReplies tells what an answer costs that carries the live nodes, or
+// BenchmarkFeedReplies returns what an answer costs that carries the live nodes, or
 // a whole view with runners, for one asker: putting it together and taking it apart.
 func BenchmarkFeedReplies(b *testing.B) {
 	for _, size := range []int{50, 430, 2600} {
--- a/proof/scale/hollownodes.go
+++ b/proof/scale/hollownodes.go
@@ -32,7 +32,7 @@
 	at     time.Time
 }
 
-// Volume counts the bytes that all hollow nodes of a herd wrote and read, with all
+// ByteCounters count the bytes that all hollow nodes of a herd wrote and read, with all
 // that the library puts round them, as TCP sees them.
 type ByteCounters struct{ Written, Read atomic.Int64 }
 
@@ -79,7 +79,7 @@
 //	runners := len(node.View().Runners)
 func (node *HollowNode) View() *feed.View { return node.client.View() }
 
-// UpToDate tells whether the node may act on its view now.
+// UpToDate reports whether the node may act on its view now.
 //
 //	if !node.UpToDate() { stale++ }
 func (node *HollowNode) UpToDate() bool {
@@ -92,7 +92,7 @@
 //	if node.Members() < 50 { ... }
 func (node *HollowNode) Members() int { return len(node.client.Members()) }
 
-// AppliedAt tells when a number of the feed, or a later one, came into force here.
+// AppliedAt returns when a number of the feed, or a later one, came into force here.
 //
 //	at, found := node.AppliedAt(17)
 func (node *HollowNode) AppliedAt(number uint64) (time.Time, bool) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// Delays gives how long after a moment each node had a number in force, sorted.
+// Delays returns how long after a moment each node had a number in force, sorted.
 //
 //	delays, err := herd.Delays(ctx, reply.Number, asked)
 func (hollow *HollowNodes) Delays(ctx context.Context, number uint64, since time.Time) ([]time.Duration, error) {
--- a/proof/scale/hollownodes_test.go
+++ b/proof/scale/hollownodes_test.go
@@ -109,7 +109,7 @@
 }
 
 // TestHollowNodeTrafficGrowsLinearly is the small peer of the scale
-// run against nodes: with every node told of all others, a node's part grows with the
+// run against nodes: with every node informed of all others, a node's part grows with the
 // fleet at most, never with its square.
 func TestHollowNodeTrafficGrowsLinearly(t *testing.T) {
 	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string) {
--- a/proof/scale/load.go
+++ b/proof/scale/load.go
@@ -34,17 +34,17 @@
 	return list
 }
 
-// putRunnerList gives the stand-in platform a list.
+// putRunnerList returns the stand-in platform a list.
 func putRunnerList(ctx context.Context, platform string, list []standin.ListedRunner) error {
 	data, err := json.Marshal(list)
 	if err != nil {
 		return err
 	}
-	query, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+platform+"/runners", bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+platform+"/runners", bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(query)
+	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	return feed.Change{Kind: feed.ChangeConfig, By: "scale", Source: view.Source, Compiled: compiled}, err
 }
 
-// propose has a control node take a change, and tells its number.
+// propose has a control node take a change, and returns its number.
 func propose(ctx context.Context, caller *link.Client, controls []string, change feed.Change) (uint64, error) {
 	failed := error(nil)
 	for ctx.Err() == nil {
--- a/proof/scale/run.go
+++ b/proof/scale/run.go
@@ -23,7 +23,7 @@
 	IdlePeriod    time.Duration // how long nothing changes while usage is measured
 	StartInterval time.Duration // how long after the one before it a hollow node starts
 	Real          fleet.Deployment
-	// LoadsStores tells that what the stores bear is measured, and not what control does.
+	// LoadsStores reports that what the stores bear is measured, and not what control does.
 	LoadsStores bool
 }
 
@@ -174,7 +174,7 @@
 }
 
 // settleTime is how long a fleet is left alone after its nodes have joined; by then its
-// runners are no longer new, which is a change of the roster.
+// runners are no longer new, which is a change of the runner list.
 const settleTime = 4 * time.Second
 
 // startHollowNodes starts the hollow nodes and waits until all of them know each other.
--- a/proof/scale/slope.go
+++ b/proof/scale/slope.go
@@ -79,7 +79,7 @@
 	bend, lead, growth = 2, 1.2, 1.5
 )
 
-// bendsUp tells whether a figure grows faster at its end than at its beginning: a power
+// bendsUp reports whether a figure grows faster at its end than at its beginning: a power
 // over a large base has a small exponent, and shows by this.
 func bendsUp(sizes, values []float64) bool {
 	last := len(sizes) - 1
--- a/proof/scale/step.go
+++ b/proof/scale/step.go
@@ -132,7 +132,7 @@
 //	size := step.Size("nodes")
 func (step Step) Size(against string) int { return dimensions[against].get(step) }
 
-// LoadsStores tells whether a size is one that the stores bear.
+// LoadsStores reports whether a size is one that the stores bear.
 //
 //	settings.LoadsStores = scale.LoadsStores("history")
 func LoadsStores(against string) bool { return dimensions[against].loadsStores }
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -124,7 +124,7 @@
 }
 
 // turns begins and ends turns at an even rate, each going on from the history of a
-// program, and tells what one costs above what quiet stores cost.
+// program, and returns what one costs above what quiet stores cost.
 func (trial *stepRun) turns(ctx context.Context) error {
 	stores := storeclient.New(trial.caller, trial.hollow.Nodes()[0].View)
 	var mutex sync.Mutex
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// restartStore kills a store and starts it again, and tells how long it takes to be
+// restartStore kills a store and starts it again, and returns how long it takes to be
 // ready, with all that it keeps.
 func (trial *stepRun) restartStore(ctx context.Context) error {
 	store := trial.fleet.ProcessesOf("store")[0]
--- a/proof/simulator/adminrequests_test.go
+++ b/proof/simulator/adminrequests_test.go
@@ -19,25 +19,25 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// sentRequestOfOperator is an order of the routing as its operator sends it, again and again.
-type sentRequestOfOperator struct {
+// operatorRequest is an order of the routing as its operator sends it, again and again.
+type operatorRequest struct {
 	base   uint64
 	next   config.Routing
 	digest string
 }
 
-func (cluster *Cluster) sendRoutingRequest(from int, order sentRequestOfOperator) error {
+func (cluster *Cluster) sendRoutingRequest(from int, order operatorRequest) error {
 	return cluster.replace(from, order.base, order.next, order.digest)
 }
 
 // twoOperators has two operators build on one revision; it gives the order that was
 // acknowledged, and the other.
-func (cluster *Cluster) twoOperators(t *testing.T, base, revision uint64) (won, lost sentRequestOfOperator) {
+func (cluster *Cluster) twoOperators(t *testing.T, base, revision uint64) (won, lost operatorRequest) {
 	t.Helper()
-	orders := []sentRequestOfOperator{}
+	orders := []operatorRequest{}
 	for operator := range 2 {
 		next := oneRoute(revision, time.Duration(operator+1)*time.Second)
-		orders = append(orders, sentRequestOfOperator{base: base, next: next, digest: fmt.Sprintf("%d by %d", revision, operator)})
+		orders = append(orders, operatorRequest{base: base, next: next, digest: fmt.Sprintf("%d by %d", revision, operator)})
 	}
 	reported := make([]chan error, len(orders))
 	for operator, order := range orders {
@@ -53,7 +53,7 @@
 }
 
 // mustRepeatRequests sends a won and a lost order again, to each node.
-func (cluster *Cluster) mustRepeatRequests(t *testing.T, when string, won, lost sentRequestOfOperator) {
+func (cluster *Cluster) mustRepeatRequests(t *testing.T, when string, won, lost operatorRequest) {
 	t.Helper()
 	for from := range cluster.Controls {
 		if err := cluster.sendRoutingRequest(from, won); err != nil {
@@ -122,7 +122,7 @@
 			step.do()
 			cluster.mustRepeatRequests(t, step.when, won, lost)
 			for range 70 { // more than a routing itself remembers
-				order := sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
+				order := operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
 				if err := cluster.sendRoutingRequest(0, order); err != nil {
 					t.Fatalf("%s: %v", step.when, err)
 				}
@@ -141,12 +141,12 @@
 func TestForgottenRequestIsNotRejected(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		if cluster.Seed%2 == 0 {
-			return // so many orders take half a minute; checkpoints are made at odd seeds
+			return // so many requests take half a minute; snapshots are made at odd seeds
 		}
 		won, lost := cluster.twoOperators(t, 0, 5)
-		base, orders := won.next.Revision, []sentRequestOfOperator{won}
+		base, orders := won.next.Revision, []operatorRequest{won}
 		for range 3000 {
-			order := sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
+			order := operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
 			if err := cluster.sendRoutingRequest(0, order); err != nil {
 				t.Fatal(err)
 			}
@@ -154,17 +154,17 @@
 		}
 		check := func(when string) {
 			t.Helper()
-			for position, order := range []sentRequestOfOperator{won, lost, orders[500]} {
+			for position, order := range []operatorRequest{won, lost, orders[500]} {
 				if err := cluster.sendRoutingRequest(position, order); !apierror.Is(err, apierror.NoQuorum) {
 					t.Fatalf("%s: forgotten order %d again: %v", when, position, err)
 				}
 			}
-			for _, order := range []sentRequestOfOperator{orders[1000], orders[2000], orders[3000]} {
+			for _, order := range []operatorRequest{orders[1000], orders[2000], orders[3000]} {
 				if err := cluster.sendRoutingRequest(1, order); err != nil {
 					t.Fatalf("%s: the order of revision %d again: %v", when, order.next.Revision, err)
 				}
 			}
-			stale := sentRequestOfOperator{base: base - 1, next: oneRoute(base+1, time.Second), digest: "stale"}
+			stale := operatorRequest{base: base - 1, next: oneRoute(base+1, time.Second), digest: "stale"}
 			if err := cluster.sendRoutingRequest(2, stale); !apierror.Is(err, apierror.Conflict) {
 				t.Fatalf("%s: an order that was never taken: %v", when, err)
 			}
@@ -184,10 +184,10 @@
 		random := cluster.Random(21)
 		base := uint64(0)
 		for round := range 12 {
-			orders := []sentRequestOfOperator{}
+			orders := []operatorRequest{}
 			for operator := range 2 {
 				next := oneRoute(base+1+uint64(random.IntN(3)), time.Duration(operator+1)*time.Second)
-				orders = append(orders, sentRequestOfOperator{base: base, next: next, digest: fmt.Sprintf("round %d by %d", round, operator)})
+				orders = append(orders, operatorRequest{base: base, next: next, digest: fmt.Sprintf("round %d by %d", round, operator)})
 			}
 			lost := make(chan error, len(orders))
 			for operator, order := range orders {
@@ -326,25 +326,25 @@
 }
 
 // TestForwardedAdminRequestIsNotForwardedAgain asks each node what only the leader can answer: one that
-// is told that the query was passed on already names the leader, and does so at once.
+// rejects it because it was forwarded already names the leader, and does so at once.
 func TestForwardedAdminRequestIsNotForwardedAgain(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		caller := link.NewClient(cluster.Network.At("10.8.1.1"))
 		defer caller.Close()
 		leader := cluster.leader().Control.Name()
-		queries := map[string]wire.Query{
+		requests := map[string]wire.Query{
 			"confirm":        {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true}},
 			"confirm shared": {Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true, Wait: 200 * time.Millisecond}},
 			"await":          {Which: schema.Query_Which_change, Change: &wire.ChangeQuery{AwaitView: 1}},
 			"change":         {Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.StateDrained}}}},
 		}
-		for name, query := range queries {
+		for name, request := range requests {
 			for _, machine := range cluster.Controls {
 				for _, forwarded := range []bool{true, false} {
-					query.Forwarded = forwarded
+					request.Forwarded = forwarded
 					ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 					began := time.Now()
-					_, err := caller.Call(ctx, machine.Host+":7000", &query)
+					_, err := caller.Call(ctx, machine.Host+":7000", &request)
 					took := time.Since(began)
 					cancel()
 					switch {
--- a/proof/simulator/agent_test.go
+++ b/proof/simulator/agent_test.go
@@ -21,7 +21,7 @@
 	return made.String()[:length]
 }
 
-// programsOf gives names of programs whose lines are in one group.
+// programsOf returns names of programs whose lines are in one group.
 func programsOf(group uint32, prefix string, count int) []string {
 	names := []string{}
 	for number := 0; len(names) < count; number++ {
@@ -78,7 +78,7 @@
 	}
 }
 
-// check compares what the agent was told with what the engines did.
+// check compares the outcomes that the agent got with what the engines ran.
 func (agent *agent) check(t *testing.T) {
 	t.Helper()
 	for _, reported := range []struct {
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -47,7 +47,7 @@
 		done := make(chan struct{})
 		var harming sync.WaitGroup
 		harming.Go(func() { faultWild(cluster, runners, done) })
-		all := askWild(cluster)
+		all := requestWild(cluster)
 		close(done)
 		harming.Wait()
 		cluster.Sleep(6 * time.Second) // what is still on its way arrives
@@ -66,8 +66,8 @@
 	cluster.Sleep(3 * time.Second)
 }
 
-// askWild sends queries of all routes through all fronts, some at the same time.
-func askWild(cluster *Cluster) []*sentQuery {
+// requestWild sends queries of all routes through all fronts, some at the same time.
+func requestWild(cluster *Cluster) []*sentQuery {
 	const callers, rounds = 8, 40
 	all := []*sentQuery{}
 	var mutex sync.Mutex
--- a/proof/simulator/callers.go
+++ b/proof/simulator/callers.go
@@ -54,15 +54,15 @@
 		}
 		data = string(encoded)
 	}
-	query, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader([]byte(data)))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader([]byte(data)))
 	if err != nil {
 		return nil, err
 	}
-	query.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Content-Type", "application/json")
 	if token != "" {
-		query.Header.Set("Authorization", "Bearer "+token)
+		request.Header.Set("Authorization", "Bearer "+token)
 	}
-	got, err := cluster.Client().Do(query)
+	got, err := cluster.Client().Do(request)
 	if err != nil {
 		return nil, err
 	}
--- a/proof/simulator/catchup_test.go
+++ b/proof/simulator/catchup_test.go
@@ -63,7 +63,7 @@
 		Adjust: func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }}
 }
 
-// changes gives a function that puts a routing of so many routes over the last one, and
+// changes returns a function that puts a routing of so many routes over the last one, and
 // tells its revision.
 func (cluster *Cluster) changes(t *testing.T) func(routes int) uint64 {
 	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -18,12 +18,12 @@
 	life *runnerLife
 }
 
-// violation tells of a broken rule.
+// violation returns of a broken rule.
 func (chaos *chaosRun) violation(rule, text string, values ...any) {
 	chaos.t.Errorf("%s: %s", rule, fmt.Sprintf(text, values...))
 }
 
-// touch tells whether a front was in touch at a moment.
+// touch reports whether a front was in touch at a moment.
 func (chaos *chaosRun) touch(life *frontLife, at time.Time) bool {
 	from := at.Add(-inTouch)
 	return !slices.ContainsFunc(chaos.outages, func(one *outageSpan) bool {
@@ -31,7 +31,7 @@
 	})
 }
 
-// services gives the services that an order's routing allows a path to go to; found is
+// services returns the services that an order's routing allows a path to go to; found is
 // false if it has no route for it.
 func (order *routingChange) services(path string) (services []string, found bool) {
 	route, found := order.judged.Match(RoutedHost, path)
@@ -44,8 +44,8 @@
 	return services, true
 }
 
-func mayRepeat(query forwarding.Request) bool {
-	return !strings.HasPrefix(query.Path, "/order/") && !strings.HasPrefix(query.Path, "/talk/kept/")
+func mayRepeat(request forwarding.Request) bool {
+	return !strings.HasPrefix(request.Path, "/order/") && !strings.HasPrefix(request.Path, "/talk/kept/")
 }
 
 func (chaos *chaosRun) check() {
@@ -78,10 +78,10 @@
 		}
 		slices.SortFunc(runs[name], func(left, right execution) int { return left.At.Compare(right.At) })
 		chaos.checkAnswer(sent, runs[name])
-		if sent.query.HasOutputBudget {
-			spent[sent.query.Program] += 4 * uint64(strings.Count(string(sent.answer.Body), "data: "))
+		if sent.request.HasOutputBudget {
+			spent[sent.request.Program] += 4 * uint64(strings.Count(string(sent.answer.Body), "data: "))
 		}
-		if !strings.HasPrefix(sent.query.Path, "/only-") {
+		if !strings.HasPrefix(sent.request.Path, "/only-") {
 			if all++; sent.answer.Complete() {
 				served++
 			}
@@ -124,21 +124,21 @@
 
 // checkExecution judges one run of a query that was asked.
 func (chaos *chaosRun) checkExecution(sent *sentRequest, one execution) {
-	query, name := sent.query, sent.query.Name
-	want := sent.chain + string(query.Body)
-	if !strings.HasPrefix(query.Path, "/talk/kept/") {
-		want = string(query.Body)
+	request, name := sent.request, sent.request.Name
+	want := sent.chain + string(request.Body)
+	if !strings.HasPrefix(request.Path, "/talk/kept/") {
+		want = string(request.Body)
 	}
-	if one.Method != query.Method || one.Target != query.Path || one.Body != want || one.Header.Get("X-Other") != "goes along" {
-		chaos.violation("UNASKED", "%s ran as %s %s %q, want %s %s %q", name, one.Method, one.Target, one.Body, query.Method, query.Path, want)
+	if one.Method != request.Method || one.Target != request.Path || one.Body != want || one.Header.Get("X-Other") != "goes along" {
+		chaos.violation("UNASKED", "%s ran as %s %s %q, want %s %s %q", name, one.Method, one.Target, one.Body, request.Method, request.Path, want)
 	}
 	allowed := false
 	for _, order := range chaos.orders {
-		services, _ := order.services(pathOf(query))
+		services, _ := order.services(pathOf(request))
 		allowed = allowed || !order.refused && order.sent.Before(one.At) && slices.Contains(services, one.life.group)
 	}
 	if !allowed {
-		chaos.violation("ROUTE", "%s %s ran at a runner of %s, which no routing allows", name, query.Path, one.life.group)
+		chaos.violation("ROUTE", "%s %s ran at a runner of %s, which no routing allows", name, request.Path, one.life.group)
 	}
 	touch := chaos.touch(sent.front, one.At)
 	if left := one.life.leavingAt; touch && !left.IsZero() && one.At.Sub(left) > drainBound {
@@ -152,11 +152,11 @@
 	if chaos.touch(sent.front, sent.at) && touch && !chaos.obeys(sent, one.At, func(services []string, found bool) bool {
 		return found && slices.Contains(services, one.life.group)
 	}) {
-		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, query.Path, sent.at.Format("05.000"), one.life.group)
+		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, request.Path, sent.at.Format("05.000"), one.life.group)
 	}
 }
 
-// obeys tells whether a routing that is to be obeyed handles a query that way.
+// obeys reports whether a routing that is to be obeyed handles a query that way.
 func (chaos *chaosRun) obeys(sent *sentRequest, ended time.Time, way func(services []string, found bool) bool) bool {
 	floor := uint64(0)
 	for _, order := range chaos.orders {
@@ -165,20 +165,20 @@
 		}
 	}
 	return slices.ContainsFunc(chaos.orders, func(order *routingChange) bool {
-		services, found := order.services(pathOf(sent.query))
+		services, found := order.services(pathOf(sent.request))
 		return order.revision >= floor && !order.refused && order.sent.Before(ended) && way(services, found)
 	})
 }
 
 // checkAnswer judges what a caller got.
 func (chaos *chaosRun) checkAnswer(sent *sentRequest, runs []execution) {
-	query, name, answer := sent.query, sent.query.Name, sent.answer
-	if !mayRepeat(query) {
+	request, name, answer := sent.request, sent.request.Name, sent.answer
+	if !mayRepeat(request) {
 		if len(runs) > 1 {
-			chaos.violation("TWICE", "%s %s ran %d times", name, query.Path, len(runs))
+			chaos.violation("TWICE", "%s %s ran %d times", name, request.Path, len(runs))
 		}
 		if answer.Rejected() && len(runs) > 0 {
-			chaos.violation("REFUSED", "%s %s was refused (%v) and ran", name, query.Path, answer.Err)
+			chaos.violation("REFUSED", "%s %s was refused (%v) and ran", name, request.Path, answer.Err)
 		}
 	}
 	if apierror.Is(answer.Err, apierror.QuotaExhausted) {
@@ -192,32 +192,32 @@
 	}
 	// What was under way when its front began to leave in order is answered whole.
 	if left := sent.front.left; !left.IsZero() && sent.at.Before(left) && sent.back.After(left) && answer.Err != nil && len(runs) > 0 && !sent.left &&
-		chaos.touch(sent.front, sent.at) && chaos.touch(sent.front, sent.back) && sent.back.Before(query.Deadline.Add(-500*time.Millisecond)) &&
+		chaos.touch(sent.front, sent.at) && chaos.touch(sent.front, sent.back) && sent.back.Before(request.Deadline.Add(-500*time.Millisecond)) &&
 		!slices.ContainsFunc(runs, func(one execution) bool { return one.Fault != standin.NoFault || !one.life.endedAt.IsZero() }) {
-		chaos.violation("LOST", "%s %s was broken off while its front left in order: %v", name, query.Path, answer.Err)
+		chaos.violation("LOST", "%s %s was broken off while its front left in order: %v", name, request.Path, answer.Err)
 	}
 }
 
 func (chaos *chaosRun) checkExhausted(sent *sentRequest, runs []execution) {
 	if len(runs) > 0 {
-		chaos.violation("REFUSED", "%s was refused for its allowance and ran", sent.query.Name)
+		chaos.violation("REFUSED", "%s was refused for its allowance and ran", sent.request.Name)
 	}
 	maximum := uint64(0)
 	for _, other := range chaos.sent {
-		if other.query.Program == sent.query.Program && other.query.HasOutputBudget && !other.at.After(sent.back) {
+		if other.request.Program == sent.request.Program && other.request.HasOutputBudget && !other.at.After(sent.back) {
 			maximum += turnTokens
 		}
 	}
-	if maximum <= sent.query.OutputBudget {
-		chaos.violation("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", sent.query.Name, sent.query.OutputBudget, maximum)
+	if maximum <= sent.request.OutputBudget {
+		chaos.violation("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", sent.request.Name, sent.request.OutputBudget, maximum)
 	}
 }
 
 func (chaos *chaosRun) checkNotFound(sent *sentRequest, runs []execution) {
-	name, path := sent.query.Name, sent.query.Path
+	name, path := sent.request.Name, sent.request.Path
 	if strings.HasPrefix(path, "/talk/") || strings.HasPrefix(path, "/lookup/") || strings.HasPrefix(path, "/order/") {
-		if followed := chaos.sent[sent.query.Follows]; followed != nil {
-			chaos.violation("LOST", "%s: %s, answered whole at %s, is told unknown at %s: %v", name, sent.query.Follows, followed.back.Format("05.000"), sent.back.Format("05.000"), sent.answer.Err)
+		if followed := chaos.sent[sent.request.Follows]; followed != nil {
+			chaos.violation("LOST", "%s: %s, answered whole at %s, is told unknown at %s: %v", name, sent.request.Follows, followed.back.Format("05.000"), sent.back.Format("05.000"), sent.answer.Err)
 		} else {
 			chaos.violation("DENIED", "%s %s has a route: %v", name, path, sent.answer.Err)
 		}
@@ -233,7 +233,7 @@
 
 // checkBody holds an answer that began against what its runners did.
 func (chaos *chaosRun) checkBody(sent *sentRequest, runs []execution) {
-	query, name, answer := sent.query, sent.query.Name, sent.answer
+	request, name, answer := sent.request, sent.request.Name, sent.answer
 	seal := answer.Header.Get("Seal")
 	at := slices.IndexFunc(runs, func(one execution) bool { return one.life.engine.Life+"/"+name == seal })
 	if at < 0 {
@@ -252,7 +252,7 @@
 	switch {
 	case status != http.StatusOK:
 		want = ""
-	case strings.HasPrefix(query.Path, "/talk/") && first.Fault != standin.FaultPlainAnswer && first.Fault != standin.FaultExtraAnswer:
+	case strings.HasPrefix(request.Path, "/talk/") && first.Fault != standin.FaultPlainAnswer && first.Fault != standin.FaultExtraAnswer:
 		want = streamOf(first.Body)
 	}
 	if !strings.HasPrefix(want, string(answer.Body)) || answer.Err == nil && string(answer.Body) != want {
@@ -260,24 +260,24 @@
 	}
 }
 
-// checkRefilled tells of fronts that went back to an older routing: a route that only one
+// checkRefilled returns of fronts that went back to an older routing: a route that only one
 // routing has tells which is in force.
 func (chaos *chaosRun) checkRefilled(runs map[string][]execution) {
 	for _, front := range chaos.fronts {
 		seen, seenAt := uint64(0), time.Time{}
 		probes := []*sentRequest{}
 		for _, sent := range chaos.sent {
-			if sent.front == front && strings.HasPrefix(sent.query.Path, "/only-") && sent.answer != nil {
+			if sent.front == front && strings.HasPrefix(sent.request.Path, "/only-") && sent.answer != nil {
 				probes = append(probes, sent)
 			}
 		}
 		slices.SortFunc(probes, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
 		for _, sent := range probes {
 			var revision uint64
-			fmt.Sscanf(sent.query.Path, "/only-%d/", &revision)
-			ran := runs[sent.query.Name]
+			fmt.Sscanf(sent.request.Path, "/only-%d/", &revision)
+			ran := runs[sent.request.Name]
 			if len(ran) > 0 && revision < seen && sent.at.Sub(seenAt) > answerSlack {
-				chaos.violation("CONFIG", "%s goes back from %d to %d: %s ran", front.machine.Host, seen, revision, sent.query.Name)
+				chaos.violation("CONFIG", "%s goes back from %d to %d: %s ran", front.machine.Host, seen, revision, sent.request.Name)
 			}
 			if len(ran) > 0 && revision > seen {
 				seen, seenAt = revision, ran[0].At
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -236,7 +236,7 @@
 	complete := []*sentRequest{}
 	chaos.mutex.Lock()
 	for _, sent := range chaos.sent {
-		if sent.answer != nil && sent.answer.Complete() && strings.HasPrefix(sent.query.Path, "/talk/kept/") && time.Since(sent.back) < 90*time.Second {
+		if sent.answer != nil && sent.answer.Complete() && strings.HasPrefix(sent.request.Path, "/talk/kept/") && time.Since(sent.back) < 90*time.Second {
 			complete = append(complete, sent)
 		}
 	}
@@ -275,9 +275,9 @@
 		chaos.mutex.Lock()
 		chaos.budgets[program] = 1000
 		chaos.mutex.Unlock()
-		chain := sent.chain + string(sent.query.Body) + sent.answer.Text()
-		query := forwarding.Request{Path: "/talk/kept/1", Follows: sent.query.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
-		on := chaos.attempt(random, query, chain, 4*time.Second, 0)
+		chain := sent.chain + string(sent.request.Body) + sent.answer.Text()
+		request := forwarding.Request{Path: "/talk/kept/1", Follows: sent.request.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
+		on := chaos.attempt(random, request, chain, 4*time.Second, 0)
 		lookup := chaos.attempt(random, forwarding.Request{Method: http.MethodGet, Path: "/lookup/1"}, "", 2*time.Second, 0)
 		for _, one := range []*sentRequest{on, lookup} {
 			if all++; one.answer.Complete() {
@@ -285,7 +285,7 @@
 			}
 		}
 		if !on.answer.Complete() {
-			chaos.t.Logf("after the outage, on from %s: %v", sent.query.Name, on.answer.Err)
+			chaos.t.Logf("after the outage, on from %s: %v", sent.request.Name, on.answer.Err)
 		}
 	}
 	if served*4 < all*3 {
--- a/proof/simulator/chaos_programs_test.go
+++ b/proof/simulator/chaos_programs_test.go
@@ -46,12 +46,12 @@
 	chaos := one.chaos
 	for failures := 0; one.left.Add(-1) >= 0 && !chaos.ended.Load(); {
 		words := fmt.Sprintf("words %d of %s. ", random.IntN(1000000), one.name)
-		query := forwarding.Request{Path: fmt.Sprintf("/talk/kept/%d", random.IntN(100)), Follows: follows, Body: []byte(words), Program: one.name, Session: fmt.Sprint(one.name, "/", depth), HasOutputBudget: true, OutputBudget: one.budget, MaxOutputTokens: turnTokens}
+		request := forwarding.Request{Path: fmt.Sprintf("/talk/kept/%d", random.IntN(100)), Follows: follows, Body: []byte(words), Program: one.name, Session: fmt.Sprint(one.name, "/", depth), HasOutputBudget: true, OutputBudget: one.budget, MaxOutputTokens: turnTokens}
 		repeatable := false
 		if random.IntN(4) == 0 {
-			query.Path, query.Follows, repeatable = "/talk/chat/1", "", true
+			request.Path, request.Follows, repeatable = "/talk/chat/1", "", true
 		}
-		sent := chaos.ask(random, query, chain, repeatable, 4*time.Second)
+		sent := chaos.ask(random, request, chain, repeatable, 4*time.Second)
 		switch {
 		case sent == nil || !sent.answer.Complete():
 			if sent != nil && apierror.Is(sent.answer.Err, apierror.QuotaExhausted) && !one.runs {
@@ -63,7 +63,7 @@
 			<-time.After(time.Duration(100+random.IntN(300)) * time.Millisecond)
 			continue
 		case !repeatable:
-			follows, chain = sent.query.Name, chain+words+sent.answer.Text()
+			follows, chain = sent.request.Name, chain+words+sent.answer.Text()
 		}
 		if random.IntN(5) == 0 || one.runs {
 			chaos.branch(one, random, follows, chain, depth+1)
@@ -80,12 +80,12 @@
 		seed := random.Uint64()
 		calling.Go(func() {
 			random := rand.New(rand.NewPCG(seed, 2))
-			query := forwarding.Request{Path: fmt.Sprintf("/order/%d", random.IntN(100)), Body: []byte(fmt.Sprint("order ", seed)), Program: one.name}
+			request := forwarding.Request{Path: fmt.Sprintf("/order/%d", random.IntN(100)), Body: []byte(fmt.Sprint("order ", seed)), Program: one.name}
 			repeatable := random.IntN(2) == 0
 			if repeatable {
-				query = forwarding.Request{Method: http.MethodGet, Path: fmt.Sprintf("/lookup/%d?q=%d", random.IntN(100), seed%97), Program: one.name}
+				request = forwarding.Request{Method: http.MethodGet, Path: fmt.Sprintf("/lookup/%d?q=%d", random.IntN(100), seed%97), Program: one.name}
 			}
-			one.chaos.ask(random, query, "", repeatable, 3*time.Second)
+			one.chaos.ask(random, request, "", repeatable, 3*time.Second)
 		})
 	}
 	calling.Wait()
--- a/proof/simulator/chaos_routing_test.go
+++ b/proof/simulator/chaos_routing_test.go
@@ -60,7 +60,7 @@
 	return routing
 }
 
-// order sends a new routing on a base; by amendment if wanted. It tells whether it was
+// order sends a new routing on a base; by amendment if wanted. It reports whether it was
 // acknowledged.
 func (chaos *chaosRun) changeRouting(random *rand.Rand, base, revision uint64, amends bool) bool {
 	chaos.mutex.Lock()
--- a/proof/simulator/chaos_runners_test.go
+++ b/proof/simulator/chaos_runners_test.go
@@ -72,7 +72,7 @@
 	life.machine.Stop()
 }
 
-// some gives a serving runner of a group that has enough of them.
+// some returns a serving runner of a group that has enough of them.
 func (chaos *chaosRun) some(random *rand.Rand, least int) *runnerLife {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
--- a/proof/simulator/chaos_test.go
+++ b/proof/simulator/chaos_test.go
@@ -59,13 +59,13 @@
 
 // sentRequest is one try of a caller and what came of it.
 type sentRequest struct {
-	query  forwarding.Request
-	at     time.Time
-	back   time.Time // zero while it is open
-	front  *frontLife
-	answer *ForwardedAnswer
-	left   bool // the caller left early
-	chain  string
+	request forwarding.Request
+	at      time.Time
+	back    time.Time // zero while it is open
+	front   *frontLife
+	answer  *ForwardedAnswer
+	left    bool // the caller left early
+	chain   string
 }
 
 // frontLife is one life of a front's process.
@@ -173,7 +173,7 @@
 	}
 }
 
-// pick gives a front that callers are handed to, nil if there is none.
+// pick returns a front that callers are handed to, nil if there is none.
 func (chaos *chaosRun) pick(random *rand.Rand) *frontLife {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
@@ -190,21 +190,21 @@
 }
 
 // attempt sends one try, under a name of its own.
-func (chaos *chaosRun) attempt(random *rand.Rand, query forwarding.Request, chain string, timeout, leaves time.Duration) *sentRequest {
+func (chaos *chaosRun) attempt(random *rand.Rand, request forwarding.Request, chain string, timeout, leaves time.Duration) *sentRequest {
 	life := chaos.pick(random)
 	if life == nil {
 		return nil
 	}
 	chaos.mutex.Lock()
 	chaos.names++
-	query.Name = fmt.Sprintf("try-%d", chaos.names)
-	query.Host, query.Target, query.ReceivedAt, query.Deadline = RoutedHost, query.Path, time.Now(), time.Now().Add(timeout)
-	if query.Method == "" {
-		query.Method = http.MethodPost
+	request.Name = fmt.Sprintf("try-%d", chaos.names)
+	request.Host, request.Target, request.ReceivedAt, request.Deadline = RoutedHost, request.Path, time.Now(), time.Now().Add(timeout)
+	if request.Method == "" {
+		request.Method = http.MethodPost
 	}
-	query.Header = http.Header{standin.Dialect.RequestID: {query.Name}, "X-Other": {"goes along"}}
-	sent := &sentRequest{query: query, at: time.Now(), front: life, chain: chain, left: leaves > 0}
-	chaos.sent[query.Name] = sent
+	request.Header = http.Header{standin.Dialect.RequestID: {request.Name}, "X-Other": {"goes along"}}
+	sent := &sentRequest{request: request, at: time.Now(), front: life, chain: chain, left: leaves > 0}
+	chaos.sent[request.Name] = sent
 	chaos.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(life.context, timeout)
 	if leaves > 0 {
@@ -213,7 +213,7 @@
 	defer cancel()
 	life.open.Add(1)
 	answer := &chaosAnswer{life: life}
-	err := life.node.Forward(ctx, &query, answer)
+	err := life.node.Forward(ctx, &request, answer)
 	if life.dead.Load() {
 		err = errDead
 	}
@@ -227,14 +227,14 @@
 
 // ask tries as callers do: again after a promise, and after any failure what may be
 // repeated.
-func (chaos *chaosRun) ask(random *rand.Rand, query forwarding.Request, chain string, repeatable bool, timeout time.Duration) *sentRequest {
+func (chaos *chaosRun) ask(random *rand.Rand, request forwarding.Request, chain string, repeatable bool, timeout time.Duration) *sentRequest {
 	until := time.Now().Add(timeout)
 	leaves := time.Duration(0)
 	if random.IntN(40) == 0 {
 		leaves = time.Duration(1+random.IntN(120)) * time.Millisecond
 	}
 	for attempts := 0; ; attempts++ {
-		sent := chaos.attempt(random, query, chain, time.Until(until), leaves)
+		sent := chaos.attempt(random, request, chain, time.Until(until), leaves)
 		if sent != nil {
 			answer := sent.answer
 			again := answer.Rejected() || repeatable && !answer.Complete() && !apierror.Is(answer.Err, apierror.NotFound)
@@ -303,7 +303,7 @@
 	})
 }
 
-func pathOf(query forwarding.Request) string {
-	path, _, _ := strings.Cut(query.Path, "?")
+func pathOf(request forwarding.Request) string {
+	path, _, _ := strings.Cut(request.Path, "?")
 	return path
 }
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -136,7 +136,7 @@
 func (cluster *Cluster) replicaSettings(index int) replica.Settings {
 	settings := replica.DefaultSettings(cluster.Seed*1000 + uint64(index))
 	if cluster.Seed%2 == 1 {
-		settings.SnapshotEntries = 48 // so that checkpoints are made and sent within a test
+		settings.SnapshotEntries = 48 // so that snapshots are made and sent within a test
 	}
 	if cluster.adjustReplica != nil {
 		cluster.adjustReplica(&settings)
@@ -163,7 +163,7 @@
 // Await tries until there is no error, on the test's clock.
 //
 //	err := cluster.Await(12*time.Second, "serving", try)
-func (cluster *Cluster) Await(timeout time.Duration, what string, try func() error) error {
+func (*Cluster) Await(timeout time.Duration, what string, try func() error) error {
 	began := time.Now()
 	for {
 		err := try()
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -41,7 +41,7 @@
 	way      cutWay
 	manner   cutManner
 	duration time.Duration
-	// alone tells that it is cut off from the stores and the other fronts too.
+	// alone reports that it is cut off from the stores and the other fronts too.
 	alone bool
 }
 
@@ -158,7 +158,7 @@
 	}
 }
 
-// saysNothing tells that an answer tells nothing of what is in force, nor refuses for good.
+// saysNothing reports that an answer tells nothing of what is in force, nor refuses for good.
 func saysNothing(err error) bool {
 	for _, kind := range []apierror.Kind{apierror.NoQuorum, apierror.OutcomeUnknown, apierror.Unavailable, apierror.NotLeader} {
 		if apierror.Is(err, kind) {
@@ -194,12 +194,12 @@
 
 // TestCutOffControlNodeAnswersNothing cuts a control node off in every way, and sends it
 // orders and questions meanwhile, while orders go on at the others. Afterwards it serves
-// again within a second, and tells the newest.
+// again within a second, and returns the newest.
 func TestCutOffControlNodeAnswersNothing(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(31)
 		durations := []time.Duration{3 * time.Second, 12 * time.Second, 20 * time.Second}
-		if err := cluster.sendRoutingRequest(0, sentRequestOfOperator{base: 0, next: oneRoute(1, time.Second), digest: "first"}); err != nil {
+		if err := cluster.sendRoutingRequest(0, operatorRequest{base: 0, next: oneRoute(1, time.Second), digest: "first"}); err != nil {
 			t.Fatal(err)
 		}
 		cluster.mustAnswerAll(t)
@@ -237,7 +237,7 @@
 	var asking sync.WaitGroup
 	asking.Go(func() { cluster.interrogate(t, cut, victim, until) })
 	raced := make(chan error, 1)
-	race := sentRequestOfOperator{base: base, next: oneRoute(base+1, 7*time.Second), digest: fmt.Sprint("race ", base)}
+	race := operatorRequest{base: base, next: oneRoute(base+1, 7*time.Second), digest: fmt.Sprint("race ", base)}
 	asking.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 		defer cancel()
@@ -249,7 +249,7 @@
 	}
 	orders, first := 0, base
 	for time.Until(until) > 500*time.Millisecond {
-		err := cluster.orderBeside(victim, at, sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("beside ", base)})
+		err := cluster.orderBeside(victim, at, operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("beside ", base)})
 		if err != nil {
 			t.Fatalf("%s: an order at the others: %v", cut, err)
 		}
@@ -276,7 +276,7 @@
 }
 
 // orderBeside sends an order to the control nodes other than one.
-func (cluster *Cluster) orderBeside(victim *Machine, from int, order sentRequestOfOperator) error {
+func (cluster *Cluster) orderBeside(victim *Machine, from int, order operatorRequest) error {
 	return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		if node == victim.Control {
 			return apierror.New(apierror.NoQuorum, "it is cut off", "ask another")
@@ -288,7 +288,7 @@
 // mustServe waits until a node reads the newest revision and has an order acknowledged.
 func (cluster *Cluster) mustServe(t *testing.T, cut networkCut, machine *Machine, newest uint64, since time.Time) {
 	t.Helper()
-	order := sentRequestOfOperator{base: newest, next: oneRoute(newest+1, time.Second), digest: fmt.Sprint("after ", newest)}
+	order := operatorRequest{base: newest, next: oneRoute(newest+1, time.Second), digest: fmt.Sprint("after ", newest)}
 	read := false
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -329,7 +329,7 @@
 			{func(victim *Machine) { victim.Disk.Slow(400 * time.Millisecond) }, func(victim *Machine) { victim.Disk.Slow(0) }, 12 * time.Second},
 			{func(victim *Machine) { victim.Disk.Stall() }, func(victim *Machine) { victim.Disk.Resume() }, 6 * time.Second},
 		} {
-			if err := cluster.sendRoutingRequest(0, sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("before ", base)}); err != nil {
+			if err := cluster.sendRoutingRequest(0, operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("before ", base)}); err != nil {
 				t.Fatal(err)
 			}
 			base++
@@ -362,7 +362,7 @@
 				})
 			}
 			for time.Until(until) > 0 {
-				err := cluster.orderBeside(victim, 0, sentRequestOfOperator{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("meanwhile ", base)})
+				err := cluster.orderBeside(victim, 0, operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("meanwhile ", base)})
 				if err != nil {
 					t.Fatalf("round %d: %v", round, err)
 				}
--- a/proof/simulator/controlshared_test.go
+++ b/proof/simulator/controlshared_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestSharedConfirmationBeganAfterItsQuestions has many follow a control node that is far
-// from its leader, while orders are acknowledged: each is told at least what was
-// acknowledged before it asked, though all share confirmations.
+// from its leader, while requests are acknowledged: each gets at least what was
+// acknowledged before its query, though all share confirmations.
 func TestSharedConfirmationBeganAfterItsQuestions(t *testing.T) {
 	const followers, orders = 8, 60
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -24,7 +24,7 @@
 	return answers
 }
 
-// named gives the conversation that a query key names.
+// named returns the conversation that a query key names.
 func named(program, key string) string {
 	sum := sha256.Sum256([]byte(strings.Join([]string{"depot", program, "", key}, "\x00")))
 	return "c-" + hex.EncodeToString(sum[:16])
--- a/proof/simulator/decommission_test.go
+++ b/proof/simulator/decommission_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestMachineIsDecommissionedThoughTheLeaderDies has the leader that took the order killed,
-// then takes the machine away the moment it is told finished, and another store with it.
+// then takes the machine away the moment it is reported as finished, and another store with it.
 func TestMachineIsDecommissionedThoughTheLeaderDies(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
--- a/proof/simulator/decommissionarchive_test.go
+++ b/proof/simulator/decommissionarchive_test.go
@@ -22,7 +22,7 @@
 	<-time.After((elapsed/period+1)*period - elapsed + offset)
 }
 
-// withoutLeastLoaded gives all stores but the one that has replicas of the fewest groups: the
+// withoutLeastLoaded returns all stores but the one that has replicas of the fewest groups: the
 // others share the most groups.
 func (cluster *Cluster) withoutLeastLoaded() []*Machine {
 	spare := slices.MinFunc(cluster.Stores, func(left, right *Machine) int {
@@ -140,7 +140,7 @@
 
 // wantArchivesEqual wants all voters of the groups that a store has left to hold the same
 // archived ranges at once, and those of all groups within the time in which a replica that
-// missed a range is mended.
+// missed a range is repaired.
 func (cluster *Cluster) wantArchivesEqual(t *testing.T, left map[uint32]bool) {
 	t.Helper()
 	for group, pair := range cluster.differingArchives(t) {
@@ -187,8 +187,8 @@
 }
 
 // TestDecommissionDuringFaults kills, wipes or cuts off another store, the leaving one or
-// the control leader, right after a store is told to be emptied. The leaving one loses its
-// disk at once when it is told retired, and another 4.3 s after the trouble is over.
+// the control leader, right after a store begins to decommission. The decommissioned one loses
+// its disk as soon as it is reported as retired, and another 4.3 s after the faults have ended.
 func TestDecommissionDuringFaults(t *testing.T) {
 	const away, cutFor = 500 * time.Millisecond, 20 * time.Second
 	troubles := map[string]func(t *testing.T, cluster *Cluster, machine *Machine){
--- a/proof/simulator/disk.go
+++ b/proof/simulator/disk.go
@@ -36,7 +36,7 @@
 
 var errFull = errors.New("no space left on device")
 
-// ReadFile gives a whole file.
+// ReadFile returns a whole file.
 func (disk *Disk) ReadFile(name string) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -48,7 +48,7 @@
 	return slices.Clone(data), nil
 }
 
-// ReadRange gives a part of a file.
+// ReadRange returns a part of a file.
 func (disk *Disk) ReadRange(name string, offset int64, length int) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -225,7 +225,7 @@
 	disk.durable[name][at] ^= 1
 }
 
-// TakeRead gives the bytes that were read since the last call.
+// TakeRead returns the bytes that were read since the last call.
 //
 //	read := disk.TakeRead()
 func (disk *Disk) TakeRead() int {
--- a/proof/simulator/diskfaults_test.go
+++ b/proof/simulator/diskfaults_test.go
@@ -29,7 +29,7 @@
 				other.Archive.FlipBit(name, -30)
 			}
 		}
-		// Only the mended copy is whole now.
+		// Only the repaired copy is complete now.
 		cluster.followUp(t, said)
 	})
 }
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// checkOnce compares what callers were told with what runners did.
+// checkOnce compares the outcomes that callers got with what runners ran.
 func checkOnce(t *testing.T, cluster *Cluster, key string, answers []*Answer) {
 	t.Helper()
 	count := cluster.executions("dialogue/receipt/" + key)
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestOneQueryKeyOnAllFrontsRunsOnce(t *testing.T) {
+func TestOneRequestKeyOnAllFrontsRunsOnce(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		for round := range 10 {
 			key := fmt.Sprintf("race-%d", round)
@@ -316,17 +316,17 @@
 		go cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "go on !endless", "query_key": "orphan"})
 		<-time.After(200 * time.Millisecond)
 		cluster.Fronts[0].Kill()
-		resume := func(name, query string) *StreamedAnswer {
+		resume := func(name, request string) *StreamedAnswer {
 			t.Helper()
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
-			answer, err := cluster.Ask(ctx, http.MethodGet, cluster.Fronts[1].Host+":7100", "/v1/conversations/"+name+"/tail?"+query, TeamToken, nil)
+			answer, err := cluster.Ask(ctx, http.MethodGet, cluster.Fronts[1].Host+":7100", "/v1/conversations/"+name+"/tail?"+request, TeamToken, nil)
 			if err != nil || answer.Status != http.StatusOK || answer.Header.Get("Content-Type") != "application/x-ndjson" {
-				t.Fatalf("%s: %v %+v", query, err, answer)
+				t.Fatalf("%s: %v %+v", request, err, answer)
 			}
 			said, err := ReadStream(newReader(answer.Body))
 			if err != nil {
-				t.Fatalf("%s: %v", query, err)
+				t.Fatalf("%s: %v", request, err)
 			}
 			return said
 		}
--- a/proof/simulator/fleetsize_test.go
+++ b/proof/simulator/fleetsize_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestAnEmptyFleetThatHasStartedBeforeIsNotFoundedAnew empties all control nodes, which are
-// told that the fleet has started before: they wait, rather than found another.
+// informed that the fleet has started before: they wait, rather than found another.
 func TestAnEmptyFleetThatHasStartedBeforeIsNotFoundedAnew(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
 		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.JoinExisting = true }
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/forwarding"
 )
 
-// Host of the simulated routes.
+// RoutedHost is the host name of the routes in RoutedConfig.
 const RoutedHost = "talk.example"
 
 // RoutedConfig is a config with routes to engines: talk that is kept, chat that may be
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// Rejected tells whether the answer promises that the query did not run.
+// Rejected reports whether the answer promises that the query did not run.
 //
 //	if answer.Rejected() { ... }
 func (answer *ForwardedAnswer) Rejected() bool {
 	return answer.Status == 0 && apierror.Is(answer.Err, apierror.NotRun)
 }
 
-// Complete tells whether the answer is whole and a success.
+// Complete reports whether the answer is whole and a success.
 //
 //	if answer.Complete() { ... }
 func (answer *ForwardedAnswer) Complete() bool {
@@ -89,24 +89,24 @@
 // deadline are filled in if they are missing.
 //
 //	answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "q-1", Path: "/lookup/1"})
-func (cluster *Cluster) Forward(machine *Machine, query forwarding.Request) *ForwardedAnswer {
-	if query.Method == "" {
-		query.Method = http.MethodPost
+func (cluster *Cluster) Forward(machine *Machine, request forwarding.Request) *ForwardedAnswer {
+	if request.Method == "" {
+		request.Method = http.MethodPost
 	}
-	if query.Deadline.IsZero() {
-		query.Deadline = time.Now().Add(4 * time.Second)
+	if request.Deadline.IsZero() {
+		request.Deadline = time.Now().Add(4 * time.Second)
 	}
-	query.Host, query.Target, query.ReceivedAt = RoutedHost, query.Path, time.Now()
-	query.Header = http.Header{standin.Dialect.RequestID: {query.Name}}
+	request.Host, request.Target, request.ReceivedAt = RoutedHost, request.Path, time.Now()
+	request.Header = http.Header{standin.Dialect.RequestID: {request.Name}}
 	answer := &ForwardedAnswer{}
-	ctx, cancel := context.WithDeadline(context.Background(), query.Deadline)
+	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
 	node := machine.Front
 	if node == nil {
 		answer.Err = apierror.New(apierror.Unavailable, "the front is not there", "ask another")
 		return answer
 	}
-	answer.Err = node.Forward(ctx, &query, answer)
+	answer.Err = node.Forward(ctx, &request, answer)
 	return answer
 }
 
@@ -140,4 +140,4 @@
 // Sleep lets time go by, on the test's clock.
 //
 //	cluster.Sleep(time.Second)
-func (cluster *Cluster) Sleep(duration time.Duration) { <-time.After(duration) }
+func (*Cluster) Sleep(duration time.Duration) { <-time.After(duration) }
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -42,7 +42,7 @@
 	return runs
 }
 
-// promptOf gives the body that a query ran with.
+// promptOf returns the body that a query ran with.
 func promptOf(cluster *Cluster, name string) string {
 	for _, machine := range cluster.Engines {
 		for _, one := range machine.Engine.Executions() {
@@ -82,7 +82,7 @@
 	cases := []struct {
 		path  string
 		fault standin.Fault
-		// most runs, and what the caller may be told
+		// maximum of runs, and what the caller may get
 		runs     int
 		complete bool
 		refused  bool
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -76,8 +76,8 @@
 			name := fmt.Sprintf("left-%d", position)
 			left, cancel := context.WithCancel(context.Background())
 			cancel()
-			query := &forwarding.Request{Name: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
-			err := cluster.Fronts[0].Front.Forward(left, query, &ForwardedAnswer{})
+			request := &forwarding.Request{Name: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
+			err := cluster.Fronts[0].Front.Forward(left, request, &ForwardedAnswer{})
 			cluster.Sleep(time.Second)
 			if err == nil || executionsOf(cluster, name) != 0 {
 				t.Fatalf("%s: %v, ran %d times", path, err, executionsOf(cluster, name))
@@ -194,8 +194,8 @@
 
 func TestAnswerOfADisconnectedCallerIsNotRetried(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		query := &forwarding.Request{Name: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
-		err := cluster.Fronts[0].Front.Forward(context.Background(), query, &failing{})
+		request := &forwarding.Request{Name: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
+		err := cluster.Fronts[0].Front.Forward(context.Background(), request, &failing{})
 		cluster.Sleep(time.Second)
 		if err == nil || executionsOf(cluster, "gone") != 1 {
 			t.Fatalf("%v, ran %d times", err, executionsOf(cluster, "gone"))
--- a/proof/simulator/founding_test.go
+++ b/proof/simulator/founding_test.go
@@ -19,7 +19,7 @@
 			old.Kill()
 			old.Wipe()
 			fresh := cluster.AddControl(3 + index)
-			cluster.seeds[index] = fresh.Host + ":7000" // what is started from now on is told so
+			cluster.seeds[index] = fresh.Host + ":7000" // a seed of all nodes that start from now on
 			if err := fresh.Start(); err != nil {
 				t.Fatal(err)
 			}
--- a/proof/simulator/history_test.go
+++ b/proof/simulator/history_test.go
@@ -20,7 +20,7 @@
 	historyTimeout = 30 * time.Second
 )
 
-// historyRoute is one of many routes; its version is told by what its operator wrote.
+// historyRoute is one of many routes; its version stands in what its operator wrote.
 func historyRoute(number int, version uint64) config.Route {
 	return config.Route{
 		Name: fmt.Sprintf("route-%d", number), Host: fmt.Sprintf("host-%d.example", number), Prefix: "/", Kind: config.Once,
@@ -180,8 +180,8 @@
 	})
 }
 
-// TestEarlierConfigIsRestoredOrReportedMissing restores a config over differences, and is told
-// plainly of one that is no longer kept.
+// TestEarlierConfigIsRestoredOrReportedMissing restores a config through differences, and
+// demands a clear error for one that is no longer kept.
 func TestEarlierConfigIsRestoredOrReportedMissing(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		number := cluster.leader().Control.View().ConfigNumber
--- a/proof/simulator/linearizable_test.go
+++ b/proof/simulator/linearizable_test.go
@@ -174,8 +174,9 @@
 	return sessionOutput{refused: outcomes[1].Status == sessionlog.UnexpectedSeq, seq: outcomes[1].Seq}
 }
 
-// TestPausedLeaseHolderThatResumesIsFenced isolates the owner of the roster assignment;
-// another takes it under the next fence, and what the old one puts is refused.
+// TestPausedLeaseHolderThatResumesIsFenced isolates the holder of the lease on runner
+// discovery; another acquires it under the next fencing token, and what the old one puts is
+// rejected.
 func TestPausedLeaseHolderThatResumesIsFenced(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		buffered := cluster.Controls[0].Control.View().RoleLeaseOf("roster")
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -240,7 +240,7 @@
 	})
 }
 
-// votingControls gives the control nodes that vote, by the leader's word.
+// votingControls returns the control nodes that vote, by the leader's word.
 func (cluster *Cluster) votingControls() []string {
 	for _, machine := range cluster.Controls {
 		if machine.Control != nil && machine.Control.IsLeader() {
--- a/proof/simulator/network.go
+++ b/proof/simulator/network.go
@@ -12,7 +12,7 @@
 )
 
 // Network is an in-memory network of hosts. Data that crosses a cut waits, as TCP
-// keeps it, until the cut is mended or the connection ends.
+// keeps it, until the cut is healed or the connection ends.
 type Network struct {
 	mutex     sync.Mutex
 	random    *rand.Rand
@@ -36,7 +36,7 @@
 		cuts: map[[2]string]bool{}, slow: map[[2]string]time.Duration{}, refused: map[[2]string]bool{}, isolated: map[string]bool{}, frozen: map[string]bool{}, changed: make(chan struct{}), bytes: map[string]int64{}, messages: map[string]int64{}}
 }
 
-// At gives the network as one host sees it.
+// At returns the network as one host sees it.
 //
 //	node, err := store.Start(settings, folder, cold, network.At("10.0.1.1"))
 func (network *Network) At(host string) *Host { return &Host{network: network, name: host} }
@@ -52,7 +52,7 @@
 	return host
 }
 
-// reachable tells whether what one host sends reaches another now.
+// reachable reports whether what one host sends reaches another now.
 func (network *Network) reachable(from, to string) bool {
 	return !network.cuts[[2]string{from, to}] && !network.isolated[from] && !network.isolated[to] && !network.frozen[from] && !network.frozen[to]
 }
@@ -65,7 +65,7 @@
 	network.mutex.Unlock()
 }
 
-// Cut parts two hosts; Mend joins them again.
+// Cut parts two hosts; Heal joins them again.
 //
 //	network.Cut("10.0.0.1", "10.0.1.1")
 func (network *Network) Cut(left, right string) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Sent tells how many bytes left a host, in how many writes.
+// Sent returns how many bytes left a host, in how many writes.
 //
 //	bytes, messages := network.Sent("10.0.1.1")
 func (network *Network) Sent(host string) (int64, int64) {
--- a/proof/simulator/network_connection.go
+++ b/proof/simulator/network_connection.go
@@ -53,12 +53,12 @@
 	return nil
 }
 
-// Addr tells the address.
+// Addr returns the address.
 func (listener *listener) Addr() net.Addr { return address(listener.address) }
 
 type address string
 
-func (address address) Network() string { return "simulated" }
+func (address) Network() string { return "simulated" }
 
 func (address address) String() string { return string(address) }
 
@@ -228,7 +228,7 @@
 	return count, 0, changed, incoming.grown, nil
 }
 
-// Idle tells that nothing has arrived and the other side has closed nothing.
+// Idle reports that nothing has arrived and the other side has closed nothing.
 func (end *endpoint) Idle() bool {
 	var none [1]byte
 	count, _, _, _, err := end.takeArrived(none[:])
@@ -278,10 +278,10 @@
 	return nil
 }
 
-// LocalAddr tells this side's address.
+// LocalAddr returns this side's address.
 func (end *endpoint) LocalAddr() net.Addr { return end.local }
 
-// RemoteAddr tells the other side's address.
+// RemoteAddr returns the other side's address.
 func (end *endpoint) RemoteAddr() net.Addr { return end.remote }
 
 // SetReadDeadline sets when a Read gives up.
@@ -300,4 +300,4 @@
 func (end *endpoint) SetDeadline(deadline time.Time) error { return end.SetReadDeadline(deadline) }
 
 // SetWriteDeadline does nothing, as writes never wait.
-func (end *endpoint) SetWriteDeadline(time.Time) error { return nil }
+func (*endpoint) SetWriteDeadline(time.Time) error { return nil }
--- a/proof/simulator/network_faults.go
+++ b/proof/simulator/network_faults.go
@@ -20,7 +20,7 @@
 }
 
 // RefuseConnections breaks the connections between two hosts and refuses new ones, as a firewall
-// that rejects does; Mend ends it.
+// that rejects does; Heal ends it.
 //
 //	network.RefuseConnections("10.0.0.1", "10.0.1.1")
 func (network *Network) RefuseConnections(left, right string) {
--- a/proof/simulator/notrun_test.go
+++ b/proof/simulator/notrun_test.go
@@ -12,7 +12,7 @@
 
 // TestNotRunIsNeverReportedForWorkThatRuns sends one key to three fronts about the same
 // time, while runners are short, links break, and fronts freeze, are cut off or die.
-// The runners' own records judge: once any query under a key was told "not run",
+// The runners' own records judge: once any request under a key was answered "not run",
 // nothing under that key may have run or run later.
 func TestNotRunIsNeverReportedForWorkThatRuns(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// oneRoute is a routing of one route, told apart by its timeout.
+// oneRoute is a routing of one route, which its timeout identifies.
 func oneRoute(revision uint64, timeout time.Duration) config.Routing {
 	return config.Routing{
 		Revision: revision,
--- a/proof/simulator/runnerlist.go
+++ b/proof/simulator/runnerlist.go
@@ -31,7 +31,7 @@
 	polls   int
 }
 
-// List gives the list, or the failure that was put. For how long runners stay cold counts
+// List returns the list, or the failure that was put. For how long runners stay cold counts
 // down.
 //
 //	runners, err := cluster.RunnerList.List(ctx)
@@ -50,7 +50,7 @@
 	return runners, runnerList.failing
 }
 
-// Polls tells how often the list was asked for.
+// Polls returns how often the list was asked for.
 //
 //	asks := cluster.RunnerList.Polls()
 func (runnerList *RunnerList) Polls() int {
--- a/proof/simulator/sharedprefix_test.go
+++ b/proof/simulator/sharedprefix_test.go
@@ -16,7 +16,7 @@
 	"yardrock.example/system/wire"
 )
 
-// sharingConfig are routed rules under which openings are shared.
+// sharingConfig is RoutedConfig with prefix sharing.
 const sharingConfig = RoutedConfig + "openings: share: true\n"
 
 // sharing sums up what a group's leader holds once.
@@ -76,7 +76,7 @@
 	end()
 }
 
-// awaitMerged waits until so many lines of a group refer to an opening, and gives the agents
+// awaitMerged waits until so many lines of a group refer to a shared prefix, and gives the agents
 // that began meanwhile: a merge that fails with its store is proposed again as
 // conversations begin.
 func (cluster *Cluster) awaitMerged(t *testing.T, group uint32, least uint64, prefix string) []*agent {
@@ -105,7 +105,7 @@
 }
 
 // TestAgentsContinueWhileAStoreWithASharedPrefixFails lets the store that leads a
-// merged opening fail mid-conversation at each step: as it is merged, once it is held, once
+// merged shared prefix fail mid-conversation at each step: as it is merged, once it is held, once
 // what refers to it is archived, and as it is freed.
 func TestAgentsContinueWhileAStoreWithASharedPrefixFails(t *testing.T) {
 	for name, fault := range storeFaults {
@@ -115,10 +115,10 @@
 					t.Fatal(err)
 				}
 				const group = 3
-				opening, agents := prose(7, 2560), []*agent{}
+				prefix, agents := prose(7, 2560), []*agent{}
 				join := func(prefix string, count int) {
 					for _, program := range programsOf(group, prefix, count) {
-						agents = append(agents, &agent{cluster: cluster, program: program, prefix: opening})
+						agents = append(agents, &agent{cluster: cluster, program: program, prefix: prefix})
 					}
 				}
 				round := func() {
@@ -129,13 +129,13 @@
 				during := func(work func()) { cluster.during(t, fault, agents[0], work) }
 				wantBuffered := func(least uint64) {
 					t.Helper()
-					agents = append(agents, cluster.awaitMerged(t, group, least, opening)...)
+					agents = append(agents, cluster.awaitMerged(t, group, least, prefix)...)
 				}
 				join("first", 3)
 				agents[0].turn(t, 0)
 				agents[1].turn(t, 1)
 				merging := make(chan struct{})
-				go func() { // as it is merged: the third opening is what makes it worth it
+				go func() { // as it is merged: the third shared prefix is what makes it worth it
 					defer close(merging)
 					agents[2].turn(t, 0)
 				}()
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestAgentsStartWhileASharedPrefixIsFreed lets a merged opening's lines be forgotten, and
+// TestAgentsStartWhileASharedPrefixIsFreed lets a merged shared prefix's lines be forgotten, and
 // its store fail around the time at which it is freed, while others begin with it.
 func TestAgentsStartWhileASharedPrefixIsFreed(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
@@ -177,7 +177,7 @@
 		}
 		join("first", 5)
 		all = append(all, cluster.awaitMerged(t, group, 3, prose(7, 2560))...)
-		cluster.Sleep(2 * time.Minute) // longer than an opening is held without any line
+		cluster.Sleep(2 * time.Minute) // longer than a shared prefix is held without any line
 		for _, one := range all {
 			one.turn(t, random.IntN(2))
 		}
@@ -201,8 +201,8 @@
 	})
 }
 
-// TestPrefixSharingIsSwitchedWhileTurnsRun switches openings off and on; what was merged stays
-// readable, and new turns are kept whole while it is off.
+// TestPrefixSharingIsSwitchedWhileTurnsRun switches prefix sharing off and on; what was
+// merged stays readable, and new turns are stored in full while it is off.
 func TestPrefixSharingIsSwitchedWhileTurnsRun(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		const group = 5
@@ -242,7 +242,7 @@
 	})
 }
 
-// TestScopesNeverSharePrefixes lets two scopes bring the same opening.
+// TestScopesNeverSharePrefixes lets two scopes bring the same shared prefix.
 func TestScopesNeverSharePrefixes(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
@@ -269,8 +269,8 @@
 	})
 }
 
-// TestDamagedSharedPrefixIsRepairedFromAPeer gives the leader a checkpoint in which an opening
-// is not what its name says.
+// TestDamagedSharedPrefixIsRepairedFromAPeer gives the leader a snapshot in which a shared
+// prefix has not the content that its name stands for.
 func TestDamagedSharedPrefixIsRepairedFromAPeer(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
@@ -319,8 +319,8 @@
 		if _, _, state := cluster.sharing(t, group); state != "held" {
 			t.Fatalf("the opening is %s", state)
 		}
-		cluster.Sleep(time.Second) // followers have carried out the mending too
-		// No replica has a sound copy: refused as not run, and nothing shorter is told.
+		cluster.Sleep(time.Second) // followers have applied the repair too
+		// No replica has a sound copy: rejected as not run, and no shorter history is used.
 		for _, machine := range cluster.Stores {
 			damage(machine)
 		}
@@ -333,7 +333,7 @@
 		if _, err := client.Read(short, wire.ReadQuery{Session: "program/" + names[3]}); !apierror.Is(err, apierror.Gap) && !apierror.Is(err, apierror.NoQuorum) {
 			t.Fatalf("%v", err)
 		}
-		// The same opening said anew mends it.
+		// The same prefix, sent again, repairs it.
 		fresh := programsOf(group, "q", 3)
 		for _, name := range fresh {
 			again := programTurn(name, name, "")
@@ -350,8 +350,8 @@
 	})
 }
 
-// TestTurnWaitsForNoMoreWithSharedPrefixes begins turns with and without shared openings in
-// turn, on one fleet; the network's delays are the same for both.
+// TestTurnWaitsForNoMoreWithSharedPrefixes alternates turns with and without shared
+// prefixes, on one fleet; the network's delays are the same for both.
 func TestTurnWaitsForNoMoreWithSharedPrefixes(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
--- a/proof/simulator/storeddata_read_test.go
+++ b/proof/simulator/storeddata_read_test.go
@@ -38,7 +38,7 @@
 	archive := tar.NewReader(zipped)
 	for {
 		header, err := archive.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -101,7 +101,7 @@
 	OpenSeq       uint64                   `json:"open_seq"`
 }
 
-// describedSession tells what a quorum read gives of a session, all but how far it is
+// describedSession returns what a quorum read gives of a session, all but how far it is
 // archived, which goes on.
 func describedSession(session sessionlog.Session) string {
 	return fmt.Sprintf("%s team %q program %q kind %q created %d keep %s touched %d until %d spent %d reserved %d openings %v", session.Name, session.Team, session.Program, session.WorkKind,
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -224,8 +224,8 @@
 }
 
 // TestEveryCompleteTurnStaysKnownUnderFaults kills, wipes, stalls and cuts off
-// stores while programs run. No turn that was answered whole may be told unknown, all
-// histories are exact, and no program hands out more than its allowance and one turn.
+// stores while programs run. No complete turn may be reported as unknown, all
+// histories are exact, and no program puts out more than its quota and one turn.
 func TestEveryCompleteTurnStaysKnownUnderFaults(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 4, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		reported := &turnHistory{handed: map[string]uint64{}}
--- a/proof/simulator/wildrunner_test.go
+++ b/proof/simulator/wildrunner_test.go
@@ -74,7 +74,7 @@
 	clear(runner.connections)
 }
 
-// draw gives a number below a bound.
+// draw returns a number below a bound.
 func (runner *wildRunner) draw(bound int) int {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
@@ -89,15 +89,15 @@
 	reader := bufio.NewReader(connection)
 	owed := "" // comes in the place of the next answer
 	for {
-		query, err := http.ReadRequest(reader)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(query.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
-		answer := runner.answer(query, string(body))
+		answer := runner.answer(request, string(body))
 		for _, part := range append([]string{owed}, answer.parts...) {
 			if _, err := io.WriteString(connection, part); err != nil {
 				return
@@ -144,9 +144,9 @@
 }
 
 // answer draws what is done with a query.
-func (runner *wildRunner) answer(query *http.Request, body string) wildAnswer {
-	name := query.Header.Get(standin.Dialect.RequestID)
-	if expected := query.Header.Get(standin.Dialect.ExpectedRunner); expected != "" && expected != runner.life || name == "" {
+func (runner *wildRunner) answer(request *http.Request, body string) wildAnswer {
+	name := request.Header.Get(standin.Dialect.RequestID)
+	if expected := request.Header.Get(standin.Dialect.ExpectedRunner); expected != "" && expected != runner.life || name == "" {
 		return wildAnswer{parts: []string{"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n"}}
 	}
 	drawn := runner.draw(20)
@@ -162,8 +162,8 @@
 	runner.names = append(runner.names, name)
 	runner.mutex.Unlock()
 	parts := []string{runner.plain(name)}
-	if strings.HasPrefix(query.URL.Path, "/talk/") {
-		after, _ := strconv.Atoi(query.Header.Get(standin.Dialect.LastEventID))
+	if strings.HasPrefix(request.URL.Path, "/talk/") {
+		after, _ := strconv.Atoi(request.Header.Get(standin.Dialect.LastEventID))
 		parts = append([]string{runner.head(name, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n")}, events(body, after)...)
 	}
 	return runner.spoil(drawn, parts, earlier, name)
