--- a/system/replica/host_disk.go
+++ b/system/replica/host_disk.go
@@ -34,7 +34,7 @@
 			if err == nil {
 				break
 			}
-			log.WithFields(log.Fields{"node": host.name, "error": err.Error()}).Error("Writing to the data folder failed; it is tried again")
+			log.WithFields(log.Fields{"node": host.name, "error": err.Error()}).Error("writing to the data folder failed; it is tried again")
 			select {
 			case <-time.After(diskRetryDelay):
 			case <-host.stopping:
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -19,7 +19,7 @@
 		snapshot := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Voters: voters}, Data: content}
 		stored := raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: snapshot}
 		if err := host.addGroup(groupID, stored); err != nil {
-			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("Bootstrapping a group failed")
+			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("bootstrapping a group failed")
 			return
 		}
 		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, wire.StoredWrite{HardState: stored.HardState, HasSnapshot: true, Snapshot: snapshot})...)
--- a/system/replica/host_snapshots.go
+++ b/system/replica/host_snapshots.go
@@ -61,8 +61,8 @@
 func (host *Host) logSnapshotRejection(groupID uint32, rejected *raft.SnapshotError) {
 	entry := log.WithFields(log.Fields{"node": host.name, "group": groupID, "reason": rejected.Reason.String(), "error": rejected.Error()})
 	if rejected.Reason == raft.SnapshotOutOfOrder || rejected.Reason == raft.SnapshotSuperseded {
-		entry.Info("A snapshot chunk was rejected")
+		entry.Info("a snapshot chunk was rejected")
 		return
 	}
-	entry.Error("A snapshot was rejected")
+	entry.Error("a snapshot was rejected")
 }
