--- a/system/delta/delta.go
+++ b/system/delta/delta.go
@@ -39,7 +39,7 @@
 // ErrMismatch is the error of a delta that is damaged or was made on another base.
 var ErrMismatch = errors.New("the delta does not fit its base")
 
-// Make gives the delta that turns base into next.
+// Make returns the delta that turns base into next.
 //
 //	encoded := delta.Make(base, next)
 func Make(base, next []byte) []byte {
@@ -132,7 +132,7 @@
 	return mixed * factor >> index.shift
 }
 
-// find gives the offset in the base of a block with the same content.
+// find returns the offset in the base of a block with the same content.
 func (index *blockIndex) find(block []byte) (int, bool) {
 	number := index.blockNumbers[index.hash(block)]
 	if number == 0 {
@@ -142,7 +142,7 @@
 	return offset, string(index.base[offset:offset+blockSize]) == string(block)
 }
 
-// commonPrefix gives the length of the longest common prefix.
+// commonPrefix returns the length of the longest common prefix.
 func commonPrefix(left, right []byte) int {
 	length := min(len(left), len(right))
 	for at := range length {
@@ -153,7 +153,7 @@
 	return length
 }
 
-// Apply gives the result of a delta on its base, or ErrMismatch. See the package comment for what
+// Apply returns the result of a delta on its base, or ErrMismatch. See the package comment for what
 // a result on another base is worth.
 //
 //	next, err := delta.Apply(base, encoded)
--- a/system/placement/placement.go
+++ b/system/placement/placement.go
@@ -18,7 +18,7 @@
 // a majority survives the loss of one.
 const DefaultReplicas = 3
 
-// ReplicasToSurvive gives how many replicas a group needs for a majority to survive that many
+// ReplicasToSurvive returns how many replicas a group needs for a majority to survive that many
 // simultaneous failures, disks included; at least DefaultReplicas.
 //
 //	replicas := placement.ReplicasToSurvive(2) // 5
@@ -46,7 +46,7 @@
 	return value ^ value>>33
 }
 
-// GroupOf gives the group, from 0, of a session or a quota by its name. The hash is
+// GroupOf returns the group, from 0, of a session or a quota by its name. The hash is
 // keyed "line", an earlier word for a session; the key must stay, or sessions change groups.
 //
 //	group := placement.GroupOf("team/c-1", 32)
@@ -72,7 +72,7 @@
 	return ranked
 }
 
-// ReplicasOf gives the names of a group's replicas, at most as many as there are candidates: the
+// ReplicasOf returns the names of a group's replicas, at most as many as there are candidates: the
 // best ranked, but from each domain only its second once every domain with a candidate left has
 // given one, and so on. So no domain has a majority where the candidates allow it.
 //
--- a/system/raft/election.go
+++ b/system/raft/election.go
@@ -2,6 +2,15 @@
 
 import "slices"
 
+const (
+	// suspectRankTicks is by how many ticks each voter waits longer than the one before it, in
+	// the order of the membership, when the leader is suspected.
+	suspectRankTicks = 3
+	// preVoteTimeoutDivisor says how much shorter than ElectionTicks the least time before
+	// another pre-vote is.
+	preVoteTimeoutDivisor = 7
+)
+
 // become changes the role, and starts a new election timeout. A leader that steps down
 // rejects the reads that it has not confirmed and discards its progress.
 func (core *Core) become(next role, leader string) {
@@ -45,7 +54,7 @@
 	}
 	core.become(roleFollower, "")
 	rank := max(0, slices.Index(Without(core.membership.Voters, name), core.settings.Name))
-	core.electionTimeout = min(core.electionTimeout, core.settings.HeartbeatTicks+1+3*rank)
+	core.electionTimeout = min(core.electionTimeout, core.settings.HeartbeatTicks+1+suspectRankTicks*rank)
 }
 
 // inLease reports whether this replica leads, or has heard a leader within the minimum
@@ -55,18 +64,18 @@
 	return core.role == roleLeader || (core.leader != "" && core.electionElapsed < core.settings.ElectionTicks)
 }
 
-// shortenElectionTimeout is for candidates. No leader is known that a new election could
-// disrupt.
+// shortenElectionTimeout draws the timeout of a candidate: half as long as a follower's, since no
+// leader is known that a new election could disrupt.
 func (core *Core) shortenElectionTimeout() {
 	half := max(core.settings.ElectionTicks/2, 1)
 	core.electionTimeout = half + core.random.IntN(half)
 }
 
-// shortenPreVoteTimeout is for pre-candidates and replicas that have just started. A pre-vote
-// disrupts nobody, as those that hear a leader reject it, so it is repeated sooner than an
-// election: a group that restarts waits for little more than its second replica.
+// shortenPreVoteTimeout draws the timeout of a pre-candidate, or of a replica that has just
+// started. A pre-vote disrupts nobody, as those that hear a leader reject it, so it is repeated
+// sooner than an election: a group that restarts waits for little more than its second replica.
 func (core *Core) shortenPreVoteTimeout() {
-	core.electionTimeout = max(core.settings.ElectionTicks/7, 1) + core.random.IntN(max(core.settings.ElectionTicks/2, 1))
+	core.electionTimeout = max(core.settings.ElectionTicks/preVoteTimeoutDivisor, 1) + core.random.IntN(max(core.settings.ElectionTicks/2, 1))
 }
 
 // startPreVote asks whether an election could be won, without entering a new term (thesis
--- a/system/replica/host_proposals.go
+++ b/system/replica/host_proposals.go
@@ -8,6 +8,10 @@
 	"yardrock.example/system/raft"
 )
 
+// notLeaderRetryDelay is when a client should ask again. It is a fraction of the default election
+// timeout, so that a new leader is found soon after its election.
+const notLeaderRetryDelay = 200 * time.Millisecond
+
 // proposal waits for the entry that the leader appended for a command.
 type proposal struct {
 	// term is that of the entry. If an entry of another term is applied at the index, the
@@ -91,5 +95,5 @@
 	if group != nil {
 		leader = group.core.Status().Leader
 	}
-	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica does not lead the group", Remedy: "ask its leader", Leader: leader, RetryAfter: 200 * time.Millisecond}
+	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica does not lead the group", Remedy: "ask its leader", Leader: leader, RetryAfter: notLeaderRetryDelay}
 }
--- a/system/replica/host_reads.go
+++ b/system/replica/host_reads.go
@@ -8,6 +8,10 @@
 	"yardrock.example/system/raft"
 )
 
+// noQuorumRetryDelay is when a client should ask again after a read that no quorum confirmed: about
+// an election timeout with the default settings, after which there may be another leader.
+const noQuorumRetryDelay = time.Second
+
 // Read waits until a linearizable read of a group may be served here: a quorum has confirmed
 // that this replica leads, and all that was committed before the call is applied (thesis
 // 6.4). The error is an [apierror.Error]: NotLeader, or NoQuorum if ctx ended first.
@@ -30,7 +34,7 @@
 	case err := <-result:
 		return err
 	case <-ctx.Done():
-		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "ask again", time.Second)
+		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "ask again", noQuorumRetryDelay)
 	case <-host.stopped:
 		return notLeader(nil)
 	}
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -127,5 +127,5 @@
 	if apierror.Is(cause, apierror.FormatTooNew) {
 		return cause
 	}
-	return apierror.New(apierror.Damaged, fmt.Sprintf("what is stored of group %d cannot be read: %v", groupID, cause), "empty the data folder so that the node joins as a new one and is healed from its peers")
+	return apierror.Wrap(cause, apierror.Damaged, fmt.Sprintf("what is stored of group %d cannot be read: %v", groupID, cause), "empty the data folder so that the node joins as a new one and is healed from its peers")
 }
