--- a/system/sessionlog/snapshot.go
+++ b/system/sessionlog/snapshot.go
@@ -78,6 +78,7 @@
 		message := fmt.Sprintf("the snapshot has format %d, and this program reads up to %d", snapshot.Version, SnapshotVersion)
 		return apierror.New(apierror.FormatTooNew, message, "run the newer version of the program")
 	}
+	snapshot.Turns = newestTurnRecords(snapshot.Turns)
 	view := &View{clock: snapshot.Clock}
 	view.restoreSessions(snapshot)
 	view.restoreQuotaUsages(snapshot)
@@ -135,6 +136,27 @@
 	return records
 }
 
+// newestTurnRecords returns the records without those that a later one of the same session and
+// name supersedes. Earlier versions wrote such records when a session had adopted a turn that
+// it knew as incomplete; only the last comes after the record that it follows.
+func newestTurnRecords(records []TurnRecord) []TurnRecord {
+	type key struct{ session, name string }
+	last := make(map[key]int, len(records))
+	for position, record := range records {
+		last[key{record.Session, record.Name}] = position
+	}
+	if len(last) == len(records) {
+		return records
+	}
+	newest := make([]TurnRecord, 0, len(last))
+	for position, record := range records {
+		if last[key{record.Session, record.Name}] == position {
+			newest = append(newest, record)
+		}
+	}
+	return newest
+}
+
 // indexTurnRecords builds the index of turns. Each record must come after the one that it
 // follows.
 func indexTurnRecords(records []TurnRecord) *immutable.Map[string, []*Turn] {
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -183,10 +183,16 @@
 func (view *View) adoptTurns(session *Session, command *Command) *Turn {
 	var last *Turn
 	for _, adopted := range command.Adopted {
-		if existing, found := view.Turn(command.Session, adopted.Name); found && existing.Complete() {
+		existing, found := view.Turn(command.Session, adopted.Name)
+		if found && existing.Complete() {
 			last = existing
 			continue
 		}
+		if found {
+			// The adopted turn takes its place. In a snapshot its record must come after the
+			// one that it follows, so the name moves to the end.
+			session.Turns = withoutName(session.Turns, adopted.Name)
+		}
 		turn := &Turn{Name: adopted.Name, Session: command.Session, Follows: last, Outcome: OutcomeComplete}
 		event := Event{
 			At: view.clock, Kind: TurnAdopted, Turn: session.Head + 1, Name: adopted.Name,
@@ -258,6 +264,11 @@
 	return Outcome{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
 }
 
+// withoutName returns a copy of a list of names without one of them.
+func withoutName(names []string, name string) []string {
+	return slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
+}
+
 // indexTurn puts a turn into the index, in place of the one that its session had under its
 // name.
 func (view *View) indexTurn(turn *Turn) {
--- a/system/sessionlog/turns_test.go
+++ b/system/sessionlog/turns_test.go
@@ -138,6 +138,54 @@
 	}
 }
 
+// restoredCopy returns a state machine with the content of another one's snapshot.
+func restoredCopy(t *testing.T, snapshot Snapshot) *StateMachine {
+	t.Helper()
+	copied := NewStateMachine()
+	if err := copied.Restore(snapshot); err != nil {
+		t.Fatal(err)
+	}
+	return copied
+}
+
+// TestAdoptedTurnReplacesAnIncompleteOneInSnapshotsToo has a session adopt a turn that it knows
+// as cut, after the turn that it follows. A restored replica must have the same history, also
+// from a snapshot of an earlier version, which has a record of the turn in both places.
+func TestAdoptedTurnReplacesAnIncompleteOneInSnapshotsToo(t *testing.T) {
+	machine := NewStateMachine()
+	adopted := []AdoptedTurn{{Name: "x", Data: []byte("in x\nout x\n")}, {Name: "y", Data: []byte("in y\nout y\n")}, {Name: "z", Data: []byte("in z\nout z\n")}}
+	for position, command := range []Command{
+		beginCommand("y", ""),
+		endCommand("y", OutcomeCut, 0),
+		with(beginCommand("one", "z"), func(command *Command) { command.Adopted = adopted }),
+	} {
+		if got := machine.Apply(&command); got.Status != Done {
+			t.Fatalf("step %d: %+v", position, got)
+		}
+	}
+	want := "in x\nout x\nin y\nout y\nin z\nout z\nin one\n"
+	if got := historyOf(machine.View(), "program/a", "one"); got != want {
+		t.Fatalf("the turn goes on from %q, want %q", got, want)
+	}
+	snapshot := machine.View().Snapshot()
+	earlier := snapshot
+	for _, record := range snapshot.Turns {
+		if record.Name == "y" {
+			earlier.Turns = append([]TurnRecord{record}, snapshot.Turns...)
+		}
+	}
+	for version, copied := range map[string]*StateMachine{"this": restoredCopy(t, snapshot), "an earlier": restoredCopy(t, earlier)} {
+		for _, name := range []string{"one", "y"} {
+			if got, want := historyOf(copied.View(), "program/a", name), historyOf(machine.View(), "program/a", name); got != want {
+				t.Errorf("restored from a snapshot of %s version, %s goes on from %q, want %q", version, name, got, want)
+			}
+		}
+		if restored := copied.View().Snapshot(); !reflect.DeepEqual(restored, snapshot) {
+			t.Errorf("restored from a snapshot of %s version: got %+v, want %+v", version, restored, snapshot)
+		}
+	}
+}
+
 func TestProgramSessionIsRetainedFromTheEndOfItsLastTurn(t *testing.T) {
 	machine := NewStateMachine()
 	at := func(now time.Duration, command Command) Outcome {
