--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -74,6 +74,10 @@
 	affinityEpoch uint64
 }
 
+// randomStream is the second half of the random generator's seed; the golden ratio as a
+// fraction of 2^64, as good as any other constant.
+const randomStream = 0x9e3779b97f4a7c15
+
 // New returns a balancer for a front in a domain. The seed should differ between
 // fronts. now must be monotonic; nil stands for time.Now.
 //
@@ -84,7 +88,7 @@
 	}
 	balancer := &Balancer{
 		domain: domain, now: now, started: now(), seed: seed,
-		random:  rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		random:  rand.New(rand.NewPCG(seed, randomStream)),
 		runners: map[string]*runnerState{}, services: map[string]*serviceStats{},
 		roundRobin: map[string]roundrobin.Credits{}, domains: map[string]feed.Domain{},
 	}
--- a/system/balancer/fixtures_test.go
+++ b/system/balancer/fixtures_test.go
@@ -80,10 +80,10 @@
 }
 
 // mustAcquireAt acquires a lease on a certain runner by excluding all others.
-func mustAcquireAt(t *testing.T, balancer *Balancer, request Request, life string) *Lease {
+func mustAcquireAt(t *testing.T, balancer *Balancer, request Request, incarnation string) *Lease {
 	t.Helper()
 	for _, one := range balancer.Status().Runners {
-		if one.Runner.Life != life {
+		if one.Runner.Life != incarnation {
 			request.Excluded = append(request.Excluded, one.Runner.Life)
 		}
 	}
--- a/system/balancer/health_checks.go
+++ b/system/balancer/health_checks.go
@@ -55,7 +55,7 @@
 }
 
 // recordMisdirection removes a runner whose address belongs to another one. Without a
-// life it cannot be distinguished from its successor and is only ejected.
+// incarnation it cannot be distinguished from its successor and is only ejected.
 func (lease *Lease) recordMisdirection(now time.Duration) {
 	if lease.Runner.Life == "" {
 		lease.state.health.recordLoss(lease.acquiredAt, now)
--- a/system/balancer/model_simulation_test.go
+++ b/system/balancer/model_simulation_test.go
@@ -197,11 +197,11 @@
 }
 
 // countTurn counts a turn and its tokens.
-func (sim *modelSimulation) countTurn(parts []PromptPart, life string, fresh int) {
-	result, runner := sim.result, sim.runners[life]
+func (sim *modelSimulation) countTurn(parts []PromptPart, incarnation string, fresh int) {
+	result, runner := sim.result, sim.runners[incarnation]
 	result.turns++
-	result.perRunner[life]++
-	result.arrivals[life] = append(result.arrivals[life], sim.clock())
+	result.perRunner[incarnation]++
+	result.arrivals[incarnation] = append(result.arrivals[incarnation], sim.clock())
 	if runner.slowdown > 1 {
 		result.slowTurns++
 	}
--- a/system/balancer/outlier_ejection.go
+++ b/system/balancer/outlier_ejection.go
@@ -28,6 +28,11 @@
 	firstLossEjectionTime = 250 * time.Millisecond
 	baseLossEjectionTime  = time.Second
 	maxLossEjectionTime   = 8 * time.Second
+	// maxLossDoublings keeps the doubling within a time.Duration; the limit is reached before.
+	maxLossDoublings = 4
+	// recoveredFailures is how many weighted failures at most still count once a runner has
+	// recovered.
+	recoveredFailures = 0.5
 	// fullBackoff is for how long a runner that rejected a request counts as full.
 	fullBackoff = 150 * time.Millisecond
 	// recoveryProbes is how many requests, sent one at a time, must succeed before a runner
@@ -102,7 +107,7 @@
 	if state.probesNeeded > 0 && now >= state.ejectedUntil {
 		state.probesNeeded--
 		if state.probesNeeded == 0 {
-			state.ejectionTime, state.failures = 0, math.Min(state.failures, 0.5)
+			state.ejectionTime, state.failures = 0, math.Min(state.failures, recoveredFailures)
 		}
 	}
 }
@@ -132,7 +137,7 @@
 	}
 	ejection := firstLossEjectionTime
 	if state.consecutiveLosses > 0 || state.failures > ejectionFailureRatio*(state.completions+1) {
-		ejection = min(maxLossEjectionTime, baseLossEjectionTime<<min(state.consecutiveLosses, 4))
+		ejection = min(maxLossEjectionTime, baseLossEjectionTime<<min(state.consecutiveLosses, maxLossDoublings))
 	}
 	state.consecutiveLosses++
 	state.lastLoss = now
--- a/system/balancer/outlier_ejection_test.go
+++ b/system/balancer/outlier_ejection_test.go
@@ -36,8 +36,8 @@
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			balancer, clock, request := newPlainBalancer(6, 1)
-			for _, life := range []string{"plain-1", "plain-2", "plain-3"} {
-				lease := mustAcquireAt(t, balancer, request, life)
+			for _, incarnation := range []string{"plain-1", "plain-2", "plain-3"} {
+				lease := mustAcquireAt(t, balancer, request, incarnation)
 				clock.advance(20 * time.Millisecond)
 				lease.Release(Answered, nil)
 			}
--- a/system/balancer/prefix_affinity_test.go
+++ b/system/balancer/prefix_affinity_test.go
@@ -42,17 +42,17 @@
 	agreed, near := 0, 0
 	for program := range 100 {
 		request := Request{Route: &route, Program: fmt.Sprint(program), PromptParts: []PromptPart{{"prefix", 2560}, {fmt.Sprint("p", program), 900}}}
-		lives := map[string]bool{}
+		incarnations := map[string]bool{}
 		for seed := range uint64(4) {
 			balancer := New("east", seed, newFakeClock().now)
 			balancer.Update(state)
 			lease := mustAcquire(t, balancer, request)
-			lives[lease.Runner.Life] = true
+			incarnations[lease.Runner.Life] = true
 			if lease.Runner.Domain == "east" {
 				near++
 			}
 		}
-		if len(lives) == 1 {
+		if len(incarnations) == 1 {
 			agreed++
 		}
 	}
--- a/system/balancer/rendezvous_hashing.go
+++ b/system/balancer/rendezvous_hashing.go
@@ -33,12 +33,18 @@
 	return best
 }
 
+// The parameters of the 64-bit FNV-1a hash.
+const (
+	fnvOffsetBasis = 14695981039346656037
+	fnvPrime       = 1099511628211
+)
+
 // hashOf returns the FNV-1a hash of a text with its bits mixed. It is the same in every
 // process, unlike that of hash/maphash.
 func hashOf(text string) uint64 {
-	hash := uint64(14695981039346656037)
+	hash := uint64(fnvOffsetBasis)
 	for index := range len(text) {
-		hash = (hash ^ uint64(text[index])) * 1099511628211
+		hash = (hash ^ uint64(text[index])) * fnvPrime
 	}
 	return mixBits(hash)
 }
--- a/system/balancer/runner_list_age.go
+++ b/system/balancer/runner_list_age.go
@@ -19,7 +19,7 @@
 // SetListReadTime sets a function that returns when the runner list in the newest view
 // was read; zero: not yet. Without it the list counts as always current.
 //
-//	runners.SetListReadTime(feedClient.RunnersReadAt)
+//	runners.SetListReadTime(feedClient.RunnerListReadAt)
 func (balancer *Balancer) SetListReadTime(read func() time.Time) {
 	balancer.mutex.Lock()
 	defer balancer.mutex.Unlock()
--- a/system/balancer/selection_test.go
+++ b/system/balancer/selection_test.go
@@ -18,9 +18,9 @@
 	for range 15 {
 		counts[mustAcquire(t, balancer, Request{Route: &route}).Runner.Life]++
 	}
-	for life, count := range counts {
+	for incarnation, count := range counts {
 		if count < 4 || count > 6 {
-			t.Fatalf("%s has %d of 15", life, count)
+			t.Fatalf("%s has %d of 15", incarnation, count)
 		}
 	}
 }
--- a/system/balancer/slow_start_test.go
+++ b/system/balancer/slow_start_test.go
@@ -148,7 +148,7 @@
 		{"nothing", func(*State) {}, func(*State) {}, false},
 		{"the list says so", func(*State) {}, func(state *State) { state.View.Runners[0].WarmUpLeft = time.Second }, true},
 		{"its state says so", func(*State) {}, func(state *State) { state.View.Runners[0].State = feed.StateWarmingUp }, true},
-		{"it has a new life", func(*State) {}, func(state *State) { state.View.Runners[0].Life = "new" }, true},
+		{"it has a new incarnation", func(*State) {}, func(state *State) { state.View.Runners[0].Life = "new" }, true},
 		{"its domain was restored", func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
 		}, func(state *State) {
--- a/system/balancer/status.go
+++ b/system/balancer/status.go
@@ -10,7 +10,7 @@
 // Status is a snapshot of a balancer for operators and tests.
 type Status struct {
 	Queued  int            // requests that wait for a runner
-	Runners []RunnerStatus // usable runners, by life
+	Runners []RunnerStatus // usable runners, by incarnation
 }
 
 // RunnerStatus is the state of one usable runner as this front sees it.
--- a/system/balancer/topology.go
+++ b/system/balancer/topology.go
@@ -66,7 +66,7 @@
 	prefillTokens  rateCounter // uncached prompt tokens
 }
 
-// runnerState is what this front knows of one life of a runner, that is of one process
+// runnerState is what this front knows of one incarnation of a runner, that is of one process
 // at one address. It outlives the topology.
 type runnerState struct {
 	hash             uint64        // of runnerKey, the same at every front
@@ -176,8 +176,8 @@
 		known.slowStart.share = balancer.fronts.shareOf(known.hash, rate, balancer.seed, now)
 		balancer.runners[key] = known
 	}
-	// A runner is new if its life is, unless this front itself is new to the service.
-	// Without a life, one that was missing from the previous list may have restarted.
+	// A runner is new if its incarnation is, unless this front itself is new to the service.
+	// Without an incarnation, one that was missing from the previous list may have restarted.
 	fresh := !found && pool.stats.hadRunners || found && runner.Life == "" && known.lastListed != balancer.fronts.lastUpdate
 	known.slowStart.observe(runner, pool.service, fresh, restored, now)
 	known.slowStart.share.set(balancer.fronts.current.shareOf(known.hash, rate, balancer.seed), now)
@@ -239,7 +239,7 @@
 	return max(minConnections, int(sharedConnectionFraction*float64(service.MaxConnections)/float64(frontCount)))
 }
 
-// runnerKey identifies one life of a runner, or its address if no life is known.
+// runnerKey identifies one incarnation of a runner, or its address if no incarnation is known.
 func runnerKey(runner feed.Runner) string {
 	if runner.Life != "" {
 		return runner.Life
--- a/system/balancer/types.go
+++ b/system/balancer/types.go
@@ -39,7 +39,7 @@
 	// FinishBy is when the whole program should be finished; zero: not known. It orders
 	// waiting requests of the same urgency; without it Deadline does.
 	FinishBy time.Time
-	// Excluded lists lives or addresses of runners that must not be chosen, such as those
+	// Excluded lists incarnations or addresses of runners that must not be chosen, such as those
 	// of earlier attempts.
 	Excluded []string
 }
--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -98,7 +98,9 @@
 	attempt.lease.Release(outcome, attempt.response.Load)
 }
 
-// outcomeOf says what a failed attempt shows of its runner, for the balancer.
+// outcomeOf says what a failed attempt shows of its runner, for the balancer. The order
+// matters: a connection that could not be opened is both Lost and NeverSent, but speaks
+// against the runner; one that broke off speaks against it even if ctx has ended since.
 func outcomeOf(ctx context.Context, failure *apierror.Error) balancer.Outcome {
 	switch {
 	case failure.Misdirected:
--- a/system/runnerpool/event_stream.go
+++ b/system/runnerpool/event_stream.go
@@ -73,11 +73,6 @@
 	}
 }
 
-// Buffered reports whether Next would return an event without reading.
-//
-//	for more := true; more; more = events.Buffered() { ... }
-func (events *EventReader) Buffered() bool { return events.findEnd() > 0 }
-
 // fill reads once from the source. It starts a new buffer rather than move bytes that
 // events refer to.
 func (events *EventReader) fill() {
--- a/system/runnerpool/event_stream_test.go
+++ b/system/runnerpool/event_stream_test.go
@@ -130,18 +130,6 @@
 	}
 }
 
-func TestBufferedReportsCompleteEvents(t *testing.T) {
-	events := NewEventReader(&pieces{left: [][]byte{[]byte("data: a\n\ndata: b\n\ndata: c\n")}, err: io.EOF})
-	if events.Buffered() {
-		t.Error("buffered before anything was read")
-	}
-	for _, want := range []bool{true, false} {
-		if _, err := events.Next(); err != nil || events.Buffered() != want {
-			t.Errorf("buffered is not %v, %v", want, err)
-		}
-	}
-}
-
 func TestEventsAreNotOverwritten(t *testing.T) {
 	text := strings.Builder{}
 	for number := range 2000 {
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -54,13 +54,13 @@
 	sweepScheduled bool
 }
 
-// runnerConnections are the connections to one life of a runner at an address. Pool.mutex
+// runnerConnections are the connections to one incarnation of a runner at an address. Pool.mutex
 // guards all but idleTimeout.
 type runnerConnections struct {
-	life     string                  // empty: not known yet
-	idle     []*persistentConnection // the one used last comes last
-	total    int                     // idle, in use and being dialled
-	maxTotal int
+	incarnation string                  // empty: not known yet
+	idle        []*persistentConnection // the one used last comes last
+	total       int                     // idle, in use and being dialled
+	maxTotal    int
 	// idleTimeout, a time.Duration, is how long a connection is kept idle if its responses
 	// do not say so.
 	idleTimeout atomic.Int64
@@ -115,7 +115,7 @@
 }
 
 // Retain closes the idle connections to all runners but these, and those in use when
-// their responses are closed. A life that is empty on either side matches any.
+// their responses are closed. An incarnation that is empty on either side matches any.
 //
 //	pool.Retain(view.Runners)
 func (pool *Pool) Retain(runners []feed.Runner) {
@@ -123,7 +123,7 @@
 	retained := make(map[string]bool, len(pool.runners))
 	for index := range runners {
 		runner := pool.runners[runners[index].Address]
-		if runner != nil && sameLife(runner.life, runners[index].Life) {
+		if runner != nil && sameIncarnation(runner.incarnation, runners[index].Life) {
 			retained[runners[index].Address] = true
 		}
 	}
@@ -137,8 +137,8 @@
 	closeAll(removed)
 }
 
-// sameLife reports whether two lives are the same, as far as both are known.
-func sameLife(left, right string) bool { return left == "" || right == "" || left == right }
+// sameIncarnation reports whether two incarnations are the same, as far as both are known.
+func sameIncarnation(left, right string) bool { return left == "" || right == "" || left == right }
 
 // removeRunner removes a runner and appends its idle connections to those that the
 // caller must close after unlocking. The caller holds the mutex.
@@ -160,21 +160,21 @@
 	}
 }
 
-// runnerFor returns the connections to a life of a runner. If another life had the
+// runnerFor returns the connections to an incarnation of a runner. If another incarnation had the
 // address, that one is removed. The caller holds the mutex.
-func (pool *Pool) runnerFor(address, life string, removed []*persistentConnection) (*runnerConnections, []*persistentConnection) {
+func (pool *Pool) runnerFor(address, incarnation string, removed []*persistentConnection) (*runnerConnections, []*persistentConnection) {
 	runner := pool.runners[address]
-	if runner != nil && !sameLife(runner.life, life) {
+	if runner != nil && !sameIncarnation(runner.incarnation, incarnation) {
 		removed = pool.removeRunner(address, removed)
 		runner = nil
 	}
 	if runner == nil {
-		runner = &runnerConnections{life: life}
+		runner = &runnerConnections{incarnation: incarnation}
 		runner.idleTimeout.Store(int64(defaultIdleTimeout))
 		pool.runners[address] = runner
 	}
-	if runner.life == "" {
-		runner.life = life
+	if runner.incarnation == "" {
+		runner.incarnation = incarnation
 	}
 	return runner, removed
 }
--- a/system/runnerpool/pool_test.go
+++ b/system/runnerpool/pool_test.go
@@ -159,34 +159,34 @@
 	})
 }
 
-func TestRetainClosesConnectionsToOtherLives(t *testing.T) {
-	life := func(name string) func(*Request) { return func(request *Request) { request.Runner.Life = name } }
+func TestRetainClosesConnectionsToOtherIncarnations(t *testing.T) {
+	incarnation := func(name string) func(*Request) { return func(request *Request) { request.Runner.Life = name } }
 	for name, test := range map[string]struct {
 		first  string
 		retain func(pool *Pool)
 		second string
 		dials  int
 	}{
-		"same life":          {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
-		"same life, unnamed": {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080"}}) }, "a", 1},
-		"life becomes known": {"", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
-		"two lives, one is ours": {"a", func(pool *Pool) {
+		"same incarnation":          {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
+		"same incarnation, unnamed": {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080"}}) }, "a", 1},
+		"incarnation becomes known": {"", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
+		"two incarnations, one is ours": {"a", func(pool *Pool) {
 			pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}, {Address: "10.0.0.9:8080", Life: "b"}})
 		}, "a", 1},
-		"other life":              {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "b"}}) }, "b", 2},
-		"not listed any more":     {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Life: "a"}}) }, "a", 2},
-		"other life, no Retain":   {"a", func(*Pool) {}, "b", 2},
-		"life not known any more": {"a", func(*Pool) {}, "", 1},
-		"none listed, then again": {"a", func(pool *Pool) { pool.Retain(nil) }, "a", 2},
+		"other incarnation":              {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "b"}}) }, "b", 2},
+		"not listed any more":            {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Life: "a"}}) }, "a", 2},
+		"other incarnation, no Retain":   {"a", func(*Pool) {}, "b", 2},
+		"incarnation not known any more": {"a", func(*Pool) {}, "", 1},
+		"none listed, then again":        {"a", func(pool *Pool) { pool.Retain(nil) }, "a", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				runner := newScriptedRunner(repeat(ok("fine"), 9))
 				pool := New(runner, testHeaders)
 				defer pool.Close()
-				mustSend(t, pool, "q1", life(test.first))
+				mustSend(t, pool, "q1", incarnation(test.first))
 				test.retain(pool)
-				mustSend(t, pool, "q2", life(test.second))
+				mustSend(t, pool, "q2", incarnation(test.second))
 				synctest.Wait()
 				if runner.dials != test.dials || runner.made[0].closed() != (test.dials == 2) {
 					t.Errorf("%d dials", runner.dials)
@@ -199,13 +199,13 @@
 	}
 }
 
-func TestLifeBecomesKnownAndChanges(t *testing.T) {
+func TestIncarnationBecomesKnownAndChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runner := newScriptedRunner(repeat(ok("fine"), 9))
 		pool := New(runner, testHeaders)
 		defer pool.Close()
-		for number, life := range []string{"", "a", "", "b"} {
-			mustSend(t, pool, fmt.Sprint("q", number), func(request *Request) { request.Runner.Life = life })
+		for number, incarnation := range []string{"", "a", "", "b"} {
+			mustSend(t, pool, fmt.Sprint("q", number), func(request *Request) { request.Runner.Life = incarnation })
 		}
 		if got := runner.got(); got[2].connection != 0 || got[3].connection != 1 {
 			t.Errorf("connections %d and %d", got[2].connection, got[3].connection)
--- a/system/runnerpool/request_head_test.go
+++ b/system/runnerpool/request_head_test.go
@@ -101,7 +101,7 @@
 		"name with a line end":        func(request *Request) { request.ID = "q\r\n" },
 		"urgency with a line end":     func(request *Request) { request.Urgency = "1\n" },
 		"resume with a line end":      func(request *Request) { request.LastEventID = "1\r" },
-		"life with a line end":        func(request *Request) { request.Runner.Life = "1\r" },
+		"incarnation with a line end": func(request *Request) { request.Runner.Life = "1\r" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/system/runnerpool/types.go
+++ b/system/runnerpool/types.go
@@ -13,12 +13,12 @@
 type HeaderNames struct {
 	RequestID      string // in requests and echoed in responses: identifies the request
 	NotRun         string // in rejections: the request did not run and never will
-	ExpectedRunner string // in requests: life of the runner that they are meant for; another answers 421
+	ExpectedRunner string // in requests: incarnation of the runner that they are meant for; another answers 421
 	Timeout        string // in requests: milliseconds until the caller gives up
 	Load           string // in responses: running,waiting,slots
 	Urgency        string // in requests: 0 to 9, 0 is the most urgent
 	LastEventID    string // in requests: ID of the last event that the caller has
-	RunnerID       string // in health responses: life of the runner
+	RunnerID       string // in health responses: incarnation of the runner
 	WarmUpLeft     string // in health responses: milliseconds for which the runner still warms up
 }
 
