--- a/system/config/config.go
+++ b/system/config/config.go
@@ -62,9 +62,15 @@
 	SlowStart Duration `json:"ramp"`
 }
 
+// What a WorkKind serves.
+const (
+	ServesTurn  = "turn"  // turns of conversations
+	ServesPlain = "plain" // single requests to a runner
+)
+
 // WorkKind is a kind of work that callers may ask for by name.
 type WorkKind struct {
-	// Serves is "turn" for turns of conversations, "plain" for single requests to a runner.
+	// Serves is ServesTurn or ServesPlain.
 	Serves string `json:"serves"`
 	// Table names the weights by which the work is spread over groups.
 	Table string `json:"table"`
--- a/system/forwarding/relay.go
+++ b/system/forwarding/relay.go
@@ -158,6 +158,7 @@
 	resumed := exchange.stream.lastEventID != ""
 	for isFirst := true; ; isFirst = false {
 		event, err := events.Next()
+		// Only a complete response ends so: no other error of runnerpool is, or wraps, io.EOF.
 		if errors.Is(err, io.EOF) {
 			return balancer.Answered, forwarder.commitCompleteTurn(ctx, exchange)
 		}
--- a/system/front/filters.go
+++ b/system/front/filters.go
@@ -64,7 +64,7 @@
 
 // servesTurns rejects kinds of work that are no turns.
 func servesTurns(_ context.Context, _ *Node, request *request) (any, error) {
-	if request.workKind.Serves != "turn" {
+	if request.workKind.Serves != config.ServesTurn {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is no turn of a conversation", "send it as a lookup, a request or a tool call")
 	}
 	return nil, nil
@@ -72,7 +72,7 @@
 
 // servesPlain rejects kinds of work that are turns.
 func servesPlain(_ context.Context, _ *Node, request *request) (any, error) {
-	if request.workKind.Serves != "plain" {
+	if request.workKind.Serves != config.ServesPlain {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is a turn of a conversation", "start or follow a conversation with it")
 	}
 	return nil, nil
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -45,6 +45,21 @@
 	"yardrock.example/system/taskgroup"
 )
 
+const (
+	// commitTimeout bounds a command or read at the stores.
+	commitTimeout = 6 * time.Second
+	// settleTimeout is how long an end of work or a settlement is tried in the background.
+	settleTimeout = 30 * time.Second
+	// backgroundRetryInterval is the pause between two such attempts.
+	backgroundRetryInterval = 300 * time.Millisecond
+	// deadlineMargin is how much longer than its runner's timeout a run may stay open
+	// before any front may close it.
+	deadlineMargin = 5 * time.Second
+	// minBodyLimit is the least size limit of a body of the work API, in bytes, so that a
+	// front without a configuration yet still reads a request and can say why it is rejected.
+	minBodyLimit = 1024
+)
+
 // Settings configure a front node.
 type Settings struct {
 	// Address is where other nodes call this one.
@@ -86,9 +101,12 @@
 	frontNames atomic.Pointer[[]string]
 
 	// context ends with Close; background tasks and work under way run under it.
-	context    context.Context
-	stop       context.CancelFunc
+	context context.Context
+	stop    context.CancelFunc
+	// background are the tasks that Drain waits for: work under way, commits, and notes to
+	// other fronts. watching is watchPeers alone, which ends only with the context.
 	background taskgroup.Group
+	watching   taskgroup.Group
 }
 
 // Start starts a front node; Close ends it. An error is of the kind BadSettings.
@@ -104,11 +122,11 @@
 	member := feed.Member{Name: node.name, Role: feed.RoleFront, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
 	node.feedClient = feedclient.Start(node.caller, member, settings.Seeds, nil, node.applyView)
 	node.balancer.SetListReadTime(node.feedClient.RunnerListReadAt)
-	go node.watchPeers()
+	node.watching.Go(node.watchPeers)
 	node.linkServer = link.Serve(linkListener, node.handleCall)
 	if publicListener != nil {
 		node.publicServer = httpapi.Serve(publicListener, node.handler(), func() int64 {
-			return max(node.active.Load().config.Limits.BodyBytes, 1024)
+			return max(node.active.Load().config.Limits.BodyBytes, minBodyLimit)
 		})
 	}
 	log.WithFields(log.Fields{"node": node.name, "address": settings.Address, "public": settings.PublicAddress}).Info("front started")
@@ -195,12 +213,14 @@
 	}
 }
 
-// Close stops the node at once. Work under way is cancelled.
+// Close stops the node at once, cancels work under way and waits for its goroutines. What
+// the others use is closed after them: connections to other nodes come last.
 //
 //	node.Close()
 func (node *Node) Close() {
 	node.draining.Store(true)
 	node.stop()
+	node.watching.Close()
 	if node.publicServer != nil {
 		node.publicServer.Close()
 	}
@@ -211,15 +231,3 @@
 	node.background.Close()
 	node.caller.Close()
 }
-
-const (
-	// commitTimeout bounds a command or read at the stores.
-	commitTimeout = 6 * time.Second
-	// settleTimeout is how long an end of work or a settlement is tried in the background.
-	settleTimeout = 30 * time.Second
-	// backgroundRetryInterval is the pause between two such attempts.
-	backgroundRetryInterval = 300 * time.Millisecond
-	// deadlineMargin is how much longer than its runner's timeout a run may stay open
-	// before any front may close it.
-	deadlineMargin = 5 * time.Second
-)
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -51,8 +51,8 @@
 }
 
 // watchPeers notes since when this front is listed, tells new fronts which runners seem to
-// have just started, and updates the balancer when the set of fronts changes. It runs in a
-// goroutine of its own until the node's context ends.
+// have just started, and updates the balancer when the set of fronts changes. It runs in
+// Node.watching until the node's context ends.
 func (node *Node) watchPeers() {
 	ticker := time.NewTicker(peerPollInterval)
 	defer ticker.Stop()
--- a/system/front/runner_slot.go
+++ b/system/front/runner_slot.go
@@ -94,7 +94,9 @@
 	}
 }
 
-// outcomeOf says what the result of a dispatch shows of the runner, for the scheduler.
+// outcomeOf says what the result of a dispatch shows of the runner, for the scheduler. The
+// order matters: nothing is learnt while this node is being closed, and a connection that
+// could not be opened is both Lost and NeverSent, but speaks against the runner.
 func (node *Node) outcomeOf(err error) scheduler.Outcome {
 	if err == nil || errors.Is(err, errTurnLimit) {
 		return scheduler.Answered
--- a/system/front/session_reading.go
+++ b/system/front/session_reading.go
@@ -67,7 +67,7 @@
 	if apierror.Is(err, apierror.NotFound) {
 		request.history = conversation.Fold(nil)
 		if request.follows > 0 {
-			return nil, apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
+			return nil, request.unknownConversationError()
 		}
 		return nil, nil
 	}
@@ -88,10 +88,15 @@
 	return &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: failure.Remedy, RetryAfter: max(failure.RetryAfter, time.Second), Cause: err}
 }
 
+// unknownConversationError is for a conversation that no session records, or no longer.
+func (request *request) unknownConversationError() error {
+	return apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
+}
+
 // requireSession rejects a session that does not exist; readSession has read its program.
 func requireSession(_ context.Context, _ *Node, request *request) (any, error) {
 	if !request.sessionExists {
-		return nil, apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
+		return nil, request.unknownConversationError()
 	}
 	return nil, nil
 }
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -21,6 +21,14 @@
 // errTurnLimit ends the stream of a runner whose answer is longer than was reserved.
 var errTurnLimit = errors.New("the answer reached its reservation")
 
+// The reasons that are recorded with the end of a turn that is not complete. Callers read
+// them in the session, so that they never change.
+const (
+	reasonTurnLimit         = "turn_limit"         // the answer reached its reservation
+	reasonRunnerUnreachable = "runner_unreachable" // no runner got the turn
+	reasonRunnerFailure     = "runner_mishap"      // the runner failed, or broke off
+)
+
 // turnExecution is one turn that this front streams from a runner into a session. Its own
 // goroutine (execute) owns it; dispatch runs in a second one and hands the pieces over.
 type turnExecution struct {
@@ -32,7 +40,7 @@
 	// closes the channel.
 	pieces          chan string
 	nextProducerSeq uint64 // of the next append
-	parts           uint64 // pieces taken for a commit so far
+	parts           uint64 // pieces taken for a commit so far; the number of the last one
 	// timeToFirstPiece is 0 until the first piece comes; only dispatch uses it.
 	timeToFirstPiece time.Duration
 }
@@ -200,15 +208,15 @@
 	case dispatchErr == nil:
 		return sessionlog.OutcomeComplete, ""
 	case errors.Is(dispatchErr, errTurnLimit):
-		return sessionlog.OutcomeCut, "turn_limit"
+		return sessionlog.OutcomeCut, reasonTurnLimit
 	case execution.parts == 0 && (apierror.Of(dispatchErr).NeverSent || apierror.Is(dispatchErr, apierror.NotRun)):
-		return sessionlog.OutcomeNotRun, "runner_unreachable"
+		return sessionlog.OutcomeNotRun, reasonRunnerUnreachable
 	}
 	request := execution.request
 	log.WithFields(log.Fields{
 		"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Address, "error": dispatchErr.Error(),
 	}).Warn("turn cut off by its runner")
-	return sessionlog.OutcomeCut, "runner_mishap"
+	return sessionlog.OutcomeCut, reasonRunnerFailure
 }
 
 // cutInBackground closes the turn as cut after its pieces could not be committed. Until
--- a/system/front/word_quota.go
+++ b/system/front/word_quota.go
@@ -12,7 +12,8 @@
 
 const (
 	// reservationDispatchWindow is how long after the reservation the work may be sent to a
-	// runner. After that time, the runner's timeout and both margins the stores settle it.
+	// runner. After that time, the runner's timeout, deadlineMargin and reservationMargin the
+	// stores settle it.
 	reservationDispatchWindow = 15 * time.Second
 	reservationMargin         = 15 * time.Second
 )
--- a/system/storeclient/client.go
+++ b/system/storeclient/client.go
@@ -143,6 +143,8 @@
 func (client *Client) ReadAll(ctx context.Context, name string) ([]sessionlog.Event, *wire.ReadReply, error) {
 	events := []sessionlog.Event{}
 	for {
+		// The seqs of a session count from 1 without gaps, so the number of events read is the
+		// seq of the last one.
 		reply, err := client.Read(ctx, wire.ReadQuery{Session: name, After: uint64(len(events)), Limit: MaxEventsPerPage})
 		if err != nil {
 			return nil, nil, err
--- a/system/storeclient/leader_search.go
+++ b/system/storeclient/leader_search.go
@@ -64,6 +64,8 @@
 func (client *Client) call(ctx context.Context, name string, timeout time.Duration, newQuery func(group uint32) *wire.Query) (reply *wire.Reply, arrived bool, err error) {
 	ctx, cancel := context.WithCancel(ctx) // ends the calls in flight when another one has answered
 	defer cancel()
+	// A read that waits for new events is silent for that long without a fault, which is the
+	// part of timeout beyond callTimeout: only after it are the others called as well.
 	search := &leaderSearch{
 		client: client, name: name, timeout: timeout, newQuery: newQuery, results: make(chan callResult, maxInFlight), inFlight: map[string]bool{},
 		timer: time.NewTimer(timeout - callTimeout + hedgeDelay), backoff: initialBackoff,
@@ -83,6 +85,7 @@
 				return result.reply, true, err
 			}
 		case <-ctx.Done():
+			// That data cannot be read is worth more to the caller than that time is over.
 			if search.last != nil && search.last.Kind == apierror.Gap {
 				return nil, true, search.last
 			}
