--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -8,6 +8,7 @@
 	"os"
 
 	"yardrock.example/system/daemon"
+	"yardrock.example/system/feed"
 	"yardrock.example/system/front"
 	"yardrock.example/system/httpapi"
 	"yardrock.example/system/link"
@@ -22,11 +23,14 @@
 	}
 }
 
+// archiveFolderName is the folder for archived events in a store's data folder.
+const archiveFolderName = "cold"
+
 // maxHealthBodyBytes is the size limit of a health check's body, which is normally empty.
 const maxHealthBodyBytes = 1024
 
-// roles starts the node of each role that the settings allow.
-var roles = map[string]func(*settings.DataPlane) (daemon.Service, error){"front": startFront, "store": startStore}
+// roles starts the node of each role that the settings allow, so that a loaded role is one.
+var roles = map[string]func(*settings.DataPlane) (daemon.Service, error){feed.RoleFront: startFront, feed.RoleStore: startStore}
 
 // run runs the node until it is stopped or fails.
 func run() error {
@@ -63,7 +67,7 @@
 	if err != nil {
 		return daemon.Service{}, err
 	}
-	archiveFolder, err := loaded.OpenFolder("cold")
+	archiveFolder, err := loaded.OpenFolder(archiveFolderName)
 	if err != nil {
 		return daemon.Service{}, err
 	}
--- a/system/httpapi/errors.go
+++ b/system/httpapi/errors.go
@@ -50,12 +50,13 @@
 // FormatError turns an error into a response body, and sets the Retry-After field, in whole
 // seconds, if the error says when to retry; goa calls it.
 //
-//	server := workserver.New(endpoints, mux, decoder, encoder, nil, httpapi.FormatError, nil)
+//	server := workserver.New(endpoints, mux, decoder, encoder, nil, httpapi.FormatError)
 func FormatError(ctx context.Context, err error) goahttp.Statuser {
 	failure := apierror.Of(err)
 	var service *goa.ServiceError
 	if errors.As(err, &service) {
 		failure = &apierror.Error{Kind: apierror.Invalid, Message: service.Message, Remedy: "correct the query as the message says"}
+		// goa keeps only the text of the decoder's error, here of an http.MaxBytesError.
 		if strings.Contains(service.Message, "request body too large") {
 			failure = &apierror.Error{Kind: apierror.TooLarge, Message: "the body is larger than the config allows", Remedy: "send less in one query"}
 		}
--- a/system/httpapi/health.go
+++ b/system/httpapi/health.go
@@ -12,13 +12,14 @@
 	"yardrock.example/system/apierror"
 )
 
-// HealthService answers the platform's liveness and readiness probes of one process.
-type HealthService struct{ IsReady func() bool }
+// healthService answers the platform's liveness and readiness probes of one process.
+type healthService struct{ IsReady func() bool }
+
+// Alive answers as long as the process does.
+func (healthService) Alive(context.Context) (string, error) { return "alive", nil }
 
 // Ready returns an error of the kind Unavailable while the process cannot take requests.
-//
-//	state, err := service.Ready(ctx)
-func (service HealthService) Ready(context.Context) (string, error) {
+func (service healthService) Ready(context.Context) (string, error) {
 	if !service.IsReady() {
 		return "", apierror.NewRetryable(apierror.Unavailable, "this process cannot take work now", "wait; its log tells what is missing", time.Second)
 	}
@@ -38,5 +39,5 @@
 //
 //	httpapi.MountHealth(mux, node.Ready)
 func MountHealth(mux goahttp.Muxer, isReady func() bool) {
-	healthserver.Mount(mux, healthserver.New(health.NewEndpoints(HealthService{IsReady: isReady}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, FormatError))
+	healthserver.Mount(mux, healthserver.New(health.NewEndpoints(healthService{IsReady: isReady}), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, FormatError))
 }
--- a/system/httpapi/server.go
+++ b/system/httpapi/server.go
@@ -49,13 +49,20 @@
 	done chan struct{}
 }
 
-// Serve serves requests on a listener until Close. limit returns the
-// largest request body allowed now, in bytes.
+const (
+	// readHeaderTimeout is how long a caller may take to send a request's header.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout is how long a connection is kept without a request.
+	idleTimeout = 2 * time.Minute
+)
+
+// Serve serves requests on a listener, in a goroutine of its own, until Close. limit returns
+// the largest request body allowed now, in bytes.
 //
 //	server := httpapi.Serve(listener, mux, func() int64 { return 1 << 20 })
 func Serve(listener net.Listener, handler http.Handler, limit func() int64) *Server {
 	server := &Server{done: make(chan struct{})}
-	server.http = &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+	server.http = &http.Server{ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		request.Body = http.MaxBytesReader(writer, request.Body, limit())
 		ctx := context.WithValue(request.Context(), writerKey{}, writer)
 		handler.ServeHTTP(writer, request.WithContext(ctx))
@@ -75,15 +82,11 @@
 //	err := server.Drain(ctx)
 func (server *Server) Drain(ctx context.Context) error { return server.http.Shutdown(ctx) }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections at once, and waits for the accepting
+// goroutine.
 //
 //	server.Close()
 func (server *Server) Close() {
 	server.http.Close()
 	<-server.done
 }
-
-// Alive answers as long as the process does.
-//
-//	state, err := Health{}.Alive(ctx)
-func (HealthService) Alive(context.Context) (string, error) { return "alive", nil }
--- a/system/settings/load.go
+++ b/system/settings/load.go
@@ -24,12 +24,19 @@
 	return loaded, load(loaded, "yardrock-data-plane", arguments, output)
 }
 
+// The defaults of a control node's settings, which their help texts name too.
+const (
+	defaultFoundingStores = 3
+	defaultGroups         = 32
+	defaultMaxControls    = 5
+)
+
 // LoadControlPlane loads the settings of yardrock-control-plane as LoadDataPlane does,
 // with the defaults that the help texts name.
 //
 //	loaded, err := settings.LoadControlPlane(os.Args[1:], os.Stdout)
 func LoadControlPlane(arguments []string, output io.Writer) (*ControlPlane, error) {
-	loaded := &ControlPlane{FoundingStores: 3, Groups: 32, ReplicationFactor: placement.DefaultReplicas, MaxControls: 5}
+	loaded := &ControlPlane{FoundingStores: defaultFoundingStores, Groups: defaultGroups, ReplicationFactor: placement.DefaultReplicas, MaxControls: defaultMaxControls}
 	return loaded, load(loaded, "yardrock-control-plane", arguments, output)
 }
 
--- a/system/settings/validate.go
+++ b/system/settings/validate.go
@@ -7,6 +7,7 @@
 	"strconv"
 
 	"yardrock.example/system/apierror"
+	"yardrock.example/system/feed"
 )
 
 // loadable is a pointer to the settings of a daemon.
@@ -80,9 +81,9 @@
 		return err
 	}
 	switch settings.Role {
-	case "front":
+	case feed.RoleFront:
 		return validateAddress("public", settings.PublicAddress)
-	case "store":
+	case feed.RoleStore:
 		if settings.DataFolder == "" {
 			return invalid("folder", "is missing", "name the data folder of this store")
 		}
