--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -105,7 +105,7 @@
 // front's first reading of the runner list; waiting requests are served by urgency and
 // then by finish time.
 //
-// The error is always an *apierror.Error of kind NotRun with a retry delay: no runner
+// The error always is or wraps an *apierror.Error of kind NotRun with a retry delay: no runner
 // of the route is usable, all are busy, or ctx ended.
 //
 //	lease, err := runners.Acquire(ctx, balancer.Request{Route: route, Deadline: deadline})
--- a/system/front/event_buffer.go
+++ b/system/front/event_buffer.go
@@ -9,22 +9,35 @@
 
 // eventBuffer has the committed events of one run for those who stream it. It only grows.
 type eventBuffer struct {
-	mutex  sync.Mutex
+	mutex  sync.Mutex // guards all that follows
 	events []sessionlog.Event
-	failed error
-	ended  bool
-	grown  chan struct{}
+	failed error         // that the stream ends with; only with ended
+	ended  bool          // no event will be added
+	grown  chan struct{} // closed, and replaced, when the buffer grows or ends
 }
 
 // newEventBuffer makes an empty buffer.
 func newEventBuffer() *eventBuffer { return &eventBuffer{grown: make(chan struct{})} }
 
-// append adds events and wakes all readers; ended means that these are the last.
-func (buffer *eventBuffer) append(failed error, ended bool, events ...sessionlog.Event) {
+// append adds events and wakes all readers.
+func (buffer *eventBuffer) append(events ...sessionlog.Event) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
+	buffer.grow(events)
+}
+
+// end adds the last events, with the error that the stream ends with, if any, and wakes all
+// readers.
+func (buffer *eventBuffer) end(failed error, events ...sessionlog.Event) {
+	buffer.mutex.Lock()
+	defer buffer.mutex.Unlock()
+	buffer.failed, buffer.ended = failed, true
+	buffer.grow(events)
+}
+
+// grow adds events and wakes all readers. The caller holds the mutex.
+func (buffer *eventBuffer) grow(events []sessionlog.Event) {
 	buffer.events = append(buffer.events, events...)
-	buffer.failed, buffer.ended = failed, ended
 	close(buffer.grown)
 	buffer.grown = make(chan struct{})
 }
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -28,7 +28,7 @@
 // (warmingUp) or answers again. Each front also finds out by itself; this only makes it
 // sooner, so a note that is lost is not sent again.
 func (node *Node) notifyPeers(address string, warmingUp bool) {
-	log.WithFields(log.Fields{"node": node.name, "runner": address, "warming_up": warmingUp}).Info("runner state noted")
+	log.WithFields(log.Fields{"node": node.name, "address": address, "warming_up": warmingUp}).Info("runner state noted")
 	for _, member := range node.peers() {
 		node.background.Go(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: warmingUp}) })
 	}
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -84,7 +84,7 @@
 	default:
 		ended = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(failed).Message}
 		log.WithFields(log.Fields{
-			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Address, "error": failed.Error(),
+			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": failed.Error(),
 		}).Warn("outcome of work that runs once is unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
@@ -147,7 +147,7 @@
 
 // beginPlainWork records a begin, or answers with the outcome of the one that is recorded.
 func (node *Node) beginPlainWork(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
-	other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, false)
+	other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, atAnyHead)
 	if err != nil {
 		return nil, err
 	}
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -28,24 +28,27 @@
 	afterBeginProducerSeq = 2
 )
 
+// beginCondition says when a begin may be appended to a session.
+type beginCondition int
+
+const (
+	// atAnyHead: whatever was appended since the session was read.
+	atAnyHead beginCondition = iota
+	// atReadHead: only if the session has not grown since it was read.
+	atReadHead
+)
+
 // recordBegin records that work is about to be dispatched. It returns nil, nil only once
 // the record is committed and this request's own; a repeat that lost the race gets the
-// event that won. With expects, the begin fails if the session has grown since it was read.
-func (node *Node) recordBegin(ctx context.Context, request *request, event sessionlog.Event, expects bool) (*sessionlog.Event, error) {
+// event that won.
+func (node *Node) recordBegin(ctx context.Context, request *request, event sessionlog.Event, condition beginCondition) (*sessionlog.Event, error) {
 	event.Text, event.Digest, event.Follows = request.words, request.digest(), request.follows
 	if request.dispatchID == "" {
 		request.dispatchID = node.newDispatchID()
 	}
 	event.Runner, event.Dispatch, event.Config = request.slot.Runner.Address, request.dispatchID, request.active.view.ConfigNumber
 	event.Deadline = int64(time.Duration(request.workKind.Timeout) + deadlineMargin)
-	commands := []sessionlog.Command{}
-	if !request.sessionExists {
-		commands = append(commands, request.createSession())
-	}
-	commands = append(commands, sessionlog.Command{
-		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq,
-		HasExpectedSeq: expects, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event},
-	})
+	commands := request.beginCommands(event, condition)
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	outcomes, err := node.stores.Command(committing, request.sessionName(), commands...)
@@ -69,6 +72,18 @@
 	return nil, nil
 }
 
+// beginCommands are the commands that append a begin, to a new session if there is none.
+func (request *request) beginCommands(event sessionlog.Event, condition beginCondition) []sessionlog.Command {
+	commands := []sessionlog.Command{}
+	if !request.sessionExists {
+		commands = append(commands, request.createSession())
+	}
+	return append(commands, sessionlog.Command{
+		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq,
+		HasExpectedSeq: condition == atReadHead, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event},
+	})
+}
+
 // createSession is the command that makes the request's session; it changes nothing if that
 // exists.
 func (request *request) createSession() sessionlog.Command {
--- a/system/front/turn_admission.go
+++ b/system/front/turn_admission.go
@@ -106,7 +106,7 @@
 // appended to the session meanwhile, checkTurn decides again what that means for this one.
 func beginTurn(ctx context.Context, node *Node, request *request) (any, error) {
 	for attempt := 1; ; attempt++ {
-		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, true)
+		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, atReadHead)
 		if other == nil && !apierror.Is(err, apierror.Conflict) {
 			return nil, err
 		}
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -167,7 +167,7 @@
 	for position := range events {
 		events[position].Seq = outcomes[0].Seq + uint64(position)
 	}
-	execution.buffer.append(nil, false, events...)
+	execution.buffer.append(events...)
 	return nil
 }
 
@@ -179,7 +179,7 @@
 	if commitErr != nil {
 		node.settle(request, words)
 		execution.cutInBackground()
-		execution.buffer.append(apierror.Wrap(commitErr, apierror.Unknown, "the answer's pieces could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"), true)
+		execution.buffer.end(apierror.Wrap(commitErr, apierror.Unknown, "the answer's pieces could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"))
 		return
 	}
 	outcome, detail := execution.turnOutcome(dispatchErr)
@@ -191,14 +191,14 @@
 	seq, err := node.recordEnd(ctx, request, execution.nextProducerSeq, outcome, "", detail)
 	node.settle(request, words)
 	if err != nil {
-		execution.buffer.append(apierror.Wrap(err, apierror.Unknown, "the end of the answer could not be committed: "+err.Error(), "tail the conversation from the last seq you have"), true)
+		execution.buffer.end(apierror.Wrap(err, apierror.Unknown, "the end of the answer could not be committed: "+err.Error(), "tail the conversation from the last seq you have"))
 		return
 	}
 	var streamErr error
 	if outcome == sessionlog.OutcomeNotRun {
 		streamErr = request.fencedError(dispatchErr)
 	}
-	execution.buffer.append(streamErr, true, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.begun.Seq, Outcome: outcome, Name: detail})
+	execution.buffer.end(streamErr, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.begun.Seq, Outcome: outcome, Name: detail})
 }
 
 // turnOutcome returns the outcome to record for the result of the dispatch, and the reason
@@ -214,7 +214,7 @@
 	}
 	request := execution.request
 	log.WithFields(log.Fields{
-		"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Address, "error": dispatchErr.Error(),
+		"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": dispatchErr.Error(),
 	}).Warn("turn cut off by its runner")
 	return sessionlog.OutcomeCut, reasonRunnerFailure
 }
--- a/system/scheduler/scheduler.go
+++ b/system/scheduler/scheduler.go
@@ -105,7 +105,7 @@
 }
 
 // Acquire waits for a slot on a runner for a team's work of a kind. The slot must be
-// released. The error is always an *apierror.Error of kind NotRun with a retry delay: the
+// released. The error always is or wraps an *apierror.Error of kind NotRun with a retry delay: the
 // kind's table has no usable runner, the queue is full, the request has waited for the
 // configured queue timeout or ctx ended.
 //
--- a/system/settings/load.go
+++ b/system/settings/load.go
@@ -15,7 +15,7 @@
 
 // LoadDataPlane loads the settings of yardrock-data-plane from arguments, without the
 // program's name, and from the file that they name. Help and version are written to
-// output. The error is ErrHelpShown or an *apierror.Error of kind BadSettings; the
+// output. The error is ErrHelpShown or wraps an *apierror.Error of kind BadSettings; the
 // settings are not complete then.
 //
 //	loaded, err := settings.LoadDataPlane(os.Args[1:], os.Stdout)
