--- a/system/config/routing_revisions.go
+++ b/system/config/routing_revisions.go
@@ -37,7 +37,7 @@
 	return checkUniqueNames("routes", patch.Routes, routeName)
 }
 
-// routeName and serviceName are the keys by which items of a routing are told apart.
+// routeName and serviceName are the keys by which items of a routing are distinguished.
 func routeName(route Route) string { return route.Name }
 
 func serviceName(service Service) string { return service.Name }
