--- a/proof/fleet/administration.go
+++ b/proof/fleet/administration.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/config"
 )
 
-// Config is the config that a deployment starts with.
+// Config returns the config that the deployment starts with.
 //
 //	source := running.Config()
 func (fleet *Fleet) Config() string {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Administer sends one administration query to the first control node that
-// answers it with success, and decodes the answer.
+// Administer sends an administration request to the control nodes one after the other until one
+// answers with success, and decodes the response.
 //
 //	err := running.Administer(ctx, http.MethodGet, "/v1/fleet", nil, &view)
 func (fleet *Fleet) Administer(ctx context.Context, method, path string, body, answer any) error {
@@ -75,7 +75,7 @@
 	return failed
 }
 
-// Administer sends one administration query to one control node.
+// Administer sends an administration request to one control node and decodes the response.
 //
 //	err := fleet.Administer(ctx, control.PublicAddress, http.MethodGet, "/v1/fleet", nil, &view)
 func Administer(ctx context.Context, address, method, path string, body, answer any) error {
@@ -107,7 +107,7 @@
 	return json.Unmarshal(reported, answer)
 }
 
-// ReadConfig reads the newest config back.
+// ReadConfig reads the number and the source of the newest config.
 //
 //	number, source, err := running.ReadConfig(ctx)
 func (fleet *Fleet) ReadConfig(ctx context.Context) (uint64, string, error) {
@@ -119,7 +119,7 @@
 	return reported.Number, reported.Source, err
 }
 
-// ChangeResult is what a change answers.
+// ChangeResult is the response to a change.
 type ChangeResult struct {
 	Number       uint64 `json:"number"`
 	Acknowledged bool   `json:"acknowledged"`
--- a/proof/fleet/faults.go
+++ b/proof/fleet/faults.go
@@ -16,16 +16,16 @@
 	"yardrock.example/system/vfs"
 )
 
-// Fault is one kind of fault that a fleet can be done, and undone. Two that differ in
-// what they Strike may be done at once; the brief bears one disk-bearing machine or
-// one domain at a time.
+// Fault is one kind of fault. Inject injects it, ends it and checks the rules that it may violate.
+// Two faults with different targets may be injected at once; the brief demands that the fleet
+// tolerates the loss of one machine with a disk, or of one domain, at a time.
 type Fault struct {
 	Name   string
 	Target string
 	Inject func(ctx context.Context, running *Fleet, random *rand.Rand) error
 }
 
-// What faults strike.
+// The targets of faults.
 const (
 	machines  = "machines"
 	fronts    = "fronts"
@@ -89,9 +89,9 @@
 	return reported.Name
 }
 
-// awaitHealed waits until the new disk is enrolled, as many stores and controls
-// are listed and live as there were, and every group has its replicas, so that
-// the next loss may be borne.
+// awaitHealed waits until the process with a new disk is enrolled, as many stores and control
+// nodes are listed and live as before, and every group has all its replicas, so that the fleet
+// tolerates the next loss.
 func (fleet *Fleet) awaitHealed(ctx context.Context, fresh *Process) error {
 	limited, cancel := context.WithTimeout(ctx, 40*time.Second)
 	defer cancel()
@@ -124,7 +124,7 @@
 	}
 }
 
-// injectDiskFaults brings a fault on the disk of a store or control node for a while.
+// injectDiskFaults returns a fault of the disk of a store or control node, for a time.
 func injectDiskFaults(faults vfs.DiskFaults, lasts time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
 	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 		process := fleet.pickProcess(random, []string{"store", "control"}[random.IntN(2)])
@@ -140,14 +140,15 @@
 	}
 }
 
-// losePower ends a process amid its work; what its disk had not synced is lost.
-func losePower(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+// losePower kills a process, and what its disk had not synced is lost.
+func losePower(_ context.Context, fleet *Fleet, random *rand.Rand) error {
 	process := fleet.pickProcess(random, []string{"store", "store", "control"}[random.IntN(3)])
 	process.Kill()
 	return process.Start()
 }
 
-// injectLinkFault brings a fault on the ways between one disk-bearing machine and some others.
+// injectLinkFault returns a fault of the links between one machine with a disk and some or all
+// others.
 func injectLinkFault(do func(links *LinkProxy, one, other *Process), all bool) func(context.Context, *Fleet, *rand.Rand) error {
 	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 		one := fleet.pickProcess(random, []string{"store", "control"}[random.IntN(2)])
@@ -189,9 +190,9 @@
 	return nil
 }
 
-// TotalOutage kills every daemon at once, with what was not synced lost, and starts all
-// again but some: a store, a control node and a store, or a domain. It tells what was
-// missing and how long it took until every front had served a turn.
+// TotalOutage kills every daemon at once, so that unsynced data is lost, and starts all but some
+// again: without a store, a control node and a store, or a domain. It returns what was missing and
+// how long it took until every front had served a turn.
 //
 //	missing, took, err := running.TotalOutage(ctx, random)
 func (fleet *Fleet) TotalOutage(ctx context.Context, random *rand.Rand) (string, time.Duration, error) {
@@ -277,7 +278,7 @@
 	{"weights changed in a burst", operators, trafficSpike},
 	{"two operators at once", operators, twoOperators},
 	{"many new routes", operators, manyRoutes},
-	{"crowd", runners, func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+	{"crowd", runners, func(ctx context.Context, fleet *Fleet, _ *rand.Rand) error {
 		seen := loadgen.Spike(ctx, fleet.Target(), 4*time.Second, 250)
 		fleet.Checks.Check("crowd", seen.Wrong == 0, "%d of %d refusals were not as not run with when to come back", seen.Wrong, seen.Rejected)
 		return nil
@@ -290,12 +291,12 @@
 		return process.Start()
 	}},
 	{"settings reread", fronts, func(_ context.Context, fleet *Fleet, _ *rand.Rand) error {
-		fleet.closeIdleConnections()
+		fleet.reloadSettings()
 		return nil
 	}},
 }
 
-// Panics looks through the processes' logs for what must never be there.
+// Panics searches the processes' logs for panics and data races.
 //
 //	found := running.Panics()
 func (fleet *Fleet) Panics() []string {
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet starts whole deployments as real processes on loopback, with
-// stand-ins for the world outside, and brings faults about on demand.
+// Package fleet starts deployments as real processes on loopback addresses, with stand-ins for
+// what yardrock depends on, injects faults, and checks the rules of the users' brief. A Fleet owns
+// its processes and its folder of data and logs; Stop or CheckReport ends the processes.
 package fleet
 
 import (
@@ -15,13 +16,13 @@
 	"yardrock.example/proof/standin"
 )
 
-// Tokens of the trial config.
+// The tokens of the root operator and of the team in a fleet's config.
 const (
 	RootToken = "trial-root"
 	TeamToken = "trial-team"
 )
 
-// Terms of the program whose allowance runs out.
+// The terms, in words, of the program "tight", whose quota runs out.
 const (
 	tightQuota = 200
 	tightTurn  = 30
@@ -34,21 +35,21 @@
 	Processes  []*Process
 	Runners    []standin.ListedRunner
 	Platform   string
-	Links      *LinkProxy // nil unless the fleet is to be struck by faults
+	Links      *LinkProxy // nil unless faults are to be injected
 	Checks     *RuleChecks
 
 	programs string
 	mutex    sync.Mutex
 	seeds    []string
 	added    int // how many daemons were added
-	// acknowledged is the newest config number that was; unclear reports that a later
-	// change may have been taken.
+	// acknowledged is the number of the newest acknowledged config. If unclear is set, a later
+	// change may have been accepted too.
 	acknowledged uint64
 	unclear      bool
 }
 
-// Launch starts a deployment by name, with the programs beside this one and a new
-// folder unless others are named.
+// Launch starts a deployment by name. Without a folder of programs it uses those beside this
+// program, without a folder of data a new one.
 //
 //	running, err := fleet.Launch(ctx, "trial", "", "", false)
 //	defer running.Stop()
@@ -80,8 +81,8 @@
 	return fleet, nil
 }
 
-// CheckReport ends a run: broken rules are an error that names the logs' folder;
-// without any, the processes are stopped and the folder goes.
+// CheckReport ends a run. Violations are an error that names the folder of the logs. Without any,
+// the processes are stopped and the folder is removed.
 //
 //	return running.CheckReport(report)
 func (fleet *Fleet) CheckReport(report *loadgen.Report) error {
@@ -92,8 +93,9 @@
 	return os.RemoveAll(fleet.Folder)
 }
 
-// Start starts a deployment with the programs in a folder, and returns once every
-// front is ready. One that is to be struck by faults has its links and disks in our hands.
+// Start starts a deployment with the programs in a folder, and returns once every front is ready.
+// With faulty, the links go through a LinkProxy and the disks are vfs.FaultDirectory ones, so that faults
+// can be injected.
 //
 //	running, err := fleet.Start(ctx, fleet.Deployments["trial"], "bin", folder, pace, false)
 //	defer running.Stop()
@@ -156,7 +158,7 @@
 	return found
 }
 
-// Target is the fleet as the load generator sees it.
+// Target returns what the load generator needs to know of the fleet.
 //
 //	report := loadgen.Run(ctx, running.Target(), mix, duration, seed)
 func (fleet *Fleet) Target() loadgen.Target {
@@ -167,7 +169,7 @@
 	return target
 }
 
-// Stop kills every process that is left.
+// Stop kills the processes that still run.
 //
 //	defer running.Stop()
 func (fleet *Fleet) Stop() {
--- a/proof/fleet/linkproxy.go
+++ b/proof/fleet/linkproxy.go
@@ -8,21 +8,23 @@
 	"time"
 )
 
-// LinkProxy are the ways between a fleet's daemons: each is reached through a listener
-// of ours, and returns who it is by the IP that its connections come from. What crosses
-// a cut way waits, as TCP keeps it, until the link is healed or the connection ends.
+// LinkProxy forwards the connections between a fleet's daemons, so that links can be cut or slowed
+// down. Every daemon is reached through one of its listeners and connects from an IP address of
+// its own, which identifies it. Data sent over a cut link waits until the link is healed or the
+// connection ends. It is safe for concurrent use.
 type LinkProxy struct {
 	mutex   sync.Mutex
 	states  map[[2]string]linkState
 	changed chan struct{}
 }
 
+// linkState is the state of the link from one IP address to another; the zero value is healthy.
 type linkState struct {
 	cut  bool
 	slow time.Duration
 }
 
-// NewLinkProxy makes links that are all whole.
+// NewLinkProxy returns a proxy with healthy links.
 //
 //	links := fleet.NewLinkProxy()
 func NewLinkProxy() *LinkProxy {
@@ -37,7 +39,8 @@
 	return host
 }
 
-// Serve leads what comes for an address on to where its daemon listens.
+// Serve accepts connections at a daemon's address and forwards them to where it listens, until
+// the program ends.
 //
 //	err := links.Serve("127.22.1.1:7000", "127.22.1.1:7001")
 func (links *LinkProxy) Serve(address, listen string) error {
@@ -70,7 +73,7 @@
 	copying.Wait()
 }
 
-// forward copies one direction, as the way allows, until either side ends.
+// forward copies one direction, as the link allows, until either side ends.
 func (links *LinkProxy) forward(target, source net.Conn, direction [2]string) {
 	defer target.Close()
 	defer source.Close()
@@ -85,14 +88,14 @@
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				links.awaitOpen(direction) // the end travels no faster than the data
+				links.awaitOpen(direction) // the end of the stream takes as long as data
 			}
 			return
 		}
 	}
 }
 
-// awaitOpen returns once something sent now would arrive.
+// awaitOpen waits until the link is open, and as long as its delay.
 func (links *LinkProxy) awaitOpen(direction [2]string) {
 	for {
 		links.mutex.Lock()
@@ -115,21 +118,21 @@
 	links.changed = make(chan struct{})
 }
 
-// CutOneWay loses the way from one daemon's address to another's.
+// CutOneWay cuts the link from one daemon's address to another's.
 //
 //	links.CutOneWay(front.Address, store.Address)
 func (links *LinkProxy) CutOneWay(from, to string) {
 	links.set(from, to, func(now linkState) linkState { now.cut = true; return now })
 }
 
-// Slow makes the way from one daemon's address to another's slower.
+// Slow adds a delay to the link from one daemon's address to another's.
 //
 //	links.Slow(front.Address, store.Address, 100*time.Millisecond)
 func (links *LinkProxy) Slow(from, to string, delay time.Duration) {
 	links.set(from, to, func(now linkState) linkState { now.slow = delay; return now })
 }
 
-// Heal makes the ways between two addresses whole and fast again.
+// Heal makes the links between two addresses healthy in both directions.
 //
 //	links.Heal(front.Address, store.Address)
 func (links *LinkProxy) Heal(one, other string) {
--- a/proof/fleet/membership.go
+++ b/proof/fleet/membership.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// closeIdleConnections signals all daemons that their settings have changed, but those that have
-// only just started: they read them anyway, and a signal before a program's first
-// line ends it.
-func (fleet *Fleet) closeIdleConnections() {
+// reloadSettings sends SIGHUP to all daemons, so that they read their settings again. Those that
+// have only just started are left out: they read the settings anyway, and the signal would end a
+// program that does not handle it yet.
+func (fleet *Fleet) reloadSettings() {
 	for _, role := range []string{"control", "store", "front"} {
 		for _, process := range fleet.ProcessesOf(role) {
 			if time.Since(process.started) > time.Second {
@@ -25,14 +25,14 @@
 	}
 }
 
-// remove takes a process that is gone for good out of the fleet.
+// remove takes a process that has ended permanently out of the fleet.
 func (fleet *Fleet) remove(old *Process) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	fleet.Processes = slices.DeleteFunc(fleet.Processes, func(process *Process) bool { return process == old })
 }
 
-// addNode starts a new daemon on a machine of its own.
+// addNode starts a new daemon at a new address.
 func (fleet *Fleet) addNode(role, domain string) (*Process, error) {
 	fleet.mutex.Lock()
 	fleet.added++
@@ -49,7 +49,7 @@
 	return process, process.Start()
 }
 
-// replaceControl swaps a control machine for an empty one at a new address.
+// replaceControl replaces a control machine by an empty one at a new address.
 func (fleet *Fleet) replaceControl(ctx context.Context, old *Process) error {
 	fresh, err := fleet.addNode("control", old.Domain)
 	if err != nil {
@@ -63,12 +63,12 @@
 		if err := fleet.setSeeds(seeds); err != nil {
 			return err
 		}
-		fleet.closeIdleConnections()
+		fleet.reloadSettings()
 	}
 	return fleet.awaitHealed(ctx, fresh)
 }
 
-// replaceSeeds swaps all three seed machines, one after another.
+// replaceSeeds replaces all three seed machines, one after the other.
 func replaceSeeds(ctx context.Context, fleet *Fleet, _ *rand.Rand) error {
 	for _, control := range fleet.ProcessesOf("control")[:3] {
 		if err := fleet.replaceControl(ctx, control); err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// replaceStore enrols a new store machine, retires an old one and switches it off.
+// replaceStore enrols a new store machine, decommissions an old one and ends it.
 func replaceStore(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	old := fleet.pickProcess(random, "store")
 	fresh, err := fleet.addNode("store", old.Domain)
--- a/proof/fleet/operators.go
+++ b/proof/fleet/operators.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Bounds of the brief, and how long the control plane may take to learn of a change
-// of the platform's list: its lag, our poll, and a throttled try.
+// Bounds of the users' brief, and how long the control plane may take to discover a change of the
+// platform's list: the list's lag, the poll interval and a throttled poll.
 const (
 	configBound  = 2 * time.Second
 	leavingBound = 3 * time.Second
@@ -22,21 +22,21 @@
 	routes       = 2000
 )
 
-// changeConfig sends one change of the config and remembers what was acknowledged.
+// changeConfig sends a change of the config and records the number that was acknowledged.
 func (fleet *Fleet) changeConfig(ctx context.Context, method string, body map[string]any) (ChangeResult, error) {
 	var reported ChangeResult
 	err := fleet.Administer(ctx, method, "/v1/config", body, &reported)
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	if err != nil || !reported.Acknowledged {
-		fleet.unclear = true // it may be in force all the same
+		fleet.unclear = true // it may have been accepted
 	} else if reported.Number > fleet.acknowledged {
 		fleet.acknowledged, fleet.unclear = reported.Number, false
 	}
 	return reported, err
 }
 
-// CheckConfig reads the config back, which must be the newest acknowledged one.
+// CheckConfig reads the config and checks that it is the newest acknowledged one.
 //
 //	running.CheckConfig(ctx)
 func (fleet *Fleet) CheckConfig(ctx context.Context) {
@@ -52,8 +52,8 @@
 	fleet.Checks.Check("config read back", kept, "config %d is read back, %d was acknowledged last (unclear ones since: %v, %v)", number, acknowledged, unclear, err)
 }
 
-// checkConfigTakesEffect changes the path of lookups, so that runners see by which config each
-// was handled, while a front is frozen and wakes.
+// checkConfigTakesEffect changes the path of lookups, which shows the runners the config that
+// each was handled under, while a front is paused and resumed.
 func checkConfigTakesEffect(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	front := fleet.pickProcess(random, "front")
 	front.Pause()
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// twoOperators lets two operators change the same config by its number: at most one
-// of them may be acknowledged.
+// twoOperators lets two operators change the config of one number at once: at most one of them may
+// be acknowledged.
 func twoOperators(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	for range 6 {
 		number, _, err := fleet.ReadConfig(ctx)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// manyRoutes puts a config with thousands of new kinds of work.
+// manyRoutes puts a config with thousands of additional kinds of work.
 func manyRoutes(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	number, source, err := fleet.ReadConfig(ctx)
 	if err != nil {
--- a/proof/fleet/process.go
+++ b/proof/fleet/process.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Process is one process of a fleet. Its arguments stay the same over restarts.
+// Process is one process of a fleet. It keeps its arguments when it is restarted.
 type Process struct {
 	Name          string
 	Role          string
@@ -38,7 +38,7 @@
 	process.command.Stdout, process.command.Stderr = output, output
 	process.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := process.command.Start(); err != nil {
-		process.command = nil // nothing runs that could be ended
+		process.command = nil // there is no process to end
 		return err
 	}
 	process.started, process.exited = time.Now(), make(chan struct{})
@@ -56,7 +56,7 @@
 	}
 }
 
-// PID is the number that the system gave the process; 0 while it does not run.
+// PID returns the process ID, or 0 while the process does not run.
 //
 //	usage, err := scale.UsageOf(process.PID())
 func (process *Process) PID() int {
@@ -66,7 +66,7 @@
 	return process.command.Process.Pid
 }
 
-// Kill ends the process at once.
+// Kill ends the process by SIGKILL and waits for its end.
 //
 //	process.Kill()
 func (process *Process) Kill() {
@@ -78,7 +78,7 @@
 	process.command = nil
 }
 
-// Terminate asks the process to drain and waits until it has gone.
+// Terminate has the process drain, by SIGTERM, and waits for its end.
 //
 //	err := process.Terminate(ctx)
 func (process *Process) Terminate(ctx context.Context) error {
@@ -92,12 +92,12 @@
 	}
 }
 
-// Pause stops the process where it is; Wake lets it go on.
+// Pause stops the process by SIGSTOP, until Resume.
 //
 //	process.Pause()
 func (process *Process) Pause() { process.signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a paused process.
 //
 //	process.Resume()
 func (process *Process) Resume() { process.signal(syscall.SIGCONT) }
--- a/proof/fleet/rulechecks.go
+++ b/proof/fleet/rulechecks.go
@@ -5,20 +5,21 @@
 	"sync"
 )
 
-// RuleChecks count, for each rule of the brief, how often there was something to judge
-// and how often it was broken.
+// RuleChecks counts the checks of each rule of the users' brief and lists the violations. Its
+// methods are safe for concurrent use.
 type RuleChecks struct {
 	mutex      sync.Mutex
 	Checked    map[string]int
 	Violations []string
 }
 
-// NewRuleChecks makes empty verdicts.
+// NewRuleChecks returns checks without any result.
 //
 //	verdicts := fleet.NewRuleChecks()
 func NewRuleChecks() *RuleChecks { return &RuleChecks{Checked: map[string]int{}} }
 
-// Check notes one look at a rule; a format tells how it was broken.
+// Check records one check of a rule. If the rule does not hold, the formatted text says how it was
+// violated.
 //
 //	verdicts.Check("leaving", late == 0, "%s got %d queries", runner, late)
 func (checks *RuleChecks) Check(rule string, holds bool, format string, arguments ...any) {
@@ -30,7 +31,7 @@
 	}
 }
 
-// Untested lists those of the rules that never had anything to judge.
+// Untested lists those of the rules that were never checked.
 //
 //	missing := verdicts.Untested([]string{"leaving", "cold"})
 func (checks *RuleChecks) Untested(rules []string) []string {
--- a/proof/fleet/runners.go
+++ b/proof/fleet/runners.go
@@ -11,7 +11,7 @@
 	"yardrock.example/proof/standin"
 )
 
-// readRecord asks a runner what it saw; take also begins to count its crowd anew.
+// readRecord reads a runner's record; the path "take" also resets its maximum in flight.
 func readRecord(ctx context.Context, address, what string) (standin.Record, error) {
 	var seen standin.Record
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/"+what, nil)
@@ -26,7 +26,7 @@
 	return seen, json.NewDecoder(answer.Body).Decode(&seen)
 }
 
-// listRunner changes the platform's list.
+// listRunner changes the state of a runner in the platform's list.
 func (fleet *Fleet) listRunner(ctx context.Context, address, state string) error {
 	fleet.mutex.Lock()
 	for position := range fleet.Runners {
@@ -63,8 +63,8 @@
 
 var warmingUpLimits = map[string]int{"small": 4, "large": 4, "application": 8}
 
-// replaceRunners lets some runners leave, one after another: each is listed as
-// leaving, ends, starts anew, is listed as cold, and then serves.
+// replaceRunners restarts some runners, one after the other: each is listed as draining, ends,
+// starts again, is listed as warming up, and then as serving.
 func replaceRunners(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	runners := fleet.ProcessesOf("runner")
 	for _, position := range random.Perm(len(runners))[:2] {
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// restartRunner restarts a runner that the list goes on calling serving; its limit
-// must come down and ramp up all the same.
+// restartRunner restarts a runner that the list keeps showing as serving; its limit must drop and
+// rise slowly all the same (slow start).
 func restartRunner(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	runner := fleet.pickProcess(random, "runner")
 	runner.Kill()
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	// A third of the ramp of 3 s has gone by at most.
+	// At most a third of the slow start of 3 s is over.
 	bears := warmingUpLimits[fleet.groupOf(runner.Address)] + 8
 	fleet.Checks.Check("cold", seen.MaxInFlight <= bears, "%s had %d queries at once a second after it came back, and bears %d", runner.Name, seen.MaxInFlight, bears)
 	return nil
@@ -141,7 +141,7 @@
 		}
 		seen, err := readRecord(ctx, runner.Address, "record")
 		if err != nil {
-			continue // another fault has it
+			continue // another fault uses it
 		}
 		late := 0
 		for _, at := range seen.Arrivals {
--- a/proof/fleet/setup.go
+++ b/proof/fleet/setup.go
@@ -83,7 +83,7 @@
 	return errors.Join(err, found.failed, os.WriteFile(listFile, list, 0o600))
 }
 
-// seedsFile is what every daemon reads its seeds from, at its start and on SIGHUP.
+// seedsFile is the file from which every daemon reads its seeds, at its start and on SIGHUP.
 func (fleet *Fleet) seedsFile() string { return filepath.Join(fleet.Folder, "seeds.json") }
 
 func (fleet *Fleet) setSeeds(seeds []string) error {
@@ -104,8 +104,8 @@
 	"front": func(_ *Fleet, outside string) []string { return []string{"--role", "front", "--public", outside} },
 }
 
-// add plans a daemon at an address. In a fleet that is to be struck by faults, what others send
-// it goes through a link of ours, and its disk loses what it had not synced.
+// add adds a daemon at an address, without starting it. If faults are to be injected, others reach
+// it through the LinkProxy, and its disk loses unsynced data when it is killed.
 func (fleet *Fleet) add(name, role, domain, address string) (*Process, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -136,7 +136,7 @@
 	return process, found.failed
 }
 
-// AwaitReady waits until a process says that it can take work.
+// AwaitReady waits until a process reports that it is ready.
 //
 //	err := fleet.AwaitReady(ctx, front.PublicAddress)
 func AwaitReady(ctx context.Context, address string) error {
--- a/proof/scale/bursts.go
+++ b/proof/scale/bursts.go
@@ -7,8 +7,8 @@
 	"yardrock.example/system/feed"
 )
 
-// burst takes changes one after another and notes how long each took until it was
-// acknowledged and until it was in force at the hollow nodes, and what it cost.
+// burst proposes changes one after the other and measures how long each took until it was
+// acknowledged and until the hollow nodes had applied it, and its cost.
 func (trial *stepRun) burst(ctx context.Context, name string, count int, next func(position int) (feed.Change, error)) error {
 	before, err := trial.sample(ctx)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return trial.burst(ctx, "small_change", trial.step.Changes, func(position int) (feed.Change, error) { return domainChange(position%2 == 0), nil })
 }
 
-// configsInBurst is few: each carries all routes.
+// configsInBurst is small, as each config carries all routes.
 const configsInBurst = 5
 
 func (trial *stepRun) configs(ctx context.Context) error {
--- a/proof/scale/claimedgrowth.go
+++ b/proof/scale/claimedgrowth.go
@@ -1,7 +1,7 @@
 package scale
 
-// ClaimedGrowth are the growths that docs/CAPACITY.md gives, by the size that is varied and
-// by figure. A run fails where a figure grows faster.
+// ClaimedGrowth is how docs/CAPACITY.md says that figures grow, by the size that is varied and by
+// figure. A run fails if a figure grows faster.
 var ClaimedGrowth = map[string]map[string]Growth{
 	"nodes": {
 		"hollow.messages_per_s":          Flat,
--- a/proof/scale/failures.go
+++ b/proof/scale/failures.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/feed"
 )
 
-// runnerLeaves has the platform list one runner as leaving, and waits until every
-// hollow node has it so. The platform's lag and the poll of its list are in it.
+// runnerLeaves lists a runner as draining and measures the time until every hollow node has
+// applied that, which includes the lag of the platform's list and the poll interval.
 func (trial *stepRun) runnerLeaves(ctx context.Context) error {
 	list := RunnerList(trial.step.Runners)
 	list[0].State = feed.StateDraining
@@ -31,8 +31,8 @@
 	return err
 }
 
-// failOver kills the control leader, waits until a change is in force everywhere
-// under another one, and starts the killed process again.
+// failOver kills the control leader, measures the time until a change is in force everywhere under
+// the next leader, and starts the killed process again.
 func (trial *stepRun) failOver(ctx context.Context) error {
 	var leader *fleet.Process
 	for _, control := range trial.fleet.ProcessesOf("control") {
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// restart starts a killed control process again and waits until it holds what is in
-// force and knows the leader.
+// restart starts a killed control process again and waits until it has the view in force and knows
+// the leader.
 func (trial *stepRun) restart(ctx context.Context, process *fleet.Process, number uint64) error {
 	began := time.Now()
 	if err := process.Start(); err != nil {
--- a/proof/scale/hollownodes.go
+++ b/proof/scale/hollownodes.go
@@ -14,11 +14,11 @@
 	"yardrock.example/system/link"
 )
 
-// domains that hollow nodes are spread over.
+// domains are those over which hollow nodes are spread.
 var domains = []string{"east", "west", "north"}
 
-// HollowNode is a node that holds a session and follows the feed as a front does, and
-// does nothing else. It keeps when each number of the feed came into force on it.
+// HollowNode is a node that keeps a session with the control plane and follows the feed as a front
+// does, and does nothing else. It records when it applied each number of the feed.
 type HollowNode struct {
 	Name    string
 	caller  *link.Client
@@ -32,20 +32,20 @@
 	at     time.Time
 }
 
-// ByteCounters count the bytes that all hollow nodes of a herd wrote and read, with all
-// that the library puts round them, as TCP sees them.
+// ByteCounters counts the bytes that hollow nodes wrote to and read from their connections, with
+// the framing of package link.
 type ByteCounters struct{ Written, Read atomic.Int64 }
 
-// HollowNodes is a number of hollow nodes of one process.
+// HollowNodes are the hollow nodes of one process. Stop ends them.
 type HollowNodes struct {
 	Bytes ByteCounters
 	mutex sync.Mutex
 	nodes []*HollowNode
 }
 
-// Grow starts more hollow nodes until the herd has that many, spread evenly over a
-// time, so that their questions do not come all at once. Network gives each its way
-// out by its position; address is where others reach all of them.
+// Grow starts hollow nodes until there are as many as size. The starts are spread evenly over a
+// time, so that the requests of the nodes do not coincide. network returns the network of the node
+// at a position; address is the one at which others reach all of them.
 //
 //	herd.Grow(ctx, 50, time.Second, "127.0.0.9:7000", seeds, func(int) link.Network { return link.TCP{} })
 func (hollow *HollowNodes) Grow(ctx context.Context, size int, over time.Duration, address string, seeds []string, network func(position int) link.Network) error {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// apply notes that a view came into force here.
+// apply records when a view came into force.
 func (node *HollowNode) apply(view *feed.View) error {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -74,12 +74,12 @@
 	return nil
 }
 
-// View is the newest view that the node holds.
+// View returns the newest view.
 //
 //	runners := len(node.View().Runners)
 func (node *HollowNode) View() *feed.View { return node.client.View() }
 
-// UpToDate reports whether the node may act on its view now.
+// UpToDate reports whether the view is fresh, so that the node may act on it.
 //
 //	if !node.UpToDate() { stale++ }
 func (node *HollowNode) UpToDate() bool {
@@ -87,12 +87,12 @@
 	return err == nil
 }
 
-// Members is how many live nodes this one knows.
+// Members returns the number of live nodes that this one knows.
 //
 //	if node.Members() < 50 { ... }
 func (node *HollowNode) Members() int { return len(node.client.Members()) }
 
-// AppliedAt returns when a number of the feed, or a later one, came into force here.
+// AppliedAt returns when the node applied a number of the feed, or a later one.
 //
 //	at, found := node.AppliedAt(17)
 func (node *HollowNode) AppliedAt(number uint64) (time.Time, bool) {
@@ -114,7 +114,7 @@
 	return slices.Clone(hollow.nodes)
 }
 
-// Stale counts the nodes that may not act on their view now.
+// Stale counts the nodes whose view is not fresh.
 //
 //	if herd.Stale() > 0 { ... }
 func (hollow *HollowNodes) Stale() int {
@@ -127,7 +127,7 @@
 	return stale
 }
 
-// Await waits until something holds at every node.
+// Await waits until a condition holds at every node.
 //
 //	err := herd.Await(ctx, "fresh", (*scale.HollowNode).UpToDate)
 func (hollow *HollowNodes) Await(ctx context.Context, what string, holds func(*HollowNode) bool) error {
@@ -149,7 +149,7 @@
 	}
 }
 
-// Delays returns how long after a moment each node had a number in force, sorted.
+// Delays returns how long after a time each node applied a number, sorted.
 //
 //	delays, err := herd.Delays(ctx, reply.Number, asked)
 func (hollow *HollowNodes) Delays(ctx context.Context, number uint64, since time.Time) ([]time.Duration, error) {
@@ -183,7 +183,7 @@
 	stopped.Wait()
 }
 
-// countedNetwork counts what goes over the connections that are dialled through it.
+// countedNetwork counts the bytes of the connections that are dialled through it.
 type countedNetwork struct {
 	link.Network
 	volume *ByteCounters
--- a/proof/scale/idle.go
+++ b/proof/scale/idle.go
@@ -9,7 +9,7 @@
 	"yardrock.example/system/link"
 )
 
-// usageSample is what all processes have used up to now.
+// usageSample is what all processes have used up to a time.
 type usageSample struct {
 	processes     map[string]Usage
 	hollow        Usage
@@ -67,7 +67,7 @@
 	return trial.reportUsage(ctx, before, after, stale)
 }
 
-// reportUsage turns two moments into figures.
+// reportUsage adds the figures between two samples to the measurement.
 func (trial *stepRun) reportUsage(ctx context.Context, before, after usageSample, stale int) error {
 	figures := trial.measurement.Figures
 	counts := map[string]float64{}
--- a/proof/scale/load.go
+++ b/proof/scale/load.go
@@ -17,10 +17,10 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// groups that the stand-in platform's runners are of, by turns.
+// groups are those of the stand-in platform's runners, in turn.
 var groups = []string{"small", "large", "application"}
 
-// RunnerList makes a platform list of a size; nobody is at its addresses.
+// RunnerList returns a runner list of a size; nothing listens at its addresses.
 //
 //	list := scale.RunnerList(2600)
 func RunnerList(size int) []standin.ListedRunner {
@@ -34,7 +34,7 @@
 	return list
 }
 
-// putRunnerList returns the stand-in platform a list.
+// putRunnerList replaces the list of the stand-in platform.
 func putRunnerList(ctx context.Context, platform string, list []standin.ListedRunner) error {
 	data, err := json.Marshal(list)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// Routing makes a routing of a size, as an operator would write it: every route has
-// two services to share among, and carries the item it was made from.
+// Routing returns a routing of a size as an operator would write it: every route is shared by two
+// services and carries the text that it was compiled from.
 //
 //	made.Routing = scale.Routing(2000, 7)
 func Routing(routes int, revision uint64) *config.Routing {
@@ -79,7 +79,7 @@
 	return routing
 }
 
-// withRouting is a change of the config to another routing.
+// withRouting returns the change of a view's config to a routing of a size.
 func withRouting(view *feed.View, routes int, revision uint64) (feed.Change, error) {
 	made, err := config.Decode(view.Compiled)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return feed.Change{Kind: feed.ChangeConfig, By: "scale", Source: view.Source, Compiled: compiled}, err
 }
 
-// propose has a control node take a change, and returns its number.
+// propose sends a change to the control nodes until one accepts it, and returns its number.
 func propose(ctx context.Context, caller *link.Client, controls []string, change feed.Change) (uint64, error) {
 	failed := error(nil)
 	for ctx.Err() == nil {
@@ -113,8 +113,7 @@
 	return 0, fmt.Errorf("no control node took a change: %w", failed)
 }
 
-// domainChange is the smallest change: whether a domain takes work. Nobody's runners
-// are in this one.
+// domainChange returns the smallest change: whether a domain without runners is drained.
 func domainChange(emptied bool) feed.Change {
 	state := feed.StateServing
 	if emptied {
--- a/proof/scale/plot.go
+++ b/proof/scale/plot.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// plotted are the figures that are drawn, a row of the picture for each family; families
-// of which nothing was measured are left out.
+// plotted are the figures that are drawn, in one row for each family; families without a
+// measurement are left out.
 var plotted = [][]string{
 	{"control.leader.cores", "control.other.cores", "store.cores", "front.cores", "hollow.cores"},
 	{"control.leader.memory_mib", "control.other.memory_mib", "store.memory_mib", "front.memory_mib", "hollow.memory_mib"},
@@ -24,8 +24,7 @@
 	{"programs.store_memory_mib"},
 }
 
-// Draw writes an SVG with one graph for each family of figures, against the size that
-// was varied.
+// Draw writes an SVG with one graph for each family of figures over the size that was varied.
 //
 //	err := scale.Draw(file, "nodes", measured)
 func Draw(target io.Writer, against string, measured []Measurement) error {
@@ -55,7 +54,7 @@
 	return err
 }
 
-// graph is nil if no step has any figure of the family.
+// graph returns the graph of a family, or nil if no step has a figure of it.
 func graph(against string, family []string, measured []Measurement) (*plot.Plot, error) {
 	made := plot.New()
 	made.X.Label.Text = against
--- a/proof/scale/run.go
+++ b/proof/scale/run.go
@@ -16,25 +16,25 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Settings are what all steps of a run share.
+// Settings are those of all steps of a run.
 type Settings struct {
 	Programs      string        // folder of the built programs
 	Folder        string        // for data and logs of the real processes
 	IdlePeriod    time.Duration // how long nothing changes while usage is measured
 	StartInterval time.Duration // how long after the one before it a hollow node starts
 	Real          fleet.Deployment
-	// LoadsStores reports that what the stores bear is measured, and not what control does.
+	// LoadsStores selects the measurement of the stores instead of the control plane.
 	LoadsStores bool
 }
 
-// RealProcesses is the deployment beside which hollow nodes are put.
+// RealProcesses is the deployment of real processes beside the hollow nodes.
 var RealProcesses = fleet.Deployment{Name: "scale", Domains: domains, Fronts: 2, Stores: 3, Controls: 3}
 
-// ProcessUsage is what one real process used a second during the quiet time.
+// ProcessUsage is what one real process used in a second of the idle period.
 type ProcessUsage struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
-	Leading bool   `json:"leading,omitempty"` // the control group
+	Leading bool   `json:"leading,omitempty"` // it leads the control group
 	Rate
 }
 
@@ -44,7 +44,7 @@
 	Step      Step               `json:"step"`
 	Figures   map[string]float64 `json:"figures"`
 	Processes []ProcessUsage     `json:"processes"`
-	// Failed tells why the step did not come to its end; its figures are those before.
+	// Failed says why the step did not end; its figures are those measured before.
 	Failed string `json:"failed,omitempty"`
 }
 
@@ -54,7 +54,7 @@
 	run  func(context.Context) error
 }
 
-// stepRun is one step under way.
+// stepRun is one step while it runs.
 type stepRun struct {
 	settings    Settings
 	step        Step
@@ -66,7 +66,7 @@
 	programs    []*program
 }
 
-// Run measures one step on a fleet of its own, and ends it.
+// Run measures one step on a new fleet, and stops the fleet.
 //
 //	measured, err := scale.Run(ctx, settings, step)
 func Run(ctx context.Context, settings Settings, step Step) (Measurement, error) {
@@ -126,7 +126,7 @@
 	return addresses
 }
 
-// status asks a process who it is and what it said so far.
+// status reads a process's status and its traffic counters.
 func (trial *stepRun) status(ctx context.Context, address string) (*wire.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -140,7 +140,7 @@
 	return reply.Status, nil
 }
 
-// populate puts the runners and the routes in force.
+// populate puts the step's runners and routes in force.
 func (trial *stepRun) populate(ctx context.Context) error {
 	if err := putRunnerList(ctx, trial.fleet.Platform, RunnerList(trial.step.Runners)); err != nil {
 		return err
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// settleTime is how long a fleet is left alone after its nodes have joined; by then its
-// runners are no longer new, which is a change of the runner list.
+// settleTime is how long a run waits after the nodes have joined. By then the slow start of the
+// runners, whose end is a change of the runner list, is over.
 const settleTime = 4 * time.Second
 
 // startHollowNodes starts the hollow nodes and waits until all of them know each other.
@@ -184,7 +184,7 @@
 		return err
 	}
 	trial.servers = append(trial.servers, link.Serve(listener, func(context.Context, *wire.Query) *wire.Reply { return &wire.Reply{} }))
-	debug.FreeOSMemory() // so that what is resident is what is held
+	debug.FreeOSMemory() // so that resident memory is memory in use
 	self, err := UsageOf(os.Getpid())
 	if err != nil {
 		return err
@@ -209,7 +209,7 @@
 	return err
 }
 
-// withinMemory refuses to go on past half of the machine's memory.
+// withinMemory returns an error if the run uses more than memoryShare of the machine's memory.
 func (trial *stepRun) withinMemory(context.Context) error {
 	complete, err := machineMemory()
 	if err != nil {
--- a/proof/scale/slope.go
+++ b/proof/scale/slope.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Growth is how a figure may grow with a size.
+// Growth is how fast a figure may grow with a size.
 type Growth string
 
 // The growths that a figure may have.
@@ -38,13 +38,13 @@
 	Worse    bool    `json:"worse,omitempty"` // it grows faster than the page says
 }
 
-// At stretches the line to a size.
+// At returns the value of the line at a size.
 //
 //	at430 := slope.At(430)
 func (slope Slope) At(size float64) float64 { return slope.Intercept + slope.PerUnit*size }
 
-// Fit lays the slope of one figure through sizes and values of the same length.
-// The claim, if any, is judged by the exponent.
+// Fit fits a line to the values of a figure at some sizes. The claim, if any, is checked against
+// the exponent.
 //
 //	slope, err := scale.Fit("control.leader.cores", "nodes", []float64{50, 100, 200}, []float64{0.1, 0.2, 0.4}, scale.Linear)
 func Fit(figure, per string, sizes, values []float64, claim Growth) (Slope, error) {
@@ -79,16 +79,16 @@
 	bend, lead, growth = 2, 1.2, 1.5
 )
 
-// bendsUp reports whether a figure grows faster at its end than at its beginning: a power
-// over a large base has a small exponent, and shows by this.
+// bendsUp reports whether a figure grows faster at its end than at its beginning: a power on a
+// large base has a small exponent, and is detected by this.
 func bendsUp(sizes, values []float64) bool {
 	last := len(sizes) - 1
 	steepness := func(from, to int) float64 { return (values[to] - values[from]) / (sizes[to] - sizes[from]) }
 	return values[last] > growth*values[0] && steepness(last-1, last) > bend*steepness(0, 1) && steepness(last-1, last) > lead*steepness(0, last)
 }
 
-// Slopes lays a line through every figure that all steps have, and judges those that
-// the capacity page makes a claim on.
+// Slopes fits a line to every figure that all steps have, and checks those that the capacity page
+// makes a claim on.
 //
 //	slopes, err := scale.Slopes("nodes", measured)
 func Slopes(against string, measured []Measurement) ([]Slope, error) {
--- a/proof/scale/step.go
+++ b/proof/scale/step.go
@@ -1,6 +1,8 @@
-// Package scale measures what a fleet costs as it grows: a few real processes of each
-// role beside hollow nodes, many of which share a process. Hollow nodes hold sessions
-// and follow the feed with the product's own follower, and carry no traffic.
+// Package scale measures the cost of a fleet as it grows: a few real processes of each role beside
+// hollow nodes, many of which share a process. Hollow nodes keep sessions with the control plane
+// and follow the feed with the product's own client (package feedclient); they serve no requests.
+// A run varies one size in steps, fits how each figure grows and compares that with the growth
+// that docs/CAPACITY.md claims.
 package scale
 
 import (
@@ -11,22 +13,23 @@
 	"strings"
 )
 
-// Step is one size that a fleet is measured at.
+// Step is the sizes that a fleet is measured at.
 type Step struct {
 	Nodes   int `json:"nodes"`   // hollow nodes
 	Runners int `json:"runners"` // entries of the platform's list
 	Routes  int `json:"routes"`  // of the config
 	Changes int `json:"changes"` // in one burst
-	Groups  int `json:"groups"`  // of lines
-	// Turns are begun and ended in a second.
+	Groups  int `json:"groups"`  // of sessions
+	// Turns is how many turns begin and end in a second.
 	Turns int `json:"turns"`
-	// Programs are under way, with a history that each turn goes on from, in KiB.
+	// Programs is how many programs run; each has a history of History KiB that its turns
+	// follow.
 	Programs int `json:"programs"`
 	History  int `json:"history"`
 }
 
-// DefaultStep is the step whose other sizes stand still while one of them is varied. What the
-// stores bear is measured beside few nodes, so that little else is going on.
+// DefaultStep returns the sizes that are constant while the named one is varied. The load of the
+// stores is measured beside few nodes, so that little else uses the machine.
 //
 //	step := scale.DefaultStep("history")
 func DefaultStep(against string) Step {
@@ -40,7 +43,7 @@
 // dimension is one size of a step that can be varied.
 type dimension struct {
 	max         int
-	loadsStores bool // by the stores
+	loadsStores bool // the stores bear the load, not the control plane
 	why         string
 	steps       []int
 	set         func(*Step, int)
@@ -66,18 +69,18 @@
 		set: func(step *Step, size int) { step.Groups = size }, get: func(step Step) int { return step.Groups }},
 }
 
-// StepError is a step or an option that can't be measured, with the remedy.
+// StepError is the error for a step or an option that cannot be measured, with the remedy.
 type StepError struct{ Message, Remedy string }
 
 func (refusal *StepError) Error() string { return refusal.Message + "; " + refusal.Remedy }
 
-// Dimensions names what can be varied.
+// Dimensions lists the names of the sizes that can be varied.
 //
 //	strings.Join(scale.Dimensions(), ", ")
 func Dimensions() []string { return slices.Sorted(maps.Keys(dimensions)) }
 
-// Steps makes the steps of a run: the usual one with one size varied. An empty text
-// gives the dimension's own sizes; else they are whole numbers joined by commas.
+// Steps returns the steps of a run: a base step with one size varied. The sizes are integers
+// separated by commas; an empty text stands for the dimension's default sizes.
 //
 //	steps, err := scale.Steps(scale.DefaultStep, "nodes", "50,100,200,400")
 func Steps(base Step, against, sizes string) ([]Step, error) {
@@ -113,7 +116,7 @@
 	return steps, nil
 }
 
-// check refuses sizes that are out of range.
+// check returns an error if a size is out of range.
 func (step Step) check() error {
 	for _, name := range Dimensions() {
 		checked := dimensions[name]
@@ -132,7 +135,7 @@
 //	size := step.Size("nodes")
 func (step Step) Size(against string) int { return dimensions[against].get(step) }
 
-// LoadsStores reports whether a size is one that the stores bear.
+// LoadsStores reports whether the stores bear the load of a size.
 //
 //	settings.LoadsStores = scale.LoadsStores("history")
 func LoadsStores(against string) bool { return dimensions[against].loadsStores }
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// turnBytes is what each turn brings and what it puts out, of text.
+	// turnBytes is the size of each turn's input, and of its output.
 	turnBytes    = 2048
 	makingAtOnce = 16
 	turnTimeout  = 10 * time.Second
 )
 
-// program is a program of which the stores keep a first turn, its history.
+// program is a program whose first turn, stored before the measurement, is the history.
 type program struct {
 	line, first string
 	busy        atomic.Bool
 }
 
-// text is as hard to press as answers of a model are: words drawn from a few hundred.
+// text returns words drawn from a few hundred, which compress about as well as answers of a model.
 func text(size int, random *rand.Rand) []byte {
 	var made bytes.Buffer
 	for made.Len() < size {
@@ -39,7 +39,7 @@
 	return made.Bytes()[:size]
 }
 
-// turn is one turn, begun and ended at once, that goes on from another of its line.
+// turn begins and ends a turn that follows another one of its session.
 func turn(ctx context.Context, stores *storeclient.Client, program, name, follows string, input, output []byte) (begun, ended time.Duration, history int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
@@ -54,7 +54,7 @@
 	return begun, time.Since(sent), len(began.History), err
 }
 
-// makePrograms has the stores keep all programs with their histories.
+// makePrograms stores the histories of all programs.
 func (trial *stepRun) makePrograms(ctx context.Context) error {
 	stores := storeclient.New(trial.caller, trial.hollow.Nodes()[0].View)
 	waiting := make(chan *program, trial.step.Programs)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// storeUsage is what all stores have used up to a moment; memory and disk in MiB.
+// storeUsage is what all stores have used up to a time; memory and disk in MiB.
 type storeUsage struct{ seconds, memory, written float64 }
 
 func (trial *stepRun) stores() (storeUsage, error) {
@@ -123,8 +123,8 @@
 	return sum, nil
 }
 
-// turns begins and ends turns at an even rate, each going on from the history of a
-// program, and returns what one costs above what quiet stores cost.
+// turns begins and ends turns at an even rate, each following the history of a program, and
+// measures the cost of one beyond that of idle stores.
 func (trial *stepRun) turns(ctx context.Context) error {
 	stores := storeclient.New(trial.caller, trial.hollow.Nodes()[0].View)
 	var mutex sync.Mutex
@@ -201,8 +201,7 @@
 	return nil
 }
 
-// restartStore kills a store and starts it again, and returns how long it takes to be
-// ready, with all that it keeps.
+// restartStore kills a store, starts it again and measures the time until it is ready.
 func (trial *stepRun) restartStore(ctx context.Context) error {
 	store := trial.fleet.ProcessesOf("store")[0]
 	store.Kill()
--- a/proof/scale/usage.go
+++ b/proof/scale/usage.go
@@ -8,7 +8,7 @@
 	"yardrock.example/system/wire"
 )
 
-// Usage is what one process has used up to a moment.
+// Usage is what one process has used up to a time.
 type Usage struct {
 	At      time.Time
 	Seconds float64 // of processor time, user and system
@@ -17,7 +17,7 @@
 	Traffic []wire.TrafficByKind
 }
 
-// UsageOf reads a process's processor time and memory from the system.
+// UsageOf reads a process's processor time and memory from /proc.
 //
 //	usage, err := scale.UsageOf(os.Getpid())
 func UsageOf(id int) (Usage, error) {
@@ -36,7 +36,7 @@
 	return Usage{At: time.Now(), Seconds: stat.CPUTime(), Memory: float64(status.VmRSS) / (1 << 20), Peak: float64(status.VmHWM) / (1 << 20)}, nil
 }
 
-// Rate is what a process used a second between two moments.
+// Rate is what a process used in a second between two samples.
 type Rate struct {
 	Cores    float64            `json:"cores"`
 	Memory   float64            `json:"memory_mib"`
@@ -47,7 +47,7 @@
 	Kinds    map[string]float64 `json:"kinds,omitempty"` // bytes a second, both ways, by kind of query
 }
 
-// RateOf is what was used a second from one moment to a later one.
+// RateOf returns the usage in a second between two samples.
 //
 //	rate := scale.RateOf(before, after)
 func RateOf(before, after Usage) Rate {
@@ -70,10 +70,10 @@
 	return rate
 }
 
-// memoryShare is the part of the machine's memory that a run may take.
+// memoryShare is the part of the machine's memory that a run may use.
 const memoryShare = 0.5
 
-// machineMemory is the machine's whole memory in MiB.
+// machineMemory reads the size of the machine's memory, in MiB.
 func machineMemory() (float64, error) {
 	system, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -86,8 +86,8 @@
 	return float64(*reported.MemTotal) / 1024, nil
 }
 
-// cpuTime is how long all processors of the machine were busy, and in all, in
-// seconds. Others may use it too: a busy machine makes every figure of time larger.
+// cpuTime is the busy and the total time of all processors of the machine, in seconds. Other
+// programs count too: a busy machine makes every measured time larger.
 type cpuTime struct{ busy, total float64 }
 
 func readCPUTime() (cpuTime, error) {
@@ -104,7 +104,7 @@
 	return cpuTime{busy: busy, total: busy + all.Idle + all.Iowait}, nil
 }
 
-// busySince is the share of the processors' time that was used since an earlier moment.
+// busySince returns the busy share of the processors' time since an earlier sample.
 func (now cpuTime) busySince(before cpuTime) float64 {
 	if now.total <= before.total {
 		return 0
--- a/proof/simulator/callers.go
+++ b/proof/simulator/callers.go
@@ -15,7 +15,7 @@
 	"yardrock.example/system/httpapi"
 )
 
-// Client is an HTTP client on the cluster's network, one connection a query.
+// Client returns an HTTP client on the cluster's network that opens a connection for each request.
 //
 //	answer, err := cluster.Client().Do(query)
 func (cluster *Cluster) Client() *http.Client {
@@ -24,7 +24,7 @@
 	}}}
 }
 
-// Answer is what a query got.
+// Answer is the response to a request.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -32,7 +32,7 @@
 	Error  httpapi.Error
 }
 
-// String shows an answer in a test's message.
+// String formats an answer for a test's message.
 //
 //	t.Fatalf("%s", answer)
 func (answer *Answer) String() string {
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%d %.300s", answer.Status, answer.Body)
 }
 
-// Ask sends a query and reads the whole answer.
+// Ask sends a request and reads the complete response.
 //
 //	answer, err := cluster.Ask(ctx, "POST", "10.0.2.1:7100", "/v1/lookups", simulator.TeamToken, body)
 func (cluster *Cluster) Ask(ctx context.Context, method, address, path, token string, body any) (*Answer, error) {
@@ -77,7 +77,8 @@
 	return answer, nil
 }
 
-// Administer asks the control nodes in turn until one answers with success.
+// Administer sends a request to the control nodes one after the other until one answers with
+// success. Else it returns the last response, or the last error if there was none.
 //
 //	answer, err := cluster.Administer("POST", "/v1/domains/east", map[string]string{"state": "emptied"})
 func (cluster *Cluster) Administer(method, path string, body any) (*Answer, error) {
@@ -101,14 +102,13 @@
 	return nil, failed
 }
 
-// ChangeResult is what a change answers.
+// ChangeResult is the response to a change.
 type ChangeResult struct {
 	Number       uint64 `json:"number"`
 	Acknowledged bool   `json:"acknowledged"`
 }
 
-// PutConfig puts a config over the one in force, trying until it is
-// acknowledged.
+// PutConfig replaces the config in force, with retries until the change is acknowledged.
 //
 //	err := cluster.PutConfig(simulator.BasicConfig)
 func (cluster *Cluster) PutConfig(rules string) error {
@@ -146,7 +146,7 @@
 	Message      string `json:"message"`
 }
 
-// StreamedAnswer is a streamed answer as its caller saw it.
+// StreamedAnswer is a streamed answer as its caller received it.
 type StreamedAnswer struct {
 	Conversation string
 	Turn         uint64
@@ -157,7 +157,8 @@
 	Error        string
 }
 
-// ReadStream reads an answer to its end mark. Seqs must follow one another.
+// ReadStream reads a streamed answer up to its end mark; without one the error is
+// io.ErrUnexpectedEOF.
 //
 //	said, err := simulator.ReadStream(body)
 func ReadStream(body io.Reader) (*StreamedAnswer, error) {
@@ -183,8 +184,8 @@
 	return said, errors.Join(lines.Err(), io.ErrUnexpectedEOF)
 }
 
-// Turn starts a conversation, or follows one if the body names conversation and
-// follows, and wants a complete answer.
+// Turn starts a conversation, or continues one if the body names conversation and follows. An
+// answer that is not complete is an error.
 //
 //	said, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "hello"})
 func (cluster *Cluster) Turn(machine *Machine, body map[string]any) (*StreamedAnswer, error) {
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -12,35 +12,35 @@
 	"yardrock.example/system/replica"
 )
 
-// Tokens of the simulated config.
+// The tokens of BasicConfig: of the root operator and of two teams.
 const (
 	RootToken  = "root"
 	TeamToken  = "depot-token"
 	OtherToken = "other-token"
 )
 
-// Shape is how many nodes a cluster has, over three domains.
+// Shape says how many nodes a cluster has. They are spread over three domains.
 type Shape struct {
 	Controls, Stores, Fronts, Models, Applications int
-	// ReplicationFactor of each group of lines; 0 means three.
+	// ReplicationFactor is the number of replicas of each group; 0 means three.
 	Replicas uint32
-	// Groups of lines; 0 means 8.
+	// Groups is the number of groups of sessions; 0 means 8, which is also the minimum.
 	Groups uint32
-	// Engines and Tools answer forwarded queries; with any, the control nodes are given
-	// the list of runners.
+	// Engines and Tools are runners of forwarded requests. If there are any, the control nodes
+	// discover runners by Cluster.RunnerList, else by the stand-in platform.
 	Engines, Tools int
-	// AutoEnrol has the control nodes keep the store list by themselves.
+	// AutoEnrol lets the control nodes enrol stores by themselves.
 	AutoEnrol bool
 	// Adjust changes the settings of each control node that starts.
 	Adjust func(cluster *Cluster, settings *controlplane.Settings)
-	// MaxBufferedBytes bounds what each front holds of forwarded queries.
+	// MaxBufferedBytes bounds what each front buffers of forwarded requests; 0 is its default.
 	BufferBytes int64
 }
 
-// Small is the shape that most tests need.
+// Small is the shape of most tests.
 var Small = Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 2}
 
-// Cluster is a whole fleet in one process.
+// Cluster is a fleet in one process. Stop ends all its nodes, runners and connections.
 type Cluster struct {
 	Network     *Network
 	Controls    []*Machine
@@ -65,7 +65,8 @@
 
 func domain(index int) string { return []string{"east", "middle", "west"}[index%3] }
 
-// Start starts a cluster and waits until it serves.
+// Start starts a cluster under a config and waits until every front serves. If it fails, the
+// cluster that it returns, if any, must be stopped all the same.
 //
 //	cluster, err := simulator.Start(7, simulator.Small, configSource)
 //	defer cluster.Stop()
@@ -119,14 +120,14 @@
 	return cluster, nil
 }
 
-// Random draws from the cluster's seed, for what a test does to it.
+// Random returns a random generator for one of a test's purposes; it depends on the cluster's seed.
 //
 //	victim := cluster.Stores[cluster.Random(3).IntN(len(cluster.Stores))]
 func (cluster *Cluster) Random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(cluster.Seed, stream))
 }
 
-// Machines lists all machines with nodes.
+// Machines lists the machines of control nodes, stores and fronts.
 //
 //	for _, machine := range cluster.Machines() { machine.Kill() }
 func (cluster *Cluster) Machines() []*Machine {
@@ -144,7 +145,7 @@
 	return settings
 }
 
-// Stop ends everything.
+// Stop ends all nodes and runners.
 //
 //	defer cluster.Stop()
 func (cluster *Cluster) Stop() {
@@ -160,7 +161,7 @@
 	cluster.platform.Close()
 }
 
-// Await tries until there is no error, on the test's clock.
+// Await calls a function every 50 ms until it returns no error, or a timeout is over.
 //
 //	err := cluster.Await(12*time.Second, "serving", try)
 func (*Cluster) Await(timeout time.Duration, what string, try func() error) error {
@@ -177,7 +178,7 @@
 	}
 }
 
-// AwaitServing waits until a lookup and a turn succeed at every running front.
+// AwaitServing waits until a turn succeeds at every running front.
 //
 //	err := cluster.AwaitServing(12 * time.Second)
 func (cluster *Cluster) AwaitServing(timeout time.Duration) error {
--- a/proof/simulator/configs.go
+++ b/proof/simulator/configs.go
@@ -6,7 +6,7 @@
 	"yardrock.example/system/config"
 )
 
-// BasicConfig is the config that most tests use.
+// BasicConfig is the config of most tests, with placeholders for the hashes of the tokens.
 const BasicConfig = `
 operators: {}
 teams: {
@@ -35,7 +35,7 @@
 platform: {runner_list: "http://10.0.5.1:9000/runners", poll: "500ms"}
 `
 
-// Config fills the tokens into config source.
+// Config replaces the placeholders by the hashes of the tokens.
 //
 //	source := simulator.Config(simulator.BasicConfig)
 func Config(rules string) string {
--- a/proof/simulator/disk.go
+++ b/proof/simulator/disk.go
@@ -12,8 +12,8 @@
 	"yardrock.example/system/vfs"
 )
 
-// Disk is a folder in memory. What was written but not synced is lost, or torn,
-// when the machine loses power.
+// Disk is a vfs.Directory in memory with faults. It keeps the written and the durable content of each
+// file; LosePower reduces the first to the second. It is safe for concurrent use.
 type Disk struct {
 	mutex    sync.Mutex
 	random   *rand.Rand
@@ -27,7 +27,7 @@
 	read     int
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk whose torn writes come from a seed.
 //
 //	disk := simulator.NewDisk(7)
 func NewDisk(seed uint64) *Disk {
@@ -36,7 +36,7 @@
 
 var errFull = errors.New("no space left on device")
 
-// ReadFile returns a whole file.
+// ReadFile returns the content of a file.
 func (disk *Disk) ReadFile(name string) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Truncate cuts a file.
+// Truncate cuts a file to a size, without syncing.
 func (disk *Disk) Truncate(name string, size int64) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Sync makes a file last, after a stall or slowness that was asked for.
+// Sync makes the written content of a file durable, after a stall or delay that was set.
 func (disk *Disk) Sync(name string) error {
 	disk.mutex.Lock()
 	stalled, slow := disk.stalled, disk.slow
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// Remove deletes a file, at once and for good.
+// Remove deletes a file durably.
 func (disk *Disk) Remove(name string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -132,8 +132,8 @@
 	return slices.Sorted(maps.Keys(disk.written)), nil
 }
 
-// LosePower forgets what was not synced; of a file's unsynced end a random part
-// may stay, torn.
+// LosePower loses what was not synced. A random part of what was appended to a file since its
+// last sync may remain, with a flipped bit.
 //
 //	disk.LosePower()
 func (disk *Disk) LosePower() {
@@ -194,7 +194,7 @@
 	}
 }
 
-// Slow makes each sync take so long.
+// Slow makes each sync take a time; 0 ends it.
 //
 //	disk.Slow(300 * time.Millisecond)
 func (disk *Disk) Slow(each time.Duration) {
@@ -203,7 +203,7 @@
 	disk.mutex.Unlock()
 }
 
-// Fill makes writes fail for want of space, until Fill(false).
+// Fill makes writes fail because the disk is full, until Fill(false).
 //
 //	disk.Fill(true)
 func (disk *Disk) Fill(full bool) {
@@ -212,7 +212,7 @@
 	disk.mutex.Unlock()
 }
 
-// FlipBit damages one lasting byte of a file; a place below 0 counts from the end.
+// FlipBit flips a bit in one byte of a file, durably; a negative offset counts from the end.
 //
 //	disk.FlipBit("log-00000000000000000000", 40)
 func (disk *Disk) FlipBit(name string, at int) {
@@ -225,7 +225,7 @@
 	disk.durable[name][at] ^= 1
 }
 
-// TakeRead returns the bytes that were read since the last call.
+// TakeRead returns how many bytes were read since the last call.
 //
 //	read := disk.TakeRead()
 func (disk *Disk) TakeRead() int {
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -16,8 +16,9 @@
 // RoutedHost is the host name of the routes in RoutedConfig.
 const RoutedHost = "talk.example"
 
-// RoutedConfig is a config with routes to engines: talk that is kept, chat that may be
-// resumed and is not kept, lookups that may be repeated and orders that may not.
+// RoutedConfig is a config with routes for forwarded requests: "kept" streams whose history is
+// stored, "chat" streams that can be resumed, lookups, which are idempotent, and orders, which
+// are not.
 const RoutedConfig = BasicConfig + `
 routing: {
 	revision: 1
@@ -35,7 +36,7 @@
 }
 `
 
-// ForwardedAnswer is what a caller of a forwarded query got.
+// ForwardedAnswer records the answer to a forwarded request.
 type ForwardedAnswer struct {
 	Status int
 	Header http.Header
@@ -43,7 +44,7 @@
 	Err    error
 }
 
-// Begin takes the head of an answer.
+// Begin records the head of the answer.
 func (answer *ForwardedAnswer) Begin(status int, header http.Header) error {
 	if answer.Status != 0 {
 		return errors.New("an answer began twice")
@@ -52,27 +53,27 @@
 	return nil
 }
 
-// Write takes a part of the body.
+// Write records a part of the body.
 func (answer *ForwardedAnswer) Write(data []byte) error {
 	answer.Body = append(answer.Body, data...)
 	return nil
 }
 
-// Rejected reports whether the answer promises that the query did not run.
+// Rejected reports whether the answer guarantees that the request did not run.
 //
 //	if answer.Rejected() { ... }
 func (answer *ForwardedAnswer) Rejected() bool {
 	return answer.Status == 0 && apierror.Is(answer.Err, apierror.NotRun)
 }
 
-// Complete reports whether the answer is whole and a success.
+// Complete reports whether the answer is a success and was not cut off.
 //
 //	if answer.Complete() { ... }
 func (answer *ForwardedAnswer) Complete() bool {
 	return answer.Err == nil && answer.Status == http.StatusOK
 }
 
-// Text is what the events of a stream said, as the next turn's prompt holds it.
+// Text returns the data of a stream's events, which are what the next turn's prompt contains.
 //
 //	prompt += words + answer.Text()
 func (answer *ForwardedAnswer) Text() string {
@@ -85,11 +86,11 @@
 	return said.String()
 }
 
-// Forward sends a query through a front's filters, as a face would. Path, name and
-// deadline are filled in if they are missing.
+// Forward passes a request through a front's filters, as an ingress does. Method and deadline get
+// defaults: POST, and 4 s from now.
 //
 //	answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "q-1", Path: "/lookup/1"})
-func (cluster *Cluster) Forward(machine *Machine, request forwarding.Request) *ForwardedAnswer {
+func (*Cluster) Forward(machine *Machine, request forwarding.Request) *ForwardedAnswer {
 	if request.Method == "" {
 		request.Method = http.MethodPost
 	}
@@ -110,7 +111,7 @@
 	return answer
 }
 
-// AwaitForwarding waits until a lookup and a turn are forwarded by every running front.
+// AwaitForwarding waits until every running front has forwarded a lookup and a turn.
 //
 //	err := cluster.AwaitForwarding(12 * time.Second)
 func (cluster *Cluster) AwaitForwarding(timeout time.Duration) error {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// Sleep lets time go by, on the test's clock.
+// Sleep waits on the test's clock.
 //
 //	cluster.Sleep(time.Second)
 func (*Cluster) Sleep(duration time.Duration) { <-time.After(duration) }
--- a/proof/simulator/machine.go
+++ b/proof/simulator/machine.go
@@ -14,7 +14,7 @@
 	"yardrock.example/system/store"
 )
 
-// Machine is one host of the cluster with the node on it.
+// Machine is one host of the cluster, its disks, and the node that runs on it, if one does.
 type Machine struct {
 	Host    string
 	Domain  string
@@ -23,13 +23,13 @@
 	Control *controlplane.Node
 	Store   *store.Node
 	Front   *front.Node
-	// ClockOffset is how far the machine's wall clock is ahead of the time.
+	// ClockOffset is how far the wall clock of a store's machine is ahead of the test's clock.
 	ClockOffset time.Duration
 	admin       *httpapi.Server
 	start       func() error
 }
 
-// RunnerMachine is one host with a stand-in runner.
+// RunnerMachine is a host with a stand-in runner.
 type RunnerMachine struct {
 	Host   string
 	Domain string
@@ -37,7 +37,7 @@
 	server *http.Server
 }
 
-// AddControl makes a control machine, not yet started nor counted.
+// AddControl returns a new control machine, which is not started and not in Cluster.Controls.
 //
 //	machine := cluster.AddControl(5)
 func (cluster *Cluster) AddControl(index int) *Machine {
@@ -63,7 +63,7 @@
 	return machine
 }
 
-// AddStore makes a store machine, not yet started nor counted.
+// AddStore returns a new store machine, which is not started and not in Cluster.Stores.
 //
 //	machine := cluster.AddStore(3)
 func (cluster *Cluster) AddStore(index int) *Machine {
@@ -87,12 +87,12 @@
 
 func (machine *Machine) wallClock() time.Time { return time.Now().Add(machine.ClockOffset) }
 
-// Start starts the machine's node, on what its disk holds.
+// Start starts the machine's node from the content of its disks.
 //
 //	err := machine.Start()
 func (machine *Machine) Start() error { return machine.start() }
 
-// Kill ends the machine's node as kill -9 does: what was written stays.
+// Kill ends the machine's node as SIGKILL does: what was written stays written.
 //
 //	machine.Kill()
 func (machine *Machine) Kill() {
@@ -139,7 +139,7 @@
 	}
 }
 
-// Stop ends the runner's process, Return starts it again; what it did is remembered.
+// Stop ends the runner's process. Start starts it again with the record of what it ran.
 //
 //	machine.Stop()
 func (machine *RunnerMachine) Stop() { machine.server.Close() }
--- a/proof/simulator/network.go
+++ b/proof/simulator/network.go
@@ -1,6 +1,12 @@
-// Package simulator runs whole clusters in one process: an in-memory network that
-// can be cut and a disk that forgets what was not synced, on whatever clock the
-// caller's test bubble has.
+// Package simulator runs complete clusters in one process: real nodes (control nodes, stores and
+// fronts) on a simulated network (Network), simulated disks (Disk) and the clock of the test's
+// synctest bubble, with stand-in runners. Network delays, torn writes and the choices of a test
+// come from a seed; goroutine scheduling does not, so a seed repeats the faults of a run and not
+// each of its interleavings.
+//
+// The network keeps TCP's guarantees: data that a partition holds back arrives in order once the
+// partition is healed, or the connection ends. A disk keeps what was synced, and of the unsynced
+// end of a file an arbitrary, possibly corrupted part.
 package simulator
 
 import (
@@ -11,8 +17,8 @@
 	"time"
 )
 
-// Network is an in-memory network of hosts. Data that crosses a cut waits, as TCP
-// keeps it, until the cut is healed or the connection ends.
+// Network is an in-memory network of hosts, each named by its IP address. Data sent over a cut
+// link waits until the link is healed or the connection ends. It is safe for concurrent use.
 type Network struct {
 	mutex     sync.Mutex
 	random    *rand.Rand
@@ -28,7 +34,7 @@
 	messages  map[string]int64
 }
 
-// NewNetwork makes a network whose delays come from a seed.
+// NewNetwork returns a network whose delays, 0.2 to 1 ms, come from a seed.
 //
 //	network := simulator.NewNetwork(7)
 func NewNetwork(seed uint64) *Network {
@@ -36,12 +42,12 @@
 		cuts: map[[2]string]bool{}, slow: map[[2]string]time.Duration{}, refused: map[[2]string]bool{}, isolated: map[string]bool{}, frozen: map[string]bool{}, changed: make(chan struct{}), bytes: map[string]int64{}, messages: map[string]int64{}}
 }
 
-// At returns the network as one host sees it.
+// At returns a host's interface to the network.
 //
 //	node, err := store.Start(settings, folder, cold, network.At("10.0.1.1"))
 func (network *Network) At(host string) *Host { return &Host{network: network, name: host} }
 
-// Host is one machine's side of the network.
+// Host is one host's interface to the network; it implements link.Network.
 type Host struct {
 	network *Network
 	name    string
@@ -52,7 +58,7 @@
 	return host
 }
 
-// reachable reports whether what one host sends reaches another now.
+// reachable reports whether data from one host reaches another now; the mutex must be held.
 func (network *Network) reachable(from, to string) bool {
 	return !network.cuts[[2]string{from, to}] && !network.isolated[from] && !network.isolated[to] && !network.frozen[from] && !network.frozen[to]
 }
@@ -65,21 +71,21 @@
 	network.mutex.Unlock()
 }
 
-// Cut parts two hosts; Heal joins them again.
+// Cut partitions two hosts from each other, until Heal.
 //
 //	network.Cut("10.0.0.1", "10.0.1.1")
 func (network *Network) Cut(left, right string) {
 	network.change(func() { network.cuts[[2]string{left, right}], network.cuts[[2]string{right, left}] = true, true })
 }
 
-// CutOneWay loses the way from one host to another, but not the way back.
+// CutOneWay cuts the link from one host to another, but not the opposite direction.
 //
 //	network.CutOneWay("10.0.0.1", "10.0.1.1")
 func (network *Network) CutOneWay(from, to string) {
 	network.change(func() { network.cuts[[2]string{from, to}] = true })
 }
 
-// Heal joins two hosts, and makes the ways between them as fast as they were.
+// Heal ends what Cut, CutOneWay, Slow and RefuseConnections did to the links between two hosts.
 //
 //	network.Heal("10.0.0.1", "10.0.1.1")
 func (network *Network) Heal(left, right string) {
@@ -92,7 +98,7 @@
 	})
 }
 
-// Slow lets what two hosts send each other arrive so much later.
+// Slow adds a delay to the links between two hosts, until Heal.
 //
 //	network.Slow("10.0.0.1", "10.0.1.1", 300*time.Millisecond)
 func (network *Network) Slow(left, right string, delay time.Duration) {
@@ -101,9 +107,8 @@
 	})
 }
 
-// Freeze holds a host's process where it next touches the network, as SIGSTOP
-// does: what it was about to send leaves when it wakes, whatever its own timeout
-// says. Thaw wakes it.
+// Freeze stops a host's process at its next use of the network, as SIGSTOP does. What it was
+// about to send is sent after Thaw, even if its own timeout has passed meanwhile.
 //
 //	network.Freeze("10.0.2.1")
 func (network *Network) Freeze(host string) {
@@ -117,7 +122,7 @@
 	network.change(func() { delete(network.frozen, host) })
 }
 
-// awaitThawed returns once a host is not frozen, or given up.
+// awaitThawed returns once a host is not frozen, or the channel is closed.
 func (network *Network) awaitThawed(host string, given <-chan struct{}) {
 	for {
 		network.mutex.Lock()
@@ -134,8 +139,7 @@
 	}
 }
 
-// Isolate parts a host from all, as a frozen or unplugged machine is; Rejoin ends
-// it.
+// Isolate cuts a host off from all others, until Rejoin.
 //
 //	network.Isolate("10.0.2.1")
 func (network *Network) Isolate(host string) {
@@ -149,8 +153,7 @@
 	network.change(func() { delete(network.isolated, host) })
 }
 
-// Reset breaks all connections and listeners of a host, as the end of its process
-// does.
+// Reset closes all connections and listeners of a host, as the end of its process does.
 //
 //	network.Reset("10.0.1.1")
 func (network *Network) Reset(host string) {
@@ -172,7 +175,7 @@
 	}
 }
 
-// Sent returns how many bytes left a host, in how many writes.
+// Sent counts the bytes that a host sent, and the writes that it sent them in.
 //
 //	bytes, messages := network.Sent("10.0.1.1")
 func (network *Network) Sent(host string) (int64, int64) {
--- a/proof/simulator/network_connection.go
+++ b/proof/simulator/network_connection.go
@@ -62,12 +62,12 @@
 
 func (address address) String() string { return string(address) }
 
-// retransmitTimeout is after how long a system sends an opening packet again that a cut way has
-// swallowed; each further time takes twice as long.
+// retransmitTimeout is how long TCP waits before it sends a lost SYN again; each further wait is
+// twice as long.
 const retransmitTimeout = time.Second
 
-// Dial connects. An opening packet that a cut way swallows is sent again only after a
-// second, as by TCP.
+// Dial connects to a listener. A SYN that a cut link loses is sent again after
+// retransmitTimeout.
 func (host *Host) Dial(ctx context.Context, target string) (net.Conn, error) {
 	network := host.network
 	again := retransmitTimeout
@@ -113,7 +113,7 @@
 	network.mutex.Lock()
 	network.endpoints[near], network.endpoints[far] = true, true
 	network.mutex.Unlock()
-	network.awaitThawed(from, near.done) // a frozen process goes on with what it dialled
+	network.awaitThawed(from, near.done) // a frozen process continues with the connection once it is thawed
 	select {
 	case to.queue <- far:
 		return near, nil
@@ -128,7 +128,7 @@
 	at   time.Time
 }
 
-// buffer is what is on its way to one end.
+// buffer is the data in flight to an endpoint.
 type buffer struct {
 	mutex  sync.Mutex
 	chunks []chunk
@@ -159,7 +159,7 @@
 	deadlineChanged chan struct{} // closed when the deadline changes
 }
 
-// Read takes what has arrived.
+// Read returns data whose delay has passed. It waits for the peer, a heal or the deadline.
 func (end *endpoint) Read(target []byte) (int, error) {
 	for {
 		count, wait, changed, grown, err := end.takeArrived(target)
@@ -228,14 +228,14 @@
 	return count, 0, changed, incoming.grown, nil
 }
 
-// Idle reports that nothing has arrived and the other side has closed nothing.
+// Idle reports whether no data has arrived and the peer has not closed the connection.
 func (end *endpoint) Idle() bool {
 	var none [1]byte
 	count, _, _, _, err := end.takeArrived(none[:])
 	return count == 0 && err == nil
 }
 
-// Write sends; it blocks only while its host is frozen.
+// Write sends data. It blocks only while its host is frozen.
 func (end *endpoint) Write(data []byte) (int, error) {
 	end.network.awaitThawed(end.host, end.done)
 	select {
@@ -284,7 +284,7 @@
 // RemoteAddr returns the other side's address.
 func (end *endpoint) RemoteAddr() net.Addr { return end.remote }
 
-// SetReadDeadline sets when a Read gives up.
+// SetReadDeadline sets the deadline of reads.
 func (end *endpoint) SetReadDeadline(deadline time.Time) error {
 	end.mutex.Lock()
 	end.deadline = deadline
--- a/proof/simulator/network_faults.go
+++ b/proof/simulator/network_faults.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// Disconnect ends the connections between two hosts, as a reset by the network does.
+// Disconnect resets the connections between two hosts.
 //
 //	network.Disconnect("10.0.0.1", "10.0.1.1")
 func (network *Network) Disconnect(left, right string) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// RefuseConnections breaks the connections between two hosts and refuses new ones, as a firewall
-// that rejects does; Heal ends it.
+// RefuseConnections resets the connections between two hosts and refuses new ones, as a firewall
+// that rejects does, until Heal.
 //
 //	network.RefuseConnections("10.0.0.1", "10.0.1.1")
 func (network *Network) RefuseConnections(left, right string) {
--- a/proof/simulator/runnerlist.go
+++ b/proof/simulator/runnerlist.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/feed"
 )
 
-// EngineMachine is one host with a stand-in engine.
+// EngineMachine is a host with a stand-in engine.
 type EngineMachine struct {
 	Host   string
 	Domain string
@@ -22,7 +22,7 @@
 	server *http.Server
 }
 
-// RunnerList is the platform's list of engines, as control nodes ask it.
+// RunnerList is the source of runners that control nodes poll. It is safe for concurrent use.
 type RunnerList struct {
 	mutex   sync.Mutex
 	runners []feed.Runner
@@ -31,8 +31,8 @@
 	polls   int
 }
 
-// List returns the list, or the failure that was put. For how long runners stay cold counts
-// down.
+// List returns the list that was put, or the error of Fail. The remaining warm-up time of each
+// runner has been reduced by the time since Put.
 //
 //	runners, err := cluster.RunnerList.List(ctx)
 func (runnerList *RunnerList) List(context.Context) ([]feed.Runner, error) {
@@ -50,7 +50,7 @@
 	return runners, runnerList.failing
 }
 
-// Polls returns how often the list was asked for.
+// Polls counts the calls of List.
 //
 //	asks := cluster.RunnerList.Polls()
 func (runnerList *RunnerList) Polls() int {
@@ -68,7 +68,7 @@
 	runnerList.mutex.Unlock()
 }
 
-// Fail makes asking for the list fail, until it is nil.
+// Fail makes List fail, until it is called with nil.
 //
 //	cluster.RunnerList.Fail(errors.New("throttled"))
 func (runnerList *RunnerList) Fail(err error) {
@@ -77,7 +77,7 @@
 	runnerList.mutex.Unlock()
 }
 
-// Runner is the engine as the platform's list names it.
+// Runner returns the engine's entry in the list.
 //
 //	cluster.RunnerList.Put([]feed.Runner{machine.Runner()})
 func (machine *EngineMachine) Runner() feed.Runner {
@@ -89,7 +89,7 @@
 //	machine.Stop()
 func (machine *EngineMachine) Stop() { machine.server.Close() }
 
-// Start starts the engine again, in a new life.
+// Start starts a new engine, which has a new life and has run nothing.
 //
 //	err := machine.Start(cluster)
 func (machine *EngineMachine) Start(cluster *Cluster, life string) error {
@@ -118,7 +118,7 @@
 	return failed
 }
 
-// ListEngines puts all runners on the list that control nodes are given.
+// ListEngines lists all engines and runners as serving.
 //
 //	cluster.ListEngines()
 func (cluster *Cluster) ListEngines() {
