--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -31,12 +31,12 @@
 	}
 	reading, stop := context.WithTimeout(ctx, administrationTimeout)
 	defer stop()
-	columns, rows, err := service.readTable(reading, from.state, statement.Show.What)
+	complete, err := service.readTable(reading, from.state, statement.Show.What)
 	if err != nil {
 		return nil, err
 	}
-	rows, err = statement.Show.Apply(columns, rows)
-	return &administration.QueryResult{Columns: columns, Rows: rows}, err
+	rows, err := statement.Show.Apply(complete.columns, complete.rows)
+	return &administration.QueryResult{Columns: complete.columns, Rows: rows}, err
 }
 
 // execute carries out a statement that changes something, or, for a dry run, describes what
--- a/system/controlplane/admin_tables.go
+++ b/system/controlplane/admin_tables.go
@@ -20,8 +20,14 @@
 	config *config.Config
 }
 
-// tableFunc returns the columns and rows of a table of the query language.
-type tableFunc func(ctx context.Context, source tableSource) ([]string, [][]string)
+// table is a table of the query language. Each row has one text for each column.
+type table struct {
+	columns []string
+	rows    [][]string
+}
+
+// tableFunc lists a table.
+type tableFunc func(ctx context.Context, source tableSource) table
 
 // tables are the tables of the query language but for changesTable, by their names in it.
 var tables = map[string]tableFunc{
@@ -45,19 +51,19 @@
 // changesTable is the table that needs the history of the state beside its view.
 const changesTable = "changes"
 
-// readTable returns a table of the query language as of a confirmed state.
-func (service adminService) readTable(ctx context.Context, state *feedState, table string) ([]string, [][]string, error) {
-	if table == changesTable {
+// readTable returns the table of a name as of a confirmed state. The name must be one of
+// querylanguage.Tables.
+func (service adminService) readTable(ctx context.Context, state *feedState, name string) (table, error) {
+	if name == changesTable {
 		return listChanges(state)
 	}
 	decoded, err := service.node.decodeConfig(state.view)
 	if err != nil {
-		return nil, nil, err
+		return table{}, err
 	}
 	// Never nil: the parser accepts only querylanguage.Tables, and
 	// TestEveryTableOfTheQueryLanguageIsServed ties those to the map.
-	columns, rows := tables[table](ctx, tableSource{node: service.node, view: state.view, config: decoded})
-	return columns, rows, nil
+	return tables[name](ctx, tableSource{node: service.node, view: state.view, config: decoded}), nil
 }
 
 // farBehindError says that a state lacks the history which a request needs.
@@ -66,15 +72,15 @@
 }
 
 // listChanges lists the last changes of a confirmed state.
-func listChanges(state *feedState) ([]string, [][]string, error) {
+func listChanges(state *feedState) (table, error) {
 	if state.lacksHistory {
-		return nil, nil, farBehindError()
+		return table{}, farBehindError()
 	}
 	rows := [][]string{}
 	for _, change := range state.history.Changes {
 		rows = append(rows, []string{strconv.FormatUint(change.Number, 10), changeKindNames[change.Kind], change.By, formatTime(change.At), change.Statement})
 	}
-	return []string{"number", "kind", "by", "at", "command"}, rows, nil
+	return table{columns: []string{"number", "kind", "by", "at", "command"}, rows: rows}, nil
 }
 
 // changeKindNames are the kinds of change as operators see them.
@@ -83,6 +89,7 @@
 	feed.ChangeStores: "stores", feed.ChangeControls: "controls", feed.ChangeRoleLease: "assignment", feed.ChangeRecovered: "recovered",
 }
 
+// memberColumns are the columns of the tables of members.
 var memberColumns = []string{"name", "role", "domain", "address", "state"}
 
 // memberRows returns the rows of a table of members.
@@ -104,22 +111,22 @@
 }
 
 // listNodes lists the live nodes.
-func listNodes(_ context.Context, source tableSource) ([]string, [][]string) {
-	return memberColumns, memberRows(source.node.liveMembers())
+func listNodes(_ context.Context, source tableSource) table {
+	return table{columns: memberColumns, rows: memberRows(source.node.liveMembers())}
 }
 
 // listStores lists the store list.
-func listStores(_ context.Context, source tableSource) ([]string, [][]string) {
-	return memberColumns, memberRows(source.view.Stores)
+func listStores(_ context.Context, source tableSource) table {
+	return table{columns: memberColumns, rows: memberRows(source.view.Stores)}
 }
 
 // listControls lists the voters of the control group.
-func listControls(_ context.Context, source tableSource) ([]string, [][]string) {
-	return memberColumns, memberRows(source.view.Controls)
+func listControls(_ context.Context, source tableSource) table {
+	return table{columns: memberColumns, rows: memberRows(source.view.Controls)}
 }
 
 // listRunners lists the runners; one in a drained domain is shown as drained.
-func listRunners(_ context.Context, source tableSource) ([]string, [][]string) {
+func listRunners(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	for _, runner := range source.view.Runners {
 		state := runner.State
@@ -128,11 +135,11 @@
 		}
 		rows = append(rows, []string{runner.Address, runner.Group, runner.Domain, state, formatTime(runner.Since)})
 	}
-	return []string{"address", "group", "domain", "state", "since"}, rows
+	return table{columns: []string{"address", "group", "domain", "state", "since"}, rows: rows}
 }
 
 // listDomains lists the domains that have runners or were ever drained.
-func listDomains(_ context.Context, source tableSource) ([]string, [][]string) {
+func listDomains(_ context.Context, source tableSource) table {
 	counts := map[string]int{}
 	for _, runner := range source.view.Runners {
 		counts[runner.Domain]++
@@ -148,14 +155,14 @@
 		}
 		rows = append(rows, []string{name, state, strconv.Itoa(counts[name])})
 	}
-	return []string{"name", "state", "runners"}, rows
+	return table{columns: []string{"name", "state", "runners"}, rows: rows}
 }
 
 // listRoleLeases lists the leases on singleton roles.
-func listRoleLeases(_ context.Context, source tableSource) ([]string, [][]string) {
+func listRoleLeases(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	for _, lease := range source.view.RoleLeases {
 		rows = append(rows, []string{lease.Key, lease.Holder, strconv.FormatUint(lease.FencingToken, 10)})
 	}
-	return []string{"key", "owner", "fence"}, rows
+	return table{columns: []string{"key", "owner", "fence"}, rows: rows}
 }
--- a/system/controlplane/admin_tables_config.go
+++ b/system/controlplane/admin_tables_config.go
@@ -10,18 +10,19 @@
 )
 
 // listWeights lists the weights of the config.
-func listWeights(_ context.Context, source tableSource) ([]string, [][]string) {
+func listWeights(_ context.Context, source tableSource) table {
 	rows := [][]string{}
-	for _, table := range slices.Sorted(maps.Keys(source.config.Tables)) {
-		for _, group := range slices.Sorted(maps.Keys(source.config.Tables[table])) {
-			rows = append(rows, []string{table, group, strconv.FormatFloat(source.config.Tables[table][group], 'g', -1, 64)})
+	for _, name := range slices.Sorted(maps.Keys(source.config.Tables)) {
+		weights := source.config.Tables[name]
+		for _, group := range slices.Sorted(maps.Keys(weights)) {
+			rows = append(rows, []string{name, group, strconv.FormatFloat(weights[group], 'g', -1, 64)})
 		}
 	}
-	return []string{"table", "group", "weight"}, rows
+	return table{columns: []string{"table", "group", "weight"}, rows: rows}
 }
 
 // listRoutes lists the routes of the routing in force.
-func listRoutes(_ context.Context, source tableSource) ([]string, [][]string) {
+func listRoutes(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	if source.config.Routing != nil {
 		for _, route := range source.config.Routing.Routes {
@@ -33,11 +34,11 @@
 				strconv.Itoa(route.Urgency), strings.Join(shares, " "), strconv.FormatUint(source.config.Routing.Revision, 10)})
 		}
 	}
-	return []string{"name", "host", "prefix", "kind", "patience", "urgency", "shares", "revision"}, rows
+	return table{columns: []string{"name", "host", "prefix", "kind", "patience", "urgency", "shares", "revision"}, rows: rows}
 }
 
 // listServices lists the services of the routing in force, with their numbers of runners.
-func listServices(_ context.Context, source tableSource) ([]string, [][]string) {
+func listServices(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	if source.config.Routing != nil {
 		counts := map[string]int{}
@@ -49,20 +50,20 @@
 				strconv.FormatFloat(service.WarmUpRate, 'g', -1, 64), strconv.Itoa(counts[service.Name])})
 		}
 	}
-	return []string{"name", "health_path", "most_connections", "cold_for", "cold_rate", "runners"}, rows
+	return table{columns: []string{"name", "health_path", "most_connections", "cold_for", "cold_rate", "runners"}, rows: rows}
 }
 
 // listPrograms lists the programs of the config.
-func listPrograms(_ context.Context, source tableSource) ([]string, [][]string) {
+func listPrograms(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	for _, name := range slices.Sorted(maps.Keys(source.config.Programs)) {
 		program := source.config.Programs[name]
 		rows = append(rows, []string{name, program.Team, strconv.FormatUint(program.Quota, 10), strconv.FormatUint(program.TurnLimit, 10), program.Period})
 	}
-	return []string{"name", "team", "allowance", "turn_limit", "period"}, rows
+	return table{columns: []string{"name", "team", "allowance", "turn_limit", "period"}, rows: rows}
 }
 
 // listConfig lists the number of the config in force and of the newest view.
-func listConfig(_ context.Context, source tableSource) ([]string, [][]string) {
-	return []string{"number", "newest", "fleet"}, [][]string{{strconv.FormatUint(source.view.ConfigNumber, 10), strconv.FormatUint(source.view.Number, 10), source.view.Fleet}}
+func listConfig(_ context.Context, source tableSource) table {
+	return table{columns: []string{"number", "newest", "fleet"}, rows: [][]string{{strconv.FormatUint(source.view.ConfigNumber, 10), strconv.FormatUint(source.view.Number, 10), source.view.Fleet}}}
 }
--- a/system/controlplane/admin_tables_live.go
+++ b/system/controlplane/admin_tables_live.go
@@ -14,19 +14,19 @@
 )
 
 // listGroups lists the session log groups as their leaders report them.
-func listGroups(ctx context.Context, source tableSource) ([]string, [][]string) {
+func listGroups(ctx context.Context, source tableSource) table {
 	leaders := source.node.groupLeaders(ctx, source.view)
 	rows := [][]string{}
 	for group := range source.view.Groups {
 		status := leaders[group]
 		rows = append(rows, []string{strconv.Itoa(int(group)), status.leader, strings.Join(status.Voters, " "), strings.Join(status.Learners, " ")})
 	}
-	return []string{"group", "leader", "voters", "learners"}, rows
+	return table{columns: []string{"group", "leader", "voters", "learners"}, rows: rows}
 }
 
 // listQuotaUsage lists how much of its quota each program has used, as its session log says;
 // "unknown" if that cannot be read.
-func listQuotaUsage(ctx context.Context, source tableSource) ([]string, [][]string) {
+func listQuotaUsage(ctx context.Context, source tableSource) table {
 	stores := storeclient.New(source.node.client, func() *feed.View { return source.view })
 	rows := [][]string{}
 	for _, name := range slices.Sorted(maps.Keys(source.config.Programs)) {
@@ -40,12 +40,12 @@
 		}
 		rows = append(rows, []string{name, program.Team, program.Period, spent, reserved, strconv.FormatUint(program.Quota, 10)})
 	}
-	return []string{"program", "team", "period", "spent", "reserved", "allowance"}, rows
+	return table{columns: []string{"program", "team", "period", "spent", "reserved", "allowance"}, rows: rows}
 }
 
 // listRunnerLoads lists the load of the runners as each front reports it; "unknown" if a front
 // does not answer.
-func listRunnerLoads(ctx context.Context, source tableSource) ([]string, [][]string) {
+func listRunnerLoads(ctx context.Context, source tableSource) table {
 	rows := [][]string{}
 	for _, member := range source.node.liveMembers() {
 		if member.Role != feed.RoleFront {
@@ -64,5 +64,5 @@
 			rows = append(rows, []string{member.Name, "", "0", "", waiting})
 		}
 	}
-	return []string{"front", "runner", "out", "cooled", "waiting"}, rows
+	return table{columns: []string{"front", "runner", "out", "cooled", "waiting"}, rows: rows}
 }
--- a/system/controlplane/admin_tables_shared_prefixes.go
+++ b/system/controlplane/admin_tables_shared_prefixes.go
@@ -15,7 +15,7 @@
 // listSharedPrefixes lists the prefixes that many session logs share, as the groups' leaders
 // report them, and how many bytes all replicas together save by that. The first row sums up.
 // No content is shown.
-func listSharedPrefixes(ctx context.Context, source tableSource) ([]string, [][]string) {
+func listSharedPrefixes(ctx context.Context, source tableSource) table {
 	leaders := source.node.queryGroupLeaders(ctx, source.view, wire.StatusQuery{SharedPrefixes: true})
 	number := func(value uint64) string { return strconv.FormatUint(value, 10) }
 	rows, size, references, saved := [][]string{}, uint64(0), uint64(0), uint64(0)
@@ -38,5 +38,5 @@
 	if source.config.SharedPrefixes.Enabled {
 		state = "on"
 	}
-	return sharedPrefixColumns, slices.Insert(rows, 0, []string{"all", "", "", "", number(size), number(references), number(saved), state})
+	return table{columns: sharedPrefixColumns, rows: slices.Insert(rows, 0, []string{"all", "", "", "", number(size), number(references), number(saved), state})}
 }
