--- a/system/querylanguage/parse.go
+++ b/system/querylanguage/parse.go
@@ -2,7 +2,8 @@
 // operators inspect and change a fleet: its grammar, parser and printer, and the
 // filtering, sorting and limiting of the rows of a query's result.
 //
-// A printed statement parses back to itself. The names of the grammar's types are shown
+// A printed statement parses back to itself, unless a value has a quotation mark or a control
+// character: the tokens know no escaped quotation mark. The names of the grammar's types are shown
 // in parse errors. The package keeps no state.
 package querylanguage
 
