--- a/system/replica/host_loop.go
+++ b/system/replica/host_loop.go
@@ -92,24 +92,30 @@
 	host.statuses.Store(&statuses)
 }
 
-// flush passes on what a turn of the loop has produced: messages to the transport and, if the
-// disk goroutine is idle, all pending records as its next job. When they would have the log grow
-// beyond its threshold the job is a snapshot of the complete state, which includes them.
+// flush passes on what a turn of the loop has produced: messages to the transport, and records
+// to the disk goroutine.
 func (host *Host) flush() {
 	for to, messages := range host.outbox {
 		host.transport.Send(to, messages)
 	}
 	clear(host.outbox)
 	if host.runningJob == nil && (len(host.pendingRecords) > 0 || len(host.pendingCallbacks) > 0) {
-		job := &diskJob{records: host.pendingRecords, callbacks: host.pendingCallbacks, started: time.Now()}
-		// The pending records count too: one job can have a large entry and a group's snapshot.
-		logBytes := host.durableLog.LogBytes() + dataBytes(job.records)
-		if logBytes > host.settings.compactionThreshold(host.durableLog.SnapshotBytes()) {
-			job.snapshot, job.records = host.snapshotRecords(), nil
-		}
-		host.pendingRecords, host.pendingCallbacks, host.runningJob = nil, nil, job
-		host.diskJobs <- job
+		host.startDiskJob()
+	}
+}
+
+// startDiskJob gives the disk goroutine, which must be idle, all pending records as its next job.
+// When they would have the log grow beyond its threshold the job is a snapshot of the complete
+// state, which includes them.
+func (host *Host) startDiskJob() {
+	job := &diskJob{records: host.pendingRecords, callbacks: host.pendingCallbacks, started: time.Now()}
+	// The pending records count too: one job can have a large entry and a group's snapshot.
+	logBytes := host.durableLog.LogBytes() + dataBytes(job.records)
+	if logBytes > host.settings.compactionThreshold(host.durableLog.SnapshotBytes()) {
+		job.snapshot, job.records = host.snapshotRecords(), nil
 	}
+	host.pendingRecords, host.pendingCallbacks, host.runningJob = nil, nil, job
+	host.diskJobs <- job // the disk goroutine waits for it, so this does not block
 }
 
 // failPending ends the disk goroutine and fails all proposals and reads that wait.
