--- a/proof/cmd/measure/main.go
+++ b/proof/cmd/measure/main.go
@@ -67,8 +67,8 @@
 func total(cluster *simulator.Cluster) counts {
 	sum := counts{}
 	for _, machine := range cluster.Machines() {
-		bytes, messages := cluster.Network.Sent(machine.Host)
-		sum.bytes += bytes
+		sent, messages := cluster.Network.Sent(machine.Host)
+		sum.bytes += sent
 		sum.messages += messages
 		if machine.Store != nil {
 			sum.syncs += machine.Disk.Syncs()
--- a/proof/cmd/measure/sharedprefixes.go
+++ b/proof/cmd/measure/sharedprefixes.go
@@ -108,7 +108,7 @@
 		working.Go(func() {
 			arm, name := armOf(number)
 			program, said, follows := fmt.Sprintf("program/%s-%s-%d", name, round, number), "", ""
-			scope, client := number%prefixScopes, fleet.origins[number%len(fleet.origins)]
+			scope, client := number%prefixScopes, fleet.clients[number%len(fleet.clients)]
 			for position := range turnsOfAProgram {
 				turn := storeclient.Turn{SessionName: program, Name: fmt.Sprintf("%s-%d", program, position), Follows: follows, Input: []byte(inputs[(number+position)%len(inputs)]), KeepHistory: true, Retention: time.Minute, DispatchID: "d", Lifetime: time.Minute}
 				if position == 0 {
--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -101,20 +101,19 @@
 		if err != nil {
 			return nil, err
 		}
-		defer listener.Close()
+		defer listener.Close() //revive:disable-line:defer all stay open until the addresses are drawn
 		found = append(found, listener.Addr().String())
 	}
 	return found, nil
 }
 
-// storesOnLoopback is a small fleet without fronts, on real files; origins stand for
-// fronts.
+// storesOnLoopback is a small fleet on real files. Clients of the stores take the place of fronts.
 type storesOnLoopback struct {
 	network *counted
 	syncs   *atomic.Int64
 	folder  string
 	nodes   []*store.Node
-	origins []*storeclient.Client
+	clients []*storeclient.Client
 	ends    []func()
 }
 
@@ -126,7 +125,7 @@
 }
 
 // startStores starts three control nodes and three stores whose syncs take a time.
-func startStores(takes time.Duration) (*storesOnLoopback, error) {
+func startStores(syncTime time.Duration) (*storesOnLoopback, error) {
 	folder, err := os.MkdirTemp("", "measure")
 	if err != nil {
 		return nil, err
@@ -135,7 +134,7 @@
 	open := func(name string) vfs.Directory {
 		made, failed := vfs.Open(filepath.Join(folder, name))
 		err = errors.Join(err, failed)
-		return slowDisk{made, fleet.syncs, takes}
+		return slowDisk{made, fleet.syncs, syncTime}
 	}
 	free, failed := freeAddresses(15)
 	if failed != nil {
@@ -166,74 +165,61 @@
 		for len(following.View().Stores) == 0 {
 			time.Sleep(50 * time.Millisecond)
 		}
-		fleet.origins = append(fleet.origins, storeclient.New(caller, following.View))
+		fleet.clients = append(fleet.clients, storeclient.New(caller, following.View))
 	}
 	return fleet, nil
 }
 
-// turnCosts runs turns of programs at a pace against three stores on loopback, with
-// real files, and returns what each cost over all processes, fronts' part included.
-func turnCosts(pace, count, size int, takes time.Duration, profile string) error {
-	fleet, err := startStores(takes)
+// turnCosts runs turns of programs at a pace against three stores on loopback, with real files, and
+// prints what each cost over all processes, the part of the clients included.
+func turnCosts(pace, count, size int, syncTime time.Duration, profile string) error {
+	fleet, err := startStores(syncTime)
 	if fleet != nil {
 		defer fleet.end()
 	}
 	if err != nil {
 		return err
 	}
-	network, syncs, origins := fleet.network, fleet.syncs, fleet.origins
-	run := func(turns int) (slowest []time.Duration, failed int) {
-		var mutex sync.Mutex
-		var working sync.WaitGroup
-		tick := time.NewTicker(time.Second / time.Duration(pace))
-		defer tick.Stop()
-		run := rand.Uint64()
-		for number := range turns {
-			<-tick.C
-			working.Go(func() {
-				// Ten programs run beside each other, of eight turns each.
-				program, position := fmt.Sprintf("program/%x-%d-%d", run, number/80, number%10), number%80/10
-				name, follows := fmt.Sprintf("%s-%d", program, position), ""
-				if position > 0 {
-					follows = fmt.Sprintf("%s-%d", program, position-1)
-				}
-				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-				defer cancel()
-				began := time.Now()
-				begun, err := origins[number%len(origins)].BeginTurn(ctx, storeclient.Turn{SessionName: program, Name: name, Follows: follows, Input: []byte(strings.Repeat("i", size)), KeepHistory: true, Retention: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 10000, DispatchID: "d", Lifetime: time.Minute})
-				took := time.Since(began)
-				if err == nil {
-					began = time.Now()
-					err = origins[number%len(origins)].EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: name, Seq: begun.Seq, Output: []byte(strings.Repeat("o", size)), Tokens: 50, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
-				}
-				mutex.Lock()
-				defer mutex.Unlock()
-				slowest = append(slowest, took, time.Since(began))
-				if err != nil {
-					failed++
-				}
-			})
-		}
-		working.Wait()
-		slices.Sort(slowest)
-		return slowest, failed
-	}
 	time.Sleep(3 * time.Second)
-	run(pace)
-	taken := func() (cpu time.Duration, messages, bytes, synced int64) {
-		var usage syscall.Rusage
-		if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
-			return 0, 0, 0, 0
-		}
-		return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), network.messages.Load(), network.bytes.Load(), syncs.Load()
+	fleet.runTurns(pace, pace, size)
+	figures := map[string]any{}
+	fleet.measureIdle(figures)
+	if err := fleet.measureTurns(figures, pace, count, size, profile); err != nil {
+		return err
 	}
-	idleBegan := time.Now()
-	idleCPU, idleMessages, idleBytes, idleSyncs := taken()
+	data, err := json.MarshalIndent(figures, "", " ")
+	fmt.Println(string(data))
+	return err
+}
+
+// resources is what this process has used up to a time.
+type resources struct {
+	cpu                    time.Duration
+	messages, bytes, syncs int64
+}
+
+// used reads the resources, or none if the system does not say the processor time.
+func (fleet *storesOnLoopback) used() resources {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
+		return resources{}
+	}
+	return resources{time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), fleet.network.messages.Load(), fleet.network.bytes.Load(), fleet.syncs.Load()}
+}
+
+// measureIdle adds the figures of an idle fleet.
+func (fleet *storesOnLoopback) measureIdle(figures map[string]any) {
+	began, before := time.Now(), fleet.used()
 	time.Sleep(idleTime)
-	idle := time.Since(idleBegan).Seconds()
-	cpu, messages, bytes, synced := taken()
-	perSecond := func(now, before int64) float64 { return float64(now-before) / idle }
-	reported := map[string]any{"idle_cpu_ms_per_second": float64((cpu - idleCPU).Microseconds()) / 1000 / idle, "idle_messages_per_second": perSecond(messages, idleMessages), "idle_bytes_per_second": perSecond(bytes, idleBytes), "idle_syncs_per_second": perSecond(synced, idleSyncs)}
+	seconds, after := time.Since(began).Seconds(), fleet.used()
+	figures["idle_cpu_ms_per_second"] = float64((after.cpu - before.cpu).Microseconds()) / 1000 / seconds
+	figures["idle_messages_per_second"] = float64(after.messages-before.messages) / seconds
+	figures["idle_bytes_per_second"] = float64(after.bytes-before.bytes) / seconds
+	figures["idle_syncs_per_second"] = float64(after.syncs-before.syncs) / seconds
+}
+
+// measureTurns adds the figures of a number of turns. A profile, if named, gets a file.
+func (fleet *storesOnLoopback) measureTurns(figures map[string]any, pace, count, size int, profile string) error {
 	if profile != "" {
 		file, err := os.Create(profile)
 		if err != nil {
@@ -244,22 +230,64 @@
 			return err
 		}
 	}
-	began, kinds := time.Now(), bytesOut()
-	commits, failed := run(count)
+	before, began, kinds := fleet.used(), time.Now(), bytesOut()
+	commits, failed := fleet.runTurns(count, pace, size)
 	pprof.StopCPUProfile()
-	spent := time.Since(began).Seconds()
-	afterCPU, afterMessages, afterBytes, afterSyncs := taken()
-	turns := float64(count)
-	reported["turns"], reported["failed"], reported["turns_per_second"] = count, failed, turns/spent
-	reported["cpu_ms_per_turn"] = float64((afterCPU - cpu).Microseconds()) / 1000 / turns
-	reported["messages_per_turn"] = float64(afterMessages-messages) / turns
-	reported["bytes_per_turn"] = float64(afterBytes-bytes) / turns
+	seconds, after, turns := time.Since(began).Seconds(), fleet.used(), float64(count)
+	figures["turns"], figures["failed"], figures["turns_per_second"] = count, failed, turns/seconds
+	figures["cpu_ms_per_turn"] = float64((after.cpu - before.cpu).Microseconds()) / 1000 / turns
+	figures["messages_per_turn"] = float64(after.messages-before.messages) / turns
+	figures["bytes_per_turn"] = float64(after.bytes-before.bytes) / turns
 	for kind, now := range bytesOut() {
-		reported["bytes_out_per_turn_"+kind] = float64(now-kinds[kind]) / turns
+		figures["bytes_out_per_turn_"+kind] = float64(now-kinds[kind]) / turns
 	}
-	reported["syncs_per_turn"] = float64(afterSyncs-synced) / turns
-	reported["commit_half"], reported["commit_99"] = commits[len(commits)/2].String(), commits[len(commits)*99/100].String()
-	data, err := json.MarshalIndent(reported, "", " ")
-	fmt.Println(string(data))
-	return err
+	figures["syncs_per_turn"] = float64(after.syncs-before.syncs) / turns
+	figures["commit_half"], figures["commit_99"] = commits[len(commits)/2].String(), commits[len(commits)*99/100].String()
+	return nil
+}
+
+// runTurns begins and ends turns, pace of them in a second, and returns the sorted times of all
+// their commits. Ten programs at a time take eight turns each.
+func (fleet *storesOnLoopback) runTurns(turns, pace, size int) (commits []time.Duration, failed int) {
+	var mutex sync.Mutex
+	var running sync.WaitGroup
+	ticker := time.NewTicker(time.Second / time.Duration(pace))
+	defer ticker.Stop()
+	run := rand.Uint64()
+	for number := range turns {
+		<-ticker.C
+		running.Go(func() {
+			program, position := fmt.Sprintf("program/%x-%d-%d", run, number/80, number%10), number%80/10
+			begin, end, err := fleet.runTurn(fleet.clients[number%len(fleet.clients)], program, position, size)
+			mutex.Lock()
+			defer mutex.Unlock()
+			commits = append(commits, begin, end)
+			if err != nil {
+				failed++
+			}
+		})
+	}
+	running.Wait()
+	slices.Sort(commits)
+	return commits, failed
+}
+
+// runTurn begins and ends the turn of a program at a position, and returns how long both took. If
+// the begin fails, the second time is that of the begin, too.
+func (*storesOnLoopback) runTurn(stores *storeclient.Client, program string, position, size int) (begin, end time.Duration, err error) {
+	name, follows := fmt.Sprintf("%s-%d", program, position), ""
+	if position > 0 {
+		follows = fmt.Sprintf("%s-%d", program, position-1)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	began := time.Now()
+	begun, err := stores.BeginTurn(ctx, storeclient.Turn{SessionName: program, Name: name, Follows: follows, Input: []byte(strings.Repeat("i", size)), KeepHistory: true, Retention: time.Minute, HasTokenQuota: true, MaxOutputTokens: 100, TokenQuota: 10000, DispatchID: "d", Lifetime: time.Minute})
+	begin = time.Since(began)
+	if err != nil {
+		return begin, time.Since(began), err
+	}
+	began = time.Now()
+	err = stores.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: name, Seq: begun.Seq, Output: []byte(strings.Repeat("o", size)), Tokens: 50, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
+	return begin, time.Since(began), err
 }
--- a/proof/cmd/mutations/main.go
+++ b/proof/cmd/mutations/main.go
@@ -1,6 +1,7 @@
-// Command mutations shows that the checks can fail: it applies each patch of
-// proof/mutations to a copy of the tree, which breaks one rule, and demands that the
-// tests which the patch names fail.
+// Command mutations shows that the tests can fail: it applies each patch of proof/mutations, which
+// breaks one rule, to a copy of the tree, and demands that the tests that the patch names fail. It
+// exits with 1 if a mutation was not caught, and with 2 if a patch does not apply, does not compile
+// or names no test.
 package main
 
 import (
@@ -33,7 +34,8 @@
 // defaultPackage holds the tests of a patch that names no other package.
 const defaultPackage = "proof/simulator"
 
-// mutation is one patch, with the head lines that say what it is for.
+// mutation is one patch with its head lines, which name the rule that it breaks and the tests that
+// must fail.
 type mutation struct {
 	name, rule, tests, file string
 	// testPackage is the folder of the package whose tests must fail, from the root.
@@ -57,12 +59,12 @@
 	}
 	var mutex sync.Mutex
 	var working sync.WaitGroup
-	green, misused := []string{}, []error{}
-	places := make(chan struct{}, max(chosen.Parallel, 1))
+	missed, misused := []string{}, []error{}
+	slots := make(chan struct{}, max(chosen.Parallel, 1))
 	for _, one := range mutations {
 		working.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			began := time.Now()
 			caught, err := one.test(chosen)
 			mutex.Lock()
@@ -74,18 +76,18 @@
 				misused = append(misused, fmt.Errorf("%s: %w", one.name, err))
 			case !caught:
 				reported = "NOT CAUGHT"
-				green = append(green, one.name)
+				missed = append(missed, one.name)
 			}
 			fmt.Printf("rule=%q mutation=%s tests=%q %s after %s\n", one.rule, one.name, one.tests, reported, time.Since(began).Round(time.Second))
 		})
 	}
 	working.Wait()
-	fmt.Printf("%d passed, %d failed\n", len(mutations)-len(green)-len(misused), len(green)+len(misused))
+	fmt.Printf("%d passed, %d failed\n", len(mutations)-len(missed)-len(misused), len(missed)+len(misused))
 	switch {
 	case len(misused) > 0:
 		return exitMisused, errors.Join(misused...)
-	case len(green) > 0:
-		return exitNotCaught, fmt.Errorf("mutations that no test caught: %s", strings.Join(green, ", "))
+	case len(missed) > 0:
+		return exitNotCaught, fmt.Errorf("mutations that no test caught: %s", strings.Join(missed, ", "))
 	}
 	return 0, nil
 }
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -123,12 +123,18 @@
 	return sum, nil
 }
 
+// turnLoad is what turns under load took, and how many did not succeed.
+type turnLoad struct {
+	begins, ends []time.Duration
+	historyBytes int
+	failed, late int
+	failure      error // of the last one that failed
+	seconds      float64
+}
+
 // turns begins and ends turns at an even rate, each following the history of a program, and
 // measures the cost of one beyond that of idle stores.
 func (trial *stepRun) turns(ctx context.Context) error {
-	stores := storeclient.New(trial.caller, trial.hollow.Nodes()[0].View)
-	var mutex sync.Mutex
-	begins, ends, histories, failures, failed, late := []time.Duration{}, []time.Duration{}, 0, 0, error(nil), 0
 	before, err := trial.sample(ctx)
 	if err != nil {
 		return err
@@ -137,7 +143,30 @@
 	if err != nil {
 		return err
 	}
-	var under sync.WaitGroup
+	load := trial.driveTurns(ctx)
+	after, err := trial.sample(ctx)
+	if err != nil {
+		return err
+	}
+	usedAfter, err := trial.stores()
+	if err != nil {
+		return err
+	}
+	if len(load.begins) == 0 {
+		return fmt.Errorf("no turn ended: %w", load.failure)
+	}
+	trial.reportTurns(load)
+	trial.reportStoreLoad(load, before, after, used, usedAfter)
+	return nil
+}
+
+// driveTurns runs the step's turns for the idle period's length. A turn whose program is still
+// busy with the one before it counts as late and is left out.
+func (trial *stepRun) driveTurns(ctx context.Context) *turnLoad {
+	stores := storeclient.New(trial.caller, trial.hollow.Nodes()[0].View)
+	load := &turnLoad{}
+	var mutex sync.Mutex
+	var running sync.WaitGroup
 	random := rand.New(rand.NewPCG(2, 2))
 	input, output := text(turnBytes, random), text(turnBytes, random)
 	ticker := time.NewTicker(time.Second / time.Duration(trial.step.Turns))
@@ -147,58 +176,55 @@
 		<-ticker.C
 		chosen := trial.programs[number%len(trial.programs)]
 		if !chosen.busy.CompareAndSwap(false, true) {
-			late++
+			load.late++
 			continue
 		}
-		under.Go(func() {
+		running.Go(func() {
 			defer chosen.busy.Store(false)
 			begun, ended, history, err := turn(ctx, stores, chosen.line, fmt.Sprintf("turn-%06d", number), chosen.first, input, output)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
-				failures, failed = failures+1, err
+				load.failed, load.failure = load.failed+1, err
 				return
 			}
-			begins, ends, histories = append(begins, begun), append(ends, ended), histories+history
+			load.begins, load.ends, load.historyBytes = append(load.begins, begun), append(load.ends, ended), load.historyBytes+history
 		})
 	}
-	under.Wait()
-	spent := time.Since(began).Seconds()
-	after, err := trial.sample(ctx)
-	if err != nil {
-		return err
-	}
-	usedAfter, err := trial.stores()
-	if err != nil {
-		return err
-	}
-	if len(begins) == 0 {
-		return fmt.Errorf("no turn ended: %w", failed)
-	}
-	slices.Sort(begins)
-	slices.Sort(ends)
-	count := float64(len(begins))
+	running.Wait()
+	load.seconds = time.Since(began).Seconds()
+	slices.Sort(load.begins)
+	slices.Sort(load.ends)
+	return load
+}
+
+// reportTurns adds the figures that the callers measured.
+func (trial *stepRun) reportTurns(load *turnLoad) {
+	figures, count := trial.measurement.Figures, float64(len(load.begins))
+	figures["turns.per_s"] = count / load.seconds
+	figures["turns.failed_share"] = float64(load.failed) / (count + float64(load.failed))
+	figures["turns.late_share"] = float64(load.late) / (count + float64(load.late))
+	figures["turn.history_kib"] = float64(load.historyBytes) / count / 1024
+	figures["turn.begin_median_s"], figures["turn.begin_most_s"] = load.begins[len(load.begins)/2].Seconds(), load.begins[len(load.begins)-1].Seconds()
+	figures["turn.end_median_s"], figures["turn.end_most_s"] = load.ends[len(load.ends)/2].Seconds(), load.ends[len(load.ends)-1].Seconds()
+}
+
+// reportStoreLoad adds the figures of the stores, from two samples around the load.
+func (trial *stepRun) reportStoreLoad(load *turnLoad, before, after usageSample, used, usedAfter storeUsage) {
 	sent, received, messages := 0.0, 0.0, 0.0
 	for _, store := range trial.fleet.ProcessesOf("store") {
 		rate := RateOf(before.processes[store.Name], after.processes[store.Name])
 		seconds := after.processes[store.Name].At.Sub(before.processes[store.Name].At).Seconds()
 		sent, received, messages = sent+rate.BytesOut*seconds, received+rate.BytesIn*seconds, messages+rate.Messages*seconds
 	}
-	figures, all := trial.measurement.Figures, float64(len(trial.fleet.ProcessesOf("store")))
-	quiet := figures["store.cores"] * all * spent
-	figures["turns.per_s"] = count / spent
-	figures["turns.failed_share"] = float64(failures) / (count + float64(failures))
-	figures["turns.late_share"] = float64(late) / (count + float64(late))
-	figures["turns.stores_cores"] = (usedAfter.seconds - used.seconds) / spent
-	figures["turn.stores_processor_ms"] = (usedAfter.seconds - used.seconds - quiet) / count * 1000
+	figures, count, stores := trial.measurement.Figures, float64(len(load.begins)), float64(len(trial.fleet.ProcessesOf("store")))
+	idle := figures["store.cores"] * stores * load.seconds
+	figures["turns.stores_cores"] = (usedAfter.seconds - used.seconds) / load.seconds
+	figures["turn.stores_processor_ms"] = (usedAfter.seconds - used.seconds - idle) / count * 1000
 	figures["turn.stores_written_kib"] = (usedAfter.written - used.written) * 1024 / count
-	figures["turn.stores_sent_kib"] = (sent - figures["store.bytes_out_per_s"]*all*spent) / count / 1024
-	figures["turn.stores_received_kib"] = (received - figures["store.bytes_in_per_s"]*all*spent) / count / 1024
-	figures["turn.stores_messages"] = (messages - figures["store.messages_per_s"]*all*spent) / count
-	figures["turn.history_kib"] = float64(histories) / count / 1024
-	figures["turn.begin_median_s"], figures["turn.begin_most_s"] = begins[len(begins)/2].Seconds(), begins[len(begins)-1].Seconds()
-	figures["turn.end_median_s"], figures["turn.end_most_s"] = ends[len(ends)/2].Seconds(), ends[len(ends)-1].Seconds()
-	return nil
+	figures["turn.stores_sent_kib"] = (sent - figures["store.bytes_out_per_s"]*stores*load.seconds) / count / 1024
+	figures["turn.stores_received_kib"] = (received - figures["store.bytes_in_per_s"]*stores*load.seconds) / count / 1024
+	figures["turn.stores_messages"] = (messages - figures["store.messages_per_s"]*stores*load.seconds) / count
 }
 
 // restartStore kills a store, starts it again and measures the time until it is ready.
