--- a/system/link/server_connection.go
+++ b/system/link/server_connection.go
@@ -6,8 +6,11 @@
 	"net"
 	"sync"
 
+	"github.com/apex/log"
+
 	"yardrock.example/system/apierror"
 	"yardrock.example/system/wire"
+	"yardrock.example/system/wire/schema"
 )
 
 // serverConnection is the server's side of one connection.
@@ -97,22 +100,38 @@
 	}
 }
 
-// handleQuery answers one query. A reply that cannot be queued, as the caller is gone or reads
-// nothing, or cannot be encoded is dropped; the caller waits until its context ends.
+// handleQuery answers one query, on a worker of the server.
 func (conn *serverConnection) handleQuery(ctx context.Context, received frame) {
-	query, err := wire.DecodeQuery(received.body)
-	var reply *wire.Reply
+	kind, reply := conn.answer(ctx, received.body)
+	conn.endCall(received.call)
+	conn.sendReply(kind, received.call, reply)
+}
+
+// answer decodes a query and has it handled. It gives the query's kind, by which traffic is
+// counted, and the reply; a query that cannot be read has kind 0.
+func (conn *serverConnection) answer(ctx context.Context, body []byte) (schema.Query_Which, *wire.Reply) {
+	query, err := wire.DecodeQuery(body)
 	if err != nil {
-		query = &wire.Query{}
-		reply = wire.ErrorReply(apierror.Wrap(err, apierror.Invalid, "the query can't be read: "+err.Error(), "run matching versions of the programs"))
-	} else {
-		countQueryReceived(query.Which, len(received.body))
-		reply = conn.server.handle(ctx, query)
+		return 0, wire.ErrorReply(apierror.Wrap(err, apierror.Invalid, "the query can't be read: "+err.Error(), "run matching versions of the programs"))
+	}
+	countQueryReceived(query.Which, len(body))
+	return query.Which, conn.server.handle(ctx, query)
+}
+
+// sendReply queues a reply, and writes it if nobody else is about to. A reply is dropped if it
+// cannot be queued, as the caller is gone or reads nothing, or if it cannot be encoded, which
+// is a fault of this program. The caller then waits until its context ends.
+func (conn *serverConnection) sendReply(kind schema.Query_Which, call uint64, reply *wire.Reply) {
+	var encodeErr error
+	mustFlush, size, err := conn.writer.enqueue(frameReply, call, maxQueuedBytes, func(target []byte) ([]byte, error) {
+		target, encodeErr = wire.AppendReply(target, reply)
+		return target, encodeErr
+	})
+	if encodeErr != nil {
+		log.WithFields(log.Fields{"query": kind.String(), "error": encodeErr.Error()}).Error("a reply cannot be encoded and is dropped")
 	}
-	conn.endCall(received.call)
-	mustFlush, size, err := conn.writer.enqueue(frameReply, received.call, maxQueuedBytes, func(target []byte) ([]byte, error) { return wire.AppendReply(target, reply) })
 	if err == nil {
-		countReplySent(query.Which, size)
+		countReplySent(kind, size)
 	}
 	if mustFlush {
 		conn.writer.flush()
