--- a/system/sessionlog/commands.go
+++ b/system/sessionlog/commands.go
@@ -136,7 +136,7 @@
 	TurnTaken
 	// UnknownPrefix: the group has no such prefix for that scope (any more).
 	UnknownPrefix
-	// TooManyPrefixes: the scope has MaxPrefixesPerScope prefixes.
+	// TooManyPrefixes: the scope has maxPrefixesPerScope prefixes.
 	TooManyPrefixes
 )
 
--- a/system/sessionlog/digests.go
+++ b/system/sessionlog/digests.go
@@ -5,18 +5,19 @@
 	"hash/fnv"
 )
 
-// BucketCount is the number of buckets into which a group's sessions are hashed.
-const BucketCount = 64
+// bucketCount is the number of buckets into which a group's sessions are hashed. Replicas
+// exchange digests by bucket number, so it must not change.
+const bucketCount = 64
 
 // BucketDigests are digests of how far a group's sessions are archived, one for each bucket.
 // Two replicas compare their archives by them at a cost that does not grow with the number of
 // sessions (anti-entropy). Equal digests mean equal progress but for collisions of 64 bits.
-type BucketDigests [BucketCount]uint64
+type BucketDigests [bucketCount]uint64
 
-// BucketOf returns the bucket of a session, from 0 to BucketCount-1.
+// BucketOf returns the bucket of a session, from 0 to 63.
 //
 //	bucket := sessionlog.BucketOf("team/c-1")
-func BucketOf(name string) int { return int(hashNumbered(name, 0) % BucketCount) }
+func BucketOf(name string) int { return int(hashNumbered(name, 0) % bucketCount) }
 
 // Toggle adds a session's archive progress to the digests, or removes it if it is in them. A
 // session of which nothing is archived does not count.
--- a/system/sessionlog/events.go
+++ b/system/sessionlog/events.go
@@ -61,8 +61,8 @@
 	ProducerSeq uint64 `capnp:"producerSeq"`
 	// Config is the number of the configuration by which the turn was routed.
 	Config uint64 `capnp:"config"`
-	// Deadline is how long the run may stay open. A command gives it as a duration, the
-	// state machine makes it a time.
+	// Deadline is set in an event that opens a run: the time after which the run is overdue.
+	// In a command it is a duration, to which the state machine adds the group's clock.
 	Deadline int64 `capnp:"deadline"`
 	// Data is a turn's input in its beginning, and its output in its end.
 	Data []byte `capnp:"data"`
--- a/system/sessionlog/expiry.go
+++ b/system/sessionlog/expiry.go
@@ -12,40 +12,47 @@
 	return time.Unix(0, max(session.UpdatedAt+int64(session.Retention), session.RetainUntil))
 }
 
-// HasExpired tells whether the retention of some session may be over at a time. It may be
-// wrong for a session that was updated since it was last looked at.
+// HasExpired tells whether the retention of some session may be over at a time. It may report
+// true for a session that was updated since; removeExpired then keeps it. It never misses one.
 //
 //	if view.HasExpired(clock) { ... }
 func (view *View) HasExpired(clock int64) bool {
-	expiry, _, _, found := view.firstExpiry()
-	return found && expiry < clock
+	first, found := view.firstExpiry()
+	return found && first.at < clock
 }
 
-// firstExpiry returns the earliest entry of the index of expiries: its time, its key and the
-// name of its session.
-func (view *View) firstExpiry() (expiry int64, key, name string, found bool) {
+// expiryEntry is an entry of the index of expiries: a session and a time, by the group's clock,
+// that is not after its expiry.
+type expiryEntry struct {
+	key     string
+	at      int64
+	session string
+}
+
+// firstExpiry returns the earliest entry of the index of expiries.
+func (view *View) firstExpiry() (first expiryEntry, found bool) {
 	iterator := view.expiries.Iterator()
-	key, name, found = iterator.Next()
+	key, session, found := iterator.Next()
 	if !found {
-		return 0, "", "", false
+		return expiryEntry{}, false
 	}
-	return int64(binary.BigEndian.Uint64([]byte(key))), key, name, true
+	return expiryEntry{key: key, at: int64(binary.BigEndian.Uint64([]byte(key))), session: session}, true
 }
 
 // removeExpired removes the sessions whose retention is over. An entry of the index that is
 // due may be out of date, as updates don't move it; then it is moved now.
 func (view *View) removeExpired() {
 	for {
-		expiry, key, name, found := view.firstExpiry()
-		if !found || expiry >= view.clock {
+		first, found := view.firstExpiry()
+		if !found || first.at >= view.clock {
 			return
 		}
-		view.expiries = view.expiries.Delete(key)
-		session, known := view.sessions.Get(name)
+		view.expiries = view.expiries.Delete(first.key)
+		session, known := view.sessions.Get(first.session)
 		switch {
 		case !known:
 		case session.ExpiresAt().UnixNano() >= view.clock:
-			view.expiries = view.expiries.Set(expiryKey(session), name)
+			view.expiries = view.expiries.Set(expiryKey(session), session.Name)
 		default:
 			view.removeSession(session)
 		}
--- a/system/sessionlog/shared_prefixes.go
+++ b/system/sessionlog/shared_prefixes.go
@@ -18,8 +18,8 @@
 	MinPrefixBytes = 256
 	// MaxPrefixBytes is the greatest length of a shared prefix.
 	MaxPrefixBytes = 64 << 10
-	// MaxPrefixesPerScope bounds the shared prefixes of one scope in one group.
-	MaxPrefixesPerScope = 32
+	// maxPrefixesPerScope bounds the shared prefixes of one scope in one group.
+	maxPrefixesPerScope = 32
 	// idlePrefixLifetime is how long, by the group's clock, a prefix stays to which no session
 	// refers.
 	idlePrefixLifetime = time.Minute
@@ -150,7 +150,7 @@
 	switch {
 	case found && !prefix.Corrupt && prefix.Text() != string(command.Data):
 		return Outcome{Status: BadCommand}
-	case !found && len(ofScope) >= MaxPrefixesPerScope:
+	case !found && len(ofScope) >= maxPrefixesPerScope:
 		return Outcome{Status: TooManyPrefixes}
 	case !found:
 		view.setPrefix(&SharedPrefix{
--- a/system/sessionlog/shared_prefixes_test.go
+++ b/system/sessionlog/shared_prefixes_test.go
@@ -72,7 +72,7 @@
 	if stored, _ := machine.View().LongestSharedPrefix("identity", []byte(prefix+repeatLetter("b", 400))); stored.Size != MinPrefixBytes+300 {
 		t.Fatalf("%+v", stored)
 	}
-	for number := range MaxPrefixesPerScope {
+	for number := range maxPrefixesPerScope {
 		command := shareCommand("permits", prefix+fmt.Sprint(number))
 		machine.Apply(&command)
 	}
@@ -174,7 +174,7 @@
 	started := beginShared("program/a", "one", "identity", name, "x")
 	machine.Apply(&started)
 	snapshot := machine.View().Snapshot()
-	if snapshot.Version != SnapshotVersion {
+	if snapshot.Version != snapshotVersion {
 		t.Fatalf("format %d", snapshot.Version)
 	}
 	snapshot.Prefixes = slices.Clone(snapshot.Prefixes)
--- a/system/sessionlog/snapshot.go
+++ b/system/sessionlog/snapshot.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// SnapshotVersion is the newest snapshot format, which this program reads and writes.
-const SnapshotVersion = 3
+// snapshotVersion is the newest snapshot format, which this program reads and writes.
+const snapshotVersion = 3
 
 // snapshotVersionWithoutPrefixes is written as long as a group has no shared prefixes, so that
 // programs which know none can read it.
@@ -48,7 +48,8 @@
 	Name  string `capnp:"name"`
 	Scope string `capnp:"scope"`
 	Data  []byte `capnp:"data"`
-	Until int64  `capnp:"until"`
+	// KeepUntil is as in SharedPrefix.
+	KeepUntil int64 `capnp:"until"`
 }
 
 // Snapshot returns a view's content. It shares slices with the view, so it must not be changed.
@@ -64,7 +65,7 @@
 		snapshot.QuotaUsages = append(snapshot.QuotaUsages, *usage)
 	}
 	if snapshot.Prefixes = view.prefixRecords(); len(snapshot.Prefixes) > 0 {
-		snapshot.Version = SnapshotVersion
+		snapshot.Version = snapshotVersion
 	}
 	return snapshot
 }
@@ -74,8 +75,8 @@
 //
 //	err := machine.Restore(snapshot)
 func (machine *StateMachine) Restore(snapshot Snapshot) error {
-	if snapshot.Version > SnapshotVersion {
-		message := fmt.Sprintf("the snapshot has format %d, and this program reads up to %d", snapshot.Version, SnapshotVersion)
+	if snapshot.Version > snapshotVersion {
+		message := fmt.Sprintf("the snapshot has format %d, and this program reads up to %d", snapshot.Version, snapshotVersion)
 		return apierror.New(apierror.FormatTooNew, message, "run the newer version of the program")
 	}
 	snapshot.Turns = newestTurnRecords(snapshot.Turns)
@@ -190,7 +191,7 @@
 //
 //	reply.SharedPrefix = prefix.Record()
 func (prefix *SharedPrefix) Record() *SharedPrefixRecord {
-	return &SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), Until: prefix.KeepUntil}
+	return &SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), KeepUntil: prefix.KeepUntil}
 }
 
 // restorePrefixes restores the shared prefixes and counts the sessions that refer to each. One
@@ -206,7 +207,7 @@
 	view.prefixes, view.prefixesByScope = immutable.NewMap[string, *SharedPrefix](nil), immutable.NewMap[string, []*SharedPrefix](nil)
 	for _, record := range snapshot.Prefixes {
 		prefix := &SharedPrefix{
-			Name: record.Name, Scope: record.Scope, KeepUntil: record.Until, References: references[record.Name],
+			Name: record.Name, Scope: record.Scope, KeepUntil: record.KeepUntil, References: references[record.Name],
 			Corrupt: SharedPrefixName(record.Scope, record.Data) != record.Name,
 		}
 		_, size, _ := strings.Cut(record.Name, "-")
--- a/system/sessionlog/state_machine_test.go
+++ b/system/sessionlog/state_machine_test.go
@@ -129,7 +129,7 @@
 	if before.Head != 1 || len(before.Unarchived) != 1 {
 		t.Fatal("a published session was changed")
 	}
-	snapshot.Version = SnapshotVersion + 1
+	snapshot.Version = snapshotVersion + 1
 	if other.Restore(snapshot) == nil {
 		t.Fatal("a snapshot of a newer format was accepted")
 	}
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -17,9 +17,10 @@
 	Outcome string
 	// Dispatch names the one attempt that may run the turn.
 	Dispatch string
-	// Deadline is how long the turn may be open, in nanoseconds of the group's clock.
+	// Deadline is the time, in nanoseconds by the group's clock, after which an open turn
+	// counts as cut. It is 0 for an adopted or fenced turn.
 	Deadline int64
-	// Tokens are reserved while the turn is open.
+	// Tokens is how many tokens of the session's quota the turn reserves; 0 once it has ended.
 	Tokens uint64
 }
 
--- a/system/sharedprefix/detector.go
+++ b/system/sharedprefix/detector.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// MinSessions is how many sessions must have a prefix in common before it is worth sharing.
-	MinSessions = 3
+	// minSessions is how many sessions must have a prefix in common before it is worth sharing.
+	minSessions = 3
 
 	// Inputs are cut into chunks at places that depend on their content alone
 	// (content-defined chunking), so that inputs with a common prefix are cut alike in it. A
@@ -44,9 +44,9 @@
 // may use it.
 type Detector struct {
 	mutex   sync.Mutex
-	chunker *chunker.Chunker // made with the first input, then used again
-	chunk   []byte           // the chunker's buffer
-	seen    map[prefixKey]*occurrences
+	chunker *chunker.Chunker           // made with the first input, then used again
+	chunk   []byte                     // the chunker's buffer
+	seen    map[prefixKey]*occurrences // emptied when it has more than maxTracked
 }
 
 // prefixKey is a digest of a scope and the first bytes of an input, within a group.
@@ -55,7 +55,7 @@
 	digest [sha256.Size]byte
 }
 
-// occurrences are the last sessions that had a prefix, at most MinSessions, and when it was last
+// occurrences are the last sessions that had a prefix, at most minSessions, and when it was last
 // reported.
 type occurrences struct {
 	sessions   []string
@@ -66,13 +66,13 @@
 type Candidate struct {
 	// Length is the number of bytes of the input that the prefix has.
 	Length int
-	// Sessions are the MinSessions sessions in which it was seen last.
+	// Sessions are the sessions in which it was seen last, three of them.
 	Sessions []string
 }
 
 // Observe takes the input of a session's first turn and reports the longest prefix of it that
-// MinSessions sessions of the group and scope had lately, the same one only once in ten
-// seconds. An empty scope shares nothing; a prefix has at least sessionlog.MinPrefixBytes.
+// three sessions (minSessions) of the group and scope had lately, the same one only once in
+// ten seconds. An empty scope shares nothing; a prefix has at least sessionlog.MinPrefixBytes.
 //
 //	candidate, found := detector.Observe(group, "identity", "program/3fa81c", input)
 func (detector *Detector) Observe(group uint32, scope, sessionName string, input []byte) (candidate Candidate, found bool) {
@@ -106,7 +106,7 @@
 		key := prefixKey{group: group}
 		digest.Sum(key.digest[:0])
 		seen := detector.record(key, sessionName)
-		if len(seen.sessions) >= MinSessions {
+		if len(seen.sessions) >= minSessions {
 			longest, length = seen, end
 		}
 	}
@@ -121,7 +121,7 @@
 		detector.seen[key] = seen
 	}
 	if !slices.Contains(seen.sessions, sessionName) {
-		seen.sessions = append(seen.sessions[max(0, len(seen.sessions)-MinSessions+1):], sessionName)
+		seen.sessions = append(seen.sessions[max(0, len(seen.sessions)-minSessions+1):], sessionName)
 	}
 	return seen
 }
--- a/system/sharedprefix/detector_test.go
+++ b/system/sharedprefix/detector_test.go
@@ -41,12 +41,12 @@
 			if found != step.found {
 				t.Fatalf("step %d: %+v %t", position, candidate, found)
 			}
-			if found && (candidate.Length > len(head) || candidate.Length < len(head)-maxChunkBytes || len(candidate.Sessions) != MinSessions) {
+			if found && (candidate.Length > len(head) || candidate.Length < len(head)-maxChunkBytes || len(candidate.Sessions) != minSessions) {
 				t.Fatalf("step %d: %+v of %d bytes", position, candidate, len(head))
 			}
 		}
 		time.Sleep(reportInterval)
-		if candidate, found := detector.Observe(1, "identity", "e", input(9)); !found || len(candidate.Sessions) != MinSessions || candidate.Sessions[MinSessions-1] != "e" {
+		if candidate, found := detector.Observe(1, "identity", "e", input(9)); !found || len(candidate.Sessions) != minSessions || candidate.Sessions[minSessions-1] != "e" {
 			t.Fatalf("it is not reported again: %+v", candidate)
 		}
 	})
--- a/system/wire/session_codec.go
+++ b/system/wire/session_codec.go
@@ -144,13 +144,13 @@
 }
 
 func encodeSharedPrefix(target schema.Opening, value *sessionlog.SharedPrefixRecord) error {
-	target.SetUntil(value.Until)
+	target.SetUntil(value.KeepUntil)
 	return errors.Join(target.SetName(value.Name), target.SetScope(value.Scope), target.SetData(value.Data))
 }
 
 func decodeSharedPrefix(source schema.Opening, value *sessionlog.SharedPrefixRecord) error {
 	reader := &fieldReader{}
-	*value = sessionlog.SharedPrefixRecord{Until: source.Until(), Name: readField(reader, source.Name), Scope: readField(reader, source.Scope), Data: readBytes(reader, source.Data)}
+	*value = sessionlog.SharedPrefixRecord{KeepUntil: source.Until(), Name: readField(reader, source.Name), Scope: readField(reader, source.Scope), Data: readBytes(reader, source.Data)}
 	return reader.err
 }
 
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -72,7 +72,7 @@
 		data := []byte("what many lines begin with")
 		name := sessionlog.SharedPrefixName("scope", data)
 		snapshot.Sessions[0].Prefixes = []string{name}
-		snapshot.Prefixes = []sessionlog.SharedPrefixRecord{{Name: name, Scope: "scope", Data: data, Until: 33}}
+		snapshot.Prefixes = []sessionlog.SharedPrefixRecord{{Name: name, Scope: "scope", Data: data, KeepUntil: 33}}
 	}
 	return snapshot
 }
