--- a/system/archive/files.go
+++ b/system/archive/files.go
@@ -18,7 +18,8 @@
 // A file is an encoded index behind a header, then the encoded chunks. The header is the
 // index's length and its checksum, 4 bytes each, little endian.
 const (
-	// filePrefix is followed by the file's number, in 20 decimal digits.
+	// filePrefix is followed by the file's number, in 20 decimal digits. The word is that of
+	// earlier versions, whose files must still be found.
 	filePrefix   = "cold-"
 	headerLength = 8
 )
--- a/system/archive/locations.go
+++ b/system/archive/locations.go
@@ -18,18 +18,18 @@
 	// first and last are the sequence numbers of the chunk's first and last event.
 	first uint64
 	last  uint64
-	// expires is when the session's retention ended as of the archiving, in nanoseconds of the
+	// expiresAt is when the session's retention ended as of the archiving, in nanoseconds of the
 	// group's clock.
-	expires  int64
-	checksum uint32
-	digest   [sha256.Size]byte
+	expiresAt int64
+	checksum  uint32
+	digest    [sha256.Size]byte
 }
 
 // addLocation adds a chunk of a file to the index. The caller holds mutex, or is Open.
 func (store *Store) addLocation(file uint64, location wire.ChunkLocation) {
 	made := chunkLocation{
 		file: file, offset: int64(location.Offset), length: int(location.Length), checksum: location.Checksum,
-		group: location.Group, first: location.First, last: location.Last, expires: location.ExpiresAt,
+		group: location.Group, first: location.First, last: location.Last, expiresAt: location.ExpiresAt,
 	}
 	copy(made.digest[:], location.Digest)
 	store.setLocations(location.Session, location.Group, append(slices.Clip(store.locations[location.Session]), made))
--- a/system/archive/retention.go
+++ b/system/archive/retention.go
@@ -1,6 +1,9 @@
 package archive
 
-import "slices"
+import (
+	"fmt"
+	"slices"
+)
 
 // Expire drops the sessions whose retention is over, and removes the files of which no chunk is
 // needed any more. A session expires by its chunks and the clock of its group, unless retained
@@ -24,7 +27,7 @@
 			now = clock(location.group)
 			clocks[location.group] = now
 		}
-		return location.expires > now
+		return location.expiresAt > now
 	}
 	for name, locations := range store.locations {
 		if slices.ContainsFunc(locations, unexpired) || retained(name) {
@@ -42,7 +45,7 @@
 	for number, count := range store.liveChunks {
 		if count == 0 {
 			if err := store.folder.Remove(fileName(number)); err != nil {
-				return err
+				return fmt.Errorf("remove %s from the archive: %w", fileName(number), err)
 			}
 			delete(store.liveChunks, number)
 		}
--- a/system/archive/store.go
+++ b/system/archive/store.go
@@ -16,6 +16,7 @@
 package archive
 
 import (
+	"fmt"
 	"slices"
 	"strconv"
 	"strings"
@@ -61,7 +62,7 @@
 	}
 	names, err := folder.List()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("list the files of the archive: %w", err)
 	}
 	for _, name := range names {
 		digits, isArchiveFile := strings.CutPrefix(name, filePrefix)
