--- a/system/link/client.go
+++ b/system/link/client.go
@@ -37,7 +37,7 @@
 	if !found {
 		conn = &clientConnection{ready: make(chan struct{})}
 		client.connections[address] = conn
-		go client.dialConnection(conn, address)
+		go client.dialConnection(conn, address) // ends with dialTimeout or Close
 	}
 	client.mutex.Unlock()
 	select {
@@ -111,7 +111,7 @@
 	delete(client.connections, address)
 	client.mutex.Unlock()
 	if conn != nil {
-		go conn.close()
+		go conn.close() // waits for the dial, which dialTimeout bounds
 	}
 }
 
--- a/system/link/server.go
+++ b/system/link/server.go
@@ -70,7 +70,8 @@
 	frame frame
 }
 
-// dispatch gives a task to an idle worker, or to a new one.
+// dispatch gives a task to an idle worker, or to a new one. Nobody waits for workers, as a
+// handler may take long: one ends when it is idle after Close, or when enough others are.
 func (server *Server) dispatch(next task) {
 	select {
 	case server.idleWorkers <- next:
