--- a/system/store/archive_replication.go
+++ b/system/store/archive_replication.go
@@ -27,7 +27,9 @@
 		voter string
 		err   error
 	}
-	results := make(chan stored, len(voters)) // so that no sender blocks
+	// One result comes from each voter, and all are awaited below, so no goroutine outlives
+	// the call. The context ends those that wait for a peer.
+	results := make(chan stored, len(voters))
 	for _, voter := range voters {
 		go func() {
 			if voter == node.Name() {
--- a/system/store/commands.go
+++ b/system/store/commands.go
@@ -17,6 +17,7 @@
 	group, requested := query.Command.Group, query.Command.Commands
 	encoded := make([][]byte, len(requested))
 	for position, command := range requested {
+		// A copy is prepared: beginWithFullInput needs the command as it came.
 		node.prepare(group, &command)
 		encoded[position] = wire.MustEncode(schema.Command_TypeID, &command)
 	}
--- a/system/store/node_groups.go
+++ b/system/store/node_groups.go
@@ -75,8 +75,9 @@
 	return machine.(*groupStateMachine)
 }
 
-// StateMachine returns the state machine of a group that has a replica here, or nil. It is for
-// measurements, and for tests that damage its content.
+// StateMachine returns the state machine of a group, or nil if no replica of it was ever here;
+// that of a replica that was removed since stays. It is for measurements, and for tests that
+// damage its content.
 //
 //	view := node.StateMachine(3).View()
 func (node *Node) StateMachine(group uint32) *sessionlog.StateMachine {
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -22,6 +22,7 @@
 	defer cancel()
 	view := node.view.Load()
 	statuses := node.host.Statuses()
+	// The goroutines below keep pointers into groups, so it must never be allocated anew.
 	groups := make([]wire.GroupStatus, 0, len(statuses))
 	var confirming sync.WaitGroup
 	for number, status := range statuses {
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -26,21 +26,31 @@
 	return slices.Concat(data...), nil
 }
 
-// turnData returns the bytes of a chain's events, two for each turn: its input and its output.
-// An adopted turn has both in the first, and the second is empty.
-func (node *Node) turnData(ctx context.Context, group uint32, view *sessionlog.View, chain []*sessionlog.Turn) ([][]byte, error) {
-	session, found := view.Session(chain[0].Session)
-	if !found {
-		return nil, gapError(chain[0].Session)
-	}
+// noEvent stands where a turn has no event of its own; sequence numbers begin at 1.
+const noEvent = 0
+
+// turnSeqs returns the sequence numbers of a chain's events, two for each turn: where it began
+// and where it ended. An adopted turn has only one event, so its second number is noEvent.
+func turnSeqs(chain []*sessionlog.Turn) []uint64 {
 	seqs := make([]uint64, 0, 2*len(chain))
 	for _, turn := range chain {
 		endSeq := turn.EndSeq
 		if endSeq == turn.Seq {
-			endSeq = 0 // an adopted turn
+			endSeq = noEvent
 		}
 		seqs = append(seqs, turn.Seq, endSeq)
 	}
+	return seqs
+}
+
+// turnData returns the bytes of a chain's events, two for each turn: its input and its output.
+// An adopted turn has both in the first, and the second is empty.
+func (node *Node) turnData(ctx context.Context, group uint32, view *sessionlog.View, chain []*sessionlog.Turn) ([][]byte, error) {
+	session, found := view.Session(chain[0].Session)
+	if !found {
+		return nil, gapError(chain[0].Session)
+	}
+	seqs := turnSeqs(chain)
 	archived, err := node.archivedEvents(ctx, group, session, seqs)
 	if err != nil {
 		return nil, err
@@ -48,7 +58,7 @@
 	data := make([][]byte, len(seqs))
 	for position, seq := range seqs {
 		switch {
-		case seq == 0:
+		case seq == noEvent:
 		case seq > session.ArchivedSeq:
 			data[position], err = node.fullData(ctx, group, view, &session.Unarchived[seq-session.ArchivedSeq-1])
 		default:
@@ -65,17 +75,16 @@
 // reads the range from the first to the last of them, without a gap.
 func (node *Node) archivedEvents(ctx context.Context, group uint32, session *sessionlog.Session, seqs []uint64) (map[uint64]*sessionlog.Event, error) {
 	wanted := map[uint64]*sessionlog.Event{}
-	first, last := uint64(0), uint64(0)
+	first, last := session.ArchivedSeq+1, uint64(0)
 	for _, seq := range seqs {
-		if seq != 0 && seq <= session.ArchivedSeq {
+		if seq != noEvent && seq <= session.ArchivedSeq {
 			wanted[seq] = nil
-			if first == 0 || seq < first {
-				first = seq
-			}
-			last = max(last, seq)
+			first, last = min(first, seq), max(last, seq)
 		}
 	}
-	for after := first - 1; first != 0 && after < last; {
+	// A read may return fewer events than asked for, but at least one. With no event wanted
+	// first is beyond last, and nothing is read.
+	for after := first - 1; after < last; {
 		events, err := node.readEvents(ctx, group, session, after, last-after)
 		if err != nil {
 			return nil, err
