--- a/system/wire/stored.go
+++ b/system/wire/stored.go
@@ -31,16 +31,16 @@
 
 // handCoded is a type with functions of its own.
 func handCoded[Struct ~capnp.StructKind, Value any](newRoot func(*capnp.Segment) (Struct, error), encode, decode func(Struct, *Value) error) storedType {
-	typed := func(code func(Struct, *Value) error) func(capnp.Struct, any) error {
+	checkingType := func(code func(Struct, *Value) error) func(capnp.Struct, any) error {
 		return func(content capnp.Struct, value any) error {
 			typed, fits := value.(*Value)
 			if !fits {
-				return fmt.Errorf("a %T is not stored as a %T", value, typed)
+				return fmt.Errorf("the value is a %T, and this schema type belongs to %T", value, typed)
 			}
 			return code(Struct(content), typed)
 		}
 	}
-	return storedType{newRoot: rootOf(newRoot), encode: typed(encode), decode: typed(decode)}
+	return storedType{newRoot: rootOf(newRoot), encode: checkingType(encode), decode: checkingType(decode)}
 }
 
 // reflected is a type that the library maps to Go by reflection.
