--- a/system/archive/scrub.go
+++ b/system/archive/scrub.go
@@ -40,11 +40,16 @@
 	return dropped
 }
 
-// dropLocation takes one chunk out of the index.
+// dropLocation takes one chunk out of the index. Expire may have done so since the chunk was
+// read; it must not be counted off twice, or its file would be removed with chunks in use.
 func (store *Store) dropLocation(name string, dropped chunkLocation) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	others := slices.DeleteFunc(slices.Clone(store.locations[name]), func(location chunkLocation) bool { return location == dropped })
+	position := slices.Index(store.locations[name], dropped)
+	if position < 0 {
+		return
+	}
+	others := slices.Delete(slices.Clone(store.locations[name]), position, position+1)
 	store.setLocations(name, dropped.group, others)
 	store.liveChunks[dropped.file]--
 }
--- a/system/archive/store_test.go
+++ b/system/archive/store_test.go
@@ -206,3 +206,24 @@
 		}
 	}
 }
+
+// TestChunkExpiredDuringScrubIsCountedOffOnce has a session expire between the moment at which
+// the scrub reads its damaged chunk and the one at which it drops it. The file of the chunk has
+// another session's, which must stay.
+func TestChunkExpiredDuringScrubIsCountedOffOnce(t *testing.T) {
+	folder := t.TempDir()
+	store := openAt(t, folder)
+	put(t, store, chunkOf("a", 1, 3, 10), chunkOf("b", 1, 3, 20))
+	read := store.locations["a"][0]
+	expire := func(now int64) {
+		if err := store.Expire(func(uint32) int64 { return now }, func(string) bool { return false }); err != nil {
+			t.Fatal(err)
+		}
+	}
+	expire(10)
+	store.dropLocation("a", read)
+	expire(10)
+	if events := store.Read("b", 0, 3); len(events) != 3 || len(files(t, folder)) != 1 {
+		t.Fatalf("events %+v, files %v", events, files(t, folder))
+	}
+}
