--- a/proof/cmd/fleet/main.go
+++ b/proof/cmd/fleet/main.go
@@ -49,10 +49,12 @@
 	}
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	encoder.Encode(map[string]any{
+	if err := encoder.Encode(map[string]any{
 		"ready_after": time.Since(began).String(), "folder": running.Folder, "fronts": running.Fronts(), "administration": administration,
 		"team_token": fleet.TeamToken, "root_token": fleet.RootToken,
-	})
+	}); err != nil {
+		return err
+	}
 	<-ctx.Done()
 	return nil
 }
--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet := &storesOnLoopback{network: &counted{}, syncs: &atomic.Int64{}, folder: folder, ends: []func(){func() { os.RemoveAll(folder) }}}
+	fleet := &storesOnLoopback{network: &counted{}, syncs: &atomic.Int64{}, folder: folder, ends: []func(){func() { _ = os.RemoveAll(folder) }}}
 	open := func(name string) vfs.Directory {
 		made, failed := vfs.Open(filepath.Join(folder, name))
 		err = errors.Join(err, failed)
--- a/proof/cmd/mutations/main.go
+++ b/proof/cmd/mutations/main.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { err = errors.Join(err, os.RemoveAll(folder)) }()
 	for _, part := range []string{"system", "proof", "platform"} {
 		if err := os.CopyFS(filepath.Join(folder, part), os.DirFS(filepath.Join(chosen.Tree, part))); err != nil {
 			return false, err
--- a/proof/cmd/scale/main.go
+++ b/proof/cmd/scale/main.go
@@ -112,7 +112,8 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(folder) // only if empty: a failed step's logs stay
+	// It removes only an empty folder: the logs of a failed step stay.
+	defer func() { _ = os.Remove(folder) }()
 	reported := report{Label: chosen.Label, Against: chosen.Against, Began: time.Now().UTC(), Cores: runtime.NumCPU()}
 	for _, step := range steps {
 		limited, cancel := context.WithTimeout(ctx, chosen.Timeout)
--- a/proof/fleet/process.go
+++ b/proof/fleet/process.go
@@ -44,7 +44,7 @@
 	process.started, process.exited = time.Now(), make(chan struct{})
 	command, waited := process.command, process.exited
 	go func() {
-		command.Wait()
+		_ = command.Wait() // processes are killed as a matter of course; a crash shows in the log
 		close(waited)
 	}()
 	return nil
@@ -52,7 +52,7 @@
 
 func (process *Process) signal(signal syscall.Signal) {
 	if process.command != nil {
-		process.command.Process.Signal(signal)
+		_ = process.command.Process.Signal(signal) // fails only if the process has ended
 	}
 }
 
--- a/proof/scale/hollownodes_test.go
+++ b/proof/scale/hollownodes_test.go
@@ -112,7 +112,7 @@
 // run against nodes: with every node informed of all others, a node's part grows with the
 // fleet at most, never with its square.
 func TestHollowNodeTrafficGrowsLinearly(t *testing.T) {
-	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string) {
+	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, _ *link.Client, controls []string) {
 		sizes, read := []float64{}, []float64{}
 		for _, nodes := range []int{8, 16, 32} {
 			if err := hollow.Grow(ctx, nodes, time.Second, "10.8.0.1:7000", controls, hostNetworks(cluster)); err != nil {
--- a/proof/scale/scale_test.go
+++ b/proof/scale/scale_test.go
@@ -126,6 +126,7 @@
 	if _, err := UsageOf(1 << 30); err == nil {
 		t.Error("a process that can't be was read")
 	}
+	checkMachineUsage(t, before.Memory)
 	before.Seconds = 3
 	before.Traffic = []wire.TrafficByKind{{Kind: "follow", QueriesSent: 10, BytesOut: 1000, BytesIn: 500}}
 	after := before
@@ -135,13 +136,18 @@
 	if rate.Cores != 0.5 || rate.Memory != 64 || rate.Messages != 6 || rate.BytesOut != 1000 || rate.BytesIn != 200 || rate.Kinds["follow"] != 1100 || rate.Kinds["hold"] != 100 {
 		t.Errorf("made %+v", rate)
 	}
+}
+
+// checkMachineUsage reads what the machine has, which is at least a process's memory.
+func checkMachineUsage(t *testing.T, processMemory float64) {
+	t.Helper()
 	if share := (cpuTime{busy: 30, total: 100}).busySince(cpuTime{busy: 10, total: 60}); share != 0.5 {
 		t.Errorf("the machine was busy for %f", share)
 	}
 	if now, err := readCPUTime(); err != nil || now.busy <= 0 || now.busySince(now) != 0 {
 		t.Errorf("read %+v, %v", now, err)
 	}
-	if memory, err := machineMemory(); err != nil || memory < before.Memory {
+	if memory, err := machineMemory(); err != nil || memory < processMemory {
 		t.Errorf("the machine has %f MiB, %v", memory, err)
 	}
 }
--- a/proof/simulator/callers.go
+++ b/proof/simulator/callers.go
@@ -72,7 +72,8 @@
 		return answer, err
 	}
 	if got.StatusCode != http.StatusOK {
-		json.Unmarshal(answer.Body, &answer.Error)
+		// A body that is not JSON leaves Error empty; checks of its kind fail then.
+		_ = json.Unmarshal(answer.Body, &answer.Error)
 	}
 	return answer, nil
 }
--- a/proof/simulator/decommissionarchive_test.go
+++ b/proof/simulator/decommissionarchive_test.go
@@ -192,14 +192,14 @@
 func TestDecommissionDuringFaults(t *testing.T) {
 	const away, cutFor = 500 * time.Millisecond, 20 * time.Second
 	troubles := map[string]func(t *testing.T, cluster *Cluster, machine *Machine){
-		"kill": func(t *testing.T, cluster *Cluster, machine *Machine) {
+		"kill": func(t *testing.T, _ *Cluster, machine *Machine) {
 			machine.Kill()
 			<-time.After(away)
 			if err := machine.Start(); err != nil {
 				t.Fatal(err)
 			}
 		},
-		"wipe": func(t *testing.T, cluster *Cluster, machine *Machine) {
+		"wipe": func(t *testing.T, _ *Cluster, machine *Machine) {
 			machine.LosePower()
 			machine.Wipe()
 			<-time.After(away)
@@ -207,7 +207,7 @@
 				t.Fatal(err)
 			}
 		},
-		"cut": func(t *testing.T, cluster *Cluster, machine *Machine) {
+		"cut": func(_ *testing.T, cluster *Cluster, machine *Machine) {
 			cluster.Network.Isolate(machine.Host)
 			<-time.After(cutFor)
 			cluster.Network.Rejoin(machine.Host)
--- a/proof/simulator/machine.go
+++ b/proof/simulator/machine.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"net"
 	"net/http"
 	"time"
 
@@ -153,10 +154,16 @@
 		return err
 	}
 	machine.server = &http.Server{Handler: machine.Runner}
-	go machine.server.Serve(listener)
+	serve(machine.server, listener)
 	return nil
 }
 
+// serve answers on a listener until the server is closed. That is also the only way in which
+// Serve ends, as a simulated listener fails only once it is closed.
+func serve(server *http.Server, listener net.Listener) {
+	go func() { _ = server.Serve(listener) }()
+}
+
 func (cluster *Cluster) startRunners(shape Shape) error {
 	pace := standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond}
 	listed := []standin.ListedRunner{}
@@ -183,6 +190,6 @@
 		return err
 	}
 	cluster.platform = &http.Server{Handler: cluster.Platform}
-	go cluster.platform.Serve(listener)
+	serve(cluster.platform, listener)
 	return failed
 }
--- a/proof/simulator/network_connection.go
+++ b/proof/simulator/network_connection.go
@@ -118,7 +118,7 @@
 	case to.queue <- far:
 		return near, nil
 	case <-to.closed:
-		near.Close()
+		_ = near.Close() // an endpoint's Close never fails
 		return nil, fmt.Errorf("%s: %w", to.address, syscall.ECONNREFUSED)
 	}
 }
@@ -162,77 +162,96 @@
 // Read returns data whose delay has passed. It waits for the peer, a heal or the deadline.
 func (end *endpoint) Read(target []byte) (int, error) {
 	for {
-		count, wait, changed, grown, err := end.takeArrived(target)
-		if count > 0 || err != nil {
-			return count, err
+		state, err := end.takeArrived(target)
+		if state.count > 0 || err != nil {
+			return state.count, err
 		}
-		end.mutex.Lock()
-		deadline := end.deadline
-		if end.deadlineChanged == nil {
-			end.deadlineChanged = make(chan struct{})
+		if err := end.await(state); err != nil {
+			return 0, err
 		}
-		moved := end.deadlineChanged
-		end.mutex.Unlock()
-		var expired <-chan time.Time
-		if !deadline.IsZero() {
-			left := time.Until(deadline)
-			if left <= 0 {
-				return 0, os.ErrDeadlineExceeded
-			}
-			tick := time.NewTimer(left)
-			defer tick.Stop()
-			expired = tick.C
-		}
-		var arrival <-chan time.Time
-		if wait > 0 {
-			tick := time.NewTimer(wait)
-			defer tick.Stop()
-			arrival = tick.C
-		}
-		select {
-		case <-arrival:
-		case <-changed:
-		case <-grown:
-		case <-moved:
-		case <-expired:
-			return 0, os.ErrDeadlineExceeded
-		case <-end.done:
-			return 0, net.ErrClosed
+	}
+}
+
+// await returns nil once there may be more to read, else why there will not be.
+func (end *endpoint) await(state arrivalState) error {
+	end.mutex.Lock()
+	deadline := end.deadline
+	if end.deadlineChanged == nil {
+		end.deadlineChanged = make(chan struct{})
+	}
+	moved := end.deadlineChanged
+	end.mutex.Unlock()
+	var expired <-chan time.Time
+	if !deadline.IsZero() {
+		left := time.Until(deadline)
+		if left <= 0 {
+			return os.ErrDeadlineExceeded
 		}
+		tick := time.NewTimer(left)
+		defer tick.Stop()
+		expired = tick.C
+	}
+	var arrival <-chan time.Time
+	if state.wait > 0 {
+		tick := time.NewTimer(state.wait)
+		defer tick.Stop()
+		arrival = tick.C
 	}
+	select {
+	case <-arrival:
+	case <-state.changed:
+	case <-state.grown:
+	case <-moved:
+	case <-expired:
+		return os.ErrDeadlineExceeded
+	case <-end.done:
+		return net.ErrClosed
+	}
+	return nil
+}
+
+// arrivalState is what takeArrived found: how many bytes it took, and if none, what the
+// reader waits for.
+type arrivalState struct {
+	count   int
+	wait    time.Duration // until the next chunk arrives; 0 if none is on its way
+	changed chan struct{} // closed when the network's ways change
+	grown   chan struct{} // closed when more is sent
 }
 
-func (end *endpoint) takeArrived(target []byte) (count int, wait time.Duration, changed, grown chan struct{}, err error) {
+func (end *endpoint) takeArrived(target []byte) (state arrivalState, err error) {
 	end.network.mutex.Lock()
 	way, changed := end.network.reachable(end.peer.host, end.host), end.network.changed
 	end.network.mutex.Unlock()
 	incoming := end.incoming
 	incoming.mutex.Lock()
 	defer incoming.mutex.Unlock()
+	state = arrivalState{changed: changed, grown: incoming.grown}
 	if !way {
-		return 0, 0, changed, incoming.grown, nil
+		return state, nil
 	}
 	if len(incoming.chunks) == 0 {
 		if incoming.ended {
 			err = io.EOF
 		}
-		return 0, 0, changed, incoming.grown, err
+		return state, err
 	}
-	if wait = time.Until(incoming.chunks[0].at); wait > 0 {
-		return 0, wait, changed, incoming.grown, nil
+	if wait := time.Until(incoming.chunks[0].at); wait > 0 {
+		state.wait = wait
+		return state, nil
 	}
-	count = copy(target, incoming.chunks[0].data)
-	if incoming.chunks[0].data = incoming.chunks[0].data[count:]; len(incoming.chunks[0].data) == 0 {
+	state.count = copy(target, incoming.chunks[0].data)
+	if incoming.chunks[0].data = incoming.chunks[0].data[state.count:]; len(incoming.chunks[0].data) == 0 {
 		incoming.chunks = incoming.chunks[1:]
 	}
-	return count, 0, changed, incoming.grown, nil
+	return state, nil
 }
 
 // Idle reports whether no data has arrived and the peer has not closed the connection.
 func (end *endpoint) Idle() bool {
 	var none [1]byte
-	count, _, _, _, err := end.takeArrived(none[:])
-	return count == 0 && err == nil
+	state, err := end.takeArrived(none[:])
+	return state.count == 0 && err == nil
 }
 
 // Write sends data. It blocks only while its host is frozen.
--- a/proof/simulator/runnerlist.go
+++ b/proof/simulator/runnerlist.go
@@ -99,7 +99,7 @@
 	}
 	machine.Engine = standin.NewEngine(life, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond})
 	machine.server = &http.Server{Handler: machine.Engine}
-	go machine.server.Serve(listener)
+	serve(machine.server, listener)
 	return nil
 }
 
--- a/proof/simulator/seconddiskloss_test.go
+++ b/proof/simulator/seconddiskloss_test.go
@@ -95,7 +95,7 @@
 }
 
 // controlLeaderFirst puts the machine that leads the control group first.
-func (cluster *Cluster) controlLeaderFirst(machines []*Machine) []*Machine {
+func (*Cluster) controlLeaderFirst(machines []*Machine) []*Machine {
 	ordered := slices.Clone(machines)
 	at := slices.IndexFunc(ordered, func(machine *Machine) bool { return machine.Control != nil && machine.Control.IsLeader() })
 	if at > 0 {
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -164,7 +164,7 @@
 	reported.mutex.Unlock()
 }
 
-func (reported *turnHistory) run(client *storeclient.Client, random *rand.Rand, number int, stop context.Context) {
+func (reported *turnHistory) run(stop context.Context, client *storeclient.Client, random *rand.Rand, number int) {
 	for position := 0; stop.Err() == nil; position++ {
 		name, program := fmt.Sprintf("t%d-%d", number, position), fmt.Sprintf("p%d", random.IntN(6)+6*(position/40))
 		followed := completedTurn{}
@@ -235,7 +235,7 @@
 			client, end := cluster.storeClient(fmt.Sprintf("10.8.0.%d", number+1))
 			working.Go(func() {
 				defer end()
-				reported.run(client, cluster.Random(uint64(50+number)), number, stop)
+				reported.run(stop, client, cluster.Random(uint64(50+number)), number)
 			})
 		}
 		random := cluster.Random(49)
