--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -89,22 +89,7 @@
 				t.Fatal(err)
 			}
 		}
-		err = cluster.Await(30*time.Second, "recovered config", func() error {
-			answer, err := cluster.Administer(http.MethodGet, "/v1/config", nil)
-			if err != nil {
-				return err
-			}
-			if answer.Status != http.StatusOK {
-				return &answer.Error
-			}
-			if !strings.Contains(string(answer.Body), "allowance: 61") {
-				t.Fatalf("an older config was read back: %s", answer.Body)
-			}
-			return nil
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
+		cluster.wantConfigWithin(t, 30*time.Second, "allowance: 61")
 		after, err := cluster.fleet()
 		if err != nil || after.Number <= before.Number || after.ConfigNumber != before.ConfigNumber {
 			t.Fatalf("before %+v, after %+v, %v", before, after, err)
@@ -173,6 +158,46 @@
 	return count
 }
 
+// enrolTwice adds a fourth store by an order that is sent again once it is acknowledged.
+func (cluster *Cluster) enrolTwice(t *testing.T) {
+	t.Helper()
+	fresh := cluster.AddStore(3)
+	if err := fresh.Start(); err != nil {
+		t.Fatal(err)
+	}
+	cluster.Stores = append(cluster.Stores, fresh)
+	err := cluster.Await(20*time.Second, "enrolled store", func() error {
+		answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{})
+		if err == nil && answer.Status != http.StatusOK {
+			return &answer.Error
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{}); err != nil || answer.Status != http.StatusOK {
+		t.Fatalf("the order to enrol a store, repeated, is not acknowledged: %v %+v", err, answer)
+	}
+	reported, err := cluster.fleet()
+	if err != nil || len(reported.Stores) != 4 || listings(reported.Stores, fresh.Store.Name()) != 1 {
+		t.Fatalf("a store was enrolled twice: %v %+v", err, reported.Stores)
+	}
+}
+
+// checkIsNoVoter checks that each group has three voters, and the first store, of that name,
+// is none of them.
+func (cluster *Cluster) checkIsNoVoter(t *testing.T, name string) {
+	t.Helper()
+	for _, machine := range cluster.Stores[1:] {
+		for group, status := range machine.Store.Host().Statuses() {
+			if status.CommittedInTerm && (slices.Contains(status.Membership.Voters, name) || len(status.Membership.Voters) != 3) {
+				t.Fatalf("group %d still has %v", group, status.Membership)
+			}
+		}
+	}
+}
+
 func TestStoreIsAddedAndAnotherDecommissionedWhileTurnsRun(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		said := cluster.dialogues(t, 6)
@@ -194,28 +219,7 @@
 		}
 		stop := cluster.callers(100 * time.Millisecond)
 		defer stop()
-		fresh := cluster.AddStore(3)
-		if err := fresh.Start(); err != nil {
-			t.Fatal(err)
-		}
-		cluster.Stores = append(cluster.Stores, fresh)
-		err := cluster.Await(20*time.Second, "enrolled store", func() error {
-			answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{})
-			if err == nil && answer.Status != http.StatusOK {
-				return &answer.Error
-			}
-			return err
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{}); err != nil || answer.Status != http.StatusOK {
-			t.Fatalf("the order to enrol a store, repeated, is not acknowledged: %v %+v", err, answer)
-		}
-		reported, err := cluster.fleet()
-		if err != nil || len(reported.Stores) != 4 || listings(reported.Stores, fresh.Store.Name()) != 1 {
-			t.Fatalf("a store was enrolled twice: %v %+v", err, reported.Stores)
-		}
+		cluster.enrolTwice(t)
 		old := cluster.Stores[0]
 		name := old.Store.Name()
 		began := time.Now()
@@ -225,13 +229,7 @@
 		t.Logf("retired in %s", time.Since(began))
 		// It may be switched off at once, and another one lost.
 		old.Kill()
-		for _, machine := range cluster.Stores[1:] {
-			for group, status := range machine.Store.Host().Statuses() {
-				if status.CommittedInTerm && (slices.Contains(status.Membership.Voters, name) || len(status.Membership.Voters) != 3) {
-					t.Fatalf("group %d still has %v", group, status.Membership)
-				}
-			}
-		}
+		cluster.checkIsNoVoter(t, name)
 		cluster.Stores[1].Kill()
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
--- a/proof/simulator/diskloss_test.go
+++ b/proof/simulator/diskloss_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math/rand/v2"
 	"net/http"
 	"strings"
 	"testing"
@@ -23,7 +24,12 @@
 // acknowledged one.
 func (cluster *Cluster) wantConfig(t *testing.T, text string) {
 	t.Helper()
-	err := cluster.Await(40*time.Second, "readable config", func() error {
+	cluster.wantConfigWithin(t, 40*time.Second, text)
+}
+
+func (cluster *Cluster) wantConfigWithin(t *testing.T, timeout time.Duration, text string) {
+	t.Helper()
+	err := cluster.Await(timeout, "readable config", func() error {
 		answer, err := cluster.Administer(http.MethodGet, "/v1/config", nil)
 		if err != nil {
 			return err
@@ -47,92 +53,115 @@
 func TestADiskLostRightAfterAnAcknowledgementLosesNothing(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(7)
-		rotate := func(machines []*Machine) (lags, lost, stays *Machine) {
-			order := random.Perm(3)
-			return machines[order[0]], machines[order[1]], machines[order[2]]
-		}
-		// Turns and what they spent.
-		lags, lost, _ := rotate(cluster.Stores)
-		cluster.Network.Isolate(lags.Host)
-		<-time.After(3 * time.Second)
-		if err := cluster.AwaitServing(12 * time.Second); err != nil {
-			t.Fatal(err)
-		}
-		said := cluster.dialogues(t, 6)
-		before, err := cluster.quota(cluster.Fronts[0], "dialogue")
-		if err != nil {
-			t.Fatal(err)
-		}
-		lose(t, lost)
-		cluster.Network.Rejoin(lags.Host)
-		if err := cluster.AwaitServing(12 * time.Second); err != nil {
-			t.Fatal(err)
-		}
-		after, err := cluster.quota(cluster.Fronts[1], "dialogue")
-		if err != nil || after.Spent+after.Reserved < before.Spent {
-			t.Fatalf("the tally was %+v, is %+v (%v)", before, after, err)
-		}
-		cluster.followUp(t, said)
-		cluster.awaitHealed(t)
-		// The config.
-		lags, lost, _ = rotate(cluster.Controls)
-		cluster.Network.Isolate(lags.Host)
-		if err := cluster.PutConfig(BasicConfig + "// the first\n"); err != nil {
-			t.Fatal(err)
-		}
-		lose(t, lost)
-		cluster.Network.Rejoin(lags.Host)
-		cluster.wantConfig(t, "the first")
-		if err := cluster.Await(40*time.Second, "three controls", func() error {
-			reported, err := cluster.fleet()
-			if err == nil && len(reported.Controls) != 3 {
-				err = fmt.Errorf("%d controls are listed", len(reported.Controls))
-			}
-			return err
-		}); err != nil {
-			t.Fatal(err)
-		}
-		// The store list, and all control disks with one store's.
-		fresh := cluster.AddStore(3)
-		if err := fresh.Start(); err != nil {
-			t.Fatal(err)
-		}
-		if err := cluster.Await(20*time.Second, "enrolled store", func() error {
-			answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{})
-			if err == nil && answer.Status != http.StatusOK && answer.Error.Kind != "conflict" {
-				err = &answer.Error
-			}
-			return err
-		}); err != nil {
-			t.Fatal(err)
-		}
-		cluster.Stores = append(cluster.Stores, fresh)
-		cluster.awaitHealed(t)
-		lags, lost, _ = rotate(cluster.Stores)
-		cluster.Network.Isolate(lags.Host)
-		if err := cluster.PutConfig(BasicConfig + "// the second\n"); err != nil {
-			t.Fatal(err)
-		}
-		for _, control := range cluster.Controls {
-			control.Kill()
-			control.Wipe()
-		}
-		lose(t, lost)
-		cluster.Network.Rejoin(lags.Host)
-		for _, control := range cluster.Controls {
-			if err := control.Start(); err != nil {
-				t.Fatal(err)
-			}
-		}
-		cluster.wantConfig(t, "the second")
+		cluster.loseStoreAfterTurns(t, random)
+		cluster.loseControlAfterConfig(t, random)
+		cluster.enrolFourthStore(t)
+		cluster.loseControlsAndStoreAfterConfig(t, random)
+	})
+}
+
+// drawLaggard draws which of three machines lags behind and which one loses its disk.
+func drawLaggard(random *rand.Rand, machines []*Machine) (lags, lost *Machine) {
+	order := random.Perm(3)
+	return machines[order[0]], machines[order[1]]
+}
+
+// loseStoreAfterTurns checks that turns and what they spent are kept.
+func (cluster *Cluster) loseStoreAfterTurns(t *testing.T, random *rand.Rand) {
+	t.Helper()
+	lags, lost := drawLaggard(random, cluster.Stores)
+	cluster.Network.Isolate(lags.Host)
+	<-time.After(3 * time.Second)
+	if err := cluster.AwaitServing(12 * time.Second); err != nil {
+		t.Fatal(err)
+	}
+	said := cluster.dialogues(t, 6)
+	before, err := cluster.quota(cluster.Fronts[0], "dialogue")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lose(t, lost)
+	cluster.Network.Rejoin(lags.Host)
+	if err := cluster.AwaitServing(12 * time.Second); err != nil {
+		t.Fatal(err)
+	}
+	after, err := cluster.quota(cluster.Fronts[1], "dialogue")
+	if err != nil || after.Spent+after.Reserved < before.Spent {
+		t.Fatalf("the tally was %+v, is %+v (%v)", before, after, err)
+	}
+	cluster.followUp(t, said)
+	cluster.awaitHealed(t)
+}
+
+// loseControlAfterConfig checks that a config is kept.
+func (cluster *Cluster) loseControlAfterConfig(t *testing.T, random *rand.Rand) {
+	t.Helper()
+	lags, lost := drawLaggard(random, cluster.Controls)
+	cluster.Network.Isolate(lags.Host)
+	if err := cluster.PutConfig(BasicConfig + "// the first\n"); err != nil {
+		t.Fatal(err)
+	}
+	lose(t, lost)
+	cluster.Network.Rejoin(lags.Host)
+	cluster.wantConfig(t, "the first")
+	if err := cluster.Await(40*time.Second, "three controls", func() error {
 		reported, err := cluster.fleet()
-		if err != nil || len(reported.Stores) != 4 {
-			t.Fatalf("the store list has %v (%v)", reported.Stores, err)
+		if err == nil && len(reported.Controls) != 3 {
+			err = fmt.Errorf("%d controls are listed", len(reported.Controls))
 		}
-		if err := cluster.AwaitServing(20 * time.Second); err != nil {
+		return err
+	}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func (cluster *Cluster) enrolFourthStore(t *testing.T) {
+	t.Helper()
+	fresh := cluster.AddStore(3)
+	if err := fresh.Start(); err != nil {
+		t.Fatal(err)
+	}
+	if err := cluster.Await(20*time.Second, "enrolled store", func() error {
+		answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{})
+		if err == nil && answer.Status != http.StatusOK && answer.Error.Kind != "conflict" {
+			err = &answer.Error
+		}
+		return err
+	}); err != nil {
+		t.Fatal(err)
+	}
+	cluster.Stores = append(cluster.Stores, fresh)
+	cluster.awaitHealed(t)
+}
+
+// loseControlsAndStoreAfterConfig loses all control disks with one store's, and checks that
+// the config and the store list are kept.
+func (cluster *Cluster) loseControlsAndStoreAfterConfig(t *testing.T, random *rand.Rand) {
+	t.Helper()
+	lags, lost := drawLaggard(random, cluster.Stores)
+	cluster.Network.Isolate(lags.Host)
+	if err := cluster.PutConfig(BasicConfig + "// the second\n"); err != nil {
+		t.Fatal(err)
+	}
+	for _, control := range cluster.Controls {
+		control.Kill()
+		control.Wipe()
+	}
+	lose(t, lost)
+	cluster.Network.Rejoin(lags.Host)
+	for _, control := range cluster.Controls {
+		if err := control.Start(); err != nil {
 			t.Fatal(err)
 		}
-	})
+	}
+	cluster.wantConfig(t, "the second")
+	reported, err := cluster.fleet()
+	if err != nil || len(reported.Stores) != 4 {
+		t.Fatalf("the store list has %v (%v)", reported.Stores, err)
+	}
+	if err := cluster.AwaitServing(20 * time.Second); err != nil {
+		t.Fatal(err)
+	}
 }
 
 // awaitHealed waits until every group has a leader and the replicas that the store
@@ -181,34 +210,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, machine := range cluster.Machines() {
-				machine.LosePower()
-			}
-			<-time.After(time.Duration(500+random.IntN(5000)) * time.Millisecond)
-			gone := map[*Machine]bool{cluster.Controls[random.IntN(5)]: true, cluster.Stores[random.IntN(3)]: true}
-			if round == 1 {
-				name := domain(random.IntN(3))
-				clear(gone)
-				for _, machine := range cluster.Machines() {
-					gone[machine] = machine.Domain == name
-				}
-			}
-			cluster.Fronts = nil
-			for _, machine := range cluster.Machines() {
-				if !gone[machine] {
-					if err := machine.Start(); err != nil {
-						t.Fatal(err)
-					}
-				}
-			}
-			for _, front := range all {
-				if !gone[front] {
-					if err := front.Start(); err != nil {
-						t.Fatal(err)
-					}
-					cluster.Fronts = append(cluster.Fronts, front)
-				}
-			}
+			gone := cluster.loseAllPower(random, round)
+			cluster.startAllBut(t, gone)
 			returned := time.Now()
 			if err := cluster.AwaitServing(12 * time.Second); err != nil {
 				t.Fatal(err)
@@ -235,3 +238,44 @@
 		}
 	})
 }
+
+// loseAllPower takes all machines' power and draws which of them do not return: a control
+// node and a store, or in round 1 a whole domain.
+func (cluster *Cluster) loseAllPower(random *rand.Rand, round int) (gone map[*Machine]bool) {
+	for _, machine := range cluster.Machines() {
+		machine.LosePower()
+	}
+	<-time.After(time.Duration(500+random.IntN(5000)) * time.Millisecond)
+	gone = map[*Machine]bool{cluster.Controls[random.IntN(5)]: true, cluster.Stores[random.IntN(3)]: true}
+	if round == 1 {
+		name := domain(random.IntN(3))
+		clear(gone)
+		for _, machine := range cluster.Machines() {
+			gone[machine] = machine.Domain == name
+		}
+	}
+	return gone
+}
+
+// startAllBut starts all machines but those gone, fronts last; cluster.Fronts are those
+// that run from then on.
+func (cluster *Cluster) startAllBut(t *testing.T, gone map[*Machine]bool) {
+	t.Helper()
+	all := cluster.Fronts
+	cluster.Fronts = nil
+	for _, machine := range cluster.Machines() {
+		if !gone[machine] {
+			if err := machine.Start(); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	for _, front := range all {
+		if !gone[front] {
+			if err := front.Start(); err != nil {
+				t.Fatal(err)
+			}
+			cluster.Fronts = append(cluster.Fronts, front)
+		}
+	}
+}
--- a/proof/simulator/outage_test.go
+++ b/proof/simulator/outage_test.go
@@ -22,27 +22,9 @@
 			if err := cluster.PutConfig(BasicConfig + "// " + mark + "\n"); err != nil {
 				t.Fatal(err)
 			}
-			wiped := domain(random.IntN(3))
-			for _, machine := range cluster.Machines() {
-				if round == 0 {
-					machine.Kill()
-					continue
-				}
-				machine.LosePower()
-				if round >= 2 && machine.Domain == wiped && (round != 3 || machine.Disk == nil || machine.Archive != nil) {
-					machine.Wipe()
-				}
-			}
+			cluster.endAll(round, domain(random.IntN(3)))
 			returned := startWithin(t, random, cluster.Machines(), 1500*time.Millisecond)
-			led := func() error {
-				for _, machine := range cluster.Controls {
-					if machine.Control.IsLeader() {
-						return nil
-					}
-				}
-				return fmt.Errorf("nobody leads")
-			}
-			if err := cluster.Await(6*time.Second, "leader of the control nodes", led); err != nil {
+			if err := cluster.Await(6*time.Second, "leader of the control nodes", cluster.controlsAreLed); err != nil {
 				t.Fatal(err)
 			}
 			controls := time.Since(returned)
@@ -69,3 +51,28 @@
 		}
 	})
 }
+
+// endAll ends every process: killed in round 0, without power in later rounds, from round 2
+// on with the disks of one zone lost; round 3 leaves control nodes' disks.
+func (cluster *Cluster) endAll(round int, wiped string) {
+	for _, machine := range cluster.Machines() {
+		if round == 0 {
+			machine.Kill()
+			continue
+		}
+		machine.LosePower()
+		if round >= 2 && machine.Domain == wiped && (round != 3 || machine.Disk == nil || machine.Archive != nil) {
+			machine.Wipe()
+		}
+	}
+}
+
+// controlsAreLed returns an error while no control node leads.
+func (cluster *Cluster) controlsAreLed() error {
+	for _, machine := range cluster.Controls {
+		if machine.Control.IsLeader() {
+			return nil
+		}
+	}
+	return fmt.Errorf("nobody leads")
+}
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -94,96 +95,131 @@
 // again, while control leaders die; repeats, stale and invalid orders come in between.
 func TestOfTwoRoutingsOnOneBaseOneWinsOverAKilledLeader(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		random := cluster.Random(11)
+		race := &routingRace{t: t, cluster: cluster, random: cluster.Random(11)}
 		if read := cluster.mustRead(t, ackTimeout); read.Revision != 0 || len(read.Routes) != 0 {
 			t.Fatalf("before the first: %+v", read)
 		}
 		if err := cluster.replace(0, 0, oneRoute(3, time.Second), "first"); err != nil {
 			t.Fatal(err)
 		}
-		base := uint64(3)
+		race.base = 3
 		for round := range 6 {
-			digest := func(operator int) string { return fmt.Sprintf("%d-%d", round, operator) }
-			orders := []config.Routing{oneRoute(base+1+uint64(random.IntN(5)), time.Second), oneRoute(base+1+uint64(random.IntN(5)), 2*time.Second)}
-			reported := make([]chan error, len(orders))
-			began := time.Now()
-			for operator, next := range orders {
-				reported[operator] = make(chan error, 1)
-				from := random.IntN(5)
-				go func() { reported[operator] <- cluster.replace(from, base, next, digest(operator)) }()
-			}
-			var killed *Machine
-			if round%2 == 1 {
-				<-time.After(time.Duration(random.IntN(60)) * time.Millisecond)
-				killed = cluster.leader()
-				killed.Kill()
-			}
-			results := []error{<-reported[0], <-reported[1]}
-			winner := slices.Index(results, nil)
-			if winner < 0 || !apierror.Is(results[1-winner], apierror.Conflict) {
-				t.Fatalf("round %d: %v", round, results)
-			}
-			if took := time.Since(began); took > ackTimeout {
-				t.Fatalf("round %d: acknowledged after %s", round, took)
-			}
-			before := base
-			base = orders[winner].Revision
-			for from := range cluster.Controls {
-				if err := cluster.replace(from, before, orders[winner], digest(winner)); err != nil {
-					t.Fatalf("round %d: the winner repeated at %d: %v", round, from, err)
-				}
-			}
-			if err := cluster.replace(random.IntN(5), before, orders[1-winner], digest(1-winner)); !apierror.Is(err, apierror.Conflict) {
-				t.Fatalf("round %d: the loser repeated: %v", round, err)
-			}
-			unknown := oneRoute(base+1, time.Second)
-			unknown.Services = nil
-			for name, invalid := range map[string]config.Routing{"revision": oneRoute(base, 3*time.Second), "older": oneRoute(base-1, 3*time.Second), "patience": oneRoute(base+1, 0), "service": unknown} {
-				if err := cluster.replace(random.IntN(5), base, invalid, name); !apierror.Is(err, apierror.Invalid) {
-					t.Fatalf("round %d: invalid by %s: %v", round, name, err)
-				}
-			}
-			if killed != nil {
-				if err := killed.Start(); err != nil {
-					t.Fatal(err)
-				}
-			}
-			read := cluster.mustRead(t, 10*time.Second)
-			if read.Revision != base || read.Routes[0].Timeout != orders[winner].Routes[0].Timeout || string(read.Routes[0].Original) != string(orders[winner].Routes[0].Original) {
-				t.Fatalf("round %d: %+v is in force instead of %+v", round, read, orders[winner])
-			}
+			race.run(round)
 		}
-		amend := func(from int, base uint64, amendment config.RoutingPatch, digest string) error {
-			return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
-				return node.PatchRouting(ctx, "root", base, amendment, digest)
-			})
-		}
-		added := oneRoute(0, time.Second).Routes[0]
-		added.Name, added.Prefix = "more", "/more/"
-		for from := range cluster.Controls {
-			if err := amend(from, base, config.RoutingPatch{Revision: base + 4, Routes: []config.Route{added}}, "amended"); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := amend(1, base, config.RoutingPatch{Revision: base + 5, RemoveRoutes: []string{"more"}}, "stale"); !apierror.Is(err, apierror.Conflict) {
-			t.Fatalf("a stale amendment: %v", err)
-		}
-		if err := amend(2, base+4, config.RoutingPatch{Revision: base + 5, RemoveServices: []string{"small"}}, "needed"); !apierror.Is(err, apierror.Invalid) {
-			t.Fatalf("a service that is needed was removed: %v", err)
-		}
-		if read := cluster.mustRead(t, ackTimeout); read.Revision != base+4 || len(read.Routes) != 2 {
+		race.patch()
+		if read := cluster.mustRead(t, ackTimeout); read.Revision != race.base+4 || len(read.Routes) != 2 {
 			t.Fatalf("%+v is in force", read)
 		}
 		// A config that says nothing of routing leaves it as it is.
 		if err := cluster.PutConfig(BasicConfig + "// again\n"); err != nil {
 			t.Fatal(err)
 		}
-		if read := cluster.mustRead(t, ackTimeout); read.Revision != base+4 || len(read.Routes) != 2 {
+		if read := cluster.mustRead(t, ackTimeout); read.Revision != race.base+4 || len(read.Routes) != 2 {
 			t.Fatalf("%+v is in force after a config was put", read)
 		}
 	})
 }
 
+// routingRace is a run in which two operators send a routing each on the same base.
+type routingRace struct {
+	t       *testing.T
+	cluster *Cluster
+	random  *rand.Rand
+	base    uint64 // the revision that is in force
+}
+
+// run lets the operators race once and checks that just one of them wins.
+func (race *routingRace) run(round int) {
+	t, cluster, random, before := race.t, race.cluster, race.random, race.base
+	t.Helper()
+	digest := func(operator int) string { return fmt.Sprintf("%d-%d", round, operator) }
+	orders := []config.Routing{oneRoute(before+1+uint64(random.IntN(5)), time.Second), oneRoute(before+1+uint64(random.IntN(5)), 2*time.Second)}
+	began := time.Now()
+	results, killed := race.send(round, orders, digest)
+	winner := slices.Index(results, nil)
+	if winner < 0 || !apierror.Is(results[1-winner], apierror.Conflict) {
+		t.Fatalf("round %d: %v", round, results)
+	}
+	if took := time.Since(began); took > ackTimeout {
+		t.Fatalf("round %d: acknowledged after %s", round, took)
+	}
+	race.base = orders[winner].Revision
+	for from := range cluster.Controls {
+		if err := cluster.replace(from, before, orders[winner], digest(winner)); err != nil {
+			t.Fatalf("round %d: the winner repeated at %d: %v", round, from, err)
+		}
+	}
+	if err := cluster.replace(random.IntN(5), before, orders[1-winner], digest(1-winner)); !apierror.Is(err, apierror.Conflict) {
+		t.Fatalf("round %d: the loser repeated: %v", round, err)
+	}
+	race.sendInvalid(round)
+	if killed != nil {
+		if err := killed.Start(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	read := cluster.mustRead(t, 10*time.Second)
+	if read.Revision != race.base || read.Routes[0].Timeout != orders[winner].Routes[0].Timeout || string(read.Routes[0].Original) != string(orders[winner].Routes[0].Original) {
+		t.Fatalf("round %d: %+v is in force instead of %+v", round, read, orders[winner])
+	}
+}
+
+// send sends both orders at once and returns what each operator was told. In every second
+// round the leader is killed meanwhile; killed is that leader, or nil.
+func (race *routingRace) send(round int, orders []config.Routing, digest func(operator int) string) (results []error, killed *Machine) {
+	base := race.base
+	reported := make([]chan error, len(orders))
+	for operator, next := range orders {
+		reported[operator] = make(chan error, 1)
+		from := race.random.IntN(5)
+		go func() { reported[operator] <- race.cluster.replace(from, base, next, digest(operator)) }()
+	}
+	if round%2 == 1 {
+		<-time.After(time.Duration(race.random.IntN(60)) * time.Millisecond)
+		killed = race.cluster.leader()
+		killed.Kill()
+	}
+	return []error{<-reported[0], <-reported[1]}, killed
+}
+
+// sendInvalid sends routings that are to be refused as invalid on the base in force.
+func (race *routingRace) sendInvalid(round int) {
+	race.t.Helper()
+	base := race.base
+	unknown := oneRoute(base+1, time.Second)
+	unknown.Services = nil
+	for name, invalid := range map[string]config.Routing{"revision": oneRoute(base, 3*time.Second), "older": oneRoute(base-1, 3*time.Second), "patience": oneRoute(base+1, 0), "service": unknown} {
+		if err := race.cluster.replace(race.random.IntN(5), base, invalid, name); !apierror.Is(err, apierror.Invalid) {
+			race.t.Fatalf("round %d: invalid by %s: %v", round, name, err)
+		}
+	}
+}
+
+// patch adds a route by a patch, sent again at every node, and has a stale and an invalid
+// patch refused.
+func (race *routingRace) patch() {
+	t, base := race.t, race.base
+	t.Helper()
+	send := func(from int, base uint64, patch config.RoutingPatch, digest string) error {
+		return race.cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
+			return node.PatchRouting(ctx, "root", base, patch, digest)
+		})
+	}
+	added := oneRoute(0, time.Second).Routes[0]
+	added.Name, added.Prefix = "more", "/more/"
+	for from := range race.cluster.Controls {
+		if err := send(from, base, config.RoutingPatch{Revision: base + 4, Routes: []config.Route{added}}, "amended"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := send(1, base, config.RoutingPatch{Revision: base + 5, RemoveRoutes: []string{"more"}}, "stale"); !apierror.Is(err, apierror.Conflict) {
+		t.Fatalf("a stale amendment: %v", err)
+	}
+	if err := send(2, base+4, config.RoutingPatch{Revision: base + 5, RemoveServices: []string{"small"}}, "needed"); !apierror.Is(err, apierror.Invalid) {
+		t.Fatalf("a service that is needed was removed: %v", err)
+	}
+}
+
 // TestARoutingOutlivesTheLossOfAllControlDisks loses them right after an
 // acknowledgement, with a store away; no node may tell an older routing meanwhile.
 func TestARoutingOutlivesTheLossOfAllControlDisks(t *testing.T) {
--- a/proof/simulator/showtables_test.go
+++ b/proof/simulator/showtables_test.go
@@ -36,40 +36,10 @@
 			t.Fatal(err)
 		}
 		hung := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt("shown", "pay !slow"))
-		for _, table := range querylanguage.Tables {
-			columns, rows := cluster.show(t, "show "+table)
-			if len(columns) == 0 || (len(rows) == 0 && table != "domains") {
-				t.Errorf("%s shows %v %v", table, columns, rows)
-			}
-			for _, row := range rows {
-				if len(row) != len(columns) {
-					t.Errorf("%s: row %v has not the columns %v", table, row, columns)
-				}
-			}
-		}
-		_, rows := cluster.show(t, "show routes where shares ~ small")
-		if len(rows) != 1 || !slices.Equal(rows[0], []string{"chat", "one.example", "/chat/", "once", "1s", "0", "small:1", "4"}) {
-			t.Errorf("routes show %v", rows)
-		}
-		_, rows = cluster.show(t, "show services")
-		if len(rows) != 1 || !slices.Equal(rows[0], []string{"small", "/health", "0", "0s", "0", "2"}) {
-			t.Errorf("services show %v", rows)
-		}
-		_, rows = cluster.show(t, "show demand where out > 0")
-		if len(rows) != 1 || rows[0][1] != cluster.Runners[slices.IndexFunc(cluster.Runners, func(machine *RunnerMachine) bool {
-			return machine.Runner.Record().MaxInFlight > 0 && machine.Host[5] == '4'
-		})].Host+":8000" {
-			t.Errorf("demand shows %v", rows)
-		}
-		before, err := cluster.quota(cluster.Fronts[0], "dialogue")
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, rows = cluster.show(t, "show tallies where program = dialogue")
-		if len(rows) != 1 || rows[0][3] == "0" || rows[0][3] == "unknown" || before.Spent == 0 {
-			t.Errorf("tallies show %v, the front says %+v", rows, before)
-		}
-		_, rows = cluster.show(t, "show groups where leader = unknown")
+		cluster.checkTablesHaveRows(t)
+		cluster.checkRoutingTables(t)
+		cluster.checkUsageTables(t)
+		_, rows := cluster.show(t, "show groups where leader = unknown")
 		if len(rows) != 0 {
 			t.Errorf("groups without a leader: %v", rows)
 		}
@@ -78,3 +48,49 @@
 		}
 	})
 }
+
+func (cluster *Cluster) checkTablesHaveRows(t *testing.T) {
+	t.Helper()
+	for _, table := range querylanguage.Tables {
+		columns, rows := cluster.show(t, "show "+table)
+		if len(columns) == 0 || (len(rows) == 0 && table != "domains") {
+			t.Errorf("%s shows %v %v", table, columns, rows)
+		}
+		for _, row := range rows {
+			if len(row) != len(columns) {
+				t.Errorf("%s: row %v has not the columns %v", table, row, columns)
+			}
+		}
+	}
+}
+
+func (cluster *Cluster) checkRoutingTables(t *testing.T) {
+	t.Helper()
+	_, rows := cluster.show(t, "show routes where shares ~ small")
+	if len(rows) != 1 || !slices.Equal(rows[0], []string{"chat", "one.example", "/chat/", "once", "1s", "0", "small:1", "4"}) {
+		t.Errorf("routes show %v", rows)
+	}
+	_, rows = cluster.show(t, "show services")
+	if len(rows) != 1 || !slices.Equal(rows[0], []string{"small", "/health", "0", "0s", "0", "2"}) {
+		t.Errorf("services show %v", rows)
+	}
+}
+
+// checkUsageTables needs one query under way, at a runner of the application.
+func (cluster *Cluster) checkUsageTables(t *testing.T) {
+	t.Helper()
+	_, rows := cluster.show(t, "show demand where out > 0")
+	if len(rows) != 1 || rows[0][1] != cluster.Runners[slices.IndexFunc(cluster.Runners, func(machine *RunnerMachine) bool {
+		return machine.Runner.Record().MaxInFlight > 0 && machine.Host[5] == '4'
+	})].Host+":8000" {
+		t.Errorf("demand shows %v", rows)
+	}
+	before, err := cluster.quota(cluster.Fronts[0], "dialogue")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, rows = cluster.show(t, "show tallies where program = dialogue")
+	if len(rows) != 1 || rows[0][3] == "0" || rows[0][3] == "unknown" || before.Spent == 0 {
+		t.Errorf("tallies show %v, the front says %+v", rows, before)
+	}
+}
