--- a/proof/simulator/bounds_test.go
+++ b/proof/simulator/bounds_test.go
@@ -265,69 +265,88 @@
 			t.Fatal(err)
 		}
 		<-time.After(3 * time.Second) // the config is obeyed, the runners are warm
-		const bears = 16.0            // two runners, 16 at once each, 2 s a lookup
-		type seen struct {
-			served, refused int
-			slowest         time.Duration
-		}
-		var mutex sync.Mutex
-		var sent sync.WaitGroup
-		ask := func(into *seen, token, program, kind, words string, number int) {
-			sent.Go(func() {
-				ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
-				defer cancel()
-				began := time.Now()
-				answer, err := cluster.Ask(ctx, http.MethodPost, cluster.Fronts[number%2].Host+":7100", "/v1/lookups", token, map[string]any{"program": program, "kind": kind, "words": words})
-				mutex.Lock()
-				defer mutex.Unlock()
-				took := time.Since(began)
-				switch {
-				case err != nil:
-					t.Error(err)
-				case answer.Status == http.StatusOK:
-					into.served++
-					into.slowest = max(into.slowest, took)
-				case answer.Error.Kind != "not_run" || answer.Header.Get("Retry-After") == "":
-					t.Errorf("refused as %s", answer)
-				case took > 2700*time.Millisecond:
-					t.Errorf("refused only after %s", took)
-				default:
-					into.refused++
-				}
-			})
-		}
-		goodput := map[float64]float64{}
+		spike := &spikeTrial{t: t, cluster: cluster, goodput: map[float64]float64{}}
 		for _, times := range []float64{1, 2, 5} {
-			crowd, urgent, other := &seen{}, &seen{}, &seen{}
-			const lasts = 12 * time.Second
-			began := time.Now()
-			for number := 0; time.Since(began) < lasts; number++ {
-				ask(crowd, TeamToken, "dialogue", "lookup", "long !slow", number)
-				if step := int(times * bears / 4); number%step == 0 {
-					ask(urgent, TeamToken, "dialogue", "alarm", "now", number/step)
-					ask(other, OtherToken, "foreign", "lookup", "short", number/step)
-				}
-				<-time.After(time.Duration(float64(time.Second) / (times * bears)))
-			}
-			sent.Wait()
-			ended := time.Since(began) - lasts
-			goodput[times] = float64(crowd.served) / (lasts + 2*time.Second).Seconds()
-			t.Logf("%v times: crowd %+v, urgent %+v, other team %+v, %.1f a second, over %s after", times, *crowd, *urgent, *other, goodput[times], ended)
-			if urgent.refused > 0 || urgent.slowest > 300*time.Millisecond {
-				t.Errorf("%v times: %d urgent ones were refused, one took %s", times, urgent.refused, urgent.slowest)
-			}
-			if other.refused > 0 || other.slowest > 3*time.Second {
-				t.Errorf("%v times: %d of the other team were refused, one took %s", times, other.refused, other.slowest)
-			}
-			if ended > 5*time.Second {
-				t.Errorf("%v times: the queue was gone only %s after the crowd", times, ended)
-			}
-			if times > 1 && crowd.refused == 0 {
-				t.Errorf("%v times: nothing was refused, so nothing was tested", times)
-			}
-			if goodput[times] < 0.85*goodput[1] {
-				t.Errorf("%v times: %.1f a second were served, %.1f before the crowd", times, goodput[times], goodput[1])
-			}
+			spike.run(times)
 		}
 	})
 }
+
+// spikeTrial sends so many times what the runners bear.
+type spikeTrial struct {
+	t       *testing.T
+	cluster *Cluster
+	goodput map[float64]float64 // lookups served a second, by the times
+	mutex   sync.Mutex
+	sent    sync.WaitGroup
+}
+
+// spikeCount is what became of one kind of work; the mutex of its trial guards it.
+type spikeCount struct {
+	served, refused int
+	slowest         time.Duration
+}
+
+// ask sends one lookup in the background and counts its answer.
+func (spike *spikeTrial) ask(into *spikeCount, token, program, kind, words string, number int) {
+	t, cluster := spike.t, spike.cluster
+	spike.sent.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+		defer cancel()
+		began := time.Now()
+		answer, err := cluster.Ask(ctx, http.MethodPost, cluster.Fronts[number%2].Host+":7100", "/v1/lookups", token, map[string]any{"program": program, "kind": kind, "words": words})
+		spike.mutex.Lock()
+		defer spike.mutex.Unlock()
+		took := time.Since(began)
+		switch {
+		case err != nil:
+			t.Error(err)
+		case answer.Status == http.StatusOK:
+			into.served++
+			into.slowest = max(into.slowest, took)
+		case answer.Error.Kind != "not_run" || answer.Header.Get("Retry-After") == "":
+			t.Errorf("refused as %s", answer)
+		case took > 2700*time.Millisecond:
+			t.Errorf("refused only after %s", took)
+		default:
+			into.refused++
+		}
+	})
+}
+
+// run sends so many times what the runners bear for a while, and checks what became of it.
+func (spike *spikeTrial) run(times float64) {
+	const bears = 16.0 // lookups a second: two runners, 16 at once each, 2 s a lookup
+	const lasts = 12 * time.Second
+	t, goodput := spike.t, spike.goodput
+	t.Helper()
+	crowd, urgent, other := &spikeCount{}, &spikeCount{}, &spikeCount{}
+	began := time.Now()
+	for number := 0; time.Since(began) < lasts; number++ {
+		spike.ask(crowd, TeamToken, "dialogue", "lookup", "long !slow", number)
+		if step := int(times * bears / 4); number%step == 0 {
+			spike.ask(urgent, TeamToken, "dialogue", "alarm", "now", number/step)
+			spike.ask(other, OtherToken, "foreign", "lookup", "short", number/step)
+		}
+		<-time.After(time.Duration(float64(time.Second) / (times * bears)))
+	}
+	spike.sent.Wait()
+	ended := time.Since(began) - lasts
+	goodput[times] = float64(crowd.served) / (lasts + 2*time.Second).Seconds()
+	t.Logf("%v times: crowd %+v, urgent %+v, other team %+v, %.1f a second, over %s after", times, *crowd, *urgent, *other, goodput[times], ended)
+	if urgent.refused > 0 || urgent.slowest > 300*time.Millisecond {
+		t.Errorf("%v times: %d urgent ones were refused, one took %s", times, urgent.refused, urgent.slowest)
+	}
+	if other.refused > 0 || other.slowest > 3*time.Second {
+		t.Errorf("%v times: %d of the other team were refused, one took %s", times, other.refused, other.slowest)
+	}
+	if ended > 5*time.Second {
+		t.Errorf("%v times: the queue was gone only %s after the crowd", times, ended)
+	}
+	if times > 1 && crowd.refused == 0 {
+		t.Errorf("%v times: nothing was refused, so nothing was tested", times)
+	}
+	if goodput[times] < 0.85*goodput[1] {
+		t.Errorf("%v times: %.1f a second were served, %.1f before the crowd", times, goodput[times], goodput[1])
+	}
+}
--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -82,53 +82,14 @@
 			t.Fatal(err)
 		}
 		<-time.After(2 * time.Second)
-		within := func(what string, bound time.Duration, answers <-chan *Answer) *Answer {
-			t.Helper()
-			select {
-			case answer := <-answers:
-				return answer
-			case <-time.After(bound):
-				t.Fatalf("%s: no answer within %s", what, bound)
-			}
-			return nil
-		}
-		cluster.sent(dead, "/v1/queries", receipt("dead-once", "pay !slow"))
-		cluster.sent(dead, "/v1/conversations", talk("dead-turn", "go on !endless"))
-		<-time.After(200 * time.Millisecond)
-		dead.Kill()
-		once := within("work of a killed front", 1500*time.Millisecond, cluster.sent(other, "/v1/queries", receipt("dead-once", "pay !slow")))
-		if once.Error.Kind != "unknown" || once.Error.RetryAfter != 0 {
-			t.Fatalf("work of a killed front: %s", once)
-		}
-		turn := within("turn of a killed front", 1500*time.Millisecond, cluster.resumed(other, "dead-turn"))
-		if said, err := ReadStream(newReader(turn.Body)); err != nil || said.End != "cut" {
-			t.Fatalf("turn of a killed front: %s", turn)
-		}
+		cluster.askForWorkOfKilledFront(t, dead, other)
 		if err := dead.Start(); err != nil {
 			t.Fatal(err)
 		}
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		cluster.sent(dead, "/v1/queries", receipt("frozen-once", "pay !slow"))
-		cluster.sent(dead, "/v1/conversations", talk("frozen-turn", "go on !endless"))
-		<-time.After(200 * time.Millisecond)
-		cluster.Network.Freeze(dead.Host)
-		<-time.After(4 * time.Second) // its session is over
-		once = within("work of a frozen front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
-		if once.Error.Kind != "unknown" || once.Error.RetryAfter == 0 {
-			t.Fatalf("work of a frozen front: %s", once)
-		}
-		turn = within("turn of a frozen front", 2*time.Second, cluster.resumed(other, "frozen-turn"))
-		if said, err := ReadStream(newReader(turn.Body)); err != nil || said.End != "cut" {
-			t.Fatalf("turn of a frozen front: %s", turn)
-		}
-		cluster.Network.Thaw(dead.Host)
-		<-time.After(2 * time.Second)
-		once = within("work of a woken front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
-		if once.Status != http.StatusOK {
-			t.Fatalf("work of a woken front: %s", once)
-		}
+		cluster.askForWorkOfFrozenFront(t, dead, other)
 		for _, key := range []string{"dead-once", "frozen-once"} {
 			if count := cluster.executions("dialogue/receipt/" + key); count != 1 {
 				t.Fatalf("%s ran %d times", key, count)
@@ -137,6 +98,59 @@
 	})
 }
 
+// answerWithin gives the answer, which must come within a time.
+func answerWithin(t *testing.T, what string, bound time.Duration, answers <-chan *Answer) *Answer {
+	t.Helper()
+	select {
+	case answer := <-answers:
+		return answer
+	case <-time.After(bound):
+		t.Fatalf("%s: no answer within %s", what, bound)
+	}
+	return nil
+}
+
+// mustBeCut checks that a stream ended as cut.
+func mustBeCut(t *testing.T, what string, turn *Answer) {
+	t.Helper()
+	if said, err := ReadStream(newReader(turn.Body)); err != nil || said.End != "cut" {
+		t.Fatalf("%s: %s", what, turn)
+	}
+}
+
+func (cluster *Cluster) askForWorkOfKilledFront(t *testing.T, dead, other *Machine) {
+	t.Helper()
+	cluster.sent(dead, "/v1/queries", receipt("dead-once", "pay !slow"))
+	cluster.sent(dead, "/v1/conversations", talk("dead-turn", "go on !endless"))
+	<-time.After(200 * time.Millisecond)
+	dead.Kill()
+	once := answerWithin(t, "work of a killed front", 1500*time.Millisecond, cluster.sent(other, "/v1/queries", receipt("dead-once", "pay !slow")))
+	if once.Error.Kind != "unknown" || once.Error.RetryAfter != 0 {
+		t.Fatalf("work of a killed front: %s", once)
+	}
+	mustBeCut(t, "turn of a killed front", answerWithin(t, "turn of a killed front", 1500*time.Millisecond, cluster.resumed(other, "dead-turn")))
+}
+
+func (cluster *Cluster) askForWorkOfFrozenFront(t *testing.T, frozen, other *Machine) {
+	t.Helper()
+	cluster.sent(frozen, "/v1/queries", receipt("frozen-once", "pay !slow"))
+	cluster.sent(frozen, "/v1/conversations", talk("frozen-turn", "go on !endless"))
+	<-time.After(200 * time.Millisecond)
+	cluster.Network.Freeze(frozen.Host)
+	<-time.After(4 * time.Second) // its session is over
+	once := answerWithin(t, "work of a frozen front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+	if once.Error.Kind != "unknown" || once.Error.RetryAfter == 0 {
+		t.Fatalf("work of a frozen front: %s", once)
+	}
+	mustBeCut(t, "turn of a frozen front", answerWithin(t, "turn of a frozen front", 2*time.Second, cluster.resumed(other, "frozen-turn")))
+	cluster.Network.Thaw(frozen.Host)
+	<-time.After(2 * time.Second)
+	once = answerWithin(t, "work of a woken front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+	if once.Status != http.StatusOK {
+		t.Fatalf("work of a woken front: %s", once)
+	}
+}
+
 type quotaUsage struct {
 	Spent    int `json:"spent"`
 	Reserved int `json:"reserved"`
@@ -152,6 +166,35 @@
 	return reported, json.Unmarshal(answer.Body, &reported)
 }
 
+// loseReservationAnswer kills a front after its reservation arrived and its answer did not.
+func (cluster *Cluster) loseReservationAnswer(front *Machine, ask map[string]any) {
+	for _, store := range cluster.Stores {
+		cluster.Network.CutOneWay(store.Host, front.Host)
+	}
+	answers := cluster.sent(front, "/v1/conversations", ask)
+	<-time.After(500 * time.Millisecond)
+	front.Kill()
+	<-answers
+	for _, store := range cluster.Stores {
+		cluster.Network.Heal(store.Host, front.Host)
+	}
+}
+
+// awaitSettled waits until nothing of a program's quota is reserved any more.
+func (cluster *Cluster) awaitSettled(t *testing.T, program string) (reported quotaUsage) {
+	t.Helper()
+	err := cluster.Await(90*time.Second, "settled tally", func() (err error) {
+		if reported, err = cluster.quota(cluster.Fronts[2], program); err == nil && reported.Reserved > 0 {
+			err = fmt.Errorf("%d words are still reserved", reported.Reserved)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return reported
+}
+
 // TestReservationsOfLostFrontsAreSettled lets fronts die amid turns of a program, and
 // loses the answers to reservations, over and over. What was spoken stays counted;
 // what was only reserved comes back, so that the program can go on.
@@ -165,17 +208,8 @@
 			front := cluster.Fronts[round%2]
 			ask := map[string]any{"program": "tight", "kind": "talk", "words": "say much !endless", "query_key": fmt.Sprintf("lost-%d", round)}
 			switch round {
-			case 3, 4: // the reservation arrives, its answer does not
-				for _, store := range cluster.Stores {
-					cluster.Network.CutOneWay(store.Host, front.Host)
-				}
-				answers := cluster.sent(front, "/v1/conversations", ask)
-				<-time.After(500 * time.Millisecond)
-				front.Kill()
-				<-answers
-				for _, store := range cluster.Stores {
-					cluster.Network.Heal(store.Host, front.Host)
-				}
+			case 3, 4:
+				cluster.loseReservationAnswer(front, ask)
 			default:
 				answers := cluster.sent(front, "/v1/conversations", ask)
 				<-time.After(time.Duration(60+cluster.Random(uint64(round)).IntN(300)) * time.Millisecond)
@@ -190,16 +224,7 @@
 				t.Fatal(err)
 			}
 		}
-		var reported quotaUsage
-		err := cluster.Await(90*time.Second, "settled tally", func() (err error) {
-			if reported, err = cluster.quota(cluster.Fronts[2], "tight"); err == nil && reported.Reserved > 0 {
-				err = fmt.Errorf("%d words are still reserved", reported.Reserved)
-			}
-			return err
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
+		reported := cluster.awaitSettled(t, "tight")
 		spoken := 0
 		for _, round := range []int{0, 1, 2, 5} {
 			spoken += cluster.spokenIn(t, cluster.Fronts[2], named("tight", fmt.Sprintf("lost-%d", round)))
--- a/proof/simulator/decommission_test.go
+++ b/proof/simulator/decommission_test.go
@@ -63,6 +63,17 @@
 	t.Logf("retired in %s", time.Since(began))
 }
 
+// retireAfterTheEnd sends the order once more, which is acknowledged and changes nothing.
+func (cluster *Cluster) retireAfterTheEnd(t *testing.T, machine string) {
+	t.Helper()
+	if err := cluster.beginRetire(2, machine); err != nil {
+		t.Fatalf("the same order after its end: %v", err)
+	}
+	if state, err := cluster.retireState(0, machine); err != nil || state != feed.StateDecommissioned {
+		t.Fatalf("at the end: %s %v", state, err)
+	}
+}
+
 // TestMachineIsDecommissionedThoughTheLeaderDies has the leader that took the order killed,
 // then takes the machine away the moment it is reported as finished, and another store with it.
 func TestMachineIsDecommissionedThoughTheLeaderDies(t *testing.T) {
@@ -109,12 +120,7 @@
 			t.Fatal(err)
 		}
 		cluster.followUp(t, said)
-		if err := cluster.beginRetire(2, machine); err != nil {
-			t.Fatalf("the same order after its end: %v", err)
-		}
-		if state, err := cluster.retireState(0, machine); err != nil || state != feed.StateDecommissioned {
-			t.Fatalf("at the end: %s %v", state, err)
-		}
+		cluster.retireAfterTheEnd(t, machine)
 		if err := others[1].Start(); err != nil {
 			t.Fatal(err)
 		}
--- a/proof/simulator/founding_test.go
+++ b/proof/simulator/founding_test.go
@@ -15,31 +15,7 @@
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		said := cluster.dialogues(t, 3)
 		for index := range 3 {
-			old := cluster.Controls[index]
-			old.Kill()
-			old.Wipe()
-			fresh := cluster.AddControl(3 + index)
-			cluster.seeds[index] = fresh.Host + ":7000" // a seed of all nodes that start from now on
-			if err := fresh.Start(); err != nil {
-				t.Fatal(err)
-			}
-			cluster.Controls[index] = fresh
-			err := cluster.Await(60*time.Second, "exchanged control node", func() error {
-				reported, err := cluster.fleet()
-				if err != nil {
-					return err
-				}
-				listed := func(host string) bool {
-					return slices.ContainsFunc(reported.Controls, func(member feed.Member) bool { return strings.HasPrefix(member.Address, host+":") })
-				}
-				if len(reported.Controls) != 3 || !listed(fresh.Host) || listed(old.Host) {
-					return fmt.Errorf("controls: %v", reported.Controls)
-				}
-				return nil
-			})
-			if err != nil {
-				t.Fatal(err)
-			}
+			cluster.replaceSeed(t, index)
 			if _, err := cluster.Turn(cluster.Fronts[index%2], map[string]any{"program": "dialogue", "kind": "talk", "words": "still there"}); err != nil {
 				t.Fatal(err)
 			}
@@ -49,20 +25,7 @@
 		if cluster.Seed%2 == 0 {
 			cluster.seeds = []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
 		}
-		for _, machine := range cluster.Machines() {
-			machine.LosePower()
-		}
-		for _, machine := range slices.Concat(cluster.Controls, cluster.Stores) {
-			if err := machine.Start(); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := cluster.Await(12*time.Second, "control plane after the outage", func() error {
-			_, err := cluster.fleet()
-			return err
-		}); err != nil {
-			t.Fatal(err)
-		}
+		cluster.restartCore(t)
 		cluster.seeds = []string{"10.0.0.4:7000", "10.0.0.5:7000", "10.0.0.6:7000"}
 		for _, front := range cluster.Fronts {
 			if err := front.Start(); err != nil {
@@ -84,6 +47,57 @@
 	})
 }
 
+// replaceSeed replaces a seed machine by an empty one at another address, and waits until
+// that is a control node in its place.
+func (cluster *Cluster) replaceSeed(t *testing.T, index int) {
+	t.Helper()
+	old := cluster.Controls[index]
+	old.Kill()
+	old.Wipe()
+	fresh := cluster.AddControl(3 + index)
+	cluster.seeds[index] = fresh.Host + ":7000" // a seed of all nodes that start from now on
+	if err := fresh.Start(); err != nil {
+		t.Fatal(err)
+	}
+	cluster.Controls[index] = fresh
+	err := cluster.Await(60*time.Second, "exchanged control node", func() error {
+		reported, err := cluster.fleet()
+		if err != nil {
+			return err
+		}
+		listed := func(host string) bool {
+			return slices.ContainsFunc(reported.Controls, func(member feed.Member) bool { return strings.HasPrefix(member.Address, host+":") })
+		}
+		if len(reported.Controls) != 3 || !listed(fresh.Host) || listed(old.Host) {
+			return fmt.Errorf("controls: %v", reported.Controls)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// restartCore takes all machines' power, starts control nodes and stores again and waits
+// until the control plane answers; fronts stay down.
+func (cluster *Cluster) restartCore(t *testing.T) {
+	t.Helper()
+	for _, machine := range cluster.Machines() {
+		machine.LosePower()
+	}
+	for _, machine := range slices.Concat(cluster.Controls, cluster.Stores) {
+		if err := machine.Start(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := cluster.Await(12*time.Second, "control plane after the outage", func() error {
+		_, err := cluster.fleet()
+		return err
+	}); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // TestAFleetIsFoundedOnlyOnceAllThreeEmptySeedsAnswer starts the seeds one by one,
 // and later a wiped one, which must join instead of founding anew.
 func TestAFleetIsFoundedOnlyOnceAllThreeEmptySeedsAnswer(t *testing.T) {
--- a/proof/simulator/storeddata_read_test.go
+++ b/proof/simulator/storeddata_read_test.go
@@ -151,6 +151,19 @@
 		one.turn(t, 0)
 		one.check(t)
 	}
+	cluster.endStoredTurn(t, want)
+	if answer, err := cluster.Administer(http.MethodPost, "/v1/query", map[string]any{"text": fmt.Sprintf("restore config %d", want.Earlier)}); err != nil || answer.Status != http.StatusOK {
+		t.Fatalf("%v %s", err, answer)
+	}
+	if source := cluster.leader().Control.View().Source; source != want.EarlierSource {
+		t.Errorf("restored the config %s, not %s", source, want.EarlierSource)
+	}
+}
+
+// endStoredTurn ends the turn that was left open. Until then its reservation counts and no
+// turn goes on from it.
+func (cluster *Cluster) endStoredTurn(t *testing.T, want *storedFleet) {
+	t.Helper()
 	client, end := cluster.storeClient("10.8.0.1")
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -176,10 +189,4 @@
 	if begun, err := client.BeginTurn(ctx, storedTurn("c", "open")); err != nil || string(begun.History) != complete("a")+complete("b")+complete("open") {
 		t.Errorf("%+v, %v", begun, err)
 	}
-	if answer, err := cluster.Administer(http.MethodPost, "/v1/query", map[string]any{"text": fmt.Sprintf("restore config %d", want.Earlier)}); err != nil || answer.Status != http.StatusOK {
-		t.Fatalf("%v %s", err, answer)
-	}
-	if source := cluster.leader().Control.View().Source; source != want.EarlierSource {
-		t.Errorf("restored the config %s, not %s", source, want.EarlierSource)
-	}
 }
--- a/proof/simulator/storeddata_write_test.go
+++ b/proof/simulator/storeddata_write_test.go
@@ -137,14 +137,7 @@
 	if err := cluster.PutConfig(storedConfig); err != nil {
 		t.Fatal(err)
 	}
-	for position, routes := range storedRevisions[:len(storedRevisions)-1] {
-		if err := cluster.sendAmendment(0, uint64(position+1), 0, routes); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := cluster.sendAmendment(0, uint64(len(storedRevisions)), 0, storedRevisions[len(storedRevisions)-1]); err != nil {
-		t.Fatal(err)
-	}
+	cluster.sendStoredRevisions(t)
 	if answer, err := cluster.Administer(http.MethodPost, "/v1/domains/west", map[string]any{"state": feed.StateDrained}); err != nil || answer.Status != http.StatusOK {
 		t.Fatalf("%v %s", err, answer)
 	}
@@ -167,14 +160,7 @@
 		fleet.Conversations = append(fleet.Conversations, conversation)
 	}
 	for number := range 3 {
-		one := storedOnce{Key: fmt.Sprintf("stored-%d", number), Words: "pay"}
-		answer, err := cluster.once(cluster.Fronts[number%2], one.Key, one.Words)
-		if err != nil || answer.Status != http.StatusOK {
-			t.Fatalf("%v %s", err, answer)
-		}
-		// The answer that later queries of that key get as well.
-		one.Body = strings.Replace(string(answer.Body), `"repeated":false`, `"repeated":true`, 1)
-		fleet.Once = append(fleet.Once, one)
+		fleet.Once = append(fleet.Once, cluster.askStoredOnce(t, number))
 	}
 	cluster.storedTurns(t, &fleet)
 	cluster.Sleep(25 * time.Second) // all of it is archived
@@ -191,6 +177,29 @@
 	return fleet
 }
 
+// sendStoredRevisions sends the amendments of the routing, one on another.
+func (cluster *Cluster) sendStoredRevisions(t *testing.T) {
+	t.Helper()
+	for position, routes := range storedRevisions {
+		if err := cluster.sendAmendment(0, uint64(position+1), 0, routes); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// askStoredOnce asks a query under a key of its own, which later ones repeat.
+func (cluster *Cluster) askStoredOnce(t *testing.T, number int) storedOnce {
+	t.Helper()
+	one := storedOnce{Key: fmt.Sprintf("stored-%d", number), Words: "pay"}
+	answer, err := cluster.once(cluster.Fronts[number%2], one.Key, one.Words)
+	if err != nil || answer.Status != http.StatusOK {
+		t.Fatalf("%v %s", err, answer)
+	}
+	// The answer that later queries of that key get as well.
+	one.Body = strings.Replace(string(answer.Body), `"repeated":false`, `"repeated":true`, 1)
+	return one
+}
+
 // storedTurns has a client take turns, of which the last stays open.
 func (cluster *Cluster) storedTurns(t *testing.T, fleet *storedFleet) {
 	t.Helper()
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -52,64 +52,22 @@
 		defer end()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 		defer cancel()
-		take := func(program, name, follows, history string) {
-			t.Helper()
-			begun, err := client.BeginTurn(ctx, programTurn(program, name, follows))
-			if err != nil || string(begun.History) != history {
-				t.Fatalf("%s: %+v, %v; want the history %q", name, begun, err, history)
-			}
-			again, err := client.BeginTurn(ctx, programTurn(program, name, follows))
-			if err != nil || again.Seq != begun.Seq || string(again.History) != history {
-				t.Fatalf("%s repeated: %+v, %v; want the history %q", name, again, err, history)
-			}
-			for range 2 {
-				if err := client.EndTurn(ctx, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)); err != nil {
-					t.Fatalf("%s: %v", name, err)
-				}
-			}
-		}
-		refused := func(kind apierror.Kind, program, name, follows string) {
-			t.Helper()
-			if _, err := client.BeginTurn(ctx, programTurn(program, name, follows)); !apierror.Is(err, kind) {
-				t.Fatalf("%s: %v, want %s", name, err, kind)
-			}
-		}
-		take("p", "a", "", "")
-		take("p", "b", "a", complete("a"))
-		take("p", "c", "a", complete("a"))
-		take("p", "d", "b", complete("a")+complete("b"))
+		trial := &turnTrial{t: t, cluster: cluster, client: client, ctx: ctx}
+		trial.take("p", "a", "", "")
+		trial.take("p", "b", "a", complete("a"))
+		trial.take("p", "c", "a", complete("a"))
+		trial.take("p", "d", "b", complete("a")+complete("b"))
 		// Also once what was said is archived, and in another line, whose group may be another.
 		for round := range 2 {
-			take("p", fmt.Sprint("e", round), "d", complete("a")+complete("b")+complete("d"))
-			for number := range 4 {
-				program, name := fmt.Sprintf("q%d-%d", round, number), fmt.Sprintf("f%d-%d", round, number)
-				take(program, name, "c", complete("a")+complete("c"))
-				take(program, name+"-on", name, complete("a")+complete("c")+complete(name))
-				take(program, name+"-beside", "a", complete("a"))
-			}
+			trial.takeInOtherSessions(round)
 			<-time.After(25 * time.Second)
 			if names, err := cluster.Stores[0].Archive.List(); err != nil || len(names) == 0 {
 				t.Fatalf("nothing was archived: %v", err)
 			}
 		}
-		refused(apierror.NotFound, "p", "g", "none")
-		refused(apierror.NotFound, "new", "g", "none")
-		begun, err := client.BeginTurn(ctx, programTurn("p", "open", "d"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		refused(apierror.NotRun, "p", "h", "open")
-		refused(apierror.NotRun, "new", "h", "open")
-		other := programTurn("p", "open", "d")
-		other.DispatchID = "elsewhere"
-		if _, err := client.BeginTurn(ctx, other); !apierror.Is(err, apierror.Conflict) {
-			t.Fatalf("a second dispatch began the turn: %v", err)
-		}
-		if err := client.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeCut, begun.Seq, 3)); err != nil {
-			t.Fatal(err)
-		}
-		refused(apierror.NotFound, "p", "h", "open")
-		refused(apierror.NotFound, "new", "h", "open")
+		trial.refused(apierror.NotFound, "p", "g", "none")
+		trial.refused(apierror.NotFound, "new", "g", "none")
+		trial.followOpenTurn()
 		large := programTurn("p", "i", "d")
 		large.MaxOutputTokens = turnQuota
 		if _, err := client.BeginTurn(ctx, large); !apierror.Is(err, apierror.QuotaExhausted) {
@@ -119,17 +77,7 @@
 		cluster.Network.Isolate(cluster.Stores[2].Host)
 		<-time.After(3 * time.Second)
 		for number := range 4 {
-			soon, give := context.WithTimeout(ctx, 2500*time.Millisecond)
-			began := time.Now()
-			program, name := fmt.Sprintf("less%d", number), fmt.Sprintf("less%d", number)
-			if begun, err := client.BeginTurn(soon, programTurn(program, name, "d")); err != nil || string(begun.History) != complete("a")+complete("b")+complete("d") {
-				t.Fatalf("with a store less: %+v, %v", begun, err)
-			}
-			if _, err := client.BeginTurn(soon, programTurn(program, name+"-not", "none")); !apierror.Is(err, apierror.NotFound) {
-				t.Fatalf("with a store less: %v", err)
-			}
-			give()
-			t.Logf("with a store less: %s", time.Since(began))
+			trial.takeWithAStoreLess(number)
 		}
 		cluster.Network.Rejoin(cluster.Stores[2].Host)
 		// While a group has no quorum, nothing is said to be unknown.
@@ -143,6 +91,90 @@
 	})
 }
 
+// turnTrial takes turns at the stores, by one client and within one deadline.
+type turnTrial struct {
+	t       *testing.T
+	cluster *Cluster
+	client  *storeclient.Client
+	ctx     context.Context
+}
+
+// take begins a turn twice and ends it twice; both begins must give the history.
+func (trial *turnTrial) take(program, name, follows, history string) {
+	t, client, ctx := trial.t, trial.client, trial.ctx
+	t.Helper()
+	begun, err := client.BeginTurn(ctx, programTurn(program, name, follows))
+	if err != nil || string(begun.History) != history {
+		t.Fatalf("%s: %+v, %v; want the history %q", name, begun, err, history)
+	}
+	again, err := client.BeginTurn(ctx, programTurn(program, name, follows))
+	if err != nil || again.Seq != begun.Seq || string(again.History) != history {
+		t.Fatalf("%s repeated: %+v, %v; want the history %q", name, again, err, history)
+	}
+	for range 2 {
+		if err := client.EndTurn(ctx, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+	}
+}
+
+// refused begins a turn that must be refused with an error of that kind.
+func (trial *turnTrial) refused(kind apierror.Kind, program, name, follows string) {
+	trial.t.Helper()
+	if _, err := trial.client.BeginTurn(trial.ctx, programTurn(program, name, follows)); !apierror.Is(err, kind) {
+		trial.t.Fatalf("%s: %v, want %s", name, err, kind)
+	}
+}
+
+func (trial *turnTrial) takeInOtherSessions(round int) {
+	trial.t.Helper()
+	trial.take("p", fmt.Sprint("e", round), "d", complete("a")+complete("b")+complete("d"))
+	for number := range 4 {
+		program, name := fmt.Sprintf("q%d-%d", round, number), fmt.Sprintf("f%d-%d", round, number)
+		trial.take(program, name, "c", complete("a")+complete("c"))
+		trial.take(program, name+"-on", name, complete("a")+complete("c")+complete(name))
+		trial.take(program, name+"-beside", "a", complete("a"))
+	}
+}
+
+// followOpenTurn has turns refused that follow an open one, and once it was cut.
+func (trial *turnTrial) followOpenTurn() {
+	t, client, ctx := trial.t, trial.client, trial.ctx
+	t.Helper()
+	begun, err := client.BeginTurn(ctx, programTurn("p", "open", "d"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	trial.refused(apierror.NotRun, "p", "h", "open")
+	trial.refused(apierror.NotRun, "new", "h", "open")
+	other := programTurn("p", "open", "d")
+	other.DispatchID = "elsewhere"
+	if _, err := client.BeginTurn(ctx, other); !apierror.Is(err, apierror.Conflict) {
+		t.Fatalf("a second dispatch began the turn: %v", err)
+	}
+	if err := client.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeCut, begun.Seq, 3)); err != nil {
+		t.Fatal(err)
+	}
+	trial.refused(apierror.NotFound, "p", "h", "open")
+	trial.refused(apierror.NotFound, "new", "h", "open")
+}
+
+func (trial *turnTrial) takeWithAStoreLess(number int) {
+	t, client := trial.t, trial.client
+	t.Helper()
+	soon, give := context.WithTimeout(trial.ctx, 2500*time.Millisecond)
+	defer give()
+	began := time.Now()
+	program, name := fmt.Sprintf("less%d", number), fmt.Sprintf("less%d", number)
+	if begun, err := client.BeginTurn(soon, programTurn(program, name, "d")); err != nil || string(begun.History) != complete("a")+complete("b")+complete("d") {
+		t.Fatalf("with a store less: %+v, %v", begun, err)
+	}
+	if _, err := client.BeginTurn(soon, programTurn(program, name+"-not", "none")); !apierror.Is(err, apierror.NotFound) {
+		t.Fatalf("with a store less: %v", err)
+	}
+	t.Logf("with a store less: %s", time.Since(began))
+}
+
 // completedTurn is a turn that was answered whole.
 type completedTurn struct {
 	name, program, history string
