--- a/proof/simulator/badinput_test.go
+++ b/proof/simulator/badinput_test.go
@@ -28,23 +28,29 @@
 				t.Errorf("%s: %d %s", one.name, answer.Status, answer.Body)
 			}
 		}
-		before, err := cluster.fleet()
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, one := range invalidAdministration(before.ConfigNumber) {
-			answer, err := cluster.askInvalid(cluster.Controls[1].Host+":7200", one)
-			if err != nil || answer.Error.Kind != one.kind || answer.Error.Remedy == "" {
-				t.Errorf("%s: %v %+v", one.name, err, answer)
-			}
-		}
-		after, err := cluster.fleet()
-		if err != nil || after.ConfigNumber != before.ConfigNumber {
-			t.Errorf("refused configs changed the config from %d to %d (%v)", before.ConfigNumber, after.ConfigNumber, err)
-		}
+		cluster.checkInvalidAdministration(t)
 	})
 }
 
+// checkInvalidAdministration checks the errors of control nodes, and that the config stays.
+func (cluster *Cluster) checkInvalidAdministration(t *testing.T) {
+	t.Helper()
+	before, err := cluster.fleet()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, one := range invalidAdministration(before.ConfigNumber) {
+		answer, err := cluster.askInvalid(cluster.Controls[1].Host+":7200", one)
+		if err != nil || answer.Error.Kind != one.kind || answer.Error.Remedy == "" {
+			t.Errorf("%s: %v %+v", one.name, err, answer)
+		}
+	}
+	after, err := cluster.fleet()
+	if err != nil || after.ConfigNumber != before.ConfigNumber {
+		t.Errorf("refused configs changed the config from %d to %d (%v)", before.ConfigNumber, after.ConfigNumber, err)
+	}
+}
+
 // invalidRequest is a request with the status and the kind of error that it must get.
 type invalidRequest struct {
 	name, method, path, token string
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -58,18 +58,7 @@
 		}
 		chaos.checkWarmUp(life)
 	}
-	for name, ran := range runs {
-		sent, found := chaos.sent[name]
-		if !found {
-			if !strings.HasPrefix(name, "ready-") {
-				chaos.violation("UNASKED", "%s ran and was never asked", name)
-			}
-			continue
-		}
-		for _, one := range ran {
-			chaos.checkExecution(sent, one)
-		}
-	}
+	chaos.checkExecutions(runs)
 	spent, served, all := map[string]uint64{}, 0, 0
 	for name, sent := range chaos.sent {
 		if sent.answer == nil {
@@ -103,6 +92,22 @@
 	}
 }
 
+// checkExecutions judges all runs, by the names of what was asked.
+func (chaos *chaosRun) checkExecutions(runs map[string][]execution) {
+	for name, ran := range runs {
+		sent, found := chaos.sent[name]
+		if !found {
+			if !strings.HasPrefix(name, "ready-") {
+				chaos.violation("UNASKED", "%s ran and was never asked", name)
+			}
+			continue
+		}
+		for _, one := range ran {
+			chaos.checkExecution(sent, one)
+		}
+	}
+}
+
 // checkWarmUp counts what came to a cold runner in every second.
 func (chaos *chaosRun) checkWarmUp(life *runnerLife) {
 	came := life.engine.Arrivals()
@@ -124,6 +129,27 @@
 
 // checkExecution judges one run of a query that was asked.
 func (chaos *chaosRun) checkExecution(sent *sentRequest, one execution) {
+	chaos.checkExecutedRequest(sent, one)
+	chaos.checkExecutedRoute(sent, one)
+	request, name := sent.request, sent.request.Name
+	touch := chaos.touch(sent.front, one.At)
+	if left := one.life.leavingAt; touch && !left.IsZero() && one.At.Sub(left) > drainBound {
+		chaos.violation("DRAIN", "%s ran at %s %s after it was leaving", name, one.life.engine.Life, one.At.Sub(left))
+	}
+	for _, span := range chaos.drained {
+		if touch && span.domain == one.life.machine.Domain && one.At.Sub(span.drained) > drainedDomainBound && one.At.Before(span.refilled) {
+			chaos.violation("EVAC", "%s ran in %s %s after it was emptied", name, span.domain, one.At.Sub(span.drained))
+		}
+	}
+	if chaos.touch(sent.front, sent.at) && touch && !chaos.obeys(sent, one.At, func(services []string, found bool) bool {
+		return found && slices.Contains(services, one.life.group)
+	}) {
+		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, request.Path, sent.at.Format("05.000"), one.life.group)
+	}
+}
+
+// checkExecutedRequest checks that what ran is what was asked.
+func (chaos *chaosRun) checkExecutedRequest(sent *sentRequest, one execution) {
 	request, name := sent.request, sent.request.Name
 	want := sent.chain + string(request.Body)
 	if !strings.HasPrefix(request.Path, "/talk/kept/") {
@@ -132,6 +158,11 @@
 	if one.Method != request.Method || one.Target != request.Path || one.Body != want || one.Header.Get("X-Other") != "goes along" {
 		chaos.violation("UNASKED", "%s ran as %s %s %q, want %s %s %q", name, one.Method, one.Target, one.Body, request.Method, request.Path, want)
 	}
+}
+
+// checkExecutedRoute checks that some routing allowed to run it at a runner of that group.
+func (chaos *chaosRun) checkExecutedRoute(sent *sentRequest, one execution) {
+	request, name := sent.request, sent.request.Name
 	allowed := false
 	for _, order := range chaos.orders {
 		services, _ := order.services(pathOf(request))
@@ -140,20 +171,6 @@
 	if !allowed {
 		chaos.violation("ROUTE", "%s %s ran at a runner of %s, which no routing allows", name, request.Path, one.life.group)
 	}
-	touch := chaos.touch(sent.front, one.At)
-	if left := one.life.leavingAt; touch && !left.IsZero() && one.At.Sub(left) > drainBound {
-		chaos.violation("DRAIN", "%s ran at %s %s after it was leaving", name, one.life.engine.Life, one.At.Sub(left))
-	}
-	for _, span := range chaos.drained {
-		if touch && span.domain == one.life.machine.Domain && one.At.Sub(span.drained) > drainedDomainBound && one.At.Before(span.refilled) {
-			chaos.violation("EVAC", "%s ran in %s %s after it was emptied", name, span.domain, one.At.Sub(span.drained))
-		}
-	}
-	if chaos.touch(sent.front, sent.at) && touch && !chaos.obeys(sent, one.At, func(services []string, found bool) bool {
-		return found && slices.Contains(services, one.life.group)
-	}) {
-		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, request.Path, sent.at.Format("05.000"), one.life.group)
-	}
 }
 
 // obeys reports whether a routing that is to be obeyed handles a query that way.
@@ -190,7 +207,13 @@
 	if answer.Status != 0 {
 		chaos.checkBody(sent, runs)
 	}
-	// What was under way when its front began to leave in order is answered whole.
+	chaos.checkDrained(sent, runs)
+}
+
+// checkDrained checks that what was under way when its front began to leave in order is
+// answered whole.
+func (chaos *chaosRun) checkDrained(sent *sentRequest, runs []execution) {
+	request, name, answer := sent.request, sent.request.Name, sent.answer
 	if left := sent.front.left; !left.IsZero() && sent.at.Before(left) && sent.back.After(left) && answer.Err != nil && len(runs) > 0 && !sent.left &&
 		chaos.touch(sent.front, sent.at) && chaos.touch(sent.front, sent.back) && sent.back.Before(request.Deadline.Add(-500*time.Millisecond)) &&
 		!slices.ContainsFunc(runs, func(one execution) bool { return one.Fault != standin.NoFault || !one.life.endedAt.IsZero() }) {
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -107,7 +107,8 @@
 	}
 	machine.Front.Drain(ctx)
 	cancel()
-	defer chaos.note(machine.Host)()
+	end := chaos.note(machine.Host)
+	defer end()
 	chaos.endFront(machine)
 	while(random, 50*time.Millisecond, time.Second)
 	chaos.startFront(machine)
@@ -115,7 +116,8 @@
 
 // coreFault does something to the core, and ends the trouble once all is whole again.
 func (chaos *chaosRun) coreFault(strike func(), heals bool) {
-	defer chaos.note("core")()
+	end := chaos.note("core")
+	defer end()
 	strike()
 	if heals {
 		chaos.cluster.awaitHealed(chaos.t)
@@ -233,21 +235,7 @@
 func (chaos *chaosRun) outage(random *rand.Rand) {
 	chaos.note("core")
 	cluster := chaos.cluster
-	complete := []*sentRequest{}
-	chaos.mutex.Lock()
-	for _, sent := range chaos.sent {
-		if sent.answer != nil && sent.answer.Complete() && strings.HasPrefix(sent.request.Path, "/talk/kept/") && time.Since(sent.back) < 90*time.Second {
-			complete = append(complete, sent)
-		}
-	}
-	newest := uint64(0)
-	for _, one := range chaos.orders {
-		if !one.acked.IsZero() {
-			newest = max(newest, one.revision)
-		}
-	}
-	chaos.mutex.Unlock()
-	slices.SortFunc(complete, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
+	complete, newest := chaos.acknowledged()
 	for _, machine := range cluster.Fronts {
 		chaos.endFront(machine)
 	}
@@ -270,14 +258,7 @@
 		if position%max(1, len(complete)/60) != 0 {
 			continue
 		}
-		words := fmt.Sprintf("after %d. ", position)
-		program := fmt.Sprintf("after-%d", position)
-		chaos.mutex.Lock()
-		chaos.budgets[program] = 1000
-		chaos.mutex.Unlock()
-		chain := sent.chain + string(sent.request.Body) + sent.answer.Text()
-		request := forwarding.Request{Path: "/talk/kept/1", Follows: sent.request.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
-		on := chaos.attempt(random, request, chain, 4*time.Second, 0)
+		on := chaos.goOnAfterOutage(random, position, sent)
 		lookup := chaos.attempt(random, forwarding.Request{Method: http.MethodGet, Path: "/lookup/1"}, "", 2*time.Second, 0)
 		for _, one := range []*sentRequest{on, lookup} {
 			if all++; one.answer.Complete() {
@@ -293,3 +274,34 @@
 	}
 	chaos.t.Logf("after the outage %d of %d are served", served, all)
 }
+
+// acknowledged returns the kept turns that were answered whole in the last 90 s, oldest
+// first, and the newest routing revision that was acknowledged.
+func (chaos *chaosRun) acknowledged() (complete []*sentRequest, newest uint64) {
+	chaos.mutex.Lock()
+	defer chaos.mutex.Unlock()
+	for _, sent := range chaos.sent {
+		if sent.answer != nil && sent.answer.Complete() && strings.HasPrefix(sent.request.Path, "/talk/kept/") && time.Since(sent.back) < 90*time.Second {
+			complete = append(complete, sent)
+		}
+	}
+	for _, one := range chaos.orders {
+		if !one.acked.IsZero() {
+			newest = max(newest, one.revision)
+		}
+	}
+	slices.SortFunc(complete, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
+	return complete, newest
+}
+
+// goOnAfterOutage follows a turn that was answered whole before the outage.
+func (chaos *chaosRun) goOnAfterOutage(random *rand.Rand, position int, sent *sentRequest) *sentRequest {
+	words := fmt.Sprintf("after %d. ", position)
+	program := fmt.Sprintf("after-%d", position)
+	chaos.mutex.Lock()
+	chaos.budgets[program] = 1000
+	chaos.mutex.Unlock()
+	chain := sent.chain + string(sent.request.Body) + sent.answer.Text()
+	request := forwarding.Request{Path: "/talk/kept/1", Follows: sent.request.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
+	return chaos.attempt(random, request, chain, 4*time.Second, 0)
+}
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -286,7 +286,7 @@
 }
 
 // mustServe waits until a node reads the newest revision and has an order acknowledged.
-func (cluster *Cluster) mustServe(t *testing.T, cut networkCut, machine *Machine, newest uint64, since time.Time) {
+func (*Cluster) mustServe(t *testing.T, cut networkCut, machine *Machine, newest uint64, since time.Time) {
 	t.Helper()
 	order := operatorRequest{base: newest, next: oneRoute(newest+1, time.Second), digest: fmt.Sprint("after ", newest)}
 	read := false
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -280,7 +280,7 @@
 
 // TestSettlementsMayBeWaitedForWhileMoreComes drains fronts while turns end.
 func TestSettlementsMayBeWaitedForWhileMoreComes(t *testing.T) {
-	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
+	simulateRouted(t, func(_ *testing.T, cluster *Cluster) {
 		stop := time.Now().Add(5 * time.Second)
 		done := make(chan bool)
 		for caller := range 8 {
--- a/proof/simulator/sharedprefix_test.go
+++ b/proof/simulator/sharedprefix_test.go
@@ -269,6 +269,31 @@
 	})
 }
 
+// damagePrefixes changes a byte in each shared prefix that a machine's replica stores.
+func damagePrefixes(t *testing.T, machine *Machine, group uint32) {
+	t.Helper()
+	buffered := machine.Store.StateMachine(group)
+	snapshot := buffered.View().Snapshot()
+	for position := range snapshot.Prefixes {
+		snapshot.Prefixes[position].Data[100] ^= 1
+	}
+	if err := buffered.Restore(snapshot); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// beginPrefixed begins the first turn of a program, whose input begins with the prefix.
+func beginPrefixed(ctx context.Context, t *testing.T, client *storeclient.Client, name, prefix string) *storeclient.BegunTurn {
+	t.Helper()
+	turn := programTurn(name, name, "")
+	turn.PrefixScope, turn.Input = "identity", []byte(prefix+"in "+name+"\n")
+	begun, err := client.BeginTurn(ctx, turn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return begun
+}
+
 // TestDamagedSharedPrefixIsRepairedFromAPeer gives the leader a snapshot in which a shared
 // prefix has not the content that its name stands for.
 func TestDamagedSharedPrefixIsRepairedFromAPeer(t *testing.T) {
@@ -280,29 +305,14 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		for _, name := range names {
-			turn := programTurn(name, name, "")
-			turn.PrefixScope, turn.Input = "identity", []byte(prefix+"in "+name+"\n")
-			begun, err := client.BeginTurn(ctx, turn)
-			if err != nil {
-				t.Fatal(err)
-			}
+			begun := beginPrefixed(ctx, t, client, name, prefix)
 			if err := client.EndTurn(ctx, programTurnEnd(name, name, sessionlog.OutcomeComplete, begun.Seq, 1)); err != nil {
 				t.Fatal(err)
 			}
 			cluster.Sleep(200 * time.Millisecond)
 		}
 		leader := cluster.leaderOf("program/" + names[0])
-		damage := func(machine *Machine) {
-			buffered := machine.Store.StateMachine(group)
-			snapshot := buffered.View().Snapshot()
-			for position := range snapshot.Prefixes {
-				snapshot.Prefixes[position].Data[100] ^= 1
-			}
-			if err := buffered.Restore(snapshot); err != nil {
-				t.Fatal(err)
-			}
-		}
-		damage(leader)
+		damagePrefixes(t, leader, group)
 		if _, _, state := cluster.sharing(t, group); state != "damaged" {
 			t.Fatalf("the opening is %s", state)
 		}
@@ -322,7 +332,7 @@
 		cluster.Sleep(time.Second) // followers have applied the repair too
 		// No replica has a sound copy: rejected as not run, and no shorter history is used.
 		for _, machine := range cluster.Stores {
-			damage(machine)
+			damagePrefixes(t, machine, group)
 		}
 		begun, err = turn("last", names[3])
 		if !apierror.Is(err, apierror.NotRun) || apierror.Of(err).RetryAfter <= 0 {
@@ -334,13 +344,8 @@
 			t.Fatalf("%v", err)
 		}
 		// The same prefix, sent again, repairs it.
-		fresh := programsOf(group, "q", 3)
-		for _, name := range fresh {
-			again := programTurn(name, name, "")
-			again.PrefixScope, again.Input = "identity", []byte(prefix+"in "+name+"\n")
-			if _, err := client.BeginTurn(ctx, again); err != nil {
-				t.Fatal(err)
-			}
+		for _, name := range programsOf(group, "q", 3) {
+			beginPrefixed(ctx, t, client, name, prefix)
 			cluster.Sleep(5 * time.Second)
 		}
 		begun, err = turn("later", names[2])
--- a/proof/simulator/wildrunner_test.go
+++ b/proof/simulator/wildrunner_test.go
@@ -166,11 +166,11 @@
 		after, _ := strconv.Atoi(request.Header.Get(standin.Dialect.LastEventID))
 		parts = append([]string{runner.head(name, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n")}, events(body, after)...)
 	}
-	return runner.spoil(drawn, parts, earlier, name)
+	return runner.spoil(drawn, parts, earlier)
 }
 
 // spoil makes a whole answer wrong, by what was drawn.
-func (runner *wildRunner) spoil(drawn int, parts []string, earlier, name string) wildAnswer {
+func (runner *wildRunner) spoil(drawn int, parts []string, earlier string) wildAnswer {
 	complete := strings.Join(parts, "")
 	switch drawn {
 	case 1: // an answer to an earlier query comes first
