--- a/system/runnerpool/event_stream_test.go
+++ b/system/runnerpool/event_stream_test.go
@@ -130,6 +130,24 @@
 	}
 }
 
+// TestCompleteEventsAreReturnedWithoutReading has two complete events and a part of a third come
+// with one read: the first two need no other read, the third does.
+func TestCompleteEventsAreReturnedWithoutReading(t *testing.T) {
+	source := &pieces{left: [][]byte{[]byte("data: a\n\ndata: b\n\ndata: c\n")}, err: io.EOF}
+	events := NewEventReader(source)
+	if len(source.left) != 1 {
+		t.Error("read before an event was wanted")
+	}
+	for _, want := range []string{"a", "b"} {
+		if event, err := events.Next(); err != nil || string(event.Data) != want || source.over != 0 {
+			t.Errorf("got %v, %v after %d reads that were not needed, want %q", event, err, source.over, want)
+		}
+	}
+	if _, _ = events.Next(); source.over == 0 {
+		t.Error("the rest of the stream was returned before its end was read")
+	}
+}
+
 func TestEventsAreNotOverwritten(t *testing.T) {
 	text := strings.Builder{}
 	for number := range 2000 {
