--- a/proof/modelcheck/scenarios.go
+++ b/proof/modelcheck/scenarios.go
@@ -20,90 +20,90 @@
 	threeAndSpare = Model{Voters: threeVoters, Spares: []string{"d"}, ElectionTicks: 1, HeartbeatTicks: 1}
 )
 
-// Scenarios are the beginnings of the exhaustive searches.
-func Scenarios() []Scenario {
-	return []Scenario{
-		{
-			Name: "founding", Purpose: "first elections, with crashes before and after each sync",
-			Model: coarseClock, Depth: 6,
-			Limits: Limits{ActionTick: 3, ActionCrash: 1, ActionPropose: 1, ActionDuplicate: 1},
-		},
-		{
-			Name: "two candidates", Purpose: "two replicas whose vote requests and replies race",
-			Model: coarseClock, Depth: 4, Prepare: twoCandidates,
-			Limits: Limits{ActionTick: 1, ActionCrash: 1, ActionDuplicate: 1},
-		},
-		{
-			Name: "steady", Purpose: "a leader that replicates, with crashes and a doubled message",
-			Model: coarseClock, Depth: 4, Prepare: steady,
-			Limits: Limits{ActionTick: 2, ActionPropose: 2, ActionCrash: 1, ActionDuplicate: 1, ActionRead: 1},
-		},
-		{
-			Name: "older term", Purpose: "an entry of an older term on a majority, which a third replica may yet replace",
-			Model: largeCommands, Depth: 8, Prepare: olderTerm,
-			Limits: Limits{ActionTick: 2},
-		},
-		{
-			Name: "overwritten log", Purpose: "a replica whose long log was replaced by a shorter one leads again",
-			Model: threeAndSpare, Depth: 4, Prepare: overwrittenLog,
-			Limits: Limits{ActionTick: 1, ActionPropose: 2, ActionCrash: 1},
-		},
-		{
-			Name: "lagging", Purpose: "a checkpoint on its way, entries after it, crashes and a doubled message",
-			Model: coarseClock, Depth: 4, Prepare: lagging,
-			Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionCrash: 1, ActionDuplicate: 1, ActionCompact: 1},
-		},
-		{
-			Name: "late snapshot", Purpose: "a doubled snapshot that arrives after the entries behind it",
-			Model: coarseClock, Depth: 4, Prepare: lateSnapshot,
-			Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionCrash: 1},
-		},
-		{
-			Name: "needless snapshot", Purpose: "a snapshot for a replica that has its entries and one after them",
-			Model: coarseClock, Depth: 5, Prepare: needlessSnapshot,
-			Limits: Limits{ActionTick: 1, ActionCrash: 1},
-		},
-		{
-			Name: "behind", Purpose: "a replica that lacks what is committed stands for election",
-			Model: instantDisks, Depth: 6, Prepare: behind,
-			Limits: Limits{ActionTick: 2, ActionTransferLeadership: 1},
-		},
-		{
-			Name: "deposed", Purpose: "reads at a leader that was cut off while another was elected",
-			Model: instantDisks, Depth: 4, Prepare: deposed,
-			Limits: Limits{ActionTick: 2, ActionRead: 2, ActionPropose: 1},
-		},
-		{
-			Name: "membership", Purpose: "one change after another, and those that must be refused",
-			Model: withSpare, Depth: 4, Prepare: steady,
-			Limits: Limits{ActionTick: 2, ActionChange: 2, ActionCrash: 1},
-		},
-		{
-			Name: "change of a cut-off leader", Purpose: "membership changes of two leaders at a time, in an even group",
-			Model: fourVoters, Depth: 4, Prepare: changeWhileCutOff,
-			Limits: Limits{ActionTick: 2, ActionChange: 2},
-		},
-		{
-			Name: "lone voter", Purpose: "a single voter with a learner, which leads without asking",
-			Model: loneVoter, Depth: 7,
-			Limits: Limits{ActionTick: 3, ActionPropose: 2, ActionCrash: 1, ActionChange: 1},
-		},
-		{
-			Name: "two voters", Purpose: "a group that shrinks to one voter and grows again",
-			Model: twoVoters, Depth: 4, Prepare: func(script *Script) { script.Win("a", "b"); script.Commit("a", "b") },
-			Limits: Limits{ActionTick: 2, ActionChange: 2, ActionCrash: 1, ActionPropose: 1},
-		},
-		{
-			Name: "hand-over", Purpose: "leadership handed over while entries and reads are under way",
-			Model: instantDisks, Depth: 5, Prepare: steady,
-			Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionRead: 1, ActionTransferLeadership: 2, ActionSuspect: 1},
-		},
-		{
-			Name: "wiped", Purpose: "a disk that is lost, replaced by an empty replica of a new name",
-			Model: instantDisks, Depth: 4, Prepare: steady,
-			Limits: Limits{ActionTick: 2, ActionWipe: 1, ActionChange: 2, ActionPropose: 1},
-		},
-	}
+// Scenarios returns the beginnings of the exhaustive searches.
+func Scenarios() []Scenario { return slices.Clone(scenarios) }
+
+var scenarios = []Scenario{
+	{
+		Name: "founding", Purpose: "first elections, with crashes before and after each sync",
+		Model: coarseClock, Depth: 6,
+		Limits: Limits{ActionTick: 3, ActionCrash: 1, ActionPropose: 1, ActionDuplicate: 1},
+	},
+	{
+		Name: "two candidates", Purpose: "two replicas whose vote requests and replies race",
+		Model: coarseClock, Depth: 4, Prepare: twoCandidates,
+		Limits: Limits{ActionTick: 1, ActionCrash: 1, ActionDuplicate: 1},
+	},
+	{
+		Name: "steady", Purpose: "a leader that replicates, with crashes and a doubled message",
+		Model: coarseClock, Depth: 4, Prepare: steady,
+		Limits: Limits{ActionTick: 2, ActionPropose: 2, ActionCrash: 1, ActionDuplicate: 1, ActionRead: 1},
+	},
+	{
+		Name: "older term", Purpose: "an entry of an older term on a majority, which a third replica may yet replace",
+		Model: largeCommands, Depth: 8, Prepare: olderTerm,
+		Limits: Limits{ActionTick: 2},
+	},
+	{
+		Name: "overwritten log", Purpose: "a replica whose long log was replaced by a shorter one leads again",
+		Model: threeAndSpare, Depth: 4, Prepare: overwrittenLog,
+		Limits: Limits{ActionTick: 1, ActionPropose: 2, ActionCrash: 1},
+	},
+	{
+		Name: "lagging", Purpose: "a checkpoint on its way, entries after it, crashes and a doubled message",
+		Model: coarseClock, Depth: 4, Prepare: lagging,
+		Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionCrash: 1, ActionDuplicate: 1, ActionCompact: 1},
+	},
+	{
+		Name: "late snapshot", Purpose: "a doubled snapshot that arrives after the entries behind it",
+		Model: coarseClock, Depth: 4, Prepare: lateSnapshot,
+		Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionCrash: 1},
+	},
+	{
+		Name: "needless snapshot", Purpose: "a snapshot for a replica that has its entries and one after them",
+		Model: coarseClock, Depth: 5, Prepare: needlessSnapshot,
+		Limits: Limits{ActionTick: 1, ActionCrash: 1},
+	},
+	{
+		Name: "behind", Purpose: "a replica that lacks what is committed stands for election",
+		Model: instantDisks, Depth: 6, Prepare: behind,
+		Limits: Limits{ActionTick: 2, ActionTransferLeadership: 1},
+	},
+	{
+		Name: "deposed", Purpose: "reads at a leader that was cut off while another was elected",
+		Model: instantDisks, Depth: 4, Prepare: deposed,
+		Limits: Limits{ActionTick: 2, ActionRead: 2, ActionPropose: 1},
+	},
+	{
+		Name: "membership", Purpose: "one change after another, and those that must be refused",
+		Model: withSpare, Depth: 4, Prepare: steady,
+		Limits: Limits{ActionTick: 2, ActionChange: 2, ActionCrash: 1},
+	},
+	{
+		Name: "change of a cut-off leader", Purpose: "membership changes of two leaders at a time, in an even group",
+		Model: fourVoters, Depth: 4, Prepare: changeWhileCutOff,
+		Limits: Limits{ActionTick: 2, ActionChange: 2},
+	},
+	{
+		Name: "lone voter", Purpose: "a single voter with a learner, which leads without asking",
+		Model: loneVoter, Depth: 7,
+		Limits: Limits{ActionTick: 3, ActionPropose: 2, ActionCrash: 1, ActionChange: 1},
+	},
+	{
+		Name: "two voters", Purpose: "a group that shrinks to one voter and grows again",
+		Model: twoVoters, Depth: 4, Prepare: func(script *Script) { script.Win("a", "b"); script.Commit("a", "b") },
+		Limits: Limits{ActionTick: 2, ActionChange: 2, ActionCrash: 1, ActionPropose: 1},
+	},
+	{
+		Name: "hand-over", Purpose: "leadership handed over while entries and reads are under way",
+		Model: instantDisks, Depth: 5, Prepare: steady,
+		Limits: Limits{ActionTick: 1, ActionPropose: 1, ActionRead: 1, ActionTransferLeadership: 2, ActionSuspect: 1},
+	},
+	{
+		Name: "wiped", Purpose: "a disk that is lost, replaced by an empty replica of a new name",
+		Model: instantDisks, Depth: 4, Prepare: steady,
+		Limits: Limits{ActionTick: 2, ActionWipe: 1, ActionChange: 2, ActionPropose: 1},
+	},
 }
 
 // steady has a lead a group that has committed one command.
--- a/proof/simulator/notrun_test.go
+++ b/proof/simulator/notrun_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// check compares what callers were told with what the runners ran.
+// check compares the responses that callers got with what the runners ran.
 func (trial *notRunTrial) check() {
 	t := trial.t
 	t.Helper()
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// send sends both orders at once and returns what each operator was told. In every second
+// send sends both orders at once and returns what each operator got. In every second
 // round the leader is killed meanwhile; killed is that leader, or nil.
 func (race *routingRace) send(round int, orders []config.Routing, digest func(operator int) string) (results []error, killed *Machine) {
 	base := race.base
--- a/proof/standin/engine.go
+++ b/proof/standin/engine.go
@@ -249,7 +249,8 @@
 	}
 }
 
-// answerRaw writes bytes to the connection that net/http would not write.
+// answerRaw writes bytes to the connection that net/http would not write. As in all answers of
+// the stand-ins, errors of writing are not looked at: the front that asked may have gone.
 func (engine *Engine) answerRaw(writer http.ResponseWriter, name string, fault Fault) {
 	connection, _, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
@@ -257,16 +258,16 @@
 	}
 	defer connection.Close()
 	if fault == FaultGarbledAnswer {
-		io.WriteString(connection, "\x16\x03\x01 this is no answer\r\n\r\n")
+		_, _ = io.WriteString(connection, "\x16\x03\x01 this is no answer\r\n\r\n")
 		return
 	}
 	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, name, engine.Life, name, len("done "+name), name)
-	io.WriteString(connection, complete)
+	_, _ = io.WriteString(connection, complete)
 	// The extra answer is written when the next request comes on this connection, if one
 	// comes within 3 s.
 	connection.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if count, _ := connection.Read(make([]byte, 1)); count > 0 {
-		io.WriteString(connection, complete)
+		_, _ = io.WriteString(connection, complete)
 	}
 }
 
@@ -285,7 +286,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, EventData(prompt, number))
-		controller.Flush()
+		_ = controller.Flush()
 		select {
 		case <-time.After(engine.Latencies.NextPiece):
 		case <-request.Context().Done():
--- a/proof/standin/platform.go
+++ b/proof/standin/platform.go
@@ -92,5 +92,5 @@
 		}
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(writer).Encode(map[string]any{"runners": shown})
+	writeJSON(writer, map[string]any{"runners": shown})
 }
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -10,6 +10,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"maps"
 	"net/http"
@@ -139,12 +140,12 @@
 	switch request.URL.Path {
 	case "/standin/record":
 		writer.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(writer).Encode(runner.Record())
+		writeJSON(writer, runner.Record())
 	case "/standin/take":
 		taken := runner.Record()
 		taken.MaxInFlight = runner.TakeMaxInFlight()
 		writer.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(writer).Encode(taken)
+		writeJSON(writer, taken)
 	case "/turn":
 		runner.enter(request.URL.Path)
 		defer runner.leave()
@@ -205,10 +206,9 @@
 func (runner *Runner) streamTurn(writer http.ResponseWriter, request *http.Request, sent *runnerclient.TurnRequest) {
 	writer.Header().Set("Content-Type", "application/x-ndjson")
 	controller := http.NewResponseController(writer)
-	encoder := json.NewEncoder(writer)
 	write := func(piece string) bool {
-		encoder.Encode(map[string]string{"piece": piece})
-		controller.Flush()
+		writeJSON(writer, map[string]string{"piece": piece})
+		_ = controller.Flush()
 		select {
 		case <-time.After(runner.latencies.NextPiece):
 			return true
@@ -236,7 +236,7 @@
 			return
 		}
 	}
-	encoder.Encode(map[string]bool{"end": true})
+	writeJSON(writer, map[string]bool{"end": true})
 }
 
 // plain runs a plain request, records it and answers, or fails as its words select.
@@ -277,5 +277,8 @@
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(writer).Encode(PlainAnswer(sent))
+	writeJSON(writer, PlainAnswer(sent))
 }
+
+// writeJSON writes a value and a line feed. An error means that the front that asked has gone.
+func writeJSON(writer io.Writer, value any) { _ = json.NewEncoder(writer).Encode(value) }
