--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -18,12 +18,12 @@
 	life *runnerLife
 }
 
-// violation returns of a broken rule.
+// violation reports a violated rule.
 func (chaos *chaosRun) violation(rule, text string, values ...any) {
 	chaos.t.Errorf("%s: %s", rule, fmt.Sprintf(text, values...))
 }
 
-// touch reports whether a front was in touch at a moment.
+// touch reports whether a front was in contact with control nodes and stores at a time.
 func (chaos *chaosRun) touch(life *frontLife, at time.Time) bool {
 	from := at.Add(-inTouch)
 	return !slices.ContainsFunc(chaos.outages, func(one *outageSpan) bool {
@@ -92,7 +92,7 @@
 	}
 }
 
-// checkExecutions judges all runs, by the names of what was asked.
+// checkExecutions checks all executions, by the IDs of their requests.
 func (chaos *chaosRun) checkExecutions(runs map[string][]execution) {
 	for name, ran := range runs {
 		sent, found := chaos.sent[name]
@@ -108,7 +108,7 @@
 	}
 }
 
-// checkWarmUp counts what came to a cold runner in every second.
+// checkWarmUp counts the requests that a runner got in each second of its warm-up.
 func (chaos *chaosRun) checkWarmUp(life *runnerLife) {
 	came := life.engine.Arrivals()
 	for first := range came {
@@ -127,7 +127,7 @@
 	}
 }
 
-// checkExecution judges one run of a query that was asked.
+// checkExecution checks one execution of a request that was sent.
 func (chaos *chaosRun) checkExecution(sent *sentRequest, one execution) {
 	chaos.checkExecutedRequest(sent, one)
 	chaos.checkExecutedRoute(sent, one)
@@ -148,7 +148,7 @@
 	}
 }
 
-// checkExecutedRequest checks that what ran is what was asked.
+// checkExecutedRequest checks that the request that ran is the one that was sent.
 func (chaos *chaosRun) checkExecutedRequest(sent *sentRequest, one execution) {
 	request, name := sent.request, sent.request.Name
 	want := sent.chain + string(request.Body)
@@ -173,7 +173,7 @@
 	}
 }
 
-// obeys reports whether a routing that is to be obeyed handles a query that way.
+// obeys reports whether a routing that was in force handles a request that way.
 func (chaos *chaosRun) obeys(sent *sentRequest, ended time.Time, way func(services []string, found bool) bool) bool {
 	floor := uint64(0)
 	for _, order := range chaos.orders {
@@ -187,7 +187,7 @@
 	})
 }
 
-// checkAnswer judges what a caller got.
+// checkAnswer checks the answer that a caller got.
 func (chaos *chaosRun) checkAnswer(sent *sentRequest, runs []execution) {
 	request, name, answer := sent.request, sent.request.Name, sent.answer
 	if !mayRepeat(request) {
@@ -210,8 +210,8 @@
 	chaos.checkDrained(sent, runs)
 }
 
-// checkDrained checks that what was under way when its front began to leave in order is
-// answered whole.
+// checkDrained checks that requests that were in flight when their front began to drain are
+// answered completely.
 func (chaos *chaosRun) checkDrained(sent *sentRequest, runs []execution) {
 	request, name, answer := sent.request, sent.request.Name, sent.answer
 	if left := sent.front.left; !left.IsZero() && sent.at.Before(left) && sent.back.After(left) && answer.Err != nil && len(runs) > 0 && !sent.left &&
@@ -254,7 +254,7 @@
 	}
 }
 
-// checkBody holds an answer that began against what its runners did.
+// checkBody compares an answer that began with what its runners executed.
 func (chaos *chaosRun) checkBody(sent *sentRequest, runs []execution) {
 	request, name, answer := sent.request, sent.request.Name, sent.answer
 	seal := answer.Header.Get("Seal")
@@ -283,8 +283,8 @@
 	}
 }
 
-// checkRefilled returns of fronts that went back to an older routing: a route that only one
-// routing has tells which is in force.
+// checkRefilled detects fronts that went back to an older routing: a route that only one routing
+// has shows which one is in force.
 func (chaos *chaosRun) checkRefilled(runs map[string][]execution) {
 	for _, front := range chaos.fronts {
 		seen, seenAt := uint64(0), time.Time{}
--- a/proof/simulator/chaos_controlfaults_test.go
+++ b/proof/simulator/chaos_controlfaults_test.go
@@ -30,8 +30,7 @@
 	}, false)
 }
 
-// cutControl lets a control node send to its peers but hear nothing, or the other way
-// round.
+// cutControl lets a control node send to its peers but receive nothing, or vice versa.
 func (chaos *chaosRun) cutControl(random *rand.Rand) {
 	_, control := chaos.someControl(random)
 	hears := random.IntN(2) == 0
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -12,7 +12,7 @@
 	"yardrock.example/system/forwarding"
 )
 
-// begin puts the first routing in force, and awaits that all fronts serve.
+// begin puts the first routing in force and waits until all fronts serve.
 func (chaos *chaosRun) begin() {
 	cluster := chaos.cluster
 	chaos.mutex.Lock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// machineFaults lets one machine after another go wrong.
+// machineFaults injects faults into one machine after the other.
 func (chaos *chaosRun) machineFaults(random *rand.Rand, until time.Time) {
 	faults := []struct {
 		name   string
@@ -88,7 +88,7 @@
 	chaos.cluster.Network.Rejoin(machine.Host)
 }
 
-// drainFront ends a front in order, as its face does, and starts it again.
+// drainFront drains a front as its ingress does, ends it and starts it again.
 func (chaos *chaosRun) drainFront(random *rand.Rand) {
 	machine := chaos.cluster.Fronts[random.IntN(len(chaos.cluster.Fronts))]
 	chaos.mutex.Lock()
@@ -114,7 +114,8 @@
 	chaos.startFront(machine)
 }
 
-// coreFault does something to the core, and ends the trouble once all is whole again.
+// coreFault injects a fault into the control nodes and stores, and records an outage until they
+// have recovered.
 func (chaos *chaosRun) coreFault(strike func(), heals bool) {
 	end := chaos.note("core")
 	defer end()
@@ -230,8 +231,8 @@
 	}, true)
 }
 
-// outage ends the day: all machines lose power at once, and come back. From recoverBound
-// on, what is asked is served, and turns that were answered whole are known.
+// outage ends the run: all machines lose power at once and start again. After recoverBound
+// requests are served, and complete turns are known.
 func (chaos *chaosRun) outage(random *rand.Rand) {
 	chaos.note("core")
 	cluster := chaos.cluster
@@ -275,7 +276,7 @@
 	chaos.t.Logf("after the outage %d of %d are served", served, all)
 }
 
-// acknowledged returns the kept turns that were answered whole in the last 90 s, oldest
+// acknowledged returns the kept turns that were completed in the last 90 s, oldest
 // first, and the newest routing revision that was acknowledged.
 func (chaos *chaosRun) acknowledged() (complete []*sentRequest, newest uint64) {
 	chaos.mutex.Lock()
@@ -294,7 +295,7 @@
 	return complete, newest
 }
 
-// goOnAfterOutage follows a turn that was answered whole before the outage.
+// goOnAfterOutage follows a turn that was completed before the outage.
 func (chaos *chaosRun) goOnAfterOutage(random *rand.Rand, position int, sent *sentRequest) *sentRequest {
 	words := fmt.Sprintf("after %d. ", position)
 	program := fmt.Sprintf("after-%d", position)
--- a/proof/simulator/chaos_programs_test.go
+++ b/proof/simulator/chaos_programs_test.go
@@ -12,7 +12,7 @@
 	"yardrock.example/system/forwarding"
 )
 
-// program is a program as it runs: turns that branch, tools and helpers.
+// program is a running program: turns that branch, tool calls and helpers.
 type program struct {
 	chaos  *chaosRun
 	name   string
@@ -36,7 +36,7 @@
 	chaos.branch(one, random, "", "", 0)
 }
 
-// branch runs a line of turns of a program beside the others.
+// branch runs a chain of turns of a program concurrently with the others.
 func (chaos *chaosRun) branch(one *program, random *rand.Rand, follows, chain string, depth int) {
 	seed := random.Uint64()
 	chaos.working.Go(func() { one.turns(rand.New(rand.NewPCG(seed, 1)), follows, chain, depth) })
@@ -73,7 +73,7 @@
 	}
 }
 
-// tools calls some tools side by side.
+// tools calls some tools concurrently.
 func (one *program) tools(random *rand.Rand) {
 	var calling sync.WaitGroup
 	for range random.IntN(4) {
@@ -91,7 +91,7 @@
 	calling.Wait()
 }
 
-// runPrograms starts programs all day.
+// runPrograms starts programs until a time.
 func (chaos *chaosRun) runPrograms(random *rand.Rand, until time.Time) {
 	for number := 0; time.Now().Before(until); number++ {
 		chaos.startProgram(random, number)
--- a/proof/simulator/chaos_routing_test.go
+++ b/proof/simulator/chaos_routing_test.go
@@ -22,8 +22,8 @@
 	refused  bool      // it lost or was invalid: it may never be in force
 }
 
-// routingAt makes the routing of a revision: tools' work moves between services, one
-// route is there for this revision and the next.
+// routingAt returns the routing of a revision: the work of tools moves between services, and one
+// route exists in this revision and the next only.
 func routingAt(revision uint64, random *rand.Rand) config.Routing {
 	seconds := func(count float64) config.Duration { return config.Duration(count * float64(time.Second)) }
 	route := func(name, prefix string, kind config.RouteKind, timeout float64, attempts int, shares ...config.WeightedService) config.Route {
@@ -60,8 +60,8 @@
 	return routing
 }
 
-// order sends a new routing on a base; by amendment if wanted. It reports whether it was
-// acknowledged.
+// changeRouting sends a new routing on a base, complete or as an amendment. It reports whether it
+// was acknowledged.
 func (chaos *chaosRun) changeRouting(random *rand.Rand, base, revision uint64, amends bool) bool {
 	chaos.mutex.Lock()
 	one := &routingChange{revision: revision, routing: routingAt(revision, random), sent: time.Now()}
@@ -85,8 +85,8 @@
 	return err == nil
 }
 
-// operate changes the routing, alone or with another operator at the same time, and
-// empties and refills domains.
+// operate changes the routing, alone or at once with another operator, and drains and refills
+// domains.
 func (chaos *chaosRun) operate(random *rand.Rand, until time.Time) {
 	base, newest := uint64(1), uint64(1)
 	for time.Now().Before(until) {
--- a/proof/simulator/chaos_runners_test.go
+++ b/proof/simulator/chaos_runners_test.go
@@ -72,7 +72,7 @@
 	life.machine.Stop()
 }
 
-// some returns a serving runner of a group that has enough of them.
+// some returns a serving runner of a group that has at least so many, or nil.
 func (chaos *chaosRun) some(random *rand.Rand, least int) *runnerLife {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
@@ -94,7 +94,7 @@
 	return fit[random.IntN(len(fit))]
 }
 
-// runnerFaults releases runners one after another, crashes some, and turns some cold.
+// runnerFaults replaces runners one after the other, crashes some, and lets some warm up again.
 func (chaos *chaosRun) runnerFaults(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		<-time.After(time.Duration(500+random.IntN(2500)) * time.Millisecond)
@@ -123,8 +123,8 @@
 	}
 }
 
-// release lets a runner's next life come, the runner leave, and a runner of another
-// service take its address.
+// release replaces a runner: its next life starts, it drains, and a runner of another service
+// takes its address.
 func (chaos *chaosRun) release(random *rand.Rand) {
 	old := chaos.some(random, 1)
 	if old == nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// answerFaults makes single answers go wrong.
+// answerFaults injects faults into single answers.
 func (chaos *chaosRun) answerFaults(random *rand.Rand, until time.Time) {
 	faults := []standin.Fault{standin.FaultNotRun, standin.FaultLoseAnswer, standin.FaultBreakStream, standin.FaultServerError, standin.FaultUnavailable, standin.FaultWrongName, standin.FaultExtraAnswer, standin.FaultGarbledAnswer, standin.FaultHang, standin.FaultPlainAnswer, standin.FaultUnprocessable, standin.FaultRestartStream}
 	for time.Now().Before(until) {
--- a/proof/simulator/chaos_test.go
+++ b/proof/simulator/chaos_test.go
@@ -19,7 +19,7 @@
 	"yardrock.example/system/front"
 )
 
-// The bounds that a hunted day is judged by.
+// The bounds that a chaos run is checked against, most of them from the users' brief.
 const (
 	inTouch            = 3 * time.Second
 	drainBound         = 3 * time.Second
@@ -36,7 +36,8 @@
 	warmUpNoticeBound = 1500 * time.Millisecond
 )
 
-// hunt is a day in which callers run programs while faults strike.
+// chaosRun is a run in which callers run programs on a cluster while faults are injected. It
+// records what callers sent, what they got and what runners executed; check compares them.
 type chaosRun struct {
 	t       *testing.T
 	cluster *Cluster
@@ -57,7 +58,7 @@
 	working  sync.WaitGroup
 }
 
-// sentRequest is one try of a caller and what came of it.
+// sentRequest is one attempt of a caller and its outcome.
 type sentRequest struct {
 	request forwarding.Request
 	at      time.Time
@@ -99,13 +100,14 @@
 	drained, refilled time.Time
 }
 
-// outageSpan is a time in which a front, or the core ("core"), is not in touch.
+// outageSpan is a time in which a front, or the control nodes and stores ("core"), are out of
+// contact.
 type outageSpan struct {
 	where    string
 	from, to time.Time // to is zero while it lasts
 }
 
-// chaosAnswer is where an answer goes while its front lives.
+// chaosAnswer records an answer as long as its front lives.
 type chaosAnswer struct {
 	ForwardedAnswer
 	life *frontLife
@@ -155,7 +157,7 @@
 	chaos.mutex.Unlock()
 }
 
-// endFront ends a front's life: what it answers from now on reaches nobody.
+// endFront ends a front's life: what it answers afterwards reaches no caller.
 func (chaos *chaosRun) endFront(machine *Machine) {
 	chaos.mutex.Lock()
 	for _, life := range chaos.fronts {
@@ -173,7 +175,7 @@
 	}
 }
 
-// pick returns a front that callers are handed to, nil if there is none.
+// pick returns a front to which callers are sent, nil if there is none.
 func (chaos *chaosRun) pick(random *rand.Rand) *frontLife {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
@@ -189,7 +191,7 @@
 	return open[random.IntN(len(open))]
 }
 
-// attempt sends one try, under a name of its own.
+// attempt sends a request once, under a new ID.
 func (chaos *chaosRun) attempt(random *rand.Rand, request forwarding.Request, chain string, timeout, leaves time.Duration) *sentRequest {
 	life := chaos.pick(random)
 	if life == nil {
@@ -225,8 +227,8 @@
 	return sent
 }
 
-// ask tries as callers do: again after a promise, and after any failure what may be
-// repeated.
+// ask retries as callers do: after a guarantee that a request did not run, and idempotent requests
+// after any failure.
 func (chaos *chaosRun) ask(random *rand.Rand, request forwarding.Request, chain string, repeatable bool, timeout time.Duration) *sentRequest {
 	until := time.Now().Add(timeout)
 	leaves := time.Duration(0)
@@ -250,7 +252,7 @@
 	}
 }
 
-// probe asks each front now and then on routes that just came or went.
+// probe sends requests to fronts on routes that were just added or removed.
 func (chaos *chaosRun) probe(random *rand.Rand) {
 	for !chaos.ended.Load() {
 		<-time.After(time.Duration(60+random.IntN(120)) * time.Millisecond)
@@ -262,7 +264,7 @@
 	}
 }
 
-// chaosShape is the fleet of a hunted day.
+// chaosShape is the fleet of a chaos run.
 func chaosShape() Shape {
 	shape := Shape{Controls: 3, Stores: 3, Fronts: 4, Models: 1, Applications: 1, Engines: 3, Tools: 3, AutoEnrol: true}
 	shape.Adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }
@@ -280,8 +282,8 @@
 }
 
 // TestChaosRunKeepsAllRules runs programs over four fronts while machines,
-// runners, zones and routes go wrong or change, ends with an outage of all, and judges by
-// what ran at the runners and what the callers saw.
+// runners, domains and routes fail or change, ends with a total outage, and checks what ran at the
+// runners and what the callers got.
 func TestChaosRunKeepsAllRules(t *testing.T) {
 	simulate(t, chaosShape(), func(t *testing.T, cluster *Cluster) {
 		chaos := startChaos(t, cluster)
--- a/proof/simulator/storeddata_read_test.go
+++ b/proof/simulator/storeddata_read_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// goOnFromStored goes on from all that was said, and finishes what was open.
+// goOnFromStored continues all stored conversations and programs, and ends the open turn.
 func (cluster *Cluster) goOnFromStored(t *testing.T, want *storedFleet) {
 	t.Helper()
 	for _, one := range want.Once {
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -114,7 +114,7 @@
 		event.Config, event.Deadline, event.Prefix, sha256.Sum256(event.Data))
 }
 
-// storedSessions reads lines whole, as a client does.
+// storedSessions reads complete sessions, as a client does.
 func (cluster *Cluster) storedSessions(t *testing.T, names []string) map[string]storedSession {
 	t.Helper()
 	client, end := cluster.storeClient("10.8.0.2")
@@ -174,7 +174,7 @@
 	return turn
 }
 
-// converse takes a turn of a dialogue and checks what its model heard.
+// converse takes a turn of a dialogue and checks the history that its model got.
 func (cluster *Cluster) converse(t *testing.T, conversation *storedConversation, words string) {
 	t.Helper()
 	body := map[string]any{"program": "dialogue", "kind": "talk", "words": words}
--- a/proof/simulator/storeddata_write_test.go
+++ b/proof/simulator/storeddata_write_test.go
@@ -25,8 +25,8 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// storedAmendment is an order on a revision of the routing, as one of two operators sends
-// it; it brings so many routes.
+// storedAmendment returns an amendment of a revision of the routing with a number of routes, as
+// one of two operators sends it.
 func storedAmendment(base uint64, operator, routes int) (config.RoutingPatch, string) {
 	amendment := config.RoutingPatch{Revision: base + 1}
 	for number := range routes {
@@ -48,7 +48,7 @@
 // of routes that each brings.
 var storedRevisions = []int{1, 2, storedRoutes, 1}
 
-// receiveSnapshots has one control node receive a snapshot whole, and kills another while
+// receiveSnapshots lets one control node receive a complete snapshot, and kills another one while
 // it receives the chunks of one.
 func (cluster *Cluster) receiveSnapshots(t *testing.T) {
 	t.Helper()
@@ -187,7 +187,7 @@
 	}
 }
 
-// askStoredOnce asks a query under a key of its own, which later ones repeat.
+// askStoredOnce sends a request under a key of its own, which later ones repeat.
 func (cluster *Cluster) askStoredOnce(t *testing.T, number int) storedOnce {
 	t.Helper()
 	one := storedOnce{Key: fmt.Sprintf("stored-%d", number), Words: "pay"}
@@ -225,7 +225,7 @@
 	fleet.OpenSeq = begun.Seq
 }
 
-// packFolders packs what lasts on all disks.
+// packFolders packs the durable content of all disks.
 func (cluster *Cluster) packFolders(t *testing.T) []byte {
 	t.Helper()
 	packed := &bytes.Buffer{}
