--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -160,7 +160,7 @@
 		return fleet, err
 	}
 	for index := range 6 {
-		caller := link.NewCaller(fleet.network)
+		caller := link.NewClient(fleet.network)
 		following := follower.Start(caller, feed.Member{Name: fmt.Sprint("front", index), Role: "client", Address: free[9+index]}, seeds, nil, func(*feed.View) error { return nil })
 		fleet.ends = append(fleet.ends, caller.Close, following.Stop)
 		for len(following.View().Stores) == 0 {
--- a/proof/scale/hollow.go
+++ b/proof/scale/hollow.go
@@ -21,8 +21,8 @@
 // does nothing else. It keeps when each number of the feed came into force on it.
 type Hollow struct {
 	Name   string
-	caller *link.Caller
-	follow *follower.Follower
+	caller *link.Client
+	follow *follower.Client
 	mutex  sync.Mutex
 	taken  []taking
 }
@@ -56,7 +56,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		node := &Hollow{Name: fmt.Sprintf("hollow-%04d", position+1), caller: link.NewCaller(countedNetwork{network(position), &herd.Volume})}
+		node := &Hollow{Name: fmt.Sprintf("hollow-%04d", position+1), caller: link.NewClient(countedNetwork{network(position), &herd.Volume})}
 		member := feed.Member{Name: node.Name, Role: feed.RoleFront, Address: address, Domain: domains[position%len(domains)]}
 		node.follow = follower.Start(node.caller, member, seeds, nil, node.take)
 		herd.mutex.Lock()
--- a/proof/scale/load.go
+++ b/proof/scale/load.go
@@ -62,17 +62,17 @@
 func Routing(routes int, revision uint64) *config.Routing {
 	routing := &config.Routing{Revision: revision}
 	for _, name := range groups {
-		routing.Services = append(routing.Services, config.Service{Name: name, HealthPath: "/healthz", MostConnections: 400, ColdFor: config.Duration(5 * time.Second), ColdRate: 4})
+		routing.Services = append(routing.Services, config.Service{Name: name, HealthPath: "/healthz", MaxConnections: 400, WarmUp: config.Duration(5 * time.Second), WarmUpRate: 4})
 	}
 	for position := range routes {
 		route := config.Route{
 			Name: fmt.Sprintf("route-%05d", position), Host: fmt.Sprintf("team-%04d.example", position/2), Prefix: fmt.Sprintf("/work/%d", position%2),
-			Kind: config.Streaming, Timeout: config.Duration(4 * time.Second), Target: config.Duration(250 * time.Millisecond), Gap: config.Duration(500 * time.Millisecond),
-			Shares: []config.Share{{Service: groups[0], Weight: 3}, {Service: groups[1], Weight: float64(1 + revision%7)}}, Tries: 3,
-			KeepsHistory: true, Keep: config.Duration(time.Hour),
+			Kind: config.Streaming, Timeout: config.Duration(4 * time.Second), FirstByteTarget: config.Duration(250 * time.Millisecond), EventGapTarget: config.Duration(500 * time.Millisecond),
+			Shares: []config.WeightedService{{Service: groups[0], Weight: 3}, {Service: groups[1], Weight: float64(1 + revision%7)}}, MaxAttempts: 3,
+			StoresHistory: true, Retention: config.Duration(time.Hour),
 		}
 		if written, err := json.Marshal(route); err == nil {
-			route.Written = written
+			route.Original = written
 		}
 		routing.Routes = append(routing.Routes, route)
 	}
@@ -91,7 +91,7 @@
 }
 
 // propose has a control node take a change, and tells its number.
-func propose(ctx context.Context, caller *link.Caller, controls []string, change feed.Change) (uint64, error) {
+func propose(ctx context.Context, caller *link.Client, controls []string, change feed.Change) (uint64, error) {
 	failed := error(nil)
 	for ctx.Err() == nil {
 		for _, address := range controls {
--- a/proof/scale/usage.go
+++ b/proof/scale/usage.go
@@ -14,7 +14,7 @@
 	Seconds float64 // of processor time, user and system
 	Memory  float64 // MiB resident
 	Peak    float64 // MiB resident at most
-	Traffic []wire.KindTraffic
+	Traffic []wire.TrafficByKind
 }
 
 // UsageOf reads a process's processor time and memory from the system.
@@ -53,14 +53,14 @@
 func RateOf(before, after Usage) Rate {
 	seconds := after.At.Sub(before.At).Seconds()
 	rate := Rate{Cores: (after.Seconds - before.Seconds) / seconds, Memory: after.Memory, Peak: after.Peak, Kinds: map[string]float64{}}
-	known := map[string]wire.KindTraffic{}
+	known := map[string]wire.TrafficByKind{}
 	for _, kind := range before.Traffic {
 		known[kind.Kind] = kind
 	}
 	for _, kind := range after.Traffic {
 		old := known[kind.Kind]
 		out, in := float64(kind.BytesOut-old.BytesOut)/seconds, float64(kind.BytesIn-old.BytesIn)/seconds
-		rate.Messages += float64(kind.Asked+kind.Answered-old.Asked-old.Answered) / seconds
+		rate.Messages += float64(kind.QueriesSent+kind.QueriesReceived-old.QueriesSent-old.QueriesReceived) / seconds
 		rate.BytesOut += out
 		rate.BytesIn += in
 		if out+in > 0 {
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -199,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		machine.admin, err = controlplane.ServeAdmin(machine.Control, config.Hash(RootToken))
+		machine.admin, err = controlplane.ServeAdmin(machine.Control, config.HashToken(RootToken))
 		return err
 	}
 	return machine
@@ -378,7 +378,7 @@
 //
 //	source := simulator.Config(simulator.Rules)
 func Config(rules string) string {
-	return strings.NewReplacer("DEPOT", config.Hash(TeamToken), "OTHER", config.Hash(OtherToken)).Replace(rules)
+	return strings.NewReplacer("DEPOT", config.HashToken(TeamToken), "OTHER", config.HashToken(OtherToken)).Replace(rules)
 }
 
 // Origin is an HTTP client on the cluster's network, one connection a query.
--- a/system/apierror/apierror.go
+++ b/system/apierror/apierror.go
@@ -22,10 +22,10 @@
 	NotFound        Kind = "not_found"
 	Conflict        Kind = "conflict"
 	TooLarge        Kind = "too_large"
-	Exhausted       Kind = "allowance_exhausted"
+	QuotaExhausted  Kind = "allowance_exhausted"
 	NotLeader       Kind = "not_leader"
 	NoQuorum        Kind = "no_quorum"
-	Unclear         Kind = "unclear"
+	OutcomeUnknown  Kind = "unclear"
 	Gap             Kind = "gap"
 	Damaged         Kind = "damaged"
 	FormatTooNew    Kind = "format_too_new"
@@ -47,8 +47,8 @@
 	Leader string
 	// NeverSent tells that the query provably did not reach the other side.
 	NeverSent bool
-	// NobodyThere tells that the other machine said that no process listens there.
-	NobodyThere bool
+	// ConnectionRefused tells that the other machine said that no process listens there.
+	ConnectionRefused bool
 	// Lost tells that the other side refused for want of room, was not there, or went
 	// away: it may have just started anew.
 	Lost bool
@@ -59,8 +59,8 @@
 // Error gives the message with its remedy.
 //
 //	fmt.Println(apierror.New(apierror.Invalid, "follows is negative", "name an earlier turn").Error())
-func (failed *Error) Error() string {
-	return failed.Message + " [" + string(failed.Kind) + "; remedy: " + failed.Remedy + "]"
+func (err *Error) Error() string {
+	return err.Message + " [" + string(err.Kind) + "; remedy: " + err.Remedy + "]"
 }
 
 // New makes a typed failure, with the place where it arose.
@@ -70,10 +70,10 @@
 	return merry.WrapSkipping(&Error{Kind: kind, Message: message, Remedy: remedy}, 1)
 }
 
-// Later makes a typed failure that tells when to come back.
+// NewRetryable makes a typed failure that tells when to come back.
 //
-//	return apierror.Later(apierror.NotRun, "the queue is full", "ask again later", 2*time.Second)
-func Later(kind Kind, message, remedy string, retryAfter time.Duration) error {
+//	return apierror.NewRetryable(apierror.NotRun, "the queue is full", "ask again later", 2*time.Second)
+func NewRetryable(kind Kind, message, remedy string, retryAfter time.Duration) error {
 	return merry.WrapSkipping(&Error{Kind: kind, Message: message, Remedy: remedy, RetryAfter: retryAfter}, 1)
 }
 
--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -193,12 +193,12 @@
 		one, found := balancer.runners[keyOf(runner)]
 		if !found {
 			one = &runnerState{hash: hashOf(keyOf(runner))}
-			one.cold.share = balancer.fronts.shareOf(one.hash, into.service.ColdRate, balancer.seed, now)
+			one.cold.share = balancer.fronts.shareOf(one.hash, into.service.WarmUpRate, balancer.seed, now)
 			balancer.runners[keyOf(runner)] = one
 		}
 		fresh := !found && into.state.known || found && runner.Life == "" && one.seen != balancer.fronts.updated
 		one.cold.note(runner, into.service, fresh, refilled[runner.Domain], now)
-		one.cold.share.set(balancer.fronts.now.shareOf(one.hash, into.service.ColdRate, balancer.seed), now)
+		one.cold.share.set(balancer.fronts.now.shareOf(one.hash, into.service.WarmUpRate, balancer.seed), now)
 		one.seen, one.listed = now, true
 		if runner.State == feed.StateDraining || state.View.DomainDrained(runner.Domain) || one.misdirected {
 			continue
@@ -237,10 +237,10 @@
 }
 
 func connectionsOf(service *config.Service, fronts int) int {
-	if service.MostConnections <= 0 {
+	if service.MaxConnections <= 0 {
 		return math.MaxInt32
 	}
-	return max(connectionsLeast, int(connectionShare*float64(service.MostConnections)/float64(fronts)))
+	return max(connectionsLeast, int(connectionShare*float64(service.MaxConnections)/float64(fronts)))
 }
 
 func keyOf(runner feed.Runner) string {
@@ -321,7 +321,7 @@
 }
 
 func refusal(message string, after time.Duration) error {
-	return apierror.Later(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(after, 50*time.Millisecond))
+	return apierror.NewRetryable(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(after, 50*time.Millisecond))
 }
 
 // grant makes the lease of a candidate.
@@ -372,7 +372,7 @@
 //
 //	if !lease.Stands() || !lease.Serves(route) { ... }
 func (lease *Lease) Serves(route *config.Route) bool {
-	return slices.ContainsFunc(route.Shares, func(share config.Share) bool {
+	return slices.ContainsFunc(route.Shares, func(share config.WeightedService) bool {
 		return share.Service == lease.Service.Name && share.Weight > 0
 	})
 }
--- a/system/balancer/choosing.go
+++ b/system/balancer/choosing.go
@@ -89,7 +89,7 @@
 		}
 	}
 	for name := range wheel {
-		if !slices.ContainsFunc(route.Shares, func(share config.Share) bool { return share.Service == name }) {
+		if !slices.ContainsFunc(route.Shares, func(share config.WeightedService) bool { return share.Service == name }) {
 			delete(wheel, name)
 		}
 	}
@@ -172,8 +172,8 @@
 	runners, fronts := float64(len(from.candidates)), float64(balancer.table.Load().fronts)
 	weigh := weighing{balancer: balancer, from: from, now: now, engine: from.service.Engine != nil, fronts: fronts, bound: math.Inf(1)}
 	weigh.others = (fronts - 1) * from.state.load.now(float64(from.state.out), now) / runners
-	if from.service.ColdRate > 0 {
-		weigh.bound = coldExcess*from.service.ColdRate + coldSlack
+	if from.service.WarmUpRate > 0 {
+		weigh.bound = coldExcess*from.service.WarmUpRate + coldSlack
 		weigh.arrivals = (fronts - 1) * from.state.arrivals.now(now) / runners
 	}
 	weigh.domains, weigh.domainLoad = float64(from.domains), -1
--- a/system/balancer/cold.go
+++ b/system/balancer/cold.go
@@ -183,7 +183,7 @@
 // note takes over what the list says of a runner. A fresh one was started or refilled
 // just now: one that the list does not know to be cold counts as cold all the same.
 func (cold *coldness) note(runner feed.Runner, service *config.Service, fresh, refilled bool, now time.Duration) {
-	cold.bounded = service.ColdRate > 0
+	cold.bounded = service.WarmUpRate > 0
 	if !cold.bounded {
 		cold.until, cold.forced = 0, 0
 		return
@@ -191,10 +191,10 @@
 	was, reported := cold.is(now), reading{true, runner.State, runner.ColdFor, runner.Since}
 	listed := runner.ColdFor
 	if runner.State == feed.StateWarmingUp && listed <= 0 {
-		listed = time.Duration(service.ColdFor)
+		listed = time.Duration(service.WarmUp)
 	}
 	if refilled || fresh && listed <= 0 {
-		cold.forced = now + time.Duration(service.ColdFor)
+		cold.forced = now + time.Duration(service.WarmUp)
 	}
 	if reported != cold.reported {
 		cold.until, cold.reported = now+listed, reported
--- a/system/balancer/waiting.go
+++ b/system/balancer/waiting.go
@@ -27,8 +27,8 @@
 // timeoutOf is how long a query may be held before it is offered to a runner.
 func timeoutOf(need Need, now time.Time) time.Duration {
 	timeout := timeoutUnset
-	if need.Route.Target > 0 {
-		timeout = time.Duration(need.Route.Target) / timeoutPart
+	if need.Route.FirstByteTarget > 0 {
+		timeout = time.Duration(need.Route.FirstByteTarget) / timeoutPart
 	}
 	if !need.Deadline.IsZero() {
 		timeout = min(timeout, need.Deadline.Sub(now)/timeoutPart)
--- a/system/cmd/yardrock-shell/main.go
+++ b/system/cmd/yardrock-shell/main.go
@@ -44,7 +44,7 @@
 	exitUnclear     = 4
 )
 
-var exits = map[string]int{string(apierror.Unclear): exitUnclear, string(apierror.Unavailable): exitUnreachable, string(apierror.NoQuorum): exitUnreachable}
+var exits = map[string]int{string(apierror.OutcomeUnknown): exitUnclear, string(apierror.Unavailable): exitUnreachable, string(apierror.NoQuorum): exitUnreachable}
 
 type answer struct {
 	Columns      []string   `json:"columns"`
@@ -102,7 +102,7 @@
 		if err != nil {
 			last = &httpface.Error{Kind: string(apierror.Unavailable), Message: err.Error(), Remedy: "check the address, or name more control nodes"}
 			if !strings.Contains(err.Error(), "connect") && !strings.HasPrefix(text, "show") {
-				return nil, &httpface.Error{Kind: string(apierror.Unclear), Message: err.Error(), Remedy: "show changes, then decide whether to send the command again"}
+				return nil, &httpface.Error{Kind: string(apierror.OutcomeUnknown), Message: err.Error(), Remedy: "show changes, then decide whether to send the command again"}
 			}
 			continue
 		}
--- a/system/coldstore/store.go
+++ b/system/coldstore/store.go
@@ -86,7 +86,7 @@
 
 func fileName(number uint64) string { return fmt.Sprintf("%s%020d", filePrefix, number) }
 
-func (store *Store) readIndex(name string) []wire.ColdPlace {
+func (store *Store) readIndex(name string) []wire.ChunkLocation {
 	header, err := store.folder.ReadRange(name, 0, frameHeader)
 	if err != nil {
 		return nil
@@ -95,17 +95,17 @@
 	if err != nil || crc32.Checksum(body, checksums) != binary.LittleEndian.Uint32(header[4:]) {
 		return nil
 	}
-	var index wire.ColdIndex
+	var index wire.ArchiveIndex
 	if err := wire.Decode(schema.ColdIndex_TypeID, body, &index); err != nil {
 		return nil
 	}
-	return index.Places
+	return index.Locations
 }
 
-func (store *Store) addLocation(file uint64, location wire.ColdPlace) {
-	made := chunkLocation{file: file, offset: int64(location.Offset), length: int(location.Length), group: location.Group, first: location.First, last: location.Last, expires: location.Expires, sum: location.Checksum}
+func (store *Store) addLocation(file uint64, location wire.ChunkLocation) {
+	made := chunkLocation{file: file, offset: int64(location.Offset), length: int(location.Length), group: location.Group, first: location.First, last: location.Last, expires: location.ExpiresAt, sum: location.Checksum}
 	copy(made.digest[:], location.Digest)
-	store.setLocations(location.Line, location.Group, append(slices.Clip(store.locations[location.Line]), made))
+	store.setLocations(location.Session, location.Group, append(slices.Clip(store.locations[location.Session]), made))
 	store.liveChunks[file]++
 }
 
@@ -156,56 +156,56 @@
 }
 
 // readChunk reads a chunk's events; a damaged or missing one is a gap.
-func (store *Store) readChunk(location chunkLocation) (wire.ColdChunk, bool) {
+func (store *Store) readChunk(location chunkLocation) (wire.ArchiveChunk, bool) {
 	body, err := store.folder.ReadRange(fileName(location.file), location.offset, location.length)
 	if err != nil || crc32.Checksum(body, checksums) != location.sum {
-		return wire.ColdChunk{}, false
+		return wire.ArchiveChunk{}, false
 	}
-	var batch wire.ColdChunkBatch
+	var batch wire.ArchiveChunkBatch
 	if err := wire.Decode(schema.ColdChunkBatch_TypeID, body, &batch); err != nil || len(batch.Chunks) != 1 {
-		return wire.ColdChunk{}, false
+		return wire.ArchiveChunk{}, false
 	}
 	return batch.Chunks[0], true
 }
 
 // Covers tells whether a chunk's range is here, as part of one.
 //
-//	if cold.Covers(wire.ColdChunk{Line: "team/c-1", First: 1, Last: 9}) { ... }
-func (store *Store) Covers(chunk wire.ColdChunk) bool {
+//	if cold.Covers(wire.ArchiveChunk{Line: "team/c-1", First: 1, Last: 9}) { ... }
+func (store *Store) Covers(chunk wire.ArchiveChunk) bool {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
-	return slices.ContainsFunc(store.locations[chunk.Line], func(location chunkLocation) bool { return location.first <= chunk.First && location.last >= chunk.Last })
+	return slices.ContainsFunc(store.locations[chunk.Session], func(location chunkLocation) bool { return location.first <= chunk.First && location.last >= chunk.Last })
 }
 
 // Put stores chunks and returns once they last. What is there already is not
 // written again.
 //
-//	err := cold.Put([]wire.ColdChunk{{Line: "team/c-1", First: 1, Last: 9, Events: events}})
-func (store *Store) Put(chunks []wire.ColdChunk) error {
+//	err := cold.Put([]wire.ArchiveChunk{{Line: "team/c-1", First: 1, Last: 9, Events: events}})
+func (store *Store) Put(chunks []wire.ArchiveChunk) error {
 	store.writeMutex.Lock()
 	defer store.writeMutex.Unlock()
 	var bodies []byte
-	index := wire.ColdIndex{}
+	index := wire.ArchiveIndex{}
 	for _, chunk := range chunks {
 		if store.Covers(chunk) {
 			continue
 		}
-		body, err := wire.Encode(schema.ColdChunkBatch_TypeID, &wire.ColdChunkBatch{Chunks: []wire.ColdChunk{chunk}})
+		body, err := wire.Encode(schema.ColdChunkBatch_TypeID, &wire.ArchiveChunkBatch{Chunks: []wire.ArchiveChunk{chunk}})
 		if err != nil {
 			return err
 		}
 		digest := sha256.Sum256(body)
-		index.Places = append(index.Places, wire.ColdPlace{Group: chunk.Group, Line: chunk.Line, First: chunk.First, Last: chunk.Last, Expires: chunk.Expires,
+		index.Locations = append(index.Locations, wire.ChunkLocation{Group: chunk.Group, Session: chunk.Session, First: chunk.First, Last: chunk.Last, ExpiresAt: chunk.ExpiresAt,
 			Offset: uint64(len(bodies)), Length: uint32(len(body)), Checksum: crc32.Checksum(body, checksums), Digest: digest[:]})
 		bodies = append(bodies, body...)
 	}
-	if len(index.Places) == 0 {
+	if len(index.Locations) == 0 {
 		return nil
 	}
 	// The index has the same size whatever the offsets are.
 	size := uint64(frameHeader + len(wire.MustEncode(schema.ColdIndex_TypeID, &index)))
-	for position := range index.Places {
-		index.Places[position].Offset += size
+	for position := range index.Locations {
+		index.Locations[position].Offset += size
 	}
 	encodedIndex := wire.MustEncode(schema.ColdIndex_TypeID, &index)
 	data := binary.LittleEndian.AppendUint32(nil, uint32(len(encodedIndex)))
@@ -221,7 +221,7 @@
 	}
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	for _, location := range index.Places {
+	for _, location := range index.Locations {
 		store.addLocation(number, location)
 	}
 	return nil
@@ -270,7 +270,7 @@
 			continue
 		}
 		for _, location := range store.locations[name] {
-			ranges = append(ranges, wire.RangeDigest{Line: name, First: location.first, Last: location.last, Digest: location.digest[:]})
+			ranges = append(ranges, wire.RangeDigest{Session: name, First: location.first, Last: location.last, Digest: location.digest[:]})
 		}
 	}
 	return ranges
--- a/system/config/config.go
+++ b/system/config/config.go
@@ -43,25 +43,25 @@
 	return []byte(time.Duration(duration).String()), nil
 }
 
-// Party is a team or an operator, known by the hashes of its tokens.
-type Party struct {
+// Principal is a team or an operator, known by the hashes of its tokens.
+type Principal struct {
 	TokenHashes []string `json:"token_hashes"`
 }
 
 // Program is an agent program that a team runs.
 type Program struct {
 	Team      string   `json:"team"`
-	Allowance uint64   `json:"allowance"`
+	Quota     uint64   `json:"allowance"`
 	TurnLimit uint64   `json:"turn_limit"`
 	Period    string   `json:"period"`
-	Keep      Duration `json:"keep"`
+	Retention Duration `json:"keep"`
 }
 
 // Group is what the runners of one group bear.
 type Group struct {
-	Concurrency     int      `json:"concurrency"`
-	ColdConcurrency int      `json:"cold_concurrency"`
-	Ramp            Duration `json:"ramp"`
+	Concurrency       int      `json:"concurrency"`
+	WarmUpConcurrency int      `json:"cold_concurrency"`
+	SlowStart         Duration `json:"ramp"`
 }
 
 // WorkKind is one kind of work.
@@ -89,8 +89,8 @@
 
 // Config is a checked configuration. It is never changed once made.
 type Config struct {
-	Operators map[string]Party              `json:"operators"`
-	Teams     map[string]Party              `json:"teams"`
+	Operators map[string]Principal          `json:"operators"`
+	Teams     map[string]Principal          `json:"teams"`
 	Programs  map[string]Program            `json:"programs"`
 	Groups    map[string]Group              `json:"groups"`
 	Tables    map[string]map[string]float64 `json:"tables"`
@@ -98,14 +98,14 @@
 	Limits    Limits                        `json:"limits"`
 	Platform  Platform                      `json:"platform"`
 	// Routing is how queries are forwarded unchanged; nil if nothing is.
-	Routing  *Routing `json:"routing,omitempty"`
-	Openings Openings `json:"openings,omitzero"`
+	Routing        *Routing       `json:"routing,omitempty"`
+	SharedPrefixes SharedPrefixes `json:"openings,omitzero"`
 }
 
-// Openings tells whether the beginnings that conversations of one route have in common are
+// SharedPrefixes tells whether the beginnings that conversations of one route have in common are
 // kept once for many.
-type Openings struct {
-	Share bool `json:"share"`
+type SharedPrefixes struct {
+	Enabled bool `json:"share"`
 }
 
 // Compile checks CUE source and gives the config and its compiled form. What is
@@ -117,119 +117,119 @@
 	definition := context.CompileString(schemaSource, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Config"))
 	value := context.CompileString(source, cue.Filename("config.cue"))
 	if err := value.Err(); err != nil {
-		return nil, nil, invalid(err)
+		return nil, nil, invalidConfig(err)
 	}
-	whole := definition.Unify(value)
-	if err := whole.Validate(cue.Concrete(true), cue.Final()); err != nil {
-		return nil, nil, invalid(err)
+	unified := definition.Unify(value)
+	if err := unified.Validate(cue.Concrete(true), cue.Final()); err != nil {
+		return nil, nil, invalidConfig(err)
 	}
-	compiled, err := whole.MarshalJSON()
+	compiled, err := unified.MarshalJSON()
 	if err != nil {
-		return nil, nil, invalid(err)
+		return nil, nil, invalidConfig(err)
 	}
-	made, err := Decode(compiled)
+	config, err := Decode(compiled)
 	if err != nil {
 		return nil, nil, err
 	}
-	return made, compiled, made.check()
+	return config, compiled, config.checkReferences()
 }
 
-func invalid(err error) error {
-	told := []string{}
-	for _, one := range errors.Errors(err) {
-		path := strings.Join(one.Path(), ".")
-		format, arguments := one.Msg()
-		place := ""
-		if position := one.Position(); position.IsValid() {
-			place = fmt.Sprintf(" (line %d, column %d)", position.Line(), position.Column())
+func invalidConfig(err error) error {
+	problems := []string{}
+	for _, problem := range errors.Errors(err) {
+		path := strings.Join(problem.Path(), ".")
+		format, arguments := problem.Msg()
+		location := ""
+		if position := problem.Position(); position.IsValid() {
+			location = fmt.Sprintf(" (line %d, column %d)", position.Line(), position.Column())
 		}
-		told = append(told, path+": "+fmt.Sprintf(format, arguments...)+place)
+		problems = append(problems, path+": "+fmt.Sprintf(format, arguments...)+location)
 	}
-	return apierror.New(apierror.Invalid, "the config is invalid: "+strings.Join(told, "; "), "correct the named fields; nothing was changed")
+	return apierror.New(apierror.Invalid, "the config is invalid: "+strings.Join(problems, "; "), "correct the named fields; nothing was changed")
 }
 
 // Decode reads a compiled config.
 //
 //	made, err := config.Decode(view.Compiled)
 func Decode(compiled []byte) (*Config, error) {
-	made := &Config{}
+	config := &Config{}
 	if len(compiled) == 0 {
-		return made, nil
+		return config, nil
 	}
-	if err := json.Unmarshal(compiled, made); err != nil {
+	if err := json.Unmarshal(compiled, config); err != nil {
 		return nil, apierror.New(apierror.Invalid, "the compiled config cannot be read: "+err.Error(), "run matching versions of the programs")
 	}
-	if made.Routing != nil {
-		made.Routing.Index()
+	if config.Routing != nil {
+		config.Routing.BuildIndex()
 	}
-	return made, nil
+	return config, nil
 }
 
 // Encode gives a config's compiled form, which Decode reads.
 //
 //	compiled, err := made.Encode()
-func (made *Config) Encode() ([]byte, error) {
+func (config *Config) Encode() ([]byte, error) {
 	var compiled bytes.Buffer
 	encoder := json.NewEncoder(&compiled)
 	encoder.SetEscapeHTML(false)
-	if err := encoder.Encode(made); err != nil {
+	if err := encoder.Encode(config); err != nil {
 		return nil, apierror.New(apierror.Invalid, "the config cannot be encoded: "+err.Error(), "correct what it names; nothing was changed")
 	}
 	return bytes.TrimRight(compiled.Bytes(), "\n"), nil
 }
 
-// check finds names that point nowhere.
-func (made *Config) check() error {
+// checkReferences finds names that point nowhere.
+func (config *Config) checkReferences() error {
 	missing := func(path, name, kind string) error {
 		return apierror.New(apierror.Invalid, fmt.Sprintf("the config is invalid: %s: no %s is named %q", path, kind, name), "add it, or name one that is there; nothing was changed")
 	}
-	for _, name := range slices.Sorted(maps.Keys(made.Programs)) {
-		if _, found := made.Teams[made.Programs[name].Team]; !found {
-			return missing("programs."+name+".team", made.Programs[name].Team, "team")
+	for _, name := range slices.Sorted(maps.Keys(config.Programs)) {
+		if _, found := config.Teams[config.Programs[name].Team]; !found {
+			return missing("programs."+name+".team", config.Programs[name].Team, "team")
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(made.Kinds)) {
-		table, found := made.Tables[made.Kinds[name].Table]
+	for _, name := range slices.Sorted(maps.Keys(config.Kinds)) {
+		table, found := config.Tables[config.Kinds[name].Table]
 		if !found {
-			return missing("kinds."+name+".table", made.Kinds[name].Table, "table")
+			return missing("kinds."+name+".table", config.Kinds[name].Table, "table")
 		}
 		total := 0.0
 		for _, weight := range table {
 			total += weight
 		}
 		if total == 0 {
-			return apierror.New(apierror.Invalid, "the config is invalid: tables."+made.Kinds[name].Table+": all weights are 0", "give one group a weight above 0; nothing was changed")
+			return apierror.New(apierror.Invalid, "the config is invalid: tables."+config.Kinds[name].Table+": all weights are 0", "give one group a weight above 0; nothing was changed")
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(made.Tables)) {
-		for _, group := range slices.Sorted(maps.Keys(made.Tables[name])) {
-			if _, found := made.Groups[group]; !found {
+	for _, name := range slices.Sorted(maps.Keys(config.Tables)) {
+		for _, group := range slices.Sorted(maps.Keys(config.Tables[name])) {
+			if _, found := config.Groups[group]; !found {
 				return missing("tables."+name+"."+group, group, "group")
 			}
 		}
 	}
-	if made.Routing != nil {
-		return made.Routing.Check()
+	if config.Routing != nil {
+		return config.Routing.Check()
 	}
 	return nil
 }
 
-// Hash is how a token is kept.
+// HashToken is how a token is kept.
 //
-//	stored := config.Hash("team-secret")
-func Hash(token string) string {
+//	stored := config.HashToken("team-secret")
+func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// PartyOf finds whose token it is.
+// PrincipalByToken finds whose token it is.
 //
-//	team, found := config.PartyOf(made.Teams, token)
-func PartyOf(parties map[string]Party, token string) (string, bool) {
-	hashed := []byte(Hash(token))
+//	team, found := config.PrincipalByToken(made.Teams, token)
+func PrincipalByToken(principals map[string]Principal, token string) (string, bool) {
+	hashed := []byte(HashToken(token))
 	owner, found := "", false
-	for name, party := range parties {
-		for _, known := range party.TokenHashes {
+	for name, principal := range principals {
+		for _, known := range principal.TokenHashes {
 			if subtle.ConstantTimeCompare(hashed, []byte(known)) == 1 {
 				owner, found = name, true
 			}
--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -90,10 +90,10 @@
 	if err != nil {
 		return "", err
 	}
-	if name, known := config.PartyOf(decoded.Operators, token); known {
+	if name, known := config.PrincipalByToken(decoded.Operators, token); known {
 		return name, nil
 	}
-	if len(decoded.Operators) == 0 && config.Hash(token) == service.root {
+	if len(decoded.Operators) == 0 && config.HashToken(token) == service.root {
 		return "root", nil
 	}
 	return "", apierror.New(apierror.Unauthorized, "the token belongs to no operator", "send a token of an operator that the config names, or the root token while it names none")
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -113,8 +113,8 @@
 				counts[runner.Group]++
 			}
 			for _, service := range decoded.Routing.Services {
-				rows = append(rows, []string{service.Name, service.HealthPath, strconv.Itoa(service.MostConnections), time.Duration(service.ColdFor).String(),
-					strconv.FormatFloat(service.ColdRate, 'g', -1, 64), strconv.Itoa(counts[service.Name])})
+				rows = append(rows, []string{service.Name, service.HealthPath, strconv.Itoa(service.MaxConnections), time.Duration(service.WarmUp).String(),
+					strconv.FormatFloat(service.WarmUpRate, 'g', -1, 64), strconv.Itoa(counts[service.Name])})
 			}
 		}
 		return []string{"name", "health_path", "most_connections", "cold_for", "cold_rate", "runners"}, rows
@@ -123,7 +123,7 @@
 		rows := [][]string{}
 		for _, name := range slices.Sorted(maps.Keys(decoded.Programs)) {
 			program := decoded.Programs[name]
-			rows = append(rows, []string{name, program.Team, strconv.FormatUint(program.Allowance, 10), strconv.FormatUint(program.TurnLimit, 10), program.Period})
+			rows = append(rows, []string{name, program.Team, strconv.FormatUint(program.Quota, 10), strconv.FormatUint(program.TurnLimit, 10), program.Period})
 		}
 		return []string{"name", "team", "allowance", "turn_limit", "period"}, rows
 	},
@@ -150,13 +150,13 @@
 		for _, name := range slices.Sorted(maps.Keys(decoded.Programs)) {
 			program := decoded.Programs[name]
 			limited, cancel := context.WithTimeout(ctx, callTimeout)
-			reply, err := stores.Read(limited, wire.ReadQuery{Line: line.QuotaName(program.Team, name, program.Period), Tally: true})
+			reply, err := stores.Read(limited, wire.ReadQuery{Session: line.QuotaName(program.Team, name, program.Period), QuotaUsage: true})
 			cancel()
 			spent, reserved := "unknown", "unknown"
 			if err == nil {
 				spent, reserved = strconv.FormatUint(reply.Spent, 10), strconv.FormatUint(reply.Reserved, 10)
 			}
-			rows = append(rows, []string{name, program.Team, program.Period, spent, reserved, strconv.FormatUint(program.Allowance, 10)})
+			rows = append(rows, []string{name, program.Team, program.Period, spent, reserved, strconv.FormatUint(program.Quota, 10)})
 		}
 		return []string{"program", "team", "period", "spent", "reserved", "allowance"}, rows
 	},
@@ -173,11 +173,11 @@
 				rows = append(rows, []string{member.Name, "unknown", "", "", ""})
 				continue
 			}
-			waiting := strconv.FormatUint(uint64(reply.Status.Waiting), 10)
-			for _, runner := range reply.Status.Demand {
-				rows = append(rows, []string{member.Name, runner.Address, strconv.FormatUint(uint64(runner.Out), 10), strconv.FormatBool(runner.Cooled), waiting})
+			waiting := strconv.FormatUint(uint64(reply.Status.Queued), 10)
+			for _, runner := range reply.Status.RunnerLoads {
+				rows = append(rows, []string{member.Name, runner.Address, strconv.FormatUint(uint64(runner.InFlight), 10), strconv.FormatBool(runner.WarmingUp), waiting})
 			}
-			if len(reply.Status.Demand) == 0 {
+			if len(reply.Status.RunnerLoads) == 0 {
 				rows = append(rows, []string{member.Name, "", "0", "", waiting})
 			}
 		}
@@ -190,7 +190,7 @@
 
 // farBehindError answers what can't be told from a state without its changes.
 func farBehindError() error {
-	return apierror.Later(apierror.NoQuorum, "this control node does not hold the last changes yet", "ask again, or another control node", time.Second)
+	return apierror.NewRetryable(apierror.NoQuorum, "this control node does not hold the last changes yet", "ask again, or another control node", time.Second)
 }
 
 // showChanges lists the last changes of a confirmed state.
--- a/system/controlplane/feed_changes.go
+++ b/system/controlplane/feed_changes.go
@@ -28,7 +28,7 @@
 }
 
 func (node *Node) handleChange(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
-	if query.Change.Await == 0 {
+	if query.Change.AwaitView == 0 {
 		compact := *query
 		compact.Change = &wire.ChangeQuery{Change: compactForLog(node.View(), query.Change.Change)}
 		query = &compact
@@ -40,13 +40,13 @@
 		}
 		return reply, err
 	}
-	if query.Change.Await > 0 {
-		return node.handleAwait(ctx, query.Change.Await)
+	if query.Change.AwaitView > 0 {
+		return node.handleAwait(ctx, query.Change.AwaitView)
 	}
 	change := query.Change.Change
 	change.At = time.Now().UnixNano()
 	outcomes, err := node.host.Propose(ctx, controlGroup, [][]byte{wire.MustEncode(schema.Change_TypeID, &change)})
-	if apierror.Is(err, apierror.Unclear) {
+	if apierror.Is(err, apierror.OutcomeUnknown) {
 		return nil, unclearChangeError()
 	}
 	if err != nil {
@@ -70,7 +70,7 @@
 //
 //	reply, err := node.AwaitAcknowledged(ctx, view.ConfigNumber)
 func (node *Node) AwaitAcknowledged(ctx context.Context, number uint64) (*wire.ChangeReply, error) {
-	reply, err := node.handleChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Await: number}})
+	reply, err := node.handleChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{AwaitView: number}})
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 }
 
 func unclearChangeError() error {
-	return apierror.New(apierror.Unclear, "the change may or may not have been taken", "read back what is in force, then decide whether to send it again with the number expected")
+	return apierror.New(apierror.OutcomeUnknown, "the change may or may not have been taken", "read back what is in force, then decide whether to send it again with the number expected")
 }
 
 // awaitStores waits until a majority of the stores has synced a number.
@@ -140,18 +140,18 @@
 	defer cancel()
 	changes, complete := state.history.Since(state.view, synced)
 	if synced > 0 && complete && len(changes) > 0 {
-		err := node.sendView(ctx, state, store, &wire.HoldQuery{Changes: changes})
+		err := node.sendView(ctx, state, store, &wire.ReplicateViewQuery{Changes: changes})
 		if !apierror.Is(err, apierror.Conflict) {
 			return
 		}
 	}
-	_ = node.sendView(ctx, state, store, &wire.HoldQuery{PackedView: node.views.Pack(state.view)})
+	_ = node.sendView(ctx, state, store, &wire.ReplicateViewQuery{PackedView: node.views.Get(state.view)})
 }
 
 // sendView has a store sync a view.
-func (node *Node) sendView(ctx context.Context, state *feedState, store string, query *wire.HoldQuery) error {
+func (node *Node) sendView(ctx context.Context, state *feedState, store string, query *wire.ReplicateViewQuery) error {
 	address := node.addressOf(store)
-	_, err := node.caller.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, Hold: query})
+	_, err := node.caller.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, ReplicateView: query})
 	switch {
 	case err == nil:
 		node.noteSynced(store, state.view.Number)
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -46,9 +46,9 @@
 		node.noteSynced(follow.Member.Name, follow.After)
 	}
 	answer := node.followReply(state, query, receivedAt)
-	answer.Held = max(0, began.Sub(receivedAt))
-	if live := node.cachedLiveMembers(); live.digest != follow.Known {
-		answer.Members, answer.Known = live.members, live.digest
+	answer.ConfirmationDelay = max(0, began.Sub(receivedAt))
+	if live := node.cachedLiveMembers(); live.digest != follow.MembersDigest {
+		answer.Members, answer.MembersDigest = live.members, live.digest
 	}
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: answer}, nil
 }
@@ -98,7 +98,7 @@
 	follow := query.Follow
 	answer := &wire.FollowReply{Newest: state.view.Number}
 	if !state.runnersReadAt.IsZero() {
-		answer.RosterRead, answer.RosterAge = true, receivedAt.Sub(state.runnersReadAt)
+		answer.HasRunnerListAge, answer.RunnerListAge = true, receivedAt.Sub(state.runnersReadAt)
 	}
 	if follow.After > state.view.Number {
 		// Nothing here is newer; the fleet's name shows whether it is the asker's.
@@ -111,9 +111,9 @@
 		answer.Changes = changes
 	case follow.Packed && follow.Member.Role == feed.RoleFront:
 		bare := state.view.WithoutRequests()
-		answer.Reset, answer.PackedView = true, node.viewsWithoutRequests.Pack(&bare)
+		answer.Reset, answer.PackedView = true, node.viewsWithoutRequests.Get(&bare)
 	case follow.Packed:
-		answer.Reset, answer.PackedView = true, node.views.Pack(state.view)
+		answer.Reset, answer.PackedView = true, node.views.Get(state.view)
 	case follow.Member.Role == feed.RoleFront:
 		answer.Reset, answer.View = true, state.view.WithoutRequests()
 	default:
@@ -180,15 +180,15 @@
 		return nil, noQuorumError()
 	}
 	var runnersReadAt time.Time
-	if reply.Follow.RosterRead {
-		runnersReadAt = sentAt.Add(-reply.Follow.RosterAge)
+	if reply.Follow.HasRunnerListAge {
+		runnersReadAt = sentAt.Add(-reply.Follow.RunnerListAge)
 	}
 	if now := node.stateMachine.state(); now.view.Number >= reply.Follow.Newest {
 		return &confirmedState{now, runnersReadAt}, nil
 	}
 	// This replica has not heard yet that the newest changes are committed.
 	if reply.Follow.Reset {
-		view, err := reply.Follow.Whole()
+		view, err := reply.Follow.FullView()
 		if err != nil || view.Number < reply.Follow.Newest {
 			return nil, noQuorumError()
 		}
--- a/system/controlplane/feed_state_machine.go
+++ b/system/controlplane/feed_state_machine.go
@@ -133,8 +133,8 @@
 
 // encodeControlSnapshot encodes a snapshot of the control group.
 func encodeControlSnapshot(view *feed.View, history feed.History) []byte {
-	return wire.MustEncode(schema.ControlImage_TypeID, &wire.ControlImage{
-		Version: controlSnapshotFormat, PackedView: wire.PackView(view), Changes: history.Changes, Earlier: history.Earlier,
+	return wire.MustEncode(schema.ControlImage_TypeID, &wire.ControlSnapshot{
+		Version: controlSnapshotFormat, PackedView: wire.PackView(view), Changes: history.Changes, EarlierConfigs: history.Earlier,
 	})
 }
 
@@ -146,7 +146,7 @@
 
 // Restore replaces the content by a snapshot's.
 func (machine *feedStateMachine) Restore(data []byte) error {
-	var snapshot wire.ControlImage
+	var snapshot wire.ControlSnapshot
 	if err := wire.Decode(schema.ControlImage_TypeID, data, &snapshot); err != nil {
 		return err
 	}
@@ -161,8 +161,8 @@
 	return nil
 }
 
-func stateFromSnapshot(snapshot *wire.ControlImage) (*feedState, error) {
-	view, history := &snapshot.View, feed.History{Changes: snapshot.Changes, Earlier: snapshot.Earlier}
+func stateFromSnapshot(snapshot *wire.ControlSnapshot) (*feedState, error) {
+	view, history := &snapshot.View, feed.History{Changes: snapshot.Changes, Earlier: snapshot.EarlierConfigs}
 	if snapshot.Version <= fullConfigsFormat {
 		history = feed.HistoryFromFullConfigs(snapshot.Changes)
 		view.Compiled = bytes.Clone(view.Compiled) // else it would hold the whole image
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -80,7 +80,7 @@
 type Node struct {
 	settings     Settings
 	network      link.Network
-	caller       *link.Caller
+	caller       *link.Client
 	host         *replica.Host
 	stateMachine *feedStateMachine
 	server       *link.Server
@@ -104,8 +104,8 @@
 	decodedConfig  atomic.Pointer[decodedConfig]
 	// views and viewsWithoutRequests pack the newest view for all who ask, viewsWithoutRequests without the
 	// orders, which fronts don't need.
-	views                wire.ViewPacker
-	viewsWithoutRequests wire.ViewPacker
+	views                wire.PackedViewCache
+	viewsWithoutRequests wire.PackedViewCache
 	// configRoster is the source that is used if none is given.
 	configRunners   configRunnerSource
 	confirmations   confirmationBatch
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	node := &Node{
-		settings: settings, network: network, caller: link.NewCaller(network), stateMachine: newFeedStateMachine(), startedAt: time.Now(),
+		settings: settings, network: network, caller: link.NewClient(network), stateMachine: newFeedStateMachine(), startedAt: time.Now(),
 		liveness: map[string]nodeLiveness{}, syncedNumbers: map[string]uint64{}, syncedChanged: make(chan struct{}), configRunners: newConfigRunnerSource(network),
 	}
 	node.SetSeeds(settings.Seeds)
@@ -248,23 +248,23 @@
 func (node *Node) Handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	handler, known := queryHandlers[query.Which]
 	if !known {
-		return wire.Failed(apierror.New(apierror.Invalid, "a control node does not answer this query", "ask a store node"))
+		return wire.ErrorReply(apierror.New(apierror.Invalid, "a control node does not answer this query", "ask a store node"))
 	}
 	if fleet := node.View().Fleet; !anyFleetQueries[query.Which] && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
 		node.noteForeignStore(query)
 		if node.View().BoundFleet() == "" {
 			// This control plane may have lost its disks, and yet find that it is the one
 			// of the asking process's fleet.
-			return wire.Failed(noQuorumError())
+			return wire.ErrorReply(noQuorumError())
 		}
-		return wire.Failed(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
+		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
 	}
-	if rejection := query.Misaddressed(node.Name()); rejection != nil {
+	if rejection := query.MisdirectedReply(node.Name()); rejection != nil {
 		return rejection
 	}
 	reply, err := handler(node, ctx, query)
 	if err != nil {
-		return wire.Failed(err)
+		return wire.ErrorReply(err)
 	}
 	return reply
 }
@@ -282,13 +282,13 @@
 func (node *Node) handleStatus(_ context.Context, _ *wire.Query) (*wire.Reply, error) {
 	view := node.View()
 	return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
-		Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Empty: node.isEmpty(),
-		Fleet: view.Fleet, Number: view.Number, Leader: node.host.Statuses()[controlGroup].Leader, Controls: view.Controls, Founding: view.Founding,
+		Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Uninitialized: node.isEmpty(),
+		Fleet: view.Fleet, ViewNumber: view.Number, Leader: node.host.Statuses()[controlGroup].Leader, Controls: view.Controls, Founding: view.Founding,
 	}}, nil
 }
 
 func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
-	node.host.Receive(link.Connection(ctx), query.Agreement.Messages)
+	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
 	return &wire.Reply{}, nil
 }
 
@@ -306,11 +306,11 @@
 		if err != nil || reply.Status == nil {
 			continue
 		}
-		if !reply.Status.Empty && slices.Contains(reply.Status.Founding, node.Name()) {
+		if !reply.Status.Uninitialized && slices.Contains(reply.Status.Founding, node.Name()) {
 			node.foundFleetWith(foundingView(reply.Status.Founding, reply.Status.Controls, node.settings))
 			return
 		}
-		if reply.Status.Role == feed.RoleControl && reply.Status.Empty {
+		if reply.Status.Role == feed.RoleControl && reply.Status.Uninitialized {
 			statuses = append(statuses, reply.Status)
 		}
 	}
@@ -382,7 +382,7 @@
 }
 
 func noQuorumError() error {
-	return apierror.Later(apierror.NoQuorum, "the control plane has no leader with a quorum now", "ask again in a second; if it stays, start the missing control nodes", time.Second)
+	return apierror.NewRetryable(apierror.NoQuorum, "the control plane has no leader with a quorum now", "ask again in a second; if it stays, start the missing control nodes", time.Second)
 }
 
 func (node *Node) recordHeard(member feed.Member, age time.Duration, direct bool) {
@@ -436,7 +436,7 @@
 }
 
 func (node *Node) handleGossip(_ context.Context, query *wire.Query) (*wire.Reply, error) {
-	for _, note := range query.Sessions.Sessions {
+	for _, note := range query.MemberSessions.Sessions {
 		node.recordHeard(note.Member, note.Age, false)
 	}
 	return &wire.Reply{}, nil
@@ -445,15 +445,15 @@
 // gossip tells the other control nodes the sessions that this one holds, its own
 // among them. A control node that is no member yet tells the members.
 func (node *Node) gossip() {
-	notes := []wire.SessionNote{{Member: node.self()}}
+	notes := []wire.MemberSession{{Member: node.self()}}
 	node.mutex.Lock()
 	for _, entry := range node.liveness {
 		if age := time.Since(entry.lastHeard); entry.direct && age < livenessTimeout {
-			notes = append(notes, wire.SessionNote{Member: entry.member, Age: age})
+			notes = append(notes, wire.MemberSession{Member: entry.member, Age: age})
 		}
 	}
 	node.mutex.Unlock()
-	batch := &wire.SessionBatch{From: node.Name(), Sessions: notes}
+	batch := &wire.MemberSessionBatch{From: node.Name(), Sessions: notes}
 	targets := map[string]bool{}
 	for _, member := range node.View().Controls {
 		targets[member.Address] = true
@@ -473,7 +473,7 @@
 	delete(targets, node.settings.Address)
 	node.gossipCount++
 	wantReply := node.gossipCount%gossipsPerCall == 0
-	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, Sessions: batch}
+	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, MemberSessions: batch}
 	for address := range targets {
 		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
 			continue // it is not there, or slow
@@ -491,7 +491,7 @@
 	ctx, cancel := context.WithTimeout(node.context, gossipInterval)
 	defer cancel()
 	if !wantReply {
-		node.caller.Tell(ctx, address, &query)
+		node.caller.Notify(ctx, address, &query)
 	} else if _, err := node.caller.Call(ctx, address, &query); err != nil && ctx.Err() != nil {
 		node.caller.Drop(address)
 	}
--- a/system/controlplane/routing_requests.go
+++ b/system/controlplane/routing_requests.go
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	next := *decoded // the same order may be decided again on another view
-	return next.KeepRouting(inForce)
+	return next.InheritRouting(inForce)
 }
 
 // decision is what an order comes to on a view: the change to make, or, if nothing is
@@ -72,7 +72,7 @@
 			return reply, nil
 		case err == nil:
 			failed = unclearChangeError()
-		case !apierror.Is(failed, apierror.Unclear):
+		case !apierror.Is(failed, apierror.OutcomeUnknown):
 			failed = err
 		}
 		select {
@@ -106,16 +106,16 @@
 // unacknowledgedError tells that an order may be sent again: only what was decided on a view
 // refuses it for good.
 func unacknowledgedError(err error) error {
-	if failed := apierror.Of(err); failed.Kind == apierror.Unclear || failed.Kind == apierror.NoQuorum {
+	if failed := apierror.Of(err); failed.Kind == apierror.OutcomeUnknown || failed.Kind == apierror.NoQuorum {
 		return err
 	}
-	return apierror.Later(apierror.NoQuorum, "the order was not acknowledged in time: "+apierror.Of(err).Message, "send the same order again, to any control node", time.Second)
+	return apierror.NewRetryable(apierror.NoQuorum, "the order was not acknowledged in time: "+apierror.Of(err).Message, "send the same order again, to any control node", time.Second)
 }
 
 // forgottenRequestError answers an order that may have been carried out so long ago that it is no
 // longer remembered: it is neither acknowledged nor refused.
 func forgottenRequestError() error {
-	return apierror.Later(apierror.NoQuorum, "the order builds on what was replaced long ago, and may have been carried out then", "read what is in force; send a new order if it is not what you want", time.Second)
+	return apierror.NewRetryable(apierror.NoQuorum, "the order builds on what was replaced long ago, and may have been carried out then", "read what is in force; send a new order if it is not what you want", time.Second)
 }
 
 // ReplaceRouting puts a whole routing in force, in place of that of the revision base (0
@@ -137,10 +137,10 @@
 // AmendRouting changes the routing of the revision base by names, and returns once that
 // is acknowledged, as ReplaceRouting does.
 //
-//	err := node.AmendRouting(ctx, "root", 7, config.Amendment{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
-func (node *Node) AmendRouting(ctx context.Context, by string, base uint64, amendment config.Amendment, digest string) error {
+//	err := node.AmendRouting(ctx, "root", 7, config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
+func (node *Node) AmendRouting(ctx context.Context, by string, base uint64, amendment config.RoutingPatch, digest string) error {
 	request := routingRequest{operator: by, base: base, revision: amendment.Revision, digest: digest}
-	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Amended(amendment) })
+	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Patched(amendment) })
 }
 
 // routingRequest is an order to replace the routing of one revision by that of another.
@@ -159,14 +159,14 @@
 // whose version kept them only in the routing are taken over from there.
 func acceptedRoutingRequests(view *feed.View, routing *config.Routing) feed.RequestHistory {
 	history := view.RoutingRequests
-	if !history.IsEmpty() || routing == nil || len(routing.Taken) == 0 {
+	if !history.IsEmpty() || routing == nil || len(routing.AcceptedRequests) == 0 {
 		return history
 	}
-	for _, taken := range routing.Taken {
+	for _, taken := range routing.AcceptedRequests {
 		history = history.With(feed.AcceptedRequest{Digest: feed.RequestDigest(taken.Digest), Number: taken.Revision})
 	}
-	if len(routing.Taken) >= config.TakenKept {
-		history.Forgotten = max(history.Forgotten, routing.Taken[0].Revision)
+	if len(routing.AcceptedRequests) >= config.MaxAcceptedRequests {
+		history.Forgotten = max(history.Forgotten, routing.AcceptedRequests[0].Revision)
 	}
 	return history
 }
@@ -189,7 +189,7 @@
 	if _, taken := history.NumberOf(request.accepted().Digest); taken {
 		return decision{acceptedAs: view.Number}, nil
 	}
-	if inForce := decoded.Routing.Revised(); inForce != request.base {
+	if inForce := decoded.Routing.CurrentRevision(); inForce != request.base {
 		if history.MayHaveForgotten(request.revision) {
 			return decision{}, forgottenRequestError()
 		}
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -156,7 +156,7 @@
 			discovery.servingSince[name] = now
 			runner.Warmed = runner.Warmed || groups == nil
 		default:
-			runner.Warmed = runner.Warmed || now.Sub(since) >= time.Duration(groups[runner.Group].Ramp)
+			runner.Warmed = runner.Warmed || now.Sub(since) >= time.Duration(groups[runner.Group].SlowStart)
 		}
 		if !found || runnerDiffers(old, runner) {
 			changed = append(changed, runner)
--- a/system/controlplane/runner_source.go
+++ b/system/controlplane/runner_source.go
@@ -51,7 +51,7 @@
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
-		return nil, apierror.Later(apierror.Unavailable, fmt.Sprintf("the runner list answered %d", response.StatusCode), "ask again later; the last list stays in force", time.Duration(seconds)*time.Second)
+		return nil, apierror.NewRetryable(apierror.Unavailable, fmt.Sprintf("the runner list answered %d", response.StatusCode), "ask again later; the last list stays in force", time.Duration(seconds)*time.Second)
 	}
 	var list runnerListDocument
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxRunnerListBytes)).Decode(&list); err != nil {
--- a/system/controlplane/store_decommission.go
+++ b/system/controlplane/store_decommission.go
@@ -125,7 +125,7 @@
 		select {
 		case <-time.After(decommissionPollInterval):
 		case <-ctx.Done():
-			return nil, apierror.Later(apierror.Unclear, name+" still has replicas; it goes on being emptied", "send the same command again to wait on", time.Second)
+			return nil, apierror.NewRetryable(apierror.OutcomeUnknown, name+" still has replicas; it goes on being emptied", "send the same command again to wait on", time.Second)
 		}
 	}
 }
--- a/system/controlplane/store_membership.go
+++ b/system/controlplane/store_membership.go
@@ -56,22 +56,22 @@
 	newest, answered := feed.View{}, []string{}
 	for _, store := range stores {
 		calls.Go(func() {
-			reply, err := node.caller.Call(ctx, store.Address, &wire.Query{To: store.Name, Which: schema.Query_Which_newest, Newest: &wire.NewestQuery{Packed: true}})
-			if err != nil || reply.Newest == nil {
+			reply, err := node.caller.Call(ctx, store.Address, &wire.Query{To: store.Name, Which: schema.Query_Which_newest, NewestView: &wire.NewestViewQuery{Packed: true}})
+			if err != nil || reply.NewestView == nil {
 				return
 			}
-			view, err := reply.Newest.Whole()
+			view, err := reply.NewestView.FullView()
 			if err != nil {
 				return
 			}
-			foreign := reply.Newest.Number > 0 && view.Fleet != node.View().Fleet
-			if foreign && reply.Newest.Controlled {
+			foreign := reply.NewestView.Number > 0 && view.Fleet != node.View().Fleet
+			if foreign && reply.NewestView.HeardControlQuorum {
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
 			answered = append(answered, store.Name)
-			if foreign && reply.Newest.Number > newest.Number {
+			if foreign && reply.NewestView.Number > newest.Number {
 				newest = *view
 			}
 		})
@@ -102,7 +102,7 @@
 // acknowledged, and what was acknowledged before may not be recovered yet.
 func requireStoreList(view *feed.View) error {
 	if len(view.Stores) == 0 {
-		return apierror.Later(apierror.NoQuorum, "the fleet has no store list yet", "wait until its stores have sessions, or start the stores that are missing", time.Second)
+		return apierror.NewRetryable(apierror.NoQuorum, "the fleet has no store list yet", "wait until its stores have sessions, or start the stores that are missing", time.Second)
 	}
 	return nil
 }
--- a/system/delta/delta.go
+++ b/system/delta/delta.go
@@ -15,15 +15,15 @@
 	// blockSize is the length of the blocks by which equal parts are found; shorter parts
 	// are inserted again.
 	blockSize = 32
-	// largestResult bounds what a damaged difference can ask for.
-	largestResult = 256 << 20
+	// maxResultSize bounds what a damaged difference can ask for.
+	maxResultSize = 256 << 20
 	// copyFlag marks a copy in an operation's first number; the rest of it is a length.
 	copyFlag = 1
 	// After missesPerStep places without a match the search takes larger steps, so that
 	// unrelated content costs little. The largest step is odd: then any long equal part is
 	// met at the start of a block sooner or later.
 	missesPerStep = 256
-	largestStep   = 7
+	maxStep       = 7
 )
 
 // ErrMismatch tells that a difference is damaged or was made on another base.
@@ -41,8 +41,8 @@
 //
 //	difference, fits := delta.MakeWithin(base, next, len(next)/2)
 func MakeWithin(base, next []byte, limit int) (difference []byte, fits bool) {
-	writer := operations{encoded: binary.AppendUvarint(nil, uint64(len(next)))}
-	blocks := indexOf(base)
+	writer := operationWriter{encoded: binary.AppendUvarint(nil, uint64(len(next)))}
+	blocks := newBlockIndex(base)
 	inserted := 0 // where the bytes begin that no operation covers yet
 	misses := 0
 	for at := 0; at+blockSize <= len(next); {
@@ -52,7 +52,7 @@
 			if len(writer.encoded)+at-inserted > limit {
 				return nil, false
 			}
-			at += min(1+misses/missesPerStep, largestStep)
+			at += min(1+misses/missesPerStep, maxStep)
 			continue
 		}
 		misses = 0
@@ -70,10 +70,10 @@
 	return writer.encoded, len(writer.encoded) <= limit
 }
 
-// operations encodes a difference.
-type operations struct{ encoded []byte }
+// operationWriter encodes a difference.
+type operationWriter struct{ encoded []byte }
 
-func (writer *operations) insert(data []byte) {
+func (writer *operationWriter) insert(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -81,7 +81,7 @@
 	writer.encoded = append(writer.encoded, data...)
 }
 
-func (writer *operations) copy(offset, length int) {
+func (writer *operationWriter) copy(offset, length int) {
 	writer.encoded = binary.AppendUvarint(writer.encoded, uint64(length)<<1|copyFlag)
 	writer.encoded = binary.AppendUvarint(writer.encoded, uint64(offset))
 }
@@ -90,18 +90,18 @@
 type blockIndex struct {
 	base  []byte
 	shift int
-	// places holds for each hash the number of a block, counted from 1.
-	places []uint32
+	// blockNumbers holds for each hash the number of a block, counted from 1.
+	blockNumbers []uint32
 }
 
-func indexOf(base []byte) blockIndex {
+func newBlockIndex(base []byte) blockIndex {
 	count := len(base) / blockSize
 	width := bits.Len(uint(count)) + 1
-	index := blockIndex{base: base, shift: 64 - width, places: make([]uint32, 1<<width)}
+	index := blockIndex{base: base, shift: 64 - width, blockNumbers: make([]uint32, 1<<width)}
 	for number := range count {
 		slot := index.hash(base[number*blockSize:])
-		if index.places[slot] == 0 {
-			index.places[slot] = uint32(number + 1)
+		if index.blockNumbers[slot] == 0 {
+			index.blockNumbers[slot] = uint32(number + 1)
 		}
 	}
 	return index
@@ -119,7 +119,7 @@
 
 // find gives where in the base a block is.
 func (index *blockIndex) find(block []byte) (int, bool) {
-	number := index.places[index.hash(block)]
+	number := index.blockNumbers[index.hash(block)]
 	if number == 0 {
 		return 0, false
 	}
@@ -141,15 +141,15 @@
 //
 //	next, err := delta.Apply(base, difference)
 func Apply(base, difference []byte) ([]byte, error) {
-	reader := numbers{left: difference}
+	reader := uvarintReader{remaining: difference}
 	size := reader.next()
-	if reader.failed || size > largestResult {
+	if reader.failed || size > maxResultSize {
 		return nil, ErrMismatch
 	}
 	result := make([]byte, 0, min(size, uint64(len(base)+len(difference))))
-	for len(reader.left) > 0 {
+	for len(reader.remaining) > 0 {
 		operation := reader.next()
-		source, offset, length := reader.left, uint64(0), operation>>1
+		source, offset, length := reader.remaining, uint64(0), operation>>1
 		if operation&copyFlag != 0 {
 			source, offset = base, reader.next()
 		}
@@ -159,7 +159,7 @@
 		}
 		result = append(result, source[offset:offset+length]...)
 		if operation&copyFlag == 0 {
-			reader.left = reader.left[length:]
+			reader.remaining = reader.remaining[length:]
 		}
 	}
 	if uint64(len(result)) != size {
@@ -168,18 +168,18 @@
 	return result, nil
 }
 
-// numbers reads the numbers of a difference.
-type numbers struct {
-	left   []byte
-	failed bool
+// uvarintReader reads the numbers of a difference.
+type uvarintReader struct {
+	remaining []byte
+	failed    bool
 }
 
-func (reader *numbers) next() uint64 {
-	number, length := binary.Uvarint(reader.left)
+func (reader *uvarintReader) next() uint64 {
+	number, length := binary.Uvarint(reader.remaining)
 	if length <= 0 {
 		reader.failed = true
 		return 0
 	}
-	reader.left = reader.left[length:]
+	reader.remaining = reader.remaining[length:]
 	return number
 }
--- a/system/feed/feed.go
+++ b/system/feed/feed.go
@@ -343,7 +343,7 @@
 //	names := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
 func (view *View) ReplicationFactor() int {
 	if view.Replicas == 0 {
-		return placement.Factor
+		return placement.DefaultReplicas
 	}
 	return int(view.Replicas)
 }
@@ -351,15 +351,17 @@
 // PlacementCandidates lists the stores that replicas may be put on.
 //
 //	names := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
-func (view *View) PlacementCandidates() []placement.Place { return PlacementCandidates(view.Stores) }
+func (view *View) PlacementCandidates() []placement.Candidate {
+	return PlacementCandidates(view.Stores)
+}
 
 // PlacementCandidates turns members into places, leaving out those that go away.
 //
 //	places := feed.PlacementCandidates(view.FoundingStores)
-func PlacementCandidates(members []Member) []placement.Place {
-	candidates := []placement.Place{}
+func PlacementCandidates(members []Member) []placement.Candidate {
+	candidates := []placement.Candidate{}
 	for _, member := range ViewReplicas(members) {
-		candidates = append(candidates, placement.Place{Name: member.Name, Domain: member.Domain})
+		candidates = append(candidates, placement.Candidate{Name: member.Name, Domain: member.Domain})
 	}
 	return candidates
 }
--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -54,11 +54,11 @@
 	if err := settings.Fresh(); err != nil {
 		return err
 	}
-	changed := apierror.Later(apierror.NotRun, "what is in force changed before anything was sent", "ask again", retrySoon)
+	changed := apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", retrySoon)
 	rules := settings.Rules()
 	if rules.Routing != made.rules.Routing {
 		route, found := rules.Routing.Match(going.Host, going.Path)
-		if !found || route.Kind != made.route.Kind || route.KeepsHistory != made.route.KeepsHistory {
+		if !found || route.Kind != made.route.Kind || route.StoresHistory != made.route.StoresHistory {
 			return changed
 		}
 		made.rules, made.route = rules, route
@@ -98,7 +98,7 @@
 		return balancer.Misdirected
 	case told.Kind == apierror.NotRun && !told.NeverSent:
 		return balancer.Refused
-	case told.Lost || told.NobodyThere:
+	case told.Lost || told.ConnectionRefused:
 		return balancer.Lost
 	case told.NeverSent:
 		return balancer.Unused
--- a/system/forwarding/dispatch.go
+++ b/system/forwarding/dispatch.go
@@ -72,7 +72,7 @@
 
 // triesLeft tells whether the query may be sent to one more runner, and has the time.
 func (going *passage) triesLeft() bool {
-	return going.sent < max(going.route.Tries, 1) && time.Until(going.deadline) > leastLeft
+	return going.sent < max(going.route.MaxAttempts, 1) && time.Until(going.deadline) > leastLeft
 }
 
 // giveUp books the end of a turn that has no whole answer.
@@ -159,7 +159,7 @@
 		// A success without events says nothing of tokens: it counts at its most, and a
 		// turn that is kept must be known before it looks whole.
 		outcome, going.stream.tokens = line.OutcomeComplete, going.TokensOut
-		if going.route.KeepsHistory {
+		if going.route.StoresHistory {
 			if err := forwarder.endStream(ctx, going); err != nil {
 				going.unsure = true
 				return ending, err
@@ -237,7 +237,7 @@
 		// A token counts as put out from here on, whether or not the caller gets it.
 		if event.HasData {
 			going.stream.tokens += perEvent
-			if going.route.KeepsHistory {
+			if going.route.StoresHistory {
 				going.stream.output = append(append(going.stream.output, event.Data...), '\n')
 			}
 		}
@@ -269,7 +269,7 @@
 	if going.begun == nil {
 		return nil
 	}
-	if !going.route.KeepsHistory {
+	if !going.route.StoresHistory {
 		forwarder.book(going, line.OutcomeComplete)
 		return nil
 	}
--- a/system/forwarding/forwarder.go
+++ b/system/forwarding/forwarder.go
@@ -24,8 +24,8 @@
 type Rules struct {
 	View    *feed.View
 	Routing *config.Routing
-	// Openings tells whether inputs may be shared among conversations.
-	Openings config.Openings
+	// SharedPrefixes tells whether inputs may be shared among conversations.
+	Openings config.SharedPrefixes
 }
 
 // Settings join a forwarder to the rest of its front.
@@ -112,7 +112,7 @@
 func (forwarder *Forwarder) hold(going *passage, bytes int64) error {
 	going.held += bytes
 	if all := forwarder.held.Add(bytes); all > forwarder.settings.HeldBytes && all > going.held {
-		return apierror.Later(apierror.NotRun, "this front holds too many bytes of queries", "ask again or at another front", retrySoon)
+		return apierror.NewRetryable(apierror.NotRun, "this front holds too many bytes of queries", "ask again or at another front", retrySoon)
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 	}
 	going.rules = forwarder.settings.Rules()
 	if going.rules.Routing == nil {
-		return false, apierror.Later(apierror.NotRun, "no routes are in force yet", "ask again; operators: put a config with routes", time.Second)
+		return false, apierror.NewRetryable(apierror.NotRun, "no routes are in force yet", "ask again; operators: put a config with routes", time.Second)
 	}
 	return false, nil
 }
@@ -194,7 +194,7 @@
 		going.deadline = going.Deadline
 	}
 	if !time.Now().Before(going.deadline) {
-		return false, apierror.Later(apierror.NotRun, "the time for this query is over", "ask again with more time", time.Second)
+		return false, apierror.NewRetryable(apierror.NotRun, "the time for this query is over", "ask again with more time", time.Second)
 	}
 	return false, nil
 }
@@ -217,7 +217,7 @@
 
 // recorded tells whether a query is a turn that spends an allowance or is remembered.
 func (going *passage) recorded() bool {
-	return going.route.Kind == config.Streaming && (going.Budgeted || going.route.KeepsHistory)
+	return going.route.Kind == config.Streaming && (going.Budgeted || going.route.StoresHistory)
 }
 
 // beginTurn reserves the most that the turn may put out and records its beginning, in
@@ -235,7 +235,7 @@
 	defer cancel()
 	begun, err := forwarder.settings.Records.BeginTurn(ctx, storeorigin.Turn{
 		Line: going.line, Name: going.Name, Follows: going.Follows, Input: going.Body,
-		Keeps: going.route.KeepsHistory, Keep: time.Duration(going.route.Keep), Scope: going.scope(),
+		Keeps: going.route.StoresHistory, Keep: time.Duration(going.route.Retention), Scope: going.scope(),
 		Budgeted: going.Budgeted, Most: going.TokensOut, Allowance: going.Budget,
 		Dispatch: forwarder.settings.Node, Life: left + turnMargin,
 	})
@@ -256,7 +256,7 @@
 // scope is whose openings the turn's input may share: those of its route alone, while the
 // config shares any.
 func (going *passage) scope() string {
-	if !going.rules.Openings.Share {
+	if !going.rules.Openings.Enabled {
 		return ""
 	}
 	return going.route.Name
@@ -277,7 +277,7 @@
 // end books how the turn ended. It returns once that is committed.
 func (forwarder *Forwarder) end(ctx context.Context, going *passage, outcome string) error {
 	return forwarder.settings.Records.EndTurn(ctx, storeorigin.TurnEnd{
-		Line: going.line, Name: going.Name, Seq: going.begun.Seq, Kept: going.route.KeepsHistory,
+		Line: going.line, Name: going.Name, Seq: going.begun.Seq, Kept: going.route.StoresHistory,
 		Output: going.stream.output, Tokens: going.stream.tokens, Outcome: outcome,
 	})
 }
--- a/system/forwarding/race.go
+++ b/system/forwarding/race.go
@@ -23,7 +23,7 @@
 // silence gives how long a runner may leave a query unanswered before another one is asked
 // as well, if it may run there and there is a try left; else it is 0.
 func (going *passage) silence() time.Duration {
-	if going.route.Kind != config.Repeatable || going.sent+1 >= going.route.Tries {
+	if going.route.Kind != config.Repeatable || going.sent+1 >= going.route.MaxAttempts {
 		return 0
 	}
 	return max(leastSilent, time.Duration(silentShare*float64(time.Until(going.deadline))))
@@ -167,7 +167,7 @@
 		race.count(made)
 	case made.counted:
 		going.sent--
-	case told.Lost || told.NobodyThere:
+	case told.Lost || told.ConnectionRefused:
 		going.tried = append(going.tried, made.lease.Runner.Life)
 	}
 }
--- a/system/front/gone.go
+++ b/system/front/gone.go
@@ -44,12 +44,12 @@
 	switch {
 	case err == nil && reply.Status != nil && reply.Status.Name == name:
 		return stillThere
-	case err == nil || apierror.Of(err).NobodyThere:
+	case err == nil || apierror.Of(err).ConnectionRefused:
 		return provenGone
 	}
 	node.caller.Drop(address)
 	listed := slices.ContainsFunc(node.follow.Members(), func(member feed.Member) bool { return member.Name == name })
-	if listed || !node.follow.ControlledWithin(sessionsKnown) {
+	if listed || !node.follow.HeardControlWithin(sessionsKnown) {
 		return stillThere
 	}
 	return unheardOf
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -56,8 +56,8 @@
 type Node struct {
 	settings Settings
 	name     string
-	caller   *link.Caller
-	follow   *follower.Follower
+	caller   *link.Client
+	follow   *follower.Client
 	stores   *storeorigin.Origin
 	runners  *runnerorigin.Origin
 	board    *scheduling.Board
@@ -83,7 +83,7 @@
 //	node, err := front.Start(settings, link.TCP{})
 //	defer node.Close()
 func Start(settings Settings, network link.Network) (*Node, error) {
-	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewCaller(network), runners: runnerorigin.New(network), runs: newRuns()}
+	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runners: runnerorigin.New(network), runs: newRuns()}
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.rules.Store(&inForce{view: &feed.View{}, config: &config.Config{}})
 	node.fronts.Store(&[]string{node.name})
@@ -105,7 +105,7 @@
 	}
 	member := feed.Member{Name: node.name, Role: feed.RoleFront, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
 	node.follow = follower.Start(node.caller, member, settings.Seeds, nil, node.take)
-	node.balancer.FollowList(node.follow.RosterRead)
+	node.balancer.FollowList(node.follow.RunnerListReadAt)
 	go node.greet()
 	node.linked = link.Serve(linkListener, node.answer)
 	if publicListener != nil {
@@ -154,7 +154,7 @@
 // routes gives the routes in force.
 func (node *Node) routes() forwarding.Rules {
 	rules := node.rules.Load()
-	return forwarding.Rules{View: rules.view, Routing: rules.config.Routing, Openings: rules.config.Openings}
+	return forwarding.Rules{View: rules.view, Routing: rules.config.Routing, Openings: rules.config.SharedPrefixes}
 }
 
 // balance tells the balancer what is in force and how many fronts share the runners.
@@ -190,10 +190,10 @@
 // once it has been listed for a while, so that the others have heard of it too.
 func (node *Node) boardState() scheduling.State {
 	rules := node.rules.Load()
-	fronts := []placement.Place{}
+	fronts := []placement.Candidate{}
 	for _, member := range node.follow.Members() {
 		if member.Role == feed.RoleFront && node.joined() {
-			fronts = append(fronts, placement.Place{Name: member.Name, Domain: member.Domain})
+			fronts = append(fronts, placement.Candidate{Name: member.Name, Domain: member.Domain})
 		}
 	}
 	return scheduling.State{View: rules.view, Config: rules.config, Fronts: fronts}
@@ -210,14 +210,14 @@
 func (node *Node) tellOfRunner(address string, cooled bool) {
 	log.WithFields(log.Fields{"node": node.name, "runner": address, "cooled": cooled}).Info("runner_noted")
 	for _, member := range node.peers() {
-		node.runs.start(func() { node.tell(member, wire.RunnerNote{Address: address, Cooled: cooled}) })
+		node.runs.start(func() { node.tell(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: cooled}) })
 	}
 }
 
-func (node *Node) tell(member feed.Member, note wire.RunnerNote) {
+func (node *Node) tell(member feed.Member, note wire.RunnerWarmUpNote) {
 	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
 	defer cancel()
-	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.rules.Load().view.Fleet, Which: schema.Query_Which_runner, Runner: &note}); err != nil {
+	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.rules.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
 		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note_not_taken")
 	}
 }
@@ -250,7 +250,7 @@
 				continue
 			}
 			for _, address := range node.board.Cooled() {
-				node.tell(member, wire.RunnerNote{Address: address, Cooled: true})
+				node.tell(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: true})
 			}
 		}
 		fronts := append(slices.Collect(maps.Keys(now)), node.name)
@@ -268,20 +268,20 @@
 	switch query.Which {
 	case schema.Query_Which_runner:
 		if fleet := node.rules.Load().view.Fleet; query.Fleet != fleet {
-			return wire.Failed(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds"))
+			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds"))
 		}
-		node.board.Note(query.Runner.Address, query.Runner.Cooled)
+		node.board.Note(query.RunnerWarmUp.Address, query.RunnerWarmUp.WarmingUp)
 		return &wire.Reply{}
 	case schema.Query_Which_status:
 		view := node.follow.View()
 		out, waiting := node.board.Demand()
 		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
-			Demand: out, Waiting: waiting,
+			RunnerLoads: out, Queued: waiting,
 			Name: node.name, Role: feed.RoleFront, Address: node.settings.Address, Domain: node.settings.Domain,
-			Fleet: view.Fleet, Number: view.Number, Controls: view.Controls,
+			Fleet: view.Fleet, ViewNumber: view.Number, Controls: view.Controls,
 		}}
 	}
-	return wire.Failed(apierror.New(apierror.Invalid, "a front node answers only who it is, and takes notes on runners", "ask a store or control node"))
+	return wire.ErrorReply(apierror.New(apierror.Invalid, "a front node answers only who it is, and takes notes on runners", "ask a store or control node"))
 }
 
 // Name is the node's name, made anew at each start.
--- a/system/front/plain.go
+++ b/system/front/plain.go
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
 	if _, err := node.closeRun(ctx, query, 2, ended.Outcome, ended.Text, ended.Name); err != nil {
-		return nil, apierror.Later(apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
+		return nil, apierror.NewRetryable(apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
 	}
 	return node.told(query, ended, false)
 }
--- a/system/front/query.go
+++ b/system/front/query.go
@@ -105,7 +105,7 @@
 
 func refuseDraining(node *Node, _ context.Context, _ *query) (any, error) {
 	if node.draining.Load() {
-		return nil, apierror.Later(apierror.NotRun, "this node is going away", "ask at another node", time.Second)
+		return nil, apierror.NewRetryable(apierror.NotRun, "this node is going away", "ask at another node", time.Second)
 	}
 	return nil, nil
 }
@@ -119,7 +119,7 @@
 }
 
 func authenticate(_ *Node, _ context.Context, query *query) (any, error) {
-	team, known := config.PartyOf(query.rules.config.Teams, query.token)
+	team, known := config.PrincipalByToken(query.rules.config.Teams, query.token)
 	if !known {
 		return nil, apierror.New(apierror.Unauthorized, "the token belongs to no team", "send a token of a team that the config names")
 	}
@@ -247,7 +247,7 @@
 	case !found:
 		return apierror.New(apierror.NotFound, "the conversation has no turn "+strconv.FormatUint(query.follows, 10), "read the history and name one of its turns")
 	case followed.Ended == nil:
-		return apierror.Later(apierror.Conflict, "the turn to follow has not ended", "tail it to its end first", time.Second)
+		return apierror.NewRetryable(apierror.Conflict, "the turn to follow has not ended", "tail it to its end first", time.Second)
 	case !followed.Complete():
 		return apierror.New(apierror.Conflict, "the turn to follow ended as "+followed.Ended.Outcome, "follow the last complete turn before it")
 	}
@@ -300,7 +300,7 @@
 // query key.
 func (query *query) notRun(message string) error {
 	query.proven = true
-	return apierror.Later(apierror.NotRun, message, "send it under a new query key", time.Second)
+	return apierror.NewRetryable(apierror.NotRun, message, "send it under a new query key", time.Second)
 }
 
 func (query *query) fencedOff() error {
@@ -339,7 +339,7 @@
 	query.answerLimit = query.terms.TurnLimit
 	query.reserved, query.reservedAt = line.ReservationName(query.line(), query.dispatch), time.Now()
 	outcomes, err := node.stores.Command(ctx, query.tallyName(), line.Command{
-		Kind: line.Reserve, Reservation: query.reserved, Words: conversation.CountWords(query.words) + query.answerLimit, Quota: query.terms.Allowance,
+		Kind: line.Reserve, Reservation: query.reserved, Words: conversation.CountWords(query.words) + query.answerLimit, Quota: query.terms.Quota,
 		Lifetime: reservationUse + time.Duration(query.work.Timeout) + deadlineMargin + reservationMargin,
 	})
 	query.undo = append(query.undo, func() { node.settle(query, 0) })
@@ -351,11 +351,11 @@
 		return nil, nil
 	case line.QuotaExceeded:
 		query.reserved = ""
-		return nil, apierror.New(apierror.Exhausted, "program "+query.program+" has "+strconv.FormatUint(outcomes[0].Spent, 10)+" words spent and "+strconv.FormatUint(outcomes[0].Reserved, 10)+" out, of "+strconv.FormatUint(query.terms.Allowance, 10),
+		return nil, apierror.New(apierror.QuotaExhausted, "program "+query.program+" has "+strconv.FormatUint(outcomes[0].Spent, 10)+" words spent and "+strconv.FormatUint(outcomes[0].Reserved, 10)+" out, of "+strconv.FormatUint(query.terms.Quota, 10),
 			"wait for the turns under way, or have an operator raise the allowance")
 	}
 	query.reserved = ""
-	return nil, apierror.Later(apierror.NotRun, "the reservation came too late", "ask again", time.Second)
+	return nil, apierror.NewRetryable(apierror.NotRun, "the reservation came too late", "ask again", time.Second)
 }
 
 // settle books what a turn used; it is tried until it lasts or timeout ends, and
@@ -449,10 +449,10 @@
 			return err
 		}
 		if chosen.reserved != "" && time.Since(chosen.reservedAt) > reservationUse {
-			return apierror.Later(apierror.NotRun, "the reservation of words was not used in time", "ask again", time.Second)
+			return apierror.NewRetryable(apierror.NotRun, "the reservation of words was not used in time", "ask again", time.Second)
 		}
 		if now.work != chosen.work || now.terms != chosen.terms || !now.runnerStands() {
-			return apierror.Later(apierror.NotRun, "what is in force changed before anything was sent", "ask again", time.Second)
+			return apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", time.Second)
 		}
 		return nil
 	}
--- a/system/front/record.go
+++ b/system/front/record.go
@@ -23,13 +23,13 @@
 	event.Deadline = int64(time.Duration(query.work.Timeout) + deadlineMargin)
 	commands := []line.Command{}
 	if !query.existed {
-		commands = append(commands, line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, Retention: time.Duration(query.terms.Keep)})
+		commands = append(commands, line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, Retention: time.Duration(query.terms.Retention)})
 	}
 	commands = append(commands, line.Command{Kind: line.AppendEvent, Producer: query.producer, ProducerSeq: 1, HasExpectedSeq: expects, ExpectedSeq: query.said.Head, Events: []line.Event{event}})
 	committing, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	outcomes, err := node.stores.Command(committing, query.line(), commands...)
-	if apierror.Is(err, apierror.Unclear) {
+	if apierror.Is(err, apierror.OutcomeUnknown) {
 		return node.fence(query, event, asNotRun(err), fenceTimeout)
 	}
 	if err != nil {
@@ -38,9 +38,9 @@
 	outcome := outcomes[len(outcomes)-1]
 	switch {
 	case outcome.Status == line.UnexpectedSeq:
-		return nil, apierror.Later(apierror.Conflict, "the conversation went on meanwhile", "read the history and follow its last complete turn", 0)
+		return nil, apierror.NewRetryable(apierror.Conflict, "the conversation went on meanwhile", "read the history and follow its last complete turn", 0)
 	case outcome.Status != line.Done && outcome.Status != line.StaleProducer:
-		return nil, apierror.Later(apierror.NotRun, "the line refused the record (status "+strconv.Itoa(int(outcome.Status))+")", "ask again", time.Second)
+		return nil, apierror.NewRetryable(apierror.NotRun, "the line refused the record (status "+strconv.Itoa(int(outcome.Status))+")", "ask again", time.Second)
 	case outcome.Deduped:
 		return node.recorded(committing, query, outcome.Seq, event.Dispatch)
 	}
@@ -58,7 +58,7 @@
 		event, err = node.readEvent(ctx, query.line(), event.Turn)
 	}
 	if err != nil {
-		return nil, apierror.Later(apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
+		return nil, apierror.NewRetryable(apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
 	}
 	if event.Kind != line.Fenced && event.Dispatch == dispatch {
 		query.begun = event
@@ -68,7 +68,7 @@
 }
 
 func (node *Node) readEvent(ctx context.Context, name string, seq uint64) (line.Event, error) {
-	reply, err := node.stores.Read(ctx, wire.ReadQuery{Line: name, After: seq - 1, Limit: 1})
+	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: name, After: seq - 1, Limit: 1})
 	if err != nil {
 		return line.Event{}, err
 	}
@@ -84,9 +84,9 @@
 func (node *Node) fence(query *query, event line.Event, cause error, timeout time.Duration) (*line.Event, error) {
 	ctx, cancel := context.WithTimeout(node.context, timeout)
 	defer cancel()
-	unknown := apierror.Later(apierror.Unknown, "whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")", "ask again with the same query key", time.Second)
+	unknown := apierror.NewRetryable(apierror.Unknown, "whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")", "ask again with the same query key", time.Second)
 	outcomes, err := node.stores.Command(ctx, query.line(),
-		line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, Retention: time.Duration(query.terms.Keep)},
+		line.Command{Kind: line.CreateSession, Team: query.team, Program: query.program, WorkKind: query.kind, Retention: time.Duration(query.terms.Retention)},
 		line.Command{Kind: line.AppendEvent, Producer: query.producer, ProducerSeq: 1, Events: []line.Event{{Kind: line.Fenced, Digest: query.digest()}}})
 	if err != nil {
 		return nil, unknown
@@ -124,7 +124,7 @@
 	if !query.recorded || query.proven || repeatable || !apierror.Is(err, apierror.NotRun) {
 		return err
 	}
-	unknown := apierror.Later(apierror.Unknown, "this node sent nothing, but cannot tell what became of an earlier query for the same work ("+apierror.Of(err).Message+")", "ask again with the same query key", max(apierror.Of(err).RetryAfter, time.Second))
+	unknown := apierror.NewRetryable(apierror.Unknown, "this node sent nothing, but cannot tell what became of an earlier query for the same work ("+apierror.Of(err).Message+")", "ask again with the same query key", max(apierror.Of(err).RetryAfter, time.Second))
 	if query.producer == "" {
 		return unknown
 	}
@@ -159,7 +159,7 @@
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
 	if _, err := node.closeRun(ctx, query, 2, line.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
-		return apierror.Later(apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
+		return apierror.NewRetryable(apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
 	}
 	return query.fenced(cause)
 }
@@ -188,7 +188,7 @@
 			return answer, checked
 		}
 		if try == mostBegins {
-			return nil, apierror.Later(apierror.NotRun, "the conversation goes on faster than this turn can join it", "ask again", time.Second)
+			return nil, apierror.NewRetryable(apierror.NotRun, "the conversation goes on faster than this turn can join it", "ask again", time.Second)
 		}
 	}
 }
@@ -247,10 +247,10 @@
 	after := begun.Seq
 	for wait := time.Duration(0); ; wait = tailWait {
 		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailWait)
-		reply, err := node.stores.Read(waiting, wire.ReadQuery{Line: query.line(), After: after, Wait: wait})
+		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: query.line(), After: after, Wait: wait})
 		cancel()
 		if err != nil {
-			return nil, apierror.Later(apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
+			return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
 		}
 		for _, event := range reply.Events {
 			after = event.Seq
@@ -262,11 +262,11 @@
 		switch {
 		case reply.Clock > begun.Deadline || gone == provenGone:
 			if err := node.closeOverdue(ctx, query.line(), begun, line.OutcomeUnknown); err != nil {
-				return nil, apierror.Later(apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
+				return nil, apierror.NewRetryable(apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
 			}
 		case gone == unheardOf:
 			// It may only be frozen, and still record what came of the work.
-			return nil, apierror.Later(apierror.Unknown, "the work began at a node that is not heard of; its outcome is not recorded yet", "ask again with the same query key", 2*time.Second)
+			return nil, apierror.NewRetryable(apierror.Unknown, "the work began at a node that is not heard of; its outcome is not recorded yet", "ask again with the same query key", 2*time.Second)
 		}
 	}
 }
--- a/system/front/run.go
+++ b/system/front/run.go
@@ -260,7 +260,7 @@
 	return &stream{conversation: conversationName, turn: turn, next: func(ctx context.Context) ([]line.Event, bool, error) {
 		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailWait)
 		defer cancel()
-		reply, err := node.stores.Read(waiting, wire.ReadQuery{Line: name, After: reached, Limit: storeorigin.EventsAtOnce, Wait: wait})
+		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: name, After: reached, Limit: storeorigin.EventsAtOnce, Wait: wait})
 		if err != nil {
 			return nil, true, err
 		}
--- a/system/front/service.go
+++ b/system/front/service.go
@@ -156,7 +156,7 @@
 func (node *Node) readAfter(ctx context.Context, query *query, after, limit uint64) (*wire.ReadReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	reply, err := node.stores.Read(ctx, wire.ReadQuery{Line: query.line(), After: after, Limit: limit})
+	reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: query.line(), After: after, Limit: limit})
 	if err != nil {
 		return nil, err
 	}
@@ -166,16 +166,16 @@
 	return reply, nil
 }
 
-// Tally tells what a program has spent.
+// QuotaUsage tells what a program has spent.
 func (service service) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
 	answer, err := service.pass(ctx, payload.Authorization, &query{program: payload.Program}, chain(admission, findProgram, func(node *Node, ctx context.Context, query *query) (any, error) {
 		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 		defer cancel()
-		reply, err := node.stores.Read(ctx, wire.ReadQuery{Line: query.tallyName(), Tally: true})
+		reply, err := node.stores.Read(ctx, wire.ReadQuery{Session: query.tallyName(), QuotaUsage: true})
 		if err != nil {
 			return nil, err
 		}
-		return &work.TallyResult{Program: query.program, Allowance: query.terms.Allowance, Spent: reply.Spent, Reserved: reply.Reserved}, nil
+		return &work.TallyResult{Program: query.program, Allowance: query.terms.Quota, Spent: reply.Spent, Reserved: reply.Reserved}, nil
 	}))
 	if err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 		return nil, asNotRun(err)
 	}
 	if outcomes[0].Status != line.Done {
-		return nil, apierror.Later(apierror.NotRun, "the parent's line refused the helper", "ask again", time.Second)
+		return nil, apierror.NewRetryable(apierror.NotRun, "the parent's line refused the helper", "ask again", time.Second)
 	}
 	answer, err := node.pass(ctx, &helper, turnChain)
 	query.proven = helper.proven
--- a/system/httpface/httpface.go
+++ b/system/httpface/httpface.go
@@ -24,9 +24,9 @@
 var statuses = map[apierror.Kind]int{
 	apierror.Invalid: http.StatusBadRequest, apierror.Unauthorized: http.StatusUnauthorized, apierror.Forbidden: http.StatusForbidden,
 	apierror.NotFound: http.StatusNotFound, apierror.Conflict: http.StatusConflict, apierror.TooLarge: http.StatusRequestEntityTooLarge,
-	apierror.Exhausted: http.StatusForbidden, apierror.NotRun: http.StatusServiceUnavailable, apierror.NoQuorum: http.StatusServiceUnavailable,
+	apierror.QuotaExhausted: http.StatusForbidden, apierror.NotRun: http.StatusServiceUnavailable, apierror.NoQuorum: http.StatusServiceUnavailable,
 	apierror.Gap: http.StatusServiceUnavailable, apierror.Unavailable: http.StatusServiceUnavailable, apierror.NotLeader: http.StatusServiceUnavailable,
-	apierror.Unknown: http.StatusBadGateway, apierror.RunnerFailure: http.StatusBadGateway, apierror.Unclear: http.StatusGatewayTimeout,
+	apierror.Unknown: http.StatusBadGateway, apierror.RunnerFailure: http.StatusBadGateway, apierror.OutcomeUnknown: http.StatusGatewayTimeout,
 }
 
 // Error is the body of every answer that is no success.
@@ -139,7 +139,7 @@
 //	state, err := health.Ready(ctx)
 func (health Health) Ready(context.Context) (string, error) {
 	if !health.IsReady() {
-		return "", apierror.Later(apierror.Unavailable, "this process cannot take work now", "wait; its log tells what is missing", time.Second)
+		return "", apierror.NewRetryable(apierror.Unavailable, "this process cannot take work now", "wait; its log tells what is missing", time.Second)
 	}
 	return "ready", nil
 }
--- a/system/link/server.go
+++ b/system/link/server.go
@@ -17,31 +17,31 @@
 type Server struct {
 	listener net.Listener
 	handler  Handler
-	// free takes tasks for goroutines that have done theirs and wait for another.
-	free    chan task
-	waiting atomic.Int32
-	closing chan struct{}
+	// idleWorkers takes tasks for goroutines that have done theirs and wait for another.
+	idleWorkers chan task
+	idleCount   atomic.Int32
+	closing     chan struct{}
 
-	mutex  sync.Mutex
-	open   map[net.Conn]bool
-	closed bool
-	done   sync.WaitGroup
+	mutex       sync.Mutex
+	connections map[net.Conn]bool
+	closed      bool
+	goroutines  sync.WaitGroup
 }
 
-// keptFree is how many goroutines wait for another query.
-const keptFree = 16
+// maxIdleWorkers is how many goroutines wait for another query.
+const maxIdleWorkers = 16
 
 // Serve starts answering.
 //
 //	server := link.Serve(listener, node.Answer)
 //	defer server.Close()
 func Serve(listener net.Listener, handler Handler) *Server {
-	server := &Server{listener: listener, handler: handler, open: map[net.Conn]bool{}, free: make(chan task), closing: make(chan struct{})}
-	server.done.Go(server.accept)
+	server := &Server{listener: listener, handler: handler, connections: map[net.Conn]bool{}, idleWorkers: make(chan task), closing: make(chan struct{})}
+	server.goroutines.Go(server.acceptLoop)
 	return server
 }
 
-func (server *Server) accept() {
+func (server *Server) acceptLoop() {
 	for {
 		stream, err := server.listener.Accept()
 		if err != nil {
@@ -53,47 +53,47 @@
 			stream.Close()
 			return
 		}
-		server.open[stream] = true
-		server.done.Go(func() { server.serve(stream) })
+		server.connections[stream] = true
+		server.goroutines.Go(func() { server.serveConnection(stream) })
 		server.mutex.Unlock()
 	}
 }
 
 // task is one query to be answered.
 type task struct {
-	conn    *accepted
+	conn    *serverConnection
 	context context.Context
 	frame   frame
 }
 
-// start has a task done by a goroutine that waits for one, or by a new one.
-func (server *Server) start(made task) {
+// dispatch has a task done by a goroutine that waits for one, or by a new one.
+func (server *Server) dispatch(next task) {
 	select {
-	case server.free <- made:
+	case server.idleWorkers <- next:
 	default:
-		go server.work(made)
+		go server.runWorker(next)
 	}
 }
 
-func (server *Server) work(made task) {
+func (server *Server) runWorker(next task) {
 	for {
-		made.conn.answer(made.context, made.frame)
-		if server.waiting.Add(1) > keptFree {
-			server.waiting.Add(-1)
+		next.conn.handleQuery(next.context, next.frame)
+		if server.idleCount.Add(1) > maxIdleWorkers {
+			server.idleCount.Add(-1)
 			return
 		}
 		select {
-		case made = <-server.free:
-			server.waiting.Add(-1)
+		case next = <-server.idleWorkers:
+			server.idleCount.Add(-1)
 		case <-server.closing:
 			return
 		}
 	}
 }
 
-func (server *Server) answer(ctx context.Context, query *wire.Query) *wire.Reply {
+func (server *Server) handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	if query.Version > wire.Version {
-		return wire.Failed(apierror.New(apierror.FormatTooNew, "the query is of a newer form", "update this process to the version of its peers"))
+		return wire.ErrorReply(apierror.New(apierror.FormatTooNew, "the query is of a newer form", "update this process to the version of its peers"))
 	}
 	reply := server.handler(ctx, query)
 	if query.Status != nil && query.Status.Traffic && reply.Status != nil {
@@ -112,9 +112,9 @@
 		close(server.closing)
 	}
 	server.closed = true
-	for stream := range server.open {
+	for stream := range server.connections {
 		stream.Close()
 	}
 	server.mutex.Unlock()
-	server.done.Wait()
+	server.goroutines.Wait()
 }
--- a/system/link/traffic.go
+++ b/system/link/traffic.go
@@ -7,39 +7,39 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// kinds bounds the kinds of query that are counted; what is beyond is left out.
-const kinds = 64
+// maxKinds bounds the kinds of query that are counted; what is beyond is left out.
+const maxKinds = 64
 
 // kindCounters counts the calls and bytes of one kind of query.
-type kindCounters struct{ asked, answered, bytesOut, bytesIn atomic.Uint64 }
+type kindCounters struct{ queriesSent, queriesReceived, bytesOut, bytesIn atomic.Uint64 }
 
-// counted is of the whole process: a process is one node, which may hold several
+// counters is of the whole process: a process is one node, which may hold several
 // callers and servers.
-var counted [kinds]kindCounters
+var counters [maxKinds]kindCounters
 
-func countAsked(kind schema.Query_Which, size int) {
-	if kind < kinds {
-		counted[kind].asked.Add(1)
-		counted[kind].bytesOut.Add(uint64(size))
+func countQuerySent(kind schema.Query_Which, size int) {
+	if kind < maxKinds {
+		counters[kind].queriesSent.Add(1)
+		counters[kind].bytesOut.Add(uint64(size))
 	}
 }
 
-func countReply(kind schema.Query_Which, size int) {
-	if kind < kinds {
-		counted[kind].bytesIn.Add(uint64(size))
+func countReplyReceived(kind schema.Query_Which, size int) {
+	if kind < maxKinds {
+		counters[kind].bytesIn.Add(uint64(size))
 	}
 }
 
-func countAnswered(kind schema.Query_Which, size int) {
-	if kind < kinds {
-		counted[kind].answered.Add(1)
-		counted[kind].bytesIn.Add(uint64(size))
+func countQueryReceived(kind schema.Query_Which, size int) {
+	if kind < maxKinds {
+		counters[kind].queriesReceived.Add(1)
+		counters[kind].bytesIn.Add(uint64(size))
 	}
 }
 
-func countSent(kind schema.Query_Which, size int) {
-	if kind < kinds {
-		counted[kind].bytesOut.Add(uint64(size))
+func countReplySent(kind schema.Query_Which, size int) {
+	if kind < maxKinds {
+		counters[kind].bytesOut.Add(uint64(size))
 	}
 }
 
@@ -47,16 +47,16 @@
 // kind of query that occurred, in bytes of Cap'n Proto messages (the frames' headers
 // and TCP's are not in them). Counters only grow.
 //
-//	for _, kind := range link.Traffic() { fmt.Println(kind.Kind, kind.Asked, kind.BytesOut) }
-func Traffic() []wire.KindTraffic {
-	traffic := []wire.KindTraffic{}
-	for which := range counted {
-		counters := &counted[which]
-		kind := wire.KindTraffic{
-			Kind: schema.Query_Which(which).String(), Asked: counters.asked.Load(), Answered: counters.answered.Load(),
-			BytesOut: counters.bytesOut.Load(), BytesIn: counters.bytesIn.Load(),
+//	for _, kind := range link.Traffic() { fmt.Println(kind.Kind, kind.QueriesSent, kind.BytesOut) }
+func Traffic() []wire.TrafficByKind {
+	traffic := []wire.TrafficByKind{}
+	for which := range counters {
+		counts := &counters[which]
+		kind := wire.TrafficByKind{
+			Kind: schema.Query_Which(which).String(), QueriesSent: counts.queriesSent.Load(), QueriesReceived: counts.queriesReceived.Load(),
+			BytesOut: counts.bytesOut.Load(), BytesIn: counts.bytesIn.Load(),
 		}
-		if kind.Asked+kind.Answered > 0 {
+		if kind.QueriesSent+kind.QueriesReceived > 0 {
 			traffic = append(traffic, kind)
 		}
 	}
