--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -17,19 +17,24 @@
 )
 
 const (
+	// administrationTimeout bounds a request, and decommissionTimeout one that may wait until
+	// a store is decommissioned.
 	administrationTimeout = 5 * time.Second
 	decommissionTimeout   = 2 * time.Minute
-	maxConfigBytes        = 8 << 20
+	// maxConfigBytes bounds the body of a request.
+	maxConfigBytes = 8 << 20
 )
 
-// adminService is the operators' HTTP interface of a control node.
+// adminService is the admin API of a control node, as the generated goa server calls it.
 type adminService struct {
 	node *Node
+	// root is the hash of the token that is accepted while no config names operators.
 	root string
 }
 
-// ServeAdmin answers operators. RootHash is the hash of a token that may administer
-// while no config names operators.
+// ServeAdmin serves the admin API of a control node until the server is closed. RootHash is
+// the hash of a token that may administer while no config names operators. It fails with
+// BadSettings if the address cannot be listened on.
 //
 //	server, err := controlplane.ServeAdmin(node, rootHash)
 func ServeAdmin(node *Node, rootHash string) (*httpapi.Server, error) {
@@ -40,6 +45,7 @@
 	return httpapi.Serve(listener, adminService{node: node, root: rootHash}.handler(), func() int64 { return maxConfigBytes }), nil
 }
 
+// handler routes the admin API's requests and the health checks.
 func (service adminService) handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
@@ -48,22 +54,23 @@
 	return mux
 }
 
-// authenticatedOperator is an operator who was admitted, with the state that a quorum confirmed as in
-// force after the query came.
+// authenticatedOperator is the operator who sent a request, with the state that a quorum
+// confirmed as in force after the request came.
 type authenticatedOperator struct {
 	name  string
 	state *feedState
 }
 
-// beginRequest bounds a query's time and finds the operator who asks.
+// beginRequest bounds the time of a request and authenticates the operator who sent it. The
+// caller must call cancel, also on an error.
 func (service adminService) beginRequest(ctx context.Context, header *string, timeout time.Duration) (context.Context, context.CancelFunc, authenticatedOperator, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	from, err := service.authenticate(ctx, header)
 	return ctx, cancel, from, err
 }
 
-// authenticate finds who asks, by what a quorum confirms: an operator may have been added or
-// removed while this node was cut off.
+// authenticate finds the operator by a state that a quorum confirms: an operator may have been
+// added or removed while this node was cut off.
 func (service adminService) authenticate(ctx context.Context, header *string) (authenticatedOperator, error) {
 	token, err := httpapi.BearerToken(header)
 	if err != nil {
@@ -79,6 +86,7 @@
 	return authenticatedOperator{name: by, state: state.feedState}, err
 }
 
+// operatorName returns the name of the operator to whom a token belongs.
 func (service adminService) operatorName(view *feed.View, token string) (string, error) {
 	decoded, err := service.node.decodeConfig(view)
 	if err != nil {
@@ -93,7 +101,7 @@
 	return "", apierror.New(apierror.Unauthorized, "the token belongs to no operator", "send a token of an operator that the config names, or the root token while it names none")
 }
 
-// changeResult tells what became of an order.
+// changeResult converts the outcome of an admin request.
 func changeResult(reply *wire.ChangeReply, err error) (*administration.Changed, error) {
 	if err != nil {
 		return nil, leaderlessAsNoQuorum(err)
--- a/system/controlplane/admin_config.go
+++ b/system/controlplane/admin_config.go
@@ -15,7 +15,7 @@
 	"yardrock.example/system/feed"
 )
 
-// PutConfig puts a whole config.
+// PutConfig replaces the config.
 func (service adminService) PutConfig(ctx context.Context, payload *administration.PutConfigPayload) (*administration.Changed, error) {
 	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
@@ -34,7 +34,7 @@
 	}))
 }
 
-// Set changes one value of the config and writes it anew.
+// Set changes one value of the config and formats the source anew.
 func (service adminService) Set(ctx context.Context, payload *administration.SetPayload) (*administration.Changed, error) {
 	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	}))
 }
 
-// ReadConfig reads the newest config back.
+// ReadConfig returns the source of the config in force.
 func (service adminService) ReadConfig(ctx context.Context, payload *administration.ReadConfigPayload) (*administration.ReadConfigResult, error) {
 	_, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
@@ -64,7 +64,7 @@
 	return &administration.ReadConfigResult{Number: view.ConfigNumber, Source: view.Source}, nil
 }
 
-// planConfig puts a config in force that an operator wrote.
+// planConfig plans the change that puts an operator's config in force.
 func (node *Node) planConfig(view *feed.View, source string, decoded *config.Config) (*feed.Change, error) {
 	compiled, err := node.compileWithRouting(view, decoded)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return &feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Source: source, Compiled: compiled}, nil
 }
 
-// planValue changes one value of the config in force.
+// planValue plans the change of one value of the config in force.
 func (node *Node) planValue(view *feed.View, path string, value any) (*feed.Change, error) {
 	source, err := sourceWithValue(view.Compiled, path, value)
 	if err != nil {
@@ -86,7 +86,8 @@
 	return node.planConfig(view, source, decoded)
 }
 
-// sourceWithValue gives the config's source with one value replaced.
+// sourceWithValue returns the source of a config with the value at a dotted path replaced.
+// Everything but the last step of the path must exist.
 func sourceWithValue(compiled []byte, path string, value any) (string, error) {
 	settings := map[string]any{}
 	if len(compiled) > 0 {
@@ -116,14 +117,14 @@
 	return string(source), err
 }
 
-// decodedConfig is the config of one number, decoded once.
+// decodedConfig caches the config of one number.
 type decodedConfig struct {
 	fleet  string
 	number uint64
 	config *config.Config
 }
 
-// decodeConfig decodes a view's config, or takes the one that was decoded last.
+// decodeConfig decodes the config of a view, or takes it from the cache.
 func (node *Node) decodeConfig(view *feed.View) (*config.Config, error) {
 	if last := node.decodedConfig.Load(); last != nil && last.fleet == view.Fleet && last.number == view.ConfigNumber {
 		return last.config, nil
@@ -136,12 +137,12 @@
 	return decoded, nil
 }
 
-// compileWithRouting compiles a config that an operator wrote with the routing in force.
+// compileWithRouting compiles an operator's config together with the routing in force.
 func (node *Node) compileWithRouting(view *feed.View, decoded *config.Config) ([]byte, error) {
 	inForce, err := node.decodeConfig(view)
 	if err != nil {
 		return nil, err
 	}
-	next := *decoded // the same order may be decided again on another view
+	next := *decoded // a copy, as the request may be decided again on another view
 	return next.InheritRouting(inForce)
 }
--- a/system/controlplane/admin_domains.go
+++ b/system/controlplane/admin_domains.go
@@ -10,7 +10,7 @@
 	"yardrock.example/system/feed"
 )
 
-// SetDomain empties or refills a domain.
+// SetDomain drains or refills a domain.
 func (service adminService) SetDomain(ctx context.Context, payload *administration.SetDomainPayload) (*administration.Changed, error) {
 	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
@@ -25,8 +25,8 @@
 	}))
 }
 
-// planDomain makes the change that empties or refills a domain, none if that is its state
-// already. The last domain that serves is emptied only by force.
+// planDomain plans the change that drains or refills a domain; nil if that is its state
+// already. The last domain that serves is drained only by force.
 func planDomain(view *feed.View, name, state string, force bool) (*feed.Change, error) {
 	if view.DomainDrained(name) == (state == feed.StateDrained) {
 		return nil, nil
@@ -38,6 +38,7 @@
 	return &change, nil
 }
 
+// isLastServing reports whether all runners outside a domain are in drained domains.
 func isLastServing(view *feed.View, name string) bool {
 	for _, runner := range view.Runners {
 		if runner.Domain != name && !view.DomainDrained(runner.Domain) {
@@ -47,12 +48,14 @@
 	return true
 }
 
+// newDomainChange makes the change of a domain's state.
 func newDomainChange(view *feed.View, name, state string) feed.Change {
 	return feed.Change{Kind: feed.ChangeDomain, Expects: true, Expected: view.Number, Domain: feed.Domain{Name: name, State: state, Since: time.Now().UnixNano()}}
 }
 
-// SetDomainState empties or refills a domain and returns once that is acknowledged; if it
-// is in that state already, once it is known that this was.
+// SetDomainState drains or refills a domain and returns once that is acknowledged; if it is
+// in that state already, once that is. The error is Invalid if the state is neither
+// feed.StateServing nor feed.StateDrained.
 //
 //	err := node.SetDomainState(ctx, "root", "east", feed.StateDrained)
 func (node *Node) SetDomainState(ctx context.Context, by, name, state string) error {
--- a/system/controlplane/admin_fleet.go
+++ b/system/controlplane/admin_fleet.go
@@ -7,7 +7,7 @@
 	"yardrock.example/system/api/gen/administration"
 )
 
-// EnrolStore puts a live store into the store list.
+// EnrolStore adds a live store to the store list.
 func (service adminService) EnrolStore(ctx context.Context, payload *administration.EnrolStorePayload) (*administration.Changed, error) {
 	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
@@ -17,7 +17,7 @@
 	return changeResult(service.node.EnrolStore(ctx, from.name, payload.Name))
 }
 
-// DecommissionStore empties a store and answers once its machine may be switched off.
+// RetireStore decommissions a store and answers once its machine may be switched off.
 func (service adminService) RetireStore(ctx context.Context, payload *administration.RetireStorePayload) (*administration.Changed, error) {
 	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, decommissionTimeout)
 	defer cancel()
@@ -27,7 +27,7 @@
 	return changeResult(service.node.DecommissionStore(ctx, from.name, payload.Name))
 }
 
-// Fleet tells who is there and what is in force.
+// Fleet returns the live members and what is in force.
 func (service adminService) Fleet(ctx context.Context, payload *administration.FleetPayload) (any, error) {
 	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -15,7 +15,7 @@
 	"yardrock.example/system/querylanguage"
 )
 
-// Statement runs one line of the query language.
+// Query runs one statement of the query language.
 func (service adminService) Query(ctx context.Context, payload *administration.QueryPayload) (*administration.QueryResult, error) {
 	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, decommissionTimeout)
 	defer cancel()
@@ -39,7 +39,8 @@
 	return &administration.QueryResult{Columns: columns, Rows: rows}, err
 }
 
-// execute carries out a statement that changes something.
+// execute carries out a statement that changes something, or, for a dry run, describes what
+// it would do.
 func (service adminService) execute(ctx context.Context, from authenticatedOperator, statement *querylanguage.Statement) (*administration.QueryResult, error) {
 	plan := service.planFor(from.state, statement)
 	expected := statement.Expect
@@ -74,11 +75,12 @@
 	return result, nil
 }
 
-// planFunc finds the change of a statement on a view, none if all is as it asks, and tells
-// what it would do.
+// planFunc plans the change of a statement on a view, nil if everything is as requested
+// already, and describes what it would do.
 type planFunc func(view *feed.View) (change *feed.Change, would string, err error)
 
-// planFor finds the plan of a statement that changes something.
+// planFor returns the plan of a statement that changes something. State is the confirmed
+// state that authenticated its operator.
 func (service adminService) planFor(state *feedState, statement *querylanguage.Statement) planFunc {
 	switch {
 	case statement.Set != nil:
@@ -112,7 +114,7 @@
 	}
 }
 
-// planSet makes the config change of a set command; the name must be there.
+// planSet plans the change of a set statement; the names in it must exist in the config.
 func (service adminService) planSet(view *feed.View, set *querylanguage.Set) (*feed.Change, string, error) {
 	path, err := set.Path()
 	if err != nil {
@@ -146,8 +148,8 @@
 	return change, path + " would be " + set.Value, err
 }
 
-// planRestore finds an earlier config that a confirmed state keeps. The routing in force stays:
-// its revisions never fall.
+// planRestore plans the change that puts an earlier config in force again, if the history of
+// a confirmed state has it. The routing in force stays: its revisions never fall.
 func (service adminService) planRestore(view *feed.View, state *feedState, number uint64) (*feed.Change, error) {
 	if state.lacksHistory {
 		return nil, farBehindError()
--- a/system/controlplane/admin_request.go
+++ b/system/controlplane/admin_request.go
@@ -10,29 +10,33 @@
 	"yardrock.example/system/feed"
 )
 
-// adminRequest is an operator's order of the administration API. The digest of one that
-// names the number it builds on is the same when it is sent again; any other is known
-// again only while the node that it came to still tries to carry it out.
+// adminRequest is a request of the admin API that changes something. One that names the
+// number it builds on has the same digest when it is sent again, so that it is recognised.
+// Any other is recognised only while the node that received it still carries it out.
 type adminRequest struct {
-	operator  string
-	statement string // as the feed tells it; may be empty
-	digest    uint64
-	expected  *uint64
+	operator string
+	// statement is the statement of the query language, if it was one.
+	statement string
+	// digest identifies the request in the request history.
+	digest uint64
+	// expected is the number that the request builds on; nil if it names none.
+	expected *uint64
 }
 
-// newAdminRequest makes the order that an operator asks for by parts.
-func newAdminRequest(by string, expected *uint64, parts ...string) adminRequest {
+// newAdminRequest makes a request of an operator from what was sent. Expected is nil if it
+// names no number to build on.
+func newAdminRequest(operator string, expected *uint64, parts ...string) adminRequest {
 	base := "any " + uuid.NewString()
 	if expected != nil {
 		base = strconv.FormatUint(*expected, 10)
 	}
-	return adminRequest{operator: by, expected: expected, digest: feed.RequestDigest(append([]string{by, base}, parts...)...)}
+	return adminRequest{operator: operator, expected: expected, digest: feed.RequestDigest(append([]string{operator, base}, parts...)...)}
 }
 
-// decide finds what is left to do for an order on a view. The order may build on any of
-// the numbers in force; plan makes its change, none if all is as it asks already.
+// decide finds what is left to do for a request on a view. The request may build on any of
+// the numbers in force. Plan makes its change, nil if everything is as requested already.
 func (request adminRequest) decide(view *feed.View, inForce []uint64, plan func() (*feed.Change, error)) (decision, error) {
-	if number, taken := view.AdminRequests.NumberOf(request.digest); taken {
+	if number, accepted := view.AdminRequests.NumberOf(request.digest); accepted {
 		return decision{acceptedAs: number}, nil
 	}
 	if err := request.checkExpected(view, inForce); err != nil {
@@ -45,7 +49,7 @@
 	if change == nil && request.expected == nil {
 		return decision{acceptedAs: view.Number}, nil
 	}
-	if change == nil { // so that it is remembered under its number
+	if change == nil { // a change that changes nothing, so that the request has a number
 		change = &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: view.Stores}
 	}
 	change.By, change.Statement = request.operator, request.statement
@@ -55,7 +59,7 @@
 	return decision{change: change}, nil
 }
 
-// checkExpected refuses an order that builds on a number which is not in force.
+// checkExpected rejects a request that builds on a number which is not in force.
 func (request adminRequest) checkExpected(view *feed.View, inForce []uint64) error {
 	if request.expected == nil {
 		return nil
--- a/system/controlplane/admin_shared_prefixes.go
+++ b/system/controlplane/admin_shared_prefixes.go
@@ -13,9 +13,9 @@
 
 var sharedPrefixColumns = []string{"group", "leader", "scope", "opening", "bytes", "lines", "saved", "state"}
 
-// showSharedPrefixes tells which beginnings of conversations are held once for many lines, by
-// the word of the groups' leaders, and how many bytes all replicas together need not hold
-// for it. The first row sums up. No content is told.
+// showSharedPrefixes lists the prefixes that many session logs share, as the groups' leaders
+// report them, and how many bytes all replicas together save by that. The first row sums up.
+// No content is shown.
 func showSharedPrefixes(service adminService, ctx context.Context, view *feed.View, decoded *config.Config) ([]string, [][]string) {
 	leaders := service.node.queryGroupLeaders(ctx, view, wire.StatusQuery{SharedPrefixes: true})
 	number := func(value uint64) string { return strconv.FormatUint(value, 10) }
--- a/system/controlplane/admin_tables.go
+++ b/system/controlplane/admin_tables.go
@@ -17,9 +17,10 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// tableFunc gives a table's columns and rows.
+// tableFunc returns the columns and rows of a table of the query language.
 type tableFunc func(service adminService, ctx context.Context, view *feed.View, made *config.Config) ([]string, [][]string)
 
+// tables are the tables of the query language, by their names in it.
 var tables = map[string]tableFunc{
 	"nodes": func(service adminService, _ context.Context, _ *feed.View, _ *config.Config) ([]string, [][]string) {
 		return memberColumns, memberRows(service.node.LiveMembers())
@@ -165,6 +166,7 @@
 	},
 }
 
+// readTable returns a table of the query language as of a confirmed state.
 func (service adminService) readTable(ctx context.Context, state *feedState, table string) ([]string, [][]string, error) {
 	if table == changesTable {
 		return showChanges(state)
@@ -177,12 +179,12 @@
 	return columns, rows, nil
 }
 
-// farBehindError answers what can't be told from a state without its changes.
+// farBehindError says that a state lacks the history which a request needs.
 func farBehindError() error {
 	return apierror.NewRetryable(apierror.NoQuorum, "this control node does not hold the last changes yet", "ask again, or another control node", time.Second)
 }
 
-// showChanges lists the last changes of a confirmed state.
+// showChanges returns the last changes of a confirmed state.
 func showChanges(state *feedState) ([]string, [][]string, error) {
 	if state.lacksHistory {
 		return nil, nil, farBehindError()
@@ -194,11 +196,13 @@
 	return []string{"number", "kind", "by", "at", "command"}, rows, nil
 }
 
+// changeKindNames are the kinds of change as operators see them.
 var changeKindNames = map[feed.ChangeKind]string{
 	feed.ChangeFounded: "founded", feed.ChangeConfig: "config", feed.ChangeDomain: "domain", feed.ChangeRunners: "roster",
 	feed.ChangeStores: "stores", feed.ChangeControls: "controls", feed.ChangeRoleLease: "assignment", feed.ChangeRecovered: "recovered",
 }
 
+// memberRows returns the rows of a table of members.
 func memberRows(members []feed.Member) [][]string {
 	rows := [][]string{}
 	for _, member := range members {
@@ -211,10 +215,12 @@
 	return rows
 }
 
+// formatTime formats nanoseconds since 1970 for people.
 func formatTime(nanoseconds int64) string {
 	return time.Unix(0, nanoseconds).UTC().Format(time.RFC3339)
 }
 
 var memberColumns = []string{"name", "role", "domain", "address", "state"}
 
+// changesTable is the table that needs the history of the state beside its view.
 const changesTable = "changes"
--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -10,11 +10,15 @@
 	"yardrock.example/system/raft"
 )
 
-// reconcileVoters takes live control nodes in: first as learners, then, once they
-// hold the log, as voters; one step at a time. A voter that is lost goes as long as
-// enough are left, or when a learner is ready to take its place; if it comes back it is
-// taken in again. It goes before the learner votes, so that it is never counted beside it.
-// It tells whether a change is under way.
+// minVoters is the number of voters below which a lost one is removed only for a replacement.
+const minVoters = 3
+
+// reconcileVoters makes one step towards a control group of live nodes, one member at a time
+// (Raft thesis, section 4.1), and reports whether a change is pending. A live control node
+// first becomes a learner, and a voter once it has the log. A lost voter is removed when a
+// learner is ready to replace it, or if enough voters are left; if it returns it is enrolled
+// again. It is removed before the learner votes, so that the quorum never counts both
+// (docs/consistency/membership.md).
 func (node *Node) reconcileVoters(ctx context.Context) bool {
 	status, _ := node.host.Status(controlGroup)
 	if !status.Leading || status.MembershipChangePending {
@@ -22,38 +26,39 @@
 	}
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	live := node.LiveMembers()
-	change := func(event, name string, next raft.Membership) bool {
-		log.WithFields(log.Fields{"node": node.Name(), "control": name}).Info(event)
+	change := func(message, name string, next raft.Membership) bool {
+		log.WithFields(log.Fields{"node": node.Name(), "control": name}).Info(message)
 		return node.host.ChangeMembership(controlGroup, next)
 	}
 	if lost := node.removableVoter(voters, learners, status); lost != "" {
-		return change("control_removed", lost, raft.Membership{Voters: raft.Without(voters, lost), Learners: learners})
+		return change("removing a lost voter from the control group", lost, raft.Membership{Voters: raft.Without(voters, lost), Learners: learners})
 	}
 	suspected := slices.ContainsFunc(voters, func(name string) bool { return node.isSilent(name, suspectTimeout) })
 	for _, learner := range learners {
 		if !suspected && node.isCaughtUp(status, learner) {
-			return change("control_votes", learner, raft.Membership{Voters: append(slices.Clone(voters), learner), Learners: raft.Without(learners, learner)})
+			return change("making a learner of the control group a voter", learner, raft.Membership{Voters: append(slices.Clone(voters), learner), Learners: raft.Without(learners, learner)})
 		}
 	}
 	for _, learner := range learners {
 		if node.isSilent(learner, replaceableTimeout) {
-			return change("control_removed", learner, raft.Membership{Voters: voters, Learners: raft.Without(learners, learner)})
+			return change("removing a lost learner from the control group", learner, raft.Membership{Voters: voters, Learners: raft.Without(learners, learner)})
 		}
 	}
 	members := slices.Concat(voters, learners)
 	silent := slices.DeleteFunc(slices.Clone(voters), func(name string) bool { return !node.isSilent(name, replaceableTimeout) })
 	for _, member := range live {
 		if member.Role == feed.RoleControl && !slices.Contains(members, member.Name) && !node.isSilent(member.Name, suspectTimeout) && len(members)-len(silent) < node.settings.MaxControls {
-			return change("control_enrolled", member.Name, raft.Membership{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
+			return change("adding a learner to the control group", member.Name, raft.Membership{Voters: voters, Learners: append(slices.Clone(learners), member.Name)})
 		}
 	}
 	node.publishControls(ctx, voters, live)
 	return len(learners) > 0
 }
 
-// removableVoter finds a voter to let go: one whose place a caught-up learner is ready to take,
-// one that makes the voters an even number, which bears no more losses than one less, or
-// one that is lost while enough are left.
+// removableVoter returns a lost voter that may be removed, empty if there is none: one whose
+// place a caught-up learner is ready to take; one that makes the number of voters even, which
+// tolerates no more losses than one less; or one that has long been lost, while more than
+// minVoters are listed.
 func (node *Node) removableVoter(voters, learners []string, status raft.Status) string {
 	ready := slices.ContainsFunc(learners, func(name string) bool { return node.isCaughtUp(status, name) })
 	for _, name := range voters {
@@ -64,20 +69,21 @@
 	return ""
 }
 
-// isCaughtUp tells that a learner is heard, and holds the log but for what is on its way.
+// isCaughtUp reports whether a learner is live and has the log but for the entries on their
+// way.
 func (node *Node) isCaughtUp(status raft.Status, learner string) bool {
 	matched := status.MatchIndex[learner]
 	holdsLog := matched > 0 && matched+raft.MaxLearnerLag >= status.CommitIndex
 	return holdsLog && !node.isSilent(learner, replaceableTimeout)
 }
 
-// Voters gives the members of the control group that vote, as this node knows them, for
-// measuring.
+// Voters returns the names of the control group's voters as this node knows them, for
+// measurements.
 //
 //	names := node.Voters()
 func (node *Node) Voters() []string { return node.host.Statuses()[controlGroup].Membership.Voters }
 
-// publishControls carries the voters of the control group into the feed.
+// publishControls makes the feed list the voters of the control group.
 func (node *Node) publishControls(ctx context.Context, voters []string, live []feed.Member) {
 	view := node.View()
 	listed := []feed.Member{}
--- a/system/controlplane/feed_changes.go
+++ b/system/controlplane/feed_changes.go
@@ -11,10 +11,13 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Change commits one change and waits until it is acknowledged: synced by a
-// control majority and, if it was ordered, by a majority of the store list.
+// Change proposes one change and waits until it is acknowledged: committed by a majority of
+// the control group and, unless it is an observation, synced by a majority of the stores
+// listed before it and of those listed now. Acknowledged is false if the context ended while
+// it waited for the stores. The error is Conflict if the change was rejected,
+// OutcomeUnknown if it may or may not have been committed.
 //
-//	reply, err := node.Change(ctx, feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.Emptied}})
+//	reply, err := node.Change(ctx, feed.Change{Kind: feed.ChangeDomain, Domain: feed.Domain{Name: "east", State: feed.StateDrained}})
 func (node *Node) Change(ctx context.Context, change feed.Change) (*wire.ChangeReply, error) {
 	reply, err := node.handleChange(ctx, &wire.Query{Which: schema.Query_Which_change, Change: &wire.ChangeQuery{Change: change}})
 	if err != nil {
@@ -23,6 +26,7 @@
 	return reply.Change, nil
 }
 
+// handleChange carries out a change query, at the leader.
 func (node *Node) handleChange(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	if query.Change.AwaitView == 0 {
 		compact := *query
@@ -48,21 +52,24 @@
 	if err != nil {
 		return nil, err
 	}
+	// This cannot panic: without an error there is one outcome for each entry proposed, and
+	// it is what Apply returned.
 	outcome := outcomes[0].(changeOutcome)
 	if outcome.err != nil {
 		return nil, outcome.err
 	}
-	answer := &wire.ChangeReply{Number: outcome.number}
+	reply := &wire.ChangeReply{Number: outcome.number}
 	if change.Kind.IsObservation() {
-		answer.Acknowledged = true
-		return &wire.Reply{Which: schema.Reply_Which_change, Change: answer}, nil
+		reply.Acknowledged = true
+		return &wire.Reply{Which: schema.Reply_Which_change, Change: reply}, nil
 	}
-	answer.Acknowledged = node.awaitStores(ctx, outcome.number, feed.ViewReplicas(outcome.storesBefore)) && node.awaitStores(ctx, outcome.number, feed.ViewReplicas(node.View().Stores))
-	return &wire.Reply{Which: schema.Reply_Which_change, Change: answer}, nil
+	reply.Acknowledged = node.awaitStores(ctx, outcome.number, feed.ViewReplicas(outcome.storesBefore)) && node.awaitStores(ctx, outcome.number, feed.ViewReplicas(node.View().Stores))
+	return &wire.Reply{Which: schema.Reply_Which_change, Change: reply}, nil
 }
 
-// AwaitAcknowledged waits until a change that was taken is acknowledged: a control majority and a
-// store majority hold the view of its number, or a newer one.
+// AwaitAcknowledged waits until a committed change is acknowledged: a majority of the stores
+// has synced the view of its number, or a newer one. The error is Conflict if no change has
+// that number.
 //
 //	reply, err := node.AwaitAcknowledged(ctx, view.ConfigNumber)
 func (node *Node) AwaitAcknowledged(ctx context.Context, number uint64) (*wire.ChangeReply, error) {
@@ -73,6 +80,7 @@
 	return reply.Change, nil
 }
 
+// handleAwait carries out a change query that waits for an earlier change, as leader.
 func (node *Node) handleAwait(ctx context.Context, number uint64) (*wire.Reply, error) {
 	if err := node.host.Read(ctx, controlGroup); err != nil {
 		return nil, err
@@ -81,10 +89,11 @@
 	if state.view.Number < number {
 		return nil, apierror.New(apierror.Conflict, fmt.Sprintf("number %d was never given", number), "read what is in force and decide anew")
 	}
-	answer := &wire.ChangeReply{Number: number, Acknowledged: node.awaitStores(ctx, min(number, state.newestCommand), feed.ViewReplicas(state.view.Stores))}
-	return &wire.Reply{Which: schema.Reply_Which_change, Change: answer}, nil
+	reply := &wire.ChangeReply{Number: number, Acknowledged: node.awaitStores(ctx, min(number, state.newestCommand), feed.ViewReplicas(state.view.Stores))}
+	return &wire.Reply{Which: schema.Reply_Which_change, Change: reply}, nil
 }
 
+// unclearChangeError says that a change was proposed and its outcome is unknown.
 func unclearChangeError() error {
 	return apierror.New(apierror.OutcomeUnknown, "the change may or may not have been taken", "read back what is in force, then decide whether to send it again with the number expected")
 }
--- a/system/controlplane/feed_confirmation.go
+++ b/system/controlplane/feed_confirmation.go
@@ -14,22 +14,32 @@
 	"yardrock.example/system/wire/schema"
 )
 
+const (
+	// confirmInterval is the shortest time between two shared confirmations; all who ask in
+	// between share the next one.
+	confirmInterval = 100 * time.Millisecond
+	// leaderConfirmInterval is that of the leader, which asks its peers for each of them. It
+	// is as long as the heartbeat interval, so that a confirmation stands in for a heartbeat.
+	leaderConfirmInterval = 200 * time.Millisecond
+	confirmTimeout        = 500 * time.Millisecond
+)
+
 // confirmedState is a state that a quorum confirmed as the newest.
 type confirmedState struct {
 	*feedState
-	// runnersReadAt is when the leader read the runner list whose content is in force in this
-	// state, by this node's clock; zero if that is not known.
+	// runnersReadAt is when the lease holder requested the runner list whose content is in
+	// force in this state, by this node's clock; zero if unknown.
 	runnersReadAt time.Time
 }
 
-// confirmNow is confirm for those who should not wait.
+// confirmNow is confirm without waiting for others to share the confirmation.
 func (node *Node) confirmNow(ctx context.Context) (*confirmedState, error) {
 	return node.confirm(ctx, 0)
 }
 
-// confirm gives a state than which none was newer when it was asked for, by a quorum of the
-// control group: its leader's, wherever that is. The leader may wait so long for others who
-// ask.
+// confirm returns a state that is at least as new as every change acknowledged before the
+// call: a linearizable read by the leader's read index (Raft thesis, section 6.4), wherever
+// the leader is. The leader may wait that long for others to share the confirmation.
 func (node *Node) confirm(ctx context.Context, wait time.Duration) (*confirmedState, error) {
 	if node.IsLeader() {
 		return node.confirmAsLeader(ctx)
@@ -37,7 +47,8 @@
 	return node.confirmThroughLeader(ctx, wait)
 }
 
-// confirmAsLeader is confirm as leader; NotLeader tells that this node is not, or no longer.
+// confirmAsLeader is confirm on the leader. It fails with NotLeader if this node is not, or
+// no longer, the leader.
 func (node *Node) confirmAsLeader(ctx context.Context) (*confirmedState, error) {
 	if err := node.host.Read(ctx, controlGroup); err != nil {
 		return nil, err
@@ -45,31 +56,32 @@
 	return node.stateAsLeader(), nil
 }
 
-// stateAsLeader is the state of the leader that a quorum has just confirmed. The time of the
-// list is taken first: what the list changed was committed before that time was noted.
+// stateAsLeader returns the applied state of a leader that a quorum has just confirmed. The
+// time of the runner list is loaded before the state: what the list changed was committed
+// before that time was stored, so the state has it.
 func (node *Node) stateAsLeader() *confirmedState {
-	read := node.runnersReading.Load()
+	reading := node.runnersReading.Load()
 	state := &confirmedState{feedState: node.stateMachine.state()}
-	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); read != nil && lease.Holder == node.Name() && lease.FencingToken == read.fencingToken {
-		state.runnersReadAt = read.requestedAt
+	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); reading != nil && lease.Holder == node.Name() && lease.FencingToken == reading.fencingToken {
+		state.runnersReadAt = reading.requestedAt
 	}
 	return state
 }
 
-// confirmThroughLeader has the leader confirm its newest number, and tell what this node has
-// not applied yet.
+// confirmThroughLeader has the leader confirm its newest number and send what this replica
+// has not applied yet. If that does not fit this replica's state it asks for a complete view.
 func (node *Node) confirmThroughLeader(ctx context.Context, wait time.Duration) (*confirmedState, error) {
 	own := node.stateMachine.state()
 	newest, err := node.fetchNewer(ctx, own, own.view.Number, wait)
 	if errors.Is(err, feed.ErrBaseMismatch) || errors.Is(err, feed.ErrGap) {
-		log.WithFields(log.Fields{"node": node.Name(), "number": own.view.Number, "error": err.Error()}).Warn("whole_view_asked_for")
+		log.WithFields(log.Fields{"node": node.Name(), "number": own.view.Number, "error": err.Error()}).Warn("changes from the leader do not fit the view here, requesting a complete view")
 		newest, err = node.fetchNewer(ctx, own, 0, wait)
 	}
 	return newest, err
 }
 
-// fetchNewer has the leader tell what is newer than a number that this replica holds, if
-// anything.
+// fetchNewer has the leader send what is newer than a number of this replica's own state, if
+// anything, and returns the resulting state.
 func (node *Node) fetchNewer(ctx context.Context, own *feedState, number uint64, wait time.Duration) (*confirmedState, error) {
 	sentAt := time.Now()
 	reply, err := node.forwardToLeader(ctx, &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true, After: number, Wait: wait, Packed: true}})
@@ -86,7 +98,7 @@
 	if now := node.stateMachine.state(); now.view.Number >= reply.Follow.Newest {
 		return &confirmedState{now, runnersReadAt}, nil
 	}
-	// This replica has not heard yet that the newest changes are committed.
+	// This replica has not learned yet that the newest changes are committed.
 	if reply.Follow.Reset {
 		view, err := reply.Follow.FullView()
 		if err != nil || view.Number < reply.Follow.Newest {
@@ -101,7 +113,7 @@
 	return &confirmedState{next, runnersReadAt}, err
 }
 
-// advance gives the state after changes that follow on it.
+// advance returns the state after the changes that follow on it; older ones are skipped.
 func (state *feedState) advance(changes []feed.Change) (*feedState, error) {
 	view, history := *state.view, state.history
 	for _, change := range changes {
@@ -118,24 +130,28 @@
 	return &feedState{view: &view, history: history}, nil
 }
 
-// confirmationBatch lets all who ask at about the same time share one confirmation.
+// confirmationBatch lets all who ask at about the same time share one confirmation. A
+// confirmation may be joined only until it starts, so it starts after each of its askers came.
 type confirmationBatch struct {
 	mutex sync.Mutex
-	next  *confirmation // has not begun yet; nil if nobody waits for one
-	last  time.Time     // when the last one began
+	next  *confirmation // has not started yet; nil if nobody waits for one
+	last  time.Time     // when the last one started
 }
 
+// confirmation is one confirmation that many may wait for. The fields below done are set
+// before it is closed.
 type confirmation struct {
 	done      chan struct{}
 	startedAt time.Time
 	state     *confirmedState
 	err       error
-	// forwarded tells that another control node asks, so that it is not passed on.
+	// forwarded reports that another control node asks, so that it must not be forwarded
+	// again. It is guarded by the batch's mutex.
 	forwarded bool
 }
 
-// confirmBatched is confirm for many; it tells when the confirmation began, which is after
-// each of them asked.
+// confirmBatched is confirm shared by all who ask within confirmInterval. It also returns when
+// the confirmation started, which is after the call.
 func (node *Node) confirmBatched(ctx context.Context, forwarded bool) (*confirmedState, time.Time, error) {
 	shared := &node.confirmations
 	shared.mutex.Lock()
@@ -162,6 +178,8 @@
 	}
 }
 
+// runConfirmation runs one shared confirmation. It is ended by the node's context and by
+// confirmTimeout.
 func (node *Node) runConfirmation(shared *confirmation) {
 	node.confirmations.mutex.Lock()
 	shared.startedAt = time.Now()
@@ -181,8 +199,8 @@
 	close(shared.done)
 }
 
-// confirmedView reads the view by a quorum, wherever the leader is. Only what this node
-// has not applied yet is carried.
+// confirmedView returns a view that a quorum confirmed as the newest, wherever the leader is.
+// The error is NoQuorum if nobody could confirm one, or if there is no store list yet.
 func (node *Node) confirmedView(ctx context.Context) (*feed.View, error) {
 	state, err := node.confirmedState(ctx)
 	if err != nil {
@@ -200,8 +218,8 @@
 	return state, requireStoreList(state.view)
 }
 
-// requireStoreList refuses while there is no store list: until then nothing can be
-// acknowledged, and what was acknowledged before may not be recovered yet.
+// requireStoreList fails while there is no store list: until then nothing can be acknowledged,
+// and what was acknowledged before a loss of all control disks may not be recovered yet.
 func requireStoreList(view *feed.View) error {
 	if len(view.Stores) == 0 {
 		return apierror.NewRetryable(apierror.NoQuorum, "the fleet has no store list yet", "wait until its stores have sessions, or start the stores that are missing", time.Second)
--- a/system/controlplane/feed_replication.go
+++ b/system/controlplane/feed_replication.go
@@ -11,7 +11,9 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// awaitStores waits until a majority of the stores has synced a number.
+// awaitStores waits until a majority of the given stores has synced a number, and reports
+// false if the context ends first. The pushes that it starts are ended by the node's context
+// and by callTimeout.
 func (node *Node) awaitStores(ctx context.Context, number uint64, stores []feed.Member) bool {
 	for {
 		node.mutex.Lock()
@@ -35,8 +37,8 @@
 	}
 }
 
-// pushViews gives the newest view to every store that is not known to have synced the
-// newest order. Stores follow the feed themselves, and tell so how far they are.
+// pushViews sends the newest view to every store that is not known to have synced the newest
+// ordered change. Stores follow the feed by themselves too, and report how far they are.
 func (node *Node) pushViews() {
 	state := node.stateMachine.state()
 	var pushes sync.WaitGroup
@@ -51,8 +53,8 @@
 	pushes.Wait()
 }
 
-// pushView gives a store the changes since the number that it holds, or the whole view if
-// they are not kept or do not fit.
+// pushView sends a store the changes since the number that it has synced. It sends the
+// complete view if the history does not reach back so far, or if the store cannot fold them.
 func (node *Node) pushView(state *feedState, store string, synced uint64) {
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
@@ -66,7 +68,7 @@
 	_ = node.sendView(ctx, state, store, &wire.ReplicateViewQuery{PackedView: node.views.Get(state.view)})
 }
 
-// sendView has a store sync a view.
+// sendView has a store sync a view, and records that it did.
 func (node *Node) sendView(ctx context.Context, state *feedState, store string, query *wire.ReplicateViewQuery) error {
 	address := node.addressOf(store)
 	_, err := node.client.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, ReplicateView: query})
@@ -79,7 +81,7 @@
 	return err
 }
 
-// noteSynced remembers up to which number a store has synced what was ordered.
+// noteSynced records up to which number a store has synced the feed.
 func (node *Node) noteSynced(store string, number uint64) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -9,20 +9,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-const (
-	// confirmInterval is the shortest time between two confirmations for followers; all
-	// who ask in between share the next. The leader's, which it asks its peers for, is
-	// as long as that between heartbeats, and stands for one.
-	confirmInterval       = 100 * time.Millisecond
-	leaderConfirmInterval = 200 * time.Millisecond
-	confirmTimeout        = 500 * time.Millisecond
-	maxFollowWait         = 2 * time.Second
-	// liveMembersMaxAge is how old the list of live members that followers are told may be.
-	liveMembersMaxAge = 200 * time.Millisecond
-)
+// maxFollowWait bounds how long a follower may wait for news.
+const maxFollowWait = 2 * time.Second
 
-// handleFollow renews the session here and has the leader confirm the number. While
-// nothing changes the answer is held for as long as the follower says.
+// handleFollow replys a follower of the feed: it records that the follower is live, waits
+// for a newer state for as long as the follower asks, and replys with a state that a quorum
+// confirmed after that.
 func (node *Node) handleFollow(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	follow, receivedAt := query.Follow, time.Now()
 	if follow.ConfirmOnly {
@@ -32,23 +24,23 @@
 	if state := node.stateMachine.state(); follow.Wait > 0 && follow.After == state.view.Number {
 		node.awaitNewState(ctx, state, min(follow.Wait, maxFollowWait))
 	}
-	state, began, err := node.confirmBatched(ctx, false)
+	state, startedAt, err := node.confirmBatched(ctx, false)
 	if err != nil {
 		return nil, err
 	}
 	if query.Fleet == state.view.Fleet && follow.Member.Role == feed.RoleStore {
 		node.noteSynced(follow.Member.Name, follow.After)
 	}
-	answer := node.followReply(state, query, receivedAt)
-	answer.ConfirmationDelay = max(0, began.Sub(receivedAt))
+	reply := node.followReply(state, query, receivedAt)
+	reply.ConfirmationDelay = max(0, startedAt.Sub(receivedAt))
 	if live := node.cachedLiveMembers(); live.digest != follow.MembersDigest {
-		answer.Members, answer.MembersDigest = live.members, live.digest
+		reply.Members, reply.MembersDigest = live.members, live.digest
 	}
-	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: answer}, nil
+	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: reply}, nil
 }
 
-// handleConfirm confirms the newest number for another control node. What that one passes
-// on is not passed on again.
+// handleConfirm confirms the newest number for another control node. What that one forwarded
+// is not forwarded again.
 func (node *Node) handleConfirm(ctx context.Context, query *wire.Query, receivedAt time.Time) (*wire.Reply, error) {
 	var state *confirmedState
 	var err error
@@ -66,6 +58,7 @@
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: node.followReply(state, query, receivedAt)}, nil
 }
 
+// awaitNewState waits until there is a newer state, the timeout has passed or a context ends.
 func (node *Node) awaitNewState(ctx context.Context, state *feedState, timeout time.Duration) {
 	tick := time.NewTimer(timeout)
 	defer tick.Stop()
@@ -77,33 +70,33 @@
 	}
 }
 
-// followReply tells one who holds the view of a number what is newer: the changes since, if
-// they are kept, else the whole view. Its query came at a time. Numbers mean nothing to one
-// who does not name this fleet.
+// followReply replys a follower with what is newer than the view it has: the changes since
+// that one if the history has them, else the complete view. Followers of another fleet always
+// get a complete view, as their numbers are not comparable. ReceivedAt is when the query came.
 func (node *Node) followReply(state *confirmedState, query *wire.Query, receivedAt time.Time) *wire.FollowReply {
 	follow := query.Follow
-	answer := &wire.FollowReply{Newest: state.view.Number}
+	reply := &wire.FollowReply{Newest: state.view.Number}
 	if !state.runnersReadAt.IsZero() {
-		answer.HasRunnerListAge, answer.RunnerListAge = true, receivedAt.Sub(state.runnersReadAt)
+		reply.HasRunnerListAge, reply.RunnerListAge = true, receivedAt.Sub(state.runnersReadAt)
 	}
 	if follow.After > state.view.Number {
-		// Nothing here is newer; the fleet's name shows whether it is the asker's.
-		answer.Reset, answer.View = true, feed.View{Fleet: state.view.Fleet, Number: state.view.Number}
-		return answer
+		// Nothing here is newer. The fleet's name shows the follower whether it is its own.
+		reply.Reset, reply.View = true, feed.View{Fleet: state.view.Fleet, Number: state.view.Number}
+		return reply
 	}
 	changes, complete := state.history.Since(state.view, follow.After)
 	switch {
 	case follow.After > 0 && complete && query.Fleet == state.view.Fleet && (follow.Packed || len(changes) == 0):
-		answer.Changes = changes
+		reply.Changes = changes
 	case follow.Packed && follow.Member.Role == feed.RoleFront:
-		bare := state.view.WithoutRequests()
-		answer.Reset, answer.PackedView = true, node.viewsWithoutRequests.Get(&bare)
+		view := state.view.WithoutRequests()
+		reply.Reset, reply.PackedView = true, node.viewsWithoutRequests.Get(&view)
 	case follow.Packed:
-		answer.Reset, answer.PackedView = true, node.views.Get(state.view)
+		reply.Reset, reply.PackedView = true, node.views.Get(state.view)
 	case follow.Member.Role == feed.RoleFront:
-		answer.Reset, answer.View = true, state.view.WithoutRequests()
+		reply.Reset, reply.View = true, state.view.WithoutRequests()
 	default:
-		answer.Reset, answer.View = true, *state.view
+		reply.Reset, reply.View = true, *state.view
 	}
-	return answer
+	return reply
 }
--- a/system/controlplane/feed_snapshot.go
+++ b/system/controlplane/feed_snapshot.go
@@ -10,6 +10,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
+// The formats of the control group's snapshots.
+const (
+	controlSnapshotFormat = 2 // a packed view, and changes with config differences
+	fullConfigsFormat     = 1 // a view and changes with complete configs
+)
+
 // encodeControlSnapshot encodes a snapshot of the control group.
 func encodeControlSnapshot(view *feed.View, history feed.History) []byte {
 	return wire.MustEncode(schema.ControlImage_TypeID, &wire.ControlSnapshot{
@@ -17,13 +23,15 @@
 	})
 }
 
-// Snapshot is the snapshot of the control group.
+// Snapshot captures the current state and returns a function that encodes it, which may be
+// called later and from another goroutine.
 func (machine *feedStateMachine) Snapshot() func() []byte {
 	state := machine.state()
 	return func() []byte { return encodeControlSnapshot(state.view, state.history) }
 }
 
-// Restore replaces the content by a snapshot's.
+// Restore replaces the content by that of a snapshot. It fails with FormatTooNew if a newer
+// version of the program wrote the snapshot.
 func (machine *feedStateMachine) Restore(data []byte) error {
 	var snapshot wire.ControlSnapshot
 	if err := wire.Decode(schema.ControlImage_TypeID, data, &snapshot); err != nil {
@@ -40,11 +48,12 @@
 	return nil
 }
 
+// stateFromSnapshot decodes the state from a snapshot of any known format.
 func stateFromSnapshot(snapshot *wire.ControlSnapshot) (*feedState, error) {
 	view, history := &snapshot.View, feed.History{Changes: snapshot.Changes, Earlier: snapshot.EarlierConfigs}
 	if snapshot.Version <= fullConfigsFormat {
 		history = feed.HistoryFromFullConfigs(snapshot.Changes)
-		view.Compiled = bytes.Clone(view.Compiled) // else it would hold the whole image
+		view.Compiled = bytes.Clone(view.Compiled) // else it would keep the whole snapshot in memory
 	} else {
 		unpacked, err := wire.UnpackView(snapshot.PackedView)
 		if err != nil {
--- a/system/controlplane/feed_state_machine.go
+++ b/system/controlplane/feed_state_machine.go
@@ -1,5 +1,3 @@
-// Package controlplane is a control node: one replica of the group that orders
-// the feed, the sessions of nodes, and the assignments that steer the fleet.
 package controlplane
 
 import (
@@ -15,50 +13,55 @@
 	"yardrock.example/system/wire/schema"
 )
 
-const (
-	controlGroup = 0
-	// controlSnapshotFormat is 2 since the view is packed and changes are differences.
-	controlSnapshotFormat = 2
-	fullConfigsFormat     = 1
-)
+// controlGroup is the number of the Raft group that orders the feed.
+const controlGroup = 0
 
-// changeOutcome is what applying a change answers.
+// changeOutcome is the result of applying a change to the state machine.
 type changeOutcome struct {
+	// number is that of the change, or of the view in force if it was rejected.
 	number uint64
-	err    error
+	// err says why the change was rejected; nil if it was applied.
+	err error
 	// storesBefore are the stores that were listed before the change.
 	storesBefore []feed.Member
 }
 
+// feedState is the content of the state machine after one change. It is immutable.
 type feedState struct {
 	view    *feed.View
 	history feed.History
-	// newestCommand is the number of the newest change that stores must have synced.
+	// newestCommand is the number of the newest change that is not an observation, which a
+	// majority of the stores must sync before it is acknowledged.
 	newestCommand uint64
-	// lacksHistory tells that the changes were not told: this node is far behind.
+	// lacksHistory reports that the history is unknown, as the state came as a complete view
+	// from the leader of a replica that is far behind.
 	lacksHistory bool
 	// superseded is closed once there is a newer state.
 	superseded chan struct{}
 }
 
-// feedStateMachine folds committed changes into the view, and gives them their
-// numbers.
+// feedStateMachine is the replicated state machine of the control group: it gives committed
+// changes their numbers and folds them into the view. The Raft host's loop writes it; state
+// may be read from anywhere without locks.
 type feedStateMachine struct{ published atomic.Pointer[feedState] }
 
+// newFeedStateMachine makes a state machine with an empty view.
 func newFeedStateMachine() *feedStateMachine {
 	machine := &feedStateMachine{}
 	machine.published.Store(&feedState{view: &feed.View{}, superseded: make(chan struct{})})
 	return machine
 }
 
+// state returns the state after the last applied change.
 func (machine *feedStateMachine) state() *feedState { return machine.published.Load() }
 
-// publish shows a state, and wakes those who wait for one after the last.
+// publish makes a state visible and wakes all who wait for a newer one.
 func (machine *feedStateMachine) publish(next *feedState) {
 	next.superseded = make(chan struct{})
 	close(machine.published.Swap(next).superseded)
 }
 
+// numberInForce is what the expected number of a conditional change is compared with.
 func numberInForce(view *feed.View, change feed.Change) uint64 {
 	if change.Kind == feed.ChangeConfig {
 		return view.ConfigNumber
@@ -66,16 +69,18 @@
 	return view.Number
 }
 
+// changePreconditions are checked when a change is applied, besides its expected number. All
+// replicas decide alike, as they apply the same changes to the same views.
 var changePreconditions = map[feed.ChangeKind]func(*feed.View, feed.Change) error{
 	feed.ChangeRoleLease: func(view *feed.View, change feed.Change) error {
-		if held := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.FencingToken != held.FencingToken+1 {
-			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is at fence %d", change.RoleLease.Key, held.FencingToken), "read the assignment again")
+		if lease := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.FencingToken != lease.FencingToken+1 {
+			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is at fence %d", change.RoleLease.Key, lease.FencingToken), "read the assignment again")
 		}
 		return nil
 	},
 	feed.ChangeRunners: func(view *feed.View, change feed.Change) error {
-		if held := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.FencingToken != held.FencingToken || change.RoleLease.Holder != held.Holder {
-			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is held by %s under fence %d", change.RoleLease.Key, held.Holder, held.FencingToken), "stop this assignment; another node has it")
+		if lease := view.RoleLeaseOf(change.RoleLease.Key); change.RoleLease.FencingToken != lease.FencingToken || change.RoleLease.Holder != lease.Holder {
+			return apierror.New(apierror.Conflict, fmt.Sprintf("assignment %s is held by %s under fence %d", change.RoleLease.Key, lease.Holder, lease.FencingToken), "stop this assignment; another node has it")
 		}
 		return nil
 	},
@@ -87,7 +92,7 @@
 	},
 }
 
-// Apply gives a committed change its number, or refuses it.
+// Apply numbers and folds a committed change, or rejects it. It returns a changeOutcome.
 func (machine *feedStateMachine) Apply(entry raft.Entry) any {
 	var change feed.Change
 	if err := wire.Decode(schema.Change_TypeID, entry.Data, &change); err != nil {
@@ -109,7 +114,7 @@
 	}
 	view, err := feed.Fold(*state.view, change)
 	if err != nil {
-		log.WithField("error", err.Error()).Error("config_difference_refused")
+		log.WithFields(log.Fields{"number": state.view.Number, "error": err.Error()}).Error("a committed config difference does not fit the config in force")
 		return changeOutcome{number: state.view.Number, err: apierror.New(apierror.Conflict, err.Error(), "read what is in force and decide anew")}
 	}
 	next := &feedState{view: &view, history: state.history.With(state.view, &view, change), newestCommand: state.newestCommand}
@@ -120,9 +125,9 @@
 	return changeOutcome{number: change.Number, storesBefore: state.view.Stores}
 }
 
-// compactForLog gives a change in the form in which it goes into the log: a config as the
-// difference from the one that it is to replace, if that is held here. Every replica then
-// holds that one when it applies the entry, or refuses it by the number expected.
+// compactForLog returns a change as it is proposed: a config as the difference from the one
+// that it is to replace, if this node has that one. Every replica has the base when it applies
+// the entry, or rejects the change by its expected number.
 func compactForLog(view *feed.View, change feed.Change) feed.Change {
 	if !change.Expects || change.Expected != view.ConfigNumber {
 		return change
--- a/system/controlplane/fleet_reconcile.go
+++ b/system/controlplane/fleet_reconcile.go
@@ -10,8 +10,16 @@
 	"yardrock.example/system/feed"
 )
 
-// reconcileFleet is what the control leader does for the fleet. It tells when it is due again:
-// soon, while something is being changed.
+const (
+	// reconcileInterval is between two rounds of reconcileFleet.
+	reconcileInterval = 300 * time.Millisecond
+	// busyInterval replaces reconcileInterval while a change of the control group is pending.
+	busyInterval = 50 * time.Millisecond
+)
+
+// reconcileFleet is one round of what the control leader does to make the fleet's membership
+// follow its live nodes. It returns when the next round is due: soon while a change of the
+// control group is pending.
 func (node *Node) reconcileFleet() time.Duration {
 	if !node.IsLeader() {
 		return reconcileInterval
@@ -32,13 +40,15 @@
 	return reconcileInterval
 }
 
+// proposeOrLog proposes a change that the next round makes again if it is still needed.
 func (node *Node) proposeOrLog(ctx context.Context, change feed.Change) {
 	if _, err := node.Change(ctx, change); err != nil {
-		log.WithFields(log.Fields{"node": node.Name(), "kind": change.Kind, "error": err.Error()}).Warn("change_refused")
+		log.WithFields(log.Fields{"node": node.Name(), "kind": changeKindNames[change.Kind], "error": err.Error()}).Warn("proposed change failed")
 	}
 }
 
-// updateAddresses carries a member's new address into the lists.
+// updateAddresses puts the new addresses of moved members into the lists of the feed, one
+// list a round.
 func (node *Node) updateAddresses(ctx context.Context) {
 	live := map[string]feed.Member{}
 	for _, member := range node.LiveMembers() {
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -19,53 +19,45 @@
 	"yardrock.example/system/wire/schema"
 )
 
-const (
-	livenessTimeout = 3 * time.Second
-	// lostTimeout is how long a node may be silent before it is no longer waited for;
-	// replaceableTimeout, if another is ready to take its place. One that is given up and
-	// comes back is taken in again, so the shorter time risks copying for nothing only.
-	lostTimeout        = 10 * time.Second
-	replaceableTimeout = 2 * time.Second
-	// suspectTimeout is how long a voter may be silent while another becomes one.
-	suspectTimeout    = 1200 * time.Millisecond
-	minVoters         = 3
-	gossipInterval    = 500 * time.Millisecond
-	gossipsPerCall    = 4 // one gossip of so many wants an answer
-	reconcileInterval = 300 * time.Millisecond
-	busyInterval      = 50 * time.Millisecond // while the fleet is being steered
-	// foundingQuietPeriod is how long no other store may have come before the list is made.
-	foundingQuietPeriod = 700 * time.Millisecond
-	foundingInterval    = 500 * time.Millisecond
-	callTimeout         = 2 * time.Second
-	// controlAddressesKey is the number under which the disk keeps where the control nodes are.
-	controlAddressesKey = 1 << 31
-)
+// callTimeout bounds a call to another node.
+const callTimeout = 2 * time.Second
 
-// Settings place a control node.
+// Settings configure a control node.
 type Settings struct {
-	Address        string
+	// Address is where other nodes reach this one, host and port; the node listens there.
+	Address string
+	// Administration is where the admin API listens, host and port.
 	Administration string
-	Domain         string
-	Seeds          []string
+	// Domain is the failure domain that the node runs in.
+	Domain string
+	// Seeds are the addresses at which control nodes are looked for. SetSeeds replaces them.
+	Seeds []string
+	// FoundingStores is how many stores must be live before the first store list is made.
 	FoundingStores int
-	Groups         uint32
-	// Copies is how many replicas a group of lines has; 0 is placement.Factor.
+	// Groups is the number of session log groups of a fleet that this node founds.
+	Groups uint32
+	// ReplicationFactor is how many replicas a group has in a fleet that this node founds;
+	// 0 is placement.Factor.
 	ReplicationFactor uint32
-	MaxControls       int
-	Replica           replica.Settings
-	// StateMachine is what the operator calls this machine; it may be empty.
+	// MaxControls is how many members, voters and learners, the control group may have. More
+	// live control nodes stay outside as spares.
+	MaxControls int
+	// Replica configures the Raft host.
+	Replica replica.Settings
+	// Machine is the operators' name of the machine that the node runs on; it may be empty.
 	Machine string
-	// JoinExisting tells that the fleet has started before: with an empty disk, this node
+	// JoinExisting says that the fleet has been founded before: with an empty disk the node
 	// joins it and never founds another.
 	JoinExisting bool
-	// AutoEnrol lets live stores into the store list, and lost ones out of it, without
-	// an operator's command.
+	// AutoEnrol makes the control leader add live stores to the store list and take lost ones
+	// out of it without an admin request.
 	AutoEnrol bool
-	// RunnerSource gives the list of runners; nil reads the list that the config names.
+	// RunnerSource gives the list of runners. The default, nil, reads the list that the
+	// config's platform.runner_list names.
 	RunnerSource RunnerSource
 }
 
-// Node is a running control node.
+// Node is a running control node. Its exported methods may be called concurrently.
 type Node struct {
 	settings     Settings
 	network      link.Network
@@ -76,36 +68,46 @@
 	seeds        atomic.Pointer[[]string]
 	startedAt    time.Time
 
-	mutex         sync.Mutex
-	liveness      map[string]nodeLiveness
+	// context ends when the node is closed; tasks are the periodic tasks.
+	context context.Context
+	stop    context.CancelFunc
+	tasks   sync.WaitGroup
+
+	// mutex guards the fields up to the next blank line.
+	mutex    sync.Mutex
+	liveness map[string]nodeLiveness // by name
+	// syncedNumbers are the highest numbers of the feed that the stores are known to have
+	// synced, by the stores' names. syncedChanged is closed and replaced when one rises.
 	syncedNumbers map[string]uint64
+	syncedChanged chan struct{}
 	contact       quorumContact
-	// savedControls is where the control nodes were when this one last noted it on its disk.
+
+	// Of the gossip task alone: the control nodes as they are stored on disk, and the number
+	// of gossips sent.
 	savedControls []feed.Member
-	syncedChanged chan struct{} // closed and replaced whenever acked grows
-
-	context   context.Context
-	stop      context.CancelFunc
-	tasks     sync.WaitGroup
-	discovery runnerDiscovery
-	// runnersReading is the last list whose content this node put in force; nil before any.
-	runnersReading atomic.Pointer[runnersReading]
-	decodedConfig  atomic.Pointer[decodedConfig]
-	// views and viewsWithoutRequests pack the newest view for all who ask, viewsWithoutRequests without the
-	// orders, which fronts don't need.
+	gossipCount   int
+	// Of the role lease task alone.
+	discovery     runnerDiscovery
+	configRunners configRunnerSource // used if the settings name no source
+
+	// runnersReading is the last list whose content this node put in force; nil if none.
+	runnersReading  atomic.Pointer[runnersReading]
+	decodedConfig   atomic.Pointer[decodedConfig]
+	lastLiveMembers atomic.Pointer[liveMembers]
+	// views and viewsWithoutRequests share the packed newest view between all who ask. Fronts
+	// get it without the request histories, which they don't need.
 	views                wire.PackedViewCache
 	viewsWithoutRequests wire.PackedViewCache
-	// configRoster is the source that is used if none is given.
-	configRunners   configRunnerSource
-	confirmations   confirmationBatch
-	gossiping       sync.Map // addresses of control nodes that are being told sessions
-	gossipCount     int
-	lastLiveMembers atomic.Pointer[liveMembers]
+	confirmations        confirmationBatch
+	// gossiping has the addresses to which a gossip is in flight.
+	gossiping sync.Map
 }
 
-// Start opens the data folder and runs a control node until Close.
+// Start opens the data directory and runs a control node until Close. It fails with a
+// Damaged error if the directory cannot be read, BadSettings if the address cannot be
+// listened on. On an error it leaves nothing running.
 //
-//	node, err := controlplane.Start(settings, folder, link.TCP{})
+//	node, err := controlplane.Start(settings, directory, link.TCP{})
 //	defer node.Close()
 func Start(settings Settings, folder vfs.Directory, network link.Network) (*Node, error) {
 	durable, records, err := durablelog.Open(folder, feed.RoleControl)
@@ -118,8 +120,8 @@
 	}
 	node.SetSeeds(settings.Seeds)
 	node.context, node.stop = context.WithCancel(context.Background())
-	courier := replica.NewTransport(node.client, node.addressOf, func() string { return node.View().Fleet })
-	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.stateMachine }, courier)
+	transport := replica.NewTransport(node.client, node.addressOf, func() string { return node.View().Fleet })
+	node.host, err = replica.Open(settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.stateMachine }, transport)
 	if err != nil {
 		return nil, err
 	}
@@ -143,11 +145,12 @@
 	for _, task := range []func() time.Duration{every(foundingInterval, node.bootstrapFleet), every(gossipInterval, node.gossip), node.reconcileFleet, node.runRoleLeases, every(gossipInterval, node.recordQuorumContact), every(reconcileInterval, node.finishDecommissions)} {
 		node.tasks.Go(func() { node.runPeriodically(task) })
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("control_started")
+	log.WithFields(log.Fields{"node": node.Name(), "address": settings.Address}).Info("control node started")
 	return node, nil
 }
 
-// runPeriodically does a task until the node stops; the task tells when it is due again.
+// runPeriodically runs a task until the node is closed. The task returns how long to wait
+// before it is run again.
 func (node *Node) runPeriodically(task func() time.Duration) {
 	tick := time.NewTimer(0)
 	defer tick.Stop()
@@ -161,7 +164,7 @@
 	}
 }
 
-// SetSeeds replaces the seed addresses, as SIGHUP does.
+// SetSeeds replaces the seed addresses while the node runs, as the daemons do on SIGHUP.
 //
 //	node.SetSeeds(settings.Seeds)
 func (node *Node) SetSeeds(seeds []string) {
@@ -169,27 +172,30 @@
 	node.seeds.Store(&seeds)
 }
 
-// Name is the identity of the node's disk.
+// Name returns the identity of the node's disk.
 //
 //	name := node.Name()
 func (node *Node) Name() string { return node.host.Name() }
 
-// View gives the newest view this replica has applied.
+// View returns the newest view that this replica has applied. It may be behind the view in
+// force; see confirmedView.
 //
 //	view := node.View()
 func (node *Node) View() *feed.View { return node.stateMachine.state().view }
 
-// IsLeader tells whether this node leads the control group.
+// IsLeader reports whether this node believes that it leads the control group. A deposed
+// leader may still believe so; only a commit or a read index proves it.
 //
 //	if node.IsLeader() { ... }
 func (node *Node) IsLeader() bool { return node.host.Statuses()[controlGroup].Leading }
 
-// Ready tells whether the control group has a leader that this node knows.
+// Ready reports whether this node knows a leader of the control group.
 //
 //	if node.Ready() { ... }
 func (node *Node) Ready() bool { return node.host.Statuses()[controlGroup].Leader != "" }
 
-// Close stops the node at once; what is not synced may be lost.
+// Close stops the node as a crash would: what was not synced may be lost. It returns once
+// its periodic tasks have ended.
 //
 //	node.Close()
 func (node *Node) Close() {
@@ -200,15 +206,18 @@
 	node.host.Close()
 }
 
-// Drain gives up leadership before a stop.
+// Drain transfers the leadership of the control group to another node, before a Close.
 //
 //	node.Drain()
 func (node *Node) Drain() { node.host.TransferAllLeaderships() }
 
+// self describes this node as a member of the fleet.
 func (node *Node) self() feed.Member {
 	return feed.Member{Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Administration: node.settings.Administration, Machine: node.settings.Machine}
 }
 
+// addressOf returns the address of a node: where it was last heard, else as the feed lists
+// it, else empty.
 func (node *Node) addressOf(name string) string {
 	node.mutex.Lock()
 	entry, found := node.liveness[name]
--- a/system/controlplane/node_bootstrap.go
+++ b/system/controlplane/node_bootstrap.go
@@ -6,6 +6,7 @@
 	"encoding/hex"
 	"slices"
 	"strings"
+	"time"
 
 	"github.com/apex/log"
 
@@ -14,8 +15,13 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// found founds the fleet when all seeds answer and all are empty, unless it has started
-// before, or takes its part when another seed has founded it with this disk's name in it.
+// foundingInterval is how often a node with an empty disk tries to found the fleet.
+const foundingInterval = 500 * time.Millisecond
+
+// bootstrapFleet founds the fleet if this node is a seed with an empty disk, all seeds answer
+// and all are empty, unless the fleet has been founded before (Settings.JoinExisting). If
+// another seed has founded it with this node among the founders, this node does the same: all
+// founders bootstrap the control group with the same view (Raft bootstrap, PAPER-starcite).
 func (node *Node) bootstrapFleet() {
 	if !node.isEmpty() || !slices.Contains(*node.seeds.Load(), node.settings.Address) {
 		return
@@ -50,7 +56,8 @@
 	node.bootstrapFleetWith(bootstrapView(names, members, node.settings))
 }
 
-// bootstrapView is the same on every founder.
+// bootstrapView returns the first view of a fleet, which is the same on every founder: it
+// depends only on their names, the members and the settings.
 func bootstrapView(names []string, members []feed.Member, settings Settings) feed.View {
 	names = slices.Sorted(slices.Values(names))
 	members = slices.Clone(members)
@@ -59,9 +66,11 @@
 	return feed.View{Fleet: hex.EncodeToString(sum[:8]), Number: 1, Controls: members, Groups: settings.Groups, Replicas: settings.ReplicationFactor, Founding: names}
 }
 
+// bootstrapFleetWith bootstraps the control group with the first view of a fleet.
 func (node *Node) bootstrapFleetWith(view feed.View) {
 	node.host.Bootstrap(controlGroup, view.Founding, encodeControlSnapshot(&view, feed.History{}))
-	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet_founded")
+	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet founded")
 }
 
+// isEmpty reports whether the disk has no entry of the control group.
 func (node *Node) isEmpty() bool { return node.host.Statuses()[controlGroup].LastIndex == 0 }
--- a/system/controlplane/node_gossip.go
+++ b/system/controlplane/node_gossip.go
@@ -9,6 +9,13 @@
 	"yardrock.example/system/wire/schema"
 )
 
+const (
+	gossipInterval = 500 * time.Millisecond
+	// gossipsPerCall is how many gossips to a node come before one that awaits a reply.
+	gossipsPerCall = 4
+)
+
+// handleGossip records the members that another control node has heard.
 func (node *Node) handleGossip(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	for _, note := range query.MemberSessions.Sessions {
 		node.recordHeard(note.Member, note.Age, false)
@@ -16,8 +23,8 @@
 	return &wire.Reply{}, nil
 }
 
-// gossip tells the other control nodes the sessions that this one holds, its own
-// among them. A control node that is no member yet tells the members.
+// gossip sends the members that this node has heard directly, itself among them, to the other
+// control nodes. A control node that is not a member yet sends to the members.
 func (node *Node) gossip() {
 	notes := []wire.MemberSession{{Member: node.self()}}
 	node.mutex.Lock()
@@ -37,8 +44,8 @@
 			targets[member.Address] = true
 		}
 	}
-	// Until it has heard from a leader, what this node has applied may be as old as its
-	// last checkpoint, with machines in it that are long gone.
+	// Until this node knows a leader, what it has applied may be as old as its last snapshot,
+	// which may list machines that have been replaced since.
 	if len(node.View().Controls) == 0 || !node.Ready() {
 		for _, address := range node.discoverControls() {
 			targets[address] = true
@@ -50,7 +57,7 @@
 	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, MemberSessions: batch}
 	for address := range targets {
 		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
-			continue // it is not there, or slow
+			continue // the last gossip to it is still in flight
 		}
 		go func() {
 			defer node.gossiping.Delete(address)
@@ -60,7 +67,8 @@
 	node.saveControlAddresses()
 }
 
-// sendGossip sends sessions to a control node; now and then it looks whether that node answers.
+// sendGossip sends what was heard to one control node. With wantReply it waits for a reply
+// and drops the connection if none comes, so that a dead one is noticed.
 func (node *Node) sendGossip(address string, query wire.Query, wantReply bool) {
 	ctx, cancel := context.WithTimeout(node.context, gossipInterval)
 	defer cancel()
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -11,13 +11,35 @@
 	"yardrock.example/system/wire"
 )
 
+// Timeouts by which a node that was not heard is judged, from the most cautious to the least.
+const (
+	// lostTimeout is when a node is given up though nothing is ready to replace it.
+	lostTimeout = 10 * time.Second
+	// livenessTimeout is when a node is no longer live.
+	livenessTimeout = 3 * time.Second
+	// replaceableTimeout is when a node is given up if another is ready to replace it. One that
+	// returns is enrolled again, so the short timeout risks no more than copying for nothing.
+	replaceableTimeout = 2 * time.Second
+	// suspectTimeout is when a node may be lost. No learner becomes a voter while a voter is
+	// suspect.
+	suspectTimeout = 1200 * time.Millisecond
+)
+
+// liveMembersMaxAge bounds the age of the list of live members that followers are sent.
+const liveMembersMaxAge = 200 * time.Millisecond
+
+// nodeLiveness records when a node was heard of. A node is live (its session stands) while
+// that is less than livenessTimeout ago.
 type nodeLiveness struct {
 	member     feed.Member
-	firstHeard time.Time // when it was first heard of
+	firstHeard time.Time
 	lastHeard  time.Time
-	direct     bool
+	// direct reports that the node was heard here, not through another control node's gossip.
+	// Only this is gossiped on.
+	direct bool
 }
 
+// recordHeard records that a member was heard so long ago.
 func (node *Node) recordHeard(member feed.Member, age time.Duration, direct bool) {
 	if member.Name == "" {
 		return
@@ -34,16 +56,17 @@
 	}
 }
 
-// noteForeignStore keeps the session of a store that names another fleet, while this one
-// has no store list: it may hold what this control plane has lost.
+// noteForeignStore records that a store of another fleet is live, while this fleet has no
+// store list: the store may have synced a view that this control plane has lost.
 func (node *Node) noteForeignStore(query *wire.Query) {
 	if query.Follow != nil && !query.Follow.ConfirmOnly && len(node.View().Stores) == 0 && query.Follow.Member.Role == feed.RoleStore {
 		node.recordHeard(query.Follow.Member, 0, true)
 	}
 }
 
-// LiveMembers gives the members whose sessions stand, by name; of those that were heard at one
-// address one after another, the last.
+// LiveMembers returns the live nodes, this one among them, sorted by name. If a node was
+// heard at an address only after another one of its role had last been heard there, it has
+// replaced that one, which is left out.
 //
 //	for _, member := range node.LiveMembers() { ... }
 func (node *Node) LiveMembers() []feed.Member {
@@ -76,8 +99,10 @@
 	return live
 }
 
-// isSilent tells that a node has had no session for so long, or that another has its
-// address now: its disk was lost, and nobody will be heard under its name any more.
+// isSilent reports whether a node was not heard for longer than a timeout, or was replaced:
+// another node has its address, so its disk was lost and its name will not return. As this
+// node may itself be cut off, it judges others only by the time for which it has been in
+// contact with a quorum.
 func (node *Node) isSilent(name string, timeout time.Duration) bool {
 	if name == node.Name() {
 		return false
@@ -98,8 +123,8 @@
 	return node.quorumContactFor() > timeout && (!found || time.Since(entry.lastHeard) > timeout)
 }
 
-// wasReplaced tells that another node of the same role was heard at a node's address later
-// than that node itself.
+// wasReplaced reports whether another node of the same role was first heard at a node's
+// address after that node was last heard.
 func (node *Node) wasReplaced(member feed.Member) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -112,20 +137,22 @@
 	return member.Name != node.Name() && member.Address == node.settings.Address && member.Role == feed.RoleControl
 }
 
-// knownFor tells how long ago a node was first heard of.
+// knownFor returns how long ago a node was first heard of.
 func (node *Node) knownFor(name string) time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	return time.Since(node.liveness[name].firstHeard)
 }
 
-// liveList is Live as it was told to followers, with a digest that tells lists apart.
+// liveMembers is the result of LiveMembers as it is sent to followers.
 type liveMembers struct {
-	members  []feed.Member
+	members []feed.Member
+	// digest identifies the list, so that it is sent only to followers that have another.
 	digest   uint64
 	listedAt time.Time
 }
 
+// cachedLiveMembers returns a list of live members that is at most liveMembersMaxAge old.
 func (node *Node) cachedLiveMembers() *liveMembers {
 	if last := node.lastLiveMembers.Load(); last != nil && time.Since(last.listedAt) < liveMembersMaxAge {
 		return last
--- a/system/controlplane/node_queries.go
+++ b/system/controlplane/node_queries.go
@@ -10,6 +10,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
+// queryHandlers answer the queries of other processes, by the kind of query.
 var queryHandlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
 	schema.Query_Which_status:    (*Node).handleStatus,
 	schema.Query_Which_agreement: (*Node).handleRaft,
@@ -18,8 +19,8 @@
 	schema.Query_Which_change:    (*Node).handleChange,
 }
 
-// anyFleetQueries queries are taken whatever fleet the asker names: replicas know each
-// other by their disks, and a fleet that recovers changes its name back.
+// anyFleetQueries are answered whatever fleet the sender names: replicas identify each other
+// by their disks, and a fleet that is recovered changes its name back.
 var anyFleetQueries = map[schema.Query_Which]bool{schema.Query_Which_status: true, schema.Query_Which_agreement: true, schema.Query_Which_sessions: true}
 
 // Handle answers one query of another process.
@@ -33,8 +34,8 @@
 	if fleet := node.View().Fleet; !anyFleetQueries[query.Which] && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
 		node.noteForeignStore(query)
 		if node.View().BoundFleet() == "" {
-			// This control plane may have lost its disks, and yet find that it is the one
-			// of the asking process's fleet.
+			// This control plane may have lost its disks, and may still recover the feed of the
+			// sender's fleet.
 			return wire.ErrorReply(noQuorumError())
 		}
 		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
@@ -49,6 +50,8 @@
 	return reply
 }
 
+// handleStatus answers with what this replica has applied. Nothing is confirmed: founding
+// and discovery of control nodes need an answer without a quorum.
 func (node *Node) handleStatus(_ context.Context, _ *wire.Query) (*wire.Reply, error) {
 	view := node.View()
 	return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{
@@ -57,6 +60,7 @@
 	}}, nil
 }
 
+// handleRaft takes in Raft messages of other replicas.
 func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
 	return &wire.Reply{}, nil
--- a/system/controlplane/node_seeds.go
+++ b/system/controlplane/node_seeds.go
@@ -9,8 +9,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// saveControlAddresses keeps on disk where the control nodes are, so that they find each other
-// when all start again, whatever their seeds say.
+// controlAddressesKey is the key of the stored addresses of the control nodes. Keys of stored
+// values share their numbers with groups, so it is above all groups.
+const controlAddressesKey = 1 << 31
+
+// saveControlAddresses stores the addresses of the control nodes on disk, so that they find
+// each other when all restart, whatever their seeds say. It runs in the gossip task only.
 func (node *Node) saveControlAddresses() {
 	view := node.View()
 	if !node.Ready() || len(view.Controls) == 0 || slices.Equal(view.Controls, node.savedControls) {
@@ -23,8 +27,8 @@
 	}
 }
 
-// discoverControls lists where control nodes may be: as noted on disk, and as the seeds
-// tell.
+// discoverControls returns addresses at which control nodes may be: those stored on disk,
+// and those that the seeds name.
 func (node *Node) discoverControls() []string {
 	addresses := []string{}
 	for _, member := range node.savedControls {
--- a/system/controlplane/quorum_contact.go
+++ b/system/controlplane/quorum_contact.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// quorumContact is what a node knows of its own contact with the control group. A node that was
-// cut off, frozen or only just started has heard nobody, which tells nothing of the others.
+// quorumContact measures for how long a node has been in contact with a majority of the
+// control group. A node that was cut off, frozen or has only just started has heard nobody,
+// which says nothing of the others.
 type quorumContact struct {
-	lastChecked time.Time // when it last looked
-	since       time.Time // from when on it has heard a majority of the voters all the time
+	lastChecked time.Time
+	since       time.Time // since when a majority has been heard without a pause
 }
 
-// record takes that so many of the voters were heard lately.
+// record notes how many of the voters were heard lately. It must be called more often than
+// once in suspectTimeout.
 func (contact *quorumContact) record(now time.Time, heard, voters int) {
 	frozen := now.Sub(contact.lastChecked) > suspectTimeout
 	if frozen || heard < voters/2+1 {
@@ -18,7 +20,7 @@
 	contact.lastChecked = now
 }
 
-// duration tells for how long the contact has lasted without a pause.
+// duration returns for how long the contact has lasted without a pause.
 func (contact *quorumContact) duration(now time.Time) time.Duration {
 	if now.Sub(contact.lastChecked) > suspectTimeout {
 		return 0
@@ -26,7 +28,7 @@
 	return now.Sub(contact.since)
 }
 
-// recordQuorumContact looks whether this node hears a majority of the control group.
+// recordQuorumContact records whether this node hears a majority of the control group.
 func (node *Node) recordQuorumContact() {
 	voters := node.Voters()
 	node.mutex.Lock()
@@ -40,6 +42,7 @@
 	node.contact.record(now, heard, len(voters))
 }
 
+// quorumContactFor returns for how long this node has been in contact with a majority.
 func (node *Node) quorumContactFor() time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
--- a/system/controlplane/role_lease.go
+++ b/system/controlplane/role_lease.go
@@ -7,13 +7,17 @@
 	"yardrock.example/system/feed"
 )
 
-// RunnerDiscoveryRole is the key of the assignment that polls the platform's runner list.
+// roleLeaseInterval is how often a node that does not hold the leases looks whether it should.
+const roleLeaseInterval = 50 * time.Millisecond
+
+// RunnerDiscoveryRole is the key of the singleton role whose holder polls the platform's
+// runner list.
 const RunnerDiscoveryRole = "roster"
 
-// runRoleLeases takes the assignments, under the next fence, while this node leads the control
-// group, and does those that it holds. So the loss of another node moves no assignment, and
-// that of the leader moves them as soon as there is another.
-// It tells when it is due again.
+// runRoleLeases takes the leases on all singleton roles while this node leads the control
+// group, each with the next fencing token, and does what the roles demand. The leader holds
+// them all, so the loss of any other node moves no lease, and the loss of the leader moves
+// them as soon as there is another. It returns when it is due again.
 func (node *Node) runRoleLeases() time.Duration {
 	view := node.View()
 	if view.Number == 0 || !node.host.Statuses()[controlGroup].CommittedInTerm {
--- a/system/controlplane/routing_requests.go
+++ b/system/controlplane/routing_requests.go
@@ -11,18 +11,12 @@
 	"yardrock.example/system/feed"
 )
 
-const (
-	// An order is tried again by a new leader rather than held by one that hangs.
-	attemptTimeout = 600 * time.Millisecond
-	attemptPause   = 50 * time.Millisecond
-)
-
-// ReplaceRouting puts a whole routing in force, in place of that of the revision base (0
-// if there is none yet), and returns once it is acknowledged. Digest names the order:
-// the same one sent again is acknowledged again. Conflict tells that another revision
-// is in force, Invalid what is wrong with this one; at the end of the context Unclear
-// tells that it may have been taken, NoQuorum that nobody could say: send it again.
-// NoQuorum is also the answer to an order so old that it is not known whether it was taken.
+// ReplaceRouting replaces the routing of the revision base (0 if there is none yet) by
+// another, and returns once that is acknowledged. Digest identifies the request: the same one
+// sent again is acknowledged again. The error is Conflict if another revision is in force,
+// Invalid if the routing is wrong. When the context ends it is OutcomeUnknown if the routing may
+// have been replaced, NoQuorum if nobody could say: send the request again. NoQuorum also
+// answers a request so old that it is unknown whether it was carried out.
 //
 //	err := node.ReplaceRouting(ctx, "root", 5, config.Routing{Revision: 7, Routes: routes, Services: services}, digest)
 func (node *Node) ReplaceRouting(ctx context.Context, by string, base uint64, next config.Routing, digest string) error {
@@ -33,7 +27,7 @@
 	return node.changeRouting(ctx, request, func(*config.Routing) (config.Routing, error) { return next, nil })
 }
 
-// PatchRouting changes the routing of the revision base by names, and returns once that
+// PatchRouting changes named parts of the routing of the revision base, and returns once that
 // is acknowledged, as ReplaceRouting does.
 //
 //	err := node.PatchRouting(ctx, "root", 7, config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
@@ -42,20 +36,21 @@
 	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Patched(patch) })
 }
 
-// routingRequest is an order to replace the routing of one revision by that of another.
+// routingRequest is a request to replace the routing of one revision by that of another.
 type routingRequest struct {
 	operator string
-	base     uint64
-	revision uint64
-	digest   string
+	base     uint64 // the revision that it builds on; 0 if there is none yet
+	revision uint64 // of the routing that it makes
+	digest   string // identifies what the operator sent
 }
 
+// accepted is how the request is remembered once it was carried out.
 func (request routingRequest) accepted() feed.AcceptedRequest {
 	return feed.AcceptedRequest{Digest: feed.RequestDigest(request.digest), Number: request.revision}
 }
 
-// acceptedRoutingRequests gives the orders of the routing that are remembered. Those of a fleet
-// whose version kept them only in the routing are taken over from there.
+// acceptedRoutingRequests returns the routing requests that are remembered. An older version
+// kept them only in the routing itself; they are converted from there.
 func acceptedRoutingRequests(view *feed.View, routing *config.Routing) feed.RequestHistory {
 	history := view.RoutingRequests
 	if !history.IsEmpty() || routing == nil || len(routing.AcceptedRequests) == 0 {
@@ -70,15 +65,16 @@
 	return history
 }
 
-// routingFunc makes a routing from the one in force.
+// routingFunc makes the next routing from the one in force, which is nil if there is none.
 type routingFunc func(inForce *config.Routing) (config.Routing, error)
 
+// changeRouting carries out a routing request.
 func (node *Node) changeRouting(ctx context.Context, request routingRequest, makeRouting routingFunc) error {
 	_, err := node.execute(ctx, func(view *feed.View) (decision, error) { return node.decideRouting(view, request, makeRouting) })
 	return err
 }
 
-// decideRouting finds what is left to do for an order of the routing on a view.
+// decideRouting finds what is left to do for a routing request on a view.
 func (node *Node) decideRouting(view *feed.View, request routingRequest, makeRouting routingFunc) (decision, error) {
 	decoded, err := node.decodeConfig(view)
 	if err != nil {
@@ -115,8 +111,8 @@
 	return decision{change: change}, nil
 }
 
-// ReadRouting reads the newest routing, confirmed by a quorum; its revision is 0 if there
-// is none yet.
+// ReadRouting returns the routing in force, confirmed by a quorum; its revision is 0 if there
+// is none yet. The error is NoQuorum if the context ends before it could be confirmed.
 //
 //	routing, err := node.ReadRouting(ctx)
 func (node *Node) ReadRouting(ctx context.Context) (*config.Routing, error) {
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -12,28 +12,32 @@
 )
 
 const (
-	runnerListTimeout  = 3 * time.Second
+	// runnerListTimeout bounds one reading of the runner list.
+	runnerListTimeout = 3 * time.Second
+	// runnerListInterval is how often the list of a given RunnerSource is read.
 	runnerListInterval = 500 * time.Millisecond
-	roleLeaseInterval  = 50 * time.Millisecond // how soon a new leader takes the assignments
-	// warmUpSlack is how much longer than reported before a runner may stay cold until it is
-	// reported again.
+	// warmUpSlack is how much later than published a slow start may end before the runner
+	// counts as restarted.
 	warmUpSlack = 250 * time.Millisecond
 )
 
-// runnersReading is when a list was asked for whose content is on the feed, and under which
-// fence: a later owner of the assignment may have put another one there.
+// runnersReading records a runner list whose content is in force.
 type runnersReading struct {
-	requestedAt  time.Time
+	// requestedAt is when the list was requested: it is no older than that.
+	requestedAt time.Time
+	// fencingToken is that of the lease it was published under. A later holder of the lease
+	// may have published another list.
 	fencingToken uint64
 }
 
-// discoverRunners asks the platform's list, keeps away as long as it says so, and
-// puts what changed on the feed under the assignment's fence.
+// discoverRunners reads the runner list if it is due, and publishes what changed on the feed
+// under the fencing token of the lease. If the source names a RetryAfter it is not asked
+// before.
 func (node *Node) discoverRunners(ctx context.Context, view *feed.View, lease feed.RoleLease) {
 	if time.Now().Before(node.discovery.nextPoll) {
 		return
 	}
-	// A source that was given knows itself when a runner is warm.
+	// A RunnerSource of the settings reports itself when a runner has warmed up.
 	source, groups, interval := node.settings.RunnerSource, map[string]config.Group(nil), runnerListInterval
 	if source == nil {
 		decoded, err := node.decodeConfig(view)
@@ -52,7 +56,7 @@
 		if later := apierror.Of(err).RetryAfter; later > 0 {
 			node.discovery.nextPoll = time.Now().Add(later)
 		}
-		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("roster_unread")
+		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot read the runner list")
 		return
 	}
 	if node.discovery.fencingToken != lease.FencingToken {
@@ -65,27 +69,33 @@
 		return
 	}
 	if _, err := node.Change(ctx, change); err != nil {
-		node.discovery.nextPoll = requestedAt // the feed has gone on in the meantime
-		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("roster_refused")
+		node.discovery.nextPoll = requestedAt // try again: the feed has changed meanwhile
+		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot publish the runner list")
 		return
 	}
 	node.discovery.recordPublished(change.Runners, change.Removed, requestedAt)
 	node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
 }
 
+// runnerDiscovery is what the holder of RunnerDiscoveryRole keeps in memory. Only the role
+// lease task uses it. A new lease starts with empty maps.
 type runnerDiscovery struct {
+	// nextPoll is when the list is due again.
 	nextPoll time.Time
-	// servingSince is since when this node, while it has held the assignment under this fence,
-	// has seen each runner serve, by its steady clock; cold is until when the feed
-	// says that each is cold.
+	// servingSince is when this node first saw each runner serve under this lease, by its
+	// monotonic clock.
 	servingSince map[string]time.Time
-	warmUpEnds   map[string]time.Time
+	// warmUpEnds is when the slow start of each runner ends, as published on the feed.
+	warmUpEnds map[string]time.Time
+	// fencingToken is that of the lease which the maps belong to.
 	fencingToken uint64
 }
 
-// diff finds the runners of a list that are new or not as the feed says, and those of
-// the feed that are not listed any more. It keeps since when each runner is in its state,
-// where becoming cold again is a new state, and tells which have served for their group's ramp.
+// diff returns the runners of a list that are new or differ from those on the feed, and the
+// identities of those that are no longer listed. It sets Since to when each runner entered
+// its state, where a restarted slow start counts as a new state, and Warmed once the runner
+// has served for as long as its group's slow start lasts. Groups are nil if the source sets
+// Warmed itself.
 func (discovery *runnerDiscovery) diff(before, listed []feed.Runner, groups map[string]config.Group, now time.Time) (changed []feed.Runner, removed []string) {
 	known := make(map[string]feed.Runner, len(before))
 	for _, runner := range before {
@@ -126,25 +136,26 @@
 	return changed, removed
 }
 
-// runnerDiffers compares a runner with what the feed says of it; that it has less long to
-// stay cold than before is no difference.
+// runnerDiffers reports whether a runner differs from what is on the feed. A slow start that
+// only has less time left is no difference.
 func runnerDiffers(old, runner feed.Runner) bool {
 	old.WarmUpLeft = runner.WarmUpLeft
 	return old != runner
 }
 
-// warmsUpAgain tells whether a runner stays cold for longer than the feed says. Until when the
-// feed says that it is cold is known only to the owner of the assignment that put it there:
-// it may have become cold again since an earlier owner did.
+// warmsUpAgain reports whether a runner's slow start ends later than published, so that it
+// must have been restarted. Only the lease holder that published a slow start knows when that
+// ends; for another one every slow start counts as restarted.
 func (discovery *runnerDiscovery) warmsUpAgain(runner feed.Runner, now time.Time) bool {
 	if runner.State != feed.StateWarmingUp || runner.WarmUpLeft <= 0 {
 		return false
 	}
-	until, reported := discovery.warmUpEnds[runner.Identity()]
-	return !reported || now.Add(runner.WarmUpLeft).After(until.Add(warmUpSlack))
+	ends, published := discovery.warmUpEnds[runner.Identity()]
+	return !published || now.Add(runner.WarmUpLeft).After(ends.Add(warmUpSlack))
 }
 
-// recordPublished keeps until when the feed says that runners are cold, by a list asked for at a time.
+// recordPublished records when the published slow starts end, for a list that was requested
+// at a time.
 func (discovery *runnerDiscovery) recordPublished(changed []feed.Runner, removed []string, requestedAt time.Time) {
 	for _, runner := range changed {
 		if delete(discovery.warmUpEnds, runner.Identity()); runner.State == feed.StateWarmingUp {
--- a/system/controlplane/runner_source.go
+++ b/system/controlplane/runner_source.go
@@ -15,12 +15,15 @@
 	"yardrock.example/system/link"
 )
 
+// newConfigRunnerSource makes a source that connects through a network. Its url is set before
+// each List.
 func newConfigRunnerSource(network link.Network) configRunnerSource {
 	return configRunnerSource{client: &http.Client{Timeout: runnerListTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return network.Dial(ctx, address) },
 	}}}
 }
 
+// runnerListDocument is the JSON form of the runner list.
 type runnerListDocument struct {
 	Runners []struct {
 		Address string `json:"address"`
@@ -30,9 +33,10 @@
 	} `json:"runners"`
 }
 
+// maxRunnerListBytes bounds how much of a runner list is read.
 const maxRunnerListBytes = 4 << 20
 
-// List asks once for the whole list.
+// List requests the list once. The last list stays in force if it fails.
 func (source *configRunnerSource) List(ctx context.Context) ([]feed.Runner, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, source.url, nil)
 	if err != nil {
@@ -58,14 +62,15 @@
 	return runners, nil
 }
 
-// RunnerSource gives the platform's whole list of runners, in any order. It gives no
-// part of a list: where a page is missing, it fails. A failure with RetryAfter tells
-// when to ask again. WarmUpLeft counts from the reading.
+// RunnerSource reads the platform's runner list.
 type RunnerSource interface {
+	// List returns the complete list in any order, and an error if any part of it is missing.
+	// An apierror.Error with RetryAfter says when to ask again. ColdFor of the runners counts
+	// from the call.
 	List(ctx context.Context) ([]feed.Runner, error)
 }
 
-// configRunnerSource reads the list that the config names.
+// configRunnerSource reads the runner list at the address that the config names.
 type configRunnerSource struct {
 	client *http.Client
 	url    string
--- a/system/controlplane/store_decommission.go
+++ b/system/controlplane/store_decommission.go
@@ -13,11 +13,12 @@
 	"yardrock.example/system/wire"
 )
 
+// decommissionPollInterval is how often a waiting request looks whether a store has left.
 const decommissionPollInterval = 200 * time.Millisecond
 
-// beginDecommission has a store of the list emptied, unless it is being emptied already. From
-// then on its groups move away by their own leaders, and the control leader takes it off
-// the list once it holds none.
+// beginDecommission has a listed store emptied, unless that was begun before. From then on
+// the groups' leaders move its replicas away, and the control leader takes it off the list
+// once it has none.
 func (node *Node) beginDecommission(ctx context.Context, by, target string, matches func(store feed.Member) bool) (*wire.ChangeReply, error) {
 	return node.execute(ctx, func(view *feed.View) (decision, error) {
 		change, err := planDecommission(view, target, matches)
@@ -29,7 +30,8 @@
 	})
 }
 
-// planDecommission makes the change that has a store emptied, none if it was begun already.
+// planDecommission plans the change that begins to decommission a store; nil if it was begun
+// before. Target is what the request names the store by: its name or its machine.
 func planDecommission(view *feed.View, target string, matches func(store feed.Member) bool) (*feed.Change, error) {
 	at := slices.IndexFunc(view.Stores, matches)
 	switch {
@@ -48,39 +50,45 @@
 	return &feed.Change{Kind: feed.ChangeStores, Expects: true, Expected: view.Number, Members: next, AdminRequest: decommissionDigest(target)}, nil
 }
 
-// decommissionDigest is how an order to retire a store is remembered once the view no longer
-// lists the store among those that were retired last.
+// decommissionDigest identifies a decommission request in the request history, which reaches
+// further back than the view's list of decommissioned stores.
 func decommissionDigest(target string) uint64 { return feed.RequestDigest("retire", target) }
 
+// wasDecommissionedLongAgo reports whether the request history remembers that a store was
+// decommissioned.
 func wasDecommissionedLongAgo(view *feed.View, target string) bool {
 	_, accepted := view.AdminRequests.NumberOf(decommissionDigest(target))
 	return accepted
 }
 
-// BeginDecommission has the store on a machine emptied, and returns once that is acknowledged;
-// it goes on by itself, and DecommissionState tells when the machine may be switched off. Over
-// is how long the operator leaves it; groups move as soon as they can. NotFound tells
-// that no store is on the machine, Conflict that too few would be left.
+// BeginDecommission begins to decommission the store on a machine, and returns once that is
+// acknowledged. It goes on by itself; DecommissionState reports when the machine may be
+// switched off. Over is how long the operator allows for it, which is only logged: replicas
+// move as soon as they can. The error is NotFound if no store is on the machine, Conflict if
+// too few stores would be left.
 //
 //	err := node.BeginDecommission(ctx, "root", "storage-east-1", 10*time.Second)
 func (node *Node) BeginDecommission(ctx context.Context, by, machine string, over time.Duration) error {
 	_, err := node.beginDecommission(ctx, by, machine, onMachine(machine))
 	if err == nil {
-		log.WithFields(log.Fields{"node": node.Name(), "machine": machine, "by": by, "over": over}).Info("retire_begun")
+		log.WithFields(log.Fields{"node": node.Name(), "machine": machine, "operator": by, "over": over}).Info("store decommission begun")
 	}
 	return err
 }
 
+// hasName matches the store of a name.
 func hasName(name string) func(store feed.Member) bool {
 	return func(store feed.Member) bool { return store.Name == name }
 }
 
+// onMachine matches the store on a machine.
 func onMachine(machine string) func(store feed.Member) bool {
 	return func(store feed.Member) bool { return machine != "" && store.Machine == machine }
 }
 
-// DecommissionState tells how far a machine's store is emptied: feed.Retiring, or feed.Retired
-// once nothing is lost with the machine. NotFound tells that none is retired there.
+// DecommissionState returns feed.StateDecommissioning for a machine whose store is being
+// emptied, and feed.StateDecommissioned once the machine may be switched off. The error is
+// NotFound if no store is decommissioned there.
 //
 //	state, err := node.DecommissionState(ctx, "storage-east-1")
 func (node *Node) DecommissionState(ctx context.Context, machine string) (string, error) {
@@ -102,8 +110,9 @@
 	return state, err
 }
 
-// DecommissionStore empties a store and returns once no group has a replica there, so
-// that its machine may be switched off.
+// DecommissionStore decommissions the store of a name, and returns once no group has a
+// replica on it, so that its machine may be switched off. If the context ends first the error
+// is OutcomeUnknown, and it goes on by itself.
 //
 //	reply, err := node.DecommissionStore(ctx, "root", "store-…")
 func (node *Node) DecommissionStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
@@ -115,11 +124,12 @@
 	return node.awaitDecommissioned(ctx, name)
 }
 
-// awaitDecommissioned waits until a store that is being emptied has left the list.
+// awaitDecommissioned waits until a store that is being emptied has left the store list, and
+// that is acknowledged.
 func (node *Node) awaitDecommissioned(ctx context.Context, name string) (*wire.ChangeReply, error) {
-	is := hasName(name)
+	isStore := hasName(name)
 	for {
-		if view := node.View(); slices.ContainsFunc(view.Decommissioned, is) && !slices.ContainsFunc(view.Stores, is) {
+		if view := node.View(); slices.ContainsFunc(view.Decommissioned, isStore) && !slices.ContainsFunc(view.Stores, isStore) {
 			return node.AwaitAcknowledged(ctx, view.Number)
 		}
 		select {
@@ -130,10 +140,10 @@
 	}
 }
 
-// finishDecommissions takes stores that hold no group any more off the list: the confirmed
-// leaders of all groups must say that each has all its replicas on the stores that stay.
-// A group that lacks one of them, or names a store which is no longer listed, may need what
-// a store that leaves holds.
+// finishDecommissions takes an empty store off the store list. To be sure that it is empty,
+// the confirmed leaders of all groups must report that their replicas are on the stores that
+// stay: a group that lacks one of these, or has a replica on a store which is not listed, may
+// still need what the leaving store has.
 func (node *Node) finishDecommissions() {
 	view := node.View()
 	if !node.IsLeader() || !slices.ContainsFunc(view.Stores, func(store feed.Member) bool { return store.State == feed.StateDecommissioning }) {
@@ -146,7 +156,7 @@
 	}
 	at := slices.IndexFunc(view.Stores, func(store feed.Member) bool { return store.State == feed.StateDecommissioning })
 	store := view.Stores[at]
-	log.WithFields(log.Fields{"node": node.Name(), "store": store.Name, "machine": store.Machine}).Info("store_retired")
+	log.WithFields(log.Fields{"node": node.Name(), "store": store.Name, "machine": store.Machine}).Info("store is empty, taking it off the store list")
 	store.State = feed.StateDecommissioned
 	next := slices.Delete(slices.Clone(view.Stores), at, at+1)
 	node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: next, Member: store})
--- a/system/controlplane/store_founding.go
+++ b/system/controlplane/store_founding.go
@@ -13,9 +13,17 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// foundStoreList makes the first store list once enough stores have sessions. If a
-// store already holds a view, this control plane has lost its disks, and takes
-// what a majority of that view's stores hold instead.
+// recoveredNumberStep is how far a recovered feed jumps ahead, so that no number that was given
+// out but not acknowledged is ever given out again.
+const recoveredNumberStep = 1_000_000
+
+// foundingQuietPeriod is how long no store may have been discovered before the first list is
+// made.
+const foundingQuietPeriod = 700 * time.Millisecond
+
+// foundStoreList makes the first store list once enough stores are live. If a store has
+// synced a view of another fleet, this control plane has lost its disks, and recovers the
+// feed from what a majority of that view's stores has synced instead.
 func (node *Node) foundStoreList(ctx context.Context) {
 	view := node.View()
 	if len(view.Stores) > 0 || view.Number == 0 {
@@ -40,8 +48,8 @@
 	}
 }
 
-// storesSettled tells that no store has come lately, so that a list that is made now need not be
-// changed at once.
+// storesSettled reports whether no store has been discovered lately, so that a list made now
+// need not be changed at once.
 func (node *Node) storesSettled(stores []feed.Member) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -50,8 +58,9 @@
 	})
 }
 
-// fetchNewestForeignView asks stores for the newest view that each has synced of a fleet that is
-// not this one's. A store whose own control plane is alive is left out.
+// fetchNewestForeignView asks stores for the newest view that they have synced of a fleet
+// other than this one, and returns the newest of all with the names of the stores that
+// answered. Stores whose own control plane is alive are left out.
 func (node *Node) fetchNewestForeignView(ctx context.Context, stores []feed.Member) (feed.View, []string) {
 	var mutex sync.Mutex
 	var calls sync.WaitGroup
@@ -82,6 +91,8 @@
 	return newest, answered
 }
 
+// recoverFeed proposes a view that stores had synced as the one in force, if a majority of
+// that view's stores has answered: then no acknowledged change is missing.
 func (node *Node) recoverFeed(ctx context.Context, recovered feed.View, answered []string) {
 	heard, replicas := 0, feed.ViewReplicas(recovered.Stores)
 	for _, store := range replicas {
@@ -90,12 +101,12 @@
 		}
 	}
 	if heard < len(replicas)/2+1 {
-		log.WithFields(log.Fields{"node": node.Name(), "number": recovered.Number, "heard": heard, "of": len(replicas)}).Warn("recovery_waits_for_stores")
+		log.WithFields(log.Fields{"node": node.Name(), "number": recovered.Number, "heard": heard, "of": len(replicas)}).Warn("recovery of the feed waits for a majority of its stores")
 		return
 	}
 	view := node.View()
 	recovered.Number += recoveredNumberStep
 	recovered.Controls, recovered.Founding = view.Controls, view.Founding
-	log.WithFields(log.Fields{"node": node.Name(), "fleet": recovered.Fleet, "number": recovered.Number}).Info("feed_recovered")
+	log.WithFields(log.Fields{"node": node.Name(), "fleet": recovered.Fleet, "number": recovered.Number}).Info("recovering the feed from the stores")
 	node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeRecovered, By: node.Name(), View: recovered})
 }
--- a/system/controlplane/store_groups.go
+++ b/system/controlplane/store_groups.go
@@ -11,35 +11,38 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// countUnhealedGroups counts the groups that have no confirmed leader, or whose replicas are not, or
-// not yet all, those that the store list wants.
+// countUnhealedGroups counts the groups that have no confirmed leader, or whose voters are
+// not exactly the replicas that the store list calls for.
 func (node *Node) countUnhealedGroups(ctx context.Context, view *feed.View) int {
 	leaders := node.groupLeaders(ctx, view)
 	count := 0
 	for group := range view.Groups {
-		led := leaders[group]
-		if len(led.Learners) > 0 || !sameNames(led.Voters, placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())) {
+		status := leaders[group]
+		if len(status.Learners) > 0 || !sameNames(status.Voters, placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())) {
 			count++
 		}
 	}
 	return count
 }
 
+// sameNames reports whether two lists have the same names in any order.
 func sameNames(left, right []string) bool {
 	return slices.Equal(slices.Sorted(slices.Values(left)), slices.Sorted(slices.Values(right)))
 }
 
-// leaderStatus is what a group's leader says of it.
+// leaderStatus is the status of a group as its leader reports it. Leader is the store's name.
 type leaderStatus struct {
 	wire.GroupStatus
 	leader string
 }
 
-// groupLeaders asks all stores and keeps what each group's leader says.
+// groupLeaders returns the status of each group that has a leader among the listed stores.
 func (node *Node) groupLeaders(ctx context.Context, view *feed.View) map[uint32]leaderStatus {
 	return node.queryGroupLeaders(ctx, view, wire.StatusQuery{})
 }
 
+// queryGroupLeaders asks all listed stores at once, and returns the status of each group as
+// its leader reports it. Stores that do not answer within callTimeout are left out.
 func (node *Node) queryGroupLeaders(ctx context.Context, view *feed.View, query wire.StatusQuery) map[uint32]leaderStatus {
 	var mutex sync.Mutex
 	var calls sync.WaitGroup
--- a/system/controlplane/store_membership.go
+++ b/system/controlplane/store_membership.go
@@ -12,13 +12,8 @@
 	"yardrock.example/system/wire"
 )
 
-const (
-	// recoveredNumberStep is how far a recovered feed jumps ahead, so that no number
-	// that was given out but not acknowledged is ever given out again.
-	recoveredNumberStep = 1_000_000
-)
-
-// unlistedStores gives the stores that were heard just now and are not in the list.
+// unlistedStores returns the stores that were heard just now and are not in the store list,
+// but for those that were decommissioned.
 func (node *Node) unlistedStores(view *feed.View) []feed.Member {
 	return slices.DeleteFunc(node.LiveMembers(), func(member feed.Member) bool {
 		listed := slices.ContainsFunc(view.Stores, func(store feed.Member) bool { return store.Name == member.Name })
@@ -26,56 +21,59 @@
 	})
 }
 
-// replaceWipedStores puts a wiped machine's new identity into the place of its lost
-// one: same address, another disk.
+// replaceWipedStores gives the place of a lost store to one with the same address and a new
+// name: the same machine with a wiped disk.
 func (node *Node) replaceWipedStores(ctx context.Context) {
 	view := node.View()
 	next := slices.Clone(view.Stores)
-	for _, fresh := range node.unlistedStores(view) {
-		at := slices.IndexFunc(next, func(store feed.Member) bool { return store.Address == fresh.Address })
+	for _, added := range node.unlistedStores(view) {
+		at := slices.IndexFunc(next, func(store feed.Member) bool { return store.Address == added.Address })
 		if at >= 0 && node.isSilent(next[at].Name, livenessTimeout) {
-			node.replaceStore(next, at, fresh)
+			node.replaceStore(next, at, added)
 		}
 	}
 	node.proposeStores(ctx, view, next)
 }
 
-func (node *Node) replaceStore(stores []feed.Member, at int, fresh feed.Member) {
-	log.WithFields(log.Fields{"node": node.Name(), "lost": stores[at].Name, "store": fresh.Name}).Info("store_replaced")
-	fresh.State = stores[at].State // it is emptied whatever disk it has
-	stores[at] = fresh
+// replaceStore puts a new store at the place of another one in a list.
+func (node *Node) replaceStore(stores []feed.Member, at int, added feed.Member) {
+	log.WithFields(log.Fields{"node": node.Name(), "lost": stores[at].Name, "store": added.Name}).Info("replacing a lost store")
+	added.State = stores[at].State // a decommission goes on, whatever the disk
+	stores[at] = added
 }
 
+// proposeStores proposes a store list if it is not the one of the view.
 func (node *Node) proposeStores(ctx context.Context, view *feed.View, next []feed.Member) {
 	if !slices.Equal(next, view.Stores) {
 		node.proposeOrLog(ctx, feed.Change{Kind: feed.ChangeStores, By: node.Name(), Expects: true, Expected: view.Number, Members: next})
 	}
 }
 
-// autoEnrolStores keeps the store list by itself: a new store takes the place of one of its
-// domain that is silent, or, once there has been time to notice such a one, is added; one that is lost goes, as long as enough others are
-// there. Groups then move by their own leaders, who give nothing up before they have made
-// up for it; so a store that was given up too early has cost no more than some copying.
+// autoEnrolStores makes the store list follow the live stores without an admin request. A new
+// store takes the place of one of its domain that is silent. If there is none it is added,
+// once there has been time to notice a silent one. A lost store is removed as long as enough
+// others are live. The groups' own leaders then move the replicas, and give up none before
+// the group has made up for it; so a store that was given up by mistake costs only copying.
 func (node *Node) autoEnrolStores(ctx context.Context) {
 	view := node.View()
 	if len(view.Stores) == 0 {
 		return
 	}
 	next := slices.Clone(view.Stores)
-	for _, fresh := range node.unlistedStores(view) {
-		if slices.ContainsFunc(next, func(store feed.Member) bool { return store.Address == fresh.Address }) {
+	for _, added := range node.unlistedStores(view) {
+		if slices.ContainsFunc(next, func(store feed.Member) bool { return store.Address == added.Address }) {
 			continue // replaceWipedStores decides
 		}
 		silent := func(timeout time.Duration) int {
 			return slices.IndexFunc(next, func(store feed.Member) bool {
-				return store.Domain == fresh.Domain && store.State != feed.StateDecommissioning && node.isSilent(store.Name, timeout)
+				return store.Domain == added.Domain && store.State != feed.StateDecommissioning && node.isSilent(store.Name, timeout)
 			})
 		}
 		if at := silent(replaceableTimeout); at >= 0 {
-			node.replaceStore(next, at, fresh)
-		} else if node.knownFor(fresh.Name) >= suspectTimeout && silent(suspectTimeout) < 0 {
-			log.WithFields(log.Fields{"node": node.Name(), "store": fresh.Name}).Info("store_enrolled")
-			next = append(next, fresh)
+			node.replaceStore(next, at, added)
+		} else if node.knownFor(added.Name) >= suspectTimeout && silent(suspectTimeout) < 0 {
+			log.WithFields(log.Fields{"node": node.Name(), "store": added.Name}).Info("adding a store to the store list")
+			next = append(next, added)
 		}
 	}
 	reachable := 0
@@ -88,7 +86,7 @@
 		next = slices.DeleteFunc(next, func(store feed.Member) bool {
 			lost := store.State != feed.StateDecommissioning && node.isSilent(store.Name, lostTimeout)
 			if lost {
-				log.WithFields(log.Fields{"node": node.Name(), "store": store.Name}).Info("store_removed")
+				log.WithFields(log.Fields{"node": node.Name(), "store": store.Name}).Info("removing a lost store from the store list")
 			}
 			return lost
 		})
@@ -96,8 +94,9 @@
 	node.proposeStores(ctx, view, next)
 }
 
-// EnrolStore puts a live store that has a session into the store list, and returns once
-// that is acknowledged; so it does if the store is listed already.
+// EnrolStore adds a live store to the store list and returns once that is acknowledged; if
+// the store is listed already it is acknowledged at once. The error is NotFound if no such
+// store is live, Conflict if its address belongs to another one.
 //
 //	reply, err := node.EnrolStore(ctx, "root", "store-…")
 func (node *Node) EnrolStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
@@ -107,7 +106,7 @@
 	})
 }
 
-// planEnrol makes the change that lists a store, none if it is listed already.
+// planEnrol plans the change that lists a store; nil if it is listed already.
 func (node *Node) planEnrol(view *feed.View, name string) (*feed.Change, error) {
 	at := slices.IndexFunc(view.Stores, hasName(name))
 	if at >= 0 && view.Stores[at].State != feed.StateDecommissioning {
