--- /dev/null
+++ b/system/balancer/lease_test.go
@@ -0,0 +1,139 @@
+package balancer
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/leanovate/gopter"
+	"github.com/leanovate/gopter/gen"
+	"github.com/leanovate/gopter/prop"
+
+	"yardrock.example/system/config"
+	"yardrock.example/system/feed"
+	"yardrock.example/system/runnerpool"
+)
+
+func TestLeaseValidityFollowsLatestState(t *testing.T) {
+	cases := []struct {
+		name   string
+		change func(state *State)
+		stands bool
+	}{
+		{"nothing changed", func(*State) {}, true},
+		{"the runner is draining", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, false},
+		{"the runner is not listed", func(state *State) { state.View.Runners = nil }, false},
+		{"another life has its address", func(state *State) { state.View.Runners[0].Life = "other" }, false},
+		{"its domain is drained", func(state *State) { state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}} }, false},
+		{"the route goes elsewhere", func(state *State) {
+			state.Routing.Routes[0].Shares = []config.WeightedService{{Service: "other", Weight: 1}}
+		}, false},
+		{"the weight is zero", func(state *State) { state.Routing.Routes[0].Shares = []config.WeightedService{{Service: "plain"}} }, false},
+		{"the route is removed", func(state *State) { state.Routing.Routes = nil }, false},
+		{"the route has another prefix", func(state *State) { state.Routing.Routes[0].Prefix = "/other/" }, false},
+		{"the service is removed", func(state *State) { state.Routing.Services = nil }, false},
+		{"only the time-out changed", func(state *State) { state.Routing.Routes[0].Timeout *= 2 }, true},
+	}
+	for _, one := range cases {
+		t.Run(one.name, func(t *testing.T) {
+			route := routeTo(config.WeightedService{Service: "plain", Weight: 1})
+			balancer := New("east", 1, newFakeClock().now)
+			balancer.Update(stateOf([]config.Service{plainService()}, route, runnersOf("plain", 1, 6), 1))
+			lease := mustAcquire(t, balancer, Request{Route: &route})
+			later := stateOf([]config.Service{plainService()}, route, runnersOf("plain", 1, 6), 1)
+			one.change(&later)
+			balancer.Update(later)
+			if lease.Valid() != one.stands {
+				t.Fatalf("valid: %v", lease.Valid())
+			}
+			lease.Release(NotSent, nil)
+		})
+	}
+}
+
+func TestLeaseServesRoutesOfItsService(t *testing.T) {
+	route := routeTo(config.WeightedService{Service: "plain", Weight: 1})
+	balancer := New("east", 1, newFakeClock().now)
+	balancer.Update(stateOf([]config.Service{plainService()}, route, runnersOf("plain", 1, 6), 1))
+	lease := mustAcquire(t, balancer, Request{Route: &route})
+	for _, one := range []struct {
+		shares []config.WeightedService
+		serves bool
+	}{
+		{[]config.WeightedService{{Service: "plain", Weight: 1}}, true},
+		{[]config.WeightedService{{Service: "other", Weight: 9}, {Service: "plain", Weight: 1}}, true},
+		{[]config.WeightedService{{Service: "other", Weight: 9}, {Service: "plain"}}, false},
+		{nil, false},
+	} {
+		narrower := routeTo(one.shares...)
+		narrower.Name, narrower.Prefix = "narrower", "/work/narrower/"
+		if lease.Serves(&narrower) != one.serves {
+			t.Fatalf("a route with the shares %v: %v", one.shares, !one.serves)
+		}
+	}
+}
+
+func TestReleaseIsIdempotent(t *testing.T) {
+	route := routeTo(config.WeightedService{Service: "plain", Weight: 1})
+	balancer := New("east", 1, newFakeClock().now)
+	balancer.Update(stateOf([]config.Service{plainService()}, route, runnersOf("plain", 2, 6), 1))
+	lease, other := mustAcquire(t, balancer, Request{Route: &route}), mustAcquire(t, balancer, Request{Route: &route})
+	for range 3 {
+		lease.Release(Answered, &runnerpool.Load{Running: 1, Slots: 6})
+	}
+	if out := totalInFlight(balancer); out != 1 {
+		t.Fatalf("%d in flight", out)
+	}
+	other.Release(Cancelled, nil)
+	if out := totalInFlight(balancer); out != 0 {
+		t.Fatalf("%d in flight", out)
+	}
+}
+
+func TestLeasesNeverLeak(t *testing.T) {
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261203))
+	properties.Property("in flight are the leases that were not released", prop.ForAll(func(steps []int) string {
+		route := routeTo(config.WeightedService{Service: "model", Weight: 2}, config.WeightedService{Service: "plain", Weight: 1})
+		runners := append(runnersOf("model", 5, 2), runnersOf("plain", 4, 1)...)
+		state := stateOf([]config.Service{modelService(4), plainService()}, route, runners, 2)
+		clock := newFakeClock()
+		balancer := New("east", 1, clock.now)
+		balancer.Update(state)
+		var out []*Lease
+		for at, step := range steps {
+			clock.advance(time.Duration(step%97) * time.Millisecond)
+			switch {
+			case step%3 > 0:
+				request := Request{Route: &route, Program: fmt.Sprint(step % 5), PromptParts: []PromptPart{{fmt.Sprint(step % 7), 500}}}
+				request.Deadline = clock.now() // no time to wait
+				if lease, err := balancer.Acquire(context.Background(), request); err == nil {
+					out = append(out, lease)
+				}
+			case len(out) > 0:
+				out[0].FirstEvent(time.Duration(step) * time.Millisecond)
+				out[0].Release(Outcome(step/3%(int(Cancelled)+1)), nil)
+				out = out[1:]
+			}
+			if step%50 == 0 {
+				changed := state
+				changed.View = &feed.View{Runners: runners[at%5:], Domains: []feed.Domain{{Name: domains[at%3], State: feed.StateDrained}}}
+				balancer.Update(changed)
+			}
+		}
+		for _, lease := range out {
+			lease.Release(Answered, nil)
+		}
+		balancer.Update(state)
+		for key, one := range balancer.runners {
+			if one.inFlight != 0 || one.pendingPrefill > 1e-6 || one.health.probesInFlight != 0 {
+				return fmt.Sprintf("%s: %d in flight, %v tokens pending, %d probes", key, one.inFlight, one.pendingPrefill, one.health.probesInFlight)
+			}
+		}
+		if len(balancer.queue) != 0 {
+			return "a request waits"
+		}
+		return ""
+	}, gen.SliceOfN(300, gen.IntRange(0, 1000))))
+	properties.TestingRun(t)
+}
--- /dev/null
+++ b/system/balancer/prefix_affinity_test.go
@@ -0,0 +1,76 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"yardrock.example/system/config"
+)
+
+func TestTurnsFollowPrefixCache(t *testing.T) {
+	route := routeTo(config.WeightedService{Service: "model", Weight: 1})
+	clock := newFakeClock()
+	balancer := New("east", 1, clock.now)
+	balancer.Update(stateOf([]config.Service{modelService(0)}, route, runnersOf("model", 12, 32), 6))
+	parts := []PromptPart{{"prefix", 2560}, {"p/1", 900}}
+	first := mustAcquire(t, balancer, Request{Route: &route, Program: "p", Session: "s", PromptParts: parts, Excluded: []string{"model-0"}})
+	first.FirstEvent(100 * time.Millisecond)
+	first.Release(Answered, nil)
+	for turn := range 5 {
+		clock.advance(400 * time.Millisecond)
+		parts = append(parts, PromptPart{fmt.Sprintf("p/%d", turn+2), 500})
+		lease := mustAcquire(t, balancer, Request{Route: &route, Program: "p", Session: fmt.Sprint("helper", turn), PromptParts: parts})
+		if lease.Runner.Life != first.Runner.Life {
+			t.Fatalf("turn %d went to %s, its parts are cached at %s", turn, lease.Runner.Life, first.Runner.Life)
+		}
+		lease.Release(Answered, nil)
+	}
+	for range 40 { // the runner gets clearly busier
+		balancer.mutex.Lock()
+		balancer.runners[first.Runner.Life].inFlight++
+		balancer.mutex.Unlock()
+	}
+	if lease := mustAcquire(t, balancer, Request{Route: &route, Program: "p", PromptParts: parts}); lease.Runner.Life == first.Runner.Life {
+		t.Fatal("a full runner was chosen for its cached parts")
+	}
+}
+
+func TestFrontsOfDomainChooseSameRunnerIndependently(t *testing.T) {
+	route := routeTo(config.WeightedService{Service: "model", Weight: 1})
+	state := stateOf([]config.Service{modelService(0)}, route, runnersOf("model", 12, 32), 6)
+	agreed, near := 0, 0
+	for program := range 100 {
+		request := Request{Route: &route, Program: fmt.Sprint(program), PromptParts: []PromptPart{{"prefix", 2560}, {fmt.Sprint("p", program), 900}}}
+		lives := map[string]bool{}
+		for seed := range uint64(4) {
+			balancer := New("east", seed, newFakeClock().now)
+			balancer.Update(state)
+			lease := mustAcquire(t, balancer, request)
+			lives[lease.Runner.Life] = true
+			if lease.Runner.Domain == "east" {
+				near++
+			}
+		}
+		if len(lives) == 1 {
+			agreed++
+		}
+	}
+	if agreed != 100 || near != 400 {
+		t.Fatalf("agreed on %d of 100 programs, %d of 400 in the own domain", agreed, near)
+	}
+}
+
+func TestGenerationalCacheEvictsLeastRecentlyUsed(t *testing.T) {
+	cached := generationalCache[int]{}
+	for key := range uint64(3 * cacheGenerationSize) {
+		cached.put(key, int(key))
+		cached.put(1, 1)
+	}
+	if _, found := cached.get(1); !found {
+		t.Fatal("an entry in regular use was dropped")
+	}
+	if _, found := cached.get(2); found || len(cached.newer)+len(cached.older) > 2*cacheGenerationSize {
+		t.Fatalf("%d entries are kept", len(cached.newer)+len(cached.older))
+	}
+}
