--- a/system/balancer/outlier_ejection_test.go
+++ b/system/balancer/outlier_ejection_test.go
@@ -16,66 +16,66 @@
 
 func TestOutcomesEjectRunner(t *testing.T) {
 	cases := []struct {
-		name     string
-		outcomes []Outcome
-		latency  time.Duration
-		away     time.Duration // without work for this long at least
-		back     time.Duration // and this much longer at most
-		forgiven bool          // the outcomes have no consequence
+		name             string
+		outcomes         []Outcome
+		latency          time.Duration
+		minEjection      time.Duration // the runner gets no requests for at least this long
+		maxExtraEjection time.Duration // and for at most this much longer; 0 if there is no bound
+		unaffected       bool          // the runner still gets requests at once
 	}{
-		{"answers", []Outcome{Answered, Answered, Answered}, 20 * time.Millisecond, 0, 0, true},
-		{"unused", []Outcome{NotSent, NotSent}, 0, 0, 0, true},
+		{"answered", []Outcome{Answered, Answered, Answered}, 20 * time.Millisecond, 0, 0, true},
+		{"not sent", []Outcome{NotSent, NotSent}, 0, 0, 0, true},
 		{"cancelled early", []Outcome{Cancelled}, 20 * time.Millisecond, 0, 0, true},
 		{"rejected", []Outcome{Rejected}, time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, false},
 		{"lost once", []Outcome{Lost}, time.Millisecond, 200 * time.Millisecond, 8 * time.Second, false},
-		{"lost again", []Outcome{Lost, Lost, Lost}, time.Millisecond, 2 * time.Second, 40 * time.Second, false},
-		{"failed often", []Outcome{Failed, Failed, Failed, Failed}, 20 * time.Millisecond, 900 * time.Millisecond, 60 * time.Second, false},
-		{"silent again and again", []Outcome{Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Cancelled}, 900 * time.Millisecond, 200 * time.Millisecond, 60 * time.Second, false},
+		{"lost repeatedly", []Outcome{Lost, Lost, Lost}, time.Millisecond, 2 * time.Second, 40 * time.Second, false},
+		{"failed repeatedly", []Outcome{Failed, Failed, Failed, Failed}, 20 * time.Millisecond, 900 * time.Millisecond, 60 * time.Second, false},
+		{"unresponsive repeatedly", []Outcome{Cancelled, Cancelled, Cancelled, Cancelled, Cancelled, Cancelled}, 900 * time.Millisecond, 200 * time.Millisecond, 60 * time.Second, false},
 		{"misdirected", []Outcome{Misdirected}, time.Millisecond, time.Hour, 0, false},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			balancer, clock, request := newPlainBalancer(6, 1)
 			for _, incarnation := range []string{"plain-1", "plain-2", "plain-3"} {
 				lease := mustAcquireAt(t, balancer, request, incarnation)
 				clock.advance(20 * time.Millisecond)
 				lease.Release(Answered, nil)
 			}
-			for _, outcome := range one.outcomes {
+			for _, outcome := range test.outcomes {
 				lease := mustAcquireAt(t, balancer, request, "plain-0")
-				clock.advance(one.latency)
+				clock.advance(test.latency)
 				lease.Release(outcome, nil)
 			}
-			// gets reports whether the runner gets one of 24 requests in flight together.
-			gets := func() bool {
+			// receivesRequests reports whether the runner gets one of 24 concurrent requests.
+			receivesRequests := func() bool {
 				found := false
-				var out []*Lease
+				var leases []*Lease
 				for range 24 {
 					lease := mustAcquire(t, balancer, request)
 					found = found || lease.Runner.Life == "plain-0"
-					out = append(out, lease)
+					leases = append(leases, lease)
 				}
-				for _, lease := range out {
+				for _, lease := range leases {
 					lease.Release(NotSent, nil)
 				}
 				return found
 			}
-			if gets() != one.forgiven {
-				t.Fatalf("got work at once: %v", !one.forgiven)
+			if receivesRequests() != test.unaffected {
+				t.Fatalf("got requests at once: %v", !test.unaffected)
 			}
-			if one.forgiven {
+			if test.unaffected {
 				return
 			}
-			clock.advance(one.away - 10*time.Millisecond)
-			if gets() {
-				t.Fatalf("got work again in less than %v", one.away)
+			clock.advance(test.minEjection - 10*time.Millisecond)
+			if receivesRequests() {
+				t.Fatalf("got requests again in less than %v", test.minEjection)
 			}
-			if one.back == 0 {
+			if test.maxExtraEjection == 0 {
 				return
 			}
-			clock.advance(one.back)
-			if !gets() {
-				t.Fatalf("got no work after %v", one.back)
+			clock.advance(test.maxExtraEjection)
+			if !receivesRequests() {
+				t.Fatalf("got no requests %v after the shortest ejection", test.maxExtraEjection)
 			}
 		})
 	}
@@ -89,32 +89,32 @@
 		lease.Release(Failed, nil)
 	}
 	clock.advance(time.Minute)
-	for trial := range recoveryProbes {
-		var out []*Lease
-		trials := 0
+	for probe := range recoveryProbes {
+		var leases []*Lease
+		probes := 0
 		for range 30 {
 			lease := mustAcquire(t, balancer, request)
 			if lease.Runner.Life == "plain-0" {
-				trials++
+				probes++
 			}
-			out = append(out, lease)
+			leases = append(leases, lease)
 		}
-		if trials != 1 {
-			t.Fatalf("%d requests in flight at once at probe %d", trials, trial)
+		if probes != 1 {
+			t.Fatalf("%d concurrent requests during probe %d, want 1", probes, probe)
 		}
 		clock.advance(20 * time.Millisecond)
-		for _, lease := range out {
+		for _, lease := range leases {
 			lease.Release(Answered, nil)
 		}
 	}
-	got := 0
+	received := 0
 	for range 30 {
 		if mustAcquire(t, balancer, request).Runner.Life == "plain-0" {
-			got++
+			received++
 		}
 	}
-	if got < 3 {
-		t.Fatalf("after its probes it has %d of 30", got)
+	if received < 3 {
+		t.Fatalf("the recovered runner got %d of 30 requests", received)
 	}
 }
 
@@ -123,14 +123,14 @@
 	lease := mustAcquireAt(t, balancer, request, "plain-0")
 	lease.Release(Misdirected, nil)
 	if lease.Valid() {
-		t.Fatal("the lease is still valid")
+		t.Fatal("the lease on a misdirected runner is still valid")
 	}
 	for range 3 {
 		clock.advance(time.Minute)
 		balancer.Update(stateOf([]config.Service{plainService()}, *request.Route, runnersOf("plain", 3, 6), 1))
 		for range 12 {
 			if mustAcquire(t, balancer, request).Runner.Life == "plain-0" {
-				t.Fatal("it was chosen again")
+				t.Fatal("a misdirected runner was chosen again")
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 
 func TestEjectionLeavesEnoughRunners(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261205))
-	properties.Property("never more than a third is ejected, nor more than the demand allows", prop.ForAll(func(seed uint64, runners, occupied int) string {
+	properties.Property("at most a third is ejected, and the remaining slots meet the demand", prop.ForAll(func(seed uint64, runners, occupied int) string {
 		random := rand.New(rand.NewPCG(seed, 2))
 		balancer, clock, request := newPlainBalancer(runners, 2)
 		for range min(occupied, 4*runners) {
@@ -152,18 +152,18 @@
 			}
 			lease.Release(Failed, nil)
 			ejected, slots := 0, 0
-			for _, one := range balancer.Status().Runners {
-				if one.Ejected {
+			for _, runner := range balancer.Status().Runners {
+				if runner.Ejected {
 					ejected++
 				} else {
 					slots += 6
 				}
 			}
 			if 3*ejected > runners {
-				return fmt.Sprintf("%d of %d are ejected", ejected, runners)
+				return fmt.Sprintf("%d of %d runners are ejected", ejected, runners)
 			}
 			if demand := 2 * min(occupied, 4*runners); ejected > 0 && clock.time.Sub(balancer.started) > 10*time.Second && demand > slots {
-				return fmt.Sprintf("%d are ejected, %d slots are left for %d", ejected, slots, demand)
+				return fmt.Sprintf("%d runners are ejected, %d slots remain for a demand of %d", ejected, slots, demand)
 			}
 		}
 		return ""
--- a/system/balancer/selection_test.go
+++ b/system/balancer/selection_test.go
@@ -20,7 +20,7 @@
 	}
 	for incarnation, count := range counts {
 		if count < 4 || count > 6 {
-			t.Fatalf("%s has %d of 15", incarnation, count)
+			t.Fatalf("%s got %d of 15 requests", incarnation, count)
 		}
 	}
 }
@@ -36,13 +36,13 @@
 	first.Release(Answered, &runnerpool.Load{Running: 6, Waiting: 9, Slots: 6})
 	for range 6 {
 		if lease := mustAcquire(t, balancer, Request{Route: &route}); lease.Runner.Life == first.Runner.Life {
-			t.Fatal("chose the runner that reported it is full")
+			t.Fatal("chose the runner that reported to be full")
 		}
 	}
 }
 
 func BenchmarkAcquire(b *testing.B) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		service config.Service
 		runners int
@@ -53,13 +53,13 @@
 		{"model of 18", modelService(22), 18, 12},
 		{"model of 72", modelService(22), 72, 12},
 	} {
-		b.Run(one.name, func(b *testing.B) {
-			route := routeTo(config.WeightedService{Service: one.service.Name, Weight: 1})
+		b.Run(test.name, func(b *testing.B) {
+			route := routeTo(config.WeightedService{Service: test.service.Name, Weight: 1})
 			balancer := New("east", 1, nil)
-			balancer.Update(stateOf([]config.Service{one.service}, route, runnersOf(one.service.Name, one.runners, 32), 6))
+			balancer.Update(stateOf([]config.Service{test.service}, route, runnersOf(test.service.Name, test.runners, 32), 6))
 			parts := []PromptPart{}
-			for at := range one.parts {
-				parts = append(parts, PromptPart{fmt.Sprintf("e44%02x", at), 500})
+			for index := range test.parts {
+				parts = append(parts, PromptPart{fmt.Sprintf("e44%02x", index), 500})
 			}
 			request := Request{Route: &route, Program: "3fa81c", Session: "77d20b", PromptParts: parts}
 			b.ReportAllocs()
