--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// administrationTimeout bounds a request, and decommissionTimeout one that may wait until
-	// a store is decommissioned.
+	// administrationTimeout bounds a request; decommissionTimeout bounds one that may wait for
+	// the decommission of a store.
 	administrationTimeout = 5 * time.Second
 	decommissionTimeout   = 2 * time.Minute
-	// maxBodyBytes bounds the body of a request; the largest has a complete config.
+	// maxBodyBytes bounds a request body; the largest bodies carry a full config.
 	maxBodyBytes = 8 << 20
 )
 
-// adminService is the admin API of a control node, as the generated goa server calls it.
+// adminService implements the generated goa service interface of the admin API.
 type adminService struct {
 	node *Node
-	// rootHash is the config.HashToken of the token that is accepted while no config names
-	// operators.
+	// rootHash is the config.HashToken of the root token, which is accepted only while the
+	// config names no operators.
 	rootHash string
 }
 
 // ServeAdmin serves the admin API of a control node until the server is closed. RootHash is
-// the config.HashToken of a token that may administer while no config names operators. It fails with
-// BadSettings if the address cannot be listened on.
+// the config.HashToken of the root token, which is accepted only while the config names no
+// operators. It fails with BadSettings if it cannot listen on the configured address.
 //
 //	server, err := controlplane.ServeAdmin(node, rootHash)
 func ServeAdmin(node *Node, rootHash string) (*httpapi.Server, error) {
@@ -46,7 +46,7 @@
 	return httpapi.Serve(listener, adminService{node: node, rootHash: rootHash}.handler(), func() int64 { return maxBodyBytes }), nil
 }
 
-// handler routes the admin API's requests and the health checks.
+// handler returns the HTTP handler of the admin API and the health checks.
 func (service adminService) handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
@@ -56,30 +56,30 @@
 }
 
 // authenticatedOperator is the operator who sent a request, with the state that a quorum
-// confirmed as in force after the request came.
+// confirmed as current after the request arrived.
 type authenticatedOperator struct {
 	name  string
 	state *feedState
 }
 
-// beginRequest bounds the time of a request and authenticates the operator who sent it. The
-// caller must call cancel, also on an error.
+// beginRequest applies a timeout to a request and authenticates the operator who sent it. The
+// caller must call the returned cancel function even if an error is returned.
 func (service adminService) beginRequest(ctx context.Context, header *string, timeout time.Duration) (context.Context, context.CancelFunc, authenticatedOperator, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
-	from, err := service.authenticate(ctx, header)
-	return ctx, cancel, from, err
+	operator, err := service.authenticate(ctx, header)
+	return ctx, cancel, operator, err
 }
 
-// authenticate finds the operator by a state that a quorum confirms: an operator may have been
-// added or removed while this node was cut off.
+// authenticate looks up the operator in a quorum-confirmed state: operators may have been added
+// or removed while this node was partitioned from the control group.
 func (service adminService) authenticate(ctx context.Context, header *string) (authenticatedOperator, error) {
 	token, err := httpapi.BearerToken(header)
 	if err != nil {
 		return authenticatedOperator{}, err
 	}
-	limited, cancel := context.WithTimeout(ctx, administrationTimeout)
+	confirmCtx, cancel := context.WithTimeout(ctx, administrationTimeout)
 	defer cancel()
-	state, err := service.node.confirmedState(limited)
+	state, err := service.node.confirmedState(confirmCtx)
 	if err != nil {
 		return authenticatedOperator{}, err
 	}
@@ -87,7 +87,7 @@
 	return authenticatedOperator{name: name, state: state.feedState}, err
 }
 
-// operatorName returns the name of the operator to whom a token belongs.
+// operatorName returns the name of the operator that a token belongs to.
 func (service adminService) operatorName(view *feed.View, token string) (string, error) {
 	decoded, err := service.node.decodeConfig(view)
 	if err != nil {
@@ -99,10 +99,10 @@
 	if len(decoded.Operators) == 0 && config.HashToken(token) == service.rootHash {
 		return "root", nil
 	}
-	return "", apierror.New(apierror.Unauthorized, "the token belongs to no operator", "send a token of an operator that the config names, or the root token while it names none")
+	return "", apierror.New(apierror.Unauthorized, "the token does not belong to any operator", "send the token of an operator in the config, or the root token if the config has no operators")
 }
 
-// changeResult converts the outcome of an admin request.
+// changeResult converts the outcome of an admin request to its API result.
 func changeResult(reply *wire.ChangeReply, err error) (*administration.Changed, error) {
 	if err != nil {
 		return nil, leaderlessAsNoQuorum(err)
--- a/system/controlplane/admin_config.go
+++ b/system/controlplane/admin_config.go
@@ -18,7 +18,7 @@
 
 // PutConfig replaces the config.
 func (service adminService) PutConfig(ctx context.Context, payload *administration.PutConfigPayload) (*administration.Changed, error) {
-	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	ctx, cancel, operator, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
 	if err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request := newAdminRequest(from.name, &payload.Expected, "put config", payload.Source)
+	request := newAdminRequest(operator.name, &payload.Expected, "put config", payload.Source)
 	return changeResult(service.node.execute(ctx, func(view *feed.View) (decision, error) {
 		return request.decide(view, []uint64{view.ConfigNumber}, func() (*feed.Change, error) {
 			return service.node.planConfig(view, payload.Source, decoded)
@@ -35,9 +35,9 @@
 	}))
 }
 
-// Set changes one value of the config and formats the source anew.
+// Set changes one value of the config and reformats its source.
 func (service adminService) Set(ctx context.Context, payload *administration.SetPayload) (*administration.Changed, error) {
-	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	ctx, cancel, operator, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request := newAdminRequest(from.name, payload.Expected, "set", payload.Path, string(value))
+	request := newAdminRequest(operator.name, payload.Expected, "set", payload.Path, string(value))
 	return changeResult(service.node.execute(ctx, func(view *feed.View) (decision, error) {
 		return request.decide(view, []uint64{view.ConfigNumber}, func() (*feed.Change, error) {
 			return service.node.planValue(view, payload.Path, payload.Value)
@@ -54,18 +54,18 @@
 	}))
 }
 
-// ReadConfig returns the source of the config in force.
+// ReadConfig returns the source of the current config.
 func (service adminService) ReadConfig(ctx context.Context, payload *administration.ReadConfigPayload) (*administration.ReadConfigResult, error) {
-	_, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	_, cancel, operator, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
 	if err != nil {
 		return nil, err
 	}
-	view := from.state.view
+	view := operator.state.view
 	return &administration.ReadConfigResult{Number: view.ConfigNumber, Source: view.Source}, nil
 }
 
-// planConfig plans the change that puts an operator's config in force.
+// planConfig plans the change that replaces the current config with an operator's.
 func (node *Node) planConfig(view *feed.View, source string, decoded *config.Config) (*feed.Change, error) {
 	compiled, err := node.compileWithRouting(view, decoded)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return &feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Source: source, Compiled: compiled}, nil
 }
 
-// planValue plans the change of one value of the config in force.
+// planValue plans the change of one value of the current config.
 func (node *Node) planValue(view *feed.View, path string, value any) (*feed.Change, error) {
 	source, err := sourceWithValue(view.Compiled, path, value)
 	if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // sourceWithValue returns the source of a config with the value at a dotted path replaced.
-// Everything but the last step of the path must exist.
+// All keys of the path but the last must exist.
 func sourceWithValue(compiled []byte, path string, value any) (string, error) {
 	settings := map[string]any{}
 	if len(compiled) > 0 {
@@ -96,16 +96,16 @@
 			return "", err
 		}
 	}
-	steps := strings.Split(path, ".")
-	at := settings
-	for _, step := range steps[:len(steps)-1] {
-		next, found := at[step].(map[string]any)
+	keys := strings.Split(path, ".")
+	parent := settings
+	for _, key := range keys[:len(keys)-1] {
+		next, found := parent[key].(map[string]any)
 		if !found {
-			return "", apierror.New(apierror.Invalid, fmt.Sprintf("the config has nothing at %s (no %q)", path, step), "read the config and name a path that is in it")
+			return "", apierror.New(apierror.Invalid, fmt.Sprintf("the config has no path %s: key %q not found", path, key), "read the config and use an existing path")
 		}
-		at = next
+		parent = next
 	}
-	at[steps[len(steps)-1]] = value
+	parent[keys[len(keys)-1]] = value
 	data, err := json.Marshal(settings)
 	if err != nil {
 		return "", err
@@ -118,17 +118,17 @@
 	return string(source), err
 }
 
-// decodedConfig caches the config of one number.
+// decodedConfig is a cached decoded config with the fleet and config number it belongs to.
 type decodedConfig struct {
 	fleet  string
 	number uint64
 	config *config.Config
 }
 
-// decodeConfig decodes the config of a view, or takes it from the cache.
+// decodeConfig returns the decoded config of a view. The last result is cached.
 func (node *Node) decodeConfig(view *feed.View) (*config.Config, error) {
-	if last := node.decodedConfig.Load(); last != nil && last.fleet == view.Fleet && last.number == view.ConfigNumber {
-		return last.config, nil
+	if cached := node.decodedConfig.Load(); cached != nil && cached.fleet == view.Fleet && cached.number == view.ConfigNumber {
+		return cached.config, nil
 	}
 	decoded, err := config.Decode(view.Compiled)
 	if err != nil {
@@ -138,12 +138,12 @@
 	return decoded, nil
 }
 
-// compileWithRouting compiles an operator's config together with the routing in force.
+// compileWithRouting compiles an operator's config together with the current routing.
 func (node *Node) compileWithRouting(view *feed.View, decoded *config.Config) ([]byte, error) {
-	inForce, err := node.decodeConfig(view)
+	current, err := node.decodeConfig(view)
 	if err != nil {
 		return nil, err
 	}
-	next := *decoded // a copy, as the request may be decided again on another view
-	return next.InheritRouting(inForce)
+	next := *decoded // a copy: a retry decides the same request on another view
+	return next.InheritRouting(current)
 }
--- a/system/controlplane/admin_domains.go
+++ b/system/controlplane/admin_domains.go
@@ -12,12 +12,12 @@
 
 // SetDomain drains or refills a domain.
 func (service adminService) SetDomain(ctx context.Context, payload *administration.SetDomainPayload) (*administration.Changed, error) {
-	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
+	ctx, cancel, operator, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
 	if err != nil {
 		return nil, err
 	}
-	request := newAdminRequest(from.name, nil, "domain", payload.Name, payload.State)
+	request := newAdminRequest(operator.name, nil, "domain", payload.Name, payload.State)
 	return changeResult(service.node.execute(ctx, func(view *feed.View) (decision, error) {
 		return request.decide(view, nil, func() (*feed.Change, error) {
 			return planDomain(view, payload.Name, payload.State, payload.Force)
@@ -25,19 +25,19 @@
 	}))
 }
 
-// planDomain plans the change that drains or refills a domain; nil if that is its state
-// already. The last domain that serves is drained only by force.
+// planDomain plans the change that drains or refills a domain; nil if the domain is in that
+// state already. The last serving domain is drained only if force is set.
 func planDomain(view *feed.View, name, state string, force bool) (*feed.Change, error) {
 	if view.DomainDrained(name) == (state == feed.StateDrained) {
 		return nil, nil
 	}
 	if state == feed.StateDrained && !force && isLastServing(view, name) {
-		return nil, apierror.New(apierror.Conflict, name+" is the last domain that serves", "refill another domain first, or say force")
+		return nil, apierror.New(apierror.Conflict, name+" is the last serving domain", "refill another domain first, or use force")
 	}
 	return &feed.Change{Kind: feed.ChangeDomain, Expects: true, Expected: view.Number, Domain: feed.Domain{Name: name, State: state, Since: time.Now().UnixNano()}}, nil
 }
 
-// isLastServing reports whether all runners outside a domain are in drained domains.
+// isLastServing reports whether every runner outside a domain is in a drained domain.
 func isLastServing(view *feed.View, name string) bool {
 	for _, runner := range view.Runners {
 		if runner.Domain != name && !view.DomainDrained(runner.Domain) {
@@ -47,14 +47,15 @@
 	return true
 }
 
-// SetDomainState drains or refills a domain and returns once that is acknowledged; if it is
-// in that state already, once that is. The error is Invalid if the state is neither
-// feed.StateServing nor feed.StateDrained.
+// SetDomainState drains or refills a domain, even the last serving one, and returns once the
+// new state is acknowledged. If the domain is in that state already, it returns once the
+// current view is acknowledged. The error is Invalid if the state is neither feed.StateServing
+// nor feed.StateDrained.
 //
 //	err := node.SetDomainState(ctx, "root", "east", feed.StateDrained)
 func (node *Node) SetDomainState(ctx context.Context, by, name, state string) error {
 	if state != feed.StateServing && state != feed.StateDrained {
-		return apierror.New(apierror.Invalid, fmt.Sprintf("%q is no state of a domain", state), "use serving or emptied")
+		return apierror.New(apierror.Invalid, fmt.Sprintf("%q is not a domain state", state), "use serving or emptied")
 	}
 	_, err := node.execute(ctx, func(view *feed.View) (decision, error) {
 		change, err := planDomain(view, name, state, true)
--- a/system/controlplane/admin_execution.go
+++ b/system/controlplane/admin_execution.go
@@ -10,63 +10,63 @@
 )
 
 const (
-	// attemptTimeout bounds one attempt, so that a new leader gets the request rather than one
-	// that hangs.
+	// attemptTimeout bounds one attempt, so that a request that hangs at one leader is retried
+	// at its successor.
 	attemptTimeout = 600 * time.Millisecond
-	// attemptPause is between two attempts.
+	// attemptPause is the delay between two attempts.
 	attemptPause = 50 * time.Millisecond
 )
 
-// decision is what is left to do for an admin request on a view: a change to make, or, if
-// there is none, the number of an earlier change whose acknowledgement to wait for.
+// decision is what remains to be done for an admin request on a view: propose a change or, if
+// change is nil, wait for the acknowledgement of the earlier change numbered acceptedAs.
 type decision struct {
 	change     *feed.Change
 	acceptedAs uint64
 }
 
-// decideFunc decides what is left to do for an admin request on a view that a quorum confirmed
-// after the request came. An error rejects the request for good.
+// decideFunc decides what remains to be done for an admin request on a view that a quorum
+// confirmed after the request arrived. An error rejects the request permanently.
 type decideFunc func(view *feed.View) (decision, error)
 
-// execute carries an admin request to its acknowledgement, over changes of the leader, until
-// the context ends. Each attempt decides anew on a newly confirmed view; a change that was
-// proposed by an earlier attempt and commits late fails its expected number.
+// execute retries an admin request, across leader changes, until it is acknowledged or rejected
+// or the context ends. Each attempt decides again on a newly confirmed view. If a change from an
+// earlier attempt commits late, its expected number no longer matches and it is rejected.
 func (node *Node) execute(ctx context.Context, decide decideFunc) (*wire.ChangeReply, error) {
-	failed := noQuorumError()
+	lastErr := noQuorumError()
 	for {
-		reply, rejected, err := node.attempt(ctx, decide)
+		reply, rejection, err := node.attempt(ctx, decide)
 		switch {
-		case rejected != nil:
-			return nil, rejected
+		case rejection != nil:
+			return nil, rejection
 		case err == nil && reply.Acknowledged:
 			return reply, nil
 		case err == nil:
-			failed = outcomeUnknownError()
-		case !apierror.Is(failed, apierror.OutcomeUnknown):
-			// Kept over later errors: once an attempt may have made the change, only an
-			// acknowledgement or a rejection settles what became of it.
-			failed = err
+			lastErr = outcomeUnknownError()
+		case !apierror.Is(lastErr, apierror.OutcomeUnknown):
+			// OutcomeUnknown is kept over later errors: once an attempt may have made the
+			// change, only an acknowledgement or a rejection settles the outcome.
+			lastErr = err
 		}
 		select {
 		case <-time.After(attemptPause):
 		case <-ctx.Done():
-			return nil, unacknowledgedError(failed)
+			return nil, unacknowledgedError(lastErr)
 		}
 	}
 }
 
-// attempt decides on the view in force and makes the change. Rejected is the error of the
-// decision, err any other.
-func (node *Node) attempt(ctx context.Context, decide decideFunc) (reply *wire.ChangeReply, rejected, err error) {
+// attempt decides on the current view and makes the change. Rejection is the error of the
+// decision; err is any other error.
+func (node *Node) attempt(ctx context.Context, decide decideFunc) (reply *wire.ChangeReply, rejection, err error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	view, err := node.confirmedView(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	decided, rejected := decide(view)
-	if rejected != nil {
-		return nil, rejected, nil
+	decided, rejection := decide(view)
+	if rejection != nil {
+		return nil, rejection, nil
 	}
 	if decided.change == nil {
 		reply, err = node.awaitAcknowledged(ctx, decided.acceptedAs)
@@ -76,17 +76,17 @@
 	return reply, nil, err
 }
 
-// unacknowledgedError says that a request may be sent again: only a decision on a confirmed
-// view rejects it for good.
+// unacknowledgedError returns a retryable error for a request that was not acknowledged in time:
+// only a decision on a confirmed view rejects a request permanently.
 func unacknowledgedError(err error) error {
-	if failed := apierror.Of(err); failed.Kind == apierror.OutcomeUnknown || failed.Kind == apierror.NoQuorum {
+	if cause := apierror.Of(err); cause.Kind == apierror.OutcomeUnknown || cause.Kind == apierror.NoQuorum {
 		return err
 	}
-	return apierror.NewRetryable(apierror.NoQuorum, "the order was not acknowledged in time: "+apierror.Of(err).Message, "send the same order again, to any control node", time.Second)
+	return apierror.NewRetryable(apierror.NoQuorum, "the request was not acknowledged in time: "+apierror.Of(err).Message, "send the same request again, to any control node", time.Second)
 }
 
-// forgottenRequestError answers a request that may have been carried out so long ago that it
-// is no longer remembered: it is neither acknowledged nor rejected.
+// forgottenRequestError answers a request that may have been executed so long ago that the
+// request history has dropped it. Such a request is neither acknowledged nor rejected.
 func forgottenRequestError() error {
-	return apierror.NewRetryable(apierror.NoQuorum, "the order builds on what was replaced long ago, and may have been carried out then", "read what is in force; send a new order if it is not what you want", time.Second)
+	return apierror.NewRetryable(apierror.NoQuorum, "the request history does not reach back to this request, which may have been executed already", "read the current state; send a new request if the change is missing", time.Second)
 }
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -17,7 +17,7 @@
 
 // Query runs one statement of the query language.
 func (service adminService) Query(ctx context.Context, payload *administration.QueryPayload) (*administration.QueryResult, error) {
-	ctx, cancel, from, err := service.beginRequest(ctx, payload.Authorization, decommissionTimeout)
+	ctx, cancel, operator, err := service.beginRequest(ctx, payload.Authorization, decommissionTimeout)
 	defer cancel()
 	if err != nil {
 		return nil, err
@@ -27,39 +27,39 @@
 		return nil, err
 	}
 	if statement.Show == nil {
-		return service.execute(ctx, from, statement)
+		return service.execute(ctx, operator, statement)
 	}
-	reading, stop := context.WithTimeout(ctx, administrationTimeout)
-	defer stop()
-	complete, err := service.readTable(reading, from.state, statement.Show.What)
+	readCtx, cancelRead := context.WithTimeout(ctx, administrationTimeout)
+	defer cancelRead()
+	unfiltered, err := service.readTable(readCtx, operator.state, statement.Show.What)
 	if err != nil {
 		return nil, err
 	}
-	rows, err := statement.Show.Apply(complete.columns, complete.rows)
-	return &administration.QueryResult{Columns: complete.columns, Rows: rows}, err
+	rows, err := statement.Show.Apply(unfiltered.columns, unfiltered.rows)
+	return &administration.QueryResult{Columns: unfiltered.columns, Rows: rows}, err
 }
 
-// execute carries out a statement that changes something, or, for a dry run, describes what
-// it would do.
-func (service adminService) execute(ctx context.Context, from authenticatedOperator, statement *querylanguage.Statement) (*administration.QueryResult, error) {
-	plan := service.planFor(from.state, statement)
-	request := newAdminRequest(from.name, statement.Expect, statement.String())
+// execute executes a statement that changes something or, for a dry run, describes its
+// effect.
+func (service adminService) execute(ctx context.Context, operator authenticatedOperator, statement *querylanguage.Statement) (*administration.QueryResult, error) {
+	plan := service.planFor(operator.state, statement)
+	request := newAdminRequest(operator.name, statement.Expect, statement.String())
 	request.statement = statement.String()
-	// Operators see both numbers and may expect either.
-	inForce := func(view *feed.View) []uint64 { return []uint64{view.Number, view.ConfigNumber} }
+	// A statement may expect either number: operators see both.
+	currentNumbers := func(view *feed.View) []uint64 { return []uint64{view.Number, view.ConfigNumber} }
 	result := &administration.QueryResult{Columns: []string{}, Rows: [][]string{}}
 	if statement.DryRun {
-		if err := request.checkExpected(from.state.view, inForce(from.state.view)); err != nil {
+		if err := request.checkExpected(operator.state.view, currentNumbers(operator.state.view)); err != nil {
 			return nil, err
 		}
-		_, would, err := plan(from.state.view)
-		result.Would = &would
+		_, effect, err := plan(operator.state.view)
+		result.Would = &effect
 		return result, err
 	}
-	changing, cancel := context.WithTimeout(ctx, administrationTimeout)
+	changeCtx, cancel := context.WithTimeout(ctx, administrationTimeout)
 	defer cancel()
-	reply, err := service.node.execute(changing, func(view *feed.View) (decision, error) {
-		return request.decide(view, inForce(view), func() (*feed.Change, error) {
+	reply, err := service.node.execute(changeCtx, func(view *feed.View) (decision, error) {
+		return request.decide(view, currentNumbers(view), func() (*feed.Change, error) {
 			change, _, err := plan(view)
 			return change, err
 		})
@@ -75,12 +75,12 @@
 	return result, nil
 }
 
-// planFunc plans the change of a statement on a view, nil if everything is as requested
-// already, and describes what it would do.
-type planFunc func(view *feed.View) (change *feed.Change, would string, err error)
+// planFunc plans the change that a statement makes to a view, and describes its effect. The
+// change is nil if the view already is as requested.
+type planFunc func(view *feed.View) (change *feed.Change, effect string, err error)
 
-// planFor returns the plan of a statement that changes something. State is the confirmed
-// state that authenticated its operator.
+// planFor returns the planFunc of a statement that changes something. State is the confirmed
+// state that its operator was authenticated against.
 func (service adminService) planFor(state *feedState, statement *querylanguage.Statement) planFunc {
 	switch {
 	case statement.Set != nil:
@@ -88,33 +88,33 @@
 	case statement.Restore != nil:
 		return func(view *feed.View) (*feed.Change, string, error) {
 			change, err := service.planRestore(view, state, statement.Restore.Number)
-			return change, fmt.Sprintf("config %d would be in force again under a new number", statement.Restore.Number), err
+			return change, fmt.Sprintf("config %d would be restored under a new number", statement.Restore.Number), err
 		}
 	case statement.Empty != nil:
 		return func(view *feed.View) (*feed.Change, string, error) {
 			change, err := planDomain(view, statement.Empty.Name, feed.StateDrained, statement.Empty.Force)
-			return change, "domain " + statement.Empty.Name + " would get no new work", err
+			return change, "domain " + statement.Empty.Name + " would receive no new requests", err
 		}
 	case statement.Refill != nil:
 		return func(view *feed.View) (*feed.Change, string, error) {
 			change, err := planDomain(view, statement.Refill.Name, feed.StateServing, false)
-			return change, "domain " + statement.Refill.Name + " would get work again", err
+			return change, "domain " + statement.Refill.Name + " would receive requests again", err
 		}
 	case statement.Enrol != nil:
 		return func(view *feed.View) (*feed.Change, string, error) {
 			change, err := service.node.planEnrol(view, statement.Enrol.Name)
-			return change, "store " + statement.Enrol.Name + " would be in the store list", err
+			return change, "store " + statement.Enrol.Name + " would be added to the store list", err
 		}
-	default: // Retire: exactly one of a statement's fields is set, and Show never comes here
+	default: // Retire: exactly one field of a statement is set, and Show is handled by Query
 		return func(view *feed.View) (*feed.Change, string, error) {
 			name := statement.Retire.Name
 			change, err := planDecommission(view, name, hasName(name))
-			return change, "store " + name + " would be emptied and leave the store list", err
+			return change, "store " + name + " would be decommissioned and removed from the store list", err
 		}
 	}
 }
 
-// planSet plans the change of a set statement; the names in it must exist in the config.
+// planSet plans the change of a set statement. The names in it must exist in the config.
 func (service adminService) planSet(view *feed.View, set *querylanguage.Set) (*feed.Change, string, error) {
 	path, err := set.Path()
 	if err != nil {
@@ -132,11 +132,11 @@
 		value = number
 	}
 	change, err := service.node.planValue(view, path, value)
-	return change, path + " would be " + set.Value, err
+	return change, path + " would be set to " + set.Value, err
 }
 
-// checkSetNames checks that the names in a set statement exist in the config. Limits are left to
-// the schema.
+// checkSetNames checks that the names in a set statement exist in the config. The schema checks
+// limits.
 func checkSetNames(set *querylanguage.Set, decoded *config.Config) error {
 	switch {
 	case set.Weight != nil:
@@ -150,27 +150,27 @@
 	return nil
 }
 
-// checkName fails with Invalid, and suggests a name, if none of the items has the name.
+// checkName fails with Invalid, and suggests a similar name, if no item has the name.
 func checkName[Item any](kind, name string, items map[string]Item) error {
 	if _, found := items[name]; found {
 		return nil
 	}
 	known := slices.Sorted(maps.Keys(items))
-	return apierror.New(apierror.Invalid, "no "+kind+" is named "+strconv.Quote(name)+querylanguage.Suggest(name, known), "name one of "+strings.Join(known, ", "))
+	return apierror.New(apierror.Invalid, "no "+kind+" is named "+strconv.Quote(name)+querylanguage.Suggest(name, known), "use one of "+strings.Join(known, ", "))
 }
 
-// planRestore plans the change that puts an earlier config in force again, if the history of
-// a confirmed state has it. The routing in force stays: its revisions never fall.
+// planRestore plans the change that restores an earlier config from the history of a confirmed
+// state. The current routing is kept, because its revision must never decrease.
 func (service adminService) planRestore(view *feed.View, state *feedState, number uint64) (*feed.Change, error) {
 	if state.lacksHistory {
-		return nil, farBehindError()
+		return nil, historyUnavailableError()
 	}
 	source, compiled, kept, err := state.history.ConfigAt(state.view, number)
 	if err != nil {
 		return nil, err
 	}
 	if !kept {
-		return nil, apierror.New(apierror.NotFound, fmt.Sprintf("no config of number %d is kept: it was never in force, or too much has changed since", number), "show changes where kind = config")
+		return nil, apierror.New(apierror.NotFound, fmt.Sprintf("config %d is not in the history: the number was never a config, or the history no longer reaches back to it", number), "list the configs in the history with: show changes where kind = config")
 	}
 	decoded, err := config.Decode(compiled)
 	if err != nil {
--- a/system/controlplane/admin_request.go
+++ b/system/controlplane/admin_request.go
@@ -10,21 +10,22 @@
 	"yardrock.example/system/feed"
 )
 
-// adminRequest is a request of the admin API that changes something. One that names the
-// number it builds on has the same digest when it is sent again, so that it is recognised.
-// Any other is recognised only while the node that received it still carries it out.
+// adminRequest is a request of the admin API that changes something. A request with an expected
+// number has the same digest each time it is sent, so that a repeated request is recognised. Any
+// other request gets a random digest, which is recognised only in the retries of the node that
+// executes it.
 type adminRequest struct {
 	operator string
-	// statement is the statement of the query language, if it was one.
+	// statement is the text of a query language statement; empty for other requests.
 	statement string
 	// digest identifies the request in the request history.
 	digest uint64
-	// expected is the number that the request builds on; nil if it names none.
+	// expected is the number that the request builds on; nil if it has none.
 	expected *uint64
 }
 
-// newAdminRequest makes a request of an operator from what was sent. Expected is nil if it
-// names no number to build on.
+// newAdminRequest returns an operator's request; parts are the contents that its digest covers.
+// Expected is nil if the request does not build on a number.
 func newAdminRequest(operator string, expected *uint64, parts ...string) adminRequest {
 	base := "any " + uuid.NewString()
 	if expected != nil {
@@ -33,13 +34,13 @@
 	return adminRequest{operator: operator, expected: expected, digest: feed.RequestDigest(append([]string{operator, base}, parts...)...)}
 }
 
-// decide finds what is left to do for a request on a view. The request may build on any of
-// the numbers in force. Plan makes its change, nil if everything is as requested already.
-func (request adminRequest) decide(view *feed.View, inForce []uint64, plan func() (*feed.Change, error)) (decision, error) {
+// decide returns what remains to be done for a request on a view. The request may build on any
+// of the current numbers. Plan returns its change, nil if the view already is as requested.
+func (request adminRequest) decide(view *feed.View, currentNumbers []uint64, plan func() (*feed.Change, error)) (decision, error) {
 	if number, accepted := view.AdminRequests.NumberOf(request.digest); accepted {
 		return decision{acceptedAs: number}, nil
 	}
-	if err := request.checkExpected(view, inForce); err != nil {
+	if err := request.checkExpected(view, currentNumbers); err != nil {
 		return decision{}, err
 	}
 	change, err := plan()
@@ -50,24 +51,24 @@
 		return decision{acceptedAs: view.Number}, nil
 	}
 	if change == nil {
-		// A change that changes nothing: the request needs a number under which it is remembered.
+		// A no-op change that records the request in the request history.
 		change = newStoresChange(view, view.Stores)
 	}
 	change.By, change.Statement = request.operator, request.statement
-	// A digest that the plan chose (decommissionDigest) stays, unless the request names a number
-	// and so has a digest by which it can be recognised itself.
+	// A digest set by the plan (decommissionDigest) is kept, unless the request has an expected
+	// number and with it a repeatable digest of its own.
 	if request.expected != nil || change.AdminRequest == 0 {
 		change.AdminRequest = request.digest
 	}
 	return decision{change: change}, nil
 }
 
-// checkExpected rejects a request that builds on a number which is not in force.
-func (request adminRequest) checkExpected(view *feed.View, inForce []uint64) error {
+// checkExpected rejects a request that builds on a number which is not current.
+func (request adminRequest) checkExpected(view *feed.View, currentNumbers []uint64) error {
 	if request.expected == nil {
 		return nil
 	}
-	for _, number := range inForce {
+	for _, number := range currentNumbers {
 		if *request.expected == number {
 			return nil
 		}
@@ -75,5 +76,5 @@
 	if view.AdminRequests.MayHaveForgotten(*request.expected + 1) {
 		return forgottenRequestError()
 	}
-	return apierror.New(apierror.Conflict, fmt.Sprintf("expected number %d, but %d is in force (config %d)", *request.expected, view.Number, view.ConfigNumber), "read what is in force and decide anew")
+	return apierror.New(apierror.Conflict, fmt.Sprintf("expected number %d, but the current number is %d (config %d)", *request.expected, view.Number, view.ConfigNumber), "read the current state and, if the change is still wanted, retry with the current number")
 }
--- a/system/controlplane/admin_requests_model_test.go
+++ b/system/controlplane/admin_requests_model_test.go
@@ -15,15 +15,16 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// modelRequest is a request that an operator of the model sent, and what is known of it.
+// modelRequest is a request of an operator, with its outcome so far.
 type modelRequest struct {
 	routing      routingRequest
-	admin        *adminRequest // a request of the admin API, if set
-	committed    uint64        // the number of its change; 0 if none was committed
+	admin        *adminRequest // set for a request of the admin API, which has no routing
+	committed    uint64        // the number of its committed change; 0 if there is none
 	acknowledged bool
 	rejected     bool
 }
 
+// base describes what the request builds on; requests on the same base conflict.
 func (request *modelRequest) base() string {
 	if request.admin != nil {
 		return "config " + strconv.FormatUint(*request.admin.expected, 10)
@@ -37,18 +38,18 @@
 	change  feed.Change
 }
 
-// requestsModel checks the decisions on requests against the state machine that carries them
-// out, without a network: proposals are committed in any order or lost, the state machine is
-// restored from its snapshot or recovered from what the stores have synced.
+// requestsModel checks decisions on requests against the state machine that applies them,
+// without a network: proposals commit in any order or are lost, and the state machine is
+// restored from its snapshot or recovered from the view that the stores have synced.
 type requestsModel struct {
 	t         *testing.T
 	random    *rand.Rand
 	node      *Node
 	machine   *feedStateMachine
-	synced    *feed.View // what a majority of the stores has synced
+	synced    *feed.View // the view that a majority of the stores has synced
 	requests  []*modelRequest
 	proposals []modelProposal
-	sent      int
+	created   int
 }
 
 var modelStores = []feed.Member{{Name: "a", Role: feed.RoleStore}, {Name: "b", Role: feed.RoleStore}, {Name: "c", Role: feed.RoleStore}}
@@ -78,7 +79,7 @@
 	return decoded.Routing
 }
 
-// decide does what a node does with a request that comes to it.
+// decide decides on a request as the node that receives it does.
 func (model *requestsModel) decide(request *modelRequest) (decision, error) {
 	view := model.view()
 	if request.admin != nil {
@@ -91,16 +92,16 @@
 	})
 }
 
-// create makes a request that builds on what is in force, or on something older.
+// create returns a request that builds on the current number or revision, or on an older one.
 func (model *requestsModel) create() *modelRequest {
-	model.sent++
+	model.created++
 	by := fmt.Sprint("operator ", model.random.IntN(2))
 	if model.random.IntN(4) == 0 {
 		expected := model.view().ConfigNumber
 		if model.random.IntN(5) == 0 && expected > 0 {
 			expected--
 		}
-		request := newAdminRequest(by, &expected, "put", fmt.Sprint(model.sent))
+		request := newAdminRequest(by, &expected, "put", fmt.Sprint(model.created))
 		return &modelRequest{admin: &request}
 	}
 	base := model.routing().CurrentRevision()
@@ -108,42 +109,42 @@
 	if model.random.IntN(5) == 0 && base > 0 {
 		base--
 	}
-	return &modelRequest{routing: routingRequest{operator: by, base: base, revision: revision, digest: fmt.Sprint(by, " ", model.sent)}}
+	return &modelRequest{routing: routingRequest{operator: by, base: base, revision: revision, digest: fmt.Sprint(by, " ", model.created)}}
 }
 
-// send gives a request to a node, and checks the answer against what is known of it.
+// send has a node decide on a request, and checks the decision against the outcome so far.
 func (model *requestsModel) send(request *modelRequest) {
 	decided, err := model.decide(request)
 	switch {
 	case apierror.Is(err, apierror.NoQuorum):
 		if request.committed == 0 && model.isRecent(request) {
-			model.t.Fatalf("a request on %s that is not old is reported as forgotten: %v", request.base(), err)
+			model.t.Fatalf("a recent request on %s is reported as forgotten: %v", request.base(), err)
 		}
 	case err != nil:
 		if request.committed > 0 {
-			model.t.Fatalf("a request on %s that was carried out is rejected: %v", request.base(), err)
+			model.t.Fatalf("a committed request on %s is rejected: %v", request.base(), err)
 		}
 		request.rejected = true
 	case decided.change != nil:
 		if request.committed > 0 {
-			model.t.Fatalf("a request on %s would be carried out twice", request.base())
+			model.t.Fatalf("a committed request on %s would be proposed again", request.base())
 		}
 		if request.rejected {
-			model.t.Fatalf("a request on %s that was rejected would be carried out", request.base())
+			model.t.Fatalf("a rejected request on %s would be proposed", request.base())
 		}
 		model.proposals = append(model.proposals, modelProposal{request, compactForLog(model.view(), *decided.change)})
 	default:
 		if request.committed == 0 {
-			model.t.Fatalf("a request on %s that was not carried out is acknowledged", request.base())
+			model.t.Fatalf("a request on %s is acknowledged without a commit", request.base())
 		}
 		if request.admin != nil && decided.acceptedAs != request.committed {
-			model.t.Fatalf("the request of number %d is acknowledged as %d", request.committed, decided.acceptedAs)
+			model.t.Fatalf("the request committed as number %d is acknowledged as %d", request.committed, decided.acceptedAs)
 		}
 		model.acknowledge(request)
 	}
 }
 
-// isRecent reports whether a request builds on something that is surely remembered.
+// isRecent reports whether a request is too recent for the request history to have dropped it.
 func (model *requestsModel) isRecent(request *modelRequest) bool {
 	view := model.view()
 	if request.admin != nil {
@@ -152,8 +153,8 @@
 	return request.routing.revision > view.RoutingRequests.Forgotten
 }
 
-// acknowledge has the stores sync what is in force, and checks that no other request on the
-// same base was acknowledged.
+// acknowledge has the stores sync the current view, and checks that no other request on the same
+// base was acknowledged.
 func (model *requestsModel) acknowledge(request *modelRequest) {
 	model.synced = model.view()
 	request.acknowledged = true
@@ -164,7 +165,7 @@
 	}
 }
 
-// commit commits any proposal; the outcome may be lost.
+// commit commits or loses a random proposal; the commit may stay unacknowledged.
 func (model *requestsModel) commit() {
 	if len(model.proposals) == 0 {
 		return
@@ -177,13 +178,13 @@
 	}
 	outcome := model.apply(proposal.change)
 	if outcome.err != nil {
-		return // the node decides anew
+		return // rejected; a node decides on the request again when it is resent
 	}
 	if proposal.request.committed > 0 {
-		model.t.Fatalf("a request on %s was carried out twice", proposal.request.base())
+		model.t.Fatalf("a request on %s was committed twice", proposal.request.base())
 	}
 	if proposal.request.rejected {
-		model.t.Fatalf("a request on %s that was rejected was carried out", proposal.request.base())
+		model.t.Fatalf("a rejected request on %s was committed", proposal.request.base())
 	}
 	proposal.request.committed = outcome.number
 	if model.random.IntN(2) == 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// restore replaces the state machine by one that starts from its snapshot.
+// restore replaces the state machine with one restored from its snapshot.
 func (model *requestsModel) restore() {
 	snapshot := model.machine.Snapshot()()
 	model.machine = newFeedStateMachine()
@@ -200,8 +201,8 @@
 	}
 }
 
-// recover loses all control nodes' disks: what the stores have synced is put in force again,
-// and what was not acknowledged may be lost.
+// recover simulates the loss of all control disks: the feed is recovered from the view that the
+// stores have synced, and unacknowledged changes may be lost.
 func (model *requestsModel) recover() {
 	if len(model.synced.Stores) == 0 {
 		return
@@ -219,7 +220,7 @@
 		}
 	}
 	for _, request := range model.requests {
-		request.rejected = request.rejected && !lost // one that was rejected for what is lost may be accepted now
+		request.rejected = request.rejected && !lost // one rejected because of a lost change may be accepted now
 	}
 	synced.Number += recoveredNumberStep
 	if outcome := model.apply(feed.Change{Kind: feed.ChangeRecovered, View: synced}); outcome.err != nil {
@@ -230,7 +231,8 @@
 	model.node.decodedConfig.Store(nil)
 }
 
-// checkRead compares what is in force with the newest request that was carried out.
+// checkRead checks that the routing is that of the newest committed routing request, and that no
+// acknowledged request is lost.
 func (model *requestsModel) checkRead() {
 	newest := uint64(0)
 	for _, request := range model.requests {
@@ -242,14 +244,14 @@
 		}
 	}
 	if read := model.routing().CurrentRevision(); read != newest {
-		model.t.Fatalf("revision %d is read, %d was carried out last", read, newest)
+		model.t.Fatalf("read revision %d, but revision %d was committed last", read, newest)
 	}
 	if newest > 0 && model.routing().Bounds.IdleTimeout != config.Duration(newest)*config.Duration(time.Second) {
-		model.t.Fatal("what is read is not the content of its revision")
+		model.t.Fatal("the routing read does not have the content of its revision")
 	}
 }
 
-// step takes one random action.
+// step performs one random action.
 func (model *requestsModel) step() {
 	switch draw := model.random.IntN(100); {
 	case draw < 35:
@@ -269,7 +271,8 @@
 	}
 }
 
-// TestAdminRequestsModel takes random actions from many seeds.
+// TestAdminRequestsModel runs random actions from many seeds, and guards against requests that
+// are applied twice, lost after their acknowledgement, or both committed and rejected.
 func TestAdminRequestsModel(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
@@ -283,11 +286,12 @@
 	}
 }
 
-// TestAdminRequestsModelBeyondHistory takes random actions where many requests are forgotten.
+// TestAdminRequestsModelBeyondHistory guards against a wrong answer to a repeated request that
+// the request history has dropped.
 func TestAdminRequestsModelBeyondHistory(t *testing.T) {
-	const burst, steps = 5500, 1500
+	const requestCount, steps = 5500, 1500
 	model := newRequestsModel(t, 7)
-	for range burst {
+	for range requestCount {
 		request := model.create()
 		model.requests = append(model.requests, request)
 		model.send(request)
@@ -301,9 +305,9 @@
 	}
 	view := model.view()
 	if view.RoutingRequests.Forgotten == 0 {
-		t.Fatalf("no request was forgotten of %d", len(model.requests))
+		t.Fatalf("the history has dropped none of %d requests", len(model.requests))
 	}
-	t.Logf("%d requests, routing requests up to revision %d are forgotten", len(model.requests), view.RoutingRequests.Forgotten)
+	t.Logf("%d requests; the history has dropped routing requests up to revision %d", len(model.requests), view.RoutingRequests.Forgotten)
 	for _, request := range model.requests {
 		model.send(request)
 	}
--- a/system/controlplane/admin_tables.go
+++ b/system/controlplane/admin_tables.go
@@ -12,24 +12,25 @@
 	"yardrock.example/system/feed"
 )
 
-// tableSource is what a table is made from.
+// tableSource is the data that a table is listed from.
 type tableSource struct {
 	node *Node
-	// view is that of a confirmed state, config its config.
+	// view is the view of a quorum-confirmed state; config is its decoded config.
 	view   *feed.View
 	config *config.Config
 }
 
-// table is a table of the query language. Each row has one text for each column.
+// table is a table of the query language. Each row has one value per column.
 type table struct {
 	columns []string
 	rows    [][]string
 }
 
-// tableFunc lists a table.
+// tableFunc returns the content of a table.
 type tableFunc func(ctx context.Context, source tableSource) table
 
-// tables are the tables of the query language but for changesTable, by their names in it.
+// tables maps the names of the query language's tables, except changesTable, to their
+// functions.
 var tables = map[string]tableFunc{
 	"nodes":       listNodes,
 	"stores":      listStores,
@@ -48,10 +49,10 @@
 	"config":      listConfig,
 }
 
-// changesTable is the table that needs the history of the state beside its view.
+// changesTable is the only table that is listed from the history of a state instead of its view.
 const changesTable = "changes"
 
-// readTable returns the table of a name as of a confirmed state. The name must be one of
+// readTable returns the named table as of a confirmed state. The name must be one of
 // querylanguage.Tables.
 func (service adminService) readTable(ctx context.Context, state *feedState, name string) (table, error) {
 	if name == changesTable {
@@ -61,20 +62,21 @@
 	if err != nil {
 		return table{}, err
 	}
-	// Never nil: the parser accepts only querylanguage.Tables, and
-	// TestEveryTableOfTheQueryLanguageIsServed ties those to the map.
+	// The function is never nil: the parser accepts only querylanguage.Tables, and
+	// TestEveryTableOfTheQueryLanguageIsServed checks that the map has them all.
 	return tables[name](ctx, tableSource{node: service.node, view: state.view, config: decoded}), nil
 }
 
-// farBehindError says that a state lacks the history which a request needs.
-func farBehindError() error {
-	return apierror.NewRetryable(apierror.NoQuorum, "this control node does not hold the last changes yet", "ask again, or another control node", time.Second)
+// historyUnavailableError reports that this node does not have the change history that a
+// request needs.
+func historyUnavailableError() error {
+	return apierror.NewRetryable(apierror.NoQuorum, "this control node does not have the latest changes yet", "retry here or on another control node", time.Second)
 }
 
-// listChanges lists the last changes of a confirmed state.
+// listChanges lists the latest changes of a confirmed state.
 func listChanges(state *feedState) (table, error) {
 	if state.lacksHistory {
-		return table{}, farBehindError()
+		return table{}, historyUnavailableError()
 	}
 	rows := [][]string{}
 	for _, change := range state.history.Changes {
@@ -83,16 +85,16 @@
 	return table{columns: []string{"number", "kind", "by", "at", "command"}, rows: rows}, nil
 }
 
-// changeKindNames are the kinds of change as operators see them.
+// changeKindNames are the names of the change kinds in the query language.
 var changeKindNames = map[feed.ChangeKind]string{
 	feed.ChangeFounded: "founded", feed.ChangeConfig: "config", feed.ChangeDomain: "domain", feed.ChangeRunners: "roster",
 	feed.ChangeStores: "stores", feed.ChangeControls: "controls", feed.ChangeRoleLease: "assignment", feed.ChangeRecovered: "recovered",
 }
 
-// memberColumns are the columns of the tables of members.
+// memberColumns are the columns of the tables that list members.
 var memberColumns = []string{"name", "role", "domain", "address", "state"}
 
-// memberRows returns the rows of a table of members.
+// memberRows returns the rows of a table that lists members.
 func memberRows(members []feed.Member) [][]string {
 	rows := [][]string{}
 	for _, member := range members {
@@ -105,7 +107,7 @@
 	return rows
 }
 
-// formatTime formats nanoseconds since 1970 for people.
+// formatTime formats a Unix time in nanoseconds as RFC 3339 in UTC.
 func formatTime(nanoseconds int64) string {
 	return time.Unix(0, nanoseconds).UTC().Format(time.RFC3339)
 }
@@ -115,7 +117,7 @@
 	return table{columns: memberColumns, rows: memberRows(source.node.liveMembers())}
 }
 
-// listStores lists the store list.
+// listStores lists the stores in the store list.
 func listStores(_ context.Context, source tableSource) table {
 	return table{columns: memberColumns, rows: memberRows(source.view.Stores)}
 }
@@ -125,7 +127,7 @@
 	return table{columns: memberColumns, rows: memberRows(source.view.Controls)}
 }
 
-// listRunners lists the runners; one in a drained domain is shown as drained.
+// listRunners lists the runners. A runner in a drained domain is shown as drained.
 func listRunners(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	for _, runner := range source.view.Runners {
@@ -138,7 +140,7 @@
 	return table{columns: []string{"address", "group", "domain", "state", "since"}, rows: rows}
 }
 
-// listDomains lists the domains that have runners or were ever drained.
+// listDomains lists the domains that have runners or were drained at any time.
 func listDomains(_ context.Context, source tableSource) table {
 	counts := map[string]int{}
 	for _, runner := range source.view.Runners {
--- a/system/controlplane/admin_tables_config.go
+++ b/system/controlplane/admin_tables_config.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// listWeights lists the weights of the config.
+// listWeights lists the group weights of the config's tables.
 func listWeights(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	for _, name := range slices.Sorted(maps.Keys(source.config.Tables)) {
@@ -21,7 +21,7 @@
 	return table{columns: []string{"table", "group", "weight"}, rows: rows}
 }
 
-// listRoutes lists the routes of the routing in force.
+// listRoutes lists the routes of the current routing.
 func listRoutes(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	if source.config.Routing != nil {
@@ -37,7 +37,7 @@
 	return table{columns: []string{"name", "host", "prefix", "kind", "patience", "urgency", "shares", "revision"}, rows: rows}
 }
 
-// listServices lists the services of the routing in force, with their numbers of runners.
+// listServices lists the services of the current routing with their runner counts.
 func listServices(_ context.Context, source tableSource) table {
 	rows := [][]string{}
 	if source.config.Routing != nil {
@@ -63,7 +63,7 @@
 	return table{columns: []string{"name", "team", "allowance", "turn_limit", "period"}, rows: rows}
 }
 
-// listConfig lists the number of the config in force and of the newest view.
+// listConfig lists the numbers of the current config and view, and the fleet.
 func listConfig(_ context.Context, source tableSource) table {
 	return table{columns: []string{"number", "newest", "fleet"}, rows: [][]string{{strconv.FormatUint(source.view.ConfigNumber, 10), strconv.FormatUint(source.view.Number, 10), source.view.Fleet}}}
 }
--- a/system/controlplane/admin_tables_live.go
+++ b/system/controlplane/admin_tables_live.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/wire"
 )
 
-// listGroups lists the session log groups as their leaders report them.
+// listGroups lists the session log groups as reported by their leaders.
 func listGroups(ctx context.Context, source tableSource) table {
 	leaders := source.node.groupLeaders(ctx, source.view)
 	rows := [][]string{}
@@ -24,15 +24,15 @@
 	return table{columns: []string{"group", "leader", "voters", "learners"}, rows: rows}
 }
 
-// listQuotaUsage lists how much of its quota each program has used, as its session log says;
-// "unknown" if that cannot be read.
+// listQuotaUsage lists how much of its quota each program has spent and reserved, as recorded
+// in a session log; "unknown" if the log cannot be read.
 func listQuotaUsage(ctx context.Context, source tableSource) table {
 	stores := storeclient.New(source.node.client, func() *feed.View { return source.view })
 	rows := [][]string{}
 	for _, name := range slices.Sorted(maps.Keys(source.config.Programs)) {
 		program := source.config.Programs[name]
-		limited, cancel := context.WithTimeout(ctx, callTimeout)
-		reply, err := stores.Read(limited, wire.ReadQuery{Session: sessionlog.QuotaName(program.Team, name, program.Period), QuotaUsage: true})
+		readCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		reply, err := stores.Read(readCtx, wire.ReadQuery{Session: sessionlog.QuotaName(program.Team, name, program.Period), QuotaUsage: true})
 		cancel()
 		spent, reserved := "unknown", "unknown"
 		if err == nil {
@@ -43,7 +43,7 @@
 	return table{columns: []string{"program", "team", "period", "spent", "reserved", "allowance"}, rows: rows}
 }
 
-// listRunnerLoads lists the load of the runners as each front reports it; "unknown" if a front
+// listRunnerLoads lists the load of the runners as reported by each front; "unknown" if a front
 // does not answer.
 func listRunnerLoads(ctx context.Context, source tableSource) table {
 	rows := [][]string{}
--- a/system/controlplane/admin_tables_shared_prefixes.go
+++ b/system/controlplane/admin_tables_shared_prefixes.go
@@ -9,16 +9,17 @@
 	"yardrock.example/system/wire"
 )
 
-// sharedPrefixColumns keep the names that the query language gave them.
+// sharedPrefixColumns are the columns of the table of shared prefixes. Their names are part of
+// the query language.
 var sharedPrefixColumns = []string{"group", "leader", "scope", "opening", "bytes", "lines", "saved", "state"}
 
-// listSharedPrefixes lists the prefixes that many session logs share, as the groups' leaders
-// report them, and how many bytes all replicas together save by that. The first row sums up.
-// No content is shown.
+// listSharedPrefixes lists the prefixes that session logs share, as reported by the groups'
+// leaders, with the bytes saved over all replicas. The first row has the totals. The content of
+// the prefixes is not shown.
 func listSharedPrefixes(ctx context.Context, source tableSource) table {
 	leaders := source.node.queryGroupLeaders(ctx, source.view, wire.StatusQuery{SharedPrefixes: true})
-	number := func(value uint64) string { return strconv.FormatUint(value, 10) }
-	rows, size, references, saved := [][]string{}, uint64(0), uint64(0), uint64(0)
+	formatUint := func(value uint64) string { return strconv.FormatUint(value, 10) }
+	rows, totalSize, totalReferences, totalSaved := [][]string{}, uint64(0), uint64(0), uint64(0)
 	for group := range source.view.Groups {
 		status := leaders[group]
 		slices.SortFunc(status.SharedPrefixes, func(left, right wire.SharedPrefixStatus) int { return strings.Compare(left.Name, right.Name) })
@@ -30,13 +31,13 @@
 			if prefix.References > 0 {
 				savedBytes = (prefix.References - 1) * prefix.Size * uint64(len(status.Voters))
 			}
-			size, references, saved = size+prefix.Size, references+prefix.References, saved+savedBytes
-			rows = append(rows, []string{number(uint64(group)), status.leader, prefix.Scope, prefix.Name, number(prefix.Size), number(prefix.References), number(savedBytes), state})
+			totalSize, totalReferences, totalSaved = totalSize+prefix.Size, totalReferences+prefix.References, totalSaved+savedBytes
+			rows = append(rows, []string{formatUint(uint64(group)), status.leader, prefix.Scope, prefix.Name, formatUint(prefix.Size), formatUint(prefix.References), formatUint(savedBytes), state})
 		}
 	}
 	state := "off"
 	if source.config.SharedPrefixes.Enabled {
 		state = "on"
 	}
-	return table{columns: sharedPrefixColumns, rows: slices.Insert(rows, 0, []string{"all", "", "", "", number(size), number(references), number(saved), state})}
+	return table{columns: sharedPrefixColumns, rows: slices.Insert(rows, 0, []string{"all", "", "", "", formatUint(totalSize), formatUint(totalReferences), formatUint(totalSaved), state})}
 }
--- a/system/controlplane/feed_confirmation.go
+++ b/system/controlplane/feed_confirmation.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// confirmInterval is the shortest time between two shared confirmations; all who ask in
-	// between share the next one.
+	// confirmInterval is the minimum time between the starts of two shared confirmations; all
+	// callers in between share the next one.
 	confirmInterval = 100 * time.Millisecond
-	// leaderConfirmInterval is that of the leader, which asks its peers for each of them. It
-	// is as long as the heartbeat interval, so that a confirmation stands in for a heartbeat.
+	// leaderConfirmInterval is used instead on the leader, which contacts its peers for each
+	// confirmation. It equals the heartbeat interval, so that a confirmation takes the place of
+	// a heartbeat.
 	leaderConfirmInterval = 200 * time.Millisecond
-	// confirmTimeout bounds one shared confirmation, and leaderRetryInterval is the pause
-	// within it before the next attempt while there is no leader.
+	// confirmTimeout bounds one shared confirmation; leaderRetryInterval is the time between
+	// attempts within it while there is no leader.
 	confirmTimeout      = 500 * time.Millisecond
 	leaderRetryInterval = 20 * time.Millisecond
 )
 
-// quorumState is a state that a quorum confirmed as the newest.
+// quorumState is a state that a quorum confirmed as current.
 type quorumState struct {
 	*feedState
-	// runnersReadAt is when the lease holder requested the runner list whose content is in
-	// force in this state, by this node's clock; zero if unknown.
+	// runnersReadAt is when the lease holder requested the runner list that this state
+	// reflects, by this node's clock; zero if unknown.
 	runnersReadAt time.Time
 }
 
-// confirmNow is confirm without waiting for others to share the confirmation.
+// confirmNow calls confirm without letting the leader delay the confirmation.
 func (node *Node) confirmNow(ctx context.Context) (*quorumState, error) {
 	return node.confirm(ctx, 0)
 }
 
-// confirm returns a state that is at least as new as every change acknowledged before the
-// call: a linearizable read by the leader's read index (Raft thesis, section 6.4), wherever
-// the leader is. If wait is not 0 the leader may let others share the confirmation, and so
-// answer up to leaderConfirmInterval later.
+// confirm returns a state that includes every change acknowledged before the call: a
+// linearizable read through the leader's read index (Raft thesis, section 6.4), on any node. If
+// wait is not 0 the leader may batch the confirmation with others, which delays it by up to
+// leaderConfirmInterval.
 func (node *Node) confirm(ctx context.Context, wait time.Duration) (*quorumState, error) {
 	if node.IsLeader() {
 		return node.confirmAsLeader(ctx)
@@ -51,8 +52,8 @@
 	return node.confirmThroughLeader(ctx, wait)
 }
 
-// confirmAsLeader is confirm on the leader. It fails with NotLeader if this node is not, or
-// no longer, the leader.
+// confirmAsLeader implements confirm on the leader. It fails with NotLeader if this node is
+// not, or no longer, the leader.
 func (node *Node) confirmAsLeader(ctx context.Context) (*quorumState, error) {
 	if err := node.host.Read(ctx, controlGroup); err != nil {
 		return nil, err
@@ -60,9 +61,9 @@
 	return node.stateAsLeader(), nil
 }
 
-// stateAsLeader returns the applied state of a leader that a quorum has just confirmed. The
-// time of the runner list is loaded before the state: what the list changed was committed
-// before that time was stored, so the state has it.
+// stateAsLeader returns the applied state of a leader that a quorum has just confirmed. It must
+// load the time of the runner list before the state: the list's changes are committed before
+// that time is stored, so a state loaded afterwards includes them.
 func (node *Node) stateAsLeader() *quorumState {
 	reading := node.runnersReading.Load()
 	state := &quorumState{feedState: node.stateMachine.state()}
@@ -72,21 +73,21 @@
 	return state
 }
 
-// confirmThroughLeader has the leader confirm its newest number and send what this replica
-// has not applied yet. If that does not fit this replica's state it asks for a complete view.
+// confirmThroughLeader has the leader confirm its newest number and send the changes that this
+// replica has not applied yet. If they do not apply to the local state, it requests a full view.
 func (node *Node) confirmThroughLeader(ctx context.Context, wait time.Duration) (*quorumState, error) {
-	own := node.stateMachine.state()
-	newest, err := node.fetchNewer(ctx, own, own.view.Number, wait)
+	local := node.stateMachine.state()
+	confirmed, err := node.fetchNewer(ctx, local, local.view.Number, wait)
 	if errors.Is(err, feed.ErrBaseMismatch) || errors.Is(err, feed.ErrGap) {
-		log.WithFields(log.Fields{"node": node.Name(), "number": own.view.Number, "error": err.Error()}).Warn("changes from the leader do not fit the view here, requesting a complete view")
-		newest, err = node.fetchNewer(ctx, own, 0, wait)
+		log.WithFields(log.Fields{"node": node.Name(), "number": local.view.Number, "error": err.Error()}).Warn("changes from the leader do not apply to the local view; requesting a full view")
+		confirmed, err = node.fetchNewer(ctx, local, 0, wait)
 	}
-	return newest, err
+	return confirmed, err
 }
 
-// fetchNewer has the leader send what is newer than a number of this replica's own state, if
-// anything, and returns the resulting state.
-func (node *Node) fetchNewer(ctx context.Context, own *feedState, number uint64, wait time.Duration) (*quorumState, error) {
+// fetchNewer requests the changes after a number from the leader, and returns the confirmed
+// state that they lead to from the local one. With number 0 it requests a full view.
+func (node *Node) fetchNewer(ctx context.Context, local *feedState, number uint64, wait time.Duration) (*quorumState, error) {
 	sentAt := time.Now()
 	reply, err := node.forwardToLeader(ctx, &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{ConfirmOnly: true, After: number, Wait: wait, Packed: true}})
 	if err != nil {
@@ -99,11 +100,11 @@
 	if reply.Follow.HasRunnerListAge {
 		runnersReadAt = sentAt.Add(-reply.Follow.RunnerListAge)
 	}
-	if now := node.stateMachine.state(); now.view.Number >= reply.Follow.Newest {
-		return &quorumState{now, runnersReadAt}, nil
+	if current := node.stateMachine.state(); current.view.Number >= reply.Follow.Newest {
+		return &quorumState{current, runnersReadAt}, nil
 	}
-	// This replica has not learned yet that the newest changes are committed.
-	next, err := own.stateAfter(reply.Follow)
+	// This replica does not know yet that the newest changes are committed.
+	next, err := local.stateAfter(reply.Follow)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +115,7 @@
 }
 
 // stateAfter returns the state that a leader's reply leads to from this one. It fails as advance
-// does, and with NoQuorum if a complete view in the reply cannot be read.
+// does, and with NoQuorum if a full view in the reply cannot be decoded.
 func (state *feedState) stateAfter(reply *wire.FollowReply) (*feedState, error) {
 	if !reply.Reset {
 		return state.advance(reply.Changes)
@@ -126,8 +127,8 @@
 	return &feedState{view: view, lacksHistory: true}, nil
 }
 
-// advance returns the state after the changes that follow on it; older ones are skipped. The
-// result answers one question and is never published: only view and history are set.
+// advance returns the state after consecutive changes; those that are not newer are skipped.
+// The result serves one request and is never published: only view and history are set.
 func (state *feedState) advance(changes []feed.Change) (*feedState, error) {
 	view, history := *state.view, state.history
 	for _, change := range changes {
@@ -144,45 +145,45 @@
 	return &feedState{view: &view, history: history}, nil
 }
 
-// confirmationBatch lets all who ask at about the same time share one confirmation. It may be
-// joined only until it starts: a confirmation that began before a question came would prove
-// nothing about the changes acknowledged in between.
+// confirmationBatch lets concurrent callers share one confirmation. A caller may join only until
+// the confirmation starts: one that started earlier proves nothing about the changes acknowledged
+// between its start and the call.
 type confirmationBatch struct {
 	mutex sync.Mutex
-	next  *confirmation // has not started yet; nil if nobody waits for one
+	next  *confirmation // not started yet; nil if it has no waiters
 	last  time.Time     // when the last one started
 }
 
-// confirmation is one confirmation that many may wait for. The fields below done are set
-// before it is closed.
+// confirmation is one confirmation that several callers wait for. The fields startedAt, state
+// and err are set before done is closed.
 type confirmation struct {
 	done      chan struct{}
 	startedAt time.Time
 	state     *quorumState
 	err       error
-	// forwarded reports that another control node asks, so that it must not be forwarded
-	// again. It is guarded by the batch's mutex.
+	// forwarded reports that some caller serves another control node, so that the confirmation
+	// must not be forwarded again. It is guarded by the batch's mutex.
 	forwarded bool
 }
 
-// confirmBatched is confirm shared by all who ask within confirmInterval. It also returns when
-// the confirmation started, which is after the call.
+// confirmBatched calls confirm once for all callers within the confirmation interval. It also
+// returns when the confirmation started, which is after the call.
 func (node *Node) confirmBatched(ctx context.Context, forwarded bool) (*quorumState, time.Time, error) {
-	shared := &node.confirmations
-	shared.mutex.Lock()
-	joined := shared.next
+	batch := &node.confirmations
+	batch.mutex.Lock()
+	joined := batch.next
 	if joined == nil {
 		joined = &confirmation{done: make(chan struct{})}
-		shared.next = joined
-		pause := confirmInterval
+		batch.next = joined
+		delay := confirmInterval
 		if node.IsLeader() {
-			pause = leaderConfirmInterval
+			delay = leaderConfirmInterval
 		}
-		pause = max(0, pause-time.Since(shared.last))
-		time.AfterFunc(pause, func() { node.runConfirmation(joined) })
+		delay = max(0, delay-time.Since(batch.last))
+		time.AfterFunc(delay, func() { node.runConfirmation(joined) })
 	}
 	joined.forwarded = joined.forwarded || forwarded
-	shared.mutex.Unlock()
+	batch.mutex.Unlock()
 	select {
 	case <-joined.done:
 		return joined.state, joined.startedAt, joined.err
@@ -193,7 +194,7 @@
 	}
 }
 
-// runConfirmation runs one shared confirmation. It is ended by the node's context and by
+// runConfirmation runs one shared confirmation, bounded by the node's context and
 // confirmTimeout.
 func (node *Node) runConfirmation(shared *confirmation) {
 	node.confirmations.mutex.Lock()
@@ -206,22 +207,21 @@
 	if forwarded {
 		shared.state, shared.err = node.confirmAsLeader(ctx)
 	} else {
-		node.confirmOnceLed(ctx, shared)
+		node.confirmWithRetry(ctx, shared)
 	}
-	// What a call returns when this context ends names the context, not what the caller can do.
+	// An error that only names the ended context does not tell the caller what to do.
 	if shared.err != nil && ctx.Err() != nil && !apierror.Is(shared.err, apierror.NoQuorum) {
 		shared.err = noQuorumError()
 	}
 	close(shared.done)
 }
 
-// confirmOnceLed runs a shared confirmation as soon as the control group has a leader. All who
-// follow the feed wait for it together: after the restart of a fleet they would otherwise ask
-// again and again, and learn of the leader only at their next question. The confirmation counts
-// from the attempt that succeeds.
-func (node *Node) confirmOnceLed(ctx context.Context, shared *confirmation) {
-	retry := time.NewTicker(leaderRetryInterval)
-	defer retry.Stop()
+// confirmWithRetry runs a shared confirmation and retries it while the control group has no
+// leader, so that after a fleet restart the followers of the feed need not poll for one. The
+// confirmation counts as started at the attempt that succeeds.
+func (node *Node) confirmWithRetry(ctx context.Context, shared *confirmation) {
+	ticker := time.NewTicker(leaderRetryInterval)
+	defer ticker.Stop()
 	for {
 		shared.startedAt = time.Now()
 		shared.state, shared.err = node.confirm(ctx, leaderConfirmInterval)
@@ -229,15 +229,15 @@
 			return
 		}
 		select {
-		case <-retry.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// confirmedView returns a view that a quorum confirmed as the newest, wherever the leader is.
-// The error is NoQuorum if nobody could confirm one, or if there is no store list yet.
+// confirmedView returns a view that a quorum confirmed as current; it works on any node. The
+// error is NoQuorum if no quorum could be reached or if there is no store list yet.
 func (node *Node) confirmedView(ctx context.Context) (*feed.View, error) {
 	state, err := node.confirmedState(ctx)
 	if err != nil {
@@ -246,7 +246,7 @@
 	return state.view, nil
 }
 
-// confirmedState is confirmedView with the history of the view.
+// confirmedState is like confirmedView, but returns the whole state.
 func (node *Node) confirmedState(ctx context.Context) (*quorumState, error) {
 	state, err := node.confirmNow(ctx)
 	if err != nil {
@@ -255,11 +255,12 @@
 	return state, requireStoreList(state.view)
 }
 
-// requireStoreList fails while there is no store list: until then nothing can be acknowledged,
-// and what was acknowledged before a loss of all control disks may not be recovered yet.
+// requireStoreList fails with NoQuorum while there is no store list: until then nothing can be
+// acknowledged, and after a loss of all control disks the acknowledged changes may not be
+// recovered yet.
 func requireStoreList(view *feed.View) error {
 	if len(view.Stores) == 0 {
-		return apierror.NewRetryable(apierror.NoQuorum, "the fleet has no store list yet", "wait until its stores have sessions, or start the stores that are missing", time.Second)
+		return apierror.NewRetryable(apierror.NoQuorum, "the fleet has no store list yet", "wait until its stores are live, or start the missing stores", time.Second)
 	}
 	return nil
 }
--- a/system/controlplane/feed_replication.go
+++ b/system/controlplane/feed_replication.go
@@ -11,10 +11,10 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// awaitStores waits until a majority of the given stores has synced a number, and reports
-// false if the context ends first. No stores are a majority of themselves: before there is a
-// store list a change is acknowledged by its commit. The pushes that it starts are ended by the
-// node's context and by callTimeout; nobody waits for them.
+// awaitStores waits until a majority of the given stores has synced a number, and returns false
+// if the context ends first. With no stores it returns true: before there is a store list, a
+// change is acknowledged by its commit alone. The pushes that it starts run in the background,
+// bounded by the node's context and callTimeout.
 func (node *Node) awaitStores(ctx context.Context, number uint64, stores []feed.Member) bool {
 	for {
 		node.mutex.Lock()
@@ -39,8 +39,8 @@
 }
 
 // pushViews sends the newest view to every store that is not known to have synced the newest
-// command, and returns once each has answered or callTimeout has passed. Stores follow the feed
-// by themselves too, and report how far they are.
+// command, and returns once each push has finished or timed out. Stores also follow the feed on
+// their own and report the number that they have synced.
 func (node *Node) pushViews() {
 	state := node.stateMachine.state()
 	var pushes sync.WaitGroup
@@ -55,8 +55,8 @@
 	pushes.Wait()
 }
 
-// pushView sends a store the changes since the number that it has synced. It sends the
-// complete view if the history does not reach back so far, or if the store cannot fold them.
+// pushView sends a store the changes since the number that it has synced. It sends the full
+// view if the history does not reach back that far or the store cannot fold the changes.
 func (node *Node) pushView(state *feedState, store string, synced uint64) {
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
@@ -67,11 +67,11 @@
 			return
 		}
 	}
-	// An error leaves the store's number as it is, so the next round sends again.
+	// On an error the store's synced number stays, so the next push sends the view again.
 	_ = node.sendView(ctx, state, store, &wire.ReplicateViewQuery{PackedView: node.views.Get(state.view)})
 }
 
-// sendView has a store sync a view, and records that it did.
+// sendView has a store sync a view, and records the store's synced number.
 func (node *Node) sendView(ctx context.Context, state *feedState, store string, query *wire.ReplicateViewQuery) error {
 	address := node.addressOf(store)
 	_, err := node.client.Call(ctx, address, &wire.Query{Fleet: state.view.Fleet, To: store, Which: schema.Query_Which_hold, ReplicateView: query})
@@ -79,12 +79,13 @@
 	case err == nil:
 		node.recordSynced(store, state.view.Number)
 	case ctx.Err() != nil:
-		node.client.Drop(address) // the connection may be dead, and the next call needs a new one
+		node.client.Drop(address) // the connection may be dead; the next call opens a new one
 	}
 	return err
 }
 
-// recordSynced records up to which number a store has synced the feed.
+// recordSynced records the number up to which a store has synced the feed. A lower number than
+// the recorded one is ignored.
 func (node *Node) recordSynced(store string, number uint64) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -9,12 +9,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// maxFollowWait bounds how long a follower may wait for news.
+// maxFollowWait bounds how long a follower may wait for a newer state.
 const maxFollowWait = 2 * time.Second
 
-// handleFollow answers a follower of the feed: it records that the follower is live, waits
-// for a newer state for as long as the follower asks, and answers with a state that a quorum
-// confirmed after that.
+// handleFollow answers a follower of the feed: it records that the follower is live, waits for
+// a newer state for as long as the follower asks, up to maxFollowWait, and replies with a state
+// that a quorum confirmed after that.
 func (node *Node) handleFollow(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	follow, receivedAt := query.Follow, time.Now()
 	if follow.ConfirmOnly {
@@ -39,13 +39,13 @@
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: reply}, nil
 }
 
-// handleConfirm confirms the newest number for another control node. What that one forwarded
-// is not forwarded again.
+// handleConfirm confirms the newest number for another control node. A query that was forwarded
+// to this node is not forwarded again.
 func (node *Node) handleConfirm(ctx context.Context, query *wire.Query, receivedAt time.Time) (*wire.Reply, error) {
 	var state *quorumState
 	var err error
 	switch {
-	case query.Follow.Wait > 0: // the other node shares its own confirmations, and can wait
+	case query.Follow.Wait > 0: // the other node batches its own callers and can wait
 		state, _, err = node.confirmBatched(ctx, query.Forwarded)
 	case query.Forwarded:
 		state, err = node.confirmAsLeader(ctx)
@@ -58,22 +58,21 @@
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: node.followReply(state, query, receivedAt)}, nil
 }
 
-// awaitNewState waits until there is a newer state, the timeout has passed or a context ends.
+// awaitNewState waits until there is a newer state, the timeout expires or a context ends.
 func (node *Node) awaitNewState(ctx context.Context, state *feedState, timeout time.Duration) {
-	tick := time.NewTimer(timeout)
-	defer tick.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-state.superseded:
-	case <-tick.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	case <-node.context.Done():
 	}
 }
 
-// followReply makes the reply to a follower, with what is newer than the view that it has: the
-// changes since that one if the history has them, else the complete view. Followers of another
-// fleet always get a complete view, as their numbers are not comparable. ReceivedAt is when the
-// query came.
+// followReply returns the reply to a follower: the changes since the number that it has if the
+// history has them, else the full view. A follower of another fleet never gets changes, as its
+// numbers are not comparable. ReceivedAt is when the query arrived.
 func (node *Node) followReply(state *quorumState, query *wire.Query, receivedAt time.Time) *wire.FollowReply {
 	follow := query.Follow
 	reply := &wire.FollowReply{Newest: state.view.Number}
@@ -81,7 +80,7 @@
 		reply.HasRunnerListAge, reply.RunnerListAge = true, receivedAt.Sub(state.runnersReadAt)
 	}
 	if follow.After > state.view.Number {
-		// Nothing here is newer. The fleet's name shows the follower whether it is its own.
+		// Nothing here is newer. The fleet tells the follower whether the number is comparable.
 		reply.Reset, reply.View = true, feed.View{Fleet: state.view.Fleet, Number: state.view.Number}
 		return reply
 	}
--- a/system/controlplane/feed_snapshot.go
+++ b/system/controlplane/feed_snapshot.go
@@ -12,11 +12,11 @@
 
 // The formats of the control group's snapshots.
 const (
-	controlSnapshotFormat = 2 // a packed view, and changes with config differences
-	fullConfigsFormat     = 1 // a view and changes with complete configs
+	controlSnapshotFormat = 2 // current: a packed view, and changes with config deltas
+	fullConfigsFormat     = 1 // an unpacked view, and changes with full configs
 )
 
-// encodeControlSnapshot encodes a snapshot of the control group.
+// encodeControlSnapshot encodes a snapshot of the control group in the current format.
 func encodeControlSnapshot(view *feed.View, history feed.History) []byte {
 	return wire.MustEncode(schema.ControlImage_TypeID, &wire.ControlSnapshot{
 		Version: controlSnapshotFormat, PackedView: wire.PackView(view), Changes: history.Changes, EarlierConfigs: history.Earlier,
@@ -30,7 +30,7 @@
 	return func() []byte { return encodeControlSnapshot(state.view, state.history) }
 }
 
-// Restore replaces the content by that of a snapshot. It fails with FormatTooNew if a newer
+// Restore replaces the state with that of a snapshot. It fails with FormatTooNew if a newer
 // version of the program wrote the snapshot.
 func (machine *feedStateMachine) Restore(data []byte) error {
 	var snapshot wire.ControlSnapshot
@@ -38,7 +38,7 @@
 		return err
 	}
 	if snapshot.Version > controlSnapshotFormat {
-		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("control snapshot of format %d", snapshot.Version), "run the newer version of the program")
+		return apierror.New(apierror.FormatTooNew, fmt.Sprintf("control snapshot has unsupported format %d", snapshot.Version), "run the newer version of the program")
 	}
 	next, err := stateFromSnapshot(&snapshot)
 	if err != nil {
@@ -48,12 +48,12 @@
 	return nil
 }
 
-// stateFromSnapshot decodes the state from a snapshot of any known format.
+// stateFromSnapshot returns the state of a snapshot in any supported format.
 func stateFromSnapshot(snapshot *wire.ControlSnapshot) (*feedState, error) {
 	view, history := &snapshot.View, feed.History{Changes: snapshot.Changes, Earlier: snapshot.EarlierConfigs}
 	if snapshot.Version <= fullConfigsFormat {
 		history = feed.HistoryFromFullConfigs(snapshot.Changes)
-		view.Compiled = bytes.Clone(view.Compiled) // else it would keep the whole snapshot in memory
+		view.Compiled = bytes.Clone(view.Compiled) // otherwise it would keep the whole snapshot in memory
 	} else {
 		unpacked, err := wire.UnpackView(snapshot.PackedView)
 		if err != nil {
--- a/system/controlplane/feed_state_machine_test.go
+++ b/system/controlplane/feed_state_machine_test.go
@@ -14,21 +14,21 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// snapshotSlack is what a snapshot may have beyond the config in force, however many
-// changes led there: the two parts of the history.
+// snapshotSlack bounds the size of a snapshot beyond the current config, regardless of the
+// number of changes: both parts of the history are bounded.
 const snapshotSlack = 2 << 20
 
-func TestSnapshotSizeDependsOnWhatIsInForce(t *testing.T) {
+func TestSnapshotSizeDependsOnCurrentConfig(t *testing.T) {
 	for _, test := range []struct{ routes, changes int }{{8, 600}, {300, 20}, {300, 600}} {
 		machine := newFeedStateMachine()
 		logged := applyRouteChanges(t, machine, test.routes, test.changes)
 		view := machine.state().view
 		config := len(view.Compiled) + len(view.Source)
 		if snapshot := machine.Snapshot()(); len(snapshot) > config+snapshotSlack {
-			t.Errorf("%d changes of %d routes: a snapshot of %d bytes for a config of %d", test.changes, test.routes, len(snapshot), config)
+			t.Errorf("%d changes of %d routes: snapshot of %d bytes for a config of %d bytes", test.changes, test.routes, len(snapshot), config)
 		}
 		if limit := 2*config + test.changes*2048; logged > limit {
-			t.Errorf("%d changes of %d routes: %d bytes of log entries, not %d", test.changes, test.routes, logged, limit)
+			t.Errorf("%d changes of %d routes: log entries of %d bytes, limit %d", test.changes, test.routes, logged, limit)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		applyChange(t, machine, compactForLog(view, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Compiled: compiled}))
 	}
 	if snapshot := machine.Snapshot()(); len(snapshot) > 2*size+snapshotSlack {
-		t.Errorf("a snapshot of %d bytes for a config of %d", len(snapshot), size)
+		t.Errorf("snapshot of %d bytes for a config of %d bytes", len(snapshot), size)
 	}
 }
 
@@ -57,24 +57,24 @@
 	}
 	before, after := machine.state(), restored.state()
 	if after.newestCommand != before.newestCommand || after.view.Number != before.view.Number || !bytes.Equal(after.view.Compiled, before.view.Compiled) {
-		t.Errorf("number %d, ordered %d; restored %d, %d", before.view.Number, before.newestCommand, after.view.Number, after.newestCommand)
+		t.Errorf("number %d, newest command %d; restored %d, %d", before.view.Number, before.newestCommand, after.view.Number, after.newestCommand)
 	}
 	for number := range before.view.Number {
 		source, compiled, kept, err := before.history.ConfigAt(before.view, number)
-		again, compiledAgain, keptAgain, errAgain := after.history.ConfigAt(after.view, number)
-		if err != nil || errAgain != nil || kept != keptAgain || source != again || !bytes.Equal(compiled, compiledAgain) {
-			t.Errorf("config %d: %v, %v", number, err, errAgain)
+		restoredSource, restoredCompiled, restoredKept, restoredErr := after.history.ConfigAt(after.view, number)
+		if err != nil || restoredErr != nil || kept != restoredKept || source != restoredSource || !bytes.Equal(compiled, restoredCompiled) {
+			t.Errorf("config %d: %v, %v", number, err, restoredErr)
 		}
 		changes, complete := before.history.Since(before.view, number)
-		changesAgain, completeAgain := after.history.Since(after.view, number)
-		if complete != completeAgain || len(changes) != len(changesAgain) {
-			t.Errorf("changes since %d: %d, restored %d", number, len(changes), len(changesAgain))
+		restoredChanges, restoredComplete := after.history.Since(after.view, number)
+		if complete != restoredComplete || len(changes) != len(restoredChanges) {
+			t.Errorf("changes since %d: %d, restored %d", number, len(changes), len(restoredChanges))
 		}
 	}
 }
 
-// TestRestoreReadsFirstSnapshotFormat covers data directories and peers of older versions: a
-// complete view, and changes with complete configs.
+// TestRestoreReadsFirstSnapshotFormat covers snapshots of older versions, on disk or from a peer:
+// an unpacked view, and changes with full configs.
 func TestRestoreReadsFirstSnapshotFormat(t *testing.T) {
 	snapshot := wire.ControlSnapshot{Version: fullConfigsFormat}
 	for number := range uint64(30) {
@@ -100,24 +100,24 @@
 	}
 }
 
-// TestApplyAcceptsFullConfigs covers log entries of older versions, and those that expect no
-// number: they lead to the same state as differences do.
+// TestApplyAcceptsFullConfigs covers full configs, as in log entries of older versions or without
+// an expected number: they lead to the same state as deltas.
 func TestApplyAcceptsFullConfigs(t *testing.T) {
-	full, differences := newFeedStateMachine(), newFeedStateMachine()
+	full, deltas := newFeedStateMachine(), newFeedStateMachine()
 	for number := range 20 {
 		compiled := bytes.Repeat([]byte(fmt.Sprintf(`{"route":%d}`, number/3)), 100)
 		view := full.state().view
 		change := feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: view.ConfigNumber, Source: "a", Compiled: compiled}
 		applyChange(t, full, change)
-		applyChange(t, differences, compactForLog(differences.state().view, change))
+		applyChange(t, deltas, compactForLog(deltas.state().view, change))
 	}
-	if left, right := full.state(), differences.state(); !reflect.DeepEqual(left.view, right.view) || len(left.history.Changes) != len(right.history.Changes) {
+	if left, right := full.state(), deltas.state(); !reflect.DeepEqual(left.view, right.view) || len(left.history.Changes) != len(right.history.Changes) {
 		t.Errorf("%+v\n%+v", left.view, right.view)
 	}
 }
 
-// TestApplyRejectsDeltaOnConfigOfSameLength has a base that differs in one bit: only the digest
-// of the result shows it.
+// TestApplyRejectsDeltaOnConfigOfSameLength uses a base that differs in one bit, which only the
+// digest of the result detects.
 func TestApplyRejectsDeltaOnConfigOfSameLength(t *testing.T) {
 	machine := newFeedStateMachine()
 	applyRouteChanges(t, machine, 50, 3)
@@ -127,7 +127,7 @@
 	base.Compiled[len(base.Compiled)/2] ^= 1
 	change := feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: 3, Compiled: append([]byte(" "), base.Compiled...)}.Compact(&base)
 	if change.Delta.IsZero() {
-		t.Fatal("the change is no difference")
+		t.Fatal("the change was not encoded as a delta")
 	}
 	outcome := machine.Apply(raft.Entry{Data: wire.MustEncode(schema.Change_TypeID, &change)}).(changeOutcome)
 	if !apierror.Is(outcome.err, apierror.Conflict) || machine.state().view != before {
@@ -138,7 +138,7 @@
 func TestApplyRejectsDeltaOnAnotherConfig(t *testing.T) {
 	machine, other := newFeedStateMachine(), newFeedStateMachine()
 	applyRouteChanges(t, machine, 5, 3)
-	applyRouteChanges(t, other, 6, 3) // the same numbers with another content
+	applyRouteChanges(t, other, 6, 3) // the same numbers with different content
 	base := other.state().view
 	change := compactForLog(base, feed.Change{Kind: feed.ChangeConfig, Expects: true, Expected: 3, Compiled: append([]byte(" "), base.Compiled...)})
 	before := machine.state().view
