--- a/system/raft/delayed_group_test.go
+++ b/system/raft/delayed_group_test.go
@@ -8,37 +8,38 @@
 	"testing"
 )
 
-// delayedGroup is a leader "a" with a voter "b" and a voter "c" that is far behind. Messages
-// take some ticks, and may be lost, repeated and reordered.
+// delayedGroup is a group of a leader "a", a voter "b" and a voter "c" that starts late, far
+// behind the others. Messages are delayed, and may be lost, duplicated and reordered.
 type delayedGroup struct {
 	t        *testing.T
 	random   *rand.Rand
 	cores    map[string]*Core
 	disks    map[string]PersistentState
 	settings Settings
-	due      []dueMessage
+	inFlight []delayedMessage
 	now      int
-	// lost and repeated are out of a thousand messages; maxDelay is in ticks. Messages between
-	// two replicas keep their order, as on a connection, unless they are reordered.
-	lost, repeated, maxDelay int
-	reordered                bool
-	last                     map[[2]string]int
-	// intercept, if set, gets each message that arrives, and may change it.
-	intercept  func(*Message)
-	chunks     int
-	heartbeats []int // the ticks at which "c" received appends
-	rejections []SnapshotRejection
+	// maxDelay is in ticks. Messages between two replicas keep their order, as on a connection,
+	// unless reorder is set.
+	lossPerMille, duplicatePerMille, maxDelay int
+	reorder                                   bool
+	lastArrival                               map[[2]string]int
+	// intercept, if set, is called with each message before delivery, and may change it.
+	intercept      func(*Message)
+	sentChunks     int
+	heartbeatTicks []int // ticks at which "c" received appends
+	rejections     []SnapshotRejection
 }
 
-type dueMessage struct {
-	at      int
+type delayedMessage struct {
+	at      int // tick of arrival
 	message Message
 }
 
-// newDelayedGroup returns a group in which "a" leads, with a snapshot of a size at a high index.
+// newDelayedGroup returns a group in which "a" leads, with 50 commands compacted into a snapshot of
+// size bytes. "c" is not started.
 func newDelayedGroup(t *testing.T, seed uint64, size int) *delayedGroup {
 	t.Helper()
-	group := &delayedGroup{t: t, random: rand.New(rand.NewPCG(seed, 2)), cores: map[string]*Core{}, disks: map[string]PersistentState{}, last: map[[2]string]int{}}
+	group := &delayedGroup{t: t, random: rand.New(rand.NewPCG(seed, 2)), cores: map[string]*Core{}, disks: map[string]PersistentState{}, lastArrival: map[[2]string]int{}}
 	group.settings = Settings{Group: 4, ElectionTicks: 14, HeartbeatTicks: 4, Seed: seed}
 	names := []string{"a", "b", "c"}
 	bootstrap := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: names}}}
@@ -62,15 +63,15 @@
 	return group
 }
 
-// contentAt is the content of the snapshot at an index.
-func contentAt(index uint64, size int) []byte {
+// snapshotContent returns the content of the snapshot at an index.
+func snapshotContent(index uint64, size int) []byte {
 	content := bytes.Repeat(fmt.Appendf(nil, "%d.", index), size/2+1)[:size]
 	return content
 }
 
 func (group *delayedGroup) compact(size int) {
 	index := group.cores["a"].Applied()
-	group.step("a", Input{Kind: InputCompact, Index: index, Data: contentAt(index, size)})
+	group.step("a", Input{Kind: InputCompact, Index: index, Data: snapshotContent(index, size)})
 }
 
 func (group *delayedGroup) start(name string) {
@@ -85,11 +86,11 @@
 		if output.SnapshotRejected != nil {
 			group.rejections = append(group.rejections, output.SnapshotRejected.Reason)
 		}
-		if snapshot := output.Snapshot; snapshot != nil && !bytes.Equal(snapshot.Data, contentAt(snapshot.Index, len(snapshot.Data))) {
-			group.t.Fatalf("%s installed a snapshot of %d that nobody took", name, snapshot.Index)
+		if snapshot := output.Snapshot; snapshot != nil && !bytes.Equal(snapshot.Data, snapshotContent(snapshot.Index, len(snapshot.Data))) {
+			group.t.Fatalf("%s installed a snapshot at index %d with unexpected content", name, snapshot.Index)
 		}
 		for _, message := range output.Messages {
-			group.post(message)
+			group.enqueue(message)
 		}
 		write := output.Write
 		if output = (Output{}); write != nil {
@@ -99,49 +100,49 @@
 	}
 }
 
-func (group *delayedGroup) post(message Message) {
+func (group *delayedGroup) enqueue(message Message) {
 	if message.Kind == MessageSnapshotChunk {
-		group.chunks++
+		group.sentChunks++
 	}
 	copies := 1
-	if group.random.IntN(1000) < group.repeated {
+	if group.random.IntN(1000) < group.duplicatePerMille {
 		copies++
 	}
 	for range copies {
-		if group.random.IntN(1000) >= group.lost {
-			group.due = append(group.due, dueMessage{group.arrival(message), message})
+		if group.random.IntN(1000) >= group.lossPerMille {
+			group.inFlight = append(group.inFlight, delayedMessage{group.arrivalTick(message), message})
 		}
 	}
 }
 
-// arrival draws the tick at which a message arrives.
-func (group *delayedGroup) arrival(message Message) int {
-	at, way := group.now+group.random.IntN(group.maxDelay+1), [2]string{message.From, message.To}
-	if !group.reordered {
-		at = max(at, group.last[way])
-		group.last[way] = at
+// arrivalTick chooses the tick at which a message arrives.
+func (group *delayedGroup) arrivalTick(message Message) int {
+	arrival, link := group.now+group.random.IntN(group.maxDelay+1), [2]string{message.From, message.To}
+	if !group.reorder {
+		arrival = max(arrival, group.lastArrival[link])
+		group.lastArrival[link] = arrival
 	}
-	return at
+	return arrival
 }
 
-// tick lets a tick pass at the named replicas, and delivers what is due.
+// tick advances the named replicas by one tick and delivers the messages that are due.
 func (group *delayedGroup) tick(names ...string) {
 	group.now++
 	for _, name := range names {
 		group.step(name, Input{Kind: InputTick, Number: uint64(group.now)})
 	}
 	for {
-		at := slices.IndexFunc(group.due, func(one dueMessage) bool { return one.at <= group.now })
+		at := slices.IndexFunc(group.inFlight, func(pending delayedMessage) bool { return pending.at <= group.now })
 		if at < 0 {
 			return
 		}
-		message := group.due[at].message
-		group.due = slices.Delete(group.due, at, at+1)
+		message := group.inFlight[at].message
+		group.inFlight = slices.Delete(group.inFlight, at, at+1)
 		if group.cores[message.To] == nil {
 			continue
 		}
 		if message.To == "c" && message.Kind == MessageAppend {
-			group.heartbeats = append(group.heartbeats, group.now)
+			group.heartbeatTicks = append(group.heartbeatTicks, group.now)
 		}
 		if group.intercept != nil {
 			group.intercept(&message)
@@ -150,19 +151,20 @@
 	}
 }
 
-// caughtUp starts "c" and returns the number of ticks until it has the leader's complete log.
-func (group *delayedGroup) caughtUp(limit int, each func(tick int)) int {
+// catchUp starts "c" and returns the number of ticks until it has committed the leader's complete
+// log.
+func (group *delayedGroup) catchUp(limit int, beforeTick func(tick int)) int {
 	group.t.Helper()
 	group.start("c")
 	for tick := range limit {
-		if each != nil {
-			each(tick)
+		if beforeTick != nil {
+			beforeTick(tick)
 		}
 		group.tick("a", "b", "c")
 		if group.cores["c"].Status().CommitIndex == group.cores["a"].Status().LastIndex {
 			return tick
 		}
 	}
-	group.t.Fatalf("c has %d of %d after %d ticks; %d chunks were sent", group.cores["c"].Status().CommitIndex, group.cores["a"].Status().LastIndex, limit, group.chunks)
+	group.t.Fatalf("c has committed index %d of %d after %d ticks; %d chunks were sent", group.cores["c"].Status().CommitIndex, group.cores["a"].Status().LastIndex, limit, group.sentChunks)
 	return 0
 }
--- a/system/raft/durability.go
+++ b/system/raft/durability.go
@@ -2,34 +2,35 @@
 
 import "slices"
 
-// pendingWrite is a write that is not durable yet, and the last entry of the log as of it.
+// pendingWrite is a write that is not durable yet. lastIndex and lastTerm identify the last log
+// entry at the time of the write.
 type pendingWrite struct {
 	number    uint64
 	lastIndex uint64
 	lastTerm  uint64
 }
 
-// pendingMessage is a message that may be sent once a write is durable.
+// pendingMessage is a message that can be sent once the write with writeNumber is durable.
 type pendingMessage struct {
 	writeNumber uint64
 	message     Message
 }
 
-// send queues a message of this step; flush decides when it may leave.
+// send queues a message of this step; flush outputs it or holds it until a write is durable.
 func (core *Core) send(message Message) {
 	message.Group = core.settings.Group
 	message.From = core.settings.Name
 	core.outbox = append(core.outbox, message)
 }
 
-// requiredWrite returns the number of the write that must be durable before a message may be
+// requiredWrite returns the number of the write that must be durable before a message can be
 // sent, or 0.
 //
-// A leader's entries may travel while its own disk still writes them (thesis 10.2.1), since
-// it counts itself only up to stableIndex. But its term must be durable: a single voter that
-// loses power would otherwise lead the same term again with other entries. Pre-votes and
-// their grants promise nothing, as nobody has entered their term. Everything else promises
-// something that must be durable first; so does a rejected pre-vote, which has the term.
+// A leader sends entries in parallel with its own write of them (thesis 10.2.1), since it counts
+// itself only up to stableIndex. Its term must be durable, though: otherwise a single voter that
+// loses power could lead the same term again with different entries. Pre-vote requests and
+// grants make no commitment, since no replica has entered their term. All other messages depend
+// on the last write, including pre-vote rejections, which carry this replica's term.
 func (core *Core) requiredWrite(message Message) uint64 {
 	switch message.Kind {
 	case MessageAppend, MessageSnapshotChunk, MessageTimeoutNow:
@@ -44,8 +45,8 @@
 	return core.lastWrite
 }
 
-// flush ends a step: it puts what has changed into one write, and the messages that need not
-// wait for a write into the output.
+// flush ends a step: it outputs all changes as one write, and the messages that need not wait
+// for a write.
 func (core *Core) flush() {
 	if core.hardStateChanged || core.firstUnwritten != 0 || core.snapshotChanged {
 		core.output.Write = core.nextWrite()
@@ -60,7 +61,7 @@
 	core.outbox = core.outbox[:0]
 }
 
-// nextWrite returns the write of all changes since the last one.
+// nextWrite returns a write of all changes since the previous one.
 func (core *Core) nextWrite() *Write {
 	core.lastWrite++
 	write := &Write{Number: core.lastWrite, HardState: core.hardState}
@@ -79,14 +80,14 @@
 	return write
 }
 
-// handleSynced notes that the writes up to a number are durable, and releases the messages
-// that waited for them.
+// handleSynced records that the writes up to number are durable, and outputs the messages that
+// waited for them.
 func (core *Core) handleSynced(number uint64) {
 	core.lastSynced = max(core.lastSynced, number)
 	for len(core.pendingWrites) > 0 && core.pendingWrites[0].number <= number {
 		write := core.pendingWrites[0]
 		core.pendingWrites = core.pendingWrites[1:]
-		// Entries that were replaced after the write was handed out do not count.
+		// Ignore the write if its last entry has since been replaced.
 		if write.lastIndex <= core.lastIndex() && (write.lastIndex < core.snapshot.Index || core.termAt(write.lastIndex) == write.lastTerm) {
 			core.stableIndex = max(core.stableIndex, write.lastIndex)
 		}
--- a/system/raft/durability_test.go
+++ b/system/raft/durability_test.go
@@ -2,24 +2,23 @@
 
 import "testing"
 
-// A voter that needs no other vote loses its power before the write of its term is durable.
-// Entries of that term that had been sent would be replaced by others of the same index and
-// term after its restart.
+// A single voter that sends entries before its term is durable could, after a power loss, lead
+// the same term again and send different entries with the same index and term.
 func TestSingleVoterPersistsItsTermBeforeSendingEntries(t *testing.T) {
 	bootstrap := PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: Membership{Voters: []string{"a"}, Learners: []string{"b"}}}}
 	settings := Settings{Name: "a", ElectionTicks: 1, HeartbeatTicks: 1}
 	core := New(settings, bootstrap)
 	output := core.Step(Input{Kind: InputTick})
 	if term, leading := core.Leading(); !leading || term != 2 {
-		t.Fatalf("the single voter leads: %v, in term %d", leading, term)
+		t.Fatalf("leading = %v in term %d, want true in term 2", leading, term)
 	}
 	sent := output.Messages
 	sent = append(sent, core.Step(Input{Kind: InputPropose, Data: []byte("lost with the power supply")}).Messages...)
 	if len(sent) > 0 {
-		t.Fatalf("%d messages left before the term was stored, the first with %d entries", len(sent), len(sent[0].Entries))
+		t.Fatalf("%d messages were sent before the term was durable, the first with %d entries", len(sent), len(sent[0].Entries))
 	}
 	sent = core.Step(Input{Kind: InputSynced, Number: output.Write.Number}).Messages
 	if len(sent) == 0 || sent[0].Kind != MessageAppend {
-		t.Fatalf("the entries did not leave once the term was stored: %v", sent)
+		t.Fatalf("the entries were not sent once the term was durable: %v", sent)
 	}
 }
--- a/system/raft/election.go
+++ b/system/raft/election.go
@@ -3,16 +3,15 @@
 import "slices"
 
 const (
-	// suspectRankTicks is by how many ticks each voter waits longer than the one before it, in
-	// the order of the membership, when the leader is suspected.
-	suspectRankTicks = 3
-	// preVoteTimeoutDivisor says how much shorter than ElectionTicks the least time before
-	// another pre-vote is.
+	// suspectStaggerTicks is the difference between the election timeouts of successive voters,
+	// in the order of the membership, when the leader is suspected.
+	suspectStaggerTicks = 3
+	// preVoteTimeoutDivisor divides ElectionTicks to give the minimum time between pre-votes.
 	preVoteTimeoutDivisor = 7
 )
 
-// become changes the role, and starts a new election timeout. A leader that steps down
-// rejects the reads that it has not confirmed and discards its progress.
+// become changes the role and resets the election timer with a new random timeout. A leader
+// that steps down rejects its unconfirmed reads and discards the progress of its peers.
 func (core *Core) become(next role, leader string) {
 	if core.role == roleLeader && next != roleLeader {
 		for _, read := range core.pendingReads {
@@ -29,7 +28,7 @@
 	core.electionTimeout = core.settings.ElectionTicks + core.random.IntN(core.settings.ElectionTicks)
 }
 
-// setTerm enters a later term, in which no vote is given yet.
+// setTerm enters a later term, in which this replica has not voted yet.
 func (core *Core) setTerm(term uint64) {
 	if term > core.hardState.Term {
 		core.hardState = HardState{Term: term}
@@ -37,7 +36,7 @@
 	}
 }
 
-// followLeader notes that the leader of the current term was heard.
+// followLeader records a message from the leader of the current term.
 func (core *Core) followLeader(name string) {
 	if core.role != roleFollower || core.leader != name {
 		core.become(roleFollower, name)
@@ -45,40 +44,40 @@
 	core.electionElapsed = 0
 }
 
-// suspectLeader ends the lease of a leader whose connection ended, and shortens the election
-// timeout. A leader that still runs is heard before it is over. The voters wait in the order
-// of the membership, so that they do not split the votes.
+// suspectLeader ends the lease of a leader whose connection was closed and shortens the
+// election timeout. The timeout is longer than a heartbeat interval, so that a leader that is
+// still running can prevent the election, and staggered by voter, to avoid split votes.
 func (core *Core) suspectLeader(name string) {
 	if core.role != roleFollower || core.leader != name {
 		return
 	}
 	core.become(roleFollower, "")
 	rank := max(0, slices.Index(Without(core.membership.Voters, name), core.settings.Name))
-	core.electionTimeout = min(core.electionTimeout, core.settings.HeartbeatTicks+1+suspectRankTicks*rank)
+	core.electionTimeout = min(core.electionTimeout, core.settings.HeartbeatTicks+1+suspectStaggerTicks*rank)
 }
 
-// inLease reports whether this replica leads, or has heard a leader within the minimum
-// election timeout. Then it ignores requests for votes, which a replica that was cut off or
-// removed would otherwise disrupt the group with (paper 6, thesis 4.2.3).
+// inLease reports whether this replica leads, or has received a message from a leader within the
+// minimum election timeout. If so, it ignores vote requests, so that a replica that was
+// partitioned or removed cannot disrupt the group (paper 6, thesis 4.2.3).
 func (core *Core) inLease() bool {
 	return core.role == roleLeader || (core.leader != "" && core.electionElapsed < core.settings.ElectionTicks)
 }
 
-// shortenElectionTimeout draws the timeout of a candidate: half as long as a follower's, since no
-// leader is known that a new election could disrupt.
+// shortenElectionTimeout sets a candidate's random timeout, half as long as a follower's: no
+// leader is known that another election could disrupt.
 func (core *Core) shortenElectionTimeout() {
 	half := max(core.settings.ElectionTicks/2, 1)
 	core.electionTimeout = half + core.random.IntN(half)
 }
 
-// shortenPreVoteTimeout draws the timeout of a pre-candidate, or of a replica that has just
-// started. A pre-vote disrupts nobody, as those that hear a leader reject it, so it is repeated
-// sooner than an election: a group that restarts waits for little more than its second replica.
+// shortenPreVoteTimeout sets the random timeout of a pre-candidate or of a replica that has just
+// started. It is short, so that a restarting group elects a leader soon after a quorum is up. A
+// pre-vote is not disruptive, since replicas with an active leader reject it.
 func (core *Core) shortenPreVoteTimeout() {
 	core.electionTimeout = max(core.settings.ElectionTicks/preVoteTimeoutDivisor, 1) + core.random.IntN(max(core.settings.ElectionTicks/2, 1))
 }
 
-// startPreVote asks whether an election could be won, without entering a new term (thesis
+// startPreVote checks whether an election could be won, without entering a new term (thesis
 // 9.6).
 func (core *Core) startPreVote() {
 	core.become(rolePreCandidate, "")
@@ -86,8 +85,8 @@
 	core.requestVotes(Message{Kind: MessagePreVote, Term: core.hardState.Term + 1})
 }
 
-// startElection enters the next term as a candidate (paper 5.2). A forced election, part of a
-// leadership transfer, is not held up by the lease of the leader.
+// startElection enters the next term as a candidate (paper 5.2). A forced election, which is part
+// of a leadership transfer, overrides the leader's lease.
 func (core *Core) startElection(forced bool) {
 	core.become(roleCandidate, "")
 	core.shortenElectionTimeout()
@@ -97,7 +96,7 @@
 	core.requestVotes(Message{Kind: MessageVote, Term: core.hardState.Term, Forced: forced})
 }
 
-// requestVotes votes for this replica and sends a request to all other voters.
+// requestVotes counts this replica's own vote and sends the request to all other voters.
 func (core *Core) requestVotes(request Message) {
 	core.votes = map[string]bool{core.settings.Name: true}
 	if core.countVotes() {
@@ -112,9 +111,9 @@
 	}
 }
 
-// countVotes reports whether a quorum has granted the request, and then takes the next step:
-// from the pre-vote to the election, or from the election to leadership. A single voter
-// takes both at once. If a quorum rejects the request, the replica becomes a follower.
+// countVotes reports whether a quorum has granted the request. If so, it starts the election
+// after a pre-vote, or becomes leader after an election; a single voter does both at once. If a
+// quorum has rejected the request, the replica becomes a follower.
 func (core *Core) countVotes() bool {
 	granted, rejected := 0, 0
 	for _, name := range core.membership.Voters {
@@ -138,8 +137,8 @@
 	return false
 }
 
-// becomeLeader starts to lead: with a no-op entry, whose commit also commits the entries of
-// earlier terms (paper 5.4.2), and a heartbeat that prevents other elections.
+// becomeLeader takes leadership. It appends a no-op entry, whose commit also commits the entries
+// of earlier terms (paper 5.4.2), and sends a heartbeat to prevent other elections.
 func (core *Core) becomeLeader() {
 	core.become(roleLeader, core.settings.Name)
 	core.peers = map[string]*progress{}
@@ -157,9 +156,9 @@
 	return message.LogTerm > ownTerm || (message.LogTerm == ownTerm && message.Index >= core.lastIndex())
 }
 
-// handlePreVote grants a pre-vote if this replica could vote for the sender in a later term.
-// Nothing is recorded: several replicas may be granted the same term. A grant repeats the
-// term of the request, a rejection has this replica's own.
+// handlePreVote grants a pre-vote if this replica could vote for the sender in a later term. A
+// grant is not recorded, so several replicas may be granted the same term. A grant echoes the
+// term of the request; a rejection carries this replica's term.
 func (core *Core) handlePreVote(message Message) {
 	grant := message.Term > core.hardState.Term && !core.inLease() && core.isLogUpToDate(message)
 	reply := Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term}
@@ -170,11 +169,11 @@
 	core.send(reply)
 }
 
-// handleVote grants one vote in each term, to a candidate whose log is up to date (paper 5.2,
-// 5.4.1). The reply waits until the vote is durable.
+// handleVote grants at most one vote per term, to a candidate whose log is up to date (paper
+// 5.2, 5.4.1). The reply is sent once the vote is durable.
 func (core *Core) handleVote(message Message) {
-	free := core.hardState.VotedFor == "" || core.hardState.VotedFor == message.From
-	grant := free && core.isLogUpToDate(message) && core.role != roleLeader
+	canVote := core.hardState.VotedFor == "" || core.hardState.VotedFor == message.From
+	grant := canVote && core.isLogUpToDate(message) && core.role != roleLeader
 	if grant {
 		if core.hardState.VotedFor == "" {
 			core.hardState.VotedFor = message.From
@@ -185,14 +184,14 @@
 	core.send(Message{Kind: MessageVoteReply, To: message.From, Term: core.hardState.Term, Rejected: !grant})
 }
 
-// handleVoteReply counts a reply to the present request for votes; replies to earlier ones
-// are ignored.
+// handleVoteReply counts a reply to the current vote or pre-vote request, and ignores replies to
+// earlier ones.
 func (core *Core) handleVoteReply(message Message) {
-	awaited := core.role == roleCandidate && message.Kind == MessageVoteReply && message.Term == core.hardState.Term
+	expected := core.role == roleCandidate && message.Kind == MessageVoteReply && message.Term == core.hardState.Term
 	if core.role == rolePreCandidate && message.Kind == MessagePreVoteReply {
-		awaited = message.Rejected || message.Term == core.hardState.Term+1
+		expected = message.Rejected || message.Term == core.hardState.Term+1
 	}
-	if !awaited {
+	if !expected {
 		return
 	}
 	core.votes[message.From] = !message.Rejected
--- a/system/raft/election_test.go
+++ b/system/raft/election_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// restartedGroup is a group of three replicas that start one after another, as machines do
-// after an outage. Messages arrive and disks sync within the step that sends them.
+// restartedGroup is a group of three replicas that start one after another, as after an outage.
+// Messages are delivered and writes are synced within the step that produces them.
 type restartedGroup struct {
 	names     []string
 	bootstrap PersistentState
@@ -41,7 +41,7 @@
 	}
 }
 
-func (group *restartedGroup) leaders() int {
+func (group *restartedGroup) leaderCount() int {
 	count := 0
 	for _, core := range group.cores {
 		if _, leading := core.Leading(); leading {
@@ -57,19 +57,19 @@
 	for seed := range uint64(200) {
 		group := newRestartedGroup()
 		tick := 0
-		for ; group.leaders() == 0 && tick < 100; tick++ {
+		for ; group.leaderCount() == 0 && tick < 100; tick++ {
 			if position := tick / ticksBetweenStarts; tick%ticksBetweenStarts == 0 && position < len(group.names) {
 				group.start(position, seed)
 			}
 			group.tick()
 		}
-		took := tick - ticksBetweenStarts
-		sum += took
-		if took > maxTicks || group.leaders() != 1 {
-			t.Errorf("seed %d: %d leaders %d ticks after the second replica's start, want one after %d at most", seed, group.leaders(), took, maxTicks)
+		elapsed := tick - ticksBetweenStarts
+		sum += elapsed
+		if elapsed > maxTicks || group.leaderCount() != 1 {
+			t.Errorf("seed %d: %d leaders %d ticks after the second replica started, want one leader within %d ticks", seed, group.leaderCount(), elapsed, maxTicks)
 		}
 	}
 	if mean := float64(sum) / 200; mean > 4 {
-		t.Errorf("a leader only %.1f ticks after the second replica's start, in the mean", mean)
+		t.Errorf("a leader was elected %.1f ticks after the second replica started on average, want at most 4", mean)
 	}
 }
--- a/system/raft/example_test.go
+++ b/system/raft/example_test.go
@@ -6,8 +6,8 @@
 	"yardrock.example/system/raft"
 )
 
-// A driver gives each core its inputs, makes the writes durable, reports them as synced, and
-// delivers the messages. Here all of it happens in memory and at once.
+// A driver passes inputs to each core, makes writes durable, reports them as synced, and delivers
+// messages. This example does all of it synchronously and in memory.
 func Example() {
 	names := []string{"a", "b", "c"}
 	bootstrap := raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Voters: names}}}
@@ -23,7 +23,7 @@
 				fmt.Printf("%s applies %q\n", name, entry.Data)
 			}
 		}
-		if output.Write != nil { // store it, and then
+		if output.Write != nil { // a real driver makes it durable first
 			step(name, raft.Input{Kind: raft.InputSynced, Number: output.Write.Number})
 		}
 		for _, message := range output.Messages {
--- a/system/raft/input.go
+++ b/system/raft/input.go
@@ -1,34 +1,37 @@
 package raft
 
-// InputKind selects what an [Input] means.
+// InputKind is the type of an [Input].
 type InputKind uint16
 
 const (
-	// InputTick reports that one tick has passed. Number counts the ticks of the node, the
-	// same for all of its groups; it may be 0.
+	// InputTick reports that one tick has elapsed. Number is the node's tick counter, shared by
+	// all of its groups, or 0 if there is none.
 	InputTick InputKind = iota
 	// InputMessage delivers Message from a peer.
 	InputMessage
-	// InputSynced reports that the write with this Number, and all before it, are durable.
+	// InputSynced reports that the write with this Number and all earlier writes are durable.
 	InputSynced
-	// InputPropose asks the leader to append the command Data, at [Output.ProposedIndex].
+	// InputPropose asks the leader to append the command Data; [Output.ProposedIndex] is its
+	// index.
 	InputPropose
 	// InputChangeMembership asks the leader to append Membership, which may differ from the
-	// present one by one voter and any learners, at [Output.ProposedIndex].
+	// current membership by at most one voter and any number of learners;
+	// [Output.ProposedIndex] is its index.
 	InputChangeMembership
-	// InputReadIndex asks the leader for a read index. A [ReadResult] with the same Context
-	// follows, from this step or a later one.
+	// InputReadIndex requests a read index from the leader. This step or a later one returns a
+	// [ReadResult] with the same Context.
 	InputReadIndex
-	// InputCompact gives the state machine's content Data as of Index: a snapshot that
-	// replaces the log up to there. See [Core.CanCompact].
+	// InputCompact replaces the log up to Index with a snapshot whose content is Data. See
+	// [Core.CanCompact].
 	InputCompact
-	// InputTransferLeadership asks the leader to hand leadership to the voter Peer.
+	// InputTransferLeadership asks the leader to transfer leadership to the voter Peer.
 	InputTransferLeadership
-	// InputSuspect reports that the connection from Peer ended, so that it may have failed.
+	// InputSuspect reports that the connection from Peer was closed, so that Peer is suspected
+	// to have failed.
 	InputSuspect
 )
 
-// Input is one event for [Core.Step]. Which fields have a meaning depends on the kind.
+// Input is one event for [Core.Step]. Which fields are used depends on Kind.
 type Input struct {
 	Kind       InputKind
 	Message    Message
--- a/system/raft/leadership_transfer.go
+++ b/system/raft/leadership_transfer.go
@@ -1,8 +1,8 @@
 package raft
 
-// transferLeadership hands leadership to a voter (thesis 3.10). The leader accepts no
-// proposals until the transfer ends; once the target's log is complete it is asked to start
-// an election. After an election timeout the leader goes on itself.
+// transferLeadership starts a transfer of leadership to a voter (thesis 3.10). The leader rejects
+// proposals until the transfer ends. Once the target's log is complete, the leader tells it to
+// start an election. tickTransfer aborts the transfer after an election timeout.
 func (core *Core) transferLeadership(target string) {
 	if core.role != roleLeader || target == core.settings.Name || !core.isVoter(target) {
 		return
@@ -12,8 +12,8 @@
 	core.continueTransfer(target)
 }
 
-// continueTransfer tells the transfer target to start an election if it is the given peer and
-// its log is complete.
+// continueTransfer tells the named peer to start an election if it is the transfer target and its
+// log is complete.
 func (core *Core) continueTransfer(name string) {
 	if core.role != roleLeader || core.transferTarget != name {
 		return
@@ -23,8 +23,8 @@
 	}
 }
 
-// handleTimeoutNow starts an election without a pre-vote, which the leader's lease would have
-// rejected.
+// handleTimeoutNow starts an election without a pre-vote, which other voters would reject during
+// the leader's lease.
 func (core *Core) handleTimeoutNow(Message) {
 	if core.isVoter(core.settings.Name) {
 		core.startElection(true)
--- a/system/raft/log.go
+++ b/system/raft/log.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// lastIndex returns the index of the last entry, or of the snapshot if no entry follows it.
+// lastIndex returns the index of the last entry, or of the snapshot if the log is empty.
 func (core *Core) lastIndex() uint64 { return core.snapshot.Index + uint64(len(core.entries)) }
 
-// termAt returns the term of the entry at an index, or 0 if the log does not have it.
+// termAt returns the term of the entry at index, or 0 if it is compacted or not in the log.
 func (core *Core) termAt(index uint64) uint64 {
 	if index == core.snapshot.Index {
 		return core.snapshot.Term
@@ -16,8 +16,8 @@
 	return core.entries[index-core.snapshot.Index-1].Term
 }
 
-// entriesFrom returns the entries from an index on. The result shares memory with the log. It
-// is nil if the entry at the index was compacted or does not exist yet.
+// entriesFrom returns the entries from index on. The result shares memory with the log. It is
+// nil if the entry at index is compacted or does not exist yet.
 func (core *Core) entriesFrom(index uint64) []Entry {
 	if index <= core.snapshot.Index || index > core.lastIndex() {
 		return nil
@@ -25,8 +25,8 @@
 	return core.entries[index-core.snapshot.Index-1:]
 }
 
-// propose appends an entry on the leader and sends it to the peers. While leadership is being
-// transferred nothing is appended, so that the target can catch up (thesis 3.10).
+// propose appends an entry on the leader and sends it to the peers. Proposals are rejected during
+// a leadership transfer, so that the target can catch up (thesis 3.10).
 func (core *Core) propose(entry Entry) {
 	if core.role != roleLeader || core.transferTarget != "" {
 		return
@@ -45,8 +45,8 @@
 	return entry.Index
 }
 
-// truncate removes the entries from an index on, which conflict with the leader's. The
-// remaining ones are copied: an output may still refer to the old ones.
+// truncate removes the entries from an index on, which conflict with the leader's. It copies the
+// remaining entries, since earlier outputs may share memory with the log.
 func (core *Core) truncate(from uint64) {
 	if from > core.lastIndex() {
 		return
@@ -55,21 +55,21 @@
 	core.stableIndex = min(core.stableIndex, from-1)
 }
 
-// markUnwritten has the next write contain the entries from an index on.
+// markUnwritten includes the entries from an index on in the next write.
 func (core *Core) markUnwritten(from uint64) {
 	if core.firstUnwritten == 0 || from < core.firstUnwritten {
 		core.firstUnwritten = from
 	}
 }
 
-// commitTo advances the commit index and gives the committed entries to the driver.
+// commitTo advances the commit index and adds the committed entries to the output.
 func (core *Core) commitTo(index uint64) {
 	if index <= core.commitIndex {
 		return
 	}
 	core.commitIndex = index
 	if core.incoming != nil && index >= core.incoming.snapshot.Index {
-		core.incoming = nil // the log has caught up without it
+		core.incoming = nil // the log already covers the snapshot
 	}
 	ready := core.entriesFrom(core.lastApplied + 1)
 	ready = ready[:index-core.lastApplied]
--- a/system/raft/membership_test.go
+++ b/system/raft/membership_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestMembershipChangeWithDuplicateNamesIsRejected asks for memberships in which one replica
-// could be a majority by itself, or be voter and learner at once.
+// With duplicate names, one replica could form a majority by itself, or be both a voter and a
+// learner.
 func TestMembershipChangeWithDuplicateNamesIsRejected(t *testing.T) {
 	bootstrap := Membership{Voters: []string{"a"}}
 	core := New(Settings{Name: "a", ElectionTicks: 1, HeartbeatTicks: 1}, PersistentState{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: bootstrap}})
@@ -20,6 +20,6 @@
 		}
 	}
 	if output := core.Step(Input{Kind: InputChangeMembership, Membership: Membership{Voters: []string{"a", "b"}}}); output.ProposedIndex == 0 {
-		t.Error("a change that names each replica once was rejected")
+		t.Error("a membership without duplicates was rejected")
 	}
 }
--- a/system/raft/message.go
+++ b/system/raft/message.go
@@ -1,6 +1,6 @@
 package raft
 
-// MessageKind says what a message requests or replies to. The values are sent.
+// MessageKind is the type of a message. The values are part of the wire format.
 type MessageKind uint16
 
 const (
@@ -17,32 +17,32 @@
 	MessageAppend
 	// MessageAppendReply replies to MessageAppend and MessageSnapshot.
 	MessageAppendReply
-	// MessageSnapshot carries a snapshot in one message. Leaders send MessageSnapshotChunk
-	// instead; versions before it sent this kind, and it is still received.
+	// MessageSnapshot carries a complete snapshot. Leaders now send MessageSnapshotChunk;
+	// this kind is accepted for compatibility with earlier versions.
 	MessageSnapshot
-	// MessageTimeoutNow tells a voter whose log is complete to start an election at once
-	// (thesis 3.10).
+	// MessageTimeoutNow tells the target of a leadership transfer, once its log is complete,
+	// to start an election immediately (thesis 3.10).
 	MessageTimeoutNow
-	// MessageSnapshotChunk carries a part of a snapshot to a replica whose missing entries
-	// the leader has discarded (InstallSnapshot in the paper).
+	// MessageSnapshotChunk carries part of a snapshot to a replica that needs entries the
+	// leader has already compacted (InstallSnapshot in the paper).
 	MessageSnapshotChunk
-	// MessageSnapshotReply replies to MessageSnapshotChunk: how many bytes have been
-	// received, or why the chunk was rejected.
+	// MessageSnapshotReply replies to MessageSnapshotChunk with the number of bytes received
+	// or the reason for rejecting the chunk.
 	MessageSnapshotReply
 )
 
-// Message is what the replicas of one group send each other. Which fields have a meaning
-// depends on the kind.
+// Message is a message between two replicas of a group. Which fields are used depends on
+// Kind.
 type Message struct {
 	Group uint32
 	Kind  MessageKind
-	// From and To are names of replicas.
+	// From and To are replica names.
 	From string
 	To   string
-	// Term is the sender's term, except in MessagePreVote and its grant: the term that the
-	// sender of the request would enter.
+	// Term is the sender's current term. In MessagePreVote, and in a reply that grants it, it
+	// is the term that the requester would enter.
 	Term uint64
-	// Index is the candidate's last log index in requests for votes, the index before the
+	// Index is the candidate's last log index in vote requests, the index preceding the
 	// first entry in MessageAppend, the match index (or, if rejected, the index that did
 	// not match) in MessageAppendReply, and the snapshot's index in MessageSnapshotReply.
 	Index uint64
@@ -50,32 +50,34 @@
 	LogTerm uint64
 	// Commit is the leader's commit index.
 	Commit uint64
-	// Round is the leader's read index round, which the reply repeats.
+	// Round is the leader's read index round; the reply echoes it.
 	Round uint64
 	// Rejected is set in replies that reject the request.
 	Rejected bool
-	// Hint is, in a rejected MessageAppendReply, the highest index at which the follower's
-	// log may match, and in MessageSnapshotReply the offset of the chunk replied to.
+	// Hint is the highest index at which the follower's log may match in a rejected
+	// MessageAppendReply, and the offset of the acknowledged or rejected chunk in
+	// MessageSnapshotReply.
 	Hint uint64
-	// Forced marks the election of a leadership transfer: voters grant it although they
-	// hear a leader (thesis 4.2.3).
+	// Forced marks a vote request of a leadership transfer. Voters process it even during the
+	// leader's lease (thesis 4.2.3).
 	Forced   bool
 	Entries  []Entry
 	Snapshot Snapshot
 	Chunk    SnapshotChunk
 }
 
-// SnapshotChunk locates the part of a snapshot that Message.Snapshot.Data holds.
+// SnapshotChunk describes the part of a snapshot in Message.Snapshot.Data, and, in a reply,
+// the progress of the transfer.
 type SnapshotChunk struct {
-	// Offset is the chunk's first byte. In a reply it is the number of bytes that the
-	// receiver has, from the first on without gaps.
+	// Offset is the position of the chunk's first byte in the content. In a reply it is the
+	// number of contiguous bytes received from the start of the content.
 	Offset uint64
 	// Total is the length of the snapshot's content in bytes.
 	Total uint64
-	// ContentChecksum is the CRC-32C of the complete content. It also distinguishes the
-	// snapshots that two leaders took at one index.
+	// ContentChecksum is the CRC-32C of the complete content. It also distinguishes snapshots
+	// that two leaders took at the same index.
 	ContentChecksum uint32
-	// Checksum is the CRC-32C of the chunk and of all fields that locate it.
+	// Checksum is the CRC-32C of the chunk's data and of all fields that identify the chunk.
 	Checksum uint32
 	// Reason is set in a reply that rejects the chunk.
 	Reason SnapshotRejection
--- a/system/raft/progress.go
+++ b/system/raft/progress.go
@@ -2,44 +2,46 @@
 
 import "slices"
 
-// progress is what a leader knows about one peer (paper, figure 2: nextIndex and matchIndex).
+// progress is a leader's view of one peer (paper, figure 2: nextIndex and matchIndex).
 //
-// A peer is in one of three modes. Ordinarily entries are sent ahead of their
-// acknowledgements, up to maxInflightEntries. While probing, it gets empty appends until one
-// matches its log. While outgoing is set, it is sent the snapshot.
+// A peer is in one of three modes. Normally, entries are pipelined: up to maxInflightEntries
+// are sent before they are acknowledged. While probing is set, the peer receives empty appends
+// until one matches its log. While outgoing is set, it receives the snapshot.
 type progress struct {
-	// matchIndex is the last entry that is known to be durable in the peer's log.
+	// matchIndex is the index of the last entry known to be durable in the peer's log.
 	matchIndex uint64
-	// nextIndex is the next entry to send.
+	// nextIndex is the index of the next entry to send.
 	nextIndex uint64
-	// ackedReadRound is the last round of read index heartbeats that the peer replied to.
+	// ackedReadRound is the last read index round that the peer replied to.
 	ackedReadRound uint64
-	// recentlyActive says that the peer was heard since the last quorum check.
+	// recentlyActive is set if a message from the peer arrived since the last quorum check.
 	recentlyActive bool
-	// ticksSinceHeard counts the ticks since the peer was heard.
-	ticksSinceHeard int
-	// probing says that it is unknown up to where the peer's log matches.
+	// ticksSinceActive counts the ticks since the last message from the peer.
+	ticksSinceActive int
+	// probing is set while the index up to which the peer's log matches is unknown.
 	probing bool
-	// outgoing is the snapshot that is being sent to the peer, or nil.
+	// outgoing is the snapshot transfer to the peer in progress, or nil.
 	outgoing *outgoingSnapshot
 }
 
-// heard notes that a message of the peer in the current term has arrived.
-func (peer *progress) heard() {
-	peer.recentlyActive, peer.ticksSinceHeard = true, 0
+// markActive records a message from the peer in the current term.
+func (peer *progress) markActive() {
+	peer.recentlyActive, peer.ticksSinceActive = true, 0
 }
 
-// probe has the next empty append test whether the peer's log matches before an index.
+// probe switches to probing: the next append is empty and checks whether the peer's log matches
+// at the index before next.
 func (peer *progress) probe(next uint64) {
 	peer.probing, peer.nextIndex = true, next
 }
 
-// isUnresponsive reports whether a peer was silent for an election timeout.
+// isUnresponsive reports whether no message from a peer arrived for an election timeout.
 func (core *Core) isUnresponsive(peer *progress) bool {
-	return peer.ticksSinceHeard >= core.settings.ElectionTicks
+	return peer.ticksSinceActive >= core.settings.ElectionTicks
 }
 
-// trackPeers has the leader track the progress of exactly the other members.
+// trackPeers updates peers to the current membership: it adds new members and deletes removed
+// ones.
 func (core *Core) trackPeers() {
 	members := slices.Concat(core.membership.Voters, core.membership.Learners)
 	for _, name := range members {
@@ -54,7 +56,7 @@
 	}
 }
 
-// peerNames returns the peers in a fixed order, so that equal inputs give equal outputs.
+// peerNames returns the names of the peers in sorted order, for deterministic output.
 func (core *Core) peerNames() []string {
 	names := make([]string, 0, len(core.peers))
 	for name := range core.peers {
@@ -65,15 +67,15 @@
 }
 
 // quorumValue returns the highest value that a quorum of the voters has reached, given this
-// replica's own value and that of a peer's progress. Only a leader has progress, and trackPeers
-// keeps it for every other voter, so that each voter has a value.
-func (core *Core) quorumValue(own uint64, of func(*progress) uint64) uint64 {
+// replica's own value and a function that returns a peer's. It is valid only on a leader, where
+// trackPeers ensures that every other voter has progress.
+func (core *Core) quorumValue(own uint64, valueOf func(*progress) uint64) uint64 {
 	values := make([]uint64, 0, len(core.membership.Voters))
 	for _, name := range core.membership.Voters {
 		if name == core.settings.Name {
 			values = append(values, own)
 		} else if peer := core.peers[name]; peer != nil {
-			values = append(values, of(peer))
+			values = append(values, valueOf(peer))
 		}
 	}
 	slices.Sort(values)
--- a/system/raft/raft.go
+++ b/system/raft/raft.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// role is the state of a replica in the sense of the paper (5.1), with the pre-candidate of
-// the thesis (9.6).
+// role is the state of a server in the paper (5.1), extended by the pre-candidate of the
+// thesis (9.6).
 type role int
 
 const (
@@ -19,82 +19,83 @@
 // Core is one replica of one group. It is not safe for concurrent use.
 type Core struct {
 	settings Settings
-	// random draws the election timeouts.
+	// random generates the election timeouts.
 	random *rand.Rand
 
-	// The persistent state (paper, figure 2), as it is once all writes are durable.
+	// The persistent state (paper, figure 2), including writes that are not durable yet.
 	hardState HardState
 	snapshot  Snapshot
-	// entries follow the snapshot: entries[0].Index == snapshot.Index+1.
+	// entries is the log after the snapshot: entries[0].Index == snapshot.Index+1.
 	entries []Entry
 
-	// membership is the latest in the log, committed or not (paper 6).
+	// membership is the latest one in the log, committed or not (paper 6).
 	membership Membership
 	role       role
-	// leader is the leader of the current term as far as known, or "".
+	// leader is the known leader of the current term, or "".
 	leader      string
 	commitIndex uint64
-	// lastApplied is the last entry that was given to the driver. It equals commitIndex
+	// lastApplied is the index of the last entry passed to the driver. It equals commitIndex
 	// after each step.
 	lastApplied uint64
-	// stableIndex is the last entry that is durable here. A leader counts itself only up to
-	// here when it advances the commit index.
+	// stableIndex is the index of the last entry that is durable on this replica. It is the
+	// leader's own match index when it advances the commit index.
 	stableIndex uint64
 
-	// electionElapsed counts the ticks since a leader was heard or a vote was granted.
+	// electionElapsed counts the ticks since the election timer was last reset, for example by
+	// a message from the leader or by granting a vote.
 	electionElapsed int
-	// electionTimeout is the number of ticks after which an election is started.
+	// electionTimeout is the value of electionElapsed at which a pre-vote starts.
 	electionTimeout int
-	// votes are the answers to the present request for votes, by voter.
+	// votes has the replies to the current vote or pre-vote request, by voter.
 	votes map[string]bool
 
-	// The state of a leader; it is discarded when the replica steps down.
+	// The volatile state of a leader, used only while this replica leads.
 
-	// peers has the progress of every other member.
+	// peers has the replication progress of every other member.
 	peers map[string]*progress
-	// heartbeatElapsed counts the ticks since the last heartbeat to all peers.
+	// heartbeatElapsed counts the ticks since the last heartbeat broadcast.
 	heartbeatElapsed int
-	// quorumElapsed counts the ticks since the leader last checked that it hears a quorum.
+	// quorumElapsed counts the ticks since the last quorum check.
 	quorumElapsed int
-	// readRound is the number of the last round of heartbeats that confirms reads.
+	// readRound is the number of the last heartbeat round that was started to confirm reads.
 	readRound    uint64
 	pendingReads []pendingRead
-	// transferTarget is the voter that is to become leader, or "".
+	// transferTarget is the voter that leadership is being transferred to, or "".
 	transferTarget string
 	// transferElapsed counts the ticks since the leadership transfer began.
 	transferElapsed int
-	// snapshotChecksum is the checksum of the content of the snapshot at
-	// snapshotChecksumIndex, and outdated if that is not the present one.
+	// snapshotChecksum caches the content checksum of the snapshot at snapshotChecksumIndex;
+	// it is stale if that differs from snapshot.Index.
 	snapshotChecksum      uint32
 	snapshotChecksumIndex uint64
 
-	// incoming is the snapshot that a leader is sending to this replica, or nil.
+	// incoming is the snapshot that is being received from a leader, or nil.
 	incoming *incomingSnapshot
 
-	// What is to be written, what is being written, and the messages that wait for it.
+	// Changes to be written, writes in progress, and the messages that depend on them.
 
-	// hardStateChanged, snapshotChanged and firstUnwritten (0 if there is none) say what the
-	// write at the end of the step must contain.
+	// hardStateChanged, snapshotChanged and firstUnwritten (an index, or 0) determine the
+	// contents of the write at the end of the step.
 	hardStateChanged bool
 	snapshotChanged  bool
 	firstUnwritten   uint64
-	// lastWrite and lastSynced are the numbers of the last write and the last durable one.
+	// lastWrite and lastSynced are the numbers of the last write and the last durable write.
 	lastWrite  uint64
 	lastSynced uint64
 	// hardStateWrite is the number of the last write that changed the hard state.
 	hardStateWrite uint64
-	// pendingWrites are not durable yet, in order.
+	// pendingWrites are the writes that are not durable yet, in order.
 	pendingWrites []pendingWrite
-	// outbox has the messages of this step; pendingMessages those of earlier steps that
-	// wait for a write.
+	// outbox has the messages of this step; pendingMessages has those of earlier steps that
+	// wait for a write to become durable.
 	outbox          []Message
 	pendingMessages []pendingMessage
 	output          Output
 }
 
-// New returns a replica that continues from its stored state, as a follower. With the zero
-// PersistentState it is a member of no group, and waits for a leader to add it. To bootstrap a
-// group, give all founding voters the same snapshot with them as its membership.
+// New returns a follower that resumes from its stored state. With the zero PersistentState the
+// replica belongs to no group and waits for a leader to add it. To bootstrap a group, start
+// every initial voter with the same snapshot, whose membership lists these voters.
 func New(settings Settings, stored PersistentState) *Core {
 	core := &Core{
 		settings:    settings,
@@ -112,8 +113,8 @@
 	return core
 }
 
-// Step processes one input and returns what the driver must do. An input of an unknown kind,
-// such as a message of a later version, has no effect.
+// Step processes one input and returns the actions for the driver. Inputs of an unknown kind are
+// ignored, as are messages of an unknown kind apart from their term.
 func (core *Core) Step(input Input) Output {
 	core.output = Output{}
 	switch input.Kind {
@@ -142,7 +143,7 @@
 
 func (core *Core) handleMessage(message Message) {
 	if message.Kind == MessageSnapshotChunk {
-		// A chunk is checked before its term is adopted: a damaged one must have no effect.
+		// Check the chunk before adopting its term: a damaged chunk must have no effect.
 		if rejection := core.checkChunk(message); rejection != SnapshotAccepted {
 			core.rejectChunk(message, rejection, core.receivedBytes(message), nil)
 			return
@@ -179,11 +180,11 @@
 	}
 }
 
-// adoptTerm enters the later term of a message as a follower (paper 5.1), and reports
-// whether the message is to be processed further.
+// adoptTerm becomes a follower in the later term of a message (paper 5.1), and reports whether
+// the message should be processed further.
 func (core *Core) adoptTerm(message Message) bool {
 	if message.Kind == MessagePreVoteReply && !message.Rejected {
-		return true // a granted pre-vote names a term that nobody has entered yet
+		return true // a granted pre-vote carries a future term, which must not be adopted
 	}
 	if message.Kind == MessageVote && core.inLease() && !message.Forced {
 		return false
@@ -193,7 +194,7 @@
 	return message.Kind != MessagePreVoteReply
 }
 
-// rejectStaleLeader informs the leader of an earlier term of the present one. Other messages
+// rejectStaleLeader tells the leader of an earlier term that there is a later one. Other messages
 // of earlier terms are ignored.
 func (core *Core) rejectStaleLeader(message Message) {
 	if message.Kind == MessageAppend || message.Kind == MessageSnapshot {
--- a/system/raft/raft_simulation_test.go
+++ b/system/raft/raft_simulation_test.go
@@ -19,18 +19,18 @@
 			group.randomEvent(event < 5000)
 		}
 		healed := group.heal()
-		reads += group.readsSeen
+		reads += group.confirmedReads
 		commits += len(group.committed)
 		if group.failure != nil {
 			return group.failure.Error()
 		}
 		if !healed {
-			return "the healed group never committed again"
+			return "the group committed no command after the faults ended"
 		}
 		return ""
 	}, gen.UInt64(), gen.IntRange(3, 5)))
 	properties.TestingRun(t)
 	if reads < 100 || commits < 1000 {
-		t.Fatalf("the schedules hardly did anything: %d reads, %d commits", reads, commits)
+		t.Fatalf("too little coverage: %d reads, %d commits, want at least 100 and 1000", reads, commits)
 	}
 }
--- a/system/raft/read_index.go
+++ b/system/raft/read_index.go
@@ -1,16 +1,16 @@
 package raft
 
-// pendingRead is a read that waits until a quorum has replied to a round of heartbeats that
-// began after it was requested.
+// pendingRead is a read that waits until a quorum has replied to a heartbeat round that began
+// after it was requested.
 type pendingRead struct {
 	context uint64
 	index   uint64
 	round   uint64
 }
 
-// readIndex answers a read with the commit index once a round of heartbeats confirms that
-// this replica still leads (thesis 6.4). A leader that has committed nothing in its term
-// rejects it, since its commit index may be behind that of the leader before it.
+// readIndex answers a read with the current commit index once a heartbeat round confirms that
+// this replica still leads (thesis 6.4). A leader that has not committed an entry in its term
+// rejects the read, since its commit index may be behind that of the previous leader.
 func (core *Core) readIndex(context uint64) {
 	if core.role != roleLeader || !core.committedInTerm() {
 		core.output.ReadResults = append(core.output.ReadResults, ReadResult{Context: context, Rejected: true})
@@ -20,10 +20,10 @@
 		core.output.ReadResults = append(core.output.ReadResults, ReadResult{Context: context, Index: core.commitIndex})
 		return
 	}
-	// Reads that are requested while a round is in flight share the next one.
-	shared := len(core.pendingReads) > 0 && core.pendingReads[len(core.pendingReads)-1].round == core.readRound+1
+	// Reads requested while a round is in flight share the next round.
+	nextRoundPending := len(core.pendingReads) > 0 && core.pendingReads[len(core.pendingReads)-1].round == core.readRound+1
 	core.pendingReads = append(core.pendingReads, pendingRead{context: context, index: core.commitIndex, round: core.readRound + 1})
-	if !shared && core.pendingReads[0].round == core.readRound+1 {
+	if !nextRoundPending && core.pendingReads[0].round == core.readRound+1 {
 		core.startReadRound()
 	}
 }
@@ -33,8 +33,8 @@
 	core.broadcast(true)
 }
 
-// confirmReads answers the reads whose round a quorum has replied to, and starts the next
-// round if reads wait for it.
+// confirmReads answers the reads whose round a quorum has replied to, and starts the next round
+// if reads are waiting for it.
 func (core *Core) confirmReads() {
 	if len(core.pendingReads) == 0 {
 		return
--- a/system/raft/replication.go
+++ b/system/raft/replication.go
@@ -3,26 +3,26 @@
 import "slices"
 
 const (
-	// maxEntriesPerMessage and maxBytesPerMessage bound a MessageAppend. An entry that is
-	// larger travels by itself.
+	// maxEntriesPerMessage and maxBytesPerMessage limit a MessageAppend. A larger entry is sent
+	// in a message of its own.
 	maxEntriesPerMessage = 256
 	maxBytesPerMessage   = 256 << 10
-	// entryOverheadBytes is about what an entry takes in a message beside its data.
+	// entryOverheadBytes approximates the encoded size of an entry without its data.
 	entryOverheadBytes = 32
-	// maxInflightEntries bounds the entries that are sent to a peer before it acknowledges
-	// them. Beyond it the peer gets empty heartbeats.
+	// maxInflightEntries limits the unacknowledged entries per peer. At the limit the peer
+	// receives only empty heartbeats.
 	maxInflightEntries = 512
 )
 
-// handleAppend is AppendEntries of the paper (5.3, figure 2). It appends what is missing, and
-// removes entries only where they conflict: a delayed message must not remove later ones. The
-// reply to an accepted append waits until the entries are durable.
+// handleAppend implements AppendEntries (paper 5.3, figure 2). It appends missing entries and
+// removes only conflicting ones: a delayed message must not truncate entries appended since.
+// The reply to an accepted append is sent once the entries are durable.
 func (core *Core) handleAppend(message Message) {
 	core.followLeader(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Round: message.Round}
 	previous, entries := message.Index, message.Entries
 	if previous < core.snapshot.Index {
-		// The snapshot stands for committed entries, which match; skip what it covers.
+		// Skip the entries that the snapshot covers: they are committed and therefore match.
 		for len(entries) > 0 && entries[0].Index <= core.snapshot.Index {
 			entries = entries[1:]
 		}
@@ -47,8 +47,8 @@
 }
 
 // matchHint returns the highest index before previous at which this log may match that of a
-// leader whose entry at previous has a term. Entries of later terms than that cannot match,
-// so that a leader skips them in one step (the optimization at the end of paper 5.3).
+// leader whose entry at previous has leaderTerm. Entries of later terms cannot match, so the
+// leader skips them in one step (the optimization at the end of paper 5.3).
 func (core *Core) matchHint(previous, leaderTerm uint64) uint64 {
 	hint := min(core.lastIndex(), previous-1)
 	for hint > core.commitIndex && hint > core.snapshot.Index && core.termAt(hint) > leaderTerm {
@@ -57,8 +57,8 @@
 	return hint
 }
 
-// appendMissing appends the leader's entries from the first on that this log does not have,
-// in place of those that conflict with them.
+// appendMissing appends the leader's entries from the first one that this log lacks, replacing
+// any conflicting entries.
 func (core *Core) appendMissing(entries []Entry) {
 	for position, entry := range entries {
 		if entry.Index <= core.lastIndex() && core.termAt(entry.Index) == entry.Term {
@@ -77,7 +77,7 @@
 	if core.role != roleLeader || peer == nil {
 		return
 	}
-	peer.heard()
+	peer.markActive()
 	peer.ackedReadRound = max(peer.ackedReadRound, message.Round)
 	core.confirmReads()
 	if message.Rejected {
@@ -103,8 +103,8 @@
 
 // handleAppendRejected probes for the index up to which the logs match (paper 5.3).
 func (core *Core) handleAppendRejected(message Message, peer *progress) {
-	// While probing, only the reply to the last probe counts. Each append that was in flight
-	// is rejected too, and each rejection would have all entries sent again.
+	// While probing, only the reply to the last probe counts: the appends that were in flight
+	// are rejected too, and each rejection would cause all entries to be sent again.
 	stale := message.Index < peer.matchIndex || peer.probing && message.Index != peer.nextIndex-1
 	if peer.outgoing == nil && !stale {
 		peer.probe(max(peer.matchIndex+1, min(message.Hint+1, core.lastIndex()+1)))
@@ -112,10 +112,10 @@
 	}
 }
 
-// broadcast sends every peer the entries that it lacks. A heartbeat is sent also to peers that
-// lack none.
+// broadcast sends every peer the entries that it lacks. With heartbeat set, peers that lack none
+// receive an empty append.
 func (core *Core) broadcast(heartbeat bool) {
-	if heartbeat { // this includes the rounds that confirm reads
+	if heartbeat { // including the rounds that confirm reads
 		core.heartbeatElapsed = 0
 	}
 	for _, name := range core.peerNames() {
@@ -123,8 +123,8 @@
 	}
 }
 
-// sendAppend sends a peer the next entries, or the snapshot if they were compacted. Without
-// entries it sends only a heartbeat.
+// sendAppend sends a peer the next entries, or the snapshot if they are compacted. If there are
+// no entries to send, it sends an empty append, and only with heartbeat set.
 func (core *Core) sendAppend(name string, peer *progress, heartbeat bool) {
 	if peer.nextIndex <= core.snapshot.Index {
 		core.sendSnapshot(name, peer)
@@ -143,7 +143,7 @@
 	peer.nextIndex += uint64(len(entries))
 }
 
-// entriesToSend returns the entries that go to a peer in its next append.
+// entriesToSend returns the entries for the next append to a peer.
 func (core *Core) entriesToSend(peer *progress) []Entry {
 	if peer.probing || peer.nextIndex > peer.matchIndex+maxInflightEntries {
 		return nil
@@ -158,9 +158,10 @@
 	return entries
 }
 
-// advanceCommit commits what is durable on a quorum of the voters, if it is of the leader's
-// own term: an entry of an earlier term could still be replaced (paper 5.4.2). A leader that
-// is no voter any more steps down once the change that removed it is committed (paper 6).
+// advanceCommit commits the entries that are durable on a quorum of the voters, provided that the
+// last of them is of the leader's own term: an entry of an earlier term could still be replaced
+// (paper 5.4.2). A leader that is no longer a voter steps down once the membership change that
+// removed it is committed (paper 6).
 func (core *Core) advanceCommit() {
 	if core.role != roleLeader {
 		return
--- a/system/raft/replication_test.go
+++ b/system/raft/replication_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// partitionedGroup is a group of three replicas, of which one may be cut off: messages to and
-// from it wait. All other messages arrive, and all disks sync, within the step.
+// partitionedGroup is a group of three replicas, one of which can be isolated: messages to and
+// from it are delayed. All other messages are delivered, and all writes synced, within the step.
 type partitionedGroup struct {
-	cores   map[string]*Core
-	cut     string
-	waiting []Message
-	// sentBytes counts the bytes of entries that were sent to c.
+	cores           map[string]*Core
+	isolated        string
+	delayedMessages []Message
+	// sentBytes is the total size of the entries sent to c.
 	sentBytes int
 }
 
@@ -44,28 +44,27 @@
 				group.sentBytes += len(entry.Data)
 			}
 		}
-		if message.To == group.cut || message.From == group.cut {
-			group.waiting = append(group.waiting, message)
+		if message.To == group.isolated || message.From == group.isolated {
+			group.delayedMessages = append(group.delayedMessages, message)
 			continue
 		}
 		group.step(message.To, Input{Kind: InputMessage, Message: message})
 	}
 }
 
-// reconnect ends the partition and delivers the messages to c that waited; those from it are
-// lost.
+// reconnect ends the partition and delivers the delayed messages to c; those from c are lost.
 func (group *partitionedGroup) reconnect() {
-	late := group.waiting
-	group.cut, group.waiting = "", nil
-	for _, message := range late {
+	delayed := group.delayedMessages
+	group.isolated, group.delayedMessages = "", nil
+	for _, message := range delayed {
 		if message.To == "c" {
 			group.deliver([]Message{message})
 		}
 	}
 }
 
-// A peer that reconnects gets what it missed about once, though every append that waited for
-// it is rejected.
+// Rejections of appends that were delayed by a partition must not cause the missed entries to be
+// sent repeatedly.
 func TestReconnectedPeerReceivesMissedEntriesOnce(t *testing.T) {
 	group := newPartitionedGroup()
 	leader := group.cores["a"]
@@ -75,24 +74,24 @@
 	if !leader.Status().Leading {
 		t.Fatal("a was not elected")
 	}
-	group.cut = "c"
-	logged := 0
+	group.isolated = "c"
+	loggedBytes := 0
 	for range 300 {
 		data := make([]byte, 1000)
-		logged += len(data)
+		loggedBytes += len(data)
 		group.step("a", Input{Kind: InputPropose, Data: data})
 		group.step("a", Input{Kind: InputTick})
 		group.step("b", Input{Kind: InputTick})
 	}
-	before := group.sentBytes
+	sentBefore := group.sentBytes
 	group.reconnect()
 	for range 30 {
 		group.step("a", Input{Kind: InputTick})
 	}
 	if matched, last := leader.Status().MatchIndex["c"], leader.Status().LastIndex; matched != last {
-		t.Fatalf("c has the log up to %d of %d", matched, last)
+		t.Fatalf("c matches the leader's log up to index %d of %d", matched, last)
 	}
-	if group.sentBytes > 2*logged || before > logged/4 {
-		t.Fatalf("%d bytes were sent to c, %d of them while it was cut off, for a log of %d", group.sentBytes, before, logged)
+	if group.sentBytes > 2*loggedBytes || sentBefore > loggedBytes/4 {
+		t.Fatalf("%d bytes were sent to c, %d of them while it was isolated, for a log of %d bytes", group.sentBytes, sentBefore, loggedBytes)
 	}
 }
--- a/system/raft/simulated_group_test.go
+++ b/system/raft/simulated_group_test.go
@@ -7,30 +7,31 @@
 	"slices"
 )
 
-// simulatedGroup drives the cores of one group over a lossy network, and over disks that lose
-// what was not synced, from one seed. It checks safety after every step.
+// simulatedGroup runs the cores of one group over a simulated network that loses, duplicates and
+// reorders messages, and disks that lose unsynced writes. All randomness comes from one seed. It
+// checks safety properties after every step.
 type simulatedGroup struct {
 	random *rand.Rand
 	names  []string
 	cores  map[string]*Core
 	disks  map[string]PersistentState
-	// unsynced are the writes of each replica that its disk may still lose.
+	// unsynced has the writes of each replica that a restart may lose.
 	unsynced map[string][]*Write
 	inFlight []Message
-	// cut are the replicas that are cut off from all others.
-	cut map[string]bool
+	// isolated has the replicas that are partitioned from all others.
+	isolated map[string]bool
 
-	// What the checks compare with: the leader of each term, the committed entry of each index,
-	// the last entry that each replica applied, and what was committed when a read began.
-	leaders   map[uint64]string
-	committed map[uint64]Entry
-	applied   map[string]uint64
-	reads     map[uint64]uint64
+	// Expected state for the safety checks: the leader by term, the committed entry by index,
+	// the last applied index by replica, and the minimum read index by read context.
+	leaders      map[uint64]string
+	committed    map[uint64]Entry
+	applied      map[string]uint64
+	minReadIndex map[uint64]uint64
 
-	// readsSeen counts the confirmed reads, and proposed the commands and reads.
-	readsSeen int
-	proposed  int
-	// failure is the first broken property.
+	confirmedReads int
+	// proposed counts the requested commands and reads.
+	proposed int
+	// failure is the safety violation found, or nil.
 	failure error
 }
 
@@ -39,7 +40,7 @@
 	group := &simulatedGroup{
 		random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, disks: map[string]PersistentState{},
 		unsynced: map[string][]*Write{}, leaders: map[uint64]string{}, committed: map[uint64]Entry{},
-		applied: map[string]uint64{}, reads: map[uint64]uint64{}, cut: map[string]bool{},
+		applied: map[string]uint64{}, minReadIndex: map[uint64]uint64{}, isolated: map[string]bool{},
 	}
 	for index := range size {
 		group.names = append(group.names, fmt.Sprintf("node%d", index))
@@ -54,20 +55,20 @@
 	return group
 }
 
-// start starts a replica with what its disk has.
+// start starts a replica from its disk and drops its unsynced writes.
 func (group *simulatedGroup) start(name string) {
 	group.unsynced[name] = nil
 	if err := group.disks[name].Check(); err != nil {
-		group.failure = fmt.Errorf("%s starts on a disk that is rejected: %w", name, err)
+		group.failure = fmt.Errorf("%s starts from an invalid persistent state: %w", name, err)
 	}
 	group.cores[name] = New(Settings{Name: name, ElectionTicks: 10, HeartbeatTicks: 2, Seed: group.random.Uint64(), ChunkBytes: 3}, group.disks[name])
 	group.applied[name] = group.disks[name].Snapshot.Index
 }
 
-// snapshotAt is the content of every replica's snapshot of an index.
-func snapshotAt(index uint64) []byte { return fmt.Appendf(nil, "snapshot of %d", index) }
+// snapshotData returns the content of every replica's snapshot at an index.
+func snapshotData(index uint64) []byte { return fmt.Appendf(nil, "snapshot of %d", index) }
 
-// step gives a replica one input, checks the output and carries it out.
+// step passes one input to a replica, checks the output and queues its write and messages.
 func (group *simulatedGroup) step(name string, input Input) Output {
 	core := group.cores[name]
 	output := core.Step(input)
@@ -77,7 +78,7 @@
 	}
 	if term, leading := core.Leading(); leading {
 		if other, seen := group.leaders[term]; seen && other != name {
-			group.failure = fmt.Errorf("term %d led by %s and %s", term, other, name)
+			group.failure = fmt.Errorf("term %d has two leaders, %s and %s", term, other, name)
 		}
 		group.leaders[term] = name
 	}
@@ -86,40 +87,40 @@
 	return output
 }
 
-// checkApplied checks that a replica applies the same entries as all others, without gaps.
+// checkApplied checks that a replica applies the same entries as all others and without gaps.
 func (group *simulatedGroup) checkApplied(name string, output Output) {
 	if output.Snapshot != nil {
-		if !bytes.Equal(output.Snapshot.Data, snapshotAt(output.Snapshot.Index)) && output.Snapshot.Index > 1 {
-			group.failure = fmt.Errorf("%s took %q as the snapshot of %d", name, output.Snapshot.Data, output.Snapshot.Index)
+		if !bytes.Equal(output.Snapshot.Data, snapshotData(output.Snapshot.Index)) && output.Snapshot.Index > 1 {
+			group.failure = fmt.Errorf("%s installed %q as the snapshot at index %d", name, output.Snapshot.Data, output.Snapshot.Index)
 		}
 		group.applied[name] = output.Snapshot.Index
 	}
 	for _, entry := range output.CommittedEntries {
 		if entry.Index != group.applied[name]+1 {
-			group.failure = fmt.Errorf("%s applied %d after %d", name, entry.Index, group.applied[name])
+			group.failure = fmt.Errorf("%s applied index %d after index %d", name, entry.Index, group.applied[name])
 		}
 		group.applied[name] = entry.Index
 		known, seen := group.committed[entry.Index]
 		if seen && (known.Term != entry.Term || string(known.Data) != string(entry.Data)) {
-			group.failure = fmt.Errorf("%s committed %v at %d, others %v", name, entry, entry.Index, known)
+			group.failure = fmt.Errorf("%s committed %v at index %d, another replica committed %v", name, entry, entry.Index, known)
 		}
 		group.committed[entry.Index] = entry
 	}
 }
 
-// checkReads checks that a confirmed read covers what was committed when it was requested.
+// checkReads checks that a confirmed read covers all entries committed before it was requested.
 func (group *simulatedGroup) checkReads(output Output) {
 	for _, result := range output.ReadResults {
 		if !result.Rejected {
-			group.readsSeen++
-			if result.Index < group.reads[result.Context] {
-				group.failure = fmt.Errorf("read %d at %d misses %d", result.Context, result.Index, group.reads[result.Context])
+			group.confirmedReads++
+			if result.Index < group.minReadIndex[result.Context] {
+				group.failure = fmt.Errorf("read %d has read index %d, want at least %d", result.Context, result.Index, group.minReadIndex[result.Context])
 			}
 		}
 	}
 }
 
-// sync makes a replica's oldest writes durable.
+// sync makes the oldest count writes of a replica durable.
 func (group *simulatedGroup) sync(name string, count int) {
 	writes := group.unsynced[name][:count]
 	group.unsynced[name] = group.unsynced[name][count:]
@@ -131,24 +132,25 @@
 	}
 }
 
-// deliver delivers the message at a position, unless sender or receiver is cut off.
+// deliver removes the message at a position in inFlight, and delivers it unless its sender or
+// receiver is isolated.
 func (group *simulatedGroup) deliver(position int) {
 	message := group.inFlight[position]
 	group.inFlight = slices.Delete(group.inFlight, position, position+1)
-	if !group.cut[message.From] && !group.cut[message.To] {
+	if !group.isolated[message.From] && !group.isolated[message.To] {
 		group.step(message.To, Input{Kind: InputMessage, Message: message})
 	}
 }
 
 // leader returns the leader of the latest term, or "".
 func (group *simulatedGroup) leader() string {
-	best, bestTerm := "", uint64(0)
+	latest, latestTerm := "", uint64(0)
 	for _, name := range group.names {
-		if term, leading := group.cores[name].Leading(); leading && term > bestTerm {
-			best, bestTerm = name, term
+		if term, leading := group.cores[name].Leading(); leading && term > latestTerm {
+			latest, latestTerm = name, term
 		}
 	}
-	return best
+	return latest
 }
 
 func (group *simulatedGroup) highestCommitted() uint64 {
@@ -159,8 +161,8 @@
 	return highest
 }
 
-// randomEvent lets one thing happen; faults only while the group is unhealthy.
-func (group *simulatedGroup) randomEvent(unhealthy bool) {
+// randomEvent runs one random event. Fault events occur only with faults set.
+func (group *simulatedGroup) randomEvent(faults bool) {
 	name := group.names[group.random.IntN(len(group.names))]
 	chance := group.random.IntN(1000)
 	switch {
@@ -176,20 +178,20 @@
 	case chance < 880:
 		group.proposed++
 		context := uint64(group.proposed)
-		group.reads[context] = group.highestCommitted()
+		group.minReadIndex[context] = group.highestCommitted()
 		group.step(name, Input{Kind: InputReadIndex, Context: context})
 	case chance < 890:
-		group.step(name, Input{Kind: InputCompact, Index: group.applied[name], Data: snapshotAt(group.applied[name])})
+		group.step(name, Input{Kind: InputCompact, Index: group.applied[name], Data: snapshotData(group.applied[name])})
 	case chance < 900:
-		group.changeOneMember(name)
+		group.randomMembershipChange(name)
 	case chance < 903:
 		group.step(name, Input{Kind: InputTransferLeadership, Peer: group.names[group.random.IntN(3)]})
-	case unhealthy:
+	case faults:
 		group.randomFault(name, chance)
 	}
 }
 
-// randomFault loses or repeats a message, restarts a replica, or cuts it off or connects it.
+// randomFault drops or duplicates a message, restarts a replica, or isolates or reconnects it.
 func (group *simulatedGroup) randomFault(name string, chance int) {
 	switch {
 	case chance < 930 && len(group.inFlight) > 0:
@@ -198,15 +200,15 @@
 	case chance < 950 && len(group.inFlight) > 0:
 		group.inFlight = append(group.inFlight, group.inFlight[group.random.IntN(len(group.inFlight))])
 	case chance < 956:
-		group.sync(name, group.random.IntN(len(group.unsynced[name])+1)) // what was synced stays, the rest is lost
+		group.sync(name, group.random.IntN(len(group.unsynced[name])+1)) // start loses the remaining writes
 		group.start(name)
 	case chance < 960:
-		group.cut[name] = !group.cut[name]
+		group.isolated[name] = !group.isolated[name]
 	}
 }
 
-// changeOneMember adds a learner, makes one a voter, or removes a voter.
-func (group *simulatedGroup) changeOneMember(name string) {
+// randomMembershipChange proposes to add a learner, promote a learner, or remove a voter.
+func (group *simulatedGroup) randomMembershipChange(name string) {
 	membership := group.cores[name].Status().Membership
 	other := group.names[group.random.IntN(len(group.names))]
 	next := Membership{Voters: slices.Clone(membership.Voters), Learners: slices.Clone(membership.Learners)}
@@ -221,10 +223,10 @@
 	group.step(name, Input{Kind: InputChangeMembership, Membership: next})
 }
 
-// heal ends all faults and runs the group evenly until every voter has applied a new command.
-// It returns false if that takes too long.
+// heal ends all partitions and runs the group without faults until every voter has applied a new
+// command. It returns false after 2000 rounds or if a safety check fails.
 func (group *simulatedGroup) heal() bool {
-	group.cut = map[string]bool{}
+	group.isolated = map[string]bool{}
 	target := uint64(0)
 	for round := 0; round < 2000; round++ {
 		for _, name := range group.names {
@@ -244,7 +246,7 @@
 		if name == "" {
 			continue
 		}
-		if target == 0 || target > group.cores[name].Status().LastIndex { // a former leader's proposal was lost
+		if target == 0 || target > group.cores[name].Status().LastIndex { // not proposed yet, or lost with its leader
 			target = group.step(name, Input{Kind: InputPropose, Data: []byte("last")}).ProposedIndex
 			continue
 		}
--- a/system/raft/snapshot.go
+++ b/system/raft/snapshot.go
@@ -2,29 +2,28 @@
 
 import "slices"
 
-// Snapshot is the content of the state machine as of an index. It replaces the log up to
-// there (paper 7).
+// Snapshot is the state machine's content as of a log index. It replaces the log up to that index
+// (paper 7).
 type Snapshot struct {
-	// Index and Term are those of the last entry that the content includes.
+	// Index and Term identify the last entry that the content includes.
 	Index uint64
 	Term  uint64
-	// Membership is the latest as of Index.
+	// Membership is the latest membership as of Index.
 	Membership Membership
 	// Data is the content, in the state machine's own encoding.
 	Data []byte
 }
 
-// EntriesSinceSnapshot returns the number of applied entries that are still in the log.
+// EntriesSinceSnapshot returns the number of applied entries that are not yet compacted.
 func (core *Core) EntriesSinceSnapshot() uint64 { return core.lastApplied - core.snapshot.Index }
 
-// CanCompact reports whether a snapshot at an index could replace the log up to there: the
-// entry has been applied, and no later snapshot has replaced it. Otherwise [InputCompact] has
-// no effect.
+// CanCompact reports whether a snapshot at index can replace the log up to there: the entry has
+// been applied, and no snapshot covers it yet. Otherwise [InputCompact] has no effect.
 func (core *Core) CanCompact(index uint64) bool {
 	return index > core.snapshot.Index && index <= core.lastApplied
 }
 
-// compact replaces the log up to an index by a snapshot that the driver took.
+// compact replaces the log up to an index with a snapshot taken by the driver.
 func (core *Core) compact(index uint64, data []byte) {
 	if !core.CanCompact(index) {
 		return
@@ -41,7 +40,7 @@
 	core.markSnapshotChanged()
 }
 
-// handleSnapshot receives a snapshot in one message, as earlier versions send it.
+// handleSnapshot handles a complete snapshot in one message, as earlier versions send it.
 func (core *Core) handleSnapshot(message Message) {
 	core.followLeader(message.From)
 	reply := Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Round: message.Round}
@@ -71,8 +70,8 @@
 	return core.settings.InstallSnapshot(snapshot)
 }
 
-// restoreSnapshot adopts a leader's snapshot that the state machine was restored from. The
-// entries after it are kept only if the log has the snapshot's last entry (paper 7).
+// restoreSnapshot adopts a leader's snapshot after installSnapshot has succeeded. It retains the
+// log entries that follow the snapshot only if the log has the snapshot's last entry (paper 7).
 func (core *Core) restoreSnapshot(snapshot Snapshot) {
 	if core.termAt(snapshot.Index) == snapshot.Term && snapshot.Index <= core.lastIndex() {
 		core.entries = slices.Clone(core.entries[snapshot.Index-core.snapshot.Index:])
@@ -88,8 +87,8 @@
 	core.output.Snapshot = &snapshot
 }
 
-// markSnapshotChanged has the next write contain the snapshot and all entries after it: a
-// stored snapshot without entries replaces the complete stored log.
+// markSnapshotChanged includes the snapshot and all entries after it in the next write, since a
+// written snapshot without entries replaces all stored entries.
 func (core *Core) markSnapshotChanged() {
 	core.snapshotChanged = true
 	if len(core.entries) > 0 {
--- a/system/raft/snapshot_chunk.go
+++ b/system/raft/snapshot_chunk.go
@@ -6,17 +6,16 @@
 )
 
 const (
-	// defaultChunkBytes is the size of a chunk if Settings.ChunkBytes is 0. A chunk is small
-	// enough not to delay heartbeats on a slow connection.
+	// defaultChunkBytes is the chunk size if Settings.ChunkBytes is 0. It is small enough that
+	// a chunk does not delay heartbeats on a slow connection.
 	defaultChunkBytes = 128 << 10
-	// maxSnapshotBytes is the size of the largest snapshot that a replica receives. It is
-	// gathered in memory.
+	// maxSnapshotBytes limits the size of a received snapshot, which is buffered in memory.
 	maxSnapshotBytes = 256 << 20
-	// maxInflightChunks is how many chunks may be sent to a peer before it acknowledges them,
-	// so that latency does not limit the transfer.
+	// maxInflightChunks is the maximum number of unacknowledged chunks per peer. Chunks are
+	// pipelined so that latency does not limit throughput.
 	maxInflightChunks = 4
-	// chunkRetryHeartbeats is after how many heartbeat intervals without a reply a chunk is
-	// sent again.
+	// chunkRetryHeartbeats is the number of heartbeat intervals since the last sent chunk after
+	// which a chunk is retransmitted.
 	chunkRetryHeartbeats = 2
 )
 
@@ -29,23 +28,24 @@
 	return defaultChunkBytes
 }
 
-// chunkChecksum returns the checksum of a chunk's content and of all that locates it: the
-// group, sender, receiver and term, the snapshot, and the position in it.
+// chunkChecksum returns the checksum of a chunk's data and of all fields that identify the chunk:
+// the group, sender, receiver and term, the snapshot's metadata, and the position in it.
 func chunkChecksum(message Message) uint32 {
 	snapshot, chunk := message.Snapshot, message.Chunk
-	head := binary.LittleEndian.AppendUint32(nil, message.Group)
+	header := binary.LittleEndian.AppendUint32(nil, message.Group)
 	for _, number := range []uint64{message.Term, snapshot.Index, snapshot.Term, chunk.Offset, chunk.Total, uint64(chunk.ContentChecksum), uint64(len(snapshot.Membership.Voters))} {
-		head = binary.LittleEndian.AppendUint64(head, number)
+		header = binary.LittleEndian.AppendUint64(header, number)
 	}
 	for _, names := range [][]string{snapshot.Membership.Voters, snapshot.Membership.Learners, {message.From, message.To}} {
 		for _, name := range names {
-			head = append(append(head, name...), 0)
+			header = append(append(header, name...), 0)
 		}
 	}
-	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, snapshot.Data)
+	return crc32.Update(crc32.Checksum(header, castagnoli), castagnoli, snapshot.Data)
 }
 
-// checkChunk checks a chunk by itself, before any of it has an effect.
+// checkChunk validates a chunk independently of the chunks received so far, before it has any
+// effect.
 func (core *Core) checkChunk(message Message) SnapshotRejection {
 	chunk, length := message.Chunk, uint64(len(message.Snapshot.Data))
 	switch {
@@ -63,8 +63,7 @@
 	return SnapshotAccepted
 }
 
-// contentChecksum returns the checksum of the snapshot's content, computed once for each
-// snapshot.
+// contentChecksum returns the checksum of the snapshot's content, computing it once per snapshot.
 func (core *Core) contentChecksum() uint32 {
 	if core.snapshotChecksumIndex != core.snapshot.Index {
 		core.snapshotChecksum = crc32.Checksum(core.snapshot.Data, castagnoli)
--- a/system/raft/snapshot_errors.go
+++ b/system/raft/snapshot_errors.go
@@ -2,25 +2,26 @@
 
 import "fmt"
 
-// SnapshotRejection says why a snapshot, or a chunk of one, was rejected. The values are sent.
+// SnapshotRejection is the reason why a snapshot or snapshot chunk was rejected. The values are
+// part of the wire format.
 type SnapshotRejection uint16
 
 const (
 	// SnapshotAccepted is the zero value: nothing was rejected.
 	SnapshotAccepted SnapshotRejection = iota
-	// SnapshotUnreadable says that the state machine cannot read the content.
+	// SnapshotUnreadable means that the state machine cannot decode the content.
 	SnapshotUnreadable
-	// SnapshotDamaged says that a checksum or a length does not match.
+	// SnapshotDamaged means that a checksum or a length does not match.
 	SnapshotDamaged
-	// SnapshotOutOfOrder says that the chunk does not continue what was received.
+	// SnapshotOutOfOrder means that the chunk does not follow the bytes received so far.
 	SnapshotOutOfOrder
-	// SnapshotStaleTerm says that the sender leads an earlier term.
+	// SnapshotStaleTerm means that the sender is the leader of an earlier term.
 	SnapshotStaleTerm
-	// SnapshotWrongGroup says that the chunk belongs to another group.
+	// SnapshotWrongGroup means that the chunk belongs to another group.
 	SnapshotWrongGroup
-	// SnapshotTooLarge says that the snapshot is larger than a replica receives.
+	// SnapshotTooLarge means that the snapshot exceeds the size limit of the receiver.
 	SnapshotTooLarge
-	// SnapshotSuperseded says that a later snapshot of the same leader is being received.
+	// SnapshotSuperseded means that a later snapshot of the same leader is being received.
 	SnapshotSuperseded
 )
 
@@ -31,37 +32,37 @@
 	SnapshotSuperseded: "superseded",
 }
 
-// String returns the reason in words, as "out of order".
+// String returns the reason as text, for example "out of order".
 func (rejection SnapshotRejection) String() string {
 	if name, known := rejectionNames[rejection]; known {
 		return name
 	}
-	return fmt.Sprintf("rejection %d", uint16(rejection))
+	return fmt.Sprintf("unknown reason %d", uint16(rejection))
 }
 
-// SnapshotError reports a snapshot, or a chunk of one, that was rejected. The replica is
-// unchanged by it, and the sender sends again what is missing. A driver should log it: of the
-// reasons only SnapshotOutOfOrder and SnapshotSuperseded are usual.
+// SnapshotError reports a rejected snapshot or snapshot chunk. The rejection leaves the log and
+// the state machine unchanged, and the sender retransmits the missing data. Drivers should log
+// it: only SnapshotOutOfOrder and SnapshotSuperseded occur in normal operation.
 type SnapshotError struct {
-	// From is the sender.
+	// From is the name of the sender.
 	From string
-	// Index is that of the snapshot.
+	// Index is the index of the snapshot.
 	Index uint64
-	// Offset is the first byte of the chunk; 0 if the snapshot was not sent in chunks.
+	// Offset is the position of the chunk's first byte, or 0 if the snapshot was sent complete.
 	Offset uint64
 	Reason SnapshotRejection
-	// Cause is the state machine's error if Reason is SnapshotUnreadable, else nil.
+	// Cause is the state machine's error if Reason is SnapshotUnreadable, or nil.
 	Cause error
 }
 
-// Error says what was rejected, and why.
+// Error implements the error interface.
 func (err *SnapshotError) Error() string {
-	text := fmt.Sprintf("snapshot %d at byte %d from %s rejected: %s", err.Index, err.Offset, err.From, err.Reason)
+	text := fmt.Sprintf("snapshot at index %d, byte offset %d, from %s rejected: %s", err.Index, err.Offset, err.From, err.Reason)
 	if err.Cause != nil {
 		text += ": " + err.Cause.Error()
 	}
 	return text
 }
 
-// Unwrap returns the state machine's error, if there is one.
+// Unwrap returns Cause.
 func (err *SnapshotError) Unwrap() error { return err.Cause }
--- a/system/raft/snapshot_receiver.go
+++ b/system/raft/snapshot_receiver.go
@@ -2,25 +2,27 @@
 
 import "hash/crc32"
 
-// incomingSnapshot is the receiver's side of the transfer of a snapshot. It is in memory only:
-// after a restart the transfer starts over.
+// incomingSnapshot is the receiver's state of a snapshot transfer. It is kept only in memory, so
+// the transfer starts over after a restart.
 type incomingSnapshot struct {
-	// snapshot is the snapshot with what has been received of its content.
+	// snapshot is the snapshot with the part of its content received so far.
 	snapshot Snapshot
-	// chunk is the first chunk's location, for the total size and the content's checksum.
+	// chunk is that of the first message; its Total and ContentChecksum identify the transfer.
 	chunk SnapshotChunk
 	// leaderTerm is the term of the leader that sent the last chunk.
 	leaderTerm uint64
 }
 
-// matches reports whether a chunk belongs to the snapshot that is being received.
+// matches reports whether a chunk belongs to the snapshot that is being received. It is false for
+// a nil receiver.
 func (received *incomingSnapshot) matches(message Message) bool {
 	snapshot := message.Snapshot
 	return received != nil && received.snapshot.Index == snapshot.Index && received.snapshot.Term == snapshot.Term &&
 		received.chunk.Total == message.Chunk.Total && received.chunk.ContentChecksum == message.Chunk.ContentChecksum
 }
 
-// receivedBytes returns how much was received of the snapshot that a chunk claims to be of.
+// receivedBytes returns the number of bytes received so far of the snapshot that a chunk claims to
+// belong to.
 func (core *Core) receivedBytes(message Message) uint64 {
 	if !core.incoming.matches(message) {
 		return 0
@@ -28,7 +30,8 @@
 	return uint64(len(core.incoming.snapshot.Data))
 }
 
-// handleSnapshotChunk adds a chunk that checkChunk has accepted to what was received.
+// handleSnapshotChunk adds a chunk, already validated by checkChunk, to the snapshot that is being
+// received.
 func (core *Core) handleSnapshotChunk(message Message) {
 	core.followLeader(message.From)
 	snapshot, chunk := message.Snapshot, message.Chunk
@@ -62,8 +65,8 @@
 	core.completeSnapshot(message)
 }
 
-// checkFirstChunk checks whether a chunk may start the transfer of another snapshot than the
-// one that is being received.
+// checkFirstChunk checks whether a chunk may start the transfer of a snapshot other than the one
+// being received.
 func (core *Core) checkFirstChunk(message Message) SnapshotRejection {
 	if message.Chunk.Offset != 0 {
 		return SnapshotOutOfOrder
@@ -90,13 +93,13 @@
 	core.send(Message{Kind: MessageAppendReply, To: message.From, Term: core.hardState.Term, Index: received.snapshot.Index})
 }
 
-// rejectChunk reports a chunk that has no effect to the driver and to the sender.
+// rejectChunk reports a rejected chunk to the driver and the sender.
 func (core *Core) rejectChunk(message Message, reason SnapshotRejection, received uint64, cause error) {
 	core.output.SnapshotRejected = &SnapshotError{From: message.From, Index: message.Snapshot.Index, Offset: message.Chunk.Offset, Reason: reason, Cause: cause}
 	core.replyToChunk(message, Message{Rejected: true, Chunk: SnapshotChunk{Reason: reason}}, received)
 }
 
-// replyToChunk completes a reply to a chunk, with how many bytes were received, and sends it.
+// replyToChunk completes a reply to a chunk with the number of bytes received, and sends it.
 func (core *Core) replyToChunk(message, reply Message, received uint64) {
 	reply.Kind, reply.To, reply.Term = MessageSnapshotReply, message.From, core.hardState.Term
 	reply.Index, reply.Hint = message.Snapshot.Index, message.Chunk.Offset
--- a/system/raft/snapshot_test.go
+++ b/system/raft/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var errUnreadable = errors.New("no such form")
+var errUnreadable = errors.New("unreadable snapshot content")
 
 func TestUnreadableSnapshotIsNeitherInstalledNorAcknowledged(t *testing.T) {
 	core := New(Settings{Name: "b", ElectionTicks: 10, HeartbeatTicks: 2, InstallSnapshot: func(snapshot Snapshot) error {
@@ -20,16 +20,16 @@
 	}
 	rejected := send("something else")
 	if rejected.Snapshot != nil || rejected.Write != nil || core.Applied() != 0 || len(core.Status().Membership.Voters) != 0 {
-		t.Fatalf("an unreadable snapshot left %+v", core.Status())
+		t.Fatalf("an unreadable snapshot changed the replica: %+v", core.Status())
 	}
 	if rejected.SnapshotRejected == nil || rejected.SnapshotRejected.Reason != SnapshotUnreadable || !errors.Is(rejected.SnapshotRejected, errUnreadable) {
-		t.Fatalf("rejected as %v", rejected.SnapshotRejected)
+		t.Fatalf("unexpected rejection: %v", rejected.SnapshotRejected)
 	}
 	if len(rejected.Messages) != 1 || !rejected.Messages[0].Rejected || rejected.Messages[0].Index != 0 {
-		t.Fatalf("answered %+v", rejected.Messages)
+		t.Fatalf("unexpected reply: %+v", rejected.Messages)
 	}
 	installed := send("readable")
 	if installed.Snapshot == nil || core.Applied() != 7 || installed.SnapshotRejected != nil {
-		t.Fatalf("a readable snapshot left %+v, %v", core.Status(), installed.SnapshotRejected)
+		t.Fatalf("a readable snapshot was not installed: %+v, rejection: %v", core.Status(), installed.SnapshotRejected)
 	}
 }
--- a/system/raft/status.go
+++ b/system/raft/status.go
@@ -1,37 +1,37 @@
 package raft
 
-// Status is a copy of what a replica believes about its group. Other replicas may know better.
+// Status is a copy of a replica's view of its group. The view may be out of date.
 type Status struct {
 	Term uint64
-	// Leader is the leader of Term as far as known, or "".
+	// Leader is the known leader of Term, or "".
 	Leader string
-	// Leading says that this replica is the leader of Term.
+	// Leading is set if this replica is the leader of Term.
 	Leading     bool
 	CommitIndex uint64
-	// LastIndex is the index of the last log entry, committed or not; 0 if there was never
-	// one, that is, if the replica is a member of no group yet.
+	// LastIndex is the index of the last log entry, committed or not. It is 0 if there has
+	// never been one, that is, if the replica has not been added to a group yet.
 	LastIndex uint64
-	// Membership is the latest in the log, committed or not.
+	// Membership is the latest one in the log, committed or not.
 	Membership Membership
-	// MatchIndex is, by member, up to where its log is known to match the leader's and to
-	// be durable. Only a leader knows it; elsewhere it is nil.
+	// MatchIndex has, for each member, the index up to which its log is known to be durable
+	// and to match the leader's. It is nil except on a leader.
 	MatchIndex map[string]uint64
-	// MembershipChangePending says, on a leader, that a membership change would be rejected
-	// now because the one before, or the leader's first entry, is not committed.
+	// MembershipChangePending is set on a leader while it rejects membership changes because
+	// the previous change, or the leader's first entry, is not committed yet.
 	MembershipChangePending bool
-	// CommittedInTerm says, on a leader, that it has committed an entry of its own term. Only
-	// then are its commit index and its state machine up to date (paper 8).
+	// CommittedInTerm is set on a leader once it has committed an entry of its own term. Before
+	// that, its commit index and state machine may be out of date (paper 8).
 	CommittedInTerm bool
 }
 
-// CaughtUp reports, on a leader, whether a member has the log but for at most MaxLearnerLag
-// entries that are on their way; elsewhere it is false.
+// CaughtUp reports whether a member lacks at most MaxLearnerLag committed entries. It is always
+// false except on a leader.
 func (status Status) CaughtUp(member string) bool {
 	matched := status.MatchIndex[member]
 	return matched > 0 && matched+MaxLearnerLag >= status.CommitIndex
 }
 
-// Status returns what this replica believes now.
+// Status returns this replica's current view of its group.
 func (core *Core) Status() Status {
 	status := Status{
 		Term: core.hardState.Term, Leader: core.leader, Leading: core.role == roleLeader,
@@ -48,12 +48,12 @@
 	return status
 }
 
-// Leading returns the current term, and whether this replica leads it.
+// Leading returns the current term and whether this replica is its leader.
 func (core *Core) Leading() (term uint64, leading bool) {
 	return core.hardState.Term, core.role == roleLeader
 }
 
-// Applied returns the index of the last entry that was given to the driver to be applied, in
+// Applied returns the index of the last entry passed to the driver to be applied, in
 // [Output.CommittedEntries] or as part of a snapshot.
 func (core *Core) Applied() uint64 { return core.lastApplied }
 
--- a/system/raft/tick.go
+++ b/system/raft/tick.go
@@ -1,6 +1,6 @@
 package raft
 
-// tick advances the timers by one tick. nodeTick counts the ticks of the node, or is 0.
+// tick advances the timers by one tick. nodeTick is the node's tick counter, or 0.
 func (core *Core) tick(nodeTick uint64) {
 	core.electionElapsed++
 	if core.role == roleLeader {
@@ -9,7 +9,8 @@
 	}
 	if core.electionElapsed >= core.electionTimeout && core.isVoter(core.settings.Name) {
 		if core.lastSynced < core.lastWrite {
-			// The disk is late with an earlier write, so this replica could not lead now.
+			// While an earlier write is not durable, this replica could not lead. Wait for
+			// another election timeout instead of disrupting the group.
 			core.become(roleFollower, "")
 			return
 		}
@@ -30,21 +31,21 @@
 	}
 }
 
-// tickPeers advances the timers of all peers. One that was silent for an election timeout is
-// probed, since what is in flight to it is probably lost.
+// tickPeers advances the timers of all peers. An unresponsive peer is probed, since the
+// messages in flight to it are probably lost.
 func (core *Core) tickPeers() {
 	for _, peer := range core.peers {
 		if peer.outgoing != nil {
 			peer.outgoing.ticksSinceSent++
 		}
-		if peer.ticksSinceHeard++; core.isUnresponsive(peer) {
+		if peer.ticksSinceActive++; core.isUnresponsive(peer) {
 			peer.probing = true
 		}
 	}
 }
 
-// tickTransfer gives up a leadership transfer that has taken longer than an election timeout,
-// so that the leader accepts proposals again (thesis 3.10).
+// tickTransfer aborts a leadership transfer that takes longer than an election timeout, so that
+// the leader accepts proposals again (thesis 3.10).
 func (core *Core) tickTransfer() {
 	if core.transferTarget == "" {
 		return
@@ -55,9 +56,9 @@
 	}
 }
 
-// checkQuorum reports, once in each election timeout, whether a quorum of the voters was
-// heard during it. A leader without one steps down, so that its clients look for the leader
-// that the others may have elected (thesis 6.2).
+// checkQuorum reports, once per election timeout, whether a quorum of the voters was active
+// during it; between checks it returns true. A leader without an active quorum steps down, so
+// that its clients look for the leader that the other voters may have elected (thesis 6.2).
 func (core *Core) checkQuorum() bool {
 	core.quorumElapsed++
 	if core.quorumElapsed < core.settings.ElectionTicks {
@@ -78,10 +79,10 @@
 	return active >= core.quorum()
 }
 
-// heartbeatDue reports whether the next heartbeat is to be sent now. The groups of one node
-// prefer the same node ticks, so that their heartbeats travel in one batch.
+// heartbeatDue reports whether the next heartbeat should be sent now. Heartbeats are aligned to
+// multiples of the interval in node ticks, so that the groups of a node send them in one batch.
 func (core *Core) heartbeatDue(nodeTick uint64) bool {
-	every := core.settings.HeartbeatTicks
-	aligned := nodeTick > 0 && nodeTick%uint64(every) == 0 && 2*core.heartbeatElapsed >= every
-	return aligned || core.heartbeatElapsed >= every
+	interval := core.settings.HeartbeatTicks
+	aligned := nodeTick > 0 && nodeTick%uint64(interval) == 0 && 2*core.heartbeatElapsed >= interval
+	return aligned || core.heartbeatElapsed >= interval
 }
