--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -20,7 +20,7 @@
 	if follow.ConfirmOnly {
 		return node.handleConfirm(ctx, query, receivedAt)
 	}
-	node.recordHeard(follow.Member, 0, true)
+	node.recordLiveness(follow.Member, 0, true)
 	if state := node.stateMachine.state(); follow.Wait > 0 && follow.After == state.view.Number {
 		node.awaitNewState(ctx, state, min(follow.Wait, maxFollowWait))
 	}
--- a/system/controlplane/node_gossip.go
+++ b/system/controlplane/node_gossip.go
@@ -19,7 +19,7 @@
 // handleGossip records the members that another control node has heard from.
 func (node *Node) handleGossip(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	for _, session := range query.MemberSessions.Sessions {
-		node.recordHeard(session.Member, session.Age, false)
+		node.recordLiveness(session.Member, session.Age, false)
 	}
 	return &wire.Reply{}, nil
 }
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -43,9 +43,9 @@
 	direct bool
 }
 
-// recordHeard records that a member was heard from the given age ago, directly or through
+// recordLiveness records that a member was heard from the given age ago, directly or through
 // gossip. A report older than the latest one is ignored.
-func (node *Node) recordHeard(member feed.Member, age time.Duration, direct bool) {
+func (node *Node) recordLiveness(member feed.Member, age time.Duration, direct bool) {
 	if member.Name == "" {
 		return
 	}
@@ -65,7 +65,7 @@
 // list yet: the store may have synced a view that this control plane has lost.
 func (node *Node) recordForeignStore(query *wire.Query) {
 	if query.Follow != nil && !query.Follow.ConfirmOnly && len(node.View().Stores) == 0 && query.Follow.Member.Role == feed.RoleStore {
-		node.recordHeard(query.Follow.Member, 0, true)
+		node.recordLiveness(query.Follow.Member, 0, true)
 	}
 }
 
