--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -12,34 +12,34 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// attempt is one sending of a request to one runner, from the lease to the head of the
-// response. While it runs it may be in a goroutine of its own, so it reads of the exchange
-// only what does not change, and has copies of the rest.
+// attempt is one attempt to send a request to one runner, from the lease to the response
+// head. It may run in its own goroutine, so it only reads those fields of the exchange that
+// no longer change, and has copies of the others.
 type attempt struct {
 	attempts *attemptSet
 	lease    *balancer.Lease
-	// active and route are those under which the request is sent; checkBeforeSend renews
+	// active and route are the ones that the request is sent under; checkBeforeSend updates
 	// them.
 	active ActiveConfig
 	route  *config.Route
-	// lastEventID is the id of the last event that the caller has.
+	// lastEventID is the ID of the last event that the caller received.
 	lastEventID string
 	startedAt   time.Time
 
 	context context.Context
-	// cancel ends the attempt; detach lets it go on when the caller's context ends, and
-	// reports false if that has ended already.
+	// cancel ends the attempt. detach lets it continue after the end of the caller's
+	// context, and returns false if that context has already ended.
 	cancel context.CancelFunc
 	detach func() bool
 
-	// countedAsSent is set once the attempt counts against the route's maximum.
+	// countedAsSent is set once the attempt counts towards the route's attempt limit.
 	countedAsSent bool
-	// response or err is the result.
+	// The result is either response or err.
 	response *runnerpool.Response
 	err      error
 }
 
-// send sends the request to the runner and waits for the head of its response.
+// send sends the request to the runner and waits for the response head.
 func (attempt *attempt) send() {
 	exchange := attempt.attempts.exchange
 	attempt.startedAt = time.Now()
@@ -50,18 +50,18 @@
 	})
 }
 
-// checkBeforeSend is called when a connection is ready and the first byte is about to
-// leave; an error keeps it back. The dial may have been slow or this process frozen since
-// the runner was leased, so the configuration and the lease are checked again.
+// checkBeforeSend is called on a ready connection just before the first byte is sent; an
+// error prevents that. The dial may have been slow or this process suspended since the
+// runner was leased, so the configuration and the lease are checked again.
 func (attempt *attempt) checkBeforeSend() error {
 	settings, exchange := &attempt.attempts.forwarder.settings, attempt.attempts.exchange
 	if attempt.attempts.closed.Load() || attempt.attempts.context.Err() != nil {
-		return apierror.New(apierror.NotRun, "the caller has its answer, or has left", "none: nobody waits for an answer")
+		return apierror.New(apierror.NotRun, "the request was already answered or cancelled by the caller", "none; no response is expected")
 	}
 	if err := settings.CheckViewFresh(); err != nil {
 		return err
 	}
-	changed := apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", shortRetryAfter)
+	changed := apierror.NewRetryable(apierror.NotRun, "the configuration or runner list changed before the request was sent", "retry", shortRetryAfter)
 	active := settings.ActiveConfig()
 	if active.Routing != attempt.active.Routing {
 		route, found := active.Routing.Match(exchange.Host, exchange.Path)
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// discard ends an attempt whose response nobody needs. The response is read to its end:
-// aborting it would waste the runner's work and the connection.
+// discard ends an attempt whose response is not needed. The response is drained, up to a
+// limit, because aborting it would waste the runner's work and the connection.
 func (attempt *attempt) discard() {
 	defer attempt.cancel()
 	if attempt.err != nil {
@@ -85,7 +85,7 @@
 		return
 	}
 	_, err := io.Copy(io.Discard, io.LimitReader(attempt.response, maxBufferedResponseBytes))
-	_ = attempt.response.Close() // its error only says that the connection is not reused
+	_ = attempt.response.Close() // an error only means that the connection is not reused
 	outcome := balancer.Answered
 	switch {
 	case err != nil && attempt.context.Err() != nil:
@@ -98,9 +98,9 @@
 	attempt.lease.Release(outcome, attempt.response.Load)
 }
 
-// outcomeOf says what a failed attempt shows of its runner, for the balancer. The order
-// matters: a connection that could not be opened is both Lost and NeverSent, but speaks
-// against the runner; one that broke off speaks against it even if ctx has ended since.
+// outcomeOf classifies a failed attempt for the balancer. The order matters: a connection
+// that could not be opened is both Lost and NeverSent but counts against the runner, and so
+// does one that was interrupted, even if ctx has ended in the meantime.
 func outcomeOf(ctx context.Context, failure *apierror.Error) balancer.Outcome {
 	switch {
 	case failure.Misdirected:
--- a/system/forwarding/dispatch.go
+++ b/system/forwarding/dispatch.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxUnsentAttempts bounds the attempts that failed before anything was sent. They do
-	// not count as attempts of the route.
+	// maxUnsentAttempts limits the attempts that failed before anything was sent. They do
+	// not count towards the route's attempt limit.
 	maxUnsentAttempts = 6
-	// minRetryTime is the time that must be left for another attempt to be worth it.
+	// minRetryTime is the least remaining time for which another attempt is made.
 	minRetryTime = 50 * time.Millisecond
 )
 
-// errNoRetry marks errors after which no other runner may be tried: the caller is gone, or
-// the work was done and only its record failed. Its text is part of messages to callers.
-var errNoRetry = errors.New("the caller left")
+// errNoRetry marks errors after which no other runner may be tried: the caller has
+// disconnected, or the work is done and only its record failed. Its text is part of messages
+// to callers.
+var errNoRetry = errors.New("the request is not retried")
 
-// dispatch is the last filter: it sends the request to a runner, and to another one where
-// that can't make it run twice, until one response was relayed.
+// dispatch is the last filter: it sends the request to a runner and, as far as the route's
+// guarantees allow, to further ones until a response has been relayed.
 func dispatch(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	ctx, cancel := context.WithDeadline(ctx, exchange.deadline)
 	defer cancel()
@@ -50,24 +51,24 @@
 	}
 }
 
-// hasAttemptLeft reports whether the route allows another attempt and there is time for it.
+// hasAttemptLeft reports whether the route and the remaining time allow another attempt.
 func (exchange *exchange) hasAttemptLeft() bool {
 	return exchange.sendCount < max(exchange.route.MaxAttempts, 1) && time.Until(exchange.deadline) > minRetryTime
 }
 
-// idempotent reports whether the request may run more than once. A resumable stream may:
-// another runner goes on after the last event that the caller has.
+// idempotent reports whether the request may run more than once. This includes resumable
+// streams, which another runner continues after the last event that the caller received.
 func (exchange *exchange) idempotent() bool {
 	return exchange.route.Kind == config.Repeatable || (exchange.route.Kind == config.Streaming && exchange.route.Resumable)
 }
 
-// mayRetry reports whether another runner may get the request after a failed attempt.
+// mayRetry reports whether the request may be sent to another runner after a failed attempt.
 func (exchange *exchange) mayRetry(failure *apierror.Error) bool {
 	return failure.NeverSent || failure.Kind == apierror.NotRun || exchange.idempotent()
 }
 
-// callerError turns the failure of an attempt into the error for the caller. NotRun is a
-// promise, so it is given only if no earlier attempt may have run either.
+// callerError converts the error of an attempt into the one for the caller. NotRun is a
+// promise, so it is returned only if no earlier attempt may have run either.
 func (exchange *exchange) callerError(err error) error {
 	failure := *apierror.Of(err)
 	provenNotRun := failure.NeverSent || failure.Kind == apierror.NotRun
--- a/system/forwarding/filters.go
+++ b/system/forwarding/filters.go
@@ -7,77 +7,79 @@
 	"yardrock.example/system/apierror"
 )
 
-// filter looks at a request and may answer it: done ends the chain without an error.
+// filter processes one step of a request. done or an error ends the chain; done means that
+// the request has been answered.
 type filter func(ctx context.Context, forwarder *Forwarder, exchange *exchange) (done bool, err error)
 
-// filters is the chain that every request passes. The buffer limit comes first, as it
-// protects the others; a turn is recorded last before it is dispatched.
+// filters is the chain that every request passes through. The buffer limit comes first
+// because it protects the other filters. The turn is recorded just before dispatch, so that
+// requests rejected by an earlier filter leave no record.
 var filters = []filter{limitBufferedBytes, requireFreshView, findRoute, setDeadline, beginTurn, dispatch}
 
-// viewWaitShare is the share of its time that a request may wait for the view to become
-// fresh.
-const viewWaitShare = 0.35
+// viewWaitFraction is the fraction of its remaining time that a request may wait for a
+// fresh view.
+const viewWaitFraction = 0.35
 
-// limitBufferedBytes rejects the request if its body would exceed the front's buffer limit.
+// limitBufferedBytes rejects the request if its body exceeds the front's buffer limit.
 func limitBufferedBytes(_ context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	return false, forwarder.reserveBuffer(exchange, int64(len(exchange.Body)))
 }
 
-// requireFreshView takes the configuration in force, and waits for the view to become
-// fresh if it is not.
+// requireFreshView waits for a fresh view if necessary and takes the active configuration.
 func requireFreshView(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	if err := forwarder.settings.CheckViewFresh(); err != nil {
-		if until := forwarder.viewWaitDeadline(exchange); !until.IsZero() {
-			limited, cancel := context.WithTimeout(ctx, time.Duration(viewWaitShare*float64(time.Until(until))))
+		if deadline := forwarder.viewWaitDeadline(exchange); !deadline.IsZero() {
+			waitCtx, cancel := context.WithTimeout(ctx, time.Duration(viewWaitFraction*float64(time.Until(deadline))))
 			defer cancel()
-			ctx = limited
+			ctx = waitCtx
 		}
 		if err := forwarder.settings.AwaitViewFresh(ctx); err != nil {
-			exchange.watch.end(StageView)
+			exchange.timer.end(StageView)
 			return false, err
 		}
 	}
-	exchange.watch.end(StageView)
+	exchange.timer.end(StageView)
 	exchange.active = forwarder.settings.ActiveConfig()
 	if exchange.active.Routing == nil {
-		return false, apierror.NewRetryable(apierror.NotRun, "no routes are in force yet", "ask again; operators: put a config with routes", time.Second)
+		return false, apierror.NewRetryable(apierror.NotRun, "no routes are configured yet", "retry later; operators: apply a configuration with routes", time.Second)
 	}
 	return false, nil
 }
 
-// viewWaitDeadline returns until when a request may be served, as far as that is known
-// before the view is fresh: the timeout of a route that may be out of date is the best
-// estimate there is. Zero means that there is no limit.
+// viewWaitDeadline estimates the request's deadline before the view is fresh: the earlier
+// of the caller's deadline and the timeout of the matching route, which may be outdated.
+// Zero means that there is no limit.
 func (forwarder *Forwarder) viewWaitDeadline(exchange *exchange) time.Time {
-	until := exchange.Deadline
+	deadline := exchange.Deadline
 	route, found := forwarder.settings.ActiveConfig().Routing.Match(exchange.Host, exchange.Path)
 	if !found {
-		return until
+		return deadline
 	}
-	if timeout := exchange.ReceivedAt.Add(time.Duration(route.Timeout)); until.IsZero() || timeout.Before(until) {
+	if timeout := exchange.ReceivedAt.Add(time.Duration(route.Timeout)); deadline.IsZero() || timeout.Before(deadline) {
 		return timeout
 	}
-	return until
+	return deadline
 }
 
-// findRoute matches the request's host and path with the routes in force.
+// findRoute matches the request's host and path against the active routes.
 func findRoute(_ context.Context, _ *Forwarder, exchange *exchange) (bool, error) {
 	route, found := exchange.active.Routing.Match(exchange.Host, exchange.Path)
 	if !found {
-		return false, apierror.New(apierror.NotFound, "no route is for "+exchange.Host+exchange.Path, "ask for a host and a path that the config has a route for")
+		return false, apierror.New(apierror.NotFound, "no route matches "+exchange.Host+exchange.Path, "use a host and path that a configured route matches")
 	}
 	exchange.route = route
 	return false, nil
 }
 
-// setDeadline takes the earlier one of the caller's deadline and the route's timeout.
+// setDeadline sets the deadline to the earlier of the caller's deadline and the route's
+// timeout.
 func setDeadline(_ context.Context, _ *Forwarder, exchange *exchange) (bool, error) {
 	exchange.deadline = exchange.ReceivedAt.Add(time.Duration(exchange.route.Timeout))
 	if !exchange.Deadline.IsZero() && exchange.Deadline.Before(exchange.deadline) {
 		exchange.deadline = exchange.Deadline
 	}
 	if !time.Now().Before(exchange.deadline) {
-		return false, apierror.NewRetryable(apierror.NotRun, "the time for this query is over", "ask again with more time", time.Second)
+		return false, apierror.NewRetryable(apierror.NotRun, "the deadline of the request has passed", "retry with a longer deadline", time.Second)
 	}
 	return false, nil
 }
--- a/system/forwarding/forwarder.go
+++ b/system/forwarding/forwarder.go
@@ -1,22 +1,22 @@
-// Package forwarding forwards callers' HTTP requests to runners, unchanged, by the routes
-// in force, and relays the responses back.
+// Package forwarding proxies callers' HTTP requests to runners, unchanged, according to the
+// active routes, and relays the responses.
 //
-// A request passes a chain of filters (filters.go): buffer limit, freshness of the view,
-// route, deadline, record of the turn (turns.go), dispatch. Dispatch (dispatch.go) makes
-// attempts at runners (attempt.go), one after the other or, for idempotent routes, hedged
+// A request passes through a chain of filters (filters.go): buffer limit, freshness of the
+// view, route, deadline, turn record (turns.go), dispatch. Dispatch (dispatch.go) makes
+// attempts on runners (attempt.go), sequentially or, for repeatable routes, hedged
 // (hedging.go), and relays the first usable response (relay.go).
 //
 // Guarantees:
-//   - A request runs at most once unless its route says that it is idempotent: another
-//     runner gets it only if the one before provably did not run it.
+//   - A request runs at most once unless its route is idempotent: another runner gets it
+//     only if the previous one provably did not run it.
 //   - apierror.NotRun is a promise: the request did not run and never will.
-//   - No byte is sent to a runner under a configuration or lease that has been revoked;
-//     both are checked again just before the first byte leaves.
-//   - A turn whose history is stored looks complete to the caller only once its end is
-//     committed by the stores.
+//   - No byte is sent to a runner under a revoked configuration or lease; both are checked
+//     again just before the first byte is sent.
+//   - A turn with stored history looks complete to the caller only after the stores have
+//     committed its end.
 //
-// The package keeps no state between requests but the number of buffered bytes and the
-// background tasks that end turns. It stores nothing: what lasts is in the session logs.
+// Between requests the package keeps only the number of buffered bytes and the background
+// tasks that commit turn ends. Durable state is in the session logs.
 package forwarding
 
 import (
@@ -31,24 +31,24 @@
 	"yardrock.example/system/taskgroup"
 )
 
-// shortRetryAfter is when a caller should retry after a rejection whose cause is expected
-// to pass soon.
+// shortRetryAfter is the retry delay for rejections with a short-lived cause.
 const shortRetryAfter = 200 * time.Millisecond
 
 // Forwarder forwards requests for one front. It is safe for concurrent use.
 type Forwarder struct {
 	settings Settings
-	// context ends with Close; background tasks and detached attempts run under it.
+	// context is cancelled by Close; background tasks and detached attempts use it.
 	context context.Context
 	stop    context.CancelFunc
-	// turnCommits are the ends of turns that are being committed in the background.
+	// turnCommits are the turn ends being committed in the background.
 	turnCommits taskgroup.Group
-	// discardedAttempts are the attempts that go on though the caller has its response.
+	// discardedAttempts are the attempts still running after their requests were answered
+	// or abandoned.
 	discardedAttempts taskgroup.Group
 	bufferedBytes     atomic.Int64
 }
 
-// New makes a forwarder; Close ends it.
+// New returns a forwarder, which must be closed with Close.
 //
 //	forwarder := forwarding.New(forwarding.Settings{Node: "front-1", CheckViewFresh: checkFresh, AwaitViewFresh: awaitFresh, ActiveConfig: active, Balancer: balancer, Pool: pool, TurnStore: stores})
 //	err := forwarder.Serve(ctx, request, writer)
@@ -61,8 +61,8 @@
 	return forwarder
 }
 
-// Close cancels the background tasks and waits for their end. Call it once no Serve is
-// under way.
+// Close cancels the background tasks and waits for them to end. It must not be called while
+// a Serve call is running.
 //
 //	forwarder.Close()
 func (forwarder *Forwarder) Close() {
@@ -71,7 +71,8 @@
 	forwarder.discardedAttempts.Wait(context.Background())
 }
 
-// AwaitTurnCommits waits until the ends of all turns are committed, or the context ends.
+// AwaitTurnCommits waits until no turn end is being committed in the background or ctx
+// ends.
 //
 //	forwarder.AwaitTurnCommits(ctx)
 func (forwarder *Forwarder) AwaitTurnCommits(ctx context.Context) {
@@ -79,65 +80,67 @@
 }
 
 // Serve forwards one request to a runner and relays the response. An error before
-// writer.Begin says why there is no response: NotRun promises that the request did not run
-// and never will, NotFound that there is no such route or turn, QuotaExhausted that the
-// program's output budget is used up, Unknown and RunnerFailure that it may have run.
-// After an error that comes later than Begin, the response must be aborted.
+// writer.Begin means that there is no response: NotRun promises that the request did not
+// run and never will, NotFound means that there is no such route or turn, QuotaExhausted
+// that the program's output budget is used up, Unknown and RunnerFailure that the request
+// may have run. After an error that follows Begin, the response must be aborted.
 //
 //	err := forwarder.Serve(ctx, &forwarding.Request{Name: "9c41", Method: "GET", Host: "a.example", Path: "/x/1", Target: "/x/1", ReceivedAt: time.Now(), Deadline: deadline}, writer)
 func (forwarder *Forwarder) Serve(ctx context.Context, request *Request, writer ResponseWriter) error {
-	exchange := &exchange{Request: request, writer: writer, watch: stopwatch{last: request.ReceivedAt}}
+	exchange := &exchange{Request: request, writer: writer, timer: stageTimer{stageStart: request.ReceivedAt}}
 	defer func() { forwarder.bufferedBytes.Add(-exchange.bufferedBytes) }()
-	exchange.watch.end(StageReceive)
+	exchange.timer.end(StageReceive)
 	err := forwarder.serve(ctx, exchange)
 	forwarder.observe(exchange, err)
 	return err
 }
 
-// serve runs the chain of filters.
+// serve runs the filter chain.
 func (forwarder *Forwarder) serve(ctx context.Context, exchange *exchange) error {
-	for _, step := range filters {
-		if done, err := step(ctx, forwarder, exchange); done || err != nil {
+	for _, apply := range filters {
+		if done, err := apply(ctx, forwarder, exchange); done || err != nil {
 			return err
 		}
 	}
-	return apierror.New(apierror.Unavailable, "no filter answered", "report this")
+	return apierror.New(apierror.Unavailable, "no filter answered the request", "report this as a bug")
 }
 
-// exchange is one request with its response on the way through the filters. Only the
-// goroutine that called Serve changes it until that returns; the background task that ends
-// its turn reads it afterwards.
+// exchange is one request and its response while they pass through the filters. Only the
+// goroutine that called Serve modifies it; after Serve has returned, the background task
+// that commits the turn end reads it.
 type exchange struct {
 	*Request
 	writer ResponseWriter
-	// active and route are those under which the request was last checked.
+	// active and route are the ones that the request was last checked against.
 	active   ActiveConfig
 	route    *config.Route
 	deadline time.Time
-	// triedRunners are the incarnations of the runners that were sent the request, or
-	// were not there; they get it no second time.
+	// triedRunners are the incarnations of the runners that were sent the request or were
+	// unreachable. They are not tried again.
 	triedRunners []string
 	sendCount    int
-	// turn is the recorded begin; nil if the request is no recorded turn.
+	// turn is the recorded start; nil if the request is not a recorded turn.
 	turn        *storeclient.BegunTurn
 	sessionName string
 	body        [][]byte
 	stream      streamState
-	// mayHaveRun is set once some attempt may have run; from then on NotRun is no answer.
+	// mayHaveRun is set once any attempt may have run; NotRun must not be returned after
+	// that.
 	mayHaveRun    bool
 	bufferedBytes int64
-	// watch measures the stages, and lastLease is the lease of the last attempt that ended;
-	// both are for the record of the request only.
-	watch     stopwatch
+	// timer and lastLease, the lease of the attempt that ended last, are used only for
+	// the request record.
+	timer     stageTimer
 	lastLease *balancer.Lease
 }
 
-// reserveBuffer counts bytes that the request keeps in memory until Serve returns, and
-// rejects it if the front buffers too much. A request that is alone is never rejected.
+// reserveBuffer accounts for bytes that the request keeps in memory until Serve returns, and
+// rejects the request if the front's limit is exceeded. A request that is the only one with
+// buffered bytes is never rejected.
 func (forwarder *Forwarder) reserveBuffer(exchange *exchange, bytes int64) error {
 	exchange.bufferedBytes += bytes
-	if all := forwarder.bufferedBytes.Add(bytes); all > forwarder.settings.MaxBufferedBytes && all > exchange.bufferedBytes {
-		return apierror.NewRetryable(apierror.NotRun, "this front holds too many bytes of queries", "ask again or at another front", shortRetryAfter)
+	if total := forwarder.bufferedBytes.Add(bytes); total > forwarder.settings.MaxBufferedBytes && total > exchange.bufferedBytes {
+		return apierror.NewRetryable(apierror.NotRun, "the request buffers of this front are full", "retry, or use another front", shortRetryAfter)
 	}
 	return nil
 }
--- a/system/forwarding/forwarder_test.go
+++ b/system/forwarding/forwarder_test.go
@@ -11,20 +11,20 @@
 	"yardrock.example/system/config"
 )
 
-// unusedResponse is a response that must not begin.
+// unusedResponse fails the test if a response begins.
 type unusedResponse struct{ t *testing.T }
 
 func (response unusedResponse) Begin(int, http.Header) error {
-	response.t.Error("a response began")
+	response.t.Error("unexpected response")
 	return nil
 }
 
 func (unusedResponse) Write([]byte) error { return nil }
 
-// staleSettings are those of a front whose view is not fresh and has one route.
+// staleSettings returns the settings of a front with one route whose view never becomes fresh.
 func staleSettings(timeout time.Duration) Settings {
 	routing := &config.Routing{Routes: []config.Route{{Name: "lookup", Host: "a.example", Prefix: "/x/", Kind: config.Repeatable, Timeout: config.Duration(timeout)}}}
-	notRun := apierror.New(apierror.NotRun, "the view is not confirmed", "ask again")
+	notRun := apierror.New(apierror.NotRun, "the view is not fresh", "retry")
 	return Settings{
 		CheckViewFresh: func() error { return notRun },
 		AwaitViewFresh: func(ctx context.Context) error {
@@ -35,27 +35,28 @@
 	}
 }
 
-// TestRequestWaitsForViewWithinRouteTimeout: however much time its caller has.
+// TestRequestWaitsForViewWithinRouteTimeout checks that the wait for a fresh view is bounded by
+// the route's timeout and by the caller's deadline, whichever is earlier.
 func TestRequestWaitsForViewWithinRouteTimeout(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		path          string
-		timeout, left time.Duration
-		maxWait       time.Duration
+		name                   string
+		path                   string
+		timeout, untilDeadline time.Duration
+		maxWait                time.Duration
 	}{
-		{"the route's timeout is shorter", "/x/1", 300 * time.Millisecond, 10 * time.Second, 300 * time.Millisecond},
-		{"the caller's time is shorter", "/x/1", 10 * time.Second, 300 * time.Millisecond, 300 * time.Millisecond},
-		{"no route is known", "/y/1", 300 * time.Millisecond, time.Second, time.Second},
+		{"route timeout is shorter", "/x/1", 300 * time.Millisecond, 10 * time.Second, 300 * time.Millisecond},
+		{"caller deadline is shorter", "/x/1", 10 * time.Second, 300 * time.Millisecond, 300 * time.Millisecond},
+		{"no route matches", "/y/1", 300 * time.Millisecond, time.Second, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := New(staleSettings(test.timeout))
 				defer forwarder.Close()
 				startedAt := time.Now()
-				request := &Request{Name: "q", Host: "a.example", Path: test.path, ReceivedAt: startedAt, Deadline: startedAt.Add(test.left)}
+				request := &Request{Name: "q", Host: "a.example", Path: test.path, ReceivedAt: startedAt, Deadline: startedAt.Add(test.untilDeadline)}
 				err := forwarder.Serve(t.Context(), request, unusedResponse{t})
 				if took := time.Since(startedAt); !apierror.Is(err, apierror.NotRun) || took > test.maxWait {
-					t.Fatalf("rejected after %s, want %s at most: %v", took, test.maxWait, err)
+					t.Fatalf("rejected after %s, want at most %s: %v", took, test.maxWait, err)
 				}
 			})
 		})
--- a/system/forwarding/hedging.go
+++ b/system/forwarding/hedging.go
@@ -13,48 +13,49 @@
 )
 
 const (
-	// hedgeDelayShare is the share of the time left that a runner may send nothing before
-	// an idempotent request is sent to another one as well.
-	hedgeDelayShare = 0.45
-	// minHedgeDelay is the shortest such delay.
+	// hedgeDelayFraction is the fraction of the remaining time after which an unanswered
+	// request is also sent to another runner.
+	hedgeDelayFraction = 0.45
+	// minHedgeDelay is the minimum of this delay.
 	minHedgeDelay = 250 * time.Millisecond
 )
 
-// hedgeDelay returns how long a runner may leave the request unanswered before another one
-// gets it as well. 0 means that it is not hedged: the route forbids it, or allows only one
-// attempt more.
+// hedgeDelay returns how long to wait for a runner's response before the request is also
+// sent to another one. 0 means no hedging: the route does not allow it, or only one more
+// attempt is left.
 func (exchange *exchange) hedgeDelay() time.Duration {
 	if exchange.route.Kind != config.Repeatable || exchange.sendCount+1 >= exchange.route.MaxAttempts {
 		return 0
 	}
-	return max(minHedgeDelay, time.Duration(hedgeDelayShare*float64(time.Until(exchange.deadline))))
+	return max(minHedgeDelay, time.Duration(hedgeDelayFraction*float64(time.Until(exchange.deadline))))
 }
 
-// attemptSet is the attempts of one request. Only a request of an idempotent route has
-// more than one in flight: a silent runner may be at work, so its attempt is not cancelled
-// when the next one is made. The caller gets the first response; the others are discarded.
+// attemptSet is the set of attempts of one request. Only requests of repeatable routes have
+// more than one attempt in flight: a slow runner may still be working, so its attempt is not
+// cancelled when the next one starts. The caller gets the first usable response; the others
+// are discarded.
 type attemptSet struct {
 	context   context.Context // the caller's, with the deadline
 	forwarder *Forwarder
 	exchange  *exchange
-	// finished receives the attempts that ran in goroutines of their own. Each of inFlight
-	// sends itself once; what close leaves, its background task receives.
+	// finished receives each attempt of inFlight once, when it has ended. Those left at
+	// close are received by its background task.
 	finished chan *attempt
 	inFlight []*attempt
-	closed   atomic.Bool // the caller has its response, or will get none
+	closed   atomic.Bool // the caller has its response, or gets none
 	answered bool
 }
 
-// newAttemptSet makes an empty set; close must be called in the end.
+// newAttemptSet returns an empty set, which must be closed with close.
 func newAttemptSet(ctx context.Context, forwarder *Forwarder, exchange *exchange) *attemptSet {
 	return &attemptSet{context: ctx, forwarder: forwarder, exchange: exchange, finished: make(chan *attempt)}
 }
 
-// tryNext makes one more attempt and waits for the response of any; retry says whether
-// another runner may be tried after the error.
+// tryNext makes one more attempt and waits for the response of any attempt. On an error,
+// retry reports whether another runner may be tried.
 func (attempts *attemptSet) tryNext() (retry bool, err error) {
 	attempt, err := attempts.leaseRunner()
-	attempts.exchange.watch.end(StageQueue)
+	attempts.exchange.timer.end(StageQueue)
 	if err != nil {
 		return false, attempts.exchange.callerError(err)
 	}
@@ -67,8 +68,8 @@
 	return attempts.awaitNext(timeout)
 }
 
-// awaitInFlight waits for the attempts in flight until one is answered or all have failed.
-// It returns the last error; err is why there is no response so far.
+// awaitInFlight waits until one of the attempts in flight is answered or all have failed, and
+// returns the last error. err is the error so far.
 func (attempts *attemptSet) awaitInFlight(err error) error {
 	for err != nil && len(attempts.inFlight) > 0 && !attempts.exchange.stream.started && !errors.Is(err, errNoRetry) {
 		_, err = attempts.awaitNext(0)
@@ -76,7 +77,7 @@
 	return err
 }
 
-// leaseRunner leases a runner that was not tried yet.
+// leaseRunner leases a runner that has not been tried yet.
 func (attempts *attemptSet) leaseRunner() (*attempt, error) {
 	exchange := attempts.exchange
 	lease, err := attempts.forwarder.settings.Balancer.Acquire(attempts.context, balancer.Request{
@@ -93,7 +94,8 @@
 	}, nil
 }
 
-// cachedAt returns where the conversation of a recorded turn is cached, as its session knows.
+// cachedAt returns the runner that has the conversation of a recorded turn in its prefix
+// cache, according to the session log.
 func (exchange *exchange) cachedAt() balancer.CacheLocation {
 	if exchange.turn == nil {
 		return balancer.CacheLocation{}
@@ -101,14 +103,14 @@
 	return balancer.CacheLocation{Runner: exchange.turn.Runner, Tokens: int(exchange.turn.CachedTokens)}
 }
 
-// launch sends an attempt in a goroutine of its own, under the forwarder's context, so
-// that it can outlive the caller. It counts as sent from here on, so that the attempts in
-// flight stay within the route's maximum.
+// launch sends an attempt in its own goroutine under the forwarder's context, so that it can
+// outlive the caller's. It counts as sent immediately, so that the attempts in flight stay
+// within the route's attempt limit.
 func (attempts *attemptSet) launch(attempt *attempt) {
 	attempt.context, attempt.cancel = context.WithDeadline(attempts.forwarder.context, attempts.exchange.deadline)
 	attempt.detach = context.AfterFunc(attempts.context, attempt.cancel)
 	if attempts.context.Err() != nil {
-		attempt.cancel() // at once: what AfterFunc starts may come after the first byte
+		attempt.cancel() // synchronously: AfterFunc may run only after the first byte is sent
 	}
 	attempts.countSend(attempt)
 	attempts.inFlight = append(attempts.inFlight, attempt)
@@ -118,8 +120,8 @@
 	}()
 }
 
-// awaitNext takes the next result. After the timeout, unless that is 0, the caller may
-// make another attempt.
+// awaitNext waits for the next result and handles it. After the timeout it returns an error
+// and allows another attempt; 0 means no timeout.
 func (attempts *attemptSet) awaitNext(timeout time.Duration) (retry bool, err error) {
 	var expired <-chan time.Time
 	if timeout > 0 {
@@ -133,11 +135,11 @@
 		return attempts.handleResult(ended)
 	case <-expired:
 		attempts.exchange.mayHaveRun = true
-		return true, apierror.New(apierror.Unknown, "the runner has not answered yet", "ask with more time; whether the query ran is not known")
+		return true, apierror.New(apierror.Unknown, "the runner did not respond in time", "retry with a longer deadline; whether the request ran is not known")
 	}
 }
 
-// countSend counts an attempt against the route's maximum, once.
+// countSend counts an attempt towards the route's attempt limit, at most once.
 func (attempts *attemptSet) countSend(attempt *attempt) {
 	if attempt.countedAsSent {
 		return
@@ -147,8 +149,8 @@
 	attempts.exchange.triedRunners = append(attempts.exchange.triedRunners, attempt.lease.Runner.Life)
 }
 
-// countFailedSend counts a failed attempt: one whose runner provably got nothing does not
-// count against the route's maximum.
+// countFailedSend counts a failed attempt. Attempts that provably sent nothing do not count
+// towards the route's attempt limit.
 func (attempts *attemptSet) countFailedSend(attempt *attempt, failure *apierror.Error) {
 	exchange := attempts.exchange
 	switch {
@@ -162,11 +164,11 @@
 }
 
 // handleResult relays an attempt's response to the caller and releases its lease. On an
-// error, retry says whether another runner may be tried.
+// error, retry reports whether another runner may be tried.
 func (attempts *attemptSet) handleResult(attempt *attempt) (retry bool, err error) {
 	exchange := attempts.exchange
 	defer attempt.cancel()
-	exchange.watch.end(StageHead)
+	exchange.timer.end(StageHead)
 	exchange.lastLease = attempt.lease
 	exchange.active, exchange.route = attempt.active, attempt.route
 	if attempt.err != nil {
@@ -177,8 +179,8 @@
 	}
 	attempts.countSend(attempt)
 	outcome, err := attempts.relay(attempt)
-	exchange.watch.end(StageStream)
-	_ = attempt.response.Close() // its error only says that the connection is not reused
+	exchange.timer.end(StageStream)
+	_ = attempt.response.Close() // an error only means that the connection is not reused
 	if err != nil && attempts.context.Err() != nil {
 		outcome = balancer.Cancelled
 	}
@@ -187,8 +189,9 @@
 	return err != nil && exchange.idempotent() && !errors.Is(err, errNoRetry), err
 }
 
-// close gives up the attempts in flight. If the caller has its response they go on until
-// theirs or the deadline, else they are cancelled. A background task releases their leases.
+// close abandons the attempts in flight. If the caller has its response, they continue until
+// they are answered or the deadline passes; otherwise they are cancelled. A background task
+// releases their leases.
 func (attempts *attemptSet) close() {
 	attempts.closed.Store(true)
 	if len(attempts.inFlight) == 0 {
@@ -199,9 +202,9 @@
 			attempt.cancel()
 		}
 	}
-	left := len(attempts.inFlight)
+	remaining := len(attempts.inFlight)
 	attempts.forwarder.discardedAttempts.Go(func() {
-		for range left {
+		for range remaining {
 			(<-attempts.finished).discard()
 		}
 	})
--- a/system/forwarding/relay.go
+++ b/system/forwarding/relay.go
@@ -16,29 +16,32 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// maxBufferedResponseBytes is the length up to which a plain response is read completely
-// before any of it is relayed, so that another runner can be tried if it breaks off.
+// maxBufferedResponseBytes is the length up to which a non-streaming response is read
+// completely before any of it is relayed, so that another runner can be tried if the
+// connection fails.
 const maxBufferedResponseBytes = 256 << 10
 
-// streamState is what was relayed of a stream so far, over all attempts.
+// streamState is the progress of the response relayed to the caller, over all attempts.
 type streamState struct {
-	// started is set once the head of a response, plain or not, was sent to the caller.
+	// started is set once the head of any response, streaming or not, was sent to the caller.
 	started     bool
 	lastEventID string
 	// lastEventNumber is lastEventID as a number.
 	lastEventNumber int64
-	// output is the data of the events, each with a line feed, if the history is stored.
+	// output is the data of the events, each followed by a line feed. It is kept only if the
+	// history is stored.
 	output []byte
 	tokens uint64
-	// complete is set once the runner's response ended completely.
+	// complete is set before the complete end of a turn with stored history is committed.
 	complete bool
-	// runner is the incarnation of the runner whose first event came last, and promptTokens
-	// the length of the prompt that it has read then.
+	// runner is the incarnation of the runner that sent a first event most recently, and
+	// promptTokens the length of the prompt that it had processed by then.
 	runner       string
 	promptTokens int
 }
 
-// cachedTokens returns how many tokens of the conversation the runner has read or put out.
+// cachedTokens returns how many tokens of the conversation the runner has processed or
+// generated.
 func (stream *streamState) cachedTokens() uint64 {
 	if stream.runner == "" {
 		return 0
@@ -46,25 +49,25 @@
 	return uint64(stream.promptTokens) + stream.tokens
 }
 
-// notRunStatuses are the statuses by which a front promises that a request did not run and
-// never will.
+// notRunStatuses are the statuses by which a front promises its callers that the request did
+// not run and never will.
 var notRunStatuses = map[int]bool{http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true}
 
-// relay sends an attempt's response to the caller and says what it shows of the runner.
+// relay sends an attempt's response to the caller. It returns the outcome for the balancer.
 func (attempts *attemptSet) relay(attempt *attempt) (balancer.Outcome, error) {
 	if attempts.exchange.isEventStream(attempt.response) {
 		stream := &attempts.exchange.stream
-		first := func() {
+		onFirstEvent := func() {
 			attempt.lease.FirstEvent(time.Since(attempt.startedAt))
 			stream.runner, stream.promptTokens = attempt.lease.Incarnation(), attempt.lease.PromptTokens()
 		}
-		return attempts.forwarder.relayStream(attempts.context, attempts.exchange, attempt.response, tokensPerEvent(attempt.lease.Service), first)
+		return attempts.forwarder.relayStream(attempts.context, attempts.exchange, attempt.response, tokensPerEvent(attempt.lease.Service), onFirstEvent)
 	}
 	return attempts.forwarder.relayBuffered(attempts.context, attempts, attempt)
 }
 
-// isEventStream reports whether a response is a stream of server-sent events that the
-// route expects.
+// isEventStream reports whether the route is a streaming one and the response a stream of
+// server-sent events.
 func (exchange *exchange) isEventStream(response *runnerpool.Response) bool {
 	if exchange.route.Kind != config.Streaming || response.Status != http.StatusOK {
 		return false
@@ -73,38 +76,39 @@
 	return err == nil && mediaType == "text/event-stream"
 }
 
-// relayBuffered relays a plain response. Up to maxBufferedResponseBytes it is read before
-// the caller gets any of it; the rest of a longer one is copied as it comes.
+// relayBuffered relays a non-streaming response. The first maxBufferedResponseBytes are read
+// before any of it is sent to the caller; the rest is copied as it arrives.
 func (forwarder *Forwarder) relayBuffered(ctx context.Context, attempts *attemptSet, attempt *attempt) (balancer.Outcome, error) {
 	exchange, response := attempts.exchange, attempt.response
 	if exchange.stream.started {
-		return balancer.Failed, runnerFailure("a stream was to go on, but the runner answered " + strconv.Itoa(response.Status))
+		return balancer.Failed, runnerFailure("the stream could not be resumed: the runner responded with status " + strconv.Itoa(response.Status))
 	}
 	outcome := balancer.Answered
 	if response.Status >= http.StatusInternalServerError {
 		outcome = balancer.Failed
 	}
 	if notRunStatuses[response.Status] {
-		// The runner did not vouch for it, so it can't be relayed as a promise.
+		// The runner did not confirm that the request did not run, so a status that promises
+		// it must not be relayed.
 		exchange.mayHaveRun = true
-		return outcome, runnerFailure("the runner answered " + strconv.Itoa(response.Status) + " without a vouch")
+		return outcome, runnerFailure("the runner responded with status " + strconv.Itoa(response.Status) + " without confirming that the request did not run")
 	}
 	data, err := io.ReadAll(io.LimitReader(response, maxBufferedResponseBytes))
-	exchange.watch.end(StageFirstEvent)
+	exchange.timer.end(StageFirstEvent)
 	if err != nil {
 		exchange.mayHaveRun = true
 		return balancer.Lost, err
 	}
 	if outcome == balancer.Failed && exchange.idempotent() && (exchange.hasAttemptLeft() || len(attempts.inFlight) > 0) {
 		exchange.mayHaveRun = true
-		return outcome, runnerFailure("the runner answered " + strconv.Itoa(response.Status))
+		return outcome, runnerFailure("the runner responded with status " + strconv.Itoa(response.Status))
 	}
-	turnOutcome, err := forwarder.commitPlainTurn(ctx, exchange, response.Status)
+	turnOutcome, err := forwarder.commitBufferedTurn(ctx, exchange, response.Status)
 	if err != nil {
 		return outcome, err
 	}
-	if failed, err := exchange.writeBuffered(response, data); err != nil {
-		return failed, err
+	if writeOutcome, err := exchange.writeBuffered(response, data); err != nil {
+		return writeOutcome, err
 	}
 	if ctx.Err() == nil {
 		attempt.lease.FirstEvent(time.Since(attempt.startedAt))
@@ -115,13 +119,13 @@
 	return outcome, nil
 }
 
-// commitPlainTurn commits the end of a turn that was answered without a stream, if the
-// caller must wait for that, and returns the outcome to record.
-func (forwarder *Forwarder) commitPlainTurn(ctx context.Context, exchange *exchange, status int) (string, error) {
+// commitBufferedTurn commits the end of a turn with a non-streaming response if the caller
+// must wait for the commit. It returns the outcome to record.
+func (forwarder *Forwarder) commitBufferedTurn(ctx context.Context, exchange *exchange, status int) (string, error) {
 	if status >= http.StatusMultipleChoices {
 		return sessionlog.OutcomeCut, nil
 	}
-	// A success without events says nothing about tokens, so it counts as the maximum.
+	// Without events the number of generated tokens is unknown, so the maximum is counted.
 	exchange.stream.tokens = exchange.MaxOutputTokens
 	if exchange.route.StoresHistory {
 		if err := forwarder.commitCompleteTurn(ctx, exchange); err != nil {
@@ -132,8 +136,8 @@
 	return sessionlog.OutcomeComplete, nil
 }
 
-// writeBuffered writes the head of a plain response, its buffered beginning and, if that
-// is not all, the rest to the caller. On an error it returns what that shows of the runner.
+// writeBuffered writes the head of a non-streaming response, its buffered data and any
+// remaining data to the caller. It returns the outcome for the balancer.
 func (exchange *exchange) writeBuffered(response *runnerpool.Response, data []byte) (balancer.Outcome, error) {
 	if err := exchange.writer.Begin(response.Status, response.Header); err != nil {
 		return balancer.Cancelled, errors.Join(errNoRetry, err)
@@ -143,30 +147,31 @@
 		return balancer.Cancelled, errors.Join(errNoRetry, err)
 	}
 	if len(data) == maxBufferedResponseBytes {
-		if _, err := io.Copy(copyTarget{exchange.writer}, response); err != nil {
+		if _, err := io.Copy(bodyWriter{exchange.writer}, response); err != nil {
 			return balancer.Lost, errors.Join(errNoRetry, err)
 		}
 	}
 	return balancer.Answered, nil
 }
 
-// copyTarget is an io.Writer on a ResponseWriter.
-type copyTarget struct{ ResponseWriter }
+// bodyWriter adapts a ResponseWriter to io.Writer.
+type bodyWriter struct{ ResponseWriter }
 
-// Write writes all data or fails.
-func (target copyTarget) Write(data []byte) (int, error) {
-	return len(data), target.ResponseWriter.Write(data)
+// Write implements io.Writer.
+func (writer bodyWriter) Write(data []byte) (int, error) {
+	return len(data), writer.ResponseWriter.Write(data)
 }
 
-// runnerFailure makes the error for a runner's response that can't be relayed.
+// runnerFailure returns the error for a response that cannot be relayed.
 func runnerFailure(message string) error {
-	return &apierror.Error{Kind: apierror.RunnerFailure, Message: message, Remedy: "see the runner's own log", Lost: true}
+	return &apierror.Error{Kind: apierror.RunnerFailure, Message: message, Remedy: "check the runner's log", Lost: true}
 }
 
-// relayStream relays events as they come, and the end only once a turn whose history is
-// stored is committed. On a resumed stream it leaves out the events that the caller has.
-// first is called at the first event, perEvent is how many tokens an event has.
-func (forwarder *Forwarder) relayStream(ctx context.Context, exchange *exchange, response *runnerpool.Response, perEvent uint64, first func()) (balancer.Outcome, error) {
+// relayStream relays events as they arrive. If the history is stored, the stream ends for the
+// caller only after the turn end is committed. On a resumed stream, events that the caller
+// already received are skipped. onFirstEvent is called on the runner's first event;
+// eventTokens is the number of tokens per event.
+func (forwarder *Forwarder) relayStream(ctx context.Context, exchange *exchange, response *runnerpool.Response, eventTokens uint64, onFirstEvent func()) (balancer.Outcome, error) {
 	exchange.mayHaveRun = true
 	events := runnerpool.NewEventReader(response)
 	if err := exchange.beginStream(response); err != nil {
@@ -175,7 +180,7 @@
 	resumed := exchange.stream.lastEventID != ""
 	for isFirst := true; ; isFirst = false {
 		event, err := events.Next()
-		// Only a complete response ends so: no other error of runnerpool is, or wraps, io.EOF.
+		// Only a complete response ends with io.EOF: no other runnerpool error wraps it.
 		if errors.Is(err, io.EOF) {
 			return balancer.Answered, forwarder.commitCompleteTurn(ctx, exchange)
 		}
@@ -186,16 +191,16 @@
 			return balancer.Lost, err
 		}
 		if isFirst {
-			exchange.watch.end(StageFirstEvent)
-			first()
+			exchange.timer.end(StageFirstEvent)
+			onFirstEvent()
 		}
 		number, numbered := parseEventNumber(event.ID)
 		if resumed && numbered && number <= exchange.stream.lastEventNumber {
 			continue
 		}
-		// A token counts as put out from here on, whether or not the caller gets it.
+		// Tokens count as generated whether or not the caller receives them.
 		if event.HasData {
-			exchange.stream.tokens += perEvent
+			exchange.stream.tokens += eventTokens
 			if exchange.route.StoresHistory {
 				exchange.stream.output = append(append(exchange.stream.output, event.Data...), '\n')
 			}
@@ -209,7 +214,8 @@
 	}
 }
 
-// beginStream writes the head of a stream to the caller, unless an earlier attempt did.
+// beginStream writes the response head of a stream to the caller, unless an earlier attempt
+// did.
 func (exchange *exchange) beginStream(response *runnerpool.Response) error {
 	if exchange.stream.started {
 		return nil
@@ -224,14 +230,14 @@
 	return nil
 }
 
-// parseEventNumber returns an event's id as a number, if it is one.
+// parseEventNumber parses an event ID as a number. It returns false if it is not numeric.
 func parseEventNumber(text string) (int64, bool) {
 	number, err := strconv.ParseInt(text, 10, 64)
 	return number, err == nil
 }
 
-// tokensPerEvent returns how many tokens one event of a service's runners has; 1 if the
-// configuration does not say.
+// tokensPerEvent returns the number of tokens per event of a service's runners, 1 if not
+// configured.
 func tokensPerEvent(service *config.Service) uint64 {
 	if service == nil || service.Engine == nil {
 		return 1
--- a/system/forwarding/request_log.go
+++ b/system/forwarding/request_log.go
@@ -9,30 +9,30 @@
 	"yardrock.example/system/balancer"
 )
 
-// Stage is a part of the time that a request spends in a front, in the order of its way
-// through the filters.
+// Stage is a phase of a request's time in a front. Stages are ordered as a request passes
+// through them.
 type Stage int
 
 // The stages of a request.
 const (
-	// StageReceive is from the first byte of the request until Serve was called.
+	// StageReceive is from the first byte of the request to the call of Serve.
 	StageReceive Stage = iota
-	// StageView is the wait for a view that may be acted on.
+	// StageView is the wait for a fresh view.
 	StageView
-	// StageBegin is the commit that records the begin of a turn.
-	StageBegin
-	// StageQueue is the wait for a runner that can take the request.
+	// StageBeginTurn is the commit that records the start of a turn.
+	StageBeginTurn
+	// StageQueue is the wait for a runner that can accept the request.
 	StageQueue
-	// StageHead is from the choice of the runner to the head of its response, with the wait
-	// for a connection.
+	// StageHead is from the choice of the runner to the response head, including the wait for
+	// a connection.
 	StageHead
-	// StageFirstEvent is from the head of the response to its first event, or to the end of
-	// a response that is no stream.
+	// StageFirstEvent is from the response head to the first event, or until a non-streaming
+	// response has been buffered.
 	StageFirstEvent
 	// StageStream is from the first event to the last.
 	StageStream
-	// StageEnd is the commit that records the end of a turn before its caller sees it.
-	StageEnd
+	// StageEndTurn is the commit of the turn end that the caller waits for.
+	StageEndTurn
 
 	stageCount
 )
@@ -42,13 +42,13 @@
 
 var stageNames = [stageCount]string{"receive", "view", "begin", "queue", "head", "first_event", "stream", "end"}
 
-// RequestRecord is what is known of a request once it has ended, for logs and metrics.
+// RequestRecord describes an ended request for logs and metrics.
 type RequestRecord struct {
-	// Route is the name of the matched route; "" if there is none.
+	// Route is the name of the matched route, empty if none matched.
 	Route string
-	// Outcome is "complete", or the kind of the error that ended the request.
+	// Outcome is OutcomeComplete or the kind of the error that ended the request.
 	Outcome apierror.Kind
-	// Stages is the time spent in each stage. Retries add to the stages they repeat.
+	// Stages is the time spent in each stage, summed over all attempts.
 	Stages [stageCount]time.Duration
 	// Total is the time from the first byte of the request to the end of the response.
 	Total time.Duration
@@ -57,28 +57,27 @@
 // OutcomeComplete is the outcome of a request whose response was relayed completely.
 const OutcomeComplete apierror.Kind = "complete"
 
-// stopwatch attributes the time of a request to stages. It is used by the goroutine that
-// called Serve only.
-type stopwatch struct {
-	last   time.Time
-	stages [stageCount]time.Duration
+// stageTimer measures the stages of a request. Only the goroutine that called Serve uses it.
+type stageTimer struct {
+	stageStart time.Time
+	stages     [stageCount]time.Duration
 }
 
-// end attributes the time since the last call to a stage.
-func (watch *stopwatch) end(stage Stage) { watch.endAt(stage, time.Now()) }
+// end ends a stage now: the time since the end of the previous one is added to it.
+func (timer *stageTimer) end(stage Stage) { timer.endAt(stage, time.Now()) }
 
-// endAt attributes the time from the last call until a given time to a stage.
-func (watch *stopwatch) endAt(stage Stage, at time.Time) {
-	if at.After(watch.last) {
-		watch.stages[stage] += at.Sub(watch.last)
-		watch.last = at
+// endAt is end at a given time.
+func (timer *stageTimer) endAt(stage Stage, at time.Time) {
+	if at.After(timer.stageStart) {
+		timer.stages[stage] += at.Sub(timer.stageStart)
+		timer.stageStart = at
 	}
 }
 
-// observe reports a request that has ended to Settings.Observe, and logs it if
+// observe passes the record of an ended request to Settings.Observe, and logs it if
 // Settings.LogRequests is set.
 func (forwarder *Forwarder) observe(exchange *exchange, err error) {
-	record := RequestRecord{Outcome: OutcomeComplete, Stages: exchange.watch.stages, Total: time.Since(exchange.ReceivedAt)}
+	record := RequestRecord{Outcome: OutcomeComplete, Stages: exchange.timer.stages, Total: time.Since(exchange.ReceivedAt)}
 	if exchange.route != nil {
 		record.Route = exchange.route.Name
 	}
@@ -93,7 +92,7 @@
 	}
 }
 
-// logRequest writes the one log line of a request.
+// logRequest writes the log line of a request.
 func (forwarder *Forwarder) logRequest(exchange *exchange, record *RequestRecord, err error) {
 	fields := log.Fields{
 		"node": forwarder.settings.Node, "request": exchange.Name, "route": record.Route, "program": exchange.Program, "session": exchange.Session,
@@ -117,7 +116,7 @@
 	log.WithFields(fields).Info("request ended")
 }
 
-// addLeaseFields adds what the choice of the runner rested on.
+// addLeaseFields adds the inputs of the runner choice.
 func addLeaseFields(fields log.Fields, choice balancer.Choice) {
 	fields["service"], fields["runner"], fields["local"] = choice.Service, choice.Runner, choice.Local
 	fields["prompt_tokens"], fields["prefill_tokens"] = choice.PromptTokens, choice.PrefillTokens
--- a/system/forwarding/turns.go
+++ b/system/forwarding/turns.go
@@ -14,34 +14,33 @@
 )
 
 const (
-	// beginTurnShare is the share of its whole time after which a turn no longer waits for
-	// its record: what can't be sent to a runner by then is rejected, so that the caller
-	// has time left to ask elsewhere.
-	beginTurnShare = 0.45
-	// minBeginTurnTimeout and maxBeginTurnTimeout bound the wait for the record.
+	// beginTurnFraction is the fraction of the request's total time within which the start
+	// of a turn must be recorded. After that the request is rejected, so that the caller has
+	// time left to retry elsewhere.
+	beginTurnFraction = 0.45
+	// minBeginTurnTimeout and maxBeginTurnTimeout bound the resulting timeout.
 	minBeginTurnTimeout = 100 * time.Millisecond
 	maxBeginTurnTimeout = 2500 * time.Millisecond
-	// endTurnRetryInterval is the pause between two attempts to commit the end of a turn
-	// while the caller waits for it.
+	// endTurnRetryInterval is the delay between attempts to commit the end of a turn while
+	// the caller waits for it.
 	endTurnRetryInterval = 50 * time.Millisecond
-	// backgroundEndTurnTimeout is how long the commit of an end is tried in the background.
-	// Until the end is committed, the turn's whole reservation counts as used.
-	backgroundEndTurnTimeout  = 20 * time.Second
-	backgroundEndTurnInterval = 100 * time.Millisecond
-	// turnLifetimeMargin is how much longer than its request a turn may stay open before
-	// the stores close it.
+	// backgroundEndTurnTimeout is how long a commit of a turn end is retried in the
+	// background. Until it succeeds, the turn's whole reservation counts as used.
+	backgroundEndTurnTimeout       = 20 * time.Second
+	backgroundEndTurnRetryInterval = 100 * time.Millisecond
+	// turnLifetimeMargin is how long after its request's deadline a turn may stay open
+	// before the stores close it.
 	turnLifetimeMargin = 10 * time.Second
 )
 
-// isRecorded reports whether the request is a turn that uses a budget or whose history is
-// stored.
+// isRecorded reports whether the request is a turn with an output budget or stored history.
 func (exchange *exchange) isRecorded() bool {
 	return exchange.route.Kind == config.Streaming && (exchange.HasOutputBudget || exchange.route.StoresHistory)
 }
 
-// beginTurn is the filter that reserves the turn's maximal output and records its begin,
-// in one commit. For turns that bring only their new input, the reply has the history of
-// the conversation, which is sent to the runner before the input.
+// beginTurn is the filter that reserves the turn's maximum output and records its start, in
+// one commit. If the stores keep the history, they return that of the conversation, which
+// is sent to the runner before the turn's own input.
 func beginTurn(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	exchange.body = [][]byte{exchange.Body}
 	if !exchange.isRecorded() {
@@ -57,7 +56,7 @@
 		HasTokenQuota: exchange.HasOutputBudget, MaxOutputTokens: exchange.MaxOutputTokens, TokenQuota: exchange.OutputBudget,
 		DispatchID: forwarder.settings.Node, Lifetime: lifetime,
 	})
-	exchange.watch.end(StageBegin)
+	exchange.timer.end(StageBeginTurn)
 	if err != nil {
 		return false, err
 	}
@@ -72,15 +71,15 @@
 	return false, nil
 }
 
-// beginTurnTimeout returns how long the turn may wait for its record from now on.
+// beginTurnTimeout returns the remaining time for recording the start of the turn.
 func (exchange *exchange) beginTurnTimeout() time.Duration {
 	total := exchange.deadline.Sub(exchange.ReceivedAt)
-	wait := time.Until(exchange.ReceivedAt.Add(time.Duration(float64(total) * beginTurnShare)))
+	wait := time.Until(exchange.ReceivedAt.Add(time.Duration(float64(total) * beginTurnFraction)))
 	return min(max(wait, minBeginTurnTimeout), maxBeginTurnTimeout)
 }
 
-// prefixScope names the turns that the input may share a stored prefix with: those of the
-// same route, if the configuration enables sharing; else "".
+// prefixScope identifies the turns that the input may share a stored prefix with: those of
+// the same route if the configuration enables sharing, otherwise "", which means none.
 func (exchange *exchange) prefixScope() string {
 	if !exchange.active.SharedPrefixes.Enabled {
 		return ""
@@ -88,8 +87,8 @@
 	return exchange.route.Name
 }
 
-// sessionNameOf names the session log that records the turn: that of the request's program
-// or session, or one of its own.
+// sessionNameOf returns the name of the session log that records the turn: that of the
+// request's program or session, otherwise one for this request alone.
 func sessionNameOf(request *Request) string {
 	switch {
 	case request.Program != "":
@@ -100,9 +99,9 @@
 	return "query/" + request.Name
 }
 
-// commitCompleteTurn commits that the turn was answered completely. The caller waits for
-// that only if the history is stored: the next turn needs it. Else the end is committed in
-// the background, and until then the whole reservation counts as used.
+// commitCompleteTurn commits the complete end of the turn. The caller waits for the commit
+// only if the history is stored, as the next turn needs it. Otherwise the commit runs in the
+// background, and the whole reservation counts as used until it succeeds.
 func (forwarder *Forwarder) commitCompleteTurn(ctx context.Context, exchange *exchange) error {
 	if exchange.turn == nil {
 		return nil
@@ -112,8 +111,8 @@
 		return nil
 	}
 	exchange.stream.complete = true
-	exchange.watch.end(StageStream)
-	defer exchange.watch.end(StageEnd)
+	exchange.timer.end(StageStream)
+	defer exchange.timer.end(StageEndTurn)
 	err := forwarder.endTurn(ctx, exchange, sessionlog.OutcomeComplete)
 	for !isFinal(err) && ctx.Err() == nil {
 		select {
@@ -123,18 +122,18 @@
 		}
 	}
 	if err != nil {
-		log.WithFields(log.Fields{"node": forwarder.settings.Node, "session": exchange.sessionName, "request": exchange.Name, "error": err.Error()}).Warn("turn end not committed, response aborted")
-		return errors.Join(errNoRetry, &apierror.Error{Kind: apierror.Unknown, Message: "the turn ran, but could not be kept", Remedy: "ask anew", Cause: err})
+		log.WithFields(log.Fields{"node": forwarder.settings.Node, "session": exchange.sessionName, "request": exchange.Name, "error": err.Error()}).Warn("could not commit the turn end; aborting the response")
+		return errors.Join(errNoRetry, &apierror.Error{Kind: apierror.Unknown, Message: "the turn ran, but its end could not be committed", Remedy: "send a new request", Cause: err})
 	}
 	return nil
 }
 
-// recordUnansweredTurn records the end of a turn whose caller has no complete response.
+// recordUnansweredTurn records the end of a turn whose caller got no complete response.
 func (forwarder *Forwarder) recordUnansweredTurn(exchange *exchange, cause error) {
 	outcome := sessionlog.OutcomeCut
 	if exchange.stream.complete {
-		// Whether the complete end was committed is not known: only the same end again
-		// can't contradict it.
+		// The complete end may already be committed, so the same outcome is sent again:
+		// any other would conflict with it.
 		outcome = sessionlog.OutcomeComplete
 	}
 	if apierror.Is(cause, apierror.NotRun) && !exchange.stream.started {
@@ -143,7 +142,7 @@
 	forwarder.endTurnInBackground(exchange, outcome)
 }
 
-// endTurn records how the turn ended and returns once that is committed.
+// endTurn makes one attempt to commit the end of the turn.
 func (forwarder *Forwarder) endTurn(ctx context.Context, exchange *exchange, outcome string) error {
 	return forwarder.settings.TurnStore.EndTurn(ctx, storeclient.TurnEnd{
 		SessionName: exchange.sessionName, Name: exchange.Name, Seq: exchange.turn.Seq, KeepHistory: exchange.route.StoresHistory,
@@ -152,8 +151,8 @@
 	})
 }
 
-// endTurnInBackground records how the turn ended without making the caller wait. It is
-// tried until it is committed, or backgroundEndTurnTimeout or Close ends it.
+// endTurnInBackground records the end of the turn without making the caller wait. It
+// retries until the result is final, backgroundEndTurnTimeout passes or Close is called.
 func (forwarder *Forwarder) endTurnInBackground(exchange *exchange, outcome string) {
 	if exchange.turn == nil {
 		return
@@ -163,14 +162,14 @@
 		defer cancel()
 		for ctx.Err() == nil && !isFinal(forwarder.endTurn(ctx, exchange, outcome)) {
 			select {
-			case <-time.After(backgroundEndTurnInterval):
+			case <-time.After(backgroundEndTurnRetryInterval):
 			case <-ctx.Done():
 			}
 		}
 	})
 }
 
-// isFinal reports whether another attempt to record an end would change nothing.
+// isFinal reports whether a result of endTurn is final, so that a retry cannot change it.
 func isFinal(err error) bool {
 	return err == nil || apierror.Is(err, apierror.NotFound) || apierror.Is(err, apierror.Conflict) || apierror.Is(err, apierror.Invalid)
 }
--- a/system/placement/placement.go
+++ b/system/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement decides which nodes have which groups and roles, by rendezvous hashing
-// (highest random weight). It has no state and does no I/O: every node with the same list of
-// candidates computes the same result, and a candidate that is added or removed moves only what
-// it gets or had.
+// Package placement assigns sessions to groups, and groups and roles to nodes, by rendezvous
+// hashing (highest random weight). It has no state and does no I/O: every node with the same
+// list of candidates computes the same result, and adding or removing a candidate moves only the
+// keys that it gains or loses.
 //
-// Results are part of what fleets rely on: the group of a session must not change while the
-// fleet exists, so the hash and its inputs may not either.
+// The group of a session must not change during the lifetime of a fleet, so the hash function
+// and its inputs must never change.
 package placement
 
 import (
@@ -14,24 +14,24 @@
 	"strings"
 )
 
-// DefaultReplicas is the count of replicas of a group unless the fleet was founded with another:
-// a majority survives the loss of one.
+// DefaultReplicas is the default number of replicas of a group: a majority survives the loss of
+// one.
 const DefaultReplicas = 3
 
-// ReplicasToSurvive returns how many replicas a group needs for a majority to survive that many
-// simultaneous failures, disks included; at least DefaultReplicas.
+// ReplicasToSurvive returns how many replicas a group needs so that a majority survives the given
+// number of simultaneous failures, including disk losses; at least DefaultReplicas.
 //
 //	replicas := placement.ReplicasToSurvive(2) // 5
 func ReplicasToSurvive(failures int) int { return max(2*failures+1, DefaultReplicas) }
 
-// Candidate is a node that may be chosen, and its failure domain.
+// Candidate is a node that may be chosen, with its failure domain.
 type Candidate struct {
 	Name   string
 	Domain string
 }
 
-// rendezvousScore is FNV-1a over the parts, each followed by a zero byte, and the finalizer of
-// MurmurHash3, which spreads inputs that differ only in their last bytes.
+// rendezvousScore is the FNV-1a hash of the parts, each followed by a zero byte, with the
+// finalizer of MurmurHash3, which spreads inputs that differ only in their last bytes.
 func rendezvousScore(parts ...string) uint64 {
 	hash := fnv.New64a()
 	for _, part := range parts {
@@ -46,15 +46,15 @@
 	return value ^ value>>33
 }
 
-// GroupOf returns the group, from 0, of a session or a quota by its name. The hash is
-// keyed "line", an earlier word for a session; the key must stay, or sessions change groups.
+// GroupOf returns the group number, from 0, of a session or quota by its name. The key "line" is
+// part of the hash and must not change, or sessions would change groups.
 //
 //	group := placement.GroupOf("team/c-1", 32)
 func GroupOf(session string, groups uint32) uint32 {
 	return uint32(rendezvousScore("line", session) % uint64(max(groups, 1)))
 }
 
-// Rank orders candidates for a key, best first. Keys are independent of each other.
+// Rank orders candidates for a key, best first. The orders of different keys are independent.
 //
 //	preferred := placement.Rank(nodeName, candidates)[0]
 func Rank(key string, candidates []Candidate) []Candidate {
@@ -72,9 +72,9 @@
 	return ranked
 }
 
-// ReplicasOf returns the names of a group's replicas, at most as many as there are candidates: the
-// best ranked, but from each domain only its second once every domain with a candidate left has
-// given one, and so on. So no domain has a majority where the candidates allow it.
+// ReplicasOf returns the names of a group's replicas, at most as many as there are candidates. It
+// takes the best-ranked candidates in rounds of at most one per domain, so that no domain has a
+// majority if the candidates allow it.
 //
 //	names := placement.ReplicasOf(7, stores, 3)
 func ReplicasOf(group uint32, candidates []Candidate, replicas int) []string {
--- a/system/placement/placement_test.go
+++ b/system/placement/placement_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// candidates returns stores in numbered domains, given the number of stores per domain.
 func candidates(domains ...int) []Candidate {
 	list := []Candidate{}
 	for domain, count := range domains {
@@ -16,12 +17,13 @@
 	return list
 }
 
-// TestNoDomainHoldsAMajorityOfAGroup checks it where the stores allow it.
+// TestNoDomainHoldsAMajorityOfAGroup checks that a domain holds a majority only if the number of
+// stores per domain makes that unavoidable.
 func TestNoDomainHoldsAMajorityOfAGroup(t *testing.T) {
 	for _, test := range []struct {
 		stores   []Candidate
 		replicas int
-		max      int // replicas in one domain
+		max      int // replicas per domain
 	}{
 		{candidates(1, 1, 1), 3, 1},
 		{candidates(3, 3, 2), 3, 1},
@@ -33,16 +35,16 @@
 		for group := range uint32(64) {
 			chosen := ReplicasOf(group, test.stores, test.replicas)
 			if want := min(test.replicas, len(test.stores)); len(chosen) != want {
-				t.Fatalf("group %d has %d replicas, not %d", group, len(chosen), want)
+				t.Fatalf("group %d has %d replicas, want %d", group, len(chosen), want)
 			}
-			used := map[string]int{}
+			perDomain := map[string]int{}
 			for _, name := range chosen {
-				at := slices.IndexFunc(test.stores, func(candidate Candidate) bool { return candidate.Name == name })
-				used[test.stores[at].Domain]++
+				index := slices.IndexFunc(test.stores, func(candidate Candidate) bool { return candidate.Name == name })
+				perDomain[test.stores[index].Domain]++
 			}
-			for domain, count := range used {
+			for domain, count := range perDomain {
 				if count > test.max {
-					t.Fatalf("domain %s has %d of %v", domain, count, chosen)
+					t.Fatalf("domain %s has %d of the replicas %v", domain, count, chosen)
 				}
 			}
 		}
@@ -52,7 +54,7 @@
 func TestReplicasSurviveTheFailuresTheyAreChosenFor(t *testing.T) {
 	for failures, replicas := range map[int]int{0: 3, 1: 3, 2: 5, 3: 7} {
 		if got := ReplicasToSurvive(failures); got != replicas {
-			t.Errorf("%d failures need %d replicas, not %d", failures, replicas, got)
+			t.Errorf("%d failures: want %d replicas, got %d", failures, replicas, got)
 		}
 	}
 }
--- a/system/runnerclient/client.go
+++ b/system/runnerclient/client.go
@@ -1,10 +1,10 @@
-// Package runnerclient sends the work of the work API to model and application runners, as
+// Package runnerclient sends requests of the work API to model and application runners, as
 // JSON over HTTP/1.1. (Forwarded requests go through runnerpool.)
 //
-// Each request has a connection of its own and is written at most once, so that the
-// package can prove what did not run: an error with NeverSent set means that no byte of the
-// request left and none will; one of the kind NotRun, that the runner vouched that it did
-// not run it. After any other error it may have run. It keeps no state between requests.
+// Each request uses its own connection and is written at most once, so that errors can prove
+// that a request did not run: NeverSent means that no byte of it was or will be sent, and the
+// kind NotRun that the runner confirmed that it did not run the request. After any other error
+// the request may have run. The package keeps no state between requests.
 package runnerclient
 
 import (
@@ -24,12 +24,12 @@
 )
 
 const (
-	// dialTimeout bounds the dial of one connection.
+	// dialTimeout is the timeout for opening a connection.
 	dialTimeout = 700 * time.Millisecond
-	// maxPieceBytes bounds a plain answer, and one line of a stream.
-	maxPieceBytes = 1 << 20
-	// NotRunHeader is the header field by which a runner vouches, with the value "true", that
-	// it did not run a request that it rejects.
+	// maxMessageBytes limits the response of Call and each line of a stream.
+	maxMessageBytes = 1 << 20
+	// NotRunHeader is the response header by which a runner confirms, with the value "true",
+	// that it did not run the request.
 	NotRunHeader = "Not-Run"
 )
 
@@ -38,14 +38,14 @@
 	network link.Network
 }
 
-// New makes a client on a network.
+// New returns a client that dials runners through a network.
 //
 //	client := runnerclient.New(link.TCP{})
 func New(network link.Network) *Client { return &Client{network: network} }
 
-// Call sends a request to an application runner and returns its complete JSON answer.
+// Call sends a request to an application runner and returns its complete JSON response.
 //
-//	answer, err := client.Call(ctx, "10.0.0.9:8000", "/book", request, check)
+//	response, err := client.Call(ctx, "10.0.0.9:8000", "/book", request, check)
 func (client *Client) Call(ctx context.Context, address, path string, request PlainRequest, check PreSendCheck) (json.RawMessage, error) {
 	response, err := client.post(ctx, address, path, request, check)
 	if err != nil {
@@ -55,25 +55,25 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, statusError(address, response)
 	}
-	if kind, _, err := mime.ParseMediaType(response.Header.Get("Content-Type")); err != nil || kind != "application/json" {
-		return nil, apierror.New(apierror.RunnerFailure, "runner "+address+" answered with content type "+response.Header.Get("Content-Type"), "runners answer application/json")
+	if mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type")); err != nil || mediaType != "application/json" {
+		return nil, apierror.New(apierror.RunnerFailure, "runner "+address+" returned unsupported content type "+response.Header.Get("Content-Type"), "configure the runner to return application/json")
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxPieceBytes+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes+1))
 	if err != nil {
-		return nil, brokenOffError(address, err)
+		return nil, interruptedError(address, err)
 	}
-	if len(data) > maxPieceBytes || !json.Valid(data) {
-		return nil, apierror.New(apierror.RunnerFailure, "runner "+address+" answered no whole JSON value", "see the runner's own log")
+	if len(data) > maxMessageBytes || !json.Valid(data) {
+		return nil, apierror.New(apierror.RunnerFailure, "runner "+address+" returned invalid or oversized JSON", "check the runner's log")
 	}
 	return bytes.TrimSpace(data), nil
 }
 
-// Stream sends a request to a model runner and calls onPiece for each piece of the answer;
-// an error of onPiece ends the stream and is returned. Stream returns nil only after the
-// runner's own end mark.
+// Stream sends a request to a model runner and calls onChunk for each chunk of the response.
+// An error of onChunk ends the stream and is returned. Stream returns nil only after the
+// runner's end marker, so that a truncated stream never counts as complete.
 //
-//	err := client.Stream(ctx, address, "/turn", request, check, func(words string) error { ... })
-func (client *Client) Stream(ctx context.Context, address, path string, request TurnRequest, check PreSendCheck, onPiece func(words string) error) error {
+//	err := client.Stream(ctx, address, "/turn", request, check, func(text string) error { ... })
+func (client *Client) Stream(ctx context.Context, address, path string, request TurnRequest, check PreSendCheck, onChunk func(text string) error) error {
 	response, err := client.post(ctx, address, path, request, check)
 	if err != nil {
 		return err
@@ -82,34 +82,34 @@
 	if response.StatusCode != http.StatusOK {
 		return statusError(address, response)
 	}
-	if kind, _, err := mime.ParseMediaType(response.Header.Get("Content-Type")); err != nil || kind != "application/x-ndjson" {
-		return apierror.New(apierror.RunnerFailure, "runner "+address+" streams content type "+response.Header.Get("Content-Type"), "model runners stream application/x-ndjson")
+	if mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type")); err != nil || mediaType != "application/x-ndjson" {
+		return apierror.New(apierror.RunnerFailure, "runner "+address+" returned unsupported content type "+response.Header.Get("Content-Type"), "configure the model runner to stream application/x-ndjson")
 	}
 	lines := bufio.NewScanner(response.Body)
-	lines.Buffer(make([]byte, 0, 4096), maxPieceBytes)
+	lines.Buffer(make([]byte, 0, 4096), maxMessageBytes)
 	for lines.Scan() {
-		text := strings.TrimSpace(lines.Text())
-		if text == "" {
+		line := strings.TrimSpace(lines.Text())
+		if line == "" {
 			continue
 		}
-		var next streamPiece
-		if err := json.Unmarshal([]byte(text), &next); err != nil {
-			return apierror.Wrap(err, apierror.RunnerFailure, "runner "+address+" streams what is no JSON", "see the runner's own log")
+		var chunk streamChunk
+		if err := json.Unmarshal([]byte(line), &chunk); err != nil {
+			return apierror.Wrap(err, apierror.RunnerFailure, "runner "+address+" sent a stream line that is not valid JSON", "check the runner's log")
 		}
-		if next.End {
+		if chunk.End {
 			return nil
 		}
-		if err := onPiece(next.Piece); err != nil {
+		if err := onChunk(chunk.Content); err != nil {
 			return err
 		}
 	}
 	if err := errors.Join(lines.Err(), ctx.Err()); err != nil {
-		return brokenOffError(address, err)
+		return interruptedError(address, err)
 	}
-	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " ended its stream without the end mark", Remedy: "see the runner's own log", Lost: true}
+	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " ended the stream without the end marker", Remedy: "check the runner's log", Lost: true}
 }
 
-// brokenOffError is for a response that did not come to its end.
-func brokenOffError(address string, cause error) error {
-	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " broke off: " + cause.Error(), Remedy: "see the runner's own log", Lost: true, Cause: cause}
+// interruptedError returns the error for a response that ended early.
+func interruptedError(address string, cause error) error {
+	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "response of runner " + address + " was interrupted: " + cause.Error(), Remedy: "check the runner's log", Lost: true, Cause: cause}
 }
--- a/system/runnerclient/send.go
+++ b/system/runnerclient/send.go
@@ -13,22 +13,22 @@
 	"yardrock.example/system/apierror"
 )
 
-// PreSendCheck is called when a connection is ready and its first byte is about to leave; an
-// error keeps it back. It may be called after the request was given up.
+// PreSendCheck is called on a ready connection just before the first byte is sent; an error
+// prevents that. It may be called even after the request was abandoned.
 type PreSendCheck func() error
 
-// guardedConn is a connection whose first byte leaves only after the check.
+// guardedConn is a connection that sends nothing until the check has passed.
 type guardedConn struct {
 	net.Conn
 	send *sendState
 }
 
-// Write sends data, the first time only if the check allows it.
-func (guarded guardedConn) Write(data []byte) (int, error) {
-	send := guarded.send
+// Write sends data. The first call runs the check and fails if the check does.
+func (conn guardedConn) Write(data []byte) (int, error) {
+	send := conn.send
 	if send.state.Load() == sendPending {
 		if err := send.check(); err != nil {
-			send.rejection.Store(apierror.Of(err))
+			send.checkErr.Store(apierror.Of(err))
 			return 0, err
 		}
 		send.state.CompareAndSwap(sendPending, sendStarted)
@@ -36,35 +36,36 @@
 	if send.state.Load() != sendStarted {
 		return 0, errSendAbandoned
 	}
-	return guarded.Conn.Write(data)
+	return conn.Conn.Write(data)
 }
 
-// sendState is the state of one request on the way out. It is either started or abandoned,
-// whichever comes first: the HTTP library may still write when RoundTrip has returned, and
-// what was abandoned must not leave later.
+// sendState is the send state of one request, which is either started or abandoned, whichever
+// comes first: net/http may still write after RoundTrip has returned, and nothing of an
+// abandoned request may be sent.
 type sendState struct {
-	check     PreSendCheck
-	state     atomic.Int32
-	rejection atomic.Pointer[apierror.Error]
+	check    PreSendCheck
+	state    atomic.Int32
+	checkErr atomic.Pointer[apierror.Error]
 }
 
-// The states of a request on the way out.
+// The values of sendState.state.
 const (
 	sendPending int32 = iota
 	sendStarted
 	sendAbandoned
 )
 
-// errSendAbandoned is the error of a write after the request was given up.
-var errSendAbandoned = errors.New("the query was given up before its first byte")
+// errSendAbandoned is the error of a write after the request was abandoned.
+var errSendAbandoned = errors.New("the request was abandoned before its first byte was sent")
 
-// abandon reports whether nothing was sent, and makes sure that nothing will be.
+// abandon prevents the request from being sent. It returns false if sending has already
+// started.
 func (send *sendState) abandon() bool {
 	return send.state.CompareAndSwap(sendPending, sendAbandoned)
 }
 
-// post sends a JSON body and returns the head of the response. NeverSent on the error proves
-// that no byte left.
+// post sends a JSON body and returns the response with its body unread. NeverSent on the error
+// proves that no byte was sent.
 func (client *Client) post(ctx context.Context, address, path string, body any, check PreSendCheck) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -74,9 +75,9 @@
 	transport := &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, target string) (net.Conn, error) {
-			dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+			dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
-			connection, err := client.network.Dial(dialing, target)
+			connection, err := client.network.Dial(dialCtx, target)
 			if err != nil {
 				return nil, err
 			}
@@ -85,26 +86,26 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
-		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: err.Error(), Remedy: "correct the path of the kind of work", NeverSent: true, Cause: err}
+		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: err.Error(), Remedy: "correct the path in the configuration of the work kind", NeverSent: true, Cause: err}
 	}
-	request.GetBody = nil // the library must never send a body twice
+	request.GetBody = nil // net/http must never send the body twice
 	request.Header.Set("Content-Type", "application/json")
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		neverSent := send.abandon()
-		if refused := send.rejection.Load(); neverSent && refused != nil {
-			return nil, &apierror.Error{Kind: refused.Kind, Message: refused.Message, Remedy: refused.Remedy, RetryAfter: refused.RetryAfter, NeverSent: true, Cause: refused}
+		if rejection := send.checkErr.Load(); neverSent && rejection != nil {
+			return nil, &apierror.Error{Kind: rejection.Kind, Message: rejection.Message, Remedy: rejection.Remedy, RetryAfter: rejection.RetryAfter, NeverSent: true, Cause: rejection}
 		}
-		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + ": " + err.Error(), Remedy: "see the runner's own log", NeverSent: neverSent, Lost: true, Cause: err}
+		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + ": " + err.Error(), Remedy: "check the runner's log", NeverSent: neverSent, Lost: true, Cause: err}
 	}
 	return response, nil
 }
 
-// statusError makes the error for a response whose status is no success.
+// statusError returns the error for a response with a status other than 200.
 func statusError(address string, response *http.Response) error {
-	full := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
+	overloaded := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
 	if response.Header.Get(NotRunHeader) == "true" {
-		return &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " refused: " + response.Status, Remedy: "ask again later", RetryAfter: time.Second, Lost: full}
+		return &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " rejected the request: " + response.Status, Remedy: "retry later", RetryAfter: time.Second, Lost: overloaded}
 	}
-	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " answered " + response.Status, Remedy: "see the runner's own log", Lost: full}
+	return &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " responded with status " + response.Status, Remedy: "check the runner's log", Lost: overloaded}
 }
--- a/system/runnerclient/types.go
+++ b/system/runnerclient/types.go
@@ -1,36 +1,36 @@
 package runnerclient
 
-// Message is one utterance of a conversation.
+// Message is one entry of a conversation history.
 type Message struct {
-	// Role is "caller", "model", "tool_call" or "tool_result"; Name is the tool's.
+	// Role is "caller", "model", "tool_call" or "tool_result". Name is the name of the tool.
 	Role  string `json:"role"`
 	Name  string `json:"name,omitempty"`
 	Words string `json:"words"`
 }
 
-// TurnRequest is what a model runner gets.
+// TurnRequest is the request body sent to a model runner.
 type TurnRequest struct {
 	Conversation string `json:"conversation"`
-	// Turn is the seq of the turn in its conversation.
+	// Turn is the sequence number of the turn in its conversation.
 	Turn uint64 `json:"turn"`
-	// History is what was said before, oldest first; Words is what is said now.
+	// History is the preceding messages, oldest first, without the turn's own input.
 	History []Message `json:"history"`
 	Words   string    `json:"words"`
-	// Limit is how many words the answer may have; what is longer is cut off.
+	// Limit is the maximum number of words in the response; a longer one is truncated.
 	Limit uint64 `json:"limit"`
 }
 
-// PlainRequest is what an application runner gets.
+// PlainRequest is the request body sent to an application runner.
 type PlainRequest struct {
 	Program string `json:"program"`
 	Kind    string `json:"kind"`
-	// RequestKey is the caller's idempotency key; "" if the work may run more than once.
+	// RequestKey is the caller's idempotency key; empty if the work may run more than once.
 	RequestKey string `json:"query_key,omitempty"`
 	Words      string `json:"words"`
 }
 
-// streamPiece is one line of a model runner's stream.
-type streamPiece struct {
-	Piece string `json:"piece"`
-	End   bool   `json:"end"`
+// streamChunk is one line of a model runner's response stream.
+type streamChunk struct {
+	Content string `json:"piece"`
+	End     bool   `json:"end"`
 }
--- a/system/scheduler/scheduler.go
+++ b/system/scheduler/scheduler.go
@@ -1,22 +1,22 @@
-// Package scheduler chooses runners for the work of configured kinds, and limits how much
-// of it runs at a time.
+// Package scheduler chooses runners for the configured kinds of work and limits the
+// concurrency per runner.
 //
-// Every front has one Scheduler. For each request the group of runners is picked from the
-// weight table of the work's kind by weighted round-robin (weighted_round_robin.go), and
-// in the group the runner with the largest free share. A request that finds no free
-// runner waits in a bounded queue by urgency (wait_queue.go).
+// Every front has one Scheduler. For each request, a group of runners is picked from the
+// weight table of the kind by weighted round-robin (weighted_round_robin.go), and within the
+// group the runner with the highest score (freeRunner). If no runner has a free slot, the
+// request waits in a bounded queue per urgency (wait_queue.go).
 //
-// The guarantees are:
-//   - All fronts together send a runner no more requests at a time than its group's
-//     concurrency, and while it warms up or has probably restarted, no more than the
-//     warm-up concurrency, from which the limit grows linearly (slow_start.go). Each front
-//     keeps to its share of the limit (front_shares.go).
+// Guarantees:
+//   - The concurrent requests of all fronts to a runner do not exceed the concurrency of its
+//     group. While the runner warms up or is suspected to have restarted, they do not exceed
+//     the warm-up concurrency, from which the limit then grows linearly (slow_start.go).
+//     Each front stays within its share of the limit (front_shares.go).
 //   - A part of each share is reserved for more urgent work.
-//   - A full queue rejects the requests of the team that has most in it.
+//   - A full queue rejects requests of the team that has the most requests in it.
 //
 // The scheduler owns no goroutines; while requests wait, a timer rechecks the queues. Its
-// state is in memory only. Times are of the process's monotonic clock, so that a wrong
-// wall clock on a machine has no effect.
+// state is in memory only. It uses the monotonic clock, so that wall clock changes have no
+// effect.
 package scheduler
 
 import (
@@ -33,41 +33,43 @@
 )
 
 const (
-	// noRunnerRetryAfter is the retry delay given if no group of a table has a usable
-	// runner, overloadRetryAfter the one given if all runners are busy.
+	// noRunnerRetryAfter is the retry delay if no group of the table has a usable runner,
+	// overloadRetryAfter the one if all runners are busy.
 	noRunnerRetryAfter = 2 * time.Second
 	overloadRetryAfter = time.Second
-	// sameDomainBonus is the score of a runner in this front's domain, on the scale of the
-	// free fraction of its share.
+	// sameDomainBonus is added to the score of a runner in this front's own domain. The
+	// score without it is the free fraction of the share.
 	sameDomainBonus = 0.25
-	// faultPenalty divides the score of a runner that faulted less than faultBackoff ago.
+	// faultPenalty divides the score of a runner whose last fault is less than faultBackoff
+	// ago.
 	faultPenalty = 16
 	faultBackoff = time.Second
 )
 
-// urgencyLevels is the number of urgencies.
+// urgencyLevels is the number of urgency levels.
 const urgencyLevels = 3
 
 var (
-	// urgencies are the urgencies by their names in the configuration, in the order in
-	// which they are served.
+	// urgencies maps the urgency names of the configuration to levels; lower levels are
+	// served first.
 	urgencies = map[string]int{"urgent": 0, "normal": 1, "bulk": 2}
-	// reservedDivisors says by urgency what part of a share is reserved for more urgent
-	// work, as its inverse: bulk work leaves one slot of four. 0: none.
+	// reservedDivisors is, by urgency level, the inverse of the fraction of a share that is
+	// reserved for more urgent work: bulk work leaves one slot in four free. 0 reserves
+	// nothing.
 	reservedDivisors = [urgencyLevels]int{0, 8, 4}
 )
 
-// State is the complete input of the choice apart from what the scheduler measures
-// itself. It must not be changed once it was returned to the scheduler.
+// State is the input of the scheduler's choices, besides its own measurements. It must not be
+// modified after it has been passed to the scheduler.
 type State struct {
 	View   *feed.View
 	Config *config.Config
-	// Fronts are the live fronts. Without this front in it, no runner gets work.
+	// Fronts are the live fronts. If this front is not among them, it sends no requests.
 	Fronts []placement.Candidate
 }
 
-// Scheduler hands out slots on runners for one front. Its methods may be called
-// concurrently.
+// Scheduler assigns slots on runners to the requests of one front. It is safe for concurrent
+// use.
 type Scheduler struct {
 	front  string // name
 	domain string
@@ -76,25 +78,25 @@
 
 	mutex        sync.Mutex // guards all that follows
 	frontLists   []frontList
-	roundRobin   map[string]roundrobin.Credits // of groups, by table
+	roundRobin   map[string]roundrobin.Credits // credits of the groups, by table
 	runners      map[string]*runnerStats       // by address
-	teamInFlight map[string]int                // slots in use
+	teamInFlight map[string]int                // slots in use, by team
 	queues       [urgencyLevels][]*waiter
-	recheckTimer *time.Timer // runs while requests wait; nil otherwise
+	recheckTimer *time.Timer // set while requests wait
 }
 
-// New returns a scheduler for a front in a domain. state returns what is in force; it is
-// called with the scheduler locked and must not call back. notify tells the other fronts
-// that a runner has probably restarted (true) or answers again (false); it is called with
-// the scheduler locked and must not block.
+// New returns a scheduler for a front in a domain. state returns the current state; it may be
+// called with the scheduler locked and must not call the scheduler. notify informs the other
+// fronts that a runner is suspected to have restarted (true) or responds again (false); it
+// is called with the scheduler locked and must not block.
 //
 //	runners := scheduler.New("front-1", "east", state, notify)
 func New(front, domain string, state func() State, notify func(address string, suspected bool)) *Scheduler {
 	return &Scheduler{front: front, domain: domain, state: state, notify: notify, roundRobin: map[string]roundrobin.Credits{}, runners: map[string]*runnerStats{}, teamInFlight: map[string]int{}}
 }
 
-// Usable reports whether a runner may get new work under a view: it is listed and not
-// draining, and its domain is not drained.
+// Usable reports whether a runner may get new requests: the view lists it as not draining,
+// and its domain is not drained.
 //
 //	if !scheduler.Usable(view, slot.Runner) { ... }
 func Usable(view *feed.View, runner feed.Runner) bool {
@@ -104,12 +106,12 @@
 	return listed && !view.DomainDrained(runner.Domain)
 }
 
-// Acquire waits for a slot on a runner for a team's work of a kind. The slot must be
-// released. The error always is or wraps an *apierror.Error of kind NotRun with a retry delay: the
-// kind's table has no usable runner, the queue is full, the request has waited for the
-// configured queue timeout or ctx ended.
+// Acquire waits for a slot on a runner for a request of a team. The slot must be released. An
+// error always is or wraps an *apierror.Error of kind NotRun with a retry delay: the kind's
+// table has no usable runner, the queue is full, the configured queue timeout has passed or
+// ctx ended.
 //
-//	slot, err := runners.Acquire(ctx, kind, "depot")
+//	slot, err := runners.Acquire(ctx, kind, "team-a")
 //	if err != nil {
 //		return err
 //	}
@@ -120,12 +122,12 @@
 	group, found := scheduler.pickGroup(state, kind.Table)
 	if !found {
 		scheduler.mutex.Unlock()
-		return nil, apierror.NewRetryable(apierror.NotRun, "no runner of table "+kind.Table+" takes work now", "ask again later; operators: check the runner list and emptied domains", noRunnerRetryAfter)
+		return nil, apierror.NewRetryable(apierror.NotRun, "no runner of table "+kind.Table+" is usable", "retry later; operators: check the runner list and for drained domains", noRunnerRetryAfter)
 	}
 	urgency := urgencies[kind.Urgency]
 	if !scheduler.hasWaiter(urgency, group) {
 		if runner, free := scheduler.freeRunner(state, group, urgency, time.Now()); free {
-			scheduler.reserve(runner, team)
+			scheduler.takeSlot(runner, team)
 			scheduler.mutex.Unlock()
 			return &Slot{scheduler: scheduler, Runner: runner, Group: group, team: team}, nil
 		}
@@ -139,14 +141,14 @@
 	return scheduler.await(ctx, waiting, urgency, time.Duration(state.Config.Limits.QueueTimeout))
 }
 
-// overloadError is the error of a request for whose group no runner is free.
+// overloadError is the error for a request that got no slot in its group.
 func overloadError(group string) error {
-	return apierror.NewRetryable(apierror.NotRun, "all runners of group "+group+" are busy", "ask again later", overloadRetryAfter)
+	return apierror.NewRetryable(apierror.NotRun, "all runners of group "+group+" are busy", "retry later", overloadRetryAfter)
 }
 
-// freeRunner returns the usable runner of a group with the highest score among those
-// that have a slot free for an urgency. The score is the free fraction of the share, and
-// prefers the own domain and runners without a recent fault.
+// freeRunner returns the usable runner of a group with the highest score among those with a
+// free slot for an urgency. The score is the free fraction of the share, raised for runners
+// in this front's domain and lowered for those with a recent fault.
 func (scheduler *Scheduler) freeRunner(state State, group string, urgency int, now time.Time) (feed.Runner, bool) {
 	capacity := state.Config.Groups[group]
 	best, bestScore, found := feed.Runner{}, -1.0, false
@@ -177,7 +179,7 @@
 	return best, found
 }
 
-// statsOf returns the measurements of a runner.
+// statsOf returns the statistics of a runner, creating them on first use.
 func (scheduler *Scheduler) statsOf(address string) *runnerStats {
 	stats, found := scheduler.runners[address]
 	if !found {
@@ -187,8 +189,8 @@
 	return stats
 }
 
-// reserve counts a slot as in use by a team.
-func (scheduler *Scheduler) reserve(runner feed.Runner, team string) {
+// takeSlot marks a slot of a runner as in use by a team.
+func (scheduler *Scheduler) takeSlot(runner feed.Runner, team string) {
 	scheduler.statsOf(runner.Address).inFlight++
 	scheduler.teamInFlight[team]++
 }
--- a/system/scheduler/scheduler_test.go
+++ b/system/scheduler/scheduler_test.go
@@ -18,8 +18,9 @@
 	"yardrock.example/system/placement"
 )
 
-var talk = config.WorkKind{Serves: "turn", Table: "talk", Urgency: "normal"}
+var turnKind = config.WorkKind{Serves: "turn", Table: "talk", Urgency: "normal"}
 
+// newState returns a state with one front and one runner for each of the weighted groups.
 func newState(weights map[string]float64, concurrency int) State {
 	state := State{
 		View:   &feed.View{},
@@ -36,7 +37,7 @@
 func TestWeightedRoundRobinHoldsOverAnyWindow(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260105)
 	properties := gopter.NewProperties(parameters)
-	properties.Property("each window is within two of its weights", prop.ForAll(func(first, second, third, retuned int) string {
+	properties.Property("each window is within two picks of the weights", prop.ForAll(func(first, second, third, retuned int) string {
 		weights := map[string]float64{"a": float64(first), "b": float64(second), "c": float64(third)}
 		state := newState(weights, 1000000)
 		scheduler := New("front", "east", func() State { return state }, func(string, bool) {})
@@ -44,7 +45,7 @@
 			state = newState(weights, 1000000)
 			picked := []string{}
 			for range 300 {
-				slot, err := scheduler.Acquire(context.Background(), talk, "depot")
+				slot, err := scheduler.Acquire(context.Background(), turnKind, "depot")
 				if err != nil {
 					return err.Error()
 				}
@@ -59,7 +60,7 @@
 					}
 					for group, weight := range weights {
 						if math.Abs(counts[group]-float64(window)*weight/total) > 2 {
-							return fmt.Sprintf("%s got %v of %d by weights %v", group, counts[group], window, weights)
+							return fmt.Sprintf("group %s got %v of %d picks for weights %v", group, counts[group], window, weights)
 						}
 					}
 				}
@@ -70,17 +71,17 @@
 	properties.TestingRun(t)
 }
 
-func TestOverloadIsRejectedAndUrgentGoFirst(t *testing.T) {
+func TestFullQueueRejectsAndUrgentWorkIsServedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := newState(map[string]float64{"a": 1}, 1)
 		scheduler := New("front", "east", func() State { return state }, func(string, bool) {})
-		occupied, err := scheduler.Acquire(t.Context(), talk, "depot")
+		occupied, err := scheduler.Acquire(t.Context(), turnKind, "depot")
 		if err != nil {
 			t.Fatal(err)
 		}
 		order := make(chan string, 5)
-		ask := func(urgency string) {
-			kind := talk
+		acquire := func(urgency string) {
+			kind := turnKind
 			kind.Urgency = urgency
 			slot, err := scheduler.Acquire(t.Context(), kind, "depot")
 			if err != nil {
@@ -91,12 +92,12 @@
 			slot.Release(Answered)
 		}
 		for _, urgency := range []string{"bulk", "normal", "normal", "urgent"} {
-			go ask(urgency)
+			go acquire(urgency)
 			synctest.Wait()
 		}
-		go ask("normal") // a third in a queue of two
+		go acquire("normal") // exceeds the queue limit of two
 		if got := <-order; got != "not_run 1s" {
-			t.Fatalf("beyond the queue: %s", got)
+			t.Fatalf("request beyond the queue limit: got %s, want not_run 1s", got)
 		}
 		occupied.Release(Answered)
 		for _, want := range []string{"urgent", "normal", "normal", "bulk"} {
@@ -104,16 +105,16 @@
 				t.Fatalf("served %s, want %s", got, want)
 			}
 		}
-		occupied, _ = scheduler.Acquire(t.Context(), talk, "depot")
-		began := time.Now()
-		go ask("normal")
-		if got := <-order; got != "not_run 1s" || time.Since(began) != 2*time.Second {
-			t.Fatalf("after the queue timeout: %s in %s", got, time.Since(began))
+		occupied, _ = scheduler.Acquire(t.Context(), turnKind, "depot")
+		startedAt := time.Now()
+		go acquire("normal")
+		if got := <-order; got != "not_run 1s" || time.Since(startedAt) != 2*time.Second {
+			t.Fatalf("queue timeout: got %s after %s, want not_run 1s after 2s", got, time.Since(startedAt))
 		}
 		occupied.Release(Answered)
 		state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
-		if _, err := scheduler.Acquire(t.Context(), talk, "depot"); !apierror.Is(err, apierror.NotRun) {
-			t.Fatalf("a drained domain got work: %v", err)
+		if _, err := scheduler.Acquire(t.Context(), turnKind, "depot"); !apierror.Is(err, apierror.NotRun) {
+			t.Fatalf("request to a drained domain: got error %v, want not_run", err)
 		}
 	})
 }
--- a/system/scheduler/slot.go
+++ b/system/scheduler/slot.go
@@ -7,33 +7,34 @@
 	"yardrock.example/system/feed"
 )
 
-// Outcome is how a slot was used, as far as it says something about the runner.
+// Outcome is the result of using a slot, as evidence about the runner.
 type Outcome int
 
 // The outcomes of a slot.
 const (
-	// NotSent: no byte of the request was sent.
+	// NotSent: no byte of the request was sent. It is also reported if the result says
+	// nothing about the runner.
 	NotSent Outcome = iota
-	// Answered: the runner completed the work.
+	// Answered: the runner completed the request.
 	Answered
-	// Faulted: the response was broken, in a way that does not suggest a restart.
+	// Faulted: the request failed in a way that does not suggest a restart.
 	Faulted
-	// Lost: the runner refused the connection, was not there or went away. It may have
-	// restarted, whatever the platform's runner list says.
+	// Lost: the runner was unreachable, closed the connection or was overloaded. It may have
+	// restarted even if the platform's runner list does not show that.
 	Lost
 )
 
-// Slot is the permission to send one request to one runner. It must be released.
+// Slot permits sending one request to one runner. It must be released.
 type Slot struct {
 	scheduler *Scheduler
 	Runner    feed.Runner
-	Group     string // of the runner
+	Group     string // the runner's group
 	team      string
-	once      sync.Once // of Release
+	once      sync.Once // guards Release
 }
 
-// Release ends the use of a slot and reports the outcome. Only the first call counts.
-// Waiting requests may be served.
+// Release frees the slot and reports the outcome. Calls after the first have no effect.
+// Waiting requests may be granted the slot.
 //
 //	slot.Release(scheduler.Answered)
 func (slot *Slot) Release(outcome Outcome) {
@@ -61,9 +62,8 @@
 	})
 }
 
-// FirstEvent reports the time from sending the request to the first part of the
-// response. Much longer than usual suggests that the runner has restarted or is
-// overloaded.
+// FirstEvent reports the time from sending the request to the first part of the response. A
+// latency far above the mean suggests that the runner has restarted or is overloaded.
 //
 //	slot.FirstEvent(time.Since(sent))
 func (slot *Slot) FirstEvent(latency time.Duration) {
--- a/system/scheduler/slow_start.go
+++ b/system/scheduler/slow_start.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// maxRestartSuspicion is how long a front that gets no work for a runner keeps to the
-	// warm-up concurrency while it waits to hear that the runner answers again.
-	maxRestartSuspicion = 10 * time.Second
-	// A first event is slow if it takes slowFirstEventFactor times the mean and more than
-	// minSlowFirstEvent. The mean counts after minFirstEventSamples and is then taken over
-	// maxFirstEventSamples.
+	// restartSuspicionTimeout is how long the warm-up concurrency applies to a runner that is
+	// suspected to have restarted and that no front has reported as responding again.
+	restartSuspicionTimeout = 10 * time.Second
+	// A first event is slow if its latency exceeds both minSlowFirstEvent and
+	// slowFirstEventFactor times the moving mean. The mean is used from minFirstEventSamples
+	// on; its window is maxFirstEventSamples.
 	slowFirstEventFactor = 4
 	minSlowFirstEvent    = 500 * time.Millisecond
 	minFirstEventSamples = 8
 	maxFirstEventSamples = 4 * minFirstEventSamples
 )
 
-// runnerStats is what this front knows of a runner.
+// runnerStats is this front's state of a runner.
 type runnerStats struct {
 	inFlight   int       // this front's slots in use
-	avoidUntil time.Time // after a fault it is chosen only if others are nearly full
-	// restartSuspectedAt is when the runner was last suspected to have restarted; zero if
-	// it is not suspected.
+	avoidUntil time.Time // end of the score penalty after a fault
+	// restartSuspectedAt is when the runner was last suspected to have restarted; zero if it
+	// is not suspected.
 	restartSuspectedAt time.Time
-	// slowStartAt is when its limit began to grow; zero while the limit does not grow.
+	// slowStartAt is when the limit began to grow; zero if slow start has not begun.
 	slowStartAt       time.Time
 	meanFirstEvent    time.Duration
 	firstEventSamples int
 }
 
-// limit returns how many requests a runner may have at a time, over all fronts: the
-// warm-up concurrency while the list says that it warms up or it is suspected to have
-// restarted, then growing to the full concurrency within the group's slow start.
+// limit returns the concurrency limit of a runner over all fronts. It is the warm-up
+// concurrency while the runner is listed as warming up or is suspected to have restarted,
+// and then grows to the full concurrency within the group's slow start time.
 func (stats *runnerStats) limit(runner feed.Runner, capacity config.Group, now time.Time) int {
 	slowStart := time.Duration(capacity.SlowStart)
 	switch {
 	case runner.State == feed.StateWarmingUp:
 		stats.slowStartAt = time.Time{}
 		return capacity.WarmUpConcurrency
-	case !stats.restartSuspectedAt.IsZero() && stats.slowStartAt.IsZero() && now.Sub(stats.restartSuspectedAt) < maxRestartSuspicion:
+	case !stats.restartSuspectedAt.IsZero() && stats.slowStartAt.IsZero() && now.Sub(stats.restartSuspectedAt) < restartSuspicionTimeout:
 		return capacity.WarmUpConcurrency
 	case stats.restartSuspectedAt.IsZero() && runner.Warmed:
 		return capacity.Concurrency
@@ -57,8 +57,8 @@
 	return capacity.WarmUpConcurrency + int(float64(capacity.Concurrency-capacity.WarmUpConcurrency)*float64(elapsed)/float64(slowStart))
 }
 
-// confirmRunning begins the slow start of a runner that was suspected to have restarted
-// and answers; it reports whether that is news.
+// confirmRunning starts the slow start of a suspected runner that responds again. It reports
+// whether the state changed.
 func (stats *runnerStats) confirmRunning() bool {
 	if stats.restartSuspectedAt.IsZero() || !stats.slowStartAt.IsZero() {
 		return false
@@ -67,19 +67,19 @@
 	return true
 }
 
-// isSlow reports whether a first event came much later than usual.
+// isSlow reports whether the latency of a first event is far above the mean.
 func (stats *runnerStats) isSlow(latency time.Duration) bool {
 	return stats.firstEventSamples >= minFirstEventSamples && latency > minSlowFirstEvent && latency > slowFirstEventFactor*stats.meanFirstEvent
 }
 
-// recordFirstEvent takes the latency of a first event into the mean.
+// recordFirstEvent adds the latency of a first event to the mean.
 func (stats *runnerStats) recordFirstEvent(latency time.Duration) {
 	stats.firstEventSamples++
 	stats.meanFirstEvent += (latency - stats.meanFirstEvent) / time.Duration(min(stats.firstEventSamples, maxFirstEventSamples))
 }
 
-// suspectRestart notes that a runner has probably restarted, and notifies the other
-// fronts if that is news.
+// suspectRestart marks a runner as suspected to have restarted, and notifies the other fronts
+// if that is a change.
 func (scheduler *Scheduler) suspectRestart(address string, stats *runnerStats) {
 	changed := stats.restartSuspectedAt.IsZero() || !stats.slowStartAt.IsZero()
 	stats.restartSuspectedAt, stats.slowStartAt = time.Now(), time.Time{}
@@ -88,24 +88,24 @@
 	}
 }
 
-// SuspectedRestarts returns the addresses of the runners that have probably restarted and
-// whose slow start is not over, so that they can be reported to a new front.
+// SuspectedRestarts returns the addresses of the runners that are suspected to have restarted
+// and whose slow start is not over, so that they can be reported to a new front.
 //
 //	for _, address := range runners.SuspectedRestarts() { ... }
 func (scheduler *Scheduler) SuspectedRestarts() []string {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	found := []string{}
+	addresses := []string{}
 	for address, stats := range scheduler.runners {
 		if !stats.restartSuspectedAt.IsZero() {
-			found = append(found, address)
+			addresses = append(addresses, address)
 		}
 	}
-	return found
+	return addresses
 }
 
-// ReportRestart takes over from another front that a runner has probably restarted, or
-// answers again. The other fronts are not notified.
+// ReportRestart applies another front's report that a runner is suspected to have restarted
+// (true) or responds again (false). The other fronts are not notified.
 //
 //	runners.ReportRestart("10.0.3.1:8000", true)
 func (scheduler *Scheduler) ReportRestart(address string, suspected bool) {
--- a/system/scheduler/status.go
+++ b/system/scheduler/status.go
@@ -7,8 +7,8 @@
 	"yardrock.example/system/wire"
 )
 
-// Status returns the load of the runners that have this front's requests in flight or
-// have probably restarted, by address, and the number of waiting requests.
+// Status returns the load of each runner that has requests of this front in flight or is
+// suspected to have restarted, ordered by address, and the number of waiting requests.
 //
 //	runners, waiting := scheduler.Status()
 func (scheduler *Scheduler) Status() ([]wire.RunnerLoad, uint32) {
--- a/system/scheduler/wait_queue.go
+++ b/system/scheduler/wait_queue.go
@@ -9,16 +9,16 @@
 	"yardrock.example/system/feed"
 )
 
-// queueRecheckInterval is how often the queues are checked while requests wait: limits
-// grow and lists change without a Release.
+// queueRecheckInterval is how often the queues are checked while requests wait: slots can
+// become free without a Release when limits grow or the runner list changes.
 const queueRecheckInterval = 250 * time.Millisecond
 
-// waiter is a request that waits for a slot.
+// waiter is a request waiting for a slot.
 type waiter struct {
 	group string
 	team  string
-	// granted receives the runner; it has room for it, so that granting never blocks. It is
-	// closed if the request is evicted from the queue.
+	// granted receives the runner. It is buffered, so that granting never blocks, and closed
+	// if the request is evicted from the queue.
 	granted chan feed.Runner
 }
 
@@ -32,9 +32,9 @@
 	return waiting
 }
 
-// evictForFairness makes room in a full queue for a team: it evicts the newest request of
-// the team with the most requests there, provided that this team still has more than the
-// other one afterwards. It reports whether it did.
+// evictForFairness makes room in a full queue for a request of a team: it evicts the newest
+// request of the team with the most queued requests, provided that this team has at least
+// two more than the given one. It reports whether a request was evicted.
 func (scheduler *Scheduler) evictForFairness(urgency int, team string) bool {
 	queue, counts := scheduler.queues[urgency], map[string]int{}
 	for _, waiting := range queue {
@@ -59,7 +59,8 @@
 	return false
 }
 
-// hasWaiter reports whether a request of the same group waits that is at least as urgent.
+// hasWaiter reports whether a request for the same group with at least the same urgency is
+// waiting.
 func (scheduler *Scheduler) hasWaiter(urgency int, group string) bool {
 	for _, queue := range scheduler.queues[:urgency+1] {
 		if slices.ContainsFunc(queue, func(waiting *waiter) bool { return waiting.group == group }) {
@@ -69,8 +70,7 @@
 	return false
 }
 
-// await waits until a slot is granted, the request is evicted, the timeout passes or ctx
-// ends.
+// await waits until the request is granted a slot or evicted, the timeout passes or ctx ends.
 func (scheduler *Scheduler) await(ctx context.Context, waiting *waiter, urgency int, timeout time.Duration) (*Slot, error) {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
@@ -82,7 +82,7 @@
 	}
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	// A slot that was granted in the meantime is used: nobody else would release it.
+	// Use a slot that was granted in the meantime; otherwise it would never be released.
 	select {
 	case runner, granted := <-waiting.granted:
 		return scheduler.slotFor(waiting, runner, granted)
@@ -92,7 +92,7 @@
 	return nil, overloadError(waiting.group)
 }
 
-// slotFor returns the slot of a request whose wait has ended, or the error if it was
+// slotFor returns the slot of a request whose wait has ended, or an error if the request was
 // evicted.
 func (scheduler *Scheduler) slotFor(waiting *waiter, runner feed.Runner, granted bool) (*Slot, error) {
 	if !granted {
@@ -101,8 +101,8 @@
 	return &Slot{scheduler: scheduler, Runner: runner, Group: waiting.group, team: waiting.team}, nil
 }
 
-// recheckQueues serves the queues, and schedules itself again until they are empty. It
-// runs on the timer's goroutine.
+// recheckQueues serves the queues and reschedules itself until they are empty. It runs in the
+// timer's goroutine.
 func (scheduler *Scheduler) recheckQueues() {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -123,14 +123,14 @@
 	return total
 }
 
-// serveQueues grants free slots to waiting requests: the most urgent first, among them
-// those of the team with the fewest slots in use, among them the oldest.
+// serveQueues grants free slots to waiting requests, in the order of urgency, then of the
+// team's slots in use, fewest first, then of arrival.
 func (scheduler *Scheduler) serveQueues() {
 	state := scheduler.state()
 	now, full := time.Now(), map[string]bool{}
 	for urgency := range scheduler.queues {
-		// A group that is full for one urgency is checked again for the next: the limits
-		// that the slots are counted against differ.
+		// A group that is full for one urgency is checked again for the next, as the
+		// reserved part of the shares differs.
 		clear(full)
 		for {
 			next := scheduler.nextWaiter(urgency, full)
@@ -143,15 +143,15 @@
 				full[waiting.group] = true
 				continue
 			}
-			scheduler.reserve(runner, waiting.team)
+			scheduler.takeSlot(runner, waiting.team)
 			waiting.granted <- runner
 			scheduler.queues[urgency] = slices.Delete(slices.Clone(scheduler.queues[urgency]), next, next+1)
 		}
 	}
 }
 
-// nextWaiter returns the position of the request in a queue that is served next, leaving
-// out full groups; -1: none.
+// nextWaiter returns the position of the request to serve next in a queue, ignoring those for
+// full groups, or -1 if there is none.
 func (scheduler *Scheduler) nextWaiter(urgency int, full map[string]bool) int {
 	best := -1
 	for position, waiting := range scheduler.queues[urgency] {
--- a/system/scheduler/weighted_round_robin.go
+++ b/system/scheduler/weighted_round_robin.go
@@ -8,16 +8,16 @@
 	"yardrock.example/system/roundrobin"
 )
 
-// pickGroup picks one of the groups of a weight table that have usable runners, by
-// weighted round-robin. It returns false if no group has usable runners.
+// pickGroup picks a group with usable runners from a weight table by weighted round-robin. It
+// returns false if there is none.
 func (scheduler *Scheduler) pickGroup(state State, table string) (string, bool) {
-	shares, weights := []roundrobin.Share{}, state.Config.Tables[table]
+	participants, weights := []roundrobin.Share{}, state.Config.Tables[table]
 	for _, group := range slices.Sorted(maps.Keys(weights)) {
 		usable := slices.ContainsFunc(state.View.Runners, func(runner feed.Runner) bool {
 			return runner.Group == group && Usable(state.View, runner)
 		})
 		if usable && weights[group] > 0 {
-			shares = append(shares, roundrobin.Share{Name: group, Weight: weights[group]})
+			participants = append(participants, roundrobin.Share{Name: group, Weight: weights[group]})
 		}
 	}
 	credits, found := scheduler.roundRobin[table]
@@ -25,9 +25,9 @@
 		credits = roundrobin.Credits{}
 		scheduler.roundRobin[table] = credits
 	}
-	best := credits.Pick(shares)
+	best := credits.Pick(participants)
 	if best < 0 {
 		return "", false
 	}
-	return shares[best].Name, true
+	return participants[best].Name, true
 }
