--- a/proof/cmd/measure/main.go
+++ b/proof/cmd/measure/main.go
@@ -93,7 +93,7 @@
 	var direct, through []time.Duration
 	for turn := range turns {
 		question := fmt.Sprintf("question %d", turn)
-		took, _, err := first(cluster, cluster.Runners[turn%2].Host+":8000", "/turn", runnerclient.TurnRequest{Words: question})
+		took, _, err := first(cluster, cluster.Runners[turn%2].Host+":8000", "/turn", runnerclient.TurnRequest{Input: question})
 		if err != nil {
 			return err
 		}
--- a/proof/loadgen/callers.go
+++ b/proof/loadgen/callers.go
@@ -32,7 +32,7 @@
 		if got == nil {
 			return
 		}
-		said = append(said, runnerclient.Message{Role: "caller", Words: question}, runnerclient.Message{Role: "model", Words: got.words.String()})
+		said = append(said, runnerclient.Message{Role: "caller", Text: question}, runnerclient.Message{Role: "model", Text: got.words.String()})
 		conversationName, follows = got.conversation, got.turn
 		path = "/v1/conversations/" + conversationName + "/turns"
 		if random.Float64() < generator.mix.ToolShare {
@@ -64,7 +64,7 @@
 	if reported != "complete" {
 		return said, reported == "not_run"
 	}
-	return append(said, runnerclient.Message{Role: "tool_call", Name: "receipt", Words: question}, runnerclient.Message{Role: "tool_result", Name: "receipt", Words: answer}), true
+	return append(said, runnerclient.Message{Role: "tool_call", Name: "receipt", Text: question}, runnerclient.Message{Role: "tool_result", Name: "receipt", Text: answer}), true
 }
 
 // requestPlain sends work that is not idempotent until its outcome is reported, and records the
@@ -101,7 +101,7 @@
 			continue
 		}
 		reported, text = done.Outcome, string(done.Answer)
-		want := standin.PlainAnswer(runnerclient.PlainRequest{Kind: kind, RequestKey: key, Words: body["words"].(string)})
+		want := standin.PlainAnswer(runnerclient.PlainRequest{Kind: kind, RequestKey: key, Input: body["words"].(string)})
 		got := map[string]string{}
 		if json.Unmarshal(done.Answer, &got) != nil || got["proof"] != want["proof"] {
 			generator.violation("answers", "%s under %s got %s", kind, key, text)
@@ -140,7 +140,7 @@
 	var done struct {
 		Answer map[string]string `json:"answer"`
 	}
-	if json.NewDecoder(answer.Body).Decode(&done) == nil && done.Answer["proof"] != standin.PlainAnswer(runnerclient.PlainRequest{Kind: "lookup", Words: question})["proof"] {
+	if json.NewDecoder(answer.Body).Decode(&done) == nil && done.Answer["proof"] != standin.PlainAnswer(runnerclient.PlainRequest{Kind: "lookup", Input: question})["proof"] {
 		generator.violation("answers", "the lookup %q got %v", question, done.Answer)
 	}
 }
--- a/proof/loadgen/checks.go
+++ b/proof/loadgen/checks.go
@@ -48,10 +48,10 @@
 		}
 		found := false
 		for turn, text := range pieces {
-			found = found || (complete[turn] && text == message.Words)
+			found = found || (complete[turn] && text == message.Text)
 		}
 		if !found {
-			generator.violation("turns stay known", "history of %s lacks the answer %q", name, message.Words)
+			generator.violation("turns stay known", "history of %s lacks the answer %q", name, message.Text)
 		}
 	}
 }
--- a/proof/loadgen/loadgen_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -29,7 +29,7 @@
 func (server *fakeServer) turn(writer http.ResponseWriter, name, question string) {
 	history := server.said[name]
 	answer := standin.Answer(history, question)
-	server.said[name] = append(history, runnerclient.Message{Role: "caller", Words: question}, runnerclient.Message{Role: "model", Words: strings.Join(answer, "")})
+	server.said[name] = append(history, runnerclient.Message{Role: "caller", Text: question}, runnerclient.Message{Role: "model", Text: strings.Join(answer, "")})
 	turn := len(server.events[name]) + 1
 	add := func(format string, arguments ...any) {
 		server.events[name] = append(server.events[name], fmt.Sprintf(format, arguments...))
@@ -106,7 +106,7 @@
 			refuse(writer, http.StatusServiceUnavailable, "not_run")
 			return
 		}
-		answer, _ := json.Marshal(standin.PlainAnswer(runnerclient.PlainRequest{Kind: body.Kind, RequestKey: body.Key, Words: body.Words}))
+		answer, _ := json.Marshal(standin.PlainAnswer(runnerclient.PlainRequest{Kind: body.Kind, RequestKey: body.Key, Input: body.Words}))
 		fmt.Fprintf(writer, `{"outcome":"complete","answer":%s}`, answer)
 	}
 }
--- a/proof/simulator/cluster_test.go
+++ b/proof/simulator/cluster_test.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		history := []runnerclient.Message{{Role: "caller", Words: "hello there"}, {Role: "model", Words: first.Words}}
+		history := []runnerclient.Message{{Role: "caller", Text: "hello there"}, {Role: "model", Text: first.Words}}
 		if want := words(standin.Answer(history, "and now?")); second.Words != want {
 			t.Fatalf("heard %q, want %q", second.Words, want)
 		}
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -222,7 +222,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Words: "start"}, {Role: "model", Words: first.Words}}, "go on"))
+		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: "start"}, {Role: "model", Text: first.Words}}, "go on"))
 		if second.Words != want {
 			t.Fatalf("heard %q, want %q", second.Words, want)
 		}
@@ -298,7 +298,7 @@
 			if err != nil {
 				t.Fatalf("turn %d: %v", position, err)
 			}
-			want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Words: fmt.Sprintf("before %d", position)}, {Role: "model", Words: before.Words}}, question))
+			want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: fmt.Sprintf("before %d", position)}, {Role: "model", Text: before.Words}}, question))
 			if after.Words != want {
 				t.Fatalf("turn %d: heard %q, want %q", position, after.Words, want)
 			}
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -187,7 +187,7 @@
 	}
 	history := []runnerclient.Message{}
 	for _, one := range conversation.History {
-		history = append(history, runnerclient.Message{Role: one.Role, Words: one.Words})
+		history = append(history, runnerclient.Message{Role: one.Role, Text: one.Words})
 	}
 	if want := strings.Join(standin.Answer(history, words), ""); said.Words != want {
 		t.Fatalf("%s heard %q, want %q", conversation.Name, said.Words, want)
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -162,7 +162,7 @@
 //
 //	pieces := standin.Answer(history, "hello")
 func Answer(history []runnerclient.Message, words string) []string {
-	prompt, _ := json.Marshal(append(append([]runnerclient.Message{}, history...), runnerclient.Message{Role: "caller", Words: words}))
+	prompt, _ := json.Marshal(append(append([]runnerclient.Message{}, history...), runnerclient.Message{Role: "caller", Text: words}))
 	sum := sha256.Sum256(prompt)
 	pieces := []string{"seen " + hex.EncodeToString(sum[:8])}
 	for position := range 4 + int(sum[0]%12) {
@@ -175,7 +175,7 @@
 //
 //	answer := standin.PlainAnswer(query)
 func PlainAnswer(request runnerclient.PlainRequest) map[string]string {
-	sum := sha256.Sum256([]byte(request.Kind + "\x00" + request.RequestKey + "\x00" + request.Words))
+	sum := sha256.Sum256([]byte(request.Kind + "\x00" + request.RequestKey + "\x00" + request.Input))
 	return map[string]string{"done": request.Kind, "proof": hex.EncodeToString(sum[:8])}
 }
 
@@ -189,12 +189,12 @@
 	runner.mutex.Lock()
 	runner.record.Turns++
 	runner.mutex.Unlock()
-	if strings.Contains(sent.Words, "!refuse") {
+	if strings.Contains(sent.Input, "!refuse") {
 		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if strings.Contains(sent.Words, "!type") {
+	if strings.Contains(sent.Input, "!type") {
 		writer.Header().Set("Content-Type", "text/html")
 		fmt.Fprint(writer, "<p>hello</p>")
 		return
@@ -217,21 +217,21 @@
 		}
 	}
 	time.Sleep(runner.latencies.FirstPiece)
-	for position, piece := range Answer(sent.History, sent.Words) {
+	for position, piece := range Answer(sent.History, sent.Input) {
 		if !write(piece) {
 			return
 		}
-		if position == 2 && strings.Contains(sent.Words, "!stop") {
+		if position == 2 && strings.Contains(sent.Input, "!stop") {
 			panic(http.ErrAbortHandler) // net/http closes the connection
 		}
-		if position == 2 && strings.Contains(sent.Words, "!early") {
+		if position == 2 && strings.Contains(sent.Input, "!early") {
 			return
 		}
-		if position == 2 && strings.Contains(sent.Words, "!nonsense") {
+		if position == 2 && strings.Contains(sent.Input, "!nonsense") {
 			fmt.Fprintln(writer, "{nonsense")
 		}
 	}
-	for strings.Contains(sent.Words, "!endless") {
+	for strings.Contains(sent.Input, "!endless") {
 		if !write(" more") {
 			return
 		}
@@ -246,7 +246,7 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if strings.Contains(sent.Words, "!refuse") {
+	if strings.Contains(sent.Input, "!refuse") {
 		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -261,17 +261,17 @@
 		runner.mutex.Unlock()
 	}
 	time.Sleep(runner.latencies.PlainAnswer)
-	if strings.Contains(sent.Words, "!slow") {
+	if strings.Contains(sent.Input, "!slow") {
 		time.Sleep(slowAnswer)
 	}
 	switch {
-	case strings.Contains(sent.Words, "!lose"):
+	case strings.Contains(sent.Input, "!lose"):
 		panic(http.ErrAbortHandler) // net/http closes the connection
-	case strings.Contains(sent.Words, "!type"):
+	case strings.Contains(sent.Input, "!type"):
 		writer.Header().Set("Content-Type", "text/html")
 		fmt.Fprint(writer, "<p>hello</p>")
 		return
-	case strings.Contains(sent.Words, "!nonsense"):
+	case strings.Contains(sent.Input, "!nonsense"):
 		writer.Header().Set("Content-Type", "application/json")
 		fmt.Fprint(writer, "{nonsense")
 		return
--- a/system/balancer/weighted_round_robin.go
+++ b/system/balancer/weighted_round_robin.go
@@ -32,12 +32,12 @@
 
 // usablePools returns the pools of a route that have a share and candidates, and their
 // shares.
-func (current *topology) usablePools(route *config.Route) ([]*servicePool, []roundrobin.Share) {
-	pools, shares := make([]*servicePool, 0, len(route.Shares)), make([]roundrobin.Share, 0, len(route.Shares))
+func (current *topology) usablePools(route *config.Route) ([]*servicePool, []roundrobin.Participant) {
+	pools, shares := make([]*servicePool, 0, len(route.Shares)), make([]roundrobin.Participant, 0, len(route.Shares))
 	for _, share := range route.Shares {
 		if pool := current.services[share.Service]; pool != nil && share.Weight > 0 && len(pool.candidates) > 0 {
 			pools = append(pools, pool)
-			shares = append(shares, roundrobin.Share{Name: share.Service, Weight: share.Weight})
+			shares = append(shares, roundrobin.Participant{Name: share.Service, Weight: share.Weight})
 		}
 	}
 	return pools, shares
@@ -46,6 +46,6 @@
 // returnPick reverts a pick that led to no lease.
 func (balancer *Balancer) returnPick(requested *config.Route, service string) {
 	if credits, known := balancer.roundRobin[requested.Name]; known {
-		credits.Return(service)
+		credits.UndoPick(service)
 	}
 }
--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -135,12 +135,12 @@
 		switch {
 		case run.Begun.Kind == sessionlog.TurnBegun && chain[run.Begun.Seq]:
 			messages = append(messages,
-				runnerclient.Message{Role: "caller", Words: run.Begun.Text},
-				runnerclient.Message{Role: "model", Words: run.Output()})
+				runnerclient.Message{Role: "caller", Text: run.Begun.Text},
+				runnerclient.Message{Role: "model", Text: run.Output()})
 		case run.Begun.Kind == sessionlog.ToolCalled && chain[run.Begun.Follows] && run.Complete():
 			messages = append(messages,
-				runnerclient.Message{Role: "tool_call", Name: run.Begun.Name, Words: run.Begun.Text},
-				runnerclient.Message{Role: "tool_result", Name: run.Begun.Name, Words: run.Ended.Text})
+				runnerclient.Message{Role: "tool_call", Name: run.Begun.Name, Text: run.Begun.Text},
+				runnerclient.Message{Role: "tool_result", Name: run.Begun.Name, Text: run.Ended.Text})
 		}
 	}
 	return messages
--- a/system/conversation/conversation_test.go
+++ b/system/conversation/conversation_test.go
@@ -62,11 +62,11 @@
 
 func TestMessagesFollowTheChainOfTurns(t *testing.T) {
 	view := Fold(branched())
-	first := []runnerclient.Message{{Role: "caller", Words: "hello there"}, {Role: "model", Words: "dear caller"}}
+	first := []runnerclient.Message{{Role: "caller", Text: "hello there"}, {Role: "model", Text: "dear caller"}}
 	for seq, further := range map[uint64][]runnerclient.Message{
 		1: nil,
-		5: {{Role: "caller", Words: "left"}, {Role: "model"}},
-		6: {{Role: "caller", Words: "right"}, {Role: "model"}, {Role: "tool_call", Name: "clock", Words: "when"}, {Role: "tool_result", Name: "clock", Words: "now"}},
+		5: {{Role: "caller", Text: "left"}, {Role: "model"}},
+		6: {{Role: "caller", Text: "right"}, {Role: "model"}, {Role: "tool_call", Name: "clock", Text: "when"}, {Role: "tool_result", Name: "clock", Text: "now"}},
 	} {
 		want := append(append([]runnerclient.Message{}, first...), further...)
 		if got := view.Messages(seq); !reflect.DeepEqual(got, want) {
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -18,7 +18,7 @@
 
 // plainRequest is what the runner gets of the request.
 func (request *request) plainRequest() runnerclient.PlainRequest {
-	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.words}
+	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Input: request.words}
 }
 
 // sendPlainWork sends plain work to a runner, and to another one only while provably
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -90,7 +90,7 @@
 	request, node := execution.request, execution.node
 	history := request.history.Messages(request.follows)
 	for dial := 1; ; dial++ {
-		turn := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Words: request.words, Limit: request.answerWordLimit()}
+		turn := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Input: request.words, MaxWords: request.answerWordLimit()}
 		startedAt := time.Now()
 		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, turn, node.preSendCheck(request), func(words string) error {
 			if execution.timeToFirstPiece == 0 {
--- a/system/roundrobin/roundrobin.go
+++ b/system/roundrobin/roundrobin.go
@@ -6,8 +6,8 @@
 // for up to three participants), and its picks are evenly spaced.
 package roundrobin
 
-// Share is one of the weighted choices. Weight must be positive.
-type Share struct {
+// Participant is one of the weighted choices. Weight must be positive.
+type Participant struct {
 	Name   string
 	Weight float64
 }
@@ -20,7 +20,7 @@
 // the first one is picked. Participants that are absent lose their credit.
 //
 //	chosen := participants[credits.Pick(participants)]
-func (credits Credits) Pick(participants []Share) int {
+func (credits Credits) Pick(participants []Participant) int {
 	total, present := 0.0, make(map[string]bool, len(participants))
 	for _, participant := range participants {
 		total += participant.Weight
@@ -44,7 +44,7 @@
 	return best
 }
 
-// Return reverts a pick that was not used.
+// UndoPick reverts a pick that was not used.
 //
 //	credits.UndoPick(chosen.Name)
-func (credits Credits) Return(name string) { credits[name]++ }
+func (credits Credits) UndoPick(name string) { credits[name]++ }
--- a/system/roundrobin/roundrobin_test.go
+++ b/system/roundrobin/roundrobin_test.go
@@ -13,11 +13,11 @@
 func TestPicksStayWithinOneOfTheirShares(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261202))
 	properties.Property("after each pick every count is within one of its exact proportion", prop.ForAll(func(first, second, third int) string {
-		participants, credits := []Share{}, Credits{}
+		participants, credits := []Participant{}, Credits{}
 		total, counts := 0.0, map[string]float64{}
 		for index, weight := range []int{first, second, third} {
 			if weight > 0 {
-				participants = append(participants, Share{fmt.Sprint("share-", index), float64(weight)})
+				participants = append(participants, Participant{fmt.Sprint("share-", index), float64(weight)})
 				total += float64(weight)
 			}
 		}
@@ -35,7 +35,7 @@
 }
 
 func TestEqualCreditsPickTheFirst(t *testing.T) {
-	participants, credits := []Share{{"b", 1}, {"a", 1}}, Credits{}
+	participants, credits := []Participant{{"b", 1}, {"a", 1}}, Credits{}
 	for round := range 4 {
 		for _, want := range []int{0, 1} {
 			if got := credits.Pick(participants); got != want {
@@ -47,7 +47,7 @@
 
 func TestAbsentParticipantsLoseTheirCredit(t *testing.T) {
 	credits := Credits{}
-	both, alone := []Share{{"a", 1}, {"b", 1}}, []Share{{"a", 1}}
+	both, alone := []Participant{{"a", 1}, {"b", 1}}, []Participant{{"a", 1}}
 	credits.Pick(both)
 	credits.Pick(alone)
 	if _, known := credits["b"]; known {
@@ -59,9 +59,9 @@
 }
 
 func TestUndoPickRestoresCredits(t *testing.T) {
-	participants, credits := []Share{{"a", 3}, {"b", 1}}, Credits{}
+	participants, credits := []Participant{{"a", 3}, {"b", 1}}, Credits{}
 	first := credits.Pick(participants)
-	credits.Return(participants[first].Name)
+	credits.UndoPick(participants[first].Name)
 	counts := [2]int{}
 	for range 3 {
 		counts[credits.Pick(participants)]++
--- a/system/runnerclient/types.go
+++ b/system/runnerclient/types.go
@@ -3,9 +3,9 @@
 // Message is one entry of a conversation history.
 type Message struct {
 	// Role is "caller", "model", "tool_call" or "tool_result". Name is the name of the tool.
-	Role  string `json:"role"`
-	Name  string `json:"name,omitempty"`
-	Words string `json:"words"`
+	Role string `json:"role"`
+	Name string `json:"name,omitempty"`
+	Text string `json:"words"`
 }
 
 // TurnRequest is the request body sent to a model runner.
@@ -15,9 +15,9 @@
 	Turn uint64 `json:"turn"`
 	// History is the preceding messages, oldest first, without the turn's own input.
 	History []Message `json:"history"`
-	Words   string    `json:"words"`
-	// Limit is the maximum number of words in the response; a longer one is truncated.
-	Limit uint64 `json:"limit"`
+	Input   string    `json:"words"`
+	// MaxWords is the maximum number of words in the response; a longer one is truncated.
+	MaxWords uint64 `json:"limit"`
 }
 
 // PlainRequest is the request body sent to an application runner.
@@ -26,7 +26,7 @@
 	Kind    string `json:"kind"`
 	// RequestKey is the caller's idempotency key; empty if the work may run more than once.
 	RequestKey string `json:"query_key,omitempty"`
-	Words      string `json:"words"`
+	Input      string `json:"words"`
 }
 
 // streamChunk is one line of a model runner's response stream.
