--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -149,13 +149,13 @@
 // chain returns the sequence numbers of a turn and of those that it follows.
 func (view *View) chain(seq uint64) map[uint64]bool {
 	chain := map[uint64]bool{}
-	for at := seq; at != 0; {
-		turn, found := view.Turn(at)
+	for current := seq; current != 0; {
+		turn, found := view.Turn(current)
 		if !found {
 			break
 		}
-		chain[at] = true
-		at = turn.Begun.Follows
+		chain[current] = true
+		current = turn.Begun.Follows
 	}
 	return chain
 }
--- a/system/conversation/conversation_test.go
+++ b/system/conversation/conversation_test.go
@@ -9,8 +9,8 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// branched is a session in which two turns follow the first, the second of them with a tool.
-func branched() []sessionlog.Event {
+// branchedSession is a session in which two turns follow the first, the second of them with a tool.
+func branchedSession() []sessionlog.Event {
 	events := []sessionlog.Event{
 		{Kind: sessionlog.TurnBegun, Producer: "one", Text: "hello there"},
 		{Kind: sessionlog.OutputPart, Turn: 1, Part: 2, Text: "caller"},
@@ -31,7 +31,7 @@
 }
 
 func TestFoldFindsRunsAndTheirEnds(t *testing.T) {
-	view := Fold(branched())
+	view := Fold(branchedSession())
 	first, found := view.Turn(1)
 	if !found || !first.Complete() || first.Output() != "dear caller" || first.WordCount() != 4 {
 		t.Errorf("the first turn: %+v", first)
@@ -48,8 +48,8 @@
 	}
 }
 
-func TestStartsAreFoundByProducer(t *testing.T) {
-	view := Fold(branched())
+func TestStartByProducer(t *testing.T) {
+	view := Fold(branchedSession())
 	for producer, seq := range map[string]uint64{"one": 1, "right": 6, "tool": 7, "fenced": 10} {
 		if event, found := view.StartByProducer(producer); !found || event.Seq != seq {
 			t.Errorf("%s started with %+v", producer, event)
@@ -60,15 +60,15 @@
 	}
 }
 
-func TestMessagesFollowTheChainOfTurns(t *testing.T) {
-	view := Fold(branched())
+func TestMessagesFollowTurnChain(t *testing.T) {
+	view := Fold(branchedSession())
 	first := []runnerclient.Message{{Role: "caller", Words: "hello there"}, {Role: "model", Words: "dear caller"}}
-	for seq, further := range map[uint64][]runnerclient.Message{
+	for seq, branch := range map[uint64][]runnerclient.Message{
 		1: nil,
 		5: {{Role: "caller", Words: "left"}, {Role: "model"}},
 		6: {{Role: "caller", Words: "right"}, {Role: "model"}, {Role: "tool_call", Name: "clock", Words: "when"}, {Role: "tool_result", Name: "clock", Words: "now"}},
 	} {
-		want := append(append([]runnerclient.Message{}, first...), further...)
+		want := append(append([]runnerclient.Message{}, first...), branch...)
 		if got := view.Messages(seq); !reflect.DeepEqual(got, want) {
 			t.Errorf("turn %d hears %+v, want %+v", seq, got, want)
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestWordsCountAlikeHoweverATextIsSplit(t *testing.T) {
+func TestWordCountDoesNotDependOnSplit(t *testing.T) {
 	text := " one  two\tthree\nfour, five\u00a0six "
 	for size := 1; size <= len(text); size++ {
 		counter := &WordCounter{}
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestCountingStopsBeforeTheWordThatExceedsTheLimit(t *testing.T) {
+func TestCountUpToStopsAtLimit(t *testing.T) {
 	counter := &WordCounter{}
 	if accepted, fits := counter.CountUpTo("one two thr", 3); !fits || accepted != "one two thr" {
 		t.Fatalf("%q", accepted)
--- a/system/conversation/words.go
+++ b/system/conversation/words.go
@@ -18,14 +18,14 @@
 //	accepted, fits := counter.CountUpTo(part, 500)
 func (counter *WordCounter) CountUpTo(text string, limit uint64) (accepted string, fits bool) {
 	for position, character := range text {
-		space := unicode.IsSpace(character)
-		if !space && !counter.inWord {
+		isSpace := unicode.IsSpace(character)
+		if !isSpace && !counter.inWord {
 			if counter.Count == limit {
 				return text[:position], false
 			}
 			counter.Count++
 		}
-		counter.inWord = !space
+		counter.inWord = !isSpace
 	}
 	return text, true
 }
--- a/system/sessionlog/cache_locations.go
+++ b/system/sessionlog/cache_locations.go
@@ -25,13 +25,13 @@
 	if command.Runner == "" {
 		return
 	}
-	kept := slices.DeleteFunc(slices.Clone(session.CacheLocations), func(location CacheLocation) bool {
+	locations := slices.DeleteFunc(slices.Clone(session.CacheLocations), func(location CacheLocation) bool {
 		return location.Conversation == command.Conversation
 	})
-	if len(kept) >= maxCacheLocations {
-		kept = kept[1:]
+	if len(locations) >= maxCacheLocations {
+		locations = locations[1:]
 	}
-	session.CacheLocations = append(kept, CacheLocation{Conversation: command.Conversation, Runner: command.Runner, Tokens: command.PromptTokens})
+	session.CacheLocations = append(locations, CacheLocation{Conversation: command.Conversation, Runner: command.Runner, Tokens: command.PromptTokens})
 }
 
 // cacheLocation returns the location of a conversation. One that is new in the session probably
--- a/system/sessionlog/digests.go
+++ b/system/sessionlog/digests.go
@@ -17,25 +17,25 @@
 // BucketOf returns the bucket of a session, from 0 to 63.
 //
 //	bucket := sessionlog.BucketOf("team/c-1")
-func BucketOf(name string) int { return int(hashNumbered(name, 0) % bucketCount) }
+func BucketOf(name string) int { return int(hashNameSeq(name, 0) % bucketCount) }
 
 // Toggle adds a session's archive progress to the digests, or removes it if it is in them. A
 // session of which nothing is archived does not count.
 //
 //	digests.Toggle("team/c-1", 40)
-func (digests *BucketDigests) Toggle(name string, archived uint64) {
-	if archived > 0 {
-		digests[BucketOf(name)] ^= hashNumbered(name, archived)
+func (digests *BucketDigests) Toggle(name string, archivedSeq uint64) {
+	if archivedSeq > 0 {
+		digests[BucketOf(name)] ^= hashNameSeq(name, archivedSeq)
 	}
 }
 
-// hashNumbered is a hash of a name and a number. All replicas must agree on it, whatever
+// hashNameSeq is a hash of a name and a number. All replicas must agree on it, whatever
 // version of the program they run.
-func hashNumbered(name string, number uint64) uint64 {
-	digest := fnv.New64a()
-	digest.Write([]byte(name))
-	digest.Write(binary.BigEndian.AppendUint64(nil, number))
-	return digest.Sum64()
+func hashNameSeq(name string, seq uint64) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	hash.Write(binary.BigEndian.AppendUint64(nil, seq))
+	return hash.Sum64()
 }
 
 // ArchiveDigests returns the digests of how far the group's sessions are archived.
--- a/system/sessionlog/expiry.go
+++ b/system/sessionlog/expiry.go
@@ -18,14 +18,14 @@
 //	if view.HasExpired(clock) { ... }
 func (view *View) HasExpired(clock int64) bool {
 	first, found := view.firstExpiry()
-	return found && first.at < clock
+	return found && first.dueAt < clock
 }
 
 // expiryEntry is an entry of the index of expiries: a session and a time, by the group's clock,
 // that is not after its expiry.
 type expiryEntry struct {
 	key     string
-	at      int64
+	dueAt      int64
 	session string
 }
 
@@ -36,7 +36,7 @@
 	if !found {
 		return expiryEntry{}, false
 	}
-	return expiryEntry{key: key, at: int64(binary.BigEndian.Uint64([]byte(key))), session: session}, true
+	return expiryEntry{key: key, dueAt: int64(binary.BigEndian.Uint64([]byte(key))), session: session}, true
 }
 
 // removeExpired removes the sessions whose retention is over. An entry of the index that is
@@ -44,7 +44,7 @@
 func (view *View) removeExpired() {
 	for {
 		first, found := view.firstExpiry()
-		if !found || first.at >= view.clock {
+		if !found || first.dueAt >= view.clock {
 			return
 		}
 		view.expiries = view.expiries.Delete(first.key)
--- a/system/sessionlog/quota.go
+++ b/system/sessionlog/quota.go
@@ -89,21 +89,21 @@
 func (view *View) reserve(command *Command) Outcome {
 	usage := view.QuotaUsage(command.Session)
 	if indexOfReservation(usage.Reservations, command.Reservation) >= 0 {
-		return usage.outcome(Done, true)
+		return usage.result(Done, true)
 	}
 	if indexOfReservation(usage.Settled, command.Reservation) >= 0 {
-		return usage.outcome(StaleProducer, true)
+		return usage.result(StaleProducer, true)
 	}
 	reserved := usage.Reserved()
 	fits := usage.Spent+reserved+command.Words <= command.Quota
 	lastTurn := reserved == 0 && usage.Spent < command.Quota
 	if !fits && !lastTurn {
-		return usage.outcome(QuotaExceeded, false)
+		return usage.result(QuotaExceeded, false)
 	}
 	reservation := Reservation{Name: command.Reservation, Words: command.Words, ExpiresAt: view.clock + int64(command.Lifetime)}
 	usage.Reservations = append(slices.Clip(usage.Reservations), reservation)
 	view.quotaUsages = view.quotaUsages.Set(command.Session, &usage)
-	return usage.outcome(Done, false)
+	return usage.result(Done, false)
 }
 
 // settle replaces a reservation by the words that its turn used, and by no more than were
@@ -114,7 +114,7 @@
 	position := indexOfReservation(usage.Reservations, command.Reservation)
 	deduped := position < 0
 	if deduped && indexOfReservation(usage.Settled, command.Reservation) >= 0 {
-		return usage.outcome(Done, true)
+		return usage.result(Done, true)
 	}
 	if !deduped {
 		usage.Spent += min(command.Words, usage.Reservations[position].Words)
@@ -128,10 +128,10 @@
 	}
 	usage.Settled = remembered
 	view.quotaUsages = view.quotaUsages.Set(command.Session, &usage)
-	return usage.outcome(Done, deduped)
+	return usage.result(Done, deduped)
 }
 
-func (usage *QuotaUsage) outcome(status Status, deduped bool) Outcome {
+func (usage *QuotaUsage) result(status Status, deduped bool) Outcome {
 	return Outcome{Status: status, Deduped: deduped, Spent: usage.Spent, Reserved: usage.Reserved()}
 }
 
--- a/system/sessionlog/sessions.go
+++ b/system/sessionlog/sessions.go
@@ -55,12 +55,12 @@
 	if existing, found := view.sessions.Get(command.Session); found {
 		return Outcome{Head: existing.Head, Deduped: true}
 	}
-	made := &Session{
+	session := &Session{
 		Name: command.Session, Team: command.Team, Program: command.Program, WorkKind: command.WorkKind,
 		CreatedAt: view.clock, UpdatedAt: view.clock, Retention: command.Retention,
 	}
-	view.sessions = view.sessions.Set(command.Session, made)
-	view.expiries = view.expiries.Set(expiryKey(made), made.Name)
+	view.sessions = view.sessions.Set(command.Session, session)
+	view.expiries = view.expiries.Set(expiryKey(session), session.Name)
 	return Outcome{}
 }
 
@@ -73,8 +73,8 @@
 	if len(command.Events) == 0 || (command.Kind == AppendEvent && len(command.Events) != 1) {
 		return Outcome{Status: BadCommand, Head: existing.Head}
 	}
-	if outcome, repeated := existing.repeatedAppend(command); repeated {
-		return outcome
+	if result, repeated := existing.repeatedAppend(command); repeated {
+		return result
 	}
 	if command.HasExpectedSeq && command.ExpectedSeq != existing.Head {
 		return Outcome{Status: UnexpectedSeq, Head: existing.Head}
@@ -92,7 +92,7 @@
 
 // repeatedAppend returns the outcome of an append that its producer made already, or followed
 // by a later one. Of an earlier append only the later one's position is known.
-func (session *Session) repeatedAppend(command *Command) (outcome Outcome, repeated bool) {
+func (session *Session) repeatedAppend(command *Command) (result Outcome, repeated bool) {
 	position := session.producerIndex(command.Producer)
 	if position < 0 {
 		return Outcome{}, false
@@ -124,7 +124,7 @@
 // appendBatch appends a command's events to a session that is not published yet. It reports
 // false if one of them belongs to a run that is not open; the session must then be discarded.
 func (session *Session) appendBatch(command *Command, clock int64) bool {
-	open := slices.Clone(session.OpenTurns)
+	openTurns := slices.Clone(session.OpenTurns)
 	appended := make([]Event, 0, len(command.Events))
 	for _, event := range command.Events {
 		session.Head++
@@ -133,17 +133,17 @@
 		if opensRun[event.Kind] {
 			event.Turn = event.Seq
 			event.Deadline += clock
-			open = append(open, event.Seq)
+			openTurns = append(openTurns, event.Seq)
 		}
-		if (belongsToRun[event.Kind] || closesRun[event.Kind]) && !slices.Contains(open, event.Turn) {
+		if (belongsToRun[event.Kind] || closesRun[event.Kind]) && !slices.Contains(openTurns, event.Turn) {
 			return false
 		}
 		if closesRun[event.Kind] {
-			open = slices.DeleteFunc(open, func(turn uint64) bool { return turn == event.Turn })
+			openTurns = slices.DeleteFunc(openTurns, func(turn uint64) bool { return turn == event.Turn })
 		}
 		appended = append(appended, event)
 	}
-	session.OpenTurns = open
+	session.OpenTurns = openTurns
 	session.Unarchived = append(slices.Clip(session.Unarchived), appended...)
 	return true
 }
--- a/system/sessionlog/shared_prefixes.go
+++ b/system/sessionlog/shared_prefixes.go
@@ -146,11 +146,11 @@
 	}
 	name := SharedPrefixName(command.Scope, command.Data)
 	prefix, found := view.prefixes.Get(name)
-	ofScope, _ := view.prefixesByScope.Get(command.Scope)
+	scopePrefixes, _ := view.prefixesByScope.Get(command.Scope)
 	switch {
 	case found && !prefix.Corrupt && prefix.Text() != string(command.Data):
 		return Outcome{Status: BadCommand}
-	case !found && len(ofScope) >= maxPrefixesPerScope:
+	case !found && len(scopePrefixes) >= maxPrefixesPerScope:
 		return Outcome{Status: TooManyPrefixes}
 	case !found:
 		view.setPrefix(&SharedPrefix{
@@ -175,16 +175,16 @@
 	if !found {
 		return
 	}
-	fits := func(event *Event) bool {
+	matches := func(event *Event) bool {
 		return event.Kind == TurnBegun && event.Follows == 0 && event.Prefix == "" && bytes.HasPrefix(event.Data, data)
 	}
-	if !slices.ContainsFunc(existing.Unarchived, func(event Event) bool { return fits(&event) }) {
+	if !slices.ContainsFunc(existing.Unarchived, func(event Event) bool { return matches(&event) }) {
 		return
 	}
 	session := *existing
 	session.Unarchived = slices.Clone(existing.Unarchived)
 	for position := range session.Unarchived {
-		if event := &session.Unarchived[position]; fits(event) {
+		if event := &session.Unarchived[position]; matches(event) {
 			event.Prefix, event.Data = name, slices.Clone(event.Data[len(data):])
 		}
 	}
@@ -196,11 +196,11 @@
 // scope. It is rejected if the group does not have that prefix (any more). A repeat is not
 // checked again, as it begins nothing.
 func (view *View) beginTurnWithPrefix(command *Command) Outcome {
-	if _, repeat := view.Turn(command.Session, command.Producer); !repeat {
+	if _, repeated := view.Turn(command.Session, command.Producer); !repeated {
 		prefix, found := view.prefixes.Get(command.Prefix)
 		if !found || prefix.Scope != command.Scope || command.Follows != "" || !command.KeepData {
-			session := view.sessionToChange(command)
-			return session.outcome(UnknownPrefix, 0, false)
+			session := view.sessionForUpdate(command)
+			return session.result(UnknownPrefix, 0, false)
 		}
 	}
 	return view.beginTurn(command)
@@ -247,27 +247,27 @@
 func (view *View) setPrefix(prefix *SharedPrefix) {
 	view.removePrefix(prefix)
 	view.prefixes = view.prefixes.Set(prefix.Name, prefix)
-	ofScope, _ := view.prefixesByScope.Get(prefix.Scope)
-	ofScope = append(slices.Clip(ofScope), prefix)
-	slices.SortFunc(ofScope, func(left, right *SharedPrefix) int {
+	scopePrefixes, _ := view.prefixesByScope.Get(prefix.Scope)
+	scopePrefixes = append(slices.Clip(scopePrefixes), prefix)
+	slices.SortFunc(scopePrefixes, func(left, right *SharedPrefix) int {
 		if left.Size != right.Size {
 			return int(right.Size) - int(left.Size)
 		}
 		return strings.Compare(left.Name, right.Name)
 	})
-	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, ofScope)
+	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, scopePrefixes)
 }
 
 // removePrefix takes a prefix out of the view.
 func (view *View) removePrefix(prefix *SharedPrefix) {
 	view.prefixes = view.prefixes.Delete(prefix.Name)
-	ofScope, _ := view.prefixesByScope.Get(prefix.Scope)
-	others := slices.DeleteFunc(slices.Clone(ofScope), func(other *SharedPrefix) bool { return other.Name == prefix.Name })
-	if len(others) == 0 {
+	scopePrefixes, _ := view.prefixesByScope.Get(prefix.Scope)
+	remaining := slices.DeleteFunc(slices.Clone(scopePrefixes), func(other *SharedPrefix) bool { return other.Name == prefix.Name })
+	if len(remaining) == 0 {
 		view.prefixesByScope = view.prefixesByScope.Delete(prefix.Scope)
 		return
 	}
-	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, others)
+	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, remaining)
 }
 
 // internContent returns the one copy of a content that this process keeps.
--- a/system/sessionlog/shared_prefixes_model_test.go
+++ b/system/sessionlog/shared_prefixes_model_test.go
@@ -15,7 +15,7 @@
 // The beginnings of the modelled inputs, the last too short to be shared; the scopes, and how
 // many sessions each has.
 var (
-	modelHeads  = []string{repeatLetter("a", 300), repeatLetter("a", 300) + repeatLetter("b", 300), repeatLetter("c", 400), repeatLetter("a", 20)}
+	modelPrefixes  = []string{repeatLetter("a", 300), repeatLetter("a", 300) + repeatLetter("b", 300), repeatLetter("c", 400), repeatLetter("a", 20)}
 	modelScopes = []string{"identity", "permits"}
 )
 
@@ -40,11 +40,11 @@
 	properties.Property("what is retained reads as it was written", prop.ForAll(func(steps []uint16) string {
 		model := &prefixModel{machine: NewStateMachine(), clock: time.Second, written: map[string]string{}, archived: map[string]Event{}}
 		for position, step := range steps {
-			if wrong := model.step(step, position); wrong != "" {
-				return fmt.Sprintf("step %d: %s", position, wrong)
+			if violation := model.step(step, position); violation != "" {
+				return fmt.Sprintf("step %d: %s", position, violation)
 			}
-			if wrong := model.check(); wrong != "" {
-				return fmt.Sprintf("step %d: %s", position, wrong)
+			if violation := model.check(); violation != "" {
+				return fmt.Sprintf("step %d: %s", position, violation)
 			}
 		}
 		return ""
@@ -54,19 +54,19 @@
 
 func eventKey(sessionName string, seq uint64) string { return fmt.Sprintf("%s/%d", sessionName, seq) }
 
-func modelSession(scope string, number int) string {
+func modelSessionName(scope string, number int) string {
 	return fmt.Sprintf("program/%s-%d", scope, number)
 }
 
 func (model *prefixModel) step(step uint16, position int) string {
 	model.clock += time.Duration(step%7) * time.Second
 	choice, picked := step%11, int(step)/11
-	scope, head := modelScopes[picked%2], modelHeads[picked/2%len(modelHeads)]
+	scope, prefixText := modelScopes[picked%2], modelPrefixes[picked/2%len(modelPrefixes)]
 	switch {
 	case choice < 6:
-		return model.begin(modelSession(scope, picked/8%modelSessionsPerScope), scope, head, position, choice < 5)
+		return model.begin(modelSessionName(scope, picked/8%modelSessionsPerScope), scope, prefixText, position, choice < 5)
 	case choice < 8:
-		model.share(scope, head)
+		model.share(scope, prefixText)
 	case choice < 9:
 		return model.restart()
 	default:
@@ -77,8 +77,8 @@
 
 // begin begins a turn, as a leader does it: with a shared prefix if there is one and the turn
 // may use it.
-func (model *prefixModel) begin(sessionName, scope, head string, position int, mayShare bool) string {
-	name, input := fmt.Sprintf("t%d", position), fmt.Sprintf("%s said at %d", head, position)
+func (model *prefixModel) begin(sessionName, scope, prefixText string, position int, mayShare bool) string {
+	name, input := fmt.Sprintf("t%d", position), fmt.Sprintf("%s said at %d", prefixText, position)
 	command := Command{Kind: BeginTurn, Session: sessionName, Now: int64(model.clock), Retention: 20 * time.Second, Producer: name, Dispatch: name, KeepData: true, Data: []byte(input), Lifetime: time.Second}
 	if prefix, found := model.machine.View().LongestSharedPrefix(scope, []byte(input)); found && mayShare {
 		command.Kind, command.Scope, command.Prefix, command.Data = BeginTurnWithPrefix, scope, prefix.Name, []byte(input[prefix.Size:])
@@ -92,12 +92,12 @@
 }
 
 // share stores a prefix and merges it in all sessions of its scope.
-func (model *prefixModel) share(scope, head string) {
+func (model *prefixModel) share(scope, prefixText string) {
 	sessions := []string{}
 	for number := range modelSessionsPerScope {
-		sessions = append(sessions, modelSession(scope, number))
+		sessions = append(sessions, modelSessionName(scope, number))
 	}
-	command := shareCommand(scope, head, sessions...)
+	command := shareCommand(scope, prefixText, sessions...)
 	command.Now = int64(model.clock)
 	model.machine.Apply(&command)
 }
@@ -131,8 +131,8 @@
 func (model *prefixModel) check() string {
 	view, references := model.machine.View(), map[string]uint64{}
 	for session := range view.Sessions() {
-		if wrong := model.checkEvents(view, session); wrong != "" {
-			return wrong
+		if violation := model.checkEvents(view, session); violation != "" {
+			return violation
 		}
 		for _, name := range session.Prefixes {
 			references[name]++
--- a/system/sessionlog/shared_prefixes_test.go
+++ b/system/sessionlog/shared_prefixes_test.go
@@ -19,7 +19,7 @@
 	return command
 }
 
-func beginShared(sessionName, name, scope, prefix, rest string) Command {
+func beginWithPrefix(sessionName, name, scope, prefix, rest string) Command {
 	return Command{Kind: BeginTurnWithPrefix, Session: sessionName, Now: 1, Retention: time.Minute, Producer: name, ProducerSeq: 1, Dispatch: "front/" + name, KeepData: true,
 		Scope: scope, Prefix: prefix, Data: []byte(rest), Lifetime: time.Minute}
 }
@@ -35,17 +35,17 @@
 		{shareCommand("", prefix), BadCommand},
 		{shareCommand("identity", repeatLetter("a", MinPrefixBytes-1)), BadCommand},
 		{shareCommand("identity", repeatLetter("a", MaxPrefixBytes+1)), BadCommand},
-		{beginShared("program/a", "one", "identity", name, "x"), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "identity", name, "x"), UnknownPrefix},
 		{shareCommand("identity", prefix), Done},
 		{shareCommand("identity", prefix), Done},
-		{beginShared("program/a", "one", "permits", name, "x"), UnknownPrefix},
-		{beginShared("program/a", "one", "", name, "x"), UnknownPrefix},
-		{beginShared("program/a", "one", "identity", SharedPrefixName("permits", []byte(prefix)), "x"), UnknownPrefix},
-		{with(beginShared("program/a", "one", "identity", name, "x"), func(command *Command) { command.Follows = "none" }), UnknownPrefix},
-		{with(beginShared("program/a", "one", "identity", name, "x"), func(command *Command) { command.KeepData = false }), UnknownPrefix},
-		{beginShared("program/a", "one", "identity", name, "x"), Done},
-		{beginShared("program/a", "one", "identity", name, "x"), Done},
-		{beginShared("program/a", "one", "identity", "no such", "x"), Done}, // a repeat begins nothing
+		{beginWithPrefix("program/a", "one", "permits", name, "x"), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "", name, "x"), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "identity", SharedPrefixName("permits", []byte(prefix)), "x"), UnknownPrefix},
+		{with(beginWithPrefix("program/a", "one", "identity", name, "x"), func(command *Command) { command.Follows = "none" }), UnknownPrefix},
+		{with(beginWithPrefix("program/a", "one", "identity", name, "x"), func(command *Command) { command.KeepData = false }), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "identity", name, "x"), Done},
+		{beginWithPrefix("program/a", "one", "identity", name, "x"), Done},
+		{beginWithPrefix("program/a", "one", "identity", "no such", "x"), Done}, // a repeat begins nothing
 	} {
 		if got := machine.Apply(&step.command); got.Status != step.want {
 			t.Errorf("step %d: got %+v, want %d", position, got, step.want)
@@ -76,8 +76,8 @@
 		command := shareCommand("permits", prefix+fmt.Sprint(number))
 		machine.Apply(&command)
 	}
-	one := shareCommand("permits", prefix+"one more")
-	if got := machine.Apply(&one); got.Status != TooManyPrefixes {
+	extra := shareCommand("permits", prefix+"one more")
+	if got := machine.Apply(&extra); got.Status != TooManyPrefixes {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -97,9 +97,9 @@
 	}
 	before := machine.View()
 	snapshot := before.Snapshot()
-	merged := shareCommand("identity", prefix, "program/a", "program/b", "program/c", "program/unknown")
+	share := shareCommand("identity", prefix, "program/a", "program/b", "program/c", "program/unknown")
 	for range 2 { // a repeat changes nothing
-		machine.Apply(&merged)
+		machine.Apply(&share)
 		stored, _ := machine.View().SharedPrefix(SharedPrefixName("identity", []byte(prefix)))
 		if stored.References != 2 || stored.SavedBytes() != MinPrefixBytes {
 			t.Fatalf("%+v", stored)
@@ -132,15 +132,15 @@
 		return machine.Apply(&command)
 	}
 	at(time.Second, shareCommand("identity", prefix))
-	at(time.Second, beginShared("program/a", "one", "identity", name, "x"))
+	at(time.Second, beginWithPrefix("program/a", "one", "identity", name, "x"))
 	at(2*time.Second, Command{Kind: AckArchived, Acks: []Ack{{Session: "program/a", ArchivedSeq: 1}}})
 	retained := 2*time.Minute + 2*time.Second // the turn's lifetime and the retention after it
 	for _, step := range []struct {
 		now            time.Duration
 		session, found bool
 	}{{retained - 2*time.Second, true, true}, {retained, false, true}, {retained + idlePrefixLifetime - time.Second, false, true}, {retained + idlePrefixLifetime + time.Second, false, false}} {
-		late := machine.View()
-		if due := late.HasIdlePrefix(int64(step.now)); due == step.found {
+		earlier := machine.View()
+		if due := earlier.HasIdlePrefix(int64(step.now)); due == step.found {
 			t.Fatalf("at %s something is due: %t", step.now, due)
 		}
 		at(step.now, Command{Kind: AckArchived})
@@ -150,11 +150,11 @@
 		if _, found := machine.View().SharedPrefix(name); found != step.found {
 			t.Fatalf("at %s the prefix is stored: %t", step.now, found)
 		}
-		if got, intact := late.FullData(&Event{Prefix: name, Data: []byte("x")}); !intact || string(got) != prefix+"x" {
+		if got, intact := earlier.FullData(&Event{Prefix: name, Data: []byte("x")}); !intact || string(got) != prefix+"x" {
 			t.Fatalf("at %s a reader of an earlier view got %q", step.now, got)
 		}
 	}
-	if got := at(time.Hour, beginShared("program/b", "two", "identity", name, "x")); got.Status != UnknownPrefix {
+	if got := at(time.Hour, beginWithPrefix("program/b", "two", "identity", name, "x")); got.Status != UnknownPrefix {
 		t.Fatalf("a turn refers to a prefix that was freed: %+v", got)
 	}
 	if _, intact := machine.View().FullData(&Event{Prefix: name, Data: []byte("x")}); intact {
@@ -171,8 +171,8 @@
 	name := SharedPrefixName("identity", []byte(prefix))
 	share := shareCommand("identity", prefix)
 	machine.Apply(&share)
-	started := beginShared("program/a", "one", "identity", name, "x")
-	machine.Apply(&started)
+	begin := beginWithPrefix("program/a", "one", "identity", name, "x")
+	machine.Apply(&begin)
 	snapshot := machine.View().Snapshot()
 	if snapshot.Version != snapshotVersion {
 		t.Fatalf("format %d", snapshot.Version)
@@ -191,7 +191,7 @@
 		t.Fatal("a corrupt prefix is offered")
 	}
 	// It goes on as its intact peers do.
-	for _, command := range []Command{beginShared("program/b", "two", "identity", name, "y"), shareCommand("identity", prefix)} {
+	for _, command := range []Command{beginWithPrefix("program/b", "two", "identity", name, "y"), shareCommand("identity", prefix)} {
 		if left, right := machine.Apply(&command), damaged.Apply(&command); left != right {
 			t.Fatalf("%+v and %+v", left, right)
 		}
--- a/system/sessionlog/snapshot.go
+++ b/system/sessionlog/snapshot.go
@@ -170,13 +170,13 @@
 // follows.
 func indexTurnRecords(records []TurnRecord) *immutable.Map[string, []*Turn] {
 	type key struct{ session, name string }
-	made, byName := map[key]*Turn{}, map[string][]*Turn{}
+	byKey, byName := map[key]*Turn{}, map[string][]*Turn{}
 	for _, record := range records {
 		turn := &Turn{
-			Session: record.Session, Name: record.Name, Seq: record.Seq, EndSeq: record.EndSeq, Follows: made[key{record.Session, record.Follows}],
+			Session: record.Session, Name: record.Name, Seq: record.Seq, EndSeq: record.EndSeq, Follows: byKey[key{record.Session, record.Follows}],
 			Outcome: record.Outcome, Dispatch: record.Dispatch, Deadline: record.Deadline, Tokens: record.Tokens,
 		}
-		made[key{record.Session, record.Name}] = turn
+		byKey[key{record.Session, record.Name}] = turn
 		byName[record.Name] = append(byName[record.Name], turn)
 	}
 	builder := immutable.NewMapBuilder[string, []*Turn](nil)
--- a/system/sessionlog/state_machine.go
+++ b/system/sessionlog/state_machine.go
@@ -68,7 +68,7 @@
 	if !known {
 		return Outcome{Status: BadCommand}
 	}
-	outcome := handler(&next, command)
+	result := handler(&next, command)
 	machine.published.Store(&next)
-	return outcome
+	return result
 }
--- a/system/sessionlog/state_machine_test.go
+++ b/system/sessionlog/state_machine_test.go
@@ -12,7 +12,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func newSessionMachine(t *testing.T) *StateMachine {
+func newMachineWithSession(t *testing.T) *StateMachine {
 	t.Helper()
 	machine := NewStateMachine()
 	machine.Apply(&Command{Kind: CreateSession, Session: "a/c", Now: 1, Retention: time.Hour, Team: "a"})
@@ -20,7 +20,7 @@
 }
 
 func TestCommandsAreDedupedOrderedAndRejected(t *testing.T) {
-	machine := newSessionMachine(t)
+	machine := newMachineWithSession(t)
 	begin := Event{Kind: TurnBegun, Text: "hello"}
 	for position, step := range []struct {
 		command Command
@@ -50,7 +50,7 @@
 }
 
 func TestEvictionFollowsArchivedSeqAndRetentionFollowsGroupClock(t *testing.T) {
-	machine := newSessionMachine(t)
+	machine := newMachineWithSession(t)
 	for seq := range uint64(10) {
 		machine.Apply(&Command{Kind: AppendEvent, Session: "a/c", Now: int64(time.Minute), Producer: "p", ProducerSeq: seq + 1, Events: []Event{{Kind: HelperStarted}}})
 	}
@@ -74,22 +74,22 @@
 	}
 }
 
-func TestQuotaIsExceededByOneTurnOnly(t *testing.T) {
+func TestQuotaIsExceededByAtMostOneTurn(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260103)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
 	properties.Property("spent and reserved stay within the quota and one turn", prop.ForAll(func(steps []uint16) string {
 		machine := NewStateMachine()
-		const quota, turn = 100, 30
+		const quota, turnWords = 100, 30
 		reserved, settled := map[string]uint64{}, uint64(0)
 		for position, step := range steps {
 			name := fmt.Sprint(step % 12)
 			if step%3 != 0 {
-				command := Command{Kind: Reserve, Session: "quota", Reservation: name, Words: turn, Quota: quota}
+				command := Command{Kind: Reserve, Session: "quota", Reservation: name, Words: turnWords, Quota: quota}
 				if outcome := machine.Apply(&command); outcome.Status == Done && !outcome.Deduped {
-					reserved[name] = turn
+					reserved[name] = turnWords
 				}
-				if again := machine.Apply(&command); reserved[name] > 0 && !again.Deduped {
+				if repeated := machine.Apply(&command); reserved[name] > 0 && !repeated.Deduped {
 					return "a repeated reservation reserved twice"
 				}
 			} else if words, isReserved := reserved[name]; isReserved {
@@ -103,7 +103,7 @@
 			if usage.Spent != settled {
 				return fmt.Sprintf("step %d: %d are spent, %d were used", position, usage.Spent, settled)
 			}
-			if usage.Spent+usage.Reserved() > quota+turn {
+			if usage.Spent+usage.Reserved() > quota+turnWords {
 				return fmt.Sprintf("step %d: %d spent and %d reserved", position, usage.Spent, usage.Reserved())
 			}
 		}
@@ -112,8 +112,8 @@
 	properties.TestingRun(t)
 }
 
-func TestRestoredSnapshotIsTheSameGroup(t *testing.T) {
-	machine := newSessionMachine(t)
+func TestRestoreReproducesSnapshot(t *testing.T) {
+	machine := newMachineWithSession(t)
 	machine.Apply(&Command{Kind: AppendEvent, Session: "a/c", Now: 5, Producer: "p", ProducerSeq: 1, Events: []Event{{Kind: TurnBegun}}})
 	machine.Apply(&Command{Kind: Reserve, Session: "tally", Reservation: "r", Words: 3, Quota: 9})
 	snapshot := machine.View().Snapshot()
@@ -121,8 +121,8 @@
 	if err := other.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if again := other.View().Snapshot(); !reflect.DeepEqual(snapshot, again) {
-		t.Fatalf("restored %+v, want %+v", again, snapshot)
+	if restored := other.View().Snapshot(); !reflect.DeepEqual(snapshot, restored) {
+		t.Fatalf("restored %+v, want %+v", restored, snapshot)
 	}
 	before := slices.Collect(machine.View().Sessions())[0]
 	machine.Apply(&Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}}})
@@ -151,9 +151,9 @@
 	return machine
 }
 
-// BenchmarkAckArchivedAmongADaysSessions is the cost of archiving one session of a group
+// BenchmarkAckArchivedWithManySessions is the cost of archiving one session of a group
 // that keeps a day of them.
-func BenchmarkAckArchivedAmongADaysSessions(b *testing.B) {
+func BenchmarkAckArchivedWithManySessions(b *testing.B) {
 	for _, sessions := range []int{sessionsPerDay / 100, sessionsPerDay / 10, sessionsPerDay} {
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
 			machine := machineWithSessions(sessions)
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -26,8 +26,8 @@
 
 // The producer numbers of a turn's events, whose producer is the turn's name. They are stored.
 const (
-	beginNumber = 1
-	endNumber   = 2
+	beginProducerSeq = 1
+	endProducerSeq   = 2
 )
 
 // Chain returns the turns that lead to this one and itself, oldest first.
@@ -35,8 +35,8 @@
 //	for _, turn := range followed.Chain() { ... }
 func (turn *Turn) Chain() []*Turn {
 	chain := []*Turn{}
-	for at := turn; at != nil; at = at.Follows {
-		chain = append(chain, at)
+	for current := turn; current != nil; current = current.Follows {
+		chain = append(chain, current)
 	}
 	slices.Reverse(chain)
 	return chain
@@ -86,36 +86,36 @@
 // beginTurn creates the session if it is absent, reserves what the turn may put out and
 // records its beginning, or does nothing of this. Reserved tokens count as spent.
 func (view *View) beginTurn(command *Command) Outcome {
-	session := view.sessionToChange(command)
+	session := view.sessionForUpdate(command)
 	if command.Producer == "" || command.Producer == command.Follows {
-		return session.outcome(BadCommand, 0, false)
+		return session.result(BadCommand, 0, false)
 	}
 	if existing, found := view.Turn(command.Session, command.Producer); found {
-		return session.outcome(repeatStatus(existing, command), existing.Seq, true).withCacheLocation(&session, command)
+		return session.result(repeatStatus(existing, command), existing.Seq, true).withCacheLocation(&session, command)
 	}
 	if session.exceedsQuota(command) {
-		return session.outcome(QuotaExceeded, 0, false)
+		return session.result(QuotaExceeded, 0, false)
 	}
 	followed, status := view.followedTurn(command)
 	if status != Done {
-		return session.outcome(status, 0, false)
+		return session.result(status, 0, false)
 	}
 	if command.HasExpectedSeq && (followed == nil || followed.EndSeq != command.ExpectedSeq) {
-		return session.outcome(UnexpectedSeq, 0, false)
+		return session.result(UnexpectedSeq, 0, false)
 	}
 	if followed == nil {
 		followed = view.adoptTurns(&session, command)
 	}
 	turn := view.recordBegin(&session, command, followed)
 	view.setSession(&session)
-	return session.outcome(Done, turn.Seq, false).withCacheLocation(&session, command)
+	return session.result(Done, turn.Seq, false).withCacheLocation(&session, command)
 }
 
 // withCacheLocation adds to the outcome of a begin where the turn's conversation is cached.
-func (outcome Outcome) withCacheLocation(session *Session, command *Command) Outcome {
+func (result Outcome) withCacheLocation(session *Session, command *Command) Outcome {
 	location := session.cacheLocation(command.Conversation)
-	outcome.Runner, outcome.CachedTokens = location.Runner, location.Tokens
-	return outcome
+	result.Runner, result.CachedTokens = location.Runner, location.Tokens
+	return result
 }
 
 // repeatStatus returns the status of a BeginTurn whose turn exists already.
@@ -169,7 +169,7 @@
 	}
 	event := Event{
 		At: view.clock, Kind: TurnBegun, Turn: session.Head + 1, Dispatch: command.Dispatch, Name: command.Producer,
-		Producer: command.Producer, ProducerSeq: beginNumber, Deadline: turn.Deadline,
+		Producer: command.Producer, ProducerSeq: beginProducerSeq, Deadline: turn.Deadline,
 	}
 	if command.KeepData {
 		event.Data = command.Data
@@ -204,7 +204,7 @@
 		turn := &Turn{Name: adopted.Name, Session: command.Session, Follows: last, Outcome: OutcomeComplete}
 		event := Event{
 			At: view.clock, Kind: TurnAdopted, Turn: session.Head + 1, Name: adopted.Name,
-			Producer: adopted.Name, ProducerSeq: endNumber, Data: adopted.Data, Outcome: OutcomeComplete,
+			Producer: adopted.Name, ProducerSeq: endProducerSeq, Data: adopted.Data, Outcome: OutcomeComplete,
 		}
 		if last != nil {
 			event.Follows = last.Seq
@@ -219,19 +219,19 @@
 // endTurn records a turn's output and outcome and settles its tokens. A turn that never began
 // may be ended as not run, so that it can't begin any more.
 func (view *View) endTurn(command *Command) Outcome {
-	session := view.sessionToChange(command)
+	session := view.sessionForUpdate(command)
 	turn, found := view.Turn(command.Session, command.Producer)
 	switch {
 	case command.Producer == "" || command.Outcome == "":
-		return session.outcome(BadCommand, 0, false)
+		return session.result(BadCommand, 0, false)
 	case !found && command.Outcome != OutcomeNotRun:
-		return session.outcome(UnknownTurn, 0, false)
+		return session.result(UnknownTurn, 0, false)
 	case !found:
 		return view.fenceTurn(&session, command)
 	case turn.EndSeq != 0 && turn.Outcome != command.Outcome:
-		return session.outcome(TurnClosed, turn.EndSeq, true)
+		return session.result(TurnClosed, turn.EndSeq, true)
 	case turn.EndSeq != 0:
-		return session.outcome(Done, turn.EndSeq, true)
+		return session.result(Done, turn.EndSeq, true)
 	}
 	ended := *turn
 	ended.Outcome, ended.Tokens = command.Outcome, 0
@@ -239,7 +239,7 @@
 	session.Spent += command.Tokens
 	event := Event{
 		At: view.clock, Kind: TurnEnded, Turn: turn.Seq, Outcome: command.Outcome,
-		Producer: command.Producer, ProducerSeq: endNumber, Part: command.Tokens,
+		Producer: command.Producer, ProducerSeq: endProducerSeq, Part: command.Tokens,
 	}
 	if command.KeepData && ended.Outcome == OutcomeComplete {
 		event.Data = command.Data
@@ -248,7 +248,7 @@
 	ended.EndSeq = session.appendEvent(event)
 	view.indexTurn(&ended)
 	view.setSession(&session)
-	return session.outcome(Done, ended.EndSeq, false)
+	return session.result(Done, ended.EndSeq, false)
 }
 
 // fenceTurn closes a turn that has not begun, so that a late BeginTurn finds it closed.
@@ -256,10 +256,10 @@
 	seq := session.Head + 1
 	turn := &Turn{Name: command.Producer, Session: command.Session, EndSeq: seq, Outcome: OutcomeNotRun, Dispatch: command.Dispatch}
 	view.addTurn(session, turn, Event{
-		At: view.clock, Kind: Fenced, Turn: seq, Producer: command.Producer, ProducerSeq: endNumber, Outcome: OutcomeNotRun,
+		At: view.clock, Kind: Fenced, Turn: seq, Producer: command.Producer, ProducerSeq: endProducerSeq, Outcome: OutcomeNotRun,
 	})
 	view.setSession(session)
-	return session.outcome(Done, seq, false)
+	return session.result(Done, seq, false)
 }
 
 // addTurn appends a turn's first event to a session and puts the turn into the index.
@@ -269,7 +269,7 @@
 	view.indexTurn(turn)
 }
 
-func (session *Session) outcome(status Status, seq uint64, deduped bool) Outcome {
+func (session *Session) result(status Status, seq uint64, deduped bool) Outcome {
 	return Outcome{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
 }
 
@@ -281,13 +281,13 @@
 // indexTurn puts a turn into the index, in place of the one that its session had under its
 // name.
 func (view *View) indexTurn(turn *Turn) {
-	view.turns = view.turns.Set(turn.Name, append(view.turnsOfOthers(turn.Name, turn.Session), turn))
+	view.turns = view.turns.Set(turn.Name, append(view.turnsInOtherSessions(turn.Name, turn.Session), turn))
 }
 
 // removeTurns takes all turns of a session out of the index.
 func (view *View) removeTurns(session *Session) {
 	for _, name := range session.Turns {
-		others := view.turnsOfOthers(name, session.Name)
+		others := view.turnsInOtherSessions(name, session.Name)
 		if len(others) == 0 {
 			view.turns = view.turns.Delete(name)
 		} else {
@@ -296,8 +296,8 @@
 	}
 }
 
-// turnsOfOthers returns a copy of what other sessions than one have under a turn's name.
-func (view *View) turnsOfOthers(name, sessionName string) []*Turn {
+// turnsInOtherSessions returns a copy of what other sessions than one have under a turn's name.
+func (view *View) turnsInOtherSessions(name, sessionName string) []*Turn {
 	turns, _ := view.turns.Get(name)
 	return slices.DeleteFunc(slices.Clone(turns), func(turn *Turn) bool { return turn.Session == sessionName })
 }
--- a/system/sessionlog/turns_model_test.go
+++ b/system/sessionlog/turns_model_test.go
@@ -36,17 +36,17 @@
 	settled uint64
 }
 
-// TestProgramsKeepTheirQuotaAndTheirHistories drives many turns of one program in any order,
+// TestTurnsKeepQuotaAndHistory drives many turns of one program in any order,
 // repeats and fences among them, against a simple model.
-func TestProgramsKeepTheirQuotaAndTheirHistories(t *testing.T) {
+func TestTurnsKeepQuotaAndHistory(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 200
 	properties := gopter.NewProperties(parameters)
 	properties.Property("quota, deduplication and histories", prop.ForAll(func(steps []uint16) string {
 		model := &programModel{machine: NewStateMachine(), turns: map[string]*modelTurn{}, completed: []string{""}}
 		for position, step := range steps {
-			if wrong := model.step(position, step); wrong != "" {
-				return wrong
+			if violation := model.step(position, step); violation != "" {
+				return violation
 			}
 		}
 		return model.checkHistories()
@@ -56,16 +56,16 @@
 
 func (model *programModel) step(position int, step uint16) string {
 	if step%97 == 0 {
-		if wrong := model.restart(); wrong != "" {
-			return wrong
+		if violation := model.restart(); violation != "" {
+			return violation
 		}
 	}
-	act := model.end
+	action := model.end
 	if step%2 == 0 || len(model.order) == 0 {
-		act = model.begin
+		action = model.begin
 	}
-	if wrong := act(position, step); wrong != "" {
-		return wrong
+	if violation := action(position, step); violation != "" {
+		return violation
 	}
 	return model.checkQuota(position)
 }
@@ -77,7 +77,7 @@
 	if err := model.machine.Restore(snapshot); err != nil {
 		return err.Error()
 	}
-	if again := model.machine.View().Snapshot(); !reflect.DeepEqual(snapshot, again) {
+	if restored := model.machine.View().Snapshot(); !reflect.DeepEqual(snapshot, restored) {
 		return "a restored group is another"
 	}
 	return ""
@@ -163,8 +163,8 @@
 		if turn.outcome == OutcomeComplete {
 			want += "out " + name + "\n"
 		}
-		for at := turn.follows; at != ""; at = model.turns[at].follows {
-			want = "in " + at + "\nout " + at + "\n" + want
+		for current := turn.follows; current != ""; current = model.turns[current].follows {
+			want = "in " + current + "\nout " + current + "\n" + want
 		}
 		if got := historyOf(model.machine.View(), "program/a", name); got != want {
 			return fmt.Sprintf("%s goes on from %q, want %q", name, got, want)
--- a/system/sessionlog/turns_test.go
+++ b/system/sessionlog/turns_test.go
@@ -80,10 +80,10 @@
 		return "no turn"
 	}
 	text := ""
-	for _, one := range turn.Chain() {
-		text += string(session.Unarchived[one.Seq-session.ArchivedSeq-1].Data)
-		if one.EndSeq != 0 && one.EndSeq != one.Seq {
-			text += string(session.Unarchived[one.EndSeq-session.ArchivedSeq-1].Data)
+	for _, chained := range turn.Chain() {
+		text += string(session.Unarchived[chained.Seq-session.ArchivedSeq-1].Data)
+		if chained.EndSeq != 0 && chained.EndSeq != chained.Seq {
+			text += string(session.Unarchived[chained.EndSeq-session.ArchivedSeq-1].Data)
 		}
 	}
 	return text
@@ -209,7 +209,7 @@
 	}
 }
 
-func BenchmarkTurnOfALongProgram(b *testing.B) {
+func BenchmarkTurnInLongProgram(b *testing.B) {
 	for _, turns := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(turns), func(b *testing.B) {
 			input := []byte(strings.Repeat("x", 500))
--- a/system/sessionlog/view.go
+++ b/system/sessionlog/view.go
@@ -60,9 +60,9 @@
 //	overdue := event.Deadline < view.Clock()
 func (view *View) Clock() int64 { return view.clock }
 
-// sessionToChange returns a copy of the session that a command names, or a new session, with
+// sessionForUpdate returns a copy of the session that a command names, or a new session, with
 // its retention and update time brought up to date. setSession puts it into the view.
-func (view *View) sessionToChange(command *Command) Session {
+func (view *View) sessionForUpdate(command *Command) Session {
 	session := Session{Name: command.Session, Team: command.Team, Program: command.Program, WorkKind: command.WorkKind, CreatedAt: view.clock}
 	if existing, found := view.sessions.Get(command.Session); found {
 		session = *existing
--- a/system/sharedprefix/detector.go
+++ b/system/sharedprefix/detector.go
@@ -32,9 +32,9 @@
 	maxChunkBytes = 512
 	averageBits   = 6
 
-	// maxTracked bounds the prefixes that are remembered; beyond it all are dropped, and
+	// maxTrackedPrefixes bounds the prefixes that are remembered; beyond it all are dropped, and
 	// detection begins again.
-	maxTracked = 8192
+	maxTrackedPrefixes = 8192
 	// reportInterval is how long after a candidate was reported it may be reported again. It
 	// may not have been shared, or was freed since.
 	reportInterval = 10 * time.Second
@@ -46,7 +46,7 @@
 	mutex   sync.Mutex
 	chunker *chunker.Chunker           // made with the first input, then used again
 	chunk   []byte                     // the chunker's buffer
-	seen    map[prefixKey]*occurrences // emptied when it has more than maxTracked
+	tracked    map[prefixKey]*occurrences // emptied when it has more than maxTrackedPrefixes
 }
 
 // prefixKey is a digest of a scope and the first bytes of an input, within a group.
@@ -81,8 +81,8 @@
 	}
 	detector.mutex.Lock()
 	defer detector.mutex.Unlock()
-	if len(detector.seen) > maxTracked || detector.seen == nil {
-		detector.seen = map[prefixKey]*occurrences{}
+	if len(detector.tracked) > maxTrackedPrefixes || detector.tracked == nil {
+		detector.tracked = map[prefixKey]*occurrences{}
 	}
 	longest, length := detector.longestShared(group, scope, sessionName, input)
 	if longest == nil || time.Since(longest.reportedAt) < reportInterval {
@@ -95,19 +95,19 @@
 // longestShared records a session's prefixes, one for each chunk, and returns the longest that
 // enough sessions had, or nil. The caller holds the mutex.
 func (detector *Detector) longestShared(group uint32, scope, sessionName string, input []byte) (longest *occurrences, length int) {
-	digest, from := sha256.New(), 0
+	digest, start := sha256.New(), 0
 	digest.Write([]byte(scope + "\x00"))
 	for _, end := range detector.chunkEnds(input) {
-		digest.Write(input[from:end])
-		from = end
+		digest.Write(input[start:end])
+		start = end
 		if end < sessionlog.MinPrefixBytes {
 			continue
 		}
 		key := prefixKey{group: group}
 		digest.Sum(key.digest[:0])
-		seen := detector.record(key, sessionName)
-		if len(seen.sessions) >= minSessions {
-			longest, length = seen, end
+		entry := detector.record(key, sessionName)
+		if len(entry.sessions) >= minSessions {
+			longest, length = entry, end
 		}
 	}
 	return longest, length
@@ -115,15 +115,15 @@
 
 // record adds a session to those that had a prefix, in place of the oldest if there are enough.
 func (detector *Detector) record(key prefixKey, sessionName string) *occurrences {
-	seen := detector.seen[key]
-	if seen == nil {
-		seen = &occurrences{}
-		detector.seen[key] = seen
+	entry := detector.tracked[key]
+	if entry == nil {
+		entry = &occurrences{}
+		detector.tracked[key] = entry
 	}
-	if !slices.Contains(seen.sessions, sessionName) {
-		seen.sessions = append(seen.sessions[max(0, len(seen.sessions)-minSessions+1):], sessionName)
+	if !slices.Contains(entry.sessions, sessionName) {
+		entry.sessions = append(entry.sessions[max(0, len(entry.sessions)-minSessions+1):], sessionName)
 	}
-	return seen
+	return entry
 }
 
 // chunkEnds returns where an input's chunks end, in bytes, up to sessionlog.MaxPrefixBytes. Two
@@ -138,11 +138,11 @@
 	detector.chunker.SetAverageBits(averageBits)
 	ends := []int{}
 	for {
-		cut, err := detector.chunker.Next(detector.chunk[:0])
+		chunk, err := detector.chunker.Next(detector.chunk[:0])
 		if err != nil {
 			return ends // io.EOF: a bytes.Reader has no other error
 		}
-		detector.chunk = cut.Data
-		ends = append(ends, int(cut.Start+cut.Length))
+		detector.chunk = chunk.Data
+		ends = append(ends, int(chunk.Start+chunk.Length))
 	}
 }
--- a/system/sharedprefix/detector_test.go
+++ b/system/sharedprefix/detector_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// prose makes text of some length that a seed alone decides.
-func prose(seed uint64, length int) string {
-	random, made := rand.New(rand.NewPCG(seed, 1)), &strings.Builder{}
-	for made.Len() < length {
-		fmt.Fprintf(made, "word%d ", random.IntN(100000))
+// randomText makes text of some length that a seed alone decides.
+func randomText(seed uint64, length int) string {
+	random, builder := rand.New(rand.NewPCG(seed, 1)), &strings.Builder{}
+	for builder.Len() < length {
+		fmt.Fprintf(builder, "word%d ", random.IntN(100000))
 	}
-	return made.String()[:length]
+	return builder.String()[:length]
 }
 
-func TestPrefixThatEnoughSessionsShareIsDetected(t *testing.T) {
+func TestPrefixSharedByMinSessionsIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		detector, head := &Detector{}, prose(1, 2560)
-		input := func(number uint64) []byte { return []byte(head + prose(100+number, 900)) }
+		detector, commonPrefix := &Detector{}, randomText(1, 2560)
+		input := func(number uint64) []byte { return []byte(commonPrefix + randomText(100+number, 900)) }
 		for position, step := range []struct {
 			group          uint32
 			scope, session string
-			words          uint64
+			seed          uint64
 			found          bool
 		}{
 			{1, "identity", "a", 1, false},
@@ -37,12 +37,12 @@
 			{1, "identity", "c", 7, true},
 			{1, "identity", "d", 8, false}, // reported already
 		} {
-			candidate, found := detector.Observe(step.group, step.scope, step.session, input(step.words))
+			candidate, found := detector.Observe(step.group, step.scope, step.session, input(step.seed))
 			if found != step.found {
 				t.Fatalf("step %d: %+v %t", position, candidate, found)
 			}
-			if found && (candidate.Length > len(head) || candidate.Length < len(head)-maxChunkBytes || len(candidate.Sessions) != minSessions) {
-				t.Fatalf("step %d: %+v of %d bytes", position, candidate, len(head))
+			if found && (candidate.Length > len(commonPrefix) || candidate.Length < len(commonPrefix)-maxChunkBytes || len(candidate.Sessions) != minSessions) {
+				t.Fatalf("step %d: %+v of %d bytes", position, candidate, len(commonPrefix))
 			}
 		}
 		time.Sleep(reportInterval)
@@ -56,7 +56,7 @@
 	detector := &Detector{}
 	for number := range uint64(50) {
 		name := fmt.Sprint(number)
-		for _, input := range []string{"", "short", prose(1000+number, 3000), prose(1, 255)} {
+		for _, input := range []string{"", "short", randomText(1000+number, 3000), randomText(1, 255)} {
 			if candidate, found := detector.Observe(1, "identity", name, []byte(input)); found {
 				t.Fatalf("%+v", candidate)
 			}
@@ -67,18 +67,18 @@
 func TestTrackedPrefixesAreBounded(t *testing.T) {
 	detector := &Detector{}
 	for number := range uint64(2000) {
-		detector.Observe(1, "identity", fmt.Sprint(number), []byte(prose(number, 3000)))
+		detector.Observe(1, "identity", fmt.Sprint(number), []byte(randomText(number, 3000)))
 	}
-	if len(detector.seen) > maxTracked+1000 {
-		t.Fatalf("%d are remembered", len(detector.seen))
+	if len(detector.tracked) > maxTrackedPrefixes+1000 {
+		t.Fatalf("%d are remembered", len(detector.tracked))
 	}
 }
 
 func BenchmarkObserve(b *testing.B) {
-	detector, head := &Detector{}, prose(1, 2560)
+	detector, commonPrefix := &Detector{}, randomText(1, 2560)
 	inputs := [][]byte{}
 	for number := range uint64(64) {
-		inputs = append(inputs, []byte(head+prose(100+number, 1500)))
+		inputs = append(inputs, []byte(commonPrefix+randomText(100+number, 1500)))
 	}
 	for number := range b.N {
 		detector.Observe(1, "identity", "program/x", inputs[number%64])
