--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -1,9 +1,9 @@
-// Package conversation folds the events of a session into what a turn needs to know: which
-// runs there are, how each ended, and which messages lead to one of them. It also counts words,
-// the unit of quotas and of recorded answers.
+// Package conversation folds the events of a session into a read model: the runs, how each of
+// them ended, and the messages of the chain of turns that leads to one of them. It also counts
+// words, the unit of quotas and of recorded output.
 //
-// A View is made once from complete events and holds no resources. It may be read by any
-// goroutine as long as nobody changes its fields.
+// A View is built once from all events of a session and holds no resources. It may be read
+// concurrently as long as its fields are not modified.
 package conversation
 
 import (
@@ -15,32 +15,33 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// Run is a turn, a tool call or work that runs once. It begins with one event, may have parts
-// of its output, and ends with another event.
+// Run is a turn, a tool call or other work that is executed once. One event opens it, any
+// number of events record parts of its output, and one event closes it.
 type Run struct {
+	// Begun is the event that opened the run.
 	Begun sessionlog.Event
-	// Parts are the recorded parts of the output, in the order of the session.
+	// Parts are the recorded parts of the output, in session order.
 	Parts []sessionlog.Event
 	// Ended is the event that closed the run; nil while it is open.
 	Ended *sessionlog.Event
 }
 
-// Complete tells whether the run ended with a complete answer.
+// Complete reports whether the run ended with a complete answer.
 //
 //	if !turn.Complete() { ... }
 func (run *Run) Complete() bool {
 	return run.Ended != nil && run.Ended.Outcome == sessionlog.OutcomeComplete
 }
 
-// Overdue tells whether the run is open though its deadline has passed, by the clock of the
-// session's group in nanoseconds. Its front is presumed to have failed.
+// Overdue reports whether the run is still open after its deadline. clock is the clock of the
+// session's group, in nanoseconds. The front of an overdue run is presumed to have failed.
 //
 //	if turn.Overdue(reply.Clock) { ... }
 func (run *Run) Overdue(clock int64) bool {
 	return run.Ended == nil && clock > run.Begun.Deadline
 }
 
-// Output joins the parts of a run's output, as far as it is recorded.
+// Output returns the recorded parts of the run's output, joined in the order of their numbers.
 //
 //	answer := turn.Output()
 func (run *Run) Output() string {
@@ -53,29 +54,30 @@
 	return text.String()
 }
 
-// WordCount returns the words that a turn uses of its quota: those of its input, without the
-// history, and those of its output as far as it is recorded.
+// WordCount returns the number of words that a turn uses of its quota: those of its input,
+// without the history, and those of its recorded output.
 //
 //	words := turn.WordCount()
 func (run *Run) WordCount() uint64 {
 	return CountWords(run.Begun.Text) + CountWords(run.Output())
 }
 
-// View is the folded content of a session.
+// View is the read model of a session.
 type View struct {
-	// Head is the sequence number of the newest event, 0 without events.
+	// Head is the sequence number of the newest event, or 0 if there are no events.
 	Head uint64
-	// Clock is the time of the session's group when the events were read, in nanoseconds.
-	// Fold leaves it 0.
+	// Clock is the clock of the session's group when the events were read, in nanoseconds.
+	// Fold leaves it at 0.
 	Clock int64
 
 	runsBySeq        map[uint64]*Run
-	runs             []*Run // in the order of the session
+	runs             []*Run // in session order
 	startsByProducer map[string]sessionlog.Event
 }
 
-// Fold makes a view of a session's events, which must be all from the first on. Then the run of
-// each part and end is known, as the session's state machine appends these to open runs only.
+// Fold builds a view of a session. events must be all of its events from the first on: Fold
+// expects the opening event of a run before its parts and its closing event, which the session's
+// state machine guarantees.
 //
 //	view := conversation.Fold(events)
 func Fold(events []sessionlog.Event) *View {
@@ -99,7 +101,7 @@
 	return view
 }
 
-// Run finds a run by the sequence number of its first event.
+// Run returns a run by the sequence number of its opening event.
 //
 //	run, found := view.Run(7)
 func (view *View) Run(seq uint64) (*Run, bool) {
@@ -107,7 +109,7 @@
 	return run, found
 }
 
-// Turn finds a run that is a turn by the sequence number of its first event.
+// Turn returns a run that is a turn by the sequence number of its opening event.
 //
 //	turn, found := view.Turn(7)
 func (view *View) Turn(seq uint64) (*Run, bool) {
@@ -115,7 +117,7 @@
 	return run, found && run.Begun.Kind == sessionlog.TurnBegun
 }
 
-// StartByProducer finds the event that opened a run for a producer, or that fenced it.
+// StartByProducer returns the event that opened a producer's run, or that fenced it.
 //
 //	event, found := view.StartByProducer("manifest/once/key-7")
 func (view *View) StartByProducer(producer string) (sessionlog.Event, bool) {
@@ -123,9 +125,8 @@
 	return event, found
 }
 
-// Messages returns the messages that a turn's model must see: those of the chain of turns that
-// it follows and of itself, with the complete tool calls of these turns, in the order of the
-// session.
+// Messages returns the prompt of a turn: the messages of the turn and of the chain of turns that
+// it follows, with the complete tool calls of these turns, in session order.
 //
 //	history := view.Messages(7)
 func (view *View) Messages(seq uint64) []runnerclient.Message {
@@ -146,7 +147,8 @@
 	return messages
 }
 
-// chain returns the sequence numbers of a turn and of those that it follows.
+// chain returns the sequence numbers of a turn and of all turns that it follows, directly or
+// indirectly.
 func (view *View) chain(seq uint64) map[uint64]bool {
 	chain := map[uint64]bool{}
 	for current := seq; current != 0; {
--- a/system/conversation/conversation_test.go
+++ b/system/conversation/conversation_test.go
@@ -9,7 +9,8 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// branchedSession is a session in which two turns follow the first, the second of them with a tool.
+// branchedSession returns the events of a session in which two turns follow the first one; the
+// second of them makes tool calls.
 func branchedSession() []sessionlog.Event {
 	events := []sessionlog.Event{
 		{Kind: sessionlog.TurnBegun, Producer: "one", Text: "hello there"},
@@ -34,17 +35,17 @@
 	view := Fold(branchedSession())
 	first, found := view.Turn(1)
 	if !found || !first.Complete() || first.Output() != "dear caller" || first.WordCount() != 4 {
-		t.Errorf("the first turn: %+v", first)
+		t.Errorf("first turn: %+v", first)
 	}
 	left, _ := view.Turn(5)
 	if left.Complete() || left.Overdue(100) || !left.Overdue(101) || first.Overdue(101) {
-		t.Errorf("the open turn: %+v", left)
+		t.Errorf("open turn: %+v", left)
 	}
 	if _, found := view.Turn(7); found {
-		t.Error("a tool call is taken for a turn")
+		t.Error("Turn returned a tool call")
 	}
 	if call, found := view.Run(7); !found || !call.Complete() {
-		t.Errorf("the tool call: %+v", call)
+		t.Errorf("tool call: %+v", call)
 	}
 }
 
@@ -52,11 +53,11 @@
 	view := Fold(branchedSession())
 	for producer, seq := range map[string]uint64{"one": 1, "right": 6, "tool": 7, "fenced": 10} {
 		if event, found := view.StartByProducer(producer); !found || event.Seq != seq {
-			t.Errorf("%s started with %+v", producer, event)
+			t.Errorf("start of producer %s: got %+v", producer, event)
 		}
 	}
 	if _, found := view.StartByProducer("none"); found || view.Head != 11 {
-		t.Errorf("head %d", view.Head)
+		t.Errorf("an unknown producer was found, or head %d is not 11", view.Head)
 	}
 }
 
@@ -70,11 +71,11 @@
 	} {
 		want := append(append([]runnerclient.Message{}, first...), branch...)
 		if got := view.Messages(seq); !reflect.DeepEqual(got, want) {
-			t.Errorf("turn %d hears %+v, want %+v", seq, got, want)
+			t.Errorf("messages of turn %d: got %+v, want %+v", seq, got, want)
 		}
 	}
 	if got := view.Messages(0); len(got) != 0 {
-		t.Errorf("a new history hears %+v", got)
+		t.Errorf("messages without a turn: got %+v, want none", got)
 	}
 }
 
@@ -85,15 +86,15 @@
 		for rest := text; rest != ""; {
 			part := rest[:min(size, len(rest))]
 			if strings.ToValidUTF8(part, "") != part {
-				part = rest[:min(size+1, len(rest))] // don't split a character
+				part = rest[:min(size+1, len(rest))] // do not split a UTF-8 sequence
 			}
 			if accepted, fits := counter.CountUpTo(part, 100); !fits || accepted != part {
-				t.Fatalf("%q of %q was accepted", accepted, part)
+				t.Fatalf("accepted %q of %q", accepted, part)
 			}
 			rest = rest[len(part):]
 		}
 		if counter.Count != CountWords(text) || counter.Count != 6 {
-			t.Fatalf("%d words in parts of %d bytes", counter.Count, size)
+			t.Fatalf("got %d words in parts of %d bytes", counter.Count, size)
 		}
 	}
 }
@@ -101,9 +102,9 @@
 func TestCountUpToStopsAtLimit(t *testing.T) {
 	counter := &WordCounter{}
 	if accepted, fits := counter.CountUpTo("one two thr", 3); !fits || accepted != "one two thr" {
-		t.Fatalf("%q", accepted)
+		t.Fatalf("accepted %q below the limit", accepted)
 	}
 	if accepted, fits := counter.CountUpTo("ee four five", 3); fits || accepted != "ee " || counter.Count != 3 {
-		t.Fatalf("%q, %d words", accepted, counter.Count)
+		t.Fatalf("accepted %q, %d words", accepted, counter.Count)
 	}
 }
--- a/system/conversation/words.go
+++ b/system/conversation/words.go
@@ -5,15 +5,17 @@
 	"unicode"
 )
 
-// WordCounter counts the words of a text that comes in parts, which may split words. A word is
-// a longest run of characters that are not white space. The zero value has counted nothing.
+// WordCounter counts the words of a text that arrives in parts. A part may end within a word. A
+// word is a maximal sequence of characters other than white space. The zero value is ready to
+// use.
 type WordCounter struct {
 	Count  uint64
 	inWord bool
 }
 
-// CountUpTo counts the words of the next part of a text, as long as Count does not exceed a
-// limit. It returns the text up to there and reports whether that is all of it.
+// CountUpTo counts the words of the next part of a text and stops before the word that would
+// raise Count above limit. It returns the text up to there and reports whether that is the whole
+// part.
 //
 //	accepted, fits := counter.CountUpTo(part, 500)
 func (counter *WordCounter) CountUpTo(text string, limit uint64) (accepted string, fits bool) {
--- a/system/sessionlog/archive_progress.go
+++ b/system/sessionlog/archive_progress.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Unarchived iterates over the sessions that have events to be archived, in no certain order.
+// Unarchived iterates over the sessions with unarchived events, in unspecified order.
 //
 //	for session := range view.Unarchived() { ... }
 func (view *View) Unarchived() iter.Seq[*Session] {
@@ -20,10 +20,9 @@
 	}
 }
 
-// ackArchived advances the archive progress of sessions and evicts the events that are
-// archived. Acks that are out of date or beyond a session's head are passed over. Then it
-// removes expired sessions and idle prefixes, which needs a command so that all replicas do it
-// at the same index.
+// ackArchived advances the archive progress of sessions and evicts their archived events. Acks
+// that are stale or beyond a session's head are ignored. It also removes expired sessions and
+// idle prefixes: this must be part of a command so that all replicas do it at the same index.
 func (view *View) ackArchived(command *Command) Outcome {
 	for _, ack := range command.Acks {
 		view.evictArchived(ack)
@@ -33,7 +32,7 @@
 	return Outcome{}
 }
 
-// evictArchived drops a session's events up to an acknowledged sequence number.
+// evictArchived evicts a session's events up to the acknowledged sequence number.
 func (view *View) evictArchived(ack Ack) {
 	existing, found := view.sessions.Get(ack.Session)
 	if !found || ack.ArchivedSeq <= existing.ArchivedSeq || ack.ArchivedSeq > existing.Head {
@@ -41,7 +40,7 @@
 	}
 	session := *existing
 	session.ArchivedSeq = ack.ArchivedSeq
-	// The rest is copied, as a part of the old array would hold the evicted events in memory.
+	// The remaining events are cloned: a subslice would keep the evicted ones in memory.
 	session.Unarchived = slices.Clone(session.Unarchived[ack.ArchivedSeq-existing.ArchivedSeq:])
 	view.sessions = view.sessions.Set(session.Name, &session)
 	view.archiveDigests.Toggle(session.Name, existing.ArchivedSeq)
--- a/system/sessionlog/cache_locations.go
+++ b/system/sessionlog/cache_locations.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// maxCacheLocations is of how many conversations a session knows the runner: those of the main
-// line and of a few sub-agents that run beside it.
+// maxCacheLocations bounds the cache locations of a session. It has room for the main
+// conversation and a few concurrent sub-agents.
 const maxCacheLocations = 8
 
-// CacheLocation says which runner served the last turn of a conversation, and so probably has
-// its prompt in its prefix cache. It is a hint for the choice of a runner: nothing is wrong if
-// it is out of date or lost. It is replicated like the turns themselves, so that all fronts
-// find it, also after a power loss.
+// CacheLocation identifies the runner that served the last turn of a conversation and therefore
+// probably has the prompt in its prefix cache. It is a hint for runner selection; a stale or
+// missing one is harmless. It is replicated with the turns, so it is available to all fronts and
+// survives power loss.
 type CacheLocation struct {
-	// Conversation names the line of turns within the program.
+	// Conversation names the sequence of turns within the program.
 	Conversation string
-	// Runner is the incarnation of the runner.
+	// Runner identifies an incarnation of the runner.
 	Runner string
-	// Tokens is how many tokens of the conversation the runner had read or put out.
+	// Tokens is the number of tokens of the conversation that the runner has processed or
+	// generated.
 	Tokens uint64
 }
 
-// recordCacheLocation remembers the runner of the turn that a command ends. The newest
-// location comes last; the oldest is dropped if there are too many.
+// recordCacheLocation records the runner of the turn that a command ends. The newest location
+// comes last. The oldest one is dropped when there are maxCacheLocations.
 func (session *Session) recordCacheLocation(command *Command) {
 	if command.Runner == "" {
 		return
@@ -34,8 +35,9 @@
 	session.CacheLocations = append(locations, CacheLocation{Conversation: command.Conversation, Runner: command.Runner, Tokens: command.PromptTokens})
 }
 
-// cacheLocation returns the location of a conversation. One that is new in the session probably
-// begins with the prompt of the turn that ended last, as sub-agents do, so it has that location.
+// cacheLocation returns the location of a conversation. For an unknown conversation it returns
+// the newest location: the prompt of a new sub-agent usually begins with the prompt of the turn
+// that ended last.
 func (session *Session) cacheLocation(conversation string) CacheLocation {
 	if len(session.CacheLocations) == 0 {
 		return CacheLocation{}
--- a/system/sessionlog/digests.go
+++ b/system/sessionlog/digests.go
@@ -9,9 +9,9 @@
 // exchange digests by bucket number, so it must not change.
 const bucketCount = 64
 
-// BucketDigests are digests of how far a group's sessions are archived, one for each bucket.
-// Two replicas compare their archives by them at a cost that does not grow with the number of
-// sessions (anti-entropy). Equal digests mean equal progress but for collisions of 64 bits.
+// BucketDigests are digests of the archive progress of a group's sessions, one for each bucket.
+// Replicas compare their archives by them (anti-entropy) at a cost that is independent of the
+// number of sessions. Equal digests mean equal progress, except for 64-bit hash collisions.
 type BucketDigests [bucketCount]uint64
 
 // BucketOf returns the bucket of a session, from 0 to 63.
@@ -19,8 +19,8 @@
 //	bucket := sessionlog.BucketOf("team/c-1")
 func BucketOf(name string) int { return int(hashNameSeq(name, 0) % bucketCount) }
 
-// Toggle adds a session's archive progress to the digests, or removes it if it is in them. A
-// session of which nothing is archived does not count.
+// Toggle adds a session's archive progress to the digests, or removes it if they include it. An
+// archivedSeq of 0 has no effect.
 //
 //	digests.Toggle("team/c-1", 40)
 func (digests *BucketDigests) Toggle(name string, archivedSeq uint64) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// hashNameSeq is a hash of a name and a number. All replicas must agree on it, whatever
-// version of the program they run.
+// hashNameSeq hashes a session name and a sequence number. All replicas must compute the same
+// hash, also across versions of the program.
 func hashNameSeq(name string, seq uint64) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
@@ -38,7 +38,7 @@
 	return hash.Sum64()
 }
 
-// ArchiveDigests returns the digests of how far the group's sessions are archived.
+// ArchiveDigests returns the digests of the archive progress of the group's sessions.
 //
 //	if view.ArchiveDigests() == store.BucketDigests(group) { ... }
 func (view *View) ArchiveDigests() BucketDigests { return view.archiveDigests }
--- a/system/sessionlog/expiry.go
+++ b/system/sessionlog/expiry.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// ExpiresAt returns when the session's retention ends, by the group's clock.
+// ExpiresAt returns the time, by the group's clock, at which the session's retention ends.
 //
 //	if session.ExpiresAt().Before(now) { ... }
 func (session *Session) ExpiresAt() time.Time {
 	return time.Unix(0, max(session.UpdatedAt+int64(session.Retention), session.RetainUntil))
 }
 
-// HasExpired tells whether the retention of some session may be over at a time. It may report
-// true for a session that was updated since; removeExpired then keeps it. It never misses one.
+// HasExpired reports whether any session may have expired at the given time of the group's clock,
+// in nanoseconds. It has no false negatives, but may return true for a session that was updated
+// since it was indexed; removeExpired keeps such a session.
 //
 //	if view.HasExpired(clock) { ... }
 func (view *View) HasExpired(clock int64) bool {
@@ -21,15 +22,15 @@
 	return found && first.dueAt < clock
 }
 
-// expiryEntry is an entry of the index of expiries: a session and a time, by the group's clock,
-// that is not after its expiry.
+// expiryEntry is an entry of the expiry index. dueAt is a lower bound of the session's expiry, by
+// the group's clock.
 type expiryEntry struct {
 	key     string
-	dueAt      int64
+	dueAt   int64
 	session string
 }
 
-// firstExpiry returns the earliest entry of the index of expiries.
+// firstExpiry returns the earliest entry of the expiry index.
 func (view *View) firstExpiry() (first expiryEntry, found bool) {
 	iterator := view.expiries.Iterator()
 	key, session, found := iterator.Next()
@@ -39,8 +40,8 @@
 	return expiryEntry{key: key, dueAt: int64(binary.BigEndian.Uint64([]byte(key))), session: session}, true
 }
 
-// removeExpired removes the sessions whose retention is over. An entry of the index that is
-// due may be out of date, as updates don't move it; then it is moved now.
+// removeExpired removes the expired sessions. Updates of a session do not move its index entry,
+// so an entry that is due may be stale; it is then moved to the current expiry.
 func (view *View) removeExpired() {
 	for {
 		first, found := view.firstExpiry()
@@ -59,7 +60,7 @@
 	}
 }
 
-// removeSession takes a session out of the view and all its indexes but expiries.
+// removeSession removes a session from the view and from all indexes except expiries.
 func (view *View) removeSession(session *Session) {
 	view.sessions = view.sessions.Delete(session.Name)
 	view.unarchived = view.unarchived.Delete(session.Name)
@@ -68,7 +69,8 @@
 	view.releasePrefixes(session)
 }
 
-// expiryKey sorts by the time of expiry: eight bytes of it, then the session's name.
+// expiryKey returns an index key that sorts by expiry: its nanoseconds as eight big-endian bytes,
+// then the session's name.
 func expiryKey(session *Session) string {
 	return string(binary.BigEndian.AppendUint64(nil, uint64(session.ExpiresAt().UnixNano()))) + session.Name
 }
--- a/system/sessionlog/quota.go
+++ b/system/sessionlog/quota.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// QuotaUsage is what a team's program used of its quota in a period, in words. Spent and what
-// Reservations reserve together stay within the quota, but for one last turn.
+// QuotaUsage is the usage of the quota of a team's program in a period, in words. The sum of
+// Spent and Reservations stays within the quota, except that one last turn may exceed it.
 type QuotaUsage struct {
 	Name         string
 	Spent        uint64
 	Reservations []Reservation
-	// Settled has the reservations that were settled lately, so that a late Reserve can't
+	// Settled has the recently settled reservations, so that a delayed Reserve does not
 	// reserve again.
 	Settled []Reservation
 }
 
-// Reservation is what a running turn may still put out, in words. ExpiresAt is the time, by
-// the group's clock, after which the settler closes the turn; for a settled one, until when it
-// is remembered.
+// Reservation is the number of words that is reserved for a running turn. ExpiresAt is the time,
+// by the group's clock, after which the settler closes the turn or, for a settled reservation,
+// until which it is remembered.
 type Reservation struct {
 	Name      string
 	Words     uint64
 	ExpiresAt int64
 }
 
-// Reserved returns how many words are reserved in all.
+// Reserved returns the total number of reserved words.
 //
 //	used := usage.Spent + usage.Reserved()
 func (usage *QuotaUsage) Reserved() uint64 {
@@ -38,16 +38,16 @@
 	return total
 }
 
-// QuotaName returns the name of the quota of a team's program in a period. It is stored, and
-// decides which group has the quota.
+// QuotaName returns the name of the quota of a team's program in a period. The name is stored and
+// determines which group holds the quota.
 //
 //	name := sessionlog.QuotaName("depot", "dialogue", "first")
 func QuotaName(team, program, period string) string {
 	return "tally:" + team + "/" + program + "/" + period
 }
 
-// ReservationName names a turn's reservation after its session and dispatch, so that whoever
-// finds the reservation can find out what became of the turn.
+// ReservationName returns the name of a turn's reservation. It consists of the session and the
+// dispatch, so that the turn can be looked up from the reservation.
 //
 //	name := sessionlog.ReservationName("team/c-1", dispatch)
 func ReservationName(sessionName, dispatch string) string {
@@ -64,7 +64,7 @@
 	return sessionName, dispatch
 }
 
-// QuotaUsage returns the usage of a quota; of an unknown one nothing is used.
+// QuotaUsage returns the usage of a quota, which is zero for an unknown quota.
 //
 //	spent := machine.View().QuotaUsage(sessionlog.QuotaName("depot", "dialogue", "first")).Spent
 func (view *View) QuotaUsage(name string) QuotaUsage {
@@ -74,18 +74,18 @@
 	return QuotaUsage{Name: name}
 }
 
-// QuotaUsages iterates over the usage of all quotas, in no certain order.
+// QuotaUsages iterates over the usage of all quotas, in unspecified order.
 //
 //	for usage := range view.QuotaUsages() { ... }
 func (view *View) QuotaUsages() iter.Seq[*QuotaUsage] { return values(view.quotaUsages) }
 
-// settledRetention is how long a settled reservation is remembered: longer than any Reserve
-// for it can still be in flight.
+// settledRetention is how long a settled reservation is remembered. It must exceed the time for
+// which a Reserve can be in flight.
 const settledRetention = time.Minute
 
-// reserve sets words aside, unless the quota does not cover them. A turn that would exceed the
-// quota may still run if it is the only one and anything is left, so that a quota which is
-// smaller than a turn can be used up.
+// reserve reserves words if the quota covers them. A turn that would exceed the quota is still
+// admitted if nothing else is reserved and the quota is not used up, so that a remainder smaller
+// than one turn can be used.
 func (view *View) reserve(command *Command) Outcome {
 	usage := view.QuotaUsage(command.Session)
 	if indexOfReservation(usage.Reservations, command.Reservation) >= 0 {
@@ -106,9 +106,9 @@
 	return usage.result(Done, false)
 }
 
-// settle replaces a reservation by the words that its turn used, and by no more than were
-// reserved. A reservation that is unknown is remembered as settled all the same, as its
-// Reserve may still be in flight.
+// settle replaces a reservation with the number of words that its turn used, at most the number
+// reserved. An unknown reservation is remembered as settled too, because its Reserve may still be
+// in flight.
 func (view *View) settle(command *Command) Outcome {
 	usage := view.QuotaUsage(command.Session)
 	position := indexOfReservation(usage.Reservations, command.Reservation)
--- a/system/sessionlog/sessions.go
+++ b/system/sessionlog/sessions.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Session is the ordered event log of one conversation or program, as of a view. It is never
-// changed once published. Times are nanoseconds of the group's clock.
+// Session is the ordered event log of one conversation or program in a view. It is immutable once
+// published. Times are in nanoseconds of the group's clock.
 type Session struct {
 	Name      string
 	Team      string
@@ -16,33 +16,34 @@
 	// Retention is how long the session is kept after UpdatedAt.
 	Retention time.Duration
 	UpdatedAt int64
-	// Head is the Seq of the newest event, 0 if there is none.
+	// Head is the Seq of the newest event, or 0 if there are no events.
 	Head uint64
-	// ArchivedSeq is the Seq up to which events are in the archive and evicted from here.
+	// ArchivedSeq is the Seq up to which events are archived and evicted from Unarchived.
 	ArchivedSeq uint64
 	// Producers has the last append of each producer, for deduplication. It grows with the
-	// number of producers and goes with the session.
+	// number of producers for the lifetime of the session.
 	Producers []Producer
 	// Unarchived are the events after ArchivedSeq.
 	Unarchived []Event
-	// OpenTurns has the Seq of the opening event of each open run that AppendEvent and
-	// AppendEvents made.
+	// OpenTurns has the Seq of the opening event of each open run that was appended by
+	// AppendEvent or AppendEvents.
 	OpenTurns []uint64
-	// RetainUntil is the time until which the session is kept at least.
+	// RetainUntil is the earliest time at which the session may expire.
 	RetainUntil int64
-	// Spent and Reserved are the tokens of a program's turns: those that were put out, and
-	// those that open turns may still put out.
+	// Spent and Reserved are the tokens of a program's turns: the output tokens of ended
+	// turns, and the tokens reserved for open turns.
 	Spent    uint64
 	Reserved uint64
-	// Turns names the turns of a program in the order in which they began.
+	// Turns has the names of a program's turns in the order in which they began.
 	Turns []string
-	// Prefixes names the shared prefixes to which events refer, archived events included.
+	// Prefixes has the names of the shared prefixes to which events refer, including archived
+	// events.
 	Prefixes []string
-	// CacheLocations has the runners of the program's conversations, the newest last.
+	// CacheLocations has the cache locations of the program's conversations, newest last.
 	CacheLocations []CacheLocation
 }
 
-// Producer is the last append of one producer: its number, and the Seq of its first event.
+// Producer is the last append of one producer: its ProducerSeq and the Seq of its first event.
 type Producer struct {
 	Name        string
 	ProducerSeq uint64
@@ -50,7 +51,7 @@
 	At          int64
 }
 
-// createSession adds an empty session, unless there is one of that name.
+// createSession adds an empty session unless one of that name exists.
 func (view *View) createSession(command *Command) Outcome {
 	if existing, found := view.sessions.Get(command.Session); found {
 		return Outcome{Head: existing.Head, Deduped: true}
@@ -64,7 +65,7 @@
 	return Outcome{}
 }
 
-// appendEvents appends a command's events to an existing session, all or none.
+// appendEvents atomically appends a command's events to an existing session.
 func (view *View) appendEvents(command *Command) Outcome {
 	existing, found := view.sessions.Get(command.Session)
 	if !found {
@@ -90,8 +91,9 @@
 	return Outcome{Seq: first, Head: session.Head}
 }
 
-// repeatedAppend returns the outcome of an append that its producer made already, or followed
-// by a later one. Of an earlier append only the later one's position is known.
+// repeatedAppend returns the result of an append that was already applied, or that is older than
+// the producer's last one. For an older append, Seq is that of the last one, as earlier positions
+// are not kept.
 func (session *Session) repeatedAppend(command *Command) (result Outcome, repeated bool) {
 	position := session.producerIndex(command.Producer)
 	if position < 0 {
@@ -111,7 +113,7 @@
 	return slices.IndexFunc(session.Producers, func(producer Producer) bool { return producer.Name == name })
 }
 
-// recordProducer puts a producer's last append in place of the one before.
+// recordProducer replaces the recorded last append of a producer.
 func (session *Session) recordProducer(last Producer) {
 	session.Producers = slices.Clone(session.Producers)
 	if position := session.producerIndex(last.Name); position >= 0 {
@@ -121,8 +123,8 @@
 	}
 }
 
-// appendBatch appends a command's events to a session that is not published yet. It reports
-// false if one of them belongs to a run that is not open; the session must then be discarded.
+// appendBatch appends a command's events to an unpublished session. It returns false if one of
+// them belongs to a run that is not open; the session must then be discarded.
 func (session *Session) appendBatch(command *Command, clock int64) bool {
 	openTurns := slices.Clone(session.OpenTurns)
 	appended := make([]Event, 0, len(command.Events))
@@ -148,9 +150,9 @@
 	return true
 }
 
-// appendEvent appends one event to a session that is not published yet and returns its Seq.
-// It may share the array of Unarchived with earlier views: only the newest version of a
-// session is ever appended to, and the earlier ones don't look beyond their own length.
+// appendEvent appends one event to an unpublished session and returns its Seq. Sharing the backing
+// array of Unarchived with earlier views is safe: events are only appended to the newest version
+// of a session, and earlier versions do not read beyond their own length.
 func (session *Session) appendEvent(event Event) uint64 {
 	session.Head++
 	event.Seq = session.Head
--- a/system/sessionlog/shared_prefixes.go
+++ b/system/sessionlog/shared_prefixes.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// MinPrefixBytes is the least length of a shared prefix; sharing a shorter one saves
+	// MinPrefixBytes is the minimum length of a shared prefix; sharing a shorter one saves
 	// nothing.
 	MinPrefixBytes = 256
-	// MaxPrefixBytes is the greatest length of a shared prefix.
+	// MaxPrefixBytes is the maximum length of a shared prefix.
 	MaxPrefixBytes = 64 << 10
-	// maxPrefixesPerScope bounds the shared prefixes of one scope in one group.
+	// maxPrefixesPerScope is the maximum number of shared prefixes of one scope in a group.
 	maxPrefixesPerScope = 32
-	// idlePrefixLifetime is how long, by the group's clock, a prefix stays to which no session
-	// refers.
+	// idlePrefixLifetime is how long an unreferenced prefix is kept, by the group's clock.
 	idlePrefixLifetime = time.Minute
 )
 
-// SharedPrefix is a beginning that the inputs of first turns of several sessions have in
-// common. A group stores it once for all its sessions, and a process keeps it in memory once
-// for all its groups. It is never changed once published.
+// SharedPrefix is a common prefix of the inputs of first turns of several sessions. A group stores
+// it once for all its sessions, and a process keeps its content in memory once for all groups.
+// It is immutable once published.
 type SharedPrefix struct {
 	// Name is a digest of the scope and the content (SharedPrefixName).
 	Name string
-	// Scope is whose sessions may share the prefix, as the route's configuration says.
+	// Scope identifies the set of sessions that may share the prefix. It comes from the
+	// route's configuration.
 	Scope string
 	// Size is the length of the content in bytes.
 	Size uint64
 	// References is the number of sessions that refer to the prefix. While it is 0, the
-	// prefix stays until KeepUntil, in nanoseconds of the group's clock.
+	// prefix is kept until KeepUntil, in nanoseconds of the group's clock.
 	References uint64
 	KeepUntil  int64
-	// Corrupt tells that the content did not match the name; then there is none.
+	// Corrupt is set if the content did not match the name; content is then unset.
 	Corrupt bool
 
 	content unique.Handle[prefixContent]
 }
 
-// prefixContent is what a process keeps once for all its groups. The whole text is compared,
-// not a digest of it, and texts of two scopes are never the same one.
+// prefixContent is interned once per process. Contents are compared in full, not by digest, and
+// contents of different scopes are never shared.
 type prefixContent struct{ scope, data string }
 
-// SharedPrefixName returns the name of a shared prefix: a digest of its scope and content, and
-// its length. It is stored.
+// SharedPrefixName returns the name of a shared prefix: a digest of its scope and content, and its
+// length. The name is stored.
 //
 //	name := sessionlog.SharedPrefixName("identity", data)
 func SharedPrefixName(scope string, data []byte) string {
@@ -60,7 +60,7 @@
 	return hex.EncodeToString(digest.Sum(nil)[:16]) + "-" + strconv.Itoa(len(data))
 }
 
-// Text returns the content; "" of a corrupt prefix.
+// Text returns the content, or "" if the prefix is corrupt.
 //
 //	if strings.HasPrefix(input, prefix.Text()) { ... }
 func (prefix *SharedPrefix) Text() string {
@@ -70,7 +70,8 @@
 	return prefix.content.Value().data
 }
 
-// SavedBytes returns how many bytes each replica of the group saves by the prefix.
+// SavedBytes returns the number of bytes that each replica of the group saves by sharing the
+// prefix.
 //
 //	saved += prefix.SavedBytes()
 func (prefix *SharedPrefix) SavedBytes() uint64 {
@@ -80,18 +81,18 @@
 	return (prefix.References - 1) * prefix.Size
 }
 
-// SharedPrefix finds a shared prefix by name.
+// SharedPrefix returns a shared prefix by name.
 //
 //	prefix, found := machine.View().SharedPrefix(event.Prefix)
 func (view *View) SharedPrefix(name string) (*SharedPrefix, bool) { return view.prefixes.Get(name) }
 
-// SharedPrefixes iterates over all shared prefixes of the group, in no certain order.
+// SharedPrefixes iterates over all shared prefixes of the group, in unspecified order.
 //
 //	for prefix := range view.SharedPrefixes() { ... }
 func (view *View) SharedPrefixes() iter.Seq[*SharedPrefix] { return values(view.prefixes) }
 
-// LongestSharedPrefix finds the longest prefix of a scope with which an input begins, byte for
-// byte.
+// LongestSharedPrefix returns the longest shared prefix of a scope with which an input begins,
+// compared byte for byte.
 //
 //	prefix, found := machine.View().LongestSharedPrefix("identity", input)
 func (view *View) LongestSharedPrefix(scope string, input []byte) (*SharedPrefix, bool) {
@@ -104,8 +105,8 @@
 	return nil, false
 }
 
-// FullData returns an event's data with the shared prefix to which it refers. It reports false
-// if this replica has no intact copy of that prefix.
+// FullData returns an event's data, preceded by the shared prefix to which the event refers. It
+// returns false if this replica has no intact copy of that prefix.
 //
 //	data, intact := view.FullData(&event)
 func (view *View) FullData(event *Event) ([]byte, bool) {
@@ -119,7 +120,8 @@
 	return slices.Concat([]byte(prefix.Text()), event.Data), true
 }
 
-// HasIdlePrefix tells whether some shared prefix may be freed at a time.
+// HasIdlePrefix reports whether any shared prefix may be freed at the given time of the group's
+// clock, in nanoseconds.
 //
 //	if view.HasIdlePrefix(clock) { ... }
 func (view *View) HasIdlePrefix(clock int64) bool {
@@ -131,14 +133,14 @@
 	return false
 }
 
-// idle tells whether the prefix may be freed: no session has referred to it for a while.
+// idle reports whether the prefix may be freed: it is unreferenced and KeepUntil has passed.
 func (prefix *SharedPrefix) idle(clock int64) bool {
 	return prefix.References == 0 && prefix.KeepUntil < clock
 }
 
-// sharePrefix stores a prefix, or repairs a corrupt copy of it, and makes the sessions that
-// are named refer to it as far as their first turns begin with it. At an intact replica a
-// repair changes nothing, so replicas stay the same.
+// sharePrefix stores a prefix, or repairs a corrupt copy of it, and replaces it with a reference in
+// those first turns of the named sessions that begin with it. A repair has no effect on replicas
+// whose copy is intact, so all replicas end with the same content.
 func (view *View) sharePrefix(command *Command) Outcome {
 	size := len(command.Data)
 	if command.Scope == "" || size < MinPrefixBytes || size > MaxPrefixBytes {
@@ -168,8 +170,8 @@
 	return Outcome{Deduped: found}
 }
 
-// factorOutPrefix replaces a prefix by a reference in the first turns of a session that begin
-// with it, byte for byte, and are not archived. Views that were published keep their data.
+// factorOutPrefix replaces a prefix with a reference in those unarchived first turns of a session
+// that begin with it, byte for byte. Published views are not affected.
 func (view *View) factorOutPrefix(sessionName, name string, data []byte) {
 	existing, found := view.sessions.Get(sessionName)
 	if !found {
@@ -192,9 +194,9 @@
 	view.sessions = view.sessions.Set(sessionName, &session)
 }
 
-// beginTurnWithPrefix is beginTurn with an input that begins with a shared prefix of the same
-// scope. It is rejected if the group does not have that prefix (any more). A repeat is not
-// checked again, as it begins nothing.
+// beginTurnWithPrefix is beginTurn for an input that begins with a shared prefix of the same
+// scope. It is rejected if the group does not have that prefix. A repeat is not checked again, as
+// it does not begin a turn.
 func (view *View) beginTurnWithPrefix(command *Command) Outcome {
 	if _, repeated := view.Turn(command.Session, command.Producer); !repeated {
 		prefix, found := view.prefixes.Get(command.Prefix)
@@ -206,8 +208,7 @@
 	return view.beginTurn(command)
 }
 
-// addPrefixReference makes a session that is not published yet refer to a prefix, which the
-// caller knows to exist.
+// addPrefixReference adds a reference to an existing prefix to an unpublished session.
 func (view *View) addPrefixReference(session *Session, name string) {
 	if slices.Contains(session.Prefixes, name) {
 		return
@@ -219,7 +220,7 @@
 	view.setPrefix(&prefix)
 }
 
-// releasePrefixes drops the references of a session that is removed.
+// releasePrefixes drops the prefix references of a session that is being removed.
 func (view *View) releasePrefixes(session *Session) {
 	for _, name := range session.Prefixes {
 		existing, found := view.prefixes.Get(name)
@@ -233,8 +234,8 @@
 	}
 }
 
-// freeIdlePrefixes frees the prefixes to which no session has referred for a while. A reader of
-// an earlier view still has them; a turn that would refer to one gets UnknownPrefix.
+// freeIdlePrefixes removes the idle prefixes. Readers of earlier views can still read them; a new
+// turn that refers to one is rejected with UnknownPrefix.
 func (view *View) freeIdlePrefixes() {
 	for prefix := range view.SharedPrefixes() {
 		if prefix.idle(view.clock) {
@@ -243,7 +244,7 @@
 	}
 }
 
-// setPrefix puts a prefix into the view, in place of the one of its name.
+// setPrefix adds a prefix to the view and replaces any of the same name.
 func (view *View) setPrefix(prefix *SharedPrefix) {
 	view.removePrefix(prefix)
 	view.prefixes = view.prefixes.Set(prefix.Name, prefix)
@@ -258,7 +259,7 @@
 	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, scopePrefixes)
 }
 
-// removePrefix takes a prefix out of the view.
+// removePrefix removes a prefix from the view.
 func (view *View) removePrefix(prefix *SharedPrefix) {
 	view.prefixes = view.prefixes.Delete(prefix.Name)
 	scopePrefixes, _ := view.prefixesByScope.Get(prefix.Scope)
@@ -270,7 +271,7 @@
 	view.prefixesByScope = view.prefixesByScope.Set(prefix.Scope, remaining)
 }
 
-// internContent returns the one copy of a content that this process keeps.
+// internContent returns a handle to the process-wide copy of a content.
 func internContent(scope string, data []byte) unique.Handle[prefixContent] {
 	return unique.Make(prefixContent{scope, string(data)})
 }
--- a/system/sessionlog/shared_prefixes_model_test.go
+++ b/system/sessionlog/shared_prefixes_model_test.go
@@ -12,17 +12,17 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// The beginnings of the modelled inputs, the last too short to be shared; the scopes, and how
-// many sessions each has.
+// The prefixes of the generated inputs, of which the last is too short to be shared, and the
+// scopes.
 var (
-	modelPrefixes  = []string{repeatLetter("a", 300), repeatLetter("a", 300) + repeatLetter("b", 300), repeatLetter("c", 400), repeatLetter("a", 20)}
-	modelScopes = []string{"identity", "permits"}
+	modelPrefixes = []string{repeatLetter("a", 300), repeatLetter("a", 300) + repeatLetter("b", 300), repeatLetter("c", 400), repeatLetter("a", 20)}
+	modelScopes   = []string{"identity", "permits"}
 )
 
 const modelSessionsPerScope = 40
 
-// prefixModel drives the sessions of one group and remembers what was written and what was
-// archived, by session and sequence number. Its methods return what is wrong, or "".
+// prefixModel drives the sessions of one group. It records the written inputs and the archived
+// events by eventKey. Its methods return a description of the first violation, or "".
 type prefixModel struct {
 	machine  *StateMachine
 	clock    time.Duration
@@ -30,14 +30,14 @@
 	archived map[string]Event
 }
 
-// TestSharedPrefixesLoseNoData drives turns with and without shared prefixes, merges,
-// archiving, expiry and snapshots in any order; every event that is retained reads as it was
-// written.
+// TestSharedPrefixesLoseNoData applies random sequences of turns with and without shared prefixes,
+// SharePrefix, archiving, expiry and snapshots. It guards against a retained event whose full data
+// differs from the written input.
 func TestSharedPrefixesLoseNoData(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 200
 	properties := gopter.NewProperties(parameters)
-	properties.Property("what is retained reads as it was written", prop.ForAll(func(steps []uint16) string {
+	properties.Property("retained events read as written", prop.ForAll(func(steps []uint16) string {
 		model := &prefixModel{machine: NewStateMachine(), clock: time.Second, written: map[string]string{}, archived: map[string]Event{}}
 		for position, step := range steps {
 			if violation := model.step(step, position); violation != "" {
@@ -75,8 +75,8 @@
 	return ""
 }
 
-// begin begins a turn, as a leader does it: with a shared prefix if there is one and the turn
-// may use it.
+// begin begins a turn in the way a leader does: with a shared prefix if one matches and mayShare
+// is set.
 func (model *prefixModel) begin(sessionName, scope, prefixText string, position int, mayShare bool) string {
 	name, input := fmt.Sprintf("t%d", position), fmt.Sprintf("%s said at %d", prefixText, position)
 	command := Command{Kind: BeginTurn, Session: sessionName, Now: int64(model.clock), Retention: 20 * time.Second, Producer: name, Dispatch: name, KeepData: true, Data: []byte(input), Lifetime: time.Second}
@@ -85,13 +85,13 @@
 	}
 	got := model.machine.Apply(&command)
 	if got.Status != Done {
-		return fmt.Sprintf("%+v", got)
+		return fmt.Sprintf("BeginTurn: %+v", got)
 	}
 	model.written[eventKey(sessionName, got.Seq)] = input
 	return ""
 }
 
-// share stores a prefix and merges it in all sessions of its scope.
+// share shares a prefix among all sessions of its scope.
 func (model *prefixModel) share(scope, prefixText string) {
 	sessions := []string{}
 	for number := range modelSessionsPerScope {
@@ -102,7 +102,7 @@
 	model.machine.Apply(&command)
 }
 
-// restart has a replica start again from a snapshot.
+// restart replaces the state machine by one restored from its snapshot.
 func (model *prefixModel) restart() string {
 	snapshot := model.machine.View().Snapshot()
 	model.machine = NewStateMachine()
@@ -110,12 +110,12 @@
 		return err.Error()
 	}
 	if !reflect.DeepEqual(snapshot, model.machine.View().Snapshot()) {
-		return "a restored group is another"
+		return "snapshot of the restored state machine differs"
 	}
 	return ""
 }
 
-// archive archives all events, and has what expired removed.
+// archive archives all events and removes expired sessions and idle prefixes.
 func (model *prefixModel) archive() {
 	command := Command{Kind: AckArchived, Now: int64(model.clock)}
 	for session := range model.machine.View().Unarchived() {
@@ -127,7 +127,7 @@
 	model.machine.Apply(&command)
 }
 
-// check reads every event of every session, and counts the references to each prefix.
+// check verifies every event of every session and the reference count of each prefix.
 func (model *prefixModel) check() string {
 	view, references := model.machine.View(), map[string]uint64{}
 	for session := range view.Sessions() {
@@ -137,13 +137,13 @@
 		for _, name := range session.Prefixes {
 			references[name]++
 			if prefix, found := view.SharedPrefix(name); !found || !strings.Contains(session.Name, prefix.Scope) {
-				return fmt.Sprintf("%s refers to %s", session.Name, name)
+				return fmt.Sprintf("%s refers to %s, which is missing or of another scope", session.Name, name)
 			}
 		}
 	}
 	for prefix := range view.SharedPrefixes() {
 		if prefix.References != references[prefix.Name] || prefix.Name != SharedPrefixName(prefix.Scope, []byte(prefix.Text())) {
-			return fmt.Sprintf("%+v is referred to by %d sessions", prefix, references[prefix.Name])
+			return fmt.Sprintf("prefix %+v: %d sessions refer to it", prefix, references[prefix.Name])
 		}
 	}
 	return ""
@@ -157,7 +157,7 @@
 			event = session.Unarchived[seq-session.ArchivedSeq-1]
 		}
 		if got, intact := view.FullData(&event); !intact || string(got) != model.written[key] {
-			return fmt.Sprintf("%s reads %q, written was %q", key, got, model.written[key])
+			return fmt.Sprintf("%s reads %q, want %q", key, got, model.written[key])
 		}
 	}
 	return ""
--- a/system/sessionlog/shared_prefixes_test.go
+++ b/system/sessionlog/shared_prefixes_test.go
@@ -45,7 +45,7 @@
 		{with(beginWithPrefix("program/a", "one", "identity", name, "x"), func(command *Command) { command.KeepData = false }), UnknownPrefix},
 		{beginWithPrefix("program/a", "one", "identity", name, "x"), Done},
 		{beginWithPrefix("program/a", "one", "identity", name, "x"), Done},
-		{beginWithPrefix("program/a", "one", "identity", "no such", "x"), Done}, // a repeat begins nothing
+		{beginWithPrefix("program/a", "one", "identity", "no such", "x"), Done}, // a repeat does not begin a turn
 	} {
 		if got := machine.Apply(&step.command); got.Status != step.want {
 			t.Errorf("step %d: got %+v, want %d", position, got, step.want)
@@ -54,23 +54,23 @@
 	view := machine.View()
 	stored, found := view.LongestSharedPrefix("identity", []byte(prefix+"x"))
 	if !found || stored.Name != name || stored.References != 1 || stored.Text() != prefix {
-		t.Fatalf("%+v", stored)
+		t.Fatalf("stored prefix: %+v", stored)
 	}
 	if _, found := view.LongestSharedPrefix("permits", []byte(prefix+"x")); found {
-		t.Fatal("another scope's prefix is found")
+		t.Fatal("found the prefix of another scope")
 	}
 	if _, found := view.LongestSharedPrefix("identity", []byte(repeatLetter("a", MinPrefixBytes-1)+"b")); found {
-		t.Fatal("a prefix is found that the input does not begin with")
+		t.Fatal("found a prefix that the input does not begin with")
 	}
 	session, _ := view.Session("program/a")
 	if got, intact := view.FullData(&session.Unarchived[0]); !intact || string(got) != prefix+"x" || len(session.Unarchived[0].Data) != 1 {
-		t.Fatalf("%q %t", got, intact)
+		t.Fatalf("full data %q, intact %t", got, intact)
 	}
-	// The longest prefix is used.
+	// The longest matching prefix is returned.
 	longer := shareCommand("identity", prefix+repeatLetter("b", 300))
 	machine.Apply(&longer)
 	if stored, _ := machine.View().LongestSharedPrefix("identity", []byte(prefix+repeatLetter("b", 400))); stored.Size != MinPrefixBytes+300 {
-		t.Fatalf("%+v", stored)
+		t.Fatalf("longest prefix: %+v", stored)
 	}
 	for number := range maxPrefixesPerScope {
 		command := shareCommand("permits", prefix+fmt.Sprint(number))
@@ -78,7 +78,7 @@
 	}
 	extra := shareCommand("permits", prefix+"one more")
 	if got := machine.Apply(&extra); got.Status != TooManyPrefixes {
-		t.Fatalf("%+v", got)
+		t.Fatalf("prefix beyond the maximum: %+v", got)
 	}
 }
 
@@ -98,15 +98,15 @@
 	before := machine.View()
 	snapshot := before.Snapshot()
 	share := shareCommand("identity", prefix, "program/a", "program/b", "program/c", "program/unknown")
-	for range 2 { // a repeat changes nothing
+	for range 2 { // a repeat has no effect
 		machine.Apply(&share)
 		stored, _ := machine.View().SharedPrefix(SharedPrefixName("identity", []byte(prefix)))
 		if stored.References != 2 || stored.SavedBytes() != MinPrefixBytes {
-			t.Fatalf("%+v", stored)
+			t.Fatalf("stored prefix: %+v", stored)
 		}
 	}
 	if !reflect.DeepEqual(snapshot, before.Snapshot()) {
-		t.Fatal("an earlier view was changed")
+		t.Fatal("an earlier view was modified")
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		session, _ := machine.View().Session("program/" + name)
@@ -114,11 +114,11 @@
 		for position := range session.Unarchived {
 			got, intact := machine.View().FullData(&session.Unarchived[position])
 			if !intact || string(got) != string(earlier.Unarchived[position].Data) {
-				t.Fatalf("%s: %q", name, got)
+				t.Fatalf("session %s reads %q", name, got)
 			}
 		}
 		if shared := session.Unarchived[0].Prefix != ""; shared != (name != "c") || session.Unarchived[1].Prefix != "" {
-			t.Fatalf("%s: %+v", name, session.Unarchived)
+			t.Fatalf("session %s: %+v", name, session.Unarchived)
 		}
 	}
 }
@@ -134,34 +134,34 @@
 	at(time.Second, shareCommand("identity", prefix))
 	at(time.Second, beginWithPrefix("program/a", "one", "identity", name, "x"))
 	at(2*time.Second, Command{Kind: AckArchived, Acks: []Ack{{Session: "program/a", ArchivedSeq: 1}}})
-	retained := 2*time.Minute + 2*time.Second // the turn's lifetime and the retention after it
+	retained := 2*time.Minute + 2*time.Second // the turn's lifetime plus the retention
 	for _, step := range []struct {
 		now            time.Duration
 		session, found bool
 	}{{retained - 2*time.Second, true, true}, {retained, false, true}, {retained + idlePrefixLifetime - time.Second, false, true}, {retained + idlePrefixLifetime + time.Second, false, false}} {
 		earlier := machine.View()
 		if due := earlier.HasIdlePrefix(int64(step.now)); due == step.found {
-			t.Fatalf("at %s something is due: %t", step.now, due)
+			t.Fatalf("at %s HasIdlePrefix is %t", step.now, due)
 		}
 		at(step.now, Command{Kind: AckArchived})
 		if _, known := machine.View().Session("program/a"); known != step.session {
-			t.Fatalf("at %s the session is known: %t", step.now, known)
+			t.Fatalf("at %s session found: %t", step.now, known)
 		}
 		if _, found := machine.View().SharedPrefix(name); found != step.found {
-			t.Fatalf("at %s the prefix is stored: %t", step.now, found)
+			t.Fatalf("at %s prefix found: %t", step.now, found)
 		}
 		if got, intact := earlier.FullData(&Event{Prefix: name, Data: []byte("x")}); !intact || string(got) != prefix+"x" {
-			t.Fatalf("at %s a reader of an earlier view got %q", step.now, got)
+			t.Fatalf("at %s an earlier view reads %q", step.now, got)
 		}
 	}
 	if got := at(time.Hour, beginWithPrefix("program/b", "two", "identity", name, "x")); got.Status != UnknownPrefix {
-		t.Fatalf("a turn refers to a prefix that was freed: %+v", got)
+		t.Fatalf("turn with a freed prefix: %+v", got)
 	}
 	if _, intact := machine.View().FullData(&Event{Prefix: name, Data: []byte("x")}); intact {
-		t.Fatal("a reference to a freed prefix gave something")
+		t.Fatal("FullData succeeded for a freed prefix")
 	}
 	if _, found := machine.View().Session("program/b"); found || machine.View().prefixesByScope.Len() != 0 {
-		t.Fatal("something is left")
+		t.Fatal("the rejected session or the freed prefix is still there")
 	}
 }
 
@@ -175,7 +175,7 @@
 	machine.Apply(&begin)
 	snapshot := machine.View().Snapshot()
 	if snapshot.Version != snapshotVersion {
-		t.Fatalf("format %d", snapshot.Version)
+		t.Fatalf("snapshot version %d", snapshot.Version)
 	}
 	snapshot.Prefixes = slices.Clone(snapshot.Prefixes)
 	snapshot.Prefixes[0].Data = []byte(repeatLetter("a", MinPrefixBytes-1) + "b")
@@ -185,22 +185,22 @@
 	}
 	event := Event{Prefix: name, Data: []byte("x")}
 	if got, intact := damaged.View().FullData(&event); intact {
-		t.Fatalf("a corrupt prefix was read: %q", got)
+		t.Fatalf("read a corrupt prefix: %q", got)
 	}
 	if _, found := damaged.View().LongestSharedPrefix("identity", []byte(prefix)); found {
-		t.Fatal("a corrupt prefix is offered")
+		t.Fatal("found a corrupt prefix")
 	}
-	// It goes on as its intact peers do.
+	// The replica with the corrupt prefix returns the same results as an intact one.
 	for _, command := range []Command{beginWithPrefix("program/b", "two", "identity", name, "y"), shareCommand("identity", prefix)} {
 		if left, right := machine.Apply(&command), damaged.Apply(&command); left != right {
-			t.Fatalf("%+v and %+v", left, right)
+			t.Fatalf("intact replica: %+v, replica with the corrupt prefix: %+v", left, right)
 		}
 	}
 	if got, intact := damaged.View().FullData(&event); !intact || string(got) != prefix+"x" {
-		t.Fatalf("the prefix was not repaired: %q", got)
+		t.Fatalf("prefix was not repaired: %q", got)
 	}
 	if !reflect.DeepEqual(machine.View().Snapshot(), damaged.View().Snapshot()) {
-		t.Fatal("the repaired replica is another")
+		t.Fatal("snapshot of the repaired replica differs")
 	}
 }
 
@@ -209,6 +209,6 @@
 	command := beginCommand("one", "")
 	machine.Apply(&command)
 	if snapshot := machine.View().Snapshot(); snapshot.Version != 2 || snapshot.Prefixes != nil {
-		t.Fatalf("%+v", snapshot)
+		t.Fatalf("snapshot without prefixes: %+v", snapshot)
 	}
 }
--- a/system/sessionlog/snapshot.go
+++ b/system/sessionlog/snapshot.go
@@ -12,27 +12,27 @@
 	"yardrock.example/system/apierror"
 )
 
-// snapshotVersion is the newest snapshot format, which this program reads and writes.
+// snapshotVersion is the newest snapshot format that this program reads and writes.
 const snapshotVersion = 3
 
-// snapshotVersionWithoutPrefixes is written as long as a group has no shared prefixes, so that
-// programs which know none can read it.
+// snapshotVersionWithoutPrefixes is written while a group has no shared prefixes, so that versions
+// of the program without shared prefixes can read it.
 const snapshotVersionWithoutPrefixes = 2
 
-// Snapshot is a group's whole content, as Raft snapshots carry it. It is encoded by package
-// wire, whose schema names its fields otherwise.
+// Snapshot is the whole content of a group, as stored in Raft snapshots. Package wire encodes it;
+// the schema uses other field names.
 type Snapshot struct {
 	Version     uint32
 	Clock       int64
 	Sessions    []Session
 	QuotaUsages []QuotaUsage
-	// Turns has the turns of each session in the order in which they began, so that a turn
+	// Turns has the turns of each session in the order in which they began, so that every turn
 	// comes after the one that it follows.
 	Turns    []TurnRecord
 	Prefixes []SharedPrefixRecord
 }
 
-// TurnRecord is a Turn in a snapshot. Follows is the name of the followed turn.
+// TurnRecord is a Turn in a snapshot. Follows is the name of the followed turn, or "".
 type TurnRecord struct {
 	Session  string
 	Name     string
@@ -45,16 +45,16 @@
 	Tokens   uint64
 }
 
-// SharedPrefixRecord is a SharedPrefix in a snapshot, or on the way between two replicas.
+// SharedPrefixRecord is a SharedPrefix in a snapshot or in a message between replicas.
 type SharedPrefixRecord struct {
 	Name  string `capnp:"name"`
 	Scope string `capnp:"scope"`
 	Data  []byte `capnp:"data"`
-	// KeepUntil is as in SharedPrefix.
+	// KeepUntil is SharedPrefix.KeepUntil.
 	KeepUntil int64 `capnp:"until"`
 }
 
-// Snapshot returns a view's content. It shares slices with the view, so it must not be changed.
+// Snapshot returns the view's content. It shares slices with the view and must not be modified.
 //
 //	snapshot := machine.View().Snapshot()
 func (view *View) Snapshot() Snapshot {
@@ -72,13 +72,13 @@
 	return snapshot
 }
 
-// Restore replaces the whole content by a snapshot's. A snapshot of a newer format gives an
-// apierror of kind FormatTooNew and changes nothing.
+// Restore replaces the whole content with that of a snapshot. For a snapshot of a newer format it
+// returns an apierror of kind FormatTooNew and changes nothing.
 //
 //	err := machine.Restore(snapshot)
 func (machine *StateMachine) Restore(snapshot Snapshot) error {
 	if snapshot.Version > snapshotVersion {
-		message := fmt.Sprintf("the snapshot has format %d, and this program reads up to %d", snapshot.Version, snapshotVersion)
+		message := fmt.Sprintf("snapshot format %d is newer than the newest supported format %d", snapshot.Version, snapshotVersion)
 		return apierror.New(apierror.FormatTooNew, message, "run the newer version of the program")
 	}
 	snapshot.Turns = newestTurnRecords(snapshot.Turns)
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// restoreSessions fills in the sessions and the indexes that are derived from them. The data of
-// events is copied: it would keep the memory of the whole snapshot that it was decoded from, as
-// long as one event of any session stays.
+// restoreSessions restores the sessions and the indexes that are derived from them. It copies the
+// data of events, which would otherwise keep the whole decoded snapshot in memory as long as any
+// event is retained.
 func (view *View) restoreSessions(snapshot Snapshot) {
 	turnNames := map[string][]string{}
 	for _, turn := range snapshot.Turns {
@@ -126,7 +126,7 @@
 	view.quotaUsages = usages.Map()
 }
 
-// appendTurnRecords appends the records of a session's turns to others.
+// appendTurnRecords appends the records of a session's turns to records.
 func (view *View) appendTurnRecords(records []TurnRecord, session *Session) []TurnRecord {
 	for _, name := range session.Turns {
 		turn, found := view.Turn(session.Name, name)
@@ -145,9 +145,9 @@
 	return records
 }
 
-// newestTurnRecords returns the records without those that a later one of the same session and
-// name supersedes. Earlier versions wrote such records when a session had adopted a turn that
-// it knew as incomplete; only the last comes after the record that it follows.
+// newestTurnRecords drops the records that a later one of the same session and name supersedes.
+// Earlier versions wrote such records when a session adopted a turn that it had as incomplete; only
+// the last one comes after the record of the turn that it follows.
 func newestTurnRecords(records []TurnRecord) []TurnRecord {
 	type key struct{ session, name string }
 	last := make(map[key]int, len(records))
@@ -166,8 +166,8 @@
 	return newest
 }
 
-// indexTurnRecords builds the index of turns. Each record must come after the one that it
-// follows.
+// indexTurnRecords builds the index of turns. The record of a turn must come after that of the
+// turn that it follows.
 func indexTurnRecords(records []TurnRecord) *immutable.Map[string, []*Turn] {
 	type key struct{ session, name string }
 	byKey, byName := map[key]*Turn{}, map[string][]*Turn{}
@@ -186,7 +186,7 @@
 	return builder.Map()
 }
 
-// prefixRecords returns the records of all shared prefixes. A corrupt one has no data.
+// prefixRecords returns the records of all shared prefixes. That of a corrupt prefix has no data.
 func (view *View) prefixRecords() []SharedPrefixRecord {
 	var records []SharedPrefixRecord
 	for prefix := range view.SharedPrefixes() {
@@ -195,15 +195,15 @@
 	return records
 }
 
-// Record returns the prefix as a snapshot has it; a corrupt one without data.
+// Record returns the record of the prefix for a snapshot. That of a corrupt prefix has no data.
 //
 //	reply.SharedPrefix = prefix.Record()
 func (prefix *SharedPrefix) Record() *SharedPrefixRecord {
 	return &SharedPrefixRecord{Name: prefix.Name, Scope: prefix.Scope, Data: []byte(prefix.Text()), KeepUntil: prefix.KeepUntil}
 }
 
-// restorePrefixes restores the shared prefixes and counts the sessions that refer to each. One
-// whose content does not match the digest in its name is marked as corrupt; the sessions stay,
+// restorePrefixes restores the shared prefixes and counts the sessions that refer to each. A prefix
+// whose content does not match the digest in its name is marked as corrupt; the sessions are kept,
 // and repair fetches the content from a peer.
 func (view *View) restorePrefixes(snapshot Snapshot) {
 	references := map[string]uint64{}
--- a/system/sessionlog/state_machine.go
+++ b/system/sessionlog/state_machine.go
@@ -1,33 +1,32 @@
-// Package sessionlog is the replicated state machine of one store group: the sessions of
+// Package sessionlog is the replicated state machine of one store group. It holds the sessions of
 // conversations and programs with their ordered events, producer deduplication and archive
-// progress; the quota usage of programs; and the prefixes that sessions share. It is the "Raft
-// FSM" of the Starcite paper (data plane, "Raft FSM"), with commands of its own beside that
-// paper's four.
+// progress, the quota usage of programs, and the prefixes that sessions share. It implements the
+// "Raft FSM" of the Starcite paper's data plane and extends the paper's four commands.
 //
 // Guarantees:
 //
-//   - It is deterministic: a command's outcome depends on the commands before it alone. Time
-//     is the group's clock, which moves only by what leaders put into commands. So replicas
-//     that applied the same log entries hold the same content.
-//   - A command takes effect completely or not at all. A rejected one changes nothing but the
-//     clock, and so does a repeated append, reservation, settlement or turn.
-//   - A View never changes once it is published, so any goroutine may read it without a lock.
-//   - Sequence numbers of a session begin at 1 and have no gap. Events up to
+//   - Commands are deterministic: the result of a command depends only on the preceding
+//     commands. Time is the group's clock, which is advanced only by the times that leaders
+//     put into commands. Replicas that applied the same log entries have the same content.
+//   - Commands are atomic. A rejected command changes nothing but the clock, and neither does
+//     a repeated append, reservation, settlement or turn.
+//   - A View is immutable once published, so any goroutine may read it without a lock.
+//   - The sequence numbers of a session begin at 1 and have no gaps. Events up to
 //     Session.ArchivedSeq are in the archive, all later ones in Session.Unarchived.
 //
-// The package owns no goroutine, file or connection. Package store replicates it through Raft
-// and adds what needs the disk or other nodes: the archive, repair and settlement.
+// The package has no goroutines, files or connections. Package store replicates it through Raft
+// and provides what needs the disk or other nodes: the archive, repair and settlement.
 package sessionlog
 
 import "sync/atomic"
 
-// StateMachine holds the content of one group and applies committed commands to it. One
-// goroutine at a time may call Apply or Restore; any may read the published View.
+// StateMachine holds the content of one group and applies committed commands to it. Calls of
+// Apply and Restore must not overlap; View may be called concurrently with them.
 type StateMachine struct {
 	published atomic.Pointer[View]
 }
 
-// NewStateMachine returns the state machine of a group that has no content yet.
+// NewStateMachine returns the state machine of an empty group.
 //
 //	machine := sessionlog.NewStateMachine()
 func NewStateMachine() *StateMachine {
@@ -36,13 +35,13 @@
 	return machine
 }
 
-// View returns the content after the newest command that was applied.
+// View returns the content after the last applied command.
 //
 //	view := machine.View()
 func (machine *StateMachine) View() *View { return machine.published.Load() }
 
-// commandHandlers has the function that carries out each kind of command. It works on a copy
-// of the newest view that is published afterwards, whatever the outcome is.
+// commandHandlers maps each kind of command to its handler. A handler modifies a copy of the
+// newest view, which is then published regardless of the status.
 var commandHandlers = map[CommandKind]func(*View, *Command) Outcome{
 	CreateSession: (*View).createSession,
 	AppendEvent:   (*View).appendEvents,
@@ -57,10 +56,10 @@
 	BeginTurnWithPrefix: (*View).beginTurnWithPrefix,
 }
 
-// Apply carries out one committed command and publishes the result. A command of an unknown
-// kind gives BadCommand and publishes nothing.
+// Apply applies one committed command and publishes the resulting view. For a command of an
+// unknown kind it returns BadCommand and publishes nothing.
 //
-//	outcome := machine.Apply(&sessionlog.Command{Kind: sessionlog.CreateSession, Session: "team/c-1", Retention: time.Hour})
+//	result := machine.Apply(&sessionlog.Command{Kind: sessionlog.CreateSession, Session: "team/c-1", Retention: time.Hour})
 func (machine *StateMachine) Apply(command *Command) Outcome {
 	next := *machine.published.Load()
 	next.clock = max(next.clock, command.Now)
--- a/system/sessionlog/state_machine_test.go
+++ b/system/sessionlog/state_machine_test.go
@@ -61,24 +61,24 @@
 		ack(time.Minute, step.archived)
 		session, found := machine.View().Session("a/c")
 		if !found || uint64(len(session.Unarchived)) != step.unarchived || (step.unarchived > 0 && session.Unarchived[0].Seq != session.ArchivedSeq+1) {
-			t.Fatalf("after ack of %d: %+v", step.archived, session)
+			t.Fatalf("after acknowledging %d: %+v", step.archived, session)
 		}
 	}
 	ack(time.Hour+time.Minute-1, 10)
 	if _, found := machine.View().Session("a/c"); !found {
-		t.Fatal("a session was removed before its retention was over")
+		t.Fatal("session was removed before its retention ended")
 	}
 	ack(time.Hour+time.Minute+1, 10)
 	if _, found := machine.View().Session("a/c"); found {
-		t.Fatal("a session stayed beyond its retention")
+		t.Fatal("session was kept beyond its retention")
 	}
 }
 
-func TestQuotaIsExceededByAtMostOneTurn(t *testing.T) {
+func TestQuotaIsExceededByOneTurnOnly(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260103)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
-	properties.Property("spent and reserved stay within the quota and one turn", prop.ForAll(func(steps []uint16) string {
+	properties.Property("spent and reserved exceed the quota by at most one turn", prop.ForAll(func(steps []uint16) string {
 		machine := NewStateMachine()
 		const quota, turnWords = 100, 30
 		reserved, settled := map[string]uint64{}, uint64(0)
@@ -86,11 +86,11 @@
 			name := fmt.Sprint(step % 12)
 			if step%3 != 0 {
 				command := Command{Kind: Reserve, Session: "quota", Reservation: name, Words: turnWords, Quota: quota}
-				if outcome := machine.Apply(&command); outcome.Status == Done && !outcome.Deduped {
+				if result := machine.Apply(&command); result.Status == Done && !result.Deduped {
 					reserved[name] = turnWords
 				}
 				if repeated := machine.Apply(&command); reserved[name] > 0 && !repeated.Deduped {
-					return "a repeated reservation reserved twice"
+					return "repeated Reserve was not deduplicated"
 				}
 			} else if words, isReserved := reserved[name]; isReserved {
 				used := min(uint64(step%37), words)
@@ -101,10 +101,10 @@
 			}
 			usage := machine.View().QuotaUsage("quota")
 			if usage.Spent != settled {
-				return fmt.Sprintf("step %d: %d are spent, %d were used", position, usage.Spent, settled)
+				return fmt.Sprintf("step %d: %d words spent, want %d", position, usage.Spent, settled)
 			}
 			if usage.Spent+usage.Reserved() > quota+turnWords {
-				return fmt.Sprintf("step %d: %d spent and %d reserved", position, usage.Spent, usage.Reserved())
+				return fmt.Sprintf("step %d: %d words spent and %d reserved", position, usage.Spent, usage.Reserved())
 			}
 		}
 		return ""
@@ -127,16 +127,16 @@
 	before := slices.Collect(machine.View().Sessions())[0]
 	machine.Apply(&Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}}})
 	if before.Head != 1 || len(before.Unarchived) != 1 {
-		t.Fatal("a published session was changed")
+		t.Fatal("a published session was modified")
 	}
 	snapshot.Version = snapshotVersion + 1
 	if other.Restore(snapshot) == nil {
-		t.Fatal("a snapshot of a newer format was accepted")
+		t.Fatal("Restore accepted a snapshot of a newer format")
 	}
 }
 
-// sessionsPerDay is about what one of 32 groups holds after a day of the agency's
-// conversations: 27 a second.
+// sessionsPerDay is the number of sessions that one of 32 groups retains at 27 new sessions per
+// second and a retention of one day.
 const sessionsPerDay = 27 * 86400 / 32
 
 func machineWithSessions(sessions int) *StateMachine {
@@ -151,8 +151,8 @@
 	return machine
 }
 
-// BenchmarkAckArchivedWithManySessions is the cost of archiving one session of a group
-// that keeps a day of them.
+// BenchmarkAckArchivedWithManySessions measures the cost of one append and its acknowledgement as
+// the number of retained sessions grows.
 func BenchmarkAckArchivedWithManySessions(b *testing.B) {
 	for _, sessions := range []int{sessionsPerDay / 100, sessionsPerDay / 10, sessionsPerDay} {
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -2,35 +2,38 @@
 
 import "slices"
 
-// Turn is one turn of a program, as of a view. It is never changed once published. A turn that
-// others follow is complete and stays as it is.
+// Turn is one turn of a program in a view. It is immutable once published. A turn that others
+// follow is complete and is never replaced.
 type Turn struct {
 	Name    string
 	Session string
-	// Seq is that of the event that began the turn, EndSeq of the one that ended it, or 0
-	// while the turn is open. An adopted or fenced turn has one event, so they are the same.
+	// Seq is that of the event that began the turn, EndSeq that of the event that ended it,
+	// or 0 while the turn is open. Adopted and fenced turns have a single event, so both are
+	// equal.
 	Seq    uint64
 	EndSeq uint64
-	// Follows is the turn that this one continues; nil if it begins a history.
+	// Follows is the turn that this one continues; nil if it starts a new history.
 	Follows *Turn
 	// Outcome is one of the Outcome constants, "" while the turn is open.
 	Outcome string
-	// Dispatch names the one attempt that may run the turn.
+	// Dispatch identifies the only attempt that may run the turn.
 	Dispatch string
-	// Deadline is the time, in nanoseconds by the group's clock, after which an open turn
+	// Deadline is the time, in nanoseconds of the group's clock, after which an open turn
 	// counts as cut. It is 0 for an adopted or fenced turn.
 	Deadline int64
-	// Tokens is how many tokens of the session's quota the turn reserves; 0 once it has ended.
+	// Tokens is the number of tokens of the session's quota that the turn reserves; 0 once it
+	// has ended.
 	Tokens uint64
 }
 
-// The producer numbers of a turn's events, whose producer is the turn's name. They are stored.
+// The ProducerSeq of the events that begin and end a turn; their Producer is the turn's name.
+// The numbers are stored.
 const (
 	beginProducerSeq = 1
 	endProducerSeq   = 2
 )
 
-// Chain returns the turns that lead to this one and itself, oldest first.
+// Chain returns the turns that lead to this one, followed by the turn itself, oldest first.
 //
 //	for _, turn := range followed.Chain() { ... }
 func (turn *Turn) Chain() []*Turn {
@@ -42,18 +45,18 @@
 	return chain
 }
 
-// Complete tells whether the turn was answered completely, so that others may follow it.
+// Complete reports whether the turn ended with a complete answer, so that others may follow it.
 //
 //	if turn.Complete() { ... }
 func (turn *Turn) Complete() bool { return turn.EndSeq != 0 && turn.Outcome == OutcomeComplete }
 
-// Open tells whether the turn may still become complete, by the group's clock. One whose
-// deadline has passed counts as cut, also while nobody has ended it.
+// Open reports whether the turn has neither ended nor passed its deadline. clock is the group's
+// clock, in nanoseconds. A turn past its deadline counts as cut even if it was not ended.
 //
 //	if turn.Open(view.Clock()) { ... }
 func (turn *Turn) Open(clock int64) bool { return turn.EndSeq == 0 && clock <= turn.Deadline }
 
-// Turn finds a turn of a session.
+// Turn returns a turn of a session by name.
 //
 //	turn, found := machine.View().Turn("program/3fa81c", "9c41d07b")
 func (view *View) Turn(sessionName, name string) (*Turn, bool) {
@@ -66,8 +69,8 @@
 	return nil, false
 }
 
-// TurnInAnySession finds a turn in whichever session of the group has it. A complete one is
-// preferred.
+// TurnInAnySession returns a turn by name from any session of the group that has it. It prefers a
+// complete one.
 //
 //	turn, found := machine.View().TurnInAnySession("9c41d07b")
 func (view *View) TurnInAnySession(name string) (*Turn, bool) {
@@ -83,8 +86,8 @@
 	return turns[0], true
 }
 
-// beginTurn creates the session if it is absent, reserves what the turn may put out and
-// records its beginning, or does nothing of this. Reserved tokens count as spent.
+// beginTurn atomically creates the session if it is absent, reserves the turn's output tokens and
+// records the beginning of the turn. Reserved tokens count towards the quota.
 func (view *View) beginTurn(command *Command) Outcome {
 	session := view.sessionForUpdate(command)
 	if command.Producer == "" || command.Producer == command.Follows {
@@ -111,14 +114,15 @@
 	return session.result(Done, turn.Seq, false).withCacheLocation(&session, command)
 }
 
-// withCacheLocation adds to the outcome of a begin where the turn's conversation is cached.
+// withCacheLocation adds the cache location of the command's conversation to the result of
+// beginTurn.
 func (result Outcome) withCacheLocation(session *Session, command *Command) Outcome {
 	location := session.cacheLocation(command.Conversation)
 	result.Runner, result.CachedTokens = location.Runner, location.Tokens
 	return result
 }
 
-// repeatStatus returns the status of a BeginTurn whose turn exists already.
+// repeatStatus returns the status of a BeginTurn whose turn already exists.
 func repeatStatus(existing *Turn, command *Command) Status {
 	switch {
 	case existing.Outcome == OutcomeNotRun:
@@ -129,15 +133,15 @@
 	return Done
 }
 
-// exceedsQuota tells whether a turn may put out more tokens than its program has left. The
-// subtraction can't overflow, as Tokens is compared with Quota first.
+// exceedsQuota reports whether a turn requests more tokens than its program has left. Tokens is
+// compared with Quota first so that the subtraction cannot underflow.
 func (session *Session) exceedsQuota(command *Command) bool {
 	committed := session.Spent + session.Reserved
 	return command.HasQuota && (command.Tokens > command.Quota || committed > command.Quota-command.Tokens)
 }
 
-// followedTurn finds the turn that a command continues. It is nil with status Done if there is
-// none to continue, or if it comes with the command.
+// followedTurn returns the turn that a command continues. It returns nil and Done if the command
+// starts a new history, or if the followed turn is the last one in Adopted.
 func (view *View) followedTurn(command *Command) (*Turn, Status) {
 	if command.Follows == "" {
 		return nil, Done
@@ -157,7 +161,7 @@
 	return nil, TurnIncomplete
 }
 
-// recordBegin adds a turn that was admitted to a session.
+// recordBegin adds an admitted turn to a session.
 func (view *View) recordBegin(session *Session, command *Command, followed *Turn) *Turn {
 	turn := &Turn{
 		Name: command.Producer, Session: command.Session, Follows: followed, Dispatch: command.Dispatch,
@@ -186,8 +190,8 @@
 	return turn
 }
 
-// adoptTurns copies the completed turns of another session that come with a command, as far
-// as this session does not have them, and returns the last.
+// adoptTurns adds the adopted turns of a command that the session does not have as complete turns
+// yet, and returns the last one of the chain.
 func (view *View) adoptTurns(session *Session, command *Command) *Turn {
 	var last *Turn
 	for _, adopted := range command.Adopted {
@@ -197,8 +201,8 @@
 			continue
 		}
 		if found {
-			// The adopted turn takes its place. In a snapshot its record must come after the
-			// one that it follows, so the name moves to the end.
+			// The adopted turn replaces the incomplete one. In a snapshot its record must
+			// come after that of the turn that it follows, so the name moves to the end.
 			session.Turns = withoutName(session.Turns, adopted.Name)
 		}
 		turn := &Turn{Name: adopted.Name, Session: command.Session, Follows: last, Outcome: OutcomeComplete}
@@ -216,8 +220,8 @@
 	return last
 }
 
-// endTurn records a turn's output and outcome and settles its tokens. A turn that never began
-// may be ended as not run, so that it can't begin any more.
+// endTurn records a turn's output and outcome and settles its tokens. A turn that has not begun
+// may be ended with OutcomeNotRun, so that it can no longer begin.
 func (view *View) endTurn(command *Command) Outcome {
 	session := view.sessionForUpdate(command)
 	turn, found := view.Turn(command.Session, command.Producer)
@@ -251,7 +255,7 @@
 	return session.result(Done, ended.EndSeq, false)
 }
 
-// fenceTurn closes a turn that has not begun, so that a late BeginTurn finds it closed.
+// fenceTurn closes a turn that has not begun, so that a delayed BeginTurn is rejected.
 func (view *View) fenceTurn(session *Session, command *Command) Outcome {
 	seq := session.Head + 1
 	turn := &Turn{Name: command.Producer, Session: command.Session, EndSeq: seq, Outcome: OutcomeNotRun, Dispatch: command.Dispatch}
@@ -262,7 +266,7 @@
 	return session.result(Done, seq, false)
 }
 
-// addTurn appends a turn's first event to a session and puts the turn into the index.
+// addTurn appends a turn's first event to a session and adds the turn to the index.
 func (view *View) addTurn(session *Session, turn *Turn, first Event) {
 	turn.Seq = session.appendEvent(first)
 	session.Turns = append(session.Turns, turn.Name)
@@ -273,18 +277,17 @@
 	return Outcome{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
 }
 
-// withoutName returns a copy of a list of names without one of them.
+// withoutName returns a copy of names without the given name.
 func withoutName(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
 }
 
-// indexTurn puts a turn into the index, in place of the one that its session had under its
-// name.
+// indexTurn adds a turn to the index and replaces any of the same session and name.
 func (view *View) indexTurn(turn *Turn) {
 	view.turns = view.turns.Set(turn.Name, append(view.turnsInOtherSessions(turn.Name, turn.Session), turn))
 }
 
-// removeTurns takes all turns of a session out of the index.
+// removeTurns removes all turns of a session from the index.
 func (view *View) removeTurns(session *Session) {
 	for _, name := range session.Turns {
 		others := view.turnsInOtherSessions(name, session.Name)
@@ -296,7 +299,7 @@
 	}
 }
 
-// turnsInOtherSessions returns a copy of what other sessions than one have under a turn's name.
+// turnsInOtherSessions returns the turns of a name in all sessions but the given one, as a copy.
 func (view *View) turnsInOtherSessions(name, sessionName string) []*Turn {
 	turns, _ := view.turns.Get(name)
 	return slices.DeleteFunc(slices.Clone(turns), func(turn *Turn) bool { return turn.Session == sessionName })
--- a/system/sessionlog/turns_model_test.go
+++ b/system/sessionlog/turns_model_test.go
@@ -10,34 +10,34 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// The quota of the modelled program, and how much of it each turn reserves, in tokens.
+// The quota of the modelled program and the reservation of each turn, in tokens.
 const (
 	modelQuota      = 200
 	modelTurnTokens = 30
 )
 
-// modelTurn is what the model knows of a turn.
+// modelTurn is the expected state of a turn.
 type modelTurn struct {
 	follows string
 	open    bool
 	outcome string
 }
 
-// programModel drives one program's turns and says what must be true after each. Its methods
-// return what is wrong, or "".
+// programModel drives the turns of one program and tracks their expected state. Its methods
+// return a description of the first violation, or "".
 type programModel struct {
 	machine *StateMachine
 	turns   map[string]*modelTurn
-	// order has the turns as they began, completed those that may be followed; "" begins a
-	// history.
+	// order has the turns in the order in which they began, completed those that may be
+	// followed; "" starts a new history.
 	order     []string
 	completed []string
-	// settled are the tokens that ended turns put out.
+	// settled is the number of output tokens of ended turns.
 	settled uint64
 }
 
-// TestTurnsKeepQuotaAndHistory drives many turns of one program in any order,
-// repeats and fences among them, against a simple model.
+// TestTurnsKeepQuotaAndHistory applies random sequences of begins and ends of turns, including
+// repeats and restarts, and compares quota usage and histories with a model.
 func TestTurnsKeepQuotaAndHistory(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 200
@@ -70,7 +70,7 @@
 	return model.checkQuota(position)
 }
 
-// restart has a replica start again from a snapshot.
+// restart replaces the state machine by one restored from its snapshot.
 func (model *programModel) restart() string {
 	snapshot := model.machine.View().Snapshot()
 	model.machine = NewStateMachine()
@@ -78,12 +78,12 @@
 		return err.Error()
 	}
 	if restored := model.machine.View().Snapshot(); !reflect.DeepEqual(snapshot, restored) {
-		return "a restored group is another"
+		return "snapshot of the restored state machine differs"
 	}
 	return ""
 }
 
-// begin begins a turn, or repeats the beginning of one.
+// begin begins a turn or repeats a BeginTurn.
 func (model *programModel) begin(position int, step uint16) string {
 	name := model.nameToBegin(position, step)
 	follows := model.completed[int(step)/8%len(model.completed)]
@@ -93,22 +93,22 @@
 	}
 	command := with(beginCommand(name, follows), func(command *Command) { command.Tokens, command.Quota = modelTurnTokens, modelQuota })
 	fits := model.machine.View().spentAndReserved()+modelTurnTokens <= modelQuota
-	outcome := model.machine.Apply(&command)
+	result := model.machine.Apply(&command)
 	switch {
-	case repeat && known.open && (outcome.Status != Done || !outcome.Deduped):
-		return fmt.Sprintf("step %d: a repeat answered %+v", position, outcome)
-	case repeat && !known.open && outcome.Status != TurnClosed && outcome.Status != TurnTaken:
-		return fmt.Sprintf("step %d: a turn that has ended began: %+v", position, outcome)
-	case !repeat && fits != (outcome.Status == Done):
-		return fmt.Sprintf("step %d: fits is %t, but %+v", position, fits, outcome)
-	case !repeat && outcome.Status == Done:
+	case repeat && known.open && (result.Status != Done || !result.Deduped):
+		return fmt.Sprintf("step %d: repeated BeginTurn: %+v", position, result)
+	case repeat && !known.open && result.Status != TurnClosed && result.Status != TurnTaken:
+		return fmt.Sprintf("step %d: BeginTurn of an ended turn: %+v", position, result)
+	case !repeat && fits != (result.Status == Done):
+		return fmt.Sprintf("step %d: within quota: %t, BeginTurn: %+v", position, fits, result)
+	case !repeat && result.Status == Done:
 		model.turns[name] = &modelTurn{follows: follows, open: true}
 		model.order = append(model.order, name)
 	}
 	return ""
 }
 
-// nameToBegin returns a new name, or now and then that of a turn which began already.
+// nameToBegin returns a new name or, occasionally, that of a turn that has already begun.
 func (model *programModel) nameToBegin(position int, step uint16) string {
 	if step%10 == 4 && len(model.order) > 0 {
 		return model.order[int(step)/16%len(model.order)]
@@ -116,7 +116,7 @@
 	return fmt.Sprintf("t%d", position)
 }
 
-// end ends a turn twice, whether or not it is open.
+// end ends a turn twice. The turn may have ended already.
 func (model *programModel) end(position int, step uint16) string {
 	name := model.order[int(step)/4%len(model.order)]
 	known := model.turns[name]
@@ -128,7 +128,7 @@
 		command := endCommand(name, outcome, tokens)
 		got := model.machine.Apply(&command)
 		if ended := !known.open; ended != got.Deduped || ended && known.outcome != outcome && got.Status != TurnClosed {
-			return fmt.Sprintf("step %d: the end answered %+v of %+v", position, got, known)
+			return fmt.Sprintf("step %d: EndTurn: %+v, turn: %+v", position, got, known)
 		}
 		if !known.open {
 			continue
@@ -142,7 +142,7 @@
 	return ""
 }
 
-// checkQuota compares what the state machine counts with what the turns put out and may yet.
+// checkQuota compares the quota usage with the tokens that the model has settled and reserved.
 func (model *programModel) checkQuota(position int) string {
 	open := uint64(0)
 	for _, turn := range model.turns {
@@ -151,12 +151,12 @@
 		}
 	}
 	if used := model.machine.View().spentAndReserved(); used != model.settled+open || used > modelQuota+modelTurnTokens {
-		return fmt.Sprintf("step %d: %d count, %d were put out and %d may be", position, used, model.settled, open)
+		return fmt.Sprintf("step %d: quota usage %d, want %d settled and %d reserved", position, used, model.settled, open)
 	}
 	return ""
 }
 
-// checkHistories compares the history of each turn with the turns that it follows.
+// checkHistories compares the history of each turn with the chain of turns that it follows.
 func (model *programModel) checkHistories() string {
 	for name, turn := range model.turns {
 		want := "in " + name + "\n"
@@ -167,7 +167,7 @@
 			want = "in " + current + "\nout " + current + "\n" + want
 		}
 		if got := historyOf(model.machine.View(), "program/a", name); got != want {
-			return fmt.Sprintf("%s goes on from %q, want %q", name, got, want)
+			return fmt.Sprintf("history of %s: got %q, want %q", name, got, want)
 		}
 	}
 	return ""
--- a/system/sessionlog/turns_test.go
+++ b/system/sessionlog/turns_test.go
@@ -67,12 +67,12 @@
 		after := machine.View().Snapshot()
 		before.Clock, after.Clock = 0, 0
 		if unchanged := got.Status != Done || got.Deduped; unchanged && !reflect.DeepEqual(before, after) {
-			t.Errorf("step %d answered %+v and changed the group", position, got)
+			t.Errorf("step %d: %+v changed the content", position, got)
 		}
 	}
 }
 
-// historyOf returns what a session has of a turn's chain, read from its unarchived events.
+// historyOf returns the data of a turn's chain, read from the unarchived events of a session.
 func historyOf(view *View, sessionName, name string) string {
 	turn, found := view.Turn(sessionName, name)
 	session, _ := view.Session(sessionName)
@@ -117,28 +117,28 @@
 		"four": "in x\nout x\nin y\nout y\nin two\nout two\nin four\n",
 	} {
 		if got := historyOf(machine.View(), "program/a", name); got != want {
-			t.Errorf("%s goes on from %q, want %q", name, got, want)
+			t.Errorf("history of %s: got %q, want %q", name, got, want)
 		}
 	}
-	// The same turn may be in several sessions; each is removed with its session.
+	// A turn may be in several sessions; each copy is removed with its session.
 	other := with(adopting("five"), func(command *Command) { command.Session, command.Retention = "program/b", 2*time.Hour })
 	if got := machine.Apply(&other); got.Status != Done {
-		t.Fatalf("%+v", got)
+		t.Fatalf("begin in the second session: %+v", got)
 	}
 	machine.Apply(&Command{Kind: AckArchived, Now: int64(90 * time.Minute)})
 	if _, found := machine.View().Turn("program/a", "x"); found {
-		t.Fatal("a turn is known after its session was removed")
+		t.Fatal("a turn was found after its session was removed")
 	}
 	if found, known := machine.View().TurnInAnySession("x"); !known || found.Session != "program/b" {
-		t.Fatal("a turn that another session adopted was removed")
+		t.Fatal("a turn was removed that another session adopted")
 	}
 	machine.Apply(&Command{Kind: AckArchived, Now: int64(5 * time.Hour)})
 	if snapshot := machine.View().Snapshot(); len(snapshot.Sessions)+len(snapshot.Turns)+machine.View().turns.Len()+machine.View().expiries.Len() != 0 {
-		t.Fatalf("something is left: %+v", snapshot)
+		t.Fatalf("content is left after all sessions expired: %+v", snapshot)
 	}
 }
 
-// restoredCopy returns a state machine with the content of another one's snapshot.
+// restoredCopy returns a state machine restored from a snapshot.
 func restoredCopy(t *testing.T, snapshot Snapshot) *StateMachine {
 	t.Helper()
 	copied := NewStateMachine()
@@ -148,9 +148,9 @@
 	return copied
 }
 
-// TestAdoptedTurnReplacesAnIncompleteOneInSnapshotsToo has a session adopt a turn that it knows
-// as cut, after the turn that it follows. A restored replica must have the same history, also
-// from a snapshot of an earlier version, which has a record of the turn in both places.
+// TestAdoptedTurnReplacesAnIncompleteOneInSnapshotsToo guards against a lost history after a
+// restore when an adopted turn replaced one that was cut. Snapshots of earlier versions have a
+// record of the turn in both positions.
 func TestAdoptedTurnReplacesAnIncompleteOneInSnapshotsToo(t *testing.T) {
 	machine := NewStateMachine()
 	adopted := []AdoptedTurn{{Name: "x", Data: []byte("in x\nout x\n")}, {Name: "y", Data: []byte("in y\nout y\n")}, {Name: "z", Data: []byte("in z\nout z\n")}}
@@ -165,7 +165,7 @@
 	}
 	want := "in x\nout x\nin y\nout y\nin z\nout z\nin one\n"
 	if got := historyOf(machine.View(), "program/a", "one"); got != want {
-		t.Fatalf("the turn goes on from %q, want %q", got, want)
+		t.Fatalf("history: got %q, want %q", got, want)
 	}
 	snapshot := machine.View().Snapshot()
 	earlier := snapshot
@@ -177,7 +177,7 @@
 	for version, copied := range map[string]*StateMachine{"this": restoredCopy(t, snapshot), "an earlier": restoredCopy(t, earlier)} {
 		for _, name := range []string{"one", "y"} {
 			if got, want := historyOf(copied.View(), "program/a", name), historyOf(machine.View(), "program/a", name); got != want {
-				t.Errorf("restored from a snapshot of %s version, %s goes on from %q, want %q", version, name, got, want)
+				t.Errorf("restored from a snapshot of %s version: history of %s: got %q, want %q", version, name, got, want)
 			}
 		}
 		if restored := copied.View().Snapshot(); !reflect.DeepEqual(restored, snapshot) {
@@ -201,11 +201,11 @@
 	}{{time.Hour + 30*time.Second, true}, {time.Hour + 59*time.Minute + 59*time.Second, true}, {2*time.Hour + time.Second, false}} {
 		at(step.now, Command{Kind: AckArchived})
 		if _, known := machine.View().Turn("program/a", "one"); known != step.known {
-			t.Fatalf("at %s the turn is known: %t", step.now, known)
+			t.Fatalf("at %s turn found: %t", step.now, known)
 		}
 	}
 	if _, found := machine.View().Session("program/a"); found {
-		t.Fatal("the session is left")
+		t.Fatal("the expired session is still there")
 	}
 }
 
--- a/system/sessionlog/view.go
+++ b/system/sessionlog/view.go
@@ -6,28 +6,28 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// View is a group's content at one applied index. It is immutable: the state machine makes a
-// new one for each command, and the two share all that the command did not change.
+// View is the content of a group at one applied index. It is immutable: the state machine creates
+// a new view for each command, which shares all unchanged data with its predecessor.
 type View struct {
 	sessions    *immutable.Map[string, *Session]
 	quotaUsages *immutable.Map[string, *QuotaUsage]
 	clock       int64
 
-	// The fields below are indexes, so that no command and no round of the archiver walks
-	// all sessions. All but the turns and prefixes are derived from the fields above.
+	// The fields below are indexes: no command and no round of the archiver scans all
+	// sessions. All except the turns and prefixes are derived from the fields above.
 
-	// unarchived has the names of the sessions with events that are not archived.
+	// unarchived has the names of the sessions with unarchived events.
 	unarchived *immutable.Map[string, struct{}]
-	// expiries has each session's name under a time that is not after its expiry (see
-	// expiryKey). Updates of a session don't move its entry; removeExpired does when the
-	// entry is due.
+	// expiries maps keys that begin with a lower bound of a session's expiry (see expiryKey)
+	// to the session's name. Updates of a session do not move its entry; removeExpired does
+	// when the entry is due.
 	expiries *immutable.SortedMap[string, string]
-	// archiveDigests are digests of the sessions' ArchivedSeq.
+	// archiveDigests has the digests of the sessions' ArchivedSeq.
 	archiveDigests BucketDigests
-	// turns finds turns by name. Only adopted turns are in more than one session.
+	// turns has the turns by name. Only adopted turns are in more than one session.
 	turns *immutable.Map[string, []*Turn]
-	// prefixes finds shared prefixes by name, prefixesByScope by the scope that may share
-	// them, longest first.
+	// prefixes has the shared prefixes by name, prefixesByScope those of each scope, longest
+	// first.
 	prefixes        *immutable.Map[string, *SharedPrefix]
 	prefixesByScope *immutable.Map[string, []*SharedPrefix]
 }
@@ -44,24 +44,24 @@
 	}
 }
 
-// Session finds a session by name. Its content must not be changed.
+// Session returns a session by name. It must not be modified.
 //
 //	session, found := machine.View().Session("team/c-1")
 func (view *View) Session(name string) (*Session, bool) { return view.sessions.Get(name) }
 
-// Sessions iterates over all sessions, in no certain order.
+// Sessions iterates over all sessions, in unspecified order.
 //
 //	for session := range view.Sessions() { ... }
 func (view *View) Sessions() iter.Seq[*Session] { return values(view.sessions) }
 
-// Clock returns the group's clock in nanoseconds since 1970: the latest time that a leader put
-// into a command. It never goes back, and may be behind the real time (see Command.Now).
+// Clock returns the group's clock in nanoseconds since the Unix epoch: the latest Command.Now that
+// was applied. It is monotonic and may be behind real time.
 //
 //	overdue := event.Deadline < view.Clock()
 func (view *View) Clock() int64 { return view.clock }
 
-// sessionForUpdate returns a copy of the session that a command names, or a new session, with
-// its retention and update time brought up to date. setSession puts it into the view.
+// sessionForUpdate returns a copy of the session that a command names, or a new session, with its
+// retention and update time updated. setSession stores it in the view.
 func (view *View) sessionForUpdate(command *Command) Session {
 	session := Session{Name: command.Session, Team: command.Team, Program: command.Program, WorkKind: command.WorkKind, CreatedAt: view.clock}
 	if existing, found := view.sessions.Get(command.Session); found {
@@ -72,7 +72,7 @@
 	return session
 }
 
-// setSession puts a session to which events were added into the view and its indexes.
+// setSession stores a session to which events were appended in the view and its indexes.
 func (view *View) setSession(session *Session) {
 	if _, found := view.sessions.Get(session.Name); !found {
 		view.expiries = view.expiries.Set(expiryKey(session), session.Name)
--- a/system/sharedprefix/detector.go
+++ b/system/sharedprefix/detector.go
@@ -1,10 +1,10 @@
-// Package sharedprefix detects prefixes that the inputs of first turns of several sessions have
-// in common, so that a group can store them once.
+// Package sharedprefix detects prefixes that the first inputs of several sessions have in common,
+// so that a group can store them once.
 //
-// It only proposes candidates, by digests of what it saw lately. Whether sessions really begin
-// with a candidate is compared byte for byte by package sessionlog when they are made to share
-// it, so a wrong proposal costs work and never data. It keeps no input, only digests, in bounded
-// memory; nothing of it is stored or replicated.
+// It only proposes candidates, based on digests of recent inputs. Package sessionlog compares the
+// sessions with a candidate byte for byte before they share it, so a false positive costs work
+// but never corrupts data. The package keeps digests only, no inputs, in bounded memory; its
+// state is neither stored nor replicated.
 package sharedprefix
 
 import (
@@ -20,59 +20,63 @@
 )
 
 const (
-	// minSessions is how many sessions must have a prefix in common before it is worth sharing.
+	// minSessions is the number of sessions that must have a prefix in common before it is
+	// reported.
 	minSessions = 3
 
-	// Inputs are cut into chunks at places that depend on their content alone
-	// (content-defined chunking), so that inputs with a common prefix are cut alike in it. A
-	// candidate ends where a chunk does. The polynomial is fixed, so that all stores cut alike.
+	// polynomial is that of the rolling hash by which inputs are split into chunks
+	// (content-defined chunking): inputs with a common prefix have the same chunk boundaries
+	// within it. Candidates end at chunk boundaries. The polynomial is fixed so that all stores
+	// split inputs in the same way.
 	polynomial = chunker.Pol(0x3DA3358B4DC173)
-	// minChunkBytes and maxChunkBytes bound a chunk; with averageBits it has about 128 bytes.
+	// minChunkBytes and maxChunkBytes bound the size of a chunk. With averageBits the average
+	// is about 128 bytes.
 	minChunkBytes = 64
 	maxChunkBytes = 512
 	averageBits   = 6
 
-	// maxTrackedPrefixes bounds the prefixes that are remembered; beyond it all are dropped, and
-	// detection begins again.
+	// maxTrackedPrefixes bounds the number of tracked prefixes. When it is exceeded, all of
+	// them are dropped.
 	maxTrackedPrefixes = 8192
-	// reportInterval is how long after a candidate was reported it may be reported again. It
-	// may not have been shared, or was freed since.
+	// reportInterval is the minimum time between two reports of the same candidate. A candidate
+	// is reported again because sharing it may have failed or the prefix may have been freed.
 	reportInterval = 10 * time.Second
 )
 
-// Detector remembers digests of the prefixes seen lately. Its zero value is ready; any goroutine
-// may use it.
+// Detector tracks digests of the prefixes of recent inputs. The zero value is ready to use. It is
+// safe for concurrent use.
 type Detector struct {
 	mutex   sync.Mutex
-	chunker *chunker.Chunker           // made with the first input, then used again
-	chunk   []byte                     // the chunker's buffer
-	tracked    map[prefixKey]*occurrences // emptied when it has more than maxTrackedPrefixes
+	chunker *chunker.Chunker           // created for the first input, then reused
+	buffer  []byte                     // the buffer that the chunker reuses
+	seen    map[prefixKey]*occurrences // cleared when it has more than maxTrackedPrefixes entries
 }
 
-// prefixKey is a digest of a scope and the first bytes of an input, within a group.
+// prefixKey identifies a prefix within a group by a digest of its scope and content.
 type prefixKey struct {
 	group  uint32
 	digest [sha256.Size]byte
 }
 
-// occurrences are the last sessions that had a prefix, at most minSessions, and when it was last
-// reported.
+// occurrences has the most recent sessions that began with a prefix, at most minSessions, and the
+// time at which the prefix was last reported.
 type occurrences struct {
 	sessions   []string
 	reportedAt time.Time
 }
 
-// Candidate is a prefix that some sessions seem to have in common.
+// Candidate is a prefix that several sessions probably have in common.
 type Candidate struct {
-	// Length is the number of bytes of the input that the prefix has.
+	// Length is the length of the prefix in bytes.
 	Length int
-	// Sessions are the sessions in which it was seen last, three of them.
+	// Sessions are the three most recent sessions that began with it.
 	Sessions []string
 }
 
-// Observe takes the input of a session's first turn and reports the longest prefix of it that
-// three sessions (minSessions) of the group and scope had lately, the same one only once in
-// ten seconds. An empty scope shares nothing; a prefix has at least sessionlog.MinPrefixBytes.
+// Observe records the input of a session's first turn. It returns the longest prefix of the input
+// that three recent sessions (minSessions) of the same group and scope have in common, unless
+// that prefix was reported within the last ten seconds (reportInterval). Inputs with an empty
+// scope are ignored. A prefix has at least sessionlog.MinPrefixBytes.
 //
 //	candidate, found := detector.Observe(group, "identity", "program/3fa81c", input)
 func (detector *Detector) Observe(group uint32, scope, sessionName string, input []byte) (candidate Candidate, found bool) {
@@ -81,8 +85,8 @@
 	}
 	detector.mutex.Lock()
 	defer detector.mutex.Unlock()
-	if len(detector.tracked) > maxTrackedPrefixes || detector.tracked == nil {
-		detector.tracked = map[prefixKey]*occurrences{}
+	if len(detector.seen) > maxTrackedPrefixes || detector.seen == nil {
+		detector.seen = map[prefixKey]*occurrences{}
 	}
 	longest, length := detector.longestShared(group, scope, sessionName, input)
 	if longest == nil || time.Since(longest.reportedAt) < reportInterval {
@@ -92,8 +96,9 @@
 	return Candidate{Length: length, Sessions: slices.Clone(longest.sessions)}, true
 }
 
-// longestShared records a session's prefixes, one for each chunk, and returns the longest that
-// enough sessions had, or nil. The caller holds the mutex.
+// longestShared records the prefixes of an input, one for each chunk boundary, and returns the
+// longest one that at least minSessions sessions have in common, or nil. The caller holds the
+// mutex.
 func (detector *Detector) longestShared(group uint32, scope, sessionName string, input []byte) (longest *occurrences, length int) {
 	digest, start := sha256.New(), 0
 	digest.Write([]byte(scope + "\x00"))
@@ -105,29 +110,30 @@
 		}
 		key := prefixKey{group: group}
 		digest.Sum(key.digest[:0])
-		entry := detector.record(key, sessionName)
-		if len(entry.sessions) >= minSessions {
-			longest, length = entry, end
+		seen := detector.record(key, sessionName)
+		if len(seen.sessions) >= minSessions {
+			longest, length = seen, end
 		}
 	}
 	return longest, length
 }
 
-// record adds a session to those that had a prefix, in place of the oldest if there are enough.
+// record adds a session to the occurrences of a prefix. It replaces the oldest one if there are
+// minSessions already.
 func (detector *Detector) record(key prefixKey, sessionName string) *occurrences {
-	entry := detector.tracked[key]
-	if entry == nil {
-		entry = &occurrences{}
-		detector.tracked[key] = entry
+	seen := detector.seen[key]
+	if seen == nil {
+		seen = &occurrences{}
+		detector.seen[key] = seen
 	}
-	if !slices.Contains(entry.sessions, sessionName) {
-		entry.sessions = append(entry.sessions[max(0, len(entry.sessions)-minSessions+1):], sessionName)
+	if !slices.Contains(seen.sessions, sessionName) {
+		seen.sessions = append(seen.sessions[max(0, len(seen.sessions)-minSessions+1):], sessionName)
 	}
-	return entry
+	return seen
 }
 
-// chunkEnds returns where an input's chunks end, in bytes, up to sessionlog.MaxPrefixBytes. Two
-// inputs are cut alike up to the chunk in which they differ.
+// chunkEnds returns the end offsets of an input's chunks, up to sessionlog.MaxPrefixBytes. Two
+// inputs have the same offsets up to the first chunk in which they differ.
 func (detector *Detector) chunkEnds(input []byte) []int {
 	reader := bytes.NewReader(input[:min(len(input), sessionlog.MaxPrefixBytes)])
 	if detector.chunker == nil {
@@ -138,11 +144,11 @@
 	detector.chunker.SetAverageBits(averageBits)
 	ends := []int{}
 	for {
-		chunk, err := detector.chunker.Next(detector.chunk[:0])
+		chunk, err := detector.chunker.Next(detector.buffer[:0])
 		if err != nil {
-			return ends // io.EOF: a bytes.Reader has no other error
+			return ends // io.EOF; a bytes.Reader returns no other error
 		}
-		detector.chunk = chunk.Data
+		detector.buffer = chunk.Data
 		ends = append(ends, int(chunk.Start+chunk.Length))
 	}
 }
--- a/system/sharedprefix/detector_test.go
+++ b/system/sharedprefix/detector_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// randomText makes text of some length that a seed alone decides.
+// randomText returns pseudorandom text of a given length, determined by the seed.
 func randomText(seed uint64, length int) string {
 	random, builder := rand.New(rand.NewPCG(seed, 1)), &strings.Builder{}
 	for builder.Len() < length {
@@ -25,29 +25,29 @@
 		for position, step := range []struct {
 			group          uint32
 			scope, session string
-			seed          uint64
+			seed           uint64
 			found          bool
 		}{
 			{1, "identity", "a", 1, false},
-			{1, "identity", "a", 2, false}, // the same session counts once
+			{1, "identity", "a", 2, false}, // a session counts once
 			{1, "identity", "b", 3, false},
-			{1, "permits", "c", 4, false}, // another scope does not count
+			{1, "permits", "c", 4, false}, // another scope is counted separately
 			{2, "identity", "c", 5, false},
 			{1, "", "c", 6, false},
 			{1, "identity", "c", 7, true},
-			{1, "identity", "d", 8, false}, // reported already
+			{1, "identity", "d", 8, false}, // reported within reportInterval
 		} {
 			candidate, found := detector.Observe(step.group, step.scope, step.session, input(step.seed))
 			if found != step.found {
-				t.Fatalf("step %d: %+v %t", position, candidate, found)
+				t.Fatalf("step %d: got %+v, found %t", position, candidate, found)
 			}
 			if found && (candidate.Length > len(commonPrefix) || candidate.Length < len(commonPrefix)-maxChunkBytes || len(candidate.Sessions) != minSessions) {
-				t.Fatalf("step %d: %+v of %d bytes", position, candidate, len(commonPrefix))
+				t.Fatalf("step %d: got %+v, common prefix has %d bytes", position, candidate, len(commonPrefix))
 			}
 		}
 		time.Sleep(reportInterval)
 		if candidate, found := detector.Observe(1, "identity", "e", input(9)); !found || len(candidate.Sessions) != minSessions || candidate.Sessions[minSessions-1] != "e" {
-			t.Fatalf("it is not reported again: %+v", candidate)
+			t.Fatalf("candidate was not reported again after reportInterval: %+v", candidate)
 		}
 	})
 }
@@ -58,7 +58,7 @@
 		name := fmt.Sprint(number)
 		for _, input := range []string{"", "short", randomText(1000+number, 3000), randomText(1, 255)} {
 			if candidate, found := detector.Observe(1, "identity", name, []byte(input)); found {
-				t.Fatalf("%+v", candidate)
+				t.Fatalf("unexpected candidate %+v", candidate)
 			}
 		}
 	}
@@ -69,8 +69,8 @@
 	for number := range uint64(2000) {
 		detector.Observe(1, "identity", fmt.Sprint(number), []byte(randomText(number, 3000)))
 	}
-	if len(detector.tracked) > maxTrackedPrefixes+1000 {
-		t.Fatalf("%d are remembered", len(detector.tracked))
+	if len(detector.seen) > maxTrackedPrefixes+1000 {
+		t.Fatalf("%d prefixes are tracked", len(detector.seen))
 	}
 }
 
