--- a/system/sessionlog/digests.go
+++ b/system/sessionlog/digests.go
@@ -9,36 +9,36 @@
 // exchange digests by bucket number, so it must not change.
 const bucketCount = 64
 
-// BucketDigests are digests of how far a group's sessions are archived, one for each bucket.
-// Two replicas compare their archives by them at a cost that does not grow with the number of
-// sessions (anti-entropy). Equal digests mean equal progress but for collisions of 64 bits.
+// BucketDigests are digests of the archive progress of a group's sessions, one for each bucket.
+// Replicas compare their archives by them (anti-entropy) at a cost that is independent of the
+// number of sessions. Equal digests mean equal progress, except for 64-bit hash collisions.
 type BucketDigests [bucketCount]uint64
 
 // BucketOf returns the bucket of a session, from 0 to 63.
 //
 //	bucket := sessionlog.BucketOf("team/c-1")
-func BucketOf(name string) int { return int(hashNumbered(name, 0) % bucketCount) }
+func BucketOf(name string) int { return int(hashNameSeq(name, 0) % bucketCount) }
 
-// Toggle adds a session's archive progress to the digests, or removes it if it is in them. A
-// session of which nothing is archived does not count.
+// Toggle adds a session's archive progress to the digests, or removes it if they include it. An
+// archivedSeq of 0 has no effect.
 //
 //	digests.Toggle("team/c-1", 40)
-func (digests *BucketDigests) Toggle(name string, archived uint64) {
-	if archived > 0 {
-		digests[BucketOf(name)] ^= hashNumbered(name, archived)
+func (digests *BucketDigests) Toggle(name string, archivedSeq uint64) {
+	if archivedSeq > 0 {
+		digests[BucketOf(name)] ^= hashNameSeq(name, archivedSeq)
 	}
 }
 
-// hashNumbered is a hash of a name and a number. All replicas must agree on it, whatever
-// version of the program they run.
-func hashNumbered(name string, number uint64) uint64 {
-	digest := fnv.New64a()
-	digest.Write([]byte(name))
-	digest.Write(binary.BigEndian.AppendUint64(nil, number))
-	return digest.Sum64()
+// hashNameSeq hashes a session name and a sequence number. All replicas must compute the same
+// hash, also across versions of the program.
+func hashNameSeq(name string, seq uint64) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	hash.Write(binary.BigEndian.AppendUint64(nil, seq))
+	return hash.Sum64()
 }
 
-// ArchiveDigests returns the digests of how far the group's sessions are archived.
+// ArchiveDigests returns the digests of the archive progress of the group's sessions.
 //
 //	if view.ArchiveDigests() == store.BucketDigests(group) { ... }
 func (view *View) ArchiveDigests() BucketDigests { return view.archiveDigests }
--- a/system/sessionlog/shared_prefixes_test.go
+++ b/system/sessionlog/shared_prefixes_test.go
@@ -19,7 +19,7 @@
 	return command
 }
 
-func beginShared(sessionName, name, scope, prefix, rest string) Command {
+func beginWithPrefix(sessionName, name, scope, prefix, rest string) Command {
 	return Command{Kind: BeginTurnWithPrefix, Session: sessionName, Now: 1, Retention: time.Minute, Producer: name, ProducerSeq: 1, Dispatch: "front/" + name, KeepData: true,
 		Scope: scope, Prefix: prefix, Data: []byte(rest), Lifetime: time.Minute}
 }
@@ -35,17 +35,17 @@
 		{shareCommand("", prefix), BadCommand},
 		{shareCommand("identity", repeatLetter("a", MinPrefixBytes-1)), BadCommand},
 		{shareCommand("identity", repeatLetter("a", MaxPrefixBytes+1)), BadCommand},
-		{beginShared("program/a", "one", "identity", name, "x"), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "identity", name, "x"), UnknownPrefix},
 		{shareCommand("identity", prefix), Done},
 		{shareCommand("identity", prefix), Done},
-		{beginShared("program/a", "one", "permits", name, "x"), UnknownPrefix},
-		{beginShared("program/a", "one", "", name, "x"), UnknownPrefix},
-		{beginShared("program/a", "one", "identity", SharedPrefixName("permits", []byte(prefix)), "x"), UnknownPrefix},
-		{with(beginShared("program/a", "one", "identity", name, "x"), func(command *Command) { command.Follows = "none" }), UnknownPrefix},
-		{with(beginShared("program/a", "one", "identity", name, "x"), func(command *Command) { command.KeepData = false }), UnknownPrefix},
-		{beginShared("program/a", "one", "identity", name, "x"), Done},
-		{beginShared("program/a", "one", "identity", name, "x"), Done},
-		{beginShared("program/a", "one", "identity", "no such", "x"), Done}, // a repeat begins nothing
+		{beginWithPrefix("program/a", "one", "permits", name, "x"), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "", name, "x"), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "identity", SharedPrefixName("permits", []byte(prefix)), "x"), UnknownPrefix},
+		{with(beginWithPrefix("program/a", "one", "identity", name, "x"), func(command *Command) { command.Follows = "none" }), UnknownPrefix},
+		{with(beginWithPrefix("program/a", "one", "identity", name, "x"), func(command *Command) { command.KeepData = false }), UnknownPrefix},
+		{beginWithPrefix("program/a", "one", "identity", name, "x"), Done},
+		{beginWithPrefix("program/a", "one", "identity", name, "x"), Done},
+		{beginWithPrefix("program/a", "one", "identity", "no such", "x"), Done}, // a repeat does not begin a turn
 	} {
 		if got := machine.Apply(&step.command); got.Status != step.want {
 			t.Errorf("step %d: got %+v, want %d", position, got, step.want)
@@ -54,31 +54,31 @@
 	view := machine.View()
 	stored, found := view.LongestSharedPrefix("identity", []byte(prefix+"x"))
 	if !found || stored.Name != name || stored.References != 1 || stored.Text() != prefix {
-		t.Fatalf("%+v", stored)
+		t.Fatalf("stored prefix: %+v", stored)
 	}
 	if _, found := view.LongestSharedPrefix("permits", []byte(prefix+"x")); found {
-		t.Fatal("another scope's prefix is found")
+		t.Fatal("found the prefix of another scope")
 	}
 	if _, found := view.LongestSharedPrefix("identity", []byte(repeatLetter("a", MinPrefixBytes-1)+"b")); found {
-		t.Fatal("a prefix is found that the input does not begin with")
+		t.Fatal("found a prefix that the input does not begin with")
 	}
 	session, _ := view.Session("program/a")
 	if got, intact := view.FullData(&session.Unarchived[0]); !intact || string(got) != prefix+"x" || len(session.Unarchived[0].Data) != 1 {
-		t.Fatalf("%q %t", got, intact)
+		t.Fatalf("full data %q, intact %t", got, intact)
 	}
-	// The longest prefix is used.
+	// The longest matching prefix is returned.
 	longer := shareCommand("identity", prefix+repeatLetter("b", 300))
 	machine.Apply(&longer)
 	if stored, _ := machine.View().LongestSharedPrefix("identity", []byte(prefix+repeatLetter("b", 400))); stored.Size != MinPrefixBytes+300 {
-		t.Fatalf("%+v", stored)
+		t.Fatalf("longest prefix: %+v", stored)
 	}
 	for number := range maxPrefixesPerScope {
 		command := shareCommand("permits", prefix+fmt.Sprint(number))
 		machine.Apply(&command)
 	}
-	one := shareCommand("permits", prefix+"one more")
-	if got := machine.Apply(&one); got.Status != TooManyPrefixes {
-		t.Fatalf("%+v", got)
+	extra := shareCommand("permits", prefix+"one more")
+	if got := machine.Apply(&extra); got.Status != TooManyPrefixes {
+		t.Fatalf("prefix beyond the maximum: %+v", got)
 	}
 }
 
@@ -97,16 +97,16 @@
 	}
 	before := machine.View()
 	snapshot := before.Snapshot()
-	merged := shareCommand("identity", prefix, "program/a", "program/b", "program/c", "program/unknown")
-	for range 2 { // a repeat changes nothing
-		machine.Apply(&merged)
+	share := shareCommand("identity", prefix, "program/a", "program/b", "program/c", "program/unknown")
+	for range 2 { // a repeat has no effect
+		machine.Apply(&share)
 		stored, _ := machine.View().SharedPrefix(SharedPrefixName("identity", []byte(prefix)))
 		if stored.References != 2 || stored.SavedBytes() != MinPrefixBytes {
-			t.Fatalf("%+v", stored)
+			t.Fatalf("stored prefix: %+v", stored)
 		}
 	}
 	if !reflect.DeepEqual(snapshot, before.Snapshot()) {
-		t.Fatal("an earlier view was changed")
+		t.Fatal("an earlier view was modified")
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		session, _ := machine.View().Session("program/" + name)
@@ -114,11 +114,11 @@
 		for position := range session.Unarchived {
 			got, intact := machine.View().FullData(&session.Unarchived[position])
 			if !intact || string(got) != string(earlier.Unarchived[position].Data) {
-				t.Fatalf("%s: %q", name, got)
+				t.Fatalf("session %s reads %q", name, got)
 			}
 		}
 		if shared := session.Unarchived[0].Prefix != ""; shared != (name != "c") || session.Unarchived[1].Prefix != "" {
-			t.Fatalf("%s: %+v", name, session.Unarchived)
+			t.Fatalf("session %s: %+v", name, session.Unarchived)
 		}
 	}
 }
@@ -132,36 +132,36 @@
 		return machine.Apply(&command)
 	}
 	at(time.Second, shareCommand("identity", prefix))
-	at(time.Second, beginShared("program/a", "one", "identity", name, "x"))
+	at(time.Second, beginWithPrefix("program/a", "one", "identity", name, "x"))
 	at(2*time.Second, Command{Kind: AckArchived, Acks: []Ack{{Session: "program/a", ArchivedSeq: 1}}})
-	retained := 2*time.Minute + 2*time.Second // the turn's lifetime and the retention after it
+	retained := 2*time.Minute + 2*time.Second // the turn's lifetime plus the retention
 	for _, step := range []struct {
 		now            time.Duration
 		session, found bool
 	}{{retained - 2*time.Second, true, true}, {retained, false, true}, {retained + idlePrefixLifetime - time.Second, false, true}, {retained + idlePrefixLifetime + time.Second, false, false}} {
-		late := machine.View()
-		if due := late.HasIdlePrefix(int64(step.now)); due == step.found {
-			t.Fatalf("at %s something is due: %t", step.now, due)
+		earlier := machine.View()
+		if due := earlier.HasIdlePrefix(int64(step.now)); due == step.found {
+			t.Fatalf("at %s HasIdlePrefix is %t", step.now, due)
 		}
 		at(step.now, Command{Kind: AckArchived})
 		if _, known := machine.View().Session("program/a"); known != step.session {
-			t.Fatalf("at %s the session is known: %t", step.now, known)
+			t.Fatalf("at %s session found: %t", step.now, known)
 		}
 		if _, found := machine.View().SharedPrefix(name); found != step.found {
-			t.Fatalf("at %s the prefix is stored: %t", step.now, found)
+			t.Fatalf("at %s prefix found: %t", step.now, found)
 		}
-		if got, intact := late.FullData(&Event{Prefix: name, Data: []byte("x")}); !intact || string(got) != prefix+"x" {
-			t.Fatalf("at %s a reader of an earlier view got %q", step.now, got)
+		if got, intact := earlier.FullData(&Event{Prefix: name, Data: []byte("x")}); !intact || string(got) != prefix+"x" {
+			t.Fatalf("at %s an earlier view reads %q", step.now, got)
 		}
 	}
-	if got := at(time.Hour, beginShared("program/b", "two", "identity", name, "x")); got.Status != UnknownPrefix {
-		t.Fatalf("a turn refers to a prefix that was freed: %+v", got)
+	if got := at(time.Hour, beginWithPrefix("program/b", "two", "identity", name, "x")); got.Status != UnknownPrefix {
+		t.Fatalf("turn with a freed prefix: %+v", got)
 	}
 	if _, intact := machine.View().FullData(&Event{Prefix: name, Data: []byte("x")}); intact {
-		t.Fatal("a reference to a freed prefix gave something")
+		t.Fatal("FullData succeeded for a freed prefix")
 	}
 	if _, found := machine.View().Session("program/b"); found || machine.View().prefixesByScope.Len() != 0 {
-		t.Fatal("something is left")
+		t.Fatal("the rejected session or the freed prefix is still there")
 	}
 }
 
@@ -171,11 +171,11 @@
 	name := SharedPrefixName("identity", []byte(prefix))
 	share := shareCommand("identity", prefix)
 	machine.Apply(&share)
-	started := beginShared("program/a", "one", "identity", name, "x")
-	machine.Apply(&started)
+	begin := beginWithPrefix("program/a", "one", "identity", name, "x")
+	machine.Apply(&begin)
 	snapshot := machine.View().Snapshot()
 	if snapshot.Version != snapshotVersion {
-		t.Fatalf("format %d", snapshot.Version)
+		t.Fatalf("snapshot version %d", snapshot.Version)
 	}
 	snapshot.Prefixes = slices.Clone(snapshot.Prefixes)
 	snapshot.Prefixes[0].Data = []byte(repeatLetter("a", MinPrefixBytes-1) + "b")
@@ -185,22 +185,22 @@
 	}
 	event := Event{Prefix: name, Data: []byte("x")}
 	if got, intact := damaged.View().FullData(&event); intact {
-		t.Fatalf("a corrupt prefix was read: %q", got)
+		t.Fatalf("read a corrupt prefix: %q", got)
 	}
 	if _, found := damaged.View().LongestSharedPrefix("identity", []byte(prefix)); found {
-		t.Fatal("a corrupt prefix is offered")
+		t.Fatal("found a corrupt prefix")
 	}
-	// It goes on as its intact peers do.
-	for _, command := range []Command{beginShared("program/b", "two", "identity", name, "y"), shareCommand("identity", prefix)} {
+	// The replica with the corrupt prefix returns the same results as an intact one.
+	for _, command := range []Command{beginWithPrefix("program/b", "two", "identity", name, "y"), shareCommand("identity", prefix)} {
 		if left, right := machine.Apply(&command), damaged.Apply(&command); left != right {
-			t.Fatalf("%+v and %+v", left, right)
+			t.Fatalf("intact replica: %+v, replica with the corrupt prefix: %+v", left, right)
 		}
 	}
 	if got, intact := damaged.View().FullData(&event); !intact || string(got) != prefix+"x" {
-		t.Fatalf("the prefix was not repaired: %q", got)
+		t.Fatalf("prefix was not repaired: %q", got)
 	}
 	if !reflect.DeepEqual(machine.View().Snapshot(), damaged.View().Snapshot()) {
-		t.Fatal("the repaired replica is another")
+		t.Fatal("snapshot of the repaired replica differs")
 	}
 }
 
@@ -209,6 +209,6 @@
 	command := beginCommand("one", "")
 	machine.Apply(&command)
 	if snapshot := machine.View().Snapshot(); snapshot.Version != 2 || snapshot.Prefixes != nil {
-		t.Fatalf("%+v", snapshot)
+		t.Fatalf("snapshot without prefixes: %+v", snapshot)
 	}
 }
