--- a/system/sessionlog/archive_progress.go
+++ b/system/sessionlog/archive_progress.go
@@ -23,13 +23,13 @@
 // ackArchived advances the archive progress of sessions and evicts their archived events. Acks
 // that are stale or beyond a session's head are ignored. It also removes expired sessions and
 // idle prefixes: this must be part of a command so that all replicas do it at the same index.
-func (view *View) ackArchived(command *Command) Outcome {
+func (view *View) ackArchived(command *Command) Result {
 	for _, ack := range command.Acks {
 		view.evictArchived(ack)
 	}
 	view.removeExpired()
 	view.freeIdlePrefixes()
-	return Outcome{}
+	return Result{}
 }
 
 // evictArchived evicts a session's events up to the acknowledged sequence number.
--- a/system/sessionlog/commands.go
+++ b/system/sessionlog/commands.go
@@ -153,12 +153,12 @@
 	TooManyPrefixes
 )
 
-// Outcome reports how a command was applied. Seq is the sequence number of the first event that the
+// Result reports how a command was applied. Seq is the sequence number of the first event that the
 // command appended or, if Deduped is set, that an earlier copy of it appended. Head is the
 // session's last sequence number. Spent and Reserved are the quota usage after the command:
 // in words for a quota, in tokens for a session. Runner and CachedTokens are the CacheLocation
 // of the conversation of a turn that began.
-type Outcome struct {
+type Result struct {
 	Status   Status
 	Seq      uint64
 	Head     uint64
--- a/system/sessionlog/quota.go
+++ b/system/sessionlog/quota.go
@@ -86,7 +86,7 @@
 // reserve reserves words if the quota covers them. A turn that would exceed the quota is still
 // admitted if nothing else is reserved and the quota is not used up, so that a remainder smaller
 // than one turn can be used.
-func (view *View) reserve(command *Command) Outcome {
+func (view *View) reserve(command *Command) Result {
 	usage := view.QuotaUsage(command.Session)
 	if indexOfReservation(usage.Reservations, command.Reservation) >= 0 {
 		return usage.result(Done, true)
@@ -109,7 +109,7 @@
 // settle replaces a reservation with the number of words that its turn used, at most the number
 // reserved. An unknown reservation is remembered as settled too, because its Reserve may still be
 // in flight.
-func (view *View) settle(command *Command) Outcome {
+func (view *View) settle(command *Command) Result {
 	usage := view.QuotaUsage(command.Session)
 	position := indexOfReservation(usage.Reservations, command.Reservation)
 	deduped := position < 0
@@ -131,8 +131,8 @@
 	return usage.result(Done, deduped)
 }
 
-func (usage *QuotaUsage) result(status Status, deduped bool) Outcome {
-	return Outcome{Status: status, Deduped: deduped, Spent: usage.Spent, Reserved: usage.Reserved()}
+func (usage *QuotaUsage) result(status Status, deduped bool) Result {
+	return Result{Status: status, Deduped: deduped, Spent: usage.Spent, Reserved: usage.Reserved()}
 }
 
 func indexOfReservation(reservations []Reservation, name string) int {
--- a/system/sessionlog/sessions.go
+++ b/system/sessionlog/sessions.go
@@ -52,9 +52,9 @@
 }
 
 // createSession adds an empty session unless one of that name exists.
-func (view *View) createSession(command *Command) Outcome {
+func (view *View) createSession(command *Command) Result {
 	if existing, found := view.sessions.Get(command.Session); found {
-		return Outcome{Head: existing.Head, Deduped: true}
+		return Result{Head: existing.Head, Deduped: true}
 	}
 	session := &Session{
 		Name: command.Session, Team: command.Team, Program: command.Program, WorkKind: command.WorkKind,
@@ -62,51 +62,51 @@
 	}
 	view.sessions = view.sessions.Set(command.Session, session)
 	view.expiries = view.expiries.Set(expiryKey(session), session.Name)
-	return Outcome{}
+	return Result{}
 }
 
 // appendEvents atomically appends a command's events to an existing session.
-func (view *View) appendEvents(command *Command) Outcome {
+func (view *View) appendEvents(command *Command) Result {
 	existing, found := view.sessions.Get(command.Session)
 	if !found {
-		return Outcome{Status: UnknownSession}
+		return Result{Status: UnknownSession}
 	}
 	if len(command.Events) == 0 || (command.Kind == AppendEvent && len(command.Events) != 1) {
-		return Outcome{Status: BadCommand, Head: existing.Head}
+		return Result{Status: BadCommand, Head: existing.Head}
 	}
 	if result, repeated := existing.repeatedAppend(command); repeated {
 		return result
 	}
 	if command.HasExpectedSeq && command.ExpectedSeq != existing.Head {
-		return Outcome{Status: UnexpectedSeq, Head: existing.Head}
+		return Result{Status: UnexpectedSeq, Head: existing.Head}
 	}
 	session := *existing
 	if !session.appendBatch(command, view.clock) {
-		return Outcome{Status: TurnClosed, Head: existing.Head}
+		return Result{Status: TurnClosed, Head: existing.Head}
 	}
 	session.UpdatedAt = view.clock
 	first := existing.Head + 1
 	session.recordProducer(Producer{Name: command.Producer, ProducerSeq: command.ProducerSeq, Seq: first, At: view.clock})
 	view.setSession(&session)
-	return Outcome{Seq: first, Head: session.Head}
+	return Result{Seq: first, Head: session.Head}
 }
 
 // repeatedAppend returns the result of an append that was already applied, or that is older than
 // the producer's last one. For an older append, Seq is that of the last one, as earlier positions
 // are not kept.
-func (session *Session) repeatedAppend(command *Command) (result Outcome, repeated bool) {
+func (session *Session) repeatedAppend(command *Command) (result Result, repeated bool) {
 	position := session.producerIndex(command.Producer)
 	if position < 0 {
-		return Outcome{}, false
+		return Result{}, false
 	}
 	last := session.Producers[position]
 	if command.ProducerSeq == last.ProducerSeq {
-		return Outcome{Seq: last.Seq, Head: session.Head, Deduped: true}, true
+		return Result{Seq: last.Seq, Head: session.Head, Deduped: true}, true
 	}
 	if command.ProducerSeq < last.ProducerSeq {
-		return Outcome{Status: StaleProducer, Seq: last.Seq, Head: session.Head, Deduped: true}, true
+		return Result{Status: StaleProducer, Seq: last.Seq, Head: session.Head, Deduped: true}, true
 	}
-	return Outcome{}, false
+	return Result{}, false
 }
 
 func (session *Session) producerIndex(name string) int {
--- a/system/sessionlog/shared_prefixes.go
+++ b/system/sessionlog/shared_prefixes.go
@@ -141,19 +141,19 @@
 // sharePrefix stores a prefix, or repairs a corrupt copy of it, and replaces it with a reference in
 // those first turns of the named sessions that begin with it. A repair has no effect on replicas
 // whose copy is intact, so all replicas end with the same content.
-func (view *View) sharePrefix(command *Command) Outcome {
+func (view *View) sharePrefix(command *Command) Result {
 	size := len(command.Data)
 	if command.Scope == "" || size < MinPrefixBytes || size > MaxPrefixBytes {
-		return Outcome{Status: BadCommand}
+		return Result{Status: BadCommand}
 	}
 	name := SharedPrefixName(command.Scope, command.Data)
 	prefix, found := view.prefixes.Get(name)
 	scopePrefixes, _ := view.prefixesByScope.Get(command.Scope)
 	switch {
 	case found && !prefix.Corrupt && prefix.Text() != string(command.Data):
-		return Outcome{Status: BadCommand}
+		return Result{Status: BadCommand}
 	case !found && len(scopePrefixes) >= maxPrefixesPerScope:
-		return Outcome{Status: TooManyPrefixes}
+		return Result{Status: TooManyPrefixes}
 	case !found:
 		view.setPrefix(&SharedPrefix{
 			Name: name, Scope: command.Scope, Size: uint64(size), KeepUntil: view.clock + int64(idlePrefixLifetime),
@@ -167,7 +167,7 @@
 	for _, ack := range command.Acks {
 		view.factorOutPrefix(ack.Session, name, command.Data)
 	}
-	return Outcome{Deduped: found}
+	return Result{Deduped: found}
 }
 
 // factorOutPrefix replaces a prefix with a reference in those unarchived first turns of a session
@@ -197,7 +197,7 @@
 // beginTurnWithPrefix is beginTurn for an input that begins with a shared prefix of the same
 // scope. It is rejected if the group does not have that prefix. A repeat is not checked again, as
 // it does not begin a turn.
-func (view *View) beginTurnWithPrefix(command *Command) Outcome {
+func (view *View) beginTurnWithPrefix(command *Command) Result {
 	if _, repeated := view.Turn(command.Session, command.Producer); !repeated {
 		prefix, found := view.prefixes.Get(command.Prefix)
 		if !found || prefix.Scope != command.Scope || command.Follows != "" || !command.KeepData {
--- a/system/sessionlog/shared_prefixes_test.go
+++ b/system/sessionlog/shared_prefixes_test.go
@@ -127,7 +127,7 @@
 	machine := NewStateMachine()
 	prefix := repeatLetter("a", MinPrefixBytes)
 	name := SharedPrefixName("identity", []byte(prefix))
-	at := func(now time.Duration, command Command) Outcome {
+	at := func(now time.Duration, command Command) Result {
 		command.Now = int64(now)
 		return machine.Apply(&command)
 	}
--- a/system/sessionlog/state_machine.go
+++ b/system/sessionlog/state_machine.go
@@ -42,7 +42,7 @@
 
 // commandHandlers maps each kind of command to its handler. A handler modifies a copy of the
 // newest view, which is then published regardless of the status.
-var commandHandlers = map[CommandKind]func(*View, *Command) Outcome{
+var commandHandlers = map[CommandKind]func(*View, *Command) Result{
 	CreateSession: (*View).createSession,
 	AppendEvent:   (*View).appendEvents,
 	AppendEvents:  (*View).appendEvents,
@@ -60,12 +60,12 @@
 // unknown kind it returns BadCommand and publishes nothing.
 //
 //	result := machine.Apply(&sessionlog.Command{Kind: sessionlog.CreateSession, Session: "team/c-1", Retention: time.Hour})
-func (machine *StateMachine) Apply(command *Command) Outcome {
+func (machine *StateMachine) Apply(command *Command) Result {
 	next := *machine.published.Load()
 	next.clock = max(next.clock, command.Now)
 	handler, known := commandHandlers[command.Kind]
 	if !known {
-		return Outcome{Status: BadCommand}
+		return Result{Status: BadCommand}
 	}
 	result := handler(&next, command)
 	machine.published.Store(&next)
--- a/system/sessionlog/state_machine_test.go
+++ b/system/sessionlog/state_machine_test.go
@@ -24,24 +24,24 @@
 	begin := Event{Kind: TurnBegun, Text: "hello"}
 	for position, step := range []struct {
 		command Command
-		want    Outcome
+		want    Result
 	}{
-		{Command{Kind: CreateSession, Session: "a/c"}, Outcome{Deduped: true}},
-		{Command{Kind: AppendEvent, Session: "a/none", Producer: "p", ProducerSeq: 1, Events: []Event{begin}}, Outcome{Status: UnknownSession}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, ExpectedSeq: 4, Events: []Event{begin}}, Outcome{Status: UnexpectedSeq}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, Events: []Event{begin}}, Outcome{Seq: 1, Head: 1}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, Events: []Event{begin}}, Outcome{Seq: 1, Head: 1, Deduped: true}},
-		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}, {Kind: OutputPart, Turn: 1}}}, Outcome{Seq: 2, Head: 3}},
-		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}, {Kind: OutputPart, Turn: 1}}}, Outcome{Seq: 2, Head: 3, Deduped: true}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, Events: []Event{begin}}, Outcome{Status: StaleProducer, Seq: 2, Head: 3, Deduped: true}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "q", ProducerSeq: 1, Events: []Event{{Kind: OutputPart, Turn: 2}}}, Outcome{Status: TurnClosed, Head: 3}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "closer", ProducerSeq: 1, Events: []Event{{Kind: TurnEnded, Turn: 1, Outcome: OutcomeCut}}}, Outcome{Seq: 4, Head: 4}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: OutputPart, Turn: 1}}}, Outcome{Status: TurnClosed, Head: 4}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: TurnEnded, Turn: 1}}}, Outcome{Status: TurnClosed, Head: 4}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "fenced", ProducerSeq: 1, Events: []Event{{Kind: Fenced}}}, Outcome{Seq: 5, Head: 5}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "fenced", ProducerSeq: 1, Events: []Event{begin}}, Outcome{Seq: 5, Head: 5, Deduped: true}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "r", ProducerSeq: 1}, Outcome{Status: BadCommand, Head: 5}},
-		{Command{Kind: 99, Session: "a/c"}, Outcome{Status: BadCommand}},
+		{Command{Kind: CreateSession, Session: "a/c"}, Result{Deduped: true}},
+		{Command{Kind: AppendEvent, Session: "a/none", Producer: "p", ProducerSeq: 1, Events: []Event{begin}}, Result{Status: UnknownSession}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, ExpectedSeq: 4, Events: []Event{begin}}, Result{Status: UnexpectedSeq}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, Events: []Event{begin}}, Result{Seq: 1, Head: 1}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, Events: []Event{begin}}, Result{Seq: 1, Head: 1, Deduped: true}},
+		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}, {Kind: OutputPart, Turn: 1}}}, Result{Seq: 2, Head: 3}},
+		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}, {Kind: OutputPart, Turn: 1}}}, Result{Seq: 2, Head: 3, Deduped: true}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, Events: []Event{begin}}, Result{Status: StaleProducer, Seq: 2, Head: 3, Deduped: true}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "q", ProducerSeq: 1, Events: []Event{{Kind: OutputPart, Turn: 2}}}, Result{Status: TurnClosed, Head: 3}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "closer", ProducerSeq: 1, Events: []Event{{Kind: TurnEnded, Turn: 1, Outcome: OutcomeCut}}}, Result{Seq: 4, Head: 4}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: OutputPart, Turn: 1}}}, Result{Status: TurnClosed, Head: 4}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: TurnEnded, Turn: 1}}}, Result{Status: TurnClosed, Head: 4}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "fenced", ProducerSeq: 1, Events: []Event{{Kind: Fenced}}}, Result{Seq: 5, Head: 5}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "fenced", ProducerSeq: 1, Events: []Event{begin}}, Result{Seq: 5, Head: 5, Deduped: true}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "r", ProducerSeq: 1}, Result{Status: BadCommand, Head: 5}},
+		{Command{Kind: 99, Session: "a/c"}, Result{Status: BadCommand}},
 	} {
 		if got := machine.Apply(&step.command); got != step.want {
 			t.Errorf("step %d: got %+v, want %+v", position, got, step.want)
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -88,7 +88,7 @@
 
 // beginTurn atomically creates the session if it is absent, reserves the turn's output tokens and
 // records the beginning of the turn. Reserved tokens count towards the quota.
-func (view *View) beginTurn(command *Command) Outcome {
+func (view *View) beginTurn(command *Command) Result {
 	session := view.sessionForUpdate(command)
 	if command.Producer == "" || command.Producer == command.Follows {
 		return session.result(BadCommand, 0, false)
@@ -116,7 +116,7 @@
 
 // withCacheLocation adds the cache location of the command's conversation to the result of
 // beginTurn.
-func (result Outcome) withCacheLocation(session *Session, command *Command) Outcome {
+func (result Result) withCacheLocation(session *Session, command *Command) Result {
 	location := session.cacheLocation(command.Conversation)
 	result.Runner, result.CachedTokens = location.Runner, location.Tokens
 	return result
@@ -222,7 +222,7 @@
 
 // endTurn records a turn's output and outcome and settles its tokens. A turn that has not begun
 // may be ended with OutcomeNotRun, so that it can no longer begin.
-func (view *View) endTurn(command *Command) Outcome {
+func (view *View) endTurn(command *Command) Result {
 	session := view.sessionForUpdate(command)
 	turn, found := view.Turn(command.Session, command.Producer)
 	switch {
@@ -256,7 +256,7 @@
 }
 
 // fenceTurn closes a turn that has not begun, so that a delayed BeginTurn is rejected.
-func (view *View) fenceTurn(session *Session, command *Command) Outcome {
+func (view *View) fenceTurn(session *Session, command *Command) Result {
 	seq := session.Head + 1
 	turn := &Turn{Name: command.Producer, Session: command.Session, EndSeq: seq, Outcome: OutcomeNotRun, Dispatch: command.Dispatch}
 	view.addTurn(session, turn, Event{
@@ -273,8 +273,8 @@
 	view.indexTurn(turn)
 }
 
-func (session *Session) result(status Status, seq uint64, deduped bool) Outcome {
-	return Outcome{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
+func (session *Session) result(status Status, seq uint64, deduped bool) Result {
+	return Result{Status: status, Seq: seq, Head: session.Head, Deduped: deduped, Spent: session.Spent, Reserved: session.Reserved}
 }
 
 // withoutName returns a copy of names without the given name.
--- a/system/sessionlog/turns_test.go
+++ b/system/sessionlog/turns_test.go
@@ -27,37 +27,37 @@
 	machine := NewStateMachine()
 	for position, step := range []struct {
 		command Command
-		want    Outcome
+		want    Result
 	}{
-		{endCommand("one", OutcomeComplete, 3), Outcome{Status: UnknownTurn}},
-		{beginCommand("one", "none"), Outcome{Status: UnknownTurn}},
-		{beginCommand("one", "one"), Outcome{Status: BadCommand}},
-		{beginCommand("", ""), Outcome{Status: BadCommand}},
-		{with(beginCommand("one", ""), func(command *Command) { command.Tokens = 36 }), Outcome{Status: QuotaExceeded}},
-		{with(beginCommand("one", ""), func(command *Command) { command.Tokens = math.MaxUint64 }), Outcome{Status: QuotaExceeded}},
-		{beginCommand("one", ""), Outcome{Seq: 1, Head: 1, Reserved: 10}},
-		{beginCommand("one", ""), Outcome{Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
-		{with(beginCommand("one", ""), func(command *Command) { command.Dispatch = "another" }), Outcome{Status: TurnTaken, Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
-		{beginCommand("two", "one"), Outcome{Status: TurnOpen, Head: 1, Reserved: 10}},
-		{with(endCommand("one", "", 3), func(*Command) {}), Outcome{Status: BadCommand, Head: 1, Reserved: 10}},
-		{endCommand("one", OutcomeComplete, 7), Outcome{Seq: 2, Head: 2, Spent: 7}},
-		{endCommand("one", OutcomeComplete, 7), Outcome{Seq: 2, Head: 2, Spent: 7, Deduped: true}},
-		{endCommand("one", OutcomeCut, 7), Outcome{Status: TurnClosed, Seq: 2, Head: 2, Spent: 7, Deduped: true}},
-		{beginCommand("one", ""), Outcome{Status: TurnTaken, Seq: 1, Head: 2, Spent: 7, Deduped: true}},
-		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 1 }), Outcome{Status: UnexpectedSeq, Head: 2, Spent: 7}},
-		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 2 }), Outcome{Seq: 3, Head: 3, Spent: 7, Reserved: 10}},
-		{beginCommand("three", "one"), Outcome{Seq: 4, Head: 4, Spent: 7, Reserved: 20}},
-		{beginCommand("four", "one"), Outcome{Status: QuotaExceeded, Head: 4, Spent: 7, Reserved: 20}},
-		{endCommand("two", OutcomeCut, 4), Outcome{Seq: 5, Head: 5, Spent: 11, Reserved: 10}},
-		{beginCommand("four", "two"), Outcome{Status: TurnIncomplete, Head: 5, Spent: 11, Reserved: 10}},
-		{endCommand("three", OutcomeNotRun, 0), Outcome{Seq: 6, Head: 6, Spent: 11}},
-		{beginCommand("three", "one"), Outcome{Status: TurnClosed, Seq: 4, Head: 6, Spent: 11, Deduped: true}},
-		{endCommand("fenced", OutcomeNotRun, 0), Outcome{Seq: 7, Head: 7, Spent: 11}},
-		{beginCommand("fenced", "one"), Outcome{Status: TurnClosed, Seq: 7, Head: 7, Spent: 11, Deduped: true}},
-		{with(beginCommand("late", "one"), func(command *Command) { command.HasQuota = false }), Outcome{Seq: 8, Head: 8, Spent: 11}},
-		{with(beginCommand("after", "late"), func(command *Command) { command.Now = int64(time.Hour) }), Outcome{Status: TurnIncomplete, Head: 8, Spent: 11}},
-		{endCommand("late", OutcomeComplete, 0), Outcome{Seq: 9, Head: 9, Spent: 11}},
-		{beginCommand("after", "late"), Outcome{Seq: 10, Head: 10, Spent: 11, Reserved: 10}},
+		{endCommand("one", OutcomeComplete, 3), Result{Status: UnknownTurn}},
+		{beginCommand("one", "none"), Result{Status: UnknownTurn}},
+		{beginCommand("one", "one"), Result{Status: BadCommand}},
+		{beginCommand("", ""), Result{Status: BadCommand}},
+		{with(beginCommand("one", ""), func(command *Command) { command.Tokens = 36 }), Result{Status: QuotaExceeded}},
+		{with(beginCommand("one", ""), func(command *Command) { command.Tokens = math.MaxUint64 }), Result{Status: QuotaExceeded}},
+		{beginCommand("one", ""), Result{Seq: 1, Head: 1, Reserved: 10}},
+		{beginCommand("one", ""), Result{Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
+		{with(beginCommand("one", ""), func(command *Command) { command.Dispatch = "another" }), Result{Status: TurnTaken, Seq: 1, Head: 1, Reserved: 10, Deduped: true}},
+		{beginCommand("two", "one"), Result{Status: TurnOpen, Head: 1, Reserved: 10}},
+		{with(endCommand("one", "", 3), func(*Command) {}), Result{Status: BadCommand, Head: 1, Reserved: 10}},
+		{endCommand("one", OutcomeComplete, 7), Result{Seq: 2, Head: 2, Spent: 7}},
+		{endCommand("one", OutcomeComplete, 7), Result{Seq: 2, Head: 2, Spent: 7, Deduped: true}},
+		{endCommand("one", OutcomeCut, 7), Result{Status: TurnClosed, Seq: 2, Head: 2, Spent: 7, Deduped: true}},
+		{beginCommand("one", ""), Result{Status: TurnTaken, Seq: 1, Head: 2, Spent: 7, Deduped: true}},
+		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 1 }), Result{Status: UnexpectedSeq, Head: 2, Spent: 7}},
+		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 2 }), Result{Seq: 3, Head: 3, Spent: 7, Reserved: 10}},
+		{beginCommand("three", "one"), Result{Seq: 4, Head: 4, Spent: 7, Reserved: 20}},
+		{beginCommand("four", "one"), Result{Status: QuotaExceeded, Head: 4, Spent: 7, Reserved: 20}},
+		{endCommand("two", OutcomeCut, 4), Result{Seq: 5, Head: 5, Spent: 11, Reserved: 10}},
+		{beginCommand("four", "two"), Result{Status: TurnIncomplete, Head: 5, Spent: 11, Reserved: 10}},
+		{endCommand("three", OutcomeNotRun, 0), Result{Seq: 6, Head: 6, Spent: 11}},
+		{beginCommand("three", "one"), Result{Status: TurnClosed, Seq: 4, Head: 6, Spent: 11, Deduped: true}},
+		{endCommand("fenced", OutcomeNotRun, 0), Result{Seq: 7, Head: 7, Spent: 11}},
+		{beginCommand("fenced", "one"), Result{Status: TurnClosed, Seq: 7, Head: 7, Spent: 11, Deduped: true}},
+		{with(beginCommand("late", "one"), func(command *Command) { command.HasQuota = false }), Result{Seq: 8, Head: 8, Spent: 11}},
+		{with(beginCommand("after", "late"), func(command *Command) { command.Now = int64(time.Hour) }), Result{Status: TurnIncomplete, Head: 8, Spent: 11}},
+		{endCommand("late", OutcomeComplete, 0), Result{Seq: 9, Head: 9, Spent: 11}},
+		{beginCommand("after", "late"), Result{Seq: 10, Head: 10, Spent: 11, Reserved: 10}},
 	} {
 		before := machine.View().Snapshot()
 		got := machine.Apply(&step.command)
@@ -97,16 +97,16 @@
 	}
 	for position, step := range []struct {
 		command Command
-		want    Outcome
+		want    Result
 	}{
-		{with(beginCommand("one", "z"), func(command *Command) { command.Adopted = adopted }), Outcome{Status: UnknownTurn}},
-		{with(adopting("one"), func(command *Command) { command.Tokens = 40 }), Outcome{Status: QuotaExceeded}},
-		{adopting("one"), Outcome{Seq: 3, Head: 3, Reserved: 10}},
-		{adopting("one"), Outcome{Seq: 3, Head: 3, Reserved: 10, Deduped: true}},
-		{adopting("two"), Outcome{Seq: 4, Head: 4, Reserved: 20}},
-		{endCommand("two", OutcomeComplete, 1), Outcome{Seq: 5, Head: 5, Spent: 1, Reserved: 10}},
-		{beginCommand("three", "x"), Outcome{Seq: 6, Head: 6, Spent: 1, Reserved: 20}},
-		{with(beginCommand("four", "two"), func(command *Command) { command.HasQuota = false }), Outcome{Seq: 7, Head: 7, Spent: 1, Reserved: 20}},
+		{with(beginCommand("one", "z"), func(command *Command) { command.Adopted = adopted }), Result{Status: UnknownTurn}},
+		{with(adopting("one"), func(command *Command) { command.Tokens = 40 }), Result{Status: QuotaExceeded}},
+		{adopting("one"), Result{Seq: 3, Head: 3, Reserved: 10}},
+		{adopting("one"), Result{Seq: 3, Head: 3, Reserved: 10, Deduped: true}},
+		{adopting("two"), Result{Seq: 4, Head: 4, Reserved: 20}},
+		{endCommand("two", OutcomeComplete, 1), Result{Seq: 5, Head: 5, Spent: 1, Reserved: 10}},
+		{beginCommand("three", "x"), Result{Seq: 6, Head: 6, Spent: 1, Reserved: 20}},
+		{with(beginCommand("four", "two"), func(command *Command) { command.HasQuota = false }), Result{Seq: 7, Head: 7, Spent: 1, Reserved: 20}},
 	} {
 		if got := machine.Apply(&step.command); got != step.want {
 			t.Errorf("step %d: got %+v, want %+v", position, got, step.want)
@@ -188,7 +188,7 @@
 
 func TestProgramSessionIsRetainedFromTheEndOfItsLastTurn(t *testing.T) {
 	machine := NewStateMachine()
-	at := func(now time.Duration, command Command) Outcome {
+	at := func(now time.Duration, command Command) Result {
 		command.Now = int64(now)
 		return machine.Apply(&command)
 	}
--- a/system/store/node_groups.go
+++ b/system/store/node_groups.go
@@ -25,7 +25,7 @@
 
 // applyResult is what Apply returns for a command: its outcome, and the view right after it.
 type applyResult struct {
-	outcome sessionlog.Outcome
+	outcome sessionlog.Result
 	view    *sessionlog.View
 }
 
@@ -34,7 +34,7 @@
 func (machine *groupStateMachine) Apply(entry raft.Entry) any {
 	var command sessionlog.Command
 	if err := wire.Decode(schema.Command_TypeID, entry.Data, &command); err != nil {
-		return applyResult{sessionlog.Outcome{Status: sessionlog.BadCommand}, machine.View()}
+		return applyResult{sessionlog.Result{Status: sessionlog.BadCommand}, machine.View()}
 	}
 	outcome := machine.StateMachine.Apply(&command)
 	machine.onApplied(command.Session)
--- a/system/storeclient/client.go
+++ b/system/storeclient/client.go
@@ -88,7 +88,7 @@
 // they were not.
 //
 //	outcomes, err := client.Command(ctx, "team/c-1", sessionlog.Command{Kind: sessionlog.CreateSession, ...})
-func (client *Client) Command(ctx context.Context, name string, commands ...sessionlog.Command) ([]sessionlog.Outcome, error) {
+func (client *Client) Command(ctx context.Context, name string, commands ...sessionlog.Command) ([]sessionlog.Result, error) {
 	reply, err := client.commit(ctx, name, commands)
 	if err != nil {
 		return nil, err
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -209,10 +209,10 @@
 }
 
 // commitTurn commits one command of a turn. The history is that of the turn it follows.
-func (client *Client) commitTurn(ctx context.Context, name string, command sessionlog.Command) (outcome sessionlog.Outcome, history []byte, err error) {
+func (client *Client) commitTurn(ctx context.Context, name string, command sessionlog.Command) (outcome sessionlog.Result, history []byte, err error) {
 	reply, err := client.commit(ctx, name, []sessionlog.Command{command})
 	if err != nil {
-		return sessionlog.Outcome{}, nil, err
+		return sessionlog.Result{}, nil, err
 	}
 	return reply.Outcomes[0], reply.History, nil
 }
--- a/system/wire/sessions.go
+++ b/system/wire/sessions.go
@@ -15,7 +15,7 @@
 // CommandReply answers a CommandQuery with an outcome for each command. If a turn began,
 // History has the bytes of the turns that it follows, oldest first.
 type CommandReply struct {
-	Outcomes []sessionlog.Outcome
+	Outcomes []sessionlog.Result
 	History  []byte
 }
 
