--- a/system/archive/files.go
+++ b/system/archive/files.go
@@ -15,32 +15,30 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// A file is an encoded index behind a header, then the encoded chunks. The header is the
-// index's length and its checksum, 4 bytes each, little endian.
+// A file consists of a header, the encoded index and the encoded chunks. The header is the length
+// of the index and its checksum, as little-endian uint32.
 const (
-	// filePrefix is followed by the file's number, in 20 decimal digits. The word is that of
-	// earlier versions, whose files must still be found.
+	// filePrefix is followed by the file's number in 20 decimal digits. It must not change, so
+	// that files of earlier versions are found.
 	filePrefix   = "cold-"
 	headerLength = 8
 )
 
-// checksums is the polynomial of all checksums in files.
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+// checksumTable is the polynomial of all checksums in archive files.
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
 func fileName(number uint64) string { return fmt.Sprintf("%s%020d", filePrefix, number) }
 
-// writeBufferBytes is how much of a file is encoded before it is written.
+// writeBufferBytes is the amount of encoded data after which a part of a file is written.
 const writeBufferBytes = 256 << 10
 
-// writeFile writes a new file with some chunks, syncs it and returns where each chunk is in it.
-// The chunks are synced before the index is written: a file with an index has all that it names,
-// whenever the power was lost, and no node says that it has chunks which never reached its disk.
-// No more than writeBufferBytes and one chunk are encoded at a time. An error of the disk is of
-// kind apierror.DiskUnavailable.
+// writeFile writes and syncs a new file and returns the locations of its chunks. The chunks are
+// synced before the index is written, so that after a crash at any point an intact index lists
+// only chunks that are on disk. It buffers at most writeBufferBytes and one chunk of encoded data.
+// A disk error is of kind apierror.DiskUnavailable.
 func (store *Store) writeFile(number uint64, chunks []wire.ArchiveChunk) ([]wire.ChunkLocation, error) {
-	name, index := fileName(number), emptyIndex(chunks)
-	// The length of the index does not depend on what is not known yet: those fields have a
-	// fixed size.
+	name, index := fileName(number), newIndex(chunks)
+	// The fields of the index that are not set yet have a fixed size, so its length is final.
 	offset := headerLength + len(wire.MustEncode(schema.ColdIndex_TypeID, &index))
 	var buffer []byte
 	for position, chunk := range chunks {
@@ -51,30 +49,31 @@
 		digest := sha256.Sum256(body)
 		location := &index.Locations[position]
 		location.Offset, location.Length = uint64(offset+len(buffer)), uint32(len(body))
-		location.Checksum, location.Digest = crc32.Checksum(body, checksums), digest[:]
+		location.Checksum, location.Digest = crc32.Checksum(body, checksumTable), digest[:]
 		buffer = append(buffer, body...)
 		if len(buffer) < writeBufferBytes && position < len(chunks)-1 {
 			continue
 		}
-		if err := store.folder.WriteAt(name, int64(offset), buffer); err != nil {
-			return nil, unwritable(err)
+		if err := store.dir.WriteAt(name, int64(offset), buffer); err != nil {
+			return nil, writeError(err)
 		}
 		offset, buffer = offset+len(buffer), buffer[:0]
 	}
-	if err := store.folder.Sync(name); err != nil {
-		return nil, unwritable(err)
+	if err := store.dir.Sync(name); err != nil {
+		return nil, writeError(err)
 	}
-	if err := store.folder.WriteAt(name, 0, encodeHead(index)); err != nil {
-		return nil, unwritable(err)
+	if err := store.dir.WriteAt(name, 0, encodeHeaderAndIndex(index)); err != nil {
+		return nil, writeError(err)
 	}
-	if err := store.folder.Sync(name); err != nil {
-		return nil, unwritable(err)
+	if err := store.dir.Sync(name); err != nil {
+		return nil, writeError(err)
 	}
 	return index.Locations, nil
 }
 
-// emptyIndex returns the index of a file that is not written yet.
-func emptyIndex(chunks []wire.ArchiveChunk) wire.ArchiveIndex {
+// newIndex returns an index of chunks without their offsets, lengths, checksums and
+// digests.
+func newIndex(chunks []wire.ArchiveChunk) wire.ArchiveIndex {
 	index := wire.ArchiveIndex{}
 	for _, chunk := range chunks {
 		index.Locations = append(index.Locations, wire.ChunkLocation{
@@ -85,36 +84,36 @@
 	return index
 }
 
-// encodeHead returns the header and the index of a file.
-func encodeHead(index wire.ArchiveIndex) []byte {
+// encodeHeaderAndIndex returns the encoded header and index of a file.
+func encodeHeaderAndIndex(index wire.ArchiveIndex) []byte {
 	encoded := wire.MustEncode(schema.ColdIndex_TypeID, &index)
 	head := make([]byte, 0, headerLength+len(encoded))
 	head = binary.LittleEndian.AppendUint32(head, uint32(len(encoded)))
-	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(encoded, checksums))
+	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(encoded, checksumTable))
 	return append(head, encoded...)
 }
 
-// unwritable is the error of a file that could not be written or synced.
-func unwritable(cause error) error {
-	return apierror.Wrap(cause, apierror.DiskUnavailable, "the archive could not be written: "+cause.Error(), "free space on the disk or replace it")
+// writeError is the error for a file that could not be written or synced.
+func writeError(cause error) error {
+	return apierror.Wrap(cause, apierror.DiskUnavailable, "cannot write to the archive: "+cause.Error(), "free disk space or replace the disk")
 }
 
-// readIndex returns the index of a file, or nothing if it is torn or damaged.
+// readIndex returns the index of a file, or nil if it is torn or damaged.
 func (store *Store) readIndex(name string) []wire.ChunkLocation {
-	size, err := store.folder.Size(name)
+	size, err := store.dir.Size(name)
 	if err != nil {
 		return nil
 	}
-	header, err := store.folder.ReadRange(name, 0, headerLength)
+	header, err := store.dir.ReadRange(name, 0, headerLength)
 	if err != nil {
 		return nil
 	}
 	length := int64(binary.LittleEndian.Uint32(header))
 	if length > size-headerLength {
-		return nil // a damaged length must not be allocated
+		return nil // do not allocate a buffer of a damaged length
 	}
-	body, err := store.folder.ReadRange(name, headerLength, int(length))
-	if err != nil || crc32.Checksum(body, checksums) != binary.LittleEndian.Uint32(header[4:]) {
+	body, err := store.dir.ReadRange(name, headerLength, int(length))
+	if err != nil || crc32.Checksum(body, checksumTable) != binary.LittleEndian.Uint32(header[4:]) {
 		return nil
 	}
 	var index wire.ArchiveIndex
@@ -124,10 +123,10 @@
 	return index.Locations
 }
 
-// readChunk reads and verifies a chunk. It reports false if the chunk is damaged or missing.
+// readChunk reads and verifies a chunk. intact is false if the chunk is damaged or missing.
 func (store *Store) readChunk(location chunkLocation) (chunk wire.ArchiveChunk, intact bool) {
-	body, err := store.folder.ReadRange(fileName(location.file), location.offset, location.length)
-	if err != nil || crc32.Checksum(body, checksums) != location.checksum {
+	body, err := store.dir.ReadRange(fileName(location.file), location.offset, location.length)
+	if err != nil || crc32.Checksum(body, checksumTable) != location.checksum {
 		return wire.ArchiveChunk{}, false
 	}
 	var batch wire.ArchiveChunkBatch
@@ -137,7 +136,7 @@
 	return batch.Chunks[0], true
 }
 
-// inOrder returns events by their sequence numbers.
-func inOrder(bySeq map[uint64]sessionlog.Event) []sessionlog.Event {
+// sortedBySeq returns events in the order of their sequence numbers.
+func sortedBySeq(bySeq map[uint64]sessionlog.Event) []sessionlog.Event {
 	return slices.SortedFunc(maps.Values(bySeq), func(left, right sessionlog.Event) int { return cmp.Compare(left.Seq, right.Seq) })
 }
--- a/system/archive/locations.go
+++ b/system/archive/locations.go
@@ -9,35 +9,35 @@
 	"yardrock.example/system/wire"
 )
 
-// chunkLocation is where a chunk is: length bytes at an offset of a file, both in bytes.
+// chunkLocation is the location of a chunk: length bytes at an offset in a file.
 type chunkLocation struct {
 	file   uint64
 	offset int64
 	length int
 	group  uint32
-	// first and last are the sequence numbers of the chunk's first and last event.
+	// first and last are the sequence numbers of the chunk's first and last events.
 	first uint64
 	last  uint64
-	// expiresAt is when the session's retention ended as of the archiving, in nanoseconds of the
-	// group's clock.
+	// expiresAt is the end of the session's retention, as of when the chunk was archived, in
+	// nanoseconds of the group's clock.
 	expiresAt int64
 	checksum  uint32
 	digest    [sha256.Size]byte
 }
 
-// addLocation adds a chunk of a file to the index. The caller holds mutex, or is Open.
+// addLocation adds a chunk to the index. The caller must hold mutex, except in Open.
 func (store *Store) addLocation(file uint64, location wire.ChunkLocation) {
-	made := chunkLocation{
+	added := chunkLocation{
 		file: file, offset: int64(location.Offset), length: int(location.Length), checksum: location.Checksum,
 		group: location.Group, first: location.First, last: location.Last, expiresAt: location.ExpiresAt,
 	}
-	copy(made.digest[:], location.Digest)
-	store.setLocations(location.Session, location.Group, append(slices.Clip(store.locations[location.Session]), made))
+	copy(added.digest[:], location.Digest)
+	store.setLocations(location.Session, location.Group, append(slices.Clip(store.locations[location.Session]), added))
 	store.liveChunks[file]++
 }
 
-// setLocations replaces the chunks of a session in the index, and brings the digests of its
-// group up to date. The caller holds mutex, or is Open.
+// setLocations replaces the chunks of a session in the index, and updates the digests of its
+// group. The caller must hold mutex, except in Open.
 func (store *Store) setLocations(name string, group uint32, locations []chunkLocation) {
 	digests, found := store.digests[group]
 	if !found {
@@ -55,8 +55,8 @@
 	digests.Toggle(name, contiguousThrough(locations))
 }
 
-// contiguousThrough returns the sequence number up to which chunks hold a session's events from
-// the first on without a gap.
+// contiguousThrough returns the sequence number up to which chunks have a session's events
+// without a gap, starting from the first event; 0 without that event.
 func contiguousThrough(locations []chunkLocation) uint64 {
 	sorted, through := locations, uint64(0)
 	byFirst := func(left, right chunkLocation) int { return cmp.Compare(left.first, right.first) }
@@ -72,7 +72,8 @@
 	return through
 }
 
-// BucketDigests returns the digests of how far the sessions of a group are here without a gap.
+// BucketDigests returns the digests of the sequence numbers up to which the sessions of a group
+// are archived without a gap.
 //
 //	if archiveStore.BucketDigests(7) == view.ArchiveDigests() { ... }
 func (store *Store) BucketDigests(group uint32) sessionlog.BucketDigests {
@@ -84,7 +85,8 @@
 	return sessionlog.BucketDigests{}
 }
 
-// RangeDigests lists the chunks of a group's sessions in some buckets, with their digests.
+// RangeDigests returns the ranges and digests of all chunks of a group's sessions in the given
+// buckets.
 //
 //	ranges := archiveStore.RangeDigests(7, []uint32{0, 12})
 func (store *Store) RangeDigests(group uint32, buckets []uint32) []wire.RangeDigest {
--- a/system/archive/retention.go
+++ b/system/archive/retention.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Expire drops the sessions whose retention is over, and removes the files of which no chunk is
-// needed any more. A session expires by its chunks and the clock of its group, unless retained
-// reports that the group still has it, as it may have been changed since. A group without a
-// clock here (0) keeps what it has.
+// Expire removes expired sessions from the index, and deletes the files that have no chunk left.
+// A session expires when all its chunks have, by the clock of its group, unless retained reports
+// that the replicated state still has it: its retention may have been extended since. A clock of 0
+// means that this node has no replica of the group, and expires nothing.
 //
 //	err := archiveStore.Expire(node.clock, node.isRetained)
 func (store *Store) Expire(clock func(group uint32) int64, retained func(name string) bool) error {
@@ -18,7 +18,7 @@
 	return store.removeEmptyFiles()
 }
 
-// dropExpired takes expired sessions out of the index. It asks for each clock once.
+// dropExpired removes expired sessions from the index. It reads each group's clock once.
 func (store *Store) dropExpired(clock func(group uint32) int64, retained func(name string) bool) {
 	clocks := map[uint32]int64{}
 	unexpired := func(location chunkLocation) bool {
@@ -40,12 +40,12 @@
 	}
 }
 
-// removeEmptyFiles removes the files without chunks in the index.
+// removeEmptyFiles deletes the files that have no chunks in the index.
 func (store *Store) removeEmptyFiles() error {
 	for number, count := range store.liveChunks {
 		if count == 0 {
-			if err := store.folder.Remove(fileName(number)); err != nil {
-				return fmt.Errorf("remove %s from the archive: %w", fileName(number), err)
+			if err := store.dir.Remove(fileName(number)); err != nil {
+				return fmt.Errorf("remove archive file %s: %w", fileName(number), err)
 			}
 			delete(store.liveChunks, number)
 		}
--- a/system/archive/scrub.go
+++ b/system/archive/scrub.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Scrub verifies the next maxChunks chunks or a few more, session by session, from where the
-// last call ended. It takes damaged ones out of the index, so that repair finds the gap, and
-// returns how many these are.
+// Scrub verifies the next chunks, starting where the previous call ended. It stops at the end of
+// the session in which it reaches maxChunks. It removes damaged chunks from the index, so that
+// repair finds the gap, and returns their number.
 //
 //	dropped := archiveStore.Scrub(256)
 func (store *Store) Scrub(maxChunks int) (dropped int) {
@@ -36,12 +36,12 @@
 			store.dropLocation(name, location)
 		}
 	}
-	store.scrubCursor = "" // the next call begins again
+	store.scrubCursor = "" // the next call starts over
 	return dropped
 }
 
-// dropLocation takes one chunk out of the index. Expire may have done so since the chunk was
-// read; it must not be counted off twice, or its file would be removed with chunks in use.
+// dropLocation removes one chunk from the index. It does nothing if Expire has removed the chunk
+// since it was read: decrementing liveChunks twice would delete a file with live chunks.
 func (store *Store) dropLocation(name string, dropped chunkLocation) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
--- a/system/archive/store.go
+++ b/system/archive/store.go
@@ -1,18 +1,17 @@
-// Package archive keeps the archived events of sessions on a store node's own disk: the cold
-// tier of the Starcite paper's read path.
+// Package archive stores the archived events of sessions on a store node's disk: the cold tier
+// of the Starcite paper's read path.
 //
-// Events are stored in chunks, each a run of events of one session. Each Put writes one file
-// and syncs it once, however many sessions it holds; files are never changed, and removed once
-// none of their chunks is needed any more. A file begins with an index of its chunks, so that
-// Open reads no events.
+// Events are stored in chunks of consecutive events of one session. Each Put writes one file,
+// however many sessions it contains. Files are immutable, and are deleted once none of their
+// chunks is in use. A file begins with an index of its chunks, so that Open reads no events.
 //
 // Guarantees:
 //
 //   - A chunk is durable once Put has returned.
-//   - Chunks are verified by a checksum whenever they are read. A damaged one reads as missing,
-//     and Scrub takes it out of the index, so that package store's repair fetches it again from
-//     a peer. Read may therefore return a range with gaps; the caller checks.
-//   - Put is idempotent: a range that one chunk covers is not written again.
+//   - Every read of a chunk verifies its checksum. A damaged chunk is treated as missing, and
+//     Scrub removes it from the index, so that package store fetches it again from a peer. Read
+//     may therefore return a range with gaps; the caller must check.
+//   - Put is idempotent: a range that an existing chunk covers is not written again.
 package archive
 
 import (
@@ -27,42 +26,41 @@
 	"yardrock.example/system/wire"
 )
 
-// Store is an open archive. Its methods may be called from any goroutine, but for Scrub, which
-// one at a time may call.
+// Store is an open archive. It is safe for concurrent use, except that calls of Scrub must not
+// overlap.
 type Store struct {
-	folder vfs.Directory
-	// writeMutex lets one Put write at a time, and guards nextFile. mutex guards the index
-	// below and is never held while events are read or written, so that reads go on while a
-	// sync is slow.
+	dir vfs.Directory
+	// writeMutex serializes Put and guards nextFile. mutex guards the index below and is not
+	// held while events are read or written, so that a slow sync does not block reads.
 	writeMutex sync.Mutex
 	mutex      sync.RWMutex
 	// nextFile is the number of the next file to write.
 	nextFile uint64
-	// locations has the chunks of each session. A slice is replaced, never changed.
+	// locations has the chunks of each session. Slices are replaced, never modified.
 	locations map[string][]chunkLocation
-	// liveChunks counts the chunks of each file that are in locations.
+	// liveChunks is the number of chunks in locations, by file.
 	liveChunks map[uint64]int
-	// digests are digests, by group, of how far each session is here without a gap, as in
-	// sessionlog.View.ArchiveDigests.
+	// digests has, by group, digests of the sequence number up to which each session is archived
+	// without a gap, comparable with sessionlog.View.ArchiveDigests.
 	digests map[uint32]*sessionlog.BucketDigests
-	// sessionsByGroup has the names of a group's sessions in locations.
+	// sessionsByGroup is the set of sessions in locations, by group.
 	sessionsByGroup map[uint32]map[string]bool
-	// scrubCursor is the session that Scrub verified last; only Scrub touches it.
+	// scrubCursor is the session that Scrub verified last; only Scrub accesses it.
 	scrubCursor string
 }
 
-// Open reads the index of each file in a folder. A file whose index is torn or damaged counts
-// as empty: its Put was never confirmed, or repair fetches its chunks again.
+// Open reads the index of each file in a directory. A file whose index is torn or damaged is
+// treated as empty: either its Put did not return, or repair fetches its chunks again.
 //
-//	archiveStore, err := archive.Open(folder)
-func Open(folder vfs.Directory) (*Store, error) {
+//	archiveStore, err := archive.Open(dir)
+func Open(dir vfs.Directory) (*Store, error) {
 	store := &Store{
-		folder: folder, nextFile: 1, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{},
+		dir: dir, nextFile: 1, locations: map[string][]chunkLocation{}, liveChunks: map[uint64]int{},
 		digests: map[uint32]*sessionlog.BucketDigests{}, sessionsByGroup: map[uint32]map[string]bool{},
 	}
-	names, err := folder.List()
+	names, err := dir.List()
 	if err != nil {
-		return nil, fmt.Errorf("list the files of the archive: %w", err)
+		return nil, fmt.Errorf("list archive files: %w", err)
 	}
 	for _, name := range names {
 		digits, isArchiveFile := strings.CutPrefix(name, filePrefix)
@@ -79,9 +77,9 @@
 	return store, nil
 }
 
-// Put stores chunks and returns once they are synced. A range that is here already is not
-// written again. If the disk fails, the error is of kind apierror.DiskUnavailable, and none of
-// the chunks counts as stored.
+// Put stores chunks and returns once they are synced. A range that an existing chunk covers is
+// not written again. If the disk fails, the error is of kind apierror.DiskUnavailable and none
+// of the chunks is added.
 //
 //	err := archiveStore.Put([]wire.ArchiveChunk{{Session: "team/c-1", First: 1, Last: 9, Events: events}})
 func (store *Store) Put(chunks []wire.ArchiveChunk) error {
@@ -105,8 +103,8 @@
 	return nil
 }
 
-// Read returns the events of a session after one sequence number and through another, in
-// order, as far as they are here; there may be gaps.
+// Read returns the events of a session with sequence numbers after+1 to through, in order. Events
+// that are missing or damaged are left out.
 //
 //	events := archiveStore.Read("team/c-1", 0, 9)
 func (store *Store) Read(sessionName string, after, through uint64) []sessionlog.Event {
@@ -128,10 +126,10 @@
 			}
 		}
 	}
-	return inOrder(bySeq)
+	return sortedBySeq(bySeq)
 }
 
-// Covers tells whether a chunk's range is here as part of one chunk.
+// Covers reports whether a single stored chunk covers the range of a chunk.
 //
 //	if archiveStore.Covers(wire.ArchiveChunk{Session: "team/c-1", First: 1, Last: 9}) { ... }
 func (store *Store) Covers(chunk wire.ArchiveChunk) bool {
--- a/system/archive/store_test.go
+++ b/system/archive/store_test.go
@@ -18,10 +18,10 @@
 
 const testGroup = 7
 
-// openAt opens the archive of a folder, as a node that starts does it.
-func openAt(t *testing.T, folder string) *Store {
+// openAt opens the archive in a directory.
+func openAt(t *testing.T, dir string) *Store {
 	t.Helper()
-	directory, err := vfs.Open(folder)
+	directory, err := vfs.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	return store
 }
 
-// chunkOf makes a chunk of a session whose retention ends at a time.
+// chunkOf returns a chunk of a session whose retention ends at expires.
 func chunkOf(sessionName string, first, last uint64, expires int64) wire.ArchiveChunk {
 	chunk := wire.ArchiveChunk{Group: testGroup, Session: sessionName, First: first, Last: last, ExpiresAt: expires}
 	for seq := first; seq <= last; seq++ {
@@ -48,7 +48,7 @@
 	}
 }
 
-// digestsOf returns the digests of sessions that are archived up to some sequence number.
+// digestsOf returns the digests of sessions that are archived up to the given sequence numbers.
 func digestsOf(archived map[string]uint64) (digests sessionlog.BucketDigests) {
 	for name, seq := range archived {
 		digests.Toggle(name, seq)
@@ -56,16 +56,16 @@
 	return digests
 }
 
-func files(t *testing.T, folder string) []string {
+func files(t *testing.T, dir string) []string {
 	t.Helper()
-	names, err := filepath.Glob(filepath.Join(folder, filePrefix+"*"))
+	names, err := filepath.Glob(filepath.Join(dir, filePrefix+"*"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return names
 }
 
-// damage flips a bit of a file, at an offset from its end if that is negative.
+// damage flips a bit of a file at an offset; a negative offset counts from the end.
 func damage(t *testing.T, file string, offset int) {
 	t.Helper()
 	data, err := os.ReadFile(file)
@@ -92,15 +92,15 @@
 }
 
 func TestReadReturnsRangesInOrderAlsoAfterRestart(t *testing.T) {
-	folder := t.TempDir()
-	store := openAt(t, folder)
+	dir := t.TempDir()
+	store := openAt(t, dir)
 	put(t, store, chunkOf("a", 4, 6, 10), chunkOf("b", 1, 2, 10))
-	put(t, store, chunkOf("a", 1, 4, 10)) // overlaps what is there
-	put(t, store, chunkOf("a", 2, 3, 10)) // is covered, so nothing is written
-	if written := files(t, folder); len(written) != 2 {
-		t.Fatalf("%v were written", written)
+	put(t, store, chunkOf("a", 1, 4, 10)) // overlaps the first chunk
+	put(t, store, chunkOf("a", 2, 3, 10)) // is covered, so no file is written
+	if written := files(t, dir); len(written) != 2 {
+		t.Fatalf("files written: %v", written)
 	}
-	for name, opened := range map[string]*Store{"written": store, "opened again": openAt(t, folder)} {
+	for name, opened := range map[string]*Store{"written": store, "reopened": openAt(t, dir)} {
 		events := opened.Read("a", 1, 5)
 		if len(events) != 4 || events[0].Seq != 2 || events[3].Seq != 5 || events[3].Name != "a" {
 			t.Errorf("%s: read %+v", name, events)
@@ -109,7 +109,7 @@
 			t.Errorf("%s: an unknown session has %+v", name, got)
 		}
 		if !opened.Covers(wire.ArchiveChunk{Session: "a", First: 5, Last: 6}) || opened.Covers(wire.ArchiveChunk{Session: "a", First: 3, Last: 6}) {
-			t.Errorf("%s: only a range that is part of one chunk is covered", name)
+			t.Errorf("%s: Covers must be true only for a range within one chunk", name)
 		}
 		if got := opened.BucketDigests(testGroup); got != digestsOf(map[string]uint64{"a": 6, "b": 2}) {
 			t.Errorf("%s: digests %v", name, got)
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestDigestsCountOnlyWhatIsThereWithoutAGap(t *testing.T) {
+func TestDigestsCoverOnlyContiguousEvents(t *testing.T) {
 	store := openAt(t, t.TempDir())
 	put(t, store, chunkOf("a", 1, 3, 10), chunkOf("a", 5, 9, 10), chunkOf("b", 2, 4, 10))
 	if got := store.BucketDigests(testGroup); got != digestsOf(map[string]uint64{"a": 3}) {
@@ -137,19 +137,19 @@
 }
 
 func TestScrubDropsDamagedChunksAndPutRepairsThem(t *testing.T) {
-	folder := t.TempDir()
-	store := openAt(t, folder)
+	dir := t.TempDir()
+	store := openAt(t, dir)
 	put(t, store, chunkOf("a", 1, 3, 10))
 	put(t, store, chunkOf("b", 1, 3, 10))
 	if dropped := store.Scrub(10); dropped != 0 {
 		t.Fatalf("%d intact chunks were dropped", dropped)
 	}
-	damage(t, files(t, folder)[0], -9)
+	damage(t, files(t, dir)[0], -9)
 	if events := store.Read("a", 0, 3); len(events) != 0 {
 		t.Fatalf("a damaged chunk was read: %+v", events)
 	}
 	if dropped := store.Scrub(1) + store.Scrub(1); dropped != 1 {
-		t.Fatalf("%d were dropped", dropped)
+		t.Fatalf("%d chunks were dropped, want 1", dropped)
 	}
 	if got := store.BucketDigests(testGroup); got != digestsOf(map[string]uint64{"b": 3}) {
 		t.Fatalf("digests %v", got)
@@ -161,32 +161,32 @@
 }
 
 func TestFileWithDamagedIndexCountsAsEmpty(t *testing.T) {
-	folder := t.TempDir()
-	store := openAt(t, folder)
+	dir := t.TempDir()
+	store := openAt(t, dir)
 	put(t, store, chunkOf("a", 1, 3, 10))
 	put(t, store, chunkOf("b", 1, 3, 10))
-	first := files(t, folder)[0]
+	first := files(t, dir)[0]
 	for offset := range indexEnd(t, first) {
 		damage(t, first, offset)
-		if got := openAt(t, folder).BucketDigests(testGroup); got != digestsOf(map[string]uint64{"b": 3}) {
+		if got := openAt(t, dir).BucketDigests(testGroup); got != digestsOf(map[string]uint64{"b": 3}) {
 			t.Fatalf("damaged at %d, digests %v", offset, got)
 		}
-		damage(t, first, offset) // as it was
+		damage(t, first, offset) // flips the bit back
 	}
-	if got := openAt(t, folder).BucketDigests(testGroup); got != digestsOf(map[string]uint64{"a": 3, "b": 3}) {
+	if got := openAt(t, dir).BucketDigests(testGroup); got != digestsOf(map[string]uint64{"a": 3, "b": 3}) {
 		t.Fatalf("undamaged, digests %v", got)
 	}
 	damage(t, first, headerLength)
-	again := openAt(t, folder)
+	again := openAt(t, dir)
 	put(t, again, chunkOf("a", 1, 3, 10))
-	if len(again.Read("a", 0, 3)) != 3 || len(files(t, folder)) != 3 {
-		t.Fatalf("files %v", files(t, folder))
+	if len(again.Read("a", 0, 3)) != 3 || len(files(t, dir)) != 3 {
+		t.Fatalf("files %v", files(t, dir))
 	}
 }
 
 func TestExpireRemovesFilesOnceNoChunkIsNeeded(t *testing.T) {
-	folder := t.TempDir()
-	store := openAt(t, folder)
+	dir := t.TempDir()
+	store := openAt(t, dir)
 	put(t, store, chunkOf("a", 1, 3, 10), chunkOf("b", 1, 3, 20))
 	retained := map[string]bool{}
 	for position, step := range []struct {
@@ -195,9 +195,9 @@
 		left  map[string]uint64
 		files int
 	}{
-		{0, "", map[string]uint64{"a": 3, "b": 3}, 1}, // the group has no clock here
+		{0, "", map[string]uint64{"a": 3, "b": 3}, 1}, // no replica of the group on this node
 		{9, "", map[string]uint64{"a": 3, "b": 3}, 1},
-		{10, "a", map[string]uint64{"a": 3, "b": 3}, 1}, // the group has changed it since
+		{10, "a", map[string]uint64{"a": 3, "b": 3}, 1}, // still in the replicated state
 		{10, "", map[string]uint64{"b": 3}, 1},
 		{20, "", nil, 0},
 	} {
@@ -206,52 +206,53 @@
 		if err := store.Expire(func(uint32) int64 { return step.clock }, func(name string) bool { return retained[name] }); err != nil {
 			t.Fatal(err)
 		}
-		if got := store.BucketDigests(testGroup); got != digestsOf(step.left) || len(files(t, folder)) != step.files {
-			t.Fatalf("step %d: digests %v, files %v", position, got, files(t, folder))
+		if got := store.BucketDigests(testGroup); got != digestsOf(step.left) || len(files(t, dir)) != step.files {
+			t.Fatalf("step %d: digests %v, files %v", position, got, files(t, dir))
 		}
 	}
 }
 
-// sizedDirectory notes the longest part of a file that was read or written at a time.
-type sizedDirectory struct {
+// maxSizeDirectory records the size of the largest single read or write.
+type maxSizeDirectory struct {
 	vfs.Directory
-	longest int
+	maxBytes int
 }
 
-func (sized *sizedDirectory) ReadRange(name string, offset int64, length int) ([]byte, error) {
-	sized.longest = max(sized.longest, length)
+func (sized *maxSizeDirectory) ReadRange(name string, offset int64, length int) ([]byte, error) {
+	sized.maxBytes = max(sized.maxBytes, length)
 	return sized.Directory.ReadRange(name, offset, length)
 }
 
-func (sized *sizedDirectory) WriteAt(name string, offset int64, data []byte) error {
-	sized.longest = max(sized.longest, len(data))
+func (sized *maxSizeDirectory) WriteAt(name string, offset int64, data []byte) error {
+	sized.maxBytes = max(sized.maxBytes, len(data))
 	return sized.Directory.WriteAt(name, offset, data)
 }
 
-// TestDamagedLengthIsNotAllocated opens a folder whose file says that its index has 4 GiB.
+// TestDamagedLengthIsNotAllocated opens an archive with a file whose header claims an index of
+// 4 GiB.
 func TestDamagedLengthIsNotAllocated(t *testing.T) {
-	folder := t.TempDir()
-	put(t, openAt(t, folder), chunkOf("a", 1, 3, 10))
-	data, err := os.ReadFile(files(t, folder)[0])
+	dir := t.TempDir()
+	put(t, openAt(t, dir), chunkOf("a", 1, 3, 10))
+	data, err := os.ReadFile(files(t, dir)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	binary.LittleEndian.PutUint32(data, math.MaxUint32)
-	if err := os.WriteFile(files(t, folder)[0], data, 0o600); err != nil {
+	if err := os.WriteFile(files(t, dir)[0], data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	directory, err := vfs.Open(folder)
+	directory, err := vfs.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sized := &sizedDirectory{Directory: directory}
-	if opened, err := Open(sized); err != nil || len(opened.Read("a", 0, 3)) != 0 || sized.longest > len(data) {
-		t.Errorf("%d bytes were read at a time: %v", sized.longest, err)
+	sized := &maxSizeDirectory{Directory: directory}
+	if opened, err := Open(sized); err != nil || len(opened.Read("a", 0, 3)) != 0 || sized.maxBytes > len(data) {
+		t.Errorf("largest read has %d bytes, error %v", sized.maxBytes, err)
 	}
 }
 
-// crashingDirectory is a disk that loses its power at a sync. What was written since the sync
-// before is lost but for the first bytes of the file, as a disk may write in any order.
+// crashingDirectory simulates a power loss during a sync. Of the writes since the previous sync,
+// only those at offset 0 survive, as a disk may reorder writes.
 type crashingDirectory struct {
 	vfs.Directory
 	syncsLeft int
@@ -264,7 +265,7 @@
 	data   []byte
 }
 
-var errNoPower = errors.New("no power")
+var errPowerLoss = errors.New("power loss")
 
 func (crashing *crashingDirectory) WriteAt(name string, offset int64, data []byte) error {
 	crashing.unsynced = append(crashing.unsynced, unsyncedWrite{name, offset, bytes.Clone(data)})
@@ -283,19 +284,19 @@
 	}
 	crashing.unsynced = nil
 	if lost {
-		return errNoPower
+		return errPowerLoss
 	}
 	crashing.syncsLeft--
 	return crashing.Directory.Sync(name)
 }
 
-// TestInterruptedPutDoesNotCount loses the power at each sync of a Put. Whatever reached the disk
-// by then, the node must not say that it has a chunk that it cannot read.
+// TestInterruptedPutDoesNotCount simulates a power loss at each sync of a Put. After a restart,
+// the archive must not list a chunk that it cannot read.
 func TestInterruptedPutDoesNotCount(t *testing.T) {
 	for syncs, interrupted := 0, true; interrupted; syncs++ {
-		folder := t.TempDir()
-		put(t, openAt(t, folder), chunkOf("a", 1, 3, 10))
-		directory, err := vfs.Open(folder)
+		dir := t.TempDir()
+		put(t, openAt(t, dir), chunkOf("a", 1, 3, 10))
+		directory, err := vfs.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -305,25 +306,25 @@
 		}
 		err = store.Put([]wire.ArchiveChunk{chunkOf("b", 1, 3, 10), chunkOf("c", 1, 3, 10)})
 		if interrupted = err != nil; interrupted && !apierror.Is(err, apierror.DiskUnavailable) {
-			t.Fatalf("a Put without power: %v", err)
+			t.Fatalf("Put during a power loss: %v", err)
 		}
-		again := openAt(t, folder)
+		again := openAt(t, dir)
 		for _, name := range []string{"a", "b", "c"} {
 			covered, events := again.Covers(wire.ArchiveChunk{Session: name, First: 1, Last: 3}), again.Read(name, 0, 3)
 			if covered != (len(events) == 3) || name == "a" && !covered || !interrupted && !covered {
-				t.Errorf("power lost after %d syncs: %s counts as there: %t, and has %d events", syncs, name, covered, len(events))
+				t.Errorf("power loss after %d syncs: %s is covered: %t, has %d events", syncs, name, covered, len(events))
 			}
 		}
 	}
 }
 
-// TestPutEncodesAPartAtATime stores 4 MB in one call: they are never in memory as one file.
-func TestPutEncodesAPartAtATime(t *testing.T) {
+// TestPutBufferIsBounded stores 4 MB in one call. Put must not encode the whole file in memory.
+func TestPutBufferIsBounded(t *testing.T) {
 	directory, err := vfs.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	sized := &sizedDirectory{Directory: directory}
+	sized := &maxSizeDirectory{Directory: directory}
 	store, err := Open(sized)
 	if err != nil {
 		t.Fatal(err)
@@ -336,10 +337,10 @@
 		chunks = append(chunks, chunk)
 	}
 	put(t, store, chunks...)
-	if sized.longest > writeBufferBytes+2*chunkBytes {
-		t.Errorf("%d bytes were written at a time", sized.longest)
+	if sized.maxBytes > writeBufferBytes+2*chunkBytes {
+		t.Errorf("largest write has %d bytes", sized.maxBytes)
 	}
-	for _, opened := range []*Store{store, openDirectoryAgain(t, directory)} {
+	for _, opened := range []*Store{store, reopen(t, directory)} {
 		for _, chunk := range chunks {
 			if events := opened.Read(chunk.Session, 0, 1); len(events) != 1 || len(events[0].Data) != chunkBytes {
 				t.Fatalf("%s has %d events", chunk.Session, len(events))
@@ -348,8 +349,8 @@
 	}
 }
 
-// openDirectoryAgain opens the archive of a folder once more.
-func openDirectoryAgain(t *testing.T, directory vfs.Directory) *Store {
+// reopen opens the archive in a directory again.
+func reopen(t *testing.T, directory vfs.Directory) *Store {
 	t.Helper()
 	store, err := Open(directory)
 	if err != nil {
@@ -358,12 +359,11 @@
 	return store
 }
 
-// TestChunkExpiredDuringScrubIsCountedOffOnce has a session expire between the moment at which
-// the scrub reads its damaged chunk and the one at which it drops it. The file of the chunk has
-// another session's, which must stay.
+// TestChunkExpiredDuringScrubIsCountedOffOnce expires a session after Scrub has read its chunk and
+// before Scrub drops it. The file must stay, as it has a chunk of another session.
 func TestChunkExpiredDuringScrubIsCountedOffOnce(t *testing.T) {
-	folder := t.TempDir()
-	store := openAt(t, folder)
+	dir := t.TempDir()
+	store := openAt(t, dir)
 	put(t, store, chunkOf("a", 1, 3, 10), chunkOf("b", 1, 3, 20))
 	read := store.locations["a"][0]
 	expire := func(now int64) {
@@ -374,7 +374,7 @@
 	expire(10)
 	store.dropLocation("a", read)
 	expire(10)
-	if events := store.Read("b", 0, 3); len(events) != 3 || len(files(t, folder)) != 1 {
-		t.Fatalf("events %+v, files %v", events, files(t, folder))
+	if events := store.Read("b", 0, 3); len(events) != 3 || len(files(t, dir)) != 1 {
+		t.Fatalf("events %+v, files %v", events, files(t, dir))
 	}
 }
--- a/system/store/archive_guard.go
+++ b/system/store/archive_guard.go
@@ -10,23 +10,25 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// An archiveGuard keeps an invariant of a group led here: a majority of its voters have each
-// range in their archives that was acknowledged. Such a range is evicted from the replicated
-// state, so these copies are all there is of it.
+// An archiveGuard preserves an invariant of a group that this node leads: a majority of the voters
+// has every acknowledged range in its archive. Acknowledged ranges are evicted from the replicated
+// state, so the archived copies are the only ones.
 //
-// Two tasks could break it together: one acknowledges ranges by the voters that it knows, the
-// other changes the voters by the ranges that it knows. The guard lets one of them act at a
-// time, and the second one if the first's outcome is known.
+// Two concurrent tasks could violate it: one acknowledges ranges based on the voters that it has
+// read, the other changes the voters based on the ranges that it has read. The guard serializes
+// them, and blocks a membership change while the outcome of an acknowledgement is unknown.
 type archiveGuard struct {
-	// token has one element while a task acts, which may have to wait for a commit.
+	// token is a mutex whose acquisition can be canceled: it has one element while a task owns
+	// it, possibly for the duration of a commit.
 	token chan struct{}
-	// inDoubtTerm and inDoubtThrough bound the log entries, of one term and up to an index,
-	// among which may be an acknowledgement whose outcome is not known.
+	// An acknowledgement of unknown outcome may be among the log entries of term inDoubtTerm up
+	// to index inDoubtThrough.
 	inDoubtTerm, inDoubtThrough uint64
 }
 
-// inDoubt tells whether an acknowledgement may still be committed that is not applied here. A
-// leader that has committed an entry of a later term knows the outcome of all before it.
+// inDoubt reports whether an acknowledgement that is not applied on this node may still be
+// committed. A leader that has committed an entry of a later term knows the outcome of all
+// earlier entries.
 func (guard *archiveGuard) inDoubt(status raft.Status) bool {
 	return status.Term == guard.inDoubtTerm && status.CommitIndex < guard.inDoubtThrough
 }
@@ -36,7 +38,7 @@
 	return guard.(*archiveGuard)
 }
 
-// acquire waits until the caller may act, and reports false if the context ended before.
+// acquire waits for the guard. It reports false if the context ended first.
 func (guard *archiveGuard) acquire(ctx context.Context) bool {
 	select {
 	case guard.token <- struct{}{}:
@@ -46,7 +48,7 @@
 	}
 }
 
-// tryAcquire reports whether the caller may act now.
+// tryAcquire acquires the guard if it is free, and reports whether it did.
 func (guard *archiveGuard) tryAcquire() bool {
 	select {
 	case guard.token <- struct{}{}:
@@ -58,14 +60,14 @@
 
 func (guard *archiveGuard) release() { <-guard.token }
 
-// isMajority tells whether a majority of all names is among some.
-func isMajority(some, all []string) bool {
-	counted := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return !slices.Contains(some, name) })
-	return len(counted) >= len(all)/2+1
+// isMajority reports whether subset includes a majority of all.
+func isMajority(subset, all []string) bool {
+	included := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return !slices.Contains(subset, name) })
+	return len(included) >= len(all)/2+1
 }
 
-// acknowledgeArchived commits how far sessions may be evicted, if the holders of the ranges
-// are a majority of the voters as they are now.
+// acknowledgeArchived commits the acknowledgements that evict archived events, provided that the
+// holders of the ranges are a majority of the current voters.
 func (node *Node) acknowledgeArchived(ctx context.Context, group uint32, holders []string, acks []sessionlog.Ack) {
 	guard := node.archiveGuard(group)
 	if !guard.acquire(ctx) {
@@ -79,23 +81,23 @@
 	command := sessionlog.Command{Kind: sessionlog.AckArchived, Now: node.clock(group), Acks: acks}
 	if _, err := node.propose(ctx, group, command); err != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).
-			Warn("cannot commit that events are archived, they stay in memory until the next round")
+			Warn("cannot commit the acknowledgement of archived events; they stay in memory until the next round")
 		status, _ = node.host.Status(group)
 		guard.inDoubtTerm, guard.inDoubtThrough = status.Term, status.LastIndex
 	}
 }
 
-// changeReplicas proposes a change of one member that was decided on certain archived ranges.
-// It reports false, and the move is tried again soon, if others have been acknowledged since,
-// or may have been.
-func (node *Node) changeReplicas(group uint32, decidedOn sessionlog.BucketDigests, next raft.Membership) bool {
+// changeReplicas proposes a change of one member that is safe for the archived ranges with the
+// given digests. It reports false if other ranges have been acknowledged since, or may have
+// been; the caller then retries with a current view.
+func (node *Node) changeReplicas(group uint32, expectedDigests sessionlog.BucketDigests, next raft.Membership) bool {
 	guard := node.archiveGuard(group)
 	if !guard.tryAcquire() {
 		return false
 	}
 	defer guard.release()
 	status, _ := node.host.Status(group)
-	if !status.CommittedInTerm || guard.inDoubt(status) || node.stateMachine(group).View().ArchiveDigests() != decidedOn {
+	if !status.CommittedInTerm || guard.inDoubt(status) || node.stateMachine(group).View().ArchiveDigests() != expectedDigests {
 		return false
 	}
 	return node.host.ChangeMembership(group, next)
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// repairInterval is how often the archives of the groups led here are compared.
+	// repairInterval is how often the archives of the groups that this node leads are compared.
 	repairInterval = 10 * time.Second
-	// repairBatchChunks and repairBatchBytes bound what repair reads before it stores it here or
-	// sends it to a peer: so many chunks, or data of so many bytes and one chunk more.
+	// repairBatchChunks and repairBatchBytes bound a batch that repair holds in memory: it is
+	// stored or sent once it has that many chunks, or at least that many bytes of data.
 	repairBatchChunks = 64
 	repairBatchBytes  = 256 << 10
-	// repairRangeEvents bounds the events of one chunk.
+	// repairRangeEvents bounds the number of events in a repaired chunk.
 	repairRangeEvents = 64
-	// scrubBatchChunks is how many chunks of its own archive a node verifies in each round.
+	// scrubBatchChunks is how many chunks of its own archive a node verifies in a round.
 	scrubBatchChunks = 512
 )
 
-// repairAll verifies a part of this node's archive, then compares the archives of the groups
-// led here with the replicated state and repairs them.
+// repairAll verifies a part of this node's archive, then compares the archives of all voters of
+// the groups that this node leads with the replicated state and repairs them.
 func (node *Node) repairAll() {
 	if dropped := node.archiveStore.Scrub(scrubBatchChunks); dropped > 0 {
-		log.WithFields(log.Fields{"node": node.Name(), "chunks": dropped}).Warn("damaged chunks of the archive were dropped; they are repaired from peers")
+		log.WithFields(log.Fields{"node": node.Name(), "chunks": dropped}).Warn("dropped damaged chunks of the archive; they will be repaired from peers")
 	}
 	for group, status := range node.host.Statuses() {
 		if !status.CommittedInTerm {
@@ -44,8 +44,8 @@
 	}
 }
 
-// repairReplica repairs the archive of this node or of a peer. It reports whether that archive
-// has all ranges then that are archived as of a view of the group.
+// repairReplica repairs a group's ranges in the archive of this node or of a peer. It reports
+// whether that archive then has all ranges that are archived as of the view.
 func (node *Node) repairReplica(group uint32, view *sessionlog.View, voter string) bool {
 	if voter == node.Name() {
 		return node.repairSelf(group, view)
@@ -53,9 +53,9 @@
 	return node.repairPeer(group, view, voter)
 }
 
-// differingBuckets lists the buckets in which an archive is not as far as the view says. Each
-// is compared by one digest, so that archives which agree cost next to nothing, however many
-// sessions they have.
+// differingBuckets returns the buckets whose digests differ between an archive and a view.
+// Comparing one digest per bucket keeps the cost of equal archives independent of the number of
+// sessions.
 func differingBuckets(view *sessionlog.View, digests []uint64) []uint32 {
 	wanted, differing := view.ArchiveDigests(), []uint32{}
 	for bucket := range wanted {
@@ -66,32 +66,32 @@
 	return differing
 }
 
-// missingRanges lists, for the archived part of each session in some buckets, the ranges that
-// an archive lacks.
+// missingRanges returns the archived ranges of the sessions in some buckets that an archive
+// lacks, given the ranges that it has.
 func missingRanges(view *sessionlog.View, buckets []uint32, ranges []wire.RangeDigest) []wire.ReadArchiveQuery {
 	bySession := map[string][]wire.RangeDigest{}
-	for _, one := range ranges {
-		bySession[one.Session] = append(bySession[one.Session], one)
+	for _, digest := range ranges {
+		bySession[digest.Session] = append(bySession[digest.Session], digest)
 	}
 	missing := []wire.ReadArchiveQuery{}
 	for session := range view.Sessions() {
 		if slices.Contains(buckets, uint32(sessionlog.BucketOf(session.Name))) {
-			missing = append(missing, missingOf(session, bySession[session.Name])...)
+			missing = append(missing, missingSessionRanges(session, bySession[session.Name])...)
 		}
 	}
 	return missing
 }
 
-// missingOf lists the gaps between the ranges that an archive has of a session, up to what is
-// archived of it.
-func missingOf(session *sessionlog.Session, ranges []wire.RangeDigest) (missing []wire.ReadArchiveQuery) {
+// missingSessionRanges returns the gaps in the ranges that an archive has of a session, up to the
+// session's last archived event.
+func missingSessionRanges(session *sessionlog.Session, ranges []wire.RangeDigest) (missing []wire.ReadArchiveQuery) {
 	slices.SortFunc(ranges, func(left, right wire.RangeDigest) int { return cmp.Compare(left.First, right.First) })
 	through := uint64(0)
-	for _, one := range ranges {
-		if one.First > through+1 {
-			missing = append(missing, wire.ReadArchiveQuery{Session: session.Name, After: through, Through: one.First - 1})
+	for _, digest := range ranges {
+		if digest.First > through+1 {
+			missing = append(missing, wire.ReadArchiveQuery{Session: session.Name, After: through, Through: digest.First - 1})
 		}
-		through = max(through, one.Last)
+		through = max(through, digest.Last)
 	}
 	if through < session.ArchivedSeq {
 		missing = append(missing, wire.ReadArchiveQuery{Session: session.Name, After: through, Through: session.ArchivedSeq})
@@ -100,11 +100,11 @@
 }
 
 // copyMissing reads missing ranges from this node's archive, or from peers, and passes them to
-// store in batches, so that repair needs memory for one batch, however much is missing. It
-// returns how many chunks were stored. complete is false if some ranges could not be read
-// completely; those are left out. It ends at the first error of store.
+// store in batches, so that the memory use does not depend on how much is missing. It returns
+// the number of chunks stored. Ranges that cannot be read completely are skipped, and complete
+// is then false. It stops at the first error from store.
 func (node *Node) copyMissing(group uint32, view *sessionlog.View, missing []wire.ReadArchiveQuery, store func(context.Context, []wire.ArchiveChunk) error) (stored int, complete bool, err error) {
-	batch, bytes, complete := []wire.ArchiveChunk{}, 0, true
+	batch, batchBytes, complete := []wire.ArchiveChunk{}, 0, true
 	flush := func() error {
 		ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 		defer cancel()
@@ -112,7 +112,7 @@
 			return err
 		}
 		stored += len(batch)
-		batch, bytes = batch[:0], 0
+		batch, batchBytes = batch[:0], 0
 		return nil
 	}
 	for wanted := range splitRanges(missing) {
@@ -120,13 +120,13 @@
 		if !found {
 			continue
 		}
-		chunk, read := node.readRange(group, session, wanted)
-		if !read {
+		chunk, ok := node.readRange(group, session, wanted)
+		if !ok {
 			complete = false
 			continue
 		}
-		batch, bytes = append(batch, chunk), bytes+dataBytes(chunk.Events)
-		if bytes < repairBatchBytes && len(batch) < repairBatchChunks {
+		batch, batchBytes = append(batch, chunk), batchBytes+dataBytes(chunk.Events)
+		if batchBytes < repairBatchBytes && len(batch) < repairBatchChunks {
 			continue
 		}
 		if err := flush(); err != nil {
@@ -139,7 +139,7 @@
 	return stored, complete && err == nil, err
 }
 
-// splitRanges yields ranges in parts of repairRangeEvents events at most.
+// splitRanges splits ranges into parts of at most repairRangeEvents events.
 func splitRanges(ranges []wire.ReadArchiveQuery) iter.Seq[wire.ReadArchiveQuery] {
 	return func(yield func(wire.ReadArchiveQuery) bool) {
 		for _, part := range ranges {
@@ -153,8 +153,8 @@
 	}
 }
 
-// readRange reads a range of a session from this node's archive, or from peers, and reports
-// whether all of it was found.
+// readRange reads a range of a session from this node's archive, or from peers, as a chunk. It
+// reports whether the chunk has all events of the range.
 func (node *Node) readRange(group uint32, session *sessionlog.Session, wanted wire.ReadArchiveQuery) (chunk wire.ArchiveChunk, complete bool) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
@@ -165,7 +165,7 @@
 	}, uint64(len(events)) == wanted.Through-wanted.After
 }
 
-// dataBytes sums the data of events.
+// dataBytes returns the total size of the data of events.
 func dataBytes(events []sessionlog.Event) (size int) {
 	for _, event := range events {
 		size += len(event.Data)
@@ -173,7 +173,7 @@
 	return size
 }
 
-// repairSelf reads the ranges that this node's archive lacks from its peers and stores them.
+// repairSelf fetches the ranges that this node's archive lacks from peers.
 func (node *Node) repairSelf(group uint32, view *sessionlog.View) bool {
 	digests := node.archiveStore.BucketDigests(group)
 	buckets := differingBuckets(view, digests[:])
@@ -191,15 +191,16 @@
 		log.WithFields(log.Fields{"node": node.Name(), "group": group, "error": err.Error()}).Warn("cannot repair the archive")
 		return false
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "chunks": stored}).Info("archive repaired")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "chunks": stored}).Info("repaired the archive")
 	return complete
 }
 
-// repairPeer compares a peer's archive by digests and sends the ranges that it lacks.
+// repairPeer compares a peer's archive with the view by digests, and sends it the ranges that it
+// lacks.
 func (node *Node) repairPeer(group uint32, view *sessionlog.View, peer string) bool {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	digests, err := node.digestsOf(ctx, peer, group, nil)
+	digests, err := node.fetchDigests(ctx, peer, group, nil)
 	if err != nil {
 		return false
 	}
@@ -207,7 +208,7 @@
 	if len(buckets) == 0 {
 		return true
 	}
-	if digests, err = node.digestsOf(ctx, peer, group, buckets); err != nil {
+	if digests, err = node.fetchDigests(ctx, peer, group, buckets); err != nil {
 		return false
 	}
 	missing := missingRanges(view, buckets, digests.Ranges)
@@ -221,13 +222,13 @@
 	if err != nil {
 		return false
 	}
-	log.WithFields(log.Fields{"node": node.Name(), "group": group, "peer": peer, "chunks": stored}).Info("archive of a peer repaired")
+	log.WithFields(log.Fields{"node": node.Name(), "group": group, "peer": peer, "chunks": stored}).Info("repaired the archive of a peer")
 	return complete
 }
 
-// digestsOf asks a peer for the digests of its archive of a group: of all buckets, and of the
-// ranges in some of them.
-func (node *Node) digestsOf(ctx context.Context, peer string, group uint32, buckets []uint32) (*wire.DigestReply, error) {
+// fetchDigests queries a peer for the digests of a group in its archive: those of all buckets, and
+// those of the ranges in the given buckets.
+func (node *Node) fetchDigests(ctx context.Context, peer string, group uint32, buckets []uint32) (*wire.DigestReply, error) {
 	reply, err := node.callPeer(ctx, peer, &wire.Query{To: peer, Which: schema.Query_Which_digests, Digests: &wire.DigestQuery{Group: group, Buckets: buckets}})
 	if err != nil {
 		return nil, err
@@ -238,14 +239,14 @@
 	return reply.Digests, nil
 }
 
-// handleReadArchive answers with what this node's own archive has of a range.
+// handleReadArchive replies with the events of a range that are in this node's own archive.
 func (node *Node) handleReadArchive(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	requested := query.ReadArchive
 	events := node.archiveStore.Read(requested.Session, requested.After, requested.Through)
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Events: events}}, nil
 }
 
-// handleDigests answers with the digests of this node's own archive.
+// handleDigests replies with the digests of this node's own archive.
 func (node *Node) handleDigests(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	requested := query.Digests
 	digests := node.archiveStore.BucketDigests(requested.Group)
--- a/system/store/archive_repair_test.go
+++ b/system/store/archive_repair_test.go
@@ -17,18 +17,18 @@
 	testRepairGroup  = 3
 	testEventBytes   = 2 << 10
 	testSessionCount = 40
-	testEventCount   = 200 // of a session; several chunks
+	testEventCount   = 200 // per session, more than one chunk
 )
 
-// archivedNode returns a node whose archive has some sessions of a group, and a view in which
-// they are archived completely.
+// archivedNode returns a node whose archive has all events of testSessionCount sessions, and a
+// view of the group with these sessions.
 func archivedNode(t *testing.T) (*Node, *sessionlog.View) {
 	t.Helper()
-	folder, err := vfs.Open(t.TempDir())
+	dir, err := vfs.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	archiveStore, err := archive.Open(folder)
+	archiveStore, err := archive.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	return &Node{archiveStore: archiveStore, context: context.Background()}, machine.View()
 }
 
-// allMissing lists the ranges that an empty archive lacks.
+// allMissing returns the ranges that an empty archive lacks.
 func allMissing(view *sessionlog.View) (missing []wire.ReadArchiveQuery) {
 	for session := range view.Sessions() {
 		missing = append(missing, wire.ReadArchiveQuery{Session: session.Name, Through: testEventCount})
@@ -55,22 +55,22 @@
 	return missing
 }
 
-// TestRepairHasOneBatchInMemory repairs an archive that has lost everything, 16 MB: it is read
-// and passed on in batches of a bounded size, each event once and in order.
-func TestRepairHasOneBatchInMemory(t *testing.T) {
+// TestRepairReadsOneBatchAtATime repairs an empty archive that lacks 16 MB. Repair must pass on
+// every event once and in order, in batches of bounded size.
+func TestRepairReadsOneBatchAtATime(t *testing.T) {
 	node, view := archivedNode(t)
 	through := map[string]uint64{}
 	stored, complete, err := node.copyMissing(testRepairGroup, view, allMissing(view), func(_ context.Context, chunks []wire.ArchiveChunk) error {
-		bytes := 0
+		batchBytes := 0
 		for _, chunk := range chunks {
-			bytes += dataBytes(chunk.Events)
+			batchBytes += dataBytes(chunk.Events)
 			if chunk.First != through[chunk.Session]+1 || chunk.Last != chunk.First+uint64(len(chunk.Events))-1 {
-				t.Errorf("events %d to %d of %s come after %d", chunk.First, chunk.Last, chunk.Session, through[chunk.Session])
+				t.Errorf("events %d to %d of %s follow event %d", chunk.First, chunk.Last, chunk.Session, through[chunk.Session])
 			}
 			through[chunk.Session] = chunk.Last
 		}
-		if bytes > repairBatchBytes+repairRangeEvents*testEventBytes {
-			t.Errorf("a batch has %d bytes", bytes)
+		if batchBytes > repairBatchBytes+repairRangeEvents*testEventBytes {
+			t.Errorf("a batch has %d bytes, more than the limit", batchBytes)
 		}
 		return nil
 	})
@@ -84,15 +84,16 @@
 	}
 }
 
-// TestRepairEndsAtTheFirstError: what a peer cannot store now is repaired in a later round.
-func TestRepairEndsAtTheFirstError(t *testing.T) {
+// TestRepairStopsAtFirstError guards against repair that keeps sending to a store that cannot
+// write.
+func TestRepairStopsAtFirstError(t *testing.T) {
 	node, view := archivedNode(t)
-	full, calls := errors.New("full"), 0
+	errFull, calls := errors.New("full"), 0
 	_, complete, err := node.copyMissing(testRepairGroup, view, allMissing(view), func(context.Context, []wire.ArchiveChunk) error {
 		calls++
-		return full
+		return errFull
 	})
-	if !errors.Is(err, full) || complete || calls != 1 {
+	if !errors.Is(err, errFull) || complete || calls != 1 {
 		t.Errorf("%d calls, complete %t: %v", calls, complete, err)
 	}
 }
--- a/system/store/archive_replication.go
+++ b/system/store/archive_replication.go
@@ -8,38 +8,38 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// stragglerTimeout is how long the archiver waits for more replicas once a majority has stored
-// a batch. Those that are late are repaired.
+// stragglerTimeout is how long the archiver waits for the other replicas once a majority has
+// stored a batch. Replicas that miss it are repaired later.
 const stragglerTimeout = 300 * time.Millisecond
 
-// chunkKey names a chunk within one batch of a group.
+// chunkKey identifies a chunk within one batch of a group.
 type chunkKey struct {
 	session string
 	first   uint64
 }
 
-// replicateChunks has the replicas store chunks in their archives, and returns the names of
-// those that have synced them. The others are marked as lagging.
+// replicateChunks stores chunks in the archives of the voters, and returns the names of those that
+// have synced them. The others are marked as lagging.
 func (node *Node) replicateChunks(ctx context.Context, group uint32, voters []string, chunks []wire.ArchiveChunk) (holders []string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	type stored struct {
+	type putResult struct {
 		voter string
 		err   error
 	}
-	// One result comes from each voter, and all are awaited below, so no goroutine outlives
-	// the call. The context ends those that wait for a peer.
-	results := make(chan stored, len(voters))
+	// Each goroutine sends one result and all are received below, so none outlives the call.
+	// The context cancels those that wait for a peer.
+	results := make(chan putResult, len(voters))
 	for _, voter := range voters {
 		go func() {
 			if voter == node.Name() {
-				results <- stored{voter, node.archiveStore.Put(chunks)}
+				results <- putResult{voter, node.archiveStore.Put(chunks)}
 				return
 			}
-			results <- stored{voter, node.sendChunks(ctx, voter, chunks)}
+			results <- putResult{voter, node.sendChunks(ctx, voter, chunks)}
 		}()
 	}
-	var straggling *time.Timer // cancels the calls that are late; nil without a majority
+	var stragglerTimer *time.Timer // cancels the remaining calls; nil until a majority has stored the chunks
 	for range voters {
 		result := <-results
 		if result.err != nil {
@@ -47,18 +47,19 @@
 			continue
 		}
 		holders = append(holders, result.voter)
-		if straggling == nil && isMajority(holders, voters) {
-			straggling = time.AfterFunc(stragglerTimeout, cancel)
+		if stragglerTimer == nil && isMajority(holders, voters) {
+			stragglerTimer = time.AfterFunc(stragglerTimeout, cancel)
 		}
 	}
-	if straggling != nil {
-		straggling.Stop()
+	if stragglerTimer != nil {
+		stragglerTimer.Stop()
 	}
 	return holders
 }
 
-// sendChunks has a peer store chunks from what it has applied itself, and sends it the events
-// of those that it lacks. As a rule that is none, so archiving costs little traffic.
+// sendChunks sends a peer the ranges of chunks without events, which the peer fills from its own
+// replicated state, and then the events of the chunks that the peer could not fill. There are
+// usually none, so archiving causes little traffic.
 func (node *Node) sendChunks(ctx context.Context, peer string, chunks []wire.ArchiveChunk) error {
 	ranges := make([]wire.ArchiveChunk, len(chunks))
 	for position, chunk := range chunks {
@@ -82,14 +83,14 @@
 	return err
 }
 
-// putArchive asks one certain store to put chunks into its archive; another one that has its
-// address by now rejects the query.
+// putArchive sends chunks to the archive of a peer. A different store that has taken over the
+// peer's address rejects the query.
 func (node *Node) putArchive(ctx context.Context, peer string, chunks []wire.ArchiveChunk) (*wire.Reply, error) {
 	return node.callPeer(ctx, peer, &wire.Query{To: peer, Which: schema.Query_Which_putCold, PutArchive: &wire.ArchiveChunkBatch{Chunks: chunks}})
 }
 
-// handlePutArchive stores chunks in this node's archive and answers once they are synced. Of
-// chunks without events it answers with those that it does not have itself.
+// handlePutArchive stores chunks in this node's archive and replies once they are synced. The
+// reply lists the chunks that came without events and could not be filled on this node.
 func (node *Node) handlePutArchive(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	complete, missing := node.fillChunks(query.PutArchive.Chunks)
 	if err := node.archiveStore.Put(complete); err != nil {
@@ -101,8 +102,9 @@
 	return &wire.Reply{Which: schema.Reply_Which_chunks, Chunks: &wire.ArchiveChunkBatch{Chunks: missing}}, nil
 }
 
-// fillChunks fills the chunks that come without events from what this replica has applied. It
-// returns those to store and those that it lacks; chunks in the archive are in neither.
+// fillChunks fills the chunks that came without events from this node's replicated state. It
+// returns the chunks to store and those that it cannot fill; chunks that came without events and
+// are already archived are in neither.
 func (node *Node) fillChunks(chunks []wire.ArchiveChunk) (complete, missing []wire.ArchiveChunk) {
 	for _, chunk := range chunks {
 		if len(chunk.Events) == 0 && !node.fillChunk(&chunk) {
@@ -114,9 +116,9 @@
 	return complete, missing
 }
 
-// fillChunk puts the events of a range into a chunk, unless this node's archive has them. It
-// reports false if they are neither there nor unarchived here. What is applied is the same at
-// all replicas, so these are the leader's events.
+// fillChunk fills a chunk with the events of its range, unless they are in this node's archive. It
+// reports false if they are neither archived nor in the replicated state here. All replicas apply
+// the same commands, so the events equal the leader's.
 func (node *Node) fillChunk(chunk *wire.ArchiveChunk) bool {
 	if node.archiveStore.Covers(*chunk) {
 		return true
--- a/system/store/archiver.go
+++ b/system/store/archiver.go
@@ -12,25 +12,27 @@
 )
 
 const (
-	// archiveInterval is how often the archiver looks for events to archive, archiveBatch how
-	// many events of a group it archives in one round (the Starcite paper's "Archiver").
+	// archiveInterval is how often the archiver looks for events to archive, archiveBatch the
+	// maximum number of events of a group that it archives in one round (the Starcite paper's
+	// "Archiver").
 	archiveInterval = 5 * time.Second
 	archiveBatch    = 5000
 )
 
-// The turns of a program follow each other soon, and each continues from all before it. So the
-// events of a program stay in memory while it is active, as long as there is room.
+// The turns of a program follow each other closely, and each reads the history of those before
+// it. So the events of an active program stay in memory, within these bounds.
 const (
-	// activeWindow is how long a program counts as active after its last change.
+	// activeWindow is how long a session counts as active after its last change.
 	activeWindow = 15 * time.Second
-	// maxUnarchivedEvents of a program stay in memory, however active it is.
+	// maxUnarchivedEvents bounds the events that an active session may have in memory.
 	maxUnarchivedEvents = 512
-	// maxUnarchivedBytes of a group may stay in memory; beyond that all is archived.
+	// maxUnarchivedBytes bounds the unarchived data of a group; above it, the events of active
+	// sessions are archived too.
 	maxUnarchivedBytes = 1 << 20
 )
 
-// archiveAll archives events of the groups led here, and removes from the archive of this node
-// what is past its retention.
+// archiveAll archives events of the groups that this node leads, and removes expired sessions
+// from this node's archive.
 func (node *Node) archiveAll() {
 	for group, status := range node.host.Statuses() {
 		if status.Leading {
@@ -42,7 +44,7 @@
 	}
 }
 
-// isRetained tells whether a session is in the replicated state and has not expired.
+// isRetained reports whether a session is in the replicated state and has not expired.
 func (node *Node) isRetained(sessionName string) bool {
 	group := placement.GroupOf(sessionName, node.view.Load().Groups)
 	machine := node.stateMachine(group)
@@ -53,9 +55,9 @@
 	return found && session.ExpiresAt().UnixNano() >= node.clock(group)
 }
 
-// archiveGroup writes events of one group to the archives of a majority of its replicas, and
-// only then commits that they may be evicted. With nothing to archive it commits the same
-// command if sessions or prefixes are to be removed.
+// archiveGroup writes events of one group to the archives of a majority of its voters, and only
+// then commits the acknowledgement that evicts them. Without events to archive, it commits the
+// same command if it would remove expired sessions or idle prefixes.
 func (node *Node) archiveGroup(group uint32, voters []string) {
 	view, now := node.stateMachine(group).View(), node.clock(group)
 	chunks, acks := chunksToArchive(group, view, now)
@@ -71,35 +73,36 @@
 	node.acknowledgeArchived(ctx, group, holders, acks)
 }
 
-// chunksToArchive picks the events of a group to archive in one round, at most archiveBatch,
-// with the acknowledgements that evict them afterwards.
+// chunksToArchive selects the events of a group to archive in one round, at most archiveBatch,
+// and returns them with the acknowledgements that will evict them.
 func chunksToArchive(group uint32, view *sessionlog.View, now int64) (chunks []wire.ArchiveChunk, acks []sessionlog.Ack) {
-	budget, full := archiveBatch, unarchivedBytes(view) > maxUnarchivedBytes
+	budget, overLimit := archiveBatch, unarchivedBytes(view) > maxUnarchivedBytes
 	for session := range view.Unarchived() {
 		if budget <= 0 {
 			break
 		}
-		expires := session.ExpiresAt().UnixNano()
-		if expires < now || (!full && isActive(session, now)) {
+		expiresAt := session.ExpiresAt().UnixNano()
+		if expiresAt < now || (!overLimit && isActive(session, now)) {
 			continue
 		}
 		events := session.Unarchived[:min(len(session.Unarchived), budget)]
 		budget -= len(events)
 		first, last := events[0].Seq, events[len(events)-1].Seq
 		chunks = append(chunks, wire.ArchiveChunk{
-			Group: group, Session: session.Name, First: first, Last: last, ExpiresAt: expires, Events: events,
+			Group: group, Session: session.Name, First: first, Last: last, ExpiresAt: expiresAt, Events: events,
 		})
 		acks = append(acks, sessionlog.Ack{Session: session.Name, ArchivedSeq: last})
 	}
 	return chunks, acks
 }
 
-// isActive tells whether a session is a program's whose events should stay in memory.
+// isActive reports whether a session belongs to an active program, so that its events should
+// stay in memory.
 func isActive(session *sessionlog.Session, now int64) bool {
 	return len(session.Turns) > 0 && len(session.Unarchived) < maxUnarchivedEvents && now-session.UpdatedAt < int64(activeWindow)
 }
 
-// unarchivedBytes sums the data of a group's unarchived events.
+// unarchivedBytes returns the total size of the data of a group's unarchived events.
 func unarchivedBytes(view *sessionlog.View) int {
 	size := 0
 	for session := range view.Unarchived() {
--- a/system/store/commands.go
+++ b/system/store/commands.go
@@ -8,16 +8,16 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// handleCommand commits a batch of commands to a group that is led here, in their order, and
-// answers with their outcomes (the write path of the Starcite paper). For a turn that began it
-// adds the history that the turn continues.
+// handleCommand commits a batch of commands, in order, to a group that this node leads and
+// replies with their outcomes (the write path of the Starcite paper). For a turn that began, the
+// reply includes the history that the turn continues.
 func (node *Node) handleCommand(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	group, requested := query.Command.Group, query.Command.Commands
 	encoded := make([][]byte, len(requested))
 	for position, command := range requested {
-		// A copy is prepared: beginWithFullInput needs the command as it came.
+		// prepare changes a copy, because beginWithFullInput needs the original command.
 		node.prepare(group, &command)
 		encoded[position] = wire.MustEncode(schema.Command_TypeID, &command)
 	}
@@ -27,7 +27,7 @@
 	}
 	reply := &wire.CommandReply{}
 	for position, applied := range results {
-		command, result := &requested[position], applied.(applyResult) // as groupStateMachine.Apply returned it
+		command, result := &requested[position], applied.(applyResult) // returned by groupStateMachine.Apply
 		if result.outcome.Status == sessionlog.UnknownPrefix {
 			if result, err = node.beginWithFullInput(ctx, group, *command); err != nil {
 				return nil, err
@@ -43,16 +43,16 @@
 	return &wire.Reply{Which: schema.Reply_Which_outcomes, Outcomes: reply}, nil
 }
 
-// prepare adds to a command what its group's leader decides: the group's clock, the position
-// that a turn counts on, and the shared prefix to which its input may refer.
+// prepare sets the fields of a command that the group's leader determines: the group's clock,
+// the sequence number that a turn expects, and the shared prefix that its input refers to.
 func (node *Node) prepare(group uint32, command *sessionlog.Command) {
 	command.Now = node.clock(group)
 	node.setExpectedSeq(group, command)
 	node.usePrefix(group, command)
 }
 
-// setExpectedSeq has a turn begin only if the turn that it follows ended where it did as of
-// now. The state machine checks it.
+// setExpectedSeq makes the begin of a turn conditional on the sequence number at which the
+// followed turn ended, as seen now. The state machine checks the condition.
 func (node *Node) setExpectedSeq(group uint32, command *sessionlog.Command) {
 	machine := node.stateMachine(group)
 	if command.Kind != sessionlog.BeginTurn || command.Follows == "" || machine == nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// beginWithFullInput begins a turn with its complete input. The shared prefix to which it was
-// to refer was freed in between, so it did not begin.
+// beginWithFullInput proposes the begin of a turn again with its full input, after the first
+// attempt failed because the shared prefix that it referred to had been removed.
 func (node *Node) beginWithFullInput(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
 	command.Now = node.clock(group)
 	return node.propose(ctx, group, command)
--- a/system/store/group_clock.go
+++ b/system/store/group_clock.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// clockAnchor ties a group's clock to this process's monotonic clock.
+// clockAnchor relates a group's clock to this process's monotonic clock.
 type clockAnchor struct {
 	clock int64
 	at    time.Time
 }
 
-// clock returns a group's time in nanoseconds since 1970: what it was when this process first
-// saw it, carried on by the monotonic time since. The wall clocks of machines may be wrong by
-// hours and jump; only the first command that a group ever gets takes its time from one. So a
-// group's clock may fall behind, by the time in which nobody was there to carry it on, but it
-// never runs ahead: no retention or deadline ends early. It is 0 if no replica is here.
+// clock returns a group's time in Unix nanoseconds: its value when this process first read it,
+// advanced by the monotonic time since then. Wall clocks may be wrong by hours and may jump, so
+// only the first command of a group takes its time from one. A group's clock stands still while
+// no process advances it, so it may fall behind but never runs ahead, and no retention or
+// deadline ends early. It is 0 if this node has no replica of the group.
 func (node *Node) clock(group uint32) int64 {
 	machine := node.stateMachine(group)
 	if machine == nil {
--- a/system/store/group_move.go
+++ b/system/store/group_move.go
@@ -11,31 +11,31 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// groupMove is one look at a group that is led here and not where it should be.
+// groupMove is one step of moving a group that this node leads to its target stores.
 type groupMove struct {
 	node   *Node
 	group  uint32
 	status raft.Status
-	// content is what the group held at that time. Who must have which archived ranges is
-	// decided on it, and changeReplicas checks that it still holds.
-	content *sessionlog.View
-	// target are the stores where the store list wants the group.
+	// state is the group's replicated state at the start of the step. It determines which
+	// archived ranges the replicas must have; changeReplicas checks that these are unchanged.
+	state *sessionlog.View
+	// target are the stores that should have the group according to the store list.
 	target []string
 	// surplus are the voters that are not in target.
 	surplus []string
 }
 
-// moveGroup takes one step of a group's move: it adds a missing replica as a learner, makes a
-// learner a voter that has the log and all archived ranges, or removes a surplus voter. One
-// whose store has departed is removed before the learner votes, so that the two never count
-// together. One member changes at a time (Raft thesis 4.1).
+// moveGroup takes one step of a group's move: it adds a missing replica as a learner, promotes a
+// learner that has the log and all archived ranges to a voter, or removes a surplus voter. A
+// surplus voter whose store has departed is removed before a learner is promoted, so that the
+// two never count toward the same majority. One member changes at a time (Raft thesis 4.1).
 func (node *Node) moveGroup(group uint32, target []string, view *feed.View) {
 	status, _ := node.host.Status(group)
 	if !status.CommittedInTerm || status.MembershipChangePending {
 		return
 	}
 	surplus := slices.DeleteFunc(slices.Clone(status.Membership.Voters), func(voter string) bool { return slices.Contains(target, voter) })
-	move := &groupMove{node: node, group: group, status: status, content: node.stateMachine(group).View(), target: target, surplus: surplus}
+	move := &groupMove{node: node, group: group, status: status, state: node.stateMachine(group).View(), target: target, surplus: surplus}
 	if len(status.Membership.Learners) > 0 {
 		move.promoteOrRemoveLearner(status.Membership.Learners[0])
 		return
@@ -51,9 +51,9 @@
 	}
 }
 
-// change proposes a membership and logs what it does if it was proposed.
+// change proposes a membership, and logs the message if it was proposed.
 func (move *groupMove) change(message, replica string, next raft.Membership) {
-	if move.node.changeReplicas(move.group, move.content.ArchiveDigests(), next) {
+	if move.node.changeReplicas(move.group, move.state.ArchiveDigests(), next) {
 		log.WithFields(log.Fields{"node": move.node.Name(), "group": move.group, "replica": replica}).Info(message)
 	}
 }
@@ -63,27 +63,27 @@
 	move.change("adding a replica as a learner", name, raft.Membership{Voters: members.Voters, Learners: append(slices.Clone(members.Learners), name)})
 }
 
-// promoteOrRemoveLearner makes a learner a voter once it has the log and the archived ranges,
-// or removes it if it is not wanted any more.
+// promoteOrRemoveLearner promotes a learner to a voter once it has the log and the archived
+// ranges, or removes it if it is no longer in target.
 func (move *groupMove) promoteOrRemoveLearner(learner string) {
 	members := move.status.Membership
-	without := raft.Without(members.Learners, learner)
+	remaining := raft.Without(members.Learners, learner)
 	if !slices.Contains(move.target, learner) {
-		move.change("removing a learner", learner, raft.Membership{Voters: members.Voters, Learners: without})
+		move.change("removing a learner", learner, raft.Membership{Voters: members.Voters, Learners: remaining})
 		return
 	}
-	if !move.status.CaughtUp(learner) || !move.node.repairReplica(move.group, move.content, learner) {
+	if !move.status.CaughtUp(learner) || !move.node.repairReplica(move.group, move.state, learner) {
 		return
 	}
 	if departed := slices.IndexFunc(move.surplus, move.node.hasDeparted); departed >= 0 && len(members.Voters) >= len(move.target) {
 		move.removeDepartedVoter(move.surplus[departed])
 		return
 	}
-	move.change("making a learner a voter", learner, raft.Membership{Voters: append(slices.Clone(members.Voters), learner), Learners: without})
+	move.change("promoting a learner to a voter", learner, raft.Membership{Voters: append(slices.Clone(members.Voters), learner), Learners: remaining})
 }
 
-// removeDepartedVoter removes a voter whose store has left the list and is not live, once a
-// majority of the others have all that is archived.
+// removeDepartedVoter removes a voter whose store has departed, once a majority of the remaining
+// voters has all archived ranges.
 func (move *groupMove) removeDepartedVoter(name string) {
 	next := raft.Without(move.status.Membership.Voters, name)
 	if move.countComplete(next) >= len(next)/2+1 {
@@ -91,9 +91,10 @@
 	}
 }
 
-// removeVoter removes a voter whose store may be switched off, with its disk, as soon as it has
-// no replicas: each of those that stay must have all that it has. A leader that is to go
-// transfers its leadership first.
+// removeVoter removes a surplus voter once every target replica has the log and all archived
+// ranges: its store may be decommissioned, with its disk, as soon as it has no replicas. If the
+// surplus voter is this node, it transfers the leadership instead, and the next leader removes
+// it.
 func (move *groupMove) removeVoter(name string) {
 	next := raft.Without(move.status.Membership.Voters, name)
 	behind := func(voter string) bool { return !move.status.CaughtUp(voter) }
@@ -109,11 +110,12 @@
 	move.change("removing a surplus voter", name, raft.Membership{Voters: next, Learners: move.status.Membership.Learners})
 }
 
-// countComplete counts the replicas that have all that is archived, and repairs the others.
+// countComplete counts the live replicas whose archives have all archived ranges, after
+// repairing those that lack some.
 func (move *groupMove) countComplete(names []string) int {
 	complete := 0
 	for _, name := range names {
-		if move.node.isLive(name) && move.node.repairReplica(move.group, move.content, name) {
+		if move.node.isLive(name) && move.node.repairReplica(move.group, move.state, name) {
 			complete++
 		}
 	}
--- a/system/store/group_placement.go
+++ b/system/store/group_placement.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// placementInterval is how often the placement of groups is looked at, movingInterval
-	// how often while groups led here are moving.
+	// placementInterval is how often the placement of groups is checked, movingInterval how
+	// often while this node is moving groups.
 	placementInterval = time.Second
 	movingInterval    = 50 * time.Millisecond
-	// maxConcurrentMoves bounds the groups that one leader moves at a time, as each learner
-	// gets the whole content of its group.
+	// maxConcurrentMoves bounds the groups that a node moves at a time, as each learner
+	// receives the complete state of its group.
 	maxConcurrentMoves = 4
 )
 
-// runPlacement moves groups to where the store list wants them: whenever the view changes, and
-// at an interval, as stores come and go.
+// runPlacement runs reconcilePlacement whenever the view changes, and at an interval, as stores
+// fail and come back without a change of the view.
 func (node *Node) runPlacement() {
 	timer := time.NewTimer(placementInterval)
 	defer timer.Stop()
@@ -44,9 +44,9 @@
 	}
 }
 
-// reconcilePlacement brings the groups led here one step nearer to where the store list wants
-// them, and tells whether any is moving. Only a group's leader does this, and its membership
-// changes are entries of its log, so the term is the fencing token.
+// reconcilePlacement moves the groups that this node leads one step toward their target stores,
+// and reports whether any is moving. Only a group's leader moves it, by entries of its log, so
+// the term is the fencing token. Replicas that were removed from their groups are deleted.
 func (node *Node) reconcilePlacement() bool {
 	view := node.view.Load()
 	if len(view.Stores) == 0 {
@@ -57,7 +57,7 @@
 	for group, status := range node.host.Statuses() {
 		target := placement.ReplicasOf(group, candidates, view.ReplicationFactor())
 		if !status.CommittedInTerm {
-			node.leaveIfRemoved(group, status, target)
+			node.deleteIfRemoved(group, status, target)
 			continue
 		}
 		if moving < maxConcurrentMoves && node.canMove(status, target) {
@@ -69,8 +69,8 @@
 	return moving > 0
 }
 
-// canMove tells whether a group is not where it should be and a step towards there can be
-// taken now.
+// canMove reports whether a group is not on its target stores and a step toward them is
+// possible now.
 func (node *Node) canMove(status raft.Status, target []string) bool {
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	if status.MembershipChangePending {
@@ -86,9 +86,9 @@
 	return len(voters) > len(target) && !slices.ContainsFunc(target, func(name string) bool { return !node.isLive(name) })
 }
 
-// leaveIfRemoved deletes a replica that was removed from its group: it hears of no leader, and
-// the leader, confirmed by a majority, does not count it among the members.
-func (node *Node) leaveIfRemoved(group uint32, status raft.Status, target []string) {
+// deleteIfRemoved deletes this node's replica of a group if it was removed from the group: it
+// knows no leader, and the leader, confirmed by a majority, does not list it as a member.
+func (node *Node) deleteIfRemoved(group uint32, status raft.Status, target []string) {
 	if status.Leader != "" || slices.Contains(target, node.Name()) {
 		return
 	}
@@ -97,8 +97,8 @@
 		if !found || slices.Contains(reported.Voters, node.Name()) || slices.Contains(reported.Learners, node.Name()) {
 			continue
 		}
-		// The group may have added this replica again since; then its log or term has moved.
-		if now, _ := node.host.Status(group); now.Leader == "" && now.LastIndex == status.LastIndex && now.Term == status.Term {
+		// If the group has added this replica again since, its log or term has advanced.
+		if current, _ := node.host.Status(group); current.Leader == "" && current.LastIndex == status.LastIndex && current.Term == status.Term {
 			log.WithFields(log.Fields{"node": node.Name(), "group": group}).Info("deleting a replica that was removed from its group")
 			node.host.Remove(group)
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-// leaderStatusAt returns a store's status of a group, if that store leads it.
+// leaderStatusAt asks a store for its status of a group; found is false unless that store leads it.
 func (node *Node) leaderStatusAt(store string, group uint32) (reported wire.GroupStatus, found bool) {
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
@@ -114,9 +114,9 @@
 	if err != nil || reply.Status == nil {
 		return wire.GroupStatus{}, false
 	}
-	at := slices.IndexFunc(reply.Status.Groups, func(status wire.GroupStatus) bool { return status.Group == group && status.Leading })
-	if at < 0 {
+	index := slices.IndexFunc(reply.Status.Groups, func(status wire.GroupStatus) bool { return status.Group == group && status.Leading })
+	if index < 0 {
 		return wire.GroupStatus{}, false
 	}
-	return reply.Status.Groups[at], true
+	return reply.Status.Groups[index], true
 }
--- a/system/store/lagging_replicas.go
+++ b/system/store/lagging_replicas.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// laggingRepairInterval is how soon a replica is repaired that is known to lack an archived
-// range, or may lack one, once it is live again.
+// laggingRepairInterval is how often replicas that may lack archived ranges are checked for
+// being live, and repaired.
 const laggingRepairInterval = time.Second
 
-// replicaKey names one replica of a group.
+// replicaKey identifies one replica of a group by the name of its store.
 type replicaKey struct {
 	group uint32
 	name  string
 }
 
-// markLagging remembers that a replica may lack archived ranges.
+// markLagging records that a replica may lack archived ranges.
 func (node *Node) markLagging(group uint32, name string) {
 	node.laggingReplicas.Store(replicaKey{group, name}, true)
 }
 
-// laggingRepairer returns the task that repairs the replicas which may lack archived ranges as
-// soon as they are live again. A node that has become a group's leader does not know which of
-// its replicas do, so it marks all of them once a term.
+// laggingRepairer returns the task that repairs the replicas that may lack archived ranges, as
+// soon as they are live. A new leader does not know which replicas these are, so it marks all
+// replicas of the group once per term.
 func (node *Node) laggingRepairer() func() {
-	checkedTerm := map[uint32]uint64{} // by group, the term in which its replicas were marked
+	markedTerm := map[uint32]uint64{} // the term in which a group's replicas were marked, by group
 	return func() {
 		for group, status := range node.host.Statuses() {
-			if !status.CommittedInTerm || checkedTerm[group] == status.Term {
+			if !status.CommittedInTerm || markedTerm[group] == status.Term {
 				continue
 			}
-			checkedTerm[group] = status.Term
+			markedTerm[group] = status.Term
 			for _, voter := range status.Membership.Voters {
 				node.markLagging(group, voter)
 			}
@@ -45,8 +45,8 @@
 	}
 }
 
-// repairLagging repairs a replica that may lack ranges, and reports whether nothing is left to
-// do for it. That is so too if the group is not led here any more, or not replicated there.
+// repairLagging repairs a replica that may lack ranges, and reports whether to unmark it: it has
+// been repaired or is no longer a voter, or this node no longer leads the group.
 func (node *Node) repairLagging(replica replicaKey) bool {
 	status := node.host.Statuses()[replica.group]
 	if !status.CommittedInTerm || !slices.Contains(status.Membership.Voters, replica.name) {
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -1,30 +1,31 @@
-// Package store is a store node: it holds replicas of the groups that keep session logs and
-// quota usage, the archive beside them, and the newest view of the feed.
+// Package store implements a store node. A store node holds replicas of the Raft groups that
+// contain session logs and quota usage, an archive of evicted events, and the current view of
+// the feed.
 //
-// What each part of the package does:
+// The files of the package:
 //
-//   - requests.go, commands.go, reads.go, turns.go and status.go answer the requests of other
+//   - requests.go, commands.go, reads.go, turns.go and status.go handle queries from other
 //     processes; tail.go wakes readers that wait for the next event.
-//   - node_groups.go puts package sessionlog under package replica; group_clock.go keeps each
-//     group's clock.
-//   - node_view.go takes part in the feed: it syncs views before anyone may count on them.
-//   - group_placement.go and group_move.go move groups to where the store list wants them, one
-//     membership change at a time.
-//   - archiver.go, archive_replication.go and archive_guard.go move events out of the replicated
-//     state into the archives of a majority; archive_repair.go and lagging_replicas.go repair
-//     archives that lack some (anti-entropy).
-//   - shared_prefix.go stores prefixes once that sessions share; quota.go settles reservations
-//     that fronts left behind.
+//   - node_groups.go connects package sessionlog to package replica; group_clock.go implements
+//     the clock of each group.
+//   - node_view.go stores the views of the feed durably before they are used or acknowledged.
+//   - group_placement.go and group_move.go move groups to the stores that the placement assigns,
+//     one membership change at a time.
+//   - archiver.go, archive_replication.go and archive_guard.go move events from the replicated
+//     state to the archives of a majority; archive_repair.go and lagging_replicas.go repair
+//     archives that lack events (anti-entropy).
+//   - shared_prefix.go deduplicates input prefixes that sessions share; quota.go settles
+//     reservations that fronts abandoned.
 //
 // Invariants:
 //
-//   - A read or a turn's history is complete or fails with apierror.Gap; it never leaves out an
+//   - A read or a turn's history is complete or fails with apierror.Gap; it never omits an
 //     event.
 //   - Events are evicted from the replicated state only once a majority of the group's voters
-//     has them in its archive, and a membership change keeps that true (archiveGuard).
-//   - What a background task commits goes through the group's leader, so a deposed one changes
-//     nothing: the Raft term is the fencing token.
-//   - A group's clock never runs ahead of the time that went by, so no session or deadline ends
+//     has archived them, and membership changes preserve this (archiveGuard).
+//   - Background tasks commit their changes through the group's leader, so a deposed leader
+//     changes nothing: the Raft term is the fencing token.
+//   - A group's clock never runs ahead of elapsed time, so no session or deadline expires
 //     early.
 package store
 
@@ -50,29 +51,29 @@
 )
 
 const (
-	// callTimeout bounds one call of another store.
+	// callTimeout bounds one call to another store.
 	callTimeout = 2 * time.Second
-	// commandTimeout bounds the commit of a command, and a read of a group.
+	// commandTimeout bounds the commit of a command or a linearizable read of a group.
 	commandTimeout = 3 * time.Second
 )
 
 // Settings configure a store node.
 type Settings struct {
-	// Address is where other processes reach the node, and what it listens on (host:port).
+	// Address is the address (host:port) that the node listens on and advertises.
 	Address string
-	// Domain is the failure domain of the machine, as a zone.
+	// Domain is the failure domain of the machine, for example a zone.
 	Domain string
-	// Seeds are addresses of nodes from which the node learns the fleet.
+	// Seeds are the addresses of nodes through which the node discovers the fleet.
 	Seeds   []string
 	Replica replica.Settings
-	// WallClock is the machine's clock, which may be wrong; nil is time.Now.
+	// WallClock returns the machine's time, which need not be correct; nil means time.Now.
 	WallClock func() time.Time
-	// Machine is what the operator calls this machine; it may be empty.
+	// Machine is the operator's name for this machine; it may be empty.
 	Machine string
 }
 
-// Node is a running store node. It owns its data folder, its archive and all its goroutines,
-// which Close ends and waits for. All methods may be called from any goroutine.
+// Node is a running store node. It owns its data directory, its archive and its goroutines,
+// which Close stops and waits for. Its methods are safe for concurrent use.
 type Node struct {
 	settings     Settings
 	caller       *link.Client
@@ -80,41 +81,40 @@
 	archiveStore *archive.Store
 	server       *link.Server
 	storeClient  *storeclient.Client
-	// feedClient is nil until the node is connected to the feed: the replicas and the feed
-	// client's own callbacks may look for it before.
+	// feedClient is nil until the node is connected to the feed. Replicas and the feed client's
+	// callbacks may load it earlier.
 	feedClient atomic.Pointer[feedclient.Client]
 
 	view       atomic.Pointer[feed.View]
 	viewPacker wire.PackedViewCache
-	// viewChanged has a token after a view was accepted that differs in more than
-	// observations.
+	// viewChanged receives a token when an accepted view differs in more than observations.
 	viewChanged chan struct{}
 
-	stateMachines sync.Map // of *groupStateMachine by group number
-	clockAnchors  sync.Map // of clockAnchor by group number
-	archiveGuards sync.Map // of *archiveGuard by group number
-	// laggingReplicas has a replicaKey for each replica of a group led here that may lack
-	// archived ranges.
+	stateMachines sync.Map // *groupStateMachine by group number
+	clockAnchors  sync.Map // clockAnchor by group number
+	archiveGuards sync.Map // *archiveGuard by group number
+	// laggingReplicas is the set of replicas (replicaKey) that may lack archived ranges, of the
+	// groups that this node leads.
 	laggingReplicas sync.Map
 	prefixDetector  sharedprefix.Detector
 
 	tailMutex   sync.Mutex
 	tailWaiters map[string]*tailWaiter
 
-	// context ends with the node, tasks are its goroutines.
+	// context is canceled by Close, which then waits for tasks.
 	context context.Context
 	stop    context.CancelFunc
 	tasks   sync.WaitGroup
 }
 
-// Start opens the data folder and the archive's, and runs a store node until Close. It fails
-// if a folder is damaged (apierror.Damaged), belongs to a node of another role, or was written
-// by a newer program, and if the address is not free (apierror.BadSettings).
+// Start opens the data directory and the archive directory, and runs a store node until Close.
+// It fails if a directory is damaged (apierror.Damaged), belongs to a node of another role or
+// was written by a newer version, and if the address is in use (apierror.BadSettings).
 //
-//	node, err := store.Start(settings, folder, archiveFolder, link.TCP{})
+//	node, err := store.Start(settings, dir, archiveDir, link.TCP{})
 //	defer node.Close()
-func Start(settings Settings, folder, archiveFolder vfs.Directory, network link.Network) (*Node, error) {
-	node, err := open(settings, folder, archiveFolder, network)
+func Start(settings Settings, dir, archiveDir vfs.Directory, network link.Network) (*Node, error) {
+	node, err := open(settings, dir, archiveDir, network)
 	if err != nil {
 		return nil, err
 	}
@@ -127,13 +127,14 @@
 	return node, nil
 }
 
-// open restores the node's groups from its data folder. They take part in Raft from now on.
-func open(settings Settings, folder, archiveFolder vfs.Directory, network link.Network) (*Node, error) {
-	durable, records, err := durablelog.Open(folder, feed.RoleStore)
+// open restores the node's groups from its data directory. Their replicas participate in Raft
+// from then on.
+func open(settings Settings, dir, archiveDir vfs.Directory, network link.Network) (*Node, error) {
+	durable, records, err := durablelog.Open(dir, feed.RoleStore)
 	if err != nil {
 		return nil, err
 	}
-	archiveStore, err := archive.Open(archiveFolder)
+	archiveStore, err := archive.Open(archiveDir)
 	if err != nil {
 		return nil, err
 	}
@@ -154,8 +155,7 @@
 	return node, nil
 }
 
-// join takes the stored view into force, then connects the node to the feed and serves the
-// requests of other processes.
+// join applies the stored view, connects the node to the feed and starts serving queries.
 func (node *Node) join(network link.Network) error {
 	view, err := node.storedView()
 	if err != nil {
@@ -164,7 +164,7 @@
 	node.view.Store(view)
 	listener, err := network.Listen(node.settings.Address)
 	if err != nil {
-		return apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+node.settings.Address+": "+err.Error(), "use an address of this machine that is free")
+		return apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+node.settings.Address+": "+err.Error(), "use a free address of this machine")
 	}
 	self := feed.Member{
 		Name: node.Name(), Role: feed.RoleStore, Address: node.settings.Address,
@@ -176,7 +176,8 @@
 	return nil
 }
 
-// startTasks starts the node's background tasks. Each runs alone and ends with node.context.
+// startTasks starts the node's background tasks, each in a goroutine of its own that ends with
+// node.context.
 func (node *Node) startTasks() {
 	node.tasks.Go(func() { node.runEvery(archiveInterval, node.archiveAll) })
 	node.tasks.Go(func() { node.runEvery(settleInterval, node.quotaSettler()) })
@@ -185,8 +186,8 @@
 	node.tasks.Go(func() { node.runEvery(laggingRepairInterval, node.laggingRepairer()) })
 }
 
-// runEvery runs a task at an interval until the node stops. It skips ticks while a task takes
-// longer than that.
+// runEvery runs a task at an interval until the node stops. Ticks during a run that takes longer
+// are dropped.
 func (node *Node) runEvery(interval time.Duration, task func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -200,23 +201,23 @@
 	}
 }
 
-// Name returns the identity of the node's disk, by which the fleet knows the node.
+// Name returns the node's name in the fleet, which is the identity of its disk.
 //
 //	name := node.Name()
 func (node *Node) Name() string { return node.host.Name() }
 
-// SetSeeds replaces the seed addresses while the node runs.
+// SetSeeds replaces the seed addresses of the running node.
 //
 //	node.SetSeeds(settings.Seeds)
 func (node *Node) SetSeeds(seeds []string) { node.feedClient.Load().SetSeeds(seeds) }
 
-// ForeignFleet delivers the reason why a node that has just started can't go on, if there is
-// one: its data folder belongs to another fleet than its seeds.
+// ForeignFleet returns a channel that receives an error if the node must stop because its data
+// directory belongs to another fleet than its seeds.
 //
 //	err := <-node.ForeignFleet()
 func (node *Node) ForeignFleet() <-chan error { return node.feedClient.Load().ForeignFleet() }
 
-// Ready tells whether the node has replicas and each knows a leader.
+// Ready reports whether the node has replicas and each of them knows a leader.
 //
 //	if node.Ready() { ... }
 func (node *Node) Ready() bool {
@@ -229,17 +230,17 @@
 	return len(statuses) > 0
 }
 
-// Host returns the node's replicas, for measurements and tests.
+// Host returns the host of the node's replicas, for measurements and tests.
 //
 //	syncs := node.Host().Syncs()
 func (node *Node) Host() *replica.Host { return node.host }
 
-// Drain transfers the leadership of all groups before a stop.
+// Drain transfers the leadership of all groups to other stores, before the node is stopped.
 //
 //	node.Drain()
 func (node *Node) Drain() { node.host.TransferAllLeaderships() }
 
-// Close stops the node and waits for its tasks. What is not synced may be lost, as in a crash.
+// Close stops the node and waits for its tasks. Unsynced data may be lost, as in a crash.
 //
 //	node.Close()
 func (node *Node) Close() {
--- a/system/store/node_groups.go
+++ b/system/store/node_groups.go
@@ -14,23 +14,23 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// groupStateMachine makes a sessionlog.StateMachine the replica.StateMachine of one group: it
-// decodes commands and encodes snapshots. The host calls Apply, Restore and Snapshot from its
-// loop alone; View may be called from anywhere.
+// groupStateMachine adapts a sessionlog.StateMachine to the replica.StateMachine of one group:
+// it decodes commands and encodes snapshots. The host calls Apply, Restore and Snapshot only
+// from its event loop; View is safe for concurrent use.
 type groupStateMachine struct {
 	*sessionlog.StateMachine
-	// onApplied is called with the session's name after each command.
+	// onApplied is called after each command with the name of its session.
 	onApplied func(sessionName string)
 }
 
-// applyResult is what Apply returns for a command: its outcome, and the view right after it.
+// applyResult is the result of Apply: the outcome of a command and the view right after it.
 type applyResult struct {
 	outcome sessionlog.Outcome
 	view    *sessionlog.View
 }
 
-// Apply carries out a committed command and returns an applyResult. One that can't be decoded
-// is a bad command at every replica alike.
+// Apply applies a committed command and returns an applyResult. A command that cannot be decoded
+// yields BadCommand, which is the same on every replica.
 func (machine *groupStateMachine) Apply(entry raft.Entry) any {
 	var command sessionlog.Command
 	if err := wire.Decode(schema.Command_TypeID, entry.Data, &command); err != nil {
@@ -41,7 +41,8 @@
 	return applyResult{outcome, machine.View()}
 }
 
-// Snapshot returns a function that encodes the content as it is now, at any later time.
+// Snapshot captures the current state and returns a function that encodes it, which may be
+// called at any later time.
 func (machine *groupStateMachine) Snapshot() func() []byte {
 	view := machine.View()
 	return func() []byte {
@@ -50,23 +51,24 @@
 	}
 }
 
-// Restore replaces the content by an encoded snapshot's.
+// Restore replaces the state with an encoded snapshot.
 func (machine *groupStateMachine) Restore(data []byte) error {
 	var snapshot sessionlog.Snapshot
 	if err := wire.Decode(schema.LineImage_TypeID, data, &snapshot); err != nil {
-		return fmt.Errorf("decode a group's snapshot: %w", err)
+		return fmt.Errorf("decode group snapshot: %w", err)
 	}
 	return machine.StateMachine.Restore(snapshot)
 }
 
-// newStateMachine makes the empty state machine of a group and remembers it.
+// newStateMachine creates and registers an empty state machine for a group.
 func (node *Node) newStateMachine(group uint32) replica.StateMachine {
 	machine := &groupStateMachine{StateMachine: sessionlog.NewStateMachine(), onApplied: node.wakeTailReaders}
 	node.stateMachines.Store(group, machine)
 	return machine
 }
 
-// stateMachine returns the state machine of a group, or nil if no replica of it was ever here.
+// stateMachine returns the state machine of a group, or nil if this process has had no replica
+// of the group.
 func (node *Node) stateMachine(group uint32) *groupStateMachine {
 	machine, found := node.stateMachines.Load(group)
 	if !found {
@@ -75,9 +77,9 @@
 	return machine.(*groupStateMachine)
 }
 
-// StateMachine returns the state machine of a group, or nil if no replica of it was ever here;
-// that of a replica that was removed since stays. It is for measurements, and for tests that
-// damage its content.
+// StateMachine returns the state machine of a group, also after its replica was removed, or nil
+// if this process has had no replica of the group. It is for measurements, and for tests that
+// corrupt its state.
 //
 //	view := node.StateMachine(3).View()
 func (node *Node) StateMachine(group uint32) *sessionlog.StateMachine {
@@ -87,19 +89,19 @@
 	return nil
 }
 
-// bootstrapGroups creates the replicas that this node has among the fleet's founding stores.
-// The host ignores those that exist already.
+// bootstrapGroups creates the replicas that the initial placement over the founding stores
+// assigns to this node. The host ignores replicas that exist already.
 func (node *Node) bootstrapGroups(view *feed.View) {
-	founders := feed.PlacementCandidates(view.FoundingStores)
-	for group := uint32(0); len(founders) > 0 && group < view.Groups; group++ {
-		voters := placement.ReplicasOf(group, founders, view.ReplicationFactor())
+	candidates := feed.PlacementCandidates(view.FoundingStores)
+	for group := uint32(0); len(candidates) > 0 && group < view.Groups; group++ {
+		voters := placement.ReplicasOf(group, candidates, view.ReplicationFactor())
 		if slices.Contains(voters, node.Name()) {
 			node.host.Bootstrap(group, voters, nil)
 		}
 	}
 }
 
-// propose commits one command to a group that is led here and returns its result.
+// propose commits one command to a group that this node leads and returns its result.
 func (node *Node) propose(ctx context.Context, group uint32, command sessionlog.Command) (applyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -107,6 +109,6 @@
 	if err != nil {
 		return applyResult{}, err
 	}
-	// The host returns what groupStateMachine.Apply returned, one result for each command.
+	// The host returns the result of groupStateMachine.Apply for each command.
 	return results[0].(applyResult), nil
 }
--- a/system/store/node_view.go
+++ b/system/store/node_view.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// storedViewKey is the host's key for the newest view; group numbers are below it.
+	// storedViewKey is the key under which the host stores the view. Group numbers are lower.
 	storedViewKey = 1 << 31
 	// viewSyncTimeout bounds the sync of a view.
 	viewSyncTimeout = 5 * time.Second
-	// controlContactWindow is how lately a control quorum must have been heard for this node
-	// to tell others so.
+	// controlContactWindow is how recently this node must have heard from a control quorum to
+	// report that it has.
 	controlContactWindow = 5 * time.Second
 )
 
-// View returns the newest view that is synced here.
+// View returns the current view. It is synced on this node, except for observations.
 //
 //	view := node.View()
 func (node *Node) View() *feed.View { return node.view.Load() }
 
-// storedView reads the view that the data folder has; an empty one if it has none.
+// storedView reads the view from the data directory, or returns an empty view if there is none.
 func (node *Node) storedView() (*feed.View, error) {
 	data := node.host.StoredValue(storedViewKey)
 	if data == nil {
@@ -34,14 +34,14 @@
 	}
 	view, err := wire.UnpackView(data)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.Damaged, "the stored view cannot be read: "+err.Error(), "run the version of the program that wrote it")
+		return nil, apierror.Wrap(err, apierror.Damaged, "the stored view cannot be read: "+err.Error(), "run the version that wrote it")
 	}
 	return view, nil
 }
 
-// acceptView syncs a newer view, then lets others see it: the control nodes count this store
-// among those that have the view durably. A view that differs only in observations is not
-// worth a sync, as observations are made again after a restart.
+// acceptView makes a newer view the current one. The view is synced first, because the control
+// nodes count this store among those that have it durably. A view that differs only in
+// observations is not synced, as observations are made again after a restart.
 func (node *Node) acceptView(view *feed.View) error {
 	if view.EqualExceptObservations(node.view.Load()) {
 		node.view.Store(view)
@@ -56,12 +56,12 @@
 	node.bootstrapGroups(view)
 	select {
 	case node.viewChanged <- struct{}{}:
-	default: // a token is there already
+	default: // a token is pending already
 	}
 	return nil
 }
 
-// handleReplicateView answers only once the view, or a newer one, is synced here.
+// handleReplicateView replies once the view, or a newer one, is synced on this node.
 func (node *Node) handleReplicateView(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	current := node.view.Load()
 	view, err := query.ReplicateView.ViewFrom(current)
@@ -69,31 +69,30 @@
 		err = feed.ErrBaseMismatch
 	}
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.Conflict, "the view cannot be made from the one that is here: "+err.Error(), "send a complete view")
+		return nil, apierror.Wrap(err, apierror.Conflict, "cannot apply the replicated view: "+err.Error(), "send a full view")
 	}
 	if !node.feedClient.Load().Adopt(view) {
-		return nil, apierror.NewRetryable(apierror.DiskUnavailable, "the view was not synced here", "ask again", time.Second)
+		return nil, apierror.NewRetryable(apierror.DiskUnavailable, "the view was not synced on this node", "retry", time.Second)
 	}
 	return &wire.Reply{}, nil
 }
 
-// handleNewestView answers with the newest view that is synced here, if it is newer than the
-// asker's.
+// handleNewestView replies with the current view if it is newer than the sender's.
 func (node *Node) handleNewestView(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	view := node.view.Load()
-	newest := &wire.NewestViewReply{Number: view.Number, HeardControlQuorum: node.feedClient.Load().HeardControlWithin(controlContactWindow)}
+	reply := &wire.NewestViewReply{Number: view.Number, HeardControlQuorum: node.feedClient.Load().HeardControlWithin(controlContactWindow)}
 	if view.Number > query.NewestView.After {
 		if query.NewestView.Packed {
-			newest.PackedView = node.viewPacker.Get(view)
+			reply.PackedView = node.viewPacker.Get(view)
 		} else {
-			newest.View = *view
+			reply.View = *view
 		}
 	}
-	return &wire.Reply{Which: schema.Reply_Which_newest, NewestView: newest}, nil
+	return &wire.Reply{Which: schema.Reply_Which_newest, NewestView: reply}, nil
 }
 
-// addressOf returns a store's address, "" if it is unknown. A store that has left the list is
-// found among the live nodes, as groups may still have replicas there.
+// addressOf returns a store's address, or "" if it is unknown. It also looks up stores that are
+// no longer in the store list among the live nodes, as they may still have replicas.
 func (node *Node) addressOf(name string) string {
 	if address := node.view.Load().AddressOf(name); address != "" {
 		return address
@@ -106,7 +105,7 @@
 	return ""
 }
 
-// liveMembers returns the nodes that the control nodes heard lately.
+// liveMembers returns the nodes from which the control nodes have recently heard.
 func (node *Node) liveMembers() []feed.Member {
 	if client := node.feedClient.Load(); client != nil {
 		return client.Members()
@@ -114,12 +113,12 @@
 	return nil
 }
 
-// isLive tells whether a store was heard lately. This node counts as live for itself.
+// isLive reports whether a store is live. This node is always live to itself.
 func (node *Node) isLive(name string) bool {
 	return name == node.Name() || slices.ContainsFunc(node.liveMembers(), func(member feed.Member) bool { return member.Name == name })
 }
 
-// hasDeparted tells whether a store has left the store list and is not live.
+// hasDeparted reports whether a store is neither in the store list nor live.
 func (node *Node) hasDeparted(name string) bool {
 	return !slices.ContainsFunc(node.view.Load().Stores, func(member feed.Member) bool { return member.Name == name }) && !node.isLive(name)
 }
--- a/system/store/quota.go
+++ b/system/store/quota.go
@@ -11,13 +11,13 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// settleInterval is how often reservations are looked at that fronts may have left behind.
+// settleInterval is how often the node looks for abandoned reservations.
 const settleInterval = 5 * time.Second
 
-// quotaSettler returns the task that settles reservations which fronts left behind: those of
-// turns that are closed, overdue, or never began. It takes those only that were outstanding in
-// the round before, so that it leaves alone what is in flight. The leader of the quota's group
-// does this; as it commits, the term is its fencing token.
+// quotaSettler returns the task that settles reservations that fronts abandoned: those of turns
+// that are closed, overdue or never began. It settles only reservations that were outstanding in
+// the previous round already, to exclude those in flight. The leader of the quota's group runs
+// it and commits its changes, so the term is the fencing token.
 func (node *Node) quotaSettler() func() {
 	seenBefore := map[string]bool{}
 	return func() {
@@ -40,28 +40,28 @@
 	}
 }
 
-// settleReservation replaces a reservation by what its turn used, if that is final. Until then
-// the reservation counts as spent.
+// settleReservation replaces a reservation by the usage of its turn, if that is final. Until
+// then the whole reservation counts against the quota.
 func (node *Node) settleReservation(group uint32, quota string, reservation sessionlog.Reservation, clock int64) {
 	ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 	defer cancel()
-	words, final := node.wordsSpent(ctx, reservation, clock > reservation.ExpiresAt)
+	words, final := node.wordsUsed(ctx, reservation, clock > reservation.ExpiresAt)
 	if !final {
 		return
 	}
 	command := sessionlog.Command{Kind: sessionlog.Settle, Session: quota, Now: clock, Reservation: reservation.Name, Words: words}
 	if _, err := node.propose(ctx, group, command); err != nil {
-		return // the next round tries again
+		return // retried in the next round
 	}
 	log.WithFields(log.Fields{"node": node.Name(), "group": group, "quota": quota, "reservation": reservation.Name, "words": words}).
-		Info("reservation that its front did not settle is settled")
+		Info("settled an abandoned reservation")
 }
 
-// wordsSpent returns how many words a reservation's turn used, and whether that is final. A
-// turn that did not begin within the reservation's lifetime never will: its front checks the
-// lifetime before the first byte leaves. An open turn whose reservation has expired is closed,
-// which fences whoever still runs it, and the next round sees the result.
-func (node *Node) wordsSpent(ctx context.Context, reservation sessionlog.Reservation, expired bool) (words uint64, final bool) {
+// wordsUsed returns how many words a reservation's turn used, and whether that is final. A turn
+// that did not begin within the reservation's lifetime never will, as its front checks the
+// lifetime before it sends the first byte. An open turn whose reservation has expired is closed,
+// which fences the process that still runs it; the next round reads the result.
+func (node *Node) wordsUsed(ctx context.Context, reservation sessionlog.Reservation, expired bool) (words uint64, final bool) {
 	sessionName, dispatch := reservation.Turn()
 	events, _, err := node.storeClient.ReadAll(ctx, sessionName)
 	if apierror.Is(err, apierror.NotFound) {
@@ -78,8 +78,8 @@
 		turn, _ := view.Run(event.Seq)
 		switch {
 		case turn.Ended == nil && expired:
-			closing := sessionlog.CloseOverdue(event, sessionlog.OutcomeCut)
-			_, _ = node.storeClient.Command(ctx, sessionName, closing) // the next round sees whether it took effect
+			closeCommand := sessionlog.CloseOverdue(event, sessionlog.OutcomeCut)
+			_, _ = node.storeClient.Command(ctx, sessionName, closeCommand) // the next round reads whether it was committed
 			return 0, false
 		case turn.Ended == nil:
 			return 0, false
--- a/system/store/reads.go
+++ b/system/store/reads.go
@@ -11,12 +11,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// maxReadEvents bounds the events of one read.
+// maxReadEvents bounds the number of events in one read.
 const maxReadEvents = 4096
 
 // handleRead serves a linearizable read of a session's events after a cursor, or of a quota's
-// usage. It fails with NotFound if there is no such session, and with Gap rather than leave
-// out an event.
+// usage. It fails with NotFound if the session does not exist, and with Gap rather than omit an
+// event.
 func (node *Node) handleRead(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	read := query.Read
 	group := placement.GroupOf(read.Session, node.view.Load().Groups)
@@ -30,7 +30,7 @@
 	}
 	session, found := view.Session(read.Session)
 	if !found {
-		return nil, apierror.New(apierror.NotFound, "no session is named "+read.Session, "check the name; a session is removed when its retention is over")
+		return nil, apierror.New(apierror.NotFound, "there is no session named "+read.Session, "check the name; a session is removed when its retention ends")
 	}
 	events, err := node.readEvents(ctx, group, session, read.After, read.Limit)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return &wire.Reply{Which: schema.Reply_Which_read, Read: &wire.ReadReply{Session: *session, Events: events, Clock: node.clock(group)}}, nil
 }
 
-// linearizableView returns a view of a group that has all commands which were acknowledged
-// before the call (Raft's read index).
+// linearizableView returns a view of a group that includes all commands acknowledged before the
+// call (Raft's ReadIndex).
 func (node *Node) linearizableView(ctx context.Context, group uint32) (*sessionlog.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -53,9 +53,9 @@
 	return node.stateMachine(group).View(), nil
 }
 
-// readEvents returns the events of a session after a sequence number, at most limit of them,
-// from the archive and from memory. Events may still refer to shared prefixes. A range with a
-// gap fails.
+// readEvents returns at most limit events of a session after a sequence number, from the archive
+// and from memory. Their references to shared prefixes are not expanded. It fails with Gap if an
+// event is missing.
 func (node *Node) readEvents(ctx context.Context, group uint32, session *sessionlog.Session, after, limit uint64) ([]sessionlog.Event, error) {
 	if limit == 0 || limit > maxReadEvents {
 		limit = maxReadEvents
@@ -79,7 +79,7 @@
 	return events, nil
 }
 
-// isComplete tells whether events are all those after a sequence number and through another,
+// isComplete reports whether events are exactly those with sequence numbers after+1 to through,
 // in order.
 func isComplete(events []sessionlog.Event, after, through uint64) bool {
 	for position, event := range events {
@@ -91,12 +91,12 @@
 }
 
 func gapError(sessionName string) error {
-	return apierror.NewRetryable(apierror.Gap, "a part of "+sessionName+" cannot be read now",
-		"ask again; the store nodes repair their archives from each other", time.Second)
+	return apierror.NewRetryable(apierror.Gap, "some events of "+sessionName+" cannot be read now",
+		"retry; the store nodes repair their archives from each other", time.Second)
 }
 
-// readArchive reads a range of archived events here, and what is missing here from peers. The
-// result is in order and may have gaps.
+// readArchive reads a range of archived events from this node's archive, and those missing there
+// from peers. The result is in order and may have gaps.
 func (node *Node) readArchive(ctx context.Context, group uint32, sessionName string, after, through uint64) []sessionlog.Event {
 	events := node.archiveStore.Read(sessionName, after, through)
 	if uint64(len(events)) == through-after {
@@ -105,8 +105,8 @@
 	return node.completeFromPeers(ctx, group, sessionName, after, through, events)
 }
 
-// completeFromPeers adds to a range what peers have of it in their archives, as far as it can
-// be reached.
+// completeFromPeers fills the gaps in a range from the archives of the peers that can be
+// reached.
 func (node *Node) completeFromPeers(ctx context.Context, group uint32, sessionName string, after, through uint64, found []sessionlog.Event) []sessionlog.Event {
 	bySeq := map[uint64]sessionlog.Event{}
 	for _, event := range found {
@@ -116,7 +116,7 @@
 		if peer == node.Name() || uint64(len(bySeq)) == through-after {
 			continue
 		}
-		for _, event := range node.archivedAt(ctx, peer, sessionName, after, through) {
+		for _, event := range node.readPeerArchive(ctx, peer, sessionName, after, through) {
 			bySeq[event.Seq] = event
 		}
 	}
@@ -129,8 +129,8 @@
 	return events
 }
 
-// archivedAt returns what a peer's archive has of a range; nothing if the peer does not answer.
-func (node *Node) archivedAt(ctx context.Context, peer, sessionName string, after, through uint64) []sessionlog.Event {
+// readPeerArchive reads a range from a peer's archive; it returns nil if the peer does not reply.
+func (node *Node) readPeerArchive(ctx context.Context, peer, sessionName string, after, through uint64) []sessionlog.Event {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := node.callPeer(ctx, peer, &wire.Query{
--- a/system/store/requests.go
+++ b/system/store/requests.go
@@ -9,7 +9,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// handlers has the method that answers each kind of query.
+// handlers maps each kind of query to the method that handles it.
 var handlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
 	schema.Query_Which_status:    (*Node).handleStatus,
 	schema.Query_Which_agreement: (*Node).handleRaft,
@@ -24,20 +24,20 @@
 	schema.Query_Which_opening:   (*Node).handleSharedPrefix,
 }
 
-// Handle answers one query of another process; failures are typed replies. It rejects a query
-// of another fleet, but for the two by which processes find out who is who, and one that is
-// meant for another process which had this address before.
+// Handle handles one query from another process; failures are error replies. It rejects queries
+// from another fleet, except the status and newest-view queries that discovery uses, and queries
+// addressed to another process that had this address before.
 //
 //	reply := node.Handle(ctx, query)
 func (node *Node) Handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	handle, known := handlers[query.Which]
 	if !known {
-		return wire.ErrorReply(apierror.New(apierror.Invalid, "a store node does not answer this query", "ask a control node"))
+		return wire.ErrorReply(apierror.New(apierror.Invalid, "a store node does not serve this query", "send it to a control node"))
 	}
 	anyFleet := query.Which == schema.Query_Which_newest || query.Which == schema.Query_Which_status
 	if fleet := node.view.Load().BoundFleet(); !anyFleet && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
-		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet,
-			"correct its seeds, or empty its data folder so that it joins this fleet"))
+		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the sender belongs to fleet "+query.Fleet+", this node to "+fleet,
+			"correct the sender's seeds, or empty its data directory so that it joins this fleet"))
 	}
 	if rejection := query.MisdirectedReply(node.Name()); rejection != nil {
 		return rejection
@@ -49,7 +49,8 @@
 	return reply
 }
 
-// handleRaft hands a batch of Raft messages to the replicas; their replies go the same way.
+// handleRaft passes a batch of Raft messages to the replicas. Responses are sent to the peer as
+// queries of the same kind.
 func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
 	return &wire.Reply{}, nil
--- a/system/store/snapshot_bench_test.go
+++ b/system/store/snapshot_bench_test.go
@@ -10,9 +10,9 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// BenchmarkSnapshotOfADaysGroup encodes and reads back what one of 32 groups keeps
-// of the agency's conversations after a hundredth, a tenth and all of a day.
-func BenchmarkSnapshotOfADaysGroup(b *testing.B) {
+// BenchmarkGroupSnapshot encodes and restores the snapshot of a group with the number of sessions
+// that one of 32 groups has after 1%, 10% and 100% of a day in the agency workload.
+func BenchmarkGroupSnapshot(b *testing.B) {
 	for _, sessions := range []int{729, 7290, 72900} {
 		machine := sessionlog.NewStateMachine()
 		for number := range sessions {
--- a/system/store/tail.go
+++ b/system/store/tail.go
@@ -8,17 +8,18 @@
 	"yardrock.example/system/wire"
 )
 
-// catchUpInterval is how long a tail reader waits at most before it reads again, so that one
-// which missed an event because the leader changed still gets it soon.
+// catchUpInterval bounds how long a tail reader waits before it reads again, so that a reader
+// that missed an event in a change of leader still gets it soon.
 const catchUpInterval = 5 * time.Second
 
-// viewForRead returns a view of a group for a read. With Wait it returns once the session has
-// an event after the cursor, the time is over or the reader has gone.
+// viewForRead returns a view of a group for a read. If Wait is set, it returns once the session
+// has an event after the cursor, or the wait times out or is canceled.
 func (node *Node) viewForRead(ctx context.Context, group uint32, read *wire.ReadQuery) (*sessionlog.View, error) {
 	if read.Wait <= 0 {
 		return node.linearizableView(ctx, group)
 	}
-	// The waiter comes before the view: an event that is applied between the two wakes it.
+	// The reader is registered before the view is read, so that an event applied in between
+	// wakes it.
 	woken, leave := node.joinTail(read.Session)
 	defer leave()
 	view, err := node.linearizableView(ctx, group)
@@ -41,14 +42,15 @@
 	return node.linearizableView(ctx, group)
 }
 
-// tailWaiter is what the tail readers of a session wait for. The node's tailMutex guards readers.
+// tailWaiter is shared by the tail readers of a session; closing woken wakes all of them. The
+// node's tailMutex guards readers, which counts them.
 type tailWaiter struct {
 	woken   chan struct{}
 	readers int
 }
 
-// wakeTailReaders lets the tail readers of a session read again (the cursor update of the
-// Starcite paper).
+// wakeTailReaders wakes the tail readers of a session, which then read again (the cursor update
+// of the Starcite paper).
 func (node *Node) wakeTailReaders(sessionName string) {
 	node.tailMutex.Lock()
 	defer node.tailMutex.Unlock()
@@ -58,8 +60,9 @@
 	}
 }
 
-// joinTail returns a channel that is closed when a command of a session is applied here. The
-// reader calls leave once it waits no more; the last one leaves nothing behind.
+// joinTail registers a tail reader and returns a channel that is closed when a command of the
+// session is applied on this node. The reader must call leave when it stops waiting; the last
+// one removes the waiter.
 func (node *Node) joinTail(sessionName string) (woken <-chan struct{}, leave func()) {
 	node.tailMutex.Lock()
 	defer node.tailMutex.Unlock()
@@ -72,8 +75,8 @@
 	return waiter.woken, func() { node.leaveTail(sessionName, waiter) }
 }
 
-// leaveTail removes a waiter once its last reader has left, unless they were woken: then another
-// one may stand in its place.
+// leaveTail unregisters a reader, and removes the waiter after its last one. If the readers were
+// woken, the map may have a newer waiter for the session, which stays.
 func (node *Node) leaveTail(sessionName string, waiter *tailWaiter) {
 	node.tailMutex.Lock()
 	defer node.tailMutex.Unlock()
--- a/system/store/tail_test.go
+++ b/system/store/tail_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// isWoken reports whether a tail reader would read again.
+// isWoken reports whether a tail reader has been woken.
 func isWoken(woken <-chan struct{}) bool {
 	select {
 	case <-woken:
@@ -12,15 +12,15 @@
 	}
 }
 
-// TestTailReadersLeaveNothingBehind: a reader that gives up, or finds that the node does not
-// lead, must not leave an entry for its session.
-func TestTailReadersLeaveNothingBehind(t *testing.T) {
+// TestTailWaiterIsRemovedWithLastReader guards against tailWaiters entries that leak when readers
+// give up, and against removing the entry of readers that are still waiting.
+func TestTailWaiterIsRemovedWithLastReader(t *testing.T) {
 	node := &Node{tailWaiters: map[string]*tailWaiter{}}
 	first, leaveFirst := node.joinTail("team/c-1")
 	second, leaveSecond := node.joinTail("team/c-1")
 	leaveFirst()
 	if len(node.tailWaiters) != 1 || isWoken(second) {
-		t.Fatal("the second reader lost its place with the first")
+		t.Fatal("the second reader lost its waiter when the first left")
 	}
 	leaveSecond()
 	if len(node.tailWaiters) != 0 || isWoken(first) {
@@ -29,9 +29,9 @@
 	third, leaveThird := node.joinTail("team/c-1")
 	node.wakeTailReaders("team/c-1")
 	fourth, leaveFourth := node.joinTail("team/c-1")
-	leaveThird() // must not take the place of the fourth
+	leaveThird() // must not remove the fourth reader's waiter
 	if !isWoken(third) || isWoken(fourth) || len(node.tailWaiters) != 1 {
-		t.Fatal("a reader that was woken took the place of the next one")
+		t.Fatal("a woken reader removed the waiter of the next one")
 	}
 	node.wakeTailReaders("team/c-1")
 	if !isWoken(fourth) {
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -12,8 +12,8 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// history joins the bytes of the turns that a turn follows, oldest first: each turn's input,
-// then its output. It is complete or fails.
+// history concatenates the data of the turns that a turn follows, oldest first: the input, then
+// the output of each. It returns an error rather than an incomplete history.
 func (node *Node) history(ctx context.Context, group uint32, view *sessionlog.View, sessionName, name string) ([]byte, error) {
 	turn, found := view.Turn(sessionName, name)
 	if !found || turn.Follows == nil {
@@ -26,11 +26,11 @@
 	return slices.Concat(data...), nil
 }
 
-// noEvent stands where a turn has no event of its own; sequence numbers begin at 1.
+// noEvent is the sequence number of an event that a turn does not have; valid ones begin at 1.
 const noEvent = 0
 
-// turnSeqs returns the sequence numbers of a chain's events, two for each turn: where it began
-// and where it ended. An adopted turn has only one event, so its second number is noEvent.
+// turnSeqs returns the sequence numbers of a chain's events, two for each turn: its begin and its
+// end. An adopted turn has a single event, so its second number is noEvent.
 func turnSeqs(chain []*sessionlog.Turn) []uint64 {
 	seqs := make([]uint64, 0, 2*len(chain))
 	for _, turn := range chain {
@@ -43,8 +43,8 @@
 	return seqs
 }
 
-// turnData returns the bytes of a chain's events, two for each turn: its input and its output.
-// An adopted turn has both in the first, and the second is empty.
+// turnData returns the data of a chain's events, two items for each turn: its input and its
+// output. For an adopted turn, the first item has both and the second is empty.
 func (node *Node) turnData(ctx context.Context, group uint32, view *sessionlog.View, chain []*sessionlog.Turn) ([][]byte, error) {
 	session, found := view.Session(chain[0].Session)
 	if !found {
@@ -71,8 +71,8 @@
 	return data, nil
 }
 
-// archivedEvents reads those of a session's events that are archived, as they are stored. It
-// reads the range from the first to the last of them, without a gap.
+// archivedEvents returns those of the given events of a session that are archived, as stored. It
+// reads the whole range from the first to the last of them.
 func (node *Node) archivedEvents(ctx context.Context, group uint32, session *sessionlog.Session, seqs []uint64) (map[uint64]*sessionlog.Event, error) {
 	wanted := map[uint64]*sessionlog.Event{}
 	first, last := session.ArchivedSeq+1, uint64(0)
@@ -82,8 +82,8 @@
 			first, last = min(first, seq), max(last, seq)
 		}
 	}
-	// A read may return fewer events than asked for, but at least one. With no event wanted
-	// first is beyond last, and nothing is read.
+	// A read may return fewer events than requested, but at least one. If no event is wanted,
+	// first is greater than last and nothing is read.
 	for after := first - 1; after < last; {
 		events, err := node.readEvents(ctx, group, session, after, last-after)
 		if err != nil {
@@ -99,35 +99,35 @@
 	return wanted, nil
 }
 
-// findTimeout is how long a quorum may take to confirm a group, so that one without a quorum
-// does not hold up the search in the others.
+// findTimeout bounds the wait for a quorum to confirm leadership of a group, so that a group
+// without a quorum does not delay the search in the others.
 const findTimeout = 300 * time.Millisecond
 
-// handleFindTurn looks for a turn in every group that is led here, as a quorum confirms, and
-// tells which groups it has searched.
+// handleFindTurn searches for a turn in every group that this node leads, as confirmed by a
+// quorum, and replies with the groups that it searched.
 func (node *Node) handleFindTurn(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	var mutex sync.Mutex // guards reply and failed
-	var searching sync.WaitGroup
+	var mutex sync.Mutex // guards reply and searchErr
+	var searches sync.WaitGroup
 	reply := &wire.FindTurnReply{}
-	var failed error
+	var searchErr error
 	for group, status := range node.host.Statuses() {
 		if !status.Leading {
 			continue
 		}
-		searching.Go(func() {
-			confirming, cancel := context.WithTimeout(ctx, findTimeout)
-			view, err := node.linearizableView(confirming, group)
+		searches.Go(func() {
+			confirmCtx, cancel := context.WithTimeout(ctx, findTimeout)
+			view, err := node.linearizableView(confirmCtx, group)
 			cancel()
 			if err != nil {
-				return // the group does not count as searched
+				return // the group is not reported as searched
 			}
 			chain, open, err := node.findTurn(ctx, group, view, query.FindTurn.Name)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
-				failed = err
+				searchErr = err
 				return
 			}
 			reply.SearchedGroups = append(reply.SearchedGroups, group)
@@ -137,15 +137,15 @@
 			}
 		})
 	}
-	searching.Wait()
-	if failed != nil && !reply.Found {
-		return nil, apierror.Of(failed)
+	searches.Wait()
+	if searchErr != nil && !reply.Found {
+		return nil, apierror.Of(searchErr)
 	}
 	return &wire.Reply{Which: schema.Reply_Which_found, FoundTurn: reply}, nil
 }
 
-// findTurn looks for a turn in one group. It returns a complete one with all turns that it
-// follows, oldest first, or tells that the turn is still open.
+// findTurn searches for a turn in one group. It returns a complete turn with all turns that it
+// follows, oldest first, or reports that the turn is open.
 func (node *Node) findTurn(ctx context.Context, group uint32, view *sessionlog.View, name string) (chain []sessionlog.AdoptedTurn, open bool, err error) {
 	found, known := view.TurnInAnySession(name)
 	if !known || !found.Complete() {
--- a/system/storeclient/client.go
+++ b/system/storeclient/client.go
@@ -1,15 +1,15 @@
-// Package storeclient sends commands and reads to the stores: it finds the leader of the
-// group that has a session, and calls it.
+// Package storeclient sends commands and reads to the stores: it finds the leader of a
+// session's group and calls it.
 //
-// A call goes to the replica that last answered as leader, or that another one named, and
-// is hedged: while a replica is silent, the others are called as well. So the same command
-// may reach several stores, and any of them more than once; the state machine of the
-// sessions dedupes commands by their producer and its sequence number.
+// A call goes to the replica that last replied as leader, or that another replica named as
+// leader. Calls are hedged: while a replica does not reply, the others are called as well.
+// A command may therefore reach several stores, and each of them more than once; the session
+// state machine deduplicates commands by producer and producer sequence number.
 //
-// Guarantee: an error that is not of the kind OutcomeUnknown proves that the command was
-// not committed and will not be.
+// Guarantee: after an error of any kind other than OutcomeUnknown, the command was not
+// committed and will not be.
 //
-// The only state is the hint who leads each group, which costs a redirect if it is wrong.
+// The only state is a leader hint for each group; a wrong hint costs a redirect.
 package storeclient
 
 import (
@@ -25,19 +25,19 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// leaderHintLifetime is how long a leader hint is used after its last success.
+// leaderHintLifetime is how long a leader hint is valid after it was last set.
 const leaderHintLifetime = 10 * time.Second
 
-// MaxEventsPerPage is how many events one page of a session has at most.
+// MaxEventsPerPage is the maximum number of events in one page of a session.
 const MaxEventsPerPage = 2048
 
-// leaderHint says which store last led a group.
+// leaderHint is the store that was last known to lead a group.
 type leaderHint struct {
 	name      string
 	expiresAt time.Time
 }
 
-// Client calls the stores on behalf of another node. It is safe for concurrent use.
+// Client calls the stores on behalf of a node. It is safe for concurrent use.
 type Client struct {
 	caller *link.Client
 	view   func() *feed.View
@@ -46,24 +46,24 @@
 	hints map[uint32]leaderHint
 }
 
-// New makes a client; view returns the newest view of the fleet, which names the stores.
+// New returns a client. view returns the current view of the fleet, which lists the stores.
 //
 //	client := storeclient.New(caller, feedClient.View)
 func New(caller *link.Client, view func() *feed.View) *Client {
 	return &Client{caller: caller, view: view, hints: map[uint32]leaderHint{}}
 }
 
-// hintedLeader returns the store that probably leads a group, or "".
+// hintedLeader returns the store in the leader hint of a group, or "" without a valid hint.
 func (client *Client) hintedLeader(group uint32) string {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
-	if known, found := client.hints[group]; found && time.Now().Before(known.expiresAt) {
-		return known.name
+	if hint, found := client.hints[group]; found && time.Now().Before(hint.expiresAt) {
+		return hint.name
 	}
 	return ""
 }
 
-// setLeaderHint notes which store leads a group; "" removes the hint.
+// setLeaderHint sets the leader hint of a group; "" removes it.
 func (client *Client) setLeaderHint(group uint32, name string) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
@@ -74,7 +74,7 @@
 	client.hints[group] = leaderHint{name: name, expiresAt: time.Now().Add(leaderHintLifetime)}
 }
 
-// clearLeaderHint removes a group's hint if it names a store that does not lead.
+// clearLeaderHint removes the leader hint of a group if it names the given store.
 func (client *Client) clearLeaderHint(group uint32, name string) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
@@ -83,9 +83,9 @@
 	}
 }
 
-// Command commits commands on one session, in order, and returns their outcomes. An error
-// of the kind OutcomeUnknown means that they may have been committed; any other proves that
-// they were not.
+// Command commits commands on one session, in order, and returns their outcomes. After an
+// error of the kind OutcomeUnknown they may have been committed; after any other error they
+// were not.
 //
 //	outcomes, err := client.Command(ctx, "team/c-1", sessionlog.Command{Kind: sessionlog.CreateSession, ...})
 func (client *Client) Command(ctx context.Context, name string, commands ...sessionlog.Command) ([]sessionlog.Outcome, error) {
@@ -96,34 +96,34 @@
 	return reply.Outcomes, nil
 }
 
-// commit commits commands on one session. The reply has one outcome for each.
-func (client *Client) commit(ctx context.Context, name string, commands []sessionlog.Command) (*wire.CommandReply, error) {
+// commit commits commands on one session. The reply has one outcome per command.
+func (client *Client) commit(ctx context.Context, sessionName string, commands []sessionlog.Command) (*wire.CommandReply, error) {
 	for position := range commands {
-		commands[position].Session = name
+		commands[position].Session = sessionName
 	}
-	reply, arrived, err := client.call(ctx, name, callTimeout, func(group uint32) *wire.Query {
+	reply, maybeExecuted, err := client.call(ctx, sessionName, callTimeout, func(group uint32) *wire.Query {
 		return &wire.Query{Which: schema.Query_Which_command, Command: &wire.CommandQuery{Group: group, Commands: commands}}
 	})
-	if err != nil && arrived {
-		return nil, apierror.Wrap(err, apierror.OutcomeUnknown, "the commit was not seen to its end: "+err.Error(), "ask again; repeats are deduped")
+	if err != nil && maybeExecuted {
+		return nil, apierror.Wrap(err, apierror.OutcomeUnknown, "the outcome of the commit is unknown: "+err.Error(), "retry; repeated commands are deduplicated")
 	}
 	if err != nil {
 		return nil, err
 	}
 	if reply.Outcomes == nil || len(reply.Outcomes.Outcomes) != len(commands) {
-		return nil, outOfFormError()
+		return nil, malformedReplyError()
 	}
 	return reply.Outcomes, nil
 }
 
-// outOfFormError is for a reply that this version can't read. What it stands for may have
-// been committed.
-func outOfFormError() error {
-	return apierror.New(apierror.OutcomeUnknown, "a store answered out of form", "run matching versions of the programs")
+// malformedReplyError is the error for a reply that this version cannot interpret. Its commands
+// may have been committed.
+func malformedReplyError() error {
+	return apierror.New(apierror.OutcomeUnknown, "a store sent a malformed reply", "run matching versions of the programs")
 }
 
-// Read reads a page of a session, linearizably: the reply has all that was committed before
-// the call. An error of the kind NotFound proves that there was no such session.
+// Read reads a page of a session. The read is linearizable: it observes all commands committed
+// before the call, so the error NotFound means that the session did not exist.
 //
 //	reply, err := client.Read(ctx, wire.ReadQuery{Session: "team/c-1"})
 func (client *Client) Read(ctx context.Context, query wire.ReadQuery) (*wire.ReadReply, error) {
@@ -136,15 +136,15 @@
 	return reply.Read, nil
 }
 
-// ReadAll reads all events of a session, page by page, and returns the last page's reply
-// with them.
+// ReadAll reads all events of a session, page by page, and returns them with the reply for the
+// last page.
 //
 //	events, last, err := client.ReadAll(ctx, "team/c-1")
 func (client *Client) ReadAll(ctx context.Context, name string) ([]sessionlog.Event, *wire.ReadReply, error) {
 	events := []sessionlog.Event{}
 	for {
-		// The seqs of a session count from 1 without gaps, so the number of events read is the
-		// seq of the last one.
+		// Sequence numbers start at 1 without gaps, so the number of events read is the sequence
+		// number of the last one.
 		reply, err := client.Read(ctx, wire.ReadQuery{Session: name, After: uint64(len(events)), Limit: MaxEventsPerPage})
 		if err != nil {
 			return nil, nil, err
--- a/system/storeclient/find_turn.go
+++ b/system/storeclient/find_turn.go
@@ -10,34 +10,34 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// findTurn looks for a turn in the sessions of all groups and returns the chain of turns up
-// to it. An error of the kind NotFound is proven: the leader of every group, confirmed by a
-// quorum, knows no such turn.
+// findTurn searches for a turn in the sessions of all groups and returns the chain of turns
+// up to it. It fails with NotFound only if the leader of every group, confirmed by a quorum,
+// has no such turn.
 func (client *Client) findTurn(ctx context.Context, name string) ([]sessionlog.AdoptedTurn, error) {
-	covered := map[uint32]bool{}
+	searched := map[uint32]bool{}
 	for timeout := hedgeDelay; ; timeout = min(2*timeout, callTimeout) {
-		chain, err := client.findTurnOnce(ctx, name, timeout, covered)
+		chain, err := client.findTurnOnce(ctx, name, timeout, searched)
 		if chain != nil || err != nil {
 			return chain, err
 		}
 		select {
 		case <-time.After(maxBackoff):
 		case <-ctx.Done():
-			return nil, apierror.WrapRetryable(ctx.Err(), apierror.NotRun, "not all groups of lines could be asked for the turn in time", "ask again", retryAfter)
+			return nil, apierror.WrapRetryable(ctx.Err(), apierror.NotRun, "not all session groups could be searched for the turn in time", "retry", retryAfter)
 		}
 	}
 }
 
-// findTurnOnce asks every store for the turn in the groups that it leads, and adds these to
-// covered. It waits for no more replies once the turn is found or every group is covered.
-// nil, nil means that groups are left.
-func (client *Client) findTurnOnce(ctx context.Context, name string, timeout time.Duration, covered map[uint32]bool) ([]sessionlog.AdoptedTurn, error) {
+// findTurnOnce queries every store for the turn in the groups that it leads, and adds these
+// groups to searched. It returns as soon as the turn is found or all groups are searched, and
+// returns nil, nil if some groups were not.
+func (client *Client) findTurnOnce(ctx context.Context, name string, timeout time.Duration, searched map[uint32]bool) ([]sessionlog.AdoptedTurn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	view := client.view()
 	replies := make(chan *wire.FindTurnReply, len(view.Stores))
 	for _, member := range view.Stores {
-		go func() { // ends with the call; replies has room for all
+		go func() { // ends with the call; replies is buffered for all stores
 			reply, err := client.caller.Call(ctx, member.Address, &wire.Query{Fleet: view.Fleet, Which: schema.Query_Which_find, FindTurn: &wire.FindTurnQuery{Name: name}})
 			if err != nil || reply.FoundTurn == nil {
 				reply = &wire.Reply{FoundTurn: &wire.FindTurnReply{}}
@@ -54,9 +54,9 @@
 			return nil, beginErrors[sessionlog.TurnOpen]()
 		}
 		for _, group := range reply.SearchedGroups {
-			covered[group] = true
+			searched[group] = true
 		}
-		if view.Groups > 0 && len(covered) >= int(view.Groups) {
+		if view.Groups > 0 && len(searched) >= int(view.Groups) {
 			return nil, unknownTurnError()
 		}
 	}
--- a/system/storeclient/leader_search.go
+++ b/system/storeclient/leader_search.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// callTimeout bounds one call to one store, without the time that a read may wait.
+	// callTimeout bounds one call to one store, excluding the time that a read may wait.
 	callTimeout = 1200 * time.Millisecond
-	// initialBackoff and maxBackoff bound the pause before the next call when all have
+	// initialBackoff and maxBackoff bound the delay before the next call after all calls have
 	// failed; it doubles each time.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 120 * time.Millisecond
-	// hedgeDelay is how long the first replica may be silent before the others are called
-	// as well; hedgeInterval is the time between two of them.
+	// hedgeDelay is how long a call waits for the first replica before it calls the others as
+	// well, at intervals of hedgeInterval.
 	hedgeDelay    = 400 * time.Millisecond
 	hedgeInterval = 150 * time.Millisecond
-	// maxRedirects bounds how often a leader that a replica names is called without a pause.
+	// maxRedirects bounds how many redirects to a named leader are followed without a delay.
 	maxRedirects = 3
-	// maxInFlight bounds the calls in flight of one search; a group has far fewer replicas.
+	// maxInFlight bounds the concurrent calls of one search; a group has far fewer replicas.
 	maxInFlight = 64
 )
 
@@ -34,45 +34,45 @@
 	err    error
 }
 
-// leaderSearch is one call to the leader of a session's group, over all replicas that it
-// takes. Only the goroutine in Client.call uses it; those of the single calls read its
-// first fields and send one result each.
+// leaderSearch is the state of one Client.call, which may call several replicas. Only the
+// goroutine in Client.call changes it; the goroutines of the single calls only read the fields
+// up to results, and send one result each.
 type leaderSearch struct {
 	client   *Client
 	name     string
-	timeout  time.Duration // of one call
+	timeout  time.Duration // of each call
 	newQuery func(group uint32) *wire.Query
-	// results has room for all calls in flight, so that none blocks once the search is over.
+	// results is buffered for all calls in flight, so that none blocks after the search.
 	results chan callResult
 
-	// inFlight are the stores that were called and have not answered.
+	// inFlight is the set of stores that were called and have not replied.
 	inFlight    map[string]bool
 	nextReplica int
-	// timer fires when the next replica is to be called.
+	// timer fires when the next replica should be called.
 	timer     *time.Timer
 	backoff   time.Duration
 	redirects int
-	// arrived is set once some query may have reached a store that acted on it.
-	arrived bool
-	// last is the last error of a call.
-	last *apierror.Error
+	// maybeExecuted is set once a store may have executed a query.
+	maybeExecuted bool
+	// lastErr is the most recent error of a call.
+	lastErr *apierror.Error
 }
 
-// call calls the hinted leader, else one replica after the other, until one answers as
-// leader or the context ends. While one is silent, the others are called as well. On an
-// error, arrived says whether some query may have been acted on.
-func (client *Client) call(ctx context.Context, name string, timeout time.Duration, newQuery func(group uint32) *wire.Query) (reply *wire.Reply, arrived bool, err error) {
-	ctx, cancel := context.WithCancel(ctx) // ends the calls in flight when another one has answered
+// call calls the hinted leader, or else one replica after another, until one replies as leader
+// or the context ends. While a replica does not reply, the others are called as well. On an
+// error, maybeExecuted reports whether a store may have executed a query.
+func (client *Client) call(ctx context.Context, name string, timeout time.Duration, newQuery func(group uint32) *wire.Query) (reply *wire.Reply, maybeExecuted bool, err error) {
+	ctx, cancel := context.WithCancel(ctx) // cancels the calls in flight once another has replied
 	defer cancel()
-	// A read that waits for new events is silent for that long without a fault, which is the
-	// part of timeout beyond callTimeout: only after it are the others called as well.
+	// The part of timeout beyond callTimeout is the time that a read may wait for new events.
+	// A leader that does not reply within it is not faulty, so it extends the hedge delay.
 	search := &leaderSearch{
 		client: client, name: name, timeout: timeout, newQuery: newQuery, results: make(chan callResult, maxInFlight), inFlight: map[string]bool{},
 		timer: time.NewTimer(timeout - callTimeout + hedgeDelay), backoff: initialBackoff,
 	}
 	defer search.timer.Stop()
 	if !search.callNext(ctx) {
-		search.timer.Reset(initialBackoff) // no store is known yet
+		search.timer.Reset(initialBackoff) // no store can be called yet
 	}
 	for {
 		select {
@@ -85,17 +85,17 @@
 				return result.reply, true, err
 			}
 		case <-ctx.Done():
-			// That data cannot be read is worth more to the caller than that time is over.
-			if search.last != nil && search.last.Kind == apierror.Gap {
-				return nil, true, search.last
+			// A Gap is more specific than the timeout.
+			if search.lastErr != nil && search.lastErr.Kind == apierror.Gap {
+				return nil, true, search.lastErr
 			}
-			return nil, search.arrived || len(search.inFlight) > 0, apierror.WrapRetryable(ctx.Err(), apierror.NoQuorum, "the stores of this line did not answer in time", "ask again", time.Second)
+			return nil, search.maybeExecuted || len(search.inFlight) > 0, apierror.WrapRetryable(ctx.Err(), apierror.NoQuorum, "the stores of the session's group did not reply in time", "retry", time.Second)
 		}
 	}
 }
 
-// pickReplica returns the store to call next: the hinted leader, else the next one of the
-// group's replicas, but none that is being called; "" if there is none.
+// pickReplica returns the store to call next: the hinted leader, or else the next of the
+// group's replicas. It skips stores with a call in flight, and returns "" if none is left.
 func (search *leaderSearch) pickReplica(view *feed.View, group uint32) string {
 	if target := search.client.hintedLeader(group); target != "" && !search.inFlight[target] && view.AddressOf(target) != "" {
 		return target
@@ -111,8 +111,8 @@
 	return ""
 }
 
-// callNext starts a call to one more replica, in a goroutine that ends with the call; false
-// means that there is none.
+// callNext starts a call to one more replica, in a goroutine that ends with the call. It
+// reports false if there is no replica to call.
 func (search *leaderSearch) callNext(ctx context.Context) bool {
 	view := search.client.view()
 	group := placement.GroupOf(search.name, view.Groups)
@@ -124,10 +124,10 @@
 	query, address := search.newQuery(group), view.AddressOf(target)
 	query.Fleet = view.Fleet
 	go func() {
-		limited, cancel := context.WithTimeout(ctx, search.timeout)
+		callCtx, cancel := context.WithTimeout(ctx, search.timeout)
 		defer cancel()
-		reply, err := search.client.caller.Call(limited, address, query)
-		if err != nil && limited.Err() != nil && ctx.Err() == nil {
+		reply, err := search.client.caller.Call(callCtx, address, query)
+		if err != nil && callCtx.Err() != nil && ctx.Err() == nil {
 			search.client.caller.DropIfSilent(address, search.timeout)
 		}
 		search.results <- callResult{target, reply, err}
@@ -135,8 +135,9 @@
 	return true
 }
 
-// handleResult learns from the result of one call; done ends the search with the result's
-// reply or an error that no other replica would answer differently.
+// handleResult handles the result of one call: it updates the leader hint and schedules the next
+// call. done reports that the search ends, with the reply or with an error that would be the same
+// from any replica.
 func (search *leaderSearch) handleResult(ctx context.Context, result callResult) (done bool, err error) {
 	client, group := search.client, placement.GroupOf(search.name, search.client.view().Groups)
 	if result.err == nil {
@@ -145,21 +146,21 @@
 	}
 	failure := apierror.Of(result.err)
 	if ctx.Err() != nil {
-		search.arrived = search.arrived || !failure.NeverSent
+		search.maybeExecuted = search.maybeExecuted || !failure.NeverSent
 		return false, nil
 	}
-	search.last = failure
+	search.lastErr = failure
 	switch failure.Kind {
 	case apierror.NotLeader:
 		client.setLeaderHint(group, failure.Leader)
 		if search.redirect(ctx, result.target, failure.Leader) {
 			return false, nil
 		}
-	case apierror.OutcomeUnknown, apierror.Gap: // what can't be read may have been committed
-		search.arrived = true
+	case apierror.OutcomeUnknown, apierror.Gap: // after a Gap, the command may have been committed
+		search.maybeExecuted = true
 		client.clearLeaderHint(group, result.target)
 	case apierror.Unavailable:
-		search.arrived = search.arrived || !failure.NeverSent
+		search.maybeExecuted = search.maybeExecuted || !failure.NeverSent
 		client.clearLeaderHint(group, result.target)
 	case apierror.NoQuorum:
 		client.clearLeaderHint(group, result.target)
@@ -170,8 +171,8 @@
 	return false, nil
 }
 
-// redirect calls the leader that a replica named, without a pause, if that is worth it. The
-// hint makes it the one to call next.
+// redirect calls the leader that a replica named, without a delay, unless that leader is already
+// being called or maxRedirects is reached. callNext picks it because the leader hint names it.
 func (search *leaderSearch) redirect(ctx context.Context, from, leader string) bool {
 	if leader == "" || leader == from || search.inFlight[leader] || search.redirects >= maxRedirects || !search.callNext(ctx) {
 		return false
@@ -180,8 +181,8 @@
 	return true
 }
 
-// scheduleNext sets the timer for the next call after a failed one: soon while others are
-// in flight, else with a backoff.
+// scheduleNext sets the timer for the next call after a failed one: hedgeInterval while other
+// calls are in flight, else the backoff.
 func (search *leaderSearch) scheduleNext() {
 	if len(search.inFlight) > 0 {
 		search.timer.Reset(hedgeInterval)
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -8,91 +8,92 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// Turn is a turn of a program that is about to begin.
+// Turn is a turn of a program to begin.
 type Turn struct {
-	// SessionName names the session that records the turn, Name the turn in it. A name
-	// identifies one turn in the fleet; the same begin again finds it.
+	// SessionName is the session that records the turn. Name identifies the turn in the whole
+	// fleet and makes its begin idempotent.
 	SessionName string
 	Name        string
-	// Follows names the turn that this one continues; "" starts a conversation.
+	// Follows is the name of the turn that this one continues; "" starts a conversation.
 	Follows string
-	// Conversation names the line of turns within the program; it may be "".
+	// Conversation is the conversation of the program to which the turn belongs; it may be "".
 	Conversation string
-	// Input is what the turn brings. With KeepHistory it is stored for the turns that
-	// follow.
+	// Input is the data that the turn adds to the history. It is stored, for the turns that
+	// follow, only with KeepHistory.
 	Input       []byte
 	KeepHistory bool
-	// PrefixScope names the turns that the input may share a stored prefix with; "" means
-	// that it shares none.
+	// PrefixScope is the scope within which inputs may share a stored prefix; "" disables
+	// sharing.
 	PrefixScope string
-	// Retention is how long the turn is stored after the end of its answer.
+	// Retention is how long the turn is stored after it has ended.
 	Retention time.Duration
-	// HasTokenQuota says whether the turn's output counts against TokenQuota, the tokens
-	// that all turns of the session may put out. MaxOutputTokens are reserved of it.
+	// HasTokenQuota is set if the turn's output counts against TokenQuota, the limit on the
+	// output tokens of all turns of the session. MaxOutputTokens is reserved from it.
 	HasTokenQuota   bool
 	MaxOutputTokens uint64
 	TokenQuota      uint64
-	// DispatchID names the one attempt that may run the turn.
+	// DispatchID identifies the only attempt that may run the turn.
 	DispatchID string
 	// Lifetime is how long the turn may stay open before the stores close it.
 	Lifetime time.Duration
 }
 
-// BegunTurn is a turn whose begin is committed.
+// BegunTurn is the result of BeginTurn, a turn whose begin is committed.
 type BegunTurn struct {
-	// Seq is the position of the begin in the session.
+	// Seq is the sequence number of the begin event in the session.
 	Seq uint64
-	// History is, for a turn with KeepHistory, that of each turn in the chain that it
-	// follows, oldest first: its input, then its output.
+	// History is, for a turn with KeepHistory, the data of the turns that it follows, oldest
+	// first: the input, then the output of each.
 	History []byte
-	// Runner is the incarnation of the runner that served the conversation last, CachedTokens
-	// how much of it that had read then; "" and 0 if that is not known.
+	// Runner is the incarnation of the runner that last served the conversation, CachedTokens the
+	// number of its tokens that the runner had processed then; "" and 0 if unknown.
 	Runner       string
 	CachedTokens uint64
 }
 
-// TurnEnd is how a turn ended.
+// TurnEnd describes how a turn ended.
 type TurnEnd struct {
 	SessionName string
 	Name        string
 	Seq         uint64
-	// Output is the data of the answer's events, each with a line feed after it. It is
-	// stored only with KeepHistory and a complete outcome.
+	// Output is the data of the response events, each followed by a line feed. It is stored
+	// only with KeepHistory and a complete outcome.
 	Output []byte
-	// Tokens are those that were put out, whether or not the caller got them.
+	// Tokens is the number of output tokens, whether or not the caller received them.
 	Tokens uint64
-	// Outcome is one of sessionlog's outcomes.
+	// Outcome is one of the Outcome constants of package sessionlog.
 	Outcome     string
 	KeepHistory bool
-	// Conversation is as in Turn. Runner is the incarnation of the runner that answered, ""
-	// if none began to, and CachedTokens how much of the conversation that has read now.
+	// Conversation is as in Turn. Runner is the incarnation of the runner that responded, or ""
+	// if none began to. CachedTokens is the number of tokens of the conversation that the runner
+	// has processed.
 	Conversation string
 	Runner       string
 	CachedTokens uint64
 }
 
 const (
-	// minSessionRetention is how long a program's session is stored at least, so that its
-	// quota usage is not forgotten while the program runs.
+	// minSessionRetention is the minimum retention of a program's session, so that its quota
+	// usage is not lost while the program runs.
 	minSessionRetention = 10 * time.Minute
-	// shortRetryAfter is when to retry what another turn prevents, retryAfter when to retry
-	// what the stores could not do in time.
+	// shortRetryAfter is the retry delay after a conflict with another turn, retryAfter that
+	// after the stores did not respond in time.
 	shortRetryAfter = 200 * time.Millisecond
 	retryAfter      = 500 * time.Millisecond
-	// fenceTimeout bounds the background task that closes a turn of unknown state.
+	// fenceTimeout bounds the background attempt to close a turn whose begin has an unknown outcome.
 	fenceTimeout = 5 * time.Second
-	// beginProducerSeq and endProducerSeq are the producer sequence numbers of a turn's
-	// begin and end: each turn is a producer of these two commands, so repeats are deduped.
+	// beginProducerSeq and endProducerSeq are the producer sequence numbers of a turn's begin
+	// and end. Each turn is the producer of these two commands, which are thereby idempotent.
 	beginProducerSeq = 1
 	endProducerSeq   = 2
 )
 
-// BeginTurn reserves a turn's maximal output and records its begin, in one commit.
+// BeginTurn reserves a turn's maximum output and records its begin, in one commit.
 //
-// Kinds of errors: NotFound proves that there is no such turn as Follows. QuotaExhausted
-// means that the quota does not allow the turn. Conflict means that another dispatch began
-// the turn. NotRun means that the begin could not be committed in time; if it was committed
-// after all, nobody will use it, and it is closed in the background.
+// Error kinds: NotFound means that there is no complete turn named Follows; QuotaExhausted that
+// the quota does not allow the turn; Conflict that another dispatch began the turn; NotRun that
+// the begin could not be committed in time. In the last case, a begin that was committed after
+// all is not used and is closed in the background.
 //
 //	begun, err := client.BeginTurn(ctx, storeclient.Turn{SessionName: "program/3fa81c", Name: "9c41d07b", Input: body, KeepHistory: true, Retention: time.Minute, DispatchID: "front-1/7", Lifetime: time.Minute})
 func (client *Client) BeginTurn(ctx context.Context, turn Turn) (*BegunTurn, error) {
@@ -111,59 +112,59 @@
 			go client.fenceTurn(turn)
 		}
 		if err != nil {
-			return nil, apierror.WrapRetryable(err, apierror.NotRun, "the turn could not be begun in time: "+apierror.Of(err).Message, "ask again", retryAfter)
+			return nil, apierror.WrapRetryable(err, apierror.NotRun, "the turn could not begin in time: "+apierror.Of(err).Message, "retry", retryAfter)
 		}
 		switch outcome.Status {
 		case sessionlog.Done:
 			return &BegunTurn{Seq: outcome.Seq, History: history, Runner: outcome.Runner, CachedTokens: outcome.CachedTokens}, nil
 		case sessionlog.UnknownTurn:
 			if len(command.Adopted) > 0 {
-				return nil, apierror.NewRetryable(apierror.NotRun, "the turn to go on from could not be adopted", "ask again", retryAfter)
+				return nil, apierror.NewRetryable(apierror.NotRun, "the turn to continue could not be adopted from its session", "retry", retryAfter)
 			}
 			if command.Adopted, err = client.findTurn(ctx, turn.Follows); err != nil {
 				return nil, err
 			}
 		default:
-			if rejected, known := beginErrors[outcome.Status]; known {
-				return nil, rejected()
+			if newError, known := beginErrors[outcome.Status]; known {
+				return nil, newError()
 			}
-			// A store of a later version may have statuses that this one does not know.
-			return nil, outOfFormError()
+			// A store of a later version may return statuses that this version does not know.
+			return nil, malformedReplyError()
 		}
 	}
 }
 
-// beginErrors are the errors of BeginTurn for the statuses that forbid a turn.
+// beginErrors maps the statuses of a rejected begin to the errors of BeginTurn.
 var beginErrors = map[sessionlog.Status]func() error{
 	sessionlog.QuotaExceeded: func() error {
-		return apierror.New(apierror.QuotaExhausted, "the program's allowance does not bear one more turn", "raise the allowance, or end the program")
+		return apierror.New(apierror.QuotaExhausted, "the program's token quota does not allow another turn", "raise the quota, or end the program")
 	},
 	sessionlog.TurnIncomplete: func() error { return unknownTurnError() },
 	sessionlog.TurnOpen: func() error {
-		return apierror.NewRetryable(apierror.NotRun, "the turn to go on from has not ended", "ask again", shortRetryAfter)
+		return apierror.NewRetryable(apierror.NotRun, "the turn to continue has not ended", "retry", shortRetryAfter)
 	},
 	sessionlog.TurnTaken: func() error {
-		return apierror.New(apierror.Conflict, "another dispatch began the turn", "give each query a name of its own")
+		return apierror.New(apierror.Conflict, "another dispatch began the turn", "give each turn a unique name")
 	},
 	sessionlog.TurnClosed: func() error {
-		return apierror.NewRetryable(apierror.NotRun, "the turn was given up before it began", "ask again under another name", shortRetryAfter)
+		return apierror.NewRetryable(apierror.NotRun, "the turn was closed before it began", "retry under another name", shortRetryAfter)
 	},
 	sessionlog.UnexpectedSeq: func() error {
-		return apierror.NewRetryable(apierror.NotRun, "the line was changed meanwhile", "ask again", shortRetryAfter)
+		return apierror.NewRetryable(apierror.NotRun, "the session was changed concurrently", "retry", shortRetryAfter)
 	},
 	sessionlog.BadCommand: func() error {
-		return apierror.New(apierror.Invalid, "a turn needs a name, and can't follow itself", "name the turn")
+		return apierror.New(apierror.Invalid, "a turn needs a name and cannot follow itself", "name the turn")
 	},
 }
 
-// unknownTurnError is for a turn to follow that no session has as complete.
+// unknownTurnError is the error for a turn to continue that is not complete in any session.
 func unknownTurnError() error {
-	return apierror.New(apierror.NotFound, "no turn of that name was answered whole", "check the name; a turn is forgotten when its keeping time is over")
+	return apierror.New(apierror.NotFound, "there is no complete turn of that name", "check the name; a turn is removed when its retention ends")
 }
 
-// EndTurn records a turn's output and outcome and settles its reservation, in one commit.
-// An error of the kind OutcomeUnknown means that the end may be recorded; any other that it
-// is not, and that the response must not look complete.
+// EndTurn records a turn's output and outcome and settles its reservation, in one commit. After
+// an error of the kind OutcomeUnknown the end may be recorded; after any other error it is not,
+// and the response must not look complete.
 //
 //	err := client.EndTurn(ctx, storeclient.TurnEnd{SessionName: "program/3fa81c", Name: "9c41d07b", Seq: begun.Seq, Output: data, Tokens: 80, Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 func (client *Client) EndTurn(ctx context.Context, end TurnEnd) error {
@@ -182,33 +183,33 @@
 	if outcome.Status == sessionlog.Done {
 		return nil
 	}
-	if rejected, known := endErrors[outcome.Status]; known {
-		return rejected()
+	if newError, known := endErrors[outcome.Status]; known {
+		return newError()
 	}
-	return apierror.New(apierror.Invalid, "a turn's end needs a name and an outcome", "name both")
+	return apierror.New(apierror.Invalid, "the end of a turn needs a name and an outcome", "specify both")
 }
 
-// endErrors are the errors of EndTurn for the statuses that forbid an end.
+// endErrors maps the statuses of a rejected end to the errors of EndTurn.
 var endErrors = map[sessionlog.Status]func() error{
 	sessionlog.UnknownTurn: func() error {
-		return apierror.New(apierror.NotFound, "the turn is not in its line any more", "break the answer off")
+		return apierror.New(apierror.NotFound, "the turn is no longer in its session", "abort the response")
 	},
 	sessionlog.TurnClosed: func() error {
-		return apierror.New(apierror.Conflict, "the turn was ended otherwise", "break the answer off")
+		return apierror.New(apierror.Conflict, "the turn has already ended differently", "abort the response")
 	},
 }
 
-// fenceTurn closes a turn of which it is not known whether it began, so that it does not
-// stay open with its reservation. It runs in a goroutine of its own, which nobody waits for
-// and fenceTimeout ends.
+// fenceTurn closes a turn whose begin has an unknown outcome, so that neither the turn nor its
+// reservation stays open. It runs in a goroutine that is not waited for; fenceTimeout bounds it.
 func (client *Client) fenceTurn(turn Turn) {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
-	// If it fails, the reservation counts until the turn's lifetime is over.
+	// If this fails, the reservation counts until the turn's lifetime ends.
 	_ = client.EndTurn(ctx, TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Outcome: sessionlog.OutcomeNotRun})
 }
 
-// commitTurn commits one command of a turn. The history is that of the turn it follows.
+// commitTurn commits one command of a turn. For a begin, it returns the history that the turn
+// continues.
 func (client *Client) commitTurn(ctx context.Context, name string, command sessionlog.Command) (outcome sessionlog.Outcome, history []byte, err error) {
 	reply, err := client.commit(ctx, name, []sessionlog.Command{command})
 	if err != nil {
