--- a/system/durablelog/buffered_writer.go
+++ b/system/durablelog/buffered_writer.go
@@ -5,17 +5,17 @@
 // writeBufferBytes is the size of the buffer for small writes.
 const writeBufferBytes = 64 << 10
 
-// bufferedWriter writes a file from an offset on. It gathers small writes, and makes large ones
-// without copying them.
+// bufferedWriter writes to a file sequentially, starting at an offset. It batches small writes
+// and passes large ones through without copying them.
 type bufferedWriter struct {
 	directory vfs.Directory
 	file      string
-	// offset is where the next write to the file begins.
+	// offset is the file position of the next unbuffered write.
 	offset int64
 	buffer []byte
 }
 
-// write writes data, at the latest with the next flush.
+// write writes data, which reaches the file with the next flush at the latest.
 func (writer *bufferedWriter) write(data []byte) error {
 	if len(writer.buffer)+len(data) <= writeBufferBytes {
 		writer.buffer = append(writer.buffer, data...)
@@ -37,7 +37,7 @@
 	return err
 }
 
-// writeThrough writes data to the file, past the buffer.
+// writeThrough writes data to the file, bypassing the buffer.
 func (writer *bufferedWriter) writeThrough(data []byte) error {
 	if len(data) == 0 {
 		return nil
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// writeFrame writes records as one frame of a log.
+// writeFrame writes records as one log frame and flushes the buffer.
 func (writer *bufferedWriter) writeFrame(sequence uint64, records []Record) error {
 	size, body := 0, make([][]byte, 0, 2*len(records))
 	for _, record := range records {
--- a/system/durablelog/durablelog_test.go
+++ b/system/durablelog/durablelog_test.go
@@ -35,16 +35,17 @@
 	return Record{Group: group, Kind: 1, Data: []byte(value)}
 }
 
-// content replays records as a node does: the last value of each group counts.
-func content(records []Record) string {
+// lastValues replays records and formats the last value of each group.
+func lastValues(records []Record) string {
 	values := map[uint32]string{}
-	for _, one := range records {
-		values[one.Group] = string(one.Data)
+	for _, record := range records {
+		values[record.Group] = string(record.Data)
 	}
 	return fmt.Sprint(values)
 }
 
-// filledDirectory makes a folder with snapshot 1 in slot-0, snapshot 2 in slot-1, and logs 1 and 2.
+// filledDirectory creates a data directory with snapshot 1 in slot-0, snapshot 2 in slot-1, and
+// logs 1 and 2.
 func filledDirectory(t *testing.T) (path, want string) {
 	t.Helper()
 	path = t.TempDir()
@@ -55,7 +56,7 @@
 	must(t, log.Append([]Record{record(1, "second")}))
 	must(t, log.WriteSnapshot(slices.Values([]Record{record(1, "second"), record(2, "two")})))
 	must(t, log.Append([]Record{record(3, "last")}))
-	return path, content([]Record{record(1, "second"), record(2, "two"), record(3, "last")})
+	return path, lastValues([]Record{record(1, "second"), record(2, "two"), record(3, "last")})
 }
 
 func TestDamagedSnapshotFallsBackToTheOlderOne(t *testing.T) {
@@ -65,8 +66,8 @@
 	must(t, err)
 	check := func(name string, data []byte) {
 		must(t, os.WriteFile(snapshotPath, data, 0o600))
-		if _, records, err := openDirectory(t, path); err != nil || content(records) != want {
-			t.Errorf("%s: %v, %s instead of %s", name, err, content(records), want)
+		if _, records, err := openDirectory(t, path); err != nil || lastValues(records) != want {
+			t.Errorf("%s: %v, got %s, want %s", name, err, lastValues(records), want)
 		}
 	}
 	for size := range complete {
@@ -75,7 +76,7 @@
 		flipped[size] ^= 0x10
 		check(fmt.Sprintf("bit flipped at %d", size), flipped)
 	}
-	check("something follows its end", append(slices.Clone(complete), 0))
+	check("trailing byte", append(slices.Clone(complete), 0))
 }
 
 func TestDirectoryMissingAFileIsRejected(t *testing.T) {
@@ -87,7 +88,7 @@
 		}
 	}
 	tear := func(path, name string) error { return os.Truncate(filepath.Join(path, name), 25) }
-	for name, harm := range map[string]func(*testing.T, string){
+	for name, damage := range map[string]func(*testing.T, string){
 		"newest log is missing":        remove(logName(2)),
 		"all logs are missing":         remove(logName(1), logName(2)),
 		"all but the identity missing": remove(logName(1), logName(2), snapshotFiles[0], snapshotFiles[1]),
@@ -113,11 +114,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			path, _ := filledDirectory(t)
-			harm(t, path)
-			for range 2 { // a rejected folder is unchanged
+			damage(t, path)
+			for range 2 { // a rejected directory is left unchanged
 				_, records, err := openDirectory(t, path)
 				if !apierror.Is(err, apierror.Damaged) || apierror.Of(err).Remedy == "" {
-					t.Fatalf("opened with %v and %s", err, content(records))
+					t.Fatalf("got error %v and records %s, want Damaged", err, lastValues(records))
 				}
 			}
 		})
@@ -131,12 +132,12 @@
 	must(t, log.Append([]Record{record(1, "a vote")}))
 	must(t, os.Remove(filepath.Join(path, logName(0))))
 	if _, _, err := openDirectory(t, path); !apierror.Is(err, apierror.Damaged) {
-		t.Fatalf("a folder that lost its only log: %v", err)
+		t.Fatalf("got error %v for a missing first log, want Damaged", err)
 	}
 }
 
-// Power may be lost while a new folder gets its first files; it counts as empty then.
-func TestInterruptedFirstStartStartsOver(t *testing.T) {
+// A directory whose initialization was interrupted by a power loss counts as empty.
+func TestInterruptedInitializationStartsOver(t *testing.T) {
 	for name, files := range map[string][]string{
 		"only the first log":      {logName(0)},
 		"identity torn":           {logName(0), identityFile},
@@ -148,24 +149,24 @@
 		}
 		log, records, err := openDirectory(t, path)
 		if err != nil || len(records) != 0 || log.Identity().Name == "" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: not initialized again: %v", name, err)
 		}
 	}
 }
 
-// A snapshot that is interrupted again and again must never overwrite the complete one.
+// Repeatedly interrupted snapshots must not overwrite the complete one.
 func TestInterruptedSnapshotsKeepTheCompleteOne(t *testing.T) {
 	path, want := filledDirectory(t)
 	for attempt := range 5 {
 		log, records, err := openDirectory(t, path)
 		must(t, err)
-		if content(records) != want {
-			t.Fatalf("attempt %d: %s instead of %s", attempt, content(records), want)
+		if lastValues(records) != want {
+			t.Fatalf("attempt %d: got %s, want %s", attempt, lastValues(records), want)
 		}
 		completeFile := log.snapshotFile
 		interrupted := func(yield func(Record) bool) {
 			yield(Record{Group: 9, Kind: 1, Data: make([]byte, 2*writeBufferBytes)})
-			panic("power is lost")
+			panic("power loss")
 		}
 		func() {
 			defer func() { _ = recover() }()
@@ -185,14 +186,14 @@
 	names, err := log.directory.List()
 	must(t, err)
 	if len(names) != 5 { // identity, two snapshot files, two logs
-		t.Fatalf("files are left over: %v", names)
+		t.Fatalf("unneeded files were not removed: %v", names)
 	}
-	if _, records, err := openDirectory(t, path); err != nil || content(records) != content([]Record{record(1, "round 2")}) {
-		t.Fatalf("%v, %s", err, content(records))
+	if _, records, err := openDirectory(t, path); err != nil || lastValues(records) != lastValues([]Record{record(1, "round 2")}) {
+		t.Fatalf("after the last snapshot: error %v, records %s", err, lastValues(records))
 	}
 }
 
-// encodeFrame encodes a frame in one piece, as format 1 also encoded its snapshots.
+// encodeFrame encodes records as a single frame, which is also the snapshot encoding of format 1.
 func encodeFrame(sequence uint64, records []Record) []byte {
 	size := 0
 	for _, record := range records {
@@ -206,7 +207,7 @@
 	return frame
 }
 
-// A folder of format 1 has snapshots of one frame, and its newest log may be missing.
+// In format 1 a snapshot is a single frame, and the newest log may be missing.
 func TestDirectoryOfFormatOneIsRead(t *testing.T) {
 	path := t.TempDir()
 	write := func(name string, data []byte) { must(t, os.WriteFile(filepath.Join(path, name), data, 0o600)) }
@@ -215,15 +216,15 @@
 	write(identityFile, identity)
 	write(logName(0), encodeFrame(1, []Record{record(1, "first")}))
 	write(snapshotFiles[1], encodeFrame(1, []Record{record(1, "first"), record(2, "two")}))
-	want := content([]Record{record(1, "first"), record(2, "two")})
+	want := lastValues([]Record{record(1, "first"), record(2, "two")})
 	for range 3 {
 		log, records, err := openDirectory(t, path)
 		must(t, err)
-		if content(records) != want || log.Identity().Name != "store-1" {
-			t.Fatalf("%s instead of %s", content(records), want)
+		if lastValues(records) != want || log.Identity().Name != "store-1" {
+			t.Fatalf("got %s, want %s", lastValues(records), want)
 		}
 		must(t, log.Append([]Record{record(3, "more")}))
-		want = content([]Record{record(1, "first"), record(2, "two"), record(3, "more")})
+		want = lastValues([]Record{record(1, "first"), record(2, "two"), record(3, "more")})
 		must(t, log.WriteSnapshot(slices.Values([]Record{record(1, "first"), record(2, "two"), record(3, "more")})))
 	}
 }
@@ -240,20 +241,20 @@
 	_, read, err := openDirectory(t, path)
 	must(t, err)
 	if len(read) != len(records) {
-		t.Fatalf("%d records of %d", len(read), len(records))
+		t.Fatalf("got %d records, want %d", len(read), len(records))
 	}
-	for position, one := range read {
-		if one.Group != records[position].Group || len(one.Data) != len(records[position].Data) {
-			t.Fatalf("record %d is of group %d with %d bytes", position, one.Group, len(one.Data))
+	for position, got := range read {
+		if got.Group != records[position].Group || len(got.Data) != len(records[position].Data) {
+			t.Fatalf("record %d has group %d and %d bytes", position, got.Group, len(got.Data))
 		}
 	}
 	must(t, log.WriteSnapshot(slices.Values([]Record{})))
 	if _, read, err = openDirectory(t, path); err != nil || len(read) != 0 {
-		t.Fatalf("an empty snapshot: %d records, %v", len(read), err)
+		t.Fatalf("got %d records and error %v from an empty snapshot", len(read), err)
 	}
 }
 
-// spyDirectory notes the longest part of a file that was read at a time.
+// spyDirectory records the length of the longest read.
 type spyDirectory struct {
 	vfs.Directory
 	longest int
@@ -270,10 +271,9 @@
 	return spy.Directory.ReadRange(name, offset, length)
 }
 
-// TestReplayNeedsMemoryForAWindowOnly opens a folder with a large snapshot and a large log. No
-// file is read as a whole, and a record does not keep the memory of what it was read with: most
-// records are superseded, and a start must not need more memory than what is in force.
-func TestReplayNeedsMemoryForAWindowOnly(t *testing.T) {
+// TestReplayMemoryIsBoundedByReadWindow checks that replay never reads a large file as a whole,
+// and that a record does not retain the buffer that it was decoded from.
+func TestReplayMemoryIsBoundedByReadWindow(t *testing.T) {
 	directory, err := vfs.Open(t.TempDir())
 	must(t, err)
 	log, _, err := Open(directory, testRole)
@@ -282,7 +282,7 @@
 		return Record{Group: uint32(number), Kind: 1, Data: bytes.Repeat([]byte{byte(number)}, size)}
 	}
 	const count, size = 40, 50 << 10
-	large := sized(count, 2*readWindowBytes) // larger than a window
+	large := sized(count, 2*readWindowBytes) // larger than the read window
 	must(t, log.WriteSnapshot(func(yield func(Record) bool) {
 		for number := range count {
 			if !yield(sized(number, size)) {
@@ -297,14 +297,14 @@
 	spy := &spyDirectory{Directory: directory}
 	_, records, err := Open(spy, testRole)
 	if err != nil || len(records) != count+1+2*count {
-		t.Fatalf("%d records, %v", len(records), err)
+		t.Fatalf("got %d records and error %v", len(records), err)
 	}
 	if longest := frameHeaderBytes + recordHeaderBytes + len(large.Data); spy.longest > longest {
-		t.Errorf("%d bytes were read at a time, more than a window and the largest record", spy.longest)
+		t.Errorf("the longest read was %d bytes, more than the largest record needs", spy.longest)
 	}
-	for position, found := range records {
-		if len(found.Data) == 0 || found.Data[0] != byte(found.Group) || cap(found.Data) > 2*len(found.Data) {
-			t.Fatalf("record %d of group %d has %d bytes and keeps %d in memory", position, found.Group, len(found.Data), cap(found.Data))
+	for position, got := range records {
+		if len(got.Data) == 0 || got.Data[0] != byte(got.Group) || cap(got.Data) > 2*len(got.Data) {
+			t.Fatalf("record %d of group %d has %d bytes and retains %d in memory", position, got.Group, len(got.Data), cap(got.Data))
 		}
 	}
 }
--- a/system/durablelog/errors.go
+++ b/system/durablelog/errors.go
@@ -6,13 +6,13 @@
 	"yardrock.example/system/apierror"
 )
 
-// damagedError returns the error of a data folder that lacks something that was durable. Other
-// replicas have it, so the node can join anew with an empty folder.
-func damagedError(format string, values ...any) error {
-	return apierror.New(apierror.Damaged, fmt.Sprintf(format, values...), "empty the data folder so that the node joins as a new one and is healed from its peers")
+// damagedError returns the error for a data directory that lacks durable data. Since the other
+// replicas have that data, the node can rejoin with an empty directory.
+func damagedError(format string, args ...any) error {
+	return apierror.New(apierror.Damaged, fmt.Sprintf(format, args...), "empty the data directory; the node then joins as a new one and recovers its state from its peers")
 }
 
-// diskError returns the error of a write that failed. The caller tries again.
+// diskError returns the error for a failed write. The caller retries it.
 func diskError(err error) error {
-	return apierror.Wrap(err, apierror.DiskUnavailable, "the data folder took no write: "+err.Error(), "free space on the disk or replace it; the node goes on by itself")
+	return apierror.Wrap(err, apierror.DiskUnavailable, "write to the data directory failed: "+err.Error(), "free space on the disk or replace it; the node retries the write until it succeeds")
 }
--- a/system/durablelog/frame.go
+++ b/system/durablelog/frame.go
@@ -5,13 +5,13 @@
 	"hash/crc32"
 )
 
-// A frame is the unit that is complete or not: a header of 20 bytes and a body. The header has,
-// little-endian, the magic number (uint32), the length of the body (uint32), a number
-// (uint64) and the CRC-32C of length, number and body (uint32). In a log the number counts the
-// frames from 1 on, and the body has the records of one append. In a snapshot file it is the
-// generation.
+// A frame is the unit of atomicity: a header of 20 bytes and a body. The header contains, in
+// little-endian order, the magic number (uint32), the body length (uint32), a number (uint64)
+// and the CRC-32C of length, number and body (uint32). In a log the number is the sequence
+// number of the frame, starting at 1, and the body contains the records of one append. In a
+// snapshot file the number is the generation.
 const (
-	frameMagic          = 0x79724652 // "yrFR": records of a log, or a complete snapshot of format 1
+	frameMagic          = 0x79724652 // "yrFR": records of one append, or a complete snapshot in format 1
 	snapshotRecordMagic = 0x79725352 // "yrSR": one record of a snapshot
 	snapshotEndMagic    = 0x79725345 // "yrSE": the end of a snapshot
 	frameHeaderBytes    = 20
@@ -19,8 +19,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// putFrameHeader fills in a frame's header, for a body that is given in parts, and returns the
-// checksum in it.
+// putFrameHeader encodes the header of a frame whose body is given in parts, and returns the
+// checksum that it contains.
 func putFrameHeader(header []byte, magic uint32, number uint64, size int, body ...[]byte) uint32 {
 	binary.LittleEndian.PutUint32(header[0:], magic)
 	binary.LittleEndian.PutUint32(header[4:], uint32(size))
@@ -33,8 +33,8 @@
 	return checksum
 }
 
-// frameBody returns the number and body of the frame at the start of data. It returns false if
-// there is none with the magic number, or if it is incomplete or damaged.
+// frameBody returns the number and body of the frame at the start of data. complete is false if
+// the magic number differs or the frame is truncated or corrupt.
 func frameBody(data []byte, magic uint32) (number uint64, body []byte, complete bool) {
 	if len(data) < frameHeaderBytes || binary.LittleEndian.Uint32(data) != magic {
 		return 0, nil, false
@@ -50,8 +50,8 @@
 	return binary.LittleEndian.Uint64(data[8:]), body, true
 }
 
-// decodeFrame decodes the frame of records at the start of data. Size 0 means that there is
-// none.
+// decodeFrame decodes the frame of records at the start of data. size is 0 if there is no
+// complete one.
 func decodeFrame(data []byte) (number uint64, records []Record, size int) {
 	number, body, complete := frameBody(data, frameMagic)
 	if !complete {
--- a/system/durablelog/record.go
+++ b/system/durablelog/record.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// recordHeaderBytes is the size of a record's header: group (uint32), kind (uint16) and length
-// of the data (uint32), little-endian.
+// recordHeaderBytes is the size of a record header: group (uint32), kind (uint16) and data
+// length (uint32), all little-endian.
 const recordHeaderBytes = 10
 
-// Record is a piece of state of one group. The log does not interpret it.
+// Record is a unit of state of one group. The log does not interpret its contents.
 type Record struct {
 	Group uint32
-	// Kind says what Data is, to the caller.
+	// Kind identifies the type of Data to the caller.
 	Kind uint16
 	Data []byte
 }
 
-func appendRecordHeader(target []byte, record Record) []byte {
-	target = binary.LittleEndian.AppendUint32(target, record.Group)
-	target = binary.LittleEndian.AppendUint16(target, record.Kind)
-	return binary.LittleEndian.AppendUint32(target, uint32(len(record.Data)))
+func appendRecordHeader(buffer []byte, record Record) []byte {
+	buffer = binary.LittleEndian.AppendUint32(buffer, record.Group)
+	buffer = binary.LittleEndian.AppendUint16(buffer, record.Kind)
+	return binary.LittleEndian.AppendUint32(buffer, uint32(len(record.Data)))
 }
 
-// cloneRecords returns records that do not share memory with the frame that they were read
-// from, nor with each other: most of them are soon superseded, and must not keep the rest.
+// cloneRecords copies the data of each record out of the frame that they were decoded from, so
+// that a record still in use does not keep the superseded ones in memory.
 func cloneRecords(records []Record) []Record {
 	for position := range records {
 		records[position].Data = slices.Clone(records[position].Data)
@@ -32,8 +32,8 @@
 	return records
 }
 
-// decodeRecords decodes the records in a frame's body, whose memory they share. It returns
-// false if the last one is incomplete.
+// decodeRecords decodes the records in the body of a frame. They share its memory. complete is
+// false if the last record is truncated.
 func decodeRecords(body []byte) (records []Record, complete bool) {
 	for len(body) >= recordHeaderBytes {
 		end := recordHeaderBytes + int(binary.LittleEndian.Uint32(body[6:]))
--- a/system/durablelog/snapshot_reader.go
+++ b/system/durablelog/snapshot_reader.go
@@ -10,30 +10,30 @@
 	"slices"
 )
 
-// snapshotFiles are the snapshot files, which are written in turn.
+// snapshotFiles are the names of the snapshot files, which are written alternately.
 var snapshotFiles = []string{snapshotPrefix + "0", snapshotPrefix + "1"}
 
-// snapshotEndBytes is the size of the body of a snapshot's last frame: the number of records
-// (uint64) and the checksum of all their checksums (uint32).
+// snapshotEndBytes is the body size of the last frame of a snapshot: the number of records
+// (uint64) and the CRC-32C of their frame checksums (uint32).
 const snapshotEndBytes = 12
 
-// snapshot is the newest complete snapshot of a folder.
+// snapshot is the newest complete snapshot of a directory.
 type snapshot struct {
-	// found is false if there is none.
+	// found is false if there is no complete snapshot.
 	found      bool
 	fileName   string
 	generation uint64
 	size       int64
 	records    []Record
-	// streamed says that the snapshot has a frame for each record, as since format 2, and that
-	// its log was created before it.
+	// streamed is true if the snapshot has one frame per record (format 2 and later). Its log was
+	// then created before it.
 	streamed bool
-	// otherTorn says that another snapshot file is there but cannot be read.
+	// otherTorn is true if another snapshot file exists but is unreadable.
 	otherTorn bool
 }
 
-// newestCompleteSnapshot looks at the headers of both snapshot files, and reads the newer one,
-// and the other only if that one is damaged.
+// newestCompleteSnapshot compares the headers of both snapshot files and reads the newer one. It
+// reads the other only if the newer is damaged.
 func (log *Log) newestCompleteSnapshot(names []string) (snapshot, error) {
 	type candidate struct {
 		file       string
@@ -52,14 +52,14 @@
 		candidates = append(candidates, candidate{file, binary.LittleEndian.Uint64(header[8:])})
 	}
 	slices.SortFunc(candidates, func(left, right candidate) int { return cmp.Compare(right.generation, left.generation) })
-	for _, one := range candidates {
-		read, err := log.readSnapshot(one.file)
+	for _, c := range candidates {
+		result, err := log.readSnapshot(c.file)
 		if err != nil {
-			return snapshot{}, fmt.Errorf("read a snapshot file of the data folder: %w", err)
+			return snapshot{}, fmt.Errorf("read a snapshot file in the data directory: %w", err)
 		}
-		if read.found {
-			read.fileName, read.otherTorn = one.file, torn
-			return read, nil
+		if result.found {
+			result.fileName, result.otherTorn = c.file, torn
+			return result, nil
 		}
 		torn = true
 	}
@@ -71,9 +71,9 @@
 	return magic == frameMagic || magic == snapshotRecordMagic || magic == snapshotEndMagic
 }
 
-// readSnapshot reads a snapshot file of any format; found is false if it is not complete.
+// readSnapshot reads a snapshot file of any format. found is false if it is incomplete.
 func (log *Log) readSnapshot(name string) (snapshot, error) {
-	reader, err := openFrames(log.directory, name)
+	reader, err := openFrameReader(log.directory, name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return snapshot{}, nil
 	}
@@ -91,35 +91,35 @@
 	return readStreamedSnapshot(reader)
 }
 
-// readStreamedSnapshot reads a snapshot with a frame for each record. It is complete only
-// if its last frame has the number of records and the checksum of all their checksums, and
-// nothing follows: part of an older snapshot may be left in the file.
+// readStreamedSnapshot reads a snapshot with one frame per record. It is complete only if the
+// last frame matches the number of records and their checksums and ends the file: parts of an
+// older snapshot may remain in a file that was not completely rewritten.
 func readStreamedSnapshot(reader *frameReader) (snapshot, error) {
-	read := snapshot{size: reader.size, streamed: true}
-	chain := uint32(0)
+	result := snapshot{size: reader.size, streamed: true}
+	recordsChecksum := uint32(0)
 	for {
 		end, isEnd, err := reader.peek(snapshotEndMagic)
 		if err != nil {
 			return snapshot{}, err
 		}
 		if isEnd {
-			same := len(read.records) == 0 || end.number == read.generation
-			complete := same && len(end.body) == snapshotEndBytes && reader.left() == frameHeaderBytes+snapshotEndBytes
-			complete = complete && binary.LittleEndian.Uint64(end.body) == uint64(len(read.records)) && binary.LittleEndian.Uint32(end.body[8:]) == chain
-			read.generation, read.found = end.number, complete
-			return read, nil
+			sameGeneration := len(result.records) == 0 || end.number == result.generation
+			complete := sameGeneration && len(end.body) == snapshotEndBytes && reader.remaining() == frameHeaderBytes+snapshotEndBytes
+			complete = complete && binary.LittleEndian.Uint64(end.body) == uint64(len(result.records)) && binary.LittleEndian.Uint32(end.body[8:]) == recordsChecksum
+			result.generation, result.found = end.number, complete
+			return result, nil
 		}
 		next, isRecord, err := reader.peek(snapshotRecordMagic)
 		if err != nil {
 			return snapshot{}, err
 		}
 		records, complete := decodeRecords(next.body)
-		if !isRecord || !complete || len(records) != 1 || len(read.records) > 0 && next.number != read.generation {
+		if !isRecord || !complete || len(records) != 1 || len(result.records) > 0 && next.number != result.generation {
 			return snapshot{}, nil
 		}
-		read.generation = next.number
-		read.records = append(read.records, cloneRecords(records)...)
-		chain = crc32.Update(chain, castagnoli, binary.LittleEndian.AppendUint32(nil, next.checksum))
+		result.generation = next.number
+		result.records = append(result.records, cloneRecords(records)...)
+		recordsChecksum = crc32.Update(recordsChecksum, castagnoli, binary.LittleEndian.AppendUint32(nil, next.checksum))
 		reader.skip(next)
 	}
 }
--- a/system/durablelog/snapshot_writer.go
+++ b/system/durablelog/snapshot_writer.go
@@ -8,14 +8,14 @@
 	"yardrock.example/system/apierror"
 )
 
-// snapshotWriter writes a snapshot file record by record, so that only one record need be in
-// memory.
+// snapshotWriter writes a snapshot file record by record, so that only one record must be in
+// memory at a time.
 type snapshotWriter struct {
 	bufferedWriter
 	generation uint64
 	records    uint64
-	// chain is the checksum of the checksums of all frames so far.
-	chain uint32
+	// recordsChecksum is the CRC-32C of the checksums of all frames written so far.
+	recordsChecksum uint32
 }
 
 // add writes a record as one frame.
@@ -23,7 +23,7 @@
 	header := make([]byte, frameHeaderBytes, frameHeaderBytes+recordHeaderBytes)
 	header = appendRecordHeader(header, record)
 	checksum := putFrameHeader(header, snapshotRecordMagic, writer.generation, recordHeaderBytes+len(record.Data), header[frameHeaderBytes:], record.Data)
-	writer.chain = crc32.Update(writer.chain, castagnoli, binary.LittleEndian.AppendUint32(nil, checksum))
+	writer.recordsChecksum = crc32.Update(writer.recordsChecksum, castagnoli, binary.LittleEndian.AppendUint32(nil, checksum))
 	writer.records++
 	if err := writer.write(header); err != nil {
 		return err
@@ -31,11 +31,11 @@
 	return writer.write(record.Data)
 }
 
-// finish writes the last frame, cuts off what is left of an older snapshot, and syncs.
+// finish writes the last frame, truncates the remainder of an older snapshot and syncs the file.
 func (writer *snapshotWriter) finish() error {
 	end := make([]byte, frameHeaderBytes, frameHeaderBytes+snapshotEndBytes)
 	end = binary.LittleEndian.AppendUint64(end, writer.records)
-	end = binary.LittleEndian.AppendUint32(end, writer.chain)
+	end = binary.LittleEndian.AppendUint32(end, writer.recordsChecksum)
 	putFrameHeader(end, snapshotEndMagic, writer.generation, snapshotEndBytes, end[frameHeaderBytes:])
 	if err := writer.write(end); err != nil {
 		return err
@@ -50,14 +50,16 @@
 }
 
 // WriteSnapshot compacts the log: it creates the next log and writes records, which must be the
-// complete state, to the snapshot file that is not the newest. The newest one and its log stay
-// until the next snapshot is complete. After an error, which is an [apierror.Error]
-// DiskUnavailable, the caller must repeat the call, with the same or a later state, before it
-// appends: an append to the old log that is torn beside the new one would count as damage. It
-// must not follow an append that failed and was not repeated.
+// complete state, to the snapshot file that does not contain the newest snapshot. The newest
+// snapshot and its log are kept until the next snapshot is complete.
+//
+// The error is an [apierror.Error] of kind DiskUnavailable. The caller must then retry the call,
+// with the same or a later state, before it appends: a torn append to the old log would count as
+// damage, because the new log already exists. A failed append must be retried successfully
+// before WriteSnapshot is called.
 func (log *Log) WriteSnapshot(records iter.Seq[Record]) error {
 	if log.appendFailed {
-		return apierror.New(apierror.DiskUnavailable, "the log's last write is not settled", "append again first")
+		return apierror.New(apierror.DiskUnavailable, "the last append to the log failed", "retry the append first")
 	}
 	next := log.generation + 1
 	if err := log.createLog(next); err != nil {
@@ -82,8 +84,8 @@
 	return log.removeLogsBefore(previous)
 }
 
-// removeLogsBefore removes the logs that no snapshot in the folder needs any more. After an
-// error the next snapshot removes them.
+// removeLogsBefore removes the logs of earlier generations, which no snapshot file needs any
+// more. After an error the next snapshot removes them.
 func (log *Log) removeLogsBefore(generation uint64) error {
 	for ; log.oldestLogGeneration < generation; log.oldestLogGeneration++ {
 		if err := log.directory.Remove(logName(log.oldestLogGeneration)); err != nil {
--- a/system/replica/helpers_test.go
+++ b/system/replica/helpers_test.go
@@ -20,23 +20,24 @@
 
 const testTimeout = 20 * time.Second
 
-// bootstrapAlone bootstraps group 1 with this host alone, and waits until it leads.
-func bootstrapAlone(t *testing.T, host *Host) {
+// bootstrapSingleVoter bootstraps group 1 with the host as its only voter, and waits until it is
+// the leader.
+func bootstrapSingleVoter(t *testing.T, host *Host) {
 	t.Helper()
 	host.Bootstrap(1, []string{host.Name()}, nil)
-	await(t, "the host leads", func() bool {
+	await(t, "the host becomes leader", func() bool {
 		status, _ := host.Status(1)
 		return status.CommittedInTerm
 	})
 }
 
-func await(t *testing.T, what string, reached func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(2 * time.Millisecond)
 	defer ticker.Stop()
-	for until := time.Now().Add(testTimeout); !reached(); <-ticker.C {
-		if time.Now().After(until) {
-			t.Fatalf("not within %s: %s", testTimeout, what)
+	for deadline := time.Now().Add(testTimeout); !condition(); <-ticker.C {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within %s: %s", testTimeout, what)
 		}
 	}
 }
@@ -57,18 +58,18 @@
 	}
 }
 
-// fastSettings returns settings for elections within milliseconds, and without snapshots by the
-// count of entries.
+// fastSettings returns settings with elections within milliseconds and no snapshots by the number
+// of entries.
 func fastSettings() Settings {
 	settings := DefaultSettings(1)
 	settings.Tick, settings.SnapshotEntries = 2*time.Millisecond, 1<<40
 	return settings
 }
 
-// textPrefix begins the content of the snapshots that textStateMachine can read.
+// textPrefix is the prefix of the snapshots of textStateMachine.
 const textPrefix = "text:"
 
-// textStateMachine appends all commands to its content.
+// textStateMachine is a state machine whose state is the concatenation of all commands.
 type textStateMachine struct{ content []byte }
 
 func (machine *textStateMachine) Apply(entry raft.Entry) any {
@@ -84,13 +85,13 @@
 func (machine *textStateMachine) Restore(data []byte) error {
 	content, known := bytes.CutPrefix(data, []byte(textPrefix))
 	if !known {
-		return errors.New("no text")
+		return errors.New("snapshot does not start with the text prefix")
 	}
 	machine.content = bytes.Clone(content)
 	return nil
 }
 
-// lastCommandStateMachine has only the last command as its content.
+// lastCommandStateMachine is a state machine whose state is the last command.
 type lastCommandStateMachine struct{ textStateMachine }
 
 func (machine *lastCommandStateMachine) Apply(entry raft.Entry) any {
@@ -107,24 +108,25 @@
 	return durablelog.Record{Group: 1, Kind: recordWrite, Data: data}
 }
 
-// openHost starts a host in a folder, with extra records after the stored ones. It has no peers.
+// openHost starts a host without peers on a data directory. It replays extra after the stored
+// records.
 func openHost(t *testing.T, path string, settings Settings, machine StateMachine, extra ...durablelog.Record) (*Host, error) {
 	t.Helper()
-	return openHostTo(t, path, settings, machine, "", extra...)
+	return openHostWithPeers(t, path, settings, machine, "", extra...)
 }
 
-// openHostTo is openHost with all peers at one address.
-func openHostTo(t *testing.T, path string, settings Settings, machine StateMachine, peers string, extra ...durablelog.Record) (*Host, error) {
+// openHostWithPeers is like openHost, with all peers at peerAddress.
+func openHostWithPeers(t *testing.T, path string, settings Settings, machine StateMachine, peerAddress string, extra ...durablelog.Record) (*Host, error) {
 	t.Helper()
-	folder, err := vfs.Open(path)
+	directory, err := vfs.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, records, err := durablelog.Open(folder, "test")
+	log, records, err := durablelog.Open(directory, "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	transport := NewTransport(link.NewClient(link.TCP{}), func(string) string { return peers }, func() string { return "" })
+	transport := NewTransport(link.NewClient(link.TCP{}), func(string) string { return peerAddress }, func() string { return "" })
 	host, err := Open(settings, log, append(records, extra...), func(uint32) StateMachine { return machine }, transport)
 	if err == nil {
 		t.Cleanup(func() {
@@ -138,7 +140,7 @@
 	return host, err
 }
 
-// closeHost closes a host and waits until nothing is written to its folder any more, so that it
+// closeHost closes a host and waits for the disk goroutine to end, after which the data directory
 // may be removed or opened again.
 func closeHost(t *testing.T, host *Host) {
 	t.Helper()
@@ -150,7 +152,7 @@
 	}
 }
 
-// directoryBytes returns the size of all files below a folder.
+// directoryBytes returns the total size of the files in a directory tree.
 func directoryBytes(t *testing.T, path string) (total int64) {
 	t.Helper()
 	err := filepath.Walk(path, func(_ string, file os.FileInfo, err error) error {
--- a/system/replica/host_disk.go
+++ b/system/replica/host_disk.go
@@ -9,12 +9,12 @@
 	"yardrock.example/system/durablelog"
 )
 
-// diskRetryDelay is the wait after a failed write before it is tried again.
+// diskRetryDelay is the delay before a failed write is retried.
 const diskRetryDelay = 200 * time.Millisecond
 
-// diskJob is what the disk goroutine makes durable with one sync.
+// diskJob is a unit of work for the disk goroutine, made durable with one sync.
 type diskJob struct {
-	// snapshot, if set, has the records of a new snapshot file, which replaces the log.
+	// snapshot, if not nil, contains the records of a new snapshot file, which replaces the log.
 	snapshot iter.Seq[durablelog.Record]
 	// records are appended to the log.
 	records []durablelog.Record
@@ -23,19 +23,19 @@
 	started   time.Time
 }
 
-// diskLoop is the disk goroutine. It ends when diskJobs is closed, or stopping while a write
-// fails. finishedJobs has room for the last job, so that it does not wait for a loop that has
-// ended.
+// diskLoop runs the disk goroutine. It ends when diskJobs is closed, or when stopping is closed
+// while a write fails. finishedJobs is buffered so that the last job does not block after the
+// loop has ended.
 func (host *Host) diskLoop() {
 	defer close(host.diskStopped)
 	for job := range host.diskJobs {
 		for {
 			err := host.runJob(job)
 			if err == nil {
-				host.figures.syncs.Add(1)
+				host.stats.syncs.Add(1)
 				break
 			}
-			log.WithFields(log.Fields{"node": host.name, "error": err.Error()}).Error("writing to the data folder failed; it is tried again")
+			log.WithFields(log.Fields{"node": host.name, "error": err.Error()}).Error("write to the data directory failed; retrying")
 			select {
 			case <-time.After(diskRetryDelay):
 			case <-host.stopping:
@@ -46,7 +46,7 @@
 	}
 }
 
-// runJob makes a job durable. After an error it may be called again.
+// runJob makes a job durable. It may be called again after an error.
 func (host *Host) runJob(job *diskJob) error {
 	if job.snapshot != nil {
 		return host.durableLog.WriteSnapshot(job.snapshot)
@@ -54,5 +54,5 @@
 	if len(job.records) > 0 {
 		return host.durableLog.Append(job.records)
 	}
-	return nil // only callbacks, which waited for the job before
+	return nil // only callbacks, which waited for the previous job
 }
--- a/system/replica/host_disk_test.go
+++ b/system/replica/host_disk_test.go
@@ -9,8 +9,8 @@
 	"yardrock.example/system/vfs"
 )
 
-// stallingDirectory stalls one sync for each value in stall: the sync says on entered that it has
-// begun, and goes on once resume is closed.
+// stallingDirectory stalls one sync per value in stall: the sync signals on entered that it has
+// started, and continues once resume is closed.
 type stallingDirectory struct {
 	vfs.Directory
 	stall, entered, resume chan struct{}
@@ -26,14 +26,13 @@
 	return directory.Directory.Sync(name)
 }
 
-// A stalled disk does not keep a host from closing: the disk goroutine
-// ends by itself with the write that it has begun.
+// A stalled disk must not block Close. The disk goroutine ends after the write in progress.
 func TestCloseDoesNotWaitForAStalledDisk(t *testing.T) {
-	folder, err := vfs.Open(t.TempDir())
+	osDirectory, err := vfs.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	directory := &stallingDirectory{Directory: folder, stall: make(chan struct{}, 1), entered: make(chan struct{}), resume: make(chan struct{})}
+	directory := &stallingDirectory{Directory: osDirectory, stall: make(chan struct{}, 1), entered: make(chan struct{}), resume: make(chan struct{})}
 	durableLog, records, err := durablelog.Open(directory, "test")
 	if err != nil {
 		t.Fatal(err)
@@ -52,17 +51,17 @@
 	select {
 	case <-closed:
 	case <-time.After(testTimeout):
-		t.Fatalf("the host has not closed within %s while a sync is stalled", testTimeout)
+		t.Fatalf("Close did not return within %s while a sync was stalled", testTimeout)
 	}
 	select {
 	case <-host.diskStopped:
-		t.Fatal("the disk goroutine ended before its write")
+		t.Fatal("the disk goroutine ended before its write completed")
 	default:
 	}
 	close(directory.resume)
 	select {
 	case <-host.diskStopped:
 	case <-time.After(testTimeout):
-		t.Fatalf("the disk goroutine has not ended within %s of the stall", testTimeout)
+		t.Fatalf("the disk goroutine did not end within %s after the stall", testTimeout)
 	}
 }
--- a/system/replica/host_leadership.go
+++ b/system/replica/host_leadership.go
@@ -2,8 +2,9 @@
 
 import "yardrock.example/system/raft"
 
-// TransferLeadership asks a group that is led here to hand leadership to another voter. It
-// does not wait for the outcome, which [Host.Status] shows. Elsewhere it has no effect.
+// TransferLeadership starts the transfer of a group's leadership to another voter. It does not
+// wait for the outcome, which [Host.Status] shows. It has no effect unless this node is the
+// leader.
 func (host *Host) TransferLeadership(groupID uint32, peer string) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] != nil {
@@ -12,8 +13,8 @@
 	})
 }
 
-// TransferAllLeaderships hands leadership of every group that is led here to another voter, as
-// a node does that is being drained. It does not wait for the outcomes.
+// TransferAllLeaderships starts the transfer of every group led by this node to another voter,
+// for a node that is being drained. It does not wait for the outcomes.
 func (host *Host) TransferAllLeaderships() {
 	host.runOnLoop(func() {
 		for groupID, group := range host.groups {
@@ -24,8 +25,8 @@
 	})
 }
 
-// transferLeadership hands leadership to the voter whose log is most complete. It must be
-// called on the loop.
+// transferLeadership starts the transfer of leadership to the voter with the highest match
+// index. It must be called on the loop.
 func (host *Host) transferLeadership(groupID uint32, group *raftGroup) {
 	status := group.core.Status()
 	best := ""
--- a/system/replica/host_loop.go
+++ b/system/replica/host_loop.go
@@ -6,7 +6,7 @@
 	"yardrock.example/system/raft"
 )
 
-// loop is the goroutine that owns the host's state. It ends when stopping is closed.
+// loop runs the goroutine that owns the host's state, until stopping is closed.
 func (host *Host) loop() {
 	defer close(host.stopped)
 	ticker := time.NewTicker(host.settings.Tick)
@@ -31,8 +31,8 @@
 	}
 }
 
-// runQueuedActions runs the actions that are queued already, so that one flush serves them
-// all. Their number is bounded so that ticks are not delayed.
+// runQueuedActions runs the actions that are already queued, so that one flush serves them all.
+// Their number is bounded so that ticks are not delayed.
 func (host *Host) runQueuedActions() {
 	for range cap(host.actions) {
 		select {
@@ -44,8 +44,9 @@
 	}
 }
 
-// runOnLoop runs a function on the loop and waits for it. It returns false if the host has
-// stopped; then the function may not have run. It must not be called from the loop.
+// runOnLoop runs a function on the loop and waits for it to return. It returns false if the host
+// has stopped, in which case the function may or may not have run. It must not be called from
+// the loop.
 func (host *Host) runOnLoop(action func()) bool {
 	done := make(chan struct{})
 	select {
@@ -61,8 +62,8 @@
 	}
 }
 
-// enqueue has a function run on the loop and does not wait for it. It blocks while the queue
-// is full.
+// enqueue queues a function for the loop without waiting for it to run. It blocks while the
+// queue is full.
 func (host *Host) enqueue(action func()) {
 	select {
 	case host.actions <- action:
@@ -70,8 +71,8 @@
 	}
 }
 
-// tick advances all groups by one tick. A node whose disk has stalled gives up leadership,
-// since it commits slowly, if at all, and delays every write of its groups.
+// tick advances all groups by one tick. A node whose disk has stalled transfers its leadership,
+// since a leader that cannot write delays every commit of its groups.
 func (host *Host) tick() {
 	host.ticks++
 	stalled := host.runningJob != nil && time.Since(host.runningJob.started) > host.settings.StallTimeout
@@ -90,12 +91,12 @@
 		statuses[groupID] = group.core.Status()
 		logBytes += group.bytesSinceSnapshot
 	}
-	host.figures.logMemoryBytes.Store(int64(logBytes))
+	host.stats.logMemoryBytes.Store(int64(logBytes))
 	host.statuses.Store(&statuses)
 }
 
-// flush passes on what a turn of the loop has produced: messages to the transport, and records
-// to the disk goroutine.
+// flush hands over the results of a loop iteration: messages to the transport, and records to
+// the disk goroutine.
 func (host *Host) flush() {
 	for to, messages := range host.outbox {
 		host.transport.Send(to, messages)
@@ -106,29 +107,29 @@
 	}
 }
 
-// startDiskJob gives the disk goroutine, which must be idle, all pending records as its next job.
-// When they would have the log grow beyond its threshold the job is a snapshot of the complete
-// state, which includes them.
+// startDiskJob passes all pending records to the disk goroutine, which must be idle. If they
+// would make the log exceed the compaction threshold, the job is instead a snapshot of the
+// complete state, which includes them.
 func (host *Host) startDiskJob() {
 	job := &diskJob{records: host.pendingRecords, callbacks: host.pendingCallbacks, started: time.Now()}
-	// The pending records count too: one job can have a large entry and a group's snapshot.
+	// Pending records count, since a single job may contain a large entry and a group's snapshot.
 	logBytes := host.durableLog.LogBytes() + dataBytes(job.records)
 	if logBytes > host.settings.compactionThreshold(host.durableLog.SnapshotBytes()) {
 		job.snapshot, job.records = host.snapshotRecords(), nil
 	}
 	host.pendingRecords, host.pendingCallbacks, host.runningJob = nil, nil, job
-	host.diskJobs <- job // the disk goroutine waits for it, so this does not block
+	host.diskJobs <- job // the disk goroutine is idle, so this does not block
 }
 
-// failPending ends the disk goroutine and fails all proposals and reads that wait.
+// failPending stops the disk goroutine and fails all pending proposals and reads.
 func (host *Host) failPending() {
 	close(host.diskJobs)
 	for _, group := range host.groups {
 		for _, pending := range group.proposals {
-			pending.result <- proposalResult{commandIndex: pending.commandIndex, err: outcomeUnknown()}
+			pending.result <- proposalResult{commandIndex: pending.commandIndex, err: outcomeUnknownError()}
 		}
 		for _, result := range group.reads {
-			result <- notLeader(nil)
+			result <- notLeaderError(nil)
 		}
 	}
 }
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -8,26 +8,26 @@
 	"yardrock.example/system/wire"
 )
 
-// Bootstrap starts a group with its founding voters and the content of its first snapshot,
-// which may be empty. Every founding voter must be given the same. It has no effect if the
-// group is here, or was removed from here.
-func (host *Host) Bootstrap(groupID uint32, voters []string, content []byte) {
+// Bootstrap starts a group with its initial voters and the data of its first snapshot, which may
+// be empty. Both must be the same on every initial voter. It has no effect if the group is on
+// this node or was removed from it.
+func (host *Host) Bootstrap(groupID uint32, voters []string, snapshotData []byte) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] != nil || host.removed[groupID] {
 			return
 		}
-		snapshot := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Voters: voters}, Data: content}
+		snapshot := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Voters: voters}, Data: snapshotData}
 		stored := raft.PersistentState{HardState: raft.HardState{Term: 1}, Snapshot: snapshot}
 		if err := host.addGroup(groupID, stored); err != nil {
-			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("bootstrapping a group failed")
+			log.WithFields(log.Fields{"node": host.name, "group": groupID, "error": err.Error()}).Error("failed to bootstrap group")
 			return
 		}
 		host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, wire.StoredWrite{HardState: stored.HardState, HasSnapshot: true, Snapshot: snapshot})...)
 	})
 }
 
-// Remove discards a group that has moved away. The caller must know that this replica is no
-// member of the group any more. A leader may add it again.
+// Remove discards this node's replica of a group. The replica must no longer be a member of the
+// group. A leader may add it again.
 func (host *Host) Remove(groupID uint32) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] == nil {
@@ -39,8 +39,8 @@
 	})
 }
 
-// ChangeMembership asks a group that is led here for another membership, which may differ by
-// one voter, and reports whether the leader accepted it. It does not wait for the commit,
+// ChangeMembership proposes a new membership, which may differ by one voter, in a group that this
+// node leads, and reports whether the proposal was accepted. It does not wait for the commit,
 // which [Host.Status] shows.
 func (host *Host) ChangeMembership(groupID uint32, next raft.Membership) bool {
 	index := uint64(0)
--- a/system/replica/host_proposals.go
+++ b/system/replica/host_proposals.go
@@ -8,18 +8,18 @@
 	"yardrock.example/system/raft"
 )
 
-// notLeaderRetryDelay is when a client should ask again. It is a fraction of the default election
-// timeout, so that a new leader is found soon after its election.
+// notLeaderRetryDelay is the delay after which a client should retry. It is a fraction of the
+// default election timeout, so that clients find a new leader soon after its election.
 const notLeaderRetryDelay = 200 * time.Millisecond
 
-// proposal waits for the entry that the leader appended for a command.
+// proposal is a command whose log entry has not been applied yet.
 type proposal struct {
-	// term is that of the entry. If an entry of another term is applied at the index, the
-	// command never will be.
+	// term is the term of the entry. If an entry of another term is applied at its index, the
+	// command will never be applied.
 	term uint64
-	// commandIndex is the command's position in its call of Propose.
+	// commandIndex is the position of the command in its call of Propose.
 	commandIndex int
-	// result has room for the results of all commands of the call.
+	// result is buffered for the results of all commands of the call.
 	result chan<- proposalResult
 }
 
@@ -29,54 +29,54 @@
 	err          error
 }
 
-// Propose commits commands in a group, in their order, and returns the outcome of applying
-// each. The error is an [apierror.Error]: NotLeader if none of the commands ran or will run,
-// OutcomeUnknown if some may have run or may still do so.
+// Propose commits commands in a group, in order, and returns the outcome of applying each. The
+// error is an [apierror.Error]: NotLeader if no command was or will be applied, OutcomeUnknown
+// if some may have been or may still be.
 func (host *Host) Propose(ctx context.Context, groupID uint32, commands [][]byte) ([]any, error) {
 	results := make(chan proposalResult, len(commands))
-	var rejected error
+	var rejectErr error
 	accepted := 0
 	running := host.runOnLoop(func() {
-		accepted, rejected = host.appendCommands(groupID, commands, results)
+		accepted, rejectErr = host.appendCommands(groupID, commands, results)
 	})
 	if !running {
-		return nil, outcomeUnknown()
+		return nil, outcomeUnknownError()
 	}
-	if rejected != nil && accepted == 0 {
-		return nil, rejected
+	if rejectErr != nil && accepted == 0 {
+		return nil, rejectErr
 	}
 	outcomes := make([]any, len(commands))
-	var failed error
+	var commandErr error
 	for range accepted {
 		select {
 		case result := <-results:
 			outcomes[result.commandIndex] = result.outcome
 			if result.err != nil {
-				failed = result.err
+				commandErr = result.err
 			}
 		case <-ctx.Done():
-			return nil, outcomeUnknown()
+			return nil, outcomeUnknownError()
 		case <-host.stopped:
-			return nil, outcomeUnknown()
+			return nil, outcomeUnknownError()
 		}
 	}
-	if accepted < len(commands) || (failed != nil && len(commands) > 1) {
-		return nil, outcomeUnknown() // some of the commands may have run
+	if accepted < len(commands) || (commandErr != nil && len(commands) > 1) {
+		return nil, outcomeUnknownError() // some of the commands may have been applied
 	}
-	return outcomes, failed
+	return outcomes, commandErr
 }
 
-// appendCommands has the leader append commands until it rejects one, and returns how many it
-// accepted. It must be called on the loop.
-func (host *Host) appendCommands(groupID uint32, commands [][]byte, results chan<- proposalResult) (accepted int, rejected error) {
+// appendCommands proposes commands until one is rejected, and returns the number accepted. It
+// must be called on the loop.
+func (host *Host) appendCommands(groupID uint32, commands [][]byte, results chan<- proposalResult) (accepted int, err error) {
 	group := host.groups[groupID]
 	for position, data := range commands {
 		if group == nil {
-			return 0, notLeader(nil)
+			return 0, notLeaderError(nil)
 		}
 		output := host.step(groupID, raft.Input{Kind: raft.InputPropose, Data: data})
 		if output.ProposedIndex == 0 {
-			return accepted, notLeader(group)
+			return accepted, notLeaderError(group)
 		}
 		group.proposals[output.ProposedIndex] = proposal{term: output.ProposedTerm, commandIndex: position, result: results}
 		accepted++
@@ -84,16 +84,16 @@
 	return accepted, nil
 }
 
-func outcomeUnknown() error {
-	return apierror.New(apierror.OutcomeUnknown, "the commit was not seen to its end", "ask again with the same producer pair; it is deduped")
+func outcomeUnknownError() error {
+	return apierror.New(apierror.OutcomeUnknown, "the outcome of the write is unknown", "retry with the same producer and sequence number; the retry is deduplicated")
 }
 
-// notLeader returns the error of a replica that does not lead, with the leader that it knows
-// of. group is nil if the replica is not here.
-func notLeader(group *raftGroup) error {
+// notLeaderError returns the error of a replica that is not the leader, with the leader if it is
+// known. group is nil if this node has no replica of the group.
+func notLeaderError(group *raftGroup) error {
 	leader := ""
 	if group != nil {
 		leader = group.core.Status().Leader
 	}
-	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica does not lead the group", Remedy: "ask its leader", Leader: leader, RetryAfter: notLeaderRetryDelay}
+	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica is not the leader of the group", Remedy: "send the request to the leader", Leader: leader, RetryAfter: notLeaderRetryDelay}
 }
--- a/system/replica/host_raft.go
+++ b/system/replica/host_raft.go
@@ -9,13 +9,13 @@
 	"yardrock.example/system/wire"
 )
 
-// step gives a group's core one input and carries out its output, in the order that package
-// raft demands. It must be called on the loop, for a group that is here.
+// step passes one input to the core of a group and processes the output, in the order that
+// package raft requires. It must be called on the loop, for a group on this node.
 func (host *Host) step(groupID uint32, input raft.Input) raft.Output {
 	group := host.groups[groupID]
 	output := group.core.Step(input)
 	if output.Snapshot != nil {
-		group.handleRestored(output.Snapshot)
+		group.handleSnapshotInstalled(output.Snapshot)
 	}
 	if output.SnapshotRejected != nil {
 		host.logSnapshotRejection(groupID, output.SnapshotRejected)
@@ -37,7 +37,7 @@
 	return output
 }
 
-// logLeadership logs when this replica begins or ceases to lead a group.
+// logLeadership logs when this replica becomes leader of a group or ceases to be.
 func (host *Host) logLeadership(groupID uint32, group *raftGroup) {
 	term, leading := group.core.Leading()
 	if leading == group.leading {
@@ -46,14 +46,15 @@
 	group.leading = leading
 	entry := log.WithFields(log.Fields{"node": host.name, "group": groupID, "term": term})
 	if leading {
-		host.figures.electionsWon.Add(1)
-		entry.Info("this replica leads the group")
+		host.stats.electionsWon.Add(1)
+		entry.Info("replica became leader")
 	} else {
-		entry.Info("this replica no longer leads the group")
+		entry.Info("replica is no longer leader")
 	}
 }
 
-// queueWrite has the next disk job store a write, and then reports it to the core as synced.
+// queueWrite adds a write to the next disk job, and reports it to the core as synced once it is
+// durable.
 func (host *Host) queueWrite(groupID uint32, group *raftGroup, write *raft.Write) {
 	stored := wire.StoredWrite{HardState: write.HardState, Entries: write.Entries}
 	if write.Snapshot != nil {
@@ -61,15 +62,15 @@
 	}
 	host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, stored)...)
 	host.pendingCallbacks = append(host.pendingCallbacks, func() {
-		if host.groups[groupID] == group { // not removed meanwhile
+		if host.groups[groupID] == group { // not removed in the meantime
 			host.step(groupID, raft.Input{Kind: raft.InputSynced, Number: write.Number})
 		}
 	})
 }
 
-// Receive queues a peer's messages for the groups, and does not wait until they are
-// processed. A group of which a leader sends something and that is not here yet is added
-// empty. connection is the context of the connection on which the messages came: when it
+// Receive queues messages from a peer for the groups, without waiting for them to be processed.
+// A message from the leader of a group that is not on this node adds the group with an empty
+// state. connection is the context of the connection that the messages arrived on: when it
 // ends, the peer is suspected of having failed.
 func (host *Host) Receive(connection context.Context, messages []raft.Message) {
 	if len(messages) == 0 {
@@ -91,13 +92,13 @@
 
 func (host *Host) receiveMessage(message raft.Message) {
 	if message.To != host.name {
-		return // for the node that had this address before
+		return // for the node that used this address before
 	}
 	if host.groups[message.Group] == nil {
 		if !isFromLeader(message.Kind) {
 			return
 		}
-		// An empty group has nothing that could be unreadable, so adding it does not fail.
+		// Adding a group fails only on unreadable stored state, which an empty state is not.
 		if err := host.addGroup(message.Group, raft.PersistentState{}); err != nil {
 			return
 		}
@@ -106,12 +107,12 @@
 	host.step(message.Group, raft.Input{Kind: raft.InputMessage, Message: message})
 }
 
-// isFromLeader reports whether only a leader sends messages of a kind.
+// isFromLeader reports whether messages of a kind are sent by leaders only.
 func isFromLeader(kind raft.MessageKind) bool {
 	return kind == raft.MessageAppend || kind == raft.MessageSnapshot || kind == raft.MessageSnapshotChunk
 }
 
-// suspect tells all groups that the connection from a peer has ended.
+// suspect reports to all groups that the connection from a peer has ended.
 func (host *Host) suspect(peer string) {
 	host.enqueue(func() {
 		for groupID := range host.groups {
--- a/system/replica/host_reads.go
+++ b/system/replica/host_reads.go
@@ -8,19 +8,20 @@
 	"yardrock.example/system/raft"
 )
 
-// noQuorumRetryDelay is when a client should ask again after a read that no quorum confirmed: about
-// an election timeout with the default settings, after which there may be another leader.
+// noQuorumRetryDelay is the delay after which a client should retry a read that no quorum
+// confirmed: about one default election timeout, after which a new leader may be elected.
 const noQuorumRetryDelay = time.Second
 
-// Read waits until a linearizable read of a group may be served here: a quorum has confirmed
-// that this replica leads, and all that was committed before the call is applied (thesis
-// 6.4). The error is an [apierror.Error]: NotLeader, or NoQuorum if ctx ended first.
+// Read waits until this node can serve a linearizable read of a group: a quorum has confirmed
+// that this replica is the leader, and everything committed before the call is applied (Raft
+// thesis, section 6.4). The error is an [apierror.Error]: NotLeader, or NoQuorum if ctx ended
+// first.
 func (host *Host) Read(ctx context.Context, groupID uint32) error {
 	result := make(chan error, 1)
 	running := host.runOnLoop(func() {
 		group := host.groups[groupID]
 		if group == nil {
-			result <- notLeader(nil)
+			result <- notLeaderError(nil)
 			return
 		}
 		host.lastReadID++
@@ -28,14 +29,14 @@
 		host.step(groupID, raft.Input{Kind: raft.InputReadIndex, Context: host.lastReadID})
 	})
 	if !running {
-		return notLeader(nil)
+		return notLeaderError(nil)
 	}
 	select {
 	case err := <-result:
 		return err
 	case <-ctx.Done():
-		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "ask again", noQuorumRetryDelay)
+		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "retry the request", noQuorumRetryDelay)
 	case <-host.stopped:
-		return notLeader(nil)
+		return notLeaderError(nil)
 	}
 }
--- a/system/replica/host_records.go
+++ b/system/replica/host_records.go
@@ -12,33 +12,33 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// The kinds of record in the durable log. The values are stored.
+// The kinds of records in the durable log. The values are part of the storage format.
 const (
-	// recordWrite has a wire.StoredWrite of a group.
+	// recordWrite contains a wire.StoredWrite of a group.
 	recordWrite uint16 = iota + 1
-	// recordGroupRemoved says that a group has moved away. It ends what was stored of it.
+	// recordGroupRemoved marks the removal of a group and discards its earlier records.
 	recordGroupRemoved
-	// recordValue has a value of StoreValue; the key is in the place of the group.
+	// recordValue contains a value of StoreValue, with the key in place of the group.
 	recordValue
-	// recordSnapshotContent has the content of the snapshot in the group's next recordWrite.
-	recordSnapshotContent
+	// recordSnapshotData contains the data of the snapshot in the next recordWrite of the group.
+	recordSnapshotData
 )
 
-// separateContentBytes is the size from which on a snapshot's content is stored in a record of
-// its own, so that it need not be copied into another encoding.
-const separateContentBytes = 64 << 10
+// separateSnapshotDataBytes is the minimum size of snapshot data that is stored in a record of
+// its own, which avoids copying it into the encoded write.
+const separateSnapshotDataBytes = 64 << 10
 
-// encodeWrite returns the records of a write. They share the memory of a large snapshot.
+// encodeWrite returns the records of a write. Large snapshot data is shared, not copied.
 func encodeWrite(groupID uint32, write wire.StoredWrite) []durablelog.Record {
 	records := []durablelog.Record{}
-	if content := write.Snapshot.Data; len(content) >= separateContentBytes {
+	if data := write.Snapshot.Data; len(data) >= separateSnapshotDataBytes {
 		write.Snapshot.Data, write.SnapshotDataSeparate = nil, true
-		records = append(records, durablelog.Record{Group: groupID, Kind: recordSnapshotContent, Data: content})
+		records = append(records, durablelog.Record{Group: groupID, Kind: recordSnapshotData, Data: data})
 	}
 	return append(records, durablelog.Record{Group: groupID, Kind: recordWrite, Data: wire.MustEncode(schema.StoredWrite_TypeID, &write)})
 }
 
-// dataBytes returns the size of the data of records.
+// dataBytes returns the total data size of records, without headers.
 func dataBytes(records []durablelog.Record) (total int64) {
 	for _, record := range records {
 		total += int64(len(record.Data))
@@ -46,23 +46,23 @@
 	return total
 }
 
-var errSnapshotContentMissing = errors.New("the content of its snapshot is missing")
+var errSnapshotDataMissing = errors.New("the data of its snapshot is missing")
 
-// decodeWrite decodes a recordWrite. The content of its snapshot may have been in a record
-// before it; it is taken out of contents then.
-func decodeWrite(record durablelog.Record, contents map[uint32][]byte) (*raft.Write, error) {
+// decodeWrite decodes a recordWrite. If its snapshot data was stored in an earlier record, the
+// data is removed from snapshotData.
+func decodeWrite(record durablelog.Record, snapshotData map[uint32][]byte) (*raft.Write, error) {
 	var stored wire.StoredWrite
 	if err := wire.Decode(schema.StoredWrite_TypeID, record.Data, &stored); err != nil {
 		return nil, err
 	}
 	write := &raft.Write{HardState: stored.HardState, Entries: stored.Entries}
 	if stored.SnapshotDataSeparate {
-		content, found := contents[record.Group]
+		data, found := snapshotData[record.Group]
 		if !found {
-			return nil, errSnapshotContentMissing
+			return nil, errSnapshotDataMissing
 		}
-		delete(contents, record.Group)
-		stored.Snapshot.Data = content
+		delete(snapshotData, record.Group)
+		stored.Snapshot.Data = data
 	}
 	if stored.HasSnapshot {
 		write.Snapshot = &stored.Snapshot
@@ -70,10 +70,10 @@
 	return write, nil
 }
 
-// snapshotRecords returns the records of the complete state of the host, for a snapshot file. The
-// state is that of this call, which must be on the loop. The sequence may be read on another
-// goroutine; it encodes each group only when its record is needed, so that memory is needed
-// for one at a time.
+// snapshotRecords returns the complete state of the host, as of this call, as records for a
+// snapshot file. It must be called on the loop; the sequence may be consumed on another
+// goroutine. Each group is encoded only when the sequence reaches it, so that only one encoded
+// group is in memory at a time.
 func (host *Host) snapshotRecords() iter.Seq[durablelog.Record] {
 	groupIDs := slices.Sorted(maps.Keys(host.groups))
 	states := make([]raft.PersistentState, 0, len(groupIDs))
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -12,14 +12,14 @@
 	"yardrock.example/system/raft"
 )
 
-// Open starts a host with the groups that its durable log has. records are those that
-// [durablelog.Open] returned; they are used up. newStateMachine returns an empty state machine
-// for a group; it is called from several goroutines at once. The host uses the log and the
-// transport until Close, and closes the transport; after an error both stay with the caller. The
-// log needs no Close: its files belong to the [vfs.Directory] that it was opened in.
+// Open starts a host with the groups in its durable log. records are the records returned by
+// [durablelog.Open]; Open consumes them. newStateMachine returns an empty state machine for a
+// group and is called concurrently. The host uses the log and the transport until Close, which
+// closes the transport; after an error the caller keeps both. The log needs no Close: its files
+// belong to the [vfs.Directory] that it was opened in.
 //
-// The error is an [apierror.Error]: Damaged if the state of a group cannot be read,
-// FormatTooNew if a newer version has written it.
+// The error is an [apierror.Error]: Damaged if the state of a group is unreadable, FormatTooNew
+// if it was written by a newer version.
 func Open(settings Settings, durableLog *durablelog.Log, records []durablelog.Record, newStateMachine func(uint32) StateMachine, transport *Transport) (*Host, error) {
 	host := &Host{
 		settings: settings, name: durableLog.Identity().Name, durableLog: durableLog, newStateMachine: newStateMachine, transport: transport,
@@ -36,69 +36,68 @@
 	}
 	host.publishStatuses()
 	if settings.Figures != nil {
-		host.publishFigures(settings.Figures)
+		host.registerMetrics(settings.Figures)
 	}
 	go host.diskLoop()
 	go host.loop()
 	return host, nil
 }
 
-// replay returns the state of each group that the records amount to, and restores the values
-// and the list of removed groups. It takes the data out of the records, so that what is decoded
-// is not in memory twice.
+// replay returns the state of each group after all records, and restores the values and the set
+// of removed groups. It clears the data of each record, so that it can be freed once decoded.
 func (host *Host) replay(records []durablelog.Record) (map[uint32]raft.PersistentState, error) {
-	stored, contents := map[uint32]raft.PersistentState{}, map[uint32][]byte{}
+	stored, snapshotData := map[uint32]raft.PersistentState{}, map[uint32][]byte{}
 	for position, record := range records {
 		records[position].Data = nil
 		switch record.Kind {
-		case recordSnapshotContent:
-			contents[record.Group] = record.Data
+		case recordSnapshotData:
+			snapshotData[record.Group] = record.Data
 		case recordWrite:
-			write, err := decodeWrite(record, contents)
+			write, err := decodeWrite(record, snapshotData)
 			if err != nil {
-				return nil, groupDamaged(record.Group, err)
+				return nil, groupDamagedError(record.Group, err)
 			}
 			stored[record.Group] = stored[record.Group].With(write)
 			delete(host.removed, record.Group)
 		case recordGroupRemoved:
 			delete(stored, record.Group)
-			delete(contents, record.Group)
+			delete(snapshotData, record.Group)
 			host.removed[record.Group] = true
 		case recordValue:
 			host.values[record.Group] = slices.Clone(record.Data)
 		default:
-			return nil, apierror.New(apierror.FormatTooNew, fmt.Sprintf("a stored record is of kind %d", record.Kind), "run the newer version of the program that wrote it")
+			return nil, apierror.New(apierror.FormatTooNew, fmt.Sprintf("the data directory contains a record of unknown kind %d", record.Kind), "run the newer version of the program that wrote it")
 		}
 	}
 	return stored, nil
 }
 
-// restoreGroups restores all groups, several at a time: most of a start after an outage is
-// the decoding of snapshots.
+// restoreGroups restores all groups in parallel, since decoding snapshots takes most of the
+// startup time.
 func (host *Host) restoreGroups(stored map[uint32]raft.PersistentState) error {
-	var mutex sync.Mutex // guards failed and host.groups
-	var restoring sync.WaitGroup
-	var failed error
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var mutex sync.Mutex // guards errs and host.groups
+	var wg sync.WaitGroup
+	var errs error
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for groupID, state := range stored {
-		restoring.Go(func() {
-			slots <- struct{}{}
+		wg.Go(func() {
+			semaphore <- struct{}{}
 			group, err := host.newGroup(groupID, state)
-			<-slots
+			<-semaphore
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
-				failed = errors.Join(failed, err)
+				errs = errors.Join(errs, err)
 				return
 			}
 			host.groups[groupID] = group
 		})
 	}
-	restoring.Wait()
-	return failed
+	wg.Wait()
+	return errs
 }
 
-// addGroup adds a group that is not here yet. It must be called on the loop.
+// addGroup adds a group that is not on this node yet. It must be called on the loop.
 func (host *Host) addGroup(groupID uint32, stored raft.PersistentState) error {
 	group, err := host.newGroup(groupID, stored)
 	if err == nil {
@@ -107,16 +106,16 @@
 	return err
 }
 
-// newGroup returns a replica with a stored state. A state that cannot be read is an error: a
-// replica without what it promised must neither vote nor lead.
+// newGroup returns a replica with a stored state. An unreadable state is an error: a replica
+// without its votes and acknowledged entries must neither vote nor lead.
 func (host *Host) newGroup(groupID uint32, stored raft.PersistentState) (*raftGroup, error) {
 	if err := stored.Check(); err != nil {
-		return nil, groupDamaged(groupID, err)
+		return nil, groupDamagedError(groupID, err)
 	}
 	group := &raftGroup{stateMachine: host.newStateMachine(groupID), proposals: map[uint64]proposal{}, reads: map[uint64]chan error{}, snapshotBytes: len(stored.Snapshot.Data)}
 	if len(stored.Snapshot.Data) > 0 {
 		if err := group.stateMachine.Restore(stored.Snapshot.Data); err != nil {
-			return nil, groupDamaged(groupID, err)
+			return nil, groupDamagedError(groupID, err)
 		}
 	}
 	group.core = raft.New(raft.Settings{
@@ -126,11 +125,11 @@
 	return group, nil
 }
 
-// groupDamaged returns the error of a group whose stored state cannot be read, or the cause
-// itself if a newer version has written it.
-func groupDamaged(groupID uint32, cause error) error {
+// groupDamagedError returns the error for a group whose stored state is unreadable, or the cause
+// itself if the state was written by a newer version.
+func groupDamagedError(groupID uint32, cause error) error {
 	if apierror.Is(cause, apierror.FormatTooNew) {
 		return cause
 	}
-	return apierror.Wrap(cause, apierror.Damaged, fmt.Sprintf("what is stored of group %d cannot be read: %v", groupID, cause), "empty the data folder so that the node joins as a new one and is healed from its peers")
+	return apierror.Wrap(cause, apierror.Damaged, fmt.Sprintf("the stored state of group %d is unreadable: %v", groupID, cause), "empty the data directory; the node then joins as a new one and recovers its state from its peers")
 }
--- a/system/replica/host_values.go
+++ b/system/replica/host_values.go
@@ -7,16 +7,15 @@
 )
 
 // StoredValue returns the value last stored under a key, by this process or an earlier one, or
-// nil. Values belong to the node; they are not replicated.
+// nil if there is none. Values are local to the node and not replicated.
 func (host *Host) StoredValue(key uint32) []byte {
 	var data []byte
 	host.runOnLoop(func() { data = host.values[key] })
 	return data
 }
 
-// StoreValue stores a value under a key, in place of the one before, and returns once it is
-// durable. The data must not be changed afterwards. If ctx ends before, or the host stops, the
-// error is OutcomeUnknown.
+// StoreValue sets the value of a key and returns once it is durable. The data must not be
+// modified afterwards. If ctx ends or the host stops before that, the error is OutcomeUnknown.
 func (host *Host) StoreValue(ctx context.Context, key uint32, data []byte) error {
 	durable := make(chan struct{})
 	running := host.runOnLoop(func() {
@@ -25,14 +24,14 @@
 		host.pendingCallbacks = append(host.pendingCallbacks, func() { close(durable) })
 	})
 	if !running {
-		return outcomeUnknown()
+		return outcomeUnknownError()
 	}
 	select {
 	case <-durable:
 		return nil
 	case <-ctx.Done():
-		return outcomeUnknown()
+		return outcomeUnknownError()
 	case <-host.stopped:
-		return outcomeUnknown()
+		return outcomeUnknownError()
 	}
 }
--- a/system/replica/settings.go
+++ b/system/replica/settings.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// maxDiskFraction is the part of a disk that snapshot files and logs may take together.
+	// maxDiskFraction is the fraction of the disk that snapshot files and logs may use together.
 	maxDiskFraction = 0.75
-	// minLogBytes is the least size at which the log is compacted, whatever the size of the
-	// disk.
+	// minLogBytes is the lower bound of the compaction threshold, whatever the size of the disk.
 	minLogBytes = 1 << 20
-	// logMemoryFraction is the part of a process's memory that the entries of all its groups may
-	// take together before they take snapshots, beside what is as large as those.
+	// logMemoryFraction is the fraction of the process's memory that is divided among all groups
+	// for entries applied since their snapshots. A group with a larger snapshot may exceed its
+	// share, up to the size of that snapshot.
 	logMemoryFraction = 1.0 / 16
-	// minGroupLogBytes is the least that each group may apply before, however many there are.
+	// minGroupLogBytes is the lower bound of each group's share, however many groups there are.
 	minGroupLogBytes = 64 << 10
 )
 
-// Settings configure a host. [DefaultSettings] has the defaults.
+// Settings configure a host. [DefaultSettings] returns the defaults.
 type Settings struct {
 	// Tick is the unit of all Raft timers; 50 ms by default.
 	Tick time.Duration
@@ -28,53 +28,55 @@
 	// HeartbeatTicks is the heartbeat interval, in ticks; 4 by default.
 	HeartbeatTicks int
 	// SnapshotEntries is the number of applied entries after which a group takes a snapshot,
-	// unless they are small beside the last one; their bytes may require it earlier. 2048 by
-	// default.
+	// unless their size is small relative to the last snapshot. Their size may trigger a
+	// snapshot earlier. 2048 by default.
 	SnapshotEntries uint64
-	// CompactionBytes is the size of the durable log, in bytes, at which it is compacted: all
-	// state is written to a snapshot file and a new log begins. It is more if the snapshot
-	// file is large and less if the disk is small; 16 MiB by default.
+	// CompactionBytes is the size of the durable log, in bytes, at which it is compacted: the
+	// complete state is written to a snapshot file and a new log is started. The threshold is
+	// raised if the snapshot file is large and lowered if the disk is small; 16 MiB by default.
 	CompactionBytes int64
-	// DiskBytes is the size of the disk with the data folder, in bytes; 0, the default, means
-	// that it is unknown and sets no limit.
+	// DiskBytes is the size of the disk with the data directory, in bytes; 0, the default, means
+	// unknown and sets no limit.
 	DiskBytes int64
-	// MemoryBytes is the memory that the process may use, in bytes; 0, the default, means that
-	// it is unknown and sets no limit.
+	// MemoryBytes is the memory available to the process, in bytes; 0, the default, means
+	// unknown and sets no limit.
 	MemoryBytes int64
-	// Seed seeds the election timeouts.
+	// Seed is the random seed of the election timeouts.
 	Seed uint64
-	// Figures is where the state of the replicas is reported; nil, the default, reports nothing.
+	// Figures is the registry for the metrics of the host; nil, the default, reports none.
 	Figures *metrics.Registry
-	// StallTimeout is how long a sync may take before the node transfers the leadership of
-	// its groups to others; 1 s by default.
+	// StallTimeout is how long a disk write may take before the node transfers the leadership of
+	// its groups to other nodes; 1 s by default.
 	StallTimeout time.Duration
 }
 
-// DefaultSettings returns the settings that daemons run with.
+// DefaultSettings returns the default settings with the given seed for election timeouts.
 func DefaultSettings(seed uint64) Settings {
 	return Settings{Tick: 50 * time.Millisecond, ElectionTicks: 14, HeartbeatTicks: 4, SnapshotEntries: 2048, CompactionBytes: 16 << 20, Seed: seed, StallTimeout: time.Second}
 }
 
-// WithDiskSize returns the settings for a disk of a size in bytes; 0 means unknown.
+// WithDiskSize returns the settings for a disk of the given size in bytes; 0 means unknown.
 func (settings Settings) WithDiskSize(size int64) Settings {
 	settings.DiskBytes = size
 	return settings
 }
 
-// WithMemorySize returns the settings for a process that may use so many bytes; 0 means unknown.
+// WithMemorySize returns the settings for a process with the given memory in bytes; 0 means
+// unknown.
 func (settings Settings) WithMemorySize(size int64) Settings {
 	settings.MemoryBytes = size
 	return settings
 }
 
-// WithFigures returns the settings for a host that reports to a registry; nil reports nothing.
+// WithFigures returns the settings for a host that reports metrics to a registry; nil reports
+// none.
 func (settings Settings) WithFigures(registry *metrics.Registry) Settings {
 	settings.Figures = registry
 	return settings
 }
 
-// groupLogBytes returns how many bytes of entries each of some groups always may apply before it
-// takes a snapshot, however small that is.
+// groupLogBytes returns the size of entries, in bytes, that each group may apply before it takes
+// a snapshot even if its last snapshot is smaller. groups is the number of groups on the node.
 func (settings Settings) groupLogBytes(groups int) int {
 	if settings.MemoryBytes <= 0 {
 		return minSnapshotLogBytes
@@ -85,14 +87,14 @@
 
 // compactionThreshold returns the size of the durable log, in bytes, at which it is compacted,
 // given the size of the newest snapshot file. While a snapshot file is written, the data
-// folder has two of them and two logs, and the new snapshot may be larger than the last by
-// the log. All must fit the disk: a snapshot file that finds no space would keep the logs
-// from being removed.
+// directory contains two snapshot files and two logs, and the new snapshot may exceed the last
+// by the size of the log. All of them must fit on the disk: if the snapshot file cannot be
+// written, the logs cannot be removed either.
 func (settings Settings) compactionThreshold(snapshotBytes int64) int64 {
 	limit := max(settings.CompactionBytes, 2*snapshotBytes)
 	if settings.DiskBytes <= 0 {
 		return limit
 	}
-	room := int64(maxDiskFraction*float64(settings.DiskBytes)) - 2*snapshotBytes
-	return max(minLogBytes, min(limit, room/3))
+	available := int64(maxDiskFraction*float64(settings.DiskBytes)) - 2*snapshotBytes
+	return max(minLogBytes, min(limit, available/3))
 }
--- a/system/replica/state_machine.go
+++ b/system/replica/state_machine.go
@@ -6,11 +6,11 @@
 // one goroutine.
 type StateMachine interface {
 	// Apply applies a committed command and returns its outcome, which Propose returns on the
-	// node that proposed it. It must depend on nothing but the state and the entry.
+	// proposing node. It must be deterministic: it may depend only on the state and the entry.
 	Apply(entry raft.Entry) any
-	// Snapshot returns a function that encodes the content as of this call. The function is
+	// Snapshot returns a function that encodes the state as of this call. The function is
 	// called once, from another goroutine, while later entries are applied.
 	Snapshot() func() []byte
-	// Restore replaces the content by an encoded one. On error the content is unchanged.
+	// Restore replaces the state with an encoded one. After an error the state is unchanged.
 	Restore(data []byte) error
 }
--- a/system/replica/transport.go
+++ b/system/replica/transport.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages that wait for a peer, about.
+	// maxQueuedMessages is the approximate limit of messages queued for a peer.
 	maxQueuedMessages = 4096
-	// sendTimeout bounds the sending of one batch, and the wait for the reply to it.
+	// sendTimeout limits the time to send one batch and receive the reply to it.
 	sendTimeout = 2 * time.Second
-	// maxInflightChunks is how many snapshot chunks, of all groups, are sent to a peer at a
-	// time, and maxQueuedChunks how many may wait.
+	// maxInflightChunks is the number of snapshot chunks, of all groups, in flight to a peer, and
+	// maxQueuedChunks the number that may be queued.
 	maxInflightChunks = 4
 	maxQueuedChunks   = 256
-	// connectionCheckInterval is how often a batch to a peer asks for a reply, while there is
-	// something to send. A connection that swallows everything is found so.
+	// connectionCheckInterval is the minimum interval between batches to a peer that request a
+	// reply. This detects connections that silently drop all data.
 	connectionCheckInterval = 500 * time.Millisecond
 )
 
-// Transport sends Raft messages to the peers, in batches of all groups. Messages that cannot be
-// sent in time are dropped, which Raft allows: the cores send again what matters.
+// Transport sends Raft messages to the peers, in batches across all groups. Messages that cannot
+// be sent in time are dropped, which Raft tolerates: the cores resend what is still needed.
 type Transport struct {
 	client *link.Client
-	// resolveAddress returns the address of a node, or "" if it is unknown.
+	// resolveAddress returns the address of a node by its name, or "" if it is unknown.
 	resolveAddress func(name string) string
-	// fleet returns the name of the fleet, which every query carries.
+	// fleet returns the name of the fleet, which is sent with every query.
 	fleet func() string
-	// context ends with Close, and with it all goroutines.
+	// context is canceled by Close, which ends all goroutines.
 	context context.Context
 	close   context.CancelFunc
 
@@ -41,9 +41,9 @@
 	queues map[string]*peerQueue
 }
 
-// NewTransport returns a transport that sends with a client, which the caller closes after the
-// transport. resolveAddress returns the address of a node by its name, or "" if it is unknown;
-// fleet returns the name of the fleet, or "". Both are called from several goroutines.
+// NewTransport returns a transport that sends through a client, which the caller must close after
+// the transport. resolveAddress returns the address of a node by its name, or "" if it is
+// unknown; fleet returns the name of the fleet, or "". Both are called concurrently.
 func NewTransport(client *link.Client, resolveAddress func(string) string, fleet func() string) *Transport {
 	transport := &Transport{client: client, resolveAddress: resolveAddress, fleet: fleet, queues: map[string]*peerQueue{}}
 	transport.context, transport.close = context.WithCancel(context.Background())
@@ -64,15 +64,16 @@
 	queue.enqueue(messages)
 }
 
-// Close ends the goroutines of the transport, and does not wait for them. What is queued is
+// Close stops the goroutines of the transport without waiting for them. Queued messages are
 // dropped.
 func (transport *Transport) Close() { transport.close() }
 
-// sendLoop sends a peer all messages but snapshot chunks. It waits for no reply, except that
-// from time to time one batch asks for one on a goroutine of its own, to check the connection.
+// sendLoop sends all messages except snapshot chunks to a peer. It does not wait for replies.
+// Periodically a batch is sent on a separate goroutine that waits for the reply, to check the
+// connection.
 func (transport *Transport) sendLoop(to string, queue *peerQueue) {
 	lastCheck := time.Time{}
-	checking := make(chan struct{}, 1) // full while a check is under way
+	checking := make(chan struct{}, 1) // full while a check is in progress
 	for {
 		select {
 		case <-queue.messagesReady:
@@ -112,8 +113,8 @@
 	transport.client.Notify(ctx, address, query)
 }
 
-// sendAndCheck sends a batch and waits for the reply. Without one in time the connection is
-// dropped, so that the next batch dials a new one.
+// sendAndCheck sends a batch and waits for the reply. If none arrives in time, it drops the
+// connection, so that the next batch dials a new one.
 func (transport *Transport) sendAndCheck(address string, query *wire.Query) {
 	ctx, cancel := context.WithTimeout(transport.context, sendTimeout)
 	defer cancel()
@@ -122,8 +123,8 @@
 	}
 }
 
-// sendChunkLoop sends a peer snapshot chunks, a few at a time: each batch waits for the reply
-// to the one before, so that a heartbeat is never behind more than one batch.
+// sendChunkLoop sends snapshot chunks to a peer in small batches. Each batch waits for the reply
+// to the previous one, so that a heartbeat is delayed by one batch at most.
 func (transport *Transport) sendChunkLoop(to string, queue *peerQueue) {
 	for {
 		select {
@@ -142,6 +143,6 @@
 func (transport *Transport) sendChunks(address string, chunks []raft.Message) {
 	ctx, cancel := context.WithTimeout(transport.context, sendTimeout)
 	defer cancel()
-	// A failure needs no action here: the group's leader sends again what was not acknowledged.
+	// Errors are ignored: the leader of the group resends chunks that are not acknowledged.
 	_, _ = transport.client.Call(ctx, address, transport.newQuery(chunks))
 }
--- a/system/replica/transport_queue.go
+++ b/system/replica/transport_queue.go
@@ -6,18 +6,18 @@
 	"yardrock.example/system/raft"
 )
 
-// peerQueue has the messages that wait to be sent to one peer.
+// peerQueue contains the messages to be sent to one peer.
 type peerQueue struct {
 	mutex sync.Mutex // guards messages and chunks
-	// messages are all but snapshot chunks; chunks has each chunk once.
+	// messages are all messages except snapshot chunks; chunks contains no duplicates.
 	messages []raft.Message
 	chunks   []raft.Message
-	// messagesReady and chunksReady wake the goroutines that send them.
+	// messagesReady and chunksReady wake the sending goroutines.
 	messagesReady chan struct{}
 	chunksReady   chan struct{}
 }
 
-// enqueue queues messages. Those for which there is no room are dropped.
+// enqueue queues messages. Messages that exceed the limits are dropped.
 func (queue *peerQueue) enqueue(messages []raft.Message) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -33,8 +33,8 @@
 	}
 }
 
-// enqueueChunk queues a chunk unless it waits already: the core sends a chunk again if no
-// reply came in time, which may be because of this queue. The mutex must be held.
+// enqueueChunk queues a chunk unless it is queued already: the core resends a chunk if no reply
+// arrived in time, which may be due to the wait in this queue. The mutex must be held.
 func (queue *peerQueue) enqueueChunk(message raft.Message) {
 	for _, queued := range queue.chunks {
 		if queued.Group == message.Group && queued.Chunk.Checksum == message.Chunk.Checksum && queued.Chunk.Offset == message.Chunk.Offset {
@@ -46,7 +46,7 @@
 	}
 }
 
-// dequeue takes all messages.
+// dequeue removes and returns all messages.
 func (queue *peerQueue) dequeue() []raft.Message {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -55,7 +55,7 @@
 	return messages
 }
 
-// dequeueChunks takes the next chunks, maxInflightChunks at most.
+// dequeueChunks removes and returns the next chunks, up to maxInflightChunks.
 func (queue *peerQueue) dequeueChunks() []raft.Message {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -64,8 +64,8 @@
 	return next
 }
 
-// signal wakes the receiver of a channel with a buffer of one. If it was signalled already
-// nothing is lost: it takes everything that is queued by the time it wakes.
+// signal wakes the receiver of a channel with a buffer of one. If a signal is already pending,
+// another is not needed: the receiver takes everything that is queued by the time it wakes.
 func signal(ready chan<- struct{}) {
 	select {
 	case ready <- struct{}{}:
--- a/system/replica/transport_test.go
+++ b/system/replica/transport_test.go
@@ -11,31 +11,31 @@
 	"yardrock.example/system/wire"
 )
 
-func next(t *testing.T, messages <-chan raft.Message) raft.Message {
+func awaitMessage(t *testing.T, messages <-chan raft.Message) raft.Message {
 	t.Helper()
 	select {
 	case message := <-messages:
 		return message
 	case <-time.After(testTimeout):
-		t.Fatalf("no message came within %s", testTimeout)
+		t.Fatalf("no message arrived within %s", testTimeout)
 		return raft.Message{}
 	}
 }
 
-// A peer replies to no chunk: one batch is in flight, the others wait, each chunk once, and
-// heartbeats pass.
+// While a peer does not reply to a batch of chunks, further chunks are queued without duplicates
+// and heartbeats are still delivered.
 func TestSnapshotChunksDoNotDelayHeartbeats(t *testing.T) {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	chunks, heartbeats, answered := make(chan raft.Message, 100), make(chan raft.Message, 100), make(chan struct{})
-	answer := sync.OnceFunc(func() { close(answered) })
+	chunks, heartbeats, replyAllowed := make(chan raft.Message, 100), make(chan raft.Message, 100), make(chan struct{})
+	allowReplies := sync.OnceFunc(func() { close(replyAllowed) })
 	server := link.Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply {
 		for _, message := range query.Raft.Messages {
 			if message.Kind == raft.MessageSnapshotChunk {
 				chunks <- message
-				<-answered
+				<-replyAllowed
 			} else {
 				heartbeats <- message
 			}
@@ -43,17 +43,17 @@
 		return &wire.Reply{}
 	})
 	defer server.Close()
-	defer answer()
-	caller := link.NewClient(link.TCP{})
-	defer caller.Close()
-	transport := NewTransport(caller, func(string) string { return listener.Addr().String() }, func() string { return "" })
+	defer allowReplies()
+	client := link.NewClient(link.TCP{})
+	defer client.Close()
+	transport := NewTransport(client, func(string) string { return listener.Addr().String() }, func() string { return "" })
 	defer transport.Close()
 	chunk := func(group uint32, offset uint64) raft.Message {
 		return raft.Message{Group: group, Kind: raft.MessageSnapshotChunk, From: "a", To: "b", Chunk: raft.SnapshotChunk{Offset: offset}}
 	}
 	transport.Send("b", []raft.Message{chunk(1, 0)})
-	if first := next(t, chunks); first.Group != 1 {
-		t.Fatalf("the first chunk is %+v", first)
+	if first := awaitMessage(t, chunks); first.Group != 1 {
+		t.Fatalf("unexpected first chunk: %+v", first)
 	}
 	for round := range uint64(3) {
 		for offset := range uint64(maxInflightChunks) {
@@ -61,20 +61,20 @@
 		}
 	}
 	for range 3 * maxInflightChunks {
-		next(t, heartbeats)
+		awaitMessage(t, heartbeats)
 	}
 	if len(chunks) > 0 {
 		t.Fatalf("a second batch was sent before the reply to the first: %+v", <-chunks)
 	}
-	answer()
+	allowReplies()
 	for offset := range uint64(maxInflightChunks) {
 		for _, group := range []uint32{1, 2} {
-			if came := next(t, chunks); came.Group != group || came.Chunk.Offset != offset {
-				t.Fatalf("instead of chunk %d of group %d came %+v", offset, group, came)
+			if got := awaitMessage(t, chunks); got.Group != group || got.Chunk.Offset != offset {
+				t.Fatalf("want chunk %d of group %d, got %+v", offset, group, got)
 			}
 		}
 	}
 	if rest := transport.queues["b"].dequeueChunks(); len(rest) > 0 {
-		t.Fatalf("chunks are queued twice: %+v", rest)
+		t.Fatalf("duplicate chunks are queued: %+v", rest)
 	}
 }
