--- a/system/cmd/yardrock-control-plane/main.go
+++ b/system/cmd/yardrock-control-plane/main.go
@@ -41,7 +41,7 @@
 	node, err := controlplane.Start(controlplane.Settings{
 		Address: loaded.Address, Administration: loaded.AdminAddress, Domain: loaded.Domain, Seeds: loaded.Seeds,
 		FoundingStores: loaded.FoundingStores, Groups: loaded.Groups, ReplicationFactor: loaded.ReplicationFactor, MaxControls: loaded.MaxControls,
-		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithFigures(figures),
+		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithMetrics(figures),
 	}, folder, loaded.Network())
 	if err != nil {
 		return err
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -79,7 +79,7 @@
 	}
 	node, err := store.Start(store.Settings{
 		Address: loaded.Address, Domain: loaded.Domain, Seeds: loaded.Seeds,
-		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithFigures(figures),
+		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithMetrics(figures),
 	}, folder, archiveFolder, loaded.Network())
 	if err != nil {
 		return daemon.Service{}, err
--- a/system/replica/host_metrics_test.go
+++ b/system/replica/host_metrics_test.go
@@ -9,7 +9,7 @@
 
 func TestReplicaMetrics(t *testing.T) {
 	registry := metrics.NewRegistry()
-	host, err := openHost(t, t.TempDir(), fastSettings().WithFigures(registry), &textStateMachine{})
+	host, err := openHost(t, t.TempDir(), fastSettings().WithMetrics(registry), &textStateMachine{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -35,8 +35,8 @@
 		return nil, err
 	}
 	host.publishStatuses()
-	if settings.Figures != nil {
-		host.registerMetrics(settings.Figures)
+	if settings.Metrics != nil {
+		host.registerMetrics(settings.Metrics)
 	}
 	go host.diskLoop()
 	go host.loop()
--- a/system/replica/settings.go
+++ b/system/replica/settings.go
@@ -43,8 +43,8 @@
 	MemoryBytes int64
 	// Seed is the random seed of the election timeouts.
 	Seed uint64
-	// Figures is the registry for the metrics of the host; nil, the default, reports none.
-	Figures *metrics.Registry
+	// Metrics is the registry for the metrics of the host; nil, the default, reports none.
+	Metrics *metrics.Registry
 	// StallTimeout is how long a disk write may take before the node transfers the leadership of
 	// its groups to other nodes; 1 s by default.
 	StallTimeout time.Duration
@@ -68,10 +68,10 @@
 	return settings
 }
 
-// WithFigures returns the settings for a host that reports metrics to a registry; nil reports
+// WithMetrics returns the settings for a host that reports metrics to a registry; nil reports
 // none.
-func (settings Settings) WithFigures(registry *metrics.Registry) Settings {
-	settings.Figures = registry
+func (settings Settings) WithMetrics(registry *metrics.Registry) Settings {
+	settings.Metrics = registry
 	return settings
 }
 
