--- a/system/configsource/compile.go
+++ b/system/configsource/compile.go
@@ -1,8 +1,8 @@
-// Package configsource compiles the CUE source in which operators write the configuration. It
-// checks the source against schema.cue; the result is a config.Config and its compiled form.
+// Package configsource compiles a config from the CUE source that operators write. It validates
+// the source against schema.cue and returns a config.Config and its compiled form.
 //
-// It is apart from package config, so that the data plane, which reads the compiled form only,
-// neither links nor starts the CUE library.
+// It is separate from package config so that the data plane, which reads only the compiled form,
+// does not link the CUE library.
 package configsource
 
 import (
@@ -21,8 +21,8 @@
 //go:embed schema.cue
 var schemaSource string
 
-// Compile checks CUE source and returns the config and its compiled form. The error names every
-// field that the schema rejects, with its position, or the first name that refers to nothing.
+// Compile validates CUE source and returns the config and its compiled form. The error names
+// every field that the schema rejects, with its position, or the first unresolved reference.
 //
 //	decoded, compiled, err := configsource.Compile(source)
 func Compile(source string) (*config.Config, []byte, error) {
@@ -47,7 +47,7 @@
 	return decoded, compiled, decoded.CheckReferences()
 }
 
-// invalidConfig turns errors of the CUE library into one of this package.
+// invalidConfig converts errors of the CUE library to one apierror.Invalid.
 func invalidConfig(err error) error {
 	problems := []string{}
 	for _, problem := range errors.Errors(err) {
--- a/system/configsource/schema.cue
+++ b/system/configsource/schema.cue
@@ -1,10 +1,10 @@
-// What a yardrock configuration may hold. Every duration is a Go duration text.
+// Schema of the yardrock config. Durations have the format of Go's time.ParseDuration.
 #Name:     =~"^[a-z0-9][a-z0-9_.-]{0,62}$"
 #Duration: =~"^([0-9]+(\\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$"
-// What the operators of routing call their routes, services and hosts.
+// Name of a route or service in the routing.
 #Label: =~"^[!-~]{1,255}$"
 
-// A route is how requests for a host are forwarded whose path begins with a prefix.
+// A route defines how requests for a host whose path starts with a prefix are forwarded.
 #Route: {
 	name:     #Label
 	host:     =~"^[!-.0-~]{1,255}$"
@@ -21,11 +21,11 @@
 	keep:          #Duration | *"0s"
 	sticky:        bool | *false
 	resumable:     bool | *false
-	// the item as its operator wrote it
+	// the route as its operator wrote it
 	written?: _
 }
 
-// A service is a group of runners that do the same work.
+// A service is a group of interchangeable runners.
 #Service: {
 	name:             #Label
 	health_path:      =~"^/[ -~]*$" | *"/"
@@ -41,7 +41,7 @@
 }
 
 #Routing: {
-	// rises with every change, unevenly
+	// increases with every change, not always by 1
 	revision: int & >=0
 	routes: [...#Route]
 	services: [...#Service]
@@ -52,39 +52,39 @@
 		idle:         #Duration | *"0s"
 		written?:     _
 	}
-	// requests that were accepted already
+	// routing requests that were already accepted
 	taken: [...{revision: int & >=0, digest: string}] | *[]
-	// parts that this version does not know, as they were written
+	// fields unknown to this version, as they were written
 	unread?: _
 }
 
 #Config: {
-	// operators may administer; only hashes (SHA-256, hex) are kept.
+	// operators may use the admin API; only token hashes (SHA-256, hex) are stored
 	operators: [#Name]: token_hashes: [...=~"^[0-9a-f]{64}$"]
 	teams: [#Name]: token_hashes: [...=~"^[0-9a-f]{64}$"]
 	programs: [#Name]: {
 		team: #Name
-		// quota: words that the program may put out in one period
+		// quota: maximum words that the program may output in one period
 		allowance: int & >0
-		// words that one answer may hold; it is cut there
+		// maximum words of one answer; a longer one is truncated
 		turn_limit: int & >0 & <=100000
-		// a new period text starts the quota's usage anew
+		// a new value resets the quota usage
 		period: #Name | *"first"
 		// retention: how long the program's sessions are kept after their last event
 		keep: #Duration | *"24h"
 	}
-	// groups of runners, as the platform's list names them
+	// runner groups, named as in the platform's runner list
 	groups: [#Name]: {
 		concurrency: int & >0 | *8
 		cold_concurrency: int & >0 | *1
 		ramp: #Duration | *"10s"
 	}
-	// weight tables: how a kind of work is shared among groups
+	// weight tables: how a kind of work is distributed over runner groups
 	tables: [#Name]: [#Name]: number & >=0
 	kinds: [#Name]: {
 		serves: "turn" | "plain"
 		table: #Name
-		// work that may not be repeated needs a request key and a record
+		// work that is not repeatable needs a request key and a record
 		repeatable: bool | *true
 		urgency: "urgent" | "normal" | "bulk" | *"normal"
 		patience: #Duration | *"20s"
@@ -92,7 +92,7 @@
 	}
 	limits: {
 		body_bytes: int & >=1024 & <=16777216 | *1048576
-		// waiting requests per urgency on one front
+		// maximum queued requests per urgency on one front
 		queue: int & >=0 & <=100000 | *200
 		queue_patience: #Duration | *"2s"
 	}
@@ -100,8 +100,8 @@
 		runner_list: =~"^http://" | *""
 		poll: #Duration | *"1s"
 	}
-	// whether a beginning that conversations of one route have in common is stored once
+	// whether a common prefix of the conversations of one route is stored only once
 	openings?: share: bool | *false
-	// how requests are forwarded unchanged; left out, the current routing stays
+	// routing of requests that are forwarded unchanged; if omitted, the current routing is kept
 	routing?: #Routing
 }
--- a/system/feed/change_history.go
+++ b/system/feed/change_history.go
@@ -2,40 +2,41 @@
 
 import "slices"
 
-// Limits of a History. Those in bytes are of estimated memory, so that what a control node holds
-// depends on what is in force and not on how many changes led there (docs/consistency/feed.md).
+// Limits of a History. The limits in bytes apply to estimated memory, so that the memory of a
+// control node does not grow with the number of changes (docs/consistency/feed.md).
 const (
-	maxChangesBytes = 1 << 20 // of the last changes together
-	maxChanges      = 512     // the number of the last changes
-	maxEarlierBytes = 1 << 20 // of the earlier configs together
+	maxChangesBytes = 1 << 20 // total size of the last changes
+	maxChanges      = 512     // number of the last changes
+	maxEarlierBytes = 1 << 20 // total size of the earlier configs
 )
 
-// Estimates of how many bytes of memory an item takes without its texts.
+// Estimated memory in bytes of an item without its strings and byte slices.
 const (
 	changeOverhead  = 512 // a change
 	requestOverhead = 16  // an accepted request
 	itemOverhead    = 128 // a runner, member or earlier config
-	nameOverhead    = 16  // a name alone
+	nameOverhead    = 16  // a name
 )
 
-// EarlierConfig is a config that was once in force, encoded as the difference from the one
-// that replaced it; the Base of the difference is the number of that one.
+// EarlierConfig is a previous config, encoded as a delta on the config that replaced it; the Base
+// of the delta is the number of that config.
 type EarlierConfig struct {
 	Number uint64      `capnp:"number"`
 	Delta  ConfigDelta `capnp:"delta"`
 }
 
-// History is how a view came about. It is immutable: With makes a new one.
+// History is the last changes and the previous configs of a view. It is immutable: With returns
+// a new one.
 type History struct {
-	// Changes are the last changes, oldest first, without gaps. Followers that lag behind
-	// catch up by them.
+	// Changes are the last changes, oldest first, without gaps. Followers that lag behind use
+	// them to catch up.
 	Changes []Change
-	// Earlier are the configs before the one in force, oldest first, which can be restored.
+	// Earlier are the configs before the current one, oldest first, which can be restored.
 	Earlier []EarlierConfig
 }
 
-// With returns the history after a change that turned one view into another. The oldest
-// parts that exceed the limits are dropped.
+// With returns the history after a change from one view to another. The oldest changes and
+// configs above the limits are dropped.
 //
 //	history = history.With(&before, &after, change)
 func (history History) With(before, after *View, change Change) History {
@@ -52,19 +53,19 @@
 	return next
 }
 
-// earlierConfigsWith appends the config that was replaced. If its difference exceeds the
-// limit all earlier ones are dropped too, as they are only reachable through it.
+// earlierConfigsWith appends the replaced config to the earlier ones. If its delta exceeds the
+// limit, all earlier configs are dropped too, as their chain of deltas starts with it.
 func (history History) earlierConfigsWith(before, after *View) []EarlierConfig {
-	difference, fits := newConfigDelta(after, before.Source, before.Compiled, maxEarlierBytes)
+	configDelta, fits := newConfigDelta(after, before.Source, before.Compiled, maxEarlierBytes)
 	if !fits {
 		return nil
 	}
-	earlier := EarlierConfig{Number: before.ConfigNumber, Delta: difference}
+	earlier := EarlierConfig{Number: before.ConfigNumber, Delta: configDelta}
 	return newestWithin(append(slices.Clip(history.Earlier), earlier), maxEarlierBytes, EarlierConfig.size)
 }
 
-// newestWithin returns the last items whose sizes fit a budget. They are copied when some
-// are dropped, so that the dropped ones do not stay in memory.
+// newestWithin returns the last items whose total size fits the budget. It copies them if some
+// are dropped, so that the dropped ones can be garbage collected.
 func newestWithin[Item any](items []Item, budget int, size func(Item) int) []Item {
 	first := len(items)
 	for first > 0 && size(items[first-1]) <= budget {
@@ -77,7 +78,7 @@
 	return slices.Clone(items[first:])
 }
 
-// size estimates how many bytes a change takes in memory.
+// size estimates the memory of a change in bytes.
 func (change Change) size() int {
 	size := changeOverhead + len(change.Source) + len(change.Compiled) + change.Delta.size() + len(change.By) + len(change.Statement)
 	size += requestOverhead * len(change.RoutingRequests)
@@ -93,31 +94,31 @@
 	return size
 }
 
-// size estimates how many bytes an earlier config takes in memory.
+// size estimates the memory of an earlier config in bytes.
 func (earlier EarlierConfig) size() int { return itemOverhead + earlier.Delta.size() }
 
-// ConfigAt returns the config that the change of a number brought, where view is the newest
-// view. Kept is false if no config has that number or it was dropped. The error is
-// ErrBaseMismatch if the history is damaged.
+// ConfigAt returns the config that the change with a number set; view must be the newest view.
+// Found is false if no config has that number or it was dropped. The error is ErrBaseMismatch
+// if the history is corrupted.
 //
-//	source, compiled, kept, err := history.ConfigAt(view, 17)
-func (history History) ConfigAt(view *View, number uint64) (source string, compiled []byte, kept bool, err error) {
-	at := View{ConfigNumber: view.ConfigNumber, Source: view.Source, Compiled: view.Compiled}
+//	source, compiled, found, err := history.ConfigAt(view, 17)
+func (history History) ConfigAt(view *View, number uint64) (source string, compiled []byte, found bool, err error) {
+	config := View{ConfigNumber: view.ConfigNumber, Source: view.Source, Compiled: view.Compiled}
 	for _, earlier := range slices.Backward(history.Earlier) {
-		if at.ConfigNumber <= number {
+		if config.ConfigNumber <= number {
 			break
 		}
-		if at.Source, at.Compiled, err = earlier.Delta.apply(&at); err != nil {
+		if config.Source, config.Compiled, err = earlier.Delta.apply(&config); err != nil {
 			return "", nil, false, err
 		}
-		at.ConfigNumber = earlier.Number
+		config.ConfigNumber = earlier.Number
 	}
-	return at.Source, at.Compiled, at.ConfigNumber == number && number > 0, nil
+	return config.Source, config.Compiled, config.ConfigNumber == number && number > 0, nil
 }
 
 // NewestCommand returns the number of the newest change that is not an observation, which a
-// majority of the stores must sync before it is acknowledged. If the history has none it
-// returns the highest number that it can have.
+// majority of the stores must sync before it is acknowledged. If the history has none, it
+// returns an upper bound: the number before the oldest change, or that of the view.
 //
 //	number := history.NewestCommand(view)
 func (history History) NewestCommand(view *View) uint64 {
@@ -132,23 +133,23 @@
 	return view.Number
 }
 
-// Since returns the changes after a number up to the newest view. Complete is false if some
-// of them were dropped.
+// Since returns the changes after a number up to the newest view. Complete is false if some of
+// them were dropped.
 //
 //	changes, complete := history.Since(view, number)
 func (history History) Since(view *View, number uint64) ([]Change, bool) {
 	if number == view.Number {
 		return nil, true
 	}
-	at := slices.IndexFunc(history.Changes, func(change Change) bool { return change.Number == number+1 })
-	if at < 0 {
+	first := slices.IndexFunc(history.Changes, func(change Change) bool { return change.Number == number+1 })
+	if first < 0 {
 		return nil, false
 	}
-	return history.Changes[at:], true
+	return history.Changes[first:], true
 }
 
-// HistoryFromFullConfigs converts the changes of a snapshot of format 1, which have complete
-// configs. The config before the first one is unknown, so that change and all before it are
+// HistoryFromFullConfigs converts the changes of a snapshot of format 1, which have full configs.
+// The config before the first config change is unknown, so that change and all before it are
 // dropped.
 //
 //	history := feed.HistoryFromFullConfigs(snapshot.Changes)
--- a/system/feed/change_history_test.go
+++ b/system/feed/change_history_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// randomText returns text that has nothing in common with other random text.
+// randomText returns random text, which a delta cannot compress.
 func randomText(random *rand.Rand, size int) []byte {
 	data := make([]byte, size)
 	for at := range data {
@@ -18,24 +18,24 @@
 	return data
 }
 
-// configChange returns the next change after a view, which brings a config.
+// configChange returns a config change with the number after that of the view.
 func configChange(view *View, compiled []byte) Change {
 	return Change{Number: view.Number + 1, Kind: ChangeConfig, Source: fmt.Sprint("config ", view.Number), Compiled: compiled}
 }
 
-// totalSizes returns the sizes that the limits of a history bound, in bytes.
+// totalSizes returns the estimated sizes in bytes of the changes and of the earlier configs.
 func (history History) totalSizes() (changes, earlier int) {
 	for _, change := range history.Changes {
 		changes += change.size()
 	}
-	for _, one := range history.Earlier {
-		earlier += one.size()
+	for _, config := range history.Earlier {
+		earlier += config.size()
 	}
 	return changes, earlier
 }
 
-// growHistory makes consecutive config changes, and returns the views, the first of which is
-// empty, and the history at the end.
+// growHistory makes consecutive config changes. It returns the views after each, preceded by the
+// empty view, and the final history.
 func growHistory(t *testing.T, changes int, next func(compiled []byte) []byte) ([]View, History) {
 	t.Helper()
 	views, history := []View{{}}, History{}
@@ -57,18 +57,18 @@
 		next    func(compiled []byte) []byte
 		kept    int
 	}{
-		"small differences":     {700, func([]byte) []byte { return bytes.Replace(base, base[:100], randomText(random, 100), 1) }, 300},
-		"other content":         {30, func([]byte) []byte { return randomText(random, 200<<10) }, 4},
+		"small deltas":          {700, func([]byte) []byte { return bytes.Replace(base, base[:100], randomText(random, 100), 1) }, 300},
+		"unrelated content":     {30, func([]byte) []byte { return randomText(random, 200<<10) }, 4},
 		"larger than its limit": {4, func([]byte) []byte { return randomText(random, 2*maxChangesBytes) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			views, history := growHistory(t, test.changes, test.next)
 			changes, earlier := history.totalSizes()
 			if changes > maxChangesBytes || earlier > maxEarlierBytes || len(history.Changes) > maxChanges {
-				t.Errorf("%d changes of %d bytes and earlier configs of %d bytes are kept", len(history.Changes), changes, earlier)
+				t.Errorf("limit exceeded: %d changes of %d bytes, earlier configs of %d bytes", len(history.Changes), changes, earlier)
 			}
 			if len(history.Changes) < test.kept || len(history.Earlier) < test.kept {
-				t.Errorf("only %d changes and %d earlier configs are kept", len(history.Changes), len(history.Earlier))
+				t.Errorf("kept only %d changes and %d earlier configs", len(history.Changes), len(history.Earlier))
 			}
 			newest := views[len(views)-1]
 			for at := 0; at < len(views); at += 1 + len(views)/8 {
@@ -78,18 +78,19 @@
 	}
 }
 
-// checkHistory catches up from an earlier view to the newest by a history, and goes back.
+// checkHistory checks that a history leads from an earlier view to the newest one, and that it
+// restores the config of the earlier view.
 func checkHistory(t *testing.T, history History, newest, view *View) {
 	t.Helper()
 	if changes, complete := history.Since(newest, view.Number); complete {
 		reached, err := FoldAll(*view, changes)
 		if err != nil || reached.Number != newest.Number || reached.Source != newest.Source || !bytes.Equal(reached.Compiled, newest.Compiled) {
-			t.Fatalf("from %d to %d: %v, reached %d", view.Number, newest.Number, err, reached.Number)
+			t.Fatalf("catch up from %d to %d: %v, reached %d", view.Number, newest.Number, err, reached.Number)
 		}
 	}
 	source, compiled, kept, err := history.ConfigAt(newest, view.ConfigNumber)
 	if err != nil || (kept && (source != view.Source || !bytes.Equal(compiled, view.Compiled))) {
-		t.Fatalf("config %d: %v, %d bytes", view.ConfigNumber, err, len(compiled))
+		t.Fatalf("restore config %d: %v, %d bytes", view.ConfigNumber, err, len(compiled))
 	}
 }
 
@@ -97,20 +98,20 @@
 	base := View{Number: 4, ConfigNumber: 4, Source: "a", Compiled: []byte(strings.Repeat("abcdefgh", 100))}
 	change := configChange(&base, append([]byte("new"), base.Compiled...)).Compact(&base)
 	if change.Delta.IsZero() || len(change.Compiled) > 0 {
-		t.Fatalf("not a difference: %+v", change)
+		t.Fatalf("change was not compacted: %+v", change)
 	}
 	other, older := base, base
 	other.Compiled = []byte(strings.Repeat("abcdefgX", 100))
 	older.ConfigNumber = 3
-	for name, view := range map[string]View{"another config of its number": other, "an older config": older} {
+	for name, view := range map[string]View{"other config with the base's number": other, "older config": older} {
 		next, err := FoldAll(view, []Change{change})
 		if !errors.Is(err, ErrBaseMismatch) || next.Number != view.Number || !bytes.Equal(next.Compiled, view.Compiled) {
-			t.Errorf("%s: %v, %d", name, err, next.Number)
+			t.Errorf("%s: error %v, view number %d", name, err, next.Number)
 		}
 	}
 	change.Number++
 	if _, err := FoldAll(base, []Change{change}); !errors.Is(err, ErrGap) {
-		t.Errorf("a gap: %v", err)
+		t.Errorf("gap: got %v, want ErrGap", err)
 	}
 }
 
@@ -124,7 +125,7 @@
 	}
 	newest, history := views[len(views)-1], HistoryFromFullConfigs(full)
 	if len(history.Changes) < 19 || len(history.Earlier) < 19 {
-		t.Errorf("%d changes and %d earlier configs were converted", len(history.Changes), len(history.Earlier))
+		t.Errorf("converted only %d changes and %d earlier configs", len(history.Changes), len(history.Earlier))
 	}
 	for _, view := range views {
 		checkHistory(t, history, &newest, &view)
--- a/system/feed/config_delta.go
+++ b/system/feed/config_delta.go
@@ -10,30 +10,30 @@
 	"yardrock.example/system/delta"
 )
 
-// ErrBaseMismatch reports that a ConfigDelta cannot be applied: it was made from a config
-// other than the one in the view, or its result has another digest. The view is unchanged;
-// whoever holds it must fetch a complete view.
-var ErrBaseMismatch = errors.New("the difference of the config does not fit the config held")
+// ErrBaseMismatch reports that a ConfigDelta cannot be applied: the config in the view is not its
+// base, or the result has another digest. The view is unchanged; its holder must fetch a full
+// one.
+var ErrBaseMismatch = errors.New("config delta does not match the current config")
 
-// ConfigDelta encodes a config as its difference from an older one. The zero value means
-// that there is no difference.
+// ConfigDelta encodes a config as a delta on another one, its base. The zero value means that
+// there is no delta.
 type ConfigDelta struct {
-	// Base is the number of the config that the difference was made from.
+	// Base is the number of the base config.
 	Base uint64 `capnp:"base"`
-	// Source and Compiled are the two parts of the config, each as a difference in the
-	// format of package delta.
+	// Source and Compiled are deltas, in the format of package delta, of the two parts of the
+	// config.
 	Source   []byte `capnp:"source"`
 	Compiled []byte `capnp:"compiled"`
-	// Digest is the ConfigDigest of the resulting config. It is checked whenever the
-	// difference is applied, so that replicas never diverge on a wrong base.
+	// Digest is the ConfigDigest of the resulting config. It is checked whenever the delta is
+	// applied, so that replicas do not diverge on a wrong base.
 	Digest []byte `capnp:"digest"`
 }
 
-// configDigestSize is how many bytes of a SHA-256 sum are kept as the digest of a config.
+// configDigestSize is the length in bytes of a config digest, a truncated SHA-256 sum.
 const configDigestSize = 16
 
-// ConfigDigest identifies a config by its source and its compiled form: 16 bytes of a
-// SHA-256 sum.
+// ConfigDigest returns the digest of a config's source and compiled form: the first
+// configDigestSize bytes of their SHA-256 sum.
 //
 //	digest := feed.ConfigDigest(view.Source, view.Compiled)
 func ConfigDigest(source string, compiled []byte) []byte {
@@ -44,52 +44,52 @@
 	return hash.Sum(nil)[:configDigestSize]
 }
 
-// newConfigDelta encodes a config as its difference from the config of a view. Fits is
-// false if the difference would be longer than limit bytes.
-func newConfigDelta(base *View, source string, compiled []byte, limit int) (difference ConfigDelta, fits bool) {
-	difference.Base = base.ConfigNumber
-	if difference.Source, fits = delta.MakeWithin([]byte(base.Source), []byte(source), limit); !fits {
+// newConfigDelta encodes a config as a delta on the config of a view. Fits is false if the delta
+// would exceed limit bytes.
+func newConfigDelta(base *View, source string, compiled []byte, limit int) (configDelta ConfigDelta, fits bool) {
+	configDelta.Base = base.ConfigNumber
+	if configDelta.Source, fits = delta.MakeWithin([]byte(base.Source), []byte(source), limit); !fits {
 		return ConfigDelta{}, false
 	}
-	if difference.Compiled, fits = delta.MakeWithin(base.Compiled, compiled, limit); !fits {
+	if configDelta.Compiled, fits = delta.MakeWithin(base.Compiled, compiled, limit); !fits {
 		return ConfigDelta{}, false
 	}
-	difference.Digest = ConfigDigest(source, compiled)
-	return difference, difference.size() <= limit
+	configDelta.Digest = ConfigDigest(source, compiled)
+	return configDelta, configDelta.size() <= limit
 }
 
-// IsZero reports whether there is no difference.
+// IsZero reports whether there is no delta.
 //
 //	if change.Delta.IsZero() { ... }
-func (difference *ConfigDelta) IsZero() bool { return len(difference.Digest) == 0 }
+func (configDelta *ConfigDelta) IsZero() bool { return len(configDelta.Digest) == 0 }
 
-// size is the length of the difference in bytes.
-func (difference *ConfigDelta) size() int {
-	return len(difference.Source) + len(difference.Compiled) + len(difference.Digest)
+// size returns the length of the delta in bytes.
+func (configDelta *ConfigDelta) size() int {
+	return len(configDelta.Source) + len(configDelta.Compiled) + len(configDelta.Digest)
 }
 
-// apply reconstructs the config from the one in a view. It fails with ErrBaseMismatch if
-// the view has another config than the one the difference was made from.
-func (difference *ConfigDelta) apply(base *View) (source string, compiled []byte, err error) {
-	if difference.Base != base.ConfigNumber {
-		return "", nil, fmt.Errorf("%w: it builds on config %d, not %d", ErrBaseMismatch, difference.Base, base.ConfigNumber)
+// apply reconstructs the config from the one in a view. It fails with ErrBaseMismatch if that is
+// not the base of the delta.
+func (configDelta *ConfigDelta) apply(base *View) (source string, compiled []byte, err error) {
+	if configDelta.Base != base.ConfigNumber {
+		return "", nil, fmt.Errorf("%w: its base is config %d, the current config is %d", ErrBaseMismatch, configDelta.Base, base.ConfigNumber)
 	}
-	decodedSource, err := delta.Apply([]byte(base.Source), difference.Source)
+	decodedSource, err := delta.Apply([]byte(base.Source), configDelta.Source)
 	if err != nil {
-		return "", nil, fmt.Errorf("%w: its source: %w", ErrBaseMismatch, err)
+		return "", nil, fmt.Errorf("%w: apply the source delta: %w", ErrBaseMismatch, err)
 	}
-	if compiled, err = delta.Apply(base.Compiled, difference.Compiled); err != nil {
-		return "", nil, fmt.Errorf("%w: its compiled form: %w", ErrBaseMismatch, err)
+	if compiled, err = delta.Apply(base.Compiled, configDelta.Compiled); err != nil {
+		return "", nil, fmt.Errorf("%w: apply the compiled delta: %w", ErrBaseMismatch, err)
 	}
 	source = string(decodedSource)
-	if !bytes.Equal(ConfigDigest(source, compiled), difference.Digest) {
-		return "", nil, fmt.Errorf("%w: it gives another config", ErrBaseMismatch)
+	if !bytes.Equal(ConfigDigest(source, compiled), configDelta.Digest) {
+		return "", nil, fmt.Errorf("%w: digest mismatch", ErrBaseMismatch)
 	}
 	return source, compiled, nil
 }
 
-// Compact returns a config change encoded as the difference from the config of a view, if
-// that takes at most half the bytes. Any other change is returned as it is.
+// Compact returns a config change encoded as a delta on the config of a view, if that takes at
+// most half the bytes. Any other change is returned unchanged.
 //
 //	change = change.Compact(view)
 func (change Change) Compact(base *View) Change {
@@ -97,8 +97,8 @@
 		return change
 	}
 	limit := (len(change.Source) + len(change.Compiled)) / 2
-	if difference, fits := newConfigDelta(base, change.Source, change.Compiled, limit); fits {
-		change.Source, change.Compiled, change.Delta = "", nil, difference
+	if configDelta, fits := newConfigDelta(base, change.Source, change.Compiled, limit); fits {
+		change.Source, change.Compiled, change.Delta = "", nil, configDelta
 	}
 	return change
 }
--- a/system/feed/fold.go
+++ b/system/feed/fold.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// ErrGap reports that the next change is not numbered one above the view. The changes in
-// between are missing; whoever holds the view must fetch a complete one.
-var ErrGap = errors.New("the changes do not follow on the view held")
+// ErrGap reports that changes between the view and the next change are missing. The holder of
+// the view must fetch a full one.
+var ErrGap = errors.New("changes are missing between the current view and the next change")
 
-// maxDecommissioned bounds how many decommissioned stores a view remembers.
+// maxDecommissioned bounds the list of decommissioned stores in a view.
 const maxDecommissioned = 64
 
-// foldFuncs apply each kind of change to a copy of the view. They never change a slice in
-// place, as older views share it.
+// foldFuncs apply each kind of change to a copy of the view. They must not modify slices in
+// place, as older views share them.
 var foldFuncs = map[ChangeKind]func(*View, Change){
 	ChangeFounded:   func(view *View, change Change) { *view = change.View },
 	ChangeRecovered: func(view *View, change Change) { *view = change.View },
@@ -38,8 +38,8 @@
 	},
 }
 
-// foldStores replaces the store list. A store that an operator enrols again is no longer
-// remembered as decommissioned.
+// foldStores replaces the store list. A store that is enrolled again is removed from the
+// decommissioned ones.
 func foldStores(view *View, change Change) {
 	if len(view.FoundingStores) == 0 {
 		view.FoundingStores = change.Members
@@ -54,7 +54,7 @@
 	view.Decommissioned = decommissioned[max(0, len(decommissioned)-maxDecommissioned):]
 }
 
-// mergeRunners returns the runners with some added or replaced and some removed, sorted.
+// mergeRunners returns the sorted runners after adding or replacing some and removing others.
 func mergeRunners(runners, changed []Runner, removed []string) []Runner {
 	omitted := make(map[string]bool, len(changed)+len(removed))
 	for _, runner := range changed {
@@ -74,20 +74,20 @@
 	return next
 }
 
-// replaceOrAppend returns a copy of items in which item takes the place of the same one, or
-// is appended if there is none.
-func replaceOrAppend[Item any](items []Item, item Item, same func(Item) bool) []Item {
+// replaceOrAppend returns a copy of items in which item replaces the first one that matches, or
+// is appended if none does.
+func replaceOrAppend[Item any](items []Item, item Item, matches func(Item) bool) []Item {
 	items = slices.Clone(items)
-	if at := slices.IndexFunc(items, same); at >= 0 {
-		items[at] = item
+	if index := slices.IndexFunc(items, matches); index >= 0 {
+		items[index] = item
 		return items
 	}
 	return append(items, item)
 }
 
 // Fold returns the view after a change. A change that is not newer than the view, or of an
-// unknown kind, changes nothing. It fails with ErrBaseMismatch, and returns the view as it
-// was, if the change has a ConfigDelta made from another config.
+// unknown kind, is ignored. If the change has a ConfigDelta with another base config, Fold
+// returns the unchanged view and ErrBaseMismatch.
 //
 //	view, err := feed.Fold(view, change)
 func Fold(view View, change Change) (View, error) {
@@ -108,14 +108,14 @@
 	return view, nil
 }
 
-// FoldAll folds consecutive changes; those that are not newer than the view are skipped. It
-// fails with ErrGap or ErrBaseMismatch, and returns the view as far as it got.
+// FoldAll folds consecutive changes; those that are not newer than the view are skipped. With
+// ErrGap or ErrBaseMismatch it returns the view before the change that failed.
 //
 //	view, err := feed.FoldAll(view, reply.Changes)
 func FoldAll(view View, changes []Change) (View, error) {
 	for _, change := range changes {
 		if change.Number > view.Number+1 {
-			return view, fmt.Errorf("%w: change %d comes after number %d", ErrGap, change.Number, view.Number)
+			return view, fmt.Errorf("%w: next change is %d, view is at %d", ErrGap, change.Number, view.Number)
 		}
 		next, err := Fold(view, change)
 		if err != nil {
--- a/system/feed/request_history.go
+++ b/system/feed/request_history.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// maxRequests bounds each RequestHistory; a request takes packedRequestSize bytes.
+// maxRequests bounds the number of requests in each RequestHistory.
 const maxRequests = 2048
 
-// AcceptedRequest is an admin request that was carried out.
+// AcceptedRequest is an admin request that was executed.
 type AcceptedRequest struct {
-	// Digest identifies what its operator sent; see RequestDigest.
+	// Digest identifies the content of the request; see RequestDigest.
 	Digest uint64 `capnp:"digest"`
-	// Number is what the request was given: a revision of the routing, or the number of its
-	// change.
+	// Number is the routing revision of a routing request, or the number of the change of
+	// another admin request.
 	Number uint64 `capnp:"number"`
 }
 
-// RequestHistory makes admin requests idempotent: it remembers the last ones that were
-// carried out, so that one which is sent again after a lost answer is acknowledged and not
-// carried out twice. Numbers rise. It is immutable: With makes a new one.
+// RequestHistory makes admin requests idempotent: it records the last ones that were executed,
+// so that a retry after a lost reply is acknowledged but not executed again. Their numbers
+// increase. It is immutable: With returns a new one.
 type RequestHistory struct {
-	// Packed holds the requests, oldest first, of packedRequestSize bytes each. They are
-	// packed because every complete view has them, and encoding thousands of structs is slow.
+	// Packed holds the requests, oldest first, in packedRequestSize bytes each. They are packed
+	// because every full view contains them and encoding thousands of structs is slow.
 	Packed []byte `capnp:"packed"`
-	// Forgotten is the highest number of a request that was dropped.
+	// Forgotten is the highest number of an evicted request, 0 if there is none.
 	Forgotten uint64 `capnp:"forgotten"`
 }
 
@@ -37,18 +37,18 @@
 	packedRequestSize = packedDigestSize + 8
 )
 
-// appendPacked appends the request in its packed form.
-func (request AcceptedRequest) appendPacked(target []byte) []byte {
-	target = binary.BigEndian.AppendUint64(target, request.Digest)
-	return binary.BigEndian.AppendUint64(target, request.Number)
+// appendPacked appends the packed form of the request to dst.
+func (request AcceptedRequest) appendPacked(dst []byte) []byte {
+	dst = binary.BigEndian.AppendUint64(dst, request.Digest)
+	return binary.BigEndian.AppendUint64(dst, request.Number)
 }
 
-// unpackRequest reads the first request of a packed list, which must not be empty.
+// unpackRequest decodes the first request of a packed list, which must not be empty.
 func unpackRequest(packed []byte) AcceptedRequest {
 	return AcceptedRequest{Digest: binary.BigEndian.Uint64(packed), Number: binary.BigEndian.Uint64(packed[packedDigestSize:])}
 }
 
-// All iterates over the requests that are remembered, oldest first.
+// All iterates over the recorded requests, oldest first.
 //
 //	for request := range view.RoutingRequests.All() { ... }
 func (history *RequestHistory) All() iter.Seq[AcceptedRequest] {
@@ -61,8 +61,8 @@
 	}
 }
 
-// RequestDigest identifies a request by the parts of what its operator sent: 8 bytes of a
-// SHA-256 sum.
+// RequestDigest returns the digest of a request's parts: the first 8 bytes of their SHA-256
+// sum.
 //
 //	digest := feed.RequestDigest("root", "put config", "7", source)
 func RequestDigest(parts ...string) uint64 {
@@ -70,12 +70,12 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// IsEmpty reports whether no request is remembered.
+// IsEmpty reports whether no request is recorded.
 //
 //	if view.RoutingRequests.IsEmpty() { ... }
 func (history *RequestHistory) IsEmpty() bool { return len(history.Packed) == 0 }
 
-// NumberOf returns the number that a request was given, if it is remembered.
+// NumberOf returns the number of the request with a digest, if it is recorded.
 //
 //	if number, accepted := view.AdminRequests.NumberOf(digest); accepted { ... }
 func (history *RequestHistory) NumberOf(digest uint64) (uint64, bool) {
@@ -87,16 +87,16 @@
 	return 0, false
 }
 
-// MayHaveForgotten reports whether a request that would have been given this number, or a
-// higher one, may have been carried out and dropped since. If not, and the request is not
-// remembered, it was never carried out.
+// MayHaveForgotten reports whether a request that would have got this number or a higher one
+// may have been executed and then evicted. If not, and it is not recorded, it was never
+// executed.
 //
-//	if view.RoutingRequests.MayHaveForgotten(revision) { ... }
+//	if view.RoutingRequests.MayHaveEvicted(revision) { ... }
 func (history *RequestHistory) MayHaveForgotten(number uint64) bool {
 	return number <= history.Forgotten
 }
 
-// With returns the history with more requests, dropping the oldest above maxRequests.
+// With returns the history with more requests appended; it evicts the oldest above maxRequests.
 //
 //	view.RoutingRequests = view.RoutingRequests.With(change.RoutingRequests...)
 func (history RequestHistory) With(requests ...AcceptedRequest) RequestHistory {
@@ -116,12 +116,12 @@
 	return history
 }
 
-// equal reports whether two histories remember the same requests.
+// equal reports whether two histories have recorded and evicted the same requests.
 func (history *RequestHistory) equal(other *RequestHistory) bool {
 	return history.Forgotten == other.Forgotten && bytes.Equal(history.Packed, other.Packed)
 }
 
-// recordRequests remembers the requests that a change carries out.
+// recordRequests adds the requests that a change executes to the histories.
 func (view *View) recordRequests(change Change) {
 	view.RoutingRequests = view.RoutingRequests.With(change.RoutingRequests...)
 	view.RoutingRequests.Forgotten = max(view.RoutingRequests.Forgotten, change.RoutingForgotten)
@@ -130,12 +130,12 @@
 	}
 }
 
-// WithoutRequests returns the view without the request histories, for nodes that accept no
+// WithoutRequests returns the view without the request histories, for nodes that do not serve
 // admin requests.
 //
 //	answer.View = state.view.WithoutRequests()
 func (view *View) WithoutRequests() View {
-	bare := *view
-	bare.RoutingRequests, bare.AdminRequests = RequestHistory{}, RequestHistory{}
-	return bare
+	stripped := *view
+	stripped.RoutingRequests, stripped.AdminRequests = RequestHistory{}, RequestHistory{}
+	return stripped
 }
--- a/system/feed/runner.go
+++ b/system/feed/runner.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Runner is one model or application runner of the platform's runner list.
+// Runner is one model or application runner in the platform's runner list.
 type Runner struct {
-	// Life identifies one start of the runner; a restarted runner has a new one. It is empty
-	// if the list names none.
+	// Life identifies one start of the runner: a restarted runner has a new one.
+	// It is empty if the list names none.
 	Life string `capnp:"life"`
-	// Address is where fronts reach it, host and port.
+	// Address is the host and port at which fronts reach it.
 	Address string `capnp:"address"`
 	// Group is the name of the runner group or service that it belongs to.
 	Group string `capnp:"group"`
@@ -19,25 +19,25 @@
 	Domain string `capnp:"domain"`
 	// State is StateServing, StateWarmingUp or StateDraining.
 	State string `capnp:"state"`
-	// Since is when it entered its state, in nanoseconds since 1970. It comes from a wall
-	// clock, so it is shown to people and never used to measure time.
+	// Since is when it entered its state, as Unix time in nanoseconds. It is for display only:
+	// it comes from a wall clock, so it must not be used to measure durations.
 	Since int64 `capnp:"since"`
-	// Warmed reports that it has served for as long as its group's slow start lasts.
+	// Warmed reports whether it has served for at least the slow-start period of its group.
 	Warmed bool `capnp:"warmed"`
-	// Slots is how many requests it runs at a time; 0 if the list does not say.
+	// Slots is the maximum number of concurrent requests; 0 if the list does not state it.
 	Slots uint32 `capnp:"slots"`
-	// WarmUpLeft is how much longer its slow start lasted when the list was requested.
+	// WarmUpLeft is the remaining duration of its slow start when the list was requested.
 	WarmUpLeft time.Duration `capnp:"coldFor" json:"ColdFor"`
-	// Revision is the version of its software.
+	// Revision is its software version.
 	Revision string `capnp:"revision"`
 }
 
-// Identity is the key of a runner: its life, or its address if the list names no lives.
+// Identity is the key of a runner: its incarnation, or its address if that is empty.
 //
 //	runners[runner.Identity()] = runner
 func (runner Runner) Identity() string { return cmp.Or(runner.Life, runner.Address) }
 
-// sortRunners sorts runners by address, then by life, which is their order in a view.
+// sortRunners sorts runners by address, then by incarnation, as views list them.
 func sortRunners(runners []Runner) {
 	slices.SortFunc(runners, func(left, right Runner) int {
 		return cmp.Or(cmp.Compare(left.Address, right.Address), cmp.Compare(left.Life, right.Life))
--- a/system/feed/view.go
+++ b/system/feed/view.go
@@ -8,48 +8,48 @@
 	"yardrock.example/system/placement"
 )
 
-// View is everything in force at one number of the feed. A view and what it refers to are
-// immutable: Fold makes a new one.
+// View is the state after the change with its number. A view and all that it refers to are
+// immutable: Fold returns a new one.
 type View struct {
-	// Fleet identifies the fleet; it is a digest of the founding control nodes' names.
+	// Fleet is the ID of the fleet, a digest of the founding control nodes' names.
 	Fleet string `capnp:"fleet"`
-	// Number is that of the last change folded in, 0 for no view.
+	// Number is the number of the last change folded, 0 for an empty view.
 	Number uint64 `capnp:"number"`
-	// ConfigNumber is that of the change which brought the config, 0 if there is none.
+	// ConfigNumber is the number of the change that set the config, 0 if there is no config.
 	ConfigNumber uint64 `capnp:"configNumber"`
-	// Source is the config as its operator wrote it, Compiled the form that nodes decode.
+	// Source is the config as its operator wrote it; Compiled is the form that nodes decode.
 	Source   string `capnp:"source"`
 	Compiled []byte `capnp:"compiled"`
-	// Domains are those that were ever drained. A domain that is not listed serves.
+	// Domains are those that were ever drained. A domain that is not listed is serving.
 	Domains []Domain `capnp:"domains"`
-	// Runners are the platform's runners, sorted by address, then by life.
+	// Runners are the platform's runners, sorted by address, then by incarnation.
 	Runners []Runner `capnp:"runners"`
-	// FoundingStores are the first store list, from which groups were first placed.
+	// FoundingStores is the first store list, used for the initial placement of groups.
 	FoundingStores []Member `capnp:"foundingStores"`
-	// Stores are the store list, on which the replicas of session logs are placed.
+	// Stores is the store list, on which the replicas of session logs are placed.
 	Stores []Member `capnp:"stores"`
 	// Controls are the voters of the control group.
 	Controls []Member `capnp:"controls"`
-	// RoleLeases are the leases on singleton roles, one for each role ever leased.
+	// RoleLeases has one lease for each singleton role that was ever leased.
 	RoleLeases []RoleLease `capnp:"assignments"`
 	// Groups is the number of session log groups, fixed when the fleet is founded.
 	Groups uint32 `capnp:"groups"`
-	// Replicas is how many replicas a group has, fixed when the fleet is founded; 0 is
-	// placement.DefaultReplicas. ReplicationFactor resolves it.
+	// Replicas is the replication factor of the groups, fixed when the fleet is founded; 0 means
+	// placement.DefaultReplicas. Use ReplicationFactor to read it.
 	Replicas uint32 `capnp:"copies"`
-	// Founding are the names of the control nodes that founded the fleet, sorted.
+	// Founding are the sorted names of the control nodes that founded the fleet.
 	Founding []string `capnp:"founding"`
-	// Decommissioned are the last maxDecommissioned stores that left the store list empty.
+	// Decommissioned are the last maxDecommissioned stores that were decommissioned.
 	Decommissioned []Member `capnp:"retired"`
-	// RoutingRequests remember the last routing requests by their revisions, AdminRequests all
-	// other admin requests by the numbers of their changes.
+	// RoutingRequests records the last routing requests by their revisions, AdminRequests the
+	// last other admin requests by the numbers of their changes.
 	RoutingRequests RequestHistory `capnp:"routingOrders"`
 	AdminRequests   RequestHistory `capnp:"feedOrders"`
 }
 
-// EqualExceptObservations reports whether two views differ in nothing but what observations
-// bring (runners and role leases) and their numbers. Replicas is not compared: it is fixed when
-// the fleet is founded. A new field that commands change must be added here.
+// EqualExceptObservations reports whether two views are equal but for their numbers and the
+// fields that observations change (runners and role leases). Replicas is not compared: it is
+// fixed when the fleet is founded. A new field that commands change must be added here.
 //
 //	if view.EqualExceptObservations(previous) { ... }
 func (view *View) EqualExceptObservations(other *View) bool {
@@ -59,7 +59,7 @@
 		slices.Equal(view.Decommissioned, other.Decommissioned) && slices.Equal(view.FoundingStores, other.FoundingStores) && slices.Equal(view.Stores, other.Stores) && slices.Equal(view.Controls, other.Controls)
 }
 
-// DomainDrained reports whether a domain was drained and so gets no new work.
+// DomainDrained reports whether a domain is drained and so gets no new work.
 //
 //	if view.DomainDrained(runner.Domain) { continue }
 func (view *View) DomainDrained(name string) bool {
@@ -72,17 +72,17 @@
 }
 
 // WasDecommissioned reports whether a store, or an earlier one on its machine, was
-// decommissioned. Its machine may be switched off, so only an operator enrols it again.
+// decommissioned. Its machine may be shut down, so only an operator may enrol it again.
 //
 //	if view.WasDecommissioned(member) { continue }
 func (view *View) WasDecommissioned(store Member) bool {
 	return slices.ContainsFunc(view.Decommissioned, store.replaces)
 }
 
-// BoundFleet returns the name of the fleet that a node with this view belongs to for good,
-// empty if none yet. Before there is a store list nothing can have been acknowledged, and
-// a control plane that has just founded a fleet may still find that it belongs to an older
-// fleet whose control disks were lost.
+// BoundFleet returns the ID of the fleet that a node with this view is permanently bound to,
+// empty if it is not bound yet. Before there is a store list nothing can have been
+// acknowledged, and a control plane that has just founded a fleet may still discover that it
+// belongs to an existing fleet whose control disks were lost.
 //
 //	query.Fleet = view.BoundFleet()
 func (view *View) BoundFleet() string {
@@ -92,7 +92,7 @@
 	return view.Fleet
 }
 
-// RoleLeaseOf returns the lease on a role; it has no holder if the role was never leased.
+// RoleLeaseOf returns the lease on a role, without a holder if the role was never leased.
 //
 //	lease := view.RoleLeaseOf("roster")
 func (view *View) RoleLeaseOf(key string) RoleLease {
@@ -104,7 +104,7 @@
 	return RoleLease{Key: key}
 }
 
-// ReplicationFactor returns how many replicas each session log group has.
+// ReplicationFactor returns the number of replicas of each session log group.
 //
 //	names := placement.ReplicasOf(group, view.PlacementCandidates(), view.ReplicationFactor())
 func (view *View) ReplicationFactor() int {
@@ -121,8 +121,8 @@
 	return PlacementCandidates(view.Stores)
 }
 
-// PlacementCandidates returns those of the stores on which replicas may be placed: all that
-// are not being decommissioned.
+// PlacementCandidates returns the stores on which replicas may be placed: all that are not being
+// decommissioned.
 //
 //	candidates := feed.PlacementCandidates(view.FoundingStores)
 func PlacementCandidates(members []Member) []placement.Candidate {
@@ -134,8 +134,7 @@
 }
 
 // ViewReplicas returns the stores that replicate the view: all that are not being
-// decommissioned. A change other than an observation is acknowledged once a majority of them
-// has synced it.
+// decommissioned. A command is acknowledged once a majority of them has synced it.
 //
 //	majority := len(feed.ViewReplicas(view.Stores))/2 + 1
 func ViewReplicas(stores []Member) []Member {
@@ -144,8 +143,8 @@
 	})
 }
 
-// AddressOf returns the address of an enrolled store or control node, empty if there is none
-// of that name.
+// AddressOf returns the address of the enrolled store or control node with a name, empty if
+// there is none.
 //
 //	address := view.AddressOf(name)
 func (view *View) AddressOf(name string) string {
--- a/system/feedclient/controls.go
+++ b/system/feedclient/controls.go
@@ -12,21 +12,20 @@
 )
 
 const (
-	// seedTimeout bounds one round of asking the seeds for control nodes.
+	// seedTimeout bounds one query to all seeds for the control nodes.
 	seedTimeout = 500 * time.Millisecond
 	// preferredCheckInterval is how often the client checks whether its preferred control node
-	// is alive, to go back to it.
+	// is live, to return to it.
 	preferredCheckInterval = 15 * time.Second
-	// firstPreferredCheck is when it checks first after it changed to another control node.
-	firstPreferredCheck = 2 * time.Second
-	// maxParallelControls is how many control nodes are polled at once while none is known to
-	// reply.
+	// firstPreferredCheckDelay is the delay of the first check after it switched control nodes.
+	firstPreferredCheckDelay = 2 * time.Second
+	// maxParallelControls is how many control nodes are polled concurrently while none is known
+	// to reply.
 	maxParallelControls = 3
 )
 
-// pickControls returns the control nodes to poll next: the one that replied last, or the
-// preferred one if it is alive and a check is due; without one that replied, the next few
-// candidates.
+// pickControls returns the control nodes to poll next: the one that confirmed last, or the
+// preferred one if it is live and a check is due; if none confirmed, the next few candidates.
 func (client *Client) pickControls() []string {
 	if client.control != "" && time.Now().After(client.preferredCheckAt) {
 		client.preferredCheckAt = time.Now().Add(preferredCheckInterval)
@@ -45,7 +44,7 @@
 	return picked
 }
 
-// nextCandidate takes the next candidate, or "" if none is left.
+// nextCandidate removes and returns the next candidate, or "" if none is left.
 func (client *Client) nextCandidate() string {
 	if len(client.candidates) == 0 {
 		return ""
@@ -55,8 +54,8 @@
 	return next
 }
 
-// refillCandidates lists the control nodes of the view and, every other time, those that the
-// seeds know: those of the view may all have moved or be gone.
+// refillCandidates lists the control nodes of the view and, every second time or if there are
+// none, those that the seeds know, as those of the view may all have been replaced.
 func (client *Client) refillCandidates() {
 	client.candidates = client.rankedControls(client.view.Load())
 	client.candidateRounds++
@@ -70,40 +69,40 @@
 	}
 }
 
-// keepControl keeps polling a control node that confirmed. If it is another one than before, it
-// was merely the quickest of a few, so the preferred one is checked soon.
+// keepControl selects a control node that confirmed for the next poll. If it differs from the
+// previous one it was only the fastest of several, so the preferred one is checked soon.
 func (client *Client) keepControl(address string) {
 	if client.control != address {
-		client.control, client.preferredCheckAt = address, time.Now().Add(firstPreferredCheck)
+		client.control, client.preferredCheckAt = address, time.Now().Add(firstPreferredCheckDelay)
 	}
 }
 
-// rankedControls lists the addresses of a view's control nodes, the preferred one first: those
-// in this node's domain before others, each part in an order by this node's name, which
-// spreads nodes evenly.
+// rankedControls returns the addresses of a view's control nodes, the preferred one first: those
+// in this node's domain before others, each group ranked by this node's name, which distributes
+// nodes evenly.
 func (client *Client) rankedControls(view *feed.View) []string {
-	candidates, near, far := []placement.Candidate{}, []string{}, []string{}
+	candidates, sameDomain, otherDomains := []placement.Candidate{}, []string{}, []string{}
 	for _, member := range view.Controls {
 		candidates = append(candidates, placement.Candidate{Name: member.Address, Domain: member.Domain})
 	}
 	for _, candidate := range placement.Rank(client.self.Name, candidates) {
 		if candidate.Domain == client.self.Domain {
-			near = append(near, candidate.Name)
+			sameDomain = append(sameDomain, candidate.Name)
 		} else {
-			far = append(far, candidate.Name)
+			otherDomains = append(otherDomains, candidate.Name)
 		}
 	}
-	return append(near, far...)
+	return append(sameDomain, otherDomains...)
 }
 
-// isLive reports whether a live member has an address.
+// isLive reports whether an address is that of a live member.
 func (client *Client) isLive(address string) bool {
 	return slices.ContainsFunc(client.Members(), func(member feed.Member) bool { return member.Address == address })
 }
 
-// discoverControls asks all seeds at once for the control nodes that they know, and gives the
-// first list that is not empty, nil if there is none within seedTimeout. The requests that are
-// still in flight then are cancelled and not waited for.
+// discoverControls asks all seeds concurrently for the control nodes that they know, and returns
+// the first list that is not empty, or nil if there is none within seedTimeout. Requests still
+// in flight are cancelled and not waited for.
 func (client *Client) discoverControls() []string {
 	seeds := *client.seeds.Load()
 	ctx, cancel := context.WithTimeout(client.ctx, seedTimeout)
@@ -120,8 +119,8 @@
 	return nil
 }
 
-// controlsKnownAt asks one process for the control nodes that it knows, itself included if it
-// is one that has a view.
+// controlsKnownAt asks one process for the control nodes that it knows, which include the process
+// itself if it is an initialized control node.
 func (client *Client) controlsKnownAt(ctx context.Context, address string) []string {
 	reply, err := client.rpc.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
 	if err != nil || reply.Status == nil {
--- a/system/feedclient/feedclient.go
+++ b/system/feedclient/feedclient.go
@@ -1,20 +1,19 @@
-// Package feedclient keeps a process's view of the feed up to date, and knows until when the
-// view may be acted on.
+// Package feedclient keeps a process's view of the feed up to date and tracks until when the
+// view is fresh, that is, may be acted on.
 //
-// A Client polls one control node, its preferred one if it can, with long polling: each poll
-// is also the process's heartbeat, brings the changes after the client's view, and confirms
-// that nothing newer exists. When control nodes are late or unreachable, the client asks the
-// stores that replicate views; a majority of them includes one that has every acknowledged
-// change.
+// A Client long-polls one control node, the preferred one if possible. Each poll is also the
+// process's heartbeat; its reply has the changes after the client's view and confirms that
+// nothing newer exists. When control nodes are slow or unreachable, the client polls the stores
+// that replicate views; a majority of them includes one that has every acknowledged change.
 //
 // Guarantees:
-//   - View only moves forward in number, and never to another fleet's view.
-//   - A view is shown only after the owner's onView accepted it, in order of numbers.
-//   - Fresh gives a view only within freshnessWindow of a confirmation, counted from when the
-//     query for it was sent. So nobody acts on a view any more when freshnessWindow has
-//     passed since a change of it was acknowledged.
+//   - The number of the view only increases, and the view never becomes another fleet's.
+//   - A view is published only after the owner's onView accepted it, in order of numbers.
+//   - Fresh returns a view only within freshnessWindow of a confirmation, counted from when the
+//     query for it was sent. So once freshnessWindow has passed since a change was acknowledged,
+//     no process acts on a view without that change.
 //
-// A Client owns the view in memory; its owner stores it on disk, in onView.
+// A Client holds the view in memory; its owner stores it on disk in onView.
 package feedclient
 
 import (
@@ -34,44 +33,44 @@
 	rpc       *link.Client
 	self      feed.Member
 	onView    func(*feed.View) error
-	startedAt time.Time // the durations below count from it, on the monotonic clock
+	startedAt time.Time // the durations below are measured from it, on the monotonic clock
 
 	seeds            atomic.Pointer[[]string]
 	view             atomic.Pointer[feed.View]
 	members          atomic.Pointer[memberList]
-	needsFullView    atomic.Bool               // changes did not follow on the view
-	lastControlReply atomic.Int64              // duration; when a control quorum confirmed last; 0: never
-	runnerListReadAt atomic.Pointer[time.Time] // nil: not known
+	needsFullView    atomic.Bool               // the last changes could not be folded onto the view
+	lastControlReply atomic.Int64              // duration; time of the last confirmation by a control quorum; 0: none
+	runnerListReadAt atomic.Pointer[time.Time] // nil: unknown
 
-	freshUntil        atomic.Int64                  // duration; 0: never fresh yet
-	freshnessExtended atomic.Pointer[chan struct{}] // closed when freshUntil grows
+	freshUntil        atomic.Int64                  // duration; 0: never confirmed
+	freshnessExtended atomic.Pointer[chan struct{}] // closed when freshUntil is extended
 
-	adoptToken   chan struct{} // a mutex that Adopt can give up waiting for; full: unlocked
-	foreignFleet chan error    // has room for the one error that is reported
+	adoptToken   chan struct{} // a mutex whose acquisition can be cancelled; full: unlocked
+	foreignFleet chan error    // buffers the one error that is reported
 
-	// For the polling goroutine only.
-	control          string    // address of the control node that confirmed last; "" after a poll without one
-	preferredCheckAt time.Time // when to compare control with the preferred one
+	// Used by the polling goroutine only.
+	control          string    // address of the control node that confirmed the last poll; "" if none did
+	preferredCheckAt time.Time // time of the next check of the preferred control node
 	candidates       []string  // addresses of control nodes to try next
-	candidateRounds  int       // how often candidates was refilled
-	failures         int       // polls in a row without a confirmation by a control node
-	connectedAt      time.Time // of the start, or of the first confirmation after the last such poll
+	candidateRounds  int       // number of times candidates was refilled
+	failures         int       // consecutive polls without a confirmation by a control node
+	connectedAt      time.Time // time of the start, or of the first confirmation after failures
 
-	ctx  context.Context // ends with Stop
+	ctx  context.Context // cancelled by Stop
 	stop context.CancelFunc
 	done chan struct{} // closed when the polling goroutine has returned
 }
 
-// memberList is the live members of the fleet, and the digest that a control node gave them.
+// memberList is the live members of the fleet and the digest that a control node sent with them.
 type memberList struct {
 	members []feed.Member
 	digest  uint64
 }
 
-// Start begins to follow the feed for self until Stop is called. Seeds are addresses at which
-// control nodes may be found. The stored view, if any, is what the process has on disk.
-// onView is called with every newer view, one call at a time and in order of numbers, before
-// the view is shown; a view for which it gives an error is not shown, and is offered again.
+// Start follows the feed for self until Stop is called. Seeds are addresses of processes that
+// may know the control nodes. Stored is the view that the process has on disk, or nil. onView is
+// called with each newer view before it is published, one call at a time and in order of
+// numbers; a view for which it returns an error is not published, and is retried.
 //
 //	client := feedclient.Start(rpc, member, seeds, stored, func(view *feed.View) error { ... })
 func Start(rpc *link.Client, self feed.Member, seeds []string, stored *feed.View, onView func(*feed.View) error) *Client {
@@ -89,8 +88,8 @@
 	return client
 }
 
-// Stop ends polling and returns once the polling goroutine has. A request that was in flight
-// then is cancelled, but its goroutine is not waited for.
+// Stop ends polling and waits for the polling goroutine. Requests in flight are cancelled, but
+// their goroutines are not waited for.
 //
 //	defer client.Stop()
 func (client *Client) Stop() {
@@ -98,7 +97,7 @@
 	<-client.done
 }
 
-// SetSeeds replaces the seed addresses; the daemons do so on SIGHUP.
+// SetSeeds replaces the seed addresses; the daemons call it on SIGHUP.
 //
 //	client.SetSeeds([]string{"10.0.0.1:7000"})
 func (client *Client) SetSeeds(seeds []string) {
@@ -106,20 +105,20 @@
 	client.seeds.Store(&seeds)
 }
 
-// View returns the newest view, fresh or not; an empty one before the first. It must not be
-// changed.
+// View returns the newest view, fresh or not; it is empty before the first one is adopted. The
+// caller must not modify it.
 //
 //	view := client.View()
 func (client *Client) View() *feed.View { return client.view.Load() }
 
-// Members returns the nodes that are alive by their heartbeats to the control nodes, as of the
+// Members returns the live nodes, determined by their heartbeats to the control nodes, as of the
 // last reply.
 //
 //	for _, member := range client.Members() { ... }
 func (client *Client) Members() []feed.Member { return client.members.Load().members }
 
-// Adopt offers a view, from whichever source, and tells whether the client now has it or a
-// newer one. A view of another fleet is not adopted, nor one that onView does not accept.
+// Adopt publishes a view, from any source, if it is newer. It reports whether the client now has
+// that view or a newer one. A view of another fleet or one that onView rejects is not adopted.
 //
 //	if !client.Adopt(view) { ... }
 func (client *Client) Adopt(view *feed.View) bool {
@@ -137,16 +136,16 @@
 		return true
 	}
 	if err := client.onView(view); err != nil {
-		log.WithFields(log.Fields{"node": client.self.Name, "number": view.Number, "error": err.Error()}).Error("a newer view was not adopted")
+		log.WithFields(log.Fields{"node": client.self.Name, "number": view.Number, "error": err.Error()}).Error("cannot adopt a newer view")
 		return false
 	}
 	client.view.Store(view)
 	return true
 }
 
-// ForeignFleet receives an error if the control nodes at the seeds belong to another fleet
-// than the process's data directory, and no control node of its own fleet has replied since
-// the start. Such a process cannot go on.
+// ForeignFleet returns a channel that receives an error if the control nodes at the seeds belong
+// to another fleet than the process's data directory and no control node of its own fleet has
+// replied since the start. Such a process must exit.
 //
 //	err := <-client.ForeignFleet()
 func (client *Client) ForeignFleet() <-chan error { return client.foreignFleet }
--- a/system/feedclient/feedclient_test.go
+++ b/system/feedclient/feedclient_test.go
@@ -16,15 +16,15 @@
 
 const testTimeout = 10 * time.Second
 
-// scriptedControl is a control node that gives its replies one after the other; the last one
-// is repeated.
+// scriptedControl is a control node that sends the given replies in order and repeats the last
+// one.
 type scriptedControl struct {
 	mutex          sync.Mutex
 	replies        []func(query *wire.FollowQuery) *wire.FollowReply
 	requestedAfter []uint64
 }
 
-func (control *scriptedControl) answer(_ context.Context, query *wire.Query) *wire.Reply {
+func (control *scriptedControl) handle(_ context.Context, query *wire.Query) *wire.Reply {
 	if query.Follow == nil {
 		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{Role: feed.RoleControl}}
 	}
@@ -38,8 +38,8 @@
 	return &wire.Reply{Which: schema.Reply_Which_follow, Follow: next(query.Follow)}
 }
 
-// startClient runs a client of a scripted control node until it adopts a view of a number, and
-// gives that view.
+// startClient starts a client of a scripted control node, waits until it adopts the view with the
+// given number, and returns that view.
 func startClient(t *testing.T, stored *feed.View, number uint64, replies ...func(*wire.FollowQuery) *wire.FollowReply) (*Client, *scriptedControl, *feed.View) {
 	t.Helper()
 	control := &scriptedControl{replies: replies}
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := link.Serve(listener, control.answer)
+	server := link.Serve(listener, control.handle)
 	t.Cleanup(server.Close)
 	rpc := link.NewClient(link.TCP{})
 	t.Cleanup(rpc.Close)
@@ -66,7 +66,7 @@
 	case view := <-reached:
 		return client, control, view
 	case <-time.After(testTimeout):
-		t.Fatalf("number %d was not reached", number)
+		t.Fatalf("view %d was not reached", number)
 		return nil, nil, nil
 	}
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-func configs(count int) []feed.View {
+func consecutiveViews(count int) []feed.View {
 	views := []feed.View{{}}
 	for number := range count {
 		view := feed.View{Fleet: "fleet", Number: uint64(number + 1), ConfigNumber: uint64(number + 1)}
@@ -97,10 +97,10 @@
 	return feed.Change{Number: after.Number, Kind: feed.ChangeConfig, Compiled: after.Compiled}.Compact(before)
 }
 
-// TestConfigMismatchIsRepairedByAFullView gives a client a delta that was made on another config
-// of the number that it has: it asks for a full view, and has what the leader has.
-func TestConfigMismatchIsRepairedByAFullView(t *testing.T) {
-	views := configs(3)
+// TestConfigMismatchIsRepairedByFullView sends a delta whose base has the number of the client's
+// config but other content. The client must request a full view.
+func TestConfigMismatchIsRepairedByFullView(t *testing.T) {
+	views := consecutiveViews(3)
 	other := views[1]
 	other.Compiled = append([]byte("other"), other.Compiled...)
 	wrong := changeBetween(&other, &views[2])
@@ -115,18 +115,18 @@
 			return &wire.FollowReply{Newest: 2, Changes: []feed.Change{wrong}}
 		})
 	if view.Number != 3 || !bytes.Equal(view.Compiled, views[3].Compiled) {
-		t.Errorf("number %d, %d bytes", view.Number, len(view.Compiled))
+		t.Errorf("view %d with a config of %d bytes", view.Number, len(view.Compiled))
 	}
 	control.mutex.Lock()
 	defer control.mutex.Unlock()
 	if control.requestedAfter[1] != 1 || control.requestedAfter[2] != 0 {
-		t.Errorf("asked after %v", control.requestedAfter)
+		t.Errorf("changes were requested after %v", control.requestedAfter)
 	}
 }
 
-// TestChangesAreAppliedInOrder gives a client many deltas at once.
+// TestChangesAreAppliedInOrder sends many deltas in one reply.
 func TestChangesAreAppliedInOrder(t *testing.T) {
-	views := configs(300)
+	views := consecutiveViews(300)
 	changes := []feed.Change{}
 	for at := 2; at < len(views); at++ {
 		changes = append(changes, changeBetween(&views[at-1], &views[at]))
@@ -135,14 +135,14 @@
 		return &wire.FollowReply{Newest: 300, Changes: changes[min(int(query.After-1), len(changes)):]}
 	})
 	if !bytes.Equal(view.Compiled, views[300].Compiled) {
-		t.Errorf("%d bytes, not %d", len(view.Compiled), len(views[300].Compiled))
+		t.Errorf("config has %d bytes, want %d", len(view.Compiled), len(views[300].Compiled))
 	}
 }
 
-// TestClientAheadOfItsControlNodeKeepsItsView lets a control node that lags behind
-// confirm: the client's own view is newer, and is confirmed with it.
-func TestClientAheadOfItsControlNodeKeepsItsView(t *testing.T) {
-	views := configs(5)
+// TestClientAheadOfControlNodeKeepsItsView checks that the confirmation of a lagging control node
+// confirms the client's newer view and does not replace it.
+func TestClientAheadOfControlNodeKeepsItsView(t *testing.T) {
+	views := consecutiveViews(5)
 	client, _, _ := startClient(t, &views[5], 5, func(*wire.FollowQuery) *wire.FollowReply {
 		return &wire.FollowReply{Newest: 3, Reset: true, View: feed.View{Fleet: "fleet", Number: 3}}
 	})
@@ -150,43 +150,43 @@
 	defer cancel()
 	view, err := client.AwaitFresh(ctx, testTimeout)
 	if err != nil || view.Number != 5 || !bytes.Equal(view.Compiled, views[5].Compiled) {
-		t.Errorf("%v, %+v", err, view)
+		t.Errorf("error %v, view %+v", err, view)
 	}
 }
 
-// TestDamagedViewIsNotAdopted gives a client a packed view that cannot be read.
+// TestDamagedViewIsNotAdopted sends a packed view that cannot be decoded.
 func TestDamagedViewIsNotAdopted(t *testing.T) {
-	views := configs(2)
+	views := consecutiveViews(2)
 	damaged := wire.PackView(&views[1])
 	damaged = damaged[:len(damaged)/2]
 	_, _, view := startClient(t, nil, 2, func(*wire.FollowQuery) *wire.FollowReply {
 		return &wire.FollowReply{Newest: 1, Reset: true, PackedView: damaged}
 	}, fullViewReply(&views[2]))
 	if view.Number != 2 {
-		t.Errorf("number %d", view.Number)
+		t.Errorf("adopted view %d, want 2", view.Number)
 	}
 }
 
-// scriptedStores are stores that replicate views. Each request gets newest, the
-// view that they have then, by how many requests came before.
+// scriptedStores are stores that replicate views. The reply to each request is the view that
+// newest returns for the number of requests before it.
 type scriptedStores struct {
-	mutex     sync.Mutex
-	requested int
-	newest    func(requested int) *feed.View
+	mutex        sync.Mutex
+	requestCount int
+	newest       func(requestCount int) *feed.View
 }
 
-func (stores *scriptedStores) answer(_ context.Context, query *wire.Query) *wire.Reply {
+func (stores *scriptedStores) handle(_ context.Context, query *wire.Query) *wire.Reply {
 	if query.NewestView == nil {
 		return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{Role: feed.RoleStore}}
 	}
 	stores.mutex.Lock()
 	defer stores.mutex.Unlock()
-	view := stores.newest(stores.requested)
-	stores.requested++
+	view := stores.newest(stores.requestCount)
+	stores.requestCount++
 	return &wire.Reply{Which: schema.Reply_Which_newest, NewestView: &wire.NewestViewReply{Number: view.Number, PackedView: wire.PackView(view)}}
 }
 
-// start serves so many stores on loopback and returns them as members.
+// start serves count stores on the loopback interface and returns their members.
 func (stores *scriptedStores) start(t *testing.T, count int) []feed.Member {
 	t.Helper()
 	members := []feed.Member{}
@@ -195,14 +195,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server := link.Serve(listener, stores.answer)
+		server := link.Serve(listener, stores.handle)
 		t.Cleanup(server.Close)
 		members = append(members, feed.Member{Name: fmt.Sprintf("store-%d", number), Role: feed.RoleStore, Address: listener.Addr().String()})
 	}
 	return members
 }
 
-// startWithStoresOnly runs a client that has a view and reaches no control node.
+// startWithStoresOnly starts a client with a view but without any control node.
 func startWithStoresOnly(t *testing.T, stored *feed.View) *Client {
 	t.Helper()
 	rpc := link.NewClient(link.TCP{})
@@ -212,14 +212,14 @@
 	return client
 }
 
-// TestStoresConfirmAViewThatChangesAllTheTime has every round at the stores bring a newer view,
-// as it is while the control plane changes leaders. Each round confirms what it brings: a
-// client that waited for one without news would not be fresh as long as that lasts.
-func TestStoresConfirmAViewThatChangesAllTheTime(t *testing.T) {
+// TestStoresConfirmContinuouslyChangingView has every poll of the stores return a newer view, as
+// may happen during a leader change. The client must count each as confirmed; otherwise it would
+// not be fresh until the changes stop.
+func TestStoresConfirmContinuouslyChangingView(t *testing.T) {
 	stores := &scriptedStores{}
 	members := stores.start(t, 3)
-	stores.newest = func(requested int) *feed.View {
-		return &feed.View{Fleet: "fleet", Number: uint64(2 + requested), ConfigNumber: 1, Stores: members}
+	stores.newest = func(requestCount int) *feed.View {
+		return &feed.View{Fleet: "fleet", Number: uint64(2 + requestCount), ConfigNumber: 1, Stores: members}
 	}
 	client := startWithStoresOnly(t, &feed.View{Fleet: "fleet", Number: 1, ConfigNumber: 1, Stores: members})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -229,9 +229,10 @@
 	}
 }
 
-// TestStoresOfAnotherListDoNotConfirm has the stores tell of a view with another store list,
-// whose stores do not answer: what these acknowledged since, the old ones cannot know.
-func TestStoresOfAnotherListDoNotConfirm(t *testing.T) {
+// TestStoresOfSupersededListDoNotConfirm has the stores report a view with another store list,
+// whose stores do not reply. The old stores may lack changes that the new ones acknowledged, so
+// the view must not count as confirmed.
+func TestStoresOfSupersededListDoNotConfirm(t *testing.T) {
 	stores := &scriptedStores{}
 	members := stores.start(t, 3)
 	moved := []feed.Member{}
@@ -245,46 +246,46 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if view, err := client.AwaitFresh(ctx, testTimeout); err == nil {
-		t.Errorf("view %d with stores that got no request counts as in force", view.Number)
+		t.Errorf("view %d is fresh, but the stores that it lists did not confirm it", view.Number)
 	}
 	if number := client.View().Number; number != 2 {
-		t.Errorf("the view has number %d, not the newer one that the stores told of", number)
+		t.Errorf("view number is %d, want 2 as reported by the stores", number)
 	}
 }
 
-// TestLongPollDependsOnTheRunnerList checks how long a control node may delay its reply, by the
-// age of the reading of the runner list that a front knows and by how long it has had contact.
+// TestLongPollDependsOnTheRunnerList checks the long poll for various ages of the runner list and
+// times since the client connected.
 func TestLongPollDependsOnTheRunnerList(t *testing.T) {
 	for name, test := range map[string]struct {
-		role       string
-		readingAge time.Duration // 0: none is known
-		contact    time.Duration
-		want       time.Duration
+		role         string
+		listAge      time.Duration // 0: unknown
+		connectedFor time.Duration
+		want         time.Duration
 	}{
-		"a store":                              {feed.RoleStore, 0, time.Second, 300 * time.Millisecond},
-		"no reading after the start":           {feed.RoleFront, 0, time.Second, 0},
-		"no reading for long":                  {feed.RoleFront, 0, reconnectPeriod + time.Second, defaultLongPoll},
-		"a new reading":                        {feed.RoleFront, 100 * time.Millisecond, time.Second, defaultLongPoll},
-		"a reading that grows old":             {feed.RoleFront, 700 * time.Millisecond, time.Minute, runnerListLongPoll - 700*time.Millisecond},
-		"a reading that is too old soon":       {feed.RoleFront, 1050 * time.Millisecond, time.Minute, minLongPoll},
-		"an old reading after contact is back": {feed.RoleFront, 3 * time.Second, time.Second, 0},
-		"an old reading for long":              {feed.RoleFront, 8 * time.Second, reconnectPeriod + time.Second, minLongPoll},
+		"store":                           {feed.RoleStore, 0, time.Second, 300 * time.Millisecond},
+		"no list after the start":         {feed.RoleFront, 0, time.Second, 0},
+		"no list for a long time":         {feed.RoleFront, 0, reconnectPeriod + time.Second, defaultLongPoll},
+		"new list":                        {feed.RoleFront, 100 * time.Millisecond, time.Second, defaultLongPoll},
+		"aging list":                      {feed.RoleFront, 700 * time.Millisecond, time.Minute, runnerListLongPoll - 700*time.Millisecond},
+		"list about to expire":            {feed.RoleFront, 1050 * time.Millisecond, time.Minute, minLongPoll},
+		"expired list after reconnecting": {feed.RoleFront, 3 * time.Second, time.Second, 0},
+		"expired list for a long time":    {feed.RoleFront, 8 * time.Second, reconnectPeriod + time.Second, minLongPoll},
 	} {
 		now := time.Now()
-		client := &Client{self: feed.Member{Role: test.role}, startedAt: now.Add(-time.Hour), connectedAt: now.Add(-test.contact)}
-		if test.readingAge > 0 {
-			client.runnerListReadAt.Store(new(now.Add(-test.readingAge)))
+		client := &Client{self: feed.Member{Role: test.role}, startedAt: now.Add(-time.Hour), connectedAt: now.Add(-test.connectedFor)}
+		if test.listAge > 0 {
+			client.runnerListReadAt.Store(new(now.Add(-test.listAge)))
 		}
 		if got := client.longPoll(); got < test.want-20*time.Millisecond || got > test.want {
-			t.Errorf("%s: %s instead of %s", name, got, test.want)
+			t.Errorf("%s: long poll is %s, want %s", name, got, test.want)
 		}
 	}
 }
 
-// TestSilentControlNodesDoNotHoldUpAPoll has a client whose candidates are silent, but for the
-// last: it gets a poll as soon as one has failed, not when the silent ones have timed out.
-func TestSilentControlNodesDoNotHoldUpAPoll(t *testing.T) {
-	silent, err := link.TCP{}.Listen("127.0.0.1:0") // nobody accepts
+// TestUnresponsiveControlNodesDoNotDelayPoll polls candidates of which only the last one replies.
+// The client must poll it as soon as another one fails, not after the unresponsive ones time out.
+func TestUnresponsiveControlNodesDoNotDelayPoll(t *testing.T) {
+	silent, err := link.TCP{}.Listen("127.0.0.1:0") // accepts no connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -294,7 +295,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := link.Serve(listener, control.answer)
+	server := link.Serve(listener, control.handle)
 	defer server.Close()
 	rpc := link.NewClient(link.TCP{})
 	defer rpc.Close()
@@ -303,13 +304,13 @@
 	client.members.Store(&memberList{})
 	client.freshnessExtended.Store(new(make(chan struct{})))
 	client.adoptToken <- struct{}{}
-	began := time.Now()
+	start := time.Now()
 	address := listener.Addr().String()
 	client.candidates = []string{silent.Addr().String(), "127.0.0.1:1", silent.Addr().String(), address}
 	if !client.poll() || client.control != address {
-		t.Fatalf("the poll ended with control node %q", client.control)
+		t.Fatalf("poll ended with control node %q", client.control)
 	}
-	if took := time.Since(began); took >= requestTimeout {
-		t.Errorf("it took %s, as long as the silent control nodes", took)
+	if elapsed := time.Since(start); elapsed >= requestTimeout {
+		t.Errorf("poll took %s, as long as the timeout of the unresponsive control nodes", elapsed)
 	}
 }
--- a/system/feedclient/polling.go
+++ b/system/feedclient/polling.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	// requestTimeout is how long a reply may take beyond its long poll.
+	// requestTimeout is how long a reply may take in addition to its long poll.
 	requestTimeout = 600 * time.Millisecond
-	// failureGrace is how long a poll goes on after a control node failed and no other one is
-	// left to ask: those that answer nothing must not hold up the next poll.
+	// failureGrace is how long a poll continues after a control node failed and no candidate is
+	// left, so that unresponsive control nodes do not delay the next poll.
 	failureGrace = 250 * time.Millisecond
-	// hedgeDelay is how late a reply of a control node is, beyond its long poll, when the
-	// stores are asked as well.
+	// hedgeDelay is how long after the end of the long poll a reply must be overdue before the
+	// stores are polled as well.
 	hedgeDelay = 400 * time.Millisecond
-	// minPause is between the end of a poll and the next; each further poll in a row without
-	// a confirmation by a control node adds as much, up to maxPause.
+	// minPause is the pause between two polls. Each further consecutive poll without a
+	// confirmation by a control node adds as much, up to maxPause.
 	minPause = 50 * time.Millisecond
 	maxPause = 200 * time.Millisecond
 )
 
-// Long polls: how long a control node may delay its reply while nothing changes.
+// Durations of long polls, for which a control node may delay its reply while nothing changes.
 const (
 	defaultLongPoll = 700 * time.Millisecond
-	// A front that knows only an old reading of the runner list shortens its long poll, so
-	// that it learns of the next reading before the one it has is too old to act on: to
-	// runnerListLongPoll less the reading's age, but not below minLongPoll.
+	// A front whose runner list is getting old shortens its long poll to runnerListLongPoll
+	// minus the list's age, but not below minLongPoll, so that it learns of the next read of the
+	// list before its own is too old to act on.
 	runnerListLongPoll = 1100 * time.Millisecond
 	minLongPoll        = 300 * time.Millisecond
-	// reconnectPeriod is how long after its start, or after it lost contact with the control
-	// nodes, a client whose reading is too old polls without delay. The next reading comes soon
-	// then, and changes nothing that would end a long poll.
+	// reconnectPeriod is how long after its start, or after it reconnected to the control nodes,
+	// a client whose runner list is too old polls without waiting. The control plane reads the
+	// list again soon, and an unchanged list would not end a long poll.
 	reconnectPeriod = 3 * time.Second
 )
 
-// longPollByRole has the roles whose long poll is fixed. Stores are few, and their heartbeats
-// are missed sooner.
+// longPollByRole has the roles with a fixed long poll. That of stores is short, as there are few
+// of them and a store that stops sending heartbeats must be detected sooner.
 var longPollByRole = map[string]time.Duration{feed.RoleStore: 300 * time.Millisecond}
 
-// run polls until Stop is called. It is the only goroutine that uses the fields for polling.
+// run polls until Stop is called. Only its goroutine uses the polling fields of the client.
 func (client *Client) run() {
 	defer close(client.done)
 	timer := time.NewTimer(0)
@@ -69,8 +69,8 @@
 	}
 }
 
-// poll asks the control node that replied last, with a long poll, or a few at once if none
-// did, as some may be unreachable. It hedges with the stores if the reply is late, and reports
+// poll long-polls the control node that confirmed last or, if none did, polls several at once, as
+// some may be unreachable. It polls the stores as a hedge if the reply is late, and reports
 // whether a control node confirmed a view. The requests are cancelled when it returns; their
 // goroutines are not waited for.
 func (client *Client) poll() bool {
@@ -92,11 +92,12 @@
 	return false
 }
 
-// awaitConfirmation polls control nodes until one of them confirms, and returns its address,
-// or "" if none does. In the place of one that fails the next candidate is asked at once. It
-// also reports whether the stores were asked meanwhile.
+// awaitConfirmation polls control nodes until one of them confirms, and returns its address, or
+// "" if none does. When one fails, the next candidate is polled immediately in its place. It also
+// reports whether the stores were polled meanwhile.
 func (client *Client) awaitConfirmation(ctx context.Context, addresses []string, wait time.Duration) (confirmed string, hedged bool) {
-	// The address that confirmed, or "". There is room for all, as nobody may wait any more.
+	// The address that confirmed, or "" for a failure. The buffer holds all results, so that
+	// goroutines that finish after the return do not block.
 	confirmations := make(chan string, len(addresses)+len(client.candidates))
 	start := func(address string, wait time.Duration) {
 		go func() {
@@ -110,7 +111,7 @@
 	for _, address := range addresses {
 		start(address, wait)
 	}
-	hedge, abandon := time.NewTimer(wait+hedgeDelay), make(<-chan time.Time)
+	hedge, graceExpired := time.NewTimer(wait+hedgeDelay), make(<-chan time.Time)
 	defer hedge.Stop()
 	for pending := len(addresses); pending > 0; {
 		select {
@@ -123,8 +124,8 @@
 				continue
 			}
 			pending--
-			abandon = time.After(failureGrace)
-		case <-abandon:
+			graceExpired = time.After(failureGrace)
+		case <-graceExpired:
 			return "", hedged
 		case <-hedge.C:
 			hedged = true
@@ -134,7 +135,7 @@
 	return "", hedged
 }
 
-// longPoll is how long the control node may delay its reply.
+// longPoll returns how long the control node may delay its reply.
 func (client *Client) longPoll() time.Duration {
 	if wait, fixed := longPollByRole[client.self.Role]; fixed {
 		return wait
@@ -149,7 +150,7 @@
 	return max(minLongPoll, min(defaultLongPoll, runnerListLongPoll-time.Since(readAt)))
 }
 
-// pollControl sends one poll to a control node and applies its reply. It reports whether the
+// pollControl sends one poll to a control node and processes its reply. It reports whether the
 // reply confirmed the client's view.
 func (client *Client) pollControl(ctx context.Context, address string, wait time.Duration) bool {
 	sentAt, view := time.Now(), client.view.Load()
@@ -164,33 +165,32 @@
 	}
 	next, err := viewAfter(view, reply.Follow)
 	if err != nil {
-		log.WithFields(log.Fields{"node": client.self.Name, "address": address, "number": view.Number, "error": err.Error()}).Warn("changes do not follow on this node's view; asking for a full view")
+		log.WithFields(log.Fields{"node": client.self.Name, "address": address, "number": view.Number, "error": err.Error()}).Warn("cannot apply a feed reply to the current view; requesting a full view")
 		client.needsFullView.Store(true)
 		return false
 	}
 	return client.onReply(reply.Follow, next, sentAt, query.After == 0)
 }
 
-// onPollFailed closes the connection after a timeout, as the control node may be frozen or
-// gone, and logs the error unless the poll was cancelled.
+// onPollFailed closes the connection after a timeout, as the control node may be hung or
+// unreachable, and logs the error unless the poll was cancelled.
 func (client *Client) onPollFailed(ctx context.Context, address string, err error) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		client.rpc.Drop(address)
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) && err != nil {
-		log.WithFields(log.Fields{"node": client.self.Name, "address": address, "error": err.Error()}).Warn("a control node did not answer a poll of the feed")
+		log.WithFields(log.Fields{"node": client.self.Name, "address": address, "error": err.Error()}).Warn("feed poll of a control node failed")
 	}
 	client.reportForeignFleet(err)
 }
 
-// onReply adopts the view that a reply leads to and, with it, what the reply confirms about
-// it. isFull says that a full view was asked for. It reports whether the client's view is
-// confirmed now.
+// onReply adopts the view that results from a reply and records what the reply confirms. isFull
+// says that a full view was requested. It reports whether the client's view is now confirmed.
 func (client *Client) onReply(reply *wire.FollowReply, next *feed.View, sentAt time.Time, isFull bool) bool {
 	if next.Number < reply.Newest {
 		return false
 	}
-	// The quorum confirmed at the earliest when the node began to ask it, and that was at least
+	// The quorum confirmed no earlier than the control node started to ask it, which was at least
 	// ConfirmationDelay after the query was sent.
 	confirmedAt := sentAt.Add(reply.ConfirmationDelay)
 	client.lastControlReply.Store(int64(confirmedAt.Sub(client.startedAt)))
@@ -203,14 +203,14 @@
 	if reply.MembersDigest != 0 {
 		client.members.Store(&memberList{reply.Members, reply.MembersDigest})
 	}
-	// After Adopt: whoever sees the new reading must find its content in the view.
+	// Must follow Adopt: a reader that sees the new read time must find the list in the view.
 	client.recordRunnerListAge(reply, sentAt)
 	client.extendFreshness(confirmedAt)
 	return true
 }
 
-// viewAfter returns the view that a reply leads to from the current one; an error if its
-// changes do not follow on that.
+// viewAfter returns the view that results from a reply to the current one. It fails if the reply's
+// changes cannot be folded onto the current view or its full view cannot be decoded.
 func viewAfter(current *feed.View, reply *wire.FollowReply) (*feed.View, error) {
 	if reply.Reset {
 		return reply.FullView()
@@ -219,15 +219,15 @@
 	return &next, err
 }
 
-// reportForeignFleet reports, once, a control node's rejection because of its fleet, unless a
-// control node of this fleet has replied since the start: then the seeds are merely wrong by
-// now.
+// reportForeignFleet reports, once, that a control node rejected the client as belonging to
+// another fleet. It does not if a control node of this fleet has replied since the start, as the
+// seeds are then only outdated.
 func (client *Client) reportForeignFleet(err error) {
 	if !apierror.Is(err, apierror.ForeignFleet) || client.lastControlReply.Load() > 0 {
 		return
 	}
 	select {
 	case client.foreignFleet <- err:
-	default: // reported already
+	default: // already reported
 	}
 }
--- a/system/feedclient/stores.go
+++ b/system/feedclient/stores.go
@@ -10,12 +10,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// maxStoreRounds bounds how often pollStores asks: once more after a view whose store list is
-// another one.
+// maxStoreRounds bounds the rounds of pollStores: it asks once more after it adopted a view with
+// another store list.
 const maxStoreRounds = 2
 
-// pollStores adopts the newest view that a majority of the stores that replicate views has
-// synced, and counts it as confirmed if the stores asked are those that it lists.
+// pollStores adopts the newest view that any of a majority of the stores that replicate views
+// reports, and counts it as confirmed if the stores asked are those that it lists.
 func (client *Client) pollStores() {
 	for range maxStoreRounds {
 		sentAt, stores := time.Now(), feed.ViewReplicas(client.view.Load().Stores)
@@ -23,10 +23,10 @@
 		if newest == nil || !client.Adopt(newest) {
 			return
 		}
-		// A change is acknowledged only after a majority of the list synced it, and two
-		// majorities of one list have a store in common: what was acknowledged before the
-		// round is not newer than the newest that a majority reported. Of another list they
-		// need not have one, so that is asked in its turn.
+		// A change is acknowledged only after a majority of the store list synced it, and two
+		// majorities of one list intersect. So a change acknowledged before the round is not
+		// newer than the newest view that a majority reported. Majorities of different lists
+		// need not intersect, so after a change of the list the new one is asked.
 		if slices.EqualFunc(stores, feed.ViewReplicas(newest.Stores), sameStore) {
 			client.extendFreshness(sentAt)
 			return
@@ -34,12 +34,12 @@
 	}
 }
 
-// sameStore reports whether two members are the same incarnation of a store.
+// sameStore reports whether two members have the same name, and so the same disk.
 func sameStore(left, right feed.Member) bool { return left.Name == right.Name }
 
-// newestViewAtStores returns the newest view that a majority of stores reported, or that of the
-// client if none is newer; nil if no majority answered. The requests are cancelled when it
-// returns; their goroutines are not waited for.
+// newestViewAtStores returns the newest view reported by the first majority of stores to reply, or
+// the client's view if none is newer; nil if no majority replied. The requests are cancelled
+// when it returns; their goroutines are not waited for.
 func (client *Client) newestViewAtStores(stores []feed.Member) *feed.View {
 	if len(stores) == 0 {
 		return nil
@@ -73,7 +73,7 @@
 	return newest
 }
 
-// newestViewAt asks a store for the view that it has if that is newer; nil without a reply.
+// newestViewAt asks a store for its view if that is newer than view; nil if the request fails.
 func (client *Client) newestViewAt(ctx context.Context, store feed.Member, view *feed.View) *wire.NewestViewReply {
 	reply, err := client.rpc.Call(ctx, store.Address, &wire.Query{Fleet: view.BoundFleet(), To: store.Name, Which: schema.Query_Which_newest, NewestView: &wire.NewestViewQuery{After: view.Number, Packed: true}})
 	if err != nil {
