--- a/proof/scale/bench_test.go
+++ b/proof/scale/bench_test.go
@@ -16,7 +16,7 @@
 		members, runners := []feed.Member{}, []feed.Runner{}
 		for position := range size {
 			members = append(members, feed.Member{Name: fmt.Sprintf("front-%08d-1234-1234-1234-123456789012", position), Role: feed.RoleFront, Address: fmt.Sprintf("10.1.%d.%d:7000", position/250, position%250), Domain: domains[position%3], Machine: fmt.Sprintf("edge-%d", position)})
-			runners = append(runners, feed.Runner{Life: fmt.Sprintf("life-%d", position), Address: fmt.Sprintf("10.2.%d.%d:8000", position/250, position%250), Group: groups[position%3], Domain: domains[position%3], State: feed.StateServing, Slots: 32})
+			runners = append(runners, feed.Runner{Incarnation: fmt.Sprintf("life-%d", position), Address: fmt.Sprintf("10.2.%d.%d:8000", position/250, position%250), Group: groups[position%3], Domain: domains[position%3], State: feed.StateServing, Slots: 32})
 		}
 		for name, answer := range map[string]wire.FollowReply{
 			"nodes":   {Newest: 5, MembersDigest: 7, Members: members},
--- a/proof/simulator/chaos_runners_test.go
+++ b/proof/simulator/chaos_runners_test.go
@@ -18,7 +18,7 @@
 		if !life.listed {
 			continue
 		}
-		runner := feed.Runner{Life: life.engine.Life, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.StateServing, Slots: 32}
+		runner := feed.Runner{Incarnation: life.engine.Life, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.StateServing, Slots: 32}
 		if len(life.warmingUp) > 0 {
 			if left := time.Until(life.warmingUp[len(life.warmingUp)-1].until); left > 0 {
 				runner.State, runner.WarmUpLeft = feed.StateWarmingUp, left
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -50,7 +50,7 @@
 
 func stateOf(view *feed.View, life string) string {
 	for _, runner := range view.Runners {
-		if runner.Life == life {
+		if runner.Incarnation == life {
 			return runner.State
 		}
 	}
@@ -62,9 +62,9 @@
 		source := cluster.RunnerList
 		const soon = 1300 * time.Millisecond // a poll, a commit and a round of the fronts
 		runner := func(life, state string, cold time.Duration) feed.Runner {
-			return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: cold, Slots: 4}
+			return feed.Runner{Incarnation: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: cold, Slots: 4}
 		}
-		other := feed.Runner{Life: "other", Address: "10.0.3.2:8000", Group: "small", Domain: "west", State: feed.StateServing}
+		other := feed.Runner{Incarnation: "other", Address: "10.0.3.2:8000", Group: "small", Domain: "west", State: feed.StateServing}
 		watching := cluster.watch(t, 6)
 		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 4*time.Second)})
 		until(t, soon, watching, "a cold runner", func(view *feed.View) bool {
--- a/proof/simulator/wildrunner_test.go
+++ b/proof/simulator/wildrunner_test.go
@@ -61,7 +61,7 @@
 
 // listed is the runner as the platform's list names it.
 func (runner *wildRunner) listed(position int) feed.Runner {
-	return feed.Runner{Life: runner.life, Address: runner.host + ":8000", Group: runner.group, Domain: domain(position), State: feed.StateServing, Slots: 32}
+	return feed.Runner{Incarnation: runner.life, Address: runner.host + ":8000", Group: runner.group, Domain: domain(position), State: feed.StateServing, Slots: 32}
 }
 
 // reset ends all connections at once.
--- a/system/balancer/fixtures_test.go
+++ b/system/balancer/fixtures_test.go
@@ -34,7 +34,7 @@
 	runners := make([]feed.Runner, count)
 	for index := range runners {
 		runners[index] = feed.Runner{
-			Life: fmt.Sprintf("%s-%d", group, index), Address: fmt.Sprintf("10.0.0.%d:80", index), Group: group,
+			Incarnation: fmt.Sprintf("%s-%d", group, index), Address: fmt.Sprintf("10.0.0.%d:80", index), Group: group,
 			Domain: domains[index%len(domains)], State: feed.StateServing, Slots: uint32(slots),
 		}
 	}
@@ -83,8 +83,8 @@
 func mustAcquireAt(t *testing.T, balancer *Balancer, request Request, incarnation string) *Lease {
 	t.Helper()
 	for _, runner := range balancer.Status().Runners {
-		if runner.Runner.Life != incarnation {
-			request.Excluded = append(request.Excluded, runner.Runner.Life)
+		if runner.Runner.Incarnation != incarnation {
+			request.Excluded = append(request.Excluded, runner.Runner.Incarnation)
 		}
 	}
 	return mustAcquire(t, balancer, request)
--- a/system/balancer/health_checks.go
+++ b/system/balancer/health_checks.go
@@ -57,7 +57,7 @@
 // recordMisdirection removes a runner whose address now belongs to another one. Without an
 // incarnation it cannot be distinguished from its successor and is only ejected.
 func (lease *Lease) recordMisdirection(now time.Duration) {
-	if lease.Runner.Life == "" {
+	if lease.Runner.Incarnation == "" {
 		lease.state.health.recordLoss(lease.acquiredAt, now)
 		return
 	}
@@ -83,5 +83,5 @@
 
 // logger returns a log entry with the fields of the lease's runner.
 func (lease *Lease) logger() *log.Entry {
-	return log.WithFields(log.Fields{"runner": lease.Runner.Life, "address": lease.Runner.Address, "service": lease.Service.Name})
+	return log.WithFields(log.Fields{"runner": lease.Runner.Incarnation, "address": lease.Runner.Address, "service": lease.Service.Name})
 }
--- a/system/balancer/lease_test.go
+++ b/system/balancer/lease_test.go
@@ -24,7 +24,7 @@
 		{"nothing changed", func(*State) {}, true},
 		{"the runner is draining", func(state *State) { state.View.Runners[0].State = feed.StateDraining }, false},
 		{"the runner is not listed", func(state *State) { state.View.Runners = nil }, false},
-		{"another incarnation answers at its address", func(state *State) { state.View.Runners[0].Life = "other" }, false},
+		{"another incarnation answers at its address", func(state *State) { state.View.Runners[0].Incarnation = "other" }, false},
 		{"its domain is drained", func(state *State) { state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}} }, false},
 		{"the route points to another service", func(state *State) {
 			state.Routing.Routes[0].Shares = []config.WeightedService{{Service: "other", Weight: 1}}
--- a/system/balancer/model_simulation_test.go
+++ b/system/balancer/model_simulation_test.go
@@ -95,12 +95,12 @@
 	service := modelService(19)
 	service.Engine.Slots, service.Engine.CacheTokens = setup.slots, uint64(setup.cacheTokens)
 	for index, runner := range sim.listed {
-		sim.runners[runner.Life] = &modelRunner{
+		sim.runners[runner.Incarnation] = &modelRunner{
 			sim: sim.simulation, slots: setup.slots, prefillChunk: 2048, stepTime: setup.stepTime, stepTimePerRequest: setup.stepTimePerRequest, prefillRate: 38,
 			outputLatency: setup.outputLatency, cacheTokens: setup.cacheTokens, cachedParts: map[string]*cacheEntry{}, slowdown: 1,
 		}
 		if index == 1 && setup.slowRunnerFactor > 0 {
-			sim.runners[runner.Life].slowdown = setup.slowRunnerFactor
+			sim.runners[runner.Incarnation].slowdown = setup.slowRunnerFactor
 		}
 	}
 	state := stateOf([]config.Service{service}, sim.route, sim.listed, setup.fronts)
@@ -177,12 +177,12 @@
 		networkDelay = 0.9
 		result.crossDomain++
 	}
-	link := fmt.Sprint(front, chosen.Life)
+	link := fmt.Sprint(front, chosen.Incarnation)
 	sim.connections.acquire(link, sim.now)
-	requested, runner := sim.now, sim.runners[chosen.Life]
+	requested, runner := sim.now, sim.runners[chosen.Incarnation]
 	sent := &turn{parts: conv.parts, outputTokens: 2 + int(sim.logNormal(32, 0.8)), requested: requested}
-	sim.countTurn(conv.parts, chosen.Life, newTokens)
-	conv.cachedAt = CacheLocation{Runner: chosen.Life}
+	sim.countTurn(conv.parts, chosen.Incarnation, newTokens)
+	conv.cachedAt = CacheLocation{Runner: chosen.Incarnation}
 	for _, part := range conv.parts {
 		conv.cachedAt.Tokens += part.Tokens
 	}
--- a/system/balancer/outlier_ejection_test.go
+++ b/system/balancer/outlier_ejection_test.go
@@ -52,7 +52,7 @@
 				var leases []*Lease
 				for range 24 {
 					lease := mustAcquire(t, balancer, request)
-					found = found || lease.Runner.Life == "plain-0"
+					found = found || lease.Runner.Incarnation == "plain-0"
 					leases = append(leases, lease)
 				}
 				for _, lease := range leases {
@@ -94,7 +94,7 @@
 		probes := 0
 		for range 30 {
 			lease := mustAcquire(t, balancer, request)
-			if lease.Runner.Life == "plain-0" {
+			if lease.Runner.Incarnation == "plain-0" {
 				probes++
 			}
 			leases = append(leases, lease)
@@ -109,7 +109,7 @@
 	}
 	received := 0
 	for range 30 {
-		if mustAcquire(t, balancer, request).Runner.Life == "plain-0" {
+		if mustAcquire(t, balancer, request).Runner.Incarnation == "plain-0" {
 			received++
 		}
 	}
@@ -129,7 +129,7 @@
 		clock.advance(time.Minute)
 		balancer.Update(stateOf([]config.Service{plainService()}, *request.Route, runnersOf("plain", 3, 6), 1))
 		for range 12 {
-			if mustAcquire(t, balancer, request).Runner.Life == "plain-0" {
+			if mustAcquire(t, balancer, request).Runner.Incarnation == "plain-0" {
 				t.Fatal("a misdirected runner was chosen again")
 			}
 		}
--- a/system/balancer/plain_simulation_test.go
+++ b/system/balancer/plain_simulation_test.go
@@ -108,7 +108,7 @@
 	listed := runnersOf("plain", setup.runners, 6)
 	for _, runner := range listed {
 		simulated := &plainRunner{sim: sim.simulation, speed: 0.8 + 0.4*sim.random.Float64()}
-		sim.byIncarnation[runner.Life] = simulated
+		sim.byIncarnation[runner.Incarnation] = simulated
 		sim.result.runners = append(sim.result.runners, simulated)
 	}
 	runners := sim.result.runners
@@ -142,7 +142,7 @@
 		sim.result.unsuccessful++
 		return
 	}
-	runners, chosen := sim.result.runners, sim.byIncarnation[lease.Runner.Life]
+	runners, chosen := sim.result.runners, sim.byIncarnation[lease.Runner.Incarnation]
 	if sim.setup.randomChoice {
 		chosen = runners[sim.random.IntN(len(runners))]
 	}
--- a/system/balancer/prefix_affinity_test.go
+++ b/system/balancer/prefix_affinity_test.go
@@ -23,17 +23,17 @@
 		clock.advance(400 * time.Millisecond)
 		parts = append(parts, PromptPart{fmt.Sprintf("p/%d", turn+2), 500})
 		lease := mustAcquire(t, balancer, Request{Route: &route, Program: "p", Session: fmt.Sprint("helper", turn), PromptParts: parts})
-		if lease.Runner.Life != first.Runner.Life {
-			t.Fatalf("turn %d was sent to %s, but its prompt parts are cached at %s", turn, lease.Runner.Life, first.Runner.Life)
+		if lease.Runner.Incarnation != first.Runner.Incarnation {
+			t.Fatalf("turn %d was sent to %s, but its prompt parts are cached at %s", turn, lease.Runner.Incarnation, first.Runner.Incarnation)
 		}
 		lease.Release(Answered, nil)
 	}
 	for range 40 { // make the runner much busier
 		balancer.mutex.Lock()
-		balancer.runners[first.Runner.Life].inFlight++
+		balancer.runners[first.Runner.Incarnation].inFlight++
 		balancer.mutex.Unlock()
 	}
-	if lease := mustAcquire(t, balancer, Request{Route: &route, Program: "p", PromptParts: parts}); lease.Runner.Life == first.Runner.Life {
+	if lease := mustAcquire(t, balancer, Request{Route: &route, Program: "p", PromptParts: parts}); lease.Runner.Incarnation == first.Runner.Incarnation {
 		t.Fatal("a busy runner was chosen for its cached parts")
 	}
 }
@@ -49,7 +49,7 @@
 			balancer := New("east", seed, newFakeClock().now)
 			balancer.Update(state)
 			lease := mustAcquire(t, balancer, request)
-			incarnations[lease.Runner.Life] = true
+			incarnations[lease.Runner.Incarnation] = true
 			if lease.Runner.Domain == "east" {
 				local++
 			}
@@ -75,19 +75,19 @@
 		return balancer
 	}
 	for _, runner := range runners {
-		request := Request{Route: &route, Program: "p", Session: "s", PromptParts: parts, CachedAt: CacheLocation{Runner: runner.Life, Tokens: 3460}}
+		request := Request{Route: &route, Program: "p", Session: "s", PromptParts: parts, CachedAt: CacheLocation{Runner: runner.Incarnation, Tokens: 3460}}
 		lease := mustAcquire(t, newFront(runners), request)
-		if lease.Runner.Life != runner.Life || lease.prefillTokens != 500 {
-			t.Errorf("cached at %s, but sent to %s with %v tokens to prefill", runner.Life, lease.Runner.Life, lease.prefillTokens)
+		if lease.Runner.Incarnation != runner.Incarnation || lease.prefillTokens != 500 {
+			t.Errorf("cached at %s, but sent to %s with %v tokens to prefill", runner.Incarnation, lease.Runner.Incarnation, lease.prefillTokens)
 		}
-		others := slices.DeleteFunc(slices.Clone(runners), func(other feed.Runner) bool { return other.Life == runner.Life })
+		others := slices.DeleteFunc(slices.Clone(runners), func(other feed.Runner) bool { return other.Incarnation == runner.Incarnation })
 		if lease := mustAcquire(t, newFront(others), request); lease.prefillTokens != 3960 {
-			t.Errorf("the cache location is not listed, but %s is assumed to have cached %v tokens", lease.Runner.Life, 3960-lease.prefillTokens)
+			t.Errorf("the cache location is not listed, but %s is assumed to have cached %v tokens", lease.Runner.Incarnation, 3960-lease.prefillTokens)
 		}
 	}
 	front := newFront(runners)
 	front.runners["model-3"].inFlight += 40
-	if lease := mustAcquire(t, front, Request{Route: &route, Program: "p", PromptParts: parts, CachedAt: CacheLocation{Runner: "model-3", Tokens: 3460}}); lease.Runner.Life == "model-3" {
+	if lease := mustAcquire(t, front, Request{Route: &route, Program: "p", PromptParts: parts, CachedAt: CacheLocation{Runner: "model-3", Tokens: 3460}}); lease.Runner.Incarnation == "model-3" {
 		t.Error("a busy runner was chosen for its cached conversation")
 	}
 }
--- a/system/balancer/selection.go
+++ b/system/balancer/selection.go
@@ -19,7 +19,7 @@
 	bestCost, recoveringCost, delay := math.Inf(1), math.Inf(1), time.Duration(math.MaxInt64)
 	for index := range pool.candidates {
 		candidate := &pool.candidates[index]
-		if candidate.state.misdirected || slices.Contains(request.Excluded, candidate.runner.Life) || slices.Contains(request.Excluded, candidate.runner.Address) {
+		if candidate.state.misdirected || slices.Contains(request.Excluded, candidate.runner.Incarnation) || slices.Contains(request.Excluded, candidate.runner.Address) {
 			continue
 		}
 		slowStartDelay, ejectionDelay := candidate.state.slowStart.delay(listFreshUntil, now), candidate.state.health.delay(now)
--- a/system/balancer/selection_test.go
+++ b/system/balancer/selection_test.go
@@ -16,7 +16,7 @@
 	balancer.Update(stateOf([]config.Service{plainService()}, route, runnersOf("plain", 3, 6), 1))
 	counts := map[string]int{}
 	for range 15 {
-		counts[mustAcquire(t, balancer, Request{Route: &route}).Runner.Life]++
+		counts[mustAcquire(t, balancer, Request{Route: &route}).Runner.Incarnation]++
 	}
 	for incarnation, count := range counts {
 		if count < 4 || count > 6 {
@@ -35,7 +35,7 @@
 	clock.advance(50 * time.Millisecond)
 	first.Release(Answered, &runnerpool.Load{Running: 6, Waiting: 9, Slots: 6})
 	for range 6 {
-		if lease := mustAcquire(t, balancer, Request{Route: &route}); lease.Runner.Life == first.Runner.Life {
+		if lease := mustAcquire(t, balancer, Request{Route: &route}); lease.Runner.Incarnation == first.Runner.Incarnation {
 			t.Fatal("chose the runner that reported to be full")
 		}
 	}
--- a/system/balancer/slow_start_test.go
+++ b/system/balancer/slow_start_test.go
@@ -87,7 +87,7 @@
 		for _, front := range live {
 			lease, err := balancers[front].Acquire(context.Background(), Request{Route: &route, Program: fmt.Sprint(random.IntN(50)), Deadline: clock.time})
 			if err == nil {
-				arrivals[lease.Runner.Life] = append(arrivals[lease.Runner.Life], clock.time)
+				arrivals[lease.Runner.Incarnation] = append(arrivals[lease.Runner.Incarnation], clock.time)
 				lease.FirstEvent(50 * time.Millisecond)
 				lease.Release(Answered, nil)
 				sent++
@@ -148,7 +148,7 @@
 		{"nothing changed", func(*State) {}, func(*State) {}, false},
 		{"the list has a remaining warm-up", func(*State) {}, func(state *State) { state.View.Runners[0].WarmUpLeft = time.Second }, true},
 		{"its state is warming up", func(*State) {}, func(state *State) { state.View.Runners[0].State = feed.StateWarmingUp }, true},
-		{"it has a new incarnation", func(*State) {}, func(state *State) { state.View.Runners[0].Life = "new" }, true},
+		{"it has a new incarnation", func(*State) {}, func(state *State) { state.View.Runners[0].Incarnation = "new" }, true},
 		{"its domain was restored", func(state *State) {
 			state.View.Domains = []feed.Domain{{Name: "east", State: feed.StateDrained}}
 		}, func(state *State) {
@@ -197,7 +197,7 @@
 			clock.advance(3100 * time.Millisecond)
 			for _, runner := range balancer.Status().Runners {
 				if runner.SlowStart {
-					t.Fatalf("%s is still in slow start", runner.Runner.Life)
+					t.Fatalf("%s is still in slow start", runner.Runner.Incarnation)
 				}
 			}
 		})
@@ -317,7 +317,7 @@
 				for _, front := range fronts {
 					lease, err := front.Acquire(context.Background(), Request{Route: &route, Deadline: clock.time})
 					if err == nil {
-						arrivals[lease.Runner.Life] = append(arrivals[lease.Runner.Life], clock.time)
+						arrivals[lease.Runner.Incarnation] = append(arrivals[lease.Runner.Incarnation], clock.time)
 						lease.Release(Answered, nil)
 					}
 				}
--- a/system/balancer/status.go
+++ b/system/balancer/status.go
@@ -66,7 +66,7 @@
 //	choice := lease.Describe()
 func (lease *Lease) Describe() Choice {
 	return Choice{
-		Service: lease.Service.Name, Runner: lease.Runner.Life, Local: lease.Runner.Domain == lease.balancer.domain,
+		Service: lease.Service.Name, Runner: lease.Runner.Incarnation, Local: lease.Runner.Domain == lease.balancer.domain,
 		PromptTokens: int(promptTokens(&lease.request)), PrefillTokens: int(lease.prefillTokens),
 		InFlight: lease.inFlight, EstimatedLoad: lease.load, SlowStart: lease.slowStartLimited,
 	}
--- a/system/balancer/topology.go
+++ b/system/balancer/topology.go
@@ -180,7 +180,7 @@
 	// A runner with an unknown key is new, unless this front has not seen runners of the
 	// service before. Without an incarnation, one missing from the previous list may have
 	// restarted.
-	isNew := !found && pool.stats.hadRunners || found && runner.Life == "" && known.lastListed != balancer.fronts.lastUpdate
+	isNew := !found && pool.stats.hadRunners || found && runner.Incarnation == "" && known.lastListed != balancer.fronts.lastUpdate
 	known.slowStart.observe(runner, pool.service, isNew, restored, now)
 	known.slowStart.share.set(balancer.fronts.current.shareOf(known.hash, rate, balancer.seed), now)
 	known.lastListed, known.listed = now, true
@@ -245,8 +245,8 @@
 // runnerKey identifies one incarnation of a runner, or its service and address if no
 // incarnation is known.
 func runnerKey(runner feed.Runner) string {
-	if runner.Life != "" {
-		return runner.Life
+	if runner.Incarnation != "" {
+		return runner.Incarnation
 	}
 	return runner.Group + "/" + runner.Address
 }
--- a/system/balancer/topology_test.go
+++ b/system/balancer/topology_test.go
@@ -48,7 +48,7 @@
 					}
 					continue
 				}
-				if err != nil || !test.allowed[lease.Runner.Life] {
+				if err != nil || !test.allowed[lease.Runner.Incarnation] {
 					t.Fatalf("got %v, %v; want one of %v", lease, err, test.allowed)
 				}
 			}
--- a/system/controlplane/admin_request.go
+++ b/system/controlplane/admin_request.go
@@ -73,7 +73,7 @@
 			return nil
 		}
 	}
-	if view.AdminRequests.MayHaveForgotten(*request.expected + 1) {
+	if view.AdminRequests.MayHaveEvicted(*request.expected + 1) {
 		return forgottenRequestError()
 	}
 	return apierror.New(apierror.Conflict, fmt.Sprintf("expected number %d, but the current number is %d (config %d)", *request.expected, view.Number, view.ConfigNumber), "read the current state and, if the change is still wanted, retry with the current number")
--- a/system/controlplane/admin_requests_model_test.go
+++ b/system/controlplane/admin_requests_model_test.go
@@ -148,9 +148,9 @@
 func (model *requestsModel) isRecent(request *modelRequest) bool {
 	view := model.view()
 	if request.admin != nil {
-		return *request.admin.expected >= view.AdminRequests.Forgotten
+		return *request.admin.expected >= view.AdminRequests.EvictedUpTo
 	}
-	return request.routing.revision > view.RoutingRequests.Forgotten
+	return request.routing.revision > view.RoutingRequests.EvictedUpTo
 }
 
 // acknowledge has the stores sync the current view, and checks that no other request on the same
@@ -304,10 +304,10 @@
 		}
 	}
 	view := model.view()
-	if view.RoutingRequests.Forgotten == 0 {
+	if view.RoutingRequests.EvictedUpTo == 0 {
 		t.Fatalf("the history has dropped none of %d requests", len(model.requests))
 	}
-	t.Logf("%d requests; the history has dropped routing requests up to revision %d", len(model.requests), view.RoutingRequests.Forgotten)
+	t.Logf("%d requests; the history has dropped routing requests up to revision %d", len(model.requests), view.RoutingRequests.EvictedUpTo)
 	for _, request := range model.requests {
 		model.send(request)
 	}
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -246,7 +246,7 @@
 
 // self describes this node as a member of the fleet.
 func (node *Node) self() feed.Member {
-	return feed.Member{Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Administration: node.settings.Administration, Machine: node.settings.Machine}
+	return feed.Member{Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, AdminAddress: node.settings.Administration, Machine: node.settings.Machine}
 }
 
 // addressOf returns the address at which a node was last heard from, else its address in the
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -171,7 +171,7 @@
 	next := &memberList{members: node.liveMembers(), listedAt: time.Now()}
 	hash := fnv.New64a()
 	for _, member := range next.members {
-		for _, part := range []string{member.Name, member.Role, member.Address, member.Domain, member.State, member.Administration, member.Machine} {
+		for _, part := range []string{member.Name, member.Role, member.Address, member.Domain, member.State, member.AdminAddress, member.Machine} {
 			hash.Write([]byte(part))
 			hash.Write([]byte{0})
 		}
--- a/system/controlplane/routing_requests.go
+++ b/system/controlplane/routing_requests.go
@@ -61,7 +61,7 @@
 		history = history.With(feed.AcceptedRequest{Digest: feed.RequestDigest(accepted.Digest), Number: accepted.Revision})
 	}
 	if len(routing.AcceptedRequests) >= config.MaxAcceptedRequests {
-		history.Forgotten = max(history.Forgotten, routing.AcceptedRequests[0].Revision)
+		history.EvictedUpTo = max(history.EvictedUpTo, routing.AcceptedRequests[0].Revision)
 	}
 	return history
 }
@@ -86,7 +86,7 @@
 		return decision{acceptedAs: view.Number}, nil
 	}
 	if inForce := decoded.Routing.CurrentRevision(); inForce != request.base {
-		if history.MayHaveForgotten(request.revision) {
+		if history.MayHaveEvicted(request.revision) {
 			return decision{}, forgottenRequestError()
 		}
 		return decision{}, apierror.New(apierror.Conflict, fmt.Sprintf("the request is based on routing revision %d, but revision %d is in force", request.base, inForce), "read the routing in force and send a new request based on it")
@@ -106,7 +106,7 @@
 	}
 	change := &feed.Change{Kind: feed.ChangeConfig, By: request.operator, Expects: true, Expected: view.ConfigNumber, Source: view.Source, Compiled: compiled}
 	if view.RoutingRequests.IsEmpty() {
-		change.RoutingRequests, change.RoutingForgotten = slices.Collect(history.All()), history.Forgotten
+		change.RoutingRequests, change.RoutingEvictedUpTo = slices.Collect(history.All()), history.EvictedUpTo
 	}
 	change.RoutingRequests = append(change.RoutingRequests, request.accepted())
 	return decision{change: change}, nil
--- a/system/controlplane/runner_discovery_test.go
+++ b/system/controlplane/runner_discovery_test.go
@@ -13,7 +13,7 @@
 // between successive lists.
 func TestRunnerDiffReportsOnlyChanges(t *testing.T) {
 	runner := func(life, state string, warmUpLeft time.Duration) feed.Runner {
-		return feed.Runner{Life: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: warmUpLeft}
+		return feed.Runner{Incarnation: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: warmUpLeft}
 	}
 	a, b := runner("a", feed.StateServing, 0), runner("b", feed.StateServing, 0)
 	moved := a
@@ -64,7 +64,7 @@
 				changed, removed := discovery.diff(view.Runners, step.listed, nil, now)
 				names := []string{}
 				for _, reported := range changed {
-					names = append(names, reported.Life)
+					names = append(names, reported.Incarnation)
 				}
 				slices.Sort(names)
 				if !slices.Equal(names, step.changed) || !slices.Equal(removed, step.removed) {
@@ -84,7 +84,7 @@
 // which restarted before it took over: it cannot know that the published one was nearly over. It
 // does not repeat what it has published itself.
 func TestNewLeaseHolderReportsWarmingRunnersAgain(t *testing.T) {
-	warming := feed.Runner{Life: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.StateWarmingUp, WarmUpLeft: 3 * time.Second}
+	warming := feed.Runner{Incarnation: "a", Address: "10.0.3.1:8000", Group: "small", State: feed.StateWarmingUp, WarmUpLeft: 3 * time.Second}
 	earlier := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
 	now, view := time.Unix(1000, 0), feed.View{}
 	publish := func(holder *runnerDiscovery, left time.Duration) int {
--- a/system/feed/change.go
+++ b/system/feed/change.go
@@ -73,8 +73,8 @@
 	// RoutingRequests are the routing requests that the change executes, numbered by their
 	// revisions. Requests that an older version recorded in the routing itself come first.
 	RoutingRequests []AcceptedRequest `capnp:"routingOrders"`
-	// RoutingForgotten is the highest revision whose request an older version has evicted.
-	RoutingForgotten uint64 `capnp:"routingForgotten"`
+	// RoutingEvictedUpTo is the highest revision whose request an older version has evicted.
+	RoutingEvictedUpTo uint64 `capnp:"routingForgotten"`
 	// Delta is the config of a ChangeConfig as a delta on the one that it replaces.
 	Delta ConfigDelta `capnp:"delta"`
 }
--- a/system/feed/change_history.go
+++ b/system/feed/change_history.go
@@ -83,10 +83,10 @@
 	size := changeOverhead + len(change.Source) + len(change.Compiled) + change.Delta.size() + len(change.By) + len(change.Statement)
 	size += requestOverhead * len(change.RoutingRequests)
 	for _, runner := range change.Runners {
-		size += itemOverhead + len(runner.Life) + len(runner.Address) + len(runner.Group) + len(runner.Domain) + len(runner.State) + len(runner.Revision)
+		size += itemOverhead + len(runner.Incarnation) + len(runner.Address) + len(runner.Group) + len(runner.Domain) + len(runner.State) + len(runner.Revision)
 	}
 	for _, member := range change.Members {
-		size += itemOverhead + len(member.Name) + len(member.Address) + len(member.Domain) + len(member.Administration) + len(member.Machine)
+		size += itemOverhead + len(member.Name) + len(member.Address) + len(member.Domain) + len(member.AdminAddress) + len(member.Machine)
 	}
 	for _, name := range change.Removed {
 		size += nameOverhead + len(name)
--- a/system/feed/feed.go
+++ b/system/feed/feed.go
@@ -52,8 +52,8 @@
 	Domain string `capnp:"domain"`
 	// State is StateDecommissioning or StateDecommissioned for such a store, else empty.
 	State string `capnp:"state"`
-	// Administration is the host and port of a control node's admin API; empty for other roles.
-	Administration string `capnp:"administration"`
+	// AdminAddress is the host and port of a control node's admin API; empty for other roles.
+	AdminAddress string `capnp:"administration"`
 	// Machine is the operators' name for the machine that the node runs on; it may be empty.
 	Machine string `capnp:"machine"`
 }
--- a/system/feed/request_history.go
+++ b/system/feed/request_history.go
@@ -27,8 +27,8 @@
 	// Packed holds the requests, oldest first, in packedRequestSize bytes each. They are packed
 	// because every full view contains them and encoding thousands of structs is slow.
 	Packed []byte `capnp:"packed"`
-	// Forgotten is the highest number of an evicted request, 0 if there is none.
-	Forgotten uint64 `capnp:"forgotten"`
+	// EvictedUpTo is the highest number of an evicted request, 0 if there is none.
+	EvictedUpTo uint64 `capnp:"forgotten"`
 }
 
 // A packed request is the digest, then the number, both big-endian.
@@ -87,13 +87,13 @@
 	return 0, false
 }
 
-// MayHaveForgotten reports whether a request that would have got this number or a higher one
+// MayHaveEvicted reports whether a request that would have got this number or a higher one
 // may have been executed and then evicted. If not, and it is not recorded, it was never
 // executed.
 //
 //	if view.RoutingRequests.MayHaveEvicted(revision) { ... }
-func (history *RequestHistory) MayHaveForgotten(number uint64) bool {
-	return number <= history.Forgotten
+func (history *RequestHistory) MayHaveEvicted(number uint64) bool {
+	return number <= history.EvictedUpTo
 }
 
 // With returns the history with more requests appended; it evicts the oldest above maxRequests.
@@ -109,7 +109,7 @@
 		packed = request.appendPacked(packed)
 	}
 	for len(packed) > maxRequests*packedRequestSize {
-		history.Forgotten = max(history.Forgotten, unpackRequest(packed).Number)
+		history.EvictedUpTo = max(history.EvictedUpTo, unpackRequest(packed).Number)
 		packed = packed[packedRequestSize:]
 	}
 	history.Packed = packed
@@ -118,13 +118,13 @@
 
 // equal reports whether two histories have recorded and evicted the same requests.
 func (history *RequestHistory) equal(other *RequestHistory) bool {
-	return history.Forgotten == other.Forgotten && bytes.Equal(history.Packed, other.Packed)
+	return history.EvictedUpTo == other.EvictedUpTo && bytes.Equal(history.Packed, other.Packed)
 }
 
 // recordRequests adds the requests that a change executes to the histories.
 func (view *View) recordRequests(change Change) {
 	view.RoutingRequests = view.RoutingRequests.With(change.RoutingRequests...)
-	view.RoutingRequests.Forgotten = max(view.RoutingRequests.Forgotten, change.RoutingForgotten)
+	view.RoutingRequests.EvictedUpTo = max(view.RoutingRequests.EvictedUpTo, change.RoutingEvictedUpTo)
 	if change.AdminRequest != 0 {
 		view.AdminRequests = view.AdminRequests.With(AcceptedRequest{Digest: change.AdminRequest, Number: change.Number})
 	}
--- a/system/feed/runner.go
+++ b/system/feed/runner.go
@@ -8,9 +8,9 @@
 
 // Runner is one model or application runner in the platform's runner list.
 type Runner struct {
-	// Life identifies one start of the runner: a restarted runner has a new one.
+	// Incarnation identifies one start of the runner: a restarted runner has a new one.
 	// It is empty if the list names none.
-	Life string `capnp:"life"`
+	Incarnation string `capnp:"life"`
 	// Address is the host and port at which fronts reach it.
 	Address string `capnp:"address"`
 	// Group is the name of the runner group or service that it belongs to.
@@ -35,11 +35,11 @@
 // Identity is the key of a runner: its incarnation, or its address if that is empty.
 //
 //	runners[runner.Identity()] = runner
-func (runner Runner) Identity() string { return cmp.Or(runner.Life, runner.Address) }
+func (runner Runner) Identity() string { return cmp.Or(runner.Incarnation, runner.Address) }
 
 // sortRunners sorts runners by address, then by incarnation, as views list them.
 func sortRunners(runners []Runner) {
 	slices.SortFunc(runners, func(left, right Runner) int {
-		return cmp.Or(cmp.Compare(left.Address, right.Address), cmp.Compare(left.Life, right.Life))
+		return cmp.Or(cmp.Compare(left.Address, right.Address), cmp.Compare(left.Incarnation, right.Incarnation))
 	})
 }
--- a/system/feedclient/freshness.go
+++ b/system/feedclient/freshness.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// HeardControlWithin reports whether a control quorum confirmed a view less than age ago.
+// ControlConfirmedWithin reports whether a control quorum confirmed a view less than age ago.
 //
 //	if client.ControlConfirmedWithin(5 * time.Second) { ... }
-func (client *Client) HeardControlWithin(age time.Duration) bool {
+func (client *Client) ControlConfirmedWithin(age time.Duration) bool {
 	last := time.Duration(client.lastControlReply.Load())
 	return last > 0 && time.Since(client.startedAt)-last < age
 }
--- a/system/forwarding/hedging.go
+++ b/system/forwarding/hedging.go
@@ -146,7 +146,7 @@
 	}
 	attempt.countedAsSent = true
 	attempts.exchange.sendCount++
-	attempts.exchange.triedRunners = append(attempts.exchange.triedRunners, attempt.lease.Runner.Life)
+	attempts.exchange.triedRunners = append(attempts.exchange.triedRunners, attempt.lease.Runner.Incarnation)
 }
 
 // countFailedSend counts a failed attempt. Attempts that provably sent nothing do not count
@@ -159,7 +159,7 @@
 	case attempt.countedAsSent:
 		exchange.sendCount--
 	case failure.Lost || failure.ConnectionRefused:
-		exchange.triedRunners = append(exchange.triedRunners, attempt.lease.Runner.Life)
+		exchange.triedRunners = append(exchange.triedRunners, attempt.lease.Runner.Incarnation)
 	}
 }
 
--- a/system/front/owner_liveness.go
+++ b/system/front/owner_liveness.go
@@ -59,7 +59,7 @@
 	}
 	node.caller.Drop(address)
 	listed := slices.ContainsFunc(node.feedClient.Members(), func(member feed.Member) bool { return member.Name == name })
-	if listed || !node.feedClient.HeardControlWithin(memberListMaxAge) {
+	if listed || !node.feedClient.ControlConfirmedWithin(memberListMaxAge) {
 		return alive
 	}
 	return unreachable
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -84,7 +84,7 @@
 	default:
 		ended = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(failed).Message}
 		log.WithFields(log.Fields{
-			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": failed.Error(),
+			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Incarnation, "address": request.slot.Runner.Address, "error": failed.Error(),
 		}).Warn("outcome of work that runs once is unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -214,7 +214,7 @@
 	}
 	request := execution.request
 	log.WithFields(log.Fields{
-		"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": dispatchErr.Error(),
+		"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Incarnation, "address": request.slot.Runner.Address, "error": dispatchErr.Error(),
 	}).Warn("turn cut off by its runner")
 	return sessionlog.OutcomeCut, reasonRunnerFailure
 }
--- a/system/runnerpool/acquire.go
+++ b/system/runnerpool/acquire.go
@@ -48,7 +48,7 @@
 		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runners are closed", Remedy: "ask another front", NeverSent: true}
 	}
 	var runner *runnerConnections
-	runner, removed = pool.runnerFor(request.Runner.Address, request.Runner.Life, nil)
+	runner, removed = pool.runnerFor(request.Runner.Address, request.Runner.Incarnation, nil)
 	runner.maxTotal = max(request.MaxConnections, 1)
 	removed = pool.removeExpired(runner, now, removed)
 	if last := len(runner.idle) - 1; last >= 0 {
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -123,7 +123,7 @@
 	retained := make(map[string]bool, len(pool.runners))
 	for index := range runners {
 		runner := pool.runners[runners[index].Address]
-		if runner != nil && sameIncarnation(runner.incarnation, runners[index].Life) {
+		if runner != nil && sameIncarnation(runner.incarnation, runners[index].Incarnation) {
 			retained[runners[index].Address] = true
 		}
 	}
--- a/system/runnerpool/pool_test.go
+++ b/system/runnerpool/pool_test.go
@@ -70,7 +70,7 @@
 		if got := failureOf(err); got != (failure{kind: apierror.Unavailable, neverSent: true}) || runner.dials != 4 {
 			t.Errorf("got %v after %d dials", err, runner.dials)
 		}
-		other := func(request *Request) { request.Runner = feed.Runner{Address: "10.0.0.10:8080", Life: "life-2"} }
+		other := func(request *Request) { request.Runner = feed.Runner{Address: "10.0.0.10:8080", Incarnation: "life-2"} }
 		mustSend(t, pool, "q2", other)
 		ends[0]()
 		mustSend(t, pool, "q3")
@@ -160,21 +160,21 @@
 }
 
 func TestRetainClosesConnectionsToOtherIncarnations(t *testing.T) {
-	incarnation := func(name string) func(*Request) { return func(request *Request) { request.Runner.Life = name } }
+	incarnation := func(name string) func(*Request) { return func(request *Request) { request.Runner.Incarnation = name } }
 	for name, test := range map[string]struct {
 		first  string
 		retain func(pool *Pool)
 		second string
 		dials  int
 	}{
-		"same incarnation":          {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
+		"same incarnation":          {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Incarnation: "a"}}) }, "a", 1},
 		"same incarnation, unnamed": {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080"}}) }, "a", 1},
-		"incarnation becomes known": {"", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
+		"incarnation becomes known": {"", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Incarnation: "a"}}) }, "a", 1},
 		"two incarnations, one is ours": {"a", func(pool *Pool) {
-			pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}, {Address: "10.0.0.9:8080", Life: "b"}})
+			pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Incarnation: "a"}, {Address: "10.0.0.9:8080", Incarnation: "b"}})
 		}, "a", 1},
-		"other incarnation":              {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "b"}}) }, "b", 2},
-		"not listed any more":            {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Life: "a"}}) }, "a", 2},
+		"other incarnation":              {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Incarnation: "b"}}) }, "b", 2},
+		"not listed any more":            {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Incarnation: "a"}}) }, "a", 2},
 		"other incarnation, no Retain":   {"a", func(*Pool) {}, "b", 2},
 		"incarnation not known any more": {"a", func(*Pool) {}, "", 1},
 		"none listed, then again":        {"a", func(pool *Pool) { pool.Retain(nil) }, "a", 2},
@@ -205,7 +205,7 @@
 		pool := New(runner, testHeaders)
 		defer pool.Close()
 		for number, incarnation := range []string{"", "a", "", "b"} {
-			mustSend(t, pool, fmt.Sprint("q", number), func(request *Request) { request.Runner.Life = incarnation })
+			mustSend(t, pool, fmt.Sprint("q", number), func(request *Request) { request.Runner.Incarnation = incarnation })
 		}
 		if got := runner.got(); got[2].connection != 0 || got[3].connection != 1 {
 			t.Errorf("connections %d and %d", got[2].connection, got[3].connection)
--- a/system/runnerpool/request_head.go
+++ b/system/runnerpool/request_head.go
@@ -68,7 +68,7 @@
 	if !isVisible(request.Host) {
 		return invalidRequest("a query has the host "+strconv.Quote(request.Host), "send the name of a host")
 	}
-	for _, value := range [...]string{request.ID, request.Runner.Life, request.Urgency, request.LastEventID} {
+	for _, value := range [...]string{request.ID, request.Runner.Incarnation, request.Urgency, request.LastEventID} {
 		if !isHeaderValue(value) {
 			return invalidRequest("a query would have the header value "+strconv.Quote(value), "send it without control bytes")
 		}
@@ -111,7 +111,7 @@
 	target = appendHeader(target, "Host", request.Host)
 	target = appendNumber(target, "Content-Length", length)
 	target = appendHeader(target, headers.RequestID, request.ID)
-	target = appendHeader(target, headers.ExpectedRunner, request.Runner.Life)
+	target = appendHeader(target, headers.ExpectedRunner, request.Runner.Incarnation)
 	target = appendHeader(target, headers.Urgency, request.Urgency)
 	target = appendHeader(target, headers.LastEventID, request.LastEventID)
 	if headers.Timeout != "" && !request.Deadline.IsZero() {
@@ -158,7 +158,7 @@
 	case pool.headers.RequestID:
 		return request.ID != ""
 	case pool.headers.ExpectedRunner:
-		return request.Runner.Life != ""
+		return request.Runner.Incarnation != ""
 	case pool.headers.Timeout:
 		return !request.Deadline.IsZero()
 	case pool.headers.Urgency:
--- a/system/runnerpool/request_head_test.go
+++ b/system/runnerpool/request_head_test.go
@@ -28,7 +28,7 @@
 			request.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}, "Content-Length": {"99"}, "Host": {"evil"}}
 		}, map[string][]string{"Urgency": {"3"}, "Last-Event-Id": {"17"}, "Time-Left": {"10000"}, "Expected-Runner": {"life-1"}, "Query-Name": {"q1"}, "Content-Length": {"6"}}, nil},
 		"the caller's stay where there is none of ours": {func(request *Request) {
-			request.Deadline, request.Runner.Life, request.ID = time.Time{}, "", ""
+			request.Deadline, request.Runner.Incarnation, request.ID = time.Time{}, "", ""
 			request.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}}
 		}, map[string][]string{"Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}}, []string{"Urgency"}},
 		"many values": {func(request *Request) {
@@ -101,7 +101,7 @@
 		"name with a line end":        func(request *Request) { request.ID = "q\r\n" },
 		"urgency with a line end":     func(request *Request) { request.Urgency = "1\n" },
 		"resume with a line end":      func(request *Request) { request.LastEventID = "1\r" },
-		"incarnation with a line end": func(request *Request) { request.Runner.Life = "1\r" },
+		"incarnation with a line end": func(request *Request) { request.Runner.Incarnation = "1\r" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/system/runnerpool/scripted_runner_test.go
+++ b/system/runnerpool/scripted_runner_test.go
@@ -260,7 +260,7 @@
 var testHeaders = HeaderNames{RequestID: "Query-Name", NotRun: "Not-Run", ExpectedRunner: "Expected-Runner", Timeout: "Time-Left", Load: "Load", Urgency: "Urgency", LastEventID: "Last-Event-Id", RunnerID: "Runner-Id", WarmUpLeft: "Cold-For"}
 
 func testRequest(name string, changes ...func(*Request)) Request {
-	made := Request{Runner: feed.Runner{Address: "10.0.0.9:8080", Life: "life-1"}, MaxConnections: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
+	made := Request{Runner: feed.Runner{Address: "10.0.0.9:8080", Incarnation: "life-1"}, MaxConnections: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
 		Header: http.Header{}, Body: [][]byte{[]byte("say "), []byte("it")}, ID: name, Deadline: time.Now().Add(10 * time.Second)}
 	for _, change := range changes {
 		change(&made)
--- a/system/runnerpool/tcp_test.go
+++ b/system/runnerpool/tcp_test.go
@@ -188,7 +188,7 @@
 			})
 			pool := New(link.TCP{}, testHeaders)
 			defer pool.Close()
-			request := Request{Runner: feed.Runner{Address: address, Life: "life-1"}, MaxConnections: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
+			request := Request{Runner: feed.Runner{Address: address, Incarnation: "life-1"}, MaxConnections: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
 				Header: http.Header{"Program": {"3fa81c"}, "Session": {"77d20b"}, "Accept": {"*/*"}, "Query-Name": {"q1"}}, Body: [][]byte{[]byte("say "), []byte("it")}, ID: "q1", Urgency: "4"}
 			buffer := make([]byte, 512)
 			b.ReportAllocs()
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -20,17 +20,17 @@
 const storedFolder = "testdata/stored"
 
 func storedMember(name string) feed.Member {
-	return feed.Member{Name: name, Role: feed.RoleStore, Address: "10.0.1.1:7000", Domain: "east", State: feed.StateServing, Administration: "10.0.1.1:7200", Machine: "rack 4"}
+	return feed.Member{Name: name, Role: feed.RoleStore, Address: "10.0.1.1:7000", Domain: "east", State: feed.StateServing, AdminAddress: "10.0.1.1:7200", Machine: "rack 4"}
 }
 
 func storedView() feed.View {
 	return feed.View{
 		Fleet: "fleet-1", Number: 7, ConfigNumber: 5, Source: "a: 1", Compiled: []byte(`{"route":1}`),
 		Domains:        []feed.Domain{{Name: "east", State: feed.StateDrained, Since: 11}},
-		Runners:        []feed.Runner{{Life: "life-1", Address: "10.0.0.1:80", Group: "engines", Domain: "east", State: feed.StateWarmingUp, Since: 12, Warmed: true, Slots: 32, WarmUpLeft: 3 * time.Second, Revision: "r7"}},
+		Runners:        []feed.Runner{{Incarnation: "life-1", Address: "10.0.0.1:80", Group: "engines", Domain: "east", State: feed.StateWarmingUp, Since: 12, Warmed: true, Slots: 32, WarmUpLeft: 3 * time.Second, Revision: "r7"}},
 		FoundingStores: []feed.Member{storedMember("founding")}, Stores: []feed.Member{storedMember("store")}, Controls: []feed.Member{storedMember("control")},
 		RoleLeases: []feed.RoleLease{{Key: "list", Holder: "control", FencingToken: 3}}, Groups: 8, Replicas: 5, Founding: []string{"one", "two"}, Decommissioned: []feed.Member{storedMember("retired")},
-		RoutingRequests: feed.RequestHistory{Packed: bytes.Repeat([]byte{1, 2}, 8), Forgotten: 2}, AdminRequests: feed.RequestHistory{Packed: bytes.Repeat([]byte{3, 4}, 8), Forgotten: 1},
+		RoutingRequests: feed.RequestHistory{Packed: bytes.Repeat([]byte{1, 2}, 8), EvictedUpTo: 2}, AdminRequests: feed.RequestHistory{Packed: bytes.Repeat([]byte{3, 4}, 8), EvictedUpTo: 1},
 	}
 }
 
@@ -39,7 +39,7 @@
 		Number: 8, Kind: kind, At: 13, By: "root", Expects: true, Expected: 7, Source: "b: 2", Compiled: []byte(`{"route":2}`), Domain: feed.Domain{Name: "west", State: feed.StateServing, Since: 14},
 		Runners: storedView().Runners, Member: storedMember("left"), Members: []feed.Member{storedMember("a"), storedMember("b")}, RoleLease: feed.RoleLease{Key: "list", Holder: "other", FencingToken: 4},
 		View: storedView(), Statement: "empty domain west", Partial: true, Removed: []string{"life-0"}, AdminRequest: 77,
-		RoutingRequests: []feed.AcceptedRequest{{Digest: 5, Number: 6}}, RoutingForgotten: 3,
+		RoutingRequests: []feed.AcceptedRequest{{Digest: 5, Number: 6}}, RoutingEvictedUpTo: 3,
 		Delta: feed.ConfigDelta{Base: 5, Source: []byte("source"), Compiled: []byte("compiled"), Digest: []byte("digest")},
 	}
 }
