--- a/system/runnerpool/acquire.go
+++ b/system/runnerpool/acquire.go
@@ -9,12 +9,12 @@
 	"yardrock.example/system/apierror"
 )
 
-// dialTimeout is how long opening a connection may take: longer means that the runner's
-// machine is gone, and another runner can still be tried in time.
+// dialTimeout limits how long opening a connection may take: a runner's host that takes
+// longer is considered down, and time is left to try another runner.
 const dialTimeout = 700 * time.Millisecond
 
-// acquire returns a connection on which nothing has arrived, with the request's deadline
-// set: the idle one used last, or a new one. The caller must put or discard it.
+// acquire returns a connection with no pending input and with the request's deadline set:
+// the most recently used idle one, or a new one. The caller must put or discard it.
 func (pool *Pool) acquire(ctx context.Context, request *Request) (*persistentConnection, error) {
 	now := time.Now()
 	for {
@@ -37,15 +37,15 @@
 	}
 }
 
-// takeIdle returns the idle connection used last, or nil after it has reserved the place
-// of a new one.
+// takeIdle returns the most recently used idle connection, or nil after counting a new one
+// that the caller must dial.
 func (pool *Pool) takeIdle(request *Request, now time.Time) (*persistentConnection, *runnerConnections, error) {
 	var removed []*persistentConnection
 	defer func() { closeAll(removed) }() // runs after the mutex is unlocked
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	if pool.closed {
-		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runners are closed", Remedy: "ask another front", NeverSent: true}
+		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the runner connection pool is closed", Remedy: "retry on another front", NeverSent: true}
 	}
 	var runner *runnerConnections
 	runner, removed = pool.runnerFor(request.Runner.Address, request.Runner.Life, nil)
@@ -60,14 +60,14 @@
 		return connection, runner, nil
 	}
 	if runner.total >= runner.maxTotal {
-		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "the connections to runner " + request.Runner.Address + " are all out", Remedy: "choose another runner", NeverSent: true}
+		return nil, nil, &apierror.Error{Kind: apierror.Unavailable, Message: "all connections to runner " + request.Runner.Address + " are in use", Remedy: "choose another runner", NeverSent: true}
 	}
 	runner.total++
 	pool.inUse++
 	return nil, runner, nil
 }
 
-// dial opens a connection whose place is reserved, and releases the place if it fails.
+// dial opens a connection that takeIdle has counted, and releases it if dialling fails.
 // The error has Lost set unless the caller's deadline was the reason.
 func (pool *Pool) dial(ctx context.Context, request *Request, runner *runnerConnections) (*persistentConnection, error) {
 	address := request.Runner.Address
@@ -75,16 +75,16 @@
 	if !request.Deadline.IsZero() && request.Deadline.Before(deadline) {
 		deadline, ownTimeout = request.Deadline, false
 	}
-	dialling, cancel := context.WithDeadline(ctx, deadline)
+	dialCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	stream, err := pool.network.Dial(dialling, address)
+	stream, err := pool.network.Dial(dialCtx, address)
 	if err != nil {
 		pool.release(runner)
 		if ctx.Err() != nil {
 			return nil, cancelled(ctx, address, true)
 		}
-		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach runner " + address + ": " + err.Error(), Remedy: "check that the runner runs and that its address is right",
-			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: ownTimeout || dialling.Err() == nil, Cause: err}
+		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach runner " + address + ": " + err.Error(), Remedy: "check that the runner is up and its address is correct",
+			NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Lost: ownTimeout || dialCtx.Err() == nil, Cause: err}
 	}
 	pool.dials.Add(1)
 	connection := newConnection(stream, runner)
@@ -92,7 +92,7 @@
 	return connection, nil
 }
 
-// release gives up the place of a connection in use.
+// release removes a connection in use from the counts.
 func (pool *Pool) release(runner *runnerConnections) {
 	pool.mutex.Lock()
 	runner.total--
@@ -106,8 +106,8 @@
 	pool.release(connection.runner)
 }
 
-// put makes a connection in use idle, so that another request may be sent on it. It is
-// closed instead if its runner was removed or has more connections than allowed now.
+// put returns a connection in use to the idle ones. It is closed instead if its runner was
+// removed or has more connections than now allowed.
 func (pool *Pool) put(connection *persistentConnection) {
 	runner, now := connection.runner, time.Now()
 	pool.mutex.Lock()
--- a/system/runnerpool/connection.go
+++ b/system/runnerpool/connection.go
@@ -11,27 +11,27 @@
 // bufferBytes is the initial size of a connection's read and write buffers.
 const bufferBytes = 4 << 10
 
-// persistentConnection is a connection to a runner. It carries one request at a time;
-// whoever took it from the pool owns it.
+// persistentConnection is a connection to a runner. It carries one request at a time and
+// is owned by the goroutine that acquired it from the pool.
 type persistentConnection struct {
 	net.Conn
 	runner *runnerConnections
 
-	// The idle check (idle_check.go). raw is nil if the connection is not a socket.
+	// State of the idle check (idle_check.go). raw is nil if the connection is not a socket.
 	raw            syscall.RawConn
-	probe          func(descriptor uintptr) bool // probeSocket as a value, to save an allocation
+	probe          func(descriptor uintptr) bool // method value of probeSocket, stored to avoid an allocation per check
 	probeByte      [1]byte
-	noInput        bool // result of the last check: nothing has arrived
-	closedByRunner bool // result of the last check: the runner closed it properly
+	noInput        bool // result of the last check: no pending input
+	closedByRunner bool // result of the last check: the runner closed it without a reset
 
 	reused       bool          // it has carried a request before
-	hasKeepAlive bool          // the runner has said how long it keeps the connection
-	keepAlive    time.Duration // how long it is kept idle in that case
+	hasKeepAlive bool          // the runner has announced a Keep-Alive timeout
+	keepAlive    time.Duration // idle timeout derived from it
 	idleSince    time.Time
 	expires      time.Time
 
 	buffers *connectionBuffers // nil while the connection is idle
-	// headBytesLeft is how many bytes of a response head may still be read; -1 if none is
+	// headBytesLeft is how many more bytes of a response head may be read; -1 if no head is
 	// being read.
 	headBytesLeft int
 }
@@ -58,16 +58,16 @@
 	return connection
 }
 
-// Read reads from the connection. While a response head is read, it returns
+// Read reads from the connection. While a response head is being read, it returns
 // errHeadTooLarge once the head is longer than allowed.
-func (connection *persistentConnection) Read(target []byte) (int, error) {
+func (connection *persistentConnection) Read(buffer []byte) (int, error) {
 	if connection.headBytesLeft == 0 {
 		return 0, errHeadTooLarge
 	}
-	if connection.headBytesLeft > 0 && len(target) > connection.headBytesLeft {
-		target = target[:connection.headBytesLeft]
+	if connection.headBytesLeft > 0 && len(buffer) > connection.headBytesLeft {
+		buffer = buffer[:connection.headBytesLeft]
 	}
-	count, err := connection.Conn.Read(target)
+	count, err := connection.Conn.Read(buffer)
 	if connection.headBytesLeft > 0 {
 		connection.headBytesLeft -= count
 	}
@@ -76,14 +76,14 @@
 
 // attachBuffers takes buffers for a request. releaseBuffers must follow.
 func (connection *persistentConnection) attachBuffers() {
-	// The pool's New and releaseBuffers are its only sources, so that the type is certain.
+	// Only New and releaseBuffers fill the pool, so the type assertion cannot fail.
 	connection.buffers = connectionBufferPool.Get().(*connectionBuffers)
 	connection.buffers.reader.Reset(connection)
 	connection.buffers.writes = connection.buffers.writes[:0]
 }
 
-// releaseBuffers gives the buffers back, unless one has grown large. It may be called
-// again.
+// releaseBuffers returns the buffers for reuse unless the write buffer has grown large. It
+// is idempotent.
 func (connection *persistentConnection) releaseBuffers() {
 	if connection.buffers == nil {
 		return
--- a/system/runnerpool/errors_test.go
+++ b/system/runnerpool/errors_test.go
@@ -13,9 +13,9 @@
 	"yardrock.example/system/feed"
 )
 
-// Whatever broke a connection, the error has it as cause, but is never found to be io.EOF: by
-// that the readers of a response know its complete end.
-func TestBrokenConnectionIsNeverACompleteEnd(t *testing.T) {
+// TestConnectionErrorIsNeverEOF: the error of a broken connection wraps its cause but never
+// matches io.EOF, which tells readers of a response that its body is complete.
+func TestConnectionErrorIsNeverEOF(t *testing.T) {
 	trip := &roundTrip{ctx: t.Context(), request: &Request{Runner: feed.Runner{Address: "runner"}}}
 	for _, test := range []struct{ broken, cause error }{
 		{io.EOF, io.ErrUnexpectedEOF},
@@ -32,8 +32,9 @@
 	}
 }
 
-// A request whose context ended says why.
-func TestCancelledRequestNamesTheContextsError(t *testing.T) {
+// TestCancelledRequestWrapsContextError: the error of a cancelled request wraps that of its
+// context.
+func TestCancelledRequestWrapsContextError(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	trip := &roundTrip{ctx: ctx, request: &Request{Runner: feed.Runner{Address: "runner"}}}
--- a/system/runnerpool/event_stream.go
+++ b/system/runnerpool/event_stream.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// minEventBuffer is the size of a new buffer at least; one is made when less than an
-	// eighth of it is free.
+	// minEventBuffer is the minimum size of a new buffer. A new one is allocated when less
+	// than an eighth of this size is free.
 	minEventBuffer = 4 << 10
-	// maxEventBytes is the size from which on an event that has not ended is an error.
+	// maxEventBytes is the size above which an event that has not ended is an error.
 	maxEventBytes = 1 << 20
 )
 
@@ -24,19 +24,19 @@
 	HasData bool   // it has a data line; a browser ignores events without one
 }
 
-// EventReader splits a text/event-stream into events. It reads no further than the end of
-// the next event needs. It is not safe for concurrent use.
+// EventReader splits a text/event-stream into events. It reads from its source only while
+// the next event is incomplete. It is not safe for concurrent use.
 type EventReader struct {
 	source    io.Reader
-	buffer    []byte // read and not returned yet
-	scanned   int    // bytes of buffer that were searched for the end of an event
-	lineStart int    // where the line begins in which the search stands
-	started   bool   // the first event was returned; a byte order mark may only be before it
-	// afterCarriageReturn means that the last event ended with a carriage return: a line
+	buffer    []byte // read and not yet returned
+	scanned   int    // bytes of buffer already searched for the end of an event
+	lineStart int    // start of the line that the search has reached
+	started   bool   // the first event was returned; only it may have a byte order mark
+	// afterCarriageReturn means that the last event ended with a carriage return; a line
 	// feed that follows belongs to the same line end.
 	afterCarriageReturn bool
-	failed              error // of the source, io.EOF included
-	complete            bool  // the source has ended with io.EOF itself, not with an error that wraps it
+	err                 error // of the source, including io.EOF
+	complete            bool  // the source ended with io.EOF itself, not with an error that wraps it
 }
 
 // NewEventReader returns a reader of the events in a source, such as a Response.
@@ -44,11 +44,12 @@
 //	events := runnerpool.NewEventReader(response)
 func NewEventReader(source io.Reader) *EventReader { return &EventReader{source: source} }
 
-// Next returns the next event as soon as its blank line was read. Comments and blank
-// lines are returned as events without data, as is what a complete stream has after its
-// last blank line, so that all Raw together are the stream. The error is io.EOF at the
-// end of a complete stream, an *apierror.Error of kind RunnerFailure if an event exceeds
-// 1 MiB, or that of the source; part of an event is not returned with the latter.
+// Next returns the next event as soon as its blank line has been read. Comments, blank
+// lines and the remainder of a complete stream after its last blank line are returned as
+// events without data, so that the concatenation of all Raw is the stream. The error is
+// io.EOF at the end of a complete stream, an *apierror.Error of kind RunnerFailure if an
+// event exceeds 1 MiB, or the source's error; in the latter case an incomplete event is
+// not returned.
 //
 //	for {
 //		event, err := events.Next()
@@ -62,19 +63,19 @@
 		if end := events.findEnd(); end > 0 {
 			return events.takeEvent(end), nil
 		}
-		if events.failed != nil {
+		if events.err != nil {
 			return events.takeRemainder()
 		}
 		if len(events.buffer) > maxEventBytes {
-			events.failed, events.buffer = &apierror.Error{Kind: apierror.RunnerFailure, Message: "a runner sent an event that is too large", Remedy: "send smaller events"}, nil
-			return Event{}, events.failed
+			events.err, events.buffer = &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner sent an event that is too large", Remedy: "send smaller events"}, nil
+			return Event{}, events.err
 		}
 		events.fill()
 	}
 }
 
-// fill reads once from the source. It starts a new buffer rather than move bytes that
-// events refer to.
+// fill reads once from the source. It allocates a new buffer instead of moving bytes that
+// returned events refer to.
 func (events *EventReader) fill() {
 	if cap(events.buffer)-len(events.buffer) < minEventBuffer/8 {
 		grown := make([]byte, len(events.buffer), max(minEventBuffer, 2*len(events.buffer)))
@@ -82,11 +83,11 @@
 		events.buffer = grown
 	}
 	count, err := events.source.Read(events.buffer[len(events.buffer):cap(events.buffer)])
-	events.buffer, events.failed, events.complete = events.buffer[:len(events.buffer)+count], err, err == io.EOF
+	events.buffer, events.err, events.complete = events.buffer[:len(events.buffer)+count], err, err == io.EOF
 }
 
-// findEnd returns the length of the next event, or 0 if its end was not read yet. Lines
-// end with a line feed, a carriage return, or both.
+// findEnd returns the length of the next event, or 0 if its end has not been read yet.
+// Lines end with a line feed, a carriage return, or both.
 func (events *EventReader) findEnd() int {
 	buffer := events.buffer
 	for events.scanned < len(buffer) {
@@ -111,12 +112,13 @@
 	return 0
 }
 
-// awaitsLineFeed reports whether a line must not be ended yet, because a line feed may
-// follow its carriage return and is still to be read. It is waited for if the line is not
-// blank, as more must come anyway, or if the line before ended with both, so that this
-// one will too. After a blank line that ended otherwise nothing more may come.
+// awaitsLineFeed reports whether to read on before ending a line, because a line feed may
+// follow the carriage return that was read last. It does if the line is not blank, since
+// the event needs more input anyway, or if the previous line ended with both, so that this
+// one is expected to as well. Otherwise a blank line ends the event at once: there may be
+// no further input until the next event.
 func (events *EventReader) awaitsLineFeed(at, after int, blank bool) bool {
-	if events.buffer[at] != '\r' || after != at+1 || after < len(events.buffer) || events.failed != nil {
+	if events.buffer[at] != '\r' || after != at+1 || after < len(events.buffer) || events.err != nil {
 		return false
 	}
 	return !blank || events.followsCRLF(at)
@@ -132,22 +134,22 @@
 
 // lineEnd returns the length of the first line, or of the text if that has no line end.
 func lineEnd(text []byte) int {
-	if feed := bytes.IndexByte(text, '\n'); feed >= 0 {
-		text = text[:feed]
+	if lineFeed := bytes.IndexByte(text, '\n'); lineFeed >= 0 {
+		text = text[:lineFeed]
 	}
-	if back := bytes.IndexByte(text, '\r'); back >= 0 {
-		return back
+	if carriageReturn := bytes.IndexByte(text, '\r'); carriageReturn >= 0 {
+		return carriageReturn
 	}
 	return len(text)
 }
 
-// followsCRLF reports whether the bytes before an index of the buffer are a carriage
-// return and a line feed.
+// followsCRLF reports whether a carriage return and a line feed precede an index of the
+// buffer.
 func (events *EventReader) followsCRLF(at int) bool {
 	return at >= 2 && events.buffer[at-1] == '\n' && events.buffer[at-2] == '\r'
 }
 
-// takeEvent removes an event of some length from the buffer and parses it.
+// takeEvent removes an event of the given length from the buffer and parses it.
 func (events *EventReader) takeEvent(length int) Event {
 	raw := events.buffer[:length:length]
 	events.buffer = events.buffer[length:]
@@ -165,15 +167,15 @@
 	return event
 }
 
-// takeRemainder returns what a complete stream has after its last blank line, and then the
-// error of the source.
+// takeRemainder returns the rest of a complete stream after its last blank line, and then
+// the error of the source.
 func (events *EventReader) takeRemainder() (Event, error) {
 	raw := events.buffer
 	events.buffer, events.scanned, events.lineStart = nil, 0, 0
 	if events.complete && len(raw) > 0 {
 		return Event{Raw: raw}, nil
 	}
-	return Event{}, events.failed
+	return Event{}, events.err
 }
 
 // parse sets the fields from the lines of an event. Data of a single line is not copied.
--- a/system/runnerpool/event_stream_test.go
+++ b/system/runnerpool/event_stream_test.go
@@ -12,22 +12,21 @@
 	"yardrock.example/system/apierror"
 )
 
-// pieces is a reader that returns one piece with each read, and its error after the last
-// piece. It counts the reads that were not needed.
-type pieces struct {
-	left [][]byte
-	err  error
-	over int // reads after the last piece
+// chunkReader returns one chunk per read, and err after the last chunk.
+type chunkReader struct {
+	chunks     [][]byte
+	err        error
+	extraReads int // reads after the last chunk
 }
 
-func (pieces *pieces) Read(target []byte) (int, error) {
-	if len(pieces.left) == 0 {
-		pieces.over++
+func (pieces *chunkReader) Read(target []byte) (int, error) {
+	if len(pieces.chunks) == 0 {
+		pieces.extraReads++
 		return 0, pieces.err
 	}
-	count := copy(target, pieces.left[0])
-	if pieces.left[0] = pieces.left[0][count:]; len(pieces.left[0]) == 0 {
-		pieces.left = pieces.left[1:]
+	count := copy(target, pieces.chunks[0])
+	if pieces.chunks[0] = pieces.chunks[0][count:]; len(pieces.chunks[0]) == 0 {
+		pieces.chunks = pieces.chunks[1:]
 	}
 	return count, nil
 }
@@ -51,22 +50,22 @@
 	text string
 	want []Event
 }{
-	"plain":                     {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []Event{{[]byte("id: 1\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("id: 2\ndata: b\n\n"), "2", []byte("b"), true}}},
-	"carriage return line feed": {"id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", []Event{{[]byte("id: 1\r\ndata: a\r\n\r\n"), "1", []byte("a"), true}, {[]byte("data: b\r\n\r\n"), "", []byte("b"), true}}},
-	"carriage return":           {"id: 1\rdata: a\r\rdata: b\r\r", []Event{{[]byte("id: 1\rdata: a\r\r"), "1", []byte("a"), true}, {[]byte("data: b\r\r"), "", []byte("b"), true}}},
-	"mixed ends":                {"id: 1\r\ndata: a\n\ndata: b\n\ndata: c\r\n\n", []Event{{[]byte("id: 1\r\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}, {[]byte("data: c\r\n\n"), "", []byte("c"), true}}},
-	"many data lines":           {"data: a\ndata:b\ndata\ndata:  c\n\n", []Event{{[]byte("data: a\ndata:b\ndata\ndata:  c\n\n"), "", []byte("a\nb\n\n c"), true}}},
-	"empty data":                {"data\n\ndata:\n\n", []Event{{[]byte("data\n\n"), "", nil, true}, {[]byte("data:\n\n"), "", nil, true}}},
-	"comment":                   {": ping\n\ndata: a\n\n", []Event{{[]byte(": ping\n\n"), "", nil, false}, {[]byte("data: a\n\n"), "", []byte("a"), true}}},
-	"other fields":              {"weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n", []Event{{[]byte("weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n"), "", []byte("a"), true}}},
-	"the last id":               {"id: 1\nid: 2\ndata: a\n\n", []Event{{[]byte("id: 1\nid: 2\ndata: a\n\n"), "2", []byte("a"), true}}},
-	"id with a zero":            {"id: 1\x00\ndata: a\n\n", []Event{{[]byte("id: 1\x00\ndata: a\n\n"), "", []byte("a"), true}}},
-	"blank lines":               {"\n\ndata: a\n\n\n", []Event{{Raw: []byte("\n")}, {Raw: []byte("\n")}, {[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("\n")}}},
-	"byte order mark":           {"\xef\xbb\xbfdata: a\n\n\xef\xbb\xbfdata: b\n\n", []Event{{[]byte("\xef\xbb\xbfdata: a\n\n"), "", []byte("a"), true}, {[]byte("\xef\xbb\xbfdata: b\n\n"), "", nil, false}}},
-	"no last blank":             {"data: a\n\ndata: b\n", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b\n")}}},
-	"no last line end":          {"data: a\n\ndata: b", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b")}}},
-	"long":                      {"id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\ndata: b\n\n", []Event{{[]byte("id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\n"), "9", []byte(strings.Repeat("x", 50_000)), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}}},
-	"nothing":                   {"", nil},
+	"plain":              {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []Event{{[]byte("id: 1\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("id: 2\ndata: b\n\n"), "2", []byte("b"), true}}},
+	"CRLF":               {"id: 1\r\ndata: a\r\n\r\ndata: b\r\n\r\n", []Event{{[]byte("id: 1\r\ndata: a\r\n\r\n"), "1", []byte("a"), true}, {[]byte("data: b\r\n\r\n"), "", []byte("b"), true}}},
+	"carriage return":    {"id: 1\rdata: a\r\rdata: b\r\r", []Event{{[]byte("id: 1\rdata: a\r\r"), "1", []byte("a"), true}, {[]byte("data: b\r\r"), "", []byte("b"), true}}},
+	"mixed line ends":    {"id: 1\r\ndata: a\n\ndata: b\n\ndata: c\r\n\n", []Event{{[]byte("id: 1\r\ndata: a\n\n"), "1", []byte("a"), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}, {[]byte("data: c\r\n\n"), "", []byte("c"), true}}},
+	"many data lines":    {"data: a\ndata:b\ndata\ndata:  c\n\n", []Event{{[]byte("data: a\ndata:b\ndata\ndata:  c\n\n"), "", []byte("a\nb\n\n c"), true}}},
+	"empty data":         {"data\n\ndata:\n\n", []Event{{[]byte("data\n\n"), "", nil, true}, {[]byte("data:\n\n"), "", nil, true}}},
+	"comment":            {": ping\n\ndata: a\n\n", []Event{{[]byte(": ping\n\n"), "", nil, false}, {[]byte("data: a\n\n"), "", []byte("a"), true}}},
+	"other fields":       {"weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n", []Event{{[]byte("weights: 4\nevent: x\nretry: 3\nDATA: n\nid : 7\ndata: a\n\n"), "", []byte("a"), true}}},
+	"the last id":        {"id: 1\nid: 2\ndata: a\n\n", []Event{{[]byte("id: 1\nid: 2\ndata: a\n\n"), "2", []byte("a"), true}}},
+	"id with a zero":     {"id: 1\x00\ndata: a\n\n", []Event{{[]byte("id: 1\x00\ndata: a\n\n"), "", []byte("a"), true}}},
+	"blank lines":        {"\n\ndata: a\n\n\n", []Event{{Raw: []byte("\n")}, {Raw: []byte("\n")}, {[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("\n")}}},
+	"byte order mark":    {"\xef\xbb\xbfdata: a\n\n\xef\xbb\xbfdata: b\n\n", []Event{{[]byte("\xef\xbb\xbfdata: a\n\n"), "", []byte("a"), true}, {[]byte("\xef\xbb\xbfdata: b\n\n"), "", nil, false}}},
+	"no last blank line": {"data: a\n\ndata: b\n", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b\n")}}},
+	"no last line end":   {"data: a\n\ndata: b", []Event{{[]byte("data: a\n\n"), "", []byte("a"), true}, {Raw: []byte("data: b")}}},
+	"long":               {"id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\ndata: b\n\n", []Event{{[]byte("id: 9\ndata: " + strings.Repeat("x", 50_000) + "\n\n"), "9", []byte(strings.Repeat("x", 50_000)), true}, {[]byte("data: b\n\n"), "", []byte("b"), true}}},
+	"empty":              {"", nil},
 }
 
 func TestEventReaderSplitsAnyChunking(t *testing.T) {
@@ -77,11 +76,11 @@
 				want = append(want, event.String())
 			}
 			readers := map[string]io.Reader{
-				"whole":           strings.NewReader(test.text),
-				"end with data":   iotest.DataErrReader(strings.NewReader(test.text)),
-				"byte for byte":   iotest.OneByteReader(strings.NewReader(test.text)),
-				"half by half":    iotest.HalfReader(strings.NewReader(test.text)),
-				"seven at a time": &pieces{left: parts(test.text, 7), err: io.EOF},
+				"whole":              strings.NewReader(test.text),
+				"end with data":      iotest.DataErrReader(strings.NewReader(test.text)),
+				"one byte":           iotest.OneByteReader(strings.NewReader(test.text)),
+				"half of the buffer": iotest.HalfReader(strings.NewReader(test.text)),
+				"seven bytes":        &chunkReader{chunks: parts(test.text, 7), err: io.EOF},
 			}
 			for way, reader := range readers {
 				if got, err := collect(NewEventReader(reader)); !isExactly(err, io.EOF) || !slices.Equal(got, want) {
@@ -92,15 +91,15 @@
 	}
 }
 
-// TestEventIsReturnedWithoutReadingAhead fails if the reader reads on after the blank line:
-// that would block until the next event.
+// TestEventIsReturnedWithoutReadingAhead: a read after the blank line would block until the
+// next event.
 func TestEventIsReturnedWithoutReadingAhead(t *testing.T) {
 	for _, text := range []string{"data: a\n\n", "data: a\r\n\r\n", "data: a\r\r", ": ping\n\n", "\n", "data: a\r\n\n", "data: a\n\r\n"} {
 		for size := 1; size <= len(text); size++ {
-			source := &pieces{left: parts(text, size), err: errors.New("read too far")}
+			source := &chunkReader{chunks: parts(text, size), err: errors.New("read too far")}
 			event, err := NewEventReader(source).Next()
-			if err != nil || strings.TrimSuffix(string(event.Raw), "\n") != strings.TrimSuffix(text, "\n") || source.over > 0 {
-				t.Errorf("%q by %d: got %q, %v, with %d reads too many", text, size, event.Raw, err, source.over)
+			if err != nil || strings.TrimSuffix(string(event.Raw), "\n") != strings.TrimSuffix(text, "\n") || source.extraReads > 0 {
+				t.Errorf("%q by %d: got %q, %v, with %d extra reads", text, size, event.Raw, err, source.extraReads)
 			}
 		}
 	}
@@ -109,7 +108,7 @@
 func TestBrokenStreamYieldsNoPartialEvent(t *testing.T) {
 	broken := errors.New("broken")
 	for _, text := range []string{"data: a\n\ndata: b", "data: a\n\ndata: b\n", "data: a\n\ndata: b\r"} {
-		events := NewEventReader(&pieces{left: [][]byte{[]byte(text)}, err: broken})
+		events := NewEventReader(&chunkReader{chunks: [][]byte{[]byte(text)}, err: broken})
 		got, err := collect(events)
 		if !isExactly(err, broken) || len(got) != 1 {
 			t.Errorf("%q: got %v, %v", text, got, err)
@@ -130,20 +129,20 @@
 	}
 }
 
-// TestCompleteEventsAreReturnedWithoutReading has two complete events and a part of a third come
-// with one read: the first two need no other read, the third does.
+// TestCompleteEventsAreReturnedWithoutReading reads two complete events and a part of a
+// third at once: only the third needs another read.
 func TestCompleteEventsAreReturnedWithoutReading(t *testing.T) {
-	source := &pieces{left: [][]byte{[]byte("data: a\n\ndata: b\n\ndata: c\n")}, err: io.EOF}
+	source := &chunkReader{chunks: [][]byte{[]byte("data: a\n\ndata: b\n\ndata: c\n")}, err: io.EOF}
 	events := NewEventReader(source)
-	if len(source.left) != 1 {
+	if len(source.chunks) != 1 {
 		t.Error("read before an event was wanted")
 	}
 	for _, want := range []string{"a", "b"} {
-		if event, err := events.Next(); err != nil || string(event.Data) != want || source.over != 0 {
-			t.Errorf("got %v, %v after %d reads that were not needed, want %q", event, err, source.over, want)
+		if event, err := events.Next(); err != nil || string(event.Data) != want || source.extraReads != 0 {
+			t.Errorf("got %v, %v after %d extra reads, want %q", event, err, source.extraReads, want)
 		}
 	}
-	if _, _ = events.Next(); source.over == 0 {
+	if _, _ = events.Next(); source.extraReads == 0 {
 		t.Error("the rest of the stream was returned before its end was read")
 	}
 }
@@ -168,26 +167,26 @@
 	for number, event := range kept {
 		raw.Write(event.Raw)
 		if want := fmt.Sprintf("one %d\ntwo", number); string(event.Data) != want || event.ID != fmt.Sprint(number) {
-			t.Fatalf("event %d has become %v", number, event)
+			t.Fatalf("event %d became %v", number, event)
 		}
 	}
 	if raw.String() != text.String() || len(kept) != 2000 {
-		t.Error("the stream is not what it was")
+		t.Error("the concatenation of the events differs from the stream")
 	}
 }
 
 // TestLateLineFeedAfterCarriageReturn: a line feed that arrives after the carriage return
 // that ended an event belongs to it and is not a blank line of its own.
 func TestLateLineFeedAfterCarriageReturn(t *testing.T) {
-	events := NewEventReader(&pieces{left: [][]byte{[]byte("data: a\n\r"), []byte("\ndata: b\n\n")}, err: io.EOF})
+	events := NewEventReader(&chunkReader{chunks: [][]byte{[]byte("data: a\n\r"), []byte("\ndata: b\n\n")}, err: io.EOF})
 	want := []string{Event{[]byte("data: a\n\r"), "", []byte("a"), true}.String(), Event{[]byte("\ndata: b\n\n"), "", []byte("b"), true}.String()}
 	if got, err := collect(events); !isExactly(err, io.EOF) || !slices.Equal(got, want) {
 		t.Errorf("got %v, %v", got, err)
 	}
 }
 
-// FuzzEventReader checks that no byte of any stream is lost or moved, and that the data do
-// not depend on how the stream is cut into reads.
+// FuzzEventReader checks that no byte of a stream is lost or moved and that the events do
+// not depend on how the stream is split into reads.
 func FuzzEventReader(f *testing.F) {
 	for _, test := range streams {
 		if len(test.text) < 1000 {
@@ -197,7 +196,7 @@
 	f.Add("\r\n\r\n\r\r\n\n\r", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		read := func(size int) (raw, data string) {
-			events := NewEventReader(&pieces{left: parts(text, size), err: io.EOF})
+			events := NewEventReader(&chunkReader{chunks: parts(text, size), err: io.EOF})
 			for {
 				event, err := events.Next()
 				if err != nil {
--- a/system/runnerpool/exchange_test.go
+++ b/system/runnerpool/exchange_test.go
@@ -23,38 +23,38 @@
 // lostResponse is the failure of a request that may have run.
 var lostResponse = failure{kind: apierror.RunnerFailure, lost: true}
 
-// TestResponseTruncatedAtEachByte: a truncated response is never taken for complete, and
-// the pool does not send its request again, on a new connection and on a reused one.
+// TestResponseTruncatedAtEachByte: on a new and on a reused connection, a truncated response
+// is never taken for complete, and its request is not sent again.
 func TestResponseTruncatedAtEachByte(t *testing.T) {
-	answers := map[string]string{
+	responses := map[string]string{
 		"length": ok("fine"),
 		"chunks": "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n",
 		"late":   strings.ReplaceAll(ok("late"), "NAME", "q0") + ok("fine"),
 	}
-	for name, answer := range answers {
-		for _, kept := range []bool{false, true} {
-			for _, end := range []string{"|CLOSE", "|RESET"} {
-				for cut := range len(answer) {
-					if strings.HasSuffix(answer[:cut], "NAM") || strings.Contains(answer[cut:], "AME") && strings.HasSuffix(answer[:cut], "N") {
+	for name, response := range responses {
+		for _, reused := range []bool{false, true} {
+			for _, ending := range []string{"|CLOSE", "|RESET"} {
+				for cut := range len(response) {
+					if strings.HasSuffix(response[:cut], "NAM") || strings.Contains(response[cut:], "AME") && strings.HasSuffix(response[:cut], "N") {
 						continue // the placeholder is replaced as a unit
 					}
 					synctest.Test(t, func(t *testing.T) {
-						script := newScriptedRunner([]string{answer[:cut] + end})
-						if kept {
-							script.answers[0] = []string{ok("fine"), answer[:cut] + end}
+						script := newScriptedRunner([]string{response[:cut] + ending})
+						if reused {
+							script.responses[0] = []string{ok("fine"), response[:cut] + ending}
 						}
 						pool := New(script, testHeaders)
 						defer pool.Close()
-						if kept {
+						if reused {
 							mustSend(t, pool, "q0")
 						}
-						before := len(script.got())
+						before := len(script.received())
 						_, body, err := sendAndRead(t, pool, testRequest("q1"))
 						if got := failureOf(err); got != lostResponse {
-							t.Errorf("%s, reused %t, %s after %d bytes: %q, %v", name, kept, end, cut, body, err)
+							t.Errorf("%s, reused %t, %s after %d bytes: %q, %v", name, reused, ending, cut, body, err)
 						}
-						if requested := len(script.got()) - before; requested != 1 {
-							t.Errorf("%s, reused %t, %s after %d bytes: sent %d times", name, kept, end, cut, requested)
+						if requested := len(script.received()) - before; requested != 1 {
+							t.Errorf("%s, reused %t, %s after %d bytes: sent %d times", name, reused, ending, cut, requested)
 						}
 					})
 				}
@@ -63,9 +63,9 @@
 	}
 }
 
-// shortConnection breaks after it has accepted a number of bytes.
+// shortConnection breaks after it has accepted a limited number of bytes.
 type shortConnection struct {
-	*end
+	*pipeEnd
 	left *int
 }
 
@@ -73,16 +73,16 @@
 	count := min(len(data), *connection.left)
 	*connection.left -= count
 	if count > 0 {
-		connection.end.Write(data[:count])
+		connection.pipeEnd.Write(data[:count])
 	}
 	if count < len(data) {
-		connection.end.Close()
+		connection.pipeEnd.Close()
 		return count, syscall.ECONNRESET
 	}
 	return count, nil
 }
 
-// shortNetwork makes connections that together accept a number of bytes.
+// shortNetwork opens connections that together accept a limited number of bytes.
 type shortNetwork struct {
 	*scriptedRunner
 	left int
@@ -93,11 +93,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return shortConnection{made.(*end), &network.left}, nil
+	return shortConnection{made.(*pipeEnd), &network.left}, nil
 }
 
-// TestRequestTruncatedAtEachByte: only a request of which no byte was accepted is reported
-// as never sent.
+// TestRequestTruncatedAtEachByte: a request is reported as never sent only if no byte of it
+// was accepted.
 func TestRequestTruncatedAtEachByte(t *testing.T) {
 	head := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -126,47 +126,47 @@
 	}
 }
 
-// runnerBehavior is what a random runner does with one request.
+// runnerBehavior is how a randomRunner handles one request.
 type runnerBehavior int
 
 const (
-	answersCompletely runnerBehavior = iota
-	answersInChunks
-	answersAfterInterim
-	answersAfterForeign
-	answersAfterEarlier
-	answersTwice
-	answersTwiceLater
-	answersWithJunk
-	answersNoContent
-	answersCutOff
-	answersGarbage
-	answersUnnamed
-	answersAndCloses
+	respondsCompletely runnerBehavior = iota
+	respondsChunked
+	respondsAfterInterim
+	respondsAfterUnknownID
+	respondsAfterEarlierID
+	respondsTwice
+	repeatsResponseLater
+	sendsJunkLater
+	respondsNoContent
+	truncatesResponse
+	sendsGarbage
+	omitsID
+	respondsAndCloses
 	rejects
 	misdirects
-	resetsSilently
-	staysSilent
-	allActs
+	closesSilently
+	respondsLate
+	behaviorCount
 )
 
 // randomRunner responds at random and records which requests it ran.
 type randomRunner struct {
 	network
-	mutex  sync.Mutex
-	random *rand.Rand
-	ran    map[string]int
-	names  []string
-	came   map[string]int
+	mutex      sync.Mutex
+	random     *rand.Rand
+	ran        map[string]int
+	requestIDs []string
+	received   map[string]int
 }
 
-// responseTo is the only complete response to a request; its body names the request.
-func responseTo(name string) string { return strings.ReplaceAll(ok("done "+name), "NAME", name) }
+// responseTo is the only complete response to a request; its body holds the request's ID.
+func responseTo(id string) string { return strings.ReplaceAll(ok("done "+id), "NAME", id) }
 
-func (runner *randomRunner) serve(_ int, connection *end) {
+func (runner *randomRunner) serve(_ int, connection *pipeEnd) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
-	owed := "" // sent before the next response
+	pending := "" // sent before the next response
 	for {
 		received, err := http.ReadRequest(reader)
 		if err != nil {
@@ -175,106 +175,106 @@
 		if _, err := io.ReadAll(received.Body); err != nil {
 			return
 		}
-		answer, later, open := runner.answer(received.Header.Get("Query-Name"), received.Method == http.MethodHead)
-		io.WriteString(connection, owed+answer)
-		owed = later
+		response, later, open := runner.respond(received.Header.Get("Query-Name"), received.Method == http.MethodHead)
+		io.WriteString(connection, pending+response)
+		pending = later
 		if !open {
 			return
 		}
 	}
 }
 
-// answer draws the response, what is sent before the next response, and whether the
+// respond draws the response, what is sent before the next response, and whether the
 // connection stays open.
-func (runner *randomRunner) answer(name string, head bool) (now, later string, open bool) {
+func (runner *randomRunner) respond(id string, head bool) (now, later string, open bool) {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	runner.came[name]++
+	runner.received[id]++
 	earlier := "q-none"
-	if len(runner.names) > 0 {
-		earlier = runner.names[runner.random.IntN(len(runner.names))]
+	if len(runner.requestIDs) > 0 {
+		earlier = runner.requestIDs[runner.random.IntN(len(runner.requestIDs))]
 	}
-	runner.names = append(runner.names, name)
-	act := runnerBehavior(runner.random.IntN(int(allActs)))
-	if act != rejects && act != misdirects {
-		runner.ran[name]++
+	runner.requestIDs = append(runner.requestIDs, id)
+	behavior := runnerBehavior(runner.random.IntN(int(behaviorCount)))
+	if behavior != rejects && behavior != misdirects {
+		runner.ran[id]++
 	}
-	complete, named := responseTo(name), "Query-Name: "+name+"\r\n"
+	complete, idHeaderLine := responseTo(id), "Query-Name: "+id+"\r\n"
 	if head {
-		complete = strings.TrimSuffix(complete, "done "+name)
+		complete = strings.TrimSuffix(complete, "done "+id)
 	}
-	return behaviors[act](drawnResponse{name: name, earlier: earlier, complete: complete, named: named, head: head, random: runner.random})
+	return behaviors[behavior](behaviorInput{id: id, earlier: earlier, complete: complete, idHeaderLine: idHeaderLine, head: head, random: runner.random})
 }
 
-// drawnResponse is what a runner's behavior makes its response from.
-type drawnResponse struct {
-	name     string // ID of the request
-	earlier  string // ID of an earlier request
-	complete string // complete response
-	named    string // header line with the ID
-	head     bool   // the request's method is HEAD
-	random   *rand.Rand
+// behaviorInput is the input from which a behavior builds its response.
+type behaviorInput struct {
+	id           string // ID of the request
+	earlier      string // ID of an earlier request
+	complete     string // complete response
+	idHeaderLine string // header line with the ID
+	head         bool   // the request's method is HEAD
+	random       *rand.Rand
 }
 
 // behaviors return what is sent now, what is sent before the next response, and whether
 // the connection stays open.
-var behaviors = [allActs]func(drawn drawnResponse) (now, later string, open bool){
-	answersCompletely: func(drawn drawnResponse) (string, string, bool) { return drawn.complete, "", true },
-	answersInChunks: func(drawn drawnResponse) (string, string, bool) {
-		if drawn.head {
-			return drawn.complete, "", true
+var behaviors = [behaviorCount]func(input behaviorInput) (now, later string, open bool){
+	respondsCompletely: func(input behaviorInput) (string, string, bool) { return input.complete, "", true },
+	respondsChunked: func(input behaviorInput) (string, string, bool) {
+		if input.head {
+			return input.complete, "", true
 		}
-		return "HTTP/1.1 200 OK\r\n" + drawn.named + "Transfer-Encoding: chunked\r\n\r\n5\r\ndone \r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(drawn.name), drawn.name), "", true
+		return "HTTP/1.1 200 OK\r\n" + input.idHeaderLine + "Transfer-Encoding: chunked\r\n\r\n5\r\ndone \r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(input.id), input.id), "", true
 	},
-	answersAfterInterim: func(drawn drawnResponse) (string, string, bool) {
-		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + drawn.named + "\r\n" + drawn.complete, "", true
+	respondsAfterInterim: func(input behaviorInput) (string, string, bool) {
+		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + input.idHeaderLine + "\r\n" + input.complete, "", true
 	},
-	answersAfterForeign: func(drawn drawnResponse) (string, string, bool) {
-		return responseTo("q-foreign") + drawn.complete, "", true
+	respondsAfterUnknownID: func(input behaviorInput) (string, string, bool) {
+		return responseTo("q-foreign") + input.complete, "", true
 	},
-	answersAfterEarlier: func(drawn drawnResponse) (string, string, bool) {
-		return responseTo(drawn.earlier) + drawn.complete, "", true
+	respondsAfterEarlierID: func(input behaviorInput) (string, string, bool) {
+		return responseTo(input.earlier) + input.complete, "", true
 	},
-	answersTwice:      func(drawn drawnResponse) (string, string, bool) { return drawn.complete + drawn.complete, "", true },
-	answersTwiceLater: func(drawn drawnResponse) (string, string, bool) { return drawn.complete, drawn.complete, true },
-	answersWithJunk:   func(drawn drawnResponse) (string, string, bool) { return drawn.complete, "junk\r\n", true },
-	answersNoContent: func(drawn drawnResponse) (string, string, bool) {
-		return "HTTP/1.1 204 No Content\r\n" + drawn.named + "\r\n", "", true
+	respondsTwice:        func(input behaviorInput) (string, string, bool) { return input.complete + input.complete, "", true },
+	repeatsResponseLater: func(input behaviorInput) (string, string, bool) { return input.complete, input.complete, true },
+	sendsJunkLater:       func(input behaviorInput) (string, string, bool) { return input.complete, "junk\r\n", true },
+	respondsNoContent: func(input behaviorInput) (string, string, bool) {
+		return "HTTP/1.1 204 No Content\r\n" + input.idHeaderLine + "\r\n", "", true
 	},
-	answersCutOff: func(drawn drawnResponse) (string, string, bool) {
-		return drawn.complete[:drawn.random.IntN(len(drawn.complete))], "", false
+	truncatesResponse: func(input behaviorInput) (string, string, bool) {
+		return input.complete[:input.random.IntN(len(input.complete))], "", false
 	},
-	answersGarbage: func(drawnResponse) (string, string, bool) { return "\x16\x03\x01 no answer\r\n\r\n", "", true },
-	answersUnnamed: func(drawn drawnResponse) (string, string, bool) {
-		return strings.Replace(drawn.complete, drawn.named, "", 1), "", true
+	sendsGarbage: func(behaviorInput) (string, string, bool) { return "\x16\x03\x01 no answer\r\n\r\n", "", true },
+	omitsID: func(input behaviorInput) (string, string, bool) {
+		return strings.Replace(input.complete, input.idHeaderLine, "", 1), "", true
 	},
-	answersAndCloses: func(drawn drawnResponse) (string, string, bool) {
-		return strings.Replace(drawn.complete, "\r\n", "\r\nConnection: close\r\n", 1), "", false
+	respondsAndCloses: func(input behaviorInput) (string, string, bool) {
+		return strings.Replace(input.complete, "\r\n", "\r\nConnection: close\r\n", 1), "", false
 	},
-	rejects: func(drawn drawnResponse) (string, string, bool) {
-		return "HTTP/1.1 503 Full\r\n" + drawn.named + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "", true
+	rejects: func(input behaviorInput) (string, string, bool) {
+		return "HTTP/1.1 503 Full\r\n" + input.idHeaderLine + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "", true
 	},
-	misdirects: func(drawn drawnResponse) (string, string, bool) {
-		return "HTTP/1.1 421 Misdirected\r\n" + drawn.named + "Content-Length: 0\r\n\r\n", "", true
+	misdirects: func(input behaviorInput) (string, string, bool) {
+		return "HTTP/1.1 421 Misdirected\r\n" + input.idHeaderLine + "Content-Length: 0\r\n\r\n", "", true
 	},
-	resetsSilently: func(drawnResponse) (string, string, bool) { return "", "", false },
-	staysSilent:    func(drawn drawnResponse) (string, string, bool) { return "", drawn.complete, true },
+	closesSilently: func(behaviorInput) (string, string, bool) { return "", "", false },
+	respondsLate:   func(input behaviorInput) (string, string, bool) { return "", input.complete, true },
 }
 
 // TestRandomExchanges: whatever a runner sends, a response is returned only for the request
-// that it names; no request arrives twice; a request reported as never sent did not
-// arrive, and one reported as not run did not run.
+// whose ID it has. No request arrives twice, one reported as never sent does not arrive,
+// and one reported as not run does not run.
 func TestRandomExchanges(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := &randomRunner{random: rand.New(rand.NewPCG(seed, 2)), ran: map[string]int{}, came: map[string]int{}}
+				runner := &randomRunner{random: rand.New(rand.NewPCG(seed, 2)), ran: map[string]int{}, received: map[string]int{}}
 				runner.network.serve = runner.serve
 				pool := New(&runner.network, testHeaders)
 				defer pool.Close()
 				var callers sync.WaitGroup
 				for caller := range 3 {
-					callers.Go(func() { runner.ask(t, pool, rand.New(rand.NewPCG(seed, uint64(caller))), caller) })
+					callers.Go(func() { runner.runCaller(t, pool, rand.New(rand.NewPCG(seed, uint64(caller))), caller) })
 				}
 				callers.Wait()
 				synctest.Wait()
@@ -286,28 +286,28 @@
 	}
 }
 
-func (runner *randomRunner) ask(t *testing.T, pool *Pool, random *rand.Rand, caller int) {
-	var open []*Response // closed only at the end
+func (runner *randomRunner) runCaller(t *testing.T, pool *Pool, random *rand.Rand, caller int) {
+	var open []*Response // closed when the caller ends
 	defer func() {
 		for _, response := range open {
 			response.Close()
 		}
 	}()
 	for number := range 60 {
-		name := fmt.Sprintf("q-%d-%d", caller, number)
+		id := fmt.Sprintf("q-%d-%d", caller, number)
 		method := http.MethodPost
 		if random.IntN(8) == 0 {
 			method = http.MethodHead
 		}
-		response, err := pool.Send(t.Context(), testRequest(name, func(request *Request) {
+		response, err := pool.Send(t.Context(), testRequest(id, func(request *Request) {
 			request.Method, request.Deadline = method, time.Now().Add(time.Second)
 		}))
 		status, body := 0, []byte(nil)
 		if err == nil {
 			status = response.Status
 			body, err = io.ReadAll(response)
-			if named := response.Header.Get("Query-Name"); status < 300 && named != name {
-				t.Errorf("%s got an answer that names %q", name, named)
+			if responseID := response.Header.Get("Query-Name"); status < 300 && responseID != id {
+				t.Errorf("%s got a response with the ID %q", id, responseID)
 			}
 			if random.IntN(10) > 0 {
 				response.Close()
@@ -315,32 +315,32 @@
 				open = append(open, response)
 			}
 		}
-		runner.judge(t, name, method, status, string(body), err)
+		runner.checkOutcome(t, id, method, status, string(body), err)
 		time.Sleep(time.Duration(random.IntN(3)) * time.Millisecond)
 	}
 }
 
-func (runner *randomRunner) judge(t *testing.T, name, method string, status int, body string, err error) {
+func (runner *randomRunner) checkOutcome(t *testing.T, id, method string, status int, body string, err error) {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	came, ran, reported := runner.came[name], runner.ran[name], failureOf(err)
-	if came > 1 {
-		t.Errorf("%s was sent %d times", name, came)
+	received, ran, reported := runner.received[id], runner.ran[id], failureOf(err)
+	if received > 1 {
+		t.Errorf("%s was sent %d times", id, received)
 	}
 	switch {
 	case err == nil && ran != 1:
-		t.Errorf("%s was answered and ran %d times", name, ran)
-	case err == nil && method != http.MethodHead && status == http.StatusOK && body != "done "+name:
-		t.Errorf("%s got %q", name, body)
-	case reported.neverSent && came != 0:
-		t.Errorf("%s is reported as never sent, and arrived", name)
+		t.Errorf("%s got a response and ran %d times", id, ran)
+	case err == nil && method != http.MethodHead && status == http.StatusOK && body != "done "+id:
+		t.Errorf("%s got %q", id, body)
+	case reported.neverSent && received != 0:
+		t.Errorf("%s is reported as never sent but arrived", id)
 	case reported.kind == apierror.NotRun && ran != 0:
-		t.Errorf("%s is reported as not run, and ran", name)
+		t.Errorf("%s is reported as not run but ran", id)
 	}
 }
 
-// TestLateResponseBeforeHeadResponse: the end of a late response before that to a HEAD
-// request cannot be found, so that the request is lost.
+// TestLateResponseBeforeHeadResponse: a late response before that to a HEAD request must
+// fail the request, because the end of the late one cannot be determined.
 func TestLateResponseBeforeHeadResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := strings.ReplaceAll(ok(responseTo("q1")), "NAME", "q0")
@@ -377,12 +377,12 @@
 	})
 }
 
-// checkArbitraryResponse sends a request to a runner that answers with certain bytes, and
-// checks that they are not taken for more than they are.
+// checkArbitraryResponse sends a request to a runner that responds with the given bytes and
+// checks that an accepted response is valid and that an error is typed.
 func checkArbitraryResponse(t *testing.T, raw string, head, reused bool) {
 	runner := newScriptedRunner([]string{raw + "|CLOSE"})
 	if reused {
-		runner.answers[0] = []string{ok("fine"), raw + "|CLOSE"}
+		runner.responses[0] = []string{ok("fine"), raw + "|CLOSE"}
 	}
 	pool := New(runner, testHeaders)
 	defer pool.Close()
@@ -404,19 +404,19 @@
 	checkAccepted(t, raw, response, head, reused)
 }
 
-// checkAccepted checks that a response is the one of its request and that its body is in
-// what the runner sent.
+// checkAccepted checks that a response belongs to its request and that its body is part of
+// the bytes that the runner sent.
 func checkAccepted(t *testing.T, raw string, response *Response, head, reused bool) {
 	t.Helper()
-	names := response.Header["Query-Name"]
-	if named := len(names) > 0 && names[0] == "q1"; !named && (reused || response.Status < 300) {
-		t.Errorf("%q was taken for the response, with status %d and the IDs %q", raw, response.Status, names)
+	ids := response.Header["Query-Name"]
+	if hasID := len(ids) > 0 && ids[0] == "q1"; !hasID && (reused || response.Status < 300) {
+		t.Errorf("%q was taken for the response, with status %d and the IDs %q", raw, response.Status, ids)
 	}
 	body, err := io.ReadAll(response)
 	if err == nil && response.Length >= 0 && !head && int64(len(body)) != response.Length {
-		t.Errorf("%q: %d bytes are complete, of %d", raw, len(body), response.Length)
+		t.Errorf("%q: complete after %d bytes of %d", raw, len(body), response.Length)
 	}
 	if !bytes.Contains([]byte(raw), body) && len(response.Header["Transfer-Encoding"]) == 0 && response.Length >= 0 {
-		t.Errorf("%q: %q was not in it", raw, body)
+		t.Errorf("%q: body %q is not part of it", raw, body)
 	}
 }
--- a/system/runnerpool/idle_check.go
+++ b/system/runnerpool/idle_check.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// minIdleTimeout is the shortest idle timeout that is learnt for a runner. Connections
-// that are closed sooner show a fault of the runner and not its idle timeout.
+// minIdleTimeout is the shortest idle timeout that is learnt for a runner. A connection
+// that is closed sooner indicates a failure of the runner rather than its idle timeout.
 const minIdleTimeout = 250 * time.Millisecond
 
 // idleChecker is implemented by connections that are not sockets, such as those of a
 // simulated network.
 type idleChecker interface {
-	// Idle reports, without blocking, that nothing has arrived and the other end has
-	// neither closed nor reset the connection.
+	// Idle reports, without blocking, that there is no pending input and that the other end
+	// has neither closed nor reset the connection.
 	Idle() bool
 }
 
-// probeSocket reads a byte without blocking. It may take a byte away: whatever it finds
-// other than nothing makes the connection unusable.
+// probeSocket reads a byte without blocking. It may consume that byte, because any result
+// other than no input makes the connection unusable.
 func (connection *persistentConnection) probeSocket(descriptor uintptr) bool {
 	for {
 		count, err := syscall.Read(int(descriptor), connection.probeByte[:])
@@ -31,9 +31,9 @@
 	}
 }
 
-// isIdle reports that nothing has arrived on an idle connection and that it is open. If
-// it returns false, closedByRunner says whether the runner closed the connection
-// properly and sent nothing before.
+// isIdle reports that an idle connection is open and has no pending input. If it returns
+// false, closedByRunner says whether the runner closed the connection without a reset and
+// without sending anything before.
 func (connection *persistentConnection) isIdle() bool {
 	connection.noInput, connection.closedByRunner = false, false
 	if connection.raw != nil {
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -2,21 +2,22 @@
 //
 // It does not use net/http's Transport, because the callers must know exactly what may
 // have happened. Every failure says whether the request was never sent, was rejected by
-// a runner that vouches that it did not run, or may have run (see Pool.Send). The
+// a runner that guarantees it did not run, or may have run (see Pool.Send). The
 // invariants are:
 //
-//   - A response is only passed on if it carries the ID of its request. Late responses
-//     to earlier requests on the same connection are dropped.
+//   - A response is only passed on if it carries the ID of its request, or if it is the
+//     first on a new connection, has status 300 or higher and no ID. Late responses to
+//     earlier requests on the same connection are dropped.
 //   - A request is sent again by the pool only while no byte of it was accepted by a
-//     connection. All other retries are for the caller to decide.
+//     connection. The caller decides on all other retries.
 //   - The end of a response body is reported as io.EOF only if it is provably complete.
 //   - A connection carries one request at a time and is reused only if the last exchange
 //     on it ended cleanly and nothing has arrived on it since.
 //
-// The pool owns its connections, idle ones and those in use, and a timer that closes idle
-// ones. A Response owns its connection until Close. A request body too long for one write
-// is written by a goroutine of its own, which ends with the response or when the
-// connection is closed, and which Response.Close waits for.
+// The pool owns its connections, idle and in use, and a timer that closes idle ones. A
+// Response owns its connection until Close. A separate goroutine writes a request that is
+// too long for one write; it ends with the write or when the connection is closed, and
+// Response.Close waits for it.
 package runnerpool
 
 import (
@@ -30,11 +31,11 @@
 )
 
 const (
-	// defaultIdleTimeout is how long a connection is kept idle if the runner does not say
-	// how long it keeps one: a little less than the five seconds that many HTTP servers
-	// use. It is shortened for runners that close connections earlier.
+	// defaultIdleTimeout applies to connections whose runner announces no timeout: slightly
+	// below the five seconds that many HTTP servers use. It is shortened for runners that
+	// close connections earlier.
 	defaultIdleTimeout = 4 * time.Second
-	// minSweepInterval is the shortest time between two sweeps for expired connections.
+	// minSweepInterval is the minimum time between two sweeps for expired connections.
 	minSweepInterval = time.Second
 )
 
@@ -45,7 +46,7 @@
 	dials   atomic.Uint64
 	reuses  atomic.Uint64
 
-	mutex          sync.Mutex                    // guards all that follows
+	mutex          sync.Mutex                    // guards the fields below
 	runners        map[string]*runnerConnections // by address
 	inUse          int
 	idle           int
@@ -54,28 +55,28 @@
 	sweepScheduled bool
 }
 
-// runnerConnections are the connections to one incarnation of a runner at an address. Pool.mutex
-// guards all but idleTimeout.
+// runnerConnections holds the connections to one incarnation of a runner at an address.
+// Pool.mutex guards all fields but idleTimeout.
 type runnerConnections struct {
-	incarnation string                  // empty: not known yet
-	idle        []*persistentConnection // the one used last comes last
-	total       int                     // idle, in use and being dialled
+	incarnation string                  // empty: not yet known
+	idle        []*persistentConnection // least recently used first
+	total       int                     // idle, in use or being dialled
 	maxTotal    int
-	// idleTimeout, a time.Duration, is how long a connection is kept idle if its responses
-	// do not say so.
+	// idleTimeout, a time.Duration, applies to connections whose runner announces no
+	// timeout.
 	idleTimeout atomic.Int64
-	removed     bool // connections that come back are closed
+	removed     bool // connections in use are closed instead of becoming idle
 }
 
-// Stats are the counters of a pool.
+// Stats holds the counters of a pool.
 type Stats struct {
 	Dials  uint64 // connections opened
-	Reuses uint64 // requests sent over a connection that had carried another one
+	Reuses uint64 // requests sent on a reused connection
 	Idle   int    // idle connections now
 	InUse  int    // connections in use or being dialled now
 }
 
-// New returns a pool for runners that understand certain headers. It must be closed.
+// New returns a pool for runners that understand the given headers. It must be closed.
 //
 //	pool := runnerpool.New(link.TCP{}, runnerpool.HeaderNames{RequestID: "Query-Name", NotRun: "Not-Run"})
 //	defer pool.Close()
@@ -114,8 +115,8 @@
 	return Stats{Dials: pool.dials.Load(), Reuses: pool.reuses.Load(), Idle: pool.idle, InUse: pool.inUse}
 }
 
-// Retain closes the idle connections to all runners but these, and those in use when
-// their responses are closed. An incarnation that is empty on either side matches any.
+// Retain closes the idle connections to all runners except the given ones, and those in
+// use when their responses are closed. An empty incarnation on either side matches any.
 //
 //	pool.Retain(view.Runners)
 func (pool *Pool) Retain(runners []feed.Runner) {
@@ -137,7 +138,7 @@
 	closeAll(removed)
 }
 
-// sameIncarnation reports whether two incarnations are the same, as far as both are known.
+// sameIncarnation reports whether two incarnations are equal or one is not known.
 func sameIncarnation(left, right string) bool { return left == "" || right == "" || left == right }
 
 // removeRunner removes a runner and appends its idle connections to those that the
@@ -160,8 +161,8 @@
 	}
 }
 
-// runnerFor returns the connections to an incarnation of a runner. If another incarnation had the
-// address, that one is removed. The caller holds the mutex.
+// runnerFor returns the connections to an incarnation of a runner and removes another
+// incarnation at the same address. The caller holds the mutex.
 func (pool *Pool) runnerFor(address, incarnation string, removed []*persistentConnection) (*runnerConnections, []*persistentConnection) {
 	runner := pool.runners[address]
 	if runner != nil && !sameIncarnation(runner.incarnation, incarnation) {
--- a/system/runnerpool/pool_test.go
+++ b/system/runnerpool/pool_test.go
@@ -11,30 +11,30 @@
 	"yardrock.example/system/feed"
 )
 
-func mustSend(t *testing.T, pool *Pool, name string, changes ...func(*Request)) {
+func mustSend(t *testing.T, pool *Pool, id string, changes ...func(*Request)) {
 	t.Helper()
-	if _, body, err := sendAndRead(t, pool, testRequest(name, changes...)); body != "fine" || err != nil {
-		t.Fatalf("%s got %q, %v", name, body, err)
+	if _, body, err := sendAndRead(t, pool, testRequest(id, changes...)); body != "fine" || err != nil {
+		t.Fatalf("%s got %q, %v", id, body, err)
 	}
 }
 
-// openResponses sends requests whose responses stay open; the functions returned read and
-// close one each.
+// openResponses sends requests whose responses stay open. Each of the returned functions
+// reads and closes one.
 func openResponses(t *testing.T, pool *Pool, count int) []func() {
 	t.Helper()
-	ends := []func(){}
+	closers := []func(){}
 	for number := range count {
 		response, err := pool.Send(t.Context(), testRequest(fmt.Sprint("held", number)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, func() {
+		closers = append(closers, func() {
 			io.Copy(io.Discard, response)
 			response.Close()
 			response.Close()
 		})
 	}
-	return ends
+	return closers
 }
 
 func TestIdleConnectionsAreReusedLastInFirstOut(t *testing.T) {
@@ -42,15 +42,15 @@
 		runner := newScriptedRunner(repeat(ok("fine"), 99))
 		pool := New(runner, testHeaders)
 		defer pool.Close()
-		for _, end := range openResponses(t, pool, 3) {
-			end()
+		for _, closeResponse := range openResponses(t, pool, 3) {
+			closeResponse()
 		}
 		if stats := pool.Stats(); stats != (Stats{Dials: 3, Idle: 3}) {
 			t.Errorf("stats %+v", stats)
 		}
 		for number := range 5 {
 			mustSend(t, pool, fmt.Sprint("q", number))
-			if got := runner.got()[3+number].connection; got != 2 {
+			if got := runner.received()[3+number].connection; got != 2 {
 				t.Errorf("connection %d was used", got)
 			}
 		}
@@ -65,23 +65,23 @@
 		runner := newScriptedRunner(repeat(ok("fine"), 99))
 		pool := New(runner, testHeaders)
 		defer pool.Close()
-		ends := openResponses(t, pool, 4)
+		closers := openResponses(t, pool, 4)
 		_, err := pool.Send(t.Context(), testRequest("q1"))
 		if got := failureOf(err); got != (failure{kind: apierror.Unavailable, neverSent: true}) || runner.dials != 4 {
 			t.Errorf("got %v after %d dials", err, runner.dials)
 		}
 		other := func(request *Request) { request.Runner = feed.Runner{Address: "10.0.0.10:8080", Life: "life-2"} }
 		mustSend(t, pool, "q2", other)
-		ends[0]()
+		closers[0]()
 		mustSend(t, pool, "q3")
 		if runner.dials != 5 {
 			t.Errorf("%d dials", runner.dials)
 		}
-		// Fewer are allowed now: those beyond the limit are closed when they come back.
+		// With a lower limit, excess connections are closed when they are returned.
 		fewer := func(request *Request) { request.MaxConnections = 2 }
 		mustSend(t, pool, "q4", fewer)
-		for _, end := range ends[1:] {
-			end()
+		for _, closeResponse := range closers[1:] {
+			closeResponse()
 		}
 		if stats := pool.Stats(); stats.Idle != 3 || stats.InUse != 0 {
 			t.Errorf("stats %+v", stats)
@@ -94,9 +94,9 @@
 
 func TestIdleTimeoutStaysBelowKeepAlive(t *testing.T) {
 	for name, test := range map[string]struct {
-		headers  string
-		longest  time.Duration // for which a connection is kept idle
-		answered int           // requests before, each after half of the time
+		headers          string
+		longest          time.Duration // time that a connection is kept idle
+		previousRequests int           // earlier requests, each after half of that time
 	}{
 		"announced":     {"Keep-Alive: timeout=8, max=9", 5750 * time.Millisecond, 0},
 		"short":         {"Keep-Alive: timeout=1", 500 * time.Millisecond, 0},
@@ -112,7 +112,7 @@
 					pool := New(runner, testHeaders)
 					defer pool.Close()
 					mustSend(t, pool, "q1")
-					for range test.answered {
+					for range test.previousRequests {
 						time.Sleep(test.longest / 2)
 						mustSend(t, pool, "q")
 					}
@@ -136,25 +136,25 @@
 		runner := newScriptedRunner(repeat(ok("fine"), 9))
 		pool := New(runner, testHeaders)
 		defer pool.Close()
-		ends := openResponses(t, pool, 2)
-		ends[0]()
+		closers := openResponses(t, pool, 2)
+		closers[0]()
 		time.Sleep(defaultIdleTimeout / 2)
-		ends[1]()
+		closers[1]()
 		time.Sleep(defaultIdleTimeout/2 + time.Second)
 		synctest.Wait()
-		if !runner.made[0].closed() || runner.made[1].closed() || pool.Stats().Idle != 1 {
-			t.Error("not just the first connection has ended")
+		if !runner.runnerEnds[0].closed() || runner.runnerEnds[1].closed() || pool.Stats().Idle != 1 {
+			t.Error("want only the first connection closed")
 		}
 		time.Sleep(defaultIdleTimeout / 2)
 		synctest.Wait()
-		if !runner.made[1].closed() || pool.Stats().Idle != 0 {
-			t.Error("the second connection has not ended")
+		if !runner.runnerEnds[1].closed() || pool.Stats().Idle != 0 {
+			t.Error("the second connection is still open")
 		}
 		mustSend(t, pool, "q1")
 		time.Sleep(defaultIdleTimeout + time.Second)
 		synctest.Wait()
-		if !runner.made[2].closed() {
-			t.Error("after a pause, connections do not end any more")
+		if !runner.runnerEnds[2].closed() {
+			t.Error("the sweep was not scheduled again after all connections had expired")
 		}
 	})
 }
@@ -167,17 +167,17 @@
 		second string
 		dials  int
 	}{
-		"same incarnation":          {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
-		"same incarnation, unnamed": {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080"}}) }, "a", 1},
-		"incarnation becomes known": {"", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
-		"two incarnations, one is ours": {"a", func(pool *Pool) {
+		"same incarnation":           {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
+		"listed without incarnation": {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080"}}) }, "a", 1},
+		"incarnation becomes known":  {"", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}}) }, "a", 1},
+		"two incarnations, one matches": {"a", func(pool *Pool) {
 			pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "a"}, {Address: "10.0.0.9:8080", Life: "b"}})
 		}, "a", 1},
-		"other incarnation":              {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "b"}}) }, "b", 2},
-		"not listed any more":            {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Life: "a"}}) }, "a", 2},
-		"other incarnation, no Retain":   {"a", func(*Pool) {}, "b", 2},
-		"incarnation not known any more": {"a", func(*Pool) {}, "", 1},
-		"none listed, then again":        {"a", func(pool *Pool) { pool.Retain(nil) }, "a", 2},
+		"other incarnation":             {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.9:8080", Life: "b"}}) }, "b", 2},
+		"no longer listed":              {"a", func(pool *Pool) { pool.Retain([]feed.Runner{{Address: "10.0.0.7:8080", Life: "a"}}) }, "a", 2},
+		"other incarnation, no Retain":  {"a", func(*Pool) {}, "b", 2},
+		"incarnation no longer known":   {"a", func(*Pool) {}, "", 1},
+		"removed, then requested again": {"a", func(pool *Pool) { pool.Retain(nil) }, "a", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -188,7 +188,7 @@
 				test.retain(pool)
 				mustSend(t, pool, "q2", incarnation(test.second))
 				synctest.Wait()
-				if runner.dials != test.dials || runner.made[0].closed() != (test.dials == 2) {
+				if runner.dials != test.dials || runner.runnerEnds[0].closed() != (test.dials == 2) {
 					t.Errorf("%d dials", runner.dials)
 				}
 				if stats := pool.Stats(); stats.Idle != 1 || stats.InUse != 0 {
@@ -207,7 +207,7 @@
 		for number, incarnation := range []string{"", "a", "", "b"} {
 			mustSend(t, pool, fmt.Sprint("q", number), func(request *Request) { request.Runner.Life = incarnation })
 		}
-		if got := runner.got(); got[2].connection != 0 || got[3].connection != 1 {
+		if got := runner.received(); got[2].connection != 0 || got[3].connection != 1 {
 			t.Errorf("connections %d and %d", got[2].connection, got[3].connection)
 		}
 	})
@@ -228,7 +228,7 @@
 		}
 		response.Close()
 		synctest.Wait()
-		if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
+		if !runner.runnerEnds[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
 			t.Errorf("its connection is still open, stats %+v", pool.Stats())
 		}
 	})
@@ -248,7 +248,7 @@
 				io.ReadFull(response, make([]byte, bytes))
 				response.Close()
 				synctest.Wait()
-				if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
+				if !runner.runnerEnds[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
 					t.Errorf("its connection is still open, stats %+v", pool.Stats())
 				}
 				if _, err := response.Read(make([]byte, 1)); !apierror.Is(err, apierror.Cancelled) {
@@ -263,14 +263,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		runner := newScriptedRunner(repeat(ok("fine"), 9))
 		pool := New(runner, testHeaders)
-		ends := openResponses(t, pool, 2)
-		ends[0]()
+		closers := openResponses(t, pool, 2)
+		closers[0]()
 		pool.Close()
 		synctest.Wait()
-		if !runner.made[0].closed() || runner.made[1].closed() {
-			t.Error("not just the idle connection has ended")
+		if !runner.runnerEnds[0].closed() || runner.runnerEnds[1].closed() {
+			t.Error("want only the idle connection closed")
 		}
-		ends[1]()
+		closers[1]()
 		if _, err := pool.Send(t.Context(), testRequest("q1")); failureOf(err) != (failure{kind: apierror.Unavailable, neverSent: true}) {
 			t.Errorf("a closed pool gives %v", err)
 		}
@@ -281,8 +281,8 @@
 	})
 }
 
-// TestConcurrentRequests looks for responses returned for the wrong request; each carries
-// its request's body.
+// TestConcurrentRequests checks by the echoed bodies that no response is returned for the
+// wrong request.
 func TestConcurrentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runner := newScriptedRunner(nil)
@@ -294,13 +294,13 @@
 			go func() {
 				defer func() { done <- struct{}{} }()
 				for number := range 50 {
-					name := fmt.Sprintf("q%d-%d", worker, number)
-					_, body, err := sendAndRead(t, pool, testRequest(name, func(request *Request) {
-						request.Body, request.MaxConnections = [][]byte{[]byte(name)}, 8
+					id := fmt.Sprintf("q%d-%d", worker, number)
+					_, body, err := sendAndRead(t, pool, testRequest(id, func(request *Request) {
+						request.Body, request.MaxConnections = [][]byte{[]byte(id)}, 8
 						request.Runner.Address = fmt.Sprint("10.0.0.", number%3, ":8080")
 					}))
-					if err == nil && body != name || err != nil && failureOf(err) != (failure{kind: apierror.Unavailable, neverSent: true}) {
-						t.Errorf("%s got %q, %v", name, body, err)
+					if err == nil && body != id || err != nil && failureOf(err) != (failure{kind: apierror.Unavailable, neverSent: true}) {
+						t.Errorf("%s got %q, %v", id, body, err)
 					}
 					if number%10 == 0 {
 						pool.Retain([]feed.Runner{{Address: "10.0.0.1:8080"}})
--- a/system/runnerpool/request_body_test.go
+++ b/system/runnerpool/request_body_test.go
@@ -14,24 +14,24 @@
 	long := strings.Repeat("0123456789", 50_000)
 	rejection := "HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, test := range map[string]struct {
-		serve func(connection *end)
+		serve func(connection *pipeEnd)
 		body  string
 		send  failure
 		kept  bool
 	}{
 		"read completely":            {body: fmt.Sprint(len(long)), kept: true},
-		"rejected before it is read": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.in.hold() }, send: failure{kind: apierror.NotRun}},
-		"rejected and closed": {serve: func(connection *end) {
+		"rejected before it is read": {serve: func(connection *pipeEnd) { io.WriteString(connection, rejection); connection.in.waitForEOF() }, send: failure{kind: apierror.NotRun}},
+		"rejected and closed": {serve: func(connection *pipeEnd) {
 			io.ReadFull(connection, make([]byte, 9))
 			io.WriteString(connection, rejection)
 			connection.Close()
 		}, send: failure{kind: apierror.NotRun}},
-		"rejected and half reset": {serve: func(connection *end) { io.WriteString(connection, rejection); connection.reset() }, send: failure{kind: apierror.NotRun}},
-		"reset":                   {serve: func(connection *end) { io.ReadFull(connection, make([]byte, 9)); connection.reset() }, send: failure{kind: apierror.RunnerFailure, lost: true}},
-		"never read":              {serve: func(connection *end) { connection.in.hold() }, send: failure{kind: apierror.Unknown}},
-		"answered before it is read": {serve: func(connection *end) {
+		"rejected and half reset": {serve: func(connection *pipeEnd) { io.WriteString(connection, rejection); connection.reset() }, send: failure{kind: apierror.NotRun}},
+		"reset":                   {serve: func(connection *pipeEnd) { io.ReadFull(connection, make([]byte, 9)); connection.reset() }, send: failure{kind: apierror.RunnerFailure, lost: true}},
+		"never read":              {serve: func(connection *pipeEnd) { connection.in.waitForEOF() }, send: failure{kind: apierror.Unknown}},
+		"response before it is read": {serve: func(connection *pipeEnd) {
 			io.WriteString(connection, strings.ReplaceAll(ok("fine"), "NAME", "q1"))
-			connection.in.hold()
+			connection.in.waitForEOF()
 		},
 			body: "fine"},
 	} {
@@ -39,12 +39,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				runner := newScriptedRunner(nil)
 				runner.window = 2000
-				runner.network.serve = func(_ int, connection *end) {
+				runner.network.serve = func(_ int, connection *pipeEnd) {
 					if test.serve != nil {
 						test.serve(connection)
 						return
 					}
-					runner.answers = [][]string{{ok(fmt.Sprint(len(long)))}}
+					runner.responses = [][]string{{ok(fmt.Sprint(len(long)))}}
 					runner.serve(0, connection)
 				}
 				pool := New(runner, testHeaders)
@@ -58,7 +58,7 @@
 				if stats := pool.Stats(); stats.InUse != 0 || stats.Idle == 1 != test.kept {
 					t.Errorf("stats %+v", stats)
 				}
-				if test.kept && string(runner.got()[0].text) != long {
+				if test.kept && string(runner.received()[0].body) != long {
 					t.Error("the body has changed")
 				}
 			})
@@ -66,12 +66,12 @@
 	}
 }
 
-// hold reads nothing and waits until the other end is closed.
-func (stream *byteStream) hold() {
+// waitForEOF waits without reading until the writer closes the stream.
+func (stream *byteStream) waitForEOF() {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
-	for !stream.ended {
-		stream.moved.Wait()
+	for !stream.eof {
+		stream.changed.Wait()
 	}
 }
 
--- a/system/runnerpool/request_head.go
+++ b/system/runnerpool/request_head.go
@@ -11,46 +11,46 @@
 	"yardrock.example/system/apierror"
 )
 
-// hopByHopHeaders are the headers that concern one connection and are not passed on (RFC
+// hopByHopHeaders are the headers that concern one connection and are not forwarded (RFC
 // 9110, section 7.6.1).
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// tokenBytes are the bytes of tokens (RFC 9110, section 5.6.2).
+// tokenBytes are the bytes that tokens consist of (RFC 9110, section 5.6.2).
 var tokenBytes = func() (allowed [256]bool) {
-	for _, letter := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
-		allowed[letter] = true
+	for _, char := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
+		allowed[char] = true
 	}
 	return allowed
 }()
 
-// isToken reports whether a word is a token, as methods and header names are.
-func isToken(word string) bool {
-	for index := range len(word) {
-		if !tokenBytes[word[index]] {
+// isToken reports whether a text is a token, as methods and header names must be.
+func isToken(text string) bool {
+	for index := range len(text) {
+		if !tokenBytes[text[index]] {
 			return false
 		}
 	}
-	return word != ""
+	return text != ""
 }
 
-// isVisible reports whether a word is not empty and has neither blanks nor control bytes.
-func isVisible(word string) bool {
-	for index := range len(word) {
-		if word[index] <= ' ' || word[index] == 0x7f {
+// isVisible reports whether a text is not empty and has neither spaces nor control bytes.
+func isVisible(text string) bool {
+	for index := range len(text) {
+		if text[index] <= ' ' || text[index] == 0x7f {
 			return false
 		}
 	}
-	return word != ""
+	return text != ""
 }
 
-// isHeaderValue reports whether a text has no control bytes, so that it cannot end the
-// line of a header (request smuggling).
+// isHeaderValue reports whether a text has no control bytes other than tabs, so that it
+// cannot end the header line (request smuggling).
 func isHeaderValue(text string) bool {
 	for index := range len(text) {
-		if letter := text[index]; letter < ' ' && letter != '\t' || letter == 0x7f {
+		if char := text[index]; char < ' ' && char != '\t' || char == 0x7f {
 			return false
 		}
 	}
@@ -60,62 +60,62 @@
 // validate returns an error for a request that must not be sent.
 func validate(request *Request) error {
 	if !isToken(request.Method) || request.Method == http.MethodConnect {
-		return invalidRequest("a query has the method "+strconv.Quote(request.Method), "send a method of HTTP other than CONNECT")
+		return invalidRequestError("invalid request method "+strconv.Quote(request.Method), "use an HTTP method other than CONNECT")
 	}
 	if !isVisible(request.Target) {
-		return invalidRequest("a query has the target "+strconv.Quote(request.Target), "send a path without blanks and control bytes")
+		return invalidRequestError("invalid request target "+strconv.Quote(request.Target), "use a path without spaces and control bytes")
 	}
 	if !isVisible(request.Host) {
-		return invalidRequest("a query has the host "+strconv.Quote(request.Host), "send the name of a host")
+		return invalidRequestError("invalid request host "+strconv.Quote(request.Host), "use a host name without spaces and control bytes")
 	}
 	for _, value := range [...]string{request.ID, request.Runner.Life, request.Urgency, request.LastEventID} {
 		if !isHeaderValue(value) {
-			return invalidRequest("a query would have the header value "+strconv.Quote(value), "send it without control bytes")
+			return invalidRequestError("invalid request header value "+strconv.Quote(value), "remove the control bytes")
 		}
 	}
 	for name, values := range request.Header {
 		if !isToken(name) {
-			return invalidRequest("a query has a header named "+strconv.Quote(name), "name headers by tokens")
+			return invalidRequestError("invalid request header name "+strconv.Quote(name), "use a token as the header name (RFC 9110, section 5.6.2)")
 		}
 		for _, value := range values {
 			if !isHeaderValue(value) {
-				return invalidRequest("the header "+name+" has control bytes", "send it without")
+				return invalidRequestError("value of request header "+name+" has control bytes", "remove the control bytes")
 			}
 		}
 	}
 	return nil
 }
 
-// millisecondsLeft returns the whole milliseconds until the caller gives up, or an error if
-// there are none.
+// millisecondsLeft returns the whole milliseconds until the deadline, or an error if there
+// are none. Without a deadline the result has no meaning.
 func millisecondsLeft(request *Request) (int64, error) {
 	left := time.Until(request.Deadline).Milliseconds()
 	if left < 1 && !request.Deadline.IsZero() {
-		return 0, &apierror.Error{Kind: apierror.Unavailable, Message: "the caller's time was over before the query could be sent", Remedy: "ask with more time", NeverSent: true}
+		return 0, &apierror.Error{Kind: apierror.Unavailable, Message: "the deadline passed before the request could be sent", Remedy: "use a longer timeout", NeverSent: true}
 	}
 	return left, nil
 }
 
-// appendHead appends the request line and the headers of a request with a body of some
-// length.
-func (pool *Pool) appendHead(target []byte, request *Request, length int64) ([]byte, error) {
+// appendHead appends the request line and the headers of a request whose body has the
+// given length.
+func (pool *Pool) appendHead(buffer []byte, request *Request, length int64) ([]byte, error) {
 	left, err := millisecondsLeft(request)
 	if err != nil {
-		return target, err
+		return buffer, err
 	}
 	headers := &pool.headers
-	target = append(target, request.Method...)
-	target = append(target, ' ')
-	target = append(target, request.Target...)
-	target = append(target, " HTTP/1.1\r\n"...)
-	target = appendHeader(target, "Host", request.Host)
-	target = appendNumber(target, "Content-Length", length)
-	target = appendHeader(target, headers.RequestID, request.ID)
-	target = appendHeader(target, headers.ExpectedRunner, request.Runner.Life)
-	target = appendHeader(target, headers.Urgency, request.Urgency)
-	target = appendHeader(target, headers.LastEventID, request.LastEventID)
+	buffer = append(buffer, request.Method...)
+	buffer = append(buffer, ' ')
+	buffer = append(buffer, request.Target...)
+	buffer = append(buffer, " HTTP/1.1\r\n"...)
+	buffer = appendHeader(buffer, "Host", request.Host)
+	buffer = appendNumber(buffer, "Content-Length", length)
+	buffer = appendHeader(buffer, headers.RequestID, request.ID)
+	buffer = appendHeader(buffer, headers.ExpectedRunner, request.Runner.Life)
+	buffer = appendHeader(buffer, headers.Urgency, request.Urgency)
+	buffer = appendHeader(buffer, headers.LastEventID, request.LastEventID)
 	if headers.Timeout != "" && !request.Deadline.IsZero() {
-		target = appendNumber(target, headers.Timeout, left)
+		buffer = appendNumber(buffer, headers.Timeout, left)
 	}
 	connection := request.Header["Connection"]
 	for name, values := range request.Header {
@@ -124,35 +124,35 @@
 			continue
 		}
 		for _, value := range values {
-			target = append(target, name...)
-			target = append(target, ": "...)
-			target = append(target, value...)
-			target = append(target, "\r\n"...)
+			buffer = append(buffer, name...)
+			buffer = append(buffer, ": "...)
+			buffer = append(buffer, value...)
+			buffer = append(buffer, "\r\n"...)
 		}
 	}
-	return append(target, "\r\n"...), nil
+	return append(buffer, "\r\n"...), nil
 }
 
-// appendHeader appends a header of the pool's own, unless its name or value is empty.
-func appendHeader(target []byte, name, value string) []byte {
+// appendHeader appends a header that the pool sets, unless its name or value is empty.
+func appendHeader(buffer []byte, name, value string) []byte {
 	if name == "" || value == "" {
-		return target
+		return buffer
 	}
-	target = append(target, name...)
-	target = append(target, ": "...)
-	target = append(target, value...)
-	return append(target, "\r\n"...)
+	buffer = append(buffer, name...)
+	buffer = append(buffer, ": "...)
+	buffer = append(buffer, value...)
+	return append(buffer, "\r\n"...)
 }
 
-// appendNumber appends a header with a number.
-func appendNumber(target []byte, name string, number int64) []byte {
-	target = append(target, name...)
-	target = append(target, ": "...)
-	target = strconv.AppendInt(target, number, 10)
-	return append(target, "\r\n"...)
+// appendNumber appends a header with a decimal number.
+func appendNumber(buffer []byte, name string, number int64) []byte {
+	buffer = append(buffer, name...)
+	buffer = append(buffer, ": "...)
+	buffer = strconv.AppendInt(buffer, number, 10)
+	return append(buffer, "\r\n"...)
 }
 
-// overrides reports whether a header of the pool's own takes the place of the caller's.
+// overrides reports whether a header that the pool sets replaces the caller's.
 func (pool *Pool) overrides(name string, request *Request) bool {
 	switch name {
 	case pool.headers.RequestID:
@@ -179,8 +179,8 @@
 	return false
 }
 
-// listElements iterates over the elements of a header that is a comma-separated list
-// (RFC 9110, section 5.6.1), over all its lines.
+// listElements iterates over the elements of a comma-separated header (RFC 9110, section
+// 5.6.1) that may span several lines.
 func listElements(lines []string) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, line := range lines {
--- a/system/runnerpool/request_head_test.go
+++ b/system/runnerpool/request_head_test.go
@@ -11,11 +11,11 @@
 	"yardrock.example/system/apierror"
 )
 
-// requestCase is a request and the headers that its runner must and must not get.
+// requestCase is a request and the headers that its runner must and must not receive.
 type requestCase struct {
 	change func(*Request)
 	want   map[string][]string
-	not    []string
+	absent []string
 }
 
 func TestRequestReachesRunnerUnchanged(t *testing.T) {
@@ -27,14 +27,14 @@
 			request.Urgency, request.LastEventID = "3", "17"
 			request.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}, "Content-Length": {"99"}, "Host": {"evil"}}
 		}, map[string][]string{"Urgency": {"3"}, "Last-Event-Id": {"17"}, "Time-Left": {"10000"}, "Expected-Runner": {"life-1"}, "Query-Name": {"q1"}, "Content-Length": {"6"}}, nil},
-		"the caller's stay where there is none of ours": {func(request *Request) {
+		"the caller's headers are kept where the pool sets none": {func(request *Request) {
 			request.Deadline, request.Runner.Life, request.ID = time.Time{}, "", ""
 			request.Header = http.Header{"Urgency": {"0"}, "Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}}
 		}, map[string][]string{"Last-Event-Id": {"2"}, "Time-Left": {"5"}, "Expected-Runner": {"x"}, "Query-Name": {"q1"}}, []string{"Urgency"}},
 		"many values": {func(request *Request) {
 			request.Header = http.Header{"Accept": {"a", "b"}, "Cookie": {"About=7"}, "Empty": {""}}
 		}, map[string][]string{"Accept": {"a", "b"}, "Cookie": {"About=7"}, "Empty": {""}}, nil},
-		"headers of one hop stay behind": {func(request *Request) {
+		"hop-by-hop headers are not forwarded": {func(request *Request) {
 			request.Header = http.Header{"Connection": {"keep-alive, X-Mine", "x-other"}, "X-Mine": {"1"}, "X-Other": {"1"}, "X-Third": {"1"}, "Keep-Alive": {"5"}, "Te": {"trailers"}, "Trailer": {"X"},
 				"Transfer-Encoding": {"chunked"}, "Upgrade": {"websocket"}, "Proxy-Authorization": {"x"}, "Proxy-Connection": {"x"}, "Proxy-Authenticate": {"x"}}
 		}, map[string][]string{"X-Third": {"1"}, "Content-Length": {"6"}}, []string{"Connection", "X-Mine", "X-Other", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authorization", "Proxy-Connection", "Proxy-Authenticate"}},
@@ -54,7 +54,7 @@
 				if request.ID != "" && (status != 200 || body != "fine" || err != nil) {
 					t.Fatalf("got %d %q, %v", status, body, err)
 				}
-				test.check(t, request, runner.got()[0])
+				test.check(t, request, runner.received()[0])
 				if fmt.Sprint(before) != fmt.Sprint(request.Header) {
 					t.Errorf("the caller's headers were changed to %v", request.Header)
 				}
@@ -63,23 +63,23 @@
 	}
 }
 
-// check compares a request with what the runner got of it.
+// check compares a request with what the runner received.
 func (test requestCase) check(t *testing.T, request Request, got receivedRequest) {
 	t.Helper()
 	if got.Method != request.Method || got.RequestURI != "/turn/2f?x=1" || got.Host != "agents.example" || got.Proto != "HTTP/1.1" {
 		t.Errorf("the runner got %s %s for %s", got.Method, got.RequestURI, got.Host)
 	}
-	if want := strings.Repeat("say it", len(request.Body)/2); string(got.text) != want {
-		t.Errorf("the body is %q, not %q", got.text, want)
+	if want := strings.Repeat("say it", len(request.Body)/2); string(got.body) != want {
+		t.Errorf("the body is %q, not %q", got.body, want)
 	}
 	for name, values := range test.want {
 		if fmt.Sprint(got.Header[name]) != fmt.Sprint(values) {
 			t.Errorf("header %s is %q, not %q", name, got.Header[name], values)
 		}
 	}
-	for _, name := range test.not {
+	for _, name := range test.absent {
 		if len(got.Header[name]) > 0 || name == "Transfer-Encoding" && got.TransferEncoding != nil {
-			t.Errorf("header %s went along: %q", name, got.Header[name])
+			t.Errorf("header %s was forwarded: %q", name, got.Header[name])
 		}
 	}
 }
@@ -98,7 +98,7 @@
 		"header name that is empty":   func(request *Request) { request.Header = http.Header{"": {"c"}} },
 		"header value with line ends": func(request *Request) { request.Header = http.Header{"A": {"c\r\n\r\nGET / HTTP/1.1"}} },
 		"header value with a zero":    func(request *Request) { request.Header = http.Header{"A": {"\x00"}} },
-		"name with a line end":        func(request *Request) { request.ID = "q\r\n" },
+		"ID with a line end":          func(request *Request) { request.ID = "q\r\n" },
 		"urgency with a line end":     func(request *Request) { request.Urgency = "1\n" },
 		"resume with a line end":      func(request *Request) { request.LastEventID = "1\r" },
 		"incarnation with a line end": func(request *Request) { request.Runner.Life = "1\r" },
@@ -113,7 +113,7 @@
 					t.Errorf("got %v", err)
 				}
 				if runner.dials != 0 {
-					t.Error("a connection was made")
+					t.Error("a connection was opened")
 				}
 			})
 		})
--- a/system/runnerpool/response.go
+++ b/system/runnerpool/response.go
@@ -8,8 +8,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// maxRejectionBytes and rejectionTimeout bound what is done to keep the connection after
-// a rejection: the rest of its body is read and dropped.
+// maxRejectionBytes and rejectionTimeout limit how much of a rejection's body is read and
+// dropped, and for how long, in order to reuse the connection.
 const (
 	maxRejectionBytes = 16 << 10
 	rejectionTimeout  = 20 * time.Millisecond
@@ -19,22 +19,22 @@
 type Response struct {
 	Status int
 	Header http.Header // without hop-by-hop headers
-	Load   *Load       // nil if the runner did not report it
-	Length int64       // of the body in bytes; -1: not known
+	Load   *Load       // nil if the runner reported none
+	Length int64       // of the body in bytes; -1: unknown
 
 	trip     *roundTrip
 	body     io.Reader
-	reusable bool // the connection may be kept if the body is read completely
-	// closeDelimited means that the end of the body is the end of the connection (RFC 9112,
-	// section 6.3), which looks like a broken connection.
+	reusable bool // the connection may be reused once the body is read completely
+	// closeDelimited means that the body ends with the connection (RFC 9112, section 6.3),
+	// which looks like a broken connection.
 	closeDelimited bool
 	complete       bool
-	err            error // of all further reads
+	err            error // returned by all further reads
 	closed         bool
 }
 
-// newResponse returns the response with a head, and notes on the connection for how long
-// the runner keeps it.
+// newResponse returns the response with the given head and records the runner's
+// Keep-Alive timeout on the connection.
 func (trip *roundTrip) newResponse(head *http.Response) *Response {
 	response := &Response{Status: head.StatusCode, Header: head.Header, Length: head.ContentLength, trip: trip, body: head.Body}
 	response.reusable = !head.Close && !trip.stray && head.ProtoAtLeast(1, 1)
@@ -53,27 +53,27 @@
 // otherwise it is an *apierror.Error as Send returns them.
 //
 //	count, err := response.Read(buffer)
-func (response *Response) Read(target []byte) (int, error) {
+func (response *Response) Read(buffer []byte) (int, error) {
 	if response.err != nil {
 		return 0, response.err
 	}
-	count, err := response.body.Read(target)
-	// Only io.EOF itself is the end; an error that wraps it is a broken connection.
+	count, err := response.body.Read(buffer)
+	// Only io.EOF itself marks the end; an error that wraps it is a broken connection.
 	switch {
 	case err == nil:
 	case err == io.EOF && !response.closeDelimited:
 		response.complete, response.err = true, io.EOF
 	case err == io.EOF:
-		response.err = response.trip.connectionError(protocolError("its answer has neither a length nor an end"))
+		response.err = response.trip.connectionError(protocolError("response has neither Content-Length nor Transfer-Encoding"))
 	default:
 		response.err = response.trip.connectionError(err)
 	}
 	return count, response.err
 }
 
-// Close ends the exchange. The connection is kept if the body was read completely and
-// another request may follow on it; otherwise it is closed, whereupon most runners stop
-// the work. Close returns nil and may be called again.
+// Close ends the exchange. The connection is reused if the body was read completely and
+// the connection can carry another request; otherwise it is closed, which makes most
+// runners abort the request. Close returns nil and is idempotent.
 //
 //	defer response.Close()
 func (response *Response) Close() error {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// end is Close without the result.
+// end implements Close.
 func (response *Response) end() {
 	if response.closed {
 		return
@@ -89,7 +89,7 @@
 	response.closed = true
 	trip := response.trip
 	if response.err == nil {
-		response.err = &apierror.Error{Kind: apierror.Cancelled, Message: "the reply of runner " + trip.request.Runner.Address + " was closed", Remedy: "read it before it is closed"}
+		response.err = &apierror.Error{Kind: apierror.Cancelled, Message: "response of runner " + trip.request.Runner.Address + " is closed", Remedy: "read the response before closing it"}
 	}
 	connection := trip.connection
 	clean := response.complete && response.reusable && trip.writeDone() && trip.written.err == nil && connection.buffers.reader.Buffered() == 0
@@ -102,8 +102,8 @@
 	trip.pool.put(connection)
 }
 
-// drainRejection closes a rejection, whose body is of no use. What is left of the body
-// is read if that is quickly done, so that the connection can be kept.
+// drainRejection closes a rejection and drops its body. A short body is read to its end,
+// so that the connection can be reused.
 func (response *Response) drainRejection() {
 	trip := response.trip
 	if response.reusable && response.Length <= maxRejectionBytes && !response.closeDelimited && trip.writeDone() {
--- a/system/runnerpool/response_head.go
+++ b/system/runnerpool/response_head.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxStrayResponses is how many responses to other requests are dropped before the one
-	// to this request.
+	// maxStrayResponses is how many responses to other requests are dropped before the
+	// response to this request.
 	maxStrayResponses = 2
-	// maxInterimResponses is how many interim responses (1xx) are dropped before a final one.
+	// maxInterimResponses is how many interim responses (1xx) are dropped before the final one.
 	maxInterimResponses = 8
 	// maxHeadBytes is the size limit of a response head.
 	maxHeadBytes = 64 << 10
-	// maxRetryAfterSeconds is the longest Retry-After that is believed: a day.
+	// maxRetryAfterSeconds is the longest Retry-After that is accepted: one day.
 	maxRetryAfterSeconds = 86400
 )
 
@@ -27,7 +27,7 @@
 	headRequest = &http.Request{Method: http.MethodHead}
 )
 
-// readHead reads response heads until it finds the one of this request. It drops interim
+// readHead reads response heads until it finds the one to this request. It drops interim
 // responses and late responses to earlier requests.
 func (trip *roundTrip) readHead() (*http.Response, error) {
 	connection := trip.connection
@@ -36,7 +36,7 @@
 	if trip.request.Method == http.MethodHead {
 		requested = headRequest
 	}
-	first := !connection.reused // no other response can have come before on this connection
+	first := !connection.reused // no earlier request can have a late response on this connection
 	for stray, interim := 0, 0; ; {
 		connection.headBytesLeft = maxHeadBytes
 		response, err := http.ReadResponse(connection.buffers.reader, requested)
@@ -44,26 +44,26 @@
 			return nil, err
 		}
 		if !isSupported(response) {
-			return nil, protocolError("it answered " + strconv.Quote(response.Proto+" "+response.Status))
+			return nil, protocolError("unsupported response " + strconv.Quote(response.Proto+" "+response.Status))
 		}
 		if response.StatusCode < 200 {
 			if interim++; interim > maxInterimResponses {
-				return nil, protocolError("it sent too many interim heads")
+				return nil, protocolError("too many interim responses")
 			}
 			continue
 		}
 		match := trip.matchID(response.Header)
 		// Servers reject requests that they cannot parse without echoing the ID. On a new
-		// connection such a response can only be to this request.
+		// connection such a response can only belong to this request.
 		if match == idMissing && (response.StatusCode < 300 || !first) {
-			return nil, protocolError("its answer does not name the query")
+			return nil, protocolError("response has no request ID")
 		}
 		if match != idDiffers {
 			return response, nil
 		}
 		trip.stray, first = true, false
 		if stray++; stray > maxStrayResponses {
-			return nil, protocolError("it answered other queries")
+			return nil, protocolError("too many responses to other requests")
 		}
 		if err := trip.dropStray(response); err != nil {
 			return nil, err
@@ -71,17 +71,18 @@
 	}
 }
 
-// isSupported reports whether a response has a version and a status that the pool
-// understands; it never asks for a switch of protocols.
+// isSupported reports whether the pool supports the version and the status of a response.
+// It never requests a protocol switch, so that 101 is not supported.
 func isSupported(response *http.Response) bool {
 	return response.ProtoMajor == 1 && response.StatusCode >= 100 && response.StatusCode <= 599 && response.StatusCode != http.StatusSwitchingProtocols
 }
 
-// dropStray reads the body of a response to another request. If this is a HEAD request,
-// it is not known whether the stray response has a body, unless its length is 0.
+// dropStray reads and drops the body of a response to another request. If this request is
+// a HEAD request, it is unknown whether the stray response has a body, unless its length
+// is 0.
 func (trip *roundTrip) dropStray(response *http.Response) error {
 	if trip.request.Method == http.MethodHead && response.ContentLength != 0 {
-		return protocolError("it answered another query first, and it can't be told where that answer ends")
+		return protocolError("response to another request came before that to a HEAD request, and its end cannot be determined")
 	}
 	trip.connection.headBytesLeft = -1
 	_, err := io.Copy(io.Discard, response.Body)
@@ -97,8 +98,8 @@
 	idDiffers         // it is a response to another request
 )
 
-// matchID compares the ID in a response head to that of the request. Without an ID in
-// the request, a response without one matches.
+// matchID compares the ID in a response head to that of the request. If the request has
+// none, a response without one matches.
 func (trip *roundTrip) matchID(header http.Header) idMatch {
 	key := trip.pool.headers.RequestID
 	if key == "" {
@@ -108,12 +109,12 @@
 	if wanted == "" {
 		wanted = trip.request.Header.Get(key)
 	}
-	names := header[key]
-	if len(names) == 0 && wanted != "" {
+	ids := header[key]
+	if len(ids) == 0 && wanted != "" {
 		return idMissing
 	}
-	for _, name := range names {
-		if name != wanted {
+	for _, id := range ids {
+		if id != wanted {
 			return idDiffers
 		}
 	}
@@ -125,8 +126,8 @@
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody
 }
 
-// isUnencoded reports whether a body has no content encoding, by the values of
-// Content-Encoding.
+// isUnencoded reports whether the given values of Content-Encoding mean that a body has no
+// content encoding.
 func isUnencoded(values []string) bool {
 	for coding := range listElements(values) {
 		if coding != "" && !strings.EqualFold(coding, "identity") {
@@ -136,7 +137,7 @@
 	return true
 }
 
-// removeHopByHop deletes the headers that are not passed on.
+// removeHopByHop deletes the hop-by-hop headers.
 func removeHopByHop(header http.Header) {
 	for name := range listElements(header["Connection"]) {
 		delete(header, textproto.CanonicalMIMEHeaderKey(name))
@@ -146,7 +147,7 @@
 	}
 }
 
-// parseKeepAlive returns for how long the runner keeps an idle connection, if it says so.
+// parseKeepAlive returns the timeout parameter of the Keep-Alive header, if it has one.
 func parseKeepAlive(header http.Header) (time.Duration, bool) {
 	for parameter := range listElements(header["Keep-Alive"]) {
 		name, value, _ := strings.Cut(parameter, "=")
@@ -160,8 +161,9 @@
 	return 0, false
 }
 
-// idleTimeoutFor returns for how long a connection is kept idle that the runner keeps for
-// some time: well below that, because a request sent at the last moment must still arrive.
+// idleTimeoutFor returns how long to keep a connection idle, given the runner's Keep-Alive
+// timeout: well below it, because a request sent at the last moment must still arrive in
+// time.
 func idleTimeoutFor(keepAlive time.Duration) time.Duration {
 	return keepAlive*3/4 - 250*time.Millisecond
 }
@@ -180,8 +182,8 @@
 	return &Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}
 }
 
-// parseRetryAfter returns the Retry-After in seconds, which may have a fraction; 0 if it
-// is missing or anything else, such as a date.
+// parseRetryAfter parses Retry-After as seconds, which may have a fraction. It returns 0 if
+// the header is missing or anything else, such as a date.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) || seconds > maxRetryAfterSeconds {
--- a/system/runnerpool/response_head_test.go
+++ b/system/runnerpool/response_head_test.go
@@ -12,7 +12,7 @@
 	"yardrock.example/system/apierror"
 )
 
-// responseCase is what a runner answers and what the pool makes of it.
+// responseCase is a runner's response and the expected result.
 type responseCase struct {
 	raw    string
 	method string // POST if empty
@@ -20,7 +20,7 @@
 	body   string
 	send   failure // of Send
 	read   failure // of Read
-	kept   bool    // the connection
+	kept   bool    // the connection is reused
 }
 
 // idHeader is the header with the ID of the request.
@@ -39,32 +39,32 @@
 	"head in chunks":                {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n", method: "HEAD", status: 200, kept: true},
 	"head without length":           {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "\r\n", method: "HEAD", status: 200, kept: true},
 	"not modified":                  {raw: "HTTP/1.1 304 Not Modified\r\n" + idHeader + "\r\n", status: 304, kept: true},
-	"own failure":                   {raw: "HTTP/1.1 500 Oops\r\n" + idHeader + "Content-Length: 4\r\n\r\noops", status: 500, body: "oops", kept: true},
+	"runner failure":                {raw: "HTTP/1.1 500 Oops\r\n" + idHeader + "Content-Length: 4\r\n\r\noops", status: 500, body: "oops", kept: true},
 	"interim heads":                 {raw: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok("fine"), status: 200, body: "fine", kept: true},
 	"says close":                    {raw: okWith("Connection: close", "fine"), status: 200, body: "fine"},
 	"says close among others":       {raw: okWith("Connection: x-y, Close", "fine"), status: 200, body: "fine"},
 	"old version":                   {raw: "HTTP/1.0 200 OK\r\n" + idHeader + "Content-Length: 4\r\n\r\nfine", status: 200, body: "fine"},
 	"old version kept":              {raw: "HTTP/1.0 200 OK\r\n" + idHeader + "Connection: keep-alive\r\nContent-Length: 4\r\n\r\nfine", status: 200, body: "fine"},
 	"bytes after it":                {raw: ok("fine") + "junk", status: 200, body: "fine"},
-	"answer after it":               {raw: ok("fine") + ok("more"), status: 200, body: "fine"},
+	"response after it":             {raw: ok("fine") + ok("more"), status: 200, body: "fine"},
 	"no idle time":                  {raw: okWith("Keep-Alive: timeout=0", "fine"), status: 200, body: "fine"},
 	"identity":                      {raw: okWith("Content-Encoding: identity", "fine"), status: 200, body: "fine", kept: true},
 	"bare line feeds":               {raw: "HTTP/1.1 200 OK\nQuery-Name: NAME\nContent-Length: 4\n\nfine", status: 200, body: "fine", kept: true},
-	"unnamed failure":               {raw: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", status: 500, kept: true},
+	"failure without an ID":         {raw: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", status: 500, kept: true},
 	"not run, but a success":        {raw: okWith("Not-Run: true", "fine"), status: 200, body: "fine", kept: true},
 	"rejected":                      {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: true\r\nContent-Length: 4\r\n\r\nfull", send: rejectedRequest, kept: true},
 	"rejected in chunks":            {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n", send: rejectedRequest, kept: true},
 	"rejected, body is missing":     {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 4\r\n\r\nfu", send: rejectedRequest},
-	"rejected, body is broken off":  {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 4\r\n\r\nfu|RESET", send: rejectedRequest},
+	"rejected, body is truncated":   {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 4\r\n\r\nfu|RESET", send: rejectedRequest},
 	"rejected, body is long":        {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 99999\r\n\r\n" + strings.Repeat("x", 99999), send: rejectedRequest},
 	"rejected, chunks without end":  {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n" + strings.Repeat("x", 0xffff) + "\r\n0\r\n\r\n", send: rejectedRequest},
 	"rejected, no length":           {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\n\r\nfull|CLOSE", send: rejectedRequest},
 	"rejected, says close":          {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n|CLOSE", send: rejectedRequest},
-	"rejected without a name":       {raw: "HTTP/1.1 400 No Name\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest, kept: true},
+	"rejected without an ID":        {raw: "HTTP/1.1 400 No Name\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest, kept: true},
 	"rejected, encoded":             {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest, kept: true},
 	"misdirected":                   {raw: "HTTP/1.1 421 Misdirected\r\n" + idHeader + "Content-Length: 0\r\n\r\n", send: failure{kind: apierror.NotRun, misdirected: true}, kept: true},
-	"full, without a promise":       {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Content-Length: 4\r\n\r\nfull", status: 503, body: "full", kept: true},
-	"unnamed success":               {raw: "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", send: lostResponse},
+	"full, without Not-Run":         {raw: "HTTP/1.1 503 Full\r\n" + idHeader + "Content-Length: 4\r\n\r\nfull", status: 503, body: "full", kept: true},
+	"success without an ID":         {raw: "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", send: lostResponse},
 	"encoded":                       {raw: okWith("Content-Encoding: gzip", "fine"), send: failure{kind: apierror.RunnerFailure}},
 	"encoded twice":                 {raw: okWith("Content-Encoding: identity, br", "fine"), send: failure{kind: apierror.RunnerFailure}},
 	"closed at once":                {raw: "|CLOSE", send: lostResponse},
@@ -94,21 +94,21 @@
 	"chunks, closed after the 0":    {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n|CLOSE", status: 200, body: "fine", read: lostResponse},
 	"chunks, then garbage":          {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "Transfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n", status: 200, body: "fine", read: lostResponse},
 	"no length":                     {raw: "HTTP/1.1 200 OK\r\n" + idHeader + "\r\nfine|CLOSE", status: 200, body: "fine", read: lostResponse},
-	"an answer to another first":    {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + ok("fine"), status: 200, body: "fine"},
-	"two answers to others first":   {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 2) + ok("fine"), status: 200, body: "fine"},
-	"answers to others only":        {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 3) + ok("fine"), send: lostResponse},
-	"another's rejection first":     {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n" + ok("fine"), status: 200, body: "fine"},
-	"another's rejection only":      {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lostResponse},
-	"another's misdirection only":   {raw: "HTTP/1.1 421 Misdirected\r\nQuery-Name: q0\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lostResponse},
-	"another's without end":         {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\n\r\nlate|CLOSE", send: lostResponse},
-	"another's broken off":          {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nlate|CLOSE", send: lostResponse},
-	"another's, then an unnamed":    {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: lostResponse},
-	"another's, then ours rejected": {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest},
-	"two names":                     {raw: okWith("Query-Name: q0", "fine") + "|CLOSE", send: lostResponse},
+	"one stray response first":      {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + ok("fine"), status: 200, body: "fine"},
+	"two stray responses first":     {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 2) + ok("fine"), status: 200, body: "fine"},
+	"stray responses only":          {raw: strings.Repeat(strings.ReplaceAll(ok("late"), "NAME", "q0"), 3) + ok("fine"), send: lostResponse},
+	"stray rejection first":         {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n" + ok("fine"), status: 200, body: "fine"},
+	"stray rejection only":          {raw: "HTTP/1.1 503 Full\r\nQuery-Name: q0\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lostResponse},
+	"stray misdirection only":       {raw: "HTTP/1.1 421 Misdirected\r\nQuery-Name: q0\r\nContent-Length: 0\r\n\r\n|CLOSE", send: lostResponse},
+	"stray response without end":    {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\n\r\nlate|CLOSE", send: lostResponse},
+	"stray response truncated":      {raw: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nlate|CLOSE", send: lostResponse},
+	"stray, then one without an ID": {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", send: lostResponse},
+	"stray, then rejected":          {raw: strings.ReplaceAll(ok("late"), "NAME", "q0") + "HTTP/1.1 503 Full\r\n" + idHeader + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n", send: rejectedRequest},
+	"two IDs":                       {raw: okWith("Query-Name: q0", "fine") + "|CLOSE", send: lostResponse},
 }
 
-// TestResponses sends one request over a new connection, and a second one to see whether
-// the connection was kept.
+// TestResponses sends one request on a new connection, and a second one to check whether
+// the connection is reused.
 func TestResponses(t *testing.T) {
 	for name, test := range responseCases {
 		t.Run(name, func(t *testing.T) {
@@ -119,12 +119,12 @@
 				test.sendFirst(t, pool)
 				synctest.Wait()
 				if kept := pool.Stats().Idle == 1; kept != test.kept {
-					t.Errorf("kept: %v", kept)
+					t.Errorf("reused: %v", kept)
 				}
 				if inUse := pool.Stats().InUse; inUse != 0 {
 					t.Errorf("%d connections are in use", inUse)
 				}
-				if !test.kept && !runner.made[0].closed() {
+				if !test.kept && !runner.runnerEnds[0].closed() {
 					t.Error("the connection was not closed")
 				}
 				if _, body, err := sendAndRead(t, pool, testRequest("q2")); test.kept && (body != "second" || err != nil || runner.dials != 1) {
@@ -144,7 +144,7 @@
 	}
 	response, err := pool.Send(t.Context(), testRequest("q1", func(request *Request) { request.Method = method }))
 	if got := failureOf(err); got != test.send {
-		t.Fatalf("sending failed with %v, which is not %+v", err, test.send)
+		t.Fatalf("Send returned %v, want %+v", err, test.send)
 	}
 	if err != nil {
 		return
@@ -154,7 +154,7 @@
 		t.Errorf("got %d, %q, %v", response.Status, body, err)
 	}
 	if _, again := response.Read(make([]byte, 1)); err == nil && !isExactly(again, io.EOF) || err != nil && !isExactly(again, err) {
-		t.Errorf("reading again gives %v after %v", again, err)
+		t.Errorf("the next Read returned %v after %v", again, err)
 	}
 	response.Close()
 }
@@ -184,7 +184,7 @@
 			t.Errorf("got %v", err)
 		}
 		if response.Status != 503 || *response.Load != (Load{64, 9, 64}) || response.Length != 0 {
-			t.Errorf("the rejection says %+v", response)
+			t.Errorf("the rejection is %+v", response)
 		}
 		if count, err := response.Read(make([]byte, 9)); count != 0 || !isExactly(err, io.EOF) {
 			t.Errorf("the rejection has a body: %d, %v", count, err)
@@ -197,22 +197,22 @@
 }
 
 func TestParseLoadAndTimes(t *testing.T) {
-	for words, want := range map[string]*Load{"1,2,3": {1, 2, 3}, " 1 , 2 , 3 ": {1, 2, 3}, "": nil, "1,2": nil, "1,2,3,4": nil, "1,2,x": nil, "-1,2,3": nil, "1,,3": nil, "1,2,99999999999": nil} {
-		if got := parseLoad(words); fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("load %q is %v, not %v", words, got, want)
+	for text, want := range map[string]*Load{"1,2,3": {1, 2, 3}, " 1 , 2 , 3 ": {1, 2, 3}, "": nil, "1,2": nil, "1,2,3,4": nil, "1,2,x": nil, "-1,2,3": nil, "1,,3": nil, "1,2,99999999999": nil} {
+		if got := parseLoad(text); fmt.Sprint(got) != fmt.Sprint(want) {
+			t.Errorf("load %q is %v, not %v", text, got, want)
 		}
 	}
-	for words, want := range map[string]time.Duration{"2": 2 * time.Second, "0.5": 500 * time.Millisecond, "": 0, "-1": 0, "NaN": 0, "Inf": 0, "soon": 0, "1e99": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0} {
-		if got := parseRetryAfter(http.Header{"Retry-After": {words}}); got != want {
-			t.Errorf("waiting %q is %v, not %v", words, got, want)
+	for text, want := range map[string]time.Duration{"2": 2 * time.Second, "0.5": 500 * time.Millisecond, "": 0, "-1": 0, "NaN": 0, "Inf": 0, "soon": 0, "1e99": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0} {
+		if got := parseRetryAfter(http.Header{"Retry-After": {text}}); got != want {
+			t.Errorf("Retry-After %q is %v, not %v", text, got, want)
 		}
 	}
-	for words, want := range map[string]struct {
+	for text, want := range map[string]struct {
 		time     time.Duration
 		reported bool
 	}{"timeout=5, max=100": {5 * time.Second, true}, "max=100, Timeout=2": {2 * time.Second, true}, `timeout="3"`: {3 * time.Second, true}, "timeout": {}, "timeout=": {}, "timeout=x": {}, "timeout=-1": {}, "timeout=1.5": {}, "max=5": {}, "": {}, "timeout=0": {0, true}} {
-		if got, reported := parseKeepAlive(http.Header{"Keep-Alive": {words}}); got != want.time || reported != want.reported {
-			t.Errorf("keep-alive %q is %v, %v", words, got, reported)
+		if got, reported := parseKeepAlive(http.Header{"Keep-Alive": {text}}); got != want.time || reported != want.reported {
+			t.Errorf("Keep-Alive %q is %v, %v", text, got, reported)
 		}
 	}
 }
--- a/system/runnerpool/scripted_runner_test.go
+++ b/system/runnerpool/scripted_runner_test.go
@@ -18,32 +18,31 @@
 	"yardrock.example/system/feed"
 )
 
-// byteStream is one direction of a simulated connection. It buffers up to a window of
-// bytes.
+// byteStream is one direction of a simulated connection. It buffers up to window bytes.
 type byteStream struct {
-	mutex    sync.Mutex
-	moved    *sync.Cond
-	window   int
-	data     []byte
-	ended    bool  // the writer closed
-	unread   bool  // the reader closed
-	broken   error // the error of all reads and writes
-	read     time.Time
-	write    time.Time
-	released bool // the reader's own end is closed
-	shut     bool // the writer's own end is closed
+	mutex         sync.Mutex
+	changed       *sync.Cond
+	window        int
+	data          []byte
+	eof           bool  // the writer closed: reads return io.EOF
+	peerClosed    bool  // the reader closed: writes return ECONNRESET
+	broken        error // returned by all reads and writes
+	readDeadline  time.Time
+	writeDeadline time.Time
+	readClosed    bool // reads return net.ErrClosed
+	writeClosed   bool // writes return net.ErrClosed
 }
 
 func newByteStream(window int) *byteStream {
 	made := &byteStream{window: window}
-	made.moved = sync.NewCond(&made.mutex)
+	made.changed = sync.NewCond(&made.mutex)
 	return made
 }
 
-func (stream *byteStream) change(action func()) {
+func (stream *byteStream) update(action func()) {
 	stream.mutex.Lock()
 	action()
-	stream.moved.Broadcast()
+	stream.changed.Broadcast()
 	stream.mutex.Unlock()
 }
 
@@ -51,42 +50,42 @@
 	return !deadline.IsZero() && !time.Now().Before(deadline)
 }
 
-// end is one end of a simulated connection.
-type end struct {
+// pipeEnd is one end of a simulated connection.
+type pipeEnd struct {
 	in, out *byteStream
 	closes  int
 }
 
-func connect(window int) (*end, *end) {
-	there, back := newByteStream(window), newByteStream(1<<20)
-	return &end{in: back, out: there}, &end{in: there, out: back}
+func newPipe(window int) (*pipeEnd, *pipeEnd) {
+	forward, backward := newByteStream(window), newByteStream(1<<20)
+	return &pipeEnd{in: backward, out: forward}, &pipeEnd{in: forward, out: backward}
 }
 
-func (end *end) Read(target []byte) (int, error) {
+func (end *pipeEnd) Read(target []byte) (int, error) {
 	stream := end.in
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
 	for {
 		switch {
-		case stream.released:
+		case stream.readClosed:
 			return 0, net.ErrClosed
-		case deadlinePassed(stream.read):
+		case deadlinePassed(stream.readDeadline):
 			return 0, os.ErrDeadlineExceeded
 		case len(stream.data) > 0:
 			count := copy(target, stream.data)
 			stream.data = stream.data[count:]
-			stream.moved.Broadcast()
+			stream.changed.Broadcast()
 			return count, nil
 		case stream.broken != nil:
 			return 0, stream.broken
-		case stream.ended:
+		case stream.eof:
 			return 0, io.EOF
 		}
-		stream.moved.Wait()
+		stream.changed.Wait()
 	}
 }
 
-func (end *end) Write(data []byte) (int, error) {
+func (end *pipeEnd) Write(data []byte) (int, error) {
 	stream := end.out
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
@@ -94,84 +93,84 @@
 	for count < len(data) {
 		room := min(stream.window-len(stream.data), len(data)-count)
 		switch {
-		case stream.shut:
+		case stream.writeClosed:
 			return count, net.ErrClosed
 		case stream.broken != nil:
 			return count, stream.broken
-		case stream.unread:
+		case stream.peerClosed:
 			return count, syscall.ECONNRESET
-		case deadlinePassed(stream.write):
+		case deadlinePassed(stream.writeDeadline):
 			return count, os.ErrDeadlineExceeded
 		case room > 0:
 			stream.data = append(stream.data, data[count:count+room]...)
 			count += room
-			stream.moved.Broadcast()
+			stream.changed.Broadcast()
 			continue
 		}
-		stream.moved.Wait()
+		stream.changed.Wait()
 	}
 	return count, nil
 }
 
-func (end *end) Close() error {
-	end.in.change(func() { end.in.released, end.in.unread = true, true })
-	end.out.change(func() { end.out.shut, end.out.ended = true, true; end.closes++ })
+func (end *pipeEnd) Close() error {
+	end.in.update(func() { end.in.readClosed, end.in.peerClosed = true, true })
+	end.out.update(func() { end.out.writeClosed, end.out.eof = true, true; end.closes++ })
 	return nil
 }
 
-// reset breaks the connection for the other side at once.
-func (end *end) reset() {
-	end.out.change(func() { end.out.broken = syscall.ECONNRESET })
-	end.in.change(func() { end.in.broken = syscall.ECONNRESET })
+// reset breaks the connection for both ends at once.
+func (end *pipeEnd) reset() {
+	end.out.update(func() { end.out.broken = syscall.ECONNRESET })
+	end.in.update(func() { end.in.broken = syscall.ECONNRESET })
 }
 
 // closed reports whether the other side has closed the connection.
-func (end *end) closed() bool {
+func (end *pipeEnd) closed() bool {
 	end.in.mutex.Lock()
 	defer end.in.mutex.Unlock()
-	return end.in.ended
+	return end.in.eof
 }
 
-func (end *end) Idle() bool {
+func (end *pipeEnd) Idle() bool {
 	end.in.mutex.Lock()
 	defer end.in.mutex.Unlock()
-	return len(end.in.data) == 0 && !end.in.ended && end.in.broken == nil
+	return len(end.in.data) == 0 && !end.in.eof && end.in.broken == nil
 }
 
-func (*end) LocalAddr() net.Addr  { return &net.TCPAddr{} }
-func (*end) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+func (*pipeEnd) LocalAddr() net.Addr  { return &net.TCPAddr{} }
+func (*pipeEnd) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-func (end *end) SetDeadline(deadline time.Time) error {
+func (end *pipeEnd) SetDeadline(deadline time.Time) error {
 	end.SetReadDeadline(deadline)
 	return end.SetWriteDeadline(deadline)
 }
 
-func (end *end) SetReadDeadline(deadline time.Time) error {
-	end.in.change(func() { end.in.read = deadline })
+func (end *pipeEnd) SetReadDeadline(deadline time.Time) error {
+	end.in.update(func() { end.in.readDeadline = deadline })
 	end.in.wakeAt(deadline)
 	return nil
 }
 
-func (end *end) SetWriteDeadline(deadline time.Time) error {
-	end.out.change(func() { end.out.write = deadline })
+func (end *pipeEnd) SetWriteDeadline(deadline time.Time) error {
+	end.out.update(func() { end.out.writeDeadline = deadline })
 	end.out.wakeAt(deadline)
 	return nil
 }
 
 func (stream *byteStream) wakeAt(deadline time.Time) {
 	if left := time.Until(deadline); left > 0 {
-		time.AfterFunc(left, func() { stream.change(func() {}) })
+		time.AfterFunc(left, func() { stream.update(func() {}) })
 	}
 }
 
 // network is a simulated network; serve is called for each new connection.
 type network struct {
-	mutex  sync.Mutex
-	window int
-	serve  func(number int, connection *end)
-	fail   func(ctx context.Context) error
-	dials  int
-	made   []*end // the runners' ends
+	mutex      sync.Mutex
+	window     int
+	serve      func(number int, connection *pipeEnd)
+	fail       func(ctx context.Context) error
+	dials      int
+	runnerEnds []*pipeEnd // by connection
 }
 
 func (*network) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
@@ -186,60 +185,60 @@
 	if window == 0 {
 		window = 1 << 20
 	}
-	near, far := connect(window)
-	network.made = append(network.made, far)
+	near, far := newPipe(window)
+	network.runnerEnds = append(network.runnerEnds, far)
 	number := network.dials
 	network.dials++
 	go network.serve(number, far)
 	return near, nil
 }
 
-// receivedRequest is one request as a runner got it.
+// receivedRequest is a request as a runner received it.
 type receivedRequest struct {
 	*http.Request
-	text       []byte
+	body       []byte
 	connection int
 }
 
-// scriptedRunner is a runner that answers the requests on each connection with raw bytes.
-// NAME stands for the ID of the request. "|CLOSE" and "|RESET" at the end close or reset
-// the connection.
+// scriptedRunner is a runner that responds to the requests on each connection with raw
+// bytes. NAME stands for the ID of the request. "|CLOSE" and "|RESET" at the end close or
+// reset the connection.
 type scriptedRunner struct {
 	network
 	mutex     sync.Mutex
-	answers   [][]string // by connection; the last element is for all further ones
-	requested []receivedRequest
+	responses [][]string // by connection; the last element is for all further ones
+	requests  []receivedRequest
 }
 
-func newScriptedRunner(answers ...[]string) *scriptedRunner {
-	made := &scriptedRunner{answers: answers}
+func newScriptedRunner(responses ...[]string) *scriptedRunner {
+	made := &scriptedRunner{responses: responses}
 	made.network.serve = made.serve
 	return made
 }
 
-func (scripted *scriptedRunner) serve(number int, connection *end) {
+func (scripted *scriptedRunner) serve(number int, connection *pipeEnd) {
 	reader := bufio.NewReader(connection)
-	for _, answer := range scripted.answers[min(number, len(scripted.answers)-1)] {
+	for _, response := range scripted.responses[min(number, len(scripted.responses)-1)] {
 		received, err := http.ReadRequest(reader)
 		if err != nil {
 			connection.Close()
 			return
 		}
-		text, err := io.ReadAll(received.Body)
+		body, err := io.ReadAll(received.Body)
 		if err != nil {
 			connection.Close()
 			return
 		}
 		scripted.mutex.Lock()
-		scripted.requested = append(scripted.requested, receivedRequest{received, text, number})
+		scripted.requests = append(scripted.requests, receivedRequest{received, body, number})
 		scripted.mutex.Unlock()
-		answer = strings.ReplaceAll(answer, "NAME", received.Header.Get("Query-Name"))
-		switch rest, end, _ := strings.Cut(answer, "|"); {
-		case end == "CLOSE":
+		response = strings.ReplaceAll(response, "NAME", received.Header.Get("Query-Name"))
+		switch rest, action, _ := strings.Cut(response, "|"); {
+		case action == "CLOSE":
 			io.WriteString(connection, rest)
 			connection.Close()
 			return
-		case end == "RESET":
+		case action == "RESET":
 			io.WriteString(connection, rest)
 			connection.reset()
 			return
@@ -251,24 +250,24 @@
 	connection.Close()
 }
 
-func (scripted *scriptedRunner) got() []receivedRequest {
+func (scripted *scriptedRunner) received() []receivedRequest {
 	scripted.mutex.Lock()
 	defer scripted.mutex.Unlock()
-	return scripted.requested
+	return scripted.requests
 }
 
 var testHeaders = HeaderNames{RequestID: "Query-Name", NotRun: "Not-Run", ExpectedRunner: "Expected-Runner", Timeout: "Time-Left", Load: "Load", Urgency: "Urgency", LastEventID: "Last-Event-Id", RunnerID: "Runner-Id", WarmUpLeft: "Cold-For"}
 
-func testRequest(name string, changes ...func(*Request)) Request {
+func testRequest(id string, changes ...func(*Request)) Request {
 	made := Request{Runner: feed.Runner{Address: "10.0.0.9:8080", Life: "life-1"}, MaxConnections: 4, Method: "POST", Target: "/turn/2f?x=1", Host: "agents.example",
-		Header: http.Header{}, Body: [][]byte{[]byte("say "), []byte("it")}, ID: name, Deadline: time.Now().Add(10 * time.Second)}
+		Header: http.Header{}, Body: [][]byte{[]byte("say "), []byte("it")}, ID: id, Deadline: time.Now().Add(10 * time.Second)}
 	for _, change := range changes {
 		change(&made)
 	}
 	return made
 }
 
-// isExactly reports whether an error is a certain one and does not only wrap it: callers
+// isExactly reports whether err is want itself rather than an error that wraps it: callers
 // of Read compare with io.EOF itself.
 func isExactly(err, want error) bool { return any(err) == any(want) }
 
@@ -292,18 +291,18 @@
 	return strings.Replace(ok(body), "\r\n\r\n", "\r\n"+headers+"\r\n\r\n", 1)
 }
 
-func repeat(answer string, count int) []string {
-	answers := make([]string, count)
-	for index := range answers {
-		answers[index] = answer
+func repeat(response string, count int) []string {
+	responses := make([]string, count)
+	for index := range responses {
+		responses[index] = response
 	}
-	return answers
+	return responses
 }
 
-// failure is the typed content of an error.
+// failure holds the fields of an apierror.Error that the tests compare.
 type failure struct {
-	kind                                      apierror.Kind
-	neverSent, lost, misdirected, nobodyThere bool
+	kind                                            apierror.Kind
+	neverSent, lost, misdirected, connectionRefused bool
 }
 
 func failureOf(err error) failure {
@@ -330,13 +329,13 @@
 }
 
 type countingConnection struct {
-	*end
+	*pipeEnd
 	writes *int
 }
 
 func (counted countingConnection) Write(data []byte) (int, error) {
 	*counted.writes++
-	return counted.end.Write(data)
+	return counted.pipeEnd.Write(data)
 }
 
 func (counting countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
@@ -344,26 +343,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return countingConnection{made.(*end), counting.writes}, nil
+	return countingConnection{made.(*pipeEnd), counting.writes}, nil
 }
 
-// undetectedNetwork makes connections on which the idle check finds nothing.
+// undetectedNetwork opens connections whose idle check always succeeds.
 type undetectedNetwork struct{ *scriptedRunner }
 
-type undetectedConnection struct{ *end }
+type undetectedConnection struct{ *pipeEnd }
 
 func (undetectedConnection) Idle() bool { return true }
 
-func (deaf undetectedNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
-	made, err := deaf.scriptedRunner.Dial(ctx, address)
+func (undetected undetectedNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	made, err := undetected.scriptedRunner.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return undetectedConnection{made.(*end)}, nil
+	return undetectedConnection{made.(*pipeEnd)}, nil
 }
 
-// echo answers each request with its own body.
-func echo(_ int, connection *end) {
+// echo responds to each request with its body.
+func echo(_ int, connection *pipeEnd) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -382,11 +381,11 @@
 // dialHook calls a function after each dial.
 type dialHook struct {
 	*scriptedRunner
-	do func()
+	afterDial func()
 }
 
-func (dialling dialHook) Dial(ctx context.Context, address string) (net.Conn, error) {
-	made, err := dialling.scriptedRunner.Dial(ctx, address)
-	dialling.do()
+func (hook dialHook) Dial(ctx context.Context, address string) (net.Conn, error) {
+	made, err := hook.scriptedRunner.Dial(ctx, address)
+	hook.afterDial()
 	return made, err
 }
--- a/system/runnerpool/send.go
+++ b/system/runnerpool/send.go
@@ -10,12 +10,12 @@
 	"yardrock.example/system/apierror"
 )
 
-// singleWriteBytes is the size up to which a request is written in one piece before the
-// response is read. A longer one is written while the response is read: a runner that
-// answers early may never read the rest.
+// singleWriteBytes is the size up to which a request is sent in one write before the
+// response is read. A longer one is written while the response is read, because a runner
+// that responds early may never read the rest.
 const singleWriteBytes = 16 << 10
 
-// pastDeadline, as the deadline of a connection, ends its reads and writes at once.
+// pastDeadline is set as the deadline of a connection to interrupt its reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
 // roundTrip is the exchange of one request and its response on one connection.
@@ -24,12 +24,12 @@
 	connection *persistentConnection
 	request    *Request
 	ctx        context.Context
-	// stopWatch stops the watch over ctx; it returns false if ctx ended first, and then the
-	// connection must not be reused. It is nil if ctx never ends.
+	// stopWatch stops watching ctx. It returns false if ctx ended first; the connection must
+	// not be reused then. It is nil if ctx cannot end.
 	stopWatch func() bool
-	writing   chan writeResult // receives the result of a write in the background; else nil
+	writing   chan writeResult // receives the result of a background write; nil if there is none
 	written   writeResult
-	stray     bool // a response to another request has come
+	stray     bool // a response to another request was received
 }
 
 // writeResult is the result of writing a request.
@@ -38,25 +38,26 @@
 	err   error
 }
 
-// Send sends a request and returns once the head of its response is there. The response
-// must be closed, and until then the body of the request must not change: a runner may
-// answer before it has read it.
+// Send sends a request and returns once the head of its response has been read. The
+// response must be closed, and until then the body of the request must not change: a
+// runner may respond before it has read it.
 //
 // Every error is an *apierror.Error:
 //
 //   - NeverSent is set: no byte of the request was accepted by a connection. If Lost is
-//     set too, the runner is at fault. If not, this says nothing about it: all connections
-//     are in use or the caller's time is over (Unavailable), BeforeSend returned the
-//     error, ctx ended (Cancelled), or the request is malformed (Invalid).
+//     set too, the runner is at fault. If not, the error says nothing about the runner:
+//     all connections are in use, the pool is closed or the deadline passed (Unavailable),
+//     BeforeSend returned the error, ctx ended (Cancelled), or the request is malformed
+//     (Invalid).
 //   - Kind NotRun: the runner states that the request did not run and never will.
-//     Misdirected is set if another runner has the address now. The response is returned
+//     Misdirected is set if another runner now has the address. The response is returned
 //     too, with status, headers and load; it has no body and need not be closed.
 //   - Lost is set: the connection was closed or reset, or carried something that is not the
 //     response. The request may have run.
 //   - Kind Cancelled: ctx ended. The request may have run.
 //   - Kind Unknown: the deadline passed. The request may have run.
-//   - Kind RunnerFailure without Lost: the response has a content encoding and cannot be
-//     passed on.
+//   - Kind RunnerFailure without Lost: the response has a content encoding, which is not
+//     supported.
 //
 // Example:
 //
@@ -89,8 +90,8 @@
 }
 
 // run sends the request and reads the head of the response. It asks for a retry if a
-// reused connection turned out to be dead before it accepted a byte; there may be several
-// dead ones, and each attempt takes one out of the pool.
+// reused connection turned out to be dead before it accepted a byte. Several idle
+// connections may be dead; each retry removes one from the pool.
 func (trip *roundTrip) run() (response *Response, retry bool, err error) {
 	connection, request := trip.connection, trip.request
 	connection.attachBuffers()
@@ -111,7 +112,7 @@
 	if request.BeforeSend != nil {
 		if err := request.BeforeSend(); err != nil {
 			trip.returnUnused()
-			unsent := *apierror.Of(err) // a copy: the caller's error stays as it is
+			unsent := *apierror.Of(err) // a copy, so that the caller's error is not modified
 			unsent.NeverSent = true
 			return nil, false, &unsent
 		}
@@ -133,7 +134,7 @@
 	return trip.readResponse()
 }
 
-// write writes head and body: in one piece if they are short, otherwise in the
+// write writes head and body: in one write if they are short, otherwise in the
 // background.
 func (trip *roundTrip) write(length int64) {
 	connection := trip.connection
@@ -149,15 +150,15 @@
 	parts = append(parts, connection.buffers.writes)
 	parts = append(parts, trip.request.Body...)
 	trip.writing = make(chan writeResult, 1)
-	// The goroutine ends with the write, which abort ends by closing the connection. The
-	// channel has room for its result, so that it never blocks.
+	// The goroutine ends with the write, which abort interrupts by closing the connection.
+	// The channel is buffered, so that sending the result never blocks.
 	go func() {
 		count, err := parts.WriteTo(connection.Conn)
 		trip.writing <- writeResult{count, err}
 	}()
 }
 
-// writeDone reports whether the request is written or its writing has failed.
+// writeDone reports whether the write of the request has ended, with or without an error.
 func (trip *roundTrip) writeDone() bool {
 	if trip.writing == nil {
 		return true
@@ -171,8 +172,7 @@
 	}
 }
 
-// readResponse reads the head of the response and decides what it means. retry is as in
-// run.
+// readResponse reads the head of the response and classifies it. retry is as in run.
 func (trip *roundTrip) readResponse() (response *Response, retry bool, err error) {
 	head, err := trip.readHead()
 	if err != nil {
@@ -188,16 +188,16 @@
 	removeHopByHop(head.Header)
 	if misdirected || notRun && head.StatusCode >= 400 {
 		response.drainRejection()
-		return response, false, &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " refused: " + head.Status, Remedy: "ask again later", RetryAfter: parseRetryAfter(head.Header), Misdirected: misdirected}
+		return response, false, &apierror.Error{Kind: apierror.NotRun, Message: "runner " + address + " rejected the request: " + head.Status, Remedy: "retry later", RetryAfter: parseRetryAfter(head.Header), Misdirected: misdirected}
 	}
 	if coding := head.Header["Content-Encoding"]; !isUnencoded(coding) {
 		trip.abort()
-		return nil, false, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " answered with the content encoding " + strings.Join(coding, ", "), Remedy: "runners answer without encoding"}
+		return nil, false, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + " responded with content encoding " + strings.Join(coding, ", "), Remedy: "configure the runner to respond without a content encoding"}
 	}
 	return response, false, nil
 }
 
-// returnUnused gives back a connection to which nothing was written.
+// returnUnused returns a connection to the pool to which nothing was written.
 func (trip *roundTrip) returnUnused() {
 	trip.connection.releaseBuffers()
 	if trip.stopWatch != nil && !trip.stopWatch() {
@@ -207,7 +207,7 @@
 	trip.pool.put(trip.connection)
 }
 
-// abort closes the connection and waits for a write in the background, which that ends.
+// abort closes the connection, which interrupts a background write, and waits for that.
 func (trip *roundTrip) abort() {
 	if trip.stopWatch != nil {
 		trip.stopWatch()
--- a/system/runnerpool/send_test.go
+++ b/system/runnerpool/send_test.go
@@ -16,16 +16,16 @@
 func TestDialFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		fail   func(ctx context.Context) error
-		within time.Duration // of the deadline; 0: 10 s
+		within time.Duration // time until the deadline; 0: 10 s
 		want   failure
 		after  time.Duration
 	}{
-		"nobody listens":              {fail: func(context.Context) error { return fmt.Errorf("dial: %w", syscall.ECONNREFUSED) }, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true, nobodyThere: true}},
-		"nobody listens, little time": {fail: func(context.Context) error { return syscall.ECONNREFUSED }, within: 100 * time.Millisecond, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true, nobodyThere: true}},
-		"reset":                       {fail: func(context.Context) error { return syscall.ECONNRESET }, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true}},
-		"cut":                         {fail: func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true}, after: dialTimeout},
-		"cut, little time":            {fail: func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }, within: 100 * time.Millisecond, want: failure{kind: apierror.Unavailable, neverSent: true}, after: 100 * time.Millisecond},
-		"time already over":           {fail: func(context.Context) error { return errors.New("never asked") }, within: -time.Second, want: failure{kind: apierror.Unavailable, neverSent: true}},
+		"connection refused":                 {fail: func(context.Context) error { return fmt.Errorf("dial: %w", syscall.ECONNREFUSED) }, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true, connectionRefused: true}},
+		"connection refused, short deadline": {fail: func(context.Context) error { return syscall.ECONNREFUSED }, within: 100 * time.Millisecond, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true, connectionRefused: true}},
+		"reset":                              {fail: func(context.Context) error { return syscall.ECONNRESET }, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true}},
+		"dial hangs":                         {fail: func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }, want: failure{kind: apierror.Unavailable, neverSent: true, lost: true}, after: dialTimeout},
+		"dial hangs, short deadline":         {fail: func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }, within: 100 * time.Millisecond, want: failure{kind: apierror.Unavailable, neverSent: true}, after: 100 * time.Millisecond},
+		"deadline already passed":            {fail: func(context.Context) error { return errors.New("dialled after the deadline") }, within: -time.Second, want: failure{kind: apierror.Unavailable, neverSent: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -55,17 +55,17 @@
 		runner := newScriptedRunner(repeat(ok("fine"), 9))
 		pool := New(runner, testHeaders)
 		defer pool.Close()
-		looks := 0
-		seen := testRequest("q1", func(request *Request) {
+		calls := 0
+		accepted := testRequest("q1", func(request *Request) {
 			request.BeforeSend = func() error {
-				if looks++; len(runner.got()) != looks-1 {
+				if calls++; len(runner.received()) != calls-1 {
 					t.Error("the request was sent before BeforeSend")
 				}
 				return nil
 			}
 		})
 		for range 2 {
-			if _, _, err := sendAndRead(t, pool, seen); err != nil {
+			if _, _, err := sendAndRead(t, pool, accepted); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -76,14 +76,14 @@
 				t.Errorf("got %v", err)
 			}
 			if apierror.Of(kept).NeverSent {
-				t.Error("the error of BeforeSend was changed")
+				t.Error("the error of BeforeSend was modified")
 			}
 		}
-		// The same on a new connection. The connection that was not written to is kept.
+		// The same on a new connection; the unused connection is kept.
 		pool.Retain(nil)
 		_, _, err := sendAndRead(t, pool, testRequest("q4", func(request *Request) { request.BeforeSend = func() error { return errors.New("no") } }))
-		if err == nil || len(runner.got()) != 2 {
-			t.Errorf("%v, %d requests were sent", err, len(runner.got()))
+		if err == nil || len(runner.received()) != 2 {
+			t.Errorf("%v, %d requests were sent", err, len(runner.received()))
 		}
 		if stats := pool.Stats(); stats != (Stats{Dials: 2, Reuses: 1, Idle: 1}) {
 			t.Errorf("stats %+v", stats)
@@ -93,35 +93,35 @@
 
 func TestTimeoutAndCancellation(t *testing.T) {
 	for name, test := range map[string]struct {
-		answer string
-		give   bool // the caller cancels after a second
-		body   string
-		send   failure
-		read   failure
-		after  time.Duration
+		response string
+		cancel   bool // the caller cancels after a second
+		body     string
+		send     failure
+		read     failure
+		after    time.Duration
 	}{
-		"silent to the deadline":            {answer: "", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent, given up":                  {answer: "", give: true, send: failure{kind: apierror.Cancelled}, after: time.Second},
-		"silent in the body":                {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent in the body, given up":      {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", give: true, read: failure{kind: apierror.Cancelled}, after: time.Second},
-		"silent in a chunk":                 {answer: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent in the body of another":     {answer: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nfine", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
-		"silent in the body of a rejection": {answer: "HTTP/1.1 503 Full\r\nQuery-Name: NAME\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\nfu", send: failure{kind: apierror.NotRun}, after: rejectionTimeout},
+		"silent until the deadline":              {response: "", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent, cancelled":                      {response: "", cancel: true, send: failure{kind: apierror.Cancelled}, after: time.Second},
+		"silent in the body":                     {response: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent in the body, cancelled":          {response: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nContent-Length: 9\r\n\r\nfine", body: "fine", cancel: true, read: failure{kind: apierror.Cancelled}, after: time.Second},
+		"silent in a chunk":                      {response: "HTTP/1.1 200 OK\r\nQuery-Name: NAME\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfine", body: "fine", read: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent in the body of a stray response": {response: "HTTP/1.1 200 OK\r\nQuery-Name: q0\r\nContent-Length: 9\r\n\r\nfine", send: failure{kind: apierror.Unknown}, after: 10 * time.Second},
+		"silent in the body of a rejection":      {response: "HTTP/1.1 503 Full\r\nQuery-Name: NAME\r\nNot-Run: 1\r\nContent-Length: 9\r\n\r\nfu", send: failure{kind: apierror.NotRun}, after: rejectionTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := newScriptedRunner([]string{test.answer})
+				runner := newScriptedRunner([]string{test.response})
 				pool := New(runner, testHeaders)
 				defer pool.Close()
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				if test.give {
+				if test.cancel {
 					time.AfterFunc(time.Second, cancel)
 				}
 				began := time.Now()
 				response, err := pool.Send(ctx, testRequest("q1"))
 				if got := failureOf(err); got != test.send {
-					t.Fatalf("sending failed with %v", err)
+					t.Fatalf("Send returned %v", err)
 				}
 				if err == nil {
 					body, err := io.ReadAll(response)
@@ -134,7 +134,7 @@
 					t.Errorf("it took %v", time.Since(began))
 				}
 				synctest.Wait()
-				if !runner.made[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
+				if !runner.runnerEnds[0].closed() || pool.Stats() != (Stats{Dials: 1}) {
 					t.Errorf("the connection is still open: %+v", pool.Stats())
 				}
 			})
@@ -160,37 +160,37 @@
 			t.Errorf("got %q, %v over %d connections", body, err, runner.dials)
 		}
 		if _, err := pool.Send(ctx, testRequest("q3")); failureOf(err) != (failure{kind: apierror.Cancelled, neverSent: true}) {
-			t.Errorf("a request was sent with an ended context: %v", err)
+			t.Errorf("Send with an ended context returned %v", err)
 		}
 	})
 }
 
-// TestCancellationAtAnyTime cancels the context at certain points of a request.
+// TestCancellationAtAnyTime cancels the context at several points of a request.
 func TestCancellationAtAnyTime(t *testing.T) {
 	for name, test := range map[string]struct {
-		dialled, looked, read bool
-		want                  failure
-		requested             int
+		whileDialing, inBeforeSend, afterBody bool
+		want                                  failure
+		requested                             int
 	}{
-		"while it is dialled":         {dialled: true, want: failure{kind: apierror.Cancelled, neverSent: true}},
-		"at the look":                 {looked: true, want: failure{kind: apierror.Invalid, neverSent: true}},
-		"when the whole body is read": {read: true, requested: 1},
+		"while dialling":              {whileDialing: true, want: failure{kind: apierror.Cancelled, neverSent: true}},
+		"in BeforeSend":               {inBeforeSend: true, want: failure{kind: apierror.Invalid, neverSent: true}},
+		"when the whole body is read": {afterBody: true, requested: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				end := func(now bool) {
+				cancelIf := func(now bool) {
 					if now {
 						cancel()
 						synctest.Wait()
 					}
 				}
 				runner := newScriptedRunner(repeat(ok("fine"), 9))
-				pool := New(dialHook{runner, func() { end(test.dialled) }}, testHeaders)
+				pool := New(dialHook{runner, func() { cancelIf(test.whileDialing) }}, testHeaders)
 				defer pool.Close()
 				response, err := pool.Send(ctx, testRequest("q1", func(request *Request) {
 					request.BeforeSend = func() error {
-						if end(test.looked); test.looked {
+						if cancelIf(test.inBeforeSend); test.inBeforeSend {
 							return apierror.New(apierror.Invalid, "kept back", "none")
 						}
 						return nil
@@ -203,12 +203,12 @@
 					if body, err := io.ReadAll(response); string(body) != "fine" || err != nil {
 						t.Errorf("got %q, %v", body, err)
 					}
-					end(test.read)
+					cancelIf(test.afterBody)
 					response.Close()
 				}
 				synctest.Wait()
-				if kept := pool.Stats().Idle == 1; len(runner.got()) != test.requested || kept != test.dialled || kept == runner.made[0].closed() {
-					t.Errorf("%d requests arrived, stats %+v", len(runner.got()), pool.Stats())
+				if kept := pool.Stats().Idle == 1; len(runner.received()) != test.requested || kept != test.whileDialing || kept == runner.runnerEnds[0].closed() {
+					t.Errorf("%d requests arrived, stats %+v", len(runner.received()), pool.Stats())
 				}
 				cancel()
 			})
@@ -216,20 +216,20 @@
 	}
 }
 
-// TestRequestWithoutID: health checks have no ID.
+// TestRequestWithoutID covers requests without an ID, such as health checks.
 func TestRequestWithoutID(t *testing.T) {
 	for name, test := range map[string]struct {
-		answer string
-		body   string
-		want   failure
+		response string
+		body     string
+		want     failure
 	}{
-		"unnamed answer":         {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", "fine", failure{}},
-		"answer to another":      {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nContent-Length: 4\r\n\r\nlate" + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", "fine", failure{}},
-		"answer to another only": {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nContent-Length: 4\r\n\r\nlate|CLOSE", "", failure{kind: apierror.RunnerFailure, lost: true}},
+		"response without an ID": {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", "fine", failure{}},
+		"stray response first":   {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nContent-Length: 4\r\n\r\nlate" + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", "fine", failure{}},
+		"stray response only":    {"HTTP/1.1 200 OK\r\nQuery-Name: q1\r\nContent-Length: 4\r\n\r\nlate|CLOSE", "", failure{kind: apierror.RunnerFailure, lost: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				runner := newScriptedRunner([]string{test.answer})
+				runner := newScriptedRunner([]string{test.response})
 				pool := New(runner, testHeaders)
 				defer pool.Close()
 				_, body, err := sendAndRead(t, pool, testRequest(""))
--- a/system/runnerpool/tcp_test.go
+++ b/system/runnerpool/tcp_test.go
@@ -17,7 +17,7 @@
 	"yardrock.example/system/link"
 )
 
-// listen serves each connection on the real network until the test ends.
+// listen serves TCP connections on the loopback interface until the test ends.
 func listen(t testing.TB, serve func(connection *net.TCPConn)) string {
 	listener, err := link.TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -38,25 +38,25 @@
 
 func TestIdleCheckOverTCP(t *testing.T) {
 	for name, test := range map[string]struct {
-		do    func(connection *net.TCPConn)
-		quiet bool
-		ended bool
+		do             func(connection *net.TCPConn)
+		idle           bool
+		closedByRunner bool
 	}{
-		"nothing came": {nil, true, false},
-		"a byte came":  {func(connection *net.TCPConn) { connection.Write([]byte("x")) }, false, false},
-		"it was ended": {func(connection *net.TCPConn) { connection.Close() }, false, true},
-		"half ended":   {func(connection *net.TCPConn) { connection.CloseWrite() }, false, true},
-		"it was reset": {func(connection *net.TCPConn) { connection.SetLinger(0); connection.Close() }, false, false},
+		"no input":    {nil, true, false},
+		"one byte":    {func(connection *net.TCPConn) { connection.Write([]byte("x")) }, false, false},
+		"closed":      {func(connection *net.TCPConn) { connection.Close() }, false, true},
+		"half closed": {func(connection *net.TCPConn) { connection.CloseWrite() }, false, true},
+		"reset":       {func(connection *net.TCPConn) { connection.SetLinger(0); connection.Close() }, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dialled, over := make(chan struct{}), make(chan struct{})
-			defer close(over)
+			dialled, done := make(chan struct{}), make(chan struct{})
+			defer close(done)
 			address := listen(t, func(connection *net.TCPConn) {
 				<-dialled
 				if test.do != nil {
 					test.do(connection)
 				}
-				<-over
+				<-done
 				connection.Close()
 			})
 			stream, err := link.TCP{}.Dial(t.Context(), address)
@@ -67,20 +67,20 @@
 			made := newConnection(stream, &runnerConnections{})
 			defer made.Close()
 			made.SetDeadline(time.Now().Add(time.Minute))
-			quiet := made.isIdle()
-			for quiet && !test.quiet {
-				runtime.Gosched() // until it arrives; a probe that finds nothing changes nothing
-				quiet = made.isIdle()
+			idle := made.isIdle()
+			for idle && !test.idle {
+				runtime.Gosched() // until it arrives; a probe that finds no input has no effect
+				idle = made.isIdle()
 			}
-			if quiet != test.quiet || made.closedByRunner != test.ended {
-				t.Errorf("idle %v, closed by the runner %v", quiet, made.closedByRunner)
+			if idle != test.idle || made.closedByRunner != test.closedByRunner {
+				t.Errorf("idle %v, closed by the runner %v", idle, made.closedByRunner)
 			}
 		})
 	}
 }
 
-// TestRejectionOfLongRequestOverTCP: the runner closes with unread bytes, which resets the
-// connection behind the rejection.
+// TestRejectionOfLongRequestOverTCP: a rejection is reported although the runner closes the
+// connection with unread input, which resets it.
 func TestRejectionOfLongRequestOverTCP(t *testing.T) {
 	const rejection = "HTTP/1.1 503 Full\r\nQuery-Name: q1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	read := make(chan struct{})
@@ -156,22 +156,22 @@
 	pool := New(link.TCP{UserTimeout: time.Second}, testHeaders)
 	defer pool.Close()
 	_, err = pool.Send(t.Context(), testRequest("q1", func(request *Request) { request.Runner.Address = address }))
-	if got := failureOf(err); got != (failure{kind: apierror.Unavailable, neverSent: true, lost: true, nobodyThere: true}) {
+	if got := failureOf(err); got != (failure{kind: apierror.Unavailable, neverSent: true, lost: true, connectionRefused: true}) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// BenchmarkSend sends to a runner on the real network whose own cost is negligible.
+// BenchmarkSend sends to a runner on the loopback interface whose own cost is negligible.
 func BenchmarkSend(b *testing.B) {
-	for name, way := range map[string]func(context.Context) (context.Context, context.CancelFunc){
+	for name, newContext := range map[string]func(context.Context) (context.Context, context.CancelFunc){
 		"plain": func(context.Context) (context.Context, context.CancelFunc) {
 			return context.Background(), func() {}
 		},
 		"cancellable": context.WithCancel,
 	} {
 		b.Run(name, func(b *testing.B) {
-			end := []byte("say it")
-			answer := []byte(strings.ReplaceAll(okWith("Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\nLoad: 1,2,3\r\nKeep-Alive: timeout=30", "fine"), "NAME", "q1"))
+			requestEnd := []byte("say it")
+			response := []byte(strings.ReplaceAll(okWith("Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\nLoad: 1,2,3\r\nKeep-Alive: timeout=30", "fine"), "NAME", "q1"))
 			address := listen(b, func(connection *net.TCPConn) {
 				defer connection.Close()
 				buffer := make([]byte, 4096)
@@ -180,8 +180,8 @@
 					if err != nil {
 						return
 					}
-					if length += count; bytes.HasSuffix(buffer[:length], end) {
-						connection.Write(answer)
+					if length += count; bytes.HasSuffix(buffer[:length], requestEnd) {
+						connection.Write(response)
 						length = 0
 					}
 				}
@@ -193,7 +193,7 @@
 			buffer := make([]byte, 512)
 			b.ReportAllocs()
 			for b.Loop() {
-				ctx, cancel := way(context.Background())
+				ctx, cancel := newContext(context.Background())
 				request.Deadline = time.Now().Add(10 * time.Second)
 				response, err := pool.Send(ctx, request)
 				if err != nil {
@@ -215,10 +215,10 @@
 	}
 }
 
-// BenchmarkEventReader splits a stream that arrives in pieces of two events.
+// BenchmarkEventReader splits a stream that arrives in chunks of two events.
 func BenchmarkEventReader(b *testing.B) {
 	one := []byte("id: 17\ndata: " + strings.Repeat("x", 120) + "\n\nid: 18\ndata: " + strings.Repeat("y", 120) + "\n\n")
-	events := NewEventReader(sameAgain(one))
+	events := NewEventReader(repeatingReader(one))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := events.Next(); err != nil {
@@ -227,7 +227,7 @@
 	}
 }
 
-// sameAgain is a reader that returns the same bytes with each read, without end.
-type sameAgain []byte
+// repeatingReader returns the same bytes with each read, endlessly.
+type repeatingReader []byte
 
-func (same sameAgain) Read(target []byte) (int, error) { return copy(target, same), nil }
+func (reader repeatingReader) Read(target []byte) (int, error) { return copy(target, reader), nil }
--- a/system/runnerpool/types.go
+++ b/system/runnerpool/types.go
@@ -7,41 +7,40 @@
 	"yardrock.example/system/feed"
 )
 
-// HeaderNames are the names of the header fields that the runners of a deployment
-// understand. An empty name means that they have no such header; it is then neither sent
-// nor read.
+// HeaderNames holds the names of the header fields that a deployment's runners
+// understand. A field whose name is empty is neither sent nor read.
 type HeaderNames struct {
 	RequestID      string // in requests and echoed in responses: identifies the request
 	NotRun         string // in rejections: the request did not run and never will
-	ExpectedRunner string // in requests: incarnation of the runner that they are meant for; another answers 421
-	Timeout        string // in requests: milliseconds until the caller gives up
+	ExpectedRunner string // in requests: incarnation of the intended runner; any other responds with 421
+	Timeout        string // in requests: milliseconds until the deadline
 	Load           string // in responses: running,waiting,slots
 	Urgency        string // in requests: 0 to 9, 0 is the most urgent
-	LastEventID    string // in requests: ID of the last event that the caller has
+	LastEventID    string // in requests: ID of the last event that the caller received
 	RunnerID       string // in health responses: incarnation of the runner
-	WarmUpLeft     string // in health responses: milliseconds for which the runner still warms up
+	WarmUpLeft     string // in health responses: milliseconds of warm-up that remain
 }
 
-// Request is one attempt to have a request run by one runner.
+// Request is one attempt to run a request on one runner.
 type Request struct {
 	Runner feed.Runner
-	// MaxConnections is how many connections this pool may have to the runner; 0 and less
-	// count as 1.
+	// MaxConnections limits this pool's connections to the runner; values below 1 count as
+	// 1.
 	MaxConnections int
 	Method         string      // any but CONNECT
 	Target         string      // path and query as the caller sent them (RFC 9112, section 3.2)
 	Host           string      // as the caller sent it
-	Header         http.Header // of the caller; hop-by-hop headers are left out. Never changed.
-	// Body is sent part after part under one Content-Length. It must not change until the
-	// response is closed.
+	Header         http.Header // of the caller; hop-by-hop headers are not forwarded. Never modified.
+	// Body is sent as the concatenation of its parts. It must not change until the response
+	// is closed.
 	Body [][]byte
-	// ID identifies the request; a response with another one is not its response. If it is
-	// empty, the caller's own header counts.
+	// ID identifies the request; a response with a different ID is dropped. If it is empty,
+	// the ID in Header is used.
 	ID string
-	// Deadline is when the caller gives up; zero: never.
+	// Deadline is when the request times out; zero: never.
 	Deadline time.Time
 	Urgency  string // empty: not sent
-	// LastEventID is the event to resume after; empty: what the caller sent is sent along.
+	// LastEventID is the event to resume after; empty: the value in Header is forwarded.
 	LastEventID string
 	// BeforeSend, if not nil, is called right before the first byte is sent. If it returns
 	// an error, nothing is sent and Send returns the error with NeverSent set. It is called
@@ -49,7 +48,7 @@
 	BeforeSend func() error
 }
 
-// Load is the number of requests that a runner reports with a response.
+// Load holds the request counts that a runner reports with a response.
 type Load struct {
 	Running int // being processed
 	Waiting int // queued at the runner
