--- a/system/delta/delta.go
+++ b/system/delta/delta.go
@@ -1,17 +1,16 @@
-// Package delta makes and applies deltas between two versions of some bytes (delta encoding): a
-// delta is a list of ranges to copy from the base and of bytes to insert. It has no state.
+// Package delta implements delta encoding of byte slices. A delta encodes a new version relative
+// to a base, as ranges to copy from the base and bytes to insert.
 //
 // Guarantees:
-//   - A delta applied to the base that it was made on gives the other version byte for byte. On
-//     another base the result may be any bytes, so callers compare a digest.
-//   - Apply ends, without a panic and within maxResultSize, whatever the delta's bytes are.
+//   - Applying a delta to the base that it was made from restores the new version exactly.
+//     Applied to another base it may yield arbitrary bytes, so callers must verify a digest.
+//   - Apply terminates without a panic on any input, and its result is at most maxResultSize.
 //
-// Format: the length of the result, then operations, all numbers as unsigned varints. An
-// operation begins with its length shifted left by one, with copyFlag in the lowest bit. A copy
-// has the offset in the base next, an insertion its bytes.
+// Format: the length of the result, followed by operations. All numbers are unsigned varints. An
+// operation starts with its length shifted left by one, with copyFlag in the lowest bit. Then
+// comes, for a copy, the offset in the base, and for an insertion, the bytes.
 //
-// Equal parts are found with an index of the base's blocks by hash, and extended in both
-// directions.
+// Matches are found in a hash index of the base's blocks and extended in both directions.
 package delta
 
 import (
@@ -22,22 +21,21 @@
 )
 
 const (
-	// blockSize is the length in bytes of the blocks by which equal parts are found; shorter
-	// equal parts may be inserted anew.
+	// blockSize is the length in bytes of the indexed blocks; shorter matches may be missed.
 	blockSize = 32
-	// maxResultSize bounds, in bytes, the result that a damaged delta may state.
+	// maxResultSize bounds the result in bytes, as a damaged delta may state any length.
 	maxResultSize = 256 << 20
-	// copyFlag marks a copy in the first number of an operation.
+	// copyFlag in the first number of an operation marks a copy.
 	copyFlag = 1
-	// After each missesPerStep positions in a row without a match the search takes larger
-	// steps, up to maxStep, so that unrelated content costs little. maxStep is odd, so that the
-	// search meets the start of a block in every long enough equal part.
+	// The search step grows by one after every missesPerStep consecutive misses, up to maxStep,
+	// to limit the cost of unrelated content. maxStep is odd, and so coprime to blockSize: the
+	// search reaches the start of a block in every long enough match.
 	missesPerStep = 256
 	maxStep       = 7
 )
 
-// ErrMismatch is the error of a delta that is damaged or was made on another base.
-var ErrMismatch = errors.New("the delta does not fit its base")
+// ErrMismatch is returned by Apply for a delta that is damaged or was made from another base.
+var ErrMismatch = errors.New("the delta is damaged or does not match its base")
 
 // Make returns the delta that turns base into next.
 //
@@ -47,26 +45,27 @@
 	return delta
 }
 
-// MakeWithin is Make, but gives up as soon as the delta would be longer than limit bytes.
+// MakeWithin is like Make, but gives up once the delta would exceed limit bytes. fits reports
+// whether the delta is within the limit.
 //
 //	encoded, fits := delta.MakeWithin(base, next, len(next)/2)
 func MakeWithin(base, next []byte, limit int) (delta []byte, fits bool) {
 	writer := operationWriter{encoded: binary.AppendUvarint(nil, uint64(len(next)))}
 	blocks := newBlockIndex(base)
-	covered := 0 // up to here the operations so far give next
+	covered := 0 // length of the prefix of next that the operations so far encode
 	misses := 0
-	for at := 0; at+blockSize <= len(next); {
-		offset, found := blocks.find(next[at : at+blockSize])
+	for position := 0; position+blockSize <= len(next); {
+		offset, found := blocks.find(next[position : position+blockSize])
 		if !found {
 			misses++
-			if len(writer.encoded)+at-covered > limit {
+			if len(writer.encoded)+position-covered > limit {
 				return nil, false
 			}
-			at += min(1+misses/missesPerStep, maxStep)
+			position += min(1+misses/missesPerStep, maxStep)
 			continue
 		}
 		misses = 0
-		start := at
+		start := position
 		for start > covered && offset > 0 && base[offset-1] == next[start-1] {
 			start--
 			offset--
@@ -74,7 +73,7 @@
 		length := commonPrefix(base[offset:], next[start:])
 		writer.insert(next[covered:start])
 		writer.copy(offset, length)
-		covered, at = start+length, start+length
+		covered, position = start+length, start+length
 	}
 	writer.insert(next[covered:])
 	return writer.encoded, len(writer.encoded) <= limit
@@ -83,7 +82,7 @@
 // operationWriter encodes the operations of a delta.
 type operationWriter struct{ encoded []byte }
 
-// insert encodes an insertion; of nothing, none.
+// insert encodes an insertion, unless data is empty.
 func (writer *operationWriter) insert(data []byte) {
 	if len(data) == 0 {
 		return
@@ -98,16 +97,16 @@
 	writer.encoded = binary.AppendUvarint(writer.encoded, uint64(offset))
 }
 
-// blockIndex finds blocks of a base by a hash of their content. Of blocks with the same hash the
-// first counts.
+// blockIndex finds blocks of a base by a hash of their content. Of blocks with the same hash it
+// holds only the first.
 type blockIndex struct {
 	base  []byte
-	shift int // takes a 64-bit hash to an index of blockNumbers
-	// blockNumbers has, for each hash, the number of a block, counted from 1; 0: none.
+	shift int // reduces a 64-bit hash to an index into blockNumbers
+	// blockNumbers holds the number of a block, counted from 1, for each hash; 0 means none.
 	blockNumbers []uint32
 }
 
-// newBlockIndex indexes the whole blocks of a base.
+// newBlockIndex indexes the blocks of a base. A shorter block at the end is not indexed.
 func newBlockIndex(base []byte) blockIndex {
 	count := len(base) / blockSize
 	width := bits.Len(uint(count)) + 1
@@ -121,7 +120,7 @@
 	return index
 }
 
-// hash mixes the words of a block (Fibonacci hashing).
+// hash hashes the first blockSize bytes of data (Fibonacci hashing).
 func (index *blockIndex) hash(data []byte) uint64 {
 	const factor = 0x9e3779b97f4a7c15
 	mixed := uint64(0)
@@ -132,7 +131,7 @@
 	return mixed * factor >> index.shift
 }
 
-// find returns the offset in the base of a block with the same content.
+// find returns the offset of a block of the base with the same content, and whether there is one.
 func (index *blockIndex) find(block []byte) (int, bool) {
 	number := index.blockNumbers[index.hash(block)]
 	if number == 0 {
@@ -142,19 +141,19 @@
 	return offset, string(index.base[offset:offset+blockSize]) == string(block)
 }
 
-// commonPrefix returns the length of the longest common prefix.
+// commonPrefix returns the length in bytes of the longest common prefix.
 func commonPrefix(left, right []byte) int {
 	length := min(len(left), len(right))
-	for at := range length {
-		if left[at] != right[at] {
-			return at
+	for i := range length {
+		if left[i] != right[i] {
+			return i
 		}
 	}
 	return length
 }
 
-// Apply returns the result of a delta on its base, or ErrMismatch. See the package comment for what
-// a result on another base is worth.
+// Apply applies a delta to its base. It returns ErrMismatch for an invalid delta, but does not
+// detect every wrong base: callers must verify a digest of the result.
 //
 //	next, err := delta.Apply(base, encoded)
 func Apply(base, delta []byte) ([]byte, error) {
@@ -163,7 +162,7 @@
 	if reader.failed || size > maxResultSize {
 		return nil, ErrMismatch
 	}
-	// No more is allocated at first than data is there: the stated size may be wrong.
+	// The stated size may be wrong, so the initial allocation is bounded by the input.
 	result := make([]byte, 0, min(size, uint64(len(base)+len(delta))))
 	for len(reader.remaining) > 0 {
 		operation := reader.next()
@@ -186,10 +185,10 @@
 	return result, nil
 }
 
-// uvarintReader reads numbers from the start of a delta, and has what remains.
+// uvarintReader reads varints from the front of remaining.
 type uvarintReader struct {
 	remaining []byte
-	failed    bool // a number was cut off or out of range; it was read as 0
+	failed    bool // a varint was truncated or overflowed; next returned 0
 }
 
 func (reader *uvarintReader) next() uint64 {
--- a/system/link/client.go
+++ b/system/link/client.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Client calls other processes. It owns one connection to each address, with two goroutines;
-// they end with the connection or with Close. Its methods may be called concurrently.
+// Client calls other processes. It owns at most one connection per address, each with two
+// goroutines, which end with the connection or on Close. It is safe for concurrent use.
 type Client struct {
 	network     Network
 	mutex       sync.Mutex
 	connections map[string]*clientConnection
-	closed      context.Context // ends with Close
-	close       context.CancelFunc
+	ctx         context.Context // cancelled by Close
+	cancel      context.CancelFunc
 }
 
-// NewClient makes a client of a network.
+// NewClient returns a client that dials over a network.
 //
 //	client := link.NewClient(link.TCP{})
 func NewClient(network Network) *Client {
 	client := &Client{network: network, connections: map[string]*clientConnection{}}
-	client.closed, client.close = context.WithCancel(context.Background())
+	client.ctx, client.cancel = context.WithCancel(context.Background())
 	return client
 }
 
-// connect gives the open connection to an address, and dials if there is none. Calls that come
-// meanwhile wait for the same dial, which goes on when one of them is cancelled.
+// connect returns the open connection to an address, dialling if there is none. Concurrent
+// calls share one dial, which continues if one of them is cancelled.
 func (client *Client) connect(ctx context.Context, address string) (*clientConnection, error) {
 	client.mutex.Lock()
 	conn, found := client.connections[address]
@@ -37,7 +37,7 @@
 	if !found {
 		conn = &clientConnection{ready: make(chan struct{})}
 		client.connections[address] = conn
-		go client.dialConnection(conn, address) // ends with dialTimeout or Close
+		go client.dialConnection(conn, address) // bounded by dialTimeout and Close
 	}
 	client.mutex.Unlock()
 	select {
@@ -49,38 +49,38 @@
 }
 
 const (
-	// dialTimeout bounds all attempts to connect together.
+	// dialTimeout bounds a dial, including all of its attempts.
 	dialTimeout = 2 * time.Second
-	// minDialAttempt bounds the first attempt; each further one may take twice as long, up to
-	// maxDialAttempt. An attempt that began before the other side was back is all that a call
-	// may have to wait for.
+	// minDialAttempt is the timeout of the first attempt. It doubles with each attempt, up to
+	// maxDialAttempt, which bounds the added latency of a call to a peer that has just come up.
 	minDialAttempt = 250 * time.Millisecond
 	maxDialAttempt = 500 * time.Millisecond
 )
 
-// dialWithRetries connects in several short attempts. The system sends a lost SYN again only
-// after a second or more; a SYN is lost when the other machine is still starting, or its accept
-// queue is full. An attempt that the other side rejects is not repeated.
+// dialWithRetries dials in several short attempts, as the kernel retransmits a lost SYN only
+// after a second or more. SYNs are lost while the peer's machine is starting or its accept queue
+// is full. Only attempts that time out are retried.
 func (client *Client) dialWithRetries(ctx context.Context, address string) (net.Conn, error) {
 	for timeout := minDialAttempt; ; timeout = min(2*timeout, maxDialAttempt) {
-		attempt, cancel := context.WithTimeout(ctx, timeout)
-		stream, err := client.network.Dial(attempt, address)
-		expired := attempt.Err() != nil
+		attemptCtx, cancel := context.WithTimeout(ctx, timeout)
+		stream, err := client.network.Dial(attemptCtx, address)
+		timedOut := attemptCtx.Err() != nil
 		cancel()
-		if err == nil || !expired || ctx.Err() != nil {
+		if err == nil || !timedOut || ctx.Err() != nil {
 			return stream, err
 		}
 	}
 }
 
-// dialConnection opens a connection, or removes it with the error. Either makes it ready.
+// dialConnection dials and starts a connection. On failure it records the error and removes the
+// connection. Either way it closes conn.ready.
 func (client *Client) dialConnection(conn *clientConnection, address string) {
-	ctx, cancel := context.WithTimeout(client.closed, dialTimeout)
+	ctx, cancel := context.WithTimeout(client.ctx, dialTimeout)
 	defer cancel()
 	stream, err := client.dialWithRetries(ctx, address)
-	if err == nil && client.closed.Err() != nil {
+	if err == nil && client.ctx.Err() != nil {
 		stream.Close()
-		err = client.closed.Err()
+		err = client.ctx.Err()
 	}
 	if err != nil {
 		conn.dialErr = err
@@ -91,7 +91,8 @@
 	conn.start(stream)
 }
 
-// remove forgets a connection, so that the next call dials, unless that has happened already.
+// remove removes a connection from the map, so that the next call dials. It does nothing if
+// another connection has taken its place.
 func (client *Client) remove(address string, conn *clientConnection) {
 	client.mutex.Lock()
 	if client.connections[address] == conn {
@@ -100,9 +101,9 @@
 	client.mutex.Unlock()
 }
 
-// Drop closes the connection to an address, so that the next call dials. It is for callers
-// whose call timed out, as the other side may be frozen or gone. Calls in flight on the
-// connection fail. It does not wait for a dial that is under way.
+// Drop closes the connection to an address, so that the next call dials. Callers use it after a
+// timeout, as the peer may be hung or gone. Calls in flight on the connection fail. Drop does
+// not wait for a dial in progress.
 //
 //	client.Drop("10.0.0.7:7000")
 func (client *Client) Drop(address string) {
@@ -115,8 +116,9 @@
 	}
 }
 
-// DropIfSilent is Drop unless a frame came from there within the timeout: then the other side
-// is only slow with one call, and other calls on the connection may still be answered.
+// DropIfSilent is like Drop, but keeps the connection if a frame was received on it within the
+// timeout: then the peer is only slow to reply to one call, and other calls may still succeed.
+// It does nothing while a dial is in progress.
 //
 //	client.DropIfSilent("10.0.0.7:7000", time.Second)
 func (client *Client) DropIfSilent(address string, timeout time.Duration) {
@@ -129,7 +131,7 @@
 	select {
 	case <-conn.ready:
 	default:
-		return // a dial has a timeout of its own
+		return // dialTimeout bounds the dial
 	}
 	if conn.dialErr == nil && time.Since(clockStart)-time.Duration(conn.lastReceived.Load()) < timeout {
 		return
@@ -138,11 +140,11 @@
 	conn.close()
 }
 
-// Close ends all connections and dials. Calls in flight and later ones fail.
+// Close closes all connections and cancels all dials. Calls in flight and later calls fail.
 //
 //	defer client.Close()
 func (client *Client) Close() {
-	client.close()
+	client.cancel()
 	client.mutex.Lock()
 	connections := client.connections
 	client.connections = map[string]*clientConnection{}
--- a/system/link/client_call.go
+++ b/system/link/client_call.go
@@ -10,46 +10,46 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Call sends a query to the process at an address and gives its reply. Errors are
-// *apierror.Error: the one that the reply carries, or Unavailable. One marked NeverSent is sure
-// to have left nothing at the other side. When ctx ends, the handler's context is cancelled.
-// Call sets the query's Version.
+// Call sends a query to the process at an address and returns its reply. Errors are of type
+// *apierror.Error: the error in the reply, or one of kind Unavailable. NeverSent on an error
+// proves that the peer received nothing of the query. When ctx ends, Call returns and tells the
+// peer to cancel the handler's context. Call sets the query's Version.
 //
 //	reply, err := client.Call(ctx, "10.0.0.7:7000", &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
 func (client *Client) Call(ctx context.Context, address string, query *wire.Query) (*wire.Reply, error) {
 	conn, err := client.connect(ctx, address)
 	if err != nil {
-		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach " + address + ": " + err.Error(), Remedy: "check that the process runs and that its address is right", NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Cause: err}
+		return nil, &apierror.Error{Kind: apierror.Unavailable, Message: "cannot reach " + address + ": " + err.Error(), Remedy: "check that the process is running and that its address is correct", NeverSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), Cause: err}
 	}
 	query.Version = wire.Version
-	call, waiting := conn.registerCall()
-	if err := client.send(address, conn, frameQuery, call, maxQueuedBytes, query); err != nil {
-		conn.unregisterCall(call)
+	callID, replyBody := conn.registerCall()
+	if err := client.send(address, conn, frameQuery, callID, maxQueuedBytes, query); err != nil {
+		conn.unregisterCall(callID)
 		return nil, noReplyError(address, err)
 	}
 	select {
-	case body := <-waiting:
+	case body := <-replyBody:
 		return decodeReply(address, query.Which, body)
 	case <-conn.done:
 		client.remove(address, conn)
-		select { // the reply may have been the last that came
-		case body := <-waiting:
+		select { // the reply may have arrived before the connection ended
+		case body := <-replyBody:
 			return decodeReply(address, query.Which, body)
 		default:
-			return nil, noReplyError(address, errors.New("the connection ended"))
+			return nil, noReplyError(address, errors.New("the connection was closed"))
 		}
 	case <-ctx.Done():
-		if conn.unregisterCall(call) {
-			_ = conn.enqueue(frameCancel, call, maxQueuedBytes, nil) // fails only if the connection ended or is about to
+		if conn.unregisterCall(callID) {
+			_ = conn.enqueue(frameCancel, callID, maxQueuedBytes, nil) // best effort: fails only if the connection has ended or its queue is full
 		}
-		return nil, apierror.New(apierror.Unavailable, "no answer in time from "+address, "ask again; whether the query arrived is not known")
+		return nil, apierror.New(apierror.Unavailable, "no reply in time from "+address, "retry; the query may have been executed")
 	}
 }
 
-// Notify sends a query that needs no reply. It is dropped if there is no connection, or if too
-// much is queued on it, and nobody learns whether it arrived. Notifications on one connection
-// are handled in order. Notify waits for a dial, but never for the other side. It sets the
-// query's Version.
+// Notify sends a query without a reply. The query is dropped if the dial fails or the
+// connection's queue is full, and delivery is not reported. Notifications on one connection are
+// handled in order. Notify may wait for a dial, but never for the peer to read or handle the
+// query. It sets the query's Version.
 //
 //	client.Notify(ctx, "10.0.0.7:7000", &wire.Query{Which: schema.Query_Which_agreement, Raft: &batch})
 func (client *Client) Notify(ctx context.Context, address string, query *wire.Query) {
@@ -58,30 +58,30 @@
 		return
 	}
 	query.Version = wire.Version
-	_ = client.send(address, conn, frameNotification, 0, maxQueuedNotificationBytes, query) // may be dropped
+	_ = client.send(address, conn, frameNotification, 0, maxQueuedNotificationBytes, query) // best effort
 }
 
-// send enqueues a query on a connection, and removes the connection if it turns out to have
-// ended.
-func (client *Client) send(address string, conn *clientConnection, kind byte, call uint64, limit int, query *wire.Query) error {
-	err := conn.enqueue(kind, call, limit, query)
+// send enqueues a query on a connection. If that fails because the connection has ended, it
+// removes the connection.
+func (client *Client) send(address string, conn *clientConnection, kind byte, callID uint64, limit int, query *wire.Query) error {
+	err := conn.enqueue(kind, callID, limit, query)
 	if err != nil && conn.isClosed() {
 		client.remove(address, conn)
 	}
 	return err
 }
 
-// noReplyError is the error of a call that may have arrived.
+// noReplyError returns the error of a call whose query may have been executed.
 func noReplyError(address string, err error) error {
-	return apierror.Wrap(err, apierror.Unavailable, "no answer from "+address+": "+err.Error(), "ask again; whether the query arrived is not known")
+	return apierror.Wrap(err, apierror.Unavailable, "no reply from "+address+": "+err.Error(), "retry; the query may have been executed")
 }
 
-// decodeReply gives a reply, or the error that it carries.
+// decodeReply decodes a reply. It returns an error that the reply carries as its own error.
 func decodeReply(address string, which schema.Query_Which, body []byte) (*wire.Reply, error) {
 	countReplyReceived(which, len(body))
 	reply, err := wire.DecodeReply(body)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.Unavailable, "bad answer from "+address+": "+err.Error(), "run matching versions of the programs")
+		return nil, apierror.Wrap(err, apierror.Unavailable, "invalid reply from "+address+": "+err.Error(), "run matching versions of the programs")
 	}
 	if err := reply.Err(); err != nil {
 		return nil, err
--- a/system/link/client_connection.go
+++ b/system/link/client_connection.go
@@ -10,27 +10,27 @@
 	"yardrock.example/system/wire"
 )
 
-// clientConnection is the client's side of one connection. Its fields below dialErr are set
-// before ready is closed, and only if dialErr is nil.
+// clientConnection is the client side of one connection. The fields after dialErr are set before
+// ready is closed, and only if dialErr is nil.
 type clientConnection struct {
-	ready   chan struct{} // closed when the dial has ended
+	ready   chan struct{} // closed when the dial has succeeded or failed
 	dialErr error
 
 	stream         net.Conn
 	writer         *frameWriter
-	flushRequested chan struct{} // wakes writeLoop
+	flushRequested chan struct{} // has room for one; wakes writeLoop
 	done           chan struct{} // closed when readLoop has ended
-	lastReceived   atomic.Int64  // when the last frame came; a duration since clockStart
+	lastReceived   atomic.Int64  // time of the last frame received, as nanoseconds since clockStart
 
-	mutex    sync.Mutex
-	calls    map[uint64]chan []byte // where the body of each pending call's reply goes; has room for it
-	lastCall uint64
+	mutex      sync.Mutex
+	calls      map[uint64]chan []byte // by call ID, for pending calls; receives the reply body, with room for one
+	lastCallID uint64
 }
 
-// clockStart makes times of connections durations on the monotonic clock.
+// clockStart is the reference for lastReceived, which is a time on the monotonic clock.
 var clockStart = time.Now()
 
-// start begins the connection on a dialled stream, and makes it ready.
+// start starts the connection's goroutines on a dialled stream and closes ready.
 func (conn *clientConnection) start(stream net.Conn) {
 	conn.stream, conn.writer = stream, &frameWriter{stream: stream, queued: []byte(preamble)}
 	conn.flushRequested, conn.done, conn.calls = make(chan struct{}, 1), make(chan struct{}), map[uint64]chan []byte{}
@@ -40,8 +40,8 @@
 	close(conn.ready)
 }
 
-// readLoop gives replies to the calls that they belong to, until the stream ends, which the
-// other side, close or a failed write causes.
+// readLoop delivers replies to their calls until reading fails: because the peer closed the
+// stream, because of close, or after a failed write.
 func (conn *clientConnection) readLoop() {
 	source := bufio.NewReaderSize(conn.stream, readBufferSize)
 	for {
@@ -51,22 +51,22 @@
 		}
 		conn.lastReceived.Store(int64(time.Since(clockStart)))
 		if received.kind != frameReply {
-			continue // a kind of a later version
+			continue // frame kind of a later version
 		}
 		conn.mutex.Lock()
-		waiting, found := conn.calls[received.call]
-		delete(conn.calls, received.call)
+		replyBody, found := conn.calls[received.callID]
+		delete(conn.calls, received.callID)
 		conn.mutex.Unlock()
 		if found {
-			waiting <- received.body
+			replyBody <- received.body
 		}
 	}
 	close(conn.done)
 	conn.stream.Close()
 }
 
-// writeLoop writes what was enqueued. Callers do not write themselves, as the other side may
-// read nothing. It ends with readLoop.
+// writeLoop writes queued frames, so that callers do not block on a peer that does not read. It
+// ends with readLoop.
 func (conn *clientConnection) writeLoop() {
 	for {
 		select {
@@ -78,15 +78,15 @@
 	}
 }
 
-// enqueue queues a frame with a query, or without a body, for writeLoop. It does not block: the
-// channel has room for one request to flush, and the writer asks for a second only after the
-// first was served.
-func (conn *clientConnection) enqueue(kind byte, call uint64, limit int, query *wire.Query) error {
+// enqueue queues a frame for writeLoop; a nil query means no body. It does not block:
+// flushRequested has room for one signal, and the frame writer asks for another flush only
+// after the previous one has ended.
+func (conn *clientConnection) enqueue(kind byte, callID uint64, limit int, query *wire.Query) error {
 	var body func([]byte) ([]byte, error)
 	if query != nil {
 		body = func(target []byte) ([]byte, error) { return wire.AppendQuery(target, query) }
 	}
-	mustFlush, size, err := conn.writer.enqueue(kind, call, limit, body)
+	mustFlush, size, err := conn.writer.enqueue(kind, callID, limit, body)
 	if mustFlush {
 		conn.flushRequested <- struct{}{}
 	}
@@ -96,7 +96,7 @@
 	return err
 }
 
-// isClosed tells whether the connection ended, or could not be dialled.
+// isClosed reports whether the connection has ended or its dial has failed.
 func (conn *clientConnection) isClosed() bool {
 	select {
 	case <-conn.ready:
@@ -114,7 +114,7 @@
 	}
 }
 
-// close ends the connection, after its dial.
+// close waits for the dial and closes the connection.
 func (conn *clientConnection) close() {
 	<-conn.ready
 	if conn.dialErr == nil {
@@ -122,22 +122,22 @@
 	}
 }
 
-// registerCall gives a new call's number and the channel that gets the body of its reply.
+// registerCall returns the ID of a new call and the channel that receives its reply body.
 func (conn *clientConnection) registerCall() (uint64, chan []byte) {
-	waiting := make(chan []byte, 1)
+	replyBody := make(chan []byte, 1)
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	conn.lastCall++
-	conn.calls[conn.lastCall] = waiting
-	return conn.lastCall, waiting
+	conn.lastCallID++
+	conn.calls[conn.lastCallID] = replyBody
+	return conn.lastCallID, replyBody
 }
 
-// unregisterCall drops the reply of a call that still comes. It tells whether the call was
-// pending.
-func (conn *clientConnection) unregisterCall(call uint64) bool {
+// unregisterCall removes a call, so that a late reply is dropped. It reports whether the call
+// was pending.
+func (conn *clientConnection) unregisterCall(callID uint64) bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	_, waited := conn.calls[call]
-	delete(conn.calls, call)
-	return waited
+	_, pending := conn.calls[callID]
+	delete(conn.calls, callID)
+	return pending
 }
--- a/system/link/doc.go
+++ b/system/link/doc.go
@@ -1,19 +1,19 @@
-// Package link carries calls between the processes of a fleet: Cap'n Proto messages
-// (package wire) in frames, over any Network that can dial and listen.
+// Package link implements RPC between the processes of a fleet: Cap'n Proto messages (package
+// wire) in length-prefixed frames, over any Network.
 //
-// A Client has at most one connection to each address, opened at the first call and opened
-// again after it ended; calls on it run concurrently and are identified by number. A Server
-// answers each query on a goroutine of its own, and notifications of one connection one after
-// the other.
+// A Client keeps at most one connection per address. It dials on the first call and again after
+// the connection has ended. Concurrent calls share the connection and are identified by call
+// ID. A Server handles queries concurrently, and the notifications of one connection in order.
 //
 // Guarantees:
-//   - A query is sent at most once; nothing is sent again. A failure marked NeverSent is sure
-//     to have left nothing at the other side; after any other one the query may have run.
-//   - A reply reaches the call that it belongs to, or nobody.
-//   - Notifications of one connection arrive in order. Any of them may be lost.
-//   - No call waits longer than its context allows, whatever the other side does: writing is
-//     done by a goroutine of the connection, and what may be queued for it is bounded.
-//   - Frames of an unknown kind are skipped, so that later versions may add kinds.
+//   - A query is sent at most once; there are no retransmissions. An error with NeverSent set
+//     proves that the peer received nothing; after any other error the query may have been
+//     executed.
+//   - A reply is delivered to the call that it belongs to, or dropped.
+//   - Notifications on one connection arrive in order. Any of them may be lost.
+//   - A call returns when its context ends, even if the peer stops reading: a goroutine of the
+//     connection does the writes, and its queue is bounded.
+//   - Frames of unknown kinds are skipped, so that later versions may add kinds.
 //
-// Connections have no authentication and no encryption: the network is trusted.
+// Connections are neither authenticated nor encrypted: the network is trusted.
 package link
--- a/system/link/frame.go
+++ b/system/link/frame.go
@@ -7,9 +7,9 @@
 	"io"
 )
 
-// A connection begins with the client's preamble. Then each side sends frames: a header and a
-// body, which is a Cap'n Proto message. The header has, in little-endian order, the body's
-// length (4 bytes), the kind (1), 3 unused bytes, and the number of the call (8).
+// A connection begins with the client's preamble. Then each side sends frames: a header,
+// followed by a body, which is a Cap'n Proto message. The header is little-endian: body length
+// in bytes (4 bytes), frame kind (1), unused (3), call ID (8).
 const (
 	preamble        = "yrk2"
 	frameHeaderSize = 16
@@ -18,38 +18,39 @@
 // Sizes in bytes.
 const (
 	maxBodySize = 256 << 20
-	// maxQueuedBytes is how much may be queued when a query, reply or cancellation is added,
-	// maxQueuedNotificationBytes when a notification is. One more frame of any size fits.
+	// maxQueuedBytes is the queue length up to which a query, reply or cancellation is accepted;
+	// maxQueuedNotificationBytes is that for notifications. A frame that is accepted may exceed
+	// the limit by its own size.
 	maxQueuedBytes             = 64 << 20
 	maxQueuedNotificationBytes = 4 << 20
-	// maxReusedBuffer bounds the buffers that are kept for the next write.
+	// maxReusedBuffer is the largest write buffer that is kept for reuse.
 	maxReusedBuffer = 64 << 10
 	readBufferSize  = 16 << 10
-	// maxReadAllocation bounds the memory that is allocated for a body before any of it came;
-	// then as much again as has come is allocated at a time.
+	// maxReadAllocation is allocated for a body at first; then the buffer grows by at most the
+	// bytes already received. A peer cannot cause large allocations by a length alone.
 	maxReadAllocation = 1 << 20
 )
 
-var errFrameTooLong = errors.New("the frame's body is longer than allowed")
+var errFrameTooLong = errors.New("the frame body exceeds the maximum size")
 
-// The kinds of frame.
+// Frame kinds.
 const (
 	frameQuery byte = iota + 1
 	frameReply
-	// frameNotification is a query without a reply.
+	// frameNotification carries a query that gets no reply.
 	frameNotification
-	// frameCancel says that nobody waits for the reply of a call any more. It has no body.
+	// frameCancel cancels a call, as the client no longer waits for its reply. It has no body.
 	frameCancel
 )
 
-// frame is a frame that was read.
+// frame is a received frame.
 type frame struct {
-	kind byte
-	call uint64
-	body []byte
+	kind   byte
+	callID uint64
+	body   []byte
 }
 
-// readFrame reads the next frame. Its body is new memory, which the caller owns.
+// readFrame reads the next frame. The caller owns the body, which is newly allocated.
 func readFrame(source *bufio.Reader) (frame, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(source, header[:]); err != nil {
@@ -59,7 +60,7 @@
 	if size > maxBodySize {
 		return frame{}, errFrameTooLong
 	}
-	received := frame{kind: header[4], call: binary.LittleEndian.Uint64(header[8:])}
+	received := frame{kind: header[4], callID: binary.LittleEndian.Uint64(header[8:])}
 	for len(received.body) < size {
 		part := min(size-len(received.body), max(maxReadAllocation, len(received.body)))
 		start := len(received.body)
--- a/system/link/frame_writer.go
+++ b/system/link/frame_writer.go
@@ -7,23 +7,24 @@
 	"sync"
 )
 
-// frameWriter queues frames and writes them in batches: what is queued while a write is under way
-// goes with the next. At most one goroutine flushes at a time, the one whose enqueue returned mustFlush.
+// frameWriter queues frames and writes them in batches: frames queued during a write go out with
+// the next one. At most one goroutine flushes at a time, as a flush is only due after an enqueue
+// that returned mustFlush.
 type frameWriter struct {
-	stream  net.Conn
-	mutex   sync.Mutex
-	queued  []byte
-	spare   []byte // an empty buffer to queue in next; nil while it is being written
-	writing bool   // somebody flushes, or has to
-	err     error  // of the first write that failed
+	stream   net.Conn
+	mutex    sync.Mutex
+	queued   []byte
+	spare    []byte // empty buffer that replaces queued at the next flush, or nil
+	flushing bool   // a flush is running or has been requested
+	err      error  // of a failed write; permanent
 }
 
-var errQueueFull = errors.New("too many bytes are queued on the connection")
+var errQueueFull = errors.New("the send queue of the connection is full")
 
-// enqueue adds a frame, unless more than limit bytes are queued already. The function, if any,
-// appends its body. mustFlush tells the caller to have flush called, as nobody is about to;
-// size is that of the body in bytes. On an error nothing is queued.
-func (writer *frameWriter) enqueue(kind byte, call uint64, limit int, body func([]byte) ([]byte, error)) (mustFlush bool, size int, err error) {
+// enqueue queues a frame, unless more than limit bytes are queued already. body, if not nil,
+// appends the frame's body. If mustFlush is returned, the caller must arrange a call of flush.
+// size is the body's size in bytes. On an error nothing is queued.
+func (writer *frameWriter) enqueue(kind byte, callID uint64, limit int, body func([]byte) ([]byte, error)) (mustFlush bool, size int, err error) {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
 	if writer.err != nil {
@@ -33,29 +34,29 @@
 	if start > limit {
 		return false, 0, errQueueFull
 	}
-	grown := append(writer.queued, make([]byte, frameHeaderSize)...)
+	extended := append(writer.queued, make([]byte, frameHeaderSize)...)
 	if body != nil {
-		if grown, err = body(grown); err != nil {
+		if extended, err = body(extended); err != nil {
 			return false, 0, err
 		}
 	}
-	size = len(grown) - start - frameHeaderSize
-	binary.LittleEndian.PutUint32(grown[start:], uint32(size))
-	grown[start+4] = kind
-	binary.LittleEndian.PutUint64(grown[start+8:], call)
-	writer.queued = grown
-	mustFlush, writer.writing = !writer.writing, true
+	size = len(extended) - start - frameHeaderSize
+	binary.LittleEndian.PutUint32(extended[start:], uint32(size))
+	extended[start+4] = kind
+	binary.LittleEndian.PutUint64(extended[start+8:], callID)
+	writer.queued = extended
+	mustFlush, writer.flushing = !writer.flushing, true
 	return mustFlush, size, nil
 }
 
-// flush writes what is queued until nothing is, or a write fails. A failed write closes the
+// flush writes queued frames until the queue is empty or a write fails. A failed write closes the
 // stream.
 func (writer *frameWriter) flush() {
 	for {
 		writer.mutex.Lock()
 		batch := writer.queued
 		if len(batch) == 0 || writer.err != nil {
-			writer.writing = false
+			writer.flushing = false
 			writer.mutex.Unlock()
 			return
 		}
@@ -71,7 +72,7 @@
 		}
 		writer.mutex.Unlock()
 		if err != nil {
-			writer.stream.Close() // ends the reader, and with it the calls in flight
+			writer.stream.Close() // ends the read loop, which fails the calls in flight
 		}
 	}
 }
--- a/system/link/link_test.go
+++ b/system/link/link_test.go
@@ -19,12 +19,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-func TestQueriesAndTypedErrorsCrossAConnection(t *testing.T) {
+func TestCallReturnsRepliesAndTypedErrors(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	answers := map[schema.Query_Which]func(*wire.Query) *wire.Reply{
+	handlers := map[schema.Query_Which]func(*wire.Query) *wire.Reply{
 		schema.Query_Which_status: func(query *wire.Query) *wire.Reply {
 			return &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{Name: query.Status.Address, Controls: []feed.Member{{Name: "a"}}}}
 		},
@@ -38,7 +38,7 @@
 			return &wire.Reply{}
 		},
 	}
-	server := Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply { return answers[query.Which](query) })
+	server := Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply { return handlers[query.Which](query) })
 	client := NewClient(TCP{})
 	address := listener.Addr().String()
 	ctx := t.Context()
@@ -50,22 +50,22 @@
 	if found := apierror.Of(err); found.Kind != apierror.Conflict || found.Message != "busy" || found.Remedy != "read again" {
 		t.Fatalf("command: %v", err)
 	}
-	batch := raft.Message{Kind: raft.MessageAppend, Entries: []raft.Entry{{Index: 1}, {Index: 2, Kind: raft.EntryMembership, Membership: raft.Membership{Voters: []string{"a"}}}}}
-	if _, err = client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{batch}}}); err != nil {
+	message := raft.Message{Kind: raft.MessageAppend, Entries: []raft.Entry{{Index: 1}, {Index: 2, Kind: raft.EntryMembership, Membership: raft.Membership{Voters: []string{"a"}}}}}
+	if _, err = client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{message}}}); err != nil {
 		t.Fatal(err)
 	}
 	server.Close()
 	if _, err := client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}}); !apierror.Is(err, apierror.Unavailable) {
-		t.Fatalf("a closed server answered: %v", err)
+		t.Fatalf("call to a closed server: %v, want Unavailable", err)
 	}
 	client.Drop(address)
 	if _, err := client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}}); err == nil || !apierror.Of(err).NeverSent {
-		t.Fatalf("a failed dial is not marked as never sent: %v", err)
+		t.Fatalf("call after a failed dial: %v, want NeverSent", err)
 	}
 	client.Close()
 }
 
-func TestQueryBytesOutliveTheMessage(t *testing.T) {
+func TestHandlerMayRetainQueryData(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -87,54 +87,54 @@
 	}
 	for number := range 200 {
 		if data := <-received; !bytes.Equal(data, bytes.Repeat([]byte{byte(number)}, 100)) {
-			t.Fatalf("the bytes of query %d have changed to %x", number, data)
+			t.Fatalf("data of query %d was overwritten with %x", number, data)
 		}
 	}
 }
 
-// TestNotificationsArriveInOrderWithoutReplies sends many notifications and
-// then a call.
+// TestNotificationsArriveInOrderWithoutReplies sends notifications and then a call on one
+// connection.
 func TestNotificationsArriveInOrderWithoutReplies(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const queries = 500
-	taken := make(chan uint64, queries+1)
+	received := make(chan uint64, queries+1)
 	server := Serve(listener, func(_ context.Context, query *wire.Query) *wire.Reply {
-		taken <- query.Raft.Messages[0].Index
+		received <- query.Raft.Messages[0].Index
 		return &wire.Reply{}
 	})
 	defer server.Close()
 	client := NewClient(TCP{})
 	defer client.Close()
-	of := func(index uint64) *wire.Query {
+	newQuery := func(index uint64) *wire.Query {
 		return &wire.Query{Which: schema.Query_Which_agreement, Raft: &wire.RaftBatch{Messages: []raft.Message{{Index: index}}}}
 	}
 	for index := range uint64(queries) {
-		client.Notify(t.Context(), listener.Addr().String(), of(index))
+		client.Notify(t.Context(), listener.Addr().String(), newQuery(index))
 	}
-	if _, err := client.Call(t.Context(), listener.Addr().String(), of(queries)); err != nil {
+	if _, err := client.Call(t.Context(), listener.Addr().String(), newQuery(queries)); err != nil {
 		t.Fatal(err)
 	}
 	for want := range uint64(queries) {
-		if got := <-taken; got != want {
-			t.Fatalf("%d was received in place of %d", got, want)
+		if got := <-received; got != want {
+			t.Fatalf("received notification %d, want %d", got, want)
 		}
 	}
 }
 
-// TestCancelledCallCancelsItsHandler checks also that other calls on the connection go on.
+// TestCancelledCallCancelsItsHandler also checks that the connection stays usable for other calls.
 func TestCancelledCallCancelsItsHandler(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
+	handlerEnded := make(chan error, 1)
 	server := Serve(listener, func(ctx context.Context, query *wire.Query) *wire.Reply {
 		if query.Read != nil {
 			<-ctx.Done()
-			ended <- ctx.Err()
+			handlerEnded <- ctx.Err()
 		}
 		return &wire.Reply{}
 	})
@@ -143,28 +143,29 @@
 	defer client.Close()
 	address := listener.Addr().String()
 	ctx, cancel := context.WithCancel(t.Context())
-	failed := make(chan error, 1)
+	callFailed := make(chan error, 1)
 	go func() {
 		_, err := client.Call(ctx, address, &wire.Query{Which: schema.Query_Which_read, Read: &wire.ReadQuery{Session: "a"}})
-		failed <- err
+		callFailed <- err
 	}()
 	if _, err := client.Call(t.Context(), address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}}); err != nil {
 		t.Fatal(err)
 	}
-	client.DropIfSilent(address, time.Minute) // something was heard just now
+	client.DropIfSilent(address, time.Minute) // must keep the connection: a reply was just received
 	cancel()
-	if err := <-failed; !apierror.Is(err, apierror.Unavailable) || apierror.Of(err).NeverSent {
-		t.Fatalf("a call that was given up: %v", err)
+	if err := <-callFailed; !apierror.Is(err, apierror.Unavailable) || apierror.Of(err).NeverSent {
+		t.Fatalf("cancelled call: %v, want Unavailable without NeverSent", err)
 	}
-	if err := <-ended; err == nil {
-		t.Fatal("the handler went on")
+	if err := <-handlerEnded; err == nil {
+		t.Fatal("the handler's context was not cancelled")
 	}
 	if _, err := client.Call(t.Context(), address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestServerClosesConnectionsOfAnotherProtocol checks also that the server goes on with others.
+// TestServerClosesConnectionsOfAnotherProtocol also checks that the server keeps serving other
+// connections.
 func TestServerClosesConnectionsOfAnotherProtocol(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -182,11 +183,11 @@
 			t.Fatal(err)
 		}
 		if count, err := stream.Read(make([]byte, 1)); err == nil {
-			t.Fatalf("%d bytes were answered to %q", count, bad)
+			t.Fatalf("got %d bytes in response to %q, want a closed connection", count, bad)
 		}
 		stream.Close()
 	}
-	// A query that cannot be read is answered with an error.
+	// A query that cannot be decoded gets an error reply.
 	stream, err := TCP{}.Dial(t.Context(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +198,7 @@
 		t.Fatal(err)
 	}
 	received, err := readFrame(bufio.NewReader(stream))
-	if err != nil || received.kind != frameReply || received.call != 7 {
+	if err != nil || received.kind != frameReply || received.callID != 7 {
 		t.Fatalf("%+v, %v", received, err)
 	}
 	if reply, err := wire.DecodeReply(received.body); err != nil || !apierror.Is(reply.Err(), apierror.Invalid) {
@@ -210,8 +211,8 @@
 	}
 }
 
-// TestCallToAPeerThatReadsNothingTimesOut calls a listener that accepts and then reads nothing,
-// until all buffers in between are full.
+// TestCallToAPeerThatReadsNothingTimesOut fills the socket buffers of a connection whose peer
+// never reads, and checks that calls still return.
 func TestCallToAPeerThatReadsNothingTimesOut(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -235,27 +236,27 @@
 		select {
 		case err := <-returned:
 			if !apierror.Is(err, apierror.Unavailable) {
-				t.Fatalf("a process that reads nothing answered: %v", err)
+				t.Fatalf("call to a peer that does not read: %v, want Unavailable", err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("a call to a process that reads nothing does not return")
+			t.Fatal("call to a peer that does not read did not return")
 		}
 		cancel()
 	}
 	client.Drop(listener.Addr().String())
 }
 
-// lossyDial is a network that loses SYN packets until a time, like a machine that has no power
-// yet. A lost packet is never answered.
-type lossyDial struct {
+// lossyNetwork is a network that loses SYN packets until a given time, like a machine that is
+// still starting. A dial whose SYN is lost blocks until its context ends.
+type lossyNetwork struct {
 	TCP
-	until time.Time
-	dials atomic.Int32
+	lossyUntil time.Time
+	dials      atomic.Int32
 }
 
-func (network *lossyDial) Dial(ctx context.Context, _ string) (net.Conn, error) {
+func (network *lossyNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	network.dials.Add(1)
-	if time.Now().Before(network.until) {
+	if time.Now().Before(network.lossyUntil) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -271,40 +272,40 @@
 			return
 		}
 		writer := &frameWriter{stream: far}
-		if _, _, err := writer.enqueue(frameReply, received.call, maxQueuedBytes, func(target []byte) ([]byte, error) { return wire.AppendReply(target, &wire.Reply{}) }); err == nil {
+		if _, _, err := writer.enqueue(frameReply, received.callID, maxQueuedBytes, func(target []byte) ([]byte, error) { return wire.AppendReply(target, &wire.Reply{}) }); err == nil {
 			writer.flush()
 		}
 	}()
 	return near, nil
 }
 
-// TestLostSYNIsRetriedSoon checks that who dialled a machine while it had no power does not wait
-// for the system to send the SYN again.
+// TestLostSYNIsRetriedSoon checks that a dial that began while the peer was unreachable does not
+// wait for the kernel to retransmit the SYN.
 func TestLostSYNIsRetriedSoon(t *testing.T) {
-	for _, without := range []time.Duration{0, 100 * time.Millisecond, 600 * time.Millisecond} {
+	for _, outage := range []time.Duration{0, 100 * time.Millisecond, 600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			began := time.Now()
-			network := &lossyDial{until: began.Add(without)}
+			startedAt := time.Now()
+			network := &lossyNetwork{lossyUntil: startedAt.Add(outage)}
 			client := NewClient(network)
 			defer client.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), dialTimeout)
 			defer cancel()
 			if _, err := client.Call(ctx, "10.0.0.1:7000", &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}}); err != nil {
-				t.Fatalf("without power for %s: %v", without, err)
+				t.Fatalf("outage of %s: %v", outage, err)
 			}
-			if took, limit := time.Since(began), without+max(minDialAttempt, without); took > limit {
-				t.Fatalf("without power for %s: answered after %s, want at most %s, %d dials", without, took, limit, network.dials.Load())
+			if took, limit := time.Since(startedAt), outage+max(minDialAttempt, outage); took > limit {
+				t.Fatalf("outage of %s: reply after %s, want at most %s, %d dials", outage, took, limit, network.dials.Load())
 			}
 		})
 	}
-	// One that never returns is given up when timeout is over.
+	// A dial to a peer that stays unreachable fails after dialTimeout.
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		client := NewClient(&lossyDial{until: began.Add(time.Hour)})
+		startedAt := time.Now()
+		client := NewClient(&lossyNetwork{lossyUntil: startedAt.Add(time.Hour)})
 		defer client.Close()
 		_, err := client.Call(t.Context(), "10.0.0.1:7000", &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
-		if typed := apierror.Of(err); !typed.NeverSent || time.Since(began) != dialTimeout {
-			t.Fatalf("after %s: %v", time.Since(began), err)
+		if typed := apierror.Of(err); !typed.NeverSent || time.Since(startedAt) != dialTimeout {
+			t.Fatalf("failed after %s: %v, want NeverSent after the dial timeout", time.Since(startedAt), err)
 		}
 	})
 }
--- a/system/link/peer_faults_test.go
+++ b/system/link/peer_faults_test.go
@@ -18,12 +18,13 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// frameUnknown is a kind of frame that this version does not know.
+// frameUnknown is a frame kind that this version does not know.
 const frameUnknown = frameCancel + 1
 
-// pipeNetwork is a network whose listeners are functions that serve one end of a pipe.
+// pipeNetwork is a network that connects each dial by a pipe to the function serve. Dials are
+// numbered from 0.
 type pipeNetwork struct {
-	serve func(number int, far net.Conn)
+	serve func(dialNumber int, far net.Conn)
 	mutex sync.Mutex
 	dials int
 }
@@ -33,36 +34,36 @@
 func (network *pipeNetwork) Dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	network.mutex.Lock()
-	number := network.dials
+	dialNumber := network.dials
 	network.dials++
 	network.mutex.Unlock()
-	go network.serve(number, far)
+	go network.serve(dialNumber, far)
 	return near, nil
 }
 
-// statusQuery is a status query; scripted peers reply with the address in it as their name.
+// statusQuery returns a status query. The test peers reply with its address as their name.
 func statusQuery(address string) *wire.Query {
 	return &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{Address: address}}
 }
 
-// encodeFrame is a frame as bytes.
-func encodeFrame(t *testing.T, kind byte, call uint64, body func([]byte) ([]byte, error)) []byte {
+// encodeFrame returns an encoded frame.
+func encodeFrame(t *testing.T, kind byte, callID uint64, body func([]byte) ([]byte, error)) []byte {
 	t.Helper()
-	gathering := &frameWriter{}
-	if _, _, err := gathering.enqueue(kind, call, maxQueuedBytes, body); err != nil {
+	writer := &frameWriter{}
+	if _, _, err := writer.enqueue(kind, callID, maxQueuedBytes, body); err != nil {
 		t.Fatal(err)
 	}
-	return gathering.queued
+	return writer.queued
 }
 
-// statusFrame is a frame with the reply to a status query.
-func statusFrame(t *testing.T, kind byte, call uint64, name string) []byte {
+// statusFrame returns an encoded frame that carries the reply to a status query.
+func statusFrame(t *testing.T, kind byte, callID uint64, name string) []byte {
 	t.Helper()
 	reply := &wire.Reply{Which: schema.Reply_Which_status, Status: &wire.StatusReply{Name: name}}
-	return encodeFrame(t, kind, call, func(target []byte) ([]byte, error) { return wire.AppendReply(target, reply) })
+	return encodeFrame(t, kind, callID, func(target []byte) ([]byte, error) { return wire.AppendReply(target, reply) })
 }
 
-// receivedFrames gives the frames that come over a connection until its end.
+// receivedFrames returns a channel of the frames received on a connection, closed at its end.
 func receivedFrames(far net.Conn) <-chan frame {
 	received := make(chan frame)
 	go func() {
@@ -82,15 +83,15 @@
 	return received
 }
 
-// closeAndDrain closes a connection and discards what still comes.
+// closeAndDrain closes a connection and discards the frames still received.
 func closeAndDrain(far net.Conn, received <-chan frame) {
 	far.Close()
 	for range received {
 	}
 }
 
-// randomPeer answers calls in any order, twice, late, under numbers of other calls, in frames of
-// other kinds, and closes connections within a frame.
+// randomPeer replies to calls in random order, late, repeatedly, with wrong call IDs and in frames
+// of an unknown kind, and closes connections in the middle of a frame.
 type randomPeer struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -98,14 +99,14 @@
 	received map[string]int
 }
 
-// pending is a call that may be answered; answered ones stay, to be answered again.
-type pending struct {
-	call uint64
-	name string
+// pendingCall is a received call. It is kept after a reply, to be replied to again.
+type pendingCall struct {
+	callID uint64
+	name   string
 }
 
 func (peer *randomPeer) serve(_ int, far net.Conn) {
-	received, calls := receivedFrames(far), []pending{}
+	received, calls := receivedFrames(far), []pendingCall{}
 	defer closeAndDrain(far, received)
 	for {
 		select {
@@ -114,7 +115,7 @@
 				return
 			}
 			if read.kind != frameQuery {
-				continue // a call that was given up may be answered all the same
+				continue // replies to cancelled calls are allowed
 			}
 			query, err := wire.DecodeQuery(read.body)
 			if err != nil {
@@ -124,51 +125,51 @@
 			peer.mutex.Lock()
 			peer.received[query.Status.Address]++
 			peer.mutex.Unlock()
-			calls = append(calls, pending{read.call, query.Status.Address})
+			calls = append(calls, pendingCall{read.callID, query.Status.Address})
 		case <-time.After(time.Millisecond):
 		}
-		if len(calls) > 0 && !peer.act(far, calls) {
+		if len(calls) > 0 && !peer.sendRandom(far, calls) {
 			return
 		}
 	}
 }
 
-// act does one thing at random; false ends the connection.
-func (peer *randomPeer) act(far net.Conn, calls []pending) bool {
+// sendRandom takes one random action on a random call. It returns false to end the connection.
+func (peer *randomPeer) sendRandom(far net.Conn, calls []pendingCall) bool {
 	peer.mutex.Lock()
 	chosen := calls[peer.random.IntN(len(calls))]
-	drawn, cut := peer.random.IntN(40), peer.random.IntN(frameHeaderSize*2)
+	action, cut := peer.random.IntN(40), peer.random.IntN(frameHeaderSize*2)
 	peer.mutex.Unlock()
-	complete := statusFrame(peer.t, frameReply, chosen.call, chosen.name)
+	complete := statusFrame(peer.t, frameReply, chosen.callID, chosen.name)
 	switch {
-	case drawn < 24:
+	case action < 24:
 		_, err := far.Write(complete)
 		return err == nil
-	case drawn < 28:
+	case action < 28:
 		_, err := far.Write(append(complete, complete...))
 		return err == nil
-	case drawn < 31:
-		_, err := far.Write(statusFrame(peer.t, frameReply, chosen.call+1000, "a foreign call's"))
+	case action < 31:
+		_, err := far.Write(statusFrame(peer.t, frameReply, chosen.callID+1000, "a foreign call's"))
 		return err == nil
-	case drawn < 34:
-		_, err := far.Write(statusFrame(peer.t, frameUnknown, chosen.call, "another kind's"))
+	case action < 34:
+		_, err := far.Write(statusFrame(peer.t, frameUnknown, chosen.callID, "another kind's"))
 		return err == nil
-	case drawn < 35:
+	case action < 35:
 		far.Write(complete[:cut])
 		return false
 	}
-	return true // silence
+	return true // send nothing
 }
 
-// TestRandomRepliesReachOnlyTheirCalls checks that, whatever a peer sends, a reply reaches only
-// the call that it is for, and that no call is sent twice.
+// TestRandomRepliesReachOnlyTheirCalls checks, with a peer that sends random replies, that each
+// reply reaches only its own call and that no query is sent twice.
 func TestRandomRepliesReachOnlyTheirCalls(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				peer := &randomPeer{t: t, random: rand.New(rand.NewPCG(seed, 3)), received: map[string]int{}}
 				client := NewClient(&pipeNetwork{serve: peer.serve})
-				answered := 0
+				succeeded := 0
 				var callers sync.WaitGroup
 				for position := range 4 {
 					callers.Go(func() {
@@ -181,11 +182,11 @@
 							received := peer.received[name]
 							switch {
 							case err == nil && (reply.Status == nil || reply.Status.Name != name):
-								t.Errorf("%s got the reply of %+v", name, reply.Status)
+								t.Errorf("%s got a wrong reply: %+v", name, reply.Status)
 							case err == nil:
-								answered++
+								succeeded++
 							case apierror.Of(err).NeverSent && received > 0:
-								t.Errorf("%s is marked as never sent, and was received", name)
+								t.Errorf("%s has NeverSent set, but the peer received it", name)
 							}
 							if received > 1 {
 								t.Errorf("%s was sent %d times", name, received)
@@ -196,22 +197,22 @@
 				}
 				callers.Wait()
 				client.Close()
-				if answered < 50 {
-					t.Errorf("only %d calls were answered", answered)
+				if succeeded < 50 {
+					t.Errorf("only %d calls succeeded", succeeded)
 				}
 			})
 		})
 	}
 }
 
-// TestFrameOfAnotherKindIsNotAReply sends one with the number of a call.
+// TestFrameOfAnotherKindIsNotAReply sends a frame of an unknown kind with the ID of a pending call.
 func TestFrameOfAnotherKindIsNotAReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(&pipeNetwork{serve: func(_ int, far net.Conn) {
 			defer far.Close()
 			for read := range receivedFrames(far) {
-				far.Write(statusFrame(t, frameUnknown, read.call, "no reply"))
-				far.Write(statusFrame(t, frameReply, read.call, "reply"))
+				far.Write(statusFrame(t, frameUnknown, read.callID, "no reply"))
+				far.Write(statusFrame(t, frameReply, read.callID, "reply"))
 			}
 		}})
 		defer client.Close()
@@ -223,13 +224,13 @@
 	})
 }
 
-// TestReplyTruncatedAtEachByte checks that the call fails, as one that may have run, and that the
-// next call gets its own reply over a new connection.
+// TestReplyTruncatedAtEachByte checks that the call fails without NeverSent, and that the next call
+// gets its own reply over a new connection.
 func TestReplyTruncatedAtEachByte(t *testing.T) {
 	length := len(statusFrame(t, frameReply, 1, "first"))
 	for cut := range length {
 		synctest.Test(t, func(t *testing.T) {
-			network := &pipeNetwork{serve: func(number int, far net.Conn) {
+			network := &pipeNetwork{serve: func(dialNumber int, far net.Conn) {
 				received := receivedFrames(far)
 				defer closeAndDrain(far, received)
 				for read := range received {
@@ -238,8 +239,8 @@
 						t.Error(err)
 						return
 					}
-					complete := statusFrame(t, frameReply, read.call, query.Status.Address)
-					if number == 0 {
+					complete := statusFrame(t, frameReply, read.callID, query.Status.Address)
+					if dialNumber == 0 {
 						far.Write(complete[:cut])
 						return
 					}
@@ -252,36 +253,37 @@
 			defer cancel()
 			reply, err := client.Call(ctx, "peer", statusQuery("first"))
 			if err == nil || apierror.Of(err).NeverSent {
-				t.Fatalf("after %d bytes: %+v, %v", cut, reply, err)
+				t.Fatalf("reply truncated to %d bytes: %+v, %v, want an error without NeverSent", cut, reply, err)
 			}
 			if reply, err := client.Call(ctx, "peer", statusQuery("other")); err != nil || reply.Status.Name != "other" || network.dials != 2 {
-				t.Fatalf("after %d bytes the next call got %+v, %v over %d connections", cut, reply, err, network.dials)
+				t.Fatalf("reply truncated to %d bytes: the next call got %+v, %v after %d dials", cut, reply, err, network.dials)
 			}
 		})
 	}
 }
 
-// oneConnection is a listener of one connection.
-type oneConnection struct{ accepted chan net.Conn }
+// singleConnListener accepts connections from a channel, which holds one.
+type singleConnListener struct{ accepted chan net.Conn }
 
-func (listener oneConnection) Accept() (net.Conn, error) {
+func (listener singleConnListener) Accept() (net.Conn, error) {
 	if stream, open := <-listener.accepted; open {
 		return stream, nil
 	}
 	return nil, net.ErrClosed
 }
-func (listener oneConnection) Close() error { close(listener.accepted); return nil }
-func (oneConnection) Addr() net.Addr        { return &net.TCPAddr{} }
+func (listener singleConnListener) Close() error { close(listener.accepted); return nil }
+func (singleConnListener) Addr() net.Addr        { return &net.TCPAddr{} }
 
-// TestQueryTruncatedAtEachByteIsNotHandled has a complete query as its last case, which is.
+// TestQueryTruncatedAtEachByteIsNotHandled also has the complete query as its last case, which is
+// handled once.
 func TestQueryTruncatedAtEachByteIsNotHandled(t *testing.T) {
-	ask := func(target []byte) ([]byte, error) { return wire.AppendQuery(target, statusQuery("a")) }
+	appendQuery := func(target []byte) ([]byte, error) { return wire.AppendQuery(target, statusQuery("a")) }
 	for _, kind := range []byte{frameQuery, frameNotification} {
-		complete := append([]byte(preamble), encodeFrame(t, kind, 1, ask)...)
+		complete := append([]byte(preamble), encodeFrame(t, kind, 1, appendQuery)...)
 		for cut := range len(complete) + 1 {
 			synctest.Test(t, func(t *testing.T) {
 				handled := 0
-				listener := oneConnection{make(chan net.Conn, 1)}
+				listener := singleConnListener{make(chan net.Conn, 1)}
 				near, far := net.Pipe()
 				listener.accepted <- far
 				server := Serve(listener, func(context.Context, *wire.Query) *wire.Reply { handled++; return &wire.Reply{} })
@@ -293,7 +295,7 @@
 				near.Close()
 				server.Close()
 				if want := cut / len(complete); handled != want {
-					t.Errorf("kind %d: %d bytes of %d were handled %d times", kind, cut, len(complete), handled)
+					t.Errorf("kind %d: a query of which %d of %d bytes arrived was handled %d times", kind, cut, len(complete), handled)
 				}
 			})
 		}
--- a/system/link/server.go
+++ b/system/link/server.go
@@ -10,20 +10,21 @@
 	"yardrock.example/system/wire"
 )
 
-// Handler answers one query. The context ends when the caller cancels or the connection ends; a
-// notification's only with the connection, and its reply is dropped. The reply must not be nil.
+// Handler handles one query and returns the reply, which must not be nil. The context is
+// cancelled when the client cancels the call or the connection ends. For a notification it is
+// cancelled only when the connection ends, and the reply is dropped.
 type Handler func(ctx context.Context, query *wire.Query) *wire.Reply
 
-// Server answers the queries that come over a listener. It owns the listener, a goroutine that
-// accepts, one for each connection, and workers that handle queries. Workers are kept for the
-// next query, as the stacks that handlers grow would else be grown anew for each.
+// Server serves queries on the connections of a listener. It owns the listener, an accept
+// goroutine, one goroutine per connection, and worker goroutines that handle queries. Workers
+// are reused, as growing the stack of a new goroutine for each query is expensive.
 type Server struct {
 	listener net.Listener
 	handler  Handler
-	// idleWorkers hands a task to a worker that waits for one.
-	idleWorkers chan task
-	idleCount   atomic.Int32
-	closing     chan struct{} // closed by Close
+	// tasks is unbuffered: a send succeeds only if a worker is idle.
+	tasks           chan task
+	idleWorkerCount atomic.Int32
+	closing         chan struct{} // closed by Close; ends idle workers
 
 	mutex       sync.Mutex
 	connections map[net.Conn]bool
@@ -31,20 +32,20 @@
 	goroutines  sync.WaitGroup
 }
 
-// maxIdleWorkers bounds the workers that wait for another query.
+// maxIdleWorkers is the number of idle workers that are kept for reuse.
 const maxIdleWorkers = 16
 
-// Serve starts to answer queries, until Close is called.
+// Serve starts a server, which runs until Close is called.
 //
-//	server := link.Serve(listener, node.Answer)
+//	server := link.Serve(listener, node.Handle)
 //	defer server.Close()
 func Serve(listener net.Listener, handler Handler) *Server {
-	server := &Server{listener: listener, handler: handler, connections: map[net.Conn]bool{}, idleWorkers: make(chan task), closing: make(chan struct{})}
+	server := &Server{listener: listener, handler: handler, connections: map[net.Conn]bool{}, tasks: make(chan task), closing: make(chan struct{})}
 	server.goroutines.Go(server.acceptLoop)
 	return server
 }
 
-// acceptLoop accepts connections until the listener is closed.
+// acceptLoop accepts connections until Accept fails.
 func (server *Server) acceptLoop() {
 	for {
 		stream, err := server.listener.Accept()
@@ -63,45 +64,46 @@
 	}
 }
 
-// task is one query to be answered.
+// task is one received query to be handled.
 type task struct {
 	conn  *serverConnection
 	ctx   context.Context
 	frame frame
 }
 
-// dispatch gives a task to an idle worker, or to a new one. Nobody waits for workers, as a
-// handler may take long: one ends when it is idle after Close, or when enough others are.
+// dispatch hands a task to an idle worker, or starts a new one. The number of busy workers is
+// not bounded, and nothing waits for them to end, as a handler may run for long.
 func (server *Server) dispatch(next task) {
 	select {
-	case server.idleWorkers <- next:
+	case server.tasks <- next:
 	default:
 		go server.runWorker(next)
 	}
 }
 
-// runWorker does a task, and further ones while few enough workers are idle.
+// runWorker handles a task and then further ones. It returns when it is idle after Close, or when
+// maxIdleWorkers others are idle.
 func (server *Server) runWorker(next task) {
 	for {
 		next.conn.handleQuery(next.ctx, next.frame)
-		if server.idleCount.Add(1) > maxIdleWorkers {
-			server.idleCount.Add(-1)
+		if server.idleWorkerCount.Add(1) > maxIdleWorkers {
+			server.idleWorkerCount.Add(-1)
 			return
 		}
 		select {
-		case next = <-server.idleWorkers:
-			server.idleCount.Add(-1)
+		case next = <-server.tasks:
+			server.idleWorkerCount.Add(-1)
 		case <-server.closing:
 			return
 		}
 	}
 }
 
-// handle rejects queries of later versions, and adds what only this package knows to the reply of
-// a status query.
+// handle calls the handler. It rejects queries of newer versions, and adds the traffic counters
+// to the reply to a status query that requests them.
 func (server *Server) handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	if query.Version > wire.Version {
-		return wire.ErrorReply(apierror.New(apierror.FormatTooNew, "the query is of a newer form", "update this process to the version of its peers"))
+		return wire.ErrorReply(apierror.New(apierror.FormatTooNew, "the version of the query is newer than this process supports", "update this process to the version of its peers"))
 	}
 	reply := server.handler(ctx, query)
 	if query.Status != nil && query.Status.Traffic && reply.Status != nil {
@@ -110,8 +112,8 @@
 	return reply
 }
 
-// Close closes the listener and all connections, which cancels the contexts of handlers, and
-// waits until the connections' goroutines have ended. It does not wait for handlers.
+// Close closes the listener and all connections, which cancels the handlers' contexts. It waits
+// for the accept and connection goroutines, but not for handlers of queries.
 //
 //	server.Close()
 func (server *Server) Close() {
--- a/system/link/server_connection.go
+++ b/system/link/server_connection.go
@@ -13,20 +13,20 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// serverConnection is the server's side of one connection.
+// serverConnection is the server side of one connection.
 type serverConnection struct {
 	server *Server
 	writer *frameWriter
-	ctx    context.Context // ends with the connection
+	ctx    context.Context // cancelled when the connection ends
 	mutex  sync.Mutex
-	calls  map[uint64]context.CancelFunc // of the queries being handled
+	calls  map[uint64]context.CancelFunc // by call ID, for queries being handled
 }
 
-// connectionKey is the key of a connection's context in the contexts of its queries.
+// connectionKey is the context key under which a query's context holds the connection's context.
 type connectionKey struct{}
 
-// ConnectionContext gives, for the context of a query that is being handled, the context that
-// ends with the connection on which the query came; for another context that one itself.
+// ConnectionContext returns, for a context passed to a Handler, the context that is cancelled
+// when the query's connection ends. For any other context it returns that context itself.
 //
 //	context.AfterFunc(link.ConnectionContext(ctx), func() { ... })
 func ConnectionContext(ctx context.Context) context.Context {
@@ -36,7 +36,8 @@
 	return ctx
 }
 
-// serveConnection reads frames until the connection ends or sends what is no frame.
+// serveConnection reads and dispatches frames until the connection ends, or the client sends a
+// wrong preamble or an oversized frame.
 func (server *Server) serveConnection(stream net.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ctx = context.WithValue(ctx, connectionKey{}, ctx)
@@ -62,37 +63,37 @@
 		}
 		switch received.kind {
 		case frameQuery:
-			server.dispatch(task{conn: conn, ctx: conn.beginCall(received.call), frame: received})
+			server.dispatch(task{conn: conn, ctx: conn.beginCall(received.callID), frame: received})
 		case frameNotification:
 			conn.handleNotification(received.body)
 		case frameCancel:
-			conn.endCall(received.call)
+			conn.endCall(received.callID)
 		}
 	}
 }
 
-// beginCall gives the context of a call, which endCall and the connection's end cancel.
-func (conn *serverConnection) beginCall(call uint64) context.Context {
+// beginCall returns the context of a call. It is cancelled by endCall or when the connection ends.
+func (conn *serverConnection) beginCall(callID uint64) context.Context {
 	ctx, cancel := context.WithCancel(conn.ctx)
 	conn.mutex.Lock()
-	conn.calls[call] = cancel
+	conn.calls[callID] = cancel
 	conn.mutex.Unlock()
 	return ctx
 }
 
-// endCall cancels a call's context, if the call has not ended yet.
-func (conn *serverConnection) endCall(call uint64) {
+// endCall cancels the context of a call, unless the call has ended already.
+func (conn *serverConnection) endCall(callID uint64) {
 	conn.mutex.Lock()
-	cancel, found := conn.calls[call]
-	delete(conn.calls, call)
+	cancel, found := conn.calls[callID]
+	delete(conn.calls, callID)
 	conn.mutex.Unlock()
 	if found {
 		cancel()
 	}
 }
 
-// handleNotification runs on the goroutine that reads, which keeps notifications in order. One
-// that cannot be read is dropped.
+// handleNotification handles a notification on the connection's read goroutine, which keeps
+// notifications in order. One that cannot be decoded is dropped.
 func (conn *serverConnection) handleNotification(body []byte) {
 	if query, err := wire.DecodeQuery(body); err == nil {
 		countQueryReceived(query.Which, len(body))
@@ -100,30 +101,31 @@
 	}
 }
 
-// handleQuery answers one query, on a worker of the server.
+// handleQuery handles one query and sends the reply. It runs on a worker of the server.
 func (conn *serverConnection) handleQuery(ctx context.Context, received frame) {
-	kind, reply := conn.answer(ctx, received.body)
-	conn.endCall(received.call)
-	conn.sendReply(kind, received.call, reply)
+	kind, reply := conn.decodeAndHandle(ctx, received.body)
+	conn.endCall(received.callID)
+	conn.sendReply(kind, received.callID, reply)
 }
 
-// answer decodes a query and has it handled. It gives the query's kind, by which traffic is
-// counted, and the reply; a query that cannot be read has kind 0.
-func (conn *serverConnection) answer(ctx context.Context, body []byte) (schema.Query_Which, *wire.Reply) {
+// decodeAndHandle decodes a query and calls the handler. It returns the query's kind, by which
+// traffic is counted, and the reply. A query that cannot be decoded has kind 0 and gets an error
+// reply.
+func (conn *serverConnection) decodeAndHandle(ctx context.Context, body []byte) (schema.Query_Which, *wire.Reply) {
 	query, err := wire.DecodeQuery(body)
 	if err != nil {
-		return 0, wire.ErrorReply(apierror.Wrap(err, apierror.Invalid, "the query can't be read: "+err.Error(), "run matching versions of the programs"))
+		return 0, wire.ErrorReply(apierror.Wrap(err, apierror.Invalid, "the query cannot be decoded: "+err.Error(), "run matching versions of the programs"))
 	}
 	countQueryReceived(query.Which, len(body))
 	return query.Which, conn.server.handle(ctx, query)
 }
 
-// sendReply queues a reply, and writes it if nobody else is about to. A reply is dropped if it
-// cannot be queued, as the caller is gone or reads nothing, or if it cannot be encoded, which
-// is a fault of this program. The caller then waits until its context ends.
-func (conn *serverConnection) sendReply(kind schema.Query_Which, call uint64, reply *wire.Reply) {
+// sendReply queues a reply, and flushes unless another goroutine does. A reply is dropped if the
+// connection has failed, if its queue is full because the client does not read, or if the reply
+// cannot be encoded, which is a bug. The call then ends only with the client's context.
+func (conn *serverConnection) sendReply(kind schema.Query_Which, callID uint64, reply *wire.Reply) {
 	var encodeErr error
-	mustFlush, size, err := conn.writer.enqueue(frameReply, call, maxQueuedBytes, func(target []byte) ([]byte, error) {
+	mustFlush, size, err := conn.writer.enqueue(frameReply, callID, maxQueuedBytes, func(target []byte) ([]byte, error) {
 		target, encodeErr = wire.AppendReply(target, reply)
 		return target, encodeErr
 	})
--- a/system/link/traffic.go
+++ b/system/link/traffic.go
@@ -7,46 +7,46 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// maxKinds bounds the kinds of query that are counted. A kind beyond it, which only a later
-// version can have, is not.
-const maxKinds = 64
+// maxQueryKinds is the number of query kinds that are counted. Higher ones, which only a later
+// version can send, are ignored.
+const maxQueryKinds = 64
 
-// kindCounters counts the queries of one kind, and the bytes of them and their replies.
+// kindCounters counts the queries of one kind and the bytes of these queries and their replies.
 type kindCounters struct{ queriesSent, queriesReceived, bytesOut, bytesIn atomic.Uint64 }
 
-// counters are those of the whole process, by kind of query. A process is one node, which may
-// have several clients and servers.
-var counters [maxKinds]kindCounters
+// counters holds the counters by query kind. They are global to the process, which is one node
+// but may have several clients and servers.
+var counters [maxQueryKinds]kindCounters
 
 func countQuerySent(kind schema.Query_Which, size int) {
-	if kind < maxKinds {
+	if kind < maxQueryKinds {
 		counters[kind].queriesSent.Add(1)
 		counters[kind].bytesOut.Add(uint64(size))
 	}
 }
 
 func countReplyReceived(kind schema.Query_Which, size int) {
-	if kind < maxKinds {
+	if kind < maxQueryKinds {
 		counters[kind].bytesIn.Add(uint64(size))
 	}
 }
 
 func countQueryReceived(kind schema.Query_Which, size int) {
-	if kind < maxKinds {
+	if kind < maxQueryKinds {
 		counters[kind].queriesReceived.Add(1)
 		counters[kind].bytesIn.Add(uint64(size))
 	}
 }
 
 func countReplySent(kind schema.Query_Which, size int) {
-	if kind < maxKinds {
+	if kind < maxQueryKinds {
 		counters[kind].bytesOut.Add(uint64(size))
 	}
 }
 
-// Traffic gives what this process sent and received since it started, one entry for each kind of
-// query that occurred. Bytes are those of Cap'n Proto messages, without headers of frames and
-// of TCP. Counters only grow.
+// Traffic returns what this process has sent and received since it started, with one entry per
+// query kind that occurred. Bytes are those of Cap'n Proto messages, without frame and TCP
+// headers. The counters never decrease.
 //
 //	for _, kind := range link.Traffic() { fmt.Println(kind.Kind, kind.QueriesSent, kind.BytesOut) }
 func Traffic() []wire.TrafficByKind {
--- a/system/link/traffic_test.go
+++ b/system/link/traffic_test.go
@@ -19,8 +19,8 @@
 	return wire.TrafficByKind{Kind: kind}
 }
 
-// TestTrafficIsCountedByKindOnBothSides has both sides in one process, so each query
-// is counted once as sent and once as received, its bytes once out and once in.
+// TestTrafficIsCountedByKindOnBothSides runs client and server in one process, so each query is
+// counted once as sent and once as received, and its bytes once in each direction.
 func TestTrafficIsCountedByKindOnBothSides(t *testing.T) {
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
@@ -47,25 +47,25 @@
 	if sent, received := after.QueriesSent-before.QueriesSent, after.QueriesReceived-before.QueriesReceived; sent != queries || received != queries {
 		t.Fatalf("counted %d sent and %d received, want %d of each", sent, received, queries)
 	}
-	for side, grown := range map[string]uint64{"out": after.BytesOut - before.BytesOut, "in": after.BytesIn - before.BytesIn} {
-		if grown < queries*size || grown > queries*(size+2048) {
-			t.Errorf("counted %d bytes %s for %d queries of %d", grown, side, queries, size)
+	for direction, increase := range map[string]uint64{"out": after.BytesOut - before.BytesOut, "in": after.BytesIn - before.BytesIn} {
+		if increase < queries*size || increase > queries*(size+2048) {
+			t.Errorf("counted %d bytes %s for %d queries of %d bytes", increase, direction, queries, size)
 		}
 	}
-	for asks, want := range map[bool]bool{false: false, true: true} {
-		reply, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{Traffic: asks}})
+	for requested, want := range map[bool]bool{false: false, true: true} {
+		reply, err := client.Call(t.Context(), listener.Addr().String(), &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{Traffic: requested}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if reported := len(reply.Status.Traffic) > 0; reported != want {
-			t.Errorf("traffic requested: %t, reported: %t", asks, reported)
+			t.Errorf("traffic requested: %t, reported: %t", requested, reported)
 		}
 	}
 }
 
 func TestUnknownKindsAreNotCounted(*testing.T) {
-	countQuerySent(maxKinds, 0)
-	countQueryReceived(maxKinds+1, 0)
-	countReplyReceived(maxKinds+2, 0)
-	countReplySent(maxKinds+3, 0)
+	countQuerySent(maxQueryKinds, 0)
+	countQueryReceived(maxQueryKinds+1, 0)
+	countReplyReceived(maxQueryKinds+2, 0)
+	countReplySent(maxQueryKinds+3, 0)
 }
--- a/system/link/unencodable_reply_test.go
+++ b/system/link/unencodable_reply_test.go
@@ -15,10 +15,10 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// A reply that cannot be encoded is logged, as nobody else learns of it; the caller's context
-// ends the call.
+// TestReplyThatCannotBeEncodedIsLogged checks that the server logs the dropped reply, as the client
+// only sees its context end.
 func TestReplyThatCannotBeEncodedIsLogged(t *testing.T) {
-	// Longer than Cap'n Proto allows, so it is never read: no memory stands behind it.
+	// Longer than Cap'n Proto allows, and therefore never read: the pages are not accessible.
 	tooLong, err := syscall.Mmap(-1, 0, 1<<29, syscall.PROT_NONE, syscall.MAP_ANON|syscall.MAP_PRIVATE)
 	if err != nil {
 		t.Fatal(err)
@@ -40,14 +40,14 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if reply, err := client.Call(ctx, listener.Addr().String(), statusQuery("here")); !apierror.Is(err, apierror.Unavailable) || ctx.Err() == nil {
-		t.Errorf("the call gave %+v, %v before its context ended", reply, err)
+		t.Errorf("the call returned %+v, %v, want Unavailable once its context ended", reply, err)
 	}
 	server.Close()
 	select {
 	case entry := <-logged:
 		checkUnencodable(t, entry)
 	case <-time.After(10 * time.Second):
-		t.Error("nothing was logged")
+		t.Error("the dropped reply was not logged")
 	}
 }
 
--- a/system/link/usertimeout_linux.go
+++ b/system/link/usertimeout_linux.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define.
 const tcpUserTimeout = 18
 
-// setUserTimeout sets TCP_USER_TIMEOUT, in whole milliseconds.
+// setUserTimeout sets TCP_USER_TIMEOUT, which has a resolution of milliseconds.
 func setUserTimeout(descriptor int, timeout time.Duration) error {
 	return syscall.SetsockoptInt(descriptor, syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 }
--- a/system/link/usertimeout_linux_test.go
+++ b/system/link/usertimeout_linux_test.go
@@ -13,7 +13,8 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	// The system counts the time until the first probe in whole seconds, rounded up.
+	// Values are the user timeout in ms, keep-alive on, idle seconds (rounded up)
+	// and probe count; -1 is not checked.
 	for timeout, want := range map[time.Duration][4]int{0: {0, 1, -1, -1}, 500 * time.Millisecond: {500, 1, 1, 1}, 2500 * time.Millisecond: {2500, 1, 2, 2}, 6 * time.Second: {6000, 1, 3, 6}} {
 		dialled, err := TCP{UserTimeout: timeout}.Dial(t.Context(), listener.Addr().String())
 		if err != nil {
@@ -31,7 +32,7 @@
 		})
 		for index := range want {
 			if want[index] >= 0 && got[index] != want[index] {
-				t.Errorf("timeout %v: options %v, not %v", timeout, got, want)
+				t.Errorf("timeout %v: got options %v, want %v", timeout, got, want)
 			}
 		}
 		dialled.Close()
--- a/system/link/usertimeout_other.go
+++ b/system/link/usertimeout_other.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-// setUserTimeout does nothing where the option is not known; keep-alive probes alone find out
-// there that the other side is gone.
+// setUserTimeout does nothing on systems other than Linux. There only keep-alive probes detect
+// a dead peer.
 func setUserTimeout(int, time.Duration) error { return nil }
--- a/system/taskgroup/taskgroup.go
+++ b/system/taskgroup/taskgroup.go
@@ -1,7 +1,7 @@
-// Package taskgroup counts background tasks, so that their owner can wait for them.
+// Package taskgroup tracks background tasks, so that their owner can wait for them.
 //
-// Unlike a sync.WaitGroup, a Group may be waited for while more tasks start, a wait ends with
-// a context, and a closed group takes no more tasks.
+// Unlike a sync.WaitGroup, a Group allows tasks to start during a wait, a wait can be cancelled
+// by a context, and a closed group starts no more tasks.
 package taskgroup
 
 import (
@@ -14,13 +14,13 @@
 type Group struct {
 	mutex   sync.Mutex
 	running int
-	// idle is closed once no task runs; nil before the first.
+	// idle is closed when no task is running; nil before the first task.
 	idle   chan struct{}
 	closed bool
 }
 
-// Go runs a task in a goroutine of its own, unless the group is closed. The task must end by
-// itself; the group does not cancel it.
+// Go runs a task in a new goroutine. It does nothing if the group is closed. The group does not
+// cancel tasks: each must end by itself.
 //
 //	group.Go(func() { settle(ctx, reservation) })
 func (group *Group) Go(task func()) {
@@ -38,7 +38,7 @@
 	}()
 }
 
-// done counts a task that has ended.
+// done records the end of a task.
 func (group *Group) done() {
 	group.mutex.Lock()
 	defer group.mutex.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Wait returns once no task runs, or the context ends.
+// Wait blocks until no task is running or the context ends.
 //
 //	group.Wait(ctx)
 func (group *Group) Wait(ctx context.Context) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Close takes no more tasks and waits for those that run.
+// Close makes the group start no more tasks and waits for the running ones.
 //
 //	group.Close()
 func (group *Group) Close() {
--- a/system/taskgroup/taskgroup_test.go
+++ b/system/taskgroup/taskgroup_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestWaitEndsWithTheLastTask: also with one that starts while it waits.
+// TestWaitEndsWithTheLastTask includes a task that starts during the wait.
 func TestWaitEndsWithTheLastTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var group Group
@@ -20,18 +20,18 @@
 			group.Go(func() { time.Sleep(2 * time.Second) })
 		})
 		group.Wait(t.Context())
-		if took := time.Since(startedAt); took != 2500*time.Millisecond {
-			t.Fatalf("waited %s, want 2.5s", took)
+		if elapsed := time.Since(startedAt); elapsed != 2500*time.Millisecond {
+			t.Fatalf("waited %s, want 2.5s", elapsed)
 		}
-		group.Go(func() { time.Sleep(time.Second) }) // after it was idle
+		group.Go(func() { time.Sleep(time.Second) }) // starts after the group was idle
 		group.Wait(t.Context())
-		if took := time.Since(startedAt); took != 3500*time.Millisecond {
-			t.Fatalf("waited %s in all, want 3.5s", took)
+		if elapsed := time.Since(startedAt); elapsed != 3500*time.Millisecond {
+			t.Fatalf("waited %s in all, want 3.5s", elapsed)
 		}
 	})
 }
 
-// TestWaitEndsWithItsContext while a task still runs.
+// TestWaitEndsWithItsContext cancels the wait while a task is still running.
 func TestWaitEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var group Group
@@ -41,13 +41,13 @@
 		defer group.Close()
 		startedAt := time.Now()
 		group.Wait(ctx)
-		if took := time.Since(startedAt); took != time.Second {
-			t.Fatalf("waited %s, want 1s", took)
+		if elapsed := time.Since(startedAt); elapsed != time.Second {
+			t.Fatalf("waited %s, want 1s", elapsed)
 		}
 	})
 }
 
-// TestClosedGroupTakesNoTask, and Close waits for those that run.
+// TestClosedGroupTakesNoTask also checks that Close waits for running tasks.
 func TestClosedGroupTakesNoTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var group Group
@@ -58,7 +58,7 @@
 		})
 		group.Close()
 		if !ended.Load() {
-			t.Fatal("Close returned while a task ran")
+			t.Fatal("Close returned while a task was running")
 		}
 		group.Go(func() { t.Error("a closed group ran a task") })
 		synctest.Wait()
--- a/system/vfs/fault_directory.go
+++ b/system/vfs/fault_directory.go
@@ -13,34 +13,35 @@
 	"time"
 )
 
-// stallPollInterval is how often a stalled sync looks whether the stall has ended.
+// stallPollInterval is how often a stalled sync checks whether the stall has ended.
 const stallPollInterval = 20 * time.Millisecond
 
 var errNoSpace = errors.New("no space left on device")
 
-// DiskFaults is the content of the file with which an operator injects faults in a trial.
+// DiskFaults is the content of the JSON file with which an operator injects disk faults.
 type DiskFaults struct {
-	// Stalled blocks syncs until it is false again.
+	// Stalled blocks syncs while it is set.
 	Stalled bool `json:"stalled"`
-	// Full makes writes fail.
+	// Full makes writes fail as on a full disk.
 	Full bool `json:"full"`
-	// Slow delays each sync, by a duration such as "150ms".
+	// Slow is the duration by which each sync is delayed, such as "150ms"; "" means no delay.
 	Slow string `json:"slow"`
 }
 
-// FaultDirectory is a [Directory] for trials on real processes: it injects the faults that a
-// file has. What is not synced stays in memory, so that killing the process loses it as a
-// loss of power would.
+// FaultDirectory is a [Directory] for fault injection in real processes. It injects the faults
+// that a file describes, and holds unsynced writes in memory, so that killing the process loses
+// them as a power failure would.
 type FaultDirectory struct {
 	Directory
 	faultsPath string
-	mutex      sync.Mutex // guards pending, and files against being synced while they are read
-	// pending are the writes to each file that are not synced, in order.
+	mutex      sync.Mutex // guards pending, and keeps files from being flushed while they are read
+	// pending holds the unsynced writes to each file, by name, in order.
 	pending map[string][]PendingWrite
 }
 
-// NewFaultDirectory returns a directory with the faults that the file at faultsPath has, which
-// is read for each operation. While there is no such file there are no faults.
+// NewFaultDirectory wraps a directory and injects the faults that the file at faultsPath
+// describes. The file is read on each write and sync; while it does not exist there are no
+// faults.
 func NewFaultDirectory(directory Directory, faultsPath string) *FaultDirectory {
 	return &FaultDirectory{Directory: directory, faultsPath: faultsPath, pending: map[string][]PendingWrite{}}
 }
@@ -48,19 +49,19 @@
 func (directory *FaultDirectory) currentFaults() DiskFaults {
 	var faults DiskFaults
 	if data, err := os.ReadFile(directory.faultsPath); err == nil {
-		_ = json.Unmarshal(data, &faults) // a file that is being written has no faults yet
+		_ = json.Unmarshal(data, &faults) // a partly written file is ignored
 	}
 	return faults
 }
 
-// ReadFile returns the content of a file, with what is not synced.
+// ReadFile returns the content of a file, including unsynced writes.
 func (directory *FaultDirectory) ReadFile(name string) ([]byte, error) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	return directory.read(name)
 }
 
-// read returns the content of a file. The mutex must be held.
+// read returns the content of a file, including unsynced writes. The mutex must be held.
 func (directory *FaultDirectory) read(name string) ([]byte, error) {
 	data, err := directory.Directory.ReadFile(name)
 	writes := directory.pending[name]
@@ -73,7 +74,7 @@
 	return data, err
 }
 
-// ReadRange returns a part of a file, with what is not synced.
+// ReadRange returns a part of a file, including unsynced writes.
 func (directory *FaultDirectory) ReadRange(name string, offset int64, length int) ([]byte, error) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -90,7 +91,7 @@
 	return data[offset : offset+int64(length)], nil
 }
 
-// Size returns the length of a file, with what is not synced.
+// Size returns the size of a file in bytes, including unsynced writes.
 func (directory *FaultDirectory) Size(name string) (int64, error) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -101,19 +102,19 @@
 	return int64(len(data)), err
 }
 
-// WriteAt adds a write to those that are not synced.
+// WriteAt holds a write in memory until the file is synced.
 func (directory *FaultDirectory) WriteAt(name string, offset int64, data []byte) error {
 	if directory.currentFaults().Full && len(data) > 0 {
 		return errNoSpace
 	}
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	// The copy is not nil even if data is: that would be a truncation.
+	// The copy is never nil, as nil would mean a truncation.
 	directory.pending[name] = append(directory.pending[name], PendingWrite{Offset: offset, Data: append([]byte{}, data...)})
 	return nil
 }
 
-// Truncate adds a truncation to the writes that are not synced.
+// Truncate holds a truncation in memory until the file is synced.
 func (directory *FaultDirectory) Truncate(name string, size int64) error {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// Sync makes the writes to a file durable, after the present stall or delay.
+// Sync writes and syncs the pending writes to a file, after an injected stall or delay.
 func (directory *FaultDirectory) Sync(name string) error {
 	for directory.currentFaults().Stalled {
 		time.Sleep(stallPollInterval)
@@ -143,7 +144,7 @@
 	return directory.Directory.Sync(name)
 }
 
-// flush makes one pending write in the directory itself.
+// flush applies one pending write to the underlying directory.
 func (directory *FaultDirectory) flush(name string, write PendingWrite) error {
 	if write.Data == nil {
 		return directory.Directory.Truncate(name, write.Offset)
@@ -151,7 +152,7 @@
 	return directory.Directory.WriteAt(name, write.Offset, write.Data)
 }
 
-// Remove removes a file.
+// Remove removes a file and discards its unsynced writes.
 func (directory *FaultDirectory) Remove(name string) error {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -159,7 +160,7 @@
 	return directory.Directory.Remove(name)
 }
 
-// List returns the names of the files, with those that are not synced.
+// List returns the names of the files, including unsynced ones, sorted.
 func (directory *FaultDirectory) List() ([]string, error) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
--- a/system/vfs/os_directory.go
+++ b/system/vfs/os_directory.go
@@ -10,16 +10,16 @@
 	"sync"
 )
 
-// maxOpenFiles bounds the files that an OSDirectory keeps open: the log and the snapshot file
-// that are written, and two more.
+// maxOpenFiles is the number of files that an OSDirectory keeps open: the log and the snapshot
+// being written, and two more.
 const maxOpenFiles = 4
 
 // OSDirectory is a [Directory] in the file system of the operating system. It keeps the files
-// written last open for the life of the process.
+// opened last for writing open for the life of the process.
 type OSDirectory struct {
 	path  string
 	mutex sync.Mutex // guards openFiles and syncedNames
-	// openFiles are open for writing, in the order in which they were opened.
+	// openFiles are the files open for writing, in the order in which they were opened.
 	openFiles []openFile
 	// syncedNames are the files whose names in the directory are durable.
 	syncedNames map[string]bool
@@ -30,8 +30,8 @@
 	file *os.File
 }
 
-// Open opens a directory. It is created if it is missing, and its name made durable: a loss of
-// power must not remove it together with the synced files in it.
+// Open opens a directory, creating it if it does not exist. It syncs the parent directory, as a
+// power failure could otherwise remove the directory with the synced files in it.
 func Open(path string) (*OSDirectory, error) {
 	if err := createDirectory(path, syncDirectory); err != nil {
 		return nil, err
@@ -39,9 +39,9 @@
 	return &OSDirectory{path: path, syncedNames: map[string]bool{}}, nil
 }
 
-// createDirectory creates a directory and its missing parents, and syncs each parent that has
-// a new name in it. The direct parent is synced even if the directory exists: an earlier
-// process may have created it and ended before the sync.
+// createDirectory creates a directory and its missing parents, and syncs each directory that got
+// a new entry. The direct parent is synced even if the directory exists, as an earlier process
+// may have crashed between creating and syncing.
 func createDirectory(path string, syncParent func(path string) error) error {
 	path = filepath.Clean(path)
 	parents := []string{filepath.Dir(path)}
@@ -64,7 +64,7 @@
 	return !errors.Is(err, fs.ErrNotExist)
 }
 
-// syncDirectory makes the names in a directory durable.
+// syncDirectory makes the entries of a directory durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -73,12 +73,12 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// openForWriting returns a file that is open for writing, and closes the one that has been open
-// longest if there are too many. The mutex must be held.
+// openForWriting returns a file open for writing, opening or creating it if necessary. It closes
+// the one opened first if maxOpenFiles are open already. The mutex must be held.
 func (directory *OSDirectory) openForWriting(name string) (*os.File, error) {
-	for _, one := range directory.openFiles {
-		if one.name == name {
-			return one.file, nil
+	for _, open := range directory.openFiles {
+		if open.name == name {
+			return open.file, nil
 		}
 	}
 	file, err := os.OpenFile(directory.filePath(name), os.O_WRONLY|os.O_CREATE, 0o640)
@@ -93,14 +93,13 @@
 	return file, err
 }
 
-// closeFile closes a file that is open, and forgets that its name is durable. The mutex must be
-// held.
+// closeFile closes a file if it is open, and removes it from syncedNames. The mutex must be held.
 func (directory *OSDirectory) closeFile(name string) error {
 	delete(directory.syncedNames, name)
-	for position, one := range directory.openFiles {
-		if one.name == name {
+	for position, open := range directory.openFiles {
+		if open.name == name {
 			directory.openFiles = slices.Delete(directory.openFiles, position, position+1)
-			return one.file.Close()
+			return open.file.Close()
 		}
 	}
 	return nil
@@ -127,13 +126,13 @@
 	return data, err
 }
 
-// Size returns the length of a file.
+// Size returns the size of a file in bytes.
 func (directory *OSDirectory) Size(name string) (int64, error) {
-	found, err := os.Stat(directory.filePath(name))
+	info, err := os.Stat(directory.filePath(name))
 	if err != nil {
 		return 0, err
 	}
-	return found.Size(), nil
+	return info.Size(), nil
 }
 
 // WriteAt writes to a file without syncing it.
@@ -153,7 +152,8 @@
 	return os.Truncate(directory.filePath(name), size)
 }
 
-// Sync syncs a file and, the first time, the directory. Other files can be used meanwhile.
+// Sync syncs a file and, the first time, the directory. It does not block operations on other
+// files.
 func (directory *OSDirectory) Sync(name string) error {
 	directory.mutex.Lock()
 	file, err := directory.openForWriting(name)
@@ -181,21 +181,21 @@
 func (directory *OSDirectory) Remove(name string) error {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	closeError := directory.closeFile(name)
+	closeErr := directory.closeFile(name)
 	if err := os.Remove(directory.filePath(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	return closeError
+	return closeErr
 }
 
 // List returns the names of the regular files that are not hidden, sorted.
 func (directory *OSDirectory) List() ([]string, error) {
-	found, err := os.ReadDir(directory.path)
+	entries, err := os.ReadDir(directory.path)
 	if err != nil {
 		return nil, err
 	}
 	names := []string{}
-	for _, entry := range found {
+	for _, entry := range entries {
 		if entry.Type().IsRegular() && !strings.HasPrefix(entry.Name(), ".") {
 			names = append(names, entry.Name())
 		}
--- a/system/vfs/os_directory_test.go
+++ b/system/vfs/os_directory_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// must fails the test if one of the errors is not nil.
+// must fails the test if any of the errors is not nil.
 func must(t *testing.T, errs ...error) {
 	t.Helper()
 	if err := errors.Join(errs...); err != nil {
@@ -18,9 +18,9 @@
 	}
 }
 
-// writtenDirectory makes a directory of more files than stay open, each with the content
-// "two thr", and returns their names.
-func writtenDirectory(t *testing.T) (*OSDirectory, []string) {
+// newDirectoryWithFiles returns a directory with more files than stay open, each with the content
+// "two thr", and their names.
+func newDirectoryWithFiles(t *testing.T) (*OSDirectory, []string) {
 	t.Helper()
 	directory, err := Open(t.TempDir())
 	must(t, err)
@@ -37,7 +37,7 @@
 }
 
 func TestOSDirectoryWritesTruncatesAndRemoves(t *testing.T) {
-	directory, want := writtenDirectory(t)
+	directory, want := newDirectoryWithFiles(t)
 	for _, name := range want {
 		if data, err := directory.ReadFile(name); err != nil || string(data) != "two thr" {
 			t.Fatalf("%s has %q, %v", name, data, err)
@@ -49,11 +49,11 @@
 	if names, err := directory.List(); err != nil || !slices.Equal(names, want) {
 		t.Fatalf("%v, %v", names, err)
 	}
-	// A file that was removed and is written again is another one, also if it was open.
+	// Writing to a removed name creates a new file, even if the old one was open.
 	last := want[len(want)-1]
 	must(t, directory.Remove(last), directory.Remove(last))
 	if _, err := directory.ReadFile(last); !errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("a removed file is there: %v", err)
+		t.Fatalf("reading a removed file: %v, want fs.ErrNotExist", err)
 	}
 	must(t, directory.WriteAt(last, 0, []byte("new")), directory.Sync(last))
 	if data, err := os.ReadFile(directory.filePath(last)); err != nil || string(data) != "new" {
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	if want := []string{filepath.Join(root, "data")}; !slices.Equal(synced, want) {
-		t.Errorf("a folder that was there: synced %v, want %v", synced, want)
+		t.Errorf("existing directory: synced %v, want %v", synced, want)
 	}
 }
 
--- a/system/vfs/pending_write.go
+++ b/system/vfs/pending_write.go
@@ -1,13 +1,13 @@
 package vfs
 
-// PendingWrite is a write to a file that was not synced yet or, if Data is nil, a truncation.
+// PendingWrite is an unsynced write to a file or, if Data is nil, an unsynced truncation.
 type PendingWrite struct {
-	// Offset is where the data is written, or the size that the file is truncated to.
+	// Offset is the offset of the write in bytes, or the size to truncate to.
 	Offset int64
 	Data   []byte
 }
 
-// ApplyTo returns a file's content after the write. It may change content itself.
+// ApplyTo returns the file content after the write. It may modify content in place.
 func (write PendingWrite) ApplyTo(content []byte) []byte {
 	if write.Data == nil {
 		return content[:min(int64(len(content)), write.Offset)]
--- a/system/vfs/sync_linux.go
+++ b/system/vfs/sync_linux.go
@@ -6,18 +6,18 @@
 	"syscall"
 )
 
-// syncData makes a file's content and size durable. It leaves out the times, which fsync would
-// write too.
+// syncData makes a file's content and size durable. Unlike fsync, fdatasync does not write the
+// timestamps.
 func syncData(file *os.File) error {
-	connection, err := file.SyscallConn()
+	rawConn, err := file.SyscallConn()
 	if err != nil {
 		return err
 	}
-	syncError := error(syscall.EINTR)
-	for errors.Is(syncError, syscall.EINTR) {
-		if err := connection.Control(func(descriptor uintptr) { syncError = syscall.Fdatasync(int(descriptor)) }); err != nil {
+	syncErr := error(syscall.EINTR)
+	for errors.Is(syncErr, syscall.EINTR) {
+		if err := rawConn.Control(func(descriptor uintptr) { syncErr = syscall.Fdatasync(int(descriptor)) }); err != nil {
 			return err
 		}
 	}
-	return syncError
+	return syncErr
 }
