--- a/system/front/event_buffer.go
+++ b/system/front/event_buffer.go
@@ -11,7 +11,7 @@
 type eventBuffer struct {
 	mutex  sync.Mutex // guards all that follows
 	events []sessionlog.Event
-	failed error         // that the stream ends with; only with ended
+	err    error         // that the stream ends with; only with ended
 	ended  bool          // no event will be added
 	grown  chan struct{} // closed, and replaced, when the buffer grows or ends
 }
@@ -28,10 +28,10 @@
 
 // end adds the last events, with the error that the stream ends with, if any, and wakes all
 // readers.
-func (buffer *eventBuffer) end(failed error, events ...sessionlog.Event) {
+func (buffer *eventBuffer) end(err error, events ...sessionlog.Event) {
 	buffer.mutex.Lock()
 	defer buffer.mutex.Unlock()
-	buffer.failed, buffer.ended = failed, true
+	buffer.err, buffer.ended = err, true
 	buffer.grow(events)
 }
 
@@ -47,10 +47,10 @@
 func (buffer *eventBuffer) after(ctx context.Context, offset int) ([]sessionlog.Event, bool, error) {
 	for {
 		buffer.mutex.Lock()
-		events, ended, failed, grown := buffer.events[offset:], buffer.ended, buffer.failed, buffer.grown
+		events, ended, err, grown := buffer.events[offset:], buffer.ended, buffer.err, buffer.grown
 		buffer.mutex.Unlock()
 		if len(events) > 0 || ended {
-			return events, ended, failed
+			return events, ended, err
 		}
 		select {
 		case <-grown:
--- a/system/front/event_stream.go
+++ b/system/front/event_stream.go
@@ -22,9 +22,9 @@
 // other than 0 it streams only that turn and stops at its end; it reads the turn from its
 // beginning, wherever the cursor is, so that it knows its deadline and its end.
 func (node *Node) tail(name, conversationName string, cursor, turn uint64) *eventStream {
-	reader := &tailReader{node: node, sessionName: name, cursor: cursor, turn: turn, reached: cursor}
+	reader := &tailReader{node: node, sessionName: name, cursor: cursor, turn: turn, readUpTo: cursor}
 	if turn != 0 {
-		reader.reached = turn - 1
+		reader.readUpTo = turn - 1
 	}
 	return &eventStream{conversation: conversationName, turn: turn, next: reader.next}
 }
@@ -36,9 +36,9 @@
 	// cursor is the seq after which events are returned; turn is as in tail.
 	cursor uint64
 	turn   uint64
-	// reached is the seq up to which the session was read; begun is the turn's first event.
-	reached uint64
-	begun   sessionlog.Event
+	// readUpTo is the seq up to which the session was read; begun is the turn's first event.
+	readUpTo   uint64
+	startEvent sessionlog.Event
 	// wait is how long the next read waits for new events: the first one does not.
 	wait time.Duration
 }
@@ -46,42 +46,42 @@
 // next returns the events of the next page and whether the stream ends with them. It closes
 // the turn if that is overdue or its owner seems dead.
 func (reader *tailReader) next(ctx context.Context) ([]sessionlog.Event, bool, error) {
-	waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
 	defer cancel()
-	reply, err := reader.node.stores.Read(waiting, wire.ReadQuery{Session: reader.sessionName, After: reader.reached, Limit: storeclient.MaxEventsPerPage, Wait: reader.wait})
+	reply, err := reader.node.stores.Read(readCtx, wire.ReadQuery{Session: reader.sessionName, After: reader.readUpTo, Limit: storeclient.MaxEventsPerPage, Wait: reader.wait})
 	if err != nil {
 		return nil, true, err
 	}
 	reader.wait = tailPollTimeout
-	found, ended := reader.take(reply.Events)
-	silent := len(reply.Events) == 0 && reader.turn != 0 && !ended
-	if silent && (reply.Clock > reader.begun.Deadline || reader.node.ownerPresumedDead(ctx, reader.begun)) {
-		if err := reader.node.closeOverdueRun(ctx, reader.sessionName, reader.begun, sessionlog.OutcomeCut); err != nil {
-			return found, true, err
+	events, ended := reader.consume(reply.Events)
+	idle := len(reply.Events) == 0 && reader.turn != 0 && !ended
+	if idle && (reply.Clock > reader.startEvent.Deadline || reader.node.ownerPresumedDead(ctx, reader.startEvent)) {
+		if err := reader.node.closeOverdueRun(ctx, reader.sessionName, reader.startEvent, sessionlog.OutcomeCut); err != nil {
+			return events, true, err
 		}
 	}
-	return found, ended, nil
+	return events, ended, nil
 }
 
-// take advances over a page and returns those of its events that belong to the stream, and
+// consume advances over a page and returns those of its events that belong to the stream, and
 // whether the turn ends with them. The turn's end is returned even before the cursor, as
 // the stream ends with it.
-func (reader *tailReader) take(page []sessionlog.Event) (found []sessionlog.Event, ended bool) {
-	found = []sessionlog.Event{}
+func (reader *tailReader) consume(page []sessionlog.Event) (events []sessionlog.Event, ended bool) {
+	events = []sessionlog.Event{}
 	for _, event := range page {
-		reader.reached = event.Seq
+		reader.readUpTo = event.Seq
 		if reader.turn != 0 && event.Turn != reader.turn {
 			continue
 		}
 		if event.Kind == sessionlog.TurnBegun {
-			reader.begun = event
+			reader.startEvent = event
 		}
 		ended = ended || (reader.turn != 0 && event.Kind == sessionlog.TurnEnded)
 		if event.Seq > reader.cursor || ended {
-			found = append(found, event)
+			events = append(events, event)
 		}
 	}
-	return found, ended
+	return events, ended
 }
 
 // eventStream writes events as one JSON object a line. It ends with an explicit mark, or
@@ -142,14 +142,14 @@
 		return written, err
 	}
 	for {
-		events, ended, failed := stream.next(ctx)
+		events, ended, streamErr := stream.next(ctx)
 		for _, event := range events {
 			if err := encoder.Encode(toStreamRecord(event)); err != nil {
 				return written, err
 			}
 		}
-		if failed != nil && ctx.Err() == nil {
-			failure := apierror.Of(failed)
+		if streamErr != nil && ctx.Err() == nil {
+			failure := apierror.Of(streamErr)
 			return written, encoder.Encode(streamRecord{End: "failed", Kind: string(failure.Kind), Message: failure.Message, Remedy: failure.Remedy})
 		}
 		flush()
--- a/system/front/filters.go
+++ b/system/front/filters.go
@@ -62,26 +62,26 @@
 	return nil, nil
 }
 
-// servesTurns rejects kinds of work that are no turns.
-func servesTurns(_ context.Context, _ *Node, request *request) (any, error) {
+// requireTurnKind rejects kinds of work that are no turns.
+func requireTurnKind(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.workKind.Serves != config.ServesTurn {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is no turn of a conversation", "send it as a lookup, a request or a tool call")
 	}
 	return nil, nil
 }
 
-// servesPlain rejects kinds of work that are turns.
-func servesPlain(_ context.Context, _ *Node, request *request) (any, error) {
+// requirePlainKind rejects kinds of work that are turns.
+func requirePlainKind(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.workKind.Serves != config.ServesPlain {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is a turn of a conversation", "start or follow a conversation with it")
 	}
 	return nil, nil
 }
 
-// servesLookups rejects kinds of work that may not run more than once.
-func servesLookups(ctx context.Context, node *Node, request *request) (any, error) {
+// requireRepeatableKind rejects kinds of work that may not run more than once.
+func requireRepeatableKind(ctx context.Context, node *Node, request *request) (any, error) {
 	if !request.workKind.Repeatable {
 		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" may not be repeated", "send it as a request, with a query key")
 	}
-	return servesPlain(ctx, node, request)
+	return requirePlainKind(ctx, node, request)
 }
--- a/system/front/helper_conversations.go
+++ b/system/front/helper_conversations.go
@@ -22,18 +22,18 @@
 	return nil, checkFollowed(&parent)
 }
 
-// recordHelper records the helper's name in its parent's session, then starts it. A repeat
+// startHelper records the helper's name in its parent's session, then starts it. A repeat
 // finds both.
-func recordHelper(ctx context.Context, node *Node, request *request) (any, error) {
+func startHelper(ctx context.Context, node *Node, request *request) (any, error) {
 	helper := *request
 	helper.follows, helper.cleanups = 0, nil
 	if _, err := nameSession(ctx, node, &helper); err != nil {
 		return nil, err
 	}
-	committing, cancel := context.WithTimeout(ctx, commitTimeout)
+	commitCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	outcomes, err := node.stores.Command(committing, request.team+"/"+request.parent, sessionlog.Command{
-		Kind: sessionlog.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: beginProducerSeq,
+	outcomes, err := node.stores.Command(commitCtx, request.team+"/"+request.parent, sessionlog.Command{
+		Kind: sessionlog.AppendEvent, Producer: strings.Join([]string{request.program, "helper", request.idempotencyKey}, "/"), ProducerSeq: startProducerSeq,
 		Events: []sessionlog.Event{{Kind: sessionlog.HelperStarted, Follows: request.follows, Name: helper.conversation}},
 	})
 	if err != nil {
--- a/system/front/metrics.go
+++ b/system/front/metrics.go
@@ -33,11 +33,11 @@
 // publishBalancer adds the waiting requests and the usable runners by state to a registry.
 func publishBalancer(registry *metrics.Registry, status func() balancer.Status) {
 	registry.Gauge("queued_requests", func() float64 { return float64(status().Queued) })
-	for state, isIn := range runnerStates {
+	for state, matches := range runnerStates {
 		registry.Gauge("runners", func() float64 {
 			count := 0
 			for _, runner := range status().Runners {
-				if isIn(runner) {
+				if matches(runner) {
 					count++
 				}
 			}
--- a/system/front/metrics_test.go
+++ b/system/front/metrics_test.go
@@ -11,8 +11,8 @@
 	"yardrock.example/system/metrics"
 )
 
-// wantFigures demands that each line stands among the figures of a registry.
-func wantFigures(t *testing.T, registry *metrics.Registry, lines ...string) {
+// wantMetrics demands that each line stands among the figures of a registry.
+func wantMetrics(t *testing.T, registry *metrics.Registry, lines ...string) {
 	t.Helper()
 	text := &strings.Builder{}
 	registry.Write(text)
@@ -31,7 +31,7 @@
 	observe(&record)
 	observe(&record)
 	observe(&forwarding.RequestRecord{Route: "chat", Outcome: apierror.NotRun})
-	wantFigures(t, registry,
+	wantMetrics(t, registry,
 		`yardrock_requests_total{route="chat",outcome="complete"} 2`,
 		`yardrock_requests_total{route="chat",outcome="`+string(apierror.NotRun)+`"} 1`,
 		`yardrock_request_seconds_count 3`,
@@ -47,6 +47,6 @@
 	publishBalancer(registry, func() balancer.Status {
 		return balancer.Status{Queued: 3, Runners: []balancer.RunnerStatus{{SlowStart: true}, {Ejected: true}, {}, {Ejected: true}}}
 	})
-	wantFigures(t, registry, "yardrock_queued_requests 3",
+	wantMetrics(t, registry, "yardrock_queued_requests 3",
 		`yardrock_runners{state="usable"} 4`, `yardrock_runners{state="slow_start"} 1`, `yardrock_runners{state="ejected"} 2`)
 }
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -89,7 +89,7 @@
 type Node struct {
 	settings     Settings
 	name         string
-	caller       *link.Client
+	linkClient   *link.Client
 	feedClient   *feedclient.Client
 	stores       *storeclient.Client
 	runnerClient *runnerclient.Client
@@ -111,8 +111,8 @@
 	stop    context.CancelFunc
 	// background are the tasks that Drain waits for: work under way, commits, and notes to
 	// other fronts. watching is watchPeers alone, which ends only with the context.
-	background taskgroup.Group
-	watching   taskgroup.Group
+	background  taskgroup.Group
+	peerWatcher taskgroup.Group
 }
 
 // Start starts a front node; Close ends it. An error is of the kind BadSettings.
@@ -126,9 +126,9 @@
 	}
 	node := newNode(settings, network)
 	member := feed.Member{Name: node.name, Role: feed.RoleFront, Address: settings.Address, Domain: settings.Domain, Machine: settings.Machine}
-	node.feedClient = feedclient.Start(node.caller, member, settings.Seeds, nil, node.applyView)
+	node.feedClient = feedclient.Start(node.linkClient, member, settings.Seeds, nil, node.applyView)
 	node.balancer.SetListReadTime(node.feedClient.RunnerListReadAt)
-	node.watching.Go(node.watchPeers)
+	node.peerWatcher.Go(node.watchPeers)
 	node.linkServer = link.Serve(linkListener, node.handleCall)
 	if publicListener != nil {
 		node.publicServer = httpapi.Serve(publicListener, node.handler(), func() int64 {
@@ -141,11 +141,11 @@
 
 // newNode makes a node with all that needs no network yet.
 func newNode(settings Settings, network link.Network) *Node {
-	node := &Node{settings: settings, name: "front-" + uuid.NewString(), caller: link.NewClient(network), runnerClient: runnerclient.New(network)}
+	node := &Node{settings: settings, name: "front-" + uuid.NewString(), linkClient: link.NewClient(network), runnerClient: runnerclient.New(network)}
 	node.context, node.stop = context.WithCancel(context.Background())
 	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
 	node.frontNames.Store(&[]string{node.name})
-	node.stores = storeclient.New(node.caller, func() *feed.View { return node.active.Load().view })
+	node.stores = storeclient.New(node.linkClient, func() *feed.View { return node.active.Load().view })
 	node.scheduler = scheduler.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
 	node.pool = runnerpool.New(network, settings.Dialect)
 	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
@@ -230,7 +230,7 @@
 func (node *Node) Close() {
 	node.draining.Store(true)
 	node.stop()
-	node.watching.Close()
+	node.peerWatcher.Close()
 	if node.publicServer != nil {
 		node.publicServer.Close()
 	}
@@ -239,5 +239,5 @@
 	node.feedClient.Stop()
 	node.linkServer.Close()
 	node.background.Close()
-	node.caller.Close()
+	node.linkClient.Close()
 }
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -38,7 +38,7 @@
 func (node *Node) notifyPeer(member feed.Member, note wire.RunnerWarmUpNote) {
 	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
 	defer cancel()
-	if _, err := node.caller.Call(ctx, member.Address, &wire.Query{Fleet: node.active.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
+	if _, err := node.linkClient.Call(ctx, member.Address, &wire.Query{Fleet: node.active.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
 		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note on a runner not delivered")
 	}
 }
--- a/system/front/owner_liveness.go
+++ b/system/front/owner_liveness.go
@@ -42,22 +42,22 @@
 )
 
 // ownerLiveness probes the front that began a run, by its address in the dispatch id.
-func (node *Node) ownerLiveness(ctx context.Context, begun sessionlog.Event) liveness {
-	name, rest, _ := strings.Cut(begun.Dispatch, "@")
+func (node *Node) ownerLiveness(ctx context.Context, startEvent sessionlog.Event) liveness {
+	name, rest, _ := strings.Cut(startEvent.Dispatch, "@")
 	address, _, found := strings.Cut(rest, "/")
 	if !found || name == node.name {
 		return alive
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	reply, err := node.caller.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
+	reply, err := node.linkClient.Call(ctx, address, &wire.Query{Which: schema.Query_Which_status, Status: &wire.StatusQuery{}})
 	switch {
 	case err == nil && reply.Status != nil && reply.Status.Name == name:
 		return alive
 	case err == nil || apierror.Of(err).ConnectionRefused:
 		return confirmedDead
 	}
-	node.caller.Drop(address)
+	node.linkClient.Drop(address)
 	listed := slices.ContainsFunc(node.feedClient.Members(), func(member feed.Member) bool { return member.Name == name })
 	if listed || !node.feedClient.HeardControlWithin(memberListMaxAge) {
 		return alive
@@ -68,6 +68,6 @@
 // ownerPresumedDead reports whether a run will most likely never go on. That is enough to
 // close a turn, which may be asked again: closing it fences its owner off, should that
 // still run. It is not enough for work that must run at most once.
-func (node *Node) ownerPresumedDead(ctx context.Context, begun sessionlog.Event) bool {
-	return node.ownerLiveness(ctx, begun) != alive
+func (node *Node) ownerPresumedDead(ctx context.Context, startEvent sessionlog.Event) bool {
+	return node.ownerLiveness(ctx, startEvent) != alive
 }
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -18,7 +18,7 @@
 
 // plainRequest is what the runner gets of the request.
 func (request *request) plainRequest() runnerclient.PlainRequest {
-	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.words}
+	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.input}
 }
 
 // sendPlainWork sends plain work to a runner, and to another one only while provably
@@ -26,10 +26,10 @@
 func (node *Node) sendPlainWork(ctx context.Context, request *request) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.workKind.Timeout))
 	defer cancel()
-	for dial := 1; ; dial++ {
+	for attempt := 1; ; attempt++ {
 		answer, err := node.runnerClient.Call(ctx, request.slot.Runner.Address, request.workKind.Path, request.plainRequest(), node.preSendCheck(request))
-		if err == nil || !apierror.Of(err).NeverSent || dial == maxDials {
-			request.slot.Release(node.outcomeOf(err))
+		if err == nil || !apierror.Of(err).NeverSent || attempt == maxDispatchAttempts {
+			request.slot.Release(node.dispatchOutcome(err))
 			return answer, err
 		}
 		if node.switchRunner(ctx, request, err) != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// askRunner answers a lookup. That may run again, so it is not recorded.
-func askRunner(ctx context.Context, node *Node, request *request) (any, error) {
+// executeLookup answers a lookup. That may run again, so it is not recorded.
+func executeLookup(ctx context.Context, node *Node, request *request) (any, error) {
 	answer, err := node.sendPlainWork(ctx, request)
 	if err != nil && apierror.Of(err).NeverSent {
 		return nil, asNotRun(err)
@@ -75,37 +75,37 @@
 
 // executeOnce dispatches the work and records its outcome.
 func (node *Node) executeOnce(request *request) (any, error) {
-	answer, failed := node.sendPlainWork(node.context, request)
-	ended := sessionlog.Event{Outcome: sessionlog.OutcomeComplete, Text: string(answer)}
+	answer, sendErr := node.sendPlainWork(node.context, request)
+	endEvent := sessionlog.Event{Outcome: sessionlog.OutcomeComplete, Text: string(answer)}
 	switch {
-	case failed == nil:
-	case apierror.Of(failed).NeverSent || apierror.Is(failed, apierror.NotRun):
-		ended = sessionlog.Event{Outcome: sessionlog.OutcomeNotRun, Name: apierror.Of(failed).Message}
+	case sendErr == nil:
+	case apierror.Of(sendErr).NeverSent || apierror.Is(sendErr, apierror.NotRun):
+		endEvent = sessionlog.Event{Outcome: sessionlog.OutcomeNotRun, Name: apierror.Of(sendErr).Message}
 	default:
-		ended = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(failed).Message}
+		endEvent = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(sendErr).Message}
 		log.WithFields(log.Fields{
-			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": failed.Error(),
+			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": sendErr.Error(),
 		}).Warn("outcome of work that runs once is unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
-	if _, err := node.recordEnd(ctx, request, afterBeginProducerSeq, ended.Outcome, ended.Text, ended.Name); err != nil {
+	if _, err := node.recordEnd(ctx, request, afterStartProducerSeq, endEvent.Outcome, endEvent.Text, endEvent.Name); err != nil {
 		return nil, apierror.WrapRetryable(err, apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
 	}
-	return recordedAnswer(request, ended, false)
+	return recordedAnswer(request, endEvent, false)
 }
 
 // recordedAnswer turns a recorded outcome into one of the three answers: complete, NotRun
 // or Unknown.
-func recordedAnswer(request *request, ended sessionlog.Event, repeated bool) (any, error) {
-	switch ended.Outcome {
+func recordedAnswer(request *request, endEvent sessionlog.Event, repeated bool) (any, error) {
+	switch endEvent.Outcome {
 	case sessionlog.OutcomeComplete:
 		name := request.conversation
-		return &work.Outcome{Outcome: ended.Outcome, Line: &name, Answer: json.RawMessage(ended.Text), Repeated: &repeated}, nil
+		return &work.Outcome{Outcome: endEvent.Outcome, Line: &name, Answer: json.RawMessage(endEvent.Text), Repeated: &repeated}, nil
 	case sessionlog.OutcomeNotRun:
-		return nil, request.recordedNotRun("the work did not run: " + ended.Name)
+		return nil, request.recordedNotRunError("the work did not run: " + endEvent.Name)
 	default:
-		return nil, apierror.New(apierror.Unknown, "whether the work ran is not known: "+ended.Name, "find out at its receiver; it is never sent again under this query key")
+		return nil, apierror.New(apierror.Unknown, "whether the work ran is not known: "+endEvent.Name, "find out at its receiver; it is never sent again under this query key")
 	}
 }
 
@@ -135,19 +135,19 @@
 	return nil, nil
 }
 
-// beginOnce records the begin of work that must run at most once.
-func beginOnce(ctx context.Context, node *Node, request *request) (any, error) {
-	return node.beginPlainWork(ctx, request, sessionlog.TurnBegun)
+// recordOnceStart records the begin of work that must run at most once.
+func recordOnceStart(ctx context.Context, node *Node, request *request) (any, error) {
+	return node.recordPlainStart(ctx, request, sessionlog.TurnBegun)
 }
 
-// beginTool records the begin of a tool call.
-func beginTool(ctx context.Context, node *Node, request *request) (any, error) {
-	return node.beginPlainWork(ctx, request, sessionlog.ToolCalled)
+// recordToolStart records the begin of a tool call.
+func recordToolStart(ctx context.Context, node *Node, request *request) (any, error) {
+	return node.recordPlainStart(ctx, request, sessionlog.ToolCalled)
 }
 
-// beginPlainWork records a begin, or answers with the outcome of the one that is recorded.
-func (node *Node) beginPlainWork(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
-	other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, atAnyHead)
+// recordPlainStart records a begin, or answers with the outcome of the one that is recorded.
+func (node *Node) recordPlainStart(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
+	other, err := node.recordStart(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, atAnyHead)
 	if err != nil {
 		return nil, err
 	}
@@ -158,31 +158,31 @@
 }
 
 // answerRepeat waits for the recorded outcome of work that another request began.
-func (node *Node) answerRepeat(ctx context.Context, request *request, begun sessionlog.Event) (any, error) {
-	if begun.Digest != request.digest() {
+func (node *Node) answerRepeat(ctx context.Context, request *request, startEvent sessionlog.Event) (any, error) {
+	if startEvent.Digest != request.digest() {
 		return nil, apierror.New(apierror.Conflict, "the query key was used with another body", "use a new query key for other work")
 	}
-	if begun.Kind == sessionlog.Fenced {
+	if startEvent.Kind == sessionlog.Fenced {
 		return nil, request.fencedEarlierError()
 	}
-	after := begun.Seq
+	after := startEvent.Seq
 	for wait := time.Duration(0); ; wait = tailPollTimeout {
-		waiting, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
-		reply, err := node.stores.Read(waiting, wire.ReadQuery{Session: request.sessionName(), After: after, Wait: wait})
+		readCtx, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
+		reply, err := node.stores.Read(readCtx, wire.ReadQuery{Session: request.sessionName(), After: after, Wait: wait})
 		cancel()
 		if err != nil {
 			return nil, apierror.WrapRetryable(err, apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
 		}
 		for _, event := range reply.Events {
 			after = event.Seq
-			if event.Turn == begun.Seq && event.Kind == sessionlog.ClosingKind(begun.Kind) {
+			if event.Turn == startEvent.Seq && event.Kind == sessionlog.ClosingKind(startEvent.Kind) {
 				return recordedAnswer(request, event, true)
 			}
 		}
-		owner := node.ownerLiveness(ctx, begun)
+		owner := node.ownerLiveness(ctx, startEvent)
 		switch {
-		case reply.Clock > begun.Deadline || owner == confirmedDead:
-			if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeUnknown); err != nil {
+		case reply.Clock > startEvent.Deadline || owner == confirmedDead:
+			if err := node.closeOverdueRun(ctx, request.sessionName(), startEvent, sessionlog.OutcomeUnknown); err != nil {
 				return nil, apierror.WrapRetryable(err, apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
 			}
 		case owner == unreachable:
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -17,7 +17,7 @@
 	token          string // the caller's bearer token
 	program        string
 	kind           string
-	words          string
+	input          string
 	idempotencyKey string
 	// conversation names the session within its team; follows is the seq of the turn to
 	// follow, 0 starts a conversation; parent is the conversation that starts a helper.
@@ -46,7 +46,7 @@
 	reservedAt time.Time
 	// reservedWords is the longest answer that the reservation allows.
 	reservedWords uint64
-	begun         sessionlog.Event
+	startEvent    sessionlog.Event
 	// cleanups give back what filters acquired, last first. Who takes it over clears them.
 	cleanups []func()
 }
@@ -87,12 +87,12 @@
 	programAdmission       = chain(admission, findProgram, findKind)
 	recordedAuthentication = chain([]filter{markRecorded}, authentication...)
 	recordedAdmission      = chain(recordedAuthentication, findProgram, findKind)
-	turnSteps              = []filter{checkTurn, rejectDraining, acquireSlot, reserveWords, beginTurn, confirmRunner, startRun}
-	turnChain              = chain(chain(recordedAdmission, servesTurns, nameSession, readSession), turnSteps...)
-	followChain            = chain(chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesTurns), turnSteps...)
-	lookupChain            = chain(programAdmission, servesLookups, acquireSlot, confirmRunner, askRunner)
-	onceChain              = chain(recordedAdmission, servesPlain, nameOnceSession, readSession, checkOnce, rejectDraining, acquireSlot, beginOnce, confirmRunner, runOnce)
-	toolChain              = chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, servesPlain,
-		checkTool, rejectDraining, acquireSlot, beginTool, confirmRunner, runOnce)
-	helperChain = chain(recordedAdmission, servesTurns, readParent, recordHelper)
+	turnFilters            = []filter{checkTurn, rejectDraining, acquireSlot, reserveWords, recordTurnStart, confirmRunner, startRun}
+	turnChain              = chain(chain(recordedAdmission, requireTurnKind, nameSession, readSession), turnFilters...)
+	followChain            = chain(chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, requireTurnKind), turnFilters...)
+	lookupChain            = chain(programAdmission, requireRepeatableKind, acquireSlot, confirmRunner, executeLookup)
+	onceChain              = chain(recordedAdmission, requirePlainKind, nameOnceSession, readSession, checkOnce, rejectDraining, acquireSlot, recordOnceStart, confirmRunner, runOnce)
+	toolChain              = chain(recordedAuthentication, nameSession, readSession, requireSession, findProgram, findKind, requirePlainKind,
+		checkTool, rejectDraining, acquireSlot, recordToolStart, confirmRunner, runOnce)
+	helperChain = chain(recordedAdmission, requireTurnKind, readParent, startHelper)
 )
--- a/system/front/runner_slot.go
+++ b/system/front/runner_slot.go
@@ -10,9 +10,9 @@
 	"yardrock.example/system/scheduler"
 )
 
-// maxDials is how many runners a piece of work is sent to at most; after the first, only
+// maxDispatchAttempts is how many runners a piece of work is sent to at most; after the first, only
 // if the one before provably got nothing.
-const maxDials = 3
+const maxDispatchAttempts = 3
 
 // acquireSlot gets a runner with a free slot from the scheduler.
 func acquireSlot(ctx context.Context, node *Node, request *request) (any, error) {
@@ -29,7 +29,7 @@
 // allowed by the configuration in force, and the runner one that it may be sent to.
 func confirmRunner(ctx context.Context, node *Node, request *request) (any, error) {
 	err := node.confirmDispatch(ctx, request)
-	if err != nil && request.begun.Seq > 0 {
+	if err != nil && request.startEvent.Seq > 0 {
 		return nil, node.recordNotRun(request, err)
 	}
 	return nil, err
@@ -70,8 +70,8 @@
 
 // runnerUsable reports whether the chosen runner may still get the request.
 func (request *request) runnerUsable() bool {
-	weighed := request.active.config.Tables[request.workKind.Table][request.slot.Group] > 0
-	return weighed && scheduler.Usable(request.active.view, request.slot.Runner)
+	hasWeight := request.active.config.Tables[request.workKind.Table][request.slot.Group] > 0
+	return hasWeight && scheduler.Usable(request.active.view, request.slot.Runner)
 }
 
 // preSendCheck returns the check that the first byte waits for: the dial may have been
@@ -80,24 +80,24 @@
 func (node *Node) preSendCheck(request *request) runnerclient.PreSendCheck {
 	chosen := *request
 	return func() error {
-		now := chosen
-		if err := node.recheckActiveConfig(node.context, &now); err != nil {
+		current := chosen
+		if err := node.recheckActiveConfig(node.context, &current); err != nil {
 			return err
 		}
 		if chosen.reservation != "" && time.Since(chosen.reservedAt) > reservationDispatchWindow {
 			return apierror.NewRetryable(apierror.NotRun, "the reservation of words was not used in time", "ask again", time.Second)
 		}
-		if now.workKind != chosen.workKind || now.programConfig != chosen.programConfig || !now.runnerUsable() {
+		if current.workKind != chosen.workKind || current.programConfig != chosen.programConfig || !current.runnerUsable() {
 			return apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", time.Second)
 		}
 		return nil
 	}
 }
 
-// outcomeOf says what the result of a dispatch shows of the runner, for the scheduler. The
+// dispatchOutcome says what the result of a dispatch shows of the runner, for the scheduler. The
 // order matters: nothing is learnt while this node is being closed, and a connection that
 // could not be opened is both Lost and NeverSent, but speaks against the runner.
-func (node *Node) outcomeOf(err error) scheduler.Outcome {
+func (node *Node) dispatchOutcome(err error) scheduler.Outcome {
 	if err == nil || errors.Is(err, errTurnLimit) {
 		return scheduler.Answered
 	}
@@ -114,8 +114,8 @@
 }
 
 // switchRunner takes another runner after one that provably got nothing.
-func (node *Node) switchRunner(ctx context.Context, request *request, failed error) error {
-	request.slot.Release(node.outcomeOf(failed))
+func (node *Node) switchRunner(ctx context.Context, request *request, cause error) error {
+	request.slot.Release(node.dispatchOutcome(cause))
 	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
 	if err != nil {
 		return err
--- a/system/front/session_reading.go
+++ b/system/front/session_reading.go
@@ -24,7 +24,7 @@
 // digest identifies the request's content: a repeat has the same digest, other work under
 // the same key has another.
 func (request *request) digest() string {
-	return fingerprint(request.kind, request.words, request.idempotencyKey)
+	return fingerprint(request.kind, request.input, request.idempotencyKey)
 }
 
 // sessionName is the conversation's name with its team, so that no team can name another
@@ -61,9 +61,9 @@
 		request.history, request.newlyNamed = conversation.Fold(nil), false
 		return nil, nil
 	}
-	reading, cancel := context.WithTimeout(ctx, commitTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	events, last, err := node.stores.ReadAll(reading, request.sessionName())
+	events, last, err := node.stores.ReadAll(readCtx, request.sessionName())
 	if apierror.Is(err, apierror.NotFound) {
 		request.history = conversation.Fold(nil)
 		if request.follows > 0 {
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -20,40 +20,40 @@
 )
 
 const (
-	// beginProducerSeq is the producer sequence number of a begin and of the fence in its
+	// startProducerSeq is the producer sequence number of a begin and of the fence in its
 	// place, so that a session takes only one of them.
-	beginProducerSeq = 1
-	// afterBeginProducerSeq is that of the producer's next append: the first pieces of a
+	startProducerSeq = 1
+	// afterStartProducerSeq is that of the producer's next append: the first pieces of a
 	// turn, or the end.
-	afterBeginProducerSeq = 2
+	afterStartProducerSeq = 2
 )
 
-// beginCondition says when a begin may be appended to a session.
-type beginCondition int
+// appendCondition says when a begin may be appended to a session.
+type appendCondition int
 
 const (
 	// atAnyHead: whatever was appended since the session was read.
-	atAnyHead beginCondition = iota
+	atAnyHead appendCondition = iota
 	// atReadHead: only if the session has not grown since it was read.
 	atReadHead
 )
 
-// recordBegin records that work is about to be dispatched. It returns nil, nil only once
+// recordStart records that work is about to be dispatched. It returns nil, nil only once
 // the record is committed and this request's own; a repeat that lost the race gets the
 // event that won.
-func (node *Node) recordBegin(ctx context.Context, request *request, event sessionlog.Event, condition beginCondition) (*sessionlog.Event, error) {
-	event.Text, event.Digest, event.Follows = request.words, request.digest(), request.follows
+func (node *Node) recordStart(ctx context.Context, request *request, event sessionlog.Event, condition appendCondition) (*sessionlog.Event, error) {
+	event.Text, event.Digest, event.Follows = request.input, request.digest(), request.follows
 	if request.dispatchID == "" {
 		request.dispatchID = node.newDispatchID()
 	}
 	event.Runner, event.Dispatch, event.Config = request.slot.Runner.Address, request.dispatchID, request.active.view.ConfigNumber
 	event.Deadline = int64(time.Duration(request.workKind.Timeout) + deadlineMargin)
-	commands := request.beginCommands(event, condition)
-	committing, cancel := context.WithTimeout(ctx, commitTimeout)
+	commands := request.startCommands(event, condition)
+	commitCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	outcomes, err := node.stores.Command(committing, request.sessionName(), commands...)
+	outcomes, err := node.stores.Command(commitCtx, request.sessionName(), commands...)
 	if apierror.Is(err, apierror.OutcomeUnknown) {
-		return node.fenceOff(request, event, asNotRun(err), fenceTimeout)
+		return node.fenceStart(request, event, asNotRun(err), fenceTimeout)
 	}
 	if err != nil {
 		return nil, asNotRun(err)
@@ -65,21 +65,21 @@
 	case outcome.Status != sessionlog.Done && outcome.Status != sessionlog.StaleProducer:
 		return nil, apierror.NewRetryable(apierror.NotRun, "the line refused the record (status "+strconv.Itoa(int(outcome.Status))+")", "ask again", time.Second)
 	case outcome.Deduped:
-		return node.readBegin(committing, request, outcome.Seq, event.Dispatch)
+		return node.readStart(commitCtx, request, outcome.Seq, event.Dispatch)
 	}
-	request.begun = event
-	request.begun.Seq = outcome.Seq
+	request.startEvent = event
+	request.startEvent.Seq = outcome.Seq
 	return nil, nil
 }
 
-// beginCommands are the commands that append a begin, to a new session if there is none.
-func (request *request) beginCommands(event sessionlog.Event, condition beginCondition) []sessionlog.Command {
+// startCommands are the commands that append a begin, to a new session if there is none.
+func (request *request) startCommands(event sessionlog.Event, condition appendCondition) []sessionlog.Command {
 	commands := []sessionlog.Command{}
 	if !request.sessionExists {
 		commands = append(commands, request.createSession())
 	}
 	return append(commands, sessionlog.Command{
-		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq,
+		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: startProducerSeq,
 		HasExpectedSeq: condition == atReadHead, ExpectedSeq: request.history.Head, Events: []sessionlog.Event{event},
 	})
 }
@@ -90,10 +90,10 @@
 	return sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)}
 }
 
-// readBegin reads the event that opened the run of a producer, or its fence. The event at
+// readStart reads the event that opened the run of a producer, or its fence. The event at
 // seq may be a later one of the same run. If the begin is this request's own, only the
 // reply to its commit was lost, and nil is returned.
-func (node *Node) readBegin(ctx context.Context, request *request, seq uint64, dispatch string) (*sessionlog.Event, error) {
+func (node *Node) readStart(ctx context.Context, request *request, seq uint64, dispatch string) (*sessionlog.Event, error) {
 	event, err := node.readEvent(ctx, request.sessionName(), seq)
 	if err == nil && event.Turn != 0 && event.Turn != event.Seq {
 		event, err = node.readEvent(ctx, request.sessionName(), event.Turn)
@@ -102,7 +102,7 @@
 		return nil, apierror.WrapRetryable(err, apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
 	}
 	if event.Kind != sessionlog.Fenced && event.Dispatch == dispatch {
-		request.begun = event
+		request.startEvent = event
 		return nil, nil
 	}
 	return &event, nil
@@ -120,17 +120,17 @@
 	return reply.Events[0], nil
 }
 
-// fenceOff decides whether a request began: either the fence takes the place of its begin,
+// fenceStart decides whether a request began: either the fence takes the place of its begin,
 // so that it never can; or the begin is there and this request's own, and is closed as not
 // run, as nothing was sent. The begin of another request is returned.
-func (node *Node) fenceOff(request *request, event sessionlog.Event, cause error, timeout time.Duration) (*sessionlog.Event, error) {
+func (node *Node) fenceStart(request *request, event sessionlog.Event, cause error, timeout time.Duration) (*sessionlog.Event, error) {
 	ctx, cancel := context.WithTimeout(node.context, timeout)
 	defer cancel()
 	unknown := apierror.WrapRetryable(cause, apierror.Unknown,
 		"whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")",
 		"ask again with the same query key", time.Second)
 	outcomes, err := node.stores.Command(ctx, request.sessionName(), request.createSession(), sessionlog.Command{
-		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: beginProducerSeq,
+		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: startProducerSeq,
 		Events: []sessionlog.Event{{Kind: sessionlog.Fenced, Digest: request.digest()}},
 	})
 	if err != nil {
@@ -140,7 +140,7 @@
 	if fenced.Status == sessionlog.Done && !fenced.Deduped {
 		return nil, request.fencedError(cause)
 	}
-	other, err := node.readBegin(ctx, request, fenced.Seq, event.Dispatch)
+	other, err := node.readStart(ctx, request, fenced.Seq, event.Dispatch)
 	if err != nil || other != nil {
 		return other, err
 	}
@@ -175,10 +175,10 @@
 	if request.producer == "" {
 		return unknown
 	}
-	other, fenced := node.fenceOff(request, sessionlog.Event{Dispatch: request.dispatchID}, err, proveNotRunTimeout)
+	other, fenceErr := node.fenceStart(request, sessionlog.Event{Dispatch: request.dispatchID}, err, proveNotRunTimeout)
 	switch {
-	case fenced != nil:
-		return fenced
+	case fenceErr != nil:
+		return fenceErr
 	case other != nil && other.Kind == sessionlog.Fenced:
 		return request.fencedError(err)
 	}
@@ -187,9 +187,9 @@
 
 // recordEnd ends a run that this request began. It returns the end's seq once that is
 // committed; Unknown also means that another node has closed the run.
-func (node *Node) recordEnd(ctx context.Context, request *request, producerSeq uint64, outcome, words, detail string) (uint64, error) {
+func (node *Node) recordEnd(ctx context.Context, request *request, producerSeq uint64, outcome, text, detail string) (uint64, error) {
 	outcomes, err := node.stores.Command(ctx, request.sessionName(), sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: producerSeq, Events: []sessionlog.Event{{
-		Kind: sessionlog.ClosingKind(request.begun.Kind), Turn: request.begun.Seq, Outcome: outcome, Text: words, Name: detail,
+		Kind: sessionlog.ClosingKind(request.startEvent.Kind), Turn: request.startEvent.Seq, Outcome: outcome, Text: text, Name: detail,
 	}}})
 	if err != nil {
 		return 0, err
@@ -205,7 +205,7 @@
 func (node *Node) recordNotRun(request *request, cause error) error {
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
-	if _, err := node.recordEnd(ctx, request, afterBeginProducerSeq, sessionlog.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
+	if _, err := node.recordEnd(ctx, request, afterStartProducerSeq, sessionlog.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
 		return apierror.WrapRetryable(err, apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
 	}
 	return request.fencedError(cause)
@@ -213,9 +213,9 @@
 
 // closeOverdueRun ends a run whose owner is gone, after its runner's time is over. An owner
 // that still runs it finds the run closed.
-func (node *Node) closeOverdueRun(ctx context.Context, name string, begun sessionlog.Event, outcome string) error {
+func (node *Node) closeOverdueRun(ctx context.Context, name string, startEvent sessionlog.Event, outcome string) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	_, err := node.stores.Command(ctx, name, sessionlog.CloseOverdue(begun, outcome))
+	_, err := node.stores.Command(ctx, name, sessionlog.CloseOverdue(startEvent, outcome))
 	return err
 }
--- a/system/front/turn_admission.go
+++ b/system/front/turn_admission.go
@@ -35,12 +35,12 @@
 	}
 	for attempt := 0; ; attempt++ {
 		request.producer = request.program + "/turn/" + strconv.FormatUint(request.follows, 10) + "#" + strconv.Itoa(attempt)
-		begun, found := request.history.StartByProducer(request.producer)
+		startEvent, found := request.history.StartByProducer(request.producer)
 		if !found {
 			return nil, nil
 		}
-		answer, makesRoom, err := checkEarlierAttempt(ctx, node, request, begun)
-		if !makesRoom {
+		answer, allowsNext, err := checkEarlierAttempt(ctx, node, request, startEvent)
+		if !allowsNext {
 			return answer, err
 		}
 	}
@@ -49,18 +49,18 @@
 // checkEarlierAttempt decides what a recorded attempt to follow the same turn means for
 // this one: it makes room for the next attempt, or the request ends with its answer or an
 // error.
-func checkEarlierAttempt(ctx context.Context, node *Node, request *request, begun sessionlog.Event) (answer any, makesRoom bool, err error) {
-	same := begun.Digest == request.digest()
-	sameKey := same && request.idempotencyKey != ""
-	if begun.Kind == sessionlog.Fenced {
+func checkEarlierAttempt(ctx context.Context, node *Node, request *request, startEvent sessionlog.Event) (answer any, allowsNext bool, err error) {
+	sameDigest := startEvent.Digest == request.digest()
+	sameKey := sameDigest && request.idempotencyKey != ""
+	if startEvent.Kind == sessionlog.Fenced {
 		if sameKey {
 			return nil, false, request.fencedEarlierError()
 		}
 		return nil, true, nil
 	}
-	turn, _ := request.history.Turn(begun.Seq)
-	if turn.Overdue(request.history.Clock) || (turn.Ended == nil && node.ownerPresumedDead(ctx, begun)) {
-		if err := node.closeOverdueRun(ctx, request.sessionName(), begun, sessionlog.OutcomeCut); err != nil {
+	turn, _ := request.history.Turn(startEvent.Seq)
+	if turn.Overdue(request.history.Clock) || (turn.Ended == nil && node.ownerPresumedDead(ctx, startEvent)) {
+		if err := node.closeOverdueRun(ctx, request.sessionName(), startEvent, sessionlog.OutcomeCut); err != nil {
 			return nil, false, asNotRun(err)
 		}
 		answer, err := rereadAndCheckTurn(ctx, node, request)
@@ -68,27 +68,27 @@
 	}
 	switch {
 	case turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeNotRun && sameKey:
-		return nil, false, request.recordedNotRun("this turn did not run: " + turn.Ended.Name)
+		return nil, false, request.recordedNotRunError("this turn did not run: " + turn.Ended.Name)
 	case turn.Ended != nil && !turn.Complete():
 		return nil, true, nil
-	case same:
-		return node.tail(request.sessionName(), request.conversation, begun.Seq-1, begun.Seq), false, nil
+	case sameDigest:
+		return node.tail(request.sessionName(), request.conversation, startEvent.Seq-1, startEvent.Seq), false, nil
 	}
 	return nil, false, apierror.New(apierror.Conflict,
-		"another turn ("+strconv.FormatUint(begun.Seq, 10)+") already follows turn "+strconv.FormatUint(request.follows, 10),
+		"another turn ("+strconv.FormatUint(startEvent.Seq, 10)+") already follows turn "+strconv.FormatUint(request.follows, 10),
 		"read the history and follow its last complete turn")
 }
 
-// recordedNotRun makes the error for what the session log proves: nothing ran, and nothing
+// recordedNotRunError makes the error for what the session log proves: nothing ran, and nothing
 // will, under this idempotency key.
-func (request *request) recordedNotRun(message string) error {
+func (request *request) recordedNotRunError(message string) error {
 	request.provenNotRun = true
 	return apierror.NewRetryable(apierror.NotRun, message, "send it under a new query key", time.Second)
 }
 
-// fencedEarlierError is recordedNotRun for a key that an earlier request fenced off.
+// fencedEarlierError is recordedNotRunError for a key that an earlier request fenced off.
 func (request *request) fencedEarlierError() error {
-	return request.recordedNotRun("an earlier query under this query key was refused, and the key fenced off")
+	return request.recordedNotRunError("an earlier query under this query key was refused, and the key fenced off")
 }
 
 // rereadAndCheckTurn reads the session again and repeats checkTurn.
@@ -99,22 +99,22 @@
 	return checkTurn(ctx, node, request)
 }
 
-// maxBeginAttempts bounds how often a begin is tried on a session that others append to.
-const maxBeginAttempts = 4
+// maxStartAttempts bounds how often a begin is tried on a session that others append to.
+const maxStartAttempts = 4
 
-// beginTurn records the begin of a turn. When another turn, a tool call or a helper was
+// recordTurnStart records the begin of a turn. When another turn, a tool call or a helper was
 // appended to the session meanwhile, checkTurn decides again what that means for this one.
-func beginTurn(ctx context.Context, node *Node, request *request) (any, error) {
+func recordTurnStart(ctx context.Context, node *Node, request *request) (any, error) {
 	for attempt := 1; ; attempt++ {
-		other, err := node.recordBegin(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, atReadHead)
+		other, err := node.recordStart(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, atReadHead)
 		if other == nil && !apierror.Is(err, apierror.Conflict) {
 			return nil, err
 		}
-		answer, checked := rereadAndCheckTurn(ctx, node, request)
-		if checked != nil || answer != nil {
-			return answer, checked
+		answer, checkErr := rereadAndCheckTurn(ctx, node, request)
+		if checkErr != nil || answer != nil {
+			return answer, checkErr
 		}
-		if attempt == maxBeginAttempts {
+		if attempt == maxStartAttempts {
 			return nil, apierror.NewRetryable(apierror.NotRun, "the conversation goes on faster than this turn can join it", "ask again", time.Second)
 		}
 	}
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -14,9 +14,9 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// pieceQueueLength is how many pieces of an answer may wait for their commit, and how many
+// partQueueLength is how many pieces of an answer may wait for their commit, and how many
 // one commit takes at most. A full queue stops the reading from the runner.
-const pieceQueueLength = 256
+const partQueueLength = 256
 
 // errTurnLimit ends the stream of a runner whose answer is longer than was reserved.
 var errTurnLimit = errors.New("the answer reached its reservation")
@@ -32,35 +32,35 @@
 // turnExecution is one turn that this front streams from a runner into a session. Its own
 // goroutine (execute) owns it; dispatch runs in a second one and hands the pieces over.
 type turnExecution struct {
-	node    *Node
-	request *request
-	buffer  *eventBuffer
-	counter conversation.WordCounter
-	// pieces are those that the runner has sent and that are not committed yet; dispatch
+	node        *Node
+	request     *request
+	buffer      *eventBuffer
+	wordCounter conversation.WordCounter
+	// pendingParts are those that the runner has sent and that are not committed yet; dispatch
 	// closes the channel.
-	pieces          chan string
+	pendingParts    chan string
 	nextProducerSeq uint64 // of the next append
-	parts           uint64 // pieces taken for a commit so far; the number of the last one
-	// timeToFirstPiece is 0 until the first piece comes; only dispatch uses it.
-	timeToFirstPiece time.Duration
+	partCount       uint64 // pieces taken for a commit so far; the number of the last one
+	// timeToFirstPart is 0 until the first piece comes; only dispatch uses it.
+	timeToFirstPart time.Duration
 }
 
 // startRun takes over the slot and the reservation and executes the turn in the background,
 // whether or not the caller stays. It answers once there is something to stream.
 func startRun(ctx context.Context, node *Node, request *request) (any, error) {
-	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pieces: make(chan string, pieceQueueLength), nextProducerSeq: afterBeginProducerSeq}
+	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pendingParts: make(chan string, partQueueLength), nextProducerSeq: afterStartProducerSeq}
 	request.cleanups = nil
 	node.background.Go(execution.execute)
-	_, ended, failed := execution.buffer.after(ctx, 0)
-	if ended && apierror.Is(failed, apierror.NotRun) {
+	_, ended, err := execution.buffer.after(ctx, 0)
+	if ended && apierror.Is(err, apierror.NotRun) {
 		request.provenNotRun = true // its end is recorded
-		return nil, failed
+		return nil, err
 	}
 	offset := 0
-	return &eventStream{conversation: request.conversation, turn: request.begun.Seq, next: func(ctx context.Context) ([]sessionlog.Event, bool, error) {
-		events, ended, failed := execution.buffer.after(ctx, offset)
+	return &eventStream{conversation: request.conversation, turn: request.startEvent.Seq, next: func(ctx context.Context) ([]sessionlog.Event, bool, error) {
+		events, ended, err := execution.buffer.after(ctx, offset)
 		offset += len(events)
-		return events, ended, failed
+		return events, ended, err
 	}}, nil
 }
 
@@ -71,12 +71,12 @@
 	defer cancel()
 	dispatched := make(chan error, 1)
 	go func() {
-		defer close(execution.pieces)
+		defer close(execution.pendingParts)
 		dispatched <- execution.dispatch(ctx)
 	}()
-	commitErr := execution.commitPieces(cancel)
+	commitErr := execution.commitParts(cancel)
 	dispatchErr := <-dispatched
-	outcome := node.outcomeOf(dispatchErr)
+	outcome := node.dispatchOutcome(dispatchErr)
 	if commitErr != nil {
 		outcome = scheduler.NotSent // this front cancelled it, which says nothing of the runner
 	}
@@ -89,18 +89,18 @@
 func (execution *turnExecution) dispatch(ctx context.Context) error {
 	request, node := execution.request, execution.node
 	history := request.history.Messages(request.follows)
-	for dial := 1; ; dial++ {
-		turn := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.begun.Seq, History: history, Words: request.words, Limit: request.answerWordLimit()}
+	for attempt := 1; ; attempt++ {
+		turn := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.startEvent.Seq, History: history, Words: request.input, Limit: request.answerWordLimit()}
 		startedAt := time.Now()
-		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, turn, node.preSendCheck(request), func(words string) error {
-			if execution.timeToFirstPiece == 0 {
-				execution.timeToFirstPiece = time.Since(startedAt)
-				request.slot.FirstEvent(execution.timeToFirstPiece)
+		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, turn, node.preSendCheck(request), func(text string) error {
+			if execution.timeToFirstPart == 0 {
+				execution.timeToFirstPart = time.Since(startedAt)
+				request.slot.FirstEvent(execution.timeToFirstPart)
 			}
-			accepted, fits := execution.counter.CountUpTo(words, request.answerWordLimit())
+			accepted, fits := execution.wordCounter.CountUpTo(text, request.answerWordLimit())
 			if accepted != "" {
 				select {
-				case execution.pieces <- accepted:
+				case execution.pendingParts <- accepted:
 				case <-ctx.Done():
 					return ctx.Err()
 				}
@@ -110,7 +110,7 @@
 			}
 			return nil
 		})
-		if err == nil || !apierror.Of(err).NeverSent || dial == maxDials {
+		if err == nil || !apierror.Of(err).NeverSent || attempt == maxDispatchAttempts {
 			return err
 		}
 		if node.switchRunner(ctx, request, err) != nil {
@@ -119,16 +119,16 @@
 	}
 }
 
-// commitPieces commits what has come since the last commit as one append, and only then
+// commitParts commits what has come since the last commit as one append, and only then
 // lets it be streamed. After an error it stops the dispatch and drops the rest.
-func (execution *turnExecution) commitPieces(stop context.CancelFunc) error {
-	for words := range execution.pieces {
-		batch := []string{words}
-		for more := true; more && len(batch) < pieceQueueLength; {
+func (execution *turnExecution) commitParts(stop context.CancelFunc) error {
+	for text := range execution.pendingParts {
+		batch := []string{text}
+		for more := true; more && len(batch) < partQueueLength; {
 			select {
-			case words, open := <-execution.pieces:
+			case text, open := <-execution.pendingParts:
 				if more = open; open {
-					batch = append(batch, words)
+					batch = append(batch, text)
 				}
 			default:
 				more = false
@@ -136,7 +136,7 @@
 		}
 		if err := execution.commit(batch); err != nil {
 			stop()
-			for range execution.pieces {
+			for range execution.pendingParts {
 			}
 			return err
 		}
@@ -148,9 +148,9 @@
 func (execution *turnExecution) commit(batch []string) error {
 	request := execution.request
 	events := make([]sessionlog.Event, len(batch))
-	for position, words := range batch {
-		execution.parts++
-		events[position] = sessionlog.Event{Kind: sessionlog.OutputPart, Turn: request.begun.Seq, Text: words, Part: execution.parts}
+	for position, text := range batch {
+		execution.partCount++
+		events[position] = sessionlog.Event{Kind: sessionlog.OutputPart, Turn: request.startEvent.Seq, Text: text, Part: execution.partCount}
 	}
 	ctx, cancel := context.WithTimeout(execution.node.context, commitTimeout)
 	defer cancel()
@@ -175,21 +175,21 @@
 // answer counts as complete only once that is committed.
 func (execution *turnExecution) close(dispatchErr, commitErr error) {
 	request, node := execution.request, execution.node
-	words := conversation.CountWords(request.words) + execution.counter.Count
+	wordCount := conversation.CountWords(request.input) + execution.wordCounter.Count
 	if commitErr != nil {
-		node.settle(request, words)
+		node.settle(request, wordCount)
 		execution.cutInBackground()
 		execution.buffer.end(apierror.Wrap(commitErr, apierror.Unknown, "the answer's pieces could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"))
 		return
 	}
 	outcome, detail := execution.turnOutcome(dispatchErr)
 	if outcome == sessionlog.OutcomeNotRun {
-		words = 0
+		wordCount = 0
 	}
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
 	seq, err := node.recordEnd(ctx, request, execution.nextProducerSeq, outcome, "", detail)
-	node.settle(request, words)
+	node.settle(request, wordCount)
 	if err != nil {
 		execution.buffer.end(apierror.Wrap(err, apierror.Unknown, "the end of the answer could not be committed: "+err.Error(), "tail the conversation from the last seq you have"))
 		return
@@ -198,7 +198,7 @@
 	if outcome == sessionlog.OutcomeNotRun {
 		streamErr = request.fencedError(dispatchErr)
 	}
-	execution.buffer.end(streamErr, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.begun.Seq, Outcome: outcome, Name: detail})
+	execution.buffer.end(streamErr, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.startEvent.Seq, Outcome: outcome, Name: detail})
 }
 
 // turnOutcome returns the outcome to record for the result of the dispatch, and the reason
@@ -209,12 +209,12 @@
 		return sessionlog.OutcomeComplete, ""
 	case errors.Is(dispatchErr, errTurnLimit):
 		return sessionlog.OutcomeCut, reasonTurnLimit
-	case execution.parts == 0 && (apierror.Of(dispatchErr).NeverSent || apierror.Is(dispatchErr, apierror.NotRun)):
+	case execution.partCount == 0 && (apierror.Of(dispatchErr).NeverSent || apierror.Is(dispatchErr, apierror.NotRun)):
 		return sessionlog.OutcomeNotRun, reasonRunnerUnreachable
 	}
 	request := execution.request
 	log.WithFields(log.Fields{
-		"node": execution.node.name, "session": request.sessionName(), "turn": request.begun.Seq, "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": dispatchErr.Error(),
+		"node": execution.node.name, "session": request.sessionName(), "turn": request.startEvent.Seq, "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": dispatchErr.Error(),
 	}).Warn("turn cut off by its runner")
 	return sessionlog.OutcomeCut, reasonRunnerFailure
 }
@@ -226,13 +226,13 @@
 	node.background.Go(func() {
 		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 		defer cancel()
-		err := node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
+		err := node.closeOverdueRun(ctx, request.sessionName(), request.startEvent, sessionlog.OutcomeCut)
 		for err != nil && ctx.Err() == nil {
 			awaitRetry(ctx)
-			err = node.closeOverdueRun(ctx, request.sessionName(), request.begun, sessionlog.OutcomeCut)
+			err = node.closeOverdueRun(ctx, request.sessionName(), request.startEvent, sessionlog.OutcomeCut)
 		}
 		if err != nil {
-			log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "turn": request.begun.Seq, "error": err.Error()}).Warn("turn left open until it is overdue")
+			log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "turn": request.startEvent.Seq, "error": err.Error()}).Warn("turn left open until it is overdue")
 		}
 	})
 }
--- a/system/front/word_quota.go
+++ b/system/front/word_quota.go
@@ -33,7 +33,7 @@
 	request.reservedWords = request.programConfig.TurnLimit
 	request.reservation, request.reservedAt = sessionlog.ReservationName(request.sessionName(), request.dispatchID), time.Now()
 	outcomes, err := node.stores.Command(ctx, request.quotaName(), sessionlog.Command{
-		Kind: sessionlog.Reserve, Reservation: request.reservation, Words: conversation.CountWords(request.words) + request.reservedWords, Quota: request.programConfig.Quota,
+		Kind: sessionlog.Reserve, Reservation: request.reservation, Words: conversation.CountWords(request.input) + request.reservedWords, Quota: request.programConfig.Quota,
 		Lifetime: reservationDispatchWindow + time.Duration(request.workKind.Timeout) + deadlineMargin + reservationMargin,
 	})
 	request.cleanups = append(request.cleanups, func() { node.settle(request, 0) })
@@ -57,7 +57,7 @@
 // settle commits in the background how much of the reservation a turn used. It is tried
 // until that is committed or settleTimeout is over; until the stores settle it, an
 // unsettled reservation counts as spent.
-func (node *Node) settle(request *request, words uint64) {
+func (node *Node) settle(request *request, wordCount uint64) {
 	name, reservation := request.quotaName(), request.reservation
 	if reservation == "" {
 		return
@@ -67,7 +67,7 @@
 		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
-			if _, err := node.stores.Command(ctx, name, sessionlog.Command{Kind: sessionlog.Settle, Reservation: reservation, Words: words}); err == nil {
+			if _, err := node.stores.Command(ctx, name, sessionlog.Command{Kind: sessionlog.Settle, Reservation: reservation, Words: wordCount}); err == nil {
 				return
 			}
 			awaitRetry(ctx)
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -29,12 +29,12 @@
 // workService implements the generated interface with the chains.
 type workService struct{ node *Node }
 
-// text returns an optional text, or "".
-func text(optional *string) string {
-	if optional == nil {
+// stringValue returns an optional text, or "".
+func stringValue(value *string) string {
+	if value == nil {
 		return ""
 	}
-	return *optional
+	return *value
 }
 
 // runChain passes a request with its bearer token through a chain.
@@ -53,10 +53,10 @@
 	if err != nil {
 		return nil, err
 	}
-	streaming := answer.(*eventStream) // the chains of turns, helpers and tails answer with nothing else
-	streaming.context = ctx
+	stream := answer.(*eventStream) // the chains of turns, helpers and tails answer with nothing else
+	stream.context = ctx
 	httpapi.SetContentType(ctx, "application/x-ndjson")
-	return streaming, nil
+	return stream, nil
 }
 
 // respondOutcome runs a chain whose answer is an outcome.
@@ -71,7 +71,7 @@
 // Start starts a conversation.
 func (service workService) Start(ctx context.Context, payload *work.StartPayload) (io.ReadCloser, error) {
 	return service.respondStream(ctx, payload.Authorization, &request{
-		program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey),
+		program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: stringValue(payload.QueryKey),
 	}, turnChain)
 }
 
@@ -81,35 +81,35 @@
 		return nil, apierror.New(apierror.Invalid, "follows is 0", "name the turn to follow")
 	}
 	return service.respondStream(ctx, payload.Authorization, &request{
-		conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey),
+		conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, input: payload.Words, idempotencyKey: stringValue(payload.QueryKey),
 	}, followChain)
 }
 
 // Tool calls a tool between turns.
 func (service workService) Tool(ctx context.Context, payload *work.ToolPayload) (*work.Outcome, error) {
 	return service.respondOutcome(ctx, payload.Authorization, &request{
-		conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey,
+		conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, input: payload.Words, idempotencyKey: payload.QueryKey,
 	}, toolChain)
 }
 
 // Helper starts a conversation that its parent's session names.
 func (service workService) Helper(ctx context.Context, payload *work.HelperPayload) (io.ReadCloser, error) {
 	return service.respondStream(ctx, payload.Authorization, &request{
-		parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey,
+		parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: payload.QueryKey,
 	}, helperChain)
 }
 
 // Lookup sends plain work that may run more than once.
 func (service workService) Lookup(ctx context.Context, payload *work.LookupPayload) (*work.Outcome, error) {
 	return service.respondOutcome(ctx, payload.Authorization, &request{
-		program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: text(payload.QueryKey),
+		program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: stringValue(payload.QueryKey),
 	}, lookupChain)
 }
 
 // Once sends plain work that must run at most once.
 func (service workService) Once(ctx context.Context, payload *work.OncePayload) (*work.Outcome, error) {
 	return service.respondOutcome(ctx, payload.Authorization, &request{
-		program: payload.Program, kind: payload.Kind, words: payload.Words, idempotencyKey: payload.QueryKey,
+		program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: payload.QueryKey,
 	}, onceChain)
 }
 
@@ -167,13 +167,13 @@
 func toRecord(event sessionlog.Event) *work.Record {
 	return &work.Record{
 		Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind],
-		Words: optional(event.Text), Outcome: optional(event.Outcome), Name: optional(event.Name),
-		Turn: optional(event.Turn), Follows: optional(event.Follows),
+		Words: pointerOrNil(event.Text), Outcome: pointerOrNil(event.Outcome), Name: pointerOrNil(event.Name),
+		Turn: pointerOrNil(event.Turn), Follows: pointerOrNil(event.Follows),
 	}
 }
 
-// optional returns a pointer to a value, or nil if it is zero.
-func optional[Value comparable](value Value) *Value {
+// pointerOrNil returns a pointer to a value, or nil if it is zero.
+func pointerOrNil[Value comparable](value Value) *Value {
 	var zero Value
 	if value == zero {
 		return nil
--- a/system/httpapi/errors.go
+++ b/system/httpapi/errors.go
@@ -14,8 +14,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// statusOfKind maps kinds of errors to HTTP statuses; others are 500.
-var statusOfKind = map[apierror.Kind]int{
+// statusByKind maps kinds of errors to HTTP statuses; others are 500.
+var statusByKind = map[apierror.Kind]int{
 	apierror.Invalid: http.StatusBadRequest, apierror.Unauthorized: http.StatusUnauthorized, apierror.Forbidden: http.StatusForbidden,
 	apierror.NotFound: http.StatusNotFound, apierror.Conflict: http.StatusConflict, apierror.TooLarge: http.StatusRequestEntityTooLarge,
 	apierror.QuotaExhausted: http.StatusForbidden, apierror.NotRun: http.StatusServiceUnavailable, apierror.NoQuorum: http.StatusServiceUnavailable,
@@ -53,19 +53,19 @@
 //	server := workserver.New(endpoints, mux, decoder, encoder, nil, httpapi.FormatError)
 func FormatError(ctx context.Context, err error) goahttp.Statuser {
 	failure := apierror.Of(err)
-	var service *goa.ServiceError
-	if errors.As(err, &service) {
-		failure = &apierror.Error{Kind: apierror.Invalid, Message: service.Message, Remedy: "correct the query as the message says"}
+	var serviceErr *goa.ServiceError
+	if errors.As(err, &serviceErr) {
+		failure = &apierror.Error{Kind: apierror.Invalid, Message: serviceErr.Message, Remedy: "correct the query as the message says"}
 		// goa keeps only the text of the decoder's error, here of an http.MaxBytesError.
-		if strings.Contains(service.Message, "request body too large") {
+		if strings.Contains(serviceErr.Message, "request body too large") {
 			failure = &apierror.Error{Kind: apierror.TooLarge, Message: "the body is larger than the config allows", Remedy: "send less in one query"}
 		}
 	}
-	status, known := statusOfKind[failure.Kind]
+	status, known := statusByKind[failure.Kind]
 	if !known {
 		status = http.StatusInternalServerError
 	}
-	if writer, found := ctx.Value(writerKey{}).(http.ResponseWriter); found && failure.RetryAfter > 0 {
+	if writer, found := ctx.Value(responseWriterKey{}).(http.ResponseWriter); found && failure.RetryAfter > 0 {
 		writer.Header().Set("Retry-After", strconv.Itoa(int((failure.RetryAfter+time.Second-1)/time.Second)))
 	}
 	return &Error{Kind: string(failure.Kind), Message: failure.Message, Remedy: failure.Remedy, RetryAfter: failure.RetryAfter.Milliseconds(), statusCode: status}
--- a/system/httpapi/server.go
+++ b/system/httpapi/server.go
@@ -16,16 +16,16 @@
 	"yardrock.example/system/apierror"
 )
 
-// writerKey is the key of the response writer in a request's context: goa's methods don't
+// responseWriterKey is the key of the response writer in a request's context: goa's methods don't
 // get it.
-type writerKey struct{}
+type responseWriterKey struct{}
 
 // SetContentType sets the type of a response whose body the method writes itself.
 //
 //	httpapi.SetContentType(ctx, "application/x-ndjson")
-func SetContentType(ctx context.Context, kind string) {
-	if writer, found := ctx.Value(writerKey{}).(http.ResponseWriter); found {
-		writer.Header().Set("Content-Type", kind)
+func SetContentType(ctx context.Context, contentType string) {
+	if writer, found := ctx.Value(responseWriterKey{}).(http.ResponseWriter); found {
+		writer.Header().Set("Content-Type", contentType)
 	}
 }
 
@@ -64,7 +64,7 @@
 	server := &Server{done: make(chan struct{})}
 	server.http = &http.Server{ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		request.Body = http.MaxBytesReader(writer, request.Body, limit())
-		ctx := context.WithValue(request.Context(), writerKey{}, writer)
+		ctx := context.WithValue(request.Context(), responseWriterKey{}, writer)
 		handler.ServeHTTP(writer, request.WithContext(ctx))
 	})}
 	go func() {
