--- a/system/front/event_buffer.go
+++ b/system/front/event_buffer.go
@@ -7,16 +7,16 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// eventBuffer has the committed events of one run for those who stream it. It only grows.
+// eventBuffer holds the committed events of one run for its streams. Events are only added.
 type eventBuffer struct {
-	mutex  sync.Mutex // guards all that follows
+	mutex  sync.Mutex // guards the fields below
 	events []sessionlog.Event
-	err    error         // that the stream ends with; only with ended
-	ended  bool          // no event will be added
-	grown  chan struct{} // closed, and replaced, when the buffer grows or ends
+	err    error         // the error that the stream ends with; nil unless ended
+	ended  bool          // no more events will be added
+	grown  chan struct{} // closed and replaced when the buffer grows or ends
 }
 
-// newEventBuffer makes an empty buffer.
+// newEventBuffer returns an empty buffer.
 func newEventBuffer() *eventBuffer { return &eventBuffer{grown: make(chan struct{})} }
 
 // append adds events and wakes all readers.
@@ -26,7 +26,7 @@
 	buffer.grow(events)
 }
 
-// end adds the last events, with the error that the stream ends with, if any, and wakes all
+// end adds the last events, sets the error that the stream ends with, or nil, and wakes all
 // readers.
 func (buffer *eventBuffer) end(err error, events ...sessionlog.Event) {
 	buffer.mutex.Lock()
@@ -35,15 +35,15 @@
 	buffer.grow(events)
 }
 
-// grow adds events and wakes all readers. The caller holds the mutex.
+// grow adds events and wakes all readers. The caller must hold the mutex.
 func (buffer *eventBuffer) grow(events []sessionlog.Event) {
 	buffer.events = append(buffer.events, events...)
 	close(buffer.grown)
 	buffer.grown = make(chan struct{})
 }
 
-// after returns the events beyond an offset and whether they are the last, and waits for
-// one or the other. An error comes only with the end.
+// after returns the events beyond an offset and whether they are the last. It waits until there
+// are events or the buffer has ended. An error is returned only with the end.
 func (buffer *eventBuffer) after(ctx context.Context, offset int) ([]sessionlog.Event, bool, error) {
 	for {
 		buffer.mutex.Lock()
--- a/system/front/event_stream.go
+++ b/system/front/event_stream.go
@@ -15,12 +15,12 @@
 	"yardrock.example/system/wire"
 )
 
-// tailPollTimeout is how long one read at the stores waits for new events.
+// tailPollTimeout is how long one read from the stores waits for new events.
 const tailPollTimeout = time.Second
 
-// tail streams committed events of a session after a cursor, from the stores. With a turn
-// other than 0 it streams only that turn and stops at its end; it reads the turn from its
-// beginning, wherever the cursor is, so that it knows its deadline and its end.
+// tail streams the committed events of a session after a cursor, from the stores. If turn is
+// not 0, it streams only that turn and stops at its end; it then reads from the start of the
+// turn regardless of the cursor, as it needs the turn's deadline and its end.
 func (node *Node) tail(name, conversationName string, cursor, turn uint64) *eventStream {
 	reader := &tailReader{node: node, sessionName: name, cursor: cursor, turn: turn, readUpTo: cursor}
 	if turn != 0 {
@@ -33,18 +33,18 @@
 type tailReader struct {
 	node        *Node
 	sessionName string
-	// cursor is the seq after which events are returned; turn is as in tail.
+	// cursor is the seq after which events are returned; turn is as for tail.
 	cursor uint64
 	turn   uint64
-	// readUpTo is the seq up to which the session was read; begun is the turn's first event.
+	// readUpTo is the seq up to which the session was read; startEvent opened the turn.
 	readUpTo   uint64
 	startEvent sessionlog.Event
-	// wait is how long the next read waits for new events: the first one does not.
+	// wait is how long the next read waits for new events; 0 for the first read.
 	wait time.Duration
 }
 
 // next returns the events of the next page and whether the stream ends with them. It closes
-// the turn if that is overdue or its owner seems dead.
+// the turn if it is overdue or its owner is presumed dead.
 func (reader *tailReader) next(ctx context.Context) ([]sessionlog.Event, bool, error) {
 	readCtx, cancel := context.WithTimeout(ctx, commitTimeout+tailPollTimeout)
 	defer cancel()
@@ -63,9 +63,9 @@
 	return events, ended, nil
 }
 
-// consume advances over a page and returns those of its events that belong to the stream, and
-// whether the turn ends with them. The turn's end is returned even before the cursor, as
-// the stream ends with it.
+// consume advances past a page and returns its events that belong to the stream, and whether
+// the turn ends with them. The end of the turn is returned even if it is not after the cursor,
+// as the stream ends with it.
 func (reader *tailReader) consume(page []sessionlog.Event) (events []sessionlog.Event, ended bool) {
 	events = []sessionlog.Event{}
 	for _, event := range page {
@@ -84,21 +84,22 @@
 	return events, ended
 }
 
-// eventStream writes events as one JSON object a line. It ends with an explicit mark, or
-// with an error in the same form.
+// eventStream writes events as newline-delimited JSON. It ends with the record of the turn's end
+// or with an error record, so that a client can detect a truncated stream.
 type eventStream struct {
 	conversation string
 	turn         uint64
-	// next returns the next events and whether they are the last; it waits for some.
+	// next waits for events and returns them and whether they are the last.
 	next func(ctx context.Context) ([]sessionlog.Event, bool, error)
-	// context is the caller's; it is set before WriteTo, which has no parameter for it.
+	// context is that of the client's request; it must be set before WriteTo, which has no
+	// parameter for it.
 	context context.Context
 }
 
-// Read is never called, as goa prefers WriteTo.
+// Read is not used, as goa prefers WriteTo.
 func (*eventStream) Read([]byte) (int, error) { return 0, io.EOF }
 
-// Close has nothing to release.
+// Close does nothing, as there is nothing to release.
 func (*eventStream) Close() error { return nil }
 
 // streamRecord is one line of a stream.
@@ -117,13 +118,13 @@
 	Remedy       string `json:"remedy,omitempty"`
 }
 
-// eventNames are the names of the kinds of events on the interface.
+// eventNames has the names of the event kinds in the work API.
 var eventNames = map[sessionlog.EventKind]string{
 	sessionlog.TurnBegun: "turn_begun", sessionlog.OutputPart: "piece", sessionlog.TurnEnded: "turn_ended", sessionlog.ToolCalled: "tool_called",
 	sessionlog.ToolAnswered: "tool_answered", sessionlog.HelperStarted: "helper_started", sessionlog.Fenced: "fenced",
 }
 
-// WriteTo streams until the end mark, an error, or the end of the caller's context.
+// WriteTo streams until the last event, an error, or the end of the client's context.
 func (stream *eventStream) WriteTo(target io.Writer) (int64, error) {
 	ctx := stream.context
 	written := int64(0)
@@ -132,7 +133,7 @@
 		controller := http.NewResponseController(writer)
 		flush = func() {
 			if err := controller.Flush(); err != nil && ctx.Err() == nil {
-				log.WithField("error", err.Error()).Debug("stream not flushed to the caller")
+				log.WithField("error", err.Error()).Debug("cannot flush the stream to the client")
 			}
 		}
 	}
@@ -159,7 +160,7 @@
 	}
 }
 
-// toStreamRecord converts an event to its line.
+// toStreamRecord converts an event to its line in a stream.
 func toStreamRecord(event sessionlog.Event) streamRecord {
 	record := streamRecord{Seq: event.Seq, Event: eventNames[event.Kind], Turn: event.Turn, Follows: event.Follows, Name: event.Name, Words: event.Text}
 	if event.Kind == sessionlog.TurnEnded {
@@ -168,13 +169,13 @@
 	return record
 }
 
-// countingWriter counts the bytes that it writes.
+// countingWriter counts the bytes written through it.
 type countingWriter struct {
 	target io.Writer
 	count  *int64
 }
 
-// Write writes and counts.
+// Write writes data and adds the bytes written to the count.
 func (writer countingWriter) Write(data []byte) (int, error) {
 	written, err := writer.target.Write(data)
 	*writer.count += int64(written)
--- a/system/front/filters.go
+++ b/system/front/filters.go
@@ -9,63 +9,63 @@
 	"yardrock.example/system/config"
 )
 
-// markRecorded marks a request whose work is recorded in a session log.
+// markRecorded marks the request as one whose work is recorded in a session log.
 func markRecorded(_ context.Context, _ *Node, request *request) (any, error) {
 	request.recorded = true
 	return nil, nil
 }
 
-// rejectDraining rejects a request while the node drains.
+// rejectDraining rejects requests while the node is draining.
 func rejectDraining(_ context.Context, node *Node, _ *request) (any, error) {
 	if node.draining.Load() {
-		return nil, apierror.NewRetryable(apierror.NotRun, "this node is going away", "ask at another node", time.Second)
+		return nil, apierror.NewRetryable(apierror.NotRun, "this node is shutting down", "retry at another node", time.Second)
 	}
 	return nil, nil
 }
 
-// requireFreshView takes the configuration in force, if the view is fresh.
+// requireFreshView sets the request's view and config to the current ones, if the view is fresh.
 func requireFreshView(_ context.Context, node *Node, request *request) (any, error) {
 	if _, err := node.feedClient.Fresh(); err != nil {
 		return nil, err
 	}
-	request.active = node.active.Load()
+	request.current = node.current.Load()
 	return nil, nil
 }
 
-// authenticate finds the team that the bearer token belongs to.
+// authenticate determines the team that the bearer token belongs to.
 func authenticate(_ context.Context, _ *Node, request *request) (any, error) {
-	team, known := config.PrincipalByToken(request.active.config.Teams, request.token)
+	team, known := config.PrincipalByToken(request.current.config.Teams, request.token)
 	if !known {
-		return nil, apierror.New(apierror.Unauthorized, "the token belongs to no team", "send a token of a team that the config names")
+		return nil, apierror.New(apierror.Unauthorized, "the token belongs to no team", "send the token of a team in the config")
 	}
 	request.team = team
 	return nil, nil
 }
 
-// findProgram finds the configuration of the request's program, which must be the team's.
+// findProgram looks up the config of the request's program, which must belong to the team.
 func findProgram(_ context.Context, _ *Node, request *request) (any, error) {
-	program, found := request.active.config.Programs[request.program]
+	program, found := request.current.config.Programs[request.program]
 	if !found || program.Team != request.team {
-		return nil, apierror.New(apierror.NotFound, "the team has no program named "+strconv.Quote(request.program), "name a program of the team, or have an operator add it to the config")
+		return nil, apierror.New(apierror.NotFound, "the team has no program named "+strconv.Quote(request.program), "use the name of one of the team's programs, or have an operator add it to the config")
 	}
 	request.programConfig = program
 	return nil, nil
 }
 
-// findKind finds the configuration of the request's kind of work.
+// findKind looks up the config of the request's kind of work.
 func findKind(_ context.Context, _ *Node, request *request) (any, error) {
-	workKind, found := request.active.config.Kinds[request.kind]
+	workKind, found := request.current.config.Kinds[request.kind]
 	if !found {
-		return nil, apierror.New(apierror.NotFound, "no kind of work is named "+strconv.Quote(request.kind), "name a kind that the config has")
+		return nil, apierror.New(apierror.NotFound, "no kind of work is named "+strconv.Quote(request.kind), "use a kind of work in the config")
 	}
 	request.workKind = workKind
 	return nil, nil
 }
 
-// requireTurnKind rejects kinds of work that are no turns.
+// requireTurnKind rejects kinds of work that are not turns.
 func requireTurnKind(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.workKind.Serves != config.ServesTurn {
-		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is no turn of a conversation", "send it as a lookup, a request or a tool call")
+		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" is not a turn of a conversation", "send it as a lookup, as work that runs once, or as a tool call")
 	}
 	return nil, nil
 }
@@ -78,10 +78,10 @@
 	return nil, nil
 }
 
-// requireRepeatableKind rejects kinds of work that may not run more than once.
+// requireRepeatableKind rejects kinds of work that are turns or may not run more than once.
 func requireRepeatableKind(ctx context.Context, node *Node, request *request) (any, error) {
 	if !request.workKind.Repeatable {
-		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" may not be repeated", "send it as a request, with a query key")
+		return nil, apierror.New(apierror.Invalid, "work of kind "+request.kind+" may not be repeated", "send it as work that runs once, with a query_key")
 	}
 	return requirePlainKind(ctx, node, request)
 }
--- a/system/front/helper_conversations.go
+++ b/system/front/helper_conversations.go
@@ -9,7 +9,8 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// readParent reads the parent's session; the turn that starts the helper must be in it.
+// readParent reads the parent's session, which must contain the turn that starts the helper, and
+// that turn must be complete.
 func readParent(ctx context.Context, node *Node, request *request) (any, error) {
 	parent := *request
 	parent.conversation = request.parent
@@ -17,13 +18,13 @@
 		return answer, err
 	}
 	if request.idempotencyKey == "" {
-		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each helper a key of its own")
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "set a unique query_key for each helper")
 	}
 	return nil, checkFollowed(&parent)
 }
 
-// startHelper records the helper's name in its parent's session, then starts it. A repeat
-// finds both.
+// startHelper records the helper's name in its parent's session, then starts the helper. A
+// repeated request finds both.
 func startHelper(ctx context.Context, node *Node, request *request) (any, error) {
 	helper := *request
 	helper.follows, helper.cleanups = 0, nil
@@ -40,7 +41,7 @@
 		return nil, asNotRun(err)
 	}
 	if outcomes[0].Status != sessionlog.Done {
-		return nil, apierror.NewRetryable(apierror.NotRun, "the parent's line refused the helper", "ask again", time.Second)
+		return nil, apierror.NewRetryable(apierror.NotRun, "the parent's session rejected the helper", "retry", time.Second)
 	}
 	answer, err := node.runChain(ctx, &helper, turnChain)
 	request.provenNotRun = helper.provenNotRun
--- a/system/front/metrics.go
+++ b/system/front/metrics.go
@@ -6,8 +6,8 @@
 	"yardrock.example/system/metrics"
 )
 
-// requestObserver returns the function that counts forwarded requests by route and outcome, and
-// adds the time of each stage that they passed; nil without a registry.
+// requestObserver returns a function that counts forwarded requests by route and outcome, and
+// observes their total time and that of each stage; nil without a registry.
 func requestObserver(registry *metrics.Registry) func(*forwarding.RequestRecord) {
 	if registry == nil {
 		return nil
@@ -23,14 +23,15 @@
 	}
 }
 
-// runnerStates are the states by which usable runners are counted.
+// runnerStates has the predicates of the states by which usable runners are counted.
 var runnerStates = map[string]func(balancer.RunnerStatus) bool{
 	"usable":     func(balancer.RunnerStatus) bool { return true },
 	"slow_start": func(runner balancer.RunnerStatus) bool { return runner.SlowStart },
 	"ejected":    func(runner balancer.RunnerStatus) bool { return runner.Ejected },
 }
 
-// publishBalancer adds the waiting requests and the usable runners by state to a registry.
+// publishBalancer adds gauges of the queued requests and of the usable runners by state to a
+// registry.
 func publishBalancer(registry *metrics.Registry, status func() balancer.Status) {
 	registry.Gauge("queued_requests", func() float64 { return float64(status().Queued) })
 	for state, matches := range runnerStates {
--- a/system/front/metrics_test.go
+++ b/system/front/metrics_test.go
@@ -11,7 +11,7 @@
 	"yardrock.example/system/metrics"
 )
 
-// wantMetrics demands that each line stands among the figures of a registry.
+// wantMetrics checks that the text output of a registry contains each line.
 func wantMetrics(t *testing.T, registry *metrics.Registry, lines ...string) {
 	t.Helper()
 	text := &strings.Builder{}
@@ -38,7 +38,7 @@
 		`yardrock_request_stage_seconds_bucket{stage="queue",le="0.05"} 2`,
 		`yardrock_request_stage_seconds_count{stage="queue"} 2`)
 	if requestObserver(nil) != nil {
-		t.Error("requests are observed without a registry")
+		t.Error("got an observer without a registry")
 	}
 }
 
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -1,23 +1,23 @@
-// Package front is a front node. It serves callers in two ways: it forwards HTTP requests
-// to runners by routes (Forward, package forwarding), and it serves the work API of its
-// own: conversations, turns, tool calls, lookups and work that runs at most once.
+// Package front implements the front node, which serves clients in two ways: it forwards HTTP
+// requests to runners by routes (Forward, package forwarding), and it serves the work API:
+// conversations, turns, tool calls, lookups and work that runs at most once.
 //
-// A request of the work API passes a chain of filters (request.go, filters.go): view and
-// token, program and kind of work, the session log of its conversation, a slot at a runner,
-// a reservation of words, the record of its begin, a last check, and the dispatch.
+// A request to the work API passes a chain of filters (request.go, filters.go): view and
+// token, program and kind of work, the session log of its conversation, a slot on a runner,
+// a reservation of words, the record of its start, a final check, and the dispatch.
 //
 // Guarantees:
-//   - A begin is committed before anything is sent to a runner, and the end before the
-//     caller sees it. A turn is streamed from what is committed only.
-//   - apierror.NotRun on recorded work is proven by the session log: its begin is closed as
-//     not run, or a fence has taken its place.
-//   - Work of the kind Once is sent to a runner at most once under one idempotency key.
-//   - Until the first byte leaves, the view must be fresh, and the configuration and the
-//     runner those that the request was admitted with.
+//   - The start of a run is committed before anything is sent to a runner, and its end before
+//     the client sees it. A turn is streamed only from committed events.
+//   - apierror.NotRun for recorded work is proven by the session log: its run is closed as
+//     not run, or a fence has taken the place of its start.
+//   - Work sent to the method Once reaches a runner at most once per idempotency key.
+//   - When the first byte is sent, the view is fresh, the program and the kind of work are
+//     configured as they were when the runner was chosen, and the runner may still be used.
 //
-// A front stores nothing. Its view of the fleet comes from the feed (feedclient), what lasts
-// is in the stores (storeclient). What a front that died leaves open is closed by the next
-// reader once it is overdue, and its reservations are settled by the stores.
+// A front stores nothing. Its view of the fleet comes from the feed (feedclient), and durable
+// state is in the stores (storeclient). Runs that a failed front leaves open are closed by the
+// next reader once they are overdue, and its reservations are settled by the stores.
 package front
 
 import (
@@ -47,41 +47,41 @@
 )
 
 const (
-	// commitTimeout bounds a command or read at the stores.
+	// commitTimeout bounds one command to the stores or read from them.
 	commitTimeout = 6 * time.Second
-	// settleTimeout is how long an end of work or a settlement is tried in the background.
+	// settleTimeout bounds the background attempts to record an end or settle a reservation.
 	settleTimeout = 30 * time.Second
-	// backgroundRetryInterval is the pause between two such attempts.
+	// backgroundRetryInterval is the delay between two such attempts.
 	backgroundRetryInterval = 300 * time.Millisecond
-	// deadlineMargin is how much longer than its runner's timeout a run may stay open
-	// before any front may close it.
+	// deadlineMargin is how long after its runner's timeout an open run becomes overdue, so
+	// that any front may close it.
 	deadlineMargin = 5 * time.Second
-	// minBodyLimit is the least size limit of a body of the work API, in bytes, so that a
-	// front without a configuration yet still reads a request and can say why it is rejected.
+	// minBodyLimit is the smallest limit on a request body of the work API, in bytes, so that
+	// a front without a config yet can still read a request and say why it is rejected.
 	minBodyLimit = 1024
 )
 
 // Settings configure a front node.
 type Settings struct {
-	// Address is where other nodes call this one.
+	// Address is the address for calls from other nodes.
 	Address string
-	// PublicAddress is where callers reach the work API; "" serves none.
+	// PublicAddress is the address of the work API for clients; if "", it is not served.
 	PublicAddress string
 	// Domain is the failure domain of this machine.
 	Domain string
-	// Seeds are addresses of nodes that know the fleet; one that answers is enough.
+	// Seeds are addresses of nodes of the fleet; one that responds is enough.
 	Seeds []string
-	// Machine is the operators' name of this machine; it may be "".
+	// Machine is the operator's name for this machine; it may be "".
 	Machine string
-	// Dialect names the HTTP header fields of the runners that requests are forwarded to.
+	// Dialect has the names of the HTTP headers in forwarded requests and responses.
 	Dialect runnerpool.HeaderNames
-	// MaxBufferedBytes bounds the forwarded requests and histories that are buffered at
-	// once; 0 means forwarding.DefaultMaxBufferedBytes.
+	// MaxBufferedBytes bounds the total size of buffered forwarded requests and histories;
+	// 0 means forwarding.DefaultMaxBufferedBytes.
 	MaxBufferedBytes int64
-	// LogRequests writes one log line for every forwarded request, with its stages.
+	// LogRequests enables a log line for each forwarded request, with the time of its stages.
 	LogRequests bool
-	// Figures is where forwarded requests and the state of the balancer are reported; nil
-	// reports nothing.
+	// Figures receives the metrics of forwarded requests and of the balancer; nil disables
+	// them.
 	Figures *metrics.Registry
 }
 
@@ -99,23 +99,24 @@
 	forwarder    *forwarding.Forwarder
 	linkServer   *link.Server
 	publicServer *httpapi.Server
-	active       atomic.Pointer[activeConfig]
+	current      atomic.Pointer[currentConfig]
 	draining     atomic.Bool
-	// listedSince is since when this node has been on the member list; nil before.
+	// listedSince is when this node first appeared on the member list; nil before that.
 	listedSince atomic.Pointer[time.Time]
-	// frontNames are the live fronts that share the runners, this one included, sorted.
+	// frontNames has the sorted names of the live fronts, including this one.
 	frontNames atomic.Pointer[[]string]
 
-	// context ends with Close; background tasks and work under way run under it.
+	// context ends with Close; background tasks and work in flight run under it.
 	context context.Context
 	stop    context.CancelFunc
-	// background are the tasks that Drain waits for: work under way, commits, and notes to
-	// other fronts. watching is watchPeers alone, which ends only with the context.
+	// background has the tasks that Drain waits for: work in flight, commits, and
+	// notifications to other fronts. peerWatcher runs only watchPeers, which ends with the
+	// context.
 	background  taskgroup.Group
 	peerWatcher taskgroup.Group
 }
 
-// Start starts a front node; Close ends it. An error is of the kind BadSettings.
+// Start starts a front node; Close stops it. Its error is of kind BadSettings.
 //
 //	node, err := front.Start(settings, link.TCP{})
 //	defer node.Close()
@@ -132,25 +133,25 @@
 	node.linkServer = link.Serve(linkListener, node.handleCall)
 	if publicListener != nil {
 		node.publicServer = httpapi.Serve(publicListener, node.handler(), func() int64 {
-			return max(node.active.Load().config.Limits.BodyBytes, minBodyLimit)
+			return max(node.current.Load().config.Limits.BodyBytes, minBodyLimit)
 		})
 	}
 	log.WithFields(log.Fields{"node": node.name, "address": settings.Address, "public": settings.PublicAddress}).Info("front started")
 	return node, nil
 }
 
-// newNode makes a node with all that needs no network yet.
+// newNode returns a node with the components that open no connections yet.
 func newNode(settings Settings, network link.Network) *Node {
 	node := &Node{settings: settings, name: "front-" + uuid.NewString(), linkClient: link.NewClient(network), runnerClient: runnerclient.New(network)}
 	node.context, node.stop = context.WithCancel(context.Background())
-	node.active.Store(&activeConfig{view: &feed.View{}, config: &config.Config{}})
+	node.current.Store(&currentConfig{view: &feed.View{}, config: &config.Config{}})
 	node.frontNames.Store(&[]string{node.name})
-	node.stores = storeclient.New(node.linkClient, func() *feed.View { return node.active.Load().view })
+	node.stores = storeclient.New(node.linkClient, func() *feed.View { return node.current.Load().view })
 	node.scheduler = scheduler.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
 	node.pool = runnerpool.New(network, settings.Dialect)
 	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
 	node.forwarder = forwarding.New(forwarding.Settings{
-		Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.activeRouting,
+		Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.currentRouting,
 		Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes,
 		LogRequests: settings.LogRequests, Observe: requestObserver(settings.Figures),
 	})
@@ -160,7 +161,7 @@
 	return node
 }
 
-// listen opens the listeners for other nodes and, if it is set, for callers.
+// listen opens the listener for other nodes and, if PublicAddress is set, the one for clients.
 func listen(settings Settings, network link.Network) (linkListener, publicListener net.Listener, err error) {
 	if linkListener, err = listenOn(settings.Address, network); err != nil || settings.PublicAddress == "" {
 		return linkListener, nil, err
@@ -176,12 +177,12 @@
 func listenOn(address string, network link.Network) (net.Listener, error) {
 	listener, err := network.Listen(address)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+address+": "+err.Error(), "use an address of this machine that is free")
+		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+address+": "+err.Error(), "use a free address of this machine")
 	}
 	return listener, nil
 }
 
-// Forward forwards a request to a runner by the routes in force and relays the response.
+// Forward forwards a request to a runner by the current routes and relays the response.
 // Its errors are those of forwarding.Forwarder.Serve.
 //
 //	err := node.Forward(ctx, request, writer)
@@ -189,17 +190,17 @@
 	return node.forwarder.Serve(ctx, request, writer)
 }
 
-// Name returns the node's name, which is made anew at each start.
+// Name returns the node's name, which is generated anew at each start.
 //
 //	name := node.Name()
 func (node *Node) Name() string { return node.name }
 
-// SetSeeds replaces the seed addresses, as SIGHUP does.
+// SetSeeds replaces the seed addresses, as after a reload of the settings on SIGHUP.
 //
 //	node.SetSeeds(settings.Seeds)
 func (node *Node) SetSeeds(seeds []string) { node.feedClient.SetSeeds(seeds) }
 
-// Ready reports whether the node may take requests now.
+// Ready reports whether the node can serve requests now.
 //
 //	if node.Ready() { ... }
 func (node *Node) Ready() bool {
@@ -207,7 +208,7 @@
 	return err == nil && view.ConfigNumber > 0 && len(view.Stores) > 0 && len(node.schedulerState().Fronts) > 0 && !node.draining.Load()
 }
 
-// Drain rejects new work and returns once the work under way and its commits have ended,
+// Drain rejects new work and returns once the work in flight and its commits have finished,
 // or the context ends.
 //
 //	node.Drain(ctx)
@@ -219,12 +220,12 @@
 		return
 	}
 	if err := node.publicServer.Drain(ctx); err != nil {
-		log.WithFields(log.Fields{"node": node.name, "error": err.Error()}).Warn("drain ended before all requests")
+		log.WithFields(log.Fields{"node": node.name, "error": err.Error()}).Warn("drain ended before all requests had finished")
 	}
 }
 
-// Close stops the node at once, cancels work under way and waits for its goroutines. What
-// the others use is closed after them: connections to other nodes come last.
+// Close stops the node immediately, cancels work in flight and waits for its goroutines.
+// Components are closed before those that they use, so connections to other nodes come last.
 //
 //	node.Close()
 func (node *Node) Close() {
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -18,28 +18,28 @@
 
 const (
 	// joinDelay is how long a front must have been on the member list before it takes a
-	// share of the runners, so that the other fronts have heard of it too.
+	// share of the runners, so that the other fronts know it too.
 	joinDelay = time.Second
-	// peerPollInterval is the pause between two looks at the member list.
+	// peerPollInterval is the interval between checks of the member list.
 	peerPollInterval = 300 * time.Millisecond
 )
 
-// notifyPeers lets the other fronts know that a runner seems to have just started
-// (warmingUp) or answers again. Each front also finds out by itself; this only makes it
-// sooner, so a note that is lost is not sent again.
+// notifyPeers tells the other fronts that a runner has probably restarted (warmingUp) or
+// responds again. Each front also detects this by itself, only later, so a lost notification
+// is not resent.
 func (node *Node) notifyPeers(address string, warmingUp bool) {
-	log.WithFields(log.Fields{"node": node.name, "address": address, "warming_up": warmingUp}).Info("runner state noted")
+	log.WithFields(log.Fields{"node": node.name, "address": address, "warming_up": warmingUp}).Info("runner warm-up state changed; notifying the other fronts")
 	for _, member := range node.peers() {
 		node.background.Go(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: warmingUp}) })
 	}
 }
 
-// notifyPeer sends a note on a runner to one other front.
+// notifyPeer sends the warm-up state of a runner to one other front.
 func (node *Node) notifyPeer(member feed.Member, note wire.RunnerWarmUpNote) {
 	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
 	defer cancel()
-	if _, err := node.linkClient.Call(ctx, member.Address, &wire.Query{Fleet: node.active.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
-		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("note on a runner not delivered")
+	if _, err := node.linkClient.Call(ctx, member.Address, &wire.Query{Fleet: node.current.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
+		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("cannot notify a front of the warm-up state of a runner")
 	}
 }
 
@@ -50,9 +50,9 @@
 	})
 }
 
-// watchPeers notes since when this front is listed, tells new fronts which runners seem to
-// have just started, and updates the balancer when the set of fronts changes. It runs in
-// Node.watching until the node's context ends.
+// watchPeers records when this front is first listed, tells new fronts which runners have
+// probably restarted, and updates the balancer when the set of fronts changes. It runs in
+// Node.peerWatcher until the node's context ends.
 func (node *Node) watchPeers() {
 	ticker := time.NewTicker(peerPollInterval)
 	defer ticker.Stop()
@@ -85,32 +85,32 @@
 	}
 }
 
-// schedulerState returns the fronts that share the runners. This one counts only once it
-// has joined.
+// schedulerState returns the scheduler's input: the current view and config, and the fronts
+// that share the runners, which are none until this one has joined.
 func (node *Node) schedulerState() scheduler.State {
-	active := node.active.Load()
+	current := node.current.Load()
 	fronts := []placement.Candidate{}
 	for _, member := range node.feedClient.Members() {
 		if member.Role == feed.RoleFront && node.hasJoined() {
 			fronts = append(fronts, placement.Candidate{Name: member.Name, Domain: member.Domain})
 		}
 	}
-	return scheduler.State{View: active.view, Config: active.config, Fronts: fronts}
+	return scheduler.State{View: current.view, Config: current.config, Fronts: fronts}
 }
 
-// hasJoined reports whether the other fronts have had time to hear of this one.
+// hasJoined reports whether this front has been listed for joinDelay.
 func (node *Node) hasJoined() bool {
 	since := node.listedSince.Load()
 	return since != nil && time.Since(*since) >= joinDelay
 }
 
-// handleCall answers calls of other nodes: notes of fronts on runners, and the status, so
-// that this node may serve as a seed.
+// handleCall handles calls from other nodes: notifications about runners, and status requests,
+// so that this node may serve as a seed.
 func (node *Node) handleCall(_ context.Context, request *wire.Query) *wire.Reply {
 	switch request.Which {
 	case schema.Query_Which_runner:
-		if fleet := node.active.Load().view.Fleet; request.Fleet != fleet {
-			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking front belongs to fleet "+request.Fleet+", this one to "+fleet, "correct its seeds"))
+		if fleet := node.current.Load().view.Fleet; request.Fleet != fleet {
+			return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the calling front belongs to fleet "+request.Fleet+", this one to "+fleet, "correct the seeds of the calling front"))
 		}
 		node.scheduler.ReportRestart(request.RunnerWarmUp.Address, request.RunnerWarmUp.WarmingUp)
 		return &wire.Reply{}
@@ -123,5 +123,5 @@
 			Fleet: view.Fleet, ViewNumber: view.Number, Controls: view.Controls,
 		}}
 	}
-	return wire.ErrorReply(apierror.New(apierror.Invalid, "a front node answers only who it is, and takes notes on runners", "ask a store or control node"))
+	return wire.ErrorReply(apierror.New(apierror.Invalid, "a front node accepts only status requests and notifications about runners", "send the request to a store or control node"))
 }
--- a/system/front/owner_liveness.go
+++ b/system/front/owner_liveness.go
@@ -18,30 +18,31 @@
 const (
 	// probeTimeout bounds one call to another front.
 	probeTimeout = 500 * time.Millisecond
-	// memberListMaxAge is how old the member list may be for an absence from it to count.
+	// memberListMaxAge is the maximum age of the member list at which a node's absence from it
+	// counts.
 	memberListMaxAge = 1500 * time.Millisecond
 )
 
-// newDispatchID names a dispatch after the node that makes it, so that other nodes can find
-// out whether anything more can come from it.
+// newDispatchID returns a dispatch id that contains this node's name and address, so that other
+// nodes can check whether the node is still alive.
 func (node *Node) newDispatchID() string {
 	return node.name + "@" + node.settings.Address + "/" + uuid.NewString()
 }
 
-// liveness is what is known of the front that owns a run.
+// liveness is what is known about the front that owns a run.
 type liveness int
 
 const (
-	// alive fronts answer, are listed, or may be alive for all that is known.
+	// alive fronts respond or are listed; also the result if nothing is known.
 	alive liveness = iota
-	// unreachable fronts are not on the member list and do not answer: crashed, cut off
-	// by a network partition, or frozen.
+	// unreachable fronts are not on the member list and do not respond: crashed, partitioned
+	// or suspended.
 	unreachable
-	// confirmedDead fronts have ended: no process, or another one, is at their address.
+	// confirmedDead fronts have exited: no process, or another one, listens on their address.
 	confirmedDead
 )
 
-// ownerLiveness probes the front that began a run, by its address in the dispatch id.
+// ownerLiveness probes the front that started a run, at the address in its dispatch id.
 func (node *Node) ownerLiveness(ctx context.Context, startEvent sessionlog.Event) liveness {
 	name, rest, _ := strings.Cut(startEvent.Dispatch, "@")
 	address, _, found := strings.Cut(rest, "/")
@@ -65,9 +66,9 @@
 	return unreachable
 }
 
-// ownerPresumedDead reports whether a run will most likely never go on. That is enough to
-// close a turn, which may be asked again: closing it fences its owner off, should that
-// still run. It is not enough for work that must run at most once.
+// ownerPresumedDead reports whether the owner of a run has exited or is unreachable. That is
+// enough to close a turn, which may be retried: closing it fences the owner if that still runs.
+// It is not enough for work that must run at most once.
 func (node *Node) ownerPresumedDead(ctx context.Context, startEvent sessionlog.Event) bool {
 	return node.ownerLiveness(ctx, startEvent) != alive
 }
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -16,12 +16,12 @@
 	"yardrock.example/system/wire"
 )
 
-// plainRequest is what the runner gets of the request.
+// plainRequest returns the form of the request that is sent to a runner.
 func (request *request) plainRequest() runnerclient.PlainRequest {
 	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Words: request.input}
 }
 
-// sendPlainWork sends plain work to a runner, and to another one only while provably
+// sendPlainWork sends plain work to a runner, and retries on another one only if provably
 // nothing was sent. It releases the slot.
 func (node *Node) sendPlainWork(ctx context.Context, request *request) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.workKind.Timeout))
@@ -33,14 +33,14 @@
 			return answer, err
 		}
 		if node.switchRunner(ctx, request, err) != nil {
-			// It may have acquired another slot before its check failed.
+			// switchRunner may have acquired another slot before its check failed.
 			request.slot.Release(scheduler.NotSent)
 			return nil, err
 		}
 	}
 }
 
-// executeLookup answers a lookup. That may run again, so it is not recorded.
+// executeLookup dispatches a lookup. It may run more than once, so it is not recorded.
 func executeLookup(ctx context.Context, node *Node, request *request) (any, error) {
 	answer, err := node.sendPlainWork(ctx, request)
 	if err != nil && apierror.Of(err).NeverSent {
@@ -52,8 +52,8 @@
 	return &work.Outcome{Outcome: sessionlog.OutcomeComplete, Answer: answer}, nil
 }
 
-// runOnce dispatches work that is recorded as begun, and answers only once its outcome is
-// recorded too. It goes on in the background if the caller leaves.
+// runOnce dispatches work whose start is recorded, and answers only once its outcome is recorded
+// too. It continues in the background if the client disconnects.
 func runOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	request.cleanups = nil
 	type result struct {
@@ -69,7 +69,7 @@
 	case finished := <-done:
 		return finished.answer, finished.err
 	case <-ctx.Done():
-		return nil, apierror.Wrap(ctx.Err(), apierror.Unknown, "the caller left before the outcome", "ask again with the same query key")
+		return nil, apierror.Wrap(ctx.Err(), apierror.Unknown, "the client disconnected before the outcome was known", "retry with the same query_key")
 	}
 }
 
@@ -85,18 +85,18 @@
 		endEvent = sessionlog.Event{Outcome: sessionlog.OutcomeUnknown, Name: apierror.Of(sendErr).Message}
 		log.WithFields(log.Fields{
 			"node": node.name, "session": request.sessionName(), "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": sendErr.Error(),
-		}).Warn("outcome of work that runs once is unknown")
+		}).Warn("outcome of work that may run only once is unknown")
 	}
 	ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 	defer cancel()
 	if _, err := node.recordEnd(ctx, request, afterStartProducerSeq, endEvent.Outcome, endEvent.Text, endEvent.Name); err != nil {
-		return nil, apierror.WrapRetryable(err, apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "ask again with the same query key", time.Second)
+		return nil, apierror.WrapRetryable(err, apierror.Unknown, "the outcome could not be recorded: "+err.Error(), "retry with the same query_key", time.Second)
 	}
 	return recordedAnswer(request, endEvent, false)
 }
 
-// recordedAnswer turns a recorded outcome into one of the three answers: complete, NotRun
-// or Unknown.
+// recordedAnswer converts a recorded outcome into an answer if it is complete, else into a NotRun
+// or an Unknown error.
 func recordedAnswer(request *request, endEvent sessionlog.Event, repeated bool) (any, error) {
 	switch endEvent.Outcome {
 	case sessionlog.OutcomeComplete:
@@ -105,20 +105,20 @@
 	case sessionlog.OutcomeNotRun:
 		return nil, request.recordedNotRunError("the work did not run: " + endEvent.Name)
 	default:
-		return nil, apierror.New(apierror.Unknown, "whether the work ran is not known: "+endEvent.Name, "find out at its receiver; it is never sent again under this query key")
+		return nil, apierror.New(apierror.Unknown, "whether the work ran is not known: "+endEvent.Name, "check at the system that the work acts on; it is never sent again with this query_key")
 	}
 }
 
-// checkOnce answers a repeated idempotency key with what is recorded.
+// checkOnce answers a repeated idempotency key with the recorded outcome.
 func checkOnce(ctx context.Context, node *Node, request *request) (any, error) {
 	request.producer = strings.Join([]string{request.program, "once", request.idempotencyKey}, "/")
 	return node.answerIfRecorded(ctx, request)
 }
 
-// checkTool is checkOnce for a tool call between turns.
+// checkTool is checkOnce for a tool call, which also needs a complete turn to follow.
 func checkTool(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.idempotencyKey == "" {
-		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each tool call a key of its own")
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "set a unique query_key for each tool call")
 	}
 	if err := checkFollowed(request); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 	return node.answerIfRecorded(ctx, request)
 }
 
-// answerIfRecorded answers a request whose work is recorded already; nil means it is not.
+// answerIfRecorded answers a request whose work is already recorded, or returns nil.
 func (node *Node) answerIfRecorded(ctx context.Context, request *request) (any, error) {
 	if event, found := request.history.StartByProducer(request.producer); found {
 		return node.answerRepeat(ctx, request, event)
@@ -135,17 +135,18 @@
 	return nil, nil
 }
 
-// recordOnceStart records the begin of work that must run at most once.
+// recordOnceStart records the start of work that must run at most once.
 func recordOnceStart(ctx context.Context, node *Node, request *request) (any, error) {
 	return node.recordPlainStart(ctx, request, sessionlog.TurnBegun)
 }
 
-// recordToolStart records the begin of a tool call.
+// recordToolStart records the start of a tool call.
 func recordToolStart(ctx context.Context, node *Node, request *request) (any, error) {
 	return node.recordPlainStart(ctx, request, sessionlog.ToolCalled)
 }
 
-// recordPlainStart records a begin, or answers with the outcome of the one that is recorded.
+// recordPlainStart records the start of plain work, or answers with the outcome of the same work
+// that another request has started.
 func (node *Node) recordPlainStart(ctx context.Context, request *request, kind sessionlog.EventKind) (any, error) {
 	other, err := node.recordStart(ctx, request, sessionlog.Event{Kind: kind, Name: request.kind}, atAnyHead)
 	if err != nil {
@@ -157,10 +158,10 @@
 	return nil, nil
 }
 
-// answerRepeat waits for the recorded outcome of work that another request began.
+// answerRepeat waits for the recorded outcome of work that another request has started.
 func (node *Node) answerRepeat(ctx context.Context, request *request, startEvent sessionlog.Event) (any, error) {
 	if startEvent.Digest != request.digest() {
-		return nil, apierror.New(apierror.Conflict, "the query key was used with another body", "use a new query key for other work")
+		return nil, apierror.New(apierror.Conflict, "the query_key was already used for other work", "use a new query_key")
 	}
 	if startEvent.Kind == sessionlog.Fenced {
 		return nil, request.fencedEarlierError()
@@ -171,7 +172,7 @@
 		reply, err := node.stores.Read(readCtx, wire.ReadQuery{Session: request.sessionName(), After: after, Wait: wait})
 		cancel()
 		if err != nil {
-			return nil, apierror.WrapRetryable(err, apierror.Unknown, "the work began before; its outcome cannot be read now", "ask again with the same query key", time.Second)
+			return nil, apierror.WrapRetryable(err, apierror.Unknown, "an earlier request started the work; its outcome cannot be read now", "retry with the same query_key", time.Second)
 		}
 		for _, event := range reply.Events {
 			after = event.Seq
@@ -183,11 +184,11 @@
 		switch {
 		case reply.Clock > startEvent.Deadline || owner == confirmedDead:
 			if err := node.closeOverdueRun(ctx, request.sessionName(), startEvent, sessionlog.OutcomeUnknown); err != nil {
-				return nil, apierror.WrapRetryable(err, apierror.Unknown, "the work began before; its outcome is not known", "ask again with the same query key", time.Second)
+				return nil, apierror.WrapRetryable(err, apierror.Unknown, "an earlier request started the work; its outcome is not known", "retry with the same query_key", time.Second)
 			}
 		case owner == unreachable:
-			// It may only be frozen, and still record what came of the work.
-			return nil, apierror.NewRetryable(apierror.Unknown, "the work began at a node that is not heard of; its outcome is not recorded yet", "ask again with the same query key", 2*time.Second)
+			// The owner may only be suspended or partitioned, and still record the outcome.
+			return nil, apierror.NewRetryable(apierror.Unknown, "the work was started by a node that is unreachable; its outcome is not recorded yet", "retry with the same query_key", 2*time.Second)
 		}
 	}
 }
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -12,51 +12,51 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// request is one request of a caller on its way through the filters.
+// request is one client request to the work API, with the state that its filters set.
 type request struct {
-	token          string // the caller's bearer token
+	token          string // the client's bearer token
 	program        string
 	kind           string
 	input          string
 	idempotencyKey string
 	// conversation names the session within its team; follows is the seq of the turn to
-	// follow, 0 starts a conversation; parent is the conversation that starts a helper.
+	// follow, or 0 to start a conversation; parent is the conversation that starts a helper.
 	conversation string
 	follows      uint64
 	parent       string
 
-	// recorded requests leave a record in a session log. They are answered with NotRun only
-	// once the record proves it; then provenNotRun is set.
+	// recorded is set if the work is recorded in a session log. The request then fails with
+	// NotRun only once the log proves it, and provenNotRun is set.
 	recorded     bool
 	provenNotRun bool
 
-	active        *activeConfig
+	current       *currentConfig
 	team          string
 	programConfig config.Program
 	workKind      config.WorkKind
 	history       *conversation.View
 	sessionExists bool
-	newlyNamed    bool // named at random just now, so there is nothing to read
-	// producer identifies the work in its session; the sessions dedupe by it.
+	newlyNamed    bool // named at random by this request, so there is nothing to read
+	// producer identifies the work in its session, for deduplication.
 	producer    string
 	slot        *scheduler.Slot
 	dispatchID  string
 	reservation string // "" if there is nothing to settle
-	// reservedAt is when the reservation was requested; its lifetime counts from then.
+	// reservedAt is when the reservation was requested; reservationDispatchWindow starts then.
 	reservedAt time.Time
-	// reservedWords is the longest answer that the reservation allows.
+	// reservedWords is the number of words reserved for the answer.
 	reservedWords uint64
 	startEvent    sessionlog.Event
-	// cleanups give back what filters acquired, last first. Who takes it over clears them.
+	// cleanups release what filters acquired. A filter that takes it over clears them.
 	cleanups []func()
 }
 
-// filter looks at a request and may answer it; the chain ends with the first filter that
+// filter is one step in the handling of a request; the chain ends with the first filter that
 // returns an answer or an error.
 type filter func(ctx context.Context, node *Node, request *request) (any, error)
 
-// runChain passes a request through a chain. What the filters acquired is given back by
-// their cleanups, in reverse order, unless the last filter took it over.
+// runChain passes a request through a chain, then runs the cleanups of the filters in reverse
+// order.
 func (node *Node) runChain(ctx context.Context, request *request, chain []filter) (any, error) {
 	defer func() {
 		for position := len(request.cleanups) - 1; position >= 0; position-- {
@@ -72,15 +72,14 @@
 			return answer, nil
 		}
 	}
-	return nil, apierror.New(apierror.Unavailable, "no filter answered", "report this")
+	return nil, apierror.New(apierror.Unavailable, "no filter answered the request", "report this as a bug")
 }
 
 // chain appends filters to a chain.
 func chain(first []filter, more ...filter) []filter { return slices.Concat(first, more) }
 
-// The chains of filters, one for each method of the work API and their common beginnings.
-// Draining is checked late for work that may be recorded already: a repeat of it is still
-// answered.
+// The filter chains of the methods of the work API, and their common parts. For work that may
+// already be recorded, draining is checked late, so that a repeated request is still answered.
 var (
 	authentication         = []filter{requireFreshView, authenticate}
 	admission              = chain([]filter{rejectDraining}, authentication...)
--- a/system/front/runner_slot.go
+++ b/system/front/runner_slot.go
@@ -10,11 +10,11 @@
 	"yardrock.example/system/scheduler"
 )
 
-// maxDispatchAttempts is how many runners a piece of work is sent to at most; after the first, only
-// if the one before provably got nothing.
+// maxDispatchAttempts bounds the attempts to send work to a runner. Another attempt is made only
+// if provably nothing was sent in the previous one.
 const maxDispatchAttempts = 3
 
-// acquireSlot gets a runner with a free slot from the scheduler.
+// acquireSlot acquires a slot on a runner from the scheduler.
 func acquireSlot(ctx context.Context, node *Node, request *request) (any, error) {
 	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
 	if err != nil {
@@ -25,8 +25,9 @@
 	return nil, nil
 }
 
-// confirmRunner checks again before the dispatch: the view must be fresh, the request
-// allowed by the configuration in force, and the runner one that it may be sent to.
+// confirmRunner repeats the checks before the dispatch: the view must be fresh, the request
+// allowed by the current config, and the runner usable for it. If that fails after the start of
+// the run was recorded, the run is closed as not run.
 func confirmRunner(ctx context.Context, node *Node, request *request) (any, error) {
 	err := node.confirmDispatch(ctx, request)
 	if err != nil && request.startEvent.Seq > 0 {
@@ -35,11 +36,11 @@
 	return nil, err
 }
 
-// confirmDispatch is confirmRunner without a record; it takes another runner if the chosen
-// one may no longer be used.
+// confirmDispatch is confirmRunner without the record. It acquires a slot on another runner if
+// the chosen one may no longer be used.
 func (node *Node) confirmDispatch(ctx context.Context, request *request) error {
 	for {
-		if err := node.recheckActiveConfig(ctx, request); err != nil {
+		if err := node.recheckCurrentConfig(ctx, request); err != nil {
 			return err
 		}
 		if request.runnerUsable() {
@@ -54,12 +55,12 @@
 	}
 }
 
-// recheckActiveConfig checks the request against the configuration now in force.
-func (node *Node) recheckActiveConfig(ctx context.Context, request *request) error {
+// recheckCurrentConfig checks the request against the current config, if the view is fresh.
+func (node *Node) recheckCurrentConfig(ctx context.Context, request *request) error {
 	if _, err := node.feedClient.Fresh(); err != nil {
 		return err
 	}
-	request.active = node.active.Load()
+	request.current = node.current.Load()
 	for _, check := range []filter{authenticate, findProgram, findKind} {
 		if _, err := check(ctx, node, request); err != nil {
 			return err
@@ -68,35 +69,35 @@
 	return nil
 }
 
-// runnerUsable reports whether the chosen runner may still get the request.
+// runnerUsable reports whether the request may still be sent to the chosen runner.
 func (request *request) runnerUsable() bool {
-	hasWeight := request.active.config.Tables[request.workKind.Table][request.slot.Group] > 0
-	return hasWeight && scheduler.Usable(request.active.view, request.slot.Runner)
+	hasWeight := request.current.config.Tables[request.workKind.Table][request.slot.Group] > 0
+	return hasWeight && scheduler.Usable(request.current.view, request.slot.Runner)
 }
 
-// preSendCheck returns the check that the first byte waits for: the dial may have been
-// slow, or this process frozen, since the runner was chosen. It has a copy of the request,
-// as the HTTP library may call it after the request was given up.
+// preSendCheck returns the check that precedes the first byte: the dial may have been slow, or
+// this process suspended, since the runner was chosen. It uses a copy of the request, as the
+// HTTP library may call it after the request was abandoned.
 func (node *Node) preSendCheck(request *request) runnerclient.PreSendCheck {
 	chosen := *request
 	return func() error {
-		current := chosen
-		if err := node.recheckActiveConfig(node.context, &current); err != nil {
+		rechecked := chosen
+		if err := node.recheckCurrentConfig(node.context, &rechecked); err != nil {
 			return err
 		}
 		if chosen.reservation != "" && time.Since(chosen.reservedAt) > reservationDispatchWindow {
-			return apierror.NewRetryable(apierror.NotRun, "the reservation of words was not used in time", "ask again", time.Second)
+			return apierror.NewRetryable(apierror.NotRun, "the work was not sent within the dispatch window of its reservation", "retry", time.Second)
 		}
-		if current.workKind != chosen.workKind || current.programConfig != chosen.programConfig || !current.runnerUsable() {
-			return apierror.NewRetryable(apierror.NotRun, "what is in force changed before anything was sent", "ask again", time.Second)
+		if rechecked.workKind != chosen.workKind || rechecked.programConfig != chosen.programConfig || !rechecked.runnerUsable() {
+			return apierror.NewRetryable(apierror.NotRun, "the config or the state of the runner changed before anything was sent", "retry", time.Second)
 		}
 		return nil
 	}
 }
 
-// dispatchOutcome says what the result of a dispatch shows of the runner, for the scheduler. The
-// order matters: nothing is learnt while this node is being closed, and a connection that
-// could not be opened is both Lost and NeverSent, but speaks against the runner.
+// dispatchOutcome converts the result of a dispatch into what it says about the runner, for the
+// scheduler. The order matters: errors while this node closes say nothing about the runner, and
+// a failed dial is both Lost and NeverSent but counts against the runner.
 func (node *Node) dispatchOutcome(err error) scheduler.Outcome {
 	if err == nil || errors.Is(err, errTurnLimit) {
 		return scheduler.Answered
@@ -113,7 +114,7 @@
 	return scheduler.Faulted
 }
 
-// switchRunner takes another runner after one that provably got nothing.
+// switchRunner acquires a slot on another runner after one to which provably nothing was sent.
 func (node *Node) switchRunner(ctx context.Context, request *request, cause error) error {
 	request.slot.Release(node.dispatchOutcome(cause))
 	slot, err := node.scheduler.Acquire(ctx, request.workKind, request.team)
--- a/system/front/session_reading.go
+++ b/system/front/session_reading.go
@@ -15,24 +15,24 @@
 	"yardrock.example/system/wire"
 )
 
-// fingerprint hashes parts to a name: the first 16 bytes of SHA-256 in hex.
+// fingerprint returns the first 16 bytes of the SHA-256 of parts, in hex.
 func fingerprint(parts ...string) string {
 	sum := sha256.Sum256([]byte(strings.Join(parts, "\x00")))
 	return hex.EncodeToString(sum[:16])
 }
 
-// digest identifies the request's content: a repeat has the same digest, other work under
-// the same key has another.
+// digest identifies the content of the request: a repeated request has the same digest, and
+// other work with the same idempotency key has another.
 func (request *request) digest() string {
 	return fingerprint(request.kind, request.input, request.idempotencyKey)
 }
 
-// sessionName is the conversation's name with its team, so that no team can name another
-// team's sessions.
+// sessionName returns the conversation's name prefixed with the team, so that no team can access
+// another team's sessions.
 func (request *request) sessionName() string { return request.team + "/" + request.conversation }
 
-// nameSession names a new conversation by its idempotency key, if it has one, so that a
-// repeat on any front finds the same session.
+// nameSession derives the name of a new conversation from the idempotency key, if there is one,
+// so that a repeated request finds the same session on any front.
 func nameSession(_ context.Context, _ *Node, request *request) (any, error) {
 	switch {
 	case request.conversation != "":
@@ -45,17 +45,17 @@
 	return nil, nil
 }
 
-// nameOnceSession names the session that records work which must run at most once.
+// nameOnceSession names the session that records work that must run at most once.
 func nameOnceSession(_ context.Context, _ *Node, request *request) (any, error) {
 	if request.idempotencyKey == "" {
-		return nil, apierror.New(apierror.Invalid, "query_key is empty", "give each piece of work a key of its own")
+		return nil, apierror.New(apierror.Invalid, "query_key is empty", "set a unique query_key for each piece of work")
 	}
 	request.conversation = "q-" + fingerprint(request.team, request.program, request.idempotencyKey)
 	return nil, nil
 }
 
-// readSession reads all events of the session by a quorum read, unless it was named at
-// random just now.
+// readSession reads all events of the session by a quorum read, unless this request named it at
+// random, so that it cannot exist.
 func readSession(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.newlyNamed {
 		request.history, request.newlyNamed = conversation.Fold(nil), false
@@ -82,18 +82,19 @@
 	return nil, nil
 }
 
-// asNotRun makes the error for a rejection that came before anything was begun.
+// asNotRun converts an error into a NotRun error, for a failure before any work was started.
 func asNotRun(err error) error {
 	failure := apierror.Of(err)
 	return &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: failure.Remedy, RetryAfter: max(failure.RetryAfter, time.Second), Cause: err}
 }
 
-// unknownConversationError is for a conversation that no session records, or no longer.
+// unknownConversationError is the error for a conversation without a session, or whose session
+// has expired.
 func (request *request) unknownConversationError() error {
-	return apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; one is forgotten when its keeping time is over")
+	return apierror.New(apierror.NotFound, "no conversation is named "+strconv.Quote(request.conversation), "start a conversation; sessions are deleted after the retention period")
 }
 
-// requireSession rejects a session that does not exist; readSession has read its program.
+// requireSession rejects a request whose session does not exist.
 func requireSession(_ context.Context, _ *Node, request *request) (any, error) {
 	if !request.sessionExists {
 		return nil, request.unknownConversationError()
@@ -101,7 +102,7 @@
 	return nil, nil
 }
 
-// readAfter reads one page of a session; a cursor beyond its end is Invalid.
+// readAfter reads one page of a session; a cursor beyond its end is an Invalid error.
 func (node *Node) readAfter(ctx context.Context, request *request, after, limit uint64) (*wire.ReadReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -110,7 +111,7 @@
 		return nil, err
 	}
 	if after > reply.Session.Head {
-		return nil, apierror.New(apierror.Invalid, "the cursor is beyond the last event "+strconv.FormatUint(reply.Session.Head, 10), "read from a seq that was given out")
+		return nil, apierror.New(apierror.Invalid, "the cursor is beyond the last event "+strconv.FormatUint(reply.Session.Head, 10), "use the seq of an existing event as the cursor")
 	}
 	return reply, nil
 }
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// fenceTimeout bounds the fence that is set if it is not known whether a begin was
+	// fenceTimeout bounds the append of the fence if it is not known whether a start was
 	// committed.
 	fenceTimeout = 4 * time.Second
-	// proveNotRunTimeout bounds the fence that is set before a request is rejected; it is
-	// shorter, as the caller waits for nothing but a rejection.
+	// proveNotRunTimeout bounds the append of the fence before a request is rejected; it is
+	// shorter, as the client waits only for a rejection.
 	proveNotRunTimeout = 1500 * time.Millisecond
 )
 
 const (
-	// startProducerSeq is the producer sequence number of a begin and of the fence in its
-	// place, so that a session takes only one of them.
+	// startProducerSeq is the producer sequence number of a start event and of the fence that
+	// takes its place, so that a session accepts only one of them.
 	startProducerSeq = 1
-	// afterStartProducerSeq is that of the producer's next append: the first pieces of a
-	// turn, or the end.
+	// afterStartProducerSeq is that of the producer's next append: the first parts of a
+	// turn's answer, or the end of the run.
 	afterStartProducerSeq = 2
 )
 
-// appendCondition says when a begin may be appended to a session.
+// appendCondition says when a start event may be appended to a session.
 type appendCondition int
 
 const (
-	// atAnyHead: whatever was appended since the session was read.
+	// atAnyHead: regardless of what was appended since the session was read.
 	atAnyHead appendCondition = iota
 	// atReadHead: only if the session has not grown since it was read.
 	atReadHead
 )
 
-// recordStart records that work is about to be dispatched. It returns nil, nil only once
-// the record is committed and this request's own; a repeat that lost the race gets the
-// event that won.
+// recordStart records that work is about to be dispatched. It returns nil, nil only if this
+// request's start event is committed. If another request for the same work was first, its event
+// is returned.
 func (node *Node) recordStart(ctx context.Context, request *request, event sessionlog.Event, condition appendCondition) (*sessionlog.Event, error) {
 	event.Text, event.Digest, event.Follows = request.input, request.digest(), request.follows
 	if request.dispatchID == "" {
 		request.dispatchID = node.newDispatchID()
 	}
-	event.Runner, event.Dispatch, event.Config = request.slot.Runner.Address, request.dispatchID, request.active.view.ConfigNumber
+	event.Runner, event.Dispatch, event.Config = request.slot.Runner.Address, request.dispatchID, request.current.view.ConfigNumber
 	event.Deadline = int64(time.Duration(request.workKind.Timeout) + deadlineMargin)
 	commands := request.startCommands(event, condition)
 	commitCtx, cancel := context.WithTimeout(ctx, commitTimeout)
@@ -61,9 +61,9 @@
 	outcome := outcomes[len(outcomes)-1]
 	switch {
 	case outcome.Status == sessionlog.UnexpectedSeq:
-		return nil, apierror.NewRetryable(apierror.Conflict, "the conversation went on meanwhile", "read the history and follow its last complete turn", 0)
+		return nil, apierror.NewRetryable(apierror.Conflict, "the conversation has changed since it was read", "read the history and follow its last complete turn", 0)
 	case outcome.Status != sessionlog.Done && outcome.Status != sessionlog.StaleProducer:
-		return nil, apierror.NewRetryable(apierror.NotRun, "the line refused the record (status "+strconv.Itoa(int(outcome.Status))+")", "ask again", time.Second)
+		return nil, apierror.NewRetryable(apierror.NotRun, "the session rejected the start of the work (status "+strconv.Itoa(int(outcome.Status))+")", "retry", time.Second)
 	case outcome.Deduped:
 		return node.readStart(commitCtx, request, outcome.Seq, event.Dispatch)
 	}
@@ -72,7 +72,8 @@
 	return nil, nil
 }
 
-// startCommands are the commands that append a begin, to a new session if there is none.
+// startCommands returns the commands that append a start event, and create the session if it
+// does not exist.
 func (request *request) startCommands(event sessionlog.Event, condition appendCondition) []sessionlog.Command {
 	commands := []sessionlog.Command{}
 	if !request.sessionExists {
@@ -84,22 +85,22 @@
 	})
 }
 
-// createSession is the command that makes the request's session; it changes nothing if that
-// exists.
+// createSession returns the command that creates the request's session; it has no effect if the
+// session exists.
 func (request *request) createSession() sessionlog.Command {
 	return sessionlog.Command{Kind: sessionlog.CreateSession, Team: request.team, Program: request.program, WorkKind: request.kind, Retention: time.Duration(request.programConfig.Retention)}
 }
 
-// readStart reads the event that opened the run of a producer, or its fence. The event at
-// seq may be a later one of the same run. If the begin is this request's own, only the
-// reply to its commit was lost, and nil is returned.
+// readStart reads the start event or fence of a producer's run; the event at seq may be a later
+// one of the run. It returns nil, nil if the start event is this request's own, so that only
+// the reply to its commit was lost.
 func (node *Node) readStart(ctx context.Context, request *request, seq uint64, dispatch string) (*sessionlog.Event, error) {
 	event, err := node.readEvent(ctx, request.sessionName(), seq)
 	if err == nil && event.Turn != 0 && event.Turn != event.Seq {
 		event, err = node.readEvent(ctx, request.sessionName(), event.Turn)
 	}
 	if err != nil {
-		return nil, apierror.WrapRetryable(err, apierror.Unknown, "whether the work began cannot be read now", "ask again with the same query key", time.Second)
+		return nil, apierror.WrapRetryable(err, apierror.Unknown, "whether the work was started cannot be read now", "retry with the same query_key", time.Second)
 	}
 	if event.Kind != sessionlog.Fenced && event.Dispatch == dispatch {
 		request.startEvent = event
@@ -115,20 +116,20 @@
 		return sessionlog.Event{}, err
 	}
 	if len(reply.Events) == 0 {
-		return sessionlog.Event{}, apierror.New(apierror.Gap, "event "+strconv.FormatUint(seq, 10)+" of "+name+" cannot be read", "ask again")
+		return sessionlog.Event{}, apierror.New(apierror.Gap, "event "+strconv.FormatUint(seq, 10)+" of session "+name+" cannot be read", "retry")
 	}
 	return reply.Events[0], nil
 }
 
-// fenceStart decides whether a request began: either the fence takes the place of its begin,
-// so that it never can; or the begin is there and this request's own, and is closed as not
-// run, as nothing was sent. The begin of another request is returned.
+// fenceStart settles whether a request's start is recorded. Either the fence takes the place of
+// its start event, so that it can never start; or the start event is this request's own, and the
+// run is closed as not run, as nothing was sent. Another request's start event is returned.
 func (node *Node) fenceStart(request *request, event sessionlog.Event, cause error, timeout time.Duration) (*sessionlog.Event, error) {
 	ctx, cancel := context.WithTimeout(node.context, timeout)
 	defer cancel()
 	unknown := apierror.WrapRetryable(cause, apierror.Unknown,
-		"whether the work began is not known; this node sent nothing ("+apierror.Of(cause).Message+")",
-		"ask again with the same query key", time.Second)
+		"whether the work was started is not known; this node sent nothing ("+apierror.Of(cause).Message+")",
+		"retry with the same query_key", time.Second)
 	outcomes, err := node.stores.Command(ctx, request.sessionName(), request.createSession(), sessionlog.Command{
 		Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: startProducerSeq,
 		Events: []sessionlog.Event{{Kind: sessionlog.Fenced, Digest: request.digest()}},
@@ -147,31 +148,31 @@
 	return nil, node.recordNotRun(request, cause)
 }
 
-// fencedError makes the NotRun error that the session log proves. Without an idempotency
-// key the same turn may be sent again as it is.
+// fencedError returns the NotRun error that the session log proves. Without an idempotency key
+// the same request may be retried unchanged.
 func (request *request) fencedError(cause error) error {
 	request.provenNotRun = true
 	failure := apierror.Of(cause)
-	notRun := &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: "ask again", RetryAfter: max(failure.RetryAfter, time.Second), Cause: cause}
+	notRun := &apierror.Error{Kind: apierror.NotRun, Message: failure.Message, Remedy: "retry", RetryAfter: max(failure.RetryAfter, time.Second), Cause: cause}
 	if request.idempotencyKey != "" {
-		notRun.Message += "; the query key is fenced off"
-		notRun.Remedy = "send it under a new query key"
+		notRun.Message += "; the query_key is fenced"
+		notRun.Remedy = "retry with a new query_key"
 	}
 	return notRun
 }
 
 // proveNotRun turns the rejection of recorded work into one that the session log proves. An
-// earlier request for the same work may be on its way at another front: only a fence in
-// its place keeps that from running after this one was answered with NotRun. Where no fence
-// can be set at once, the answer is Unknown and when to ask again.
+// earlier request for the same work may be in flight at another front, and only a fence keeps
+// it from running after this one was rejected with NotRun. If no fence can be appended in time,
+// the error is Unknown, with a retry delay.
 func (node *Node) proveNotRun(request *request, err error) error {
 	repeatable := request.idempotencyKey == "" && request.follows == 0
 	if !request.recorded || request.provenNotRun || repeatable || !apierror.Is(err, apierror.NotRun) {
 		return err
 	}
 	unknown := apierror.WrapRetryable(err, apierror.Unknown,
-		"this node sent nothing, but cannot tell what became of an earlier query for the same work ("+apierror.Of(err).Message+")",
-		"ask again with the same query key", max(apierror.Of(err).RetryAfter, time.Second))
+		"this node sent nothing, but cannot tell whether an earlier request for the same work ran ("+apierror.Of(err).Message+")",
+		"retry with the same query_key", max(apierror.Of(err).RetryAfter, time.Second))
 	if request.producer == "" {
 		return unknown
 	}
@@ -185,8 +186,8 @@
 	return unknown
 }
 
-// recordEnd ends a run that this request began. It returns the end's seq once that is
-// committed; Unknown also means that another node has closed the run.
+// recordEnd appends the end of a run that this request started, and returns its seq once it is
+// committed. An Unknown error may also mean that another node has closed the run.
 func (node *Node) recordEnd(ctx context.Context, request *request, producerSeq uint64, outcome, text, detail string) (uint64, error) {
 	outcomes, err := node.stores.Command(ctx, request.sessionName(), sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: producerSeq, Events: []sessionlog.Event{{
 		Kind: sessionlog.ClosingKind(request.startEvent.Kind), Turn: request.startEvent.Seq, Outcome: outcome, Text: text, Name: detail,
@@ -195,24 +196,24 @@
 		return 0, err
 	}
 	if outcomes[0].Status != sessionlog.Done {
-		return 0, apierror.New(apierror.Unknown, "the run was closed by another node meanwhile", "read the history")
+		return 0, apierror.New(apierror.Unknown, "another node has closed the run", "read the history")
 	}
 	return outcomes[0].Seq, nil
 }
 
-// recordNotRun ends a run of which provably nothing was sent. Only once that is committed
-// may the caller get NotRun.
+// recordNotRun closes a run of which provably nothing was sent. The client may get NotRun only
+// once that is committed.
 func (node *Node) recordNotRun(request *request, cause error) error {
 	ctx, cancel := context.WithTimeout(node.context, commitTimeout)
 	defer cancel()
 	if _, err := node.recordEnd(ctx, request, afterStartProducerSeq, sessionlog.OutcomeNotRun, "", string(apierror.Of(cause).Kind)); err != nil {
-		return apierror.WrapRetryable(err, apierror.Unknown, "nothing was sent, but that could not be recorded", "ask again with the same query key", time.Second)
+		return apierror.WrapRetryable(err, apierror.Unknown, "nothing was sent, but that could not be recorded", "retry with the same query_key", time.Second)
 	}
 	return request.fencedError(cause)
 }
 
-// closeOverdueRun ends a run whose owner is gone, after its runner's time is over. An owner
-// that still runs it finds the run closed.
+// closeOverdueRun closes a run that is overdue or whose owner has failed. If the owner still
+// works on it, its further appends are rejected.
 func (node *Node) closeOverdueRun(ctx context.Context, name string, startEvent sessionlog.Event, outcome string) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
--- a/system/front/turn_admission.go
+++ b/system/front/turn_admission.go
@@ -16,17 +16,17 @@
 	case !found:
 		return apierror.New(apierror.NotFound, "the conversation has no turn "+strconv.FormatUint(request.follows, 10), "read the history and name one of its turns")
 	case followed.Ended == nil:
-		return apierror.NewRetryable(apierror.Conflict, "the turn to follow has not ended", "tail it to its end first", time.Second)
+		return apierror.NewRetryable(apierror.Conflict, "the turn to follow has not ended", "tail it until it ends", time.Second)
 	case !followed.Complete():
 		return apierror.New(apierror.Conflict, "the turn to follow ended as "+followed.Ended.Outcome, "follow the last complete turn before it")
 	}
 	return nil
 }
 
-// checkTurn decides whether a turn may begin: the turn it follows must be complete, and no
-// other may follow that one. A repeat is answered with the stream of the turn that is there.
-// Each attempt to follow the same turn has a producer of its own, so that one which was
-// closed without an answer, or fenced off, makes room for the next.
+// checkTurn decides whether a turn may start: the turn it follows must be complete, and no
+// other turn may follow that one. A repeated request is answered with the stream of the
+// existing turn. Each attempt to follow the same turn has a producer of its own, so that
+// another attempt can follow one that was fenced or closed without a complete answer.
 func checkTurn(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.follows > 0 {
 		if err := checkFollowed(request); err != nil {
@@ -46,9 +46,8 @@
 	}
 }
 
-// checkEarlierAttempt decides what a recorded attempt to follow the same turn means for
-// this one: it makes room for the next attempt, or the request ends with its answer or an
-// error.
+// checkEarlierAttempt decides what a recorded attempt to follow the same turn means for this
+// request: it allows the next attempt, or the request ends with the answer or the error.
 func checkEarlierAttempt(ctx context.Context, node *Node, request *request, startEvent sessionlog.Event) (answer any, allowsNext bool, err error) {
 	sameDigest := startEvent.Digest == request.digest()
 	sameKey := sameDigest && request.idempotencyKey != ""
@@ -68,7 +67,7 @@
 	}
 	switch {
 	case turn.Ended != nil && turn.Ended.Outcome == sessionlog.OutcomeNotRun && sameKey:
-		return nil, false, request.recordedNotRunError("this turn did not run: " + turn.Ended.Name)
+		return nil, false, request.recordedNotRunError("the turn did not run: " + turn.Ended.Name)
 	case turn.Ended != nil && !turn.Complete():
 		return nil, true, nil
 	case sameDigest:
@@ -79,16 +78,16 @@
 		"read the history and follow its last complete turn")
 }
 
-// recordedNotRunError makes the error for what the session log proves: nothing ran, and nothing
-// will, under this idempotency key.
+// recordedNotRunError returns the NotRun error for an idempotency key under which, as the session
+// log proves, nothing ran and nothing will.
 func (request *request) recordedNotRunError(message string) error {
 	request.provenNotRun = true
-	return apierror.NewRetryable(apierror.NotRun, message, "send it under a new query key", time.Second)
+	return apierror.NewRetryable(apierror.NotRun, message, "retry with a new query_key", time.Second)
 }
 
-// fencedEarlierError is recordedNotRunError for a key that an earlier request fenced off.
+// fencedEarlierError is recordedNotRunError for a key that an earlier request fenced.
 func (request *request) fencedEarlierError() error {
-	return request.recordedNotRunError("an earlier query under this query key was refused, and the key fenced off")
+	return request.recordedNotRunError("an earlier request with this query_key was rejected, and the key is fenced")
 }
 
 // rereadAndCheckTurn reads the session again and repeats checkTurn.
@@ -99,11 +98,11 @@
 	return checkTurn(ctx, node, request)
 }
 
-// maxStartAttempts bounds how often a begin is tried on a session that others append to.
+// maxStartAttempts bounds the attempts to record a start while others append to the session.
 const maxStartAttempts = 4
 
-// recordTurnStart records the begin of a turn. When another turn, a tool call or a helper was
-// appended to the session meanwhile, checkTurn decides again what that means for this one.
+// recordTurnStart records the start of a turn. If the session has grown since it was read, by
+// another turn, a tool call or a helper, checkTurn decides again whether the turn may start.
 func recordTurnStart(ctx context.Context, node *Node, request *request) (any, error) {
 	for attempt := 1; ; attempt++ {
 		other, err := node.recordStart(ctx, request, sessionlog.Event{Kind: sessionlog.TurnBegun}, atReadHead)
@@ -115,7 +114,7 @@
 			return answer, checkErr
 		}
 		if attempt == maxStartAttempts {
-			return nil, apierror.NewRetryable(apierror.NotRun, "the conversation goes on faster than this turn can join it", "ask again", time.Second)
+			return nil, apierror.NewRetryable(apierror.NotRun, "other requests kept changing the conversation while this turn was to start", "retry", time.Second)
 		}
 	}
 }
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -14,46 +14,46 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// partQueueLength is how many pieces of an answer may wait for their commit, and how many
-// one commit takes at most. A full queue stops the reading from the runner.
+// partQueueLength is the maximum number of parts of an answer that wait for their commit, and
+// of those in one commit. While the queue is full, nothing is read from the runner.
 const partQueueLength = 256
 
-// errTurnLimit ends the stream of a runner whose answer is longer than was reserved.
-var errTurnLimit = errors.New("the answer reached its reservation")
+// errTurnLimit ends the stream of a runner whose answer exceeds its word limit.
+var errTurnLimit = errors.New("the answer reached the word limit of its reservation")
 
-// The reasons that are recorded with the end of a turn that is not complete. Callers read
-// them in the session, so that they never change.
+// The reasons recorded with the end of an incomplete turn. Clients read them in the session, so
+// they never change.
 const (
-	reasonTurnLimit         = "turn_limit"         // the answer reached its reservation
-	reasonRunnerUnreachable = "runner_unreachable" // no runner got the turn
-	reasonRunnerFailure     = "runner_mishap"      // the runner failed, or broke off
+	reasonTurnLimit         = "turn_limit"         // the answer reached its word limit
+	reasonRunnerUnreachable = "runner_unreachable" // the turn was sent to no runner
+	reasonRunnerFailure     = "runner_mishap"      // the runner failed or broke off its answer
 )
 
-// turnExecution is one turn that this front streams from a runner into a session. Its own
-// goroutine (execute) owns it; dispatch runs in a second one and hands the pieces over.
+// turnExecution is one turn that this front streams from a runner into a session. The goroutine
+// of execute owns it; dispatch runs in a second one and passes on the parts of the answer.
 type turnExecution struct {
 	node        *Node
 	request     *request
 	buffer      *eventBuffer
 	wordCounter conversation.WordCounter
-	// pendingParts are those that the runner has sent and that are not committed yet; dispatch
-	// closes the channel.
+	// pendingParts has the parts that the runner has sent and that are not yet committed;
+	// dispatch closes it.
 	pendingParts    chan string
 	nextProducerSeq uint64 // of the next append
-	partCount       uint64 // pieces taken for a commit so far; the number of the last one
-	// timeToFirstPart is 0 until the first piece comes; only dispatch uses it.
+	partCount       uint64 // parts taken from pendingParts so far; also the number of the last one
+	// timeToFirstPart is 0 until the first part arrives; only dispatch uses it.
 	timeToFirstPart time.Duration
 }
 
 // startRun takes over the slot and the reservation and executes the turn in the background,
-// whether or not the caller stays. It answers once there is something to stream.
+// which continues if the client disconnects. It answers once there is an event to stream.
 func startRun(ctx context.Context, node *Node, request *request) (any, error) {
 	execution := &turnExecution{node: node, request: request, buffer: newEventBuffer(), pendingParts: make(chan string, partQueueLength), nextProducerSeq: afterStartProducerSeq}
 	request.cleanups = nil
 	node.background.Go(execution.execute)
 	_, ended, err := execution.buffer.after(ctx, 0)
 	if ended && apierror.Is(err, apierror.NotRun) {
-		request.provenNotRun = true // its end is recorded
+		request.provenNotRun = true // the end of the run is recorded
 		return nil, err
 	}
 	offset := 0
@@ -64,7 +64,7 @@
 	}}, nil
 }
 
-// execute dispatches the turn, commits pieces as they come, and closes the turn.
+// execute dispatches the turn, commits the parts of the answer as they arrive, and closes the turn.
 func (execution *turnExecution) execute() {
 	request, node := execution.request, execution.node
 	ctx, cancel := context.WithTimeout(node.context, time.Duration(request.workKind.Timeout))
@@ -78,13 +78,13 @@
 	dispatchErr := <-dispatched
 	outcome := node.dispatchOutcome(dispatchErr)
 	if commitErr != nil {
-		outcome = scheduler.NotSent // this front cancelled it, which says nothing of the runner
+		outcome = scheduler.NotSent // this front cancelled it, which says nothing about the runner
 	}
 	defer request.slot.Release(outcome)
 	execution.close(dispatchErr, commitErr)
 }
 
-// dispatch sends the turn to a runner, and to another one only while provably nothing was
+// dispatch sends the turn to a runner, and retries on another one only if provably nothing was
 // sent.
 func (execution *turnExecution) dispatch(ctx context.Context) error {
 	request, node := execution.request, execution.node
@@ -119,8 +119,8 @@
 	}
 }
 
-// commitParts commits what has come since the last commit as one append, and only then
-// lets it be streamed. After an error it stops the dispatch and drops the rest.
+// commitParts commits the parts that arrived since the last commit in one append; they are
+// streamed only after that. On an error it stops the dispatch and discards the remaining parts.
 func (execution *turnExecution) commitParts(stop context.CancelFunc) error {
 	for text := range execution.pendingParts {
 		batch := []string{text}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// commit appends one batch of pieces to the session and the event buffer.
+// commit appends one batch of parts to the session, then to the event buffer.
 func (execution *turnExecution) commit(batch []string) error {
 	request := execution.request
 	events := make([]sessionlog.Event, len(batch))
@@ -161,7 +161,7 @@
 		return err
 	}
 	if outcomes[0].Status != sessionlog.Done {
-		return apierror.New(apierror.Unknown, "the turn was closed by another node meanwhile", "read the history")
+		return apierror.New(apierror.Unknown, "another node has closed the turn", "read the history")
 	}
 	execution.nextProducerSeq++
 	for position := range events {
@@ -171,15 +171,15 @@
 	return nil
 }
 
-// close records how the turn ended, settles its reservation, and ends the event buffer. An
-// answer counts as complete only once that is committed.
+// close records the end of the turn, settles its reservation, and ends the event buffer. An
+// answer is complete only once its end is committed.
 func (execution *turnExecution) close(dispatchErr, commitErr error) {
 	request, node := execution.request, execution.node
 	wordCount := conversation.CountWords(request.input) + execution.wordCounter.Count
 	if commitErr != nil {
 		node.settle(request, wordCount)
 		execution.cutInBackground()
-		execution.buffer.end(apierror.Wrap(commitErr, apierror.Unknown, "the answer's pieces could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"))
+		execution.buffer.end(apierror.Wrap(commitErr, apierror.Unknown, "the answer could not be committed: "+commitErr.Error(), "tail the conversation from the last seq you have"))
 		return
 	}
 	outcome, detail := execution.turnOutcome(dispatchErr)
@@ -215,12 +215,12 @@
 	request := execution.request
 	log.WithFields(log.Fields{
 		"node": execution.node.name, "session": request.sessionName(), "turn": request.startEvent.Seq, "runner": request.slot.Runner.Life, "address": request.slot.Runner.Address, "error": dispatchErr.Error(),
-	}).Warn("turn cut off by its runner")
+	}).Warn("runner failed or broke off its answer; turn closed as cut")
 	return sessionlog.OutcomeCut, reasonRunnerFailure
 }
 
-// cutInBackground closes the turn as cut after its pieces could not be committed. Until
-// that succeeds the turn looks open; whoever reads it once it is overdue closes it too.
+// cutInBackground closes the turn as cut after parts of it could not be committed. Until that
+// succeeds the turn stays open; any front that reads it once it is overdue closes it as well.
 func (execution *turnExecution) cutInBackground() {
 	request, node := execution.request, execution.node
 	node.background.Go(func() {
@@ -232,7 +232,7 @@
 			err = node.closeOverdueRun(ctx, request.sessionName(), request.startEvent, sessionlog.OutcomeCut)
 		}
 		if err != nil {
-			log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "turn": request.startEvent.Seq, "error": err.Error()}).Warn("turn left open until it is overdue")
+			log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "turn": request.startEvent.Seq, "error": err.Error()}).Warn("cannot close the turn; it stays open until it is overdue")
 		}
 	})
 }
--- a/system/front/word_quota.go
+++ b/system/front/word_quota.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// reservationDispatchWindow is how long after the reservation the work may be sent to a
-	// runner. After that time, the runner's timeout, deadlineMargin and reservationMargin the
-	// stores settle it.
+	// reservationDispatchWindow is how long after the reservation was requested the work may be
+	// sent to a runner. The lifetime of the reservation, after which the stores settle it, is
+	// this window, the runner's timeout, deadlineMargin and reservationMargin.
 	reservationDispatchWindow = 15 * time.Second
 	reservationMargin         = 15 * time.Second
 )
 
-// quotaName names the session that counts the program's words of the current period.
+// quotaName returns the name of the session that counts the program's words in the current
+// period.
 func (request *request) quotaName() string {
 	return sessionlog.QuotaName(request.team, request.program, request.programConfig.Period)
 }
 
-// reserveWords reserves the new words and the longest answer before anything is
-// dispatched. If the reply is lost, the reservation is settled with 0 at once, so that it
-// can't count later. The stores settle what a front that died leaves.
+// reserveWords reserves the words of the input and of the longest answer before anything is
+// dispatched. If the reply is lost, the reservation is settled with 0 immediately, so that it
+// cannot take effect later. The stores settle the reservations of a failed front.
 func reserveWords(ctx context.Context, node *Node, request *request) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -47,16 +48,16 @@
 		request.reservation = ""
 		spent, reserved := strconv.FormatUint(outcomes[0].Spent, 10), strconv.FormatUint(outcomes[0].Reserved, 10)
 		return nil, apierror.New(apierror.QuotaExhausted,
-			"program "+request.program+" has "+spent+" words spent and "+reserved+" out, of "+strconv.FormatUint(request.programConfig.Quota, 10),
-			"wait for the turns under way, or have an operator raise the allowance")
+			"program "+request.program+" has "+spent+" words spent and "+reserved+" reserved, of a quota of "+strconv.FormatUint(request.programConfig.Quota, 10),
+			"wait for the turns in progress, or have an operator raise the quota")
 	}
 	request.reservation = ""
-	return nil, apierror.NewRetryable(apierror.NotRun, "the reservation came too late", "ask again", time.Second)
+	return nil, apierror.NewRetryable(apierror.NotRun, "the reservation had already been settled", "retry", time.Second)
 }
 
-// settle commits in the background how much of the reservation a turn used. It is tried
-// until that is committed or settleTimeout is over; until the stores settle it, an
-// unsettled reservation counts as spent.
+// settle commits, in the background, how many words of the reservation were used. It retries
+// until that is committed or settleTimeout has passed; an unsettled reservation counts as spent
+// until the stores settle it.
 func (node *Node) settle(request *request, wordCount uint64) {
 	name, reservation := request.quotaName(), request.reservation
 	if reservation == "" {
@@ -75,8 +76,8 @@
 	})
 }
 
-// answerWordLimit returns how many words the answer may have: by the configuration in
-// force, but never more than was reserved under an earlier one.
+// answerWordLimit returns the maximum number of words of the answer: the limit in the current
+// config, but never more than was reserved, possibly under an earlier config.
 func (request *request) answerWordLimit() uint64 {
 	return min(request.reservedWords, request.programConfig.TurnLimit)
 }
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -17,7 +17,7 @@
 	"yardrock.example/system/wire"
 )
 
-// handler mounts the generated servers.
+// handler returns the HTTP handler of the work API and the health probes.
 func (node *Node) handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
@@ -26,10 +26,10 @@
 	return mux
 }
 
-// workService implements the generated interface with the chains.
+// workService implements the generated service interface by the filter chains.
 type workService struct{ node *Node }
 
-// stringValue returns an optional text, or "".
+// stringValue returns the string that value points to, or "" if it is nil.
 func stringValue(value *string) string {
 	if value == nil {
 		return ""
@@ -37,7 +37,7 @@
 	return *value
 }
 
-// runChain passes a request with its bearer token through a chain.
+// runChain sets the request's bearer token and passes the request through a chain.
 func (service workService) runChain(ctx context.Context, authorization *string, request *request, chain []filter) (any, error) {
 	token, err := httpapi.BearerToken(authorization)
 	if err != nil {
@@ -47,38 +47,38 @@
 	return service.node.runChain(ctx, request, chain)
 }
 
-// respondStream runs a chain whose answer is a stream.
+// respondStream runs a chain that answers with a stream.
 func (service workService) respondStream(ctx context.Context, authorization *string, request *request, chain []filter) (io.ReadCloser, error) {
 	answer, err := service.runChain(ctx, authorization, request, chain)
 	if err != nil {
 		return nil, err
 	}
-	stream := answer.(*eventStream) // the chains of turns, helpers and tails answer with nothing else
+	stream := answer.(*eventStream) // the only answer of the chains of turns, helpers and tails
 	stream.context = ctx
 	httpapi.SetContentType(ctx, "application/x-ndjson")
 	return stream, nil
 }
 
-// respondOutcome runs a chain whose answer is an outcome.
+// respondOutcome runs a chain that answers with an outcome.
 func (service workService) respondOutcome(ctx context.Context, authorization *string, request *request, chain []filter) (*work.Outcome, error) {
 	answer, err := service.runChain(ctx, authorization, request, chain)
 	if err != nil {
 		return nil, err
 	}
-	return answer.(*work.Outcome), nil // the chains of plain work answer with nothing else
+	return answer.(*work.Outcome), nil // the only answer of the chains of plain work
 }
 
-// Start starts a conversation.
+// Start starts a conversation with its first turn.
 func (service workService) Start(ctx context.Context, payload *work.StartPayload) (io.ReadCloser, error) {
 	return service.respondStream(ctx, payload.Authorization, &request{
 		program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: stringValue(payload.QueryKey),
 	}, turnChain)
 }
 
-// Turn follows a turn of a conversation.
+// Turn starts a turn that follows another one of its conversation.
 func (service workService) Turn(ctx context.Context, payload *work.TurnPayload) (io.ReadCloser, error) {
 	if payload.Follows == 0 {
-		return nil, apierror.New(apierror.Invalid, "follows is 0", "name the turn to follow")
+		return nil, apierror.New(apierror.Invalid, "follows is 0", "set follows to the seq of the turn to follow")
 	}
 	return service.respondStream(ctx, payload.Authorization, &request{
 		conversation: payload.Conversation, follows: payload.Follows, kind: payload.Kind, input: payload.Words, idempotencyKey: stringValue(payload.QueryKey),
@@ -92,21 +92,21 @@
 	}, toolChain)
 }
 
-// Helper starts a conversation that its parent's session names.
+// Helper starts a conversation that is recorded in the session of its parent.
 func (service workService) Helper(ctx context.Context, payload *work.HelperPayload) (io.ReadCloser, error) {
 	return service.respondStream(ctx, payload.Authorization, &request{
 		parent: payload.Conversation, follows: payload.Follows, program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: payload.QueryKey,
 	}, helperChain)
 }
 
-// Lookup sends plain work that may run more than once.
+// Lookup runs plain work that may run more than once.
 func (service workService) Lookup(ctx context.Context, payload *work.LookupPayload) (*work.Outcome, error) {
 	return service.respondOutcome(ctx, payload.Authorization, &request{
 		program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: stringValue(payload.QueryKey),
 	}, lookupChain)
 }
 
-// Once sends plain work that must run at most once.
+// Once runs plain work that must run at most once.
 func (service workService) Once(ctx context.Context, payload *work.OncePayload) (*work.Outcome, error) {
 	return service.respondOutcome(ctx, payload.Authorization, &request{
 		program: payload.Program, kind: payload.Kind, input: payload.Words, idempotencyKey: payload.QueryKey,
@@ -122,7 +122,7 @@
 	return service.respondStream(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, tailAfter(payload.Cursor, turn)))
 }
 
-// tailAfter is the last filter of Tail. It answers with the stream only if the cursor and
+// tailAfter returns the last filter of Tail. It answers with the stream only if the cursor and
 // the turn exist.
 func tailAfter(cursor, turn uint64) filter {
 	return func(ctx context.Context, node *Node, request *request) (any, error) {
@@ -142,13 +142,13 @@
 	}
 }
 
-// History reads a page of committed events.
+// History returns a page of the committed events of a conversation.
 func (service workService) History(ctx context.Context, payload *work.HistoryPayload) (*work.Transcript, error) {
 	answer, err := service.runChain(ctx, payload.Authorization, &request{conversation: payload.Conversation}, chain(admission, readPage(payload.After, payload.Limit)))
 	if err != nil {
 		return nil, err
 	}
-	reply := answer.(*wire.ReadReply) // readPage answers with nothing else
+	reply := answer.(*wire.ReadReply) // the only answer of readPage
 	transcript := &work.Transcript{Conversation: payload.Conversation, Program: reply.Session.Program, Head: reply.Session.Head, Events: []*work.Record{}}
 	for _, event := range reply.Events {
 		transcript.Events = append(transcript.Events, toRecord(event))
@@ -156,14 +156,14 @@
 	return transcript, nil
 }
 
-// readPage is the last filter of History.
+// readPage returns the last filter of History.
 func readPage(after, limit uint64) filter {
 	return func(ctx context.Context, node *Node, request *request) (any, error) {
 		return node.readAfter(ctx, request, after, limit)
 	}
 }
 
-// toRecord converts an event to its form in a transcript, which leaves out zero values.
+// toRecord converts an event to a transcript record, which omits zero values.
 func toRecord(event sessionlog.Event) *work.Record {
 	return &work.Record{
 		Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind],
@@ -172,7 +172,7 @@
 	}
 }
 
-// pointerOrNil returns a pointer to a value, or nil if it is zero.
+// pointerOrNil returns a pointer to value, or nil if it is zero.
 func pointerOrNil[Value comparable](value Value) *Value {
 	var zero Value
 	if value == zero {
@@ -181,13 +181,13 @@
 	return &value
 }
 
-// Tally returns what a program has spent and reserved of its quota.
+// Tally returns how much of its quota a program has spent and reserved.
 func (service workService) Tally(ctx context.Context, payload *work.TallyPayload) (*work.TallyResult, error) {
 	answer, err := service.runChain(ctx, payload.Authorization, &request{program: payload.Program}, chain(admission, findProgram, readQuotaUsage))
 	if err != nil {
 		return nil, err
 	}
-	return answer.(*work.TallyResult), nil // readQuotaUsage answers with nothing else
+	return answer.(*work.TallyResult), nil // the only answer of readQuotaUsage
 }
 
 // readQuotaUsage is the last filter of Tally.
--- a/system/httpapi/errors.go
+++ b/system/httpapi/errors.go
@@ -14,7 +14,7 @@
 	"yardrock.example/system/apierror"
 )
 
-// statusByKind maps kinds of errors to HTTP statuses; others are 500.
+// statusByKind maps error kinds to HTTP statuses; other kinds map to 500.
 var statusByKind = map[apierror.Kind]int{
 	apierror.Invalid: http.StatusBadRequest, apierror.Unauthorized: http.StatusUnauthorized, apierror.Forbidden: http.StatusForbidden,
 	apierror.NotFound: http.StatusNotFound, apierror.Conflict: http.StatusConflict, apierror.TooLarge: http.StatusRequestEntityTooLarge,
@@ -23,14 +23,14 @@
 	apierror.Unknown: http.StatusBadGateway, apierror.RunnerFailure: http.StatusBadGateway, apierror.OutcomeUnknown: http.StatusGatewayTimeout,
 }
 
-// Error is the body of every response that is no success.
+// Error is the body of every error response.
 type Error struct {
 	// Kind is an apierror.Kind, for programs to switch on.
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
-	// Remedy says what the caller can do.
+	// Remedy says what the client can do.
 	Remedy string `json:"remedy"`
-	// RetryAfter is when a retry may succeed, in milliseconds; 0 if that is not known.
+	// RetryAfter is how long to wait before a retry, in milliseconds; 0 if not specified.
 	RetryAfter int64 `json:"retry_after_ms,omitempty"`
 	statusCode int
 }
@@ -40,25 +40,25 @@
 //	status := body.StatusCode()
 func (body *Error) StatusCode() int { return body.statusCode }
 
-// Error lets clients of the interface treat a decoded body as an error.
+// Error lets clients of the API use a decoded body as an error.
 //
 //	return body.Error()
 func (body *Error) Error() string {
 	return body.Message + " [" + body.Kind + "; remedy: " + body.Remedy + "]"
 }
 
-// FormatError turns an error into a response body, and sets the Retry-After field, in whole
-// seconds, if the error says when to retry; goa calls it.
+// FormatError converts an error into a response body, and sets the Retry-After header, in whole
+// seconds rounded up, if the error has a retry delay; goa calls it.
 //
 //	server := workserver.New(endpoints, mux, decoder, encoder, nil, httpapi.FormatError)
 func FormatError(ctx context.Context, err error) goahttp.Statuser {
 	failure := apierror.Of(err)
 	var serviceErr *goa.ServiceError
 	if errors.As(err, &serviceErr) {
-		failure = &apierror.Error{Kind: apierror.Invalid, Message: serviceErr.Message, Remedy: "correct the query as the message says"}
-		// goa keeps only the text of the decoder's error, here of an http.MaxBytesError.
+		failure = &apierror.Error{Kind: apierror.Invalid, Message: serviceErr.Message, Remedy: "correct the request as the message says"}
+		// goa keeps only the text of a decoding error, so an http.MaxBytesError is recognized by it.
 		if strings.Contains(serviceErr.Message, "request body too large") {
-			failure = &apierror.Error{Kind: apierror.TooLarge, Message: "the body is larger than the config allows", Remedy: "send less in one query"}
+			failure = &apierror.Error{Kind: apierror.TooLarge, Message: "the request body exceeds the configured limit", Remedy: "send a smaller request"}
 		}
 	}
 	status, known := statusByKind[failure.Kind]
--- a/system/httpapi/health.go
+++ b/system/httpapi/health.go
@@ -12,21 +12,21 @@
 	"yardrock.example/system/apierror"
 )
 
-// healthService answers the platform's liveness and readiness probes of one process.
+// healthService implements the liveness and readiness probes of one process.
 type healthService struct{ IsReady func() bool }
 
-// Alive answers as long as the process does.
+// Alive succeeds whenever the process can respond.
 func (healthService) Alive(context.Context) (string, error) { return "alive", nil }
 
-// Ready returns an error of the kind Unavailable while the process cannot take requests.
+// Ready returns an error of kind Unavailable while the process cannot serve requests.
 func (service healthService) Ready(context.Context) (string, error) {
 	if !service.IsReady() {
-		return "", apierror.NewRetryable(apierror.Unavailable, "this process cannot take work now", "wait; its log tells what is missing", time.Second)
+		return "", apierror.NewRetryable(apierror.Unavailable, "this process is not ready to serve requests", "wait, or check its log for what is missing", time.Second)
 	}
 	return "ready", nil
 }
 
-// HealthHandler serves only health probes, for a node that has no other HTTP interface.
+// HealthHandler serves only the health probes, for a node without another HTTP interface.
 //
 //	server := httpapi.Serve(listener, httpapi.HealthHandler(node.Ready), limit)
 func HealthHandler(isReady func() bool) http.Handler {
@@ -35,7 +35,7 @@
 	return mux
 }
 
-// MountHealth adds the health probes to a node's interface.
+// MountHealth adds the health probes to a node's HTTP interface.
 //
 //	httpapi.MountHealth(mux, node.Ready)
 func MountHealth(mux goahttp.Muxer, isReady func() bool) {
--- a/system/httpapi/server.go
+++ b/system/httpapi/server.go
@@ -1,4 +1,4 @@
-// Package httpapi is what the HTTP interfaces of the data plane and the control plane share:
+// Package httpapi has what the HTTP interfaces of the data plane and the control plane share:
 // errors as JSON bodies, bearer tokens, body limits, health probes, and a server that can be
 // drained. It keeps no state but the open connections.
 package httpapi
@@ -16,11 +16,11 @@
 	"yardrock.example/system/apierror"
 )
 
-// responseWriterKey is the key of the response writer in a request's context: goa's methods don't
-// get it.
+// responseWriterKey is the key of the response writer in a request's context, as goa does not
+// pass it to service methods.
 type responseWriterKey struct{}
 
-// SetContentType sets the type of a response whose body the method writes itself.
+// SetContentType sets the content type of a response whose body the service method writes itself.
 //
 //	httpapi.SetContentType(ctx, "application/x-ndjson")
 func SetContentType(ctx context.Context, contentType string) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// BearerToken returns the token of an Authorization field, or an error of the kind
+// BearerToken returns the token of an Authorization header, or an error of kind
 // Unauthorized.
 //
 //	token, err := httpapi.BearerToken(payload.Authorization)
@@ -39,25 +39,25 @@
 			return token, nil
 		}
 	}
-	return "", apierror.New(apierror.Unauthorized, "the query has no bearer token", "send the header Authorization: Bearer TOKEN")
+	return "", apierror.New(apierror.Unauthorized, "the request has no bearer token", "send the header Authorization: Bearer TOKEN")
 }
 
-// Server is one HTTP listener.
+// Server is an HTTP server on one listener.
 type Server struct {
 	http *http.Server
-	// done is closed when the accepting goroutine has ended.
+	// done is closed when the accept loop has ended.
 	done chan struct{}
 }
 
 const (
-	// readHeaderTimeout is how long a caller may take to send a request's header.
+	// readHeaderTimeout is how long a client may take to send a request's header.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout is how long a connection is kept without a request.
+	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout = 2 * time.Minute
 )
 
-// Serve serves requests on a listener, in a goroutine of its own, until Close. limit returns
-// the largest request body allowed now, in bytes.
+// Serve serves requests on a listener, in a goroutine of its own, until Close. limit is called
+// for each request and returns the maximum size of its body, in bytes.
 //
 //	server := httpapi.Serve(listener, mux, func() int64 { return 1 << 20 })
 func Serve(listener net.Listener, handler http.Handler, limit func() int64) *Server {
@@ -76,14 +76,14 @@
 	return server
 }
 
-// Drain stops accepting connections and waits for the requests under way, or the end of the
-// context.
+// Drain stops accepting connections and waits for the requests in flight, or until the context
+// ends.
 //
 //	err := server.Drain(ctx)
 func (server *Server) Drain(ctx context.Context) error { return server.http.Shutdown(ctx) }
 
-// Close closes the listener and all connections at once, and waits for the accepting
-// goroutine.
+// Close closes the listener and all connections immediately, and waits for the accept loop to
+// end.
 //
 //	server.Close()
 func (server *Server) Close() {
