--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -59,7 +59,7 @@
 
 // startFront starts a front node. Without figures it reports none.
 func startFront(loaded *settings.DataPlane, figures *metrics.Registry) (daemon.Service, error) {
-	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.PublicAddress, Domain: loaded.Domain, Seeds: loaded.Seeds, Figures: figures}, loaded.Network())
+	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.PublicAddress, Domain: loaded.Domain, Seeds: loaded.Seeds, Metrics: figures}, loaded.Network())
 	if err != nil {
 		return daemon.Service{}, err
 	}
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -73,16 +73,16 @@
 	Seeds []string
 	// Machine is the operator's name for this machine; it may be "".
 	Machine string
-	// Dialect has the names of the HTTP headers in forwarded requests and responses.
-	Dialect runnerpool.HeaderNames
+	// HeaderNames has the names of the HTTP headers in forwarded requests and responses.
+	HeaderNames runnerpool.HeaderNames
 	// MaxBufferedBytes bounds the total size of buffered forwarded requests and histories;
 	// 0 means forwarding.DefaultMaxBufferedBytes.
 	MaxBufferedBytes int64
 	// LogRequests enables a log line for each forwarded request, with the time of its stages.
 	LogRequests bool
-	// Figures receives the metrics of forwarded requests and of the balancer; nil disables
+	// Metrics receives the metrics of forwarded requests and of the balancer; nil disables
 	// them.
-	Figures *metrics.Registry
+	Metrics *metrics.Registry
 }
 
 // Node is a running front node. It is safe for concurrent use.
@@ -148,15 +148,15 @@
 	node.frontNames.Store(&[]string{node.name})
 	node.stores = storeclient.New(node.linkClient, func() *feed.View { return node.current.Load().view })
 	node.scheduler = scheduler.New(node.name, settings.Domain, node.schedulerState, node.notifyPeers)
-	node.pool = runnerpool.New(network, settings.Dialect)
+	node.pool = runnerpool.New(network, settings.HeaderNames)
 	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
 	node.forwarder = forwarding.New(forwarding.Settings{
 		Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.currentRouting,
 		Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes,
-		LogRequests: settings.LogRequests, Observe: requestObserver(settings.Figures),
+		LogRequests: settings.LogRequests, Observe: requestObserver(settings.Metrics),
 	})
-	if settings.Figures != nil {
-		publishBalancer(settings.Figures, node.balancer.Status)
+	if settings.Metrics != nil {
+		publishBalancer(settings.Metrics, node.balancer.Status)
 	}
 	return node
 }
