--- a/system/cmd/yardrock-control-plane/main.go
+++ b/system/cmd/yardrock-control-plane/main.go
@@ -29,20 +29,20 @@
 	}
 	daemon.ConfigureLogging(loaded.Log)
 	daemon.LimitMemory(loaded.Memory)
-	folder, err := loaded.OpenFolder("")
+	directory, err := loaded.OpenFolder("")
 	if err != nil {
 		return err
 	}
-	figures, stopFigures, err := metrics.Open(loaded.Metrics, metrics.DefaultPath)
+	registry, stopMetrics, err := metrics.Open(loaded.Metrics, metrics.DefaultPath)
 	if err != nil {
 		return err
 	}
-	defer stopFigures()
+	defer stopMetrics()
 	node, err := controlplane.Start(controlplane.Settings{
 		Address: loaded.Address, Administration: loaded.AdminAddress, Domain: loaded.Domain, Seeds: loaded.Seeds,
 		FoundingStores: loaded.FoundingStores, Groups: loaded.Groups, ReplicationFactor: loaded.ReplicationFactor, MaxControls: loaded.MaxControls,
-		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithFigures(figures),
-	}, folder, loaded.Network())
+		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithFigures(registry),
+	}, directory, loaded.Network())
 	if err != nil {
 		return err
 	}
@@ -55,14 +55,14 @@
 		Reload: node.SetSeeds,
 		Drain: func(ctx context.Context) {
 			node.Drain()
-			_ = server.Drain(ctx) // what is left when ctx ends is ended by Close
+			_ = server.Drain(ctx) // Close ends the requests that are left when ctx ends
 		},
 		Close: func() {
 			server.Close()
 			node.Close()
 		},
 	}, func() ([]string, error) {
-		again, err := settings.LoadControlPlane(os.Args[1:], io.Discard)
-		return again.Seeds, err
+		reloaded, err := settings.LoadControlPlane(os.Args[1:], io.Discard)
+		return reloaded.Seeds, err
 	})
 }
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -24,13 +24,13 @@
 	}
 }
 
-// archiveFolderName is the folder for archived events in a store's data folder.
-const archiveFolderName = "cold"
+// archiveDirectoryName is the subdirectory for archived events in a store's data directory.
+const archiveDirectoryName = "cold"
 
-// maxHealthBodyBytes is the size limit of a health check's body, which is normally empty.
+// maxHealthBodyBytes limits the body of a health check request, which is normally empty.
 const maxHealthBodyBytes = 1024
 
-// roles starts the node of each role that the settings allow, so that a loaded role is one.
+// roles holds the start function of every role that the settings accept.
 var roles = map[string]func(*settings.DataPlane, *metrics.Registry) (daemon.Service, error){feed.RoleFront: startFront, feed.RoleStore: startStore}
 
 // run runs the node until it is stopped or fails.
@@ -42,45 +42,45 @@
 	}
 	daemon.ConfigureLogging(loaded.Log)
 	daemon.LimitMemory(loaded.Memory)
-	figures, stopFigures, err := metrics.Open(loaded.Metrics, metrics.DefaultPath)
+	registry, stopMetrics, err := metrics.Open(loaded.Metrics, metrics.DefaultPath)
 	if err != nil {
 		return err
 	}
-	defer stopFigures()
-	service, err := roles[loaded.Role](loaded, figures)
+	defer stopMetrics()
+	service, err := roles[loaded.Role](loaded, registry)
 	if err != nil {
 		return err
 	}
 	return daemon.Serve(signals, service, func() ([]string, error) {
-		again, err := settings.LoadDataPlane(os.Args[1:], io.Discard)
-		return again.Seeds, err
+		reloaded, err := settings.LoadDataPlane(os.Args[1:], io.Discard)
+		return reloaded.Seeds, err
 	})
 }
 
-// startFront starts a front node. Without figures it reports none.
-func startFront(loaded *settings.DataPlane, figures *metrics.Registry) (daemon.Service, error) {
-	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.PublicAddress, Domain: loaded.Domain, Seeds: loaded.Seeds, Figures: figures}, loaded.Network())
+// startFront starts a front node. Registry may be nil.
+func startFront(loaded *settings.DataPlane, registry *metrics.Registry) (daemon.Service, error) {
+	node, err := front.Start(front.Settings{Address: loaded.Address, PublicAddress: loaded.PublicAddress, Domain: loaded.Domain, Seeds: loaded.Seeds, Figures: registry}, loaded.Network())
 	if err != nil {
 		return daemon.Service{}, err
 	}
 	return daemon.Service{Reload: node.SetSeeds, Drain: node.Drain, Close: node.Close}, nil
 }
 
-// startStore starts a store node, with a server for health checks if the settings ask for
-// one. Without figures it reports none.
-func startStore(loaded *settings.DataPlane, figures *metrics.Registry) (daemon.Service, error) {
-	folder, err := loaded.OpenFolder("")
+// startStore starts a store node, and a server for health checks if the settings name an address
+// for it. Registry may be nil.
+func startStore(loaded *settings.DataPlane, registry *metrics.Registry) (daemon.Service, error) {
+	directory, err := loaded.OpenFolder("")
 	if err != nil {
 		return daemon.Service{}, err
 	}
-	archiveFolder, err := loaded.OpenFolder(archiveFolderName)
+	archiveDirectory, err := loaded.OpenFolder(archiveDirectoryName)
 	if err != nil {
 		return daemon.Service{}, err
 	}
 	node, err := store.Start(store.Settings{
 		Address: loaded.Address, Domain: loaded.Domain, Seeds: loaded.Seeds,
-		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithFigures(figures),
-	}, folder, archiveFolder, loaded.Network())
+		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithFigures(registry),
+	}, directory, archiveDirectory, loaded.Network())
 	if err != nil {
 		return daemon.Service{}, err
 	}
--- a/system/cmd/yardrock-shell/client.go
+++ b/system/cmd/yardrock-shell/client.go
@@ -16,35 +16,35 @@
 	// Columns and Rows are the result of a query.
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
-	// Number is the feed number of the change that a command made, and Acknowledged says
-	// whether the stores that must obey it have confirmed it. Both are present or neither.
+	// Number is the feed number of the change that a command made. Acknowledged reports whether
+	// the stores that must apply it have confirmed it. Either both or neither are present.
 	Number       *uint64 `json:"number,omitempty"`
 	Acknowledged *bool   `json:"acknowledged,omitempty"`
-	// Would is what a command in a dry run would do.
-	Would *string `json:"would,omitempty"`
+	// DryRunResult describes what a command would do; it is the result of a dry run.
+	DryRunResult *string `json:"would,omitempty"`
 }
 
-// query sends a query or command to the control nodes in turn until one answers; each
-// forwards it to the leader itself. A command is sent to another node only if it did not
-// arrive at the one before.
+// query sends a query or command to the control nodes in turn until one answers; each node
+// forwards it to the leader. A command is sent to another node only if the previous one did
+// not receive it or has no quorum.
 func (shell *shell) query(text string) (*queryResult, error) {
 	body, err := json.Marshal(map[string]string{"text": text})
 	if err != nil {
 		return nil, err
 	}
-	var last error
+	var lastErr error
 	for _, control := range shell.controls {
 		result, retry, err := shell.queryNode(control, text, body)
 		if !retry {
 			return result, err
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// queryNode sends a query or command to one control node. retry says that the next node
-// may be asked: this one did not get it or has no quorum.
+// queryNode sends a query or command to one control node. retry reports that the next node may be
+// tried, because this one did not receive the request or has no quorum.
 func (shell *shell) queryNode(control, text string, body []byte) (result *queryResult, retry bool, err error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+control+"/v1/query", bytes.NewReader(body))
 	if err != nil {
--- a/system/cmd/yardrock-shell/interactive.go
+++ b/system/cmd/yardrock-shell/interactive.go
@@ -11,8 +11,8 @@
 	"yardrock.example/system/querylanguage"
 )
 
-// interact reads lines from the terminal and runs them, with history and completion,
-// until the end of input. A history that cannot be read or written is left out.
+// interact reads lines from the terminal and runs them, with history and completion, until
+// the end of input. Errors of the history file are ignored.
 func (shell *shell) interact() {
 	line := liner.NewLiner()
 	defer func() { _ = line.Close() }() // restores the terminal
@@ -43,8 +43,8 @@
 	}
 }
 
-// historyFile returns the path of the file with earlier lines, or "" without a home
-// folder; the history is not kept then.
+// historyFile returns the path of the history file, or "" if there is no home directory; the
+// history is not saved then.
 func historyFile() string {
 	home, err := os.UserHomeDir()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return filepath.Join(home, ".yardrock_history")
 }
 
-// complete returns the beginnings of statements that begin with a prefix.
+// complete returns the completions of a prefix.
 func complete(prefix string) []string {
 	completions := []string{"set weight ", "set allowance ", "set limit ", "empty domain ", "refill domain ", "enrol store ", "retire store ", "restore config "}
 	for _, table := range querylanguage.Tables {
--- a/system/cmd/yardrock-shell/main.go
+++ b/system/cmd/yardrock-shell/main.go
@@ -1,5 +1,5 @@
-// Command yardrock-shell sends queries and commands in the query language to a fleet's
-// control nodes: one from its arguments, or line by line from the terminal.
+// Command yardrock-shell sends queries and commands in the query language to the control
+// nodes of a fleet, either one from its arguments or line by line from the terminal.
 package main
 
 import (
@@ -19,37 +19,37 @@
 	"yardrock.example/system/settings"
 )
 
-// options are the flags and arguments. The help texts describe them; that of the
-// positional argument also shows the name of its field.
+// options are the flags and arguments. The usage message shows the field name of the
+// positional argument.
 type options struct {
-	Controls  string        `arg:"--controls,required" help:"administration addresses of control nodes, joined by commas"`
+	Controls  string        `arg:"--controls,required" help:"comma-separated administration addresses of control nodes"`
 	TokenFile string        `arg:"--token-file" help:"file with the operator's token [default: environment YARDROCK_TOKEN]"`
-	JSON      bool          `arg:"--json" help:"answer in JSON"`
-	WaitReady time.Duration `arg:"--wait-ready" help:"wait until every group is led, at most so long"`
-	Line      []string      `arg:"positional" help:"one query or command; without it the shell asks for lines"`
+	JSON      bool          `arg:"--json" help:"print results as JSON"`
+	WaitReady time.Duration `arg:"--wait-ready" help:"wait until every group has a leader and no replica is being moved, at most for this duration"`
+	Line      []string      `arg:"positional" help:"one query or command; without it the shell is interactive"`
 }
 
 // Version returns the program's name and version; go-arg prints it.
 func (options) Version() string { return "yardrock-shell " + settings.Version }
 
 func main() {
-	var chosen options
-	arg.MustParse(&chosen)
+	var opts options
+	arg.MustParse(&opts)
 	token := os.Getenv("YARDROCK_TOKEN")
-	if chosen.TokenFile != "" {
-		data, err := os.ReadFile(chosen.TokenFile)
+	if opts.TokenFile != "" {
+		data, err := os.ReadFile(opts.TokenFile)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(exitUsage)
 		}
 		token = strings.TrimSpace(string(data))
 	}
-	shell := &shell{controls: strings.Split(chosen.Controls, ","), token: token, json: chosen.JSON, output: os.Stdout}
+	shell := &shell{controls: strings.Split(opts.Controls, ","), token: token, json: opts.JSON, output: os.Stdout}
 	switch {
-	case chosen.WaitReady > 0:
-		os.Exit(shell.waitReady(chosen.WaitReady))
-	case len(chosen.Line) > 0:
-		os.Exit(shell.run(strings.Join(chosen.Line, " ")))
+	case opts.WaitReady > 0:
+		os.Exit(shell.waitReady(opts.WaitReady))
+	case len(opts.Line) > 0:
+		os.Exit(shell.run(strings.Join(opts.Line, " ")))
 	}
 	shell.interact()
 }
@@ -62,7 +62,7 @@
 	output   io.Writer
 }
 
-// run sends one line, prints the result or the error, and returns the exit code.
+// run sends one query or command, prints the result or the error, and returns the exit code.
 func (shell *shell) run(text string) int {
 	result, err := shell.query(text)
 	if err != nil {
@@ -78,18 +78,18 @@
 		return exitRejected
 	}
 	if shell.json {
-		// An output that was closed ends the process by SIGPIPE, here as in print.
+		// SIGPIPE ends the process if the output is closed, here as in print.
 		_ = json.NewEncoder(shell.output).Encode(result)
 	} else {
 		shell.print(result)
 	}
 	if result.Acknowledged != nil && !*result.Acknowledged {
-		return exitUnclear
+		return exitOutcomeUnknown
 	}
 	return 0
 }
 
-// print prints a result for people.
+// print prints a result in human-readable form.
 func (shell *shell) print(result *queryResult) {
 	if len(result.Columns) > 0 {
 		table := tabwriter.NewWriter(shell.output, 0, 4, 2, ' ', 0)
@@ -98,25 +98,25 @@
 		}
 		_ = table.Flush()
 	}
-	if result.Would != nil {
-		fmt.Fprintln(shell.output, *result.Would)
+	if result.DryRunResult != nil {
+		fmt.Fprintln(shell.output, *result.DryRunResult)
 	}
 	if result.Number != nil {
-		// Control nodes send both or neither (queryResult).
+		// Control nodes send either both fields or neither (queryResult).
 		fmt.Fprintf(shell.output, "number %d, acknowledged: %t\n", *result.Number, *result.Acknowledged)
 	}
 }
 
-// readyInterval is the time between two checks of waitReady.
+// readyInterval is the polling interval of waitReady.
 const readyInterval = 300 * time.Millisecond
 
-// waitReady waits until every group has a leader and no replica is being moved, for
-// release scripts, and returns the exit code.
+// waitReady waits until every group has a leader and no replica is being moved, and returns
+// the exit code. Release scripts use it.
 func (shell *shell) waitReady(timeout time.Duration) int {
 	deadline := time.Now().Add(timeout)
 	for {
 		result, err := shell.query("show groups")
-		// The columns of this table are group, leader, voters and learners.
+		// The columns are group, leader, voters and learners.
 		ready := err == nil && len(result.Rows) > 0 && !slices.ContainsFunc(result.Rows, func(row []string) bool { return row[1] == "" || row[3] != "" })
 		if ready {
 			return 0
--- a/system/config/compiled.go
+++ b/system/config/compiled.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/apierror"
 )
 
-// Decode reads the compiled form of a config, and indexes its routing. No data is an empty
-// config, the one before the first.
+// Decode decodes the compiled form of a config and indexes its routing. Empty input yields an
+// empty config, the state before the first config.
 //
 //	config, err := config.Decode(view.Compiled)
 func Decode(compiled []byte) (*Config, error) {
@@ -20,7 +20,7 @@
 		return config, nil
 	}
 	if err := json.Unmarshal(compiled, config); err != nil {
-		return nil, apierror.Wrap(err, apierror.Invalid, "the compiled config cannot be read: "+err.Error(), "run matching versions of the programs")
+		return nil, apierror.Wrap(err, apierror.Invalid, "the compiled config cannot be decoded: "+err.Error(), "run matching versions of the programs")
 	}
 	if config.Routing != nil {
 		config.Routing.BuildIndex()
@@ -28,37 +28,37 @@
 	return config, nil
 }
 
-// encode returns a config's compiled form. Parts in their operator's own words (Original) are
-// written unchanged.
+// encode returns the compiled form of a config. Items as their operator wrote them (Original) are
+// encoded unchanged.
 func (config *Config) encode() ([]byte, error) {
 	var compiled bytes.Buffer
 	encoder := json.NewEncoder(&compiled)
 	encoder.SetEscapeHTML(false)
 	if err := encoder.Encode(config); err != nil {
-		return nil, apierror.Wrap(err, apierror.Invalid, "the config cannot be encoded: "+err.Error(), "correct what it names; nothing was changed")
+		return nil, apierror.Wrap(err, apierror.Invalid, "the config cannot be encoded: "+err.Error(), "correct the named value; nothing was changed")
 	}
 	return bytes.TrimRight(compiled.Bytes(), "\n"), nil
 }
 
-// CheckReferences checks what the schema of the source cannot: that names refer to something,
-// that a table has a weight above 0, and the rules of routing.
+// CheckReferences validates what the CUE schema cannot express: that every referenced name is
+// defined, that every weight table in use has a weight above 0, and the rules of Routing.Check.
 //
 //	err := decoded.CheckReferences()
 func (config *Config) CheckReferences() error {
 	for _, name := range slices.Sorted(maps.Keys(config.Programs)) {
 		if team := config.Programs[name].Team; !hasKey(config.Teams, team) {
-			return missingName("programs."+name+".team", team, "team")
+			return undefinedReference("programs."+name+".team", team, "team")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(config.Kinds)) {
-		if err := config.checkTableOf(name, config.Kinds[name].Table); err != nil {
+		if err := config.checkWeightTable(name, config.Kinds[name].Table); err != nil {
 			return err
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(config.Tables)) {
 		for _, group := range slices.Sorted(maps.Keys(config.Tables[name])) {
 			if !hasKey(config.Groups, group) {
-				return missingName("tables."+name+"."+group, group, "group")
+				return undefinedReference("tables."+name+"."+group, group, "group")
 			}
 		}
 	}
@@ -68,11 +68,11 @@
 	return nil
 }
 
-// checkTableOf checks the weight table of a kind of work.
-func (config *Config) checkTableOf(kind, name string) error {
+// checkWeightTable validates the weight table of a kind of work.
+func (config *Config) checkWeightTable(kind, name string) error {
 	table, found := config.Tables[name]
 	if !found {
-		return missingName("kinds."+kind+".table", name, "table")
+		return undefinedReference("kinds."+kind+".table", name, "table")
 	}
 	total := 0.0
 	for _, weight := range table {
@@ -84,13 +84,13 @@
 	return nil
 }
 
-// hasKey reports whether a map has an item of a name.
+// hasKey reports whether a map has an item with a name.
 func hasKey[Value any](items map[string]Value, name string) bool {
 	_, found := items[name]
 	return found
 }
 
-// missingName is the error of a field that refers to an item which is not in the config.
-func missingName(path, name, kind string) error {
-	return apierror.New(apierror.Invalid, fmt.Sprintf("the config is invalid: %s: no %s is named %q", path, kind, name), "add it, or name one that is there; nothing was changed")
+// undefinedReference returns the error for a field that refers to an item missing from the config.
+func undefinedReference(path, name, kind string) error {
+	return apierror.New(apierror.Invalid, fmt.Sprintf("the config is invalid: %s: no %s is named %q", path, kind, name), "define it, or use an existing name; nothing was changed")
 }
--- a/system/config/config_test.go
+++ b/system/config/config_test.go
@@ -24,12 +24,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := config.Decode(compiled)
-	if err != nil || again.Groups["large"].Concurrency != 3 || time.Duration(again.Programs["manifest"].Retention) != 24*time.Hour {
-		t.Fatalf("compiled form differs: %+v %v", again, err)
+	redecoded, err := config.Decode(compiled)
+	if err != nil || redecoded.Groups["large"].Concurrency != 3 || time.Duration(redecoded.Programs["manifest"].Retention) != 24*time.Hour {
+		t.Fatalf("the compiled form decodes to a different config: %+v %v", redecoded, err)
 	}
 	if !decoded.Kinds["chat"].Repeatable || decoded.Limits.Queue != 200 {
-		t.Fatalf("defaults are missing: %+v", decoded)
+		t.Fatalf("defaults were not applied: %+v", decoded)
 	}
 	for broken, path := range map[string]string{
 		validSource + `programs: manifest: allowance: -1`:                         "programs.manifest.allowance",
--- a/system/config/export_test.go
+++ b/system/config/export_test.go
@@ -1,10 +1,10 @@
 package config
 
-// The tests of this package are apart from it, as they use package configsource, which builds
-// on it. They need to see the following.
+// The tests are in package config_test because they use package configsource, which imports this
+// package. The following exports what they need.
 
-// Equal reports whether two routings are equal.
+// Equal exports equal.
 func (routing *Routing) Equal(other *Routing) bool { return routing.equal(other) }
 
-// HasIndex reports whether the routing has been indexed.
+// HasIndex reports whether BuildIndex was called.
 func (routing *Routing) HasIndex() bool { return routing.index != nil }
--- a/system/config/principals.go
+++ b/system/config/principals.go
@@ -6,8 +6,8 @@
 	"encoding/hex"
 )
 
-// HashToken returns the form in which a token is stored: its SHA-256 in hexadecimal. Tokens are
-// long random texts, so a fast hash without salt is enough.
+// HashToken returns the stored form of a token: its SHA-256 in hexadecimal. Tokens are long and
+// random, so a fast hash without salt is sufficient.
 //
 //	stored := config.HashToken("team-secret")
 func HashToken(token string) string {
@@ -15,14 +15,14 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Principal is a team or an operator, who proves its identity by any of its tokens. Only their
-// hashes (HashToken) are in the config.
+// Principal is a team or an operator, which authenticates with any of its tokens. The config
+// contains only their hashes (HashToken).
 type Principal struct {
 	TokenHashes []string `json:"token_hashes"`
 }
 
-// PrincipalByToken returns the name of the principal who has a token. Every hash is compared, in
-// constant time, so that the time taken says nothing about the token.
+// PrincipalByToken returns the name of the principal that a token belongs to. It compares every
+// hash, in constant time, so that its duration reveals nothing about the token.
 //
 //	team, found := config.PrincipalByToken(config.Teams, token)
 func PrincipalByToken(principals map[string]Principal, token string) (string, bool) {
--- a/system/config/routing_lookup.go
+++ b/system/config/routing_lookup.go
@@ -24,21 +24,21 @@
 	return nil, false
 }
 
-// routeIndex finds routes by host and prefix, and services by name. It is never changed once
-// made.
+// routeIndex indexes routes by lower-case host and by prefix, and services by name. It is
+// immutable.
 type routeIndex struct {
 	hosts    map[string]*hostRoutes
 	services map[string]*Service
 }
 
-// hostRoutes has the routes of one host by prefix, and the length of the longest prefix.
+// hostRoutes holds the routes of one host by prefix, and the length of the longest prefix.
 type hostRoutes struct {
 	prefixes      map[string]*Route
 	longestPrefix int
 }
 
-// BuildIndex makes lookups fast; without it Match builds an index at each call. Decode has built
-// it already. The routes and services must not be changed afterwards.
+// BuildIndex builds the index for lookups; without it, every call of Match builds one. Decode calls
+// it. The routes and services must not be changed afterwards.
 //
 //	routing.BuildIndex()
 func (routing *Routing) BuildIndex() {
@@ -60,9 +60,9 @@
 	routing.index = index
 }
 
-// Match finds the route of a request: of its host's routes the one with the longest prefix that
-// begins the path. The host may have a port and capital letters; a lookup allocates nothing if
-// it is written as in the route. A nil routing has no routes.
+// Match finds the route of a request: of its host's routes, the one with the longest prefix of the
+// path. The host may have a port and upper-case letters. A lookup with an index and a lower-case
+// host without port does not allocate. A nil routing has no routes.
 //
 //	route, found := routing.Match("chat.example", "/talk/7")
 func (routing *Routing) Match(host, path string) (*Route, bool) {
@@ -82,7 +82,7 @@
 			return nil, false
 		}
 	}
-	// Every prefix ends with a slash, so only positions after one can match.
+	// Every prefix ends with a slash, so only positions after a slash can match.
 	for end := min(len(path), routes.longestPrefix); end > 0; end-- {
 		if path[end-1] != '/' {
 			continue
--- a/system/config/routing_revisions.go
+++ b/system/config/routing_revisions.go
@@ -7,29 +7,29 @@
 	"slices"
 )
 
-// MaxAcceptedRequests is how many requests a routing remembers. The feed remembers many more
-// (feed.RequestHistory); nodes of the version before it look only here.
+// MaxAcceptedRequests is the maximum number of requests that a routing remembers. The feed
+// remembers many more (feed.RequestHistory); nodes of versions without that history use only these.
 const MaxAcceptedRequests = 64
 
-// AcceptedRequest is a revision and the digest of the request that brought it, so that the same
-// request, if it is sent again, is recognized.
+// AcceptedRequest is a revision and the digest of the request that created it, by which a retry of
+// the request is recognized.
 type AcceptedRequest struct {
 	Revision uint64 `json:"revision"`
 	Digest   string `json:"digest"`
 }
 
-// RoutingPatch is a change of a routing by names: first the named items are removed, then each
-// given item replaces the one of its name or is added at the end.
+// RoutingPatch is a change of a routing by item names: first the named items are removed, then each
+// given item replaces the one with its name or is appended.
 type RoutingPatch struct {
-	Revision       uint64    // of the routing that it makes
-	Routes         []Route   // to add, or in place of those of their names
-	Services       []Service // likewise
+	Revision       uint64    // of the patched routing
+	Routes         []Route   // to add or replace, by name
+	Services       []Service // to add or replace, by name
 	RemoveRoutes   []string  // names
 	RemoveServices []string  // names
-	Bounds         *Bounds   // nil: unchanged
+	Bounds         *Bounds   // nil means unchanged
 }
 
-// check rejects a patch that gives an item twice.
+// check rejects a patch that contains two items with the same name.
 func (patch *RoutingPatch) check() error {
 	if err := checkUniqueNames("services", patch.Services, serviceName); err != nil {
 		return err
@@ -37,13 +37,13 @@
 	return checkUniqueNames("routes", patch.Routes, routeName)
 }
 
-// routeName and serviceName are the keys by which items of a routing are distinguished.
+// routeName and serviceName return the key of an item of a routing.
 func routeName(route Route) string { return route.Name }
 
 func serviceName(service Service) string { return service.Name }
 
-// RevisionOf returns the revision that a request of a digest brought, if it is remembered. A nil
-// routing remembers none.
+// RevisionOf returns the revision that the request with a digest created, if the request is
+// remembered. A nil routing remembers none.
 //
 //	if revision, accepted := routing.RevisionOf(digest); accepted { ... }
 func (routing *Routing) RevisionOf(digest string) (uint64, bool) {
@@ -58,9 +58,9 @@
 	return 0, false
 }
 
-// Patched returns the routing with a patch applied. The receiver, which may be nil, is not changed.
-// Removing a name that is not there is no error. The accepted requests are left to
-// WithRouting.
+// Patched returns the routing with a patch applied. The receiver may be nil and is not changed.
+// Removing an undefined name is not an error. The result has no accepted requests; WithRouting sets
+// them.
 //
 //	next, err := routing.Patched(config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}})
 func (routing *Routing) Patched(patch RoutingPatch) (Routing, error) {
@@ -80,17 +80,16 @@
 	return next, next.Check()
 }
 
-// mergeByName applies the part of a patch for one kind of item. Items that stay keep their
-// order.
-func mergeByName[Item any](items []Item, remove []string, put []Item, name func(Item) string) []Item {
+// mergeByName applies the part of a patch for one kind of item. Remaining items keep their order.
+func mergeByName[Item any](items []Item, remove []string, upserts []Item, name func(Item) string) []Item {
 	next := slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return slices.Contains(remove, name(item)) })
 	positions := make(map[string]int, len(next))
 	for position, item := range next {
 		positions[name(item)] = position
 	}
-	for _, item := range put {
-		if at, found := positions[name(item)]; found {
-			next[at] = item
+	for _, item := range upserts {
+		if position, found := positions[name(item)]; found {
+			next[position] = item
 		} else {
 			next = append(next, item)
 		}
@@ -98,7 +97,7 @@
 	return next
 }
 
-// CurrentRevision returns the routing's revision; 0 if there is no routing yet.
+// CurrentRevision returns the routing's revision; 0 for a nil routing.
 //
 //	base := config.Routing.CurrentRevision()
 func (routing *Routing) CurrentRevision() uint64 {
@@ -108,9 +107,9 @@
 	return routing.Revision
 }
 
-// WithRouting returns the config with another routing, and its compiled form. The routing must be
-// valid, and its revision above the current one. The digest of the request that brought it is
-// remembered with it, in place of the oldest beyond MaxAcceptedRequests.
+// WithRouting returns the config with its routing replaced, and the compiled form. The routing must
+// be valid, and its revision above the current one. The digest of the request that created it is
+// added to the accepted requests, of which the oldest beyond MaxAcceptedRequests are dropped.
 //
 //	next, compiled, err := config.WithRouting(routing, digest)
 func (config *Config) WithRouting(routing Routing, digest string) (*Config, []byte, error) {
@@ -118,7 +117,7 @@
 		return nil, nil, err
 	}
 	if current := config.Routing.CurrentRevision(); routing.Revision <= current {
-		return nil, nil, invalidRouting("revision", fmt.Sprintf("%d is not above %d, which is in force", routing.Revision, current), "give it a higher one")
+		return nil, nil, invalidRouting("revision", fmt.Sprintf("%d is not above the current revision %d", routing.Revision, current), "use a higher one")
 	}
 	routing.AcceptedRequests = nil
 	if config.Routing != nil {
@@ -138,10 +137,10 @@
 	return &next, compiled, err
 }
 
-// InheritRouting completes a config that an operator wrote by the current one's routing, and
-// gives its compiled form. A config without routing gets the current one; a routing of the same
-// revision must have the same content; a smaller revision is rejected. The accepted requests are
-// the current ones in any case.
+// InheritRouting completes an operator's config with state from the current config's routing, and
+// returns the compiled form. A config without routing gets the current one; a routing with the same
+// revision must have the same content; a lower revision is rejected. The accepted requests are
+// always those of the current routing.
 //
 //	compiled, err := config.InheritRouting(current)
 func (config *Config) InheritRouting(current *Config) ([]byte, error) {
@@ -150,9 +149,9 @@
 		case config.Routing == nil:
 			config.Routing = current.Routing
 		case config.Routing.Revision < current.Routing.Revision:
-			return nil, invalidRouting("routing.revision", fmt.Sprintf("%d is below %d, which is in force", config.Routing.Revision, current.Routing.Revision), "leave routing out to keep what is in force, or give it a higher revision")
+			return nil, invalidRouting("routing.revision", fmt.Sprintf("%d is below the current revision %d", config.Routing.Revision, current.Routing.Revision), "omit routing to keep the current one, or use a higher revision")
 		case config.Routing.Revision == current.Routing.Revision && !config.Routing.equal(current.Routing):
-			return nil, invalidRouting("routing.revision", fmt.Sprintf("%d is in force with other content", config.Routing.Revision), "give it a higher revision")
+			return nil, invalidRouting("routing.revision", fmt.Sprintf("the current revision %d has other content", config.Routing.Revision), "use a higher revision")
 		}
 		inherited := *config.Routing
 		inherited.AcceptedRequests = current.Routing.AcceptedRequests
@@ -161,10 +160,10 @@
 	return config.encode()
 }
 
-// equal reports whether two routings have the same effect: how their operators wrote them, unknown
-// fields and accepted requests do not count.
+// equal reports whether two routings have the same effect. It ignores the original items, unknown
+// fields and accepted requests.
 func (routing *Routing) equal(other *Routing) bool {
-	effect := func(routing Routing) []byte {
+	canonicalJSON := func(routing Routing) []byte {
 		routing.AcceptedRequests, routing.UnknownFields, routing.Bounds.Original = nil, nil, nil
 		routing.Routes, routing.Services = slices.Clone(routing.Routes), slices.Clone(routing.Services)
 		for position := range routing.Routes {
@@ -173,8 +172,8 @@
 		for position := range routing.Services {
 			routing.Services[position].Original = nil
 		}
-		data, _ := json.Marshal(routing) // fails only for a weight that is no number, which Check rejects
+		data, _ := json.Marshal(routing) // fails only for a NaN or infinite weight, which JSON cannot express
 		return data
 	}
-	return bytes.Equal(effect(*routing), effect(*other))
+	return bytes.Equal(canonicalJSON(*routing), canonicalJSON(*other))
 }
--- a/system/config/routing_test.go
+++ b/system/config/routing_test.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/configsource"
 )
 
-// exampleRouting has routes for two hosts, one of them with nested prefixes.
+// exampleRouting returns a routing with routes for two hosts, one of them with nested prefixes.
 func exampleRouting() config.Routing {
 	route := func(name, host, prefix string) config.Route {
 		return config.Route{Name: name, Host: host, Prefix: prefix, Kind: config.Streaming, Timeout: config.Duration(4 * time.Second), MaxAttempts: 2, Shares: []config.WeightedService{{"chat", 90}, {"chat-new", 10}}}
@@ -30,7 +30,7 @@
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	routing := exampleRouting()
-	plain := routing
+	unindexed := routing
 	routing.BuildIndex()
 	for query, want := range map[[2]string]string{
 		{"one.example", "/"}:               "whole",
@@ -54,30 +54,30 @@
 		{"one.example:8080:1", "/talk/"}:   "",
 		{"[one.example]:8080", "/talk/ab"}: "talk",
 	} {
-		for _, one := range []*config.Routing{&routing, &plain} {
-			route, found := one.Match(query[0], query[1])
+		for _, candidate := range []*config.Routing{&routing, &unindexed} {
+			route, found := candidate.Match(query[0], query[1])
 			if found != (want != "") || (found && route.Name != want) {
 				t.Errorf("%v matches %+v, want %q", query, route, want)
 			}
 		}
 	}
-	var none *config.Routing
-	if _, found := none.Match("one.example", "/"); found {
+	var nilRouting *config.Routing
+	if _, found := nilRouting.Match("one.example", "/"); found {
 		t.Error("a nil routing has a route")
 	}
 	if service, found := routing.Service("chat-new"); !found || service.WarmUpRate != 2.5 {
 		t.Errorf("service %+v", service)
 	}
-	if _, found := plain.Service("chat-old"); found {
+	if _, found := unindexed.Service("chat-old"); found {
 		t.Error("an unknown service was found")
 	}
 	if got := testing.AllocsPerRun(100, func() { routing.Match("one.example", "/talk/late/er") }); got != 0 {
-		t.Errorf("a match allocates %v times", got)
+		t.Errorf("Match allocates %v times", got)
 	}
 }
 
-// sourceOf gives a config in CUE that has only a routing; JSON is valid CUE.
-func sourceOf(t *testing.T, routing *config.Routing) string {
+// routingSource returns the source of a config that has only a routing; JSON is valid CUE.
+func routingSource(t *testing.T, routing *config.Routing) string {
 	t.Helper()
 	data, err := json.Marshal(routing)
 	if err != nil {
@@ -87,22 +87,22 @@
 }
 
 func TestGoChecksAndSchemaAcceptAValidRouting(t *testing.T) {
-	good := exampleRouting()
-	if err := good.Check(); err != nil {
+	valid := exampleRouting()
+	if err := valid.Check(); err != nil {
 		t.Fatal(err)
 	}
-	decoded, compiled, err := configsource.Compile(sourceOf(t, &good))
-	if err != nil || decoded.Routing == nil || !decoded.Routing.Equal(&good) {
+	decoded, compiled, err := configsource.Compile(routingSource(t, &valid))
+	if err != nil || decoded.Routing == nil || !decoded.Routing.Equal(&valid) {
 		t.Fatalf("%+v %v", decoded, err)
 	}
-	if again, err := config.Decode(compiled); err != nil || !again.Routing.HasIndex() || !again.Routing.Equal(&good) {
-		t.Fatalf("%+v %v", again, err)
+	if redecoded, err := config.Decode(compiled); err != nil || !redecoded.Routing.HasIndex() || !redecoded.Routing.Equal(&valid) {
+		t.Fatalf("%+v %v", redecoded, err)
 	}
 }
 
-// TestGoChecksAndSchemaRejectTheSame gives each broken routing to the checks in Go and,
-// as part of a config, to the schema.
-func TestGoChecksAndSchemaRejectTheSame(t *testing.T) {
+// TestGoChecksAndSchemaRejectTheSameRoutings guards against rules that exist only in Go or only in
+// the CUE schema. The checks in Go must also name the field.
+func TestGoChecksAndSchemaRejectTheSameRoutings(t *testing.T) {
 	for field, broken := range map[string]func(*config.Routing){
 		"routes[1].name":          func(routing *config.Routing) { routing.Routes[1].Name = "" },
 		"routes[2].name":          func(routing *config.Routing) { routing.Routes[2].Name = "two words" },
@@ -149,26 +149,28 @@
 		if !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), field) || !strings.Contains(err.Error(), "remedy") {
 			t.Errorf("%s: %v", field, err)
 		}
-		if _, _, err := configsource.Compile(sourceOf(t, &routing)); !apierror.Is(err, apierror.Invalid) {
-			t.Errorf("%s is accepted by the schema: %v", field, err)
+		if _, _, err := configsource.Compile(routingSource(t, &routing)); !apierror.Is(err, apierror.Invalid) {
+			t.Errorf("%s: accepted by the schema: %v", field, err)
 		}
 		if _, _, err := (&config.Config{}).WithRouting(routing, "digest"); !apierror.Is(err, apierror.Invalid) {
-			t.Errorf("%s is accepted as the next routing: %v", field, err)
+			t.Errorf("%s: accepted by WithRouting: %v", field, err)
 		}
 	}
 }
 
-// TestWeightThatIsNotANumberIsRejected has a weight that JSON cannot express.
+// TestWeightThatIsNotANumberIsRejected is separate because JSON, and so the schema, cannot express
+// NaN.
 func TestWeightThatIsNotANumberIsRejected(t *testing.T) {
 	notANumber := exampleRouting()
 	notANumber.Routes[0].Shares = []config.WeightedService{{"chat", math.NaN()}}
 	if err := notANumber.Check(); !apierror.Is(err, apierror.Invalid) {
-		t.Errorf("a weight that is not a number: %v", err)
+		t.Errorf("a NaN weight: %v", err)
 	}
 }
 
-// firstRouting is a valid config, without routing, and the next one with the example routing.
-func firstRouting(t *testing.T, routing *config.Routing) (base, next *config.Config, compiled []byte) {
+// configWithRouting returns a valid config without routing, and the same config with a routing in
+// decoded and compiled form.
+func configWithRouting(t *testing.T, routing *config.Routing) (base, next *config.Config, compiled []byte) {
 	t.Helper()
 	base, _, err := configsource.Compile(validSource)
 	if err != nil {
@@ -183,22 +185,22 @@
 func TestWithRoutingRemembersTheRequestAndKeepsOriginals(t *testing.T) {
 	routing := exampleRouting()
 	routing.Routes[0].Original = json.RawMessage(`{"name":"<&>","wait":4000.0}`)
-	base, _, compiled := firstRouting(t, &routing)
+	base, _, compiled := configWithRouting(t, &routing)
 	if base.Routing != nil {
-		t.Fatalf("the earlier config was changed: %+v", base.Routing)
+		t.Fatalf("the receiver was changed: %+v", base.Routing)
 	}
-	again, err := config.Decode(compiled)
-	if err != nil || !again.Routing.Equal(&routing) || again.Groups["large"].Concurrency != 3 || string(again.Routing.Routes[0].Original) != `{"name":"<&>","wait":4000.0}` {
-		t.Fatalf("%+v %v", again.Routing, err)
+	redecoded, err := config.Decode(compiled)
+	if err != nil || !redecoded.Routing.Equal(&routing) || redecoded.Groups["large"].Concurrency != 3 || string(redecoded.Routing.Routes[0].Original) != `{"name":"<&>","wait":4000.0}` {
+		t.Fatalf("%+v %v", redecoded.Routing, err)
 	}
-	if revision, accepted := again.Routing.RevisionOf("first"); !accepted || revision != 7 {
-		t.Fatalf("accepted: %+v", again.Routing.AcceptedRequests)
+	if revision, accepted := redecoded.Routing.RevisionOf("first"); !accepted || revision != 7 {
+		t.Fatalf("accepted: %+v", redecoded.Routing.AcceptedRequests)
 	}
 }
 
 func TestRoutingNeedsAHigherRevision(t *testing.T) {
 	routing := exampleRouting()
-	_, next, _ := firstRouting(t, &routing)
+	_, next, _ := configWithRouting(t, &routing)
 	for _, revision := range []uint64{0, 6, 7} {
 		routing.Revision = revision
 		if _, _, err := next.WithRouting(routing, "second"); !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), "revision") {
@@ -209,7 +211,7 @@
 
 func TestOldestAcceptedRequestsAreForgotten(t *testing.T) {
 	routing := exampleRouting()
-	_, next, _ := firstRouting(t, &routing)
+	_, next, _ := configWithRouting(t, &routing)
 	var err error
 	for revision := uint64(8); revision < 200; revision++ {
 		routing.Revision = revision
@@ -218,7 +220,7 @@
 		}
 	}
 	if _, accepted := next.Routing.RevisionOf("199"); !accepted || len(next.Routing.AcceptedRequests) != 64 {
-		t.Fatalf("%d requests are remembered", len(next.Routing.AcceptedRequests))
+		t.Fatalf("%d requests are remembered, want the latest 64", len(next.Routing.AcceptedRequests))
 	}
 }
 
@@ -243,24 +245,24 @@
 		t.Fatalf("the patched routing was changed: %+v", before)
 	}
 	if _, err := before.Patched(config.RoutingPatch{Revision: 9, RemoveServices: []string{"chat-new"}}); !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), `"chat-new"`) {
-		t.Fatalf("a service that a route names was removed: %v", err)
+		t.Fatalf("a service used by a route was removed: %v", err)
 	}
 	if _, err := before.Patched(config.RoutingPatch{Revision: 9, Routes: []config.Route{added, added}}); !apierror.Is(err, apierror.Invalid) {
-		t.Fatalf("one name was given twice: %v", err)
+		t.Fatalf("a patch with a duplicate name: %v", err)
 	}
-	var none *config.Routing
-	if next, err := none.Patched(config.RoutingPatch{Revision: 1, Services: before.Services, Routes: before.Routes}); err != nil || !next.Equal(&config.Routing{Revision: 1, Routes: before.Routes, Services: before.Services}) {
+	var nilRouting *config.Routing
+	if next, err := nilRouting.Patched(config.RoutingPatch{Revision: 1, Services: before.Services, Routes: before.Routes}); err != nil || !next.Equal(&config.Routing{Revision: 1, Routes: before.Routes, Services: before.Services}) {
 		t.Fatalf("%+v %v", next, err)
 	}
 }
 
 func TestConfigWithoutRoutingInheritsTheCurrentOne(t *testing.T) {
 	base, _, _ := configsource.Compile(validSource)
-	inForce, _, err := base.WithRouting(exampleRouting(), "first")
+	current, _, err := base.WithRouting(exampleRouting(), "first")
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(change func(*config.Routing)) (*config.Config, error) {
+	inherit := func(change func(*config.Routing)) (*config.Config, error) {
 		decoded, _, err := configsource.Compile(validSource)
 		if err != nil {
 			t.Fatal(err)
@@ -270,7 +272,7 @@
 			change(&routing)
 			decoded.Routing = &routing
 		}
-		compiled, err := decoded.InheritRouting(inForce)
+		compiled, err := decoded.InheritRouting(current)
 		if err != nil {
 			return nil, err
 		}
@@ -279,26 +281,26 @@
 	for name, change := range map[string]func(*config.Routing){
 		"none": nil, "the same": func(*config.Routing) {}, "higher": func(routing *config.Routing) { routing.Revision, routing.Routes = 8, nil },
 	} {
-		decoded, err := put(change)
+		decoded, err := inherit(change)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		if _, accepted := decoded.Routing.RevisionOf("first"); !accepted {
-			t.Errorf("%s: accepted requests are forgotten: %+v", name, decoded.Routing)
+			t.Errorf("%s: the accepted requests were lost: %+v", name, decoded.Routing)
 		}
 	}
 	for name, change := range map[string]func(*config.Routing){
 		"lower": func(routing *config.Routing) { routing.Revision = 6 }, "other": func(routing *config.Routing) { routing.Routes = nil },
 	} {
-		if _, err := put(change); !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), "routing.revision") {
+		if _, err := inherit(change); !apierror.Is(err, apierror.Invalid) || !strings.Contains(err.Error(), "routing.revision") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// BenchmarkTwoHundredRoutes measures what a request with 200 routes costs a control node: checks,
-// encoding and decoding.
+// BenchmarkTwoHundredRoutes measures the CPU cost on a control node of a request with 200 routes:
+// checks, encoding and decoding.
 func BenchmarkTwoHundredRoutes(b *testing.B) {
 	routing := exampleRouting()
 	for position := range 200 {
--- a/system/daemon/daemon.go
+++ b/system/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon contains what the programs do around their node: logging, signals, the
-// memory limit, reloading of settings, and a graceful stop.
+// Package daemon contains what the programs share apart from their node: logging, signals,
+// the memory limit, reloading of settings, and graceful shutdown.
 //
-// Serve runs on the main goroutine and owns the running service: it reloads it, drains it
-// and closes it.
+// Serve runs on the main goroutine and owns the running service: it reloads, drains and
+// closes it.
 package daemon
 
 import (
@@ -22,26 +22,26 @@
 	"yardrock.example/system/settings"
 )
 
-// drainTimeout is how long requests in flight may take to finish after a stop signal.
+// drainTimeout bounds how long requests in flight may take to finish during shutdown.
 const drainTimeout = 25 * time.Second
 
-// exitFailure is the exit code of a daemon that could not start or go on.
+// exitFailure is the exit code of a daemon that failed to start or had to stop.
 const exitFailure = 2
 
-// Service is a started node, as the program around it needs it.
+// Service gives Serve control of a running node.
 type Service struct {
-	// Reload replaces the addresses of the seeds.
+	// Reload replaces the seed addresses.
 	Reload func(seeds []string)
-	// Drain stops taking requests and waits for those in flight until ctx ends.
+	// Drain stops accepting requests and waits for those in flight until ctx ends.
 	Drain func(ctx context.Context)
 	// Close stops everything else. It is called once, after Drain.
 	Close func()
-	// Failed receives the reason why the process cannot go on; nil: it never does.
+	// Failed receives the error after which the process cannot continue; it may be nil.
 	Failed <-chan error
 }
 
-// Signals starts to receive the signals that Serve handles. Call it before anything
-// else: the platform may send SIGHUP while the process still starts, which would end it.
+// Signals starts receiving the signals that Serve handles. Call it before anything else: the
+// platform may send SIGHUP during startup, which by default would terminate the process.
 //
 //	signals := daemon.Signals()
 func Signals() <-chan os.Signal {
@@ -50,8 +50,8 @@
 	return signals
 }
 
-// ConfigureLogging makes the log write one line of key=value pairs per event to standard
-// error, from a level on; the default is info.
+// ConfigureLogging writes log entries of a level and above to standard error, one line of
+// key=value pairs each. The default level is info.
 //
 //	daemon.ConfigureLogging("info")
 func ConfigureLogging(level string) {
@@ -63,10 +63,10 @@
 }
 
 // heapFraction is the fraction of a process's memory that the Go runtime may use. The rest
-// is for the program's own image and for received bytes that are still in the kernel.
+// is for the executable and for received bytes in kernel buffers.
 const heapFraction = 0.6
 
-// LimitMemory sets the runtime's soft memory limit from the number of bytes that the
+// LimitMemory sets the Go runtime's soft memory limit to a fraction of the bytes that the
 // process may use; near it, garbage is collected more often. 0 or less sets no limit.
 //
 //	daemon.LimitMemory(loaded.Memory)
@@ -76,42 +76,42 @@
 	}
 }
 
-// ReportError writes an error with its remedy to standard error and returns the exit
-// code. After the help was shown there is nothing to report, and the code is 0.
+// ReportError writes an error with its remedy to standard error and returns the exit code.
+// For settings.ErrHelpShown it writes nothing and returns 0.
 //
 //	os.Exit(daemon.ReportError(err))
 func ReportError(err error) int {
 	if errors.Is(err, settings.ErrHelpShown) {
 		return 0
 	}
-	failed := apierror.Of(err)
-	fmt.Fprintf(os.Stderr, "%s\nremedy: %s\n", failed.Message, failed.Remedy)
+	apiErr := apierror.Of(err)
+	fmt.Fprintf(os.Stderr, "%s\nremedy: %s\n", apiErr.Message, apiErr.Remedy)
 	return exitFailure
 }
 
 // Serve blocks until SIGTERM, SIGINT or a failure of the service, then drains and closes
-// it. SIGHUP reloads the settings: readSeeds reads them again, and if they are invalid,
-// the error is logged and the previous ones stay in force. Serve returns the failure of
-// the service, or nil after a signal.
+// it. On SIGHUP it calls readSeeds to read the settings again; if they are invalid, it logs
+// the error and keeps the current seeds. Serve returns the failure of the service, or nil
+// after a signal.
 //
 //	err := daemon.Serve(signals, service, func() ([]string, error) { ... })
 func Serve(signals <-chan os.Signal, service Service, readSeeds func() ([]string, error)) error {
-	failed := awaitStop(signals, service, readSeeds)
+	err := awaitStop(signals, service, readSeeds)
 	log.Info("draining")
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	service.Drain(ctx)
 	service.Close()
 	log.Info("stopped")
-	return failed
+	return err
 }
 
-// awaitStop handles signals until the service must stop.
+// awaitStop handles signals until the service has to stop.
 func awaitStop(signals <-chan os.Signal, service Service, readSeeds func() ([]string, error)) error {
 	for {
 		select {
-		case failed := <-service.Failed:
-			return failed
+		case err := <-service.Failed:
+			return err
 		case received := <-signals:
 			if received != syscall.SIGHUP {
 				return nil
@@ -121,11 +121,11 @@
 	}
 }
 
-// reload reads the seeds again and passes them to the service.
+// reload reads the seeds from the settings again and passes them to the service.
 func reload(service Service, readSeeds func() ([]string, error)) {
 	seeds, err := readSeeds()
 	if err != nil {
-		log.WithError(err).Error("settings not reloaded, the previous ones stay in force")
+		log.WithError(err).Error("settings are invalid; keeping the current ones")
 		return
 	}
 	service.Reload(seeds)
--- a/system/daemon/daemon_test.go
+++ b/system/daemon/daemon_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// TestMain is a daemon that has started once it reads a line, if the environment asks for
-// one; otherwise it runs the tests.
+// TestMain runs a daemon instead of the tests if PLAY_DAEMON is set. Its startup completes when it
+// reads a line.
 func TestMain(m *testing.M) {
 	if os.Getenv("PLAY_DAEMON") == "" {
 		os.Exit(m.Run())
@@ -22,15 +22,15 @@
 	fmt.Println("starting")
 	bufio.NewReader(os.Stdin).ReadString('\n')
 	Serve(signals, Service{
-		Reload: func(seeds []string) { fmt.Println("reread", strings.Join(seeds, ",")) },
+		Reload: func(seeds []string) { fmt.Println("reloaded", strings.Join(seeds, ",")) },
 		Drain:  func(context.Context) { fmt.Println("drained") },
 		Close:  func() { fmt.Println("closed") },
 	}, func() ([]string, error) { return []string{"a", "b", "c"}, nil })
 }
 
-// TestHangupDuringStartReloadsSettings sends SIGHUP before the daemon has started, and
-// SIGTERM after it has reloaded.
-func TestHangupDuringStartReloadsSettings(t *testing.T) {
+// TestSIGHUPDuringStartReloadsSettings guards against a SIGHUP during startup that terminates the
+// daemon or is lost.
+func TestSIGHUPDuringStartReloadsSettings(t *testing.T) {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), "PLAY_DAEMON=1")
 	input, err := command.StdinPipe()
@@ -48,13 +48,13 @@
 	expect := func(wanted string) {
 		t.Helper()
 		if !lines.Scan() || lines.Text() != wanted {
-			t.Fatalf("said %q, want %q (%v)", lines.Text(), wanted, lines.Err())
+			t.Fatalf("output %q, want %q (%v)", lines.Text(), wanted, lines.Err())
 		}
 	}
 	expect("starting")
 	command.Process.Signal(syscall.SIGHUP)
 	fmt.Fprintln(input, "started")
-	expect("reread a,b,c")
+	expect("reloaded a,b,c")
 	command.Process.Signal(syscall.SIGTERM)
 	expect("drained")
 	expect("closed")
@@ -68,11 +68,11 @@
 	defer debug.SetMemoryLimit(before)
 	LimitMemory(0)
 	if limit := debug.SetMemoryLimit(-1); limit != before {
-		t.Errorf("no limit sets %d", limit)
+		t.Errorf("LimitMemory(0) set the limit %d", limit)
 	}
 	const limit = 280 << 20
 	LimitMemory(limit)
 	if heap := debug.SetMemoryLimit(-1); heap <= 0 || heap > limit*2/3 {
-		t.Errorf("a limit of %d sets %d", limit, heap)
+		t.Errorf("LimitMemory(%d) set the limit %d", limit, heap)
 	}
 }
--- a/system/metrics/doc.go
+++ b/system/metrics/doc.go
@@ -1,10 +1,9 @@
-// Package metrics collects the figures of a process and serves them as text in the format of
-// Prometheus.
+// Package metrics collects the metrics of a process and serves them in the Prometheus text format.
 //
-// A process that is asked for its figures opens one Registry and hands it to its node, and the
-// parts of the node report to it: package front its requests and its balancer, package replica
-// the replicas of stores and control nodes. Without a Registry nothing is collected. Counters and
-// histograms are updated as things happen; gauges are read when the figures are asked for.
+// A process that is configured to serve metrics opens one Registry and passes it to its node.
+// Package front reports its requests and its balancer, package replica the replicas of stores and
+// control nodes. Without a Registry nothing is collected. Counters and histograms are updated when
+// an event occurs; gauges are read on each scrape.
 //
-// The names are a contract with the operators' dashboards; docs/operators.md has them.
+// Operators' dashboards depend on the metric names; docs/operators.md lists them.
 package metrics
--- a/system/metrics/metrics_test.go
+++ b/system/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"yardrock.example/system/apierror"
 )
 
-func TestFiguresAreWrittenAsText(t *testing.T) {
+func TestMetricsAreWrittenAsText(t *testing.T) {
 	registry := NewRegistry()
 	registry.Count("requests_total", Label{"route", "chat"}, Label{"outcome", "complete"})
 	registry.Count("requests_total", Label{"route", "chat"}, Label{"outcome", "complete"})
@@ -33,14 +33,14 @@
 	}
 }
 
-func TestFiguresAreServedAtTheirPathOnly(t *testing.T) {
+func TestMetricsAreServedOnlyAtTheirPath(t *testing.T) {
 	used, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := used.Addr().String()
 	if _, _, err := Open(address, DefaultPath); !apierror.Is(err, apierror.BadSettings) {
-		t.Errorf("a port in use gives %v", err)
+		t.Errorf("Open with a port in use returned %v", err)
 	}
 	if err := used.Close(); err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	}
 	defer stop()
 	registry.Count("requests_total")
-	for _, wanted := range []struct {
+	for _, test := range []struct {
 		method, path string
 		status       int
 		content      string
@@ -61,7 +61,7 @@
 		{http.MethodPost, DefaultPath, http.StatusMethodNotAllowed, ""},
 		{http.MethodGet, "/other", http.StatusNotFound, ""},
 	} {
-		request, err := http.NewRequestWithContext(t.Context(), wanted.method, "http://"+address+wanted.path, nil)
+		request, err := http.NewRequestWithContext(t.Context(), test.method, "http://"+address+test.path, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,13 +71,13 @@
 		}
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
-		if err != nil || response.StatusCode != wanted.status || !strings.Contains(string(body), wanted.content) {
-			t.Errorf("%s %s: %d, %v, %q", wanted.method, wanted.path, response.StatusCode, err, body)
+		if err != nil || response.StatusCode != test.status || !strings.Contains(string(body), test.content) {
+			t.Errorf("%s %s: %d, %v, %q", test.method, test.path, response.StatusCode, err, body)
 		}
 	}
 }
 
-func TestWithoutAnAddressNothingIsCollected(t *testing.T) {
+func TestOpenWithoutAddressCollectsNothing(t *testing.T) {
 	registry, stop, err := Open("", DefaultPath)
 	if registry != nil || err != nil {
 		t.Errorf("%v, %v", registry, err)
--- a/system/metrics/registry.go
+++ b/system/metrics/registry.go
@@ -8,55 +8,55 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// namePrefix begins the name of every figure.
+// namePrefix is the prefix of every metric name.
 const namePrefix = "yardrock_"
 
-// Label tells apart figures of one name.
+// Label distinguishes metrics with the same name.
 type Label struct{ Name, Value string }
 
-// Registry has the figures of one process. It is safe for concurrent use. Names are given
-// without the prefix that all figures have.
+// Registry holds the metrics of one process. It is safe for concurrent use. Its methods add
+// namePrefix to the names that they are given.
 type Registry struct {
 	set *metrics.Set
 }
 
-// NewRegistry returns a registry without figures.
+// NewRegistry returns an empty registry.
 //
 //	registry := metrics.NewRegistry()
 func NewRegistry() *Registry { return &Registry{set: metrics.NewSet()} }
 
-// Count adds one to a counter. By convention its name ends in _total.
+// Count increments a counter. By convention its name ends in _total.
 //
 //	registry.Count("requests_total", metrics.Label{"route", route.Name})
 func (registry *Registry) Count(name string, labels ...Label) {
 	registry.set.GetOrCreateCounter(fullName(name, labels)).Inc()
 }
 
-// Observe adds a value to a histogram with the default buckets of Prometheus, which suit
-// durations in seconds.
+// Observe adds a value to a histogram with the default Prometheus buckets, which suit durations in
+// seconds.
 //
 //	registry.Observe("request_seconds", took.Seconds())
 func (registry *Registry) Observe(name string, value float64, labels ...Label) {
 	registry.set.GetOrCreatePrometheusHistogram(fullName(name, labels)).Update(value)
 }
 
-// Gauge adds a figure that is read whenever the figures are asked for, from any goroutine. Each
-// may be added once.
+// Gauge registers a gauge. Every scrape calls read, from any goroutine. A gauge may be registered
+// only once.
 //
 //	registry.Gauge("groups", func() float64 { return float64(len(host.Statuses())) })
 func (registry *Registry) Gauge(name string, read func() float64, labels ...Label) {
 	registry.set.NewGauge(fullName(name, labels), read)
 }
 
-// Write writes all figures, and those of the Go runtime and the process.
+// Write writes all metrics, including those of the Go runtime and the process.
 //
 //	registry.Write(os.Stdout)
-func (registry *Registry) Write(target io.Writer) {
-	registry.set.WritePrometheus(target)
-	metrics.WriteProcessMetrics(target)
+func (registry *Registry) Write(writer io.Writer) {
+	registry.set.WritePrometheus(writer)
+	metrics.WriteProcessMetrics(writer)
 }
 
-// fullName returns a name with its prefix and labels, as the text format has it.
+// fullName returns a name with prefix and labels in the text format.
 func fullName(name string, labels []Label) string {
 	if len(labels) == 0 {
 		return namePrefix + name
--- a/system/metrics/server.go
+++ b/system/metrics/server.go
@@ -11,7 +11,7 @@
 	"yardrock.example/system/apierror"
 )
 
-// Limits for the connections of those who ask for figures.
+// Limits of the connections of scrapers.
 const (
 	headerTimeout  = 5 * time.Second
 	writeTimeout   = 10 * time.Second
@@ -19,14 +19,14 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// contentType is that of the text format of Prometheus.
+// contentType is the content type of the Prometheus text format.
 const contentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// DefaultPath is the path at which Prometheus asks unless it is told another.
+// DefaultPath is the path that Prometheus scrapes by default.
 const DefaultPath = "/metrics"
 
-// handler answers GET and HEAD of a path with the figures. Other paths get 404, other methods
-// 405.
+// handler answers GET and HEAD requests for a path with the metrics. Other paths get 404, other
+// methods 405.
 func handler(path string, registry *Registry) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		switch {
@@ -43,8 +43,8 @@
 	})
 }
 
-// Open returns a registry whose figures are served at an address and a path until stop is called,
-// or nil and nothing to stop if the address is "". Errors are those of Serve.
+// Open returns a registry and serves its metrics at an address and a path until stop is called. If
+// the address is "", the registry is nil and stop does nothing. Errors are those of Serve.
 //
 //	registry, stop, err := metrics.Open("10.0.0.1:9100", metrics.DefaultPath)
 func Open(address, path string) (registry *Registry, stop func(), err error) {
@@ -59,23 +59,23 @@
 	return registry, func() { server.Close() }, nil
 }
 
-// Serve serves the figures of a registry over HTTP at an address (IP and port) and a path, in a
-// goroutine of its own, until the server is closed. The error is of kind BadSettings if the
-// address cannot be listened on, for instance because another process does.
+// Serve serves the metrics of a registry over HTTP at an address (IP and port) and a path, in a
+// separate goroutine, until the server is closed. The error is of kind BadSettings if it cannot
+// listen on the address, for example because the port is in use.
 //
 //	server, err := metrics.Serve("10.0.0.1:9100", "/metrics", registry)
 //	defer server.Close()
 func Serve(address, path string, registry *Registry) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.BadSettings, "metrics: "+err.Error(), "name a free port of this machine")
+		return nil, apierror.Wrap(err, apierror.BadSettings, "metrics: "+err.Error(), "use an address of this machine with a free port")
 	}
 	server := &http.Server{
 		Handler: handler(path, registry), ReadHeaderTimeout: headerTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			log.WithField("error", err.Error()).Error("figures are no longer served")
+			log.WithField("error", err.Error()).Error("metrics are no longer served")
 		}
 	}()
 	return server, nil
--- a/system/querylanguage/grammar.go
+++ b/system/querylanguage/grammar.go
@@ -5,7 +5,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Statement is one query or command. Exactly one of the first seven fields is not nil.
+// Statement is one query or command. Exactly one of the first seven fields is non-nil. Refill ends
+// the draining of a domain, Enrol adds a store to the store list, Retire decommissions a store.
 type Statement struct {
 	Show    *Show    `parser:"(  'show' @@"`
 	Set     *Set     `parser:" | 'set' @@"`
@@ -14,29 +15,29 @@
 	Enrol   *Name    `parser:" | 'enrol' 'store' @@"`
 	Retire  *Name    `parser:" | 'retire' 'store' @@"`
 	Restore *Restore `parser:" | 'restore' 'config' @@ )"`
-	// Expect is the number of the config that a command is meant for; nil: any.
+	// Expect is the config number that a command requires to be current; nil means any.
 	Expect *uint64 `parser:"( 'expect' @Number )?"`
-	// DryRun asks what a command would do.
+	// DryRun requests a description of what a command would do, without executing it.
 	DryRun bool `parser:"@( 'dry' 'run' )?"`
 }
 
-// Name is the name of the domain or store that a command is about.
+// Name is the name of the domain or store that a command applies to.
 type Name struct {
 	Name string `parser:"@(Word|Number)"`
 }
 
-// Empty drains a domain; Force does so even if it is the last one that serves.
+// Empty drains a domain; Force does so even if it is the last one that is serving.
 type Empty struct {
 	Name  string `parser:"@(Word|Number)"`
 	Force bool   `parser:"@'force'?"`
 }
 
-// Restore makes the config with an earlier number the current one, under a new number.
+// Restore makes an earlier config the current one again, under a new number.
 type Restore struct {
 	Number uint64 `parser:"@Number"`
 }
 
-// Set changes one value of the config. Exactly one of the first three fields is not nil.
+// Set changes one value of the config. Exactly one of the first three fields is non-nil.
 type Set struct {
 	Weight *Pair  `parser:"(  'weight' @@"`
 	Quota  *Pair  `parser:" | 'allowance' @@"`
@@ -50,7 +51,7 @@
 	Second string `parser:"( '.' @Word )?"`
 }
 
-// Show is a query for the rows of a table.
+// Show is a query for rows of a table.
 type Show struct {
 	What  string       `parser:"@Word"`
 	Where []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
@@ -58,22 +59,21 @@
 	Limit *uint64      `parser:"( 'limit' @Number )?"`
 }
 
-// Condition selects the rows whose field compares to a value in some way.
+// Condition selects rows by comparing a column, Field, with a value.
 type Condition struct {
 	Field    string `parser:"@Word"`
 	Operator string `parser:"@( '=' | '!' '=' | '<' | '>' | '~' )"`
 	Value    string `parser:"@(Word|Number|Text)"`
 }
 
-// Order sorts rows by a field, ascending by default.
+// Order sorts rows by a column, Field, ascending by default.
 type Order struct {
 	Field      string `parser:"@Word"`
 	Descending bool   `parser:"@'desc'?"`
 }
 
-// tokenRules are the tokens of the language. White space separates them and is dropped.
-// MustSimple panics only if a pattern is malformed, which any test of the package would
-// show.
+// tokenRules define the tokens of the language. White space separates them and is dropped.
+// MustSimple panics only if a pattern is malformed, which any test of the package detects.
 var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Text", Pattern: `"[^"]*"`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?(ms|s|m|h)?\b`},
@@ -83,9 +83,9 @@
 })
 
 // parser is built from the struct tags of the grammar. MustBuild panics only if they are
-// malformed, which any test of the package would show.
+// malformed, which any test of the package detects.
 var parser = participle.MustBuild[Statement](participle.Lexer(tokenRules), participle.Unquote("Text"), participle.UseLookahead(4))
 
-// Tables are the names of the tables that can be shown. Package controlplane has the function of
-// each; a test there ties the two together.
+// Tables are the names of the tables that a show query accepts. Package controlplane implements
+// them; a test there checks that the two agree.
 var Tables = []string{"changes", "config", "controls", "demand", "domains", "assignments", "groups", "nodes", "openings", "programs", "routes", "runners", "services", "stores", "tallies", "weights"}
--- a/system/querylanguage/print.go
+++ b/system/querylanguage/print.go
@@ -38,7 +38,7 @@
 	return text
 }
 
-// String returns the pair as it is written.
+// String formats the pair in the syntax of the language.
 //
 //	path := "tables." + pair.String()
 func (pair *Pair) String() string {
@@ -48,7 +48,7 @@
 	return pair.First + "." + pair.Second
 }
 
-// String returns the command as it is written.
+// String formats the command in the syntax of the language.
 //
 //	fmt.Println(set)
 func (set *Set) String() string {
@@ -62,17 +62,17 @@
 	return "set " + kind + " " + pair.String() + " " + set.Value
 }
 
-// String returns the query as it is written, with all values quoted.
+// String formats the query in the syntax of the language, with all values quoted.
 //
 //	fmt.Println(show)
 func (show *Show) String() string {
 	text := "show " + show.What
 	for position, condition := range show.Where {
-		joint := " where "
+		connector := " where "
 		if position > 0 {
-			joint = " and "
+			connector = " and "
 		}
-		text += joint + condition.Field + " " + condition.Operator + " " + strconv.Quote(condition.Value)
+		text += connector + condition.Field + " " + condition.Operator + " " + strconv.Quote(condition.Value)
 	}
 	if show.Order != nil {
 		text += " order by " + show.Order.Field
--- a/system/querylanguage/querylanguage_test.go
+++ b/system/querylanguage/querylanguage_test.go
@@ -15,7 +15,7 @@
 	"yardrock.example/system/apierror"
 )
 
-// generateStatement builds a statement from drawn numbers.
+// generateStatement builds a statement from random numbers.
 func generateStatement(kind, first, second int, flag bool) *Statement {
 	name := []string{"east", "store-1f", "talk", "a_b", "z9"}[first%5]
 	other := []string{"small", "large", "x-y"}[second%3]
@@ -52,12 +52,12 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("parse(print(s)) = s", prop.ForAll(func(kind, first, second int, flag bool) string {
 		statement := generateStatement(kind, first, second, flag)
-		again, err := Parse(statement.String())
+		reparsed, err := Parse(statement.String())
 		if err != nil {
 			return statement.String() + ": " + err.Error()
 		}
-		if !reflect.DeepEqual(statement, again) {
-			return statement.String() + " came back as " + again.String()
+		if !reflect.DeepEqual(statement, reparsed) {
+			return statement.String() + " was parsed as " + reparsed.String()
 		}
 		return ""
 	}, gen.IntRange(0, 1000), gen.IntRange(0, 1000), gen.IntRange(0, 1000), gen.Bool()))
@@ -87,9 +87,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, err := statement.Show.Apply(columns, rows)
-	if err != nil || !slices.EqualFunc(kept, [][]string{{"c", "100"}, {"a", "10"}}, slices.Equal) {
-		t.Fatalf("%v %v", kept, err)
+	result, err := statement.Show.Apply(columns, rows)
+	if err != nil || !slices.EqualFunc(result, [][]string{{"c", "100"}, {"a", "10"}}, slices.Equal) {
+		t.Fatalf("%v %v", result, err)
 	}
 	statement, _ = Parse(`show runners where laod > 1`)
 	if _, err := statement.Show.Apply(columns, rows); !strings.Contains(fmt.Sprint(err), "did you mean load?") {
@@ -97,7 +97,8 @@
 	}
 }
 
-// TestOperatorsPageExamplesParse parses the examples of the operators' page.
+// TestOperatorsPageExamplesParse guards against examples in docs/operators.md that the parser
+// rejects.
 func TestOperatorsPageExamplesParse(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators.md")
 	if err != nil {
--- a/system/querylanguage/rows.go
+++ b/system/querylanguage/rows.go
@@ -8,16 +8,16 @@
 	"yardrock.example/system/apierror"
 )
 
-// Apply selects, sorts and limits the rows of a table with some columns, as the query
-// says. The rows passed are not changed. The error is an *apierror.Error of kind Invalid
-// that names a column that does not exist.
+// Apply filters, sorts and limits the rows of a table as the query specifies. The given rows are
+// not modified. The error is an *apierror.Error of kind Invalid that names a column that does
+// not exist.
 //
 //	rows, err := show.Apply(columns, rows)
 func (show *Show) Apply(columns []string, rows [][]string) ([][]string, error) {
 	columnIndex := func(field string) (int, error) {
 		position := slices.Index(columns, field)
 		if position < 0 {
-			return 0, apierror.New(apierror.Invalid, show.What+" has no field "+strconv.Quote(field)+Suggest(field, columns), "name one of "+strings.Join(columns, ", "))
+			return 0, apierror.New(apierror.Invalid, show.What+" has no column "+strconv.Quote(field)+Suggest(field, columns), "use one of "+strings.Join(columns, ", "))
 		}
 		return position, nil
 	}
@@ -47,7 +47,7 @@
 	return rows, nil
 }
 
-// compare orders two texts as numbers if both are, otherwise as texts.
+// compare compares two texts numerically if both are numbers, otherwise lexically.
 func compare(left, right string) int {
 	leftNumber, leftErr := strconv.ParseFloat(left, 64)
 	rightNumber, rightErr := strconv.ParseFloat(right, 64)
@@ -60,7 +60,7 @@
 	return strings.Compare(left, right)
 }
 
-// comparisons are the operators of conditions.
+// comparisons implement the operators of conditions.
 var comparisons = map[string]func(have, want string) bool{
 	"=":  func(have, want string) bool { return have == want },
 	"!=": func(have, want string) bool { return have != want },
@@ -69,6 +69,6 @@
 	"~":  strings.Contains,
 }
 
-// matches reports whether a field compares to a value as an operator says. Operator must be one
-// of comparisons, which has all that the grammar of Condition admits.
+// matches reports whether a field satisfies an operator and a value. The operator must be a key of
+// comparisons, which has every operator that the grammar of Condition accepts.
 func matches(have, operator, want string) bool { return comparisons[operator](have, want) }
--- a/system/querylanguage/suggest.go
+++ b/system/querylanguage/suggest.go
@@ -1,10 +1,10 @@
 package querylanguage
 
-// maxSuggestDistance is how many edits a suggested name may differ by.
+// maxSuggestDistance is the maximum edit distance of a suggested name.
 const maxSuggestDistance = 3
 
-// Suggest returns the end of an error message that suggests the known name nearest to a
-// wrong one, or nothing if none is near.
+// Suggest returns the end of an error message that suggests the known name most similar to
+// an unknown one, or "" if none is similar.
 //
 //	message += querylanguage.Suggest("wieghts", names)
 func Suggest(wrong string, known []string) string {
@@ -20,8 +20,8 @@
 	return "; did you mean " + best + "?"
 }
 
-// editDistance returns the Levenshtein distance between two words, in bytes. It keeps one
-// row of the usual table.
+// editDistance returns the Levenshtein distance between two words, in bytes. It stores only one
+// row of the matrix.
 func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for column := range row {
--- a/system/settings/load.go
+++ b/system/settings/load.go
@@ -13,10 +13,10 @@
 	"yardrock.example/system/placement"
 )
 
-// LoadDataPlane loads the settings of yardrock-data-plane from arguments, without the
-// program's name, and from the file that they name. Help and version are written to
-// output. The error is ErrHelpShown or wraps an *apierror.Error of kind BadSettings; the
-// settings are not complete then.
+// LoadDataPlane loads the settings of yardrock-data-plane from the command-line arguments,
+// without the program's name, and from the file that they name. Help and version are
+// written to output. On an error, which is ErrHelpShown or wraps an *apierror.Error of kind
+// BadSettings, the settings are incomplete.
 //
 //	loaded, err := settings.LoadDataPlane(os.Args[1:], os.Stdout)
 func LoadDataPlane(arguments []string, output io.Writer) (*DataPlane, error) {
@@ -24,15 +24,15 @@
 	return loaded, load(loaded, "yardrock-data-plane", arguments, output)
 }
 
-// The defaults of a control node's settings, which their help texts name too.
+// The defaults of a control node's settings; the help texts repeat them.
 const (
 	defaultFoundingStores = 3
 	defaultGroups         = 32
 	defaultMaxControls    = 5
 )
 
-// LoadControlPlane loads the settings of yardrock-control-plane as LoadDataPlane does,
-// with the defaults that the help texts name.
+// LoadControlPlane loads the settings of yardrock-control-plane as LoadDataPlane does, and
+// applies the defaults that the help texts name.
 //
 //	loaded, err := settings.LoadControlPlane(os.Args[1:], os.Stdout)
 func LoadControlPlane(arguments []string, output io.Writer) (*ControlPlane, error) {
@@ -40,12 +40,12 @@
 	return loaded, load(loaded, "yardrock-control-plane", arguments, output)
 }
 
-// ErrHelpShown is returned after the help or the version was requested and written.
-var ErrHelpShown = errors.New("shown")
+// ErrHelpShown is returned after the requested help or version was written.
+var ErrHelpShown = errors.New("help or version was shown")
 
-// load parses the flags to find the file, then the file, and then the flags again so
-// that they override it. A program without a file needs only the flags.
-func load(target loadable, program string, arguments []string, output io.Writer) error {
+// load parses the flags to find the settings file, then the file, and then the flags again
+// so that they override it. Without a file, the flags are parsed once.
+func load(target daemonSettings, program string, arguments []string, output io.Writer) error {
 	parser, err := arg.NewParser(arg.Config{Program: program, IgnoreDefault: true}, target)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	if file := target.common().File; file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
-			return unreadable(err, "settings", err.Error(), "name a file that can be read")
+			return unreadable(err, "settings", err.Error(), "name a readable file")
 		}
 		decoder := json.NewDecoder(strings.NewReader(string(data)))
 		decoder.DisallowUnknownFields()
--- a/system/settings/settings_test.go
+++ b/system/settings/settings_test.go
@@ -11,17 +11,18 @@
 	"yardrock.example/system/apierror"
 )
 
-func frontArguments(more ...string) []string {
-	return append([]string{"--role", "front", "--address", "127.0.0.1:7000", "--public", "127.0.0.1:7100", "--domain", "east", "--seeds", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, more...)
+// frontArguments returns valid arguments of a front node, followed by extra ones.
+func frontArguments(extra ...string) []string {
+	return append([]string{"--role", "front", "--address", "127.0.0.1:7000", "--public", "127.0.0.1:7100", "--domain", "east", "--seeds", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, extra...)
 }
 
 func TestInvalidSettingsNameFieldAndRemedy(t *testing.T) {
-	folder := t.TempDir()
-	unknown := filepath.Join(folder, "unknown.json")
+	directory := t.TempDir()
+	unknown := filepath.Join(directory, "unknown.json")
 	if err := os.WriteFile(unknown, []byte(`{"colour": "red"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		arguments []string
 		field     string
 	}{
@@ -37,15 +38,15 @@
 		"memory below 0":   {frontArguments("--memory", "-1"), "memory"},
 		"unknown flag":     {frontArguments("--colour", "red"), "colour"},
 		"unknown key":      {frontArguments("--settings", unknown), "colour"},
-		"no such file":     {frontArguments("--settings", filepath.Join(folder, "none")), "settings"},
+		"no such file":     {frontArguments("--settings", filepath.Join(directory, "none")), "settings"},
 		"no domain":        {frontArguments("--domain", ""), "domain"},
 	} {
-		_, err := LoadDataPlane(one.arguments, &bytes.Buffer{})
-		if !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), one.field) || apierror.Of(err).Remedy == "" {
+		_, err := LoadDataPlane(test.arguments, &bytes.Buffer{})
+		if !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), test.field) || apierror.Of(err).Remedy == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := LoadControlPlane([]string{"--address", "127.0.0.1:7000", "--administration", "127.0.0.1:1", "--domain", "east", "--folder", folder, "--groups", "5000", "--seeds", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, &bytes.Buffer{}); !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), "groups") {
+	if _, err := LoadControlPlane([]string{"--address", "127.0.0.1:7000", "--administration", "127.0.0.1:1", "--domain", "east", "--folder", directory, "--groups", "5000", "--seeds", "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, &bytes.Buffer{}); !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), "groups") {
 		t.Errorf("groups out of range: %v", err)
 	}
 }
--- a/system/settings/validate.go
+++ b/system/settings/validate.go
@@ -10,39 +10,39 @@
 	"yardrock.example/system/feed"
 )
 
-// loadable is a pointer to the settings of a daemon.
-type loadable interface {
+// daemonSettings is implemented by pointers to the settings of each daemon.
+type daemonSettings interface {
 	Version() string
 	common() *Common
 	validate() error
 }
 
-// common returns the settings themselves, whichever daemon's they are part of.
+// common implements daemonSettings for the types that embed Common.
 func (common *Common) common() *Common { return common }
 
-// invalid is the error for a setting with a wrong value.
+// invalid returns the error for a setting with an invalid value.
 func invalid(field, message, remedy string) error {
 	return apierror.New(apierror.BadSettings, field+": "+message, remedy)
 }
 
-// unreadable is invalid for a value that could not be read, with the error as cause.
+// unreadable returns the error for settings that could not be read or parsed, and wraps the cause.
 func unreadable(cause error, field, message, remedy string) error {
 	return apierror.Wrap(cause, apierror.BadSettings, field+": "+message, remedy)
 }
 
-// validateAddress validates an address with an IP and a port other than 0.
+// validateAddress requires an IP and a port other than 0.
 func validateAddress(field, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
-		return invalid(field, strconv.Quote(address)+" is no IP and port", "write it like 10.0.0.1:7000")
+		return invalid(field, strconv.Quote(address)+" is not an IP and port", "use the form 10.0.0.1:7000")
 	}
 	if number, err := strconv.ParseUint(port, 10, 16); err != nil || number == 0 {
-		return invalid(field, strconv.Quote(port)+" is no port", "use a port from 1 to 65535")
+		return invalid(field, strconv.Quote(port)+" is not a valid port", "use a port from 1 to 65535")
 	}
 	return nil
 }
 
-// validateCommon validates the settings that all daemons have.
+// validateCommon validates the settings of all daemons.
 func (common *Common) validateCommon() error {
 	if err := validateAddress("address", common.Address); err != nil {
 		return err
@@ -53,10 +53,10 @@
 		}
 	}
 	if common.Domain == "" {
-		return invalid("domain", "is missing", "name the zone of this machine")
+		return invalid("domain", "is missing", "name the failure domain (zone) of this machine")
 	}
 	if len(common.Seeds) != 3 {
-		return invalid("seeds", fmt.Sprintf("has %d addresses", len(common.Seeds)), "name three addresses of other processes")
+		return invalid("seeds", fmt.Sprintf("has %d addresses", len(common.Seeds)), "give the addresses of three other processes")
 	}
 	for _, seed := range common.Seeds {
 		if err := validateAddress("seeds", seed); err != nil {
@@ -64,7 +64,7 @@
 		}
 	}
 	if sorted := slices.Sorted(slices.Values(common.Seeds)); len(slices.Compact(sorted)) != 3 {
-		return invalid("seeds", "names an address twice", "name three different addresses")
+		return invalid("seeds", "contains a duplicate address", "give three different addresses")
 	}
 	if common.Metrics != "" {
 		if err := validateAddress("metrics", common.Metrics); err != nil {
@@ -72,15 +72,15 @@
 		}
 	}
 	if common.Memory < 0 {
-		return invalid("memory", strconv.FormatInt(common.Memory, 10)+" is below 0", "use the bytes that this process may use, or 0 for no limit")
+		return invalid("memory", strconv.FormatInt(common.Memory, 10)+" is below 0", "give the bytes of memory that this process may use, or 0 for no limit")
 	}
 	if !slices.Contains([]string{"", "debug", "info", "warn", "error"}, common.Log) {
-		return invalid("log", strconv.Quote(common.Log)+" is no level", "use debug, info, warn or error")
+		return invalid("log", strconv.Quote(common.Log)+" is not a log level", "use debug, info, warn or error")
 	}
 	return nil
 }
 
-// validate validates all settings; which are required depends on the role.
+// validate validates all settings. The role determines which are required.
 func (settings *DataPlane) validate() error {
 	if err := settings.validateCommon(); err != nil {
 		return err
@@ -90,14 +90,14 @@
 		return validateAddress("public", settings.PublicAddress)
 	case feed.RoleStore:
 		if settings.DataFolder == "" {
-			return invalid("folder", "is missing", "name the data folder of this store")
+			return invalid("folder", "is missing", "name the data directory of this store")
 		}
 		if settings.HealthAddress != "" {
 			return validateAddress("health", settings.HealthAddress)
 		}
 		return nil
 	}
-	return invalid("role", strconv.Quote(settings.Role)+" is no role", "use front or store")
+	return invalid("role", strconv.Quote(settings.Role)+" is not a role", "use front or store")
 }
 
 // validate validates all settings.
@@ -106,10 +106,10 @@
 		return err
 	}
 	if settings.DataFolder == "" {
-		return invalid("folder", "is missing", "name the data folder of this control node")
+		return invalid("folder", "is missing", "name the data directory of this control node")
 	}
 	if settings.FoundingStores < 1 {
-		return invalid("founding_stores", "is below 1", "use 3, or the number of stores at the start")
+		return invalid("founding_stores", "is below 1", "use 3, or the initial number of stores")
 	}
 	if settings.ReplicationFactor%2 == 0 || settings.ReplicationFactor > 9 {
 		return invalid("copies", strconv.Itoa(int(settings.ReplicationFactor)), "use an odd number from 1 to 9")
@@ -118,7 +118,7 @@
 		return invalid("groups", "is out of range", "use 1 to 4096")
 	}
 	if settings.MaxControls < 1 || settings.MaxControls > 9 {
-		return invalid("most_controls", "is out of range", "use 1 to 9, best 3 or 5")
+		return invalid("most_controls", "is out of range", "use 1 to 9, preferably 3 or 5")
 	}
 	return validateAddress("administration", settings.AdminAddress)
 }
