--- a/system/cmd/yardrock-control-plane/main.go
+++ b/system/cmd/yardrock-control-plane/main.go
@@ -29,7 +29,7 @@
 	}
 	daemon.ConfigureLogging(loaded.Log)
 	daemon.LimitMemory(loaded.Memory)
-	directory, err := loaded.OpenFolder("")
+	directory, err := loaded.OpenDirectory("")
 	if err != nil {
 		return err
 	}
--- a/system/cmd/yardrock-data-plane/main.go
+++ b/system/cmd/yardrock-data-plane/main.go
@@ -69,11 +69,11 @@
 // startStore starts a store node, and a server for health checks if the settings name an address
 // for it. Registry may be nil.
 func startStore(loaded *settings.DataPlane, registry *metrics.Registry) (daemon.Service, error) {
-	directory, err := loaded.OpenFolder("")
+	directory, err := loaded.OpenDirectory("")
 	if err != nil {
 		return daemon.Service{}, err
 	}
-	archiveDirectory, err := loaded.OpenFolder(archiveDirectoryName)
+	archiveDirectory, err := loaded.OpenDirectory(archiveDirectoryName)
 	if err != nil {
 		return daemon.Service{}, err
 	}
--- a/system/config/compiled.go
+++ b/system/config/compiled.go
@@ -50,14 +50,14 @@
 			return undefinedReference("programs."+name+".team", team, "team")
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(config.Kinds)) {
-		if err := config.checkWeightTable(name, config.Kinds[name].Table); err != nil {
+	for _, name := range slices.Sorted(maps.Keys(config.WorkKinds)) {
+		if err := config.checkWeightTable(name, config.WorkKinds[name].WeightTable); err != nil {
 			return err
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(config.Tables)) {
-		for _, group := range slices.Sorted(maps.Keys(config.Tables[name])) {
-			if !hasKey(config.Groups, group) {
+	for _, name := range slices.Sorted(maps.Keys(config.WeightTables)) {
+		for _, group := range slices.Sorted(maps.Keys(config.WeightTables[name])) {
+			if !hasKey(config.RunnerGroups, group) {
 				return undefinedReference("tables."+name+"."+group, group, "group")
 			}
 		}
@@ -70,7 +70,7 @@
 
 // checkWeightTable validates the weight table of a kind of work.
 func (config *Config) checkWeightTable(kind, name string) error {
-	table, found := config.Tables[name]
+	table, found := config.WeightTables[name]
 	if !found {
 		return undefinedReference("kinds."+kind+".table", name, "table")
 	}
--- a/system/config/config.go
+++ b/system/config/config.go
@@ -53,8 +53,8 @@
 	Retention Duration `json:"keep"`
 }
 
-// Group configures the capacity of each runner of a group.
-type Group struct {
+// RunnerGroup configures the capacity of each runner of a group.
+type RunnerGroup struct {
 	// Concurrency is the maximum number of concurrent requests of a runner; the default is 8.
 	Concurrency int `json:"concurrency"`
 	// WarmUpConcurrency replaces Concurrency while the runner warms up; the default is 1.
@@ -73,8 +73,8 @@
 type WorkKind struct {
 	// Serves is ServesTurn or ServesPlain.
 	Serves string `json:"serves"`
-	// Table is the name of the weight table that distributes the work over groups of runners.
-	Table string `json:"table"`
+	// WeightTable is the name of the weight table that distributes the work over groups of runners.
+	WeightTable string `json:"table"`
 	// Repeatable work may be executed more than once; the default is true. Other work needs a
 	// request key, and is recorded.
 	Repeatable bool `json:"repeatable"`
@@ -108,14 +108,14 @@
 // Config is a compiled configuration. The maps are keyed by name; a weight table maps the names of
 // groups of runners to weights.
 type Config struct {
-	Operators map[string]Principal          `json:"operators"`
-	Teams     map[string]Principal          `json:"teams"`
-	Programs  map[string]Program            `json:"programs"`
-	Groups    map[string]Group              `json:"groups"`
-	Tables    map[string]map[string]float64 `json:"tables"`
-	Kinds     map[string]WorkKind           `json:"kinds"`
-	Limits    Limits                        `json:"limits"`
-	Platform  Platform                      `json:"platform"`
+	Operators    map[string]Principal          `json:"operators"`
+	Teams        map[string]Principal          `json:"teams"`
+	Programs     map[string]Program            `json:"programs"`
+	RunnerGroups map[string]RunnerGroup        `json:"groups"`
+	WeightTables map[string]map[string]float64 `json:"tables"`
+	WorkKinds    map[string]WorkKind           `json:"kinds"`
+	Limits       Limits                        `json:"limits"`
+	Platform     Platform                      `json:"platform"`
 	// Routing is the routing of requests that are forwarded unchanged; nil if none are.
 	Routing        *Routing       `json:"routing,omitempty"`
 	SharedPrefixes SharedPrefixes `json:"openings,omitzero"`
--- a/system/config/config_test.go
+++ b/system/config/config_test.go
@@ -25,10 +25,10 @@
 		t.Fatal(err)
 	}
 	redecoded, err := config.Decode(compiled)
-	if err != nil || redecoded.Groups["large"].Concurrency != 3 || time.Duration(redecoded.Programs["manifest"].Retention) != 24*time.Hour {
+	if err != nil || redecoded.RunnerGroups["large"].Concurrency != 3 || time.Duration(redecoded.Programs["manifest"].Retention) != 24*time.Hour {
 		t.Fatalf("the compiled form decodes to a different config: %+v %v", redecoded, err)
 	}
-	if !decoded.Kinds["chat"].Repeatable || decoded.Limits.Queue != 200 {
+	if !decoded.WorkKinds["chat"].Repeatable || decoded.Limits.Queue != 200 {
 		t.Fatalf("defaults were not applied: %+v", decoded)
 	}
 	for broken, path := range map[string]string{
--- a/system/config/routing_test.go
+++ b/system/config/routing_test.go
@@ -190,7 +190,7 @@
 		t.Fatalf("the receiver was changed: %+v", base.Routing)
 	}
 	redecoded, err := config.Decode(compiled)
-	if err != nil || !redecoded.Routing.Equal(&routing) || redecoded.Groups["large"].Concurrency != 3 || string(redecoded.Routing.Routes[0].Original) != `{"name":"<&>","wait":4000.0}` {
+	if err != nil || !redecoded.Routing.Equal(&routing) || redecoded.RunnerGroups["large"].Concurrency != 3 || string(redecoded.Routing.Routes[0].Original) != `{"name":"<&>","wait":4000.0}` {
 		t.Fatalf("%+v %v", redecoded.Routing, err)
 	}
 	if revision, accepted := redecoded.Routing.RevisionOf("first"); !accepted || revision != 7 {
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -31,7 +31,7 @@
 	}
 	readCtx, cancelRead := context.WithTimeout(ctx, administrationTimeout)
 	defer cancelRead()
-	unfiltered, err := service.readTable(readCtx, operator.state, statement.Show.What)
+	unfiltered, err := service.readTable(readCtx, operator.state, statement.Show.Table)
 	if err != nil {
 		return nil, err
 	}
@@ -140,10 +140,10 @@
 func checkSetNames(set *querylanguage.Set, decoded *config.Config) error {
 	switch {
 	case set.Weight != nil:
-		if err := checkName("table", set.Weight.First, decoded.Tables); err != nil {
+		if err := checkName("table", set.Weight.First, decoded.WeightTables); err != nil {
 			return err
 		}
-		return checkName("group", set.Weight.Second, decoded.Groups)
+		return checkName("group", set.Weight.Second, decoded.RunnerGroups)
 	case set.Quota != nil:
 		return checkName("program", set.Quota.First, decoded.Programs)
 	}
--- a/system/controlplane/admin_tables_config.go
+++ b/system/controlplane/admin_tables_config.go
@@ -12,8 +12,8 @@
 // listWeights lists the group weights of the config's tables.
 func listWeights(_ context.Context, source tableSource) table {
 	rows := [][]string{}
-	for _, name := range slices.Sorted(maps.Keys(source.config.Tables)) {
-		weights := source.config.Tables[name]
+	for _, name := range slices.Sorted(maps.Keys(source.config.WeightTables)) {
+		weights := source.config.WeightTables[name]
 		for _, group := range slices.Sorted(maps.Keys(weights)) {
 			rows = append(rows, []string{name, group, strconv.FormatFloat(weights[group], 'g', -1, 64)})
 		}
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -62,7 +62,7 @@
 
 // publishRunners proposes the differences between a runner list and the runners of a view. It
 // reports whether the list's content is in force.
-func (node *Node) publishRunners(ctx context.Context, view *feed.View, lease feed.RoleLease, groups map[string]config.Group, listed []feed.Runner, requestedAt time.Time) bool {
+func (node *Node) publishRunners(ctx context.Context, view *feed.View, lease feed.RoleLease, groups map[string]config.RunnerGroup, listed []feed.Runner, requestedAt time.Time) bool {
 	discovery := &node.discovery
 	discovery.beginLease(lease.FencingToken)
 	change := feed.Change{Kind: feed.ChangeRunners, By: node.Name(), RoleLease: lease, Expects: true, Expected: view.Number, Partial: true}
@@ -81,7 +81,7 @@
 
 // runnerSource returns the source of the runner list, nil if none is configured, and how often to
 // read it. Groups is nil if the source itself reports when a runner has warmed up.
-func (node *Node) runnerSource(view *feed.View) (source RunnerSource, groups map[string]config.Group, interval time.Duration) {
+func (node *Node) runnerSource(view *feed.View) (source RunnerSource, groups map[string]config.RunnerGroup, interval time.Duration) {
 	if node.settings.RunnerSource != nil {
 		return node.settings.RunnerSource, nil, runnerListInterval
 	}
@@ -90,7 +90,7 @@
 		return nil, nil, 0
 	}
 	node.configRunners.url = decoded.Platform.RunnerList
-	return &node.configRunners, decoded.Groups, time.Duration(decoded.Platform.Poll)
+	return &node.configRunners, decoded.RunnerGroups, time.Duration(decoded.Platform.Poll)
 }
 
 // runnerDiscovery is the in-memory state of the holder of RunnerDiscoveryRole. Only the role
@@ -118,7 +118,7 @@
 // diff returns the runners of a list that are new or differ from those on the feed, and the
 // identities of those that are no longer listed. If a runner is listed twice, the first entry is
 // used. Groups is nil if the source itself reports when a runner has warmed up.
-func (discovery *runnerDiscovery) diff(before, listed []feed.Runner, groups map[string]config.Group, now time.Time) (changed []feed.Runner, removed []string) {
+func (discovery *runnerDiscovery) diff(before, listed []feed.Runner, groups map[string]config.RunnerGroup, now time.Time) (changed []feed.Runner, removed []string) {
 	published := make(map[string]feed.Runner, len(before))
 	for _, runner := range before {
 		published[runner.Identity()] = runner
@@ -151,7 +151,7 @@
 
 // recordServing records when a runner was first seen serving, and reports whether it has served
 // for its group's slow start since. Without groups it counts as warmed up once it serves.
-func (discovery *runnerDiscovery) recordServing(runner feed.Runner, groups map[string]config.Group, now time.Time) bool {
+func (discovery *runnerDiscovery) recordServing(runner feed.Runner, groups map[string]config.RunnerGroup, now time.Time) bool {
 	name := runner.Identity()
 	since, served := discovery.servingSince[name]
 	switch {
--- a/system/front/filters.go
+++ b/system/front/filters.go
@@ -54,7 +54,7 @@
 
 // findKind looks up the config of the request's kind of work.
 func findKind(_ context.Context, _ *Node, request *request) (any, error) {
-	workKind, found := request.current.config.Kinds[request.kind]
+	workKind, found := request.current.config.WorkKinds[request.kind]
 	if !found {
 		return nil, apierror.New(apierror.NotFound, "no kind of work is named "+strconv.Quote(request.kind), "use a kind of work in the config")
 	}
--- a/system/front/runner_slot.go
+++ b/system/front/runner_slot.go
@@ -71,7 +71,7 @@
 
 // runnerUsable reports whether the request may still be sent to the chosen runner.
 func (request *request) runnerUsable() bool {
-	hasWeight := request.current.config.Tables[request.workKind.Table][request.slot.Group] > 0
+	hasWeight := request.current.config.WeightTables[request.workKind.WeightTable][request.slot.Group] > 0
 	return hasWeight && scheduler.Usable(request.current.view, request.slot.Runner)
 }
 
--- a/system/querylanguage/grammar.go
+++ b/system/querylanguage/grammar.go
@@ -53,7 +53,7 @@
 
 // Show is a query for rows of a table.
 type Show struct {
-	What  string       `parser:"@Word"`
+	Table string       `parser:"@Word"`
 	Where []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
 	Order *Order       `parser:"( 'order' 'by' @@ )?"`
 	Limit *uint64      `parser:"( 'limit' @Number )?"`
--- a/system/querylanguage/parse.go
+++ b/system/querylanguage/parse.go
@@ -37,8 +37,8 @@
 		}
 		return nil, apierror.Wrap(err, apierror.Invalid, message, "see docs/operators.md for the queries and commands")
 	}
-	if statement.Show != nil && !slices.Contains(Tables, statement.Show.What) {
-		return nil, apierror.New(apierror.Invalid, tableColumn+": no table is named "+strconv.Quote(statement.Show.What)+Suggest(statement.Show.What, Tables), "show one of "+strings.Join(Tables, ", "))
+	if statement.Show != nil && !slices.Contains(Tables, statement.Show.Table) {
+		return nil, apierror.New(apierror.Invalid, tableColumn+": no table is named "+strconv.Quote(statement.Show.Table)+Suggest(statement.Show.Table, Tables), "show one of "+strings.Join(Tables, ", "))
 	}
 	return statement, nil
 }
--- a/system/querylanguage/print.go
+++ b/system/querylanguage/print.go
@@ -66,7 +66,7 @@
 //
 //	fmt.Println(show)
 func (show *Show) String() string {
-	text := "show " + show.What
+	text := "show " + show.Table
 	for position, condition := range show.Where {
 		connector := " where "
 		if position > 0 {
--- a/system/querylanguage/querylanguage_test.go
+++ b/system/querylanguage/querylanguage_test.go
@@ -23,9 +23,9 @@
 	statement := &Statement{}
 	switch kind % 8 {
 	case 0:
-		statement.Show = &Show{What: Tables[first%len(Tables)], Limit: &number}
+		statement.Show = &Show{Table: Tables[first%len(Tables)], Limit: &number}
 	case 1:
-		statement.Show = &Show{What: "runners", Where: []*Condition{{"domain", "=", name}, {"state", "!=", "two words"}}, Order: &Order{other, flag}}
+		statement.Show = &Show{Table: "runners", Where: []*Condition{{"domain", "=", name}, {"state", "!=", "two words"}}, Order: &Order{other, flag}}
 	case 2:
 		statement.Set = &Set{Weight: &Pair{name, other}, Value: fmt.Sprint(second)}
 	case 3:
--- a/system/querylanguage/rows.go
+++ b/system/querylanguage/rows.go
@@ -17,7 +17,7 @@
 	columnIndex := func(field string) (int, error) {
 		position := slices.Index(columns, field)
 		if position < 0 {
-			return 0, apierror.New(apierror.Invalid, show.What+" has no column "+strconv.Quote(field)+Suggest(field, columns), "use one of "+strings.Join(columns, ", "))
+			return 0, apierror.New(apierror.Invalid, show.Table+" has no column "+strconv.Quote(field)+Suggest(field, columns), "use one of "+strings.Join(columns, ", "))
 		}
 		return position, nil
 	}
--- a/system/scheduler/scheduler.go
+++ b/system/scheduler/scheduler.go
@@ -119,10 +119,10 @@
 func (scheduler *Scheduler) Acquire(ctx context.Context, kind config.WorkKind, team string) (*Slot, error) {
 	state := scheduler.state()
 	scheduler.mutex.Lock()
-	group, found := scheduler.pickGroup(state, kind.Table)
+	group, found := scheduler.pickGroup(state, kind.WeightTable)
 	if !found {
 		scheduler.mutex.Unlock()
-		return nil, apierror.NewRetryable(apierror.NotRun, "no runner of table "+kind.Table+" is usable", "retry later; operators: check the runner list and for drained domains", noRunnerRetryAfter)
+		return nil, apierror.NewRetryable(apierror.NotRun, "no runner of table "+kind.WeightTable+" is usable", "retry later; operators: check the runner list and for drained domains", noRunnerRetryAfter)
 	}
 	urgency := urgencies[kind.Urgency]
 	if !scheduler.hasWaiter(urgency, group) {
@@ -150,7 +150,7 @@
 // free slot for an urgency. The score is the free fraction of the share, raised for runners
 // in this front's domain and lowered for those with a recent fault.
 func (scheduler *Scheduler) freeRunner(state State, group string, urgency int, now time.Time) (feed.Runner, bool) {
-	capacity := state.Config.Groups[group]
+	capacity := state.Config.RunnerGroups[group]
 	best, bestScore, found := feed.Runner{}, -1.0, false
 	for _, runner := range state.View.Runners {
 		if runner.Group != group || !Usable(state.View, runner) {
--- a/system/scheduler/scheduler_test.go
+++ b/system/scheduler/scheduler_test.go
@@ -18,17 +18,17 @@
 	"yardrock.example/system/placement"
 )
 
-var turnKind = config.WorkKind{Serves: "turn", Table: "talk", Urgency: "normal"}
+var turnKind = config.WorkKind{Serves: "turn", WeightTable: "talk", Urgency: "normal"}
 
 // newState returns a state with one front and one runner for each of the weighted groups.
 func newState(weights map[string]float64, concurrency int) State {
 	state := State{
 		View:   &feed.View{},
-		Config: &config.Config{Tables: map[string]map[string]float64{"talk": weights}, Groups: map[string]config.Group{}, Limits: config.Limits{Queue: 2, QueueTimeout: config.Duration(2 * time.Second)}},
+		Config: &config.Config{WeightTables: map[string]map[string]float64{"talk": weights}, RunnerGroups: map[string]config.RunnerGroup{}, Limits: config.Limits{Queue: 2, QueueTimeout: config.Duration(2 * time.Second)}},
 		Fronts: []placement.Candidate{{Name: "front"}},
 	}
 	for group := range weights {
-		state.Config.Groups[group] = config.Group{Concurrency: concurrency, WarmUpConcurrency: 1}
+		state.Config.RunnerGroups[group] = config.RunnerGroup{Concurrency: concurrency, WarmUpConcurrency: 1}
 		state.View.Runners = append(state.View.Runners, feed.Runner{Address: group + ":1", Group: group, Domain: "east", State: feed.StateServing})
 	}
 	return state
--- a/system/scheduler/slow_start.go
+++ b/system/scheduler/slow_start.go
@@ -36,7 +36,7 @@
 // limit returns the concurrency limit of a runner over all fronts. It is the warm-up
 // concurrency while the runner is listed as warming up or is suspected to have restarted,
 // and then grows to the full concurrency within the group's slow start time.
-func (stats *runnerStats) limit(runner feed.Runner, capacity config.Group, now time.Time) int {
+func (stats *runnerStats) limit(runner feed.Runner, capacity config.RunnerGroup, now time.Time) int {
 	slowStart := time.Duration(capacity.SlowStart)
 	switch {
 	case runner.State == feed.StateWarmingUp:
--- a/system/scheduler/weighted_round_robin.go
+++ b/system/scheduler/weighted_round_robin.go
@@ -11,7 +11,7 @@
 // pickGroup picks a group with usable runners from a weight table by weighted round-robin. It
 // returns false if there is none.
 func (scheduler *Scheduler) pickGroup(state State, table string) (string, bool) {
-	participants, weights := []roundrobin.Participant{}, state.Config.Tables[table]
+	participants, weights := []roundrobin.Participant{}, state.Config.WeightTables[table]
 	for _, group := range slices.Sorted(maps.Keys(weights)) {
 		usable := slices.ContainsFunc(state.View.Runners, func(runner feed.Runner) bool {
 			return runner.Group == group && Usable(state.View, runner)
--- a/system/settings/settings.go
+++ b/system/settings/settings.go
@@ -18,17 +18,17 @@
 // Common contains the settings of all daemons. The help text of each field documents it
 // for operators.
 type Common struct {
-	File       string   `arg:"--settings" json:"-" help:"settings file (JSON); flags override it"`
-	Address    string   `arg:"--address" json:"address" help:"IP and port at which other processes reach this one"`
-	Listen     string   `arg:"--listen" json:"listen" help:"IP and port to listen on, if different from the address [default: the address]"`
-	Domain     string   `arg:"--domain" json:"domain" help:"failure domain (zone) of this machine"`
-	Seeds      []string `arg:"--seeds" json:"seeds" help:"addresses of three other processes"`
-	DataFolder string   `arg:"--folder" json:"folder" help:"data directory"`
-	Log        string   `arg:"--log" json:"log" help:"log level: debug, info, warn or error"`
-	Metrics    string   `arg:"--metrics" json:"metrics" help:"IP and port at which the process serves its metrics under /metrics, for Prometheus; none if not set"`
-	Memory     int64    `arg:"--memory" json:"memory" help:"bytes of memory that this process may use; 0 means no limit [default: 0]"`
-	// FaultyDisk is the path of a file that names disk faults to inject; for tests only.
-	FaultyDisk string `arg:"--trial-disk" json:"trial_disk" help:"for tests only: keep unsynced writes in memory, and inject the disk faults that this file names"`
+	File          string   `arg:"--settings" json:"-" help:"settings file (JSON); flags override it"`
+	Address       string   `arg:"--address" json:"address" help:"IP and port at which other processes reach this one"`
+	Listen        string   `arg:"--listen" json:"listen" help:"IP and port to listen on, if different from the address [default: the address]"`
+	Domain        string   `arg:"--domain" json:"domain" help:"failure domain (zone) of this machine"`
+	Seeds         []string `arg:"--seeds" json:"seeds" help:"addresses of three other processes"`
+	DataDirectory string   `arg:"--folder" json:"folder" help:"data directory"`
+	Log           string   `arg:"--log" json:"log" help:"log level: debug, info, warn or error"`
+	Metrics       string   `arg:"--metrics" json:"metrics" help:"IP and port at which the process serves its metrics under /metrics, for Prometheus; none if not set"`
+	Memory        int64    `arg:"--memory" json:"memory" help:"bytes of memory that this process may use; 0 means no limit [default: 0]"`
+	// DiskFaultFile is the path of a file that names disk faults to inject; for tests only.
+	DiskFaultFile string `arg:"--trial-disk" json:"trial_disk" help:"for tests only: keep unsynced writes in memory, and inject the disk faults that this file names"`
 }
 
 // peerTimeout is the time without acknowledgement after which a connection counts as broken.
@@ -50,16 +50,16 @@
 	return network
 }
 
-// OpenFolder opens the data directory, or a subdirectory of it, and creates it if needed.
-// If FaultyDisk is set, the directory injects disk faults.
+// OpenDirectory opens the data directory, or a subdirectory of it, and creates it if needed.
+// If DiskFaultFile is set, the directory injects disk faults.
 //
 //	directory, err := loaded.OpenFolder("cold")
-func (common *Common) OpenFolder(subdirectory string) (vfs.Directory, error) {
-	directory, err := vfs.Open(filepath.Join(common.DataFolder, subdirectory))
-	if err != nil || common.FaultyDisk == "" {
+func (common *Common) OpenDirectory(subdirectory string) (vfs.Directory, error) {
+	directory, err := vfs.Open(filepath.Join(common.DataDirectory, subdirectory))
+	if err != nil || common.DiskFaultFile == "" {
 		return directory, err
 	}
-	return vfs.NewFaultDirectory(directory, common.FaultyDisk), nil
+	return vfs.NewFaultDirectory(directory, common.DiskFaultFile), nil
 }
 
 // DataPlane contains the settings of yardrock-data-plane.
--- a/system/settings/validate.go
+++ b/system/settings/validate.go
@@ -89,7 +89,7 @@
 	case feed.RoleFront:
 		return validateAddress("public", settings.PublicAddress)
 	case feed.RoleStore:
-		if settings.DataFolder == "" {
+		if settings.DataDirectory == "" {
 			return invalid("folder", "is missing", "name the data directory of this store")
 		}
 		if settings.HealthAddress != "" {
@@ -105,7 +105,7 @@
 	if err := settings.validateCommon(); err != nil {
 		return err
 	}
-	if settings.DataFolder == "" {
+	if settings.DataDirectory == "" {
 		return invalid("folder", "is missing", "name the data directory of this control node")
 	}
 	if settings.FoundingStores < 1 {
