--- a/system/wire/archive.go
+++ b/system/wire/archive.go
@@ -4,8 +4,8 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// ArchiveChunk is a run of archived events of one session, from sequence number First to
-// Last. ExpiresAt is in Unix nanoseconds; the chunk may be deleted afterwards.
+// ArchiveChunk is a contiguous range of archived events of one session, from sequence number
+// First to Last. ExpiresAt is in Unix nanoseconds; the chunk may be deleted after that time.
 type ArchiveChunk struct {
 	Group     uint32             `capnp:"group"`
 	Session   string             `capnp:"line"`
@@ -15,13 +15,14 @@
 	Events    []sessionlog.Event `capnp:"events"`
 }
 
-// ArchiveChunkBatch carries chunks of any sessions and groups.
+// ArchiveChunkBatch carries chunks, which may belong to different sessions and groups.
 type ArchiveChunkBatch struct {
 	Chunks []ArchiveChunk `capnp:"chunks"`
 }
 
-// ChunkLocation is where in an archive file a chunk is: Offset and Length in bytes, Checksum
-// over those bytes. Digest identifies the content, wherever it is stored.
+// ChunkLocation is the position of a chunk in an archive file. Offset and Length are in bytes,
+// and Checksum covers those bytes. Digest identifies the content independently of where it is
+// stored.
 type ChunkLocation struct {
 	Group     uint32
 	Session   string
@@ -37,9 +38,9 @@
 // ArchiveIndex lists the chunks of one archive file.
 type ArchiveIndex struct{ Locations []ChunkLocation }
 
-// DigestQuery asks a store for digests of a group's archive, to compare it with another
-// replica's (anti-entropy): one for each bucket of sessions, or, with Buckets, one for each
-// range in these buckets.
+// DigestQuery requests digests of a store's archive of a group, to compare it with that of
+// another replica (anti-entropy): one per bucket of sessions or, with Buckets, one per range in
+// these buckets.
 type DigestQuery struct {
 	Group   uint32   `capnp:"group"`
 	Buckets []uint32 `capnp:"buckets"`
@@ -53,14 +54,15 @@
 	Digest  []byte `capnp:"digest"`
 }
 
-// DigestReply answers a DigestQuery with Ranges if it named buckets, else with BucketDigests.
+// DigestReply is the response to a DigestQuery. It has Ranges if the query named buckets,
+// otherwise BucketDigests.
 type DigestReply struct {
 	Ranges        []RangeDigest `capnp:"ranges"`
 	BucketDigests []uint64      `capnp:"sums"`
 }
 
-// ReadArchiveQuery asks a store for the events of a session that its own archive has, after
-// After and up to Through.
+// ReadArchiveQuery requests the events of a session from a store's own archive, with sequence
+// numbers greater than After and up to Through.
 type ReadArchiveQuery struct {
 	Session string `capnp:"line"`
 	After   uint64 `capnp:"after"`
--- a/system/wire/codec.go
+++ b/system/wire/codec.go
@@ -9,11 +9,11 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// readLimit bounds, in bytes, what one message may make its reader traverse; a pointer that
-// is followed twice counts twice.
+// readLimit is the maximum number of bytes that reading one message may traverse; what a
+// pointer refers to counts each time the pointer is followed.
 const readLimit = 1 << 30
 
-// The library finds the schema's names by reflection in the default registry.
+// The library's reflection looks up the schema in the default registry.
 func init() { schema.RegisterSchema(schemas.DefaultRegistry) }
 
 // AppendQuery appends a query, as a packed Cap'n Proto message, to target.
@@ -30,8 +30,8 @@
 	return appendPacked(target, rootOf(schema.NewRootReply), func(root capnp.Struct) error { return encodeReply(schema.Reply(root), reply) })
 }
 
-// DecodeQuery reads a query, packed or not. Its byte fields may alias the data, which must
-// not be changed afterwards.
+// DecodeQuery decodes a query, packed or not. Its byte fields may alias the data, which must
+// not be modified afterwards.
 //
 //	query, err := wire.DecodeQuery(data)
 func DecodeQuery(data []byte) (*Query, error) {
@@ -42,8 +42,8 @@
 	return decodeQuery(schema.Query(root))
 }
 
-// DecodeReply reads a reply, packed or not. Its byte fields may alias the data, which must
-// not be changed afterwards.
+// DecodeReply decodes a reply, packed or not. Its byte fields may alias the data, which must
+// not be modified afterwards.
 //
 //	reply, err := wire.DecodeReply(data)
 func DecodeReply(data []byte) (*Reply, error) {
@@ -57,7 +57,7 @@
 // rootConstructor allocates the root struct of a message.
 type rootConstructor func(*capnp.Segment) (capnp.Struct, error)
 
-// rootOf adapts a generated constructor of a root struct.
+// rootOf adapts the generated constructor of a root struct.
 func rootOf[Struct ~capnp.StructKind](newRoot func(*capnp.Segment) (Struct, error)) rootConstructor {
 	return func(segment *capnp.Segment) (capnp.Struct, error) {
 		root, err := newRoot(segment)
@@ -75,8 +75,8 @@
 	return packMessage(target, start), nil
 }
 
-// appendMessage appends a message of one segment to target; encode fills its root. The
-// library's memory for the message is released, so nothing may refer to it afterwards.
+// appendMessage appends a single-segment message to target; encode fills its root. The
+// library's buffer for the message is released, so nothing may refer to it afterwards.
 func appendMessage(target []byte, newRoot rootConstructor, encode func(capnp.Struct) error) ([]byte, error) {
 	message, segment, err := capnp.NewMessage(capnp.SingleSegment(nil))
 	if err != nil {
@@ -91,13 +91,13 @@
 		return nil, err
 	}
 	data := segment.Data()
-	// The segment table: the count of segments less one, and the segment's length in words.
+	// The segment table: the number of segments minus one, and the segment's length in words.
 	target = binary.LittleEndian.AppendUint32(target, 0)
 	target = binary.LittleEndian.AppendUint32(target, uint32(len(data)/wordSize))
 	return append(target, data...), nil
 }
 
-// readRoot gives the root of an unpacked message. It aliases the data.
+// readRoot returns the root of an unpacked message. It aliases the data.
 func readRoot(data []byte) (capnp.Struct, error) {
 	message, err := capnp.Unmarshal(data)
 	if err != nil {
--- a/system/wire/codec_bench_test.go
+++ b/system/wire/codec_bench_test.go
@@ -9,39 +9,39 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// BenchmarkQueries encodes and decodes the queries of the ordinary path, one for each
-// operation. Its allocations are compared from version to version: `go test -bench . -benchmem`.
+// BenchmarkQueries encodes and decodes one query of the hot path per operation. The allocations
+// are compared between versions: `go test -bench . -benchmem`.
 func BenchmarkQueries(b *testing.B) {
-	of := func(message raft.Message) raft.Message {
+	addressed := func(message raft.Message) raft.Message {
 		message.From, message.To = "store-a", "store-b"
 		return message
 	}
 	heartbeats, replies := []raft.Message{}, []raft.Message{}
 	for group := range uint32(16) {
-		heartbeats = append(heartbeats, of(raft.Message{Group: group, Kind: raft.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
-		replies = append(replies, of(raft.Message{Group: group, Kind: raft.MessageAppendReply, Term: 3, Index: 1 << 40, Round: 9}))
+		heartbeats = append(heartbeats, addressed(raft.Message{Group: group, Kind: raft.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
+		replies = append(replies, addressed(raft.Message{Group: group, Kind: raft.MessageAppendReply, Term: 3, Index: 1 << 40, Round: 9}))
 	}
-	appended := of(raft.Message{Group: 1, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 9,
+	withEntry := addressed(raft.Message{Group: 1, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 9,
 		Entries: []raft.Entry{{Index: 5, Term: 3, Data: make([]byte, 300)}}})
 	batch := func(messages ...raft.Message) *Query {
 		return &Query{Version: Version, Fleet: "fleet", To: "store-b", Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: messages}}
 	}
-	for _, content := range []struct {
+	for _, benchmark := range []struct {
 		name  string
 		query *Query
 	}{
 		{"16 heartbeats", batch(heartbeats...)},
 		{"16 heartbeat replies", batch(replies...)},
-		{"one append", batch(appended)},
-		{"mixed batch", batch(append(append(heartbeats[:8:8], replies[8:]...), appended)...)},
+		{"one append", batch(withEntry)},
+		{"mixed batch", batch(append(append(heartbeats[:8:8], replies[8:]...), withEntry)...)},
 		{"begin of a turn", &Query{Version: Version, Fleet: "fleet", To: "store-b", Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands[:1]}}},
 		{"end of a turn", &Query{Version: Version, Fleet: "fleet", To: "store-b", Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands[1:2]}}},
 		{"read", &Query{Version: Version, Fleet: "fleet", To: "store-b", Which: schema.Query_Which_read, Read: &ReadQuery{Session: "program/3fa81c", After: 7, Limit: 100, Wait: time.Second}}},
 	} {
-		b.Run(content.name, func(b *testing.B) {
+		b.Run(benchmark.name, func(b *testing.B) {
 			var target []byte
 			for b.Loop() {
-				data, err := AppendQuery(target[:0], content.query)
+				data, err := AppendQuery(target[:0], benchmark.query)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -54,9 +54,9 @@
 	}
 }
 
-// BenchmarkReplies is the same for replies.
+// BenchmarkReplies encodes and decodes one reply per operation.
 func BenchmarkReplies(b *testing.B) {
-	for _, content := range []struct {
+	for _, benchmark := range []struct {
 		name  string
 		reply *Reply
 	}{
@@ -64,10 +64,10 @@
 		{"read", &Reply{Which: schema.Reply_Which_read, Read: &ReadReply{Session: sessionlog.Session{Name: "program/3fa81c", Team: "team", Program: "program"}, Events: make([]sessionlog.Event, 4)}}},
 		{"failure", &Reply{Failure: Failure{Kind: "not_leader", Message: "elsewhere", Remedy: "ask there", Leader: "store-b"}}},
 	} {
-		b.Run(content.name, func(b *testing.B) {
+		b.Run(benchmark.name, func(b *testing.B) {
 			var target []byte
 			for b.Loop() {
-				data, err := AppendReply(target[:0], content.reply)
+				data, err := AppendReply(target[:0], benchmark.reply)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkStoredWrite encodes and decodes what the durable log writes for one command.
+// BenchmarkStoredWrite encodes and decodes the durable log record of one command.
 func BenchmarkStoredWrite(b *testing.B) {
 	for b.Loop() {
 		command := MustEncode(schema.Command_TypeID, &turnCommands[0])
--- a/system/wire/codec_test.go
+++ b/system/wire/codec_test.go
@@ -27,7 +27,7 @@
 	for position, command := range turnCommands {
 		var stored sessionlog.Command
 		if err := Decode(schema.Command_TypeID, MustEncode(schema.Command_TypeID, &command), &stored); err != nil || !reflect.DeepEqual(stored, command) {
-			t.Errorf("command %d is stored as %+v, %v", position, stored, err)
+			t.Errorf("command %d was decoded as %+v, %v", position, stored, err)
 		}
 	}
 	query := &Query{Version: Version, Fleet: "fleet", To: "store-b", Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands}}
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if got, err := DecodeQuery(data[len("before"):]); err != nil || !reflect.DeepEqual(got, query) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("query was decoded as %+v, %v", got, err)
 	}
 	for _, reply := range []*Reply{
 		{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Outcome{{Status: sessionlog.TurnOpen, Seq: 4, Head: 5, Deduped: true, Spent: 6, Reserved: 7}}, History: []byte("in\nout\n")}},
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		if got, err := DecodeReply(data); err != nil || !reflect.DeepEqual(got, reply) {
-			t.Errorf("%+v was read as %+v, %v", reply, got, err)
+			t.Errorf("%+v was decoded as %+v, %v", reply, got, err)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 		{Kind: sessionlog.BeginTurn, Session: "program/a", Now: 1, Retention: time.Hour, Producer: "two", Follows: "one", Dispatch: "e", HasQuota: true, Tokens: 10, Quota: 100, Lifetime: time.Minute},
 	} {
 		if outcome := machine.Apply(&command); outcome.Status != sessionlog.Done {
-			t.Fatalf("%+v", outcome)
+			t.Fatalf("command was not applied: %+v", outcome)
 		}
 	}
 	snapshot := machine.View().Snapshot()
@@ -70,42 +70,42 @@
 	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &snapshot), &stored); err != nil {
 		t.Fatal(err)
 	}
-	other := sessionlog.NewStateMachine()
-	if err := other.Restore(stored); err != nil {
+	restoredMachine := sessionlog.NewStateMachine()
+	if err := restoredMachine.Restore(stored); err != nil {
 		t.Fatal(err)
 	}
-	again := other.View().Snapshot()
-	if !reflect.DeepEqual(again.Turns, snapshot.Turns) || again.Sessions[0].Spent != 4 || again.Sessions[0].Reserved != 10 || again.Sessions[0].RetainUntil != snapshot.Sessions[0].RetainUntil {
-		t.Fatalf("restored %+v, want %+v", again, snapshot)
+	restored := restoredMachine.View().Snapshot()
+	if !reflect.DeepEqual(restored.Turns, snapshot.Turns) || restored.Sessions[0].Spent != 4 || restored.Sessions[0].Reserved != 10 || restored.Sessions[0].RetainUntil != snapshot.Sessions[0].RetainUntil {
+		t.Fatalf("restored %+v, want %+v", restored, snapshot)
 	}
-	if turn, found := other.View().Turn("program/a", "two"); !found || turn.Follows == nil || turn.Follows.Name != "one" || !turn.Follows.Complete() {
+	if turn, found := restoredMachine.View().Turn("program/a", "two"); !found || turn.Follows == nil || turn.Follows.Name != "one" || !turn.Follows.Complete() {
 		t.Fatalf("restored %+v", turn)
 	}
-	snapshot.Version, snapshot.Turns = 1, nil // as the version before wrote it
-	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &snapshot), &stored); err != nil || other.Restore(stored) != nil {
-		t.Fatalf("a snapshot of the version before is rejected: %v", err)
+	snapshot.Version, snapshot.Turns = 1, nil // as the previous version wrote it
+	if err := Decode(schema.LineImage_TypeID, MustEncode(schema.LineImage_TypeID, &snapshot), &stored); err != nil || restoredMachine.Restore(stored) != nil {
+		t.Fatalf("a snapshot of the previous version was rejected: %v", err)
 	}
 }
 
 func TestRaftBatchRoundTripsAllMessages(t *testing.T) {
-	of := func(message raft.Message) raft.Message {
+	addressed := func(message raft.Message) raft.Message {
 		message.From, message.To = "store-a", "store-b"
 		return message
 	}
 	entries := []raft.Entry{{Index: 5, Term: 3, Data: []byte("five")}, {Index: 6, Term: 3, Kind: raft.EntryMembership, Membership: raft.Membership{Voters: []string{"a", "b"}}}}
 	messages := []raft.Message{
-		of(raft.Message{Group: 1, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 9, Entries: entries}),
-		of(raft.Message{Group: 2, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 4, Round: 9}),
-		of(raft.Message{Group: 3, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 3}),
-		of(raft.Message{Group: 4, Kind: raft.MessageAppend, Term: 1 << 33, Index: 4, LogTerm: 1 << 33, Commit: 4}),
-		of(raft.Message{Group: 5, Kind: raft.MessageAppendReply, Term: 3, Index: 4, Round: 9}),
-		of(raft.Message{Group: 6, Kind: raft.MessageAppendReply, Term: 3, Index: 4, Rejected: true, Hint: 2}),
-		of(raft.Message{Group: 7, Kind: raft.MessagePreVote, Term: 3, Index: 4, LogTerm: 3}),
-		of(raft.Message{Group: 8, Kind: raft.MessageVote, Term: 3, Index: 4, LogTerm: 3, Forced: true}),
-		of(raft.Message{Group: 9, Kind: raft.MessageSnapshot, Term: 3, Snapshot: raft.Snapshot{Index: 4, Term: 2, Data: []byte("image")}}),
-		of(raft.Message{Group: 10, Kind: raft.MessageSnapshotChunk, Term: 3, Snapshot: raft.Snapshot{Index: 4, Term: 2, Data: []byte("part")},
+		addressed(raft.Message{Group: 1, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 2, Commit: 4, Round: 9, Entries: entries}),
+		addressed(raft.Message{Group: 2, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 4, Round: 9}),
+		addressed(raft.Message{Group: 3, Kind: raft.MessageAppend, Term: 3, Index: 4, LogTerm: 3, Commit: 3}),
+		addressed(raft.Message{Group: 4, Kind: raft.MessageAppend, Term: 1 << 33, Index: 4, LogTerm: 1 << 33, Commit: 4}),
+		addressed(raft.Message{Group: 5, Kind: raft.MessageAppendReply, Term: 3, Index: 4, Round: 9}),
+		addressed(raft.Message{Group: 6, Kind: raft.MessageAppendReply, Term: 3, Index: 4, Rejected: true, Hint: 2}),
+		addressed(raft.Message{Group: 7, Kind: raft.MessagePreVote, Term: 3, Index: 4, LogTerm: 3}),
+		addressed(raft.Message{Group: 8, Kind: raft.MessageVote, Term: 3, Index: 4, LogTerm: 3, Forced: true}),
+		addressed(raft.Message{Group: 9, Kind: raft.MessageSnapshot, Term: 3, Snapshot: raft.Snapshot{Index: 4, Term: 2, Data: []byte("image")}}),
+		addressed(raft.Message{Group: 10, Kind: raft.MessageSnapshotChunk, Term: 3, Snapshot: raft.Snapshot{Index: 4, Term: 2, Data: []byte("part")},
 			Chunk: raft.SnapshotChunk{Offset: 9, Total: 13, ContentChecksum: 5, Checksum: 6}}),
-		of(raft.Message{Group: 11, Kind: raft.MessageSnapshotReply, Term: 3, Index: 4, Hint: 9, Rejected: true,
+		addressed(raft.Message{Group: 11, Kind: raft.MessageSnapshotReply, Term: 3, Index: 4, Hint: 9, Rejected: true,
 			Chunk: raft.SnapshotChunk{Offset: 7, ContentChecksum: 5, Reason: raft.SnapshotOutOfOrder}}),
 	}
 	data, err := AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: messages}})
@@ -118,30 +118,30 @@
 	}
 	slices.SortFunc(got.Raft.Messages, func(left, right raft.Message) int { return int(left.Group) - int(right.Group) })
 	if !reflect.DeepEqual(got.Raft.Messages, messages) {
-		t.Fatalf("read as %+v", got.Raft.Messages)
+		t.Fatalf("batch was decoded as %+v", got.Raft.Messages)
 	}
 	heartbeats := []raft.Message{}
 	for group := range uint32(16) {
-		heartbeats = append(heartbeats, of(raft.Message{Group: group, Kind: raft.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
+		heartbeats = append(heartbeats, addressed(raft.Message{Group: group, Kind: raft.MessageAppend, Term: 3, Index: 1 << 40, LogTerm: 3, Commit: 1 << 40, Round: 9}))
 	}
 	if data, err = AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: heartbeats}}); err != nil || len(data) > 24*len(heartbeats)+200 {
 		t.Fatalf("%d heartbeats take %d bytes, %v", len(heartbeats), len(data), err)
 	}
 }
 
-// TestEntryDoesNotKeepItsMessage decodes batches of which only one small entry stays in use, as
-// in a log whose other groups have been compacted: the large ones must not stay with it.
+// TestEntryDoesNotKeepItsMessage decodes batches and retains one small entry of each, as if the
+// logs of the other groups had been compacted. The large entries must be freed.
 func TestEntryDoesNotKeepItsMessage(t *testing.T) {
-	const batches, large = 50, 1 << 20
+	const batches, largeSize = 50, 1 << 20
 	messages := []raft.Message{
 		{Group: 1, Kind: raft.MessageAppend, Term: 3, Entries: []raft.Entry{{Index: 1, Term: 3, Data: []byte("small")}}},
-		{Group: 2, Kind: raft.MessageAppend, Term: 3, Entries: []raft.Entry{{Index: 1, Term: 3, Data: make([]byte, large)}}},
+		{Group: 2, Kind: raft.MessageAppend, Term: 3, Entries: []raft.Entry{{Index: 1, Term: 3, Data: make([]byte, largeSize)}}},
 	}
 	data, err := AppendQuery(nil, &Query{Which: schema.Query_Which_agreement, Raft: &RaftBatch{Messages: messages}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, inUse := heapInUse(), []raft.Entry{}
+	heapBefore, entries := heapInUse(), []raft.Entry{}
 	for range batches {
 		got, err := DecodeQuery(bytes.Clone(data))
 		if err != nil {
@@ -149,51 +149,52 @@
 		}
 		for _, message := range got.Raft.Messages {
 			if message.Group == 1 {
-				inUse = append(inUse, message.Entries...)
+				entries = append(entries, message.Entries...)
 			}
 		}
 	}
-	if retained := heapInUse() - before; retained > batches*large/10 {
-		t.Errorf("%d small entries keep %d bytes", len(inUse), retained)
+	if retained := heapInUse() - heapBefore; retained > batches*largeSize/10 {
+		t.Errorf("%d small entries retain %d bytes", len(entries), retained)
 	}
-	runtime.KeepAlive(inUse)
+	runtime.KeepAlive(entries)
 }
 
-// TestRestoredEventDoesNotKeepItsSnapshot restores sessions from a snapshot whose bulk is that of
-// one session, which is archived then: the small event of the other must not keep it.
+// TestRestoredEventDoesNotKeepItsSnapshot restores a large and a small session from a snapshot
+// and archives the large one. The events of the small session must not keep the snapshot data
+// in memory.
 func TestRestoredEventDoesNotKeepItsSnapshot(t *testing.T) {
-	const snapshots, large = 20, 1 << 20
+	const snapshots, largeSize = 20, 1 << 20
 	machine := sessionlog.NewStateMachine()
-	for name, size := range map[string]int{"a/large": large, "a/small": 10} {
+	for name, size := range map[string]int{"a/large": largeSize, "a/small": 10} {
 		machine.Apply(&sessionlog.Command{Kind: sessionlog.CreateSession, Session: name, Retention: time.Hour})
 		event := sessionlog.Event{Kind: sessionlog.HelperStarted, Data: make([]byte, size)}
 		machine.Apply(&sessionlog.Command{Kind: sessionlog.AppendEvent, Session: name, Producer: "p", ProducerSeq: 1, Events: []sessionlog.Event{event}})
 	}
 	snapshot := machine.View().Snapshot()
 	data := MustEncode(schema.LineImage_TypeID, &snapshot)
-	before, restored := heapInUse(), []*sessionlog.StateMachine{}
+	heapBefore, machines := heapInUse(), []*sessionlog.StateMachine{}
 	for range snapshots {
 		var stored sessionlog.Snapshot
 		if err := Decode(schema.LineImage_TypeID, bytes.Clone(data), &stored); err != nil {
 			t.Fatal(err)
 		}
-		again := sessionlog.NewStateMachine()
-		if err := again.Restore(stored); err != nil {
+		restored := sessionlog.NewStateMachine()
+		if err := restored.Restore(stored); err != nil {
 			t.Fatal(err)
 		}
-		again.Apply(&sessionlog.Command{Kind: sessionlog.AckArchived, Acks: []sessionlog.Ack{{Session: "a/large", ArchivedSeq: 1}}})
-		if session, found := again.View().Session("a/small"); !found || len(session.Unarchived) != 1 || len(session.Unarchived[0].Data) != 10 {
+		restored.Apply(&sessionlog.Command{Kind: sessionlog.AckArchived, Acks: []sessionlog.Ack{{Session: "a/large", ArchivedSeq: 1}}})
+		if session, found := restored.View().Session("a/small"); !found || len(session.Unarchived) != 1 || len(session.Unarchived[0].Data) != 10 {
 			t.Fatalf("restored %+v", session)
 		}
-		restored = append(restored, again)
+		machines = append(machines, restored)
 	}
-	if retained := heapInUse() - before; retained > snapshots*large/10 {
-		t.Errorf("%d small events keep %d bytes", len(restored), retained)
+	if retained := heapInUse() - heapBefore; retained > snapshots*largeSize/10 {
+		t.Errorf("%d small events retain %d bytes", len(machines), retained)
 	}
-	runtime.KeepAlive(restored)
+	runtime.KeepAlive(machines)
 }
 
-// heapInUse returns the bytes that are in use on the heap.
+// heapInUse collects garbage and returns the bytes in use on the heap.
 func heapInUse() int {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -202,30 +203,30 @@
 }
 
 func TestMessagesOfAnyLengthArePackedAndUnpacked(t *testing.T) {
-	for size := 0; size < 3*maxPackedMessage; size = 2*size + 1 {
+	for size := 0; size < 3*maxPackableSize; size = 2*size + 1 {
 		for name, data := range map[string][]byte{"zeros": make([]byte, size), "text": bytes.Repeat([]byte("x"), size)} {
 			query := &Query{Which: schema.Query_Which_command, Command: &CommandQuery{Commands: []sessionlog.Command{{Kind: sessionlog.BeginTurn, Producer: "p", Data: data}}}}
-			sent, err := AppendQuery(nil, query)
+			encoded, err := AppendQuery(nil, query)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if read, err := DecodeQuery(sent); err != nil || !bytes.Equal(read.Command.Commands[0].Data, data) {
-				t.Fatalf("%d %s were read as something else, %v", size, name, err)
+			if decoded, err := DecodeQuery(encoded); err != nil || !bytes.Equal(decoded.Command.Commands[0].Data, data) {
+				t.Fatalf("%d bytes of %s did not round trip: %v", size, name, err)
 			}
-			for _, cut := range []int{1, 7, 8, 9, len(sent) / 2, len(sent) - 1} {
-				if read, err := DecodeQuery(sent[:cut]); err == nil && read == nil {
-					t.Fatalf("neither a query nor an error from %d of %d bytes", cut, len(sent))
+			for _, length := range []int{1, 7, 8, 9, len(encoded) / 2, len(encoded) - 1} {
+				if decoded, err := DecodeQuery(encoded[:length]); err == nil && decoded == nil {
+					t.Fatalf("decoding %d of %d bytes returned neither a query nor an error", length, len(encoded))
 				}
 			}
 		}
 	}
 	if _, err := DecodeQuery([]byte{packedMarker, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 0, 0xff}); err == nil {
-		t.Fatal("a message with a wrong size was read")
+		t.Fatal("a message with a wrong declared size was decoded")
 	}
 }
 
-// FuzzDecodeQuery reads any bytes as a query; a query that was read can be written and is
-// read again as the same.
+// FuzzDecodeQuery decodes arbitrary bytes. A decoded command query must round trip, and a state
+// machine that applied its commands must have a snapshot that can be restored.
 func FuzzDecodeQuery(f *testing.F) {
 	for _, query := range []*Query{
 		{Which: schema.Query_Which_command, Command: &CommandQuery{Group: 7, Commands: turnCommands}},
@@ -243,13 +244,13 @@
 		if err != nil || query.Command == nil {
 			return
 		}
-		again, err := AppendQuery(nil, query)
+		encoded, err := AppendQuery(nil, query)
 		if err != nil {
-			return // content that two pointers shared may not fit when written twice
+			return // content shared by several pointers may exceed the limits once it is encoded for each
 		}
-		read, err := DecodeQuery(again)
-		if err != nil || !reflect.DeepEqual(read, query) {
-			t.Fatalf("%+v was read as %+v, %v", query, read, err)
+		decoded, err := DecodeQuery(encoded)
+		if err != nil || !reflect.DeepEqual(decoded, query) {
+			t.Fatalf("%+v was decoded as %+v, %v", query, decoded, err)
 		}
 		machine := sessionlog.NewStateMachine()
 		for position := range query.Command.Commands {
@@ -257,12 +258,12 @@
 		}
 		snapshot := machine.View().Snapshot()
 		if sessionlog.NewStateMachine().Restore(snapshot) != nil {
-			t.Fatal("the snapshot of a group cannot be restored")
+			t.Fatal("the group's snapshot cannot be restored")
 		}
 	})
 }
 
-// FuzzDecodeReply reads any bytes as a reply.
+// FuzzDecodeReply decodes arbitrary bytes, which must return a reply or an error.
 func FuzzDecodeReply(f *testing.F) {
 	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Outcome{{Seq: 4}}, History: []byte("in\nout\n")}})
 	if err != nil {
@@ -272,7 +273,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		reply, err := DecodeReply(data)
 		if err == nil && reply == nil {
-			t.Fatal("neither a reply nor an error")
+			t.Fatal("decoding returned neither a reply nor an error")
 		}
 	})
 }
--- a/system/wire/command_codec.go
+++ b/system/wire/command_codec.go
@@ -125,7 +125,7 @@
 	return reader.err
 }
 
-func encodeOutcome(target schema.Outcome, value *sessionlog.Outcome) error {
+func encodeResult(target schema.Outcome, value *sessionlog.Outcome) error {
 	target.SetStatus(uint16(value.Status))
 	target.SetSeq(value.Seq)
 	target.SetHead(value.Head)
@@ -136,7 +136,7 @@
 	return encodeNonEmpty([]textField{{value.Runner, target.SetRunner}})
 }
 
-func decodeOutcome(source schema.Outcome, value *sessionlog.Outcome) error {
+func decodeResult(source schema.Outcome, value *sessionlog.Outcome) error {
 	reader := &fieldReader{}
 	*value = sessionlog.Outcome{
 		Status: sessionlog.Status(source.Status()), Seq: source.Seq(), Head: source.Head(), Deduped: source.Deduped(), Spent: source.Spent(), Reserved: source.Reserved(),
--- a/system/wire/fields.go
+++ b/system/wire/fields.go
@@ -13,7 +13,7 @@
 	return err
 }
 
-// decodeList decodes each element of a list; an empty list is nil.
+// decodeList decodes each element of a list; it returns nil for an empty list.
 func decodeList[Item any, Struct ~capnp.StructKind](getList func() (capnp.StructList[Struct], error), decode func(Struct, *Item) error) ([]Item, error) {
 	list, err := getList()
 	if err != nil || list.Len() == 0 {
@@ -23,7 +23,7 @@
 	return items, decodeInto(items, list, decode)
 }
 
-// decodeInto decodes each element of a list into the item of its position.
+// decodeInto decodes each element of a list into the item at its position.
 func decodeInto[Item any, Struct ~capnp.StructKind](items []Item, list capnp.StructList[Struct], decode func(Struct, *Item) error) error {
 	for position := range items {
 		if err := decode(list.At(position), &items[position]); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// encodeTexts is encodeList for texts.
+// encodeTexts is encodeList for strings.
 func encodeTexts(newList func(int32) (capnp.TextList, error), texts []string) error {
 	list, err := newList(int32(len(texts)))
 	for position := 0; err == nil && position < len(texts); position++ {
@@ -42,7 +42,7 @@
 	return err
 }
 
-// decodeTexts is decodeList for texts.
+// decodeTexts is decodeList for strings.
 func decodeTexts(getList func() (capnp.TextList, error)) ([]string, error) {
 	list, err := getList()
 	if err != nil || list.Len() == 0 {
@@ -57,14 +57,14 @@
 	return texts, nil
 }
 
-// textField is a text and the setter of the message field that takes it.
+// textField is a string and the setter of its message field.
 type textField struct {
 	value string
 	set   func(string) error
 }
 
-// encodeNonEmpty sets the texts that are not empty, in order. An empty text that is set
-// would still take a word of the message.
+// encodeNonEmpty sets the fields whose value is not empty, in order. Setting an empty text
+// would still take up a word of the message.
 func encodeNonEmpty(fields []textField) error {
 	for _, field := range fields {
 		if field.value == "" {
@@ -77,11 +77,12 @@
 	return nil
 }
 
-// fieldReader reads pointer fields one after the other and keeps the first error, so that
-// a struct can be filled in one literal and checked once.
+// fieldReader keeps the first error of a series of pointer field reads, so that a struct can
+// be filled in one literal and checked once.
 type fieldReader struct{ err error }
 
-// readField gives the value of a field, or zero if it cannot be read.
+// readField returns the value of a field, or the zero value after an error, which it records in
+// reader if it is the first.
 func readField[Value any](reader *fieldReader, get func() (Value, error)) Value {
 	value, err := get()
 	if err != nil && reader.err == nil {
@@ -90,7 +91,8 @@
 	return value
 }
 
-// readBytes is readField for bytes; empty ones are nil. They alias the message.
+// readBytes is readField for byte slices; it returns nil for empty ones. The result aliases the
+// message.
 func readBytes(reader *fieldReader, get func() ([]byte, error)) []byte {
 	if data := readField(reader, get); len(data) > 0 {
 		return data
@@ -107,7 +109,7 @@
 	return encode(nested, value)
 }
 
-// decodeNested decodes a struct of a message into a value.
+// decodeNested decodes a struct in a message into a value.
 func decodeNested[Value any, Struct ~capnp.StructKind](getStruct func() (Struct, error), value *Value, decode func(Struct, *Value) error) error {
 	nested, err := getStruct()
 	if err != nil {
--- a/system/wire/packed_view.go
+++ b/system/wire/packed_view.go
@@ -12,60 +12,60 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// A packed view is packedViewMarker and the S2-compressed stored form of a view. A stored form
-// that is not packed begins with a zero, the first byte of its segment table.
+// A packed view is packedViewMarker followed by the S2-compressed stored form of a view. A
+// stored form that is not packed begins with a zero, the first byte of its segment table.
 const (
 	packedViewMarker = 2
 	maxViewSize      = 256 << 20 // bytes, unpacked
-	// maxViewRatio bounds how many times its packed length a view may have. S2 needs a few
-	// bytes for each 64 KiB of repeated content.
+	// maxViewRatio is the maximum ratio of a view's unpacked size to its packed length. S2 needs
+	// a few bytes for each 64 KiB of repeated content.
 	maxViewRatio = 1 << 14
 )
 
-var errDamagedView = errors.New("the packed view is damaged")
+var errCorruptView = errors.New("packed view is corrupt")
 
-// PackView gives the packed form of a view.
+// PackView returns the packed form of a view.
 //
 //	data := wire.PackView(view)
 func PackView(view *feed.View) []byte {
-	plain := MustEncode(schema.View_TypeID, view)
-	buffer := make([]byte, 1+s2.MaxEncodedLen(len(plain)))
+	encoded := MustEncode(schema.View_TypeID, view)
+	buffer := make([]byte, 1+s2.MaxEncodedLen(len(encoded)))
 	buffer[0] = packedViewMarker
-	compressed := s2.Encode(buffer[1:], plain)
-	return bytes.Clone(buffer[:1+len(compressed)]) // kept for long; the buffer is larger
+	compressed := s2.Encode(buffer[1:], encoded)
+	return bytes.Clone(buffer[:1+len(compressed)]) // long-lived, so without the excess capacity of buffer
 }
 
-// UnpackView reads a packed view, or the stored form of one, as older versions kept it. Data
-// that cannot be read, or states a size out of bounds, is an error.
+// UnpackView decodes a packed view, or the unpacked stored form that earlier versions wrote. It
+// fails if the data is corrupt or declares a size that is out of bounds.
 //
 //	view, err := wire.UnpackView(reply.PackedView)
 func UnpackView(data []byte) (*feed.View, error) {
-	plain, err := decompressView(data)
+	encoded, err := decompressView(data)
 	if err != nil {
 		return nil, err
 	}
 	view := &feed.View{}
-	return view, Decode(schema.View_TypeID, plain, view)
+	return view, Decode(schema.View_TypeID, encoded, view)
 }
 
-// decompressView gives the stored form of a view.
+// decompressView returns the unpacked stored form of a view.
 func decompressView(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != packedViewMarker {
 		return data, nil
 	}
 	size, err := s2.DecodedLen(data[1:])
 	if err != nil || size > maxViewSize || size > maxViewRatio*len(data) {
-		return nil, errDamagedView
+		return nil, errCorruptView
 	}
-	plain, err := s2.Decode(nil, data[1:])
+	encoded, err := s2.Decode(nil, data[1:])
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errDamagedView, err)
+		return nil, fmt.Errorf("%w: %w", errCorruptView, err)
 	}
-	return plain, nil
+	return encoded, nil
 }
 
-// PackedViewCache keeps the packed form of one view, the newest, for all followers that ask for
-// it. Its zero value is empty. It may be used concurrently.
+// PackedViewCache caches the packed form of the last view passed to Get, so that it is packed
+// once for all followers. Its zero value is empty. It is safe for concurrent use.
 type PackedViewCache struct {
 	mutex  sync.Mutex
 	fleet  string
@@ -73,8 +73,8 @@
 	packed []byte
 }
 
-// Get gives the packed form of a view. Views of one fleet and number must be equal. The bytes
-// are shared and must not be changed.
+// Get returns the packed form of a view. Views with the same fleet and number must be equal.
+// The bytes are shared and must not be modified.
 //
 //	reply.PackedView = node.views.Get(view)
 func (cache *PackedViewCache) Get(view *feed.View) []byte {
--- a/system/wire/query_codec.go
+++ b/system/wire/query_codec.go
@@ -9,14 +9,14 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// queryCodec writes and reads the content of one kind of query.
+// queryCodec encodes and decodes the content of one kind of query.
 type queryCodec struct {
 	encode func(schema.Query, *Query) error
 	decode func(schema.Query, *Query) error
 }
 
-// contentCodec is the codec of a kind whose content is one struct: content gives the query's
-// field for it, newStruct and getStruct are the generated accessors.
+// contentCodec returns the codec of a kind whose content is one struct: content returns the
+// address of its field in a query, newStruct and getStruct are the generated accessors.
 func contentCodec[Value any, Struct ~capnp.StructKind](content func(*Query) **Value, newStruct, getStruct func(schema.Query) (Struct, error), encode, decode func(Struct, *Value) error) queryCodec {
 	return queryCodec{
 		encode: func(target schema.Query, query *Query) error {
@@ -37,7 +37,7 @@
 	}
 }
 
-// handCodedQueries are the kinds of the ordinary path; see the package comment.
+// handCodedQueries has the codecs of the hot path; see the package comment.
 var handCodedQueries = map[schema.Query_Which]queryCodec{
 	schema.Query_Which_agreement: contentCodec(func(query *Query) **RaftBatch { return &query.Raft },
 		schema.Query.NewAgreement, schema.Query.Agreement, encodeRaftBatch, decodeRaftBatch),
@@ -49,8 +49,8 @@
 		schema.Query.NewPutCold, schema.Query.PutCold, encodeChunkBatch, decodeChunkBatch),
 }
 
-// encodeQuery writes a query. Forwarded is left out for hand-coded kinds, which only control
-// nodes could set and none forwards.
+// encodeQuery encodes a query of any kind. It omits Forwarded for the hand-coded kinds: only
+// control nodes set it, and they forward none of these.
 func encodeQuery(target schema.Query, query *Query) error {
 	codec, handCoded := handCodedQueries[query.Which]
 	if !handCoded {
@@ -68,7 +68,7 @@
 	return codec.encode(target, query)
 }
 
-// decodeQuery reads a query of any kind.
+// decodeQuery decodes a query of any kind.
 func decodeQuery(source schema.Query) (*Query, error) {
 	query := &Query{}
 	codec, handCoded := handCodedQueries[source.Which()]
--- a/system/wire/raft_batch_codec.go
+++ b/system/wire/raft_batch_codec.go
@@ -10,11 +10,11 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Heartbeats of idle groups and the replies to them are most of what an idle fleet sends.
-// In a batch they have a short form of four numbers, from which the message is rebuilt in
-// full. Only messages that it rebuilds exactly may take it.
+// Most messages of an idle fleet are heartbeats of idle groups and the replies to them. A
+// batch encodes them in a compact form of four numbers, which is used only for messages that
+// can be restored from it exactly.
 
-// batchForm is how a message travels in a batch, which has a list for each form.
+// batchForm is the encoding of a message in a batch, which has one list per form.
 type batchForm int
 
 const (
@@ -24,7 +24,7 @@
 	batchFormCount
 )
 
-// formOf gives the shortest form that a message may take.
+// formOf returns the most compact form that can represent a message.
 func formOf(message *raft.Message) batchForm {
 	switch {
 	case isHeartbeat(message):
@@ -35,24 +35,24 @@
 	return fullForm
 }
 
-// isPlain tells whether a message has nothing that the short form could not carry: no
-// entries, no flags, and a term that fits 32 bits.
-func isPlain(message *raft.Message) bool {
+// hasOnlyHeartbeatFields reports whether a message has nothing that the compact forms lack: no
+// entries, hint or flags, and a term that fits into 32 bits.
+func hasOnlyHeartbeatFields(message *raft.Message) bool {
 	return len(message.Entries) == 0 && message.Hint == 0 && !message.Rejected && !message.Forced && message.Term <= math.MaxUint32
 }
 
-// isHeartbeat tells whether a message is an append without entries to a follower that has
-// the leader's whole log, all of it committed and its last entry of the current term.
+// isHeartbeat reports whether a message is an append without entries to a follower that has
+// the leader's complete log, all of it committed and its last entry from the current term.
 func isHeartbeat(message *raft.Message) bool {
-	return message.Kind == raft.MessageAppend && isPlain(message) && message.LogTerm == message.Term && message.Index == message.Commit
+	return message.Kind == raft.MessageAppend && hasOnlyHeartbeatFields(message) && message.LogTerm == message.Term && message.Index == message.Commit
 }
 
-// isHeartbeatReply tells whether a message accepts an append and says nothing else.
+// isHeartbeatReply reports whether a message accepts an append and has no other content.
 func isHeartbeatReply(message *raft.Message) bool {
-	return message.Kind == raft.MessageAppendReply && isPlain(message) && message.LogTerm == 0 && message.Commit == 0
+	return message.Kind == raft.MessageAppendReply && hasOnlyHeartbeatFields(message) && message.LogTerm == 0 && message.Commit == 0
 }
 
-// encodeHeartbeat writes the short form of a heartbeat or of a reply to one.
+// encodeHeartbeat encodes the compact form of a heartbeat or of a reply to one.
 func encodeHeartbeat(target schema.Beat, message *raft.Message) error {
 	target.SetGroup(message.Group)
 	target.SetTerm(uint32(message.Term))
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// encodeForm allocates the list of one form, unless it would be empty, and encodes the
-// messages that take this form into it. The messages are counted beforehand rather than
-// collected, as this runs for every batch and should allocate nothing but the list.
+// encodeForm allocates the list of one form, unless count is 0, and encodes the messages of
+// this form into it. The caller counts the messages rather than collecting them, so that
+// encoding a batch allocates nothing but the lists.
 func encodeForm[Struct ~capnp.StructKind](newList func(int32) (capnp.StructList[Struct], error), form batchForm, count int32, messages []raft.Message, encode func(Struct, *raft.Message) error) error {
 	if count == 0 {
 		return nil
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// encodeRaftBatch writes the messages of one node to one other. All of them have the same
-// sender and receiver, which the batch has once.
+// encodeRaftBatch encodes the messages from one node to another. All have the same sender and
+// receiver, which are encoded once for the batch.
 func encodeRaftBatch(target schema.AgreementBatch, value *RaftBatch) error {
 	messages := value.Messages
 	if len(messages) == 0 {
@@ -119,21 +119,21 @@
 	return encodeForm(target.NewMessages, fullForm, counts[fullForm], messages, encodeMessage)
 }
 
-// decodeRaftBatch gives the messages of a batch: those in full first, then heartbeats, then
-// replies. Their order on the sender's side is not kept; Raft allows any order.
+// decodeRaftBatch decodes the messages of a batch: first those in full form, then heartbeats,
+// then replies to heartbeats. The sender's order is lost, but Raft tolerates any order.
 func decodeRaftBatch(source schema.AgreementBatch, value *RaftBatch) error {
 	reader := &fieldReader{}
 	from, to := readField(reader, source.From), readField(reader, source.To)
-	others, heartbeats, replies := readField(reader, source.Messages), readField(reader, source.Beats), readField(reader, source.Answers)
+	full, heartbeats, replies := readField(reader, source.Messages), readField(reader, source.Beats), readField(reader, source.Answers)
 	if reader.err != nil {
 		return reader.err
 	}
-	value.Messages = make([]raft.Message, others.Len()+heartbeats.Len()+replies.Len())
-	short := value.Messages[others.Len():]
+	value.Messages = make([]raft.Message, full.Len()+heartbeats.Len()+replies.Len())
+	compact := value.Messages[full.Len():]
 	if err := errors.Join(
-		decodeInto(value.Messages[:others.Len()], others, decodeMessage),
-		decodeInto(short[:heartbeats.Len()], heartbeats, decodeHeartbeat),
-		decodeInto(short[heartbeats.Len():], replies, decodeHeartbeatReply),
+		decodeInto(value.Messages[:full.Len()], full, decodeMessage),
+		decodeInto(compact[:heartbeats.Len()], heartbeats, decodeHeartbeat),
+		decodeInto(compact[heartbeats.Len():], replies, decodeHeartbeatReply),
 	); err != nil {
 		return err
 	}
--- a/system/wire/raft_codec.go
+++ b/system/wire/raft_codec.go
@@ -22,7 +22,7 @@
 	return err
 }
 
-// encodeEntry writes the data of an entry, or, for a membership entry, the membership.
+// encodeEntry encodes an entry with its data or, for a membership entry, the membership.
 func encodeEntry(target schema.Entry, value *raft.Entry) error {
 	target.SetIndex(value.Index)
 	target.SetTerm(value.Term)
@@ -36,8 +36,8 @@
 func decodeEntry(source schema.Entry, value *raft.Entry) error {
 	value.Index, value.Term, value.Kind = source.Index(), source.Term(), raft.EntryKind(source.Kind())
 	if value.Kind != raft.EntryMembership {
-		// An entry stays long after the message that it came in, which has entries of other
-		// groups too: with memory of its own it does not keep theirs.
+		// Entries outlive the message, which also has entries of other groups. A copy of the
+		// data does not keep the whole message in memory.
 		data, err := source.Data()
 		value.Data = slices.Clone(data)
 		return err
@@ -77,18 +77,19 @@
 	return nil
 }
 
-// hasSnapshot tells whether messages of a kind carry a snapshot, whole or a chunk of its
-// data. They carry no entries.
+// hasSnapshot reports whether messages of a kind carry a snapshot or a chunk of its data. Such
+// messages carry no entries.
 func hasSnapshot(kind raft.MessageKind) bool {
 	return kind == raft.MessageSnapshot || kind == raft.MessageSnapshotChunk
 }
 
-// hasChunk tells whether messages of a kind describe a chunk of a snapshot.
+// hasChunk reports whether messages of a kind describe a chunk of a snapshot.
 func hasChunk(kind raft.MessageKind) bool {
 	return kind == raft.MessageSnapshotChunk || kind == raft.MessageSnapshotReply
 }
 
-// encodeMessage writes all but the sender and receiver, which the batch has once.
+// encodeMessage encodes a message without its sender and receiver, which are fields of the
+// batch.
 func encodeMessage(target schema.AgreementMessage, value *raft.Message) error {
 	target.SetGroup(value.Group)
 	target.SetKind(uint16(value.Kind))
--- a/system/wire/reply_codec.go
+++ b/system/wire/reply_codec.go
@@ -10,7 +10,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// encodeReply writes a reply, or only the failure that it carries.
+// encodeReply encodes a reply of any kind. Of a failed one it encodes only the failure.
 func encodeReply(target schema.Reply, reply *Reply) error {
 	switch {
 	case reply.Failure.Kind != "":
@@ -27,11 +27,11 @@
 	return pogs.Insert(schema.Reply_TypeID, capnp.Struct(target), reply)
 }
 
-// decodeReply reads a reply of any kind.
+// decodeReply decodes a reply of any kind.
 func decodeReply(source schema.Reply) (*Reply, error) {
 	reply := &Reply{Which: source.Which()}
 	if source.HasFailure() {
-		// A failure without a kind is none: the library sends one with every reply.
+		// An empty kind means no failure: the library encodes the struct in every reply.
 		if err := decodeNested(source.Failure, &reply.Failure, decodeFailure); err != nil || reply.Failure.Kind != "" {
 			return reply, err
 		}
@@ -68,19 +68,19 @@
 			return err
 		}
 	}
-	return encodeList(target.NewOutcomes, value.Outcomes, encodeOutcome)
+	return encodeList(target.NewOutcomes, value.Outcomes, encodeResult)
 }
 
 func decodeCommandReply(source schema.OutcomeList, value *CommandReply) (err error) {
-	if value.Outcomes, err = decodeList(source.Outcomes, decodeOutcome); err != nil {
+	if value.Outcomes, err = decodeList(source.Outcomes, decodeResult); err != nil {
 		return err
 	}
 	value.History, err = source.History()
 	return err
 }
 
-// encodeReadReply leaves out of the session what its reader does not need: unarchived
-// events, producers and open turns.
+// encodeReadReply omits the parts of the session that readers do not need: unarchived events,
+// producers and open turns.
 func encodeReadReply(target schema.ReadReply, value *ReadReply) error {
 	target.SetSpent(value.Spent)
 	target.SetReserved(value.Reserved)
--- a/system/wire/roundtrip_test.go
+++ b/system/wire/roundtrip_test.go
@@ -9,7 +9,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// filler gives each exported field of a value its own content other than zero.
+// filler sets each exported field of a value to a nonzero value, as distinct as its kind allows.
 type filler struct{ count uint64 }
 
 func (filler *filler) fill(value reflect.Value) {
@@ -37,12 +37,12 @@
 	case reflect.Int64:
 		value.SetInt(int64(filler.count))
 	default:
-		panic("no content for a field of kind " + value.Kind().String())
+		panic("unsupported field kind " + value.Kind().String())
 	}
 }
 
-// variants gives the fields of a message of which Which names the filled one, in order.
-func variants(message reflect.Type) []int {
+// unionFields returns the indexes of a message's union fields, in the order of Which.
+func unionFields(message reflect.Type) []int {
 	found := []int{}
 	for index := range message.NumField() {
 		if message.Field(index).Type.Kind() == reflect.Pointer {
@@ -52,10 +52,11 @@
 	return found
 }
 
-// TestEveryQueryRoundTrips fills all fields of each kind of query: none may be lost or
-// unknown to the schema. Raft messages have rules of their own, and a test.
+// TestEveryQueryRoundTrips fills all fields of each kind of query: none may be lost or missing
+// in the schema. TestRaftBatchRoundTripsAllMessages covers Raft batches, whose fields depend on
+// the kind of message.
 func TestEveryQueryRoundTrips(t *testing.T) {
-	for which, index := range variants(reflect.TypeFor[Query]()) {
+	for which, index := range unionFields(reflect.TypeFor[Query]()) {
 		query := &Query{Version: Version, Fleet: "fleet", To: "store-a", Which: schema.Query_Which(which)}
 		if query.Which == schema.Query_Which_agreement {
 			continue
@@ -72,11 +73,11 @@
 	}
 }
 
-// TestEveryReplyRoundTrips is the same for replies. A read reply leaves out what its reader
-// does not need of a session.
+// TestEveryReplyRoundTrips fills all fields of each kind of reply. A read reply has only part
+// of the session (encodeReadReply).
 func TestEveryReplyRoundTrips(t *testing.T) {
-	for position, index := range variants(reflect.TypeFor[Reply]()) {
-		reply := &Reply{Which: schema.Reply_Which(position + 1)} // the first is nothing
+	for position, index := range unionFields(reflect.TypeFor[Reply]()) {
+		reply := &Reply{Which: schema.Reply_Which(position + 1)} // 0 is Reply_Which_nothing
 		(&filler{}).fill(reflect.ValueOf(reply).Elem().Field(index))
 		if reply.Read != nil {
 			session := &reply.Read.Session
--- a/system/wire/session_codec.go
+++ b/system/wire/session_codec.go
@@ -21,8 +21,8 @@
 	return err
 }
 
-// encodeSessionHeader writes what a session's reader sees of it: identity, retention and
-// positions. A snapshot has the rest too.
+// encodeSessionHeader encodes the part of a session that readers get: identity, retention and
+// positions. Snapshots have the rest as well (encodeSession).
 func encodeSessionHeader(target schema.Session, value *sessionlog.Session) error {
 	target.SetCreatedAt(value.CreatedAt)
 	target.SetKeepFor(int64(value.Retention))
@@ -173,8 +173,8 @@
 	return reader.err
 }
 
-// encodeSessionSnapshot writes the state of a session group. Without shared prefixes their
-// list is not allocated, so that the bytes are those of the version that had none.
+// encodeSessionSnapshot encodes the state of a session group. Without shared prefixes their
+// list is not allocated, so that the bytes equal those of versions without the list.
 func encodeSessionSnapshot(target schema.LineImage, value *sessionlog.Snapshot) error {
 	target.SetVersion(value.Version)
 	target.SetClock(value.Clock)
--- a/system/wire/sessions.go
+++ b/system/wire/sessions.go
@@ -6,27 +6,27 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// CommandQuery asks the leader of a group to commit commands, in order.
+// CommandQuery requests that the leader of a group commit commands, in order.
 type CommandQuery struct {
 	Group    uint32
 	Commands []sessionlog.Command
 }
 
-// CommandReply answers a CommandQuery with an outcome for each command. If a turn began,
-// History has the bytes of the turns that it follows, oldest first.
+// CommandReply is the response to a CommandQuery, with one result per command. If a turn
+// began, History has the content of the turns that it follows, oldest first.
 type CommandReply struct {
 	Outcomes []sessionlog.Outcome
 	History  []byte
 }
 
-// FindTurnQuery asks a store for a turn, in whichever of the groups that it leads it is.
+// FindTurnQuery requests a turn from a store, which searches all groups that it leads.
 type FindTurnQuery struct {
 	Name string `capnp:"name"`
 }
 
-// FindTurnReply answers a FindTurnQuery. SearchedGroups are the groups whose quorum confirmed
-// the store as leader; about others it says nothing. Chain is the turn with all that it
-// follows, oldest first; Open is set for a turn that has not ended.
+// FindTurnReply is the response to a FindTurnQuery. It covers only SearchedGroups, the groups
+// whose quorum confirmed the store as leader. Chain has the turn and all turns that it follows,
+// oldest first; Open is set if the turn has not ended.
 type FindTurnReply struct {
 	SearchedGroups []uint32                 `capnp:"covered"`
 	Found          bool                     `capnp:"found"`
@@ -34,10 +34,10 @@
 	Chain          []sessionlog.AdoptedTurn `capnp:"chain"`
 }
 
-// ReadQuery asks the leader of a session's group for the events after a sequence number, at
-// most Limit of them (0: as many as the store gives). With Wait the reply is delayed, at most
-// that long, until there is such an event. With QuotaUsage, Session is the name of a quota,
-// and its usage is read.
+// ReadQuery requests, from the leader of a session's group, the events after a sequence number,
+// at most Limit of them (0: as many as the store returns). Wait is the longest time that the
+// reply is delayed until there is such an event. With QuotaUsage, Session is the name of a quota
+// and its usage is read instead.
 type ReadQuery struct {
 	Session    string
 	After      uint64
@@ -46,19 +46,19 @@
 	QuotaUsage bool
 }
 
-// ReadReply answers a ReadQuery. Session travels without its unarchived events, producers and
-// open turns; Spent and Reserved are a quota's usage, in its unit.
+// ReadReply is the response to a ReadQuery. Session is sent without its unarchived events,
+// producers and open turns. Spent and Reserved are the usage of a quota, in its unit.
 type ReadReply struct {
 	Session  sessionlog.Session
 	Events   []sessionlog.Event
 	Spent    uint64
 	Reserved uint64
-	// Clock is the time of the session's group in Unix nanoseconds, by which retention and
-	// deadlines are judged.
+	// Clock is the time of the session's group in Unix nanoseconds, against which retention and
+	// deadlines are checked.
 	Clock int64
 }
 
-// SharedPrefixQuery asks a replica of a group for the content of a shared prefix.
+// SharedPrefixQuery requests the content of a shared prefix from a replica of a group.
 type SharedPrefixQuery struct {
 	Group uint32 `capnp:"group"`
 	Name  string `capnp:"name"`
--- a/system/wire/status.go
+++ b/system/wire/status.go
@@ -4,19 +4,19 @@
 	"yardrock.example/system/feed"
 )
 
-// StatusQuery asks a process for its identity and state, and with Traffic for its message
-// counters. No version evaluates Address.
+// StatusQuery requests the identity and state of a process, and with Traffic its message
+// counters. Address is not used by any version.
 type StatusQuery struct {
 	Address string `capnp:"address"`
 	Traffic bool   `capnp:"traffic"`
-	// SharedPrefixes asks for the shared prefixes of the groups that are led there.
+	// SharedPrefixes requests the shared prefixes of the groups that the process leads.
 	SharedPrefixes bool `capnp:"openings"`
 }
 
 // StatusReply is the identity and state of a process. Fleet and ViewNumber are those of its
-// view, Uninitialized is set before it has one; Leader is the control leader that it knows,
-// Controls the control nodes, Founding the names of those that found the fleet. Fronts fill
-// RunnerLoads and Queued, the count of requests that wait for a runner.
+// current view; Uninitialized is set until it has one. Leader is the control leader known to
+// it, Controls are the control nodes, and Founding has the names of those that found the fleet.
+// Only fronts set RunnerLoads and Queued, the number of requests waiting for a runner.
 type StatusReply struct {
 	Name          string          `capnp:"name"`
 	Role          string          `capnp:"role"`
@@ -34,8 +34,8 @@
 	Traffic       []TrafficByKind `capnp:"traffic"`
 }
 
-// GroupStatus is what a replica knows of one group. Voters and Learners are names of stores;
-// only those of the leader are authoritative.
+// GroupStatus is the state of one group as a replica knows it. Voters and Learners are names
+// of stores; only the leader's lists are authoritative.
 type GroupStatus struct {
 	Group          uint32               `capnp:"group"`
 	Leading        bool                 `capnp:"leading"`
@@ -44,9 +44,9 @@
 	SharedPrefixes []SharedPrefixStatus `capnp:"openings"`
 }
 
-// SharedPrefixStatus describes a prefix that a group stores once for all sessions of a scope
-// that begin with it, without its content. Size is in bytes, References counts the sessions
-// that need it, Corrupt is set if the stored bytes do not have the digest in the name.
+// SharedPrefixStatus describes, without its content, a prefix that a group stores once for all
+// sessions of a scope that begin with it. Size is in bytes, References counts the sessions that
+// refer to it, and Corrupt is set if the stored bytes do not match the digest in the name.
 type SharedPrefixStatus struct {
 	Name       string `capnp:"name"`
 	Scope      string `capnp:"scope"`
@@ -55,16 +55,16 @@
 	Corrupt    bool   `capnp:"damaged"`
 }
 
-// RunnerLoad is the count of requests that a front has in flight to a runner, and whether
-// the front treats the runner as warming up.
+// RunnerLoad is the number of requests that a front has in flight to a runner, and whether the
+// front treats the runner as warming up.
 type RunnerLoad struct {
 	Address   string `capnp:"address"`
 	InFlight  uint32 `capnp:"out"`
 	WarmingUp bool   `capnp:"cooled"`
 }
 
-// TrafficByKind counts the queries of one kind that a process sent and received since it
-// started, and the bytes of their messages, queries and replies together, in each direction.
+// TrafficByKind counts the queries of one kind that a process has sent and received since it
+// started, and the bytes of these queries and their replies in each direction.
 type TrafficByKind struct {
 	Kind            string `capnp:"kind"`
 	QueriesSent     uint64 `capnp:"asked"`
@@ -73,8 +73,8 @@
 	BytesIn         uint64 `capnp:"bytesIn"`
 }
 
-// RunnerWarmUpNote tells the other fronts that the sender treats a runner as just started, or,
-// without WarmingUp, that the runner has answered since.
+// RunnerWarmUpNote notifies the other fronts that the sender treats a runner as just started
+// or, without WarmingUp, that the runner has answered since.
 type RunnerWarmUpNote struct {
 	Address   string `capnp:"address"`
 	WarmingUp bool   `capnp:"cooled"`
--- a/system/wire/stored.go
+++ b/system/wire/stored.go
@@ -9,15 +9,14 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// storedType is how a type of the schema is allocated, written and read as the root of a
-// message of its own.
+// storedType allocates, encodes and decodes a schema type as the root of a message.
 type storedType struct {
 	newRoot rootConstructor
 	encode  func(capnp.Struct, any) error
 	decode  func(capnp.Struct, any) error
 }
 
-// storedTypes are the types that are stored by themselves, by the schema's identifiers.
+// storedTypes has the types that are stored as separate records, by schema type ID.
 var storedTypes = map[uint64]storedType{
 	schema.Command_TypeID:        handCoded(schema.NewRootCommand, encodeCommand, decodeCommand),
 	schema.StoredWrite_TypeID:    handCoded(schema.NewRootStoredWrite, encodeStoredWrite, decodeStoredWrite),
@@ -29,21 +28,21 @@
 	schema.Change_TypeID:         reflected(schema.Change_TypeID, schema.NewRootChange),
 }
 
-// handCoded is a type with functions of its own.
+// handCoded returns a storedType with a hand-written codec.
 func handCoded[Struct ~capnp.StructKind, Value any](newRoot func(*capnp.Segment) (Struct, error), encode, decode func(Struct, *Value) error) storedType {
-	checkingType := func(code func(Struct, *Value) error) func(capnp.Struct, any) error {
+	withTypeCheck := func(convert func(Struct, *Value) error) func(capnp.Struct, any) error {
 		return func(content capnp.Struct, value any) error {
-			typed, fits := value.(*Value)
-			if !fits {
-				return fmt.Errorf("the value is a %T, and this schema type belongs to %T", value, typed)
+			typed, ok := value.(*Value)
+			if !ok {
+				return fmt.Errorf("value has type %T, but the schema type requires %T", value, typed)
 			}
-			return code(Struct(content), typed)
+			return convert(Struct(content), typed)
 		}
 	}
-	return storedType{newRoot: rootOf(newRoot), encode: checkingType(encode), decode: checkingType(decode)}
+	return storedType{newRoot: rootOf(newRoot), encode: withTypeCheck(encode), decode: withTypeCheck(decode)}
 }
 
-// reflected is a type that the library maps to Go by reflection.
+// reflected returns a storedType that the library converts by reflection.
 func reflected[Struct ~capnp.StructKind](typeID uint64, newRoot func(*capnp.Segment) (Struct, error)) storedType {
 	return storedType{
 		newRoot: rootOf(newRoot),
@@ -55,13 +54,13 @@
 func storedTypeOf(typeID uint64) (storedType, error) {
 	stored, known := storedTypes[typeID]
 	if !known {
-		return storedType{}, fmt.Errorf("schema type %x is never stored by itself; add it to wire.storedTypes", typeID)
+		return storedType{}, fmt.Errorf("schema type %x is not a stored record type; add it to wire.storedTypes", typeID)
 	}
 	return stored, nil
 }
 
-// Encode gives the stored form of a value: an unpacked message whose root has the schema's
-// type of that identifier. The value is a pointer to the Go type that belongs to it.
+// Encode returns the stored form of a value: an unpacked message whose root has the schema type
+// with the given ID. The value is a pointer to the corresponding Go type.
 //
 //	data, err := wire.Encode(schema.Command_TypeID, &command)
 func Encode(typeID uint64, value any) ([]byte, error) {
@@ -72,7 +71,8 @@
 	return appendMessage(nil, stored.newRoot, func(target capnp.Struct) error { return stored.encode(target, value) })
 }
 
-// Decode reads a stored form into the value pointed to. Its byte fields may alias the data.
+// Decode decodes a stored form into the value, a pointer as for Encode. The byte fields of the
+// result may alias the data.
 //
 //	err := wire.Decode(schema.Command_TypeID, data, &command)
 func Decode(typeID uint64, data []byte, value any) error {
@@ -87,10 +87,9 @@
 	return stored.decode(root, value)
 }
 
-// MustEncode is Encode for a value of a type in storedTypes that this process made. It
-// panics on an error, which only a field without its place in the schema, a value of
-// another type or a message beyond 4 GiB can cause: faults of the program, which tests of
-// this package find for every field.
+// MustEncode is Encode for a value created by this process, of a type in storedTypes. It panics
+// on an error, which is always a programming error: a field that the schema lacks, a value of
+// the wrong type or a message larger than 4 GiB. Tests of this package cover every field.
 //
 //	data := wire.MustEncode(schema.View_TypeID, &view)
 func MustEncode(typeID uint64, value any) []byte {
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -14,10 +14,10 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// storedFolder has one file for each kind of stored record, as the version that wrote the
-// files encoded it. WRITE_STORED_DATA=1 writes files that are missing; existing ones are
-// never overwritten, as no later version may lose the ability to read them.
-const storedFolder = "testdata/stored"
+// storedDir has a file for each kind of stored record, as encoded by the version that wrote
+// the file. With WRITE_STORED_DATA=1 the test writes missing files. Existing ones are never
+// overwritten, because every later version must be able to read them.
+const storedDir = "testdata/stored"
 
 func storedMember(name string) feed.Member {
 	return feed.Member{Name: name, Role: feed.RoleStore, Address: "10.0.1.1:7000", Domain: "east", State: feed.StateServing, Administration: "10.0.1.1:7200", Machine: "rack 4"}
@@ -56,8 +56,8 @@
 		Adopted: []sessionlog.AdoptedTurn{{Name: "adopted", Data: []byte("in\nout\n")}}, Scope: "scope", Prefix: "opening-2"}
 }
 
-// storedGroupSnapshot has all that a version of a session group's snapshot knows: turns since
-// version 2, shared prefixes since 3.
+// storedGroupSnapshot returns a session group's snapshot with all fields of a version: turns
+// since version 2, shared prefixes since version 3.
 func storedGroupSnapshot(version uint32) sessionlog.Snapshot {
 	snapshot := sessionlog.Snapshot{Version: version, Clock: 20,
 		Sessions: []sessionlog.Session{{Name: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, Retention: time.Hour, UpdatedAt: 2, Head: 4, ArchivedSeq: 3,
@@ -101,62 +101,62 @@
 	return ArchiveIndex{Locations: []ChunkLocation{{Group: 7, Session: "program/a", First: 1, Last: 4, ExpiresAt: 34, Offset: 35, Length: 36, Checksum: 37, Digest: []byte("digest")}}}
 }
 
-// storedMessage is a kind of message that is stored, with the value that its file holds.
-type storedMessage struct {
+// storedRecord is a kind of stored record, with the value that its file holds.
+type storedRecord struct {
 	value  any
 	encode func() []byte
 	decode func(data []byte) (any, error)
 }
 
-func storedAs[Value any](typeID uint64, value Value) storedMessage {
-	return storedMessage{value: value, encode: func() []byte { return MustEncode(typeID, &value) }, decode: func(data []byte) (any, error) {
-		var read Value
-		err := Decode(typeID, data, &read)
-		return read, err
+func newStoredRecord[Value any](typeID uint64, value Value) storedRecord {
+	return storedRecord{value: value, encode: func() []byte { return MustEncode(typeID, &value) }, decode: func(data []byte) (any, error) {
+		var decoded Value
+		err := Decode(typeID, data, &decoded)
+		return decoded, err
 	}}
 }
 
-func storedMessages() map[string]storedMessage {
+func storedRecords() map[string]storedRecord {
 	view := storedView()
 	unpack := func(data []byte) (any, error) {
-		read, err := UnpackView(data)
+		decoded, err := UnpackView(data)
 		if err != nil {
 			return nil, err
 		}
-		return *read, nil
+		return *decoded, nil
 	}
 	earlier := []feed.EarlierConfig{{Number: 4, Delta: storedChange(feed.ChangeConfig).Delta}}
-	messages := map[string]storedMessage{
-		"view":             storedAs(schema.View_TypeID, view),
+	records := map[string]storedRecord{
+		"view":             newStoredRecord(schema.View_TypeID, view),
 		"view-packed":      {value: view, encode: func() []byte { return PackView(&view) }, decode: unpack},
 		"view-unpacked":    {value: view, encode: func() []byte { return MustEncode(schema.View_TypeID, &view) }, decode: unpack},
-		"control-image-1":  storedAs(schema.ControlImage_TypeID, ControlSnapshot{Version: 1, View: view, Changes: []feed.Change{storedChange(feed.ChangeConfig)}}),
-		"control-image-2":  storedAs(schema.ControlImage_TypeID, ControlSnapshot{Version: 2, PackedView: []byte("packed"), Changes: []feed.Change{storedChange(feed.ChangeRunners)}, EarlierConfigs: earlier}),
-		"line-image-1":     storedAs(schema.LineImage_TypeID, storedGroupSnapshot(1)),
-		"line-image-2":     storedAs(schema.LineImage_TypeID, storedGroupSnapshot(2)),
-		"line-image-3":     storedAs(schema.LineImage_TypeID, storedGroupSnapshot(3)),
-		"write":            storedAs(schema.StoredWrite_TypeID, storedWrite()),
-		"write-apart":      storedAs(schema.StoredWrite_TypeID, storedSeparateWrite()),
-		"cold-chunk-batch": storedAs(schema.ColdChunkBatch_TypeID, storedChunks()),
-		"cold-index":       storedAs(schema.ColdIndex_TypeID, storedIndex()),
+		"control-image-1":  newStoredRecord(schema.ControlImage_TypeID, ControlSnapshot{Version: 1, View: view, Changes: []feed.Change{storedChange(feed.ChangeConfig)}}),
+		"control-image-2":  newStoredRecord(schema.ControlImage_TypeID, ControlSnapshot{Version: 2, PackedView: []byte("packed"), Changes: []feed.Change{storedChange(feed.ChangeRunners)}, EarlierConfigs: earlier}),
+		"line-image-1":     newStoredRecord(schema.LineImage_TypeID, storedGroupSnapshot(1)),
+		"line-image-2":     newStoredRecord(schema.LineImage_TypeID, storedGroupSnapshot(2)),
+		"line-image-3":     newStoredRecord(schema.LineImage_TypeID, storedGroupSnapshot(3)),
+		"write":            newStoredRecord(schema.StoredWrite_TypeID, storedWrite()),
+		"write-apart":      newStoredRecord(schema.StoredWrite_TypeID, storedSeparateWrite()),
+		"cold-chunk-batch": newStoredRecord(schema.ColdChunkBatch_TypeID, storedChunks()),
+		"cold-index":       newStoredRecord(schema.ColdIndex_TypeID, storedIndex()),
 	}
 	for kind := feed.ChangeFounded; kind <= feed.ChangeRecovered; kind++ {
-		messages[fmt.Sprintf("change-%d", kind)] = storedAs(schema.Change_TypeID, storedChange(kind))
+		records[fmt.Sprintf("change-%d", kind)] = newStoredRecord(schema.Change_TypeID, storedChange(kind))
 	}
 	for kind := sessionlog.CreateSession; kind <= sessionlog.BeginTurnWithPrefix; kind++ {
-		messages[fmt.Sprintf("command-%d", kind)] = storedAs(schema.Command_TypeID, storedCommand(kind))
+		records[fmt.Sprintf("command-%d", kind)] = newStoredRecord(schema.Command_TypeID, storedCommand(kind))
 	}
-	return messages
+	return records
 }
 
-// TestStoredDataOfEarlierVersionIsRead decodes each kind of stored message from a file that
-// an earlier version wrote. A field that is added later is zero there: leave it out of the
-// values above.
+// TestStoredDataOfEarlierVersionIsRead decodes each kind of stored record from a file that an
+// earlier version wrote. Fields added since are zero there and must stay unset in the values
+// above.
 func TestStoredDataOfEarlierVersionIsRead(t *testing.T) {
-	for name, message := range storedMessages() {
-		path := filepath.Join(storedFolder, name+".bin")
+	for name, record := range storedRecords() {
+		path := filepath.Join(storedDir, name+".bin")
 		if _, err := os.Stat(path); os.IsNotExist(err) && os.Getenv("WRITE_STORED_DATA") != "" {
-			if err := os.WriteFile(path, message.encode(), 0o644); err != nil {
+			if err := os.WriteFile(path, record.encode(), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -165,9 +165,9 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		read, err := message.decode(data)
-		// Formatted, as an empty list and none are the same when stored.
-		if got, want := fmt.Sprintf("%+v", read), fmt.Sprintf("%+v", message.value); err != nil || got != want {
+		decoded, err := record.decode(data)
+		// Compared as text, because the stored form does not distinguish nil from empty slices.
+		if got, want := fmt.Sprintf("%+v", decoded), fmt.Sprintf("%+v", record.value); err != nil || got != want {
 			t.Errorf("%s: %v\nread %s\nwant %s", name, err, got, want)
 		}
 	}
@@ -177,7 +177,7 @@
 // group's snapshot.
 func TestStoredSnapshotsOfEarlierVersionsAreRestored(t *testing.T) {
 	for version := uint32(1); version <= 3; version++ {
-		data, err := os.ReadFile(filepath.Join(storedFolder, fmt.Sprintf("line-image-%d.bin", version)))
+		data, err := os.ReadFile(filepath.Join(storedDir, fmt.Sprintf("line-image-%d.bin", version)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -195,7 +195,7 @@
 			want.Sessions[0].Turns = []string{"one", "turn"}
 		}
 		if got := machine.View().Snapshot(); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
-			t.Errorf("snapshot of version %d is restored as\n%+v\nnot\n%+v", version, got, want)
+			t.Errorf("snapshot of version %d is restored as\n%+v\nwant\n%+v", version, got, want)
 		}
 	}
 }
--- a/system/wire/views.go
+++ b/system/wire/views.go
@@ -6,15 +6,15 @@
 	"yardrock.example/system/feed"
 )
 
-// FollowQuery is a node's heartbeat to a control node, and asks for the changes of the feed
-// after a number. A quorum of control nodes confirms the reply. With Wait the reply is
-// delayed, at most that long, while nothing changes (long polling). MembersDigest is that of
-// the member list that the sender has.
+// FollowQuery is a node's heartbeat to a control node, and requests the changes of the feed
+// after the number After. A quorum of control nodes confirms the reply. Wait is the longest
+// time that the reply is delayed while there is no change (long polling). MembersDigest is the
+// digest of the sender's member list.
 type FollowQuery struct {
 	Member feed.Member `capnp:"member"`
 	After  uint64      `capnp:"after"`
-	// ConfirmOnly is set by control nodes: the query is no heartbeat, and only asks the leader to
-	// confirm the number.
+	// ConfirmOnly is set by control nodes: the query is not a heartbeat and only requests that
+	// the leader confirm the newest number.
 	ConfirmOnly   bool          `capnp:"sessionOnly"`
 	Wait          time.Duration `capnp:"wait"`
 	MembersDigest uint64        `capnp:"known"`
@@ -22,37 +22,38 @@
 	Packed bool `capnp:"packed"`
 }
 
-// FollowReply answers a FollowQuery: nothing newer than Newest existed when the confirmation
-// began. With Reset it brings a full view, else the Changes after the number asked for.
-// Members is filled if the sender's list is out of date; MembersDigest is 0 without one.
+// FollowReply is the response to a FollowQuery. Nothing newer than Newest existed when the
+// confirmation started. With Reset it has a full view, otherwise the Changes after the requested
+// number. Members is set if the requester's list is out of date; without it, MembersDigest is 0.
 type FollowReply struct {
 	Newest  uint64        `capnp:"newest"`
 	Reset   bool          `capnp:"reset"`
 	View    feed.View     `capnp:"view"`
 	Changes []feed.Change `capnp:"changes"`
 	Members []feed.Member `capnp:"members"`
-	// ConfirmationDelay is a lower bound of the time from the query's arrival to the start
+	// ConfirmationDelay is a lower bound on the time from the arrival of the query to the start
 	// of the confirmation.
 	ConfirmationDelay time.Duration `capnp:"held"`
 	MembersDigest     uint64        `capnp:"known"`
 
-	// RunnerListAge is how long before the query's arrival the runner list was read whose
-	// content is in force at Newest; it is negative if it was read later. It has no meaning
-	// without HasRunnerListAge.
+	// RunnerListAge is how long before the arrival of the query the runner list that is current
+	// at Newest was read; it is negative if it was read later. It is valid only with
+	// HasRunnerListAge.
 	HasRunnerListAge bool          `capnp:"rosterRead"`
 	RunnerListAge    time.Duration `capnp:"rosterAge"`
-	// PackedView takes the place of View for senders with Packed; the same bytes go to all.
+	// PackedView replaces View if the query has Packed; the bytes are shared by the replies to
+	// many followers.
 	PackedView []byte `capnp:"packedView"`
 }
 
-// FullView gives the view of a reply with Reset.
+// FullView returns the view of a reply with Reset.
 //
 //	view, err := reply.Follow.FullView()
 func (reply *FollowReply) FullView() (*feed.View, error) {
 	return fullView(&reply.View, reply.PackedView)
 }
 
-// fullView gives the packed view if there is one, else the other.
+// fullView returns the unpacked packedView, or view if there is no packed one.
 func fullView(view *feed.View, packedView []byte) (*feed.View, error) {
 	if len(packedView) > 0 {
 		return UnpackView(packedView)
@@ -60,16 +61,16 @@
 	return view, nil
 }
 
-// ReplicateViewQuery asks a store to sync a view: a full one, or the Changes that follow on
-// the view that it has.
+// ReplicateViewQuery requests that a store sync a view, which is given in full or as the
+// Changes to the store's current view.
 type ReplicateViewQuery struct {
 	View       feed.View     `capnp:"view"`
 	PackedView []byte        `capnp:"packedView"`
 	Changes    []feed.Change `capnp:"changes"`
 }
 
-// ViewFrom gives the view to sync, for a store whose view is current. Changes that do not
-// follow on it are an error.
+// ViewFrom returns the view to sync, given the store's current view. It is an error if the
+// changes do not apply to that view.
 //
 //	view, err := query.ReplicateView.ViewFrom(current)
 func (query *ReplicateViewQuery) ViewFrom(current *feed.View) (*feed.View, error) {
@@ -80,33 +81,34 @@
 	return &view, err
 }
 
-// NewestViewQuery asks a store for the newest view that it has synced, if its number is above
-// After. Packed is set by senders that can read packed views.
+// NewestViewQuery requests the newest view that a store has synced, if its number is greater
+// than After. Packed is set by senders that can read packed views.
 type NewestViewQuery struct {
 	After  uint64 `capnp:"after"`
 	Packed bool   `capnp:"packed"`
 }
 
-// NewestViewReply answers a NewestViewQuery. Number is that of the newest view synced; the
-// view itself is filled only if the number is above the one asked for.
+// NewestViewReply is the response to a NewestViewQuery. Number is that of the newest synced
+// view; the view itself is set only if the number is greater than After.
 type NewestViewReply struct {
 	Number uint64    `capnp:"number"`
 	View   feed.View `capnp:"view"`
-	// HeardControlQuorum is set if a control quorum of this fleet confirmed a view lately.
+	// HeardControlQuorum is set if a control quorum of the store's fleet confirmed a view
+	// recently.
 	HeardControlQuorum bool   `capnp:"controlled"`
 	PackedView         []byte `capnp:"packedView"`
 }
 
-// FullView gives the newer view, or an empty one if there is none.
+// FullView returns the view of the reply, or an empty one if there is none.
 //
 //	view, err := reply.NewestView.FullView()
 func (reply *NewestViewReply) FullView() (*feed.View, error) {
 	return fullView(&reply.View, reply.PackedView)
 }
 
-// ChangeQuery asks the control leader to commit a change of the feed. With AwaitView above 0
-// it commits nothing, and is answered once a majority of the stores that replicate views has
-// synced the view of that number or a newer one.
+// ChangeQuery requests that the control leader commit a change of the feed. If AwaitView is not
+// 0, it commits nothing and is answered once a majority of the stores that replicate views has
+// synced the view with that number or a newer one.
 type ChangeQuery struct {
 	Change    feed.Change `capnp:"change"`
 	AwaitView uint64      `capnp:"await"`
@@ -119,20 +121,21 @@
 	Acknowledged bool   `capnp:"acknowledged"`
 }
 
-// MemberSessionBatch has the nodes from which a control node has heartbeats.
+// MemberSessionBatch lists the nodes from which the control node From receives heartbeats, and
+// From itself.
 type MemberSessionBatch struct {
 	From     string          `capnp:"from"`
 	Sessions []MemberSession `capnp:"sessions"`
 }
 
-// MemberSession is a node and the age of its last heartbeat.
+// MemberSession is a node and the time since its last heartbeat.
 type MemberSession struct {
 	Member feed.Member   `capnp:"member"`
 	Age    time.Duration `capnp:"age"`
 }
 
 // ControlSnapshot is the state of the control group. Version 1 has a View and Changes with
-// full configs; later ones have a PackedView and a feed.History: Changes whose configs are
+// full configs; later versions have a PackedView and a feed.History: Changes whose configs are
 // deltas, and EarlierConfigs.
 type ControlSnapshot struct {
 	Version        uint32               `capnp:"version"`
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -1,26 +1,26 @@
 // Package wire defines the messages between processes of a fleet and the records that they
-// store, and converts both to Cap'n Proto and back. It owns no state; package link carries
+// store, and converts both to and from Cap'n Proto. It holds no state; package link transports
 // the messages, packages durablelog and archive store the records.
 //
-// A message is a Query or a Reply: an envelope with a union, of which Which names the filled
-// field. Types stand in a file for each family of messages (status, sessions, archive,
-// views, raft), their codecs in the file of that name with _codec.
+// A message is a Query or a Reply: an envelope with a union whose discriminant is Which. The
+// types of each family of messages (status, sessions, archive, views, raft) are in one file;
+// the hand-written codecs are in the files whose names end in _codec.
 //
 // Guarantees:
 //   - Compatibility: the schema (package schema, wire.capnp) only ever gains fields and
-//     union members. Its names and identifiers are what earlier versions read and wrote; where
-//     a Go name differs, the capnp tag has the schema's. Stored records of every earlier
-//     version can be read (testdata/stored).
-//   - Bounds: no memory is allocated for a size that packed data states before the size is
-//     checked (maxPackedRatio, maxViewRatio); what one message may make its reader traverse
-//     is bounded (readLimit).
-//   - Aliasing: byte fields that were read may point into the data read, which must not be
-//     changed. Bytes that were written refer to no value.
+//     union members. Its names and identifiers are those that earlier versions read and wrote;
+//     where a Go name differs, the capnp tag has the schema's name. Stored records of every
+//     earlier version can be decoded (testdata/stored).
+//   - Bounds: a size declared in packed data is checked before memory is allocated for it
+//     (maxPackedRatio, maxViewRatio), and the number of bytes that decoding one message may
+//     traverse is limited (readLimit).
+//   - Aliasing: decoded byte fields may alias the input, which must not be modified. Encoded
+//     bytes never alias the value.
 //
-// Types of the ordinary path (Raft messages, commands, reads, archive chunks) are coded by
-// hand with the generated accessors; all others go through the library's reflection (pogs),
-// which finds fields by tag. Reflection reads the schema anew at each call, and cost more
-// than the rest of a query together (docs/measurements.md).
+// The types of the hot path (Raft messages, commands, reads, archive chunks) have hand-written
+// codecs that use the generated accessors. All others use the library's reflection (pogs),
+// which finds fields by tag. Reflection reads the schema on every call, which costs more than
+// all other work for a query (docs/measurements.md).
 package wire
 
 import (
@@ -31,11 +31,11 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// Version is the newest form of query that this program understands. A server rejects newer
+// Version is the newest query version that this program understands. A server rejects newer
 // ones with apierror.FormatTooNew.
 const Version = 1
 
-// Query is one call of a process to another. Which names the field that is filled.
+// Query is a request of one process to another. Which selects the field that is set.
 type Query struct {
 	Version        uint32 `capnp:"version"`
 	Fleet          string `capnp:"fleet"`
@@ -56,15 +56,15 @@
 	FindTurn       *FindTurnQuery      `capnp:"find"`
 	SharedPrefix   *SharedPrefixQuery  `capnp:"opening"`
 	// Forwarded marks a query that its sender received from another process. It is not
-	// forwarded again, so it cannot go in circles.
+	// forwarded again, which rules out forwarding loops.
 	Forwarded bool `capnp:"forwarded"`
-	// To is the name of the process that is meant. Another one, which has its address now,
-	// rejects the query. "" is whichever process listens there.
+	// To is the name of the intended recipient. Another process that has taken over its
+	// address rejects the query. "" addresses whichever process listens there.
 	To string `capnp:"to"`
 }
 
-// MisdirectedReply gives the rejection of a query that is meant for another process than the
-// named one, or nil if it is meant for that one.
+// MisdirectedReply returns the rejection of a query that is addressed to a process other than
+// the named one, or nil if the named process is to answer it.
 //
 //	if rejection := query.MisdirectedReply(node.Name()); rejection != nil {
 //		return rejection
@@ -73,11 +73,11 @@
 	if query.To == "" || query.To == name {
 		return nil
 	}
-	return ErrorReply(apierror.New(apierror.Unavailable, "this is "+name+", and the query is meant for "+query.To, "ask the address that "+query.To+" has now, if it still runs"))
+	return ErrorReply(apierror.New(apierror.Unavailable, "this is "+name+", but the query is addressed to "+query.To, "send the query to the current address of "+query.To+", if it is still running"))
 }
 
-// Reply answers a Query. Which names the field that is filled; a Failure with a Kind says
-// that the query failed, and then no field is.
+// Reply is the response to a Query. Which selects the field that is set. If Failure has a
+// Kind, the query failed and no other field is set.
 type Reply struct {
 	Failure      Failure `capnp:"failure"`
 	Which        schema.Reply_Which
@@ -93,8 +93,8 @@
 	SharedPrefix *sessionlog.SharedPrefixRecord `capnp:"opening"`
 }
 
-// Failure is an apierror.Error as it travels; an empty Kind is none. What the sender knows
-// about the connection (NeverSent and others) does not travel.
+// Failure is the wire form of an apierror.Error; an empty Kind means no error. What the sender
+// knows about the connection (NeverSent and others) is not transmitted.
 type Failure struct {
 	Kind       string        `capnp:"kind"`
 	Message    string        `capnp:"message"`
@@ -103,7 +103,7 @@
 	RetryAfter time.Duration `capnp:"retryAfter"`
 }
 
-// ErrorReply gives the reply that carries an error; an untyped one travels as
+// ErrorReply returns a reply that carries an error; an untyped error is sent as
 // apierror.Unavailable.
 //
 //	return wire.ErrorReply(err)
@@ -112,7 +112,7 @@
 	return &Reply{Failure: Failure{Kind: string(typed.Kind), Message: typed.Message, Remedy: typed.Remedy, Leader: typed.Leader, RetryAfter: typed.RetryAfter}}
 }
 
-// Err gives the error that a reply carries, as an *apierror.Error, or nil.
+// Err returns the error that a reply carries, as an *apierror.Error, or nil.
 //
 //	if err := reply.Err(); err != nil { return err }
 func (reply *Reply) Err() error {
