--- a/system/controlplane/store_founding.go
+++ b/system/controlplane/store_founding.go
@@ -78,7 +78,7 @@
 				return
 			}
 			foreign := reply.NewestView.Number > 0 && view.Fleet != node.View().Fleet
-			if foreign && reply.NewestView.HeardControlQuorum {
+			if foreign && reply.NewestView.ControlConfirmed {
 				return
 			}
 			mutex.Lock()
--- a/system/link/unencodable_reply_test.go
+++ b/system/link/unencodable_reply_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	server := Serve(listener, func(context.Context, *wire.Query) *wire.Reply {
-		return &wire.Reply{Which: schema.Reply_Which_outcomes, Outcomes: &wire.CommandReply{History: tooLong}}
+		return &wire.Reply{Which: schema.Reply_Which_outcomes, Command: &wire.CommandReply{History: tooLong}}
 	})
 	client := NewClient(TCP{})
 	defer client.Close()
--- a/system/store/commands.go
+++ b/system/store/commands.go
@@ -33,14 +33,14 @@
 				return nil, err
 			}
 		}
-		reply.Outcomes = append(reply.Outcomes, result.outcome)
+		reply.Results = append(reply.Results, result.outcome)
 		if command.Kind == sessionlog.BeginTurn && command.KeepData && result.outcome.Status == sessionlog.Done {
 			if reply.History, err = node.history(ctx, group, result.view, command.Session, command.Producer); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return &wire.Reply{Which: schema.Reply_Which_outcomes, Outcomes: reply}, nil
+	return &wire.Reply{Which: schema.Reply_Which_outcomes, Command: reply}, nil
 }
 
 // prepare sets the fields of a command that the group's leader determines: the group's clock,
--- a/system/store/node_view.go
+++ b/system/store/node_view.go
@@ -80,7 +80,7 @@
 // handleNewestView replies with the current view if it is newer than the sender's.
 func (node *Node) handleNewestView(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	view := node.view.Load()
-	reply := &wire.NewestViewReply{Number: view.Number, HeardControlQuorum: node.feedClient.Load().ControlConfirmedWithin(controlContactWindow)}
+	reply := &wire.NewestViewReply{Number: view.Number, ControlConfirmed: node.feedClient.Load().ControlConfirmedWithin(controlContactWindow)}
 	if view.Number > query.NewestView.After {
 		if query.NewestView.Packed {
 			reply.PackedView = node.viewPacker.Get(view)
--- a/system/storeclient/client.go
+++ b/system/storeclient/client.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return reply.Outcomes, nil
+	return reply.Results, nil
 }
 
 // commit commits commands on one session. The reply has one outcome per command.
@@ -110,10 +110,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if reply.Outcomes == nil || len(reply.Outcomes.Outcomes) != len(commands) {
+	if reply.Command == nil || len(reply.Command.Results) != len(commands) {
 		return nil, malformedReplyError()
 	}
-	return reply.Outcomes, nil
+	return reply.Command, nil
 }
 
 // malformedReplyError is the error for a reply that this version cannot interpret. Its commands
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -215,5 +215,5 @@
 	if err != nil {
 		return sessionlog.Result{}, nil, err
 	}
-	return reply.Outcomes[0], reply.History, nil
+	return reply.Results[0], reply.History, nil
 }
--- a/system/wire/codec_bench_test.go
+++ b/system/wire/codec_bench_test.go
@@ -60,7 +60,7 @@
 		name  string
 		reply *Reply
 	}{
-		{"outcome", &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Result{{Seq: 4, Head: 5}}, History: []byte("in\nout\n")}}},
+		{"outcome", &Reply{Which: schema.Reply_Which_outcomes, Command: &CommandReply{Results: []sessionlog.Result{{Seq: 4, Head: 5}}, History: []byte("in\nout\n")}}},
 		{"read", &Reply{Which: schema.Reply_Which_read, Read: &ReadReply{Session: sessionlog.Session{Name: "program/3fa81c", Team: "team", Program: "program"}, Events: make([]sessionlog.Event, 4)}}},
 		{"failure", &Reply{Failure: Failure{Kind: "not_leader", Message: "elsewhere", Remedy: "ask there", Leader: "store-b"}}},
 	} {
--- a/system/wire/codec_test.go
+++ b/system/wire/codec_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("query was decoded as %+v, %v", got, err)
 	}
 	for _, reply := range []*Reply{
-		{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Result{{Status: sessionlog.TurnOpen, Seq: 4, Head: 5, Deduped: true, Spent: 6, Reserved: 7}}, History: []byte("in\nout\n")}},
+		{Which: schema.Reply_Which_outcomes, Command: &CommandReply{Results: []sessionlog.Result{{Status: sessionlog.TurnOpen, Seq: 4, Head: 5, Deduped: true, Spent: 6, Reserved: 7}}, History: []byte("in\nout\n")}},
 		{Which: schema.Reply_Which_found, FoundTurn: &FindTurnReply{SearchedGroups: []uint32{1, 31}, Found: true, Chain: turnCommands[0].Adopted[:1]}},
 		{Failure: Failure{Kind: "not_leader", Message: "elsewhere", Remedy: "ask there", Leader: "store-b", RetryAfter: time.Second}},
 		{},
@@ -265,7 +265,7 @@
 
 // FuzzDecodeReply decodes arbitrary bytes, which must return a reply or an error.
 func FuzzDecodeReply(f *testing.F) {
-	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Outcomes: &CommandReply{Outcomes: []sessionlog.Result{{Seq: 4}}, History: []byte("in\nout\n")}})
+	data, err := AppendReply(nil, &Reply{Which: schema.Reply_Which_outcomes, Command: &CommandReply{Results: []sessionlog.Result{{Seq: 4}}, History: []byte("in\nout\n")}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/system/wire/reply_codec.go
+++ b/system/wire/reply_codec.go
@@ -20,7 +20,7 @@
 		target.SetNothing()
 		return nil
 	case reply.Which == schema.Reply_Which_outcomes:
-		return encodeNested(target.NewOutcomes, reply.Outcomes, encodeCommandReply)
+		return encodeNested(target.NewOutcomes, reply.Command, encodeCommandReply)
 	case reply.Which == schema.Reply_Which_read:
 		return encodeNested(target.NewRead, reply.Read, encodeReadReply)
 	}
@@ -41,8 +41,8 @@
 	case schema.Reply_Which_nothing:
 		return reply, nil
 	case schema.Reply_Which_outcomes:
-		reply.Outcomes = &CommandReply{}
-		return reply, decodeNested(source.Outcomes, reply.Outcomes, decodeCommandReply)
+		reply.Command = &CommandReply{}
+		return reply, decodeNested(source.Outcomes, reply.Command, decodeCommandReply)
 	case schema.Reply_Which_read:
 		reply.Read = &ReadReply{}
 		return reply, decodeNested(source.Read, reply.Read, decodeReadReply)
@@ -68,11 +68,11 @@
 			return err
 		}
 	}
-	return encodeList(target.NewOutcomes, value.Outcomes, encodeResult)
+	return encodeList(target.NewOutcomes, value.Results, encodeResult)
 }
 
 func decodeCommandReply(source schema.OutcomeList, value *CommandReply) (err error) {
-	if value.Outcomes, err = decodeList(source.Outcomes, decodeResult); err != nil {
+	if value.Results, err = decodeList(source.Outcomes, decodeResult); err != nil {
 		return err
 	}
 	value.History, err = source.History()
--- a/system/wire/sessions.go
+++ b/system/wire/sessions.go
@@ -15,8 +15,8 @@
 // CommandReply is the response to a CommandQuery, with one result per command. If a turn
 // began, History has the content of the turns that it follows, oldest first.
 type CommandReply struct {
-	Outcomes []sessionlog.Result
-	History  []byte
+	Results []sessionlog.Result
+	History []byte
 }
 
 // FindTurnQuery requests a turn from a store, which searches all groups that it leads.
--- a/system/wire/views.go
+++ b/system/wire/views.go
@@ -93,10 +93,10 @@
 type NewestViewReply struct {
 	Number uint64    `capnp:"number"`
 	View   feed.View `capnp:"view"`
-	// HeardControlQuorum is set if a control quorum of the store's fleet confirmed a view
+	// ControlConfirmed is set if a control quorum of the store's fleet confirmed a view
 	// recently.
-	HeardControlQuorum bool   `capnp:"controlled"`
-	PackedView         []byte `capnp:"packedView"`
+	ControlConfirmed bool   `capnp:"controlled"`
+	PackedView       []byte `capnp:"packedView"`
 }
 
 // FullView returns the view of the reply, or an empty one if there is none.
--- a/system/wire/wire.go
+++ b/system/wire/wire.go
@@ -82,7 +82,7 @@
 	Failure      Failure `capnp:"failure"`
 	Which        schema.Reply_Which
 	Status       *StatusReply                   `capnp:"status"`
-	Outcomes     *CommandReply                  `capnp:"outcomes"`
+	Command      *CommandReply                  `capnp:"outcomes"`
 	Read         *ReadReply                     `capnp:"read"`
 	Follow       *FollowReply                   `capnp:"follow"`
 	NewestView   *NewestViewReply               `capnp:"newest"`
