--- a/proof/cmd/scenarios/bench.go
+++ b/proof/cmd/scenarios/bench.go
@@ -11,27 +11,28 @@
 	"sync"
 )
 
-// benchRunner runs the bench's program. Its processes end with the context of each call.
+// benchRunner runs the external test bench as a subprocess, which is killed when the context of
+// the call is done.
 type benchRunner struct {
-	bench      string // path of the program
-	repository string // folder of the clone whose code is played
-	why        string // the reason that the bench notes in its journal
-	jobs       int    // scenarios played at once
-	output     string // path without ending of the bench's output and report; "": beside the scenario
-	seed       uint64 // of the play; 0: that of the day
-	small      bool   // plays the small twin of a large day
+	bench      string // path of the bench executable
+	repository string // clone of the repository whose code is tested
+	reason     string // recorded by the bench in its journal
+	jobs       int    // number of scenarios run concurrently
+	outputStem string // path, without extension, of the bench's output and report; "": that of the scenario file
+	seed       uint64 // 0: the scenario's own seed
+	small      bool   // runs the reduced version of a large scenario
 }
 
-// kinds reads from the bench which kinds of faults and planned work a site may have.
+// kinds asks the bench which kinds of faults and planned work a site supports.
 func (runner benchRunner) kinds(ctx context.Context, sitePath string) ([]kind, error) {
-	printed, err := exec.CommandContext(ctx, runner.bench, "kinds", sitePath).Output()
+	output, err := exec.CommandContext(ctx, runner.bench, "kinds", sitePath).Output()
 	if err != nil {
-		return nil, fmt.Errorf("reading the kinds of %s from the bench: %w", sitePath, err)
+		return nil, fmt.Errorf("listing the kinds of %s with the bench: %w", sitePath, err)
 	}
-	return parseKinds(string(printed))
+	return parseKinds(string(output))
 }
 
-// build builds the system once, so that scenarios played at the same time find it built.
+// build builds the system once, before scenarios that run concurrently share the result.
 func (runner benchRunner) build(ctx context.Context) error {
 	command := exec.CommandContext(ctx, runner.bench, "build")
 	command.Dir = runner.repository
@@ -41,73 +42,73 @@
 	return nil
 }
 
-// playAll plays the tasks, as many at once as there are jobs, and returns the results in the
-// order in which they ended. It calls report with each as it comes, from the caller's goroutine.
-func (runner benchRunner) playAll(ctx context.Context, tasks []task, report func(result)) []result {
-	played := make([]result, len(tasks))
-	var all []result
-	runConcurrently(runner.jobs, len(tasks), func(position int) {
-		played[position] = runner.playOne(ctx, tasks[position])
-	}, func(position int) {
-		report(played[position])
-		all = append(all, played[position])
+// runAll runs the tasks, at most runner.jobs concurrently, and returns the results in order of
+// completion. It calls report with each result as it arrives, from the caller's goroutine.
+func (runner benchRunner) runAll(ctx context.Context, tasks []task, report func(result)) []result {
+	byIndex := make([]result, len(tasks))
+	var results []result
+	runConcurrently(runner.jobs, len(tasks), func(index int) {
+		byIndex[index] = runner.runTask(ctx, tasks[index])
+	}, func(index int) {
+		report(byIndex[index])
+		results = append(results, byIndex[index])
 	})
-	return all
+	return results
 }
 
-// runConcurrently calls work for each position from 0 up, so many at once, and then finished
-// with it, from the caller's goroutine.
-func runConcurrently(jobs, count int, work, finished func(position int)) {
+// runConcurrently calls work for each index below count, at most jobs concurrently. It calls
+// finished with each completed index from the caller's goroutine.
+func runConcurrently(jobs, count int, work, finished func(index int)) {
 	queue := make(chan int)
 	done := make(chan int)
 	var workers sync.WaitGroup
 	for range jobs {
 		workers.Go(func() {
-			for position := range queue {
-				work(position)
-				done <- position
+			for index := range queue {
+				work(index)
+				done <- index
 			}
 		})
 	}
 	go func() {
-		for position := range count {
-			queue <- position
+		for index := range count {
+			queue <- index
 		}
 		close(queue)
 		workers.Wait()
 		close(done)
 	}()
-	for position := range done {
-		finished(position)
+	for index := range done {
+		finished(index)
 	}
 }
 
-// playOne plays one scenario. The bench's output and its report are written as .txt and .json.
-func (runner benchRunner) playOne(ctx context.Context, played task) result {
-	stem := runner.output
+// runTask runs one scenario and writes the bench's output (.txt) and report (.json).
+func (runner benchRunner) runTask(ctx context.Context, task task) result {
+	stem := runner.outputStem
 	if stem == "" {
-		stem = strings.TrimSuffix(played.file, ".toml")
+		stem = strings.TrimSuffix(task.file, ".toml")
 	}
 	reportPath, err := filepath.Abs(stem + ".json")
 	if err != nil {
-		return result{task: played, failure: err.Error()}
+		return result{task: task, runError: err.Error()}
 	}
-	command := exec.CommandContext(ctx, runner.bench, runner.arguments(played, reportPath)...)
+	command := exec.CommandContext(ctx, runner.bench, runner.arguments(task, reportPath)...)
 	command.Dir = runner.repository
 	output, runErr := command.CombinedOutput()
 	if err := os.WriteFile(stem+".txt", output, 0o644); err != nil {
-		return result{task: played, failure: err.Error()}
+		return result{task: task, runError: err.Error()}
 	}
-	read, err := readReport(reportPath)
+	report, err := readReport(reportPath)
 	if err != nil {
-		return result{task: played, failure: fmt.Sprintf("%v, %v", runErr, err)}
+		return result{task: task, runError: fmt.Sprintf("%v, %v", runErr, err)}
 	}
-	return result{task: played, report: read}
+	return result{task: task, report: report}
 }
 
-// arguments is the command line that plays one scenario and writes its report to a path.
-func (runner benchRunner) arguments(played task, reportPath string) []string {
-	arguments := []string{"run", played.site, played.file, "--jobs", strconv.Itoa(1), "--report", reportPath, "--why", runner.why}
+// arguments returns the bench arguments that run one scenario and write its report to reportPath.
+func (runner benchRunner) arguments(task task, reportPath string) []string {
+	arguments := []string{"run", task.site, task.file, "--jobs", strconv.Itoa(1), "--report", reportPath, "--why", runner.reason}
 	if runner.seed != 0 {
 		arguments = append(arguments, "--seed", strconv.FormatUint(runner.seed, 10))
 	}
--- a/proof/cmd/scenarios/bench_test.go
+++ b/proof/cmd/scenarios/bench_test.go
@@ -8,10 +8,9 @@
 	"testing"
 )
 
-// standInBench is a program that answers as the bench does: scenarios with the word cut in
-// their name break a rule, those with the word late fail the gate, those with the word lost have
-// no report.
-const standInBench = `#!/bin/sh
+// fakeBench is a shell script with the bench's interface: scenarios with "cut" in their name
+// break a rule, those with "late" fail the gate, and those with "lost" produce no report.
+const fakeBench = `#!/bin/sh
 case "$1" in
 kinds) echo "core_cut: cut off"; exit 0 ;;
 build) exit 0 ;;
@@ -24,73 +23,73 @@
 esac
 `
 
-// trialBenchRunner is a player on the stand-in bench.
-func trialBenchRunner(t *testing.T) (benchRunner, string) {
+// newFakeBenchRunner returns a benchRunner that uses fakeBench, and its directory.
+func newFakeBenchRunner(t *testing.T) (benchRunner, string) {
 	t.Helper()
-	folder := t.TempDir()
-	bench := filepath.Join(folder, "bench")
-	if err := os.WriteFile(bench, []byte(standInBench), 0o755); err != nil {
+	dir := t.TempDir()
+	bench := filepath.Join(dir, "bench")
+	if err := os.WriteFile(bench, []byte(fakeBench), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	return benchRunner{bench: bench, repository: folder, why: "test", jobs: 2}, folder
+	return benchRunner{bench: bench, repository: dir, reason: "test", jobs: 2}, dir
 }
 
 func TestResultsNameTheBrokenRules(t *testing.T) {
-	runner, folder := trialBenchRunner(t)
+	runner, dir := newFakeBenchRunner(t)
 	var tasks []task
 	for _, name := range []string{"cut-1", "race-1", "late-1", "lost-1"} {
-		tasks = append(tasks, task{site: "trial.toml", name: name, file: filepath.Join(folder, name+".toml")})
+		tasks = append(tasks, task{site: "trial.toml", name: name, file: filepath.Join(dir, name+".toml")})
 	}
 	reported := 0
-	results := runner.playAll(context.Background(), tasks, func(result) { reported++ })
+	results := runner.runAll(context.Background(), tasks, func(result) { reported++ })
 	if len(results) != 4 || reported != 4 {
 		t.Fatalf("%d results, %d reported", len(results), reported)
 	}
-	for _, played := range results {
-		checkResult(t, played)
+	for _, result := range results {
+		checkResult(t, result)
 	}
 }
 
-// checkResult demands the result that standInBench gives by the scenario's name.
-func checkResult(t *testing.T, played result) {
+// checkResult checks the result against the one that fakeBench gives for the scenario's name.
+func checkResult(t *testing.T, result result) {
 	t.Helper()
-	line := tableLine(played)
-	switch played.name {
+	line := tableRow(result)
+	switch result.name {
 	case "cut-1":
-		if !played.broken() || !strings.Contains(line, "CONFIG 2") || !strings.Contains(line, played.file) {
+		if !result.failed() || !strings.Contains(line, "CONFIG 2") || !strings.Contains(line, result.file) {
 			t.Error(line)
 		}
 	case "race-1":
-		if played.broken() || len(played.report.Missed) != 1 {
+		if result.failed() || len(result.report.Missed) != 1 {
 			t.Error(line)
 		}
 	case "late-1":
-		if !played.broken() || !strings.Contains(line, "no ack after 9 s") {
+		if !result.failed() || !strings.Contains(line, "no ack after 9 s") {
 			t.Error(line)
 		}
 	case "lost-1":
-		if !played.broken() || !strings.Contains(line, "not played") {
+		if !result.failed() || !strings.Contains(line, "not run") {
 			t.Error(line)
 		}
 	}
 }
 
 func TestKindsAreReadFromTheBench(t *testing.T) {
-	runner, _ := trialBenchRunner(t)
-	found, err := runner.kinds(context.Background(), "trial.toml")
-	if err != nil || len(found) != 1 || found[0].name != "core_cut" {
-		t.Fatalf("got %v, %v", found, err)
+	runner, _ := newFakeBenchRunner(t)
+	kinds, err := runner.kinds(context.Background(), "trial.toml")
+	if err != nil || len(kinds) != 1 || kinds[0].name != "core_cut" {
+		t.Fatalf("got %v, %v", kinds, err)
 	}
 }
 
-func TestSeedAndSmallTwinsReachTheBench(t *testing.T) {
-	played := task{site: "trial.toml", file: "day.toml"}
-	plain := strings.Join(benchRunner{why: "test"}.arguments(played, "report.json"), " ")
+func TestSeedAndSmallFlagsReachTheBench(t *testing.T) {
+	task := task{site: "trial.toml", file: "day.toml"}
+	plain := strings.Join(benchRunner{reason: "test"}.arguments(task, "report.json"), " ")
 	if strings.Contains(plain, "--seed") || strings.Contains(plain, "--small") {
-		t.Errorf("a play of the day as it is: %s", plain)
+		t.Errorf("arguments without seed and small: %s", plain)
 	}
-	changed := strings.Join(benchRunner{why: "test", seed: 7, small: true}.arguments(played, "report.json"), " ")
+	changed := strings.Join(benchRunner{reason: "test", seed: 7, small: true}.arguments(task, "report.json"), " ")
 	if !strings.Contains(changed, "--seed 7") || !strings.Contains(changed, "--small") {
-		t.Errorf("a small twin with seed 7: %s", changed)
+		t.Errorf("arguments with seed 7 and small: %s", changed)
 	}
 }
--- a/proof/cmd/scenarios/compare.go
+++ b/proof/cmd/scenarios/compare.go
@@ -11,102 +11,102 @@
 	"strings"
 )
 
-// trialKey names what one pair of plays has in common.
+// trialKey identifies the trials that are compared with each other: one per variant.
 type trialKey struct {
-	site string // name of the site
-	day  string // name of the day
-	seed uint64
+	site     string // site name, not its path
+	scenario string // scenario name
+	seed     uint64
 }
 
-// trial is one play of a comparison.
+// trial is one run of a scenario on one variant.
 type trial struct {
 	task
 	trialKey
-	version variant
-	runner  benchRunner // plays the version's clone
+	variant variant
+	runner  benchRunner // uses the variant's clone
 }
 
-// trialResult is how a trial went.
+// trialResult is the outcome of a trial.
 type trialResult struct {
 	trial
 	result
 }
 
-// difference compares a variant with the base on one day, or on all days of a site.
+// difference compares a variant with the base on one scenario, or on all scenarios of a site.
 type difference struct {
-	site, day string // day is allDays for all of them
-	version   string
-	base      estimate // worth of the base
-	changed   estimate // worth of the variant
-	paired    estimate // variant less base, of plays with the same seed
+	site, scenario   string // scenario is allScenarios for the whole site
+	variant          string
+	baseScore        estimate // mean score of the base
+	variantScore     estimate // mean score of the variant
+	pairedDifference estimate // variant minus base, over trials with the same key
 }
 
-// allDays stands for the day in the line of a whole site.
-const allDays = "all"
+// allScenarios replaces the scenario name in the row of a whole site.
+const allScenarios = "all"
 
-// scenarioFileEnding is that of files with a day.
-const scenarioFileEnding = ".toml"
+// scenarioFileExtension distinguishes a scenario's file from its name.
+const scenarioFileExtension = ".toml"
 
-// comparisonFolder is the folder for clones, scenarios and reports within --out.
-const comparisonFolder = "variants"
+// comparisonDir is the directory within --out that holds the variants' clones.
+const comparisonDir = "variants"
 
-// compareTasks plays every day with every seed on each variant, the variants of a pair one after
-// the other, and writes a table of the paired differences.
-func compareTasks(ctx context.Context, runner benchRunner, chosen options) error {
-	variants, err := parseVariants(chosen.variants)
+// compareVariants runs every scenario with every seed on each variant and writes a table and a
+// plot of the paired score differences.
+func compareVariants(ctx context.Context, runner benchRunner, opts options) error {
+	variants, err := parseVariants(opts.variants)
 	if err != nil {
 		return err
 	}
-	trials, err := prepareTrials(ctx, runner, chosen, variants)
+	trials, err := prepareTrials(ctx, runner, opts, variants)
 	if err != nil {
 		return err
 	}
-	results := playTrials(ctx, trials, chosen.jobs)
-	for _, version := range variants {
-		if err := keepJournal(filepath.Join(chosen.out, comparisonFolder, version.name), runner.repository); err != nil {
+	results := runTrials(ctx, trials, opts.jobs)
+	for _, variant := range variants {
+		if err := copyJournal(filepath.Join(opts.out, comparisonDir, variant.name), runner.repository); err != nil {
 			return err
 		}
 	}
 	differences := compareResults(results, variants)
-	if err := writeComparison(chosen, differences); err != nil {
+	if err := writeComparison(opts, differences); err != nil {
 		return err
 	}
 	return checkTrials(results)
 }
 
-// prepareTrials checks out and builds all variants and lists their plays. Plays of the same day
-// and seed stand together, so that what disturbs the machine disturbs all variants.
-func prepareTrials(ctx context.Context, runner benchRunner, chosen options, variants []variant) ([]trial, error) {
+// prepareTrials checks out and builds all variants and lists their trials. Trials of the same
+// scenario and seed are adjacent, so that other load on the machine affects all variants alike.
+func prepareTrials(ctx context.Context, runner benchRunner, opts options, variants []variant) ([]trial, error) {
 	runners := map[string]benchRunner{}
-	for _, version := range variants {
-		clone, err := filepath.Abs(filepath.Join(chosen.out, comparisonFolder, version.name))
+	for _, variant := range variants {
+		clone, err := filepath.Abs(filepath.Join(opts.out, comparisonDir, variant.name))
 		if err != nil {
 			return nil, err
 		}
-		if err := version.checkOut(ctx, runner.repository, clone); err != nil {
+		if err := variant.checkOut(ctx, runner.repository, clone); err != nil {
 			return nil, err
 		}
-		own := runner
-		own.repository, own.why = clone, fmt.Sprintf("trial: %s; variant %s", runner.why, version.name)
-		if err := own.build(ctx); err != nil {
-			return nil, fmt.Errorf("variant %s: %w", version.name, err)
+		variantRunner := runner
+		variantRunner.repository, variantRunner.reason = clone, fmt.Sprintf("trial: %s; variant %s", runner.reason, variant.name)
+		if err := variantRunner.build(ctx); err != nil {
+			return nil, fmt.Errorf("variant %s: %w", variant.name, err)
 		}
-		runners[version.name] = own
+		runners[variant.name] = variantRunner
 	}
-	first, last, err := parseSeeds(chosen.seeds)
+	first, last, err := parseSeeds(opts.seeds)
 	if err != nil {
 		return nil, err
 	}
 	var trials []trial
 	for seed := first; seed <= last; seed++ {
-		for sitePath := range strings.SplitSeq(chosen.sites, ",") {
-			plays, err := daysToPlay(ctx, runner, chosen, sitePath, seed)
+		for sitePath := range strings.SplitSeq(opts.sites, ",") {
+			tasks, err := tasksForSite(ctx, runner, opts, sitePath, seed)
 			if err != nil {
 				return nil, err
 			}
-			for _, play := range plays {
-				for _, version := range variants {
-					trials = append(trials, newTrial(play, version, runners[version.name], chosen.out))
+			for _, task := range tasks {
+				for _, variant := range variants {
+					trials = append(trials, newTrial(task, variant, runners[variant.name], opts.out))
 				}
 			}
 		}
@@ -114,167 +114,169 @@
 	return trials, nil
 }
 
-// dayTask is a task with the seed that it is played with.
-type dayTask struct {
+// seededTask is a task with the seed of its run; 0 is the scenario's own seed.
+type seededTask struct {
 	task
 	seed uint64
 }
 
-// daysToPlay lists what is played of a site with one seed: the days that the options name, or
-// scenarios of their presets.
-func daysToPlay(ctx context.Context, runner benchRunner, chosen options, sitePath string, seed uint64) ([]dayTask, error) {
+// tasksForSite lists the tasks of a site for one seed: the scenarios that the options name, or
+// else generated ones of the selected presets.
+func tasksForSite(ctx context.Context, runner benchRunner, opts options, sitePath string, seed uint64) ([]seededTask, error) {
 	sitePath, err := filepath.Abs(sitePath)
 	if err != nil {
 		return nil, err
 	}
-	var plays []dayTask
-	if chosen.days != "" {
-		for day := range strings.SplitSeq(chosen.days, ",") {
-			named, err := dayOf(day)
+	var tasks []seededTask
+	if opts.scenarios != "" {
+		for nameOrFile := range strings.SplitSeq(opts.scenarios, ",") {
+			selected, err := namedTask(nameOrFile)
 			if err != nil {
 				return nil, err
 			}
-			named.site = sitePath
-			plays = append(plays, dayTask{task: named, seed: seed})
+			selected.site = sitePath
+			tasks = append(tasks, seededTask{task: selected, seed: seed})
 		}
-		return plays, nil
+		return tasks, nil
 	}
-	for _, presetName := range presetNames(chosen.presets) {
-		parameters := scenarioParameters{preset: presetName, seed: seed, intensity: chosen.intensity, closing: chosen.closing}
-		generated, err := generateTask(ctx, runner, chosen, sitePath, parameters)
+	for _, presetName := range presetNames(opts.presets) {
+		parameters := scenarioParameters{preset: presetName, seed: seed, intensity: opts.intensity, finalFault: opts.finalFault}
+		generated, err := generateTask(ctx, runner, opts, sitePath, parameters)
 		if err != nil {
 			return nil, err
 		}
 		if generated.file, err = filepath.Abs(generated.file); err != nil {
 			return nil, err
 		}
-		plays = append(plays, dayTask{task: generated})
+		tasks = append(tasks, seededTask{task: generated})
 	}
-	return plays, nil
+	return tasks, nil
 }
 
-// dayOf is the task of a day of the site, by its name, or of a day's own file.
-func dayOf(day string) (task, error) {
-	if !strings.HasSuffix(day, scenarioFileEnding) {
-		return task{name: day, file: day}, nil
+// namedTask returns the task for the name of one of the site's scenarios, or for a scenario file.
+func namedTask(nameOrFile string) (task, error) {
+	if !strings.HasSuffix(nameOrFile, scenarioFileExtension) {
+		return task{name: nameOrFile, file: nameOrFile}, nil
 	}
-	path, err := filepath.Abs(day)
+	path, err := filepath.Abs(nameOrFile)
 	if err != nil {
 		return task{}, err
 	}
 	if _, err := os.Stat(path); err != nil {
 		return task{}, err
 	}
-	return task{name: strings.TrimSuffix(filepath.Base(path), scenarioFileEnding), file: path}, nil
+	return task{name: strings.TrimSuffix(filepath.Base(path), scenarioFileExtension), file: path}, nil
 }
 
-// newTrial is one play of a day on a variant.
-func newTrial(play dayTask, version variant, runner benchRunner, out string) trial {
-	siteName := strings.TrimSuffix(filepath.Base(play.site), ".toml")
-	made := trial{task: play.task, trialKey: trialKey{site: siteName, day: play.name, seed: play.seed}, version: version, runner: runner}
-	stem := strings.Join([]string{siteName, play.name, strconv.FormatUint(play.seed, 10), version.name}, "-")
-	made.runner.output, made.runner.seed = filepath.Join(out, stem), play.seed
-	return made
+// newTrial returns the trial of a task on a variant. Its output goes to files in out.
+func newTrial(seeded seededTask, variant variant, runner benchRunner, out string) trial {
+	siteName := strings.TrimSuffix(filepath.Base(seeded.site), ".toml")
+	trial := trial{task: seeded.task, trialKey: trialKey{site: siteName, scenario: seeded.name, seed: seeded.seed}, variant: variant, runner: runner}
+	stem := strings.Join([]string{siteName, seeded.name, strconv.FormatUint(seeded.seed, 10), variant.name}, "-")
+	trial.runner.outputStem, trial.runner.seed = filepath.Join(out, stem), seeded.seed
+	return trial
 }
 
-// playTrials plays the trials in their order, so many at once, and prints a line of each.
-func playTrials(ctx context.Context, trials []trial, jobs int) []trialResult {
-	fmt.Println(tableHead)
+// runTrials starts the trials in order, at most jobs concurrently, and prints a row for each.
+func runTrials(ctx context.Context, trials []trial, jobs int) []trialResult {
+	fmt.Println(tableHeader)
 	results := make([]trialResult, len(trials))
-	runConcurrently(jobs, len(trials), func(position int) {
-		played := trials[position]
-		results[position] = trialResult{trial: played, result: played.runner.playOne(ctx, played.task)}
-	}, func(position int) {
-		fmt.Printf("%s  %s, seed %d\n", tableLine(results[position].result), results[position].version.name, results[position].seed)
+	runConcurrently(jobs, len(trials), func(index int) {
+		trial := trials[index]
+		results[index] = trialResult{trial: trial, result: trial.runner.runTask(ctx, trial.task)}
+	}, func(index int) {
+		fmt.Printf("%s  %s, seed %d\n", tableRow(results[index].result), results[index].variant.name, results[index].seed)
 	})
 	return results
 }
 
-// compareResults makes the lines of the table: each day of each site, and each site.
+// compareResults compares each variant with the base, for each scenario of each site and for
+// each whole site.
 func compareResults(results []trialResult, variants []variant) []difference {
 	var differences []difference
-	for _, version := range variants[1:] {
-		for _, group := range groupsOf(results) {
-			made := difference{site: group.site, day: group.day, version: version.name}
-			base, changed, paired := pairedWorth(results, group, version.name)
-			made.base, made.changed, made.paired = estimateMean(base), estimateMean(changed), estimateMean(paired)
-			differences = append(differences, made)
+	for _, variant := range variants[1:] {
+		for _, group := range resultGroups(results) {
+			diff := difference{site: group.site, scenario: group.scenario, variant: variant.name}
+			baseScores, variantScores, pairedDifferences := pairedScores(results, group, variant.name)
+			diff.baseScore, diff.variantScore, diff.pairedDifference = estimateMean(baseScores), estimateMean(variantScores), estimateMean(pairedDifferences)
+			differences = append(differences, diff)
 		}
 	}
 	return differences
 }
 
-// groupsOf lists the days of each site and then the site as a whole, each with seed 0.
-func groupsOf(results []trialResult) []trialKey {
+// resultGroups lists the scenarios of each site and the site as a whole, sorted, with seed 0.
+func resultGroups(results []trialResult) []trialKey {
 	var groups []trialKey
-	for _, played := range results {
-		groups = append(groups, trialKey{site: played.site(), day: played.day}, trialKey{site: played.site(), day: allDays})
+	for _, result := range results {
+		groups = append(groups, trialKey{site: result.site(), scenario: result.scenario}, trialKey{site: result.site(), scenario: allScenarios})
 	}
 	slices.SortFunc(groups, func(left, right trialKey) int {
-		return cmp.Or(cmp.Compare(left.site, right.site), cmp.Compare(left.day, right.day))
+		return cmp.Or(cmp.Compare(left.site, right.site), cmp.Compare(left.scenario, right.scenario))
 	})
 	return slices.Compact(groups)
 }
 
-// site returns the name of the site; the task has its path.
-func (played trialResult) site() string { return played.trialKey.site }
+// site returns the site's name; the site field of the embedded task is its path.
+func (result trialResult) site() string { return result.trialKey.site }
 
-// pairedWorth returns the worth of the base and of a variant, and their differences, for the
-// plays of a group that both have.
-func pairedWorth(results []trialResult, group trialKey, version string) (base, changed, paired []float64) {
-	byKey := map[trialKey]map[string]float64{}
-	var order []trialKey
-	for _, played := range results {
-		if played.site() != group.site || (group.day != allDays && played.day != group.day) || played.failure != "" {
+// pairedScores returns the scores of the base and of a variant and their differences, for the
+// trials of a group that ran on both.
+func pairedScores(results []trialResult, group trialKey, variant string) (baseScores, variantScores, pairedDifferences []float64) {
+	scores := map[trialKey]map[string]float64{}
+	var keys []trialKey
+	for _, result := range results {
+		if result.site() != group.site || (group.scenario != allScenarios && result.scenario != group.scenario) || result.runError != "" {
 			continue
 		}
-		if byKey[played.trialKey] == nil {
-			byKey[played.trialKey] = map[string]float64{}
-			order = append(order, played.trialKey)
+		if scores[result.trialKey] == nil {
+			scores[result.trialKey] = map[string]float64{}
+			keys = append(keys, result.trialKey)
 		}
-		byKey[played.trialKey][played.version.name] = played.report.Score
+		scores[result.trialKey][result.variant.name] = result.report.Score
 	}
-	for _, key := range order {
-		before, playedBase := byKey[key][baseVariant]
-		after, playedVariant := byKey[key][version]
-		if playedBase && playedVariant {
-			base, changed, paired = append(base, before), append(changed, after), append(paired, after-before)
+	for _, key := range keys {
+		baseScore, hasBase := scores[key][baseVariant]
+		variantScore, hasVariant := scores[key][variant]
+		if hasBase && hasVariant {
+			baseScores, variantScores, pairedDifferences = append(baseScores, baseScore), append(variantScores, variantScore), append(pairedDifferences, variantScore-baseScore)
 		}
 	}
-	return base, changed, paired
+	return baseScores, variantScores, pairedDifferences
 }
 
-// writeComparison writes the table as Markdown to standard output and to --out, and a plot of it.
-func writeComparison(chosen options, differences []difference) error {
+// writeComparison writes the Markdown table to standard output and to --out, and a plot of it
+// to --out.
+func writeComparison(opts options, differences []difference) error {
 	table := markdownTable(differences)
 	fmt.Print("\n", table)
-	if err := os.WriteFile(filepath.Join(chosen.out, "comparison.md"), []byte(table), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(opts.out, "comparison.md"), []byte(table), 0o644); err != nil {
 		return err
 	}
-	return plotDifferences(differences, filepath.Join(chosen.out, "comparison.svg"))
+	return plotDifferences(differences, filepath.Join(opts.out, "comparison.svg"))
 }
 
-// markdownTable is the table of a comparison.
+// markdownTable formats a comparison.
 func markdownTable(differences []difference) string {
 	table := &strings.Builder{}
-	fmt.Fprintln(table, "| site | day | variant | pairs | worth of the base | of the variant | difference (95 %) | |")
+	fmt.Fprintln(table, "| site | scenario | variant | pairs | base score | variant score | difference (95 % CI) | |")
 	fmt.Fprintln(table, "| --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, line := range differences {
+	for _, diff := range differences {
 		verdict := ""
-		if line.paired.conclusive() {
+		if diff.pairedDifference.conclusive() {
 			verdict = "conclusive"
 		}
-		fmt.Fprintf(table, "| %s | %s | %s | %d | %.3f | %.3f | %+.4f ± %.4f | %s |\n", line.site, line.day, line.version, line.paired.count,
-			line.base.mean, line.changed.mean, line.paired.mean, line.paired.halfWidth, verdict)
+		fmt.Fprintf(table, "| %s | %s | %s | %d | %.3f | %.3f | %+.4f ± %.4f | %s |\n", diff.site, diff.scenario, diff.variant, diff.pairedDifference.count,
+			diff.baseScore.mean, diff.variantScore.mean, diff.pairedDifference.mean, diff.pairedDifference.halfWidth, verdict)
 	}
 	return table.String()
 }
 
-// checkTrials returns errBroken if a trial broke a rule or was not played.
+// checkTrials returns errScenarioFailed if a trial failed.
 func checkTrials(results []trialResult) error {
-	for _, played := range results {
-		if played.broken() {
-			return errBroken
+	for _, result := range results {
+		if result.failed() {
+			return errScenarioFailed
 		}
 	}
 	return nil
--- a/proof/cmd/scenarios/compare_test.go
+++ b/proof/cmd/scenarios/compare_test.go
@@ -12,22 +12,22 @@
 	"testing"
 )
 
-// readingBench is a program that answers as the bench does. The worth of a play is what the file
-// worth of the clone says, a hundredth more for each seed; it leaves an entry in the journal.
-const readingBench = `#!/bin/sh
+// fakeScoringBench is a shell script with the bench's interface. It scores a run in thousandths
+// as the file score of the clone says, plus the seed, and adds a journal entry.
+const fakeScoringBench = `#!/bin/sh
 case "$1" in
 build) exit 0 ;;
 esac
 mkdir -p journal
-echo "$3 $9 $(cat worth)" >"journal/$(cat worth)-${11}.json"
-echo "{\"G\": 0.$(($(cat worth) + ${11})), \"served\": 1, \"breaks\": {}}" >"$7"
+echo "$3 $9 $(cat score)" >"journal/$(cat score)-${11}.json"
+echo "{\"G\": 0.$(($(cat score) + ${11})), \"served\": 1, \"breaks\": {}}" >"$7"
 `
 
-// runGit runs git in a folder.
-func runGit(t *testing.T, folder string, arguments ...string) string {
+// runGit runs git in a directory and returns its output.
+func runGit(t *testing.T, dir string, arguments ...string) string {
 	t.Helper()
 	command := exec.Command("git", append([]string{"-c", "user.name=test", "-c", "user.email=test@example.org"}, arguments...)...)
-	command.Dir = folder
+	command.Dir = dir
 	output, err := command.CombinedOutput()
 	if err != nil {
 		t.Fatalf("git %v: %v: %s", arguments, err, output)
@@ -35,14 +35,14 @@
 	return string(output)
 }
 
-// comparisonFixture is a repository with a file that says what a play is worth, a patch that
-// changes it, and a bench that reads it.
+// comparisonFixture returns options and a runner for a repository whose file score sets the score,
+// with a variant patch that raises it.
 func comparisonFixture(t *testing.T) (options, benchRunner) {
 	t.Helper()
-	folder := t.TempDir()
-	repository := filepath.Join(folder, "repository")
+	dir := t.TempDir()
+	repository := filepath.Join(dir, "repository")
 	write := func(path, content string, mode os.FileMode) string {
-		path = filepath.Join(folder, path)
+		path = filepath.Join(dir, path)
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -51,25 +51,25 @@
 		}
 		return path
 	}
-	write("repository/worth", "700\n", 0o644)
+	write("repository/score", "700\n", 0o644)
 	runGit(t, repository, "init", "--quiet")
 	runGit(t, repository, "add", ".")
-	runGit(t, repository, "commit", "--quiet", "-m", "worth")
-	patch := write("better.patch", "--- a/worth\n+++ b/worth\n@@ -1 +1 @@\n-700\n+750\n", 0o644)
-	chosen := options{
-		sites: filepath.Join(folder, "site.toml"), days: "quiet,scale", seeds: "1-3", jobs: 2, out: filepath.Join(folder, "out"),
+	runGit(t, repository, "commit", "--quiet", "-m", "score")
+	patch := write("better.patch", "--- a/score\n+++ b/score\n@@ -1 +1 @@\n-700\n+750\n", 0o644)
+	opts := options{
+		sites: filepath.Join(dir, "site.toml"), scenarios: "quiet,scale", seeds: "1-3", jobs: 2, out: filepath.Join(dir, "out"),
 		variants: "better=" + patch,
 	}
-	return chosen, benchRunner{bench: write("bench", readingBench, 0o755), repository: repository, why: "a reason", jobs: 2}
+	return opts, benchRunner{bench: write("bench", fakeScoringBench, 0o755), repository: repository, reason: "a reason", jobs: 2}
 }
 
-// TestVariantsAreComparedBySeed plays a variant that is better by a twentieth on every seed.
+// TestVariantsAreComparedBySeed compares a variant that scores 0.05 more on every seed.
 func TestVariantsAreComparedBySeed(t *testing.T) {
-	chosen, runner := comparisonFixture(t)
-	if err := compareTasks(context.Background(), runner, chosen); err != nil {
+	opts, runner := comparisonFixture(t)
+	if err := compareVariants(context.Background(), runner, opts); err != nil {
 		t.Fatal(err)
 	}
-	table, err := os.ReadFile(filepath.Join(chosen.out, "comparison.md"))
+	table, err := os.ReadFile(filepath.Join(opts.out, "comparison.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,46 +81,47 @@
 			t.Errorf("the table lacks %q:\n%s", want, table)
 		}
 	}
-	if _, err := os.Stat(filepath.Join(chosen.out, "comparison.svg")); err != nil {
+	if _, err := os.Stat(filepath.Join(opts.out, "comparison.svg")); err != nil {
 		t.Error(err)
 	}
 	for _, entry := range []string{"700-1.json", "750-3.json"} {
-		if _, err := os.Stat(filepath.Join(runner.repository, journalFolder, entry)); err != nil {
-			t.Errorf("the entry of a variant's play was not kept: %v", err)
+		if _, err := os.Stat(filepath.Join(runner.repository, journalDir, entry)); err != nil {
+			t.Errorf("the journal entry of a run was not copied: %v", err)
 		}
 	}
 }
 
-func TestDaysAreNamesOrFiles(t *testing.T) {
+func TestScenariosAreNamesOrFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "outage.toml")
 	if err := os.WriteFile(file, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := dayOf(file); err != nil || got.name != "outage" || got.file != file {
+	if got, err := namedTask(file); err != nil || got.name != "outage" || got.file != file {
 		t.Errorf("a file: %+v, %v", got, err)
 	}
-	if got, err := dayOf("scale-1"); err != nil || got.name != "scale-1" || got.file != "scale-1" {
+	if got, err := namedTask("scale-1"); err != nil || got.name != "scale-1" || got.file != "scale-1" {
 		t.Errorf("a name: %+v, %v", got, err)
 	}
-	if _, err := dayOf(file + ".toml"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+	if _, err := namedTask(file + ".toml"); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a missing file: %v", err)
 	}
 }
 
-// TestPatchThatDoesNotApplyIsAnError leaves no clone that could be taken for the variant.
+// TestPatchThatDoesNotApplyIsAnError also checks that no unpatched clone remains, which could be
+// mistaken for the variant.
 func TestPatchThatDoesNotApplyIsAnError(t *testing.T) {
-	chosen, runner := comparisonFixture(t)
-	if err := os.WriteFile(filepath.Join(runner.repository, "worth"), []byte("600\n"), 0o644); err != nil {
+	opts, runner := comparisonFixture(t)
+	if err := os.WriteFile(filepath.Join(runner.repository, "score"), []byte("600\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	runGit(t, runner.repository, "commit", "--quiet", "-am", "another worth")
-	err := compareTasks(context.Background(), runner, chosen)
+	runGit(t, runner.repository, "commit", "--quiet", "-am", "another score")
+	err := compareVariants(context.Background(), runner, opts)
 	var failed *patchError
 	if !errors.As(err, &failed) || failed.variant.name != "better" {
-		t.Errorf("the error is %v", err)
+		t.Errorf("got error %v, want a patchError", err)
 	}
-	if _, err := os.Stat(filepath.Join(chosen.out, comparisonFolder, "better")); err == nil {
-		t.Error("the clone without the patch was left")
+	if _, err := os.Stat(filepath.Join(opts.out, comparisonDir, "better")); err == nil {
+		t.Error("the unpatched clone was not removed")
 	}
 }
 
@@ -133,9 +134,9 @@
 	if err != nil || len(variants) != 3 || variants[0] != (variant{name: baseVariant}) || variants[2] != (variant{name: "two", patch: patch}) {
 		t.Errorf("%v, %v", variants, err)
 	}
-	for _, wrong := range []string{"", "one", "one=", "=" + patch, "base=" + patch, "one=" + patch + ",one=" + patch, "one=" + patch + ".missing"} {
-		if _, err := parseVariants(wrong); err == nil {
-			t.Errorf("variants %q were taken", wrong)
+	for _, invalid := range []string{"", "one", "one=", "=" + patch, "base=" + patch, "one=" + patch + ",one=" + patch, "one=" + patch + ".missing"} {
+		if _, err := parseVariants(invalid); err == nil {
+			t.Errorf("variants %q were accepted", invalid)
 		}
 	}
 }
--- a/proof/cmd/scenarios/comparison_plot.go
+++ b/proof/cmd/scenarios/comparison_plot.go
@@ -9,36 +9,36 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// The size of the plot, and the height of one of its lines.
+// Dimensions of the plot; its height grows with the number of rows.
 const (
 	plotWidth      = 18 * vg.Centimeter
 	plotLineHeight = 0.8 * vg.Centimeter
 	plotMargin     = 3 * vg.Centimeter
 )
 
-// differencePoints are the differences as points with error bars, one line each.
+// differencePoints implements gonum's plotter.XYer and plotter.XErrorer, one row per difference.
 type differencePoints []difference
 
-// Len, XY and XError implement the interfaces of gonum's plotters.
+// Len returns the number of differences.
 func (points differencePoints) Len() int { return len(points) }
 
-// XY returns a difference and its line.
-func (points differencePoints) XY(line int) (x, y float64) {
-	return points[line].paired.mean, float64(len(points) - 1 - line)
+// XY returns the mean difference and its vertical position; the first row is at the top.
+func (points differencePoints) XY(row int) (x, y float64) {
+	return points[row].pairedDifference.mean, float64(len(points) - 1 - row)
 }
 
-// XError returns the interval; none if it is unbounded.
-func (points differencePoints) XError(line int) (low, high float64) {
-	if math.IsInf(points[line].paired.halfWidth, 1) {
+// XError returns the confidence interval, or an empty one if it is unbounded.
+func (points differencePoints) XError(row int) (low, high float64) {
+	if math.IsInf(points[row].pairedDifference.halfWidth, 1) {
 		return 0, 0
 	}
-	return -points[line].paired.halfWidth, points[line].paired.halfWidth
+	return -points[row].pairedDifference.halfWidth, points[row].pairedDifference.halfWidth
 }
 
-// plotDifferences draws each difference with its interval.
+// plotDifferences writes a plot of the differences with their confidence intervals.
 func plotDifferences(differences []difference, path string) error {
-	drawn := plot.New()
-	drawn.Title.Text = "worth of variants less that of the base"
+	chart := plot.New()
+	chart.Title.Text = "score of variants minus score of the base"
 	points := differencePoints(differences)
 	scatter, err := plotter.NewScatter(points)
 	if err != nil {
@@ -49,11 +49,11 @@
 	if err != nil {
 		return err
 	}
-	drawn.Add(scatter, bars, plotter.NewGrid())
+	chart.Add(scatter, bars, plotter.NewGrid())
 	labels := make([]string, len(differences))
-	for line, made := range differences {
-		labels[len(differences)-1-line] = made.site + " " + made.day + ": " + made.version
+	for row, diff := range differences {
+		labels[len(differences)-1-row] = diff.site + " " + diff.scenario + ": " + diff.variant
 	}
-	drawn.NominalY(labels...)
-	return drawn.Save(plotWidth, plotMargin+vg.Length(len(differences))*plotLineHeight, path)
+	chart.NominalY(labels...)
+	return chart.Save(plotWidth, plotMargin+vg.Length(len(differences))*plotLineHeight, path)
 }
--- a/proof/cmd/scenarios/generator.go
+++ b/proof/cmd/scenarios/generator.go
@@ -9,40 +9,41 @@
 	"strings"
 )
 
-// finalFaults are all ways in which a scenario may end with a fault.
+// finalFaults lists the faults that may end a scenario.
 var finalFaults = []finalFault{
 	{Kind: "power_off_all"},
-	{Kind: "power_off_all", How: "all"},
-	{Kind: "power_off_all", How: "timed"},
-	{Kind: "power_off_all", How: "taken"},
+	{Kind: "power_off_all", Mode: "all"},
+	{Kind: "power_off_all", Mode: "timed"},
+	{Kind: "power_off_all", Mode: "taken"},
 	{Kind: "wipe_after_ack"},
-	{Kind: "wipe_after_ack", How: "all"},
-	{Kind: "wipe_after_ack", How: "timed"},
-	{Kind: "wipe_after_ack", How: "taken"},
+	{Kind: "wipe_after_ack", Mode: "all"},
+	{Kind: "wipe_after_ack", Mode: "timed"},
+	{Kind: "wipe_after_ack", Mode: "taken"},
 	{Kind: "kill_all"},
-	{Kind: "kill_all", How: "timed"},
+	{Kind: "kill_all", Mode: "timed"},
 }
 
-// generator draws scenarios of one site at random. It is used by one goroutine.
+// generator draws random scenarios for one site. It is not safe for concurrent use.
 type generator struct {
 	site   site
 	kinds  []kind
 	random *rand.Rand
 }
 
-// newGenerator makes a generator whose scenarios depend on the site, its kinds and the seed alone.
-func newGenerator(target site, kinds []kind, seed uint64) *generator {
+// newGenerator returns a generator whose scenarios depend only on the site, its kinds and the
+// seed.
+func newGenerator(site site, kinds []kind, seed uint64) *generator {
 	name := fnv.New64a()
-	name.Write([]byte(target.Name))
-	return &generator{site: target, kinds: kinds, random: rand.New(rand.NewPCG(seed, name.Sum64()))}
+	name.Write([]byte(site.Name))
+	return &generator{site: site, kinds: kinds, random: rand.New(rand.NewPCG(seed, name.Sum64()))}
 }
 
-// uniform draws a number from low to high, rounded to a hundredth.
+// uniform draws a number between low and high, rounded to a hundredth.
 func (generator *generator) uniform(low, high float64) float64 {
-	return roundHundredth(low + generator.random.Float64()*(high-low))
+	return roundToHundredth(low + generator.random.Float64()*(high-low))
 }
 
-// fromInterval draws from an interval; one that is not set gives 0, which is left out.
+// fromInterval draws from an interval; it returns 0, which is not encoded, if it is not set.
 func (generator *generator) fromInterval(bounds interval) float64 {
 	if !bounds.isSet() {
 		return 0
@@ -50,7 +51,7 @@
 	return generator.uniform(bounds.low, bounds.high)
 }
 
-// pick draws one of the values, each with the same probability.
+// pick draws one of the values with equal probability.
 func pick[Value any](generator *generator, values []Value) Value {
 	return values[generator.random.IntN(len(values))]
 }
@@ -60,37 +61,37 @@
 	return pick(generator, generator.site.Zones).Name
 }
 
-// chance is true with a probability.
+// chance returns true with the given probability.
 func (generator *generator) chance(probability float64) bool {
 	return generator.random.Float64() < probability
 }
 
-// entryOfKind draws an entry of a kind for a time.
-func (generator *generator) entryOfKind(described kind, at float64) entry {
-	made := entry{
-		At:    roundHundredth(at),
-		Kind:  described.name,
-		Count: int(math.Round(generator.fromInterval(described.count))),
-		Share: generator.fromInterval(described.share),
-		X:     generator.fromInterval(described.strength),
-		For:   generator.fromInterval(described.duration),
-		Gap:   generator.fromInterval(described.gap),
+// entryOfKind draws an entry of a kind that starts at the given time.
+func (generator *generator) entryOfKind(kind kind, at float64) entry {
+	entry := entry{
+		At:       roundToHundredth(at),
+		Kind:     kind.name,
+		Count:    int(math.Round(generator.fromInterval(kind.count))),
+		Share:    generator.fromInterval(kind.share),
+		Strength: generator.fromInterval(kind.strength),
+		Duration: generator.fromInterval(kind.duration),
+		Gap:      generator.fromInterval(kind.gap),
 	}
-	generator.setTarget(described, &made)
-	made.How = generator.variant(described)
-	if strings.HasSuffix(made.How, "one_zone") {
-		made.ToZone = generator.zone()
+	generator.setTarget(kind, &entry)
+	entry.Mode = generator.mode(kind)
+	if strings.HasSuffix(entry.Mode, "one_zone") {
+		entry.ToZone = generator.zone()
 	}
-	return made
+	return entry
 }
 
-// setTarget chooses what an entry strikes; an empty choice is left to the bench.
-func (generator *generator) setTarget(described kind, entry *entry) {
-	switch described.target {
+// setTarget draws the target of an entry; the bench chooses what remains empty.
+func (generator *generator) setTarget(kind kind, entry *entry) {
+	switch kind.target {
 	case targetMachines:
-		entry.On = pick(generator, []string{"", classFront, classStore, classCore, classCore})
-	case targetCountedMachines:
-		entry.On = pick(generator, []string{"", classCore, classStore})
+		entry.MachineClass = pick(generator, []string{"", classFront, classStore, classCore, classCore})
+	case targetStatefulMachines:
+		entry.MachineClass = pick(generator, []string{"", classCore, classStore})
 	case targetRunners:
 		if generator.chance(0.8) {
 			entry.Service = pick(generator, generator.site.Services).Name
@@ -101,43 +102,43 @@
 		if generator.chance(0.5) {
 			entry.Zone = generator.zone()
 		} else {
-			entry.Class = pick(generator, generator.site.Classes).Name
+			entry.RequestClass = pick(generator, generator.site.Classes).Name
 		}
 	}
 }
 
-// variant draws how an entry of a kind strikes.
-func (generator *generator) variant(described kind) string {
-	how := ""
-	if len(described.variants) > 0 {
-		how = pick(generator, described.variants)
+// mode draws the mode of an entry of a kind.
+func (generator *generator) mode(kind kind) string {
+	mode := ""
+	if len(kind.modes) > 0 {
+		mode = pick(generator, kind.modes)
 	}
-	if described.aimable {
-		how = joinWords(how, pick(generator, machineSelectors), pick(generator, concurrentEvents))
+	if kind.selectsMachine {
+		mode = joinWords(mode, pick(generator, machineSelectors), pick(generator, concurrentEvents))
 	}
-	if described.mayStopBusy && generator.chance(0.5) {
-		how = joinWords(how, "busy")
+	if kind.mayInterruptResponses && generator.chance(0.5) {
+		mode = joinWords(mode, "busy")
 	}
-	return how
+	return mode
 }
 
-// finalFault draws the fault that ends a scenario: of a kind, of any kind, or nil for none.
-func (generator *generator) finalFault(wanted string) (*finalFault, error) {
-	if wanted == finalFaultNone {
+// finalFault draws the fault that ends a scenario. It returns nil for finalFaultNone.
+func (generator *generator) finalFault(requested string) (*finalFault, error) {
+	if requested == finalFaultNone {
 		return nil, nil
 	}
-	fitting := slices.DeleteFunc(slices.Clone(finalFaults), func(candidate finalFault) bool {
-		return wanted != finalFaultAny && candidate.Kind != wanted
+	candidates := slices.DeleteFunc(slices.Clone(finalFaults), func(candidate finalFault) bool {
+		return requested != finalFaultAny && candidate.Kind != requested
 	})
-	if len(fitting) == 0 {
-		return nil, fmt.Errorf("no closing fault %q; use none, any or a kind of the bench's list", wanted)
+	if len(candidates) == 0 {
+		return nil, fmt.Errorf("unknown final fault %q; use none, any or a kind that the bench lists", requested)
 	}
-	chosen := pick(generator, fitting)
-	chosen.Down = generator.uniform(0.5, 1.8)
-	return &chosen, nil
+	fault := pick(generator, candidates)
+	fault.Down = generator.uniform(0.5, 1.8)
+	return &fault, nil
 }
 
-// joinWords joins the words that are not empty with spaces.
+// joinWords joins the non-empty words with spaces.
 func joinWords(words ...string) string {
 	joined := ""
 	for _, word := range words {
@@ -152,7 +153,7 @@
 	return joined
 }
 
-// roundHundredth rounds to a hundredth, as scenario files are written.
-func roundHundredth(figure float64) float64 {
-	return math.Round(figure*100) / 100
+// roundToHundredth rounds to the precision of scenario files.
+func roundToHundredth(value float64) float64 {
+	return math.Round(value*100) / 100
 }
--- a/proof/cmd/scenarios/generator_test.go
+++ b/proof/cmd/scenarios/generator_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// trialSite is a site with all that scenarios name.
-func trialSite(length float64) site {
-	trial := site{
+// testSite returns a site with every element that scenarios refer to.
+func testSite(length float64) site {
+	site := site{
 		Name:     "trial",
 		Length:   length,
-		Zones:    []named{{"north"}, {"south"}},
-		Services: []named{{"model"}, {"tools"}},
-		Classes:  []named{{"talk"}, {"lookup"}},
+		Zones:    []namedElement{{"north"}, {"south"}},
+		Services: []namedElement{{"model"}, {"tools"}},
+		Classes:  []namedElement{{"talk"}, {"lookup"}},
 	}
-	trial.Timing.CatchUp = 4
-	return trial
+	site.Timing.CatchUp = 4
+	return site
 }
 
-// generateTrial generates a scenario of the trial site.
-func generateTrial(t *testing.T, preset string, seed uint64, length float64) scenario {
+// generateTestScenario generates a scenario for testSite.
+func generateTestScenario(t *testing.T, preset string, seed uint64, length float64) scenario {
 	t.Helper()
-	generated, err := generateScenario(trialSite(length), allKinds, scenarioParameters{preset: preset, seed: seed, intensity: 1, closing: finalFaultAny})
+	generated, err := generateScenario(testSite(length), allKinds, scenarioParameters{preset: preset, seed: seed, intensity: 1, finalFault: finalFaultAny})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,24 +29,24 @@
 }
 
 func TestSameSeedGivesTheSameScenario(t *testing.T) {
-	for _, known := range presets {
-		first, err := generateTrial(t, known.name, 7, 60).encode()
+	for _, preset := range presets {
+		first, err := generateTestScenario(t, preset.name, 7, 60).encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		second, err := generateTrial(t, known.name, 7, 60).encode()
+		second, err := generateTestScenario(t, preset.name, 7, 60).encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(first, second) {
-			t.Errorf("%s: one seed gave two scenarios", known.name)
+			t.Errorf("%s: the same seed generated different scenarios", preset.name)
 		}
-		other, err := generateTrial(t, known.name, 8, 60).encode()
+		other, err := generateTestScenario(t, preset.name, 8, 60).encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if bytes.Equal(first, other) {
-			t.Errorf("%s: two seeds gave one scenario", known.name)
+			t.Errorf("%s: different seeds generated the same scenario", preset.name)
 		}
 	}
 }
@@ -54,53 +54,54 @@
 func TestRandomScenariosCoverEveryKind(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := uint64(1); seed <= 60; seed++ {
-		generated := generateTrial(t, "random", seed, 60)
-		for _, found := range append(generated.Plan, generated.Faults...) {
-			seen[found.Kind] = true
+		generated := generateTestScenario(t, "random", seed, 60)
+		for _, entry := range append(generated.Plan, generated.Faults...) {
+			seen[entry.Kind] = true
 		}
 	}
-	for _, described := range allKinds {
-		if !seen[described.name] {
-			t.Errorf("%s is never generated", described.name)
+	for _, kind := range allKinds {
+		if !seen[kind.name] {
+			t.Errorf("%s is never generated", kind.name)
 		}
 	}
 }
 
 func TestFinalFaultIsTheRequestedOne(t *testing.T) {
-	for _, wanted := range []string{"power_off_all", "wipe_after_ack", "kill_all"} {
-		generated, err := generateScenario(trialSite(34), allKinds, scenarioParameters{preset: "cut", seed: 1, intensity: 1, closing: wanted})
+	for _, requested := range []string{"power_off_all", "wipe_after_ack", "kill_all"} {
+		generated, err := generateScenario(testSite(34), allKinds, scenarioParameters{preset: "cut", seed: 1, intensity: 1, finalFault: requested})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if generated.Closing == nil || generated.Closing.Kind != wanted {
-			t.Errorf("wanted %s, got %v", wanted, generated.Closing)
+		if generated.FinalFault == nil || generated.FinalFault.Kind != requested {
+			t.Errorf("requested %s, got %v", requested, generated.FinalFault)
 		}
 	}
 }
 
 func TestUnknownPresetAndFinalFaultAreRejected(t *testing.T) {
-	if _, err := generateScenario(trialSite(34), allKinds, scenarioParameters{preset: "calm", seed: 1, intensity: 1, closing: finalFaultNone}); err == nil {
-		t.Error("an unknown preset was generated")
+	if _, err := generateScenario(testSite(34), allKinds, scenarioParameters{preset: "calm", seed: 1, intensity: 1, finalFault: finalFaultNone}); err == nil {
+		t.Error("an unknown preset was accepted")
 	}
-	if _, err := generateScenario(trialSite(34), allKinds, scenarioParameters{preset: "cut", seed: 1, intensity: 1, closing: "flood"}); err == nil {
-		t.Error("an unknown closing fault was passed over")
+	if _, err := generateScenario(testSite(34), allKinds, scenarioParameters{preset: "cut", seed: 1, intensity: 1, finalFault: "flood"}); err == nil {
+		t.Error("an unknown final fault was accepted")
 	}
 }
 
-// A deployment without fronts cannot serve, whatever it does.
+// TestRemovedShareOfMachinesIsBounded guards against scenarios that leave a deployment unable to
+// serve because no machine of a class remains.
 func TestRemovedShareOfMachinesIsBounded(t *testing.T) {
-	left := false
-	for _, known := range presets {
+	removed := false
+	for _, preset := range presets {
 		for seed := range uint64(200) {
-			generated := generateTrial(t, known.name, seed, 60)
+			generated := generateTestScenario(t, preset.name, seed, 60)
 			share := generated.removedShare()
-			left = left || share > 0
+			removed = removed || share > 0
 			if share > maxRemovedShare {
-				t.Fatalf("%s, seed %d: a share of %.2f is removed for good", known.name, seed, share)
+				t.Fatalf("%s, seed %d: a share of %.2f is removed permanently", preset.name, seed, share)
 			}
 		}
 	}
-	if !left {
+	if !removed {
 		t.Error("no machine is ever removed")
 	}
 }
--- a/proof/cmd/scenarios/options.go
+++ b/proof/cmd/scenarios/options.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// options are the settings of both commands; their flags say what each is.
+// options holds the flags of all commands; see parseOptions for their meaning.
 type options struct {
 	bench      string
 	repository string
@@ -16,61 +16,61 @@
 	presets    string
 	seeds      string
 	intensity  float64
-	closing    string
-	change     siteChange
+	finalFault string
+	siteChange siteChange
 	out        string
 	jobs       int
-	why        string
-	days       string
+	reason     string
+	scenarios  string
 	small      bool
 	variants   string
 	logFile    string
 	window     float64
 }
 
-// parseOptions reads the flags of a command. The error says what is wrong or missing.
+// parseOptions parses and validates the flags of a command.
 func parseOptions(command string, arguments []string) (options, error) {
-	var chosen options
+	var opts options
 	flags := flag.NewFlagSet(command, flag.ContinueOnError)
-	flags.StringVar(&chosen.bench, "bench", "", "path of the bench's program")
-	flags.StringVar(&chosen.repository, "repository", ".", "the clone whose code is played")
-	flags.StringVar(&chosen.sites, "sites", "", "site files, separated by commas")
-	flags.StringVar(&chosen.presets, "presets", "random", "sorts of scenarios, separated by commas, or all")
-	flags.StringVar(&chosen.seeds, "seeds", "1", "a seed, or FIRST-LAST")
-	flags.Float64Var(&chosen.intensity, "intensity", 1, "how many faults, as a multiple of the default")
-	flags.StringVar(&chosen.closing, "closing", finalFaultAny, "closing fault: none, any, power_off_all, wipe_after_ack or kill_all")
-	flags.IntVar(&chosen.change.idleRoutes, "idle-routes", 0, "idle routes in copies of the sites")
-	flags.Float64Var(&chosen.change.length, "length", 0, "length in seconds of scenarios on copies of the sites")
-	flags.IntVar(&chosen.change.cores, "cores", 0, "cores of machines in copies of the sites")
-	flags.StringVar(&chosen.out, "out", "", "folder for scenarios, reports and copies of sites")
-	flags.IntVar(&chosen.jobs, "jobs", 1, "scenarios played at once")
-	flags.StringVar(&chosen.why, "why", "days of our own", "the reason that the bench writes into its journal")
-	flags.StringVar(&chosen.days, "days", "", "compare: days of the site by name, or files of days, separated by commas, instead of presets")
-	flags.BoolVar(&chosen.small, "small", false, "play the bench's small twins of large days")
-	flags.StringVar(&chosen.variants, "variants", "", "compare: NAME=PATCH, separated by commas; each is compared with the commit that is checked out")
-	flags.StringVar(&chosen.logFile, "log", "", "requests: what the bench printed of a play with the fronts' logs")
-	flags.Float64Var(&chosen.window, "window", 1, "requests: seconds in a line of the table")
+	flags.StringVar(&opts.bench, "bench", "", "path of the bench executable")
+	flags.StringVar(&opts.repository, "repository", ".", "clone of the repository whose code is tested")
+	flags.StringVar(&opts.sites, "sites", "", "site files, comma-separated")
+	flags.StringVar(&opts.presets, "presets", "random", "scenario presets, comma-separated, or all")
+	flags.StringVar(&opts.seeds, "seeds", "1", "a seed, or a range FIRST-LAST")
+	flags.Float64Var(&opts.intensity, "intensity", 1, "number of entries, as a multiple of the default")
+	flags.StringVar(&opts.finalFault, "closing", finalFaultAny, "final fault: none, any, power_off_all, wipe_after_ack or kill_all")
+	flags.IntVar(&opts.siteChange.idleRoutes, "idle-routes", 0, "run on copies of the sites with this many idle routes")
+	flags.Float64Var(&opts.siteChange.length, "length", 0, "run on copies of the sites with this length in seconds")
+	flags.IntVar(&opts.siteChange.cores, "cores", 0, "run on copies of the sites with this many cores per machine")
+	flags.StringVar(&opts.out, "out", "", "directory for scenarios, reports and copies of sites")
+	flags.IntVar(&opts.jobs, "jobs", 1, "number of scenarios that run concurrently")
+	flags.StringVar(&opts.reason, "why", "days of our own", "reason to record in the bench's journal")
+	flags.StringVar(&opts.scenarios, "days", "", "compare: names of scenarios of the site, or scenario files, comma-separated, instead of presets")
+	flags.BoolVar(&opts.small, "small", false, "run the bench's reduced versions of large scenarios")
+	flags.StringVar(&opts.variants, "variants", "", "compare: NAME=PATCH, comma-separated; each is compared with the checked-out commit")
+	flags.StringVar(&opts.logFile, "log", "", "requests: file with the output of a bench run, including the fronts' logs")
+	flags.Float64Var(&opts.window, "window", 1, "requests: seconds covered by each row of the table")
 	if err := flags.Parse(arguments); err != nil {
 		return options{}, err
 	}
 	if command == commandRequests {
-		return chosen, chosen.checkRequests()
+		return opts, opts.checkRequests()
 	}
-	if chosen.bench == "" || chosen.sites == "" || chosen.out == "" || chosen.jobs < 1 {
-		return options{}, errors.New("--bench, --sites and --out are needed, --jobs is 1 at least")
+	if opts.bench == "" || opts.sites == "" || opts.out == "" || opts.jobs < 1 {
+		return options{}, errors.New("--bench, --sites and --out are required, and --jobs must be at least 1")
 	}
-	return chosen, nil
+	return opts, nil
 }
 
-// checkRequests checks the options of the command that reads a log.
-func (chosen options) checkRequests() error {
-	if chosen.logFile == "" || chosen.window <= 0 {
-		return errors.New("--log is needed, --window is above 0")
+// checkRequests validates the options of commandRequests.
+func (opts options) checkRequests() error {
+	if opts.logFile == "" || opts.window <= 0 {
+		return errors.New("--log is required, and --window must be greater than 0")
 	}
 	return nil
 }
 
-// parseSeeds reads one seed, or a range FIRST-LAST.
+// parseSeeds parses a seed or an inclusive range FIRST-LAST.
 func parseSeeds(text string) (first, last uint64, err error) {
 	low, high, isRange := strings.Cut(text, "-")
 	if !isRange {
@@ -85,19 +85,19 @@
 		return 0, 0, fmt.Errorf("seeds %q: %w", text, err)
 	}
 	if last < first {
-		return 0, 0, fmt.Errorf("seeds %q: the last is before the first; write FIRST-LAST", text)
+		return 0, 0, fmt.Errorf("seeds %q: LAST is less than FIRST; use FIRST-LAST", text)
 	}
 	return first, last, nil
 }
 
-// presetNames splits the names of presets; "all" stands for all of them.
+// presetNames splits a comma-separated list of presets; "all" selects every preset.
 func presetNames(text string) []string {
 	if text != "all" {
 		return strings.Split(text, ",")
 	}
 	names := make([]string, 0, len(presets))
-	for _, known := range presets {
-		names = append(names, known.name)
+	for _, preset := range presets {
+		names = append(names, preset.name)
 	}
 	return names
 }
--- a/proof/cmd/scenarios/options_test.go
+++ b/proof/cmd/scenarios/options_test.go
@@ -10,24 +10,24 @@
 	if err != nil || first != 3 || last != 9 {
 		t.Errorf("got %d, %d, %v", first, last, err)
 	}
-	for _, wrong := range []string{"", "9-3", "a", "1-"} {
-		if _, _, err := parseSeeds(wrong); err == nil {
-			t.Errorf("seeds %q were taken", wrong)
+	for _, invalid := range []string{"", "9-3", "a", "1-"} {
+		if _, _, err := parseSeeds(invalid); err == nil {
+			t.Errorf("seeds %q were accepted", invalid)
 		}
 	}
 }
 
-func TestBenchSitesAndOutputFolderAreRequired(t *testing.T) {
+func TestBenchSitesAndOutputDirectoryAreRequired(t *testing.T) {
 	complete := []string{"--bench", "bench", "--sites", "a.toml", "--out", "b"}
 	if _, err := parseOptions("play", complete); err != nil {
 		t.Error(err)
 	}
-	for position := 0; position < len(complete); position += 2 {
-		if _, err := parseOptions("play", slices.Delete(slices.Clone(complete), position, position+2)); err == nil {
-			t.Errorf("nothing is missing without %s", complete[position])
+	for index := 0; index < len(complete); index += 2 {
+		if _, err := parseOptions("play", slices.Delete(slices.Clone(complete), index, index+2)); err == nil {
+			t.Errorf("options without %s were accepted", complete[index])
 		}
 	}
 	if _, err := parseOptions("play", append(complete, "--jobs", "0")); err == nil {
-		t.Error("no jobs were taken")
+		t.Error("--jobs 0 was accepted")
 	}
 }
--- a/proof/cmd/scenarios/presets_test.go
+++ b/proof/cmd/scenarios/presets_test.go
@@ -7,54 +7,54 @@
 
 func TestCutScenarioPartitionsAControlNodeDuringConfigChanges(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		generated := generateTrial(t, "cut", seed, 34)
-		cut := generated.Faults[0]
+		generated := generateTestScenario(t, "cut", seed, 34)
+		partition := generated.Faults[0]
 		for _, candidate := range generated.Faults {
-			if candidate.Kind == "core_cut" && candidate.For == longCut {
-				cut = candidate
+			if candidate.Kind == "core_cut" && candidate.Duration == longPartition {
+				partition = candidate
 			}
 		}
-		if cut.For != longCut || cut.On != "core" {
-			t.Fatalf("seed %d: no long cut of a control machine", seed)
+		if partition.Duration != longPartition || partition.MachineClass != "core" {
+			t.Fatalf("seed %d: no long partition of a control node", seed)
 		}
 		changes := 0
-		for _, planned := range generated.Plan {
-			if planned.At >= cut.At && planned.At <= cut.At+cut.For && strings.HasPrefix(planned.Kind, "config_") {
+		for _, entry := range generated.Plan {
+			if entry.At >= partition.At && entry.At <= partition.At+partition.Duration && strings.HasPrefix(entry.Kind, "config_") {
 				changes++
 			}
 		}
 		if changes < 5 {
-			t.Fatalf("seed %d: only %d changes during the cut", seed, changes)
+			t.Fatalf("seed %d: only %d changes during the partition", seed, changes)
 		}
 	}
 }
 
 func TestRaceScenarioHasEightConcurrentRequests(t *testing.T) {
-	generated := generateTrial(t, "race", 2, 34)
+	generated := generateTestScenario(t, "race", 2, 34)
 	together := map[float64]int{}
-	for _, planned := range generated.Plan {
-		together[planned.At]++
+	for _, entry := range generated.Plan {
+		together[entry.At]++
 	}
 	for _, count := range together {
 		if count >= parallelRequests {
 			return
 		}
 	}
-	t.Fatal("no moment with eight orders")
+	t.Fatal("fewer than eight concurrent requests at any time")
 }
 
-func TestHistoryScenarioNeedsItsLength(t *testing.T) {
-	if _, err := generateScenario(trialSite(34), allKinds, scenarioParameters{preset: "history", seed: 1, intensity: 1, closing: finalFaultNone}); err == nil {
-		t.Fatal("a scenario too short for its history was generated")
+func TestHistoryScenarioRequiresMinimumLength(t *testing.T) {
+	if _, err := generateScenario(testSite(34), allKinds, scenarioParameters{preset: "history", seed: 1, intensity: 1, finalFault: finalFaultNone}); err == nil {
+		t.Fatal("a site shorter than the minimum length was accepted")
 	}
-	generated := generateTrial(t, "history", 1, 60)
+	generated := generateTestScenario(t, "history", 1, 60)
 	changes := 0
-	for _, planned := range generated.Plan {
-		if planned.Kind == "config_change" {
+	for _, entry := range generated.Plan {
+		if entry.Kind == "config_change" {
 			changes++
 		}
 	}
-	if changes != historyEntries {
-		t.Fatalf("%d changes, want %d", changes, historyEntries)
+	if changes != historyChanges {
+		t.Fatalf("%d changes, want %d", changes, historyChanges)
 	}
 }
--- a/proof/cmd/scenarios/report.go
+++ b/proof/cmd/scenarios/report.go
@@ -9,45 +9,46 @@
 	"strings"
 )
 
-// report is what is read of the bench's report on one scenario.
+// report holds the fields that are used of the bench's report on one scenario.
 type report struct {
 	Score  float64        `json:"G"`      // 0 to 1
-	Served float64        `json:"served"` // share of the requests
-	Fault  any            `json:"fault"`  // why the scenario counts nothing; nil if it counts
-	Breaks map[string]any `json:"breaks"` // counts by broken rule
-	Missed []any          `json:"missed"` // missed duties
-	// GateFailures are the reasons, other than broken rules, why the gate is failed.
+	Served float64        `json:"served"` // fraction of requests served
+	Fault  any            `json:"fault"`  // why the scenario does not count; nil if it does
+	Breaks map[string]any `json:"breaks"` // violations by rule
+	Missed []any          `json:"missed"` // obligations that the system missed
+	// GateFailures are the reasons, other than broken rules, why the scenario fails the gate.
 	GateFailures []string `json:"short"`
 }
 
-// result is how a task went.
+// result is the outcome of a task.
 type result struct {
 	task
 	report report
-	// failure says why there is no report; "" if there is one.
-	failure string
+	// runError explains why there is no report; "" if there is one.
+	runError string
 }
 
-// broken reports whether a rule was broken, the scenario counts nothing, fails the gate or was
-// not played.
-func (played result) broken() bool {
-	found := played.report
-	return played.failure != "" || len(found.Breaks) > 0 || found.Fault != nil || len(found.GateFailures) > 0
+// failed reports whether the scenario broke a rule, does not count, failed the gate or was not
+// run.
+func (result result) failed() bool {
+	report := result.report
+	return result.runError != "" || len(report.Breaks) > 0 || report.Fault != nil || len(report.GateFailures) > 0
 }
 
-// rules lists the broken rules with their counts and all other reasons of broken; "-" for none.
-func (played result) rules() string {
-	if played.failure != "" {
-		return "not played: " + played.failure
+// failureReasons lists the broken rules with their counts, then the other reasons why the task
+// failed; "-" if there are none.
+func (result result) failureReasons() string {
+	if result.runError != "" {
+		return "not run: " + result.runError
 	}
 	var reasons []string
-	for rule, count := range played.report.Breaks {
+	for rule, count := range result.report.Breaks {
 		reasons = append(reasons, fmt.Sprintf("%s %v", rule, count))
 	}
 	slices.Sort(reasons)
-	reasons = append(reasons, played.report.GateFailures...)
-	if played.report.Fault != nil && len(played.report.GateFailures) == 0 {
-		reasons = append(reasons, fmt.Sprintf("fault: %v", played.report.Fault))
+	reasons = append(reasons, result.report.GateFailures...)
+	if result.report.Fault != nil && len(result.report.GateFailures) == 0 {
+		reasons = append(reasons, fmt.Sprintf("fault: %v", result.report.Fault))
 	}
 	if len(reasons) == 0 {
 		return "-"
@@ -55,30 +56,30 @@
 	return strings.Join(reasons, ", ")
 }
 
-// readReport reads the bench's report on one scenario.
+// readReport decodes the bench's report on one scenario.
 func readReport(path string) (report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return report{}, err
 	}
-	var read report
-	if err := json.Unmarshal(text, &read); err != nil {
+	var parsed report
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return report{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return read, nil
+	return parsed, nil
 }
 
-// tableHead is the head of the table whose lines tableLine makes.
-const tableHead = "site                                 scenario            score  served  missed  rules broken"
+// tableHeader is the header of the table whose rows tableRow formats.
+const tableHeader = "site                                 scenario            score  served  missed  rules broken"
 
-// tableLine is a result as a line of the table. A broken one ends with the files that play it
+// tableRow formats a result. The row of a failed task ends with the files needed to run it
 // again.
-func tableLine(played result) string {
-	siteName := strings.TrimSuffix(filepath.Base(played.site), ".toml")
-	line := fmt.Sprintf("%-36s %-18s %6.3f  %6.3f  %6d  %s", siteName, played.name,
-		played.report.Score, played.report.Served, len(played.report.Missed), played.rules())
-	if played.broken() {
-		line += fmt.Sprintf("  (%s on %s)", played.file, played.site)
+func tableRow(result result) string {
+	siteName := strings.TrimSuffix(filepath.Base(result.site), ".toml")
+	line := fmt.Sprintf("%-36s %-18s %6.3f  %6.3f  %6d  %s", siteName, result.name,
+		result.report.Score, result.report.Served, len(result.report.Missed), result.failureReasons())
+	if result.failed() {
+		line += fmt.Sprintf("  (%s on %s)", result.file, result.site)
 	}
 	return line
 }
--- a/proof/cmd/scenarios/request_causes.go
+++ b/proof/cmd/scenarios/request_causes.go
@@ -9,41 +9,41 @@
 	"time"
 )
 
-// stageOrder is the order of the stages in tables, that of their names in the fronts.
+// stageOrder lists the stages of a request as the fronts name and order them.
 var stageOrder = []string{"receive", "view", "begin", "queue", "head", "first_event", "stream", "end"}
 
-// absentCause stands for the time in which a program had no request at any front: its client
-// waited, or could not reach one.
-const absentCause = "no request at a front"
+// noRequestCause is the cause of delay for the time in which a program had no request at any
+// front, because its client waited or could not reach one.
+const noRequestCause = "no request at a front"
 
-// completeOutcome is the outcome of a request that was answered.
+// completeOutcome is the outcome of a request with a complete response.
 const completeOutcome = "complete"
 
-// stageTable shows the mean time of each stage of model requests, in milliseconds, by when they
-// came.
+// stageTable formats the mean time in milliseconds of each stage of model requests, grouped by the
+// window in which they arrived.
 func stageTable(lines []requestLine, window time.Duration) string {
 	byWindow := map[time.Duration][]requestLine{}
 	for _, line := range lines {
-		if line.tokens > 0 {
-			begin := line.startedAt().Truncate(window)
-			byWindow[begin] = append(byWindow[begin], line)
+		if line.promptTokens > 0 {
+			start := line.startedAt().Truncate(window)
+			byWindow[start] = append(byWindow[start], line)
 		}
 	}
 	table := &strings.Builder{}
-	fmt.Fprintf(table, "| from s | turns | not complete | total | %s | prompt tokens | expected to prefill |\n", strings.Join(stageOrder, " | "))
+	fmt.Fprintf(table, "| from (s) | model requests | incomplete | total | %s | prompt tokens | prefill tokens |\n", strings.Join(stageOrder, " | "))
 	fmt.Fprintf(table, "|%s\n", strings.Repeat(" --- |", len(stageOrder)+6))
-	for _, begin := range slices.Sorted(maps.Keys(byWindow)) {
-		group := byWindow[begin]
-		fmt.Fprintf(table, "| %g | %d | %d | %.0f", begin.Seconds(), len(group), countIncomplete(group), meanOf(group, func(line requestLine) float64 { return milliseconds(line.total) }))
+	for _, start := range slices.Sorted(maps.Keys(byWindow)) {
+		group := byWindow[start]
+		fmt.Fprintf(table, "| %g | %d | %d | %.0f", start.Seconds(), len(group), countIncomplete(group), meanOf(group, func(line requestLine) float64 { return milliseconds(line.total) }))
 		for _, stage := range stageOrder {
 			fmt.Fprintf(table, " | %.0f", meanOf(group, func(line requestLine) float64 { return milliseconds(line.stages[stage]) }))
 		}
-		fmt.Fprintf(table, " | %.0f | %.0f |\n", meanOf(group, func(line requestLine) float64 { return float64(line.tokens) }), meanOf(group, func(line requestLine) float64 { return float64(line.prefill) }))
+		fmt.Fprintf(table, " | %.0f | %.0f |\n", meanOf(group, func(line requestLine) float64 { return float64(line.promptTokens) }), meanOf(group, func(line requestLine) float64 { return float64(line.prefillTokens) }))
 	}
 	return table.String()
 }
 
-// countIncomplete counts the requests that were not answered.
+// countIncomplete counts the requests without a complete response.
 func countIncomplete(lines []requestLine) int {
 	incomplete := 0
 	for _, line := range lines {
@@ -54,7 +54,7 @@
 	return incomplete
 }
 
-// meanOf returns the mean of a value of each request.
+// meanOf returns the mean of a value over the requests; 0 if there are none.
 func meanOf(lines []requestLine, value func(requestLine) float64) float64 {
 	sum := 0.0
 	for _, line := range lines {
@@ -68,25 +68,25 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// programHistory is all requests of a program, in the order in which they came.
+// programHistory holds all requests of a program in order of arrival.
 type programHistory struct {
 	lines []requestLine
 }
 
-// causeCount is how many programs were late by a cause, and how much of their time it took.
+// causeCount is the number of late programs with the same main cause and the time they lost to it.
 type causeCount struct {
 	cause    string
 	programs int
 	excess   time.Duration
 }
 
-// causeTable shows what the programs that ended late lost their time to. The cause of each is
-// the stage on which its requests spent most beyond the median of their route, or the time
-// without a request beyond the median of all programs.
+// causeTable counts late programs by main cause: the stage in which their requests exceeded the
+// median of their route by most, or the time without a request if that exceeded the median of all
+// programs by more.
 func causeTable(lines []requestLine) string {
-	programs := programsOf(lines)
-	typical := medianStages(lines)
-	typicalAbsence := medianAbsence(programs)
+	programs := groupByProgram(lines)
+	medians := medianStages(lines)
+	medianGap := medianGapTime(programs)
 	counts := map[string]*causeCount{}
 	late := 0
 	for _, program := range programs {
@@ -94,7 +94,7 @@
 			continue
 		}
 		late++
-		cause, excess := program.mainCause(typical, typicalAbsence)
+		cause, excess := program.mainCause(medians, medianGap)
 		if counts[cause] == nil {
 			counts[cause] = &causeCount{cause: cause}
 		}
@@ -102,7 +102,7 @@
 		counts[cause].excess += excess
 	}
 	table := &strings.Builder{}
-	fmt.Fprintf(table, "%d of %d programs ended after their time.\n\n| most time lost to | programs | lost, mean ms |\n| --- | --- | --- |\n", late, len(programs))
+	fmt.Fprintf(table, "%d of %d programs missed their deadline.\n\n| main cause | programs | mean loss (ms) |\n| --- | --- | --- |\n", late, len(programs))
 	ordered := slices.SortedFunc(maps.Values(counts), func(left, right *causeCount) int {
 		return cmp.Or(cmp.Compare(right.programs, left.programs), cmp.Compare(left.cause, right.cause))
 	})
@@ -112,12 +112,13 @@
 	return table.String()
 }
 
-// programsOf groups the requests that belong to programs.
-func programsOf(lines []requestLine) []programHistory {
+// groupByProgram groups requests by program. Requests without a program or without its remaining
+// time are ignored.
+func groupByProgram(lines []requestLine) []programHistory {
 	byName := map[string]*programHistory{}
 	var names []string
 	for _, line := range lines {
-		if line.program == "" || !line.hasProgramLeft {
+		if line.program == "" || !line.hasProgramTimeLeft {
 			continue
 		}
 		if byName[line.program] == nil {
@@ -135,23 +136,24 @@
 	return programs
 }
 
-// late reports whether the program's time was over when its last request ended.
+// late reports whether the program's deadline had passed when its last request ended.
 func (program programHistory) late() bool {
 	last := slices.MaxFunc(program.lines, func(left, right requestLine) int { return cmp.Compare(left.endedAt, right.endedAt) })
-	return last.programLeft < 0
+	return last.programTimeLeft < 0
 }
 
-// absence returns how long the program had no request at any front, between its first and last.
-func (program programHistory) absence() time.Duration {
-	absent, reached := time.Duration(0), program.lines[0].startedAt()
+// gapTime returns the time between the program's first and last request in which it had no
+// request at any front.
+func (program programHistory) gapTime() time.Duration {
+	total, busyUntil := time.Duration(0), program.lines[0].startedAt()
 	for _, line := range program.lines {
-		absent += max(0, line.startedAt()-reached)
-		reached = max(reached, line.endedAt)
+		total += max(0, line.startedAt()-busyUntil)
+		busyUntil = max(busyUntil, line.endedAt)
 	}
-	return absent
+	return total
 }
 
-// stageKey is a stage of the requests of a route.
+// stageKey identifies a stage of the requests of a route.
 type stageKey struct{ route, stage string }
 
 // medianStages returns the median time of each stage of each route.
@@ -171,26 +173,26 @@
 	return medians
 }
 
-// medianAbsence returns the median of the programs' absence for each request that they sent.
-func medianAbsence(programs []programHistory) time.Duration {
-	var absences []time.Duration
+// medianGapTime returns the median over all programs of the gap time per request.
+func medianGapTime(programs []programHistory) time.Duration {
+	var gapTimes []time.Duration
 	for _, program := range programs {
-		absences = append(absences, program.absence()/time.Duration(len(program.lines)))
+		gapTimes = append(gapTimes, program.gapTime()/time.Duration(len(program.lines)))
 	}
-	if len(absences) == 0 {
+	if len(gapTimes) == 0 {
 		return 0
 	}
-	slices.Sort(absences)
-	return absences[len(absences)/2]
+	slices.Sort(gapTimes)
+	return gapTimes[len(gapTimes)/2]
 }
 
-// mainCause returns what the program lost most time to, and how much.
-func (program programHistory) mainCause(typical map[stageKey]time.Duration, typicalAbsence time.Duration) (cause string, excess time.Duration) {
-	cause, excess = absentCause, program.absence()-typicalAbsence*time.Duration(len(program.lines))
+// mainCause returns the cause to which the program lost most time, and the time lost.
+func (program programHistory) mainCause(medians map[stageKey]time.Duration, medianGap time.Duration) (cause string, excess time.Duration) {
+	cause, excess = noRequestCause, program.gapTime()-medianGap*time.Duration(len(program.lines))
 	for _, stage := range stageOrder {
 		lost := time.Duration(0)
 		for _, line := range program.lines {
-			lost += max(0, line.stages[stage]-typical[stageKey{line.route, stage}])
+			lost += max(0, line.stages[stage]-medians[stageKey{line.route, stage}])
 		}
 		if lost > excess {
 			cause, excess = stage, lost
--- a/proof/cmd/scenarios/site.go
+++ b/proof/cmd/scenarios/site.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// named is a part of a site that entries name.
-type named struct {
+// namedElement is an element of a site that entries refer to by name.
+type namedElement struct {
 	Name string `toml:"name"`
 }
 
@@ -19,48 +19,48 @@
 	Class string `toml:"class"`
 }
 
-// site is what the generator needs of a site file (a deployment of the bench).
+// site holds the fields of a site file, which describes a deployment, that the generator needs.
 type site struct {
 	Name     string         `toml:"name"`
 	Length   float64        `toml:"length_s"`
-	Zones    []named        `toml:"zones"`
-	Services []named        `toml:"services"`
-	Classes  []named        `toml:"classes"`
+	Zones    []namedElement `toml:"zones"`
+	Services []namedElement `toml:"services"`
+	Classes  []namedElement `toml:"classes"`
 	Machines []machineGroup `toml:"machines"`
 	Timing   struct {
 		CatchUp float64 `toml:"catch_up_s"`
 	} `toml:"timing"`
 }
 
-// readSite reads a site file. The error names the file and what is wrong or missing.
+// readSite reads and validates a site file.
 func readSite(path string) (site, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return site{}, err
 	}
-	var read site
-	if err := toml.Unmarshal(text, &read); err != nil {
+	var parsed site
+	if err := toml.Unmarshal(text, &parsed); err != nil {
 		return site{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if read.Length <= 0 || len(read.Zones) == 0 || len(read.Services) == 0 || len(read.Classes) == 0 {
-		return site{}, fmt.Errorf("%s: no length, zones, services or classes", path)
+	if parsed.Length <= 0 || len(parsed.Zones) == 0 || len(parsed.Services) == 0 || len(parsed.Classes) == 0 {
+		return site{}, fmt.Errorf("%s: length_s, zones, services or classes are missing", path)
 	}
-	return read, nil
+	return parsed, nil
 }
 
-// siteChange says how a copy of a site file differs from it; a zero leaves a value as it is.
+// siteChange describes the changes in a copy of a site file; zero values change nothing.
 type siteChange struct {
 	idleRoutes int     // routes without traffic
 	length     float64 // seconds
-	cores      int     // of each machine of the system
+	cores      int     // per machine of the system
 }
 
-// isZero reports whether nothing is changed.
+// isZero reports whether the copy would equal the original.
 func (change siteChange) isZero() bool {
 	return change == siteChange{}
 }
 
-// suffix is what the name of a copy gets for its changes.
+// suffix returns the file name suffix of a copy with these changes.
 func (change siteChange) suffix() string {
 	suffix := ""
 	if change.idleRoutes > 0 {
@@ -75,19 +75,19 @@
 	return suffix
 }
 
-// The lines of a site file that siteChange changes.
+// The settings of a site file that siteChange replaces.
 var (
 	idleRoutesLine = regexp.MustCompile(`(?m)^idle_routes = \d+$`)
 	lengthLine     = regexp.MustCompile(`(?m)^length_s = [\d.]+$`)
 	machineCores   = regexp.MustCompile(`(class = "(?:front|store|core)".*?\bcores = )\d+`)
 )
 
-// apply changes the content of a site file. A value that it does not find is an error, so that a
-// copy is never silently the original.
+// apply returns the content of a site file with the changes. A setting that is not found is an
+// error, so that a change is never silently lost.
 func (change siteChange) apply(text string) (string, error) {
 	replace := func(pattern *regexp.Regexp, with string) error {
 		if !pattern.MatchString(text) {
-			return fmt.Errorf("the site file has nothing like %s; leave this change out", pattern)
+			return fmt.Errorf("the site file has no match for %s; omit this change", pattern)
 		}
 		text = pattern.ReplaceAllString(text, with)
 		return nil
@@ -110,9 +110,9 @@
 	return text, nil
 }
 
-// copySite writes a changed copy of a site file into a folder, with the wire file that the bench
-// reads beside it, and returns the path of the copy.
-func copySite(path, folder string, change siteChange) (string, error) {
+// copySite writes a changed copy of a site file to a directory, along with wire.json, which the
+// bench reads from the same directory, and returns the path of the copy.
+func copySite(path, dir string, change siteChange) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
@@ -127,12 +127,12 @@
 	}
 	base := filepath.Base(path)
 	stem := base[:len(base)-len(filepath.Ext(base))]
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
-	if err := os.WriteFile(filepath.Join(folder, "wire.json"), wire, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "wire.json"), wire, 0o644); err != nil {
 		return "", err
 	}
-	target := filepath.Join(folder, stem+change.suffix()+".toml")
+	target := filepath.Join(dir, stem+change.suffix()+".toml")
 	return target, os.WriteFile(target, []byte(changed), 0o644)
 }
--- a/proof/cmd/scenarios/site_test.go
+++ b/proof/cmd/scenarios/site_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const trialSiteText = `name = "trial"
+const testSiteText = `name = "trial"
 length_s = 34.0
 zones = [{ name = "north" }]
 machines = [
@@ -23,27 +23,27 @@
 `
 
 func TestCopiedSiteHasTheChanges(t *testing.T) {
-	folder := t.TempDir()
-	original := filepath.Join(folder, "trial.toml")
-	for path, text := range map[string]string{original: trialSiteText, filepath.Join(folder, "wire.json"): "{}"} {
+	dir := t.TempDir()
+	original := filepath.Join(dir, "trial.toml")
+	for path, text := range map[string]string{original: testSiteText, filepath.Join(dir, "wire.json"): "{}"} {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	copied, err := copySite(original, filepath.Join(folder, "copies"), siteChange{idleRoutes: 1500, length: 60, cores: 4})
+	copied, err := copySite(original, filepath.Join(dir, "copies"), siteChange{idleRoutes: 1500, length: 60, cores: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if filepath.Base(copied) != "trial-routes1500-length60-cores4.toml" {
-		t.Errorf("the copy is named %s", copied)
+		t.Errorf("unexpected file name %s", copied)
 	}
 	text, err := os.ReadFile(copied)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, wanted := range []string{"idle_routes = 1500\n", "length_s = 60.0\n"} {
-		if !strings.Contains(string(text), wanted) {
-			t.Errorf("the copy lacks %q", wanted)
+	for _, want := range []string{"idle_routes = 1500\n", "length_s = 60.0\n"} {
+		if !strings.Contains(string(text), want) {
+			t.Errorf("the copy lacks %q", want)
 		}
 	}
 	if strings.Count(string(text), "cores = 4") != 2 {
@@ -57,6 +57,6 @@
 
 func TestChangeWithoutAMatchIsAnError(t *testing.T) {
 	if _, err := (siteChange{idleRoutes: 100}).apply("length_s = 34.0\n"); err == nil {
-		t.Fatal("a copy without the change was made")
+		t.Fatal("a change without a match was accepted")
 	}
 }
--- a/proof/cmd/scenarios/statistics.go
+++ b/proof/cmd/scenarios/statistics.go
@@ -7,19 +7,19 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is that of the intervals in a comparison.
+// confidence is the confidence level of the intervals in a comparison.
 const confidence = 0.95
 
 // estimate is a mean with its confidence interval.
 type estimate struct {
 	count int
 	mean  float64
-	// halfWidth is half of the interval's width; infinite for fewer than two values.
+	// halfWidth is half the width of the interval; infinite for fewer than two values.
 	halfWidth float64
 }
 
-// estimateMean estimates the mean of values that are independent and roughly normal, by
-// Student's t distribution.
+// estimateMean estimates the mean of independent, approximately normal values with Student's
+// t-distribution.
 func estimateMean(values []float64) estimate {
 	count := len(values)
 	if count == 0 {
@@ -33,7 +33,7 @@
 	return estimate{count: count, mean: mean, halfWidth: student.Quantile((1+confidence)/2) * deviation / math.Sqrt(float64(count))}
 }
 
-// conclusive reports whether the interval does not contain 0.
-func (estimated estimate) conclusive() bool {
-	return math.Abs(estimated.mean) > estimated.halfWidth
+// conclusive reports whether the interval excludes 0.
+func (e estimate) conclusive() bool {
+	return math.Abs(e.mean) > e.halfWidth
 }
--- a/proof/cmd/scenarios/variants.go
+++ b/proof/cmd/scenarios/variants.go
@@ -10,31 +10,31 @@
 	"strings"
 )
 
-// baseVariant is the name of the version that all others are compared with: the commit that
-// the repository has checked out, without a patch.
+// baseVariant is the name of the variant that all others are compared with: the repository's
+// checked-out commit without a patch.
 const baseVariant = "base"
 
-// errVariants is returned for a list of variants that cannot be compared.
-var errVariants = errors.New("--variants needs at least one NAME=PATCH, each name once and none called " + baseVariant)
+// errVariants is returned for an invalid list of variants.
+var errVariants = errors.New("--variants needs at least one NAME=PATCH, with unique names other than " + baseVariant)
 
 // variant is one version of the system in a comparison.
 type variant struct {
 	name  string
-	patch string // path of a patch of the repository; "" plays the commit as it is
+	patch string // path of the patch; "": the commit without a patch
 }
 
 // patchError is returned for a patch that does not apply to the repository's commit.
 type patchError struct {
 	variant variant
-	output  string // of git
+	output  string // combined output of git apply
 }
 
-// Error says which patch does not apply, and why.
-func (failure *patchError) Error() string {
-	return fmt.Sprintf("variant %s: %s does not apply to the repository's commit; make it anew: %s", failure.variant.name, failure.variant.patch, failure.output)
+// Error names the patch and includes git's output.
+func (e *patchError) Error() string {
+	return fmt.Sprintf("variant %s: %s does not apply to the repository's commit; recreate the patch: %s", e.variant.name, e.variant.patch, e.output)
 }
 
-// parseVariants reads a list NAME=PATCH,NAME=PATCH and puts the base before it.
+// parseVariants parses a list NAME=PATCH,... and prepends the base.
 func parseVariants(text string) ([]variant, error) {
 	variants := []variant{{name: baseVariant}}
 	seen := map[string]bool{baseVariant: true}
@@ -52,51 +52,51 @@
 	return variants, nil
 }
 
-// checkOut clones the repository's commit into a folder and applies the variant's patch. The
-// folder is removed again if that fails.
-func (version variant) checkOut(ctx context.Context, repository, folder string) (err error) {
-	if err := os.RemoveAll(folder); err != nil {
+// checkOut clones the repository's commit into a directory and applies the variant's patch. It
+// removes the directory on failure.
+func (variant variant) checkOut(ctx context.Context, repository, dir string) (err error) {
+	if err := os.RemoveAll(dir); err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, os.RemoveAll(folder))
+			err = errors.Join(err, os.RemoveAll(dir))
 		}
 	}()
-	if output, err := exec.CommandContext(ctx, "git", "clone", "--quiet", "--shared", repository, folder).CombinedOutput(); err != nil {
+	if output, err := exec.CommandContext(ctx, "git", "clone", "--quiet", "--shared", repository, dir).CombinedOutput(); err != nil {
 		return fmt.Errorf("cloning %s: %w: %s", repository, err, output)
 	}
-	if version.patch == "" {
+	if variant.patch == "" {
 		return nil
 	}
-	patch, err := filepath.Abs(version.patch)
+	patch, err := filepath.Abs(variant.patch)
 	if err != nil {
 		return err
 	}
 	apply := exec.CommandContext(ctx, "git", "apply", "--whitespace=nowarn", patch)
-	apply.Dir = folder
+	apply.Dir = dir
 	if output, err := apply.CombinedOutput(); err != nil {
-		return &patchError{variant: version, output: strings.TrimSpace(string(output))}
+		return &patchError{variant: variant, output: strings.TrimSpace(string(output))}
 	}
 	return nil
 }
 
-// journalFolder is where the bench keeps the journal of a repository.
-const journalFolder = "journal"
+// journalDir is the bench's journal directory within a repository.
+const journalDir = "journal"
 
-// keepJournal copies the entries that the bench made in a clone to the repository's journal, so
-// that also those of variants which are not taken over are kept. Entries that are there stay.
-func keepJournal(clone, repository string) error {
-	from := filepath.Join(clone, journalFolder)
-	return filepath.WalkDir(from, func(path string, item os.DirEntry, err error) error {
-		if err != nil || item.IsDir() {
+// copyJournal copies the journal entries of a clone to the repository's journal, so that those of
+// rejected variants are kept too. It does not overwrite existing entries.
+func copyJournal(clone, repository string) error {
+	from := filepath.Join(clone, journalDir)
+	return filepath.WalkDir(from, func(path string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
 			return err
 		}
 		relative, err := filepath.Rel(from, path)
 		if err != nil {
 			return err
 		}
-		target := filepath.Join(repository, journalFolder, relative)
+		target := filepath.Join(repository, journalDir, relative)
 		if _, err := os.Stat(target); err == nil {
 			return nil
 		}
