--- a/proof/modelcheck/action.go
+++ b/proof/modelcheck/action.go
@@ -2,69 +2,69 @@
 
 import "fmt"
 
-// ActionKind selects what happens next in a World.
+// ActionKind is the kind of one step of a World.
 type ActionKind uint8
 
 const (
-	// ActionDeliver hands a message in flight to its receiver.
+	// ActionDeliver delivers a message in flight to its receiver.
 	ActionDeliver ActionKind = iota
-	// ActionDuplicate delivers a message and leaves a copy of it in flight.
+	// ActionDuplicate delivers a message and keeps a copy of it in flight.
 	ActionDuplicate
-	// ActionDrop loses a message in flight.
+	// ActionDrop removes a message in flight without delivering it.
 	ActionDrop
-	// ActionSync lets the oldest pending write of a replica reach its disk, and returns it.
+	// ActionSync makes the oldest pending write of a replica durable and reports it to the core.
 	ActionSync
-	// ActionTick lets one tick go by at one replica.
+	// ActionTick advances the logical clock of one replica by one tick.
 	ActionTick
 	// ActionPropose asks a replica to append a command.
 	ActionPropose
 	// ActionRead asks a replica for a read index.
 	ActionRead
-	// ActionCrash restarts a replica from its disk; the first Count pending writes
-	// reached the disk, the others are lost.
+	// ActionCrash restarts a replica from its disk. The first Count pending writes are
+	// durable, the others are lost.
 	ActionCrash
-	// ActionWipe takes a replica away for good and starts an empty one under a new name.
+	// ActionWipe removes a replica permanently and starts an empty one under a new name.
 	ActionWipe
-	// ActionCompact replaces a replica's applied log by a snapshot.
+	// ActionCompact replaces the applied part of a replica's log with a snapshot.
 	ActionCompact
-	// ActionTransferLeadership asks a leader to give leadership to Peer.
+	// ActionTransferLeadership asks a leader to transfer leadership to Peer.
 	ActionTransferLeadership
-	// ActionChange asks a leader for the membership change Change of Peer.
+	// ActionChange asks a leader to apply the membership change Change to Peer.
 	ActionChange
-	// ActionSuspect tells a replica that the connection from its leader has ended.
+	// ActionSuspect tells a replica that the connection from its leader was closed.
 	ActionSuspect
 
-	actionKinds
+	actionKindCount
 )
 
-var actionNames = [actionKinds]string{
+var actionNames = [actionKindCount]string{
 	"deliver", "duplicate", "drop", "sync", "tick", "propose", "read",
 	"crash", "wipe", "compact", "hand-over", "change", "suspect",
 }
 
-// String returns the name that reports use.
+// String returns the name used in reports.
 func (kind ActionKind) String() string { return actionNames[kind] }
 
-// ChangeKind is one way to change a group's membership.
+// ChangeKind is a kind of membership change.
 type ChangeKind uint8
 
 const (
-	// ChangeAddLearner adds an outsider that does not vote yet.
+	// ChangeAddLearner adds a non-member as a learner, which does not vote.
 	ChangeAddLearner ChangeKind = iota
-	// ChangeAddVoter adds an outsider or a learner as a voter.
+	// ChangeAddVoter adds a non-member or promotes a learner to voter.
 	ChangeAddVoter
-	// ChangeRemove takes a voter away.
+	// ChangeRemove removes a voter.
 	ChangeRemove
-	// ChangeSwap asks for what the core must refuse: one voter leaves and another joins
-	// in a single step.
-	ChangeSwap
-	// ChangeNameTwice asks for what the core must refuse, too: a voter that is named twice.
-	ChangeNameTwice
+	// ChangeReplaceVoter removes one voter and adds another in a single change. The core
+	// must reject it.
+	ChangeReplaceVoter
+	// ChangeDuplicateVoter lists a voter twice. The core must reject it.
+	ChangeDuplicateVoter
 )
 
-var changeNames = []string{"add learner", "add voter", "remove", "swap in", "name twice"}
+var changeDescriptions = []string{"add learner", "add voter", "remove voter", "replace a voter with", "add duplicate voter"}
 
-// Action is one step of a World. Two actions are equal if they do the same.
+// Action is one step of a World. Two equal actions have the same effect.
 type Action struct {
 	Kind    ActionKind
 	Replica string
@@ -74,7 +74,7 @@
 	Count   int
 }
 
-// describe returns an action in one line; the message is the one that it delivers, if any.
+// describe returns a one-line description of an action, including the message it concerns.
 func (action Action) describe(world *World) string {
 	switch action.Kind {
 	case ActionDeliver, ActionDuplicate, ActionDrop:
@@ -86,7 +86,7 @@
 	case ActionCrash:
 		return fmt.Sprintf("crash %s after %d of its %d pending writes", action.Replica, action.Count, len(world.replica(action.Replica).pending))
 	case ActionChange:
-		return fmt.Sprintf("change at %s: %s %s", action.Replica, changeNames[action.Change], action.Peer)
+		return fmt.Sprintf("change at %s: %s %s", action.Replica, changeDescriptions[action.Change], action.Peer)
 	case ActionTransferLeadership, ActionSuspect:
 		return fmt.Sprintf("%s at %s: %s", action.Kind, action.Replica, action.Peer)
 	}
--- a/proof/modelcheck/counts.go
+++ b/proof/modelcheck/counts.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// OutcomeCounts is Outcomes as a report shows it.
+// OutcomeCounts is the JSON form of Outcomes in a report.
 type OutcomeCounts struct {
 	Elections      uint64 `json:"elections"`
 	Commits        uint64 `json:"commits"`
--- a/proof/modelcheck/enabled.go
+++ b/proof/modelcheck/enabled.go
@@ -2,36 +2,36 @@
 
 import "slices"
 
-// Limits bound how often each kind of action may happen in one run; a kind that is not
-// named never happens. Deliveries and syncs are not limited.
+// Limits bounds how often each kind of action may occur in one run. A kind that is not
+// listed never occurs. Deliveries and syncs are not limited.
 type Limits map[ActionKind]uint16
 
-// enabled lists the actions that are possible and within the limits, in a fixed order.
+// enabled returns the actions that are possible and within the limits, in a fixed order.
 func (world *World) enabled(limits Limits) []Action {
 	found := make([]Action, 0, 16)
-	found = world.addMessages(found, limits)
-	for _, one := range world.replicas {
-		if !one.wiped {
-			found = world.addLocal(found, limits, one)
-			found = world.addLeader(found, limits, one)
+	found = world.appendMessageActions(found, limits)
+	for _, r := range world.replicas {
+		if !r.wiped {
+			found = world.appendReplicaActions(found, limits, r)
+			found = world.appendLeaderActions(found, limits, r)
 		}
 	}
 	return found
 }
 
-func (world *World) allowed(limits Limits, kind ActionKind) bool {
-	return world.spent[kind] < limits[kind]
+func (world *World) withinLimit(limits Limits, kind ActionKind) bool {
+	return world.performed[kind] < limits[kind]
 }
 
-func (world *World) addMessages(found []Action, limits Limits) []Action {
-	for position, sent := range world.inFlight {
-		if position > 0 && world.inFlight[position-1].key == sent.key {
-			continue // it is a copy of the one before it
+func (world *World) appendMessageActions(found []Action, limits Limits) []Action {
+	for i, p := range world.inFlight {
+		if i > 0 && world.inFlight[i-1].key == p.key {
+			continue // duplicate of the previous message
 		}
-		action := Action{Kind: ActionDeliver, Replica: sent.message.To, Message: sent.key}
+		action := Action{Kind: ActionDeliver, Replica: p.message.To, Message: p.key}
 		found = append(found, action)
 		for _, kind := range []ActionKind{ActionDuplicate, ActionDrop} {
-			if world.allowed(limits, kind) {
+			if world.withinLimit(limits, kind) {
 				action.Kind = kind
 				found = append(found, action)
 			}
@@ -40,56 +40,56 @@
 	return found
 }
 
-// addLocal adds what may happen at any replica.
-func (world *World) addLocal(found []Action, limits Limits, one *replica) []Action {
-	if len(one.pending) > 0 {
-		found = append(found, Action{Kind: ActionSync, Replica: one.name})
+// appendReplicaActions appends the enabled actions that do not depend on a replica's role.
+func (world *World) appendReplicaActions(found []Action, limits Limits, r *replica) []Action {
+	if len(r.pending) > 0 {
+		found = append(found, Action{Kind: ActionSync, Replica: r.name})
 	}
-	if world.allowed(limits, ActionTick) {
-		found = append(found, Action{Kind: ActionTick, Replica: one.name})
+	if world.withinLimit(limits, ActionTick) {
+		found = append(found, Action{Kind: ActionTick, Replica: r.name})
 	}
-	if world.allowed(limits, ActionCrash) {
-		for stored := range len(one.pending) + 1 {
-			found = append(found, Action{Kind: ActionCrash, Replica: one.name, Count: stored})
+	if world.withinLimit(limits, ActionCrash) {
+		for synced := range len(r.pending) + 1 {
+			found = append(found, Action{Kind: ActionCrash, Replica: r.name, Count: synced})
 		}
 	}
-	if world.allowed(limits, ActionWipe) && one.disk.Snapshot.Index > 0 {
-		found = append(found, Action{Kind: ActionWipe, Replica: one.name})
+	if world.withinLimit(limits, ActionWipe) && r.disk.Snapshot.Index > 0 {
+		found = append(found, Action{Kind: ActionWipe, Replica: r.name})
 	}
-	if world.allowed(limits, ActionCompact) && one.core.EntriesSinceSnapshot() > 0 {
-		found = append(found, Action{Kind: ActionCompact, Replica: one.name})
+	if world.withinLimit(limits, ActionCompact) && r.core.EntriesSinceSnapshot() > 0 {
+		found = append(found, Action{Kind: ActionCompact, Replica: r.name})
 	}
-	if leader := one.status.Leader; world.allowed(limits, ActionSuspect) && leader != "" && leader != one.name {
-		found = append(found, Action{Kind: ActionSuspect, Replica: one.name, Peer: leader})
+	if leader := r.status.Leader; world.withinLimit(limits, ActionSuspect) && leader != "" && leader != r.name {
+		found = append(found, Action{Kind: ActionSuspect, Replica: r.name, Peer: leader})
 	}
 	return found
 }
 
-// addLeader adds what only a leader takes on.
-func (world *World) addLeader(found []Action, limits Limits, one *replica) []Action {
-	if !one.status.Leading {
+// appendLeaderActions appends the enabled actions that only a leader accepts.
+func (world *World) appendLeaderActions(found []Action, limits Limits, r *replica) []Action {
+	if !r.status.Leading {
 		return found
 	}
-	if world.allowed(limits, ActionPropose) {
-		found = append(found, Action{Kind: ActionPropose, Replica: one.name})
+	if world.withinLimit(limits, ActionPropose) {
+		found = append(found, Action{Kind: ActionPropose, Replica: r.name})
 	}
-	if world.allowed(limits, ActionRead) {
-		found = append(found, Action{Kind: ActionRead, Replica: one.name})
+	if world.withinLimit(limits, ActionRead) {
+		found = append(found, Action{Kind: ActionRead, Replica: r.name})
 	}
-	if world.allowed(limits, ActionTransferLeadership) {
-		for _, peer := range one.status.Membership.Voters {
-			if peer != one.name {
-				found = append(found, Action{Kind: ActionTransferLeadership, Replica: one.name, Peer: peer})
+	if world.withinLimit(limits, ActionTransferLeadership) {
+		for _, peer := range r.status.Membership.Voters {
+			if peer != r.name {
+				found = append(found, Action{Kind: ActionTransferLeadership, Replica: r.name, Peer: peer})
 			}
 		}
 	}
-	if world.allowed(limits, ActionChange) {
-		found = world.addChanges(found, one)
+	if world.withinLimit(limits, ActionChange) {
+		found = world.appendMembershipChanges(found, r)
 	}
 	return found
 }
 
-func (world *World) addChanges(found []Action, leader *replica) []Action {
+func (world *World) appendMembershipChanges(found []Action, leader *replica) []Action {
 	members := leader.status.Membership
 	for _, peer := range world.replicas {
 		action := Action{Kind: ActionChange, Replica: leader.name, Peer: peer.name}
@@ -97,14 +97,14 @@
 		kinds := []ChangeKind{}
 		switch {
 		case isVoter && len(members.Voters) > 1:
-			kinds = []ChangeKind{ChangeRemove, ChangeNameTwice}
+			kinds = []ChangeKind{ChangeRemove, ChangeDuplicateVoter}
 		case isVoter:
-			kinds = []ChangeKind{ChangeNameTwice}
+			kinds = []ChangeKind{ChangeDuplicateVoter}
 		case peer.wiped:
 		case slices.Contains(members.Learners, peer.name):
-			kinds = []ChangeKind{ChangeAddVoter, ChangeSwap}
+			kinds = []ChangeKind{ChangeAddVoter, ChangeReplaceVoter}
 		default:
-			kinds = []ChangeKind{ChangeAddLearner, ChangeAddVoter, ChangeSwap}
+			kinds = []ChangeKind{ChangeAddLearner, ChangeAddVoter, ChangeReplaceVoter}
 		}
 		for _, kind := range kinds {
 			action.Change = kind
--- a/proof/modelcheck/explore.go
+++ b/proof/modelcheck/explore.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Scenario is where an exhaustive search begins and how far it may go.
+// Scenario is the initial state and the limits of an exhaustive search.
 type Scenario struct {
 	Name string
-	// Purpose tells what the scenario is there to find.
+	// Purpose describes the situation that the scenario covers.
 	Purpose string
 	Model   Model
 	Limits  Limits
-	// Depth is how many actions the search of a test goes, which may take a second.
+	// Depth is the search depth used by the package's tests.
 	Depth int
-	// Prepare brings a founded group to where the search begins.
+	// Prepare brings a new group to the initial state of the search.
 	Prepare func(*Script)
 }
 
-// Budget bounds a search.
+// Budget limits a search.
 type Budget struct {
-	// Depth is the greatest number of actions after the preparation.
+	// Depth is the maximum number of actions after the preparation.
 	Depth int
-	// States ends the search before it holds more.
+	// States is the maximum number of states held in memory.
 	States int
-	// Time ends the search when it is over.
+	// Time is the time limit of the search.
 	Time time.Duration
-	// Workers is how many goroutines search.
+	// Workers is the number of goroutines.
 	Workers int
 }
 
-// Exploration tells what an exhaustive search went through.
+// Exploration is the result of an exhaustive search.
 type Exploration struct {
 	Scenario string `json:"scenario"`
 	Purpose  string `json:"purpose"`
-	// Depth is how many actions every run was followed for, in every order.
+	// Depth is the number of actions up to which the search is complete.
 	Depth int `json:"depth"`
-	// Exhausted reports that no new state was left: a greater depth would find none.
+	// Exhausted reports that a greater depth would reach no new states.
 	Exhausted   bool              `json:"exhausted"`
 	States      int               `json:"states"`
 	Transitions uint64            `json:"transitions"`
@@ -47,24 +47,24 @@
 	Violation   *Violation        `json:"violation,omitempty"`
 }
 
-// node is a state that was found, as the way to it: the state before, and which of the
-// actions that were possible there came next.
+// node is a visited state, stored as its parent node and the index of the action taken
+// among those enabled in the parent.
 type node struct {
-	before int32
-	chosen uint16
+	parent      int32
+	actionIndex uint16
 }
 
-const noNode = -1
+const noParent = -1
 
-// explorer holds one exhaustive search, level by level.
+// explorer runs one exhaustive breadth-first search.
 type explorer struct {
-	scenario Scenario
-	budget   Budget
-	prepared *World
-	prefix   []string
-	nodes    []node
-	visited  visitedSet
-	deadline time.Time
+	scenario   Scenario
+	budget     Budget
+	initial    *World
+	setupTrace []string
+	nodes      []node
+	visited    visitedSet
+	deadline   time.Time
 
 	mutex       sync.Mutex
 	next        []node
@@ -74,21 +74,21 @@
 	stopped     bool
 }
 
-// Explore visits every state of a scenario up to the budget's depth, the nearest first,
-// and stops at the first violation: its trace is a shortest one.
+// Explore visits every state of a scenario up to the budget's depth in breadth-first
+// order. It stops at the first violation, so the trace has the minimal number of actions.
 func Explore(scenario Scenario, budget Budget) Exploration {
-	began := time.Now()
+	start := time.Now()
 	scenario.Model.Replayable = true
 	script := newScript(&scenario.Model)
 	if scenario.Prepare != nil {
 		scenario.Prepare(script)
 	}
-	search := &explorer{scenario: scenario, budget: budget, prepared: script.world, prefix: script.lines, deadline: began.Add(budget.Time)}
-	search.prepared.spent = [actionKinds]uint16{}
+	search := &explorer{scenario: scenario, budget: budget, initial: script.world, setupTrace: script.lines, deadline: start.Add(budget.Time)}
+	search.initial.performed = [actionKindCount]uint16{}
 	result := Exploration{Scenario: scenario.Name, Purpose: scenario.Purpose}
-	if broken := script.world.violation; broken != nil {
-		broken.Trace = script.lines
-		search.violation = broken
+	if violation := script.world.violation; violation != nil {
+		violation.Trace = script.lines
+		search.violation = violation
 	} else {
 		result.Depth, result.Exhausted = search.run()
 	}
@@ -97,18 +97,18 @@
 	result.Actions = search.outcomes.actionCounts()
 	result.Outcomes = search.outcomes.counts()
 	result.Violation = search.violation
-	result.Seconds = time.Since(began).Seconds()
+	result.Seconds = time.Since(start).Seconds()
 	return result
 }
 
-// run goes on level by level and tells the depth of the last whole one.
+// run expands level by level and returns the depth of the last complete level.
 func (search *explorer) run() (depth int, exhausted bool) {
-	search.visited.add(search.prepared.fingerprint())
-	search.nodes = []node{{before: noNode}}
-	level := 0 // where the newest level begins
+	search.visited.add(search.initial.fingerprint())
+	search.nodes = []node{{parent: noParent}}
+	levelStart := 0 // index of the first node of the newest level
 	for depth < search.budget.Depth {
 		end := len(search.nodes)
-		search.expandLevel(level, end)
+		search.expandLevel(levelStart, end)
 		if search.violation != nil || search.stopped {
 			return depth, false
 		}
@@ -118,17 +118,17 @@
 		}
 		search.nodes = append(search.nodes, search.next...)
 		search.next = nil
-		level = end
+		levelStart = end
 	}
 	return depth, false
 }
 
-// expandLevel finds all states that are one action after the nodes from begin to end.
+// expandLevel expands the nodes in [begin, end).
 func (search *explorer) expandLevel(begin, end int) {
-	const share = 16 // nodes that a worker takes at a time
-	var working sync.WaitGroup
+	const batchSize = 16 // nodes that a worker claims at a time
+	var workers sync.WaitGroup
 	next := begin
-	take := func() (from, to int) {
+	nextBatch := func() (from, to int) {
 		search.mutex.Lock()
 		defer search.mutex.Unlock()
 		full := len(search.nodes)+len(search.next) >= search.budget.States
@@ -137,28 +137,28 @@
 			return end, end
 		}
 		from = next
-		next = min(next+share, end)
+		next = min(next+batchSize, end)
 		return from, next
 	}
 	for range max(search.budget.Workers, 1) {
-		working.Go(func() {
-			for from, to := take(); from < to; from, to = take() {
+		workers.Go(func() {
+			for from, to := nextBatch(); from < to; from, to = nextBatch() {
 				for position := from; position < to; position++ {
 					search.expand(int32(position))
 				}
 			}
 		})
 	}
-	working.Wait()
+	workers.Wait()
 }
 
-// expand finds the states that are one action after a node.
+// expand collects the unvisited successors of a node.
 func (search *explorer) expand(position int32) {
 	world, _ := search.rebuild(position, false)
 	found := []node{}
 	outcomes := Outcomes{}
 	transitions := uint64(0)
-	for chosen, action := range world.enabled(search.scenario.Limits) {
+	for i, action := range world.enabled(search.scenario.Limits) {
 		after := world.fork()
 		after.Apply(action)
 		outcomes.add(after.outcomes)
@@ -167,8 +167,8 @@
 			search.report(position, action, after.violation)
 			return
 		}
-		if chosen <= math.MaxUint16 && search.visited.add(after.fingerprint()) {
-			found = append(found, node{before: position, chosen: uint16(chosen)})
+		if i <= math.MaxUint16 && search.visited.add(after.fingerprint()) {
+			found = append(found, node{parent: position, actionIndex: uint16(i)})
 		}
 	}
 	search.mutex.Lock()
@@ -178,17 +178,18 @@
 	search.transitions += transitions
 }
 
-// rebuild replays the way to a node; with tell it describes the actions, too.
-func (search *explorer) rebuild(position int32, tell bool) (*World, []string) {
-	way := []uint16{}
-	for at := position; search.nodes[at].before != noNode; at = search.nodes[at].before {
-		way = append(way, search.nodes[at].chosen)
+// rebuild replays the path to a node and returns its state. If describe is set, it also
+// returns descriptions of the actions.
+func (search *explorer) rebuild(target int32, describe bool) (*World, []string) {
+	path := []uint16{}
+	for at := target; search.nodes[at].parent != noParent; at = search.nodes[at].parent {
+		path = append(path, search.nodes[at].actionIndex)
 	}
-	world := search.prepared.fork()
+	world := search.initial.fork()
 	lines := []string{}
-	for step := len(way) - 1; step >= 0; step-- {
-		action := world.enabled(search.scenario.Limits)[way[step]]
-		if tell {
+	for step := len(path) - 1; step >= 0; step-- {
+		action := world.enabled(search.scenario.Limits)[path[step]]
+		if describe {
 			lines = append(lines, action.describe(world))
 		}
 		world.Apply(action)
@@ -196,35 +197,35 @@
 	return world, lines
 }
 
-func (search *explorer) report(position int32, last Action, broken *Violation) {
+func (search *explorer) report(position int32, last Action, violation *Violation) {
 	world, lines := search.rebuild(position, true)
 	search.mutex.Lock()
 	defer search.mutex.Unlock()
 	if search.violation == nil {
-		broken.Trace = append(append(append([]string{}, search.prefix...), lines...), last.describe(world))
-		search.violation = broken
+		violation.Trace = append(append(append([]string{}, search.setupTrace...), lines...), last.describe(world))
+		search.violation = violation
 	}
 }
 
-// visitedSet holds the states that were found. It is safe for concurrent use.
+// visitedSet is the set of visited states. It is safe for concurrent use.
 type visitedSet struct {
-	parts [64]struct {
+	shards [64]struct {
 		mutex sync.Mutex
-		known map[fingerprint]struct{}
+		seen  map[fingerprint]struct{}
 	}
 }
 
-// add reports whether a state is new.
+// add inserts a state and reports whether it was new.
 func (set *visitedSet) add(state fingerprint) bool {
-	part := &set.parts[state[0]%64]
-	part.mutex.Lock()
-	defer part.mutex.Unlock()
-	if part.known == nil {
-		part.known = map[fingerprint]struct{}{}
+	shard := &set.shards[state[0]%64]
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
+	if shard.seen == nil {
+		shard.seen = map[fingerprint]struct{}{}
 	}
-	if _, known := part.known[state]; known {
+	if _, known := shard.seen[state]; known {
 		return false
 	}
-	part.known[state] = struct{}{}
+	shard.seen[state] = struct{}{}
 	return true
 }
--- a/proof/modelcheck/fingerprint.go
+++ b/proof/modelcheck/fingerprint.go
@@ -12,28 +12,29 @@
 	"yardrock.example/system/raft"
 )
 
-// fingerprint is a hash that is long enough that no two states of one search share it.
+// fingerprint is a hash long enough that collisions within one search are negligible.
 type fingerprint [16]byte
 
-// distinctBytes is how much of a command or image tells it from all others of its length.
-const distinctBytes = 64
+// hashedBytes is the length of the prefix of a command or snapshot that is hashed. It must
+// distinguish all values of equal length.
+const hashedBytes = 64
 
-// encodingSkips are types that are no part of a replica's state: its settings, the
-// generator of its election timeouts, and what the last step returned.
-var encodingSkips = map[reflect.Type]bool{
+// excludedTypes are types that are not part of a replica's state: the settings, the random
+// generator for election timeouts and the output of the last step.
+var excludedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[raft.Settings](): true,
 	reflect.TypeFor[*rand.Rand]():    true,
 	reflect.TypeFor[raft.Output]():   true,
 }
 
-// encode adds a canonical form of any value, unexported fields included: equal values
-// give equal bytes, and nil is as good as empty. It follows the types, so a field that
-// the core gains later is part of the state without a change here.
+// encode appends a canonical encoding of a value, including unexported fields: equal values
+// have equal encodings, and nil slices and maps are encoded as empty ones. It uses
+// reflection so that fields added to the core become part of the state automatically.
 //
 //revive:disable-next-line:cyclomatic one case for each kind of value
 func encode(buffer []byte, value reflect.Value) []byte {
 	kind := value.Kind()
-	if (kind == reflect.Struct || kind == reflect.Pointer) && encodingSkips[value.Type()] {
+	if (kind == reflect.Struct || kind == reflect.Pointer) && excludedTypes[value.Type()] {
 		return buffer
 	}
 	switch kind {
@@ -52,7 +53,7 @@
 	case reflect.Slice, reflect.Array:
 		buffer = binary.AppendUvarint(buffer, uint64(value.Len()))
 		if kind == reflect.Slice && value.Type().Elem().Kind() == reflect.Uint8 {
-			return append(buffer, value.Bytes()[:min(value.Len(), distinctBytes)]...)
+			return append(buffer, value.Bytes()[:min(value.Len(), hashedBytes)]...)
 		}
 		for position := range value.Len() {
 			buffer = encode(buffer, value.Index(position))
@@ -73,13 +74,13 @@
 	case reflect.Func:
 		return buffer
 	}
-	panic(fmt.Sprintf("a state holds a %s, which has no canonical form", value.Type()))
+	panic(fmt.Sprintf("type %s has no canonical encoding", value.Type()))
 }
 
 func encodeMap(buffer []byte, value reflect.Value) []byte {
 	pairs := make([][]byte, 0, value.Len())
-	for each := value.MapRange(); each.Next(); {
-		pairs = append(pairs, encode(encode(nil, each.Key()), each.Value()))
+	for entries := value.MapRange(); entries.Next(); {
+		pairs = append(pairs, encode(encode(nil, entries.Key()), entries.Value()))
 	}
 	slices.SortFunc(pairs, bytes.Compare)
 	buffer = binary.AppendUvarint(buffer, uint64(len(pairs)))
@@ -99,37 +100,37 @@
 	return messageKey(binary.BigEndian.Uint64(sum[:]))
 }
 
-// fingerprint hashes all that the future of a replica depends on.
-func (replica *replica) fingerprint() fingerprint {
-	if replica.hashed {
-		return replica.hash
+// fingerprint hashes the parts of a replica that determine its future behavior.
+func (r *replica) fingerprint() fingerprint {
+	if r.fingerprintCached {
+		return r.cachedFingerprint
 	}
 	buffer := make([]byte, 0, 1024)
-	buffer = append(buffer, replica.name...)
-	buffer = encode(buffer, reflect.ValueOf(replica.wiped))
-	buffer = encode(buffer, reflect.ValueOf(&replica.disk).Elem())
-	if !replica.wiped {
-		buffer = encode(buffer, reflect.ValueOf(replica.core).Elem())
-		buffer = encode(buffer, reflect.ValueOf(replica.pending))
+	buffer = append(buffer, r.name...)
+	buffer = encode(buffer, reflect.ValueOf(r.wiped))
+	buffer = encode(buffer, reflect.ValueOf(&r.disk).Elem())
+	if !r.wiped {
+		buffer = encode(buffer, reflect.ValueOf(r.core).Elem())
+		buffer = encode(buffer, reflect.ValueOf(r.pending))
 	}
-	replica.hash = hash(buffer)
-	replica.hashed = true
-	return replica.hash
+	r.cachedFingerprint = hash(buffer)
+	r.fingerprintCached = true
+	return r.cachedFingerprint
 }
 
-// fingerprint hashes a whole world, with its history and what it has spent of its limits.
+// fingerprint hashes the complete state, including the history and the action counts.
 func (world *World) fingerprint() fingerprint {
 	buffer := make([]byte, 0, 1024)
-	for _, replica := range world.replicas {
-		sum := replica.fingerprint()
+	for _, r := range world.replicas {
+		sum := r.fingerprint()
 		buffer = append(buffer, sum[:]...)
 	}
-	for _, packet := range world.inFlight {
-		buffer = binary.BigEndian.AppendUint64(buffer, uint64(packet.key))
+	for _, p := range world.inFlight {
+		buffer = binary.BigEndian.AppendUint64(buffer, uint64(p.key))
 	}
 	buffer = encode(buffer, reflect.ValueOf(&world.history).Elem())
-	for _, spent := range world.spent {
-		buffer = binary.AppendUvarint(buffer, uint64(spent))
+	for _, count := range world.performed {
+		buffer = binary.AppendUvarint(buffer, uint64(count))
 	}
 	return hash(buffer)
 }
--- a/proof/modelcheck/history.go
+++ b/proof/modelcheck/history.go
@@ -7,114 +7,117 @@
 	"yardrock.example/system/raft"
 )
 
-// history is what happened so far, as far as the invariants speak of it. No replica
-// sees it.
+// history records the past events that the invariants refer to. Replicas have no access
+// to it.
 type history struct {
-	founding     raft.Membership
-	leaders      []leadership
-	committed    []commitment  // of the indices from foundingIndex+1 on
-	reads        []pendingRead // that are not answered yet
-	commands     uint64
-	readsStarted uint64
+	initialMembership raft.Membership
+	leaders           []leadership
+	committed         []committedEntry // starting at initialIndex+1
+	reads             []pendingRead    // not answered yet
+	commands          uint64
+	readsStarted      uint64
 }
 
-// leadership tells who led in a term.
+// leadership is the leader of a term.
 type leadership struct {
 	term uint64
 	name string
 }
 
-// commitment is an entry that is committed, and the term of the leader that counted it.
-type commitment struct {
+// committedEntry is a committed entry and the term of the leader that committed it.
+type committedEntry struct {
 	entry raft.Entry
 	term  uint64
 }
 
-// pendingRead is a read that was asked for while everything up to committed was committed.
+// pendingRead is an unanswered read; committed is the highest index that was committed
+// when it was requested.
 type pendingRead struct {
 	context   uint64
 	committed uint64
 }
 
-func (history *history) found(replicas raft.Membership) { history.founding = replicas }
+func (h *history) setInitialMembership(membership raft.Membership) {
+	h.initialMembership = membership
+}
 
-func (history *history) fork() history {
-	copied := *history
-	copied.leaders = slices.Clip(history.leaders)
-	copied.committed = slices.Clip(history.committed)
-	copied.reads = slices.Clone(history.reads)
+func (h *history) fork() history {
+	copied := *h
+	copied.leaders = slices.Clip(h.leaders)
+	copied.committed = slices.Clip(h.committed)
+	copied.reads = slices.Clone(h.reads)
 	return copied
 }
 
-// highest is the highest committed index.
-func (history *history) highest() uint64 { return foundingIndex + uint64(len(history.committed)) }
+// lastCommitted returns the highest committed index.
+func (h *history) lastCommitted() uint64 { return initialIndex + uint64(len(h.committed)) }
 
-// committedAt returns the entry that is committed at an index, if one is.
-func (history *history) committedAt(index uint64) (commitment, bool) {
-	if index <= foundingIndex || index > history.highest() {
-		return commitment{}, false
+// committedAt returns the entry committed at an index, if any.
+func (h *history) committedAt(index uint64) (committedEntry, bool) {
+	if index <= initialIndex || index > h.lastCommitted() {
+		return committedEntry{}, false
 	}
-	return history.committed[index-foundingIndex-1], true
+	return h.committed[index-initialIndex-1], true
 }
 
-// termAt returns the term of what is committed at an index.
-func (history *history) termAt(index uint64) (uint64, bool) {
-	if index == foundingIndex {
-		return foundingTerm, true
+// termAt returns the term of the entry committed at an index.
+func (h *history) termAt(index uint64) (uint64, bool) {
+	if index == initialIndex {
+		return initialTerm, true
 	}
-	found, known := history.committedAt(index)
-	return found.entry.Term, known
+	committed, ok := h.committedAt(index)
+	return committed.entry.Term, ok
 }
 
-// replicasAt returns the membership as of a committed index.
-func (history *history) replicasAt(index uint64) raft.Membership {
-	for ; index > foundingIndex; index-- {
-		found, known := history.committedAt(index)
-		if known && found.entry.Kind == raft.EntryMembership {
-			return found.entry.Membership
+// membershipAt returns the membership in effect at a committed index.
+func (h *history) membershipAt(index uint64) raft.Membership {
+	for ; index > initialIndex; index-- {
+		committed, ok := h.committedAt(index)
+		if ok && committed.entry.Kind == raft.EntryMembership {
+			return committed.entry.Membership
 		}
 	}
-	return history.founding
+	return h.initialMembership
 }
 
-func (history *history) leader(term uint64) string {
-	for _, known := range history.leaders {
-		if known.term == term {
-			return known.name
+func (h *history) leaderOf(term uint64) string {
+	for _, l := range h.leaders {
+		if l.term == term {
+			return l.name
 		}
 	}
 	return ""
 }
 
-// nextCommand returns data that no other command has, of at least a number of bytes.
-func (history *history) nextCommand(size int) []byte {
-	history.commands++
-	data := fmt.Appendf(nil, "command %d", history.commands)
+// nextCommand returns unique command data of at least size bytes.
+func (h *history) nextCommand(size int) []byte {
+	h.commands++
+	data := fmt.Appendf(nil, "command %d", h.commands)
 	return append(data, make([]byte, max(0, size-len(data)))...)
 }
 
-// startRead notes a read, and gives its context.
-func (history *history) startRead() uint64 {
-	history.readsStarted++
-	history.reads = append(history.reads, pendingRead{context: history.readsStarted, committed: history.highest()})
-	return history.readsStarted
+// startRead records a read request and returns its context.
+func (h *history) startRead() uint64 {
+	h.readsStarted++
+	h.reads = append(h.reads, pendingRead{context: h.readsStarted, committed: h.lastCommitted()})
+	return h.readsStarted
 }
 
-// finishRead takes the read of a context off the list.
-func (history *history) finishRead(context uint64) (pendingRead, bool) {
-	at := slices.IndexFunc(history.reads, func(one pendingRead) bool { return one.context == context })
-	if at < 0 {
+// finishRead removes and returns the pending read with a context.
+func (h *history) finishRead(context uint64) (pendingRead, bool) {
+	i := slices.IndexFunc(h.reads, func(read pendingRead) bool { return read.context == context })
+	if i < 0 {
 		return pendingRead{}, false
 	}
-	found := history.reads[at]
-	history.reads = slices.Delete(history.reads, at, at+1)
+	found := h.reads[i]
+	h.reads = slices.Delete(h.reads, i, i+1)
 	return found, true
 }
 
-// Outcomes counts what the actions led to, so that a run in which nothing happened is
-// not taken for one that held.
+// Outcomes counts the actions of a run and their effects, so that a run without progress
+// is not mistaken for one that exercised the core.
 type Outcomes struct {
-	Actions        [actionKinds]uint64
+	Actions        [actionKindCount]uint64
 	Elections      uint64
 	Commits        uint64
 	ConfirmedReads uint64
@@ -122,13 +125,13 @@
 	Restores       uint64
 }
 
-func (outcomes *Outcomes) add(more *Outcomes) {
-	for kind, count := range more.Actions {
+func (outcomes *Outcomes) add(other *Outcomes) {
+	for kind, count := range other.Actions {
 		outcomes.Actions[kind] += count
 	}
-	outcomes.Elections += more.Elections
-	outcomes.Commits += more.Commits
-	outcomes.ConfirmedReads += more.ConfirmedReads
-	outcomes.Changes += more.Changes
-	outcomes.Restores += more.Restores
+	outcomes.Elections += other.Elections
+	outcomes.Commits += other.Commits
+	outcomes.ConfirmedReads += other.ConfirmedReads
+	outcomes.Changes += other.Changes
+	outcomes.Restores += other.Restores
 }
--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -21,10 +21,10 @@
 	// LeaderCompleteness is Leader Completeness (figure 3): a committed entry is in the log of
 	// every later leader.
 	LeaderCompleteness Invariant = "leader completeness"
-	// CommittedStays means that no log and no disk that has a committed entry ever loses it.
+	// CommittedStays means that no log and no disk loses a committed entry that it contains.
 	CommittedStays Invariant = "a committed entry is never replaced"
-	// CommittedOnMajority means that what a leader commits is on the disks of a majority of
-	// the voters.
+	// CommittedOnMajority means that an entry is on the disks of a majority of the voters
+	// when a leader commits it.
 	CommittedOnMajority Invariant = "a committed entry is on the disks of a majority"
 	// StateMachineSafety is State Machine Safety (figure 3): all replicas apply the same entry
 	// at an index, in order.
@@ -32,86 +32,87 @@
 	// ReadsAreLinearizable means that a confirmed read index covers everything that was
 	// committed when the read was requested (thesis, section 6.4).
 	ReadsAreLinearizable Invariant = "a confirmed read is fresh"
-	// PromisesArePersisted means that what a message promises (a vote, a term, an acknowledged
-	// append) is on disk before the message leaves.
+	// PromisesArePersisted means that the state a message depends on (a vote, a term, an
+	// acknowledged append) is on disk before the message is sent.
 	PromisesArePersisted Invariant = "a promise is on disk before it leaves"
 	// MajoritiesOverlap means that any majorities of two successive voter sets share a replica,
 	// and that no membership change is appended before the previous one is committed
 	// (thesis, section 4.1).
 	MajoritiesOverlap Invariant = "successive majorities overlap"
-	// Monotonicity means that terms, votes, commit indexes and snapshots never go back.
+	// Monotonicity means that terms, commit indexes and snapshot indexes never decrease, and
+	// that a vote does not change within a term.
 	Monotonicity Invariant = "nothing goes back"
 )
 
-// Violation is the first broken invariant of a run, and the actions that led there.
+// Violation is the first invariant violation of a run and the actions that led to it.
 type Violation struct {
 	Invariant Invariant `json:"invariant"`
 	Detail    string    `json:"detail"`
 	Trace     []string  `json:"trace"`
 }
 
-// observed is what the checks compare a replica's next state with.
-type observed struct {
+// coreView is the state of a replica's core before a step, for comparison with the new state.
+type coreView struct {
 	status raft.Status
-	stored raft.PersistentState
+	state  raft.PersistentState
 }
 
-func (world *World) violate(broken Invariant, format string, arguments ...any) {
+func (world *World) violate(invariant Invariant, format string, args ...any) {
 	if world.violation == nil {
-		world.violation = &Violation{Invariant: broken, Detail: fmt.Sprintf(format, arguments...)}
+		world.violation = &Violation{Invariant: invariant, Detail: fmt.Sprintf(format, args...)}
 	}
 }
 
-// checkStep checks all that a step of one replica can break.
-func (world *World) checkStep(stepped *replica, before observed, input raft.Input, output raft.Output) {
-	world.checkProgress(stepped, before)
+// checkStep checks all invariants that a step of one replica can violate.
+func (world *World) checkStep(stepped *replica, before coreView, input raft.Input, output raft.Output) {
+	world.checkMonotonicity(stepped, before)
 	world.checkApplied(stepped, before, output)
-	world.checkCommittedKept(stepped.name+"'s log", before.stored, stepped.stored)
-	world.checkSnapshot(stepped.name, stepped.stored.Snapshot)
-	world.checkLeader(stepped, before)
+	world.checkCommittedRetained(stepped.name+"'s log", before.state, stepped.state)
+	world.checkSnapshot(stepped.name, stepped.state.Snapshot)
+	world.checkNewLeader(stepped, before)
 	for _, other := range world.replicas {
 		if other != stepped {
 			world.checkLogsMatch(stepped, other)
 		}
 	}
-	world.checkVoters(stepped)
-	world.checkChange(stepped, before, input, output)
+	world.checkVoterSets(stepped)
+	world.checkMembershipChange(stepped, before, input, output)
 	for _, message := range output.Messages {
-		world.checkPersisted(stepped, message)
+		world.checkPersistedBeforeSend(stepped, message)
 	}
-	for _, answer := range output.ReadResults {
-		world.checkRead(stepped, answer)
+	for _, result := range output.ReadResults {
+		world.checkRead(stepped, result)
 	}
 }
 
-func (world *World) checkProgress(stepped *replica, before observed) {
+func (world *World) checkMonotonicity(stepped *replica, before coreView) {
 	now := stepped.status
 	if now.Term < before.status.Term || now.CommitIndex < before.status.CommitIndex {
 		world.violate(Monotonicity, "%s went from term %d commit %d to term %d commit %d", stepped.name,
 			before.status.Term, before.status.CommitIndex, now.Term, now.CommitIndex)
 	}
-	world.checkState(stepped.name, before.stored, stepped.stored)
+	world.checkStateMonotonicity(stepped.name, before.state, stepped.state)
 }
 
-// checkState looks at the term, vote and snapshot of a core or of a disk.
-func (world *World) checkState(name string, before, after raft.PersistentState) {
+// checkStateMonotonicity checks the term, vote and snapshot of a core or a disk.
+func (world *World) checkStateMonotonicity(name string, before, after raft.PersistentState) {
 	if after.HardState.Term < before.HardState.Term || after.Snapshot.Index < before.Snapshot.Index {
 		world.violate(Monotonicity, "%s went from term %d snapshot %d to term %d snapshot %d", name,
 			before.HardState.Term, before.Snapshot.Index, after.HardState.Term, after.Snapshot.Index)
 	}
 	if after.HardState.Term == before.HardState.Term && before.HardState.VotedFor != "" && after.HardState.VotedFor != before.HardState.VotedFor {
-		world.violate(Monotonicity, "%s voted for %s and then for %q in term %d", name, before.HardState.VotedFor, after.HardState.VotedFor, after.HardState.Term)
+		world.violate(Monotonicity, "%s voted for %s and later for %q in term %d", name, before.HardState.VotedFor, after.HardState.VotedFor, after.HardState.Term)
 	}
 }
 
-// checkDisk checks what a write did to a disk.
+// checkDisk checks a disk after a write.
 func (world *World) checkDisk(owner *replica, before raft.PersistentState) {
-	world.checkState(owner.name+"'s disk", before, owner.disk)
-	world.checkCommittedKept(owner.name+"'s disk", before, owner.disk)
+	world.checkStateMonotonicity(owner.name+"'s disk", before, owner.disk)
+	world.checkCommittedRetained(owner.name+"'s disk", before, owner.disk)
 }
 
 func (world *World) checkRestart(restarted *replica) {
-	world.checkSnapshot(restarted.name, restarted.stored.Snapshot)
+	world.checkSnapshot(restarted.name, restarted.state.Snapshot)
 	if restarted.status.Term != restarted.disk.HardState.Term {
 		world.violate(Monotonicity, "%s restarted in term %d with term %d on its disk", restarted.name, restarted.status.Term, restarted.disk.HardState.Term)
 	}
@@ -122,8 +123,8 @@
 	}
 }
 
-// checkApplied takes the entries that a step committed into the history.
-func (world *World) checkApplied(stepped *replica, before observed, output raft.Output) {
+// checkApplied checks the entries that a step applied and records newly committed ones in the history.
+func (world *World) checkApplied(stepped *replica, before coreView, output raft.Output) {
 	applied := before.status.CommitIndex
 	if output.Snapshot != nil {
 		world.outcomes.Restores++
@@ -132,44 +133,44 @@
 	}
 	for _, entry := range output.CommittedEntries {
 		if entry.Index != applied+1 {
-			world.violate(StateMachineSafety, "%s applied %d after %d", stepped.name, entry.Index, applied)
+			world.violate(StateMachineSafety, "%s applied index %d after %d", stepped.name, entry.Index, applied)
 		}
 		applied = entry.Index
 		world.checkCommitted(stepped, before, entry)
 	}
 	if applied != stepped.core.Applied() || applied != stepped.status.CommitIndex {
-		world.violate(StateMachineSafety, "%s gave entries up to %d for applying, tells %d and has committed %d", stepped.name,
+		world.violate(StateMachineSafety, "%s output entries up to index %d, but reports applied index %d and commit index %d", stepped.name,
 			applied, stepped.core.Applied(), stepped.status.CommitIndex)
 	}
 }
 
-func (world *World) checkRestore(stepped *replica, point raft.Snapshot) {
-	world.checkSnapshot(stepped.name, point)
-	if !world.model.isSnapshot(point.Data, point.Index) {
-		world.violate(StateMachineSafety, "%s restores %q at index %d", stepped.name, point.Data, point.Index)
+func (world *World) checkRestore(stepped *replica, snapshot raft.Snapshot) {
+	world.checkSnapshot(stepped.name, snapshot)
+	if !world.model.isSnapshotData(snapshot.Data, snapshot.Index) {
+		world.violate(StateMachineSafety, "%s restores snapshot data %q at index %d, which no replica created for that index", stepped.name, snapshot.Data, snapshot.Index)
 	}
 }
 
-func (world *World) checkCommitted(stepped *replica, before observed, entry raft.Entry) {
-	if entry.Index <= world.history.highest() {
-		known, _ := world.history.committedAt(entry.Index)
-		if !sameEntry(known.entry, entry) {
-			world.violate(StateMachineSafety, "%s applies %s where %s is committed", stepped.name, describeEntry(entry), describeEntry(known.entry))
+func (world *World) checkCommitted(stepped *replica, before coreView, entry raft.Entry) {
+	if entry.Index <= world.history.lastCommitted() {
+		committed, _ := world.history.committedAt(entry.Index)
+		if !sameEntry(committed.entry, entry) {
+			world.violate(StateMachineSafety, "%s applies %s, but %s is committed at that index", stepped.name, describeEntry(entry), describeEntry(committed.entry))
 		}
 		return
 	}
 	if !before.status.Leading {
-		world.violate(StateMachineSafety, "%s, which does not lead, applies %s before any leader has committed it", stepped.name, describeEntry(entry))
+		world.violate(StateMachineSafety, "%s, which is not the leader, applies %s before a leader has committed it", stepped.name, describeEntry(entry))
 	}
 	world.outcomes.Commits++
 	if entry.Kind == raft.EntryMembership {
 		world.outcomes.Changes++
 	}
-	world.history.committed = append(world.history.committed, commitment{entry: entry, term: before.status.Term})
+	world.history.committed = append(world.history.committed, committedEntry{entry: entry, term: before.status.Term})
 	world.checkMajority(stepped, entry)
 }
 
-// checkMajority wants a newly committed entry on the disks of a majority.
+// checkMajority checks that a newly committed entry is on the disks of a majority of the voters.
 func (world *World) checkMajority(leader *replica, entry raft.Entry) {
 	voters := leader.status.Membership.Voters
 	holders := []string{}
@@ -179,190 +180,192 @@
 		}
 	}
 	if len(holders) <= len(voters)/2 {
-		world.violate(CommittedOnMajority, "%s commits %s, which is on the disks of %v, of the voters %v", leader.name, describeEntry(entry), holders, voters)
+		world.violate(CommittedOnMajority, "%s commits %s, which is on the disks of only %v of the voters %v", leader.name, describeEntry(entry), holders, voters)
 	}
 }
 
-// checkCommittedKept wants every committed entry that was there before a step to be there after it.
-func (world *World) checkCommittedKept(where string, before, after raft.PersistentState) {
-	for _, known := range world.history.committed {
-		if containsEntry(before, known.entry) && !containsEntry(after, known.entry) {
-			world.violate(CommittedStays, "%s loses %s, which is committed", where, describeEntry(known.entry))
+// checkCommittedRetained checks that a step or write removed no committed entry.
+func (world *World) checkCommittedRetained(name string, before, after raft.PersistentState) {
+	for _, committed := range world.history.committed {
+		if containsEntry(before, committed.entry) && !containsEntry(after, committed.entry) {
+			world.violate(CommittedStays, "%s lost the committed entry %s", name, describeEntry(committed.entry))
 		}
 	}
 }
 
-func (world *World) checkSnapshot(name string, point raft.Snapshot) {
-	if point.Index == 0 {
+func (world *World) checkSnapshot(name string, snapshot raft.Snapshot) {
+	if snapshot.Index == 0 {
 		return
 	}
-	term, committed := world.history.termAt(point.Index)
-	if !committed || term != point.Term {
-		world.violate(StateMachineSafety, "%s has a snapshot at %d of term %d, where term %d is committed", name, point.Index, point.Term, term)
+	term, ok := world.history.termAt(snapshot.Index)
+	if !ok || term != snapshot.Term {
+		world.violate(StateMachineSafety, "%s has a snapshot at index %d with term %d, but the committed term is %d", name, snapshot.Index, snapshot.Term, term)
 		return
 	}
-	if want := world.history.replicasAt(point.Index); !sameReplicas(want, point.Membership) {
-		world.violate(StateMachineSafety, "%s has a snapshot at %d with the members %v, where %v are committed", name, point.Index, point.Membership, want)
+	if want := world.history.membershipAt(snapshot.Index); !sameMembership(want, snapshot.Membership) {
+		world.violate(StateMachineSafety, "%s has a snapshot at index %d with membership %v, but the committed membership is %v", name, snapshot.Index, snapshot.Membership, want)
 	}
 }
 
-// checkLeader looks at a replica that has just become a leader.
-func (world *World) checkLeader(stepped *replica, before observed) {
+// checkNewLeader checks a replica that has just become leader.
+func (world *World) checkNewLeader(stepped *replica, before coreView) {
 	now := stepped.status
 	if !now.Leading || before.status.Leading && before.status.Term == now.Term {
 		return
 	}
 	world.outcomes.Elections++
-	if other := world.history.leader(now.Term); other != "" && other != stepped.name {
-		world.violate(OneLeaderPerTerm, "%s and %s both led in term %d", other, stepped.name, now.Term)
+	if other := world.history.leaderOf(now.Term); other != "" && other != stepped.name {
+		world.violate(OneLeaderPerTerm, "%s and %s were both leader in term %d", other, stepped.name, now.Term)
 	}
 	world.history.leaders = append(world.history.leaders, leadership{term: now.Term, name: stepped.name})
-	for _, known := range world.history.committed {
-		if known.term < now.Term && !containsEntry(stepped.stored, known.entry) {
-			world.violate(LeaderCompleteness, "%s leads term %d without %s, which was committed in term %d", stepped.name, now.Term, describeEntry(known.entry), known.term)
+	for _, committed := range world.history.committed {
+		if committed.term < now.Term && !containsEntry(stepped.state, committed.entry) {
+			world.violate(LeaderCompleteness, "%s is leader in term %d without %s, which was committed in term %d", stepped.name, now.Term, describeEntry(committed.entry), committed.term)
 		}
 	}
 }
 
-// checkLogsMatch compares two logs from the top: below an index at which both have the
-// same term, they are equal.
-func (world *World) checkLogsMatch(one, other *replica) {
-	lowest := max(one.stored.Snapshot.Index, other.stored.Snapshot.Index)
+// checkLogsMatch compares two logs from the last index down: once their terms agree at an
+// index, all earlier entries must be equal.
+func (world *World) checkLogsMatch(a, b *replica) {
+	lowest := max(a.state.Snapshot.Index, b.state.Snapshot.Index)
 	matching := false
-	for index := min(one.status.LastIndex, other.status.LastIndex); index >= lowest && index > 0; index-- {
-		same := termAt(one.stored, index) == termAt(other.stored, index)
+	for index := min(a.status.LastIndex, b.status.LastIndex); index >= lowest && index > 0; index-- {
+		same := termAt(a.state, index) == termAt(b.state, index)
 		if matching && !same {
-			world.violate(LogMatching, "%s and %s differ at %d though they agree on the term of a later index", one.name, other.name, index)
+			world.violate(LogMatching, "%s and %s differ at index %d but have the same term at a later index", a.name, b.name, index)
 		}
 		matching = matching || same
-		oneEntry, oneFound := entryAt(one.stored, index)
-		otherEntry, otherFound := entryAt(other.stored, index)
-		if same && oneFound && otherFound && !sameEntry(oneEntry, otherEntry) {
-			world.violate(LogMatching, "%s has %s where %s has %s", one.name, describeEntry(oneEntry), other.name, describeEntry(otherEntry))
+		entryA, foundA := entryAt(a.state, index)
+		entryB, foundB := entryAt(b.state, index)
+		if same && foundA && foundB && !sameEntry(entryA, entryB) {
+			world.violate(LogMatching, "%s has %s, but %s has %s at the same index and term", a.name, describeEntry(entryA), b.name, describeEntry(entryB))
 		}
 	}
 }
 
-// checkVoters looks at the voter sets of one log, in their order.
-func (world *World) checkVoters(stepped *replica) {
-	before := stepped.stored.Snapshot.Membership.Voters
+// checkVoterSets checks the successive voter sets in the log of one replica.
+func (world *World) checkVoterSets(stepped *replica) {
+	previous := stepped.state.Snapshot.Membership.Voters
 	uncommitted := 0
-	for _, entry := range stepped.stored.Entries {
+	for _, entry := range stepped.state.Entries {
 		if entry.Kind != raft.EntryMembership {
 			continue
 		}
-		if entry.Index > world.history.highest() {
+		if entry.Index > world.history.lastCommitted() {
 			uncommitted++
 		}
-		if len(before) > 0 && !majoritiesOverlap(before, entry.Membership.Voters) {
-			world.violate(MajoritiesOverlap, "the log of %s goes from voters %v to %v at %d", stepped.name, before, entry.Membership.Voters, entry.Index)
+		if len(previous) > 0 && !majoritiesOverlap(previous, entry.Membership.Voters) {
+			world.violate(MajoritiesOverlap, "the log of %s changes the voters from %v to %v at index %d", stepped.name, previous, entry.Membership.Voters, entry.Index)
 		}
 		if voters := slices.Sorted(slices.Values(entry.Membership.Voters)); len(slices.Compact(voters)) < len(entry.Membership.Voters) {
-			world.violate(MajoritiesOverlap, "the log of %s names a voter twice in %v at %d", stepped.name, entry.Membership.Voters, entry.Index)
+			world.violate(MajoritiesOverlap, "the log of %s lists a voter twice in %v at index %d", stepped.name, entry.Membership.Voters, entry.Index)
 		}
-		before = entry.Membership.Voters
+		previous = entry.Membership.Voters
 	}
 	if uncommitted > 1 {
-		world.violate(MajoritiesOverlap, "the log of %s has %d membership changes that are not committed", stepped.name, uncommitted)
+		world.violate(MajoritiesOverlap, "the log of %s has %d uncommitted membership changes", stepped.name, uncommitted)
 	}
 }
 
-// checkChange looks at a membership change that a leader took on.
-func (world *World) checkChange(stepped *replica, before observed, input raft.Input, output raft.Output) {
+// checkMembershipChange checks that a leader accepts a membership change only after it
+// has committed an entry of its term.
+func (world *World) checkMembershipChange(stepped *replica, before coreView, input raft.Input, output raft.Output) {
 	if input.Kind != raft.InputChangeMembership || output.ProposedIndex == 0 {
 		return
 	}
-	if termAt(before.stored, before.status.CommitIndex) != before.status.Term {
-		world.violate(MajoritiesOverlap, "%s takes a membership change before it has committed an entry of its term %d", stepped.name, before.status.Term)
+	if termAt(before.state, before.status.CommitIndex) != before.status.Term {
+		world.violate(MajoritiesOverlap, "%s accepts a membership change before it has committed an entry of its term %d", stepped.name, before.status.Term)
 	}
 }
 
-// majoritiesOverlap reports that each majority of one set shares a member with each of the other.
-func majoritiesOverlap(one, other []string) bool {
-	union := len(one)
-	for _, name := range other {
-		if !slices.Contains(one, name) {
+// majoritiesOverlap reports whether every majority of one set intersects every majority
+// of the other.
+func majoritiesOverlap(a, b []string) bool {
+	union := len(a)
+	for _, name := range b {
+		if !slices.Contains(a, name) {
 			union++
 		}
 	}
-	return len(one)/2+1+len(other)/2+1 > union
+	return len(a)/2+1+len(b)/2+1 > union
 }
 
-// checkPersisted looks at a message that leaves a replica, and at the disk of its sender.
-func (world *World) checkPersisted(sender *replica, message raft.Message) {
+// checkPersistedBeforeSend checks that the state a message depends on is on its sender's disk.
+func (world *World) checkPersistedBeforeSend(sender *replica, message raft.Message) {
 	disk := sender.disk
 	term := message.Term
 	switch {
 	case message.Kind == raft.MessagePreVote, message.Kind == raft.MessagePreVoteReply && !message.Rejected:
-		return // they speak of a term that nobody has entered
+		return // these carry a term that no replica has entered yet
 	case disk.HardState.Term < term:
-		world.violate(PromisesArePersisted, "%s sends %q with term %d on its disk", sender.name, describeMessage(&message), disk.HardState.Term)
+		world.violate(PromisesArePersisted, "%s sends %q with only term %d on disk", sender.name, describeMessage(&message), disk.HardState.Term)
 	case disk.HardState.Term > term || message.Rejected:
-		return // the promise was overtaken by a later term, or is none
+		return // superseded by a later term, or a rejection that depends on no stored state
 	}
 	switch message.Kind {
 	case raft.MessageVote:
 		if disk.HardState.VotedFor != sender.name {
-			world.violate(PromisesArePersisted, "%s stands in term %d with a vote for %q on its disk", sender.name, term, disk.HardState.VotedFor)
+			world.violate(PromisesArePersisted, "%s is a candidate in term %d with a vote for %q on disk", sender.name, term, disk.HardState.VotedFor)
 		}
 	case raft.MessageVoteReply:
 		if disk.HardState.VotedFor != message.To {
-			world.violate(PromisesArePersisted, "%s votes for %s in term %d with a vote for %q on its disk", sender.name, message.To, term, disk.HardState.VotedFor)
+			world.violate(PromisesArePersisted, "%s votes for %s in term %d with a vote for %q on disk", sender.name, message.To, term, disk.HardState.VotedFor)
 		}
 	case raft.MessageAppendReply:
-		if lastOf(disk) < message.Index {
-			world.violate(PromisesArePersisted, "%s acknowledges %d with a log up to %d on its disk", sender.name, message.Index, lastOf(disk))
+		if lastIndexOf(disk) < message.Index {
+			world.violate(PromisesArePersisted, "%s acknowledges index %d with a log up to index %d on disk", sender.name, message.Index, lastIndexOf(disk))
 		}
 	}
 }
 
-func (world *World) checkRead(stepped *replica, answer raft.ReadResult) {
-	sent, known := world.history.finishRead(answer.Context)
-	if !known || answer.Rejected {
+func (world *World) checkRead(stepped *replica, result raft.ReadResult) {
+	read, ok := world.history.finishRead(result.Context)
+	if !ok || result.Rejected {
 		return
 	}
 	world.outcomes.ConfirmedReads++
-	if answer.Index < sent.committed {
-		world.violate(ReadsAreLinearizable, "%s confirms a read at %d, asked for when %d was committed", stepped.name, answer.Index, sent.committed)
+	if result.Index < read.committed {
+		world.violate(ReadsAreLinearizable, "%s confirms a read at index %d, but index %d was committed when it was requested", stepped.name, result.Index, read.committed)
 	}
 }
 
-func lastOf(stored raft.PersistentState) uint64 {
-	if count := len(stored.Entries); count > 0 {
-		return stored.Entries[count-1].Index
+func lastIndexOf(state raft.PersistentState) uint64 {
+	if count := len(state.Entries); count > 0 {
+		return state.Entries[count-1].Index
 	}
-	return stored.Snapshot.Index
+	return state.Snapshot.Index
 }
 
-func entryAt(stored raft.PersistentState, index uint64) (raft.Entry, bool) {
-	if len(stored.Entries) == 0 || index < stored.Entries[0].Index || index > lastOf(stored) {
+func entryAt(state raft.PersistentState, index uint64) (raft.Entry, bool) {
+	if len(state.Entries) == 0 || index < state.Entries[0].Index || index > lastIndexOf(state) {
 		return raft.Entry{}, false
 	}
-	return stored.Entries[index-stored.Entries[0].Index], true
+	return state.Entries[index-state.Entries[0].Index], true
 }
 
-func termAt(stored raft.PersistentState, index uint64) uint64 {
-	if index == stored.Snapshot.Index {
-		return stored.Snapshot.Term
+func termAt(state raft.PersistentState, index uint64) uint64 {
+	if index == state.Snapshot.Index {
+		return state.Snapshot.Term
 	}
-	entry, _ := entryAt(stored, index)
+	entry, _ := entryAt(state, index)
 	return entry.Term
 }
 
-// containsEntry reports that a log has an entry, or a snapshot that stands for it.
-func containsEntry(stored raft.PersistentState, entry raft.Entry) bool {
-	if stored.Snapshot.Index >= entry.Index {
+// containsEntry reports whether a log contains an entry or has a snapshot that covers it.
+func containsEntry(state raft.PersistentState, entry raft.Entry) bool {
+	if state.Snapshot.Index >= entry.Index {
 		return true
 	}
-	found, there := entryAt(stored, entry.Index)
-	return there && sameEntry(found, entry)
+	found, ok := entryAt(state, entry.Index)
+	return ok && sameEntry(found, entry)
 }
 
-func sameEntry(one, other raft.Entry) bool {
-	return one.Index == other.Index && one.Term == other.Term && one.Kind == other.Kind &&
-		bytes.Equal(one.Data, other.Data) && sameReplicas(one.Membership, other.Membership)
+func sameEntry(a, b raft.Entry) bool {
+	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind &&
+		bytes.Equal(a.Data, b.Data) && sameMembership(a.Membership, b.Membership)
 }
 
-func sameReplicas(one, other raft.Membership) bool {
-	return slices.Equal(one.Voters, other.Voters) && slices.Equal(one.Learners, other.Learners)
+func sameMembership(a, b raft.Membership) bool {
+	return slices.Equal(a.Voters, b.Voters) && slices.Equal(a.Learners, b.Learners)
 }
--- a/proof/modelcheck/report.go
+++ b/proof/modelcheck/report.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Report is what a run of the model checker gives.
+// Report is the result of a run of the model checker.
 type Report struct {
-	// Commit is the revision of the code that was checked.
+	// Commit is the revision of the checked code.
 	Commit       string        `json:"commit"`
 	Began        time.Time     `json:"began"`
 	Workers      int           `json:"workers"`
@@ -17,7 +17,7 @@
 	Seconds      float64       `json:"seconds"`
 }
 
-// Violations returns all broken invariants of a run.
+// Violations returns all invariant violations of a run.
 func (report Report) Violations() []*Violation {
 	found := []*Violation{}
 	for _, exploration := range report.Explorations {
@@ -31,7 +31,7 @@
 	return found
 }
 
-// Write puts the report out as JSON.
+// Write encodes the report as indented JSON.
 func (report Report) Write(output io.Writer) error {
 	encoder := json.NewEncoder(output)
 	encoder.SetIndent("", "  ")
--- a/proof/modelcheck/script.go
+++ b/proof/modelcheck/script.go
@@ -7,10 +7,10 @@
 	"yardrock.example/system/raft"
 )
 
-// settleLimit is more actions than any group of a scenario needs to become quiet.
-const settleLimit = 1000
+// maxSettleActions bounds Settle; no scenario needs as many actions to become quiescent.
+const maxSettleActions = 1000
 
-// Script brings a World to where a scenario begins, and keeps what it did.
+// Script brings a World to the initial state of a scenario and records its actions.
 type Script struct {
 	world *World
 	lines []string
@@ -18,24 +18,24 @@
 
 func newScript(model *Model) *Script { return &Script{world: NewWorld(model)} }
 
-// Do does one action, which must be possible.
+// Do applies one action. It panics if the action is not enabled.
 func (script *Script) Do(action Action) {
 	line := action.describe(script.world)
 	if !script.world.Apply(action) {
-		panic(fmt.Sprintf("the scenario's script cannot %s", line))
+		panic(fmt.Sprintf("scenario script: action is not enabled: %s", line))
 	}
 	script.lines = append(script.lines, line)
 }
 
-// Settle delivers all messages between the named replicas, and lets their disks write,
-// until nothing is left to do. Messages from or to others stay in flight.
+// Settle syncs the disks of the named replicas and delivers the messages between them until
+// none are left. Messages from or to others stay in flight.
 func (script *Script) Settle(names ...string) {
-	for range settleLimit {
+	for range maxSettleActions {
 		if !script.settleOnce(names) {
 			return
 		}
 	}
-	panic("the scenario's script never settles")
+	panic("scenario script: the group does not become quiescent")
 }
 
 func (script *Script) settleOnce(names []string) bool {
@@ -45,110 +45,111 @@
 			return true
 		}
 	}
-	for _, sent := range script.world.inFlight {
-		if slices.Contains(names, sent.message.From) && slices.Contains(names, sent.message.To) {
-			script.Do(Action{Kind: ActionDeliver, Replica: sent.message.To, Message: sent.key})
+	for _, p := range script.world.inFlight {
+		if slices.Contains(names, p.message.From) && slices.Contains(names, p.message.To) {
+			script.Do(Action{Kind: ActionDeliver, Replica: p.message.To, Message: p.key})
 			return true
 		}
 	}
 	return false
 }
 
-// DropAll loses all messages in flight.
+// DropAll drops all messages in flight.
 func (script *Script) DropAll() { script.drop(func(*raft.Message) bool { return true }) }
 
-// drop loses the messages in flight that are chosen.
-func (script *Script) drop(chosen func(*raft.Message) bool) {
-	for _, sent := range slices.Clone(script.world.inFlight) {
-		if chosen(sent.message) {
-			script.Do(Action{Kind: ActionDrop, Replica: sent.message.To, Message: sent.key})
+// drop drops the messages in flight that match.
+func (script *Script) drop(match func(*raft.Message) bool) {
+	for _, p := range slices.Clone(script.world.inFlight) {
+		if match(p.message) {
+			script.Do(Action{Kind: ActionDrop, Replica: p.message.To, Message: p.key})
 		}
 	}
 }
 
-// appendAt returns the delivery of the append whose first entry is at an index.
-func (script *Script) appendAt(receiver string, index uint64) Action {
-	for _, sent := range script.world.inFlight {
-		entries := sent.message.Entries
-		if sent.message.To == receiver && len(entries) > 0 && entries[0].Index == index {
-			return Action{Kind: ActionDeliver, Replica: receiver, Message: sent.key}
+// appendDelivery returns the action that delivers the append whose first entry is at an
+// index.
+func (script *Script) appendDelivery(receiver string, index uint64) Action {
+	for _, p := range script.world.inFlight {
+		entries := p.message.Entries
+		if p.message.To == receiver && len(entries) > 0 && entries[0].Index == index {
+			return Action{Kind: ActionDeliver, Replica: receiver, Message: p.key}
 		}
 	}
-	panic(fmt.Sprintf("the scenario's script finds no append of %d on its way to %s", index, receiver))
+	panic(fmt.Sprintf("scenario script: no append of index %d to %s is in flight", index, receiver))
 }
 
-// requireCommit makes sure that a replica has come as far as the scenario needs it.
+// requireCommit panics unless a replica's commit index is the one the scenario requires.
 func (script *Script) requireCommit(name string, index uint64) {
-	if reached := script.world.replica(name).status.CommitIndex; reached != index {
-		panic(fmt.Sprintf("the scenario's script has %s commit %d, not %d", name, reached, index))
+	if committed := script.world.replica(name).status.CommitIndex; committed != index {
+		panic(fmt.Sprintf("scenario script: %s has commit index %d, want %d", name, committed, index))
 	}
 }
 
-// messagesOf returns all messages of a kind that are on their way to a replica.
-func (script *Script) messagesOf(receiver string, kind raft.MessageKind) []raft.Message {
+// messagesTo returns all messages of a kind in flight to a replica.
+func (script *Script) messagesTo(receiver string, kind raft.MessageKind) []raft.Message {
 	found := []raft.Message{}
-	for _, sent := range script.world.inFlight {
-		if sent.message.To == receiver && sent.message.Kind == kind {
-			found = append(found, *sent.message)
+	for _, p := range script.world.inFlight {
+		if p.message.To == receiver && p.message.Kind == kind {
+			found = append(found, *p.message)
 		}
 	}
 	return found
 }
 
-// deliverLate puts a copy of an earlier message in flight, as if it had been there since.
-func (script *Script) deliverLate(message raft.Message) {
+// addInFlight adds a message as if a copy of it had been in flight since it was sent.
+func (script *Script) addInFlight(message raft.Message) {
 	script.world.send(message)
 	script.lines = append(script.lines, "a copy is still in flight: "+describeMessage(&message))
 }
 
-// Tick lets one tick go by at a replica.
+// Tick advances a replica by one tick.
 func (script *Script) Tick(name string) { script.Do(Action{Kind: ActionTick, Replica: name}) }
 
-// Propose appends a command at a leader.
+// Propose proposes a command to a leader.
 func (script *Script) Propose(name string) { script.Do(Action{Kind: ActionPropose, Replica: name}) }
 
-// Change changes a leader's membership.
+// Change requests a membership change from a leader.
 func (script *Script) Change(name string, change ChangeKind, peer string) {
 	script.Do(Action{Kind: ActionChange, Replica: name, Change: change, Peer: peer})
 }
 
-// Compact replaces a replica's applied log by a snapshot.
+// Compact replaces the applied part of a replica's log with a snapshot.
 func (script *Script) Compact(name string) { script.Do(Action{Kind: ActionCompact, Replica: name}) }
 
-// Win has a replica elected by itself and its supporters, whose leases end first. It
-// stops when the replica leads: what it sends as a leader is in flight.
-func (script *Script) Win(name string, supporters ...string) {
-	among := append([]string{name}, supporters...)
-	for _, one := range among {
-		for script.world.replica(one).status.Leading {
-			script.Tick(one) // nobody answers, so its quorum check ends its lead
+// Elect makes a replica leader with the votes of voters, whose leader leases expire first.
+// It returns as soon as the replica is leader; the messages it then sent are in flight.
+func (script *Script) Elect(name string, voters ...string) {
+	names := append([]string{name}, voters...)
+	for _, member := range names {
+		for script.world.replica(member).status.Leading {
+			script.Tick(member) // gets no replies, so the quorum check makes it step down
 		}
 	}
-	for _, supporter := range supporters {
-		script.Tick(supporter)
+	for _, voter := range voters {
+		script.Tick(voter)
 	}
 	script.DropAll()
 	script.Tick(name)
-	const attempts = 3 // the first may only tell it of a later term
+	const attempts = 3 // the first attempt may only make it learn of a later term
 	for attempt := 1; !script.world.replica(name).status.Leading; {
-		if script.settleOnce(among) {
+		if script.settleOnce(names) {
 			continue
 		}
 		if attempt++; attempt > attempts {
-			panic(fmt.Sprintf("the scenario's script cannot have %s elected", name))
+			panic(fmt.Sprintf("scenario script: %s is not elected", name))
 		}
 		script.Tick(name)
 	}
 }
 
-// Commit has a leader commit all that it has with the help of others.
-func (script *Script) Commit(name string, helpers ...string) {
-	among := append([]string{name}, helpers...)
-	script.Settle(among...)
+// Commit makes a leader commit its whole log by replicating it to followers.
+func (script *Script) Commit(name string, followers ...string) {
+	names := append([]string{name}, followers...)
+	script.Settle(names...)
 	script.Tick(name)
-	script.Settle(among...)
+	script.Settle(names...)
 	status := script.world.replica(name).status
 	if status.CommitIndex != status.LastIndex {
-		panic(fmt.Sprintf("the scenario's script has %s commit %d of %d", name, status.CommitIndex, status.LastIndex))
+		panic(fmt.Sprintf("scenario script: %s has commit index %d, want last index %d", name, status.CommitIndex, status.LastIndex))
 	}
 }
--- a/proof/modelcheck/shorten.go
+++ b/proof/modelcheck/shorten.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// shorten takes actions out of a walk for as long as what is left breaks the same
-// invariant, and gives that violation with its trace.
-func shorten(model *Model, actions []Action, broken *Violation) *Violation {
+// shorten removes actions from a walk as long as the rest still violates the same invariant,
+// and returns that violation with its trace.
+func shorten(model *Model, actions []Action, violation *Violation) *Violation {
 	shortest, kept := replay(model, actions)
-	if shortest == nil || shortest.Invariant != broken.Invariant {
-		return broken // not repeatable; its trace is empty
+	if shortest == nil || shortest.Invariant != violation.Invariant {
+		return violation // the replay did not reproduce it; its trace is empty
 	}
 	for size := len(kept) / 2; size > 0; {
-		shorter := false
+		reduced := false
 		for from := 0; from < len(kept); {
-			without := slices.Delete(slices.Clone(kept), from, min(from+size, len(kept)))
-			found, possible := replay(model, without)
-			if found == nil || found.Invariant != broken.Invariant {
+			candidate := slices.Delete(slices.Clone(kept), from, min(from+size, len(kept)))
+			found, possible := replay(model, candidate)
+			if found == nil || found.Invariant != violation.Invariant {
 				from += size
 				continue
 			}
-			shortest, kept, shorter = found, possible, true
+			shortest, kept, reduced = found, possible, true
 		}
-		if !shorter || size > 1 {
+		if !reduced || size > 1 {
 			size /= 2
 		}
 	}
 	return shortest
 }
 
-// replay does those of the actions that are possible, and returns which they were and what
-// they broke.
+// replay applies the actions that are enabled until one violates an invariant. It returns
+// the violation, if any, and the applied actions.
 func replay(model *Model, actions []Action) (*Violation, []Action) {
 	world := NewWorld(model)
 	possible := []Action{}
@@ -43,9 +43,9 @@
 		}
 		possible = append(possible, action)
 		lines = append(lines, line)
-		if broken := world.violation; broken != nil {
-			broken.Trace = lines
-			return broken, possible
+		if violation := world.violation; violation != nil {
+			violation.Trace = lines
+			return violation, possible
 		}
 	}
 	return nil, possible
--- a/proof/modelcheck/walk.go
+++ b/proof/modelcheck/walk.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Walks bounds a run of random walks.
+// Walks configures a run of random walks.
 type Walks struct {
-	// FirstSeed is the seed of the first walk; the next ones follow it.
+	// FirstSeed is the seed of the first walk; later walks use consecutive seeds.
 	FirstSeed uint64
-	// Count is how many walks there are.
+	// Count is the maximum number of walks.
 	Count int
-	// Steps is how many actions a walk has.
+	// Steps is the maximum number of actions of a walk.
 	Steps int
-	// Time ends the run when it is over, whatever is left.
+	// Time is the time limit of the run; walks not started by then are skipped.
 	Time time.Duration
-	// Workers is how many goroutines walk.
+	// Workers is the number of goroutines.
 	Workers int
 }
 
-// WalkReport tells what random walks went through.
+// WalkReport is the result of a run of random walks.
 type WalkReport struct {
 	FirstSeed uint64            `json:"firstSeed"`
 	Walks     int               `json:"walks"`
@@ -28,15 +28,15 @@
 	Actions   map[string]uint64 `json:"actions"`
 	Outcomes  OutcomeCounts     `json:"outcomes"`
 	Seconds   float64           `json:"seconds"`
-	// ViolationSeed is the seed of the walk that broke an invariant.
+	// ViolationSeed is the seed of the walk that violated an invariant.
 	ViolationSeed uint64     `json:"violationSeed,omitempty"`
 	Violation     *Violation `json:"violation,omitempty"`
 }
 
-// weights tell how often each kind of action is drawn, of those that are possible.
-type weights [actionKinds]int
+// weights are the relative probabilities of the kinds of actions that are enabled.
+type weights [actionKindCount]int
 
-// defaultWeights let a group make progress between its troubles.
+// defaultWeights lets a group make progress between faults.
 var defaultWeights = weights{
 	ActionDeliver: 500, ActionSync: 300, ActionTick: 60, ActionPropose: 40, ActionRead: 30,
 	ActionDuplicate: 10, ActionDrop: 10, ActionCompact: 6, ActionChange: 12, ActionTransferLeadership: 4,
@@ -44,15 +44,15 @@
 }
 
 const (
-	// maxInFlight bounds the messages in flight: beyond it one is lost before the next action.
+	// maxInFlight bounds the messages in flight; while it is exceeded, the next action is a drop.
 	maxInFlight = 24
-	// maxWipes bounds the disks that a walk loses, if it loses any.
+	// maxWipes is the limit of wipes in walks that include wipes.
 	maxWipes = 2
-	// stepsPerCut is how many actions a replica is cut off, or none is, in the mean.
-	stepsPerCut = 50
+	// meanPartitionSteps is the mean number of actions between changes of the partition.
+	meanPartitionSteps = 50
 )
 
-// walker holds one random walk.
+// walker runs one random walk.
 type walker struct {
 	random  *rand.Rand
 	model   Model
@@ -60,11 +60,11 @@
 	limits  Limits
 	world   *World
 	actions []Action
-	// cutOff is the replica that no message reaches or leaves, if any.
-	cutOff string
+	// isolated is the name of the replica that exchanges no messages, or empty.
+	isolated string
 }
 
-// newWalker draws the group and the troubles of the walk of a seed.
+// newWalker returns a walk whose group, weights and limits are drawn from a seed.
 func newWalker(seed uint64) *walker {
 	random := rand.New(rand.NewPCG(seed, 0))
 	walk := &walker{random: random, weights: defaultWeights}
@@ -74,7 +74,7 @@
 	walk.model = Model{
 		Voters: names[:voters], Learners: names[voters : voters+learners], Spares: names[voters+learners : min(voters+learners+1, len(names))],
 		ElectionTicks: 1 + random.IntN(3), HeartbeatTicks: 1, Seed: seed, SyncWrites: random.IntN(4) == 0,
-		SnapshotParts: defaultSnapshotParts + 6*random.IntN(2), // the longer ones are more chunks than go out at once
+		SnapshotParts: defaultSnapshotParts + 6*random.IntN(2), // the longer ones have more chunks than are sent at once
 	}
 	walk.weights[ActionTick] *= walk.model.ElectionTicks
 	for kind := range walk.weights {
@@ -86,47 +86,49 @@
 		}
 	}
 	walk.limits = Limits{}
-	for kind := range actionKinds {
-		walk.limits[kind] = math.MaxUint16 // the length of the walk bounds it
+	for kind := range actionKindCount {
+		walk.limits[kind] = math.MaxUint16 // bounded by the length of the walk
 	}
-	walk.limits[ActionWipe] = uint16(maxWipes * (random.IntN(4) / 3)) // none in three walks of four
+	walk.limits[ActionWipe] = uint16(maxWipes * (random.IntN(4) / 3)) // zero in three of four walks
 	walk.world = NewWorld(&walk.model)
 	return walk
 }
 
-// switchPartition cuts off another replica now and then, or none, mostly a leader.
-func (walk *walker) switchPartition() {
-	if walk.random.IntN(stepsPerCut) > 0 {
+// updatePartition occasionally isolates another replica, preferably a leader, or heals the
+// partition.
+func (walk *walker) updatePartition() {
+	if walk.random.IntN(meanPartitionSteps) > 0 {
 		return
 	}
-	walk.cutOff = ""
+	walk.isolated = ""
 	if walk.random.IntN(2) == 0 {
 		return
 	}
 	chosen := walk.world.replicas[walk.random.IntN(len(walk.world.replicas))]
-	walk.cutOff = chosen.name
+	walk.isolated = chosen.name
 	if leader := chosen.status.Leader; leader != "" && walk.random.IntN(2) == 0 {
-		walk.cutOff = leader
+		walk.isolated = leader
 	}
 }
 
-// isCut reports whether an action needs a message to pass a cut.
-func (walk *walker) isCut(action Action) bool {
-	if walk.cutOff == "" || action.Kind != ActionDeliver && action.Kind != ActionDuplicate {
+// blockedByPartition reports whether an action delivers a message from or to the isolated
+// replica.
+func (walk *walker) blockedByPartition(action Action) bool {
+	if walk.isolated == "" || action.Kind != ActionDeliver && action.Kind != ActionDuplicate {
 		return false
 	}
 	at, _ := walk.world.find(action.Message)
 	message := walk.world.inFlight[at].message
-	return message.From == walk.cutOff || message.To == walk.cutOff
+	return message.From == walk.isolated || message.To == walk.isolated
 }
 
-// draw chooses the next action: first its kind by weight, then one of that kind.
-func (walk *walker) draw() Action {
-	walk.switchPartition()
-	byKind := [actionKinds][]Action{}
+// nextAction chooses an action kind by weight and then one enabled action of that kind.
+func (walk *walker) nextAction() Action {
+	walk.updatePartition()
+	byKind := [actionKindCount][]Action{}
 	total := 0
 	for _, action := range walk.world.enabled(walk.limits) {
-		if walk.isCut(action) {
+		if walk.blockedByPartition(action) {
 			continue
 		}
 		if len(byKind[action.Kind]) == 0 {
@@ -137,28 +139,28 @@
 	if drops := byKind[ActionDrop]; len(walk.world.inFlight) > maxInFlight {
 		return drops[walk.random.IntN(len(drops))]
 	}
-	chance := walk.random.IntN(total)
+	pick := walk.random.IntN(total)
 	for kind, actions := range byKind {
 		if len(actions) == 0 {
 			continue
 		}
-		if chance -= walk.weights[kind]; chance < 0 {
+		if pick -= walk.weights[kind]; pick < 0 {
 			return actions[walk.random.IntN(len(actions))]
 		}
 	}
-	panic("no action was drawn")
+	panic("no action was selected")
 }
 
-// run walks up to a number of steps, or up to the first violation.
+// run applies actions up to a number of steps or the first violation.
 func (walk *walker) run(steps int) {
 	for len(walk.actions) < steps && walk.world.violation == nil {
-		action := walk.draw()
+		action := walk.nextAction()
 		walk.actions = append(walk.actions, action)
 		walk.world.Apply(action)
 	}
 }
 
-// walkResult is what one walk gave.
+// walkResult is the result of one walk.
 type walkResult struct {
 	seed      uint64
 	steps     int
@@ -166,7 +168,7 @@
 	violation *Violation
 }
 
-func walkOnce(seed uint64, steps int) walkResult {
+func runWalk(seed uint64, steps int) walkResult {
 	walk := newWalker(seed)
 	walk.run(steps)
 	result := walkResult{seed: seed, steps: len(walk.actions), outcomes: walk.world.outcomes}
@@ -176,10 +178,10 @@
 	return result
 }
 
-// Walk runs random walks, each from a seed of its own, up to the first violation, whose
-// trace it shortens.
+// Walk runs random walks with consecutive seeds until the first violation, whose trace it
+// shortens.
 func Walk(walks Walks) WalkReport {
-	began := time.Now()
+	start := time.Now()
 	results := make(chan walkResult)
 	seeds := make(chan uint64)
 	stop := make(chan struct{})
@@ -198,7 +200,7 @@
 	for range workers {
 		go func() {
 			for seed := range seeds {
-				results <- walkOnce(seed, walks.Steps)
+				results <- runWalk(seed, walks.Steps)
 			}
 			finished <- struct{}{}
 		}()
@@ -206,7 +208,7 @@
 	report := WalkReport{FirstSeed: walks.FirstSeed}
 	outcomes := Outcomes{}
 	stopped := false
-	for working := workers; working > 0; {
+	for running := workers; running > 0; {
 		select {
 		case result := <-results:
 			report.Walks++
@@ -216,15 +218,15 @@
 				report.Violation, report.ViolationSeed = result.violation, result.seed
 			}
 		case <-finished:
-			working--
+			running--
 		}
-		if over := report.Violation != nil || time.Since(began) > walks.Time; over && !stopped {
+		if done := report.Violation != nil || time.Since(start) > walks.Time; done && !stopped {
 			stopped = true
 			close(stop)
 		}
 	}
 	report.Actions = outcomes.actionCounts()
 	report.Outcomes = outcomes.counts()
-	report.Seconds = time.Since(began).Seconds()
+	report.Seconds = time.Since(start).Seconds()
 	return report
 }
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -1,12 +1,12 @@
-// Package modelcheck walks the states of raft.Core: groups of a few replicas with
-// small logs, every order of messages, syncs, crashes, wiped disks, snapshots and
-// membership changes, within stated limits. After every step it checks the invariants
-// that the rest of the system builds on (see invariants.go and history.go).
+// Package modelcheck is a model checker for raft.Core. It explores groups of a few replicas
+// with short logs under all interleavings of messages, syncs, crashes, lost disks, snapshots
+// and membership changes, within given limits. After every step it checks the invariants
+// that the rest of the system relies on (see invariants.go and history.go).
 //
 // A World is one state: the replicas, their disks and pending writes, the messages in
-// flight, and the history that the invariants speak of. Explore visits every state up to
-// a depth; Walk goes through random ones. Both report the first broken invariant with
-// the actions that led there.
+// flight, and the history that the invariants refer to. Explore visits every state up to a
+// depth; Walk visits random ones. Both report the first invariant violation with the
+// actions that led to it.
 package modelcheck
 
 import (
@@ -18,139 +18,139 @@
 	"yardrock.example/system/raft"
 )
 
-// Model fixes the group that a World begins with, and how its replicas keep time.
+// Model describes the initial group of a World and the timing of its replicas.
 type Model struct {
-	// Voters are the founding voters.
+	// Voters are the initial voters.
 	Voters []string
-	// Learners are founding members that do not vote.
+	// Learners are the initial members that do not vote.
 	Learners []string
-	// Spares start with an empty disk and may be added as members.
+	// Spares are replicas with an empty disk that may be added as members.
 	Spares []string
-	// ElectionTicks and HeartbeatTicks go to every replica. With both 1, one tick is a
-	// whole election timeout, and a replica's random generator decides nothing.
+	// ElectionTicks and HeartbeatTicks are settings of every replica. If both are 1, one
+	// tick is a whole election timeout, and randomized timeouts have no effect.
 	ElectionTicks, HeartbeatTicks int
 	// Seed seeds the replicas' election timeouts.
 	Seed uint64
-	// SyncWrites has every write reach its disk within the step that asks for it.
+	// SyncWrites makes every write durable within the step that requests it.
 	SyncWrites bool
-	// CommandBytes is the least size of a command; large ones travel one by one.
+	// CommandBytes is the minimum size of a command; large commands are sent one per message.
 	CommandBytes int
-	// SnapshotParts makes snapshots longer than two chunks; 0 means defaultSnapshotParts.
+	// SnapshotParts determines the length of snapshots; 0 means defaultSnapshotParts.
 	SnapshotParts int
 	// Replayable keeps each replica's inputs, so that a World can be forked.
 	Replayable bool
 }
 
-// foundingIndex and foundingTerm are where the log of every group begins.
-const foundingIndex, foundingTerm = 1, 1
+// initialIndex and initialTerm are those of the snapshot that every group starts from.
+const initialIndex, initialTerm = 1, 1
 
 const (
-	// founder stands for the maker of the snapshot that a group begins with.
-	founder = "founder"
-	// defaultSnapshotParts and chunkBytes have a snapshot travel in two chunks.
+	// initialSnapshotCreator is the creator named in a group's initial snapshot.
+	initialSnapshotCreator = "founder"
+	// With defaultSnapshotParts and chunkBytes, a snapshot takes multiple chunks.
 	defaultSnapshotParts = 2
 	chunkBytes           = 8
 )
 
-// replica is one replica with its disk.
+// replica is a raft core and its disk.
 type replica struct {
 	name    string
 	core    *raft.Core
 	disk    raft.PersistentState
 	pending []*raft.Write
-	// wiped reports that the disk was wiped: the name stays a member, but never answers.
+	// wiped reports that the disk was lost: the name remains a member but never responds.
 	wiped bool
 
-	// begin and inputs rebuild the core when the World is forked.
-	begin  raft.PersistentState
-	inputs []*raft.Input
+	// initial and inputs are replayed to rebuild the core in a forked World.
+	initial raft.PersistentState
+	inputs  []*raft.Input
 
-	status raft.Status
-	stored raft.PersistentState
-	hash   fingerprint
-	hashed bool
+	status            raft.Status
+	state             raft.PersistentState
+	cachedFingerprint fingerprint
+	fingerprintCached bool
 }
 
 // World is one state of a group. It is not safe for concurrent use.
 type World struct {
-	model      *Model
-	replicas   []*replica
-	owned      uint64   // bit set of the replicas that no other World shares
-	inFlight   []packet // sorted by key
-	history    history
-	spent      [actionKinds]uint16 // actions so far, against Limits
-	outcomes   *Outcomes
-	violation  *Violation
-	generation int
+	model     *Model
+	replicas  []*replica
+	owned     uint64   // bit set of the replicas that are not shared with other Worlds
+	inFlight  []packet // sorted by key
+	history   history
+	performed [actionKindCount]uint16 // actions so far, compared with Limits
+	outcomes  *Outcomes
+	violation *Violation
+	wipes     int
 }
 
-// NewWorld founds a group as a Model says.
+// NewWorld returns the initial state of the group that a Model describes.
 func NewWorld(model *Model) *World {
 	world := &World{model: model, outcomes: &Outcomes{}}
-	founding := raft.Membership{Voters: model.Voters, Learners: model.Learners}
-	world.history.found(founding)
-	stored := raft.PersistentState{
-		HardState: raft.HardState{Term: foundingTerm},
-		Snapshot:  raft.Snapshot{Index: foundingIndex, Term: foundingTerm, Membership: founding, Data: model.snapshotAt(foundingIndex, founder)},
+	membership := raft.Membership{Voters: model.Voters, Learners: model.Learners}
+	world.history.setInitialMembership(membership)
+	state := raft.PersistentState{
+		HardState: raft.HardState{Term: initialTerm},
+		Snapshot:  raft.Snapshot{Index: initialIndex, Term: initialTerm, Membership: membership, Data: model.snapshotData(initialIndex, initialSnapshotCreator)},
 	}
 	for _, name := range slices.Concat(model.Voters, model.Learners) {
-		world.add(name, stored)
+		world.addReplica(name, state)
 	}
 	for _, name := range model.Spares {
-		world.add(name, raft.PersistentState{})
+		world.addReplica(name, raft.PersistentState{})
 	}
 	return world
 }
 
-// add starts a replica on a disk.
-func (world *World) add(name string, disk raft.PersistentState) {
+// addReplica starts a replica with the given disk contents.
+func (world *World) addReplica(name string, disk raft.PersistentState) {
 	added := &replica{name: name, disk: disk}
 	added.start(world.model)
 	world.owned |= 1 << len(world.replicas)
 	world.replicas = append(world.replicas, added)
 }
 
-// settings derives each replica's seed from its name, so that a copy decides the same.
-func (replica *replica) settings(model *Model) raft.Settings {
+// settings derives the seed from the replica's name, so that a copy behaves identically.
+func (r *replica) settings(model *Model) raft.Settings {
 	seed := model.Seed
-	for _, letter := range replica.name {
-		seed = seed*31 + uint64(letter)
+	for _, char := range r.name {
+		seed = seed*31 + uint64(char)
 	}
-	return raft.Settings{Name: replica.name, ElectionTicks: model.ElectionTicks, HeartbeatTicks: model.HeartbeatTicks, Seed: seed, ChunkBytes: chunkBytes}
+	return raft.Settings{Name: r.name, ElectionTicks: model.ElectionTicks, HeartbeatTicks: model.HeartbeatTicks, Seed: seed, ChunkBytes: chunkBytes}
 }
 
-// start makes the core anew from what the disk holds.
-func (replica *replica) start(model *Model) {
-	replica.pending = nil
-	replica.begin = cloneStored(replica.disk)
-	replica.inputs = nil
-	replica.core = raft.New(replica.settings(model), replica.begin)
-	replica.observe()
+// start creates the core from the contents of the disk.
+func (r *replica) start(model *Model) {
+	r.pending = nil
+	r.initial = cloneState(r.disk)
+	r.inputs = nil
+	r.core = raft.New(r.settings(model), r.initial)
+	r.refresh()
 }
 
-// observe refreshes what the checks read of the core.
-func (replica *replica) observe() {
-	replica.status = replica.core.Status()
-	replica.stored = replica.core.PersistentState()
-	replica.hashed = false
+// refresh updates what the checks read of the core.
+func (r *replica) refresh() {
+	r.status = r.core.Status()
+	r.state = r.core.PersistentState()
+	r.fingerprintCached = false
 }
 
-// copy rebuilds the replica from its inputs, apart from the original.
-func (replica *replica) copy(model *Model) *replica {
-	copied := *replica
-	copied.pending = slices.Clone(replica.pending)
-	copied.inputs = slices.Clip(replica.inputs)
-	copied.core = raft.New(replica.settings(model), replica.begin)
-	for _, input := range replica.inputs {
+// copy returns an independent replica, rebuilt by replaying the inputs.
+func (r *replica) copy(model *Model) *replica {
+	copied := *r
+	copied.pending = slices.Clone(r.pending)
+	copied.inputs = slices.Clip(r.inputs)
+	copied.core = raft.New(r.settings(model), r.initial)
+	for _, input := range r.inputs {
 		copied.core.Step(*input)
 	}
 	return &copied
 }
 
-// cloneStored copies the entries, which a core may change in place.
-func cloneStored(stored raft.PersistentState) raft.PersistentState {
-	stored.Entries = slices.Clone(stored.Entries)
-	return stored
+// cloneState copies the entries, which a core may modify in place.
+func cloneState(state raft.PersistentState) raft.PersistentState {
+	state.Entries = slices.Clone(state.Entries)
+	return state
 }
 
 // fork returns a copy of the World that continues independently. The model must be Replayable.
@@ -164,8 +164,9 @@
 	return &copied
 }
 
-// own returns the replica at a position, copied if another World shares it.
-func (world *World) own(position int) *replica {
+// mutable returns the replica at a position for modification. It first copies a replica
+// that is shared with another World.
+func (world *World) mutable(position int) *replica {
 	if world.owned&(1<<position) == 0 {
 		world.replicas[position] = world.replicas[position].copy(world.model)
 		world.owned |= 1 << position
@@ -174,10 +175,10 @@
 }
 
 func (world *World) position(name string) int {
-	return slices.IndexFunc(world.replicas, func(one *replica) bool { return one.name == name })
+	return slices.IndexFunc(world.replicas, func(r *replica) bool { return r.name == name })
 }
 
-// replica returns the replica of a name, or nil.
+// replica returns the replica with a name, or nil.
 func (world *World) replica(name string) *replica {
 	position := world.position(name)
 	if position < 0 {
@@ -188,10 +189,10 @@
 
 // find returns the index of a message in flight, or where it would be inserted.
 func (world *World) find(key messageKey) (int, bool) {
-	return slices.BinarySearchFunc(world.inFlight, key, func(one packet, key messageKey) int { return cmp.Compare(one.key, key) })
+	return slices.BinarySearchFunc(world.inFlight, key, func(p packet, key messageKey) int { return cmp.Compare(p.key, key) })
 }
 
-// send puts a message in flight, unless its receiver is wiped.
+// send adds a message to those in flight, unless its receiver is unknown or wiped.
 func (world *World) send(message raft.Message) {
 	receiver := world.replica(message.To)
 	if receiver == nil || receiver.wiped {
@@ -202,8 +203,8 @@
 	world.inFlight = slices.Insert(world.inFlight, at, sent)
 }
 
-// Apply does one action and checks the invariants. It returns false, and does nothing, if the
-// action is not enabled in this state.
+// Apply performs one action and checks the invariants. It returns false and has no effect if
+// the action is not enabled in this state.
 //
 //revive:disable-next-line:cyclomatic one case for each kind of action
 func (world *World) Apply(action Action) bool {
@@ -211,9 +212,9 @@
 	if position < 0 || world.replicas[position].wiped || !world.isEnabled(action) {
 		return false
 	}
-	world.spent[action.Kind]++
+	world.performed[action.Kind]++
 	world.outcomes.Actions[action.Kind]++
-	chosen := world.own(position)
+	chosen := world.mutable(position)
 	switch action.Kind {
 	case ActionDeliver, ActionDuplicate, ActionDrop:
 		world.deliver(chosen, action)
@@ -230,11 +231,11 @@
 	case ActionWipe:
 		world.wipe(chosen)
 	case ActionCompact:
-		world.step(chosen, raft.Input{Kind: raft.InputCompact, Index: chosen.core.Applied(), Data: world.model.snapshotAt(chosen.core.Applied(), chosen.name)})
+		world.step(chosen, raft.Input{Kind: raft.InputCompact, Index: chosen.core.Applied(), Data: world.model.snapshotData(chosen.core.Applied(), chosen.name)})
 	case ActionTransferLeadership:
 		world.step(chosen, raft.Input{Kind: raft.InputTransferLeadership, Peer: action.Peer})
 	case ActionChange:
-		world.step(chosen, raft.Input{Kind: raft.InputChangeMembership, Membership: chosen.changed(action)})
+		world.step(chosen, raft.Input{Kind: raft.InputChangeMembership, Membership: chosen.requestedMembership(action)})
 	case ActionSuspect:
 		world.step(chosen, raft.Input{Kind: raft.InputSuspect, Peer: action.Peer})
 	}
@@ -265,8 +266,8 @@
 	return true
 }
 
-// deliver takes a message out of flight, unless it is duplicated, and steps its receiver with
-// it, unless it is dropped.
+// deliver removes a message from those in flight, unless it is duplicated, and passes it to its
+// receiver, unless it is dropped.
 func (world *World) deliver(receiver *replica, action Action) {
 	at, _ := world.find(action.Message)
 	message := world.inFlight[at].message
@@ -278,14 +279,14 @@
 	}
 }
 
-// step feeds one input to a core and takes its output.
+// step passes one input to a core, checks the invariants and processes the output.
 func (world *World) step(stepped *replica, input raft.Input) {
-	before := observed{status: stepped.status, stored: stepped.stored}
+	before := coreView{status: stepped.status, state: stepped.state}
 	if world.model.Replayable {
 		stepped.inputs = append(stepped.inputs, &input)
 	}
 	output := stepped.core.Step(input)
-	stepped.observe()
+	stepped.refresh()
 	if output.Write != nil {
 		stepped.pending = append(stepped.pending, output.Write)
 	}
@@ -295,26 +296,26 @@
 	}
 }
 
-// store lets the oldest pending write reach the disk.
+// store applies the oldest pending write to the disk.
 func (world *World) store(owner *replica) *raft.Write {
 	write := owner.pending[0]
 	owner.pending = owner.pending[1:]
 	before := owner.disk
-	owner.disk = cloneStored(owner.disk).With(write)
-	owner.hashed = false
+	owner.disk = cloneState(owner.disk).With(write)
+	owner.fingerprintCached = false
 	world.checkDisk(owner, before)
 	return write
 }
 
-// sync completes the oldest pending write of a replica and tells its core.
+// sync completes the oldest pending write of a replica and notifies its core.
 func (world *World) sync(owner *replica) {
 	write := world.store(owner)
 	world.step(owner, raft.Input{Kind: raft.InputSynced, Number: write.Number})
 }
 
-// crash restarts a replica; the first writes of those pending reached the disk.
-func (world *World) crash(crashed *replica, stored int) {
-	for range stored {
+// crash restarts a replica after the first synced of its pending writes became durable.
+func (world *World) crash(crashed *replica, synced int) {
+	for range synced {
 		world.store(crashed)
 	}
 	crashed.start(world.model)
@@ -325,43 +326,43 @@
 func (world *World) wipe(wiped *replica) {
 	wiped.wiped = true
 	wiped.pending = nil
-	wiped.hashed = false
-	world.inFlight = slices.DeleteFunc(world.inFlight, func(one packet) bool { return one.message.To == wiped.name })
-	world.generation++
-	world.add(fmt.Sprintf("%s%d", wiped.name[:1], world.generation+1), raft.PersistentState{})
+	wiped.fingerprintCached = false
+	world.inFlight = slices.DeleteFunc(world.inFlight, func(p packet) bool { return p.message.To == wiped.name })
+	world.wipes++
+	world.addReplica(fmt.Sprintf("%s%d", wiped.name[:1], world.wipes+1), raft.PersistentState{})
 }
 
-// changed returns the membership that a change asks for.
-func (replica *replica) changed(action Action) raft.Membership {
-	now := replica.status.Membership
+// requestedMembership returns the membership that a change requests.
+func (r *replica) requestedMembership(action Action) raft.Membership {
+	now := r.status.Membership
 	next := raft.Membership{Voters: slices.Clone(now.Voters), Learners: raft.Without(now.Learners, action.Peer)}
 	switch action.Change {
 	case ChangeAddLearner:
 		next.Learners = append(next.Learners, action.Peer)
-	case ChangeAddVoter, ChangeNameTwice:
+	case ChangeAddVoter, ChangeDuplicateVoter:
 		next.Voters = append(next.Voters, action.Peer)
 	case ChangeRemove:
 		next.Voters = raft.Without(now.Voters, action.Peer)
-	case ChangeSwap:
+	case ChangeReplaceVoter:
 		leaving := now.Voters[len(now.Voters)-1]
 		next.Voters = append(raft.Without(now.Voters, leaving), action.Peer)
 	}
 	return next
 }
 
-// snapshotAt is the content of a snapshot that a replica makes at an index. Those of two
-// replicas differ, as real ones may.
-func (model *Model) snapshotAt(index uint64, maker string) []byte {
+// snapshotData returns the data of a snapshot that a replica creates at an index. The data
+// depends on the creator, because real replicas need not create identical snapshots.
+func (model *Model) snapshotData(index uint64, creator string) []byte {
 	parts := defaultSnapshotParts
 	if model.SnapshotParts > 0 {
 		parts = model.SnapshotParts
 	}
-	return bytes.Repeat(fmt.Appendf(nil, "%d by %s;", index, maker), parts)
+	return bytes.Repeat(fmt.Appendf(nil, "%d by %s;", index, creator), parts)
 }
 
-// isSnapshot reports that a snapshot's content is what one replica made at an index.
-func (model *Model) isSnapshot(content []byte, index uint64) bool {
+// isSnapshotData reports whether the data is that of one snapshot created at an index.
+func (model *Model) isSnapshotData(content []byte, index uint64) bool {
 	first, _, _ := bytes.Cut(content, []byte(";"))
-	maker, found := bytes.CutPrefix(first, fmt.Appendf(nil, "%d by ", index))
-	return found && bytes.Equal(content, model.snapshotAt(index, string(maker)))
+	creator, found := bytes.CutPrefix(first, fmt.Appendf(nil, "%d by ", index))
+	return found && bytes.Equal(content, model.snapshotData(index, string(creator)))
 }
