--- a/proof/cmd/modelcheck/main.go
+++ b/proof/cmd/modelcheck/main.go
@@ -61,7 +61,7 @@
 		return modelcheck.Report{}, err
 	}
 	began := time.Now()
-	report := modelcheck.Report{Commit: cmp.Or(chosen.Commit, revision()), Began: began.UTC(), Workers: chosen.Workers}
+	report := modelcheck.Report{Commit: cmp.Or(chosen.Commit, revision()), StartTime: began.UTC(), Workers: chosen.Workers}
 	for position, scenario := range scenarios {
 		// What an earlier search did not use is for the later ones.
 		left := chosen.Explore - time.Since(began)
@@ -70,7 +70,7 @@
 		fmt.Fprintf(os.Stderr, "%s: depth %d, %d states, %.0f s\n", scenario.Name, exploration.Depth, exploration.States, exploration.Seconds)
 		report.Explorations = append(report.Explorations, exploration)
 	}
-	report.Walks = modelcheck.Walk(modelcheck.Walks{FirstSeed: chosen.Seed, Count: chosen.Walks, Steps: chosen.Steps, Time: chosen.Walk, Workers: chosen.Workers})
+	report.Walks = modelcheck.Walk(modelcheck.WalkOptions{FirstSeed: chosen.Seed, Count: chosen.Walks, Steps: chosen.Steps, Time: chosen.Walk, Workers: chosen.Workers})
 	report.Seconds = time.Since(began).Seconds()
 	return report, nil
 }
--- a/proof/modelcheck/report.go
+++ b/proof/modelcheck/report.go
@@ -10,7 +10,7 @@
 type Report struct {
 	// Commit is the revision of the checked code.
 	Commit       string        `json:"commit"`
-	Began        time.Time     `json:"began"`
+	StartTime    time.Time     `json:"began"`
 	Workers      int           `json:"workers"`
 	Explorations []Exploration `json:"explorations"`
 	Walks        WalkReport    `json:"walks"`
--- a/proof/modelcheck/walk.go
+++ b/proof/modelcheck/walk.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Walks configures a run of random walks.
-type Walks struct {
+// WalkOptions configures a run of random walks.
+type WalkOptions struct {
 	// FirstSeed is the seed of the first walk; later walks use consecutive seeds.
 	FirstSeed uint64
 	// Count is the maximum number of walks.
@@ -180,7 +180,7 @@
 
 // Walk runs random walks with consecutive seeds until the first violation, whose trace it
 // shortens.
-func Walk(walks Walks) WalkReport {
+func Walk(walks WalkOptions) WalkReport {
 	start := time.Now()
 	results := make(chan walkResult)
 	seeds := make(chan uint64)
--- a/proof/modelcheck/walk_test.go
+++ b/proof/modelcheck/walk_test.go
@@ -8,7 +8,7 @@
 
 // TestRandomWalksKeepAllInvariants runs random walks with random groups and faults.
 func TestRandomWalksKeepAllInvariants(t *testing.T) {
-	report := Walk(Walks{FirstSeed: 1, Count: 1200, Steps: 400, Time: time.Minute, Workers: 2})
+	report := Walk(WalkOptions{FirstSeed: 1, Count: 1200, Steps: 400, Time: time.Minute, Workers: 2})
 	if violation := report.Violation; violation != nil {
 		t.Fatalf("seed %d: %s: %s\n%s", report.ViolationSeed, violation.Invariant, violation.Detail, strings.Join(violation.Trace, "\n"))
 	}
