--- a/proof/cmd/fleet/main.go
+++ b/proof/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet starts a deployment as real processes on loopback and keeps it
-// until interrupted. It prints what a caller and an operator need as JSON.
+// Command fleet starts a deployment as real processes on loopback addresses and runs it until it is
+// interrupted. It prints the addresses and tokens for callers and operators as JSON.
 package main
 
 import (
@@ -18,27 +18,27 @@
 
 type options struct {
 	Deployment string        `arg:"--deployment" default:"trial" help:"trial, agency or logistics"`
-	Programs   string        `arg:"--programs" help:"folder of the programs [default: beside this one]"`
-	Folder     string        `arg:"--folder" help:"folder for data and logs [default: a new one]"`
-	Timeout    time.Duration `arg:"--patience" default:"60s" help:"how long the start may take"`
+	Programs   string        `arg:"--programs" help:"folder of the programs [default: that of this program]"`
+	Folder     string        `arg:"--folder" help:"folder for data and logs [default: a new temporary one]"`
+	Timeout    time.Duration `arg:"--patience" default:"60s" help:"maximum time until the deployment is ready"`
 }
 
 func main() {
-	var chosen options
-	arg.MustParse(&chosen)
-	if err := run(chosen); err != nil {
+	var opts options
+	arg.MustParse(&opts)
+	if err := run(opts); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(chosen options) error {
+func run(opts options) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	starting, cancel := context.WithTimeout(ctx, chosen.Timeout)
+	startCtx, cancel := context.WithTimeout(ctx, opts.Timeout)
 	defer cancel()
 	began := time.Now()
-	running, err := fleet.Launch(starting, chosen.Deployment, chosen.Programs, chosen.Folder, false)
+	running, err := fleet.Launch(startCtx, opts.Deployment, opts.Programs, opts.Folder, false)
 	if err != nil {
 		return err
 	}
--- a/proof/cmd/loadgen/main.go
+++ b/proof/cmd/loadgen/main.go
@@ -1,5 +1,5 @@
-// Command load starts a deployment as real processes, drives its callers' mix,
-// checks every answer, prints a report, and fails if a rule was broken.
+// Command loadgen starts a deployment as real processes, generates its load, checks every answer
+// and prints a report as JSON. It fails if a rule was violated.
 package main
 
 import (
@@ -17,29 +17,29 @@
 
 type options struct {
 	Deployment string        `arg:"--deployment" default:"trial" help:"trial, agency or logistics"`
-	Programs   string        `arg:"--programs" help:"folder of the programs [default: beside this one]"`
+	Programs   string        `arg:"--programs" help:"folder of the programs [default: that of this program]"`
 	Duration   time.Duration `arg:"--duration" default:"20s"`
 	Seed       uint64        `arg:"--seed" default:"1"`
 }
 
 func main() {
-	var chosen options
-	arg.MustParse(&chosen)
-	if err := run(chosen); err != nil {
+	var opts options
+	arg.MustParse(&opts)
+	if err := run(opts); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(chosen options) error {
-	ctx, cancel := context.WithTimeout(context.Background(), chosen.Duration+3*time.Minute)
+func run(opts options) error {
+	ctx, cancel := context.WithTimeout(context.Background(), opts.Duration+3*time.Minute)
 	defer cancel()
-	running, err := fleet.Launch(ctx, chosen.Deployment, chosen.Programs, "", false)
+	running, err := fleet.Launch(ctx, opts.Deployment, opts.Programs, "", false)
 	if err != nil {
 		return err
 	}
 	defer running.Stop()
-	report := loadgen.Run(ctx, running.Target(), loadgen.Mixes[chosen.Deployment], chosen.Duration, chosen.Seed, nil)
+	report := loadgen.Run(ctx, running.Target(), loadgen.Mixes[opts.Deployment], opts.Duration, opts.Seed, nil)
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(report); err != nil {
--- a/proof/cmd/modelcheck/main.go
+++ b/proof/cmd/modelcheck/main.go
@@ -1,7 +1,6 @@
-// Command modelcheck walks the states of the agreement core, exhaustively from a number
-// of beginnings and then at random, and checks its invariants after every step. It prints
-// a report as JSON; a violation comes with the shortest trace that was found, and exit
-// code 1.
+// Command modelcheck explores the states of raft.Core, exhaustively from the initial
+// states of its scenarios and then by random walks, and checks the invariants after every step. It
+// prints a report as JSON, with the shortest trace found for each violation, and then exits with 1.
 package main
 
 import (
@@ -17,83 +16,83 @@
 )
 
 type options struct {
-	Explore  time.Duration `arg:"--explore" default:"6m" help:"time for the exhaustive searches, shared by the scenarios"`
-	Walk     time.Duration `arg:"--walk" default:"4m" help:"time for the random walks"`
-	Depth    int           `arg:"--depth" default:"40" help:"greatest depth of the searches"`
-	States   int           `arg:"--states" default:"4000000" help:"most states that one search holds in memory"`
-	Walks    int           `arg:"--walks" default:"1000000" help:"most random walks"`
-	Steps    int           `arg:"--steps" default:"400" help:"actions of a walk"`
+	Explore  time.Duration `arg:"--explore" default:"6m" help:"total time of the exhaustive searches, shared by the scenarios"`
+	Walk     time.Duration `arg:"--walk" default:"4m" help:"total time of the random walks"`
+	Depth    int           `arg:"--depth" default:"40" help:"maximum depth of the searches"`
+	States   int           `arg:"--states" default:"4000000" help:"maximum number of states that a search keeps in memory"`
+	Walks    int           `arg:"--walks" default:"1000000" help:"maximum number of random walks"`
+	Steps    int           `arg:"--steps" default:"400" help:"number of actions of a walk"`
 	Seed     uint64        `arg:"--seed" default:"1" help:"seed of the first walk"`
 	Workers  int           `arg:"--workers" default:"2"`
-	Scenario string        `arg:"--scenario" help:"only the scenario of this name"`
-	Commit   string        `arg:"--commit" help:"revision to name in the report [default: as the build notes it]"`
+	Scenario string        `arg:"--scenario" help:"check only the scenario of this name"`
+	Commit   string        `arg:"--commit" help:"revision for the report [default: from the build info]"`
 }
 
 // Exit codes.
 const (
-	exitViolation = 1
-	exitMisused   = 2
+	exitViolation = 1 // an invariant was violated
+	exitUsage     = 2 // unknown scenario, or the report could not be written
 )
 
 func main() {
-	var chosen options
-	arg.MustParse(&chosen)
-	report, err := run(chosen)
+	var opts options
+	arg.MustParse(&opts)
+	report, err := run(opts)
 	if err == nil {
 		err = report.Write(os.Stdout)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitMisused)
+		os.Exit(exitUsage)
 	}
 	violations := report.Violations()
 	for _, violation := range violations {
-		fmt.Fprintf(os.Stderr, "broken: %s: %s\n", violation.Invariant, violation.Detail)
+		fmt.Fprintf(os.Stderr, "invariant violated: %s: %s\n", violation.Invariant, violation.Detail)
 	}
 	if len(violations) > 0 {
 		os.Exit(exitViolation)
 	}
 }
 
-func run(chosen options) (modelcheck.Report, error) {
-	scenarios, err := chosenScenarios(chosen.Scenario)
+func run(opts options) (modelcheck.Report, error) {
+	scenarios, err := selectScenarios(opts.Scenario)
 	if err != nil {
 		return modelcheck.Report{}, err
 	}
 	began := time.Now()
-	report := modelcheck.Report{Commit: cmp.Or(chosen.Commit, revision()), Began: began.UTC(), Workers: chosen.Workers}
+	report := modelcheck.Report{Commit: cmp.Or(opts.Commit, revision()), Began: began.UTC(), Workers: opts.Workers}
 	for position, scenario := range scenarios {
-		// What an earlier search did not use is for the later ones.
-		left := chosen.Explore - time.Since(began)
-		budget := modelcheck.Budget{Depth: chosen.Depth, States: chosen.States, Time: left / time.Duration(len(scenarios)-position), Workers: chosen.Workers}
+		// Later searches share the time that earlier ones left unused.
+		remaining := opts.Explore - time.Since(began)
+		budget := modelcheck.Budget{Depth: opts.Depth, States: opts.States, Time: remaining / time.Duration(len(scenarios)-position), Workers: opts.Workers}
 		exploration := modelcheck.Explore(scenario, budget)
 		fmt.Fprintf(os.Stderr, "%s: depth %d, %d states, %.0f s\n", scenario.Name, exploration.Depth, exploration.States, exploration.Seconds)
 		report.Explorations = append(report.Explorations, exploration)
 	}
-	report.Walks = modelcheck.Walk(modelcheck.Walks{FirstSeed: chosen.Seed, Count: chosen.Walks, Steps: chosen.Steps, Time: chosen.Walk, Workers: chosen.Workers})
+	report.Walks = modelcheck.Walk(modelcheck.Walks{FirstSeed: opts.Seed, Count: opts.Walks, Steps: opts.Steps, Time: opts.Walk, Workers: opts.Workers})
 	report.Seconds = time.Since(began).Seconds()
 	return report, nil
 }
 
-func chosenScenarios(name string) ([]modelcheck.Scenario, error) {
+func selectScenarios(name string) ([]modelcheck.Scenario, error) {
 	all := modelcheck.Scenarios()
 	if name == "" {
 		return all, nil
 	}
-	known := []string{}
+	names := []string{}
 	for _, scenario := range all {
 		if scenario.Name == name {
 			return []modelcheck.Scenario{scenario}, nil
 		}
-		known = append(known, scenario.Name)
+		names = append(names, scenario.Name)
 	}
-	return nil, fmt.Errorf("no scenario is named %q: choose one of %q", name, known)
+	return nil, fmt.Errorf("unknown scenario %q: use one of %q", name, names)
 }
 
-// revision returns the commit that the program was built from, as the Go command notes it.
+// revision returns the commit that the program was built from, according to the build info.
 func revision() string {
-	build, known := debug.ReadBuildInfo()
-	if !known {
+	build, ok := debug.ReadBuildInfo()
+	if !ok {
 		return "unknown"
 	}
 	commit, modified := "unknown", ""
--- a/proof/cmd/standin/main.go
+++ b/proof/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin serves a stand-in runner or a stand-in platform list.
+// Command standin serves a stand-in runner or the runner list of a stand-in platform.
 package main
 
 import (
@@ -16,37 +16,37 @@
 type options struct {
 	Serve    string        `arg:"--serve" default:"runner" help:"runner or platform"`
 	Address  string        `arg:"--address,required"`
-	First    time.Duration `arg:"--first" default:"20ms" help:"time to the first piece"`
+	First    time.Duration `arg:"--first" default:"20ms" help:"time until the first piece"`
 	Piece    time.Duration `arg:"--piece" default:"5ms" help:"time between pieces"`
-	Plain    time.Duration `arg:"--plain" default:"10ms" help:"time of a plain answer"`
-	Lag      time.Duration `arg:"--lag" default:"500ms" help:"lag of the platform's list"`
-	Throttle time.Duration `arg:"--throttle" default:"200ms" help:"shortest time between two list queries"`
-	Record   string        `arg:"--record" help:"file that keeps executions over restarts"`
-	Runners  string        `arg:"--runners" help:"file with the first list"`
+	Plain    time.Duration `arg:"--plain" default:"10ms" help:"time until a plain answer"`
+	Lag      time.Duration `arg:"--lag" default:"500ms" help:"time until a change of the runner list becomes visible"`
+	Throttle time.Duration `arg:"--throttle" default:"200ms" help:"minimum interval between two polls of the runner list"`
+	Record   string        `arg:"--record" help:"file that stores the executions across restarts"`
+	Runners  string        `arg:"--runners" help:"file with the initial runner list"`
 }
 
 func main() {
-	var chosen options
-	arg.MustParse(&chosen)
-	if err := serve(chosen); err != nil {
+	var opts options
+	arg.MustParse(&opts)
+	if err := serve(opts); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func serve(chosen options) error {
-	if chosen.Serve == "runner" {
-		runner := standin.NewRunner(standin.Latencies{FirstPiece: chosen.First, NextPiece: chosen.Piece, PlainAnswer: chosen.Plain})
-		if chosen.Record != "" {
-			if err := runner.OpenLedger(chosen.Record); err != nil {
+func serve(opts options) error {
+	if opts.Serve == "runner" {
+		runner := standin.NewRunner(standin.Latencies{FirstPiece: opts.First, NextPiece: opts.Piece, PlainAnswer: opts.Plain})
+		if opts.Record != "" {
+			if err := runner.OpenLedger(opts.Record); err != nil {
 				return err
 			}
 		}
-		return http.ListenAndServe(chosen.Address, runner)
+		return http.ListenAndServe(opts.Address, runner)
 	}
-	platform := &standin.Platform{Lag: chosen.Lag, Throttle: chosen.Throttle}
-	if chosen.Runners != "" {
-		data, err := os.ReadFile(chosen.Runners)
+	platform := &standin.Platform{Lag: opts.Lag, Throttle: opts.Throttle}
+	if opts.Runners != "" {
+		data, err := os.ReadFile(opts.Runners)
 		if err != nil {
 			return err
 		}
@@ -56,5 +56,5 @@
 		}
 		platform.Put(runners)
 	}
-	return http.ListenAndServe(chosen.Address, platform)
+	return http.ListenAndServe(opts.Address, platform)
 }
--- a/proof/fleet/administration.go
+++ b/proof/fleet/administration.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/config"
 )
 
-// Config returns the config that the deployment starts with.
+// Config returns the initial config of the deployment.
 //
 //	source := running.Config()
 func (fleet *Fleet) Config() string {
@@ -42,10 +42,10 @@
 	activation: {serves: "plain", table: "plain", path: "/plain", repeatable: false, urgency: "urgent"}
 }
 platform: runner_list: "http://%s/runners"
-`, config.HashToken(RootToken), config.HashToken(TeamToken), tightQuota, tightTurn, fleet.Platform)
+`, config.HashToken(RootToken), config.HashToken(TeamToken), tightQuota, tightTurnLimit, fleet.Platform)
 }
 
-func (fleet *Fleet) putFirstConfig(ctx context.Context) error {
+func (fleet *Fleet) putInitialConfig(ctx context.Context) error {
 	for {
 		number, _, err := fleet.ReadConfig(ctx)
 		if err == nil {
@@ -55,30 +55,31 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the control plane took no config: %w", err)
+			return fmt.Errorf("the control plane did not accept the initial config: %w", err)
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
 }
 
-// Administer sends an administration request to the control nodes one after the other until one
-// answers with success, and decodes the response.
+// Administer sends an administration request to one control node after another until one succeeds,
+// and decodes the response into result.
 //
 //	err := running.Administer(ctx, http.MethodGet, "/v1/fleet", nil, &view)
-func (fleet *Fleet) Administer(ctx context.Context, method, path string, body, answer any) error {
-	var failed error
+func (fleet *Fleet) Administer(ctx context.Context, method, path string, body, result any) error {
+	var lastErr error
 	for _, control := range fleet.ProcessesOf("control") {
-		if failed = Administer(ctx, control.PublicAddress, method, path, body, answer); failed == nil {
+		if lastErr = Administer(ctx, control.PublicAddress, method, path, body, result); lastErr == nil {
 			return nil
 		}
 	}
-	return failed
+	return lastErr
 }
 
-// Administer sends an administration request to one control node and decodes the response.
+// Administer sends an administration request to one control node and decodes the response into
+// result, unless that is nil.
 //
 //	err := fleet.Administer(ctx, control.PublicAddress, http.MethodGet, "/v1/fleet", nil, &view)
-func Administer(ctx context.Context, address, method, path string, body, answer any) error {
+func Administer(ctx context.Context, address, method, path string, body, result any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -89,37 +90,37 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+RootToken)
 	request.Header.Set("Content-Type", "application/json")
-	got, err := (&http.Client{Timeout: 8 * time.Second}).Do(request)
+	response, err := (&http.Client{Timeout: 8 * time.Second}).Do(request)
 	if err != nil {
 		return err
 	}
-	defer got.Body.Close()
-	reported, err := io.ReadAll(got.Body)
+	defer response.Body.Close()
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
-	if got.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s", got.Status, strings.TrimSpace(string(reported)))
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(content)))
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	return json.Unmarshal(reported, answer)
+	return json.Unmarshal(content, result)
 }
 
-// ReadConfig reads the number and the source of the newest config.
+// ReadConfig reads the number and the source of the current config.
 //
 //	number, source, err := running.ReadConfig(ctx)
 func (fleet *Fleet) ReadConfig(ctx context.Context) (uint64, string, error) {
-	var reported struct {
+	var result struct {
 		Number uint64 `json:"number"`
 		Source string `json:"source"`
 	}
-	err := fleet.Administer(ctx, http.MethodGet, "/v1/config", nil, &reported)
-	return reported.Number, reported.Source, err
+	err := fleet.Administer(ctx, http.MethodGet, "/v1/config", nil, &result)
+	return result.Number, result.Source, err
 }
 
-// ChangeResult is the response to a change.
+// ChangeResult is the response to a config change.
 type ChangeResult struct {
 	Number       uint64 `json:"number"`
 	Acknowledged bool   `json:"acknowledged"`
--- a/proof/fleet/deployment.go
+++ b/proof/fleet/deployment.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Deployment says how many processes of each kind there are, in which domains.
+// Deployment lists the failure domains of a deployment and its number of processes of each role.
+// Models and Applications count the stand-in runners of the two kinds.
 type Deployment struct {
 	Name         string
 	Domains      []string
@@ -9,11 +10,11 @@
 	Controls     int
 	Models       int
 	Applications int
-	// Groups is the number of groups of sessions; 0 means the daemons' default.
+	// Groups is the number of replication groups; 0 selects the daemons' default.
 	Groups int
 }
 
-// Deployments are those of the users' brief, and a small one for trials.
+// Deployments are the deployments of the requirements, and "trial", a small one for short runs.
 var Deployments = map[string]Deployment{
 	"trial":     {Name: "trial", Domains: []string{"east", "west", "north"}, Fronts: 2, Stores: 3, Controls: 3, Models: 2, Applications: 2},
 	"agency":    {Name: "agency", Domains: []string{"harbour", "centre", "hill"}, Fronts: 7, Stores: 3, Controls: 3, Models: 18, Applications: 7},
--- a/proof/fleet/faults.go
+++ b/proof/fleet/faults.go
@@ -17,12 +17,12 @@
 )
 
 // Fault is one kind of fault. Inject injects it, ends it and checks the rules that it may violate.
-// Two faults with different targets may be injected at once; the brief demands that the fleet
-// tolerates the loss of one machine with a disk, or of one domain, at a time.
+// Faults with different targets may overlap. Those with the same target may not: the requirements
+// demand tolerance of the loss of only one machine with a disk, or of one domain, at a time.
 type Fault struct {
 	Name   string
 	Target string
-	Inject func(ctx context.Context, running *Fleet, random *rand.Rand) error
+	Inject func(ctx context.Context, fleet *Fleet, random *rand.Rand) error
 }
 
 // The targets of faults.
@@ -33,10 +33,10 @@
 	operators = "operators"
 )
 
-// pickProcess draws a process of a role.
+// pickProcess returns a random process of a role.
 func (fleet *Fleet) pickProcess(random *rand.Rand, role string) *Process {
-	found := fleet.ProcessesOf(role)
-	return found[random.IntN(len(found))]
+	candidates := fleet.ProcessesOf(role)
+	return candidates[random.IntN(len(candidates))]
 }
 
 func wait(ctx context.Context, duration time.Duration) {
@@ -46,20 +46,20 @@
 	}
 }
 
-func killAndRestart(role string, away time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
+func killAndRestart(role string, downtime time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
 	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 		process := fleet.pickProcess(random, role)
 		process.Kill()
-		wait(ctx, away)
+		wait(ctx, downtime)
 		return process.Start()
 	}
 }
 
-func pauseAndResume(role string, away time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
+func pauseAndResume(role string, duration time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
 	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 		process := fleet.pickProcess(random, role)
 		process.Pause()
-		wait(ctx, away)
+		wait(ctx, duration)
 		process.Resume()
 		return nil
 	}
@@ -79,53 +79,54 @@
 	}
 }
 
-// identity reads the name of the process's disk.
+// identity returns the node name stored in the process's data folder, or "" before there is one.
 func (process *Process) identity() string {
-	var reported struct{ Name string }
+	var stored struct{ Name string }
 	data, err := os.ReadFile(filepath.Join(process.Folder, "identity"))
-	if err != nil || json.Unmarshal(data, &reported) != nil {
+	if err != nil || json.Unmarshal(data, &stored) != nil {
 		return ""
 	}
-	return reported.Name
+	return stored.Name
 }
 
-// awaitHealed waits until the process with a new disk is enrolled, as many stores and control
-// nodes are listed and live as before, and every group has all its replicas, so that the fleet
+// awaitHealed waits until the replacement is enrolled, the deployment's number of stores and
+// control nodes are listed and live, and every group has all its replicas, so that the fleet
 // tolerates the next loss.
-func (fleet *Fleet) awaitHealed(ctx context.Context, fresh *Process) error {
-	limited, cancel := context.WithTimeout(ctx, 40*time.Second)
+func (fleet *Fleet) awaitHealed(ctx context.Context, replacement *Process) error {
+	timeoutCtx, cancel := context.WithTimeout(ctx, 40*time.Second)
 	defer cancel()
 	for {
-		name := fresh.identity()
-		var reported struct {
+		name := replacement.identity()
+		var status struct {
 			Members, Stores, Controls []struct{ Name, Role string }
 			Unhealed                  int `json:"unhealed_groups"`
 		}
-		err := fleet.Administer(limited, http.MethodGet, "/v1/fleet", nil, &reported)
-		live := map[string]bool{}
-		for _, member := range reported.Members {
-			live[member.Name] = true
+		err := fleet.Administer(timeoutCtx, http.MethodGet, "/v1/fleet", nil, &status)
+		liveNames := map[string]bool{}
+		for _, member := range status.Members {
+			liveNames[member.Name] = true
 		}
-		enrolled, taken := 0, false
-		for _, member := range append(reported.Stores, reported.Controls...) {
-			if live[member.Name] {
-				enrolled++
+		liveCount, joined := 0, false
+		for _, member := range append(status.Stores, status.Controls...) {
+			if liveNames[member.Name] {
+				liveCount++
 			}
-			taken = taken || (name != "" && member.Name == name)
+			joined = joined || (name != "" && member.Name == name)
 		}
-		if err == nil && taken && reported.Unhealed == 0 && len(reported.Stores) == fleet.Deployment.Stores && len(reported.Controls) == fleet.Deployment.Controls && enrolled == fleet.Deployment.Stores+fleet.Deployment.Controls {
+		if err == nil && joined && status.Unhealed == 0 && len(status.Stores) == fleet.Deployment.Stores && len(status.Controls) == fleet.Deployment.Controls && liveCount == fleet.Deployment.Stores+fleet.Deployment.Controls {
 			return nil
 		}
 		select {
-		case <-limited.Done():
-			return fmt.Errorf("not healed: %d stores, %d controls listed, %d of them live, %d groups unhealed (%v)", len(reported.Stores), len(reported.Controls), enrolled, reported.Unhealed, err)
+		case <-timeoutCtx.Done():
+			return fmt.Errorf("the fleet has not recovered: %d stores and %d control nodes are listed, %d of them live; %d groups lack replicas (last error: %v)", len(status.Stores), len(status.Controls), liveCount, status.Unhealed, err)
 		case <-time.After(300 * time.Millisecond):
 		}
 	}
 }
 
-// injectDiskFaults returns a fault of the disk of a store or control node, for a time.
-func injectDiskFaults(faults vfs.DiskFaults, lasts time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
+// injectDiskFaults returns a function that makes the disk of a store or control node faulty for a
+// duration.
+func injectDiskFaults(faults vfs.DiskFaults, duration time.Duration) func(context.Context, *Fleet, *rand.Rand) error {
 	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 		process := fleet.pickProcess(random, []string{"store", "control"}[random.IntN(2)])
 		data, err := json.Marshal(faults)
@@ -135,54 +136,55 @@
 		if err := os.WriteFile(process.Faults, data, 0o600); err != nil {
 			return err
 		}
-		wait(ctx, lasts)
+		wait(ctx, duration)
 		return os.Remove(process.Faults)
 	}
 }
 
-// losePower kills a process, and what its disk had not synced is lost.
+// losePower kills and restarts a process; its disk loses all unsynced data.
 func losePower(_ context.Context, fleet *Fleet, random *rand.Rand) error {
 	process := fleet.pickProcess(random, []string{"store", "store", "control"}[random.IntN(3)])
 	process.Kill()
 	return process.Start()
 }
 
-// injectLinkFault returns a fault of the links between one machine with a disk and some or all
-// others.
-func injectLinkFault(do func(links *LinkProxy, one, other *Process), all bool) func(context.Context, *Fleet, *rand.Rand) error {
+// injectLinkFault returns a function that makes the links between a store or control node and all
+// or about half of the other daemons faulty for 4 s.
+func injectLinkFault(apply func(links *LinkProxy, node, peer *Process), allPeers bool) func(context.Context, *Fleet, *rand.Rand) error {
 	return func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
-		one := fleet.pickProcess(random, []string{"store", "control"}[random.IntN(2)])
-		others := slices.Concat(fleet.ProcessesOf("store"), fleet.ProcessesOf("control"), fleet.ProcessesOf("front"))
-		if !all {
-			random.Shuffle(len(others), func(left, right int) { others[left], others[right] = others[right], others[left] })
-			others = others[:len(others)/2]
+		node := fleet.pickProcess(random, []string{"store", "control"}[random.IntN(2)])
+		peers := slices.Concat(fleet.ProcessesOf("store"), fleet.ProcessesOf("control"), fleet.ProcessesOf("front"))
+		if !allPeers {
+			random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+			peers = peers[:len(peers)/2]
 		}
-		for _, other := range others {
-			if other != one {
-				do(fleet.Links, one, other)
+		for _, peer := range peers {
+			if peer != node {
+				apply(fleet.Links, node, peer)
 			}
 		}
 		wait(ctx, 4*time.Second)
-		for _, other := range others {
-			fleet.Links.Heal(one.Address, other.Address)
+		for _, peer := range peers {
+			fleet.Links.Heal(node.Address, peer.Address)
 		}
 		return nil
 	}
 }
 
+// loseDomain kills all processes of a domain and restarts them after 4 s.
 func loseDomain(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
-	name := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
-	lost := []*Process{}
+	domain := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
+	killed := []*Process{}
 	for _, role := range []string{"control", "store", "front", "runner"} {
 		for _, process := range fleet.ProcessesOf(role) {
-			if process.Domain == name {
+			if process.Domain == domain {
 				process.Kill()
-				lost = append(lost, process)
+				killed = append(killed, process)
 			}
 		}
 	}
 	wait(ctx, 4*time.Second)
-	for _, process := range lost {
+	for _, process := range killed {
 		if err := process.Start(); err != nil {
 			return err
 		}
@@ -190,9 +192,9 @@
 	return nil
 }
 
-// TotalOutage kills every daemon at once, so that unsynced data is lost, and starts all but some
-// again: without a store, a control node and a store, or a domain. It returns what was missing and
-// how long it took until every front had served a turn.
+// TotalOutage kills every daemon at once, so that unsynced data is lost, and restarts all of them
+// except a store, a control node and a store, or a domain. It returns what was left out and the
+// time until every restarted front had served a turn, and then starts the rest.
 //
 //	missing, took, err := running.TotalOutage(ctx, random)
 func (fleet *Fleet) TotalOutage(ctx context.Context, random *rand.Rand) (string, time.Duration, error) {
@@ -201,50 +203,50 @@
 		process.Kill()
 	}
 	store, control := fleet.pickProcess(random, "store"), fleet.pickProcess(random, "control")
-	name := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
-	cases := []struct {
-		name string
-		gone func(process *Process) bool
+	domain := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
+	outages := []struct {
+		missing  string
+		excluded func(process *Process) bool
 	}{
 		{"a store", func(process *Process) bool { return process == store }},
 		{"a control node and a store", func(process *Process) bool { return process == store || process == control }},
-		{"domain " + name, func(process *Process) bool { return process.Domain == name }},
+		{"domain " + domain, func(process *Process) bool { return process.Domain == domain }},
 	}
-	chosen := cases[random.IntN(len(cases))]
+	outage := outages[random.IntN(len(outages))]
 	ctx, cancel := context.WithTimeout(ctx, 60*time.Second)
 	defer cancel()
 	began := time.Now()
-	back := []*Process{}
+	restarted := []*Process{}
 	for _, process := range daemons {
-		if chosen.gone(process) {
+		if outage.excluded(process) {
 			continue
 		}
 		if err := process.Start(); err != nil {
-			return chosen.name, 0, err
+			return outage.missing, 0, err
 		}
-		back = append(back, process)
+		restarted = append(restarted, process)
 	}
-	for _, process := range back {
+	for _, process := range restarted {
 		if process.Role != "front" {
 			continue
 		}
 		if err := loadgen.AwaitTurn(ctx, fleet.Target(), process.PublicAddress); err != nil {
-			return chosen.name, time.Since(began), fmt.Errorf("%s: %w", process.Name, err)
+			return outage.missing, time.Since(began), fmt.Errorf("%s: %w", process.Name, err)
 		}
 	}
 	took := time.Since(began)
-	fleet.Checks.Check("outage", took <= outageBound, "a turn was served at every front only after %s, without %s", took, chosen.name)
+	fleet.Checks.Check("outage", took <= outageRecoveryBound, "it took %s until every front had served a turn, without %s", took, outage.missing)
 	for _, process := range daemons {
-		if chosen.gone(process) {
+		if outage.excluded(process) {
 			if err := process.Start(); err != nil {
-				return chosen.name, took, err
+				return outage.missing, took, err
 			}
 		}
 	}
-	return chosen.name, took, nil
+	return outage.missing, took, nil
 }
 
-// Faults are the faults that a seeded run draws from.
+// Faults are the faults that a run selects from.
 var Faults = []Fault{
 	{"front killed", fronts, killAndRestart("front", time.Second)},
 	{"store killed", machines, killAndRestart("store", 2*time.Second)},
@@ -263,24 +265,24 @@
 	{"disk slow", machines, injectDiskFaults(vfs.DiskFaults{Slow: "150ms"}, 4*time.Second)},
 	{"disk stalled", machines, injectDiskFaults(vfs.DiskFaults{Stalled: true}, 4*time.Second)},
 	{"disk full", machines, injectDiskFaults(vfs.DiskFaults{Full: true}, 3*time.Second)},
-	{"links cut", machines, injectLinkFault(func(links *LinkProxy, one, other *Process) {
-		links.CutOneWay(one.Address, other.Address)
-		links.CutOneWay(other.Address, one.Address)
+	{"links cut", machines, injectLinkFault(func(links *LinkProxy, node, peer *Process) {
+		links.CutOneWay(node.Address, peer.Address)
+		links.CutOneWay(peer.Address, node.Address)
 	}, true)},
-	{"links cut one way", machines, injectLinkFault(func(links *LinkProxy, one, other *Process) { links.CutOneWay(one.Address, other.Address) }, false)},
-	{"links slow", machines, injectLinkFault(func(links *LinkProxy, one, other *Process) {
-		links.Slow(one.Address, other.Address, 100*time.Millisecond)
-		links.Slow(other.Address, one.Address, 100*time.Millisecond)
+	{"links cut one way", machines, injectLinkFault(func(links *LinkProxy, node, peer *Process) { links.CutOneWay(node.Address, peer.Address) }, false)},
+	{"links slow", machines, injectLinkFault(func(links *LinkProxy, node, peer *Process) {
+		links.Slow(node.Address, peer.Address, 100*time.Millisecond)
+		links.Slow(peer.Address, node.Address, 100*time.Millisecond)
 	}, true)},
 	{"domain lost", machines, loseDomain},
 	{"domain emptied and refilled", operators, drainDomain},
 	{"config changed under a frozen front", operators, checkConfigTakesEffect},
-	{"weights changed in a burst", operators, trafficSpike},
-	{"two operators at once", operators, twoOperators},
-	{"many new routes", operators, manyRoutes},
+	{"weights changed in a burst", operators, changeWeightsRapidly},
+	{"two operators at once", operators, changeConfigConcurrently},
+	{"many new routes", operators, addManyRoutes},
 	{"crowd", runners, func(ctx context.Context, fleet *Fleet, _ *rand.Rand) error {
-		seen := loadgen.Spike(ctx, fleet.Target(), 4*time.Second, 250)
-		fleet.Checks.Check("crowd", seen.Wrong == 0, "%d of %d refusals were not as not run with when to come back", seen.Wrong, seen.Rejected)
+		result := loadgen.Spike(ctx, fleet.Target(), 4*time.Second, 250)
+		fleet.Checks.Check("crowd", result.Wrong == 0, "%d of %d rejections were reported as not run without a time to retry after", result.Wrong, result.Rejected)
 		return nil
 	}},
 	{"front drained and restarted", fronts, func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
@@ -296,19 +298,19 @@
 	}},
 }
 
-// Panics searches the processes' logs for panics and data races.
+// Panics returns the panics, fatal errors and data races in the processes' logs.
 //
 //	found := running.Panics()
 func (fleet *Fleet) Panics() []string {
 	found := []string{}
 	for _, process := range fleet.Processes {
-		data, err := os.ReadFile(process.log)
+		data, err := os.ReadFile(process.logFile)
 		if err != nil {
 			continue
 		}
-		for _, sign := range []string{"panic:", "fatal error:", "DATA RACE"} {
-			if strings.Contains(string(data), sign) {
-				found = append(found, process.Name+": "+sign)
+		for _, marker := range []string{"panic:", "fatal error:", "DATA RACE"} {
+			if strings.Contains(string(data), marker) {
+				found = append(found, process.Name+": "+marker)
 			}
 		}
 	}
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet starts deployments as real processes on loopback addresses, with stand-ins for
-// what yardrock depends on, injects faults, and checks the rules of the users' brief. A Fleet owns
-// its processes and its folder of data and logs; Stop or CheckReport ends the processes.
+// Package fleet runs deployments as real processes on loopback addresses, with stand-ins for
+// yardrock's dependencies, injects faults and checks the rules of the requirements. A Fleet owns
+// its processes and its folder of data and logs. Stop ends the processes, and so does CheckReport if
+// there are no violations.
 package fleet
 
 import (
@@ -16,16 +17,16 @@
 	"yardrock.example/proof/standin"
 )
 
-// The tokens of the root operator and of the team in a fleet's config.
+// The tokens of the root operator and of the team in the initial config.
 const (
 	RootToken = "trial-root"
 	TeamToken = "trial-team"
 )
 
-// The terms, in words, of the program "tight", whose quota runs out.
+// The limits of the program "tight", in words. The quota is small enough to be exhausted in a run.
 const (
-	tightQuota = 200
-	tightTurn  = 30
+	tightQuota     = 200
+	tightTurnLimit = 30
 )
 
 // Fleet is a running deployment.
@@ -34,77 +35,76 @@
 	Folder     string
 	Processes  []*Process
 	Runners    []standin.ListedRunner
-	Platform   string
-	Links      *LinkProxy // nil unless faults are to be injected
+	Platform   string     // address of the stand-in platform
+	Links      *LinkProxy // nil unless the fleet was started with fault injection
 	Checks     *RuleChecks
 
-	programs string
-	mutex    sync.Mutex
-	seeds    []string
-	added    int // how many daemons were added
-	// acknowledged is the number of the newest acknowledged config. If unclear is set, a later
-	// change may have been accepted too.
+	programFolder string
+	mutex         sync.Mutex
+	seeds         []string
+	addedNodes    int // daemons that were added after the start
+	// acknowledged is the number of the newest acknowledged config. If unconfirmed is set, a later
+	// change whose outcome is not known may have been accepted too.
 	acknowledged uint64
-	unclear      bool
+	unconfirmed  bool
 }
 
-// Launch starts a deployment by name. Without a folder of programs it uses those beside this
-// program, without a folder of data a new one.
+// Launch starts the deployment of a name with the default latencies of the stand-ins. An empty
+// programFolder selects the folder of the running executable, an empty folder a new temporary one.
 //
 //	running, err := fleet.Launch(ctx, "trial", "", "", false)
 //	defer running.Stop()
-func Launch(ctx context.Context, name, programs, folder string, faulty bool) (*Fleet, error) {
-	deployment, found := Deployments[name]
-	if !found {
-		return nil, fmt.Errorf("no deployment is named %q: use trial, agency or logistics", name)
+func Launch(ctx context.Context, name, programFolder, folder string, injectFaults bool) (*Fleet, error) {
+	deployment, ok := Deployments[name]
+	if !ok {
+		return nil, fmt.Errorf("unknown deployment %q: use trial, agency or logistics", name)
 	}
-	if programs == "" {
-		self, err := os.Executable()
+	if programFolder == "" {
+		executable, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		programs = filepath.Dir(self)
+		programFolder = filepath.Dir(executable)
 	}
-	var failed error
+	var mkdirErr error
 	if folder == "" {
-		folder, failed = os.MkdirTemp("", "yardrock-")
+		folder, mkdirErr = os.MkdirTemp("", "yardrock-")
 	} else {
-		failed = os.MkdirAll(folder, 0o750)
+		mkdirErr = os.MkdirAll(folder, 0o750)
 	}
-	if failed != nil {
-		return nil, failed
+	if mkdirErr != nil {
+		return nil, mkdirErr
 	}
-	fleet, err := Start(ctx, deployment, programs, folder, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 5 * time.Millisecond, PlainAnswer: 10 * time.Millisecond}, faulty)
+	fleet, err := Start(ctx, deployment, programFolder, folder, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 5 * time.Millisecond, PlainAnswer: 10 * time.Millisecond}, injectFaults)
 	if err != nil {
 		return nil, fmt.Errorf("%w (logs are in %s)", err, folder)
 	}
 	return fleet, nil
 }
 
-// CheckReport ends a run. Violations are an error that names the folder of the logs. Without any,
-// the processes are stopped and the folder is removed.
+// CheckReport ends a run. If the report lists violations, it returns an error that names the folder
+// of the logs; otherwise it stops the processes and removes the folder.
 //
 //	return running.CheckReport(report)
 func (fleet *Fleet) CheckReport(report *loadgen.Report) error {
 	if len(report.Violations) > 0 {
-		return fmt.Errorf("%d rules were broken (logs are in %s)", len(report.Violations), fleet.Folder)
+		return fmt.Errorf("%d rule violations (logs are in %s)", len(report.Violations), fleet.Folder)
 	}
 	fleet.Stop()
 	return os.RemoveAll(fleet.Folder)
 }
 
 // Start starts a deployment with the programs in a folder, and returns once every front is ready.
-// With faulty, the links go through a LinkProxy and the disks are vfs.FaultDirectory ones, so that faults
-// can be injected.
+// With injectFaults, the links go through a LinkProxy and the disks are vfs.FaultDirectory ones.
 //
-//	running, err := fleet.Start(ctx, fleet.Deployments["trial"], "bin", folder, pace, false)
+//	running, err := fleet.Start(ctx, fleet.Deployments["trial"], "bin", folder, latencies, false)
 //	defer running.Stop()
-func Start(ctx context.Context, deployment Deployment, programs, folder string, pace standin.Latencies, faulty bool) (*Fleet, error) {
-	fleet := &Fleet{Deployment: deployment, Folder: folder, programs: programs, Checks: NewRuleChecks()}
-	if faulty {
+func Start(ctx context.Context, deployment Deployment, programFolder, folder string, latencies standin.Latencies, injectFaults bool) (*Fleet, error) {
+	fleet := &Fleet{Deployment: deployment, Folder: folder, programFolder: programFolder, Checks: NewRuleChecks()}
+	if injectFaults {
 		fleet.Links = NewLinkProxy()
 	}
-	if err := fleet.plan(pace); err != nil {
+	if err := fleet.createProcesses(latencies); err != nil {
 		return nil, err
 	}
 	for _, process := range fleet.Processes {
@@ -113,7 +113,7 @@
 			return nil, err
 		}
 	}
-	if err := fleet.putFirstConfig(ctx); err != nil {
+	if err := fleet.putInitialConfig(ctx); err != nil {
 		fleet.Stop()
 		return nil, err
 	}
@@ -147,29 +147,29 @@
 	return nil
 }
 
-// Fronts lists the addresses for callers.
+// Fronts lists the public addresses of the fronts.
 //
 //	addresses := running.Fronts()
 func (fleet *Fleet) Fronts() []string {
-	found := []string{}
+	addresses := []string{}
 	for _, front := range fleet.ProcessesOf("front") {
-		found = append(found, front.PublicAddress)
+		addresses = append(addresses, front.PublicAddress)
 	}
-	return found
+	return addresses
 }
 
-// Target returns what the load generator needs to know of the fleet.
+// Target returns the fleet as a target of the load generator.
 //
 //	report := loadgen.Run(ctx, running.Target(), mix, duration, seed)
 func (fleet *Fleet) Target() loadgen.Target {
-	target := loadgen.Target{Fronts: fleet.Fronts(), Token: TeamToken, Quota: tightQuota, TurnLimit: tightTurn + 2}
+	target := loadgen.Target{Fronts: fleet.Fronts(), Token: TeamToken, Quota: tightQuota, TurnLimit: tightTurnLimit + 2}
 	for _, runner := range fleet.Runners {
 		target.Runners = append(target.Runners, runner.Address)
 	}
 	return target
 }
 
-// Stop kills the processes that still run.
+// Stop kills the processes that are still running.
 //
 //	defer running.Stop()
 func (fleet *Fleet) Stop() {
--- a/proof/fleet/linkproxy.go
+++ b/proof/fleet/linkproxy.go
@@ -9,9 +9,9 @@
 )
 
 // LinkProxy forwards the connections between a fleet's daemons, so that links can be cut or slowed
-// down. Every daemon is reached through one of its listeners and connects from an IP address of
-// its own, which identifies it. Data sent over a cut link waits until the link is healed or the
-// connection ends. It is safe for concurrent use.
+// down. Each daemon is reached through a listener of the proxy and is identified by its IP address.
+// Data sent over a cut link is delayed until the link is healed or the connection ends. Its methods
+// are safe for concurrent use.
 type LinkProxy struct {
 	mutex   sync.Mutex
 	states  map[[2]string]linkState
@@ -20,11 +20,11 @@
 
 // linkState is the state of the link from one IP address to another; the zero value is healthy.
 type linkState struct {
-	cut  bool
-	slow time.Duration
+	cut   bool
+	delay time.Duration
 }
 
-// NewLinkProxy returns a proxy with healthy links.
+// NewLinkProxy returns a proxy whose links are healthy.
 //
 //	links := fleet.NewLinkProxy()
 func NewLinkProxy() *LinkProxy {
@@ -39,41 +39,42 @@
 	return host
 }
 
-// Serve accepts connections at a daemon's address and forwards them to where it listens, until
-// the program ends.
+// Serve accepts connections at a daemon's advertised address and forwards them to backend, the
+// address that it listens on, until the program ends.
 //
 //	err := links.Serve("127.22.1.1:7000", "127.22.1.1:7001")
-func (links *LinkProxy) Serve(address, listen string) error {
+func (links *LinkProxy) Serve(address, backend string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	go func() {
 		for {
-			near, err := listener.Accept()
+			inbound, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go links.connect(near, listen, ipOf(near.RemoteAddr().String()), ipOf(address))
+			go links.connect(inbound, backend, ipOf(inbound.RemoteAddr().String()), ipOf(address))
 		}
 	}()
 	return nil
 }
 
-func (links *LinkProxy) connect(near net.Conn, listen, from, to string) {
-	defer near.Close()
-	far, err := net.Dial("tcp", listen)
+func (links *LinkProxy) connect(inbound net.Conn, backend, from, to string) {
+	defer inbound.Close()
+	outbound, err := net.Dial("tcp", backend)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer outbound.Close()
 	var copying sync.WaitGroup
-	copying.Go(func() { links.forward(far, near, [2]string{from, to}) })
-	copying.Go(func() { links.forward(near, far, [2]string{to, from}) })
+	copying.Go(func() { links.forward(outbound, inbound, [2]string{from, to}) })
+	copying.Go(func() { links.forward(inbound, outbound, [2]string{to, from}) })
 	copying.Wait()
 }
 
-// forward copies one direction, as the link allows, until either side ends.
+// forward copies one direction of a connection, as the state of the link permits, until either end
+// is closed.
 func (links *LinkProxy) forward(target, source net.Conn, direction [2]string) {
 	defer target.Close()
 	defer source.Close()
@@ -88,28 +89,28 @@
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				links.awaitOpen(direction) // the end of the stream takes as long as data
+				links.awaitOpen(direction) // the end of the stream is delayed like data
 			}
 			return
 		}
 	}
 }
 
-// awaitOpen waits until the link is open, and as long as its delay.
+// awaitOpen waits while the link is cut, and then for its delay.
 func (links *LinkProxy) awaitOpen(direction [2]string) {
 	for {
 		links.mutex.Lock()
-		now, changed := links.states[direction], links.changed
+		state, changed := links.states[direction], links.changed
 		links.mutex.Unlock()
-		if !now.cut {
-			time.Sleep(now.slow)
+		if !state.cut {
+			time.Sleep(state.delay)
 			return
 		}
 		<-changed
 	}
 }
 
-func (links *LinkProxy) set(from, to string, change func(linkState) linkState) {
+func (links *LinkProxy) updateState(from, to string, change func(linkState) linkState) {
 	links.mutex.Lock()
 	defer links.mutex.Unlock()
 	direction := [2]string{ipOf(from), ipOf(to)}
@@ -118,18 +119,18 @@
 	links.changed = make(chan struct{})
 }
 
-// CutOneWay cuts the link from one daemon's address to another's.
+// CutOneWay cuts the link from one daemon's address to another's, in this direction only.
 //
 //	links.CutOneWay(front.Address, store.Address)
 func (links *LinkProxy) CutOneWay(from, to string) {
-	links.set(from, to, func(now linkState) linkState { now.cut = true; return now })
+	links.updateState(from, to, func(state linkState) linkState { state.cut = true; return state })
 }
 
-// Slow adds a delay to the link from one daemon's address to another's.
+// Slow delays data from one daemon's address to another's, in this direction only.
 //
 //	links.Slow(front.Address, store.Address, 100*time.Millisecond)
 func (links *LinkProxy) Slow(from, to string, delay time.Duration) {
-	links.set(from, to, func(now linkState) linkState { now.slow = delay; return now })
+	links.updateState(from, to, func(state linkState) linkState { state.delay = delay; return state })
 }
 
 // Heal makes the links between two addresses healthy in both directions.
@@ -137,6 +138,6 @@
 //	links.Heal(front.Address, store.Address)
 func (links *LinkProxy) Heal(one, other string) {
 	for _, direction := range [][2]string{{one, other}, {other, one}} {
-		links.set(direction[0], direction[1], func(linkState) linkState { return linkState{} })
+		links.updateState(direction[0], direction[1], func(linkState) linkState { return linkState{} })
 	}
 }
--- a/proof/fleet/membership.go
+++ b/proof/fleet/membership.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// reloadSettings sends SIGHUP to all daemons, so that they read their settings again. Those that
-// have only just started are left out: they read the settings anyway, and the signal would end a
-// program that does not handle it yet.
+// reloadSettings sends SIGHUP to all daemons, so that they reload their settings. It skips daemons
+// that have only just started: they read the new settings anyway, and the signal would end a
+// process that has not installed its handler yet.
 func (fleet *Fleet) reloadSettings() {
 	for _, role := range []string{"control", "store", "front"} {
 		for _, process := range fleet.ProcessesOf(role) {
@@ -25,18 +25,18 @@
 	}
 }
 
-// remove takes a process that has ended permanently out of the fleet.
-func (fleet *Fleet) remove(old *Process) {
+// removeProcess removes a process that will not be restarted from the fleet.
+func (fleet *Fleet) removeProcess(old *Process) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	fleet.Processes = slices.DeleteFunc(fleet.Processes, func(process *Process) bool { return process == old })
 }
 
-// addNode starts a new daemon at a new address.
+// addNode adds a daemon at a new address and starts it.
 func (fleet *Fleet) addNode(role, domain string) (*Process, error) {
 	fleet.mutex.Lock()
-	fleet.added++
-	number := fleet.added
+	fleet.addedNodes++
+	number := fleet.addedNodes
 	fleet.mutex.Unlock()
 	address, err := freeAddress(fmt.Sprintf("127.%d.%d.%d", 40+number%50, number%250, 1+number%200))
 	if err != nil {
@@ -49,26 +49,27 @@
 	return process, process.Start()
 }
 
-// replaceControl replaces a control machine by an empty one at a new address.
+// replaceControl replaces a control node by an empty one at a new address, and updates the seeds if
+// it was one of them.
 func (fleet *Fleet) replaceControl(ctx context.Context, old *Process) error {
-	fresh, err := fleet.addNode("control", old.Domain)
+	replacement, err := fleet.addNode("control", old.Domain)
 	if err != nil {
 		return err
 	}
 	old.Kill()
-	fleet.remove(old)
+	fleet.removeProcess(old)
 	seeds := slices.Clone(fleet.seeds)
-	if at := slices.Index(seeds, old.Address); at >= 0 {
-		seeds[at] = fresh.Address
+	if position := slices.Index(seeds, old.Address); position >= 0 {
+		seeds[position] = replacement.Address
 		if err := fleet.setSeeds(seeds); err != nil {
 			return err
 		}
 		fleet.reloadSettings()
 	}
-	return fleet.awaitHealed(ctx, fresh)
+	return fleet.awaitHealed(ctx, replacement)
 }
 
-// replaceSeeds replaces all three seed machines, one after the other.
+// replaceSeeds replaces the three seed control nodes one after another.
 func replaceSeeds(ctx context.Context, fleet *Fleet, _ *rand.Rand) error {
 	for _, control := range fleet.ProcessesOf("control")[:3] {
 		if err := fleet.replaceControl(ctx, control); err != nil {
@@ -78,40 +79,40 @@
 	return nil
 }
 
-// replaceStore enrols a new store machine, decommissions an old one and ends it.
+// replaceStore enrols a new store, decommissions an old one and ends its process.
 func replaceStore(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	old := fleet.pickProcess(random, "store")
-	fresh, err := fleet.addNode("store", old.Domain)
+	replacement, err := fleet.addNode("store", old.Domain)
 	if err != nil {
 		return err
 	}
-	limited, cancel := context.WithTimeout(ctx, 90*time.Second)
+	timeoutCtx, cancel := context.WithTimeout(ctx, 90*time.Second)
 	defer cancel()
-	repeat := func(method, name string, done ...string) error {
+	retry := func(method, name string, accepted ...string) error {
 		for {
-			err := fleet.Administer(limited, method, "/v1/stores/"+name, map[string]any{}, nil)
-			if err == nil || slices.ContainsFunc(done, func(sign string) bool { return strings.Contains(err.Error(), sign) }) {
+			err := fleet.Administer(timeoutCtx, method, "/v1/stores/"+name, map[string]any{}, nil)
+			if err == nil || slices.ContainsFunc(accepted, func(text string) bool { return strings.Contains(err.Error(), text) }) {
 				return nil
 			}
-			if limited.Err() != nil {
+			if timeoutCtx.Err() != nil {
 				return fmt.Errorf("%s %s: %w", method, name, err)
 			}
-			wait(limited, 500*time.Millisecond)
+			wait(timeoutCtx, 500*time.Millisecond)
 		}
 	}
-	for fresh.identity() == "" {
-		if limited.Err() != nil {
-			return errors.New("the new store made no identity")
+	for replacement.identity() == "" {
+		if timeoutCtx.Err() != nil {
+			return errors.New("the new store wrote no identity file before the timeout")
 		}
-		wait(limited, 100*time.Millisecond)
+		wait(timeoutCtx, 100*time.Millisecond)
 	}
-	if err := repeat(http.MethodPut, fresh.identity(), "is enrolled already"); err != nil {
+	if err := retry(http.MethodPut, replacement.identity(), "is enrolled already"); err != nil {
 		return err
 	}
-	if err := repeat(http.MethodDelete, old.identity(), "no store named"); err != nil {
+	if err := retry(http.MethodDelete, old.identity(), "no store named"); err != nil {
 		return err
 	}
 	old.Kill()
-	fleet.remove(old)
-	return fleet.awaitHealed(ctx, fresh)
+	fleet.removeProcess(old)
+	return fleet.awaitHealed(ctx, replacement)
 }
--- a/proof/fleet/operators.go
+++ b/proof/fleet/operators.go
@@ -11,83 +11,87 @@
 	"time"
 )
 
-// Bounds of the users' brief, and how long the control plane may take to discover a change of the
-// platform's list: the list's lag, the poll interval and a throttled poll.
+// The bounds of the requirements. discoveryBound is how long the control plane may take to discover
+// a change of the platform's runner list: the list's lag, a poll interval and a throttled poll.
+// routeCount is the number of kinds of work that addManyRoutes adds.
 const (
-	configBound  = 2 * time.Second
-	leavingBound = 3 * time.Second
-	emptiedBound = 5 * time.Second
-	learnBound   = 2500 * time.Millisecond
-	outageBound  = 12 * time.Second
-	routes       = 2000
+	propagationBound    = 2 * time.Second
+	runnerDrainBound    = 3 * time.Second
+	domainDrainBound    = 5 * time.Second
+	discoveryBound      = 2500 * time.Millisecond
+	outageRecoveryBound = 12 * time.Second
+	routeCount          = 2000
 )
 
-// changeConfig sends a change of the config and records the number that was acknowledged.
+// changeConfig sends a config change and records the number of the config if it was acknowledged.
 func (fleet *Fleet) changeConfig(ctx context.Context, method string, body map[string]any) (ChangeResult, error) {
-	var reported ChangeResult
-	err := fleet.Administer(ctx, method, "/v1/config", body, &reported)
+	var result ChangeResult
+	err := fleet.Administer(ctx, method, "/v1/config", body, &result)
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	if err != nil || !reported.Acknowledged {
-		fleet.unclear = true // it may have been accepted
-	} else if reported.Number > fleet.acknowledged {
-		fleet.acknowledged, fleet.unclear = reported.Number, false
+	if err != nil || !result.Acknowledged {
+		fleet.unconfirmed = true // the change may have been accepted
+	} else if result.Number > fleet.acknowledged {
+		fleet.acknowledged, fleet.unconfirmed = result.Number, false
 	}
-	return reported, err
+	return result, err
 }
 
-// CheckConfig reads the config and checks that it is the newest acknowledged one.
+// CheckConfig checks that the config read back is the newest acknowledged one, or a later one if
+// the outcome of a later change is not known.
 //
 //	running.CheckConfig(ctx)
 func (fleet *Fleet) CheckConfig(ctx context.Context) {
 	number, _, err := fleet.ReadConfig(ctx)
-	for try := 0; err != nil && try < 20; try++ {
+	for attempt := 0; err != nil && attempt < 20; attempt++ {
 		wait(ctx, 500*time.Millisecond)
 		number, _, err = fleet.ReadConfig(ctx)
 	}
 	fleet.mutex.Lock()
-	acknowledged, unclear := fleet.acknowledged, fleet.unclear
+	acknowledged, unconfirmed := fleet.acknowledged, fleet.unconfirmed
 	fleet.mutex.Unlock()
-	kept := err == nil && (number == acknowledged || (unclear && number > acknowledged))
-	fleet.Checks.Check("config read back", kept, "config %d is read back, %d was acknowledged last (unclear ones since: %v, %v)", number, acknowledged, unclear, err)
+	current := err == nil && (number == acknowledged || (unconfirmed && number > acknowledged))
+	fleet.Checks.Check("config read back", current, "config %d was read back, but the newest acknowledged one is %d (later changes with unknown outcome: %v, error: %v)", number, acknowledged, unconfirmed, err)
 }
 
-// checkConfigTakesEffect changes the path of lookups, which shows the runners the config that
-// each was handled under, while a front is paused and resumed.
+// checkConfigTakesEffect changes the path of lookups while a front is paused, and checks that after
+// propagationBound no lookup reaches a runner on an earlier path. The path of a lookup identifies
+// the config that it was handled under.
 func checkConfigTakesEffect(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	front := fleet.pickProcess(random, "front")
 	front.Pause()
 	defer front.Resume()
-	path := fmt.Sprintf("/lookup-%d", time.Now().UnixNano())
-	if _, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "kinds.lookup.path", "value": path}); err != nil {
+	newPath := fmt.Sprintf("/lookup-%d", time.Now().UnixNano())
+	if _, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "kinds.lookup.path", "value": newPath}); err != nil {
 		return err
 	}
 	acknowledged := time.Now()
-	wait(ctx, configBound+500*time.Millisecond)
+	wait(ctx, propagationBound+500*time.Millisecond)
 	front.Resume()
 	wait(ctx, 2*time.Second)
-	obeyed := false
+	observed := false
 	for _, runner := range fleet.ProcessesOf("runner") {
-		seen, err := readRecord(ctx, runner.Address, "record")
+		record, err := readRecord(ctx, runner.Address, "record")
 		if err != nil {
 			continue
 		}
-		for other, at := range seen.LastArrival {
-			late := time.Unix(0, at).Sub(acknowledged)
-			if other == path {
-				obeyed = true
-			} else if strings.HasPrefix(other, "/lookup-") {
-				fleet.Checks.Check("config obeyed", late <= configBound, "%s got a query on %s %s after %s was acknowledged", runner.Name, other, late, path)
+		for recordedPath, at := range record.LastArrival {
+			delay := time.Unix(0, at).Sub(acknowledged)
+			if recordedPath == newPath {
+				observed = true
+			} else if strings.HasPrefix(recordedPath, "/lookup-") {
+				fleet.Checks.Check("config obeyed", delay <= propagationBound, "%s received a request on %s %s after the change to %s was acknowledged", runner.Name, recordedPath, delay, newPath)
 			}
 		}
 	}
-	if !obeyed {
-		return errors.New("no lookup came on the new path")
+	if !observed {
+		return errors.New("no runner received a lookup on the new path")
 	}
 	return nil
 }
 
-func trafficSpike(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+// changeWeightsRapidly changes a weight of a routing table ten times in a row.
+func changeWeightsRapidly(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	for range 10 {
 		if _, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.small", "value": 1 + random.IntN(5)}); err != nil {
 			return err
@@ -96,43 +100,44 @@
 	return nil
 }
 
-// twoOperators lets two operators change the config of one number at once: at most one of them may
-// be acknowledged.
-func twoOperators(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+// changeConfigConcurrently has two operators concurrently change the config of the same number, of
+// which at most one may be acknowledged.
+func changeConfigConcurrently(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	for range 6 {
 		number, _, err := fleet.ReadConfig(ctx)
 		if err != nil {
 			return err
 		}
-		var sent sync.WaitGroup
-		taken := make([]bool, 2)
-		for operator := range taken {
+		var pending sync.WaitGroup
+		acknowledged := make([]bool, 2)
+		for operator := range acknowledged {
 			value := 1 + random.IntN(9)
-			sent.Go(func() {
-				reported, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.large", "value": value, "expected": number})
-				taken[operator] = err == nil && reported.Acknowledged
+			pending.Go(func() {
+				result, err := fleet.changeConfig(ctx, http.MethodPatch, map[string]any{"path": "tables.talk.large", "value": value, "expected": number})
+				acknowledged[operator] = err == nil && result.Acknowledged
 			})
 		}
-		sent.Wait()
-		fleet.Checks.Check("two operators", !(taken[0] && taken[1]), "both operators replaced config %d", number)
+		pending.Wait()
+		fleet.Checks.Check("two operators", !(acknowledged[0] && acknowledged[1]), "the changes of both operators to config %d were acknowledged", number)
 	}
 	return nil
 }
 
-// manyRoutes puts a config with thousands of additional kinds of work.
-func manyRoutes(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
+// addManyRoutes adds routeCount kinds of work to the config. If an earlier call has added them, it
+// changes weights instead.
+func addManyRoutes(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	number, source, err := fleet.ReadConfig(ctx)
 	if err != nil {
 		return err
 	}
 	if strings.Contains(source, "route_0") {
-		return trafficSpike(ctx, fleet, random)
+		return changeWeightsRapidly(ctx, fleet, random)
 	}
-	var text strings.Builder
-	text.WriteString(source + "\n")
-	for route := range routes {
-		fmt.Fprintf(&text, "kinds: route_%d: {serves: \"plain\", table: \"plain\", path: \"/route-%d\"}\n", route, route)
+	var extended strings.Builder
+	extended.WriteString(source + "\n")
+	for route := range routeCount {
+		fmt.Fprintf(&extended, "kinds: route_%d: {serves: \"plain\", table: \"plain\", path: \"/route-%d\"}\n", route, route)
 	}
-	_, err = fleet.changeConfig(ctx, http.MethodPut, map[string]any{"source": text.String(), "expected": number})
+	_, err = fleet.changeConfig(ctx, http.MethodPut, map[string]any{"source": extended.String(), "expected": number})
 	return err
 }
--- a/proof/fleet/process.go
+++ b/proof/fleet/process.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Process is one process of a fleet. It keeps its arguments when it is restarted.
+// Process is one process of a fleet. A restart keeps its arguments.
 type Process struct {
 	Name          string
 	Role          string
 	Domain        string
 	Address       string
 	PublicAddress string // public, administration or health address
-	Folder        string
-	Faults        string // the file that names disk faults, if the process has a disk
+	Folder        string // data folder
+	Faults        string // file with the disk faults to inject; empty if the process has no disk
 	binary        string
 	arguments     []string
-	log           string
+	logFile       string
 	command       *exec.Cmd
 	started       time.Time
 	exited        chan struct{}
 }
 
-// Start starts the process, or starts it again with the same arguments.
+// Start starts or restarts the process.
 //
 //	err := process.Start()
 func (process *Process) Start() error {
-	output, err := os.OpenFile(process.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	output, err := os.OpenFile(process.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -38,21 +38,21 @@
 	process.command.Stdout, process.command.Stderr = output, output
 	process.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := process.command.Start(); err != nil {
-		process.command = nil // there is no process to end
+		process.command = nil // Kill must not wait for a process that never started
 		return err
 	}
 	process.started, process.exited = time.Now(), make(chan struct{})
-	command, waited := process.command, process.exited
+	command, exited := process.command, process.exited
 	go func() {
-		_ = command.Wait() // processes are killed as a matter of course; a crash shows in the log
-		close(waited)
+		_ = command.Wait() // tests kill processes; a crash is found in the log
+		close(exited)
 	}()
 	return nil
 }
 
 func (process *Process) signal(signal syscall.Signal) {
 	if process.command != nil {
-		_ = process.command.Process.Signal(signal) // fails only if the process has ended
+		_ = process.command.Process.Signal(signal) // fails only if the process has exited
 	}
 }
 
@@ -66,7 +66,7 @@
 	return process.command.Process.Pid
 }
 
-// Kill ends the process by SIGKILL and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 //
 //	process.Kill()
 func (process *Process) Kill() {
@@ -78,7 +78,8 @@
 	process.command = nil
 }
 
-// Terminate has the process drain, by SIGTERM, and waits for its end.
+// Terminate sends SIGTERM, which makes the process drain, and waits until it has exited or the
+// context ends.
 //
 //	err := process.Terminate(ctx)
 func (process *Process) Terminate(ctx context.Context) error {
@@ -92,17 +93,17 @@
 	}
 }
 
-// Pause stops the process by SIGSTOP, until Resume.
+// Pause suspends the process with SIGSTOP until Resume.
 //
 //	process.Pause()
 func (process *Process) Pause() { process.signal(syscall.SIGSTOP) }
 
-// Resume continues a paused process.
+// Resume continues a suspended process with SIGCONT.
 //
 //	process.Resume()
 func (process *Process) Resume() { process.signal(syscall.SIGCONT) }
 
-// Wipe empties the data folder of a process that is not running.
+// Wipe removes the data folder. The process must not be running.
 //
 //	err := process.Wipe()
 func (process *Process) Wipe() error { return os.RemoveAll(process.Folder) }
--- a/proof/fleet/rulechecks.go
+++ b/proof/fleet/rulechecks.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// RuleChecks counts the checks of each rule of the users' brief and lists the violations. Its
+// RuleChecks counts the checks of each rule of the requirements and lists the violations. Its
 // methods are safe for concurrent use.
 type RuleChecks struct {
 	mutex      sync.Mutex
@@ -13,15 +13,15 @@
 	Violations []string
 }
 
-// NewRuleChecks returns checks without any result.
+// NewRuleChecks returns an empty RuleChecks.
 //
-//	verdicts := fleet.NewRuleChecks()
+//	checks := fleet.NewRuleChecks()
 func NewRuleChecks() *RuleChecks { return &RuleChecks{Checked: map[string]int{}} }
 
-// Check records one check of a rule. If the rule does not hold, the formatted text says how it was
-// violated.
+// Check records one check of a rule. If the rule does not hold, it adds a violation with the
+// formatted text.
 //
-//	verdicts.Check("leaving", late == 0, "%s got %d queries", runner, late)
+//	checks.Check("leaving", lateCount == 0, "%s received %d requests", runner, lateCount)
 func (checks *RuleChecks) Check(rule string, holds bool, format string, arguments ...any) {
 	checks.mutex.Lock()
 	defer checks.mutex.Unlock()
@@ -31,17 +31,17 @@
 	}
 }
 
-// Untested lists those of the rules that were never checked.
+// Untested returns those of the rules that were never checked.
 //
-//	missing := verdicts.Untested([]string{"leaving", "cold"})
+//	untested := checks.Untested([]string{"leaving", "cold"})
 func (checks *RuleChecks) Untested(rules []string) []string {
 	checks.mutex.Lock()
 	defer checks.mutex.Unlock()
-	missing := []string{}
+	untested := []string{}
 	for _, rule := range rules {
 		if checks.Checked[rule] == 0 {
-			missing = append(missing, rule)
+			untested = append(untested, rule)
 		}
 	}
-	return missing
+	return untested
 }
--- a/proof/fleet/runners.go
+++ b/proof/fleet/runners.go
@@ -11,23 +11,24 @@
 	"yardrock.example/proof/standin"
 )
 
-// readRecord reads a runner's record; the path "take" also resets its maximum in flight.
-func readRecord(ctx context.Context, address, what string) (standin.Record, error) {
-	var seen standin.Record
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/"+what, nil)
+// readRecord reads a runner's record from the endpoint "record" or "take"; the latter also resets
+// MaxInFlight.
+func readRecord(ctx context.Context, address, endpoint string) (standin.Record, error) {
+	var record standin.Record
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/"+endpoint, nil)
 	if err != nil {
-		return seen, err
+		return record, err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return seen, err
+		return record, err
 	}
-	defer answer.Body.Close()
-	return seen, json.NewDecoder(answer.Body).Decode(&seen)
+	defer response.Body.Close()
+	return record, json.NewDecoder(response.Body).Decode(&record)
 }
 
-// listRunner changes the state of a runner in the platform's list.
-func (fleet *Fleet) listRunner(ctx context.Context, address, state string) error {
+// setRunnerState changes the state of a runner in the platform's runner list.
+func (fleet *Fleet) setRunnerState(ctx context.Context, address, state string) error {
 	fleet.mutex.Lock()
 	for position := range fleet.Runners {
 		if fleet.Runners[position].Address == address {
@@ -43,11 +44,11 @@
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	return answer.Body.Close()
+	return response.Body.Close()
 }
 
 func (fleet *Fleet) groupOf(address string) string {
@@ -61,54 +62,56 @@
 	return ""
 }
 
+// warmingUpLimits is the cold_concurrency of each group in the initial config.
 var warmingUpLimits = map[string]int{"small": 4, "large": 4, "application": 8}
 
-// replaceRunners restarts some runners, one after the other: each is listed as draining, ends,
-// starts again, is listed as warming up, and then as serving.
+// replaceRunners replaces two runners one after another: each is listed as draining, killed, listed
+// as warming up, started, and listed as serving. It checks that a draining runner gets no requests
+// after runnerDrainBound, and that one that is warming up stays within its limit.
 func replaceRunners(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	runners := fleet.ProcessesOf("runner")
 	for _, position := range random.Perm(len(runners))[:2] {
 		runner := runners[position]
-		if err := fleet.listRunner(ctx, runner.Address, "leaving"); err != nil {
+		if err := fleet.setRunnerState(ctx, runner.Address, "leaving"); err != nil {
 			return err
 		}
-		known := time.Now().Add(learnBound)
-		wait(ctx, learnBound+leavingBound+2*time.Second)
-		seen, err := readRecord(ctx, runner.Address, "record")
+		drainKnownAt := time.Now().Add(discoveryBound)
+		wait(ctx, discoveryBound+runnerDrainBound+2*time.Second)
+		record, err := readRecord(ctx, runner.Address, "record")
 		if err != nil {
 			return err
 		}
-		late := 0
-		for _, at := range seen.Arrivals {
-			if at > known.Add(leavingBound).UnixNano() {
-				late++
+		lateCount := 0
+		for _, at := range record.Arrivals {
+			if at > drainKnownAt.Add(runnerDrainBound).UnixNano() {
+				lateCount++
 			}
 		}
-		fleet.Checks.Check("leaving", late == 0, "%s got %d queries more than %s after it was known to leave", runner.Name, late, leavingBound)
+		fleet.Checks.Check("leaving", lateCount == 0, "%s received %d requests more than %s after it was known to be draining", runner.Name, lateCount, runnerDrainBound)
 		runner.Kill()
-		if err := fleet.listRunner(ctx, runner.Address, "cold"); err != nil {
+		if err := fleet.setRunnerState(ctx, runner.Address, "cold"); err != nil {
 			return err
 		}
-		wait(ctx, learnBound)
+		wait(ctx, discoveryBound)
 		if err := runner.Start(); err != nil {
 			return err
 		}
 		wait(ctx, 3*time.Second)
-		seen, err = readRecord(ctx, runner.Address, "take")
+		record, err = readRecord(ctx, runner.Address, "take")
 		if err != nil {
 			return err
 		}
-		bears := warmingUpLimits[fleet.groupOf(runner.Address)]
-		fleet.Checks.Check("cold", seen.MaxInFlight <= bears, "%s had %d queries at once, and bears %d while cold", runner.Name, seen.MaxInFlight, bears)
-		if err := fleet.listRunner(ctx, runner.Address, "serving"); err != nil {
+		limit := warmingUpLimits[fleet.groupOf(runner.Address)]
+		fleet.Checks.Check("cold", record.MaxInFlight <= limit, "%s had %d requests in flight, but its limit while warming up is %d", runner.Name, record.MaxInFlight, limit)
+		if err := fleet.setRunnerState(ctx, runner.Address, "serving"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restartRunner restarts a runner that the list keeps showing as serving; its limit must drop and
-// rise slowly all the same (slow start).
+// restartRunner restarts a runner without a change of the runner list, which shows it as serving
+// throughout, and checks that the fronts apply slow start to it nevertheless.
 func restartRunner(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
 	runner := fleet.pickProcess(random, "runner")
 	runner.Kill()
@@ -117,39 +120,41 @@
 		return err
 	}
 	wait(ctx, time.Second)
-	seen, err := readRecord(ctx, runner.Address, "take")
+	record, err := readRecord(ctx, runner.Address, "take")
 	if err != nil {
 		return err
 	}
-	// At most a third of the slow start of 3 s is over.
-	bears := warmingUpLimits[fleet.groupOf(runner.Address)] + 8
-	fleet.Checks.Check("cold", seen.MaxInFlight <= bears, "%s had %d queries at once a second after it came back, and bears %d", runner.Name, seen.MaxInFlight, bears)
+	// At most a third of the slow start of 3 s has elapsed.
+	limit := warmingUpLimits[fleet.groupOf(runner.Address)] + 8
+	fleet.Checks.Check("cold", record.MaxInFlight <= limit, "%s had %d requests in flight a second after its restart, but its limit is %d", runner.Name, record.MaxInFlight, limit)
 	return nil
 }
 
+// drainDomain drains a domain, checks that its runners get no requests after domainDrainBound, and
+// returns the domain to service.
 func drainDomain(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
-	name := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
-	path := "/v1/domains/" + name
+	domain := fleet.Deployment.Domains[random.IntN(len(fleet.Deployment.Domains))]
+	path := "/v1/domains/" + domain
 	if err := fleet.Administer(ctx, http.MethodPost, path, map[string]any{"state": "emptied"}, nil); err != nil {
 		return err
 	}
-	emptied := time.Now()
-	wait(ctx, emptiedBound+2*time.Second)
+	drainedAt := time.Now()
+	wait(ctx, domainDrainBound+2*time.Second)
 	for _, runner := range fleet.ProcessesOf("runner") {
-		if runner.Domain != name {
+		if runner.Domain != domain {
 			continue
 		}
-		seen, err := readRecord(ctx, runner.Address, "record")
+		record, err := readRecord(ctx, runner.Address, "record")
 		if err != nil {
-			continue // another fault uses it
+			continue // an overlapping fault may have stopped the runner
 		}
-		late := 0
-		for _, at := range seen.Arrivals {
-			if at > emptied.Add(emptiedBound).UnixNano() {
-				late++
+		lateCount := 0
+		for _, at := range record.Arrivals {
+			if at > drainedAt.Add(domainDrainBound).UnixNano() {
+				lateCount++
 			}
 		}
-		fleet.Checks.Check("emptied", late == 0, "%s got %d queries more than %s after its domain was emptied", runner.Name, late, emptiedBound)
+		fleet.Checks.Check("emptied", lateCount == 0, "%s received %d requests more than %s after its domain was drained", runner.Name, lateCount, domainDrainBound)
 	}
 	return fleet.Administer(ctx, http.MethodPost, path, map[string]any{"state": "serving"}, nil)
 }
--- a/proof/fleet/setup.go
+++ b/proof/fleet/setup.go
@@ -17,7 +17,7 @@
 	"yardrock.example/system/config"
 )
 
-// freeAddress finds a free port on a loopback address of its own.
+// freeAddress returns an address of the host with a port that is currently free.
 func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -27,63 +27,70 @@
 	return listener.Addr().String(), nil
 }
 
-type addressAllocator struct{ failed error }
+// addressAllocator returns free addresses and collects the errors.
+type addressAllocator struct{ err error }
 
 func (addresses *addressAllocator) next(host string) string {
 	address, err := freeAddress(host)
-	addresses.failed = errors.Join(addresses.failed, err)
+	addresses.err = errors.Join(addresses.err, err)
 	return address
 }
 
-func (fleet *Fleet) plan(pace standin.Latencies) error {
-	deployment, found := fleet.Deployment, &addressAllocator{}
-	host := func(kind, index int) string { return fmt.Sprintf("127.%d.%d.%d", 20+kind, os.Getpid()%250, index+1) }
+// createProcesses adds all processes of the deployment without starting them, and writes the seeds
+// and the runner list. Each process has a loopback IP address of its own, by which the LinkProxy
+// identifies it; the process ID in it separates concurrent fleets.
+func (fleet *Fleet) createProcesses(latencies standin.Latencies) error {
+	deployment, addresses := fleet.Deployment, &addressAllocator{}
+	host := func(subnet, index int) string {
+		return fmt.Sprintf("127.%d.%d.%d", 20+subnet, os.Getpid()%250, index+1)
+	}
 	domain := func(index int) string { return deployment.Domains[index%len(deployment.Domains)] }
 	controls := []string{}
 	for index := range deployment.Controls {
-		controls = append(controls, found.next(host(0, index)))
+		controls = append(controls, addresses.next(host(0, index)))
 	}
-	fleet.Platform = found.next(host(1, 0))
-	listFile := filepath.Join(fleet.Folder, "runners.json")
+	fleet.Platform = addresses.next(host(1, 0))
+	runnerListFile := filepath.Join(fleet.Folder, "runners.json")
 	if err := fleet.setSeeds(controls[:3]); err != nil {
 		return err
 	}
 	add := func(name, role string, index int, address string) {
 		_, err := fleet.add(name, role, domain(index), address)
-		found.failed = errors.Join(found.failed, err)
+		addresses.err = errors.Join(addresses.err, err)
 	}
 	for index := range deployment.Controls {
 		add(fmt.Sprintf("control-%d", index+1), "control", index, controls[index])
 	}
 	for index := range deployment.Stores {
-		add(fmt.Sprintf("store-%d", index+1), "store", index, found.next(host(2, index)))
+		add(fmt.Sprintf("store-%d", index+1), "store", index, addresses.next(host(2, index)))
 	}
 	for index := range deployment.Fronts {
-		add(fmt.Sprintf("front-%d", index+1), "front", index, found.next(host(3, index)))
+		add(fmt.Sprintf("front-%d", index+1), "front", index, addresses.next(host(3, index)))
 	}
-	runner := func(name, group string, kind, index int) {
-		address := found.next(host(kind, index))
+	addRunner := func(name, group string, subnet, index int) {
+		address := addresses.next(host(subnet, index))
 		fleet.Runners = append(fleet.Runners, standin.ListedRunner{Address: address, Group: group, Domain: domain(index), State: "serving"})
-		fleet.Processes = append(fleet.Processes, &Process{Name: name, Role: "runner", Domain: domain(index), Address: address, binary: filepath.Join(fleet.programs, "standin"), log: filepath.Join(fleet.Folder, name+".log"),
-			arguments: []string{"--address", address, "--first", pace.FirstPiece.String(), "--piece", pace.NextPiece.String(), "--plain", pace.PlainAnswer.String(), "--record", filepath.Join(fleet.Folder, name+".executions")}})
+		fleet.Processes = append(fleet.Processes, &Process{Name: name, Role: "runner", Domain: domain(index), Address: address, binary: filepath.Join(fleet.programFolder, "standin"), logFile: filepath.Join(fleet.Folder, name+".log"),
+			arguments: []string{"--address", address, "--first", latencies.FirstPiece.String(), "--piece", latencies.NextPiece.String(), "--plain", latencies.PlainAnswer.String(), "--record", filepath.Join(fleet.Folder, name+".executions")}})
 	}
 	for index := range deployment.Models {
 		group := "large"
 		if index%3 != 0 {
 			group = "small"
 		}
-		runner(fmt.Sprintf("model-%d", index+1), group, 4, index)
+		addRunner(fmt.Sprintf("model-%d", index+1), group, 4, index)
 	}
 	for index := range deployment.Applications {
-		runner(fmt.Sprintf("application-%d", index+1), "application", 5, index)
+		addRunner(fmt.Sprintf("application-%d", index+1), "application", 5, index)
 	}
-	fleet.Processes = append(fleet.Processes, &Process{Name: "platform", Role: "platform", Address: fleet.Platform, binary: filepath.Join(fleet.programs, "standin"), log: filepath.Join(fleet.Folder, "platform.log"),
-		arguments: []string{"--serve", "platform", "--address", fleet.Platform, "--runners", listFile}})
+	fleet.Processes = append(fleet.Processes, &Process{Name: "platform", Role: "platform", Address: fleet.Platform, binary: filepath.Join(fleet.programFolder, "standin"), logFile: filepath.Join(fleet.Folder, "platform.log"),
+		arguments: []string{"--serve", "platform", "--address", fleet.Platform, "--runners", runnerListFile}})
 	list, err := json.Marshal(fleet.Runners)
-	return errors.Join(err, found.failed, os.WriteFile(listFile, list, 0o600))
+	return errors.Join(err, addresses.err, os.WriteFile(runnerListFile, list, 0o600))
 }
 
-// seedsFile is the file from which every daemon reads its seeds, at its start and on SIGHUP.
+// seedsFile returns the settings file from which every daemon reads its seeds at its start and on
+// SIGHUP.
 func (fleet *Fleet) seedsFile() string { return filepath.Join(fleet.Folder, "seeds.json") }
 
 func (fleet *Fleet) setSeeds(seeds []string) error {
@@ -92,29 +99,34 @@
 	return errors.Join(err, os.WriteFile(fleet.seedsFile(), data, 0o600))
 }
 
-var roleArguments = map[string]func(fleet *Fleet, outside string) []string{
-	"control": func(fleet *Fleet, outside string) []string {
-		arguments := []string{"--administration", outside, "--root-token-hash", config.HashToken(RootToken), "--founding-stores", strconv.Itoa(fleet.Deployment.Stores)}
+// roleArguments returns the arguments that are specific to a role.
+var roleArguments = map[string]func(fleet *Fleet, publicAddress string) []string{
+	"control": func(fleet *Fleet, publicAddress string) []string {
+		arguments := []string{"--administration", publicAddress, "--root-token-hash", config.HashToken(RootToken), "--founding-stores", strconv.Itoa(fleet.Deployment.Stores)}
 		if fleet.Deployment.Groups > 0 {
 			arguments = append(arguments, "--groups", strconv.Itoa(fleet.Deployment.Groups))
 		}
 		return arguments
 	},
-	"store": func(_ *Fleet, outside string) []string { return []string{"--role", "store", "--health", outside} },
-	"front": func(_ *Fleet, outside string) []string { return []string{"--role", "front", "--public", outside} },
+	"store": func(_ *Fleet, publicAddress string) []string {
+		return []string{"--role", "store", "--health", publicAddress}
+	},
+	"front": func(_ *Fleet, publicAddress string) []string {
+		return []string{"--role", "front", "--public", publicAddress}
+	},
 }
 
-// add adds a daemon at an address, without starting it. If faults are to be injected, others reach
-// it through the LinkProxy, and its disk loses unsynced data when it is killed.
+// add adds a daemon at an address without starting it. With fault injection, other daemons reach it
+// through the LinkProxy, and its disk loses unsynced data when it is killed.
 func (fleet *Fleet) add(name, role, domain, address string) (*Process, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	found := &addressAllocator{}
-	process := &Process{Name: name, Role: role, Domain: domain, Address: address, PublicAddress: found.next(host), binary: filepath.Join(fleet.programs, "yardrock-data-plane"), log: filepath.Join(fleet.Folder, name+".log")}
+	addresses := &addressAllocator{}
+	process := &Process{Name: name, Role: role, Domain: domain, Address: address, PublicAddress: addresses.next(host), binary: filepath.Join(fleet.programFolder, "yardrock-data-plane"), logFile: filepath.Join(fleet.Folder, name+".log")}
 	if role == "control" {
-		process.binary = filepath.Join(fleet.programs, "yardrock-control-plane")
+		process.binary = filepath.Join(fleet.programFolder, "yardrock-control-plane")
 	}
 	process.arguments = append([]string{"--settings", fleet.seedsFile(), "--address", address, "--domain", domain}, roleArguments[role](fleet, process.PublicAddress)...)
 	if role != "front" {
@@ -122,9 +134,9 @@
 		process.arguments = append(process.arguments, "--folder", process.Folder)
 	}
 	if fleet.Links != nil {
-		listen := found.next(host)
-		process.arguments = append(process.arguments, "--listen", listen)
-		found.failed = errors.Join(found.failed, fleet.Links.Serve(address, listen))
+		listenAddress := addresses.next(host)
+		process.arguments = append(process.arguments, "--listen", listenAddress)
+		addresses.err = errors.Join(addresses.err, fleet.Links.Serve(address, listenAddress))
 		if role != "front" {
 			process.Faults = process.Folder + ".faults"
 			process.arguments = append(process.arguments, "--trial-disk", process.Faults)
@@ -133,10 +145,10 @@
 	fleet.mutex.Lock()
 	fleet.Processes = append(fleet.Processes, process)
 	fleet.mutex.Unlock()
-	return process, found.failed
+	return process, addresses.err
 }
 
-// AwaitReady waits until a process reports that it is ready.
+// AwaitReady polls a process's /readyz until it reports that it is ready.
 //
 //	err := fleet.AwaitReady(ctx, front.PublicAddress)
 func AwaitReady(ctx context.Context, address string) error {
@@ -145,10 +157,10 @@
 		if err != nil {
 			return err
 		}
-		got, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err == nil {
-			got.Body.Close()
-			if got.StatusCode == http.StatusOK {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
--- a/proof/loadgen/checks.go
+++ b/proof/loadgen/checks.go
@@ -11,7 +11,7 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// recordedHistory is a conversation as a front reports it.
+// recordedHistory is the history of a conversation as reported by a front.
 type recordedHistory struct {
 	Events []struct {
 		Seq     uint64 `json:"seq"`
@@ -22,50 +22,50 @@
 	} `json:"events"`
 }
 
-// checkHistory reads the complete conversation at a front and compares it with the messages
-// that the caller got.
-func (generator *generator) checkHistory(ctx context.Context, random *rand.Rand, name string, said []runnerclient.Message) {
+// checkHistory reads the history of a conversation from a front and checks that it is contiguous
+// and contains every answer that the caller received.
+func (generator *generator) checkHistory(ctx context.Context, random *rand.Rand, name string, expected []runnerclient.Message) {
 	history := generator.readHistory(ctx, random, name)
 	if history == nil {
 		return
 	}
-	generator.count(func(report *Report) { report.Histories++ })
-	pieces, complete := map[uint64]string{}, map[uint64]bool{}
+	generator.updateReport(func(report *Report) { report.Histories++ })
+	answers, complete := map[uint64]string{}, map[uint64]bool{}
 	for position, event := range history.Events {
 		if event.Seq != uint64(position)+1 {
-			generator.violation("streams", "history of %s has seq %d at place %d", name, event.Seq, position+1)
+			generator.addViolation("streams", "the history of %s has seq %d at position %d", name, event.Seq, position+1)
 		}
 		if event.Kind == "piece" {
-			pieces[event.Turn] += event.Words
+			answers[event.Turn] += event.Words
 		}
 		if event.Kind == "turn_ended" {
 			complete[event.Turn] = event.Outcome == "complete"
 		}
 	}
-	for _, message := range said {
+	for _, message := range expected {
 		if message.Role != "model" {
 			continue
 		}
 		found := false
-		for turn, text := range pieces {
+		for turn, text := range answers {
 			found = found || (complete[turn] && text == message.Text)
 		}
 		if !found {
-			generator.violation("turns stay known", "history of %s lacks the answer %q", name, message.Text)
+			generator.addViolation("turns stay known", "the history of %s lacks the answer %q", name, message.Text)
 		}
 	}
 }
 
-// readHistory reads a conversation, with retries. It returns nil if the conversation is
-// reported as unknown, which is a violation, or after maxAttempts retries.
+// readHistory reads a conversation, with retries. It returns nil if the conversation is reported as
+// not found, which is a violation, or after maxAttempts retries.
 func (generator *generator) readHistory(ctx context.Context, random *rand.Rand, name string) *recordedHistory {
 	for attempt := 0; ; attempt++ {
 		callContext, cancel := context.WithTimeout(ctx, answerTimeout)
-		answer, apierror, err := generator.send(callContext, http.MethodGet, generator.front(random), "/v1/conversations/"+name, nil)
-		if err == nil && apierror == nil {
+		response, apiError, err := generator.send(callContext, http.MethodGet, generator.pickFront(random), "/v1/conversations/"+name, nil)
+		if err == nil && apiError == nil {
 			history := &recordedHistory{}
-			err = json.NewDecoder(answer.Body).Decode(history)
-			answer.Body.Close()
+			err = json.NewDecoder(response.Body).Decode(history)
+			response.Body.Close()
 			cancel()
 			if err == nil {
 				return history
@@ -73,41 +73,41 @@
 			continue
 		}
 		cancel()
-		if apierror != nil {
-			generator.rejected(apierror, "/v1/conversations/"+name, map[string]any{})
-			if apierror.Kind == "not_found" {
+		if apiError != nil {
+			generator.countRejection(apiError, "/v1/conversations/"+name, map[string]any{})
+			if apiError.Kind == "not_found" {
 				return nil
 			}
 		}
 		if attempt == maxAttempts {
-			generator.count(func(report *Report) { report.Abandoned["history"]++ })
+			generator.updateReport(func(report *Report) { report.Abandoned["history"]++ })
 			return nil
 		}
-		pause(ctx, apierror)
+		backOff(ctx, apiError)
 	}
 }
 
-// checkExecutions compares the executions that runners recorded with the outcomes that callers
-// got: each key ran at most once, exactly once if it was reported as complete, and never if it
+// checkExecutions compares the executions that runners recorded with the outcomes reported to
+// callers: each key ran at most once, exactly once if it was reported as complete, and never if it
 // was reported as not run.
 func (generator *generator) checkExecutions(ctx context.Context) {
 	counts := map[string]int{}
 	for _, address := range generator.target.Runners {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/record", nil)
 		if err != nil {
-			generator.violation("check", "%v", err)
+			generator.addViolation("check", "%v", err)
 			return
 		}
-		answer, err := generator.target.Client.Do(request)
+		response, err := generator.target.Client.Do(request)
 		if err != nil {
-			generator.violation("check", "the record of runner %s cannot be read: %v", address, err)
+			generator.addViolation("check", "the record of runner %s cannot be read: %v", address, err)
 			continue
 		}
 		var record standin.Record
-		err = json.NewDecoder(answer.Body).Decode(&record)
-		answer.Body.Close()
+		err = json.NewDecoder(response.Body).Decode(&record)
+		response.Body.Close()
 		if err != nil {
-			generator.violation("check", "the record of runner %s cannot be read: %v", address, err)
+			generator.addViolation("check", "the record of runner %s cannot be read: %v", address, err)
 		}
 		for key, count := range record.Executions {
 			counts[key] += count
@@ -115,36 +115,36 @@
 	}
 	for key, count := range counts {
 		if count > 1 {
-			generator.violation("once", "%s ran %d times", key, count)
+			generator.addViolation("once", "%s ran %d times", key, count)
 		}
 	}
-	for key, reported := range generator.outcomeOfKey {
-		generator.report.Rejections["once told "+reported]++
-		if reported == "complete" && counts[key] != 1 {
-			generator.violation("once", "%s was told complete and ran %d times", key, counts[key])
+	for key, outcome := range generator.outcomeOfKey {
+		generator.report.Rejections["once told "+outcome]++
+		if outcome == "complete" && counts[key] != 1 {
+			generator.addViolation("once", "%s was reported as complete but ran %d times", key, counts[key])
 		}
-		if reported == "not_run" && counts[key] != 0 {
-			generator.violation("not run", "%s was told not run and ran", key)
+		if outcome == "not_run" && counts[key] != 0 {
+			generator.addViolation("not run", "%s was reported as not run but ran", key)
 		}
 	}
 }
 
-// Quota reads how many words a program has used of its quota.
+// Quota returns how many words of its quota a program has used.
 //
-//	spent, err := loadgen.Quota(ctx, target, "tight")
+//	spent, err := loadgen.QuotaUsage(ctx, target, "tight")
 func Quota(ctx context.Context, target Target, program string) (int, error) {
 	generator := newGenerator(target, Mix{})
 	for attempt := 0; ; attempt++ {
-		answer, apierror, err := generator.send(ctx, http.MethodGet, target.Fronts[attempt%len(target.Fronts)], "/v1/tallies/"+program, nil)
-		if err == nil && apierror == nil {
-			var reported struct{ Spent, Reserved int }
-			err = json.NewDecoder(answer.Body).Decode(&reported)
-			answer.Body.Close()
-			return reported.Spent, err
+		response, apiError, err := generator.send(ctx, http.MethodGet, target.Fronts[attempt%len(target.Fronts)], "/v1/tallies/"+program, nil)
+		if err == nil && apiError == nil {
+			var usage struct{ Spent, Reserved int }
+			err = json.NewDecoder(response.Body).Decode(&usage)
+			response.Body.Close()
+			return usage.Spent, err
 		}
 		if attempt == maxAttempts {
-			return 0, fmt.Errorf("no quota usage: %v %v", apierror, err)
+			return 0, fmt.Errorf("the quota usage cannot be read: %v %v", apiError, err)
 		}
-		pause(ctx, apierror)
+		backOff(ctx, apiError)
 	}
 }
--- a/proof/loadgen/loadgen.go
+++ b/proof/loadgen/loadgen.go
@@ -1,7 +1,7 @@
-// Package loadgen generates the load of a deployment's callers and checks every answer. An answer
-// of the stand-in runners depends on everything that they received, so the generator knows what
-// each answer must be; a Report lists the rules that were violated. Rules and loads are those of
-// the users' brief.
+// Package loadgen generates the load of a deployment's callers and checks every answer. The answers
+// of the stand-in runners are a function of everything that they received, so the generator can
+// compute the expected answer. A Report lists the violations of the rules; rules and loads are
+// those of the requirements.
 package loadgen
 
 import (
@@ -16,20 +16,21 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// Mix is what callers send in a second, on average.
+// Mix is the load of callers: mean rates of arrivals per second, and shares, which are
+// probabilities for each turn.
 type Mix struct {
 	Conversations float64
-	Turns         []int // lengths of conversations, drawn evenly
+	Turns         []int // lengths of conversations, selected uniformly
 	Lookups       float64
-	Once          float64
-	OnceKinds     []string
+	Once          float64  // non-idempotent requests
+	OnceKinds     []string // kinds of work of non-idempotent requests
 	ToolShare     float64
 	HelperShare   float64
 	ResumeShare   float64
-	Tight         float64 // turns of the program with the small allowance
+	Tight         float64 // turns of the program "tight", which has a small quota
 }
 
-// Mixes are those of the brief, and a small one for trials.
+// Mixes are the loads of the requirements, and "trial", a small one for short runs.
 var Mixes = map[string]Mix{
 	"trial":     {Conversations: 4, Turns: []int{3, 3, 5}, Lookups: 4, Once: 4, OnceKinds: []string{"receipt", "activation"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.2, Tight: 1},
 	"agency":    {Conversations: 27, Turns: []int{3, 3, 3, 3, 5}, Lookups: 15, Once: 12, OnceKinds: []string{"receipt", "activation"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.1, Tight: 1},
@@ -42,12 +43,12 @@
 	Runners []string
 	Token   string
 	Client  *http.Client
-	// Quota and TurnLimit are the words that program "tight" may use in all and in one turn.
+	// Quota and TurnLimit are the words that the program "tight" may use in total and in one turn.
 	Quota     int
 	TurnLimit int
 }
 
-// Report is what a run observed. Violations make it fail.
+// Report is the result of a run. A run with Violations has failed.
 type Report struct {
 	Conversations int            `json:"conversations"`
 	Turns         int            `json:"turns"`
@@ -63,18 +64,18 @@
 	FirstPiece    Quantiles      `json:"first_piece"`
 	TightWords    int            `json:"tight_words"`
 	Violations    []string       `json:"broken"`
-	// ToRevisit are the conversations that ended well, for Revisit.
+	// ToRevisit are the conversations that ended without a failure, for Revisit.
 	ToRevisit []Conversation `json:"-"`
 }
 
-// Conversation is one that ended well, with its messages.
+// Conversation is a conversation that ended without a failure, with its messages.
 type Conversation struct {
 	Name     string
 	LastTurn uint64
 	History  []runnerclient.Message
 }
 
-// Quantiles are those of the measured delays, as texts such as "12ms".
+// Quantiles are quantiles of measured delays, formatted like "12ms".
 type Quantiles struct {
 	P50   string `json:"p50"`
 	P99   string `json:"p99"`
@@ -82,14 +83,14 @@
 	Count int    `json:"counts"`
 }
 
-// generator is one run. Its mutex guards the report, the delays and the outcomes.
+// generator is the state of one run. Its mutex guards report, firstPieceDelays and outcomeOfKey.
 type generator struct {
-	target       Target
-	mix          Mix
-	mutex        sync.Mutex
-	report       Report
-	delays       []time.Duration
-	outcomeOfKey map[string]string // what callers got, by the key of standin.Record.Executions
+	target           Target
+	mix              Mix
+	mutex            sync.Mutex
+	report           Report
+	firstPieceDelays []time.Duration
+	outcomeOfKey     map[string]string // the outcome reported to the caller, by the key of standin.Record.Executions
 }
 
 const (
@@ -99,44 +100,45 @@
 	maxViolations = 20               // that a report lists
 )
 
-// count changes the report.
-func (generator *generator) count(change func(report *Report)) {
+// updateReport changes the report under the mutex.
+func (generator *generator) updateReport(change func(report *Report)) {
 	generator.mutex.Lock()
 	change(&generator.report)
 	generator.mutex.Unlock()
 }
 
-// violation adds a violated rule to the report, unless it lists maxViolations already.
-func (generator *generator) violation(rule, format string, arguments ...any) {
-	generator.count(func(report *Report) {
+// addViolation adds a violation of a rule to the report, unless that lists maxViolations already.
+func (generator *generator) addViolation(rule, format string, arguments ...any) {
+	generator.updateReport(func(report *Report) {
 		if len(report.Violations) < maxViolations {
 			report.Violations = append(report.Violations, rule+": "+fmt.Sprintf(format, arguments...))
 		}
 	})
 }
 
-// Run generates the load of a mix for a duration, or until the channel is closed, waits for what
-// is in flight, and checks. Arrivals are random with the mix's rates; the seed determines them.
+// Run generates the load of a mix for a duration or until stop is closed, waits for requests in
+// flight, and checks the results. Arrivals are Poisson processes with the mix's rates, determined
+// by the seed.
 //
 //	report := loadgen.Run(ctx, target, loadgen.Mixes["agency"], time.Minute, 7, nil)
-func Run(ctx context.Context, target Target, mix Mix, duration time.Duration, seed uint64, until <-chan struct{}) *Report {
+func Run(ctx context.Context, target Target, mix Mix, duration time.Duration, seed uint64, stop <-chan struct{}) *Report {
 	generator := newGenerator(target, mix)
 	var callers sync.WaitGroup
-	arrive := func(number uint64, rate float64, call func(random *rand.Rand, number int)) {
+	startArrivals := func(number uint64, rate float64, call func(random *rand.Rand, number int)) {
 		if rate == 0 {
 			return
 		}
 		random := rand.New(rand.NewPCG(seed, number))
 		callers.Go(func() {
-			ended := time.After(duration)
+			deadline := time.After(duration)
 			for position := 0; ; position++ {
 				select {
 				case <-time.After(time.Duration(random.ExpFloat64() / rate * float64(time.Second))):
-					one := rand.New(rand.NewPCG(seed, random.Uint64()))
-					callers.Go(func() { call(one, position) })
-				case <-ended:
+					callRandom := rand.New(rand.NewPCG(seed, random.Uint64()))
+					callers.Go(func() { call(callRandom, position) })
+				case <-deadline:
 					return
-				case <-until:
+				case <-stop:
 					return
 				case <-ctx.Done():
 					return
@@ -144,18 +146,20 @@
 			}
 		})
 	}
-	arrive(1, mix.Conversations, func(random *rand.Rand, number int) {
-		generator.converse(ctx, random, fmt.Sprintf("%d-%d", seed, number))
+	startArrivals(1, mix.Conversations, func(random *rand.Rand, number int) {
+		generator.runConversation(ctx, random, fmt.Sprintf("%d-%d", seed, number))
 	})
-	arrive(2, mix.Lookups, func(random *rand.Rand, number int) { generator.lookup(ctx, random, number) })
-	arrive(3, mix.Once, func(random *rand.Rand, number int) { generator.once(ctx, random, fmt.Sprintf("%d-%d", seed, number)) })
-	arrive(4, mix.Tight, func(random *rand.Rand, number int) { generator.tight(ctx, random, number) })
+	startArrivals(2, mix.Lookups, func(random *rand.Rand, number int) { generator.requestLookup(ctx, random, number) })
+	startArrivals(3, mix.Once, func(random *rand.Rand, number int) {
+		generator.requestNonIdempotent(ctx, random, fmt.Sprintf("%d-%d", seed, number))
+	})
+	startArrivals(4, mix.Tight, func(random *rand.Rand, number int) { generator.requestTightTurn(ctx, random, number) })
 	callers.Wait()
 	generator.checkExecutions(ctx)
 	if generator.report.TightWords > target.Quota+target.TurnLimit {
-		generator.violation("allowance", "%d words were spoken of %d and one turn of %d", generator.report.TightWords, target.Quota, target.TurnLimit)
+		generator.addViolation("allowance", "%d words were answered, more than the quota of %d plus one turn of %d", generator.report.TightWords, target.Quota, target.TurnLimit)
 	}
-	generator.report.FirstPiece = quantiles(generator.delays)
+	generator.report.FirstPiece = quantiles(generator.firstPieceDelays)
 	return &generator.report
 }
 
@@ -171,8 +175,8 @@
 		return Quantiles{}
 	}
 	slices.Sort(delays)
-	at := func(share float64) string {
+	quantile := func(share float64) string {
 		return delays[int(share*float64(len(delays)-1))].Round(100 * time.Microsecond).String()
 	}
-	return Quantiles{P50: at(0.5), P99: at(0.99), Max: at(1), Count: len(delays)}
+	return Quantiles{P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1), Count: len(delays)}
 }
--- a/proof/loadgen/loadgen_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -16,20 +16,20 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// fakeServer answers like a front and a runner, and breaks one rule on demand.
+// fakeServer is a front and a runner that violates the selected rule, or none if that is empty.
 type fakeServer struct {
-	violation string
-	mutex     sync.Mutex
-	said      map[string][]runnerclient.Message
-	events    map[string][]string
-	ran       map[string]int
-	starts    int
+	violation         string
+	mutex             sync.Mutex
+	histories         map[string][]runnerclient.Message
+	events            map[string][]string
+	executions        map[string]int
+	conversationCount int
 }
 
-func (server *fakeServer) turn(writer http.ResponseWriter, name, question string) {
-	history := server.said[name]
-	answer := standin.Answer(history, question)
-	server.said[name] = append(history, runnerclient.Message{Role: "caller", Text: question}, runnerclient.Message{Role: "model", Text: strings.Join(answer, "")})
+func (server *fakeServer) serveTurn(writer http.ResponseWriter, name, input string) {
+	history := server.histories[name]
+	answer := standin.Answer(history, input)
+	server.histories[name] = append(history, runnerclient.Message{Role: "caller", Text: input}, runnerclient.Message{Role: "model", Text: strings.Join(answer, "")})
 	turn := len(server.events[name]) + 1
 	add := func(format string, arguments ...any) {
 		server.events[name] = append(server.events[name], fmt.Sprintf(format, arguments...))
@@ -45,10 +45,10 @@
 		if position == 2 && server.violation == "skips a piece" {
 			continue
 		}
-		if position == 2 && server.violation == "tells a cut answer as complete" {
+		if position == 2 && server.violation == "reports a partial answer as complete" {
 			break
 		}
-		if position == 2 && server.violation == "gives another's answer" {
+		if position == 2 && server.violation == "returns a wrong answer" {
 			piece = " else"
 		}
 		fmt.Fprintf(writer, `{"turn":%d,"seq":%d,"event":"piece","words":%q}`+"\n", turn, seq, piece)
@@ -57,7 +57,7 @@
 	fmt.Fprintln(writer, `{"end":"complete"}`)
 }
 
-func refuse(writer http.ResponseWriter, status int, kind string) {
+func writeError(writer http.ResponseWriter, status int, kind string) {
 	writer.WriteHeader(status)
 	fmt.Fprintf(writer, `{"kind":%q,"message":"did not run","remedy":"none"}`, kind)
 }
@@ -75,19 +75,19 @@
 	parts := strings.Split(strings.TrimPrefix(request.URL.Path, "/v1/"), "/")
 	switch {
 	case request.URL.Path == "/standin/record":
-		json.NewEncoder(writer).Encode(standin.Record{Executions: server.ran})
+		json.NewEncoder(writer).Encode(standin.Record{Executions: server.executions})
 	case parts[0] == "conversations" && len(parts) == 1:
-		server.starts++
-		server.turn(writer, fmt.Sprintf("c-%d", server.starts), body.Words)
+		server.conversationCount++
+		server.serveTurn(writer, fmt.Sprintf("c-%d", server.conversationCount), body.Words)
 	case parts[0] == "conversations" && len(parts) == 3 && parts[2] == "turns":
 		if server.violation == "forgets a turn" {
-			refuse(writer, http.StatusNotFound, "not_found")
+			writeError(writer, http.StatusNotFound, "not_found")
 			return
 		}
 		if server.violation == "changes the history" {
-			server.said[parts[1]] = server.said[parts[1]][2:]
+			server.histories[parts[1]] = server.histories[parts[1]][2:]
 		}
-		server.turn(writer, parts[1], body.Words)
+		server.serveTurn(writer, parts[1], body.Words)
 	case parts[0] == "conversations":
 		events := server.events[parts[1]]
 		if server.violation == "loses an event" {
@@ -97,13 +97,13 @@
 	default:
 		key := body.Program + "/" + body.Kind + "/" + body.Key
 		if body.Key != "" {
-			server.ran[key]++
+			server.executions[key]++
 		}
 		if server.violation == "runs work twice" {
-			server.ran[key]++
+			server.executions[key]++
 		}
-		if server.violation == "tells not run what ran" {
-			refuse(writer, http.StatusServiceUnavailable, "not_run")
+		if server.violation == "reports executed work as not run" {
+			writeError(writer, http.StatusServiceUnavailable, "not_run")
 			return
 		}
 		answer, _ := json.Marshal(standin.PlainAnswer(runnerclient.PlainRequest{Kind: body.Kind, RequestKey: body.Key, Input: body.Words}))
@@ -111,22 +111,22 @@
 	}
 }
 
-// drive runs the load generator against a fake server over in-memory pipes.
-func drive(t *testing.T, violation string) *Report {
+// runAgainst runs the load generator against a fake server over in-memory pipes.
+func runAgainst(t *testing.T, violation string) *Report {
 	t.Helper()
 	var report *Report
 	synctest.Test(t, func(t *testing.T) {
 		accepted := make(chan net.Conn)
-		server := &http.Server{Handler: &fakeServer{violation: violation, said: map[string][]runnerclient.Message{}, events: map[string][]string{}, ran: map[string]int{}}}
+		server := &http.Server{Handler: &fakeServer{violation: violation, histories: map[string][]runnerclient.Message{}, events: map[string][]string{}, executions: map[string]int{}}}
 		listener := &pipeListener{accepted: accepted, closed: make(chan struct{})}
 		go server.Serve(listener)
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			accepted <- far
-			return near, nil
+			clientConn, serverConn := net.Pipe()
+			accepted <- serverConn
+			return clientConn, nil
 		}}}
 		mix := Mix{Conversations: 3, Turns: []int{2, 3}, Lookups: 2, Once: 3, OnceKinds: []string{"receipt"}, Tight: 0}
-		if violation == "overspends" {
+		if violation == "exceeds the quota" {
 			mix.Tight = 10
 		}
 		report = Run(t.Context(), Target{Fronts: []string{"front"}, Runners: []string{"runner"}, Client: client, Quota: 100, TurnLimit: 30}, mix, 5*time.Second, 3, nil)
@@ -155,21 +155,21 @@
 func (*pipeListener) Addr() net.Addr     { return &net.UnixAddr{Name: "pipes"} }
 
 func TestGeneratorReportsEveryViolationAndNothingElse(t *testing.T) {
-	honest := drive(t, "")
-	if len(honest.Violations) > 0 || honest.Histories == 0 || honest.Once == 0 || honest.Lookups == 0 {
-		t.Fatalf("an honest system: %+v", honest)
+	correct := runAgainst(t, "")
+	if len(correct.Violations) > 0 || correct.Histories == 0 || correct.Once == 0 || correct.Lookups == 0 {
+		t.Fatalf("violations or missing checks with a correct server: %+v", correct)
 	}
 	for violation, rule := range map[string]string{
-		"repeats a piece": "streams", "skips a piece": "streams", "tells a cut answer as complete": "answers", "gives another's answer": "answers",
+		"repeats a piece": "streams", "skips a piece": "streams", "reports a partial answer as complete": "answers", "returns a wrong answer": "answers",
 		"forgets a turn": "turns stay known", "changes the history": "answers", "loses an event": "streams", "runs work twice": "once",
-		"tells not run what ran": "not run", "overspends": "allowance",
+		"reports executed work as not run": "not run", "exceeds the quota": "allowance",
 	} {
 		found := false
-		for _, broken := range drive(t, violation).Violations {
-			found = found || strings.HasPrefix(broken, rule+":")
+		for _, reported := range runAgainst(t, violation).Violations {
+			found = found || strings.HasPrefix(reported, rule+":")
 		}
 		if !found {
-			t.Errorf("a system that %s was not found out", violation)
+			t.Errorf("no violation was reported for a server that %s", violation)
 		}
 	}
 }
--- a/proof/loadgen/requests.go
+++ b/proof/loadgen/requests.go
@@ -15,13 +15,13 @@
 	"yardrock.example/system/httpapi"
 )
 
-// front draws a front.
-func (generator *generator) front(random *rand.Rand) string {
+// pickFront returns a random front.
+func (generator *generator) pickFront(random *rand.Rand) string {
 	return generator.target.Fronts[random.IntN(len(generator.target.Fronts))]
 }
 
-// send sends one request. An error response comes as an httpapi.Error, a lost connection as an
-// error; a response without kind, message and remedy is a violation.
+// send sends one request. It returns an error response as an httpapi.Error and a connection failure
+// as an error. An error response without kind, message and remedy is a violation.
 func (generator *generator) send(ctx context.Context, method, front, path string, body any) (*http.Response, *httpapi.Error, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -33,30 +33,30 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+generator.target.Token)
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := generator.target.Client.Do(request)
+	response, err := generator.target.Client.Do(request)
 	if err != nil {
 		return nil, nil, err
 	}
-	if answer.StatusCode == http.StatusOK {
-		return answer, nil, nil
+	if response.StatusCode == http.StatusOK {
+		return response, nil, nil
 	}
-	defer answer.Body.Close()
-	failure := &httpapi.Error{}
-	if err := json.NewDecoder(answer.Body).Decode(failure); err != nil || failure.Kind == "" || failure.Message == "" || failure.Remedy == "" {
-		generator.violation("error body", "%s %s: status %d without kind, message and remedy", method, path, answer.StatusCode)
+	defer response.Body.Close()
+	apiError := &httpapi.Error{}
+	if err := json.NewDecoder(response.Body).Decode(apiError); err != nil || apiError.Kind == "" || apiError.Message == "" || apiError.Remedy == "" {
+		generator.addViolation("error body", "%s %s: status %d without kind, message and remedy", method, path, response.StatusCode)
 		return nil, &httpapi.Error{Kind: "formless"}, nil
 	}
-	return nil, failure, nil
+	return nil, apiError, nil
 }
 
-// pause waits as long as an error response demands, or 300 ms.
-func pause(ctx context.Context, apierror *httpapi.Error) {
-	wait := 300 * time.Millisecond
-	if apierror != nil && apierror.RetryAfter > 0 {
-		wait = time.Duration(apierror.RetryAfter) * time.Millisecond
+// backOff waits for the delay that an error response demands, or 300 ms.
+func backOff(ctx context.Context, apiError *httpapi.Error) {
+	delay := 300 * time.Millisecond
+	if apiError != nil && apiError.RetryAfter > 0 {
+		delay = time.Duration(apiError.RetryAfter) * time.Millisecond
 	}
 	select {
-	case <-time.After(wait):
+	case <-time.After(delay):
 	case <-ctx.Done():
 	}
 }
@@ -72,105 +72,105 @@
 	Kind         string `json:"kind"`
 }
 
-// streamedAnswer is what was received of an answer, perhaps over several connections.
+// streamedAnswer is the received part of an answer, which may have come over several connections.
 type streamedAnswer struct {
 	conversation string
 	turn         uint64
-	last         uint64
+	lastSeq      uint64
 	words        strings.Builder
 	end          string
-	first        time.Time // when the first piece came
+	firstPieceAt time.Time
 }
 
-// readStream adds what one connection delivers to an answer. If the connection breaks, the rest
-// can be resumed; a gap or a repeated event is a violation. It stops after a number of pieces,
-// unless that is 0.
+// readStream adds what one connection delivers to an answer; after a connection failure the rest
+// can be resumed. A gap or a repeated event is a violation. It stops after stopAfter pieces, unless
+// that is 0.
 func (generator *generator) readStream(body io.Reader, answer *streamedAnswer, stopAfter int) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), 1<<20)
 	pieces := 0
 	for lines.Scan() {
-		var reported streamRecord
-		if err := json.Unmarshal(lines.Bytes(), &reported); err != nil {
-			return // a connection that broke within a line
+		var record streamRecord
+		if err := json.Unmarshal(lines.Bytes(), &record); err != nil {
+			return // the connection failed within a line
 		}
-		if reported.Conversation != "" {
-			if answer.conversation != "" && answer.turn != reported.Turn {
-				generator.violation("streams", "turn %d of %s was resumed as turn %d", answer.turn, answer.conversation, reported.Turn)
+		if record.Conversation != "" {
+			if answer.conversation != "" && answer.turn != record.Turn {
+				generator.addViolation("streams", "turn %d of %s was resumed as turn %d", answer.turn, answer.conversation, record.Turn)
 			}
-			answer.conversation, answer.turn = reported.Conversation, reported.Turn
-			if answer.last == 0 {
-				answer.last = reported.Turn
+			answer.conversation, answer.turn = record.Conversation, record.Turn
+			if answer.lastSeq == 0 {
+				answer.lastSeq = record.Turn
 			}
 		}
-		if reported.Event == "piece" {
-			if reported.Seq <= answer.last {
-				generator.violation("streams", "%s repeats seq %d after %d", answer.conversation, reported.Seq, answer.last)
+		if record.Event == "piece" {
+			if record.Seq <= answer.lastSeq {
+				generator.addViolation("streams", "%s repeats seq %d after %d", answer.conversation, record.Seq, answer.lastSeq)
 			}
-			if reported.Seq != answer.last+1 {
-				generator.violation("streams", "%s skips from seq %d to %d", answer.conversation, answer.last, reported.Seq)
+			if record.Seq != answer.lastSeq+1 {
+				generator.addViolation("streams", "%s skips from seq %d to %d", answer.conversation, answer.lastSeq, record.Seq)
 			}
-			answer.last = reported.Seq
-			if answer.first.IsZero() {
-				answer.first = time.Now()
+			answer.lastSeq = record.Seq
+			if answer.firstPieceAt.IsZero() {
+				answer.firstPieceAt = time.Now()
 			}
-			answer.words.WriteString(reported.Words)
+			answer.words.WriteString(record.Words)
 			if pieces++; pieces == stopAfter {
 				return
 			}
 		}
-		if reported.End != "" {
-			answer.end = reported.End
+		if record.End != "" {
+			answer.end = record.End
 			return
 		}
 	}
 }
 
-// requestTurn sends a turn until it is complete or cannot become so. It returns nil if the turn
-// was abandoned.
+// requestTurn sends a turn, with retries, and resumes its stream until it is complete. It returns
+// nil if the turn was abandoned.
 func (generator *generator) requestTurn(ctx context.Context, random *rand.Rand, path string, body map[string]any, want string) *streamedAnswer {
-	generator.count(func(report *Report) { report.Turns++ })
-	var last string
-	resume := random.Float64() < generator.mix.ResumeShare
+	generator.updateReport(func(report *Report) { report.Turns++ })
+	var lastReason string
+	disconnect := random.Float64() < generator.mix.ResumeShare
 	for attempt := range maxAttempts {
 		stopAfter := 0
-		if resume && attempt == 0 {
+		if disconnect && attempt == 0 {
 			stopAfter = 2
 		}
-		got, apierror := generator.attemptTurn(ctx, random, path, body, attempt == 0, stopAfter)
-		if apierror != nil {
-			last = apierror.Kind
-			generator.rejected(apierror, path, body)
-			if !mayAttemptAgain(apierror, attempt) {
+		answer, apiError := generator.attemptTurn(ctx, random, path, body, attempt == 0, stopAfter)
+		if apiError != nil {
+			lastReason = apiError.Kind
+			generator.countRejection(apiError, path, body)
+			if !isRetryable(apiError, attempt) {
 				break
 			}
-			if apierror.Kind == "not_run" && body["query_key"] != nil {
+			if apiError.Kind == "not_run" && body["query_key"] != nil {
 				body["query_key"] = fmt.Sprintf("%v+", body["query_key"])
 			}
-			pause(ctx, apierror)
+			backOff(ctx, apiError)
 			continue
 		}
-		if got == nil {
-			last = "connection"
-			pause(ctx, nil)
+		if answer == nil {
+			lastReason = "connection"
+			backOff(ctx, nil)
 			continue
 		}
-		for again := 0; (got.end == "" || got.end == "failed") && got.conversation != "" && again < maxResumes; again++ {
-			generator.resume(ctx, random, got)
+		for resumes := 0; (answer.end == "" || answer.end == "failed") && answer.conversation != "" && resumes < maxResumes; resumes++ {
+			generator.resumeStream(ctx, random, answer)
 		}
-		if last = generator.checkEnd(got, want); got.end == "complete" {
-			return got
+		if lastReason = generator.checkEnd(answer, want); answer.end == "complete" {
+			return answer
 		}
-		pause(ctx, nil)
+		backOff(ctx, nil)
 	}
-	generator.count(func(report *Report) { report.Abandoned[last]++ })
+	generator.updateReport(func(report *Report) { report.Abandoned[lastReason]++ })
 	return nil
 }
 
-// mayAttemptAgain reports whether a turn may be sent again after an error. A conflict of a
-// repeated attempt may come from an earlier one whose answer was lost.
-func mayAttemptAgain(apierror *httpapi.Error, attempt int) bool {
-	switch apierror.Kind {
+// isRetryable reports whether a turn may be sent again after an error. A conflict on a retry may be
+// due to an earlier attempt whose response was lost.
+func isRetryable(apiError *httpapi.Error, attempt int) bool {
+	switch apiError.Kind {
 	case "not_run", "unavailable", "unknown":
 		return true
 	case "conflict":
@@ -179,71 +179,71 @@
 	return false
 }
 
-// attemptTurn sends a turn once and reads the first connection's part of its answer. Without
-// an answer or an error in the protocol's form, both results are nil: the connection was lost.
-func (generator *generator) attemptTurn(ctx context.Context, random *rand.Rand, path string, body map[string]any, measured bool, stopAfter int) (*streamedAnswer, *httpapi.Error) {
+// attemptTurn sends a turn once and reads its answer from this connection. Both results are nil if
+// the connection failed.
+func (generator *generator) attemptTurn(ctx context.Context, random *rand.Rand, path string, body map[string]any, measure bool, stopAfter int) (*streamedAnswer, *httpapi.Error) {
 	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	began := time.Now()
-	answer, apierror, err := generator.send(callContext, http.MethodPost, generator.front(random), path, body)
-	if apierror != nil || err != nil {
-		return nil, apierror
+	response, apiError, err := generator.send(callContext, http.MethodPost, generator.pickFront(random), path, body)
+	if apiError != nil || err != nil {
+		return nil, apiError
 	}
-	defer answer.Body.Close()
-	got := &streamedAnswer{}
-	generator.readStream(answer.Body, got, stopAfter)
-	if measured && !got.first.IsZero() {
+	defer response.Body.Close()
+	answer := &streamedAnswer{}
+	generator.readStream(response.Body, answer, stopAfter)
+	if measure && !answer.firstPieceAt.IsZero() {
 		generator.mutex.Lock()
-		generator.delays = append(generator.delays, got.first.Sub(began))
+		generator.firstPieceDelays = append(generator.firstPieceDelays, answer.firstPieceAt.Sub(began))
 		generator.mutex.Unlock()
 	}
-	return got, nil
+	return answer, nil
 }
 
-// checkEnd compares an answer with the expected one as far as its end allows, and returns the
-// end's name in the report; "" is complete.
-func (generator *generator) checkEnd(got *streamedAnswer, want string) string {
-	switch got.end {
+// checkEnd compares an answer, or the received part of an incomplete one, with the expected one. It
+// returns "" for a complete answer, and otherwise the reason under which the report counts it.
+func (generator *generator) checkEnd(answer *streamedAnswer, want string) string {
+	switch answer.end {
 	case "complete":
-		generator.count(func(report *Report) { report.Complete++ })
-		if got.words.String() != want {
-			generator.violation("answers", "%s turn %d: heard %q, want %q", got.conversation, got.turn, got.words.String(), want)
+		generator.updateReport(func(report *Report) { report.Complete++ })
+		if answer.words.String() != want {
+			generator.addViolation("answers", "%s turn %d: got %q, want %q", answer.conversation, answer.turn, answer.words.String(), want)
 		}
 		return ""
 	case "cut", "not_run", "unknown":
-		ended := "ended " + got.end
-		generator.count(func(report *Report) { report.Rejections[ended]++ })
-		if !strings.HasPrefix(want, got.words.String()) {
-			generator.violation("answers", "%s turn %d: a cut answer %q is no beginning of %q", got.conversation, got.turn, got.words.String(), want)
+		reason := "ended " + answer.end
+		generator.updateReport(func(report *Report) { report.Rejections[reason]++ })
+		if !strings.HasPrefix(want, answer.words.String()) {
+			generator.addViolation("answers", "%s turn %d: the partial answer %q is not a prefix of %q", answer.conversation, answer.turn, answer.words.String(), want)
 		}
-		return ended
+		return reason
 	}
 	return "no end"
 }
 
-// resume reads on at another front after the last event that was received.
-func (generator *generator) resume(ctx context.Context, random *rand.Rand, got *streamedAnswer) {
-	generator.count(func(report *Report) { report.Resumed++ })
+// resumeStream resumes an answer at a random front after the last event that was received.
+func (generator *generator) resumeStream(ctx context.Context, random *rand.Rand, answer *streamedAnswer) {
+	generator.updateReport(func(report *Report) { report.Resumed++ })
 	callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	got.end = ""
-	answer, apierror, err := generator.send(callContext, http.MethodGet, generator.front(random), fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", got.conversation, got.last, got.turn), nil)
-	if err != nil || apierror != nil {
-		if apierror != nil && (apierror.Kind == "not_found" || apierror.Kind == "invalid") {
-			generator.violation("turns stay known", "resuming %s at %d: %s", got.conversation, got.last, apierror.Message)
+	answer.end = ""
+	response, apiError, err := generator.send(callContext, http.MethodGet, generator.pickFront(random), fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", answer.conversation, answer.lastSeq, answer.turn), nil)
+	if err != nil || apiError != nil {
+		if apiError != nil && (apiError.Kind == "not_found" || apiError.Kind == "invalid") {
+			generator.addViolation("turns stay known", "resuming %s at %d: %s", answer.conversation, answer.lastSeq, apiError.Message)
 		}
-		pause(ctx, apierror)
+		backOff(ctx, apiError)
 		return
 	}
-	generator.readStream(answer.Body, got, 0)
-	answer.Body.Close()
+	generator.readStream(response.Body, answer, 0)
+	response.Body.Close()
 }
 
-// rejected counts an error response. That a turn is unknown is a violation, as callers name
-// only turns that they got.
-func (generator *generator) rejected(apierror *httpapi.Error, path string, body map[string]any) {
-	generator.count(func(report *Report) { report.Rejections[apierror.Kind]++ })
-	if apierror.Kind == "not_found" {
-		generator.violation("turns stay known", "%s following %v: %s", path, body["follows"], apierror.Message)
+// countRejection counts an error response. "not_found" is a violation, as callers refer only to
+// conversations and turns whose names they received.
+func (generator *generator) countRejection(apiError *httpapi.Error, path string, body map[string]any) {
+	generator.updateReport(func(report *Report) { report.Rejections[apiError.Kind]++ })
+	if apiError.Kind == "not_found" {
+		generator.addViolation("turns stay known", "%s following %v: %s", path, body["follows"], apiError.Message)
 	}
 }
--- a/proof/loadgen/revisit.go
+++ b/proof/loadgen/revisit.go
@@ -11,18 +11,18 @@
 	"yardrock.example/proof/standin"
 )
 
-// revisits is how many conversations Revisit follows up at most.
-const revisits = 40
+// maxRevisits is the maximum number of conversations that Revisit continues.
+const maxRevisits = 40
 
-// Revisit continues conversations of an earlier run and reads them back: their turns must be
-// known, and the model must get their messages as they were.
+// Revisit continues conversations of an earlier run and reads them back. It checks that their turns
+// are still known and that the model receives their messages unchanged.
 //
 //	again := loadgen.Revisit(ctx, target, report.ToRevisit, 7)
-func Revisit(ctx context.Context, target Target, kept []Conversation, seed uint64) *Report {
+func Revisit(ctx context.Context, target Target, conversations []Conversation, seed uint64) *Report {
 	generator := newGenerator(target, Mix{})
 	random := rand.New(rand.NewPCG(seed, 77))
-	for _, position := range random.Perm(len(kept))[:min(len(kept), revisits)] {
-		conversation := kept[position]
+	for _, position := range random.Perm(len(conversations))[:min(len(conversations), maxRevisits)] {
+		conversation := conversations[position]
 		question := "and after " + conversation.Name
 		generator.requestTurn(ctx, random, "/v1/conversations/"+conversation.Name+"/turns", map[string]any{"kind": "talk", "words": question, "follows": conversation.LastTurn, "query_key": "revisit"},
 			strings.Join(standin.Answer(conversation.History, question), ""))
@@ -38,12 +38,12 @@
 	generator := newGenerator(target, Mix{})
 	for {
 		callContext, cancel := context.WithTimeout(ctx, 10*time.Second)
-		answer, apierror, err := generator.send(callContext, http.MethodPost, front, "/v1/conversations", map[string]any{"program": "dialogue", "kind": "talk", "words": "are you there"})
-		if err == nil && apierror == nil {
-			got := &streamedAnswer{}
-			generator.readStream(answer.Body, got, 0)
-			answer.Body.Close()
-			if got.end == "complete" {
+		response, apiError, err := generator.send(callContext, http.MethodPost, front, "/v1/conversations", map[string]any{"program": "dialogue", "kind": "talk", "words": "are you there"})
+		if err == nil && apiError == nil {
+			answer := &streamedAnswer{}
+			generator.readStream(response.Body, answer, 0)
+			response.Body.Close()
+			if answer.end == "complete" {
 				cancel()
 				return nil
 			}
@@ -51,7 +51,7 @@
 		cancel()
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("no turn was served: %v %v", apierror, err)
+			return fmt.Errorf("no turn was completed: %v %v", apiError, err)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
--- a/proof/loadgen/spike.go
+++ b/proof/loadgen/spike.go
@@ -9,53 +9,53 @@
 	"time"
 )
 
-// SpikeResult counts the requests of a traffic spike. Wrong ones were rejected as not run without
-// a time after which to come back.
+// SpikeResult counts the requests of a traffic spike. A rejection as not run must state the
+// time to retry after; RejectedWithoutRetryAfter counts those that do not.
 type SpikeResult struct {
 	Sent, Served, Rejected, Wrong int
 	Urgent, UrgentServed          int
 }
 
-// Spike sends lookups at a rate, on top of all other load, with one urgent request in 20.
+// Spike sends requests at a rate, in addition to other load: lookups, and one urgent request in 20.
 //
-//	seen := loadgen.Spike(ctx, target, 4*time.Second, 500)
-func Spike(ctx context.Context, target Target, lasts time.Duration, perSecond int) SpikeResult {
+//	result := loadgen.Spike(ctx, target, 4*time.Second, 500)
+func Spike(ctx context.Context, target Target, duration time.Duration, perSecond int) SpikeResult {
 	generator := newGenerator(target, Mix{})
 	var mutex sync.Mutex
-	var sent sync.WaitGroup
-	seen := SpikeResult{}
+	var pending sync.WaitGroup
+	result := SpikeResult{}
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 3))
-	for number := range int(lasts.Seconds() * float64(perSecond)) {
-		front := generator.front(random)
+	for number := range int(duration.Seconds() * float64(perSecond)) {
+		front := generator.pickFront(random)
 		urgent := number%20 == 0
-		sent.Go(func() {
+		pending.Go(func() {
 			path, body := "/v1/lookups", map[string]any{"program": "dialogue", "kind": "lookup", "words": "where is everybody"}
 			if urgent {
 				path, body = "/v1/queries", map[string]any{"program": "counter", "kind": "activation", "words": "now", "query_key": fmt.Sprintf("crowd-%d-%d", time.Now().UnixNano(), number)}
 			}
-			limited, cancel := context.WithTimeout(ctx, answerTimeout)
+			callContext, cancel := context.WithTimeout(ctx, answerTimeout)
 			defer cancel()
-			answer, apierror, err := generator.send(limited, http.MethodPost, front, path, body)
-			if err == nil && apierror == nil {
-				answer.Body.Close()
+			response, apiError, err := generator.send(callContext, http.MethodPost, front, path, body)
+			if err == nil && apiError == nil {
+				response.Body.Close()
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			seen.Sent++
-			served := err == nil && apierror == nil
+			result.Sent++
+			served := err == nil && apiError == nil
 			if served {
-				seen.Served++
+				result.Served++
 			}
-			if apierror != nil {
-				seen.Rejected++
-				if apierror.RetryAfter == 0 && apierror.Kind == "not_run" {
-					seen.Wrong++
+			if apiError != nil {
+				result.Rejected++
+				if apiError.RetryAfter == 0 && apiError.Kind == "not_run" {
+					result.Wrong++
 				}
 			}
 			if urgent {
-				seen.Urgent++
+				result.Urgent++
 				if served {
-					seen.UrgentServed++
+					result.UrgentServed++
 				}
 			}
 		})
@@ -64,6 +64,6 @@
 		case <-ctx.Done():
 		}
 	}
-	sent.Wait()
-	return seen
+	pending.Wait()
+	return result
 }
--- a/proof/standin/engine.go
+++ b/proof/standin/engine.go
@@ -14,20 +14,19 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// Dialect names the headers that stand-in engines read and write.
+// Dialect names the headers that an Engine reads and writes.
 var Dialect = runnerpool.HeaderNames{
 	RequestID: "Query-Name", NotRun: "Not-Run", ExpectedRunner: "Expected-Runner", Timeout: "Time-Left", Load: "Runner-Load",
 	Urgency: "Urgency", LastEventID: "Last-Event-ID", RunnerID: "Runner", WarmUpLeft: "Cold-For",
 }
 
-// Fault selects how an engine mishandles one request. The texts are only shown in test
-// messages.
+// Fault selects how an Engine mishandles one request. The texts appear only in test output.
 type Fault string
 
-// The faults.
+// The faults of an Engine.
 const (
 	NoFault Fault = ""
-	// FaultNotRun answers 503 with the header that vouches that the request did not run.
+	// FaultNotRun answers 503 with the header that states that the request did not run.
 	FaultNotRun Fault = "refuses"
 	// FaultLoseAnswer runs the request and closes the connection without an answer.
 	FaultLoseAnswer Fault = "loses"
@@ -35,18 +34,18 @@
 	FaultBreakStream Fault = "breaks"
 	// FaultServerError answers 500.
 	FaultServerError Fault = "fails"
-	// FaultUnavailable answers 503 without vouching that the request did not run.
+	// FaultUnavailable answers 503 without the header that states that the request did not run.
 	FaultUnavailable Fault = "unvouched"
 	// FaultWrongName runs the request and answers under another request's ID.
 	FaultWrongName Fault = "foreign"
-	// FaultExtraAnswer answers twice under the same request ID; the second answer comes
-	// where the next request's answer should be.
+	// FaultExtraAnswer answers twice under the same request ID; the second answer is sent in place
+	// of the next request's answer.
 	FaultExtraAnswer Fault = "extra"
 	// FaultGarbledAnswer runs the request and answers with bytes that are not HTTP.
 	FaultGarbledAnswer Fault = "garbles"
 	// FaultHang runs the request and never answers.
 	FaultHang Fault = "hangs"
-	// FaultPlainAnswer answers a streaming request with a plain success.
+	// FaultPlainAnswer answers a streaming request with a plain answer.
 	FaultPlainAnswer Fault = "plain"
 	// FaultUnprocessable runs the request and answers 422.
 	FaultUnprocessable Fault = "rejects"
@@ -55,7 +54,7 @@
 	FaultRestartStream Fault = "repeats"
 )
 
-// Execution is one request that an engine ran.
+// Execution is one request that an Engine ran.
 type Execution struct {
 	RequestID string
 	Method    string
@@ -66,13 +65,13 @@
 	Fault     Fault
 }
 
-// Engine is a stand-in runner to which fronts forward requests unchanged. Its methods are safe
-// for concurrent use; its fields must not change once it serves.
+// Engine is a stand-in runner to which fronts forward requests unchanged. Its methods are safe for
+// concurrent use; its fields must not change once it serves.
 type Engine struct {
-	// Life identifies this start of the runner.
+	// Life identifies one start of the runner; a restart changes it.
 	Life      string
 	Latencies Latencies
-	// Events is how many events a stream has.
+	// Events is the number of events of a stream.
 	Events int
 
 	mutex        sync.Mutex
@@ -80,18 +79,18 @@
 	defaultFault Fault
 	executions   []Execution
 	arrivals     []time.Time
-	misdirected  int      // requests that were meant for another runner
-	cancelled    []string // IDs of requests whose connection ended while they ran
+	misdirected  int      // requests that expected another runner
+	cancelled    []string // IDs of plain requests whose connection ended while they ran
 }
 
-// NewEngine returns an engine that streams five events and injects no fault.
+// NewEngine returns an engine that streams five events and has no faults.
 //
 //	http.Serve(listener, standin.NewEngine("life-1", standin.Latencies{NextPiece: time.Millisecond}))
-func NewEngine(life string, latencies Latencies) *Engine {
-	return &Engine{Life: life, Latencies: latencies, Events: 5}
+func NewEngine(incarnation string, latencies Latencies) *Engine {
+	return &Engine{Life: incarnation, Latencies: latencies, Events: 5}
 }
 
-// InjectFaults queues faults for the next requests, one fault for each.
+// InjectFaults queues faults for the next requests, one for each request.
 //
 //	engine.InjectFaults(standin.FaultLoseAnswer)
 func (engine *Engine) InjectFaults(faults ...Fault) {
@@ -100,7 +99,7 @@
 	engine.mutex.Unlock()
 }
 
-// SetFault sets the fault of all requests for which none is queued.
+// SetFault sets the fault of requests for which none is queued.
 //
 //	engine.SetFault(standin.FaultServerError)
 func (engine *Engine) SetFault(fault Fault) {
@@ -109,7 +108,7 @@
 	engine.mutex.Unlock()
 }
 
-// Executions returns the requests that ran here, in order.
+// Executions returns the requests that ran, in order.
 //
 //	for _, execution := range engine.Executions() { ... }
 func (engine *Engine) Executions() []Execution {
@@ -118,7 +117,8 @@
 	return append([]Execution{}, engine.executions...)
 }
 
-// Misdirected counts the requests that were rejected because they named another runner.
+// Misdirected returns the number of requests that were rejected because they expected another
+// runner.
 //
 //	count := engine.Misdirected()
 func (engine *Engine) Misdirected() int {
@@ -127,18 +127,18 @@
 	return engine.misdirected
 }
 
-// Cancelled returns the IDs of plain requests whose connection ended while they ran here.
+// Cancelled returns the IDs of plain requests whose connection ended while they ran.
 //
-//	names := engine.Cancelled()
+//	ids := engine.Cancelled()
 func (engine *Engine) Cancelled() []string {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return append([]string{}, engine.cancelled...)
 }
 
-// work waits as long as a plain request takes, and records it as cancelled if its connection
-// ends meanwhile.
-func (engine *Engine) work(request *http.Request) {
+// simulateWork waits for the latency of a plain answer, and records the request as cancelled if its
+// connection ends meanwhile.
+func (engine *Engine) simulateWork(request *http.Request) {
 	select {
 	case <-time.After(engine.Latencies.PlainAnswer):
 	case <-request.Context().Done():
@@ -149,7 +149,8 @@
 	}
 }
 
-// Arrivals returns when requests came that were meant for this runner, run or not.
+// Arrivals returns the arrival times of the requests that were not misdirected, whether they ran or
+// not.
 //
 //	count := len(engine.Arrivals())
 func (engine *Engine) Arrivals() []time.Time {
@@ -158,7 +159,7 @@
 	return append([]time.Time{}, engine.arrivals...)
 }
 
-// nextFault records an arrival and returns its fault.
+// nextFault records the arrival of a request and returns its fault.
 func (engine *Engine) nextFault() Fault {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -171,15 +172,14 @@
 	return fault
 }
 
-// run records an execution.
-func (engine *Engine) run(request *http.Request, body string, fault Fault) {
+func (engine *Engine) recordExecution(request *http.Request, body string, fault Fault) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.executions = append(engine.executions, Execution{RequestID: request.Header.Get(Dialect.RequestID), Method: request.Method, Target: request.URL.RequestURI(), Body: body, At: time.Now(), Header: request.Header.Clone(), Fault: fault})
 }
 
-// EventData returns the data of one event of a stream. It depends on the complete prompt, so
-// that a test notices any difference in what the engine received.
+// EventData returns the data of one event of a stream. It depends on the complete prompt, so that a
+// test detects any difference in what the engine received.
 //
 //	data := standin.EventData(prompt, 3)
 func EventData(prompt string, number int) string {
@@ -199,8 +199,8 @@
 	if err != nil {
 		return
 	}
-	name := request.Header.Get(Dialect.RequestID)
-	header.Set(Dialect.RequestID, name)
+	requestID := request.Header.Get(Dialect.RequestID)
+	header.Set(Dialect.RequestID, requestID)
 	if expected := request.Header.Get(Dialect.ExpectedRunner); expected != "" && expected != engine.Life {
 		engine.mutex.Lock()
 		engine.misdirected++
@@ -220,14 +220,14 @@
 	case FaultWrongName:
 		header.Set(Dialect.RequestID, "another")
 	}
-	engine.run(request, string(body), fault)
-	header.Set("Seal", engine.Life+"/"+name)
+	engine.recordExecution(request, string(body), fault)
+	header.Set("Seal", engine.Life+"/"+requestID)
 	engine.answer(writer, request, string(body), fault)
 }
 
-// answer answers a request that was run, or fails to, as its fault says.
+// answer answers a request that was run, as its fault selects.
 func (engine *Engine) answer(writer http.ResponseWriter, request *http.Request, body string, fault Fault) {
-	name := request.Header.Get(Dialect.RequestID)
+	requestID := request.Header.Get(Dialect.RequestID)
 	switch {
 	case fault == FaultLoseAnswer:
 		time.Sleep(engine.Latencies.PlainAnswer)
@@ -236,7 +236,7 @@
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
 	case fault == FaultGarbledAnswer || fault == FaultExtraAnswer:
-		engine.answerRaw(writer, name, fault)
+		engine.answerRaw(writer, requestID, fault)
 	case fault == FaultUnprocessable:
 		writer.WriteHeader(http.StatusUnprocessableEntity)
 	case fault == FaultServerError:
@@ -244,14 +244,14 @@
 	case strings.HasPrefix(request.URL.Path, "/talk/") && fault != FaultPlainAnswer:
 		engine.stream(writer, request, body, fault)
 	default:
-		engine.work(request)
-		fmt.Fprintf(writer, "done %s", name)
+		engine.simulateWork(request)
+		fmt.Fprintf(writer, "done %s", requestID)
 	}
 }
 
-// answerRaw writes bytes to the connection that net/http would not write. As in all answers of
-// the stand-ins, errors of writing are not looked at: the front that asked may have gone.
-func (engine *Engine) answerRaw(writer http.ResponseWriter, name string, fault Fault) {
+// answerRaw writes bytes to the connection that net/http would not write. Write errors are ignored,
+// as in all answers of the stand-ins: the front may have closed the connection.
+func (engine *Engine) answerRaw(writer http.ResponseWriter, requestID string, fault Fault) {
 	connection, _, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -261,28 +261,27 @@
 		_, _ = io.WriteString(connection, "\x16\x03\x01 this is no answer\r\n\r\n")
 		return
 	}
-	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, name, engine.Life, name, len("done "+name), name)
-	_, _ = io.WriteString(connection, complete)
-	// The extra answer is written when the next request comes on this connection, if one
-	// comes within 3 s.
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, requestID, engine.Life, requestID, len("done "+requestID), requestID)
+	_, _ = io.WriteString(connection, response)
+	// The extra answer is sent on arrival of the next request on this connection, within 3 s.
 	connection.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if count, _ := connection.Read(make([]byte, 1)); count > 0 {
-		_, _ = io.WriteString(connection, complete)
+		_, _ = io.WriteString(connection, response)
 	}
 }
 
-// stream writes the events of a stream, from the one after the Last-Event-ID on.
+// stream writes the events of a stream that follow the Last-Event-ID.
 func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, prompt string, fault Fault) {
-	first, _ := strconv.Atoi(request.Header.Get(Dialect.LastEventID))
-	breaks := fault == FaultBreakStream || fault == FaultRestartStream && first == 0
+	lastEventID, _ := strconv.Atoi(request.Header.Get(Dialect.LastEventID))
+	breakStream := fault == FaultBreakStream || fault == FaultRestartStream && lastEventID == 0
 	if fault == FaultRestartStream {
-		first = 0
+		lastEventID = 0
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	time.Sleep(engine.Latencies.FirstPiece)
-	for number := first + 1; number <= engine.Events; number++ {
-		if breaks && number > first+2 {
+	for number := lastEventID + 1; number <= engine.Events; number++ {
+		if breakStream && number > lastEventID+2 {
 			panic(http.ErrAbortHandler)
 		}
 		fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, EventData(prompt, number))
--- a/proof/standin/platform.go
+++ b/proof/standin/platform.go
@@ -16,13 +16,11 @@
 	State   string `json:"state"`
 }
 
-// Platform is a stand-in for the platform's runner list. Its methods are safe for concurrent
-// use.
+// Platform is a stand-in for the platform's runner list. Its methods are safe for concurrent use.
 type Platform struct {
-	// Lag is how long after Put the list is still served as it was before.
+	// Lag is how long after a Put the previous list is still served.
 	Lag time.Duration
-	// Throttle is the shortest time between two polls; a poll that comes sooner is answered
-	// with 429.
+	// Throttle is the minimum interval between two polls; an earlier poll is answered with 429.
 	Throttle  time.Duration
 	mutex     sync.Mutex
 	versions  []listVersion
@@ -31,13 +29,13 @@
 	throttled int
 }
 
-// listVersion is the list from one Put on.
+// listVersion is the list of one Put.
 type listVersion struct {
 	since   time.Time
 	runners []ListedRunner
 }
 
-// Put replaces the list; callers see the new one after Lag.
+// Put replaces the list. It becomes visible after Lag; the first list is visible at once.
 //
 //	platform.Put([]standin.ListedRunner{{Address: "127.0.0.1:8000", Group: "small", Domain: "east", State: "serving"}})
 func (platform *Platform) Put(runners []ListedRunner) {
@@ -46,16 +44,16 @@
 	platform.mutex.Unlock()
 }
 
-// SetThrottle changes the shortest time between two polls.
+// SetThrottle changes the minimum interval between two polls.
 //
 //	platform.SetThrottle(2 * time.Second)
-func (platform *Platform) SetThrottle(shortest time.Duration) {
+func (platform *Platform) SetThrottle(interval time.Duration) {
 	platform.mutex.Lock()
-	platform.Throttle = shortest
+	platform.Throttle = interval
 	platform.mutex.Unlock()
 }
 
-// Polls counts the polls of the list, and those of them that were answered with 429.
+// Polls returns the number of polls of the list, and of those that were answered with 429.
 //
 //	polls, throttled := platform.Polls()
 func (platform *Platform) Polls() (polls, throttled int) {
@@ -78,19 +76,19 @@
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	platform.polls++
-	if since := time.Since(platform.lastPoll); since < platform.Throttle {
+	if elapsed := time.Since(platform.lastPoll); elapsed < platform.Throttle {
 		platform.throttled++
 		writer.Header().Set("Retry-After", strconv.Itoa(int((platform.Throttle+time.Second-1)/time.Second)))
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
 	platform.lastPoll = time.Now()
-	shown := []ListedRunner{}
-	for position, put := range platform.versions {
-		if position == 0 || time.Since(put.since) >= platform.Lag {
-			shown = put.runners
+	visible := []ListedRunner{}
+	for position, version := range platform.versions {
+		if position == 0 || time.Since(version.since) >= platform.Lag {
+			visible = version.runners
 		}
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	writeJSON(writer, map[string]any{"runners": shown})
+	writeJSON(writer, map[string]any{"runners": visible})
 }
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -1,7 +1,7 @@
-// Package standin provides stand-ins for what yardrock depends on and does not contain: model
-// and application runners (Runner), runners that get forwarded requests (Engine) and the
-// platform's runner list (Platform). Their answers depend on everything that they were sent,
-// and they record what they ran, so that tests can compare both with what callers got.
+// Package standin provides stand-ins for yardrock's external dependencies: model and application
+// runners (Runner), runners of forwarded requests (Engine) and the platform's runner list
+// (Platform). The runners' answers depend on everything that they received, and they record what
+// they ran, so that tests can compare both with what callers received.
 package standin
 
 import (
@@ -22,10 +22,10 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// Latencies are how long a stand-in runner takes.
+// Latencies are the response times of a stand-in runner.
 type Latencies struct {
 	FirstPiece  time.Duration // until the first piece or event of a stream
-	NextPiece   time.Duration // between two of them
+	NextPiece   time.Duration // between two pieces or events
 	PlainAnswer time.Duration // until a plain answer
 }
 
@@ -33,26 +33,25 @@
 type Record struct {
 	// Executions counts the executions of each program/kind/request key.
 	Executions map[string]int `json:"executions"`
-	// Arrivals are the times at which requests arrived, in Unix nanoseconds, the first
-	// maxArrivals of them.
+	// Arrivals are the arrival times of the first maxArrivals requests, in Unix nanoseconds.
 	Arrivals []int64 `json:"arrivals"`
-	// Turns counts the turns that were requested.
+	// Turns counts the requested turns.
 	Turns int `json:"turns"`
-	// MaxInFlight is the most requests that were in flight at once since it was last taken.
+	// MaxInFlight is the maximum number of requests in flight since TakeMaxInFlight last reset it.
 	MaxInFlight int `json:"most_out"`
-	// LastArrival has the time of the last request of each path, in Unix nanoseconds.
+	// LastArrival is the arrival time of the last request on each path, in Unix nanoseconds.
 	LastArrival map[string]int64 `json:"last_on"`
 }
 
-// Runner is a stand-in model and application runner. Words in a request such as "!refuse" or
-// "!slow" select a fault. Its methods are safe for concurrent use.
+// Runner is a stand-in model and application runner. Words such as "!refuse" or "!slow" in a
+// request select a fault. Its methods are safe for concurrent use.
 type Runner struct {
-	latencies Latencies
-	mutex     sync.Mutex
-	inFlight  int
-	record    Record
-	paths     map[int64]string
-	file      *os.File
+	latencies    Latencies
+	mutex        sync.Mutex
+	inFlight     int
+	record       Record
+	paths        map[int64]string
+	executionLog *os.File
 }
 
 // NewRunner returns a runner that answers with these latencies.
@@ -62,10 +61,10 @@
 	return &Runner{latencies: latencies, record: Record{Executions: map[string]int{}, LastArrival: map[string]int64{}}, paths: map[int64]string{}}
 }
 
-// OpenLedger keeps the executions in a file, so that they are known after a restart, as those
-// of a real application would be. Call it before the runner serves.
+// OpenLedger loads the executions from a file and appends further ones to it, so that they survive
+// a restart. Call it before the runner serves.
 //
-//	err := runner.OpenLedger("/tmp/executions")
+//	err := runner.OpenExecutionLog("/tmp/executions")
 func (runner *Runner) OpenLedger(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -74,7 +73,7 @@
 	for key := range strings.Lines(string(data)) {
 		runner.record.Executions[strings.TrimSpace(key)]++
 	}
-	runner.file, err = os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	runner.executionLog, err = os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	return err
 }
 
@@ -91,7 +90,7 @@
 	return copied
 }
 
-// Paths returns the path of each request in Record.Arrivals, by its time.
+// Paths returns the path of each request in Record.Arrivals, by arrival time.
 //
 //	for at, path := range runner.Paths() { ... }
 func (runner *Runner) Paths() map[int64]string {
@@ -100,7 +99,8 @@
 	return maps.Clone(runner.paths)
 }
 
-// TakeMaxInFlight returns the most requests that were in flight at once since the last call.
+// TakeMaxInFlight returns the maximum number of requests in flight since the last call, and resets
+// it to the current number.
 //
 //	maximum := runner.TakeMaxInFlight()
 func (runner *Runner) TakeMaxInFlight() int {
@@ -113,10 +113,10 @@
 
 const (
 	maxArrivals = 50000           // bounds the memory of a record
-	slowAnswer  = 2 * time.Second // what "!slow" adds to a plain answer
+	slowAnswer  = 2 * time.Second // added to a plain answer by "!slow"
 )
 
-func (runner *Runner) enter(path string) {
+func (runner *Runner) requestStarted(path string) {
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
 	runner.inFlight++
@@ -128,37 +128,37 @@
 	}
 }
 
-func (runner *Runner) leave() {
+func (runner *Runner) requestEnded() {
 	runner.mutex.Lock()
 	runner.inFlight--
 	runner.mutex.Unlock()
 }
 
-// ServeHTTP answers POST /turn, POST on any other path, GET /standin/record, and GET
-// /standin/take, which also begins to count MaxInFlight anew.
+// ServeHTTP serves turns on /turn, the record on /standin/record and /standin/take, of which the
+// latter also resets MaxInFlight, and plain requests on all other paths.
 func (runner *Runner) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	switch request.URL.Path {
 	case "/standin/record":
 		writer.Header().Set("Content-Type", "application/json")
 		writeJSON(writer, runner.Record())
 	case "/standin/take":
-		taken := runner.Record()
-		taken.MaxInFlight = runner.TakeMaxInFlight()
+		record := runner.Record()
+		record.MaxInFlight = runner.TakeMaxInFlight()
 		writer.Header().Set("Content-Type", "application/json")
-		writeJSON(writer, taken)
+		writeJSON(writer, record)
 	case "/turn":
-		runner.enter(request.URL.Path)
-		defer runner.leave()
-		runner.turn(writer, request)
+		runner.requestStarted(request.URL.Path)
+		defer runner.requestEnded()
+		runner.serveTurn(writer, request)
 	default:
-		runner.enter(request.URL.Path)
-		defer runner.leave()
-		runner.plain(writer, request)
+		runner.requestStarted(request.URL.Path)
+		defer runner.requestEnded()
+		runner.servePlain(writer, request)
 	}
 }
 
-// Answer returns the pieces of a model runner's answer to a history and new words. It depends
-// on both, so that a test notices any difference in what the runner received.
+// Answer returns the pieces of a model runner's answer to a history and new words. It depends on
+// both, so that a test detects any difference in what the runner received.
 //
 //	pieces := standin.Answer(history, "hello")
 func Answer(history []runnerclient.Message, words string) []string {
@@ -171,39 +171,39 @@
 	return pieces
 }
 
-// PlainAnswer returns what an application runner answers.
+// PlainAnswer returns an application runner's answer to a request.
 //
-//	answer := standin.PlainAnswer(query)
+//	answer := standin.PlainAnswer(request)
 func PlainAnswer(request runnerclient.PlainRequest) map[string]string {
 	sum := sha256.Sum256([]byte(request.Kind + "\x00" + request.RequestKey + "\x00" + request.Input))
 	return map[string]string{"done": request.Kind, "proof": hex.EncodeToString(sum[:8])}
 }
 
-// turn answers a turn with a stream of pieces, or with the fault that its words select.
-func (runner *Runner) turn(writer http.ResponseWriter, request *http.Request) {
-	var sent runnerclient.TurnRequest
-	if err := json.NewDecoder(request.Body).Decode(&sent); err != nil {
+// serveTurn answers a turn with a stream of pieces or with the fault that its words select.
+func (runner *Runner) serveTurn(writer http.ResponseWriter, request *http.Request) {
+	var turnRequest runnerclient.TurnRequest
+	if err := json.NewDecoder(request.Body).Decode(&turnRequest); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
 	runner.mutex.Lock()
 	runner.record.Turns++
 	runner.mutex.Unlock()
-	if strings.Contains(sent.Input, "!refuse") {
+	if strings.Contains(turnRequest.Input, "!refuse") {
 		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if strings.Contains(sent.Input, "!type") {
+	if strings.Contains(turnRequest.Input, "!type") {
 		writer.Header().Set("Content-Type", "text/html")
 		fmt.Fprint(writer, "<p>hello</p>")
 		return
 	}
-	runner.streamTurn(writer, request, &sent)
+	runner.streamTurn(writer, request, &turnRequest)
 }
 
-// streamTurn writes the pieces of a turn's answer and its end.
-func (runner *Runner) streamTurn(writer http.ResponseWriter, request *http.Request, sent *runnerclient.TurnRequest) {
+// streamTurn writes the pieces of a turn's answer and the end record, unless a fault prevents it.
+func (runner *Runner) streamTurn(writer http.ResponseWriter, request *http.Request, turnRequest *runnerclient.TurnRequest) {
 	writer.Header().Set("Content-Type", "application/x-ndjson")
 	controller := http.NewResponseController(writer)
 	write := func(piece string) bool {
@@ -217,21 +217,21 @@
 		}
 	}
 	time.Sleep(runner.latencies.FirstPiece)
-	for position, piece := range Answer(sent.History, sent.Input) {
+	for position, piece := range Answer(turnRequest.History, turnRequest.Input) {
 		if !write(piece) {
 			return
 		}
-		if position == 2 && strings.Contains(sent.Input, "!stop") {
+		if position == 2 && strings.Contains(turnRequest.Input, "!stop") {
 			panic(http.ErrAbortHandler) // net/http closes the connection
 		}
-		if position == 2 && strings.Contains(sent.Input, "!early") {
+		if position == 2 && strings.Contains(turnRequest.Input, "!early") {
 			return
 		}
-		if position == 2 && strings.Contains(sent.Input, "!nonsense") {
+		if position == 2 && strings.Contains(turnRequest.Input, "!nonsense") {
 			fmt.Fprintln(writer, "{nonsense")
 		}
 	}
-	for strings.Contains(sent.Input, "!endless") {
+	for strings.Contains(turnRequest.Input, "!endless") {
 		if !write(" more") {
 			return
 		}
@@ -239,46 +239,47 @@
 	writeJSON(writer, map[string]bool{"end": true})
 }
 
-// plain runs a plain request, records it and answers, or fails as its words select.
-func (runner *Runner) plain(writer http.ResponseWriter, request *http.Request) {
-	var sent runnerclient.PlainRequest
-	if err := json.NewDecoder(request.Body).Decode(&sent); err != nil {
+// servePlain records and answers a plain request, or fails as its words select.
+func (runner *Runner) servePlain(writer http.ResponseWriter, request *http.Request) {
+	var plainRequest runnerclient.PlainRequest
+	if err := json.NewDecoder(request.Body).Decode(&plainRequest); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if strings.Contains(sent.Input, "!refuse") {
+	if strings.Contains(plainRequest.Input, "!refuse") {
 		writer.Header().Set(runnerclient.NotRunHeader, "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if sent.RequestKey != "" {
+	if plainRequest.RequestKey != "" {
 		runner.mutex.Lock()
-		key := sent.Program + "/" + sent.Kind + "/" + sent.RequestKey
+		key := plainRequest.Program + "/" + plainRequest.Kind + "/" + plainRequest.RequestKey
 		runner.record.Executions[key]++
-		if runner.file != nil {
-			fmt.Fprintln(runner.file, key)
+		if runner.executionLog != nil {
+			fmt.Fprintln(runner.executionLog, key)
 		}
 		runner.mutex.Unlock()
 	}
 	time.Sleep(runner.latencies.PlainAnswer)
-	if strings.Contains(sent.Input, "!slow") {
+	if strings.Contains(plainRequest.Input, "!slow") {
 		time.Sleep(slowAnswer)
 	}
 	switch {
-	case strings.Contains(sent.Input, "!lose"):
+	case strings.Contains(plainRequest.Input, "!lose"):
 		panic(http.ErrAbortHandler) // net/http closes the connection
-	case strings.Contains(sent.Input, "!type"):
+	case strings.Contains(plainRequest.Input, "!type"):
 		writer.Header().Set("Content-Type", "text/html")
 		fmt.Fprint(writer, "<p>hello</p>")
 		return
-	case strings.Contains(sent.Input, "!nonsense"):
+	case strings.Contains(plainRequest.Input, "!nonsense"):
 		writer.Header().Set("Content-Type", "application/json")
 		fmt.Fprint(writer, "{nonsense")
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	writeJSON(writer, PlainAnswer(sent))
+	writeJSON(writer, PlainAnswer(plainRequest))
 }
 
-// writeJSON writes a value and a line feed. An error means that the front that asked has gone.
+// writeJSON writes a value and a line feed. It ignores write errors: the front may have closed the
+// connection.
 func writeJSON(writer io.Writer, value any) { _ = json.NewEncoder(writer).Encode(value) }
