--- a/proof/cmd/faults/main.go
+++ b/proof/cmd/faults/main.go
@@ -111,14 +111,14 @@
 	running.CheckConfig(ctx)
 	output := map[string]any{"report": report, "script": injected}
 	if opts.Outage {
-		before, beforeErr := loadgen.Quota(ctx, running.Target(), "tight")
+		before, beforeErr := loadgen.QuotaUsage(ctx, running.Target(), "tight")
 		missing, took, err := running.TotalOutage(ctx, rand.New(rand.NewPCG(opts.Seed, 9)))
 		output["outage"] = map[string]any{"missing": missing, "took": took.String()}
 		running.Checks.Check("outage", err == nil, "%v", err)
 		revisit := loadgen.Revisit(ctx, running.Target(), report.ToRevisit, opts.Seed)
 		report.Violations = append(report.Violations, revisit.Violations...)
 		running.Checks.Check("turns stay known", len(revisit.Violations) == 0 && revisit.Histories > 0, "%d histories, %v", revisit.Histories, revisit.Violations)
-		after, afterErr := loadgen.Quota(ctx, running.Target(), "tight")
+		after, afterErr := loadgen.QuotaUsage(ctx, running.Target(), "tight")
 		running.Checks.Check("allowance", errors.Join(beforeErr, afterErr) == nil && after >= before, "the quota usage was %d before the outage and is %d after it (errors: %v, %v)", before, after, beforeErr, afterErr)
 		output["revisited"] = revisit.Histories
 		running.CheckConfig(ctx)
--- a/proof/cmd/standin/main.go
+++ b/proof/cmd/standin/main.go
@@ -38,7 +38,7 @@
 	if opts.Serve == "runner" {
 		runner := standin.NewRunner(standin.Latencies{FirstPiece: opts.First, NextPiece: opts.Piece, PlainAnswer: opts.Plain})
 		if opts.Record != "" {
-			if err := runner.OpenLedger(opts.Record); err != nil {
+			if err := runner.OpenExecutionLog(opts.Record); err != nil {
 				return err
 			}
 		}
--- a/proof/fleet/administration.go
+++ b/proof/fleet/administration.go
@@ -42,7 +42,7 @@
 	activation: {serves: "plain", table: "plain", path: "/plain", repeatable: false, urgency: "urgent"}
 }
 platform: runner_list: "http://%s/runners"
-`, config.HashToken(RootToken), config.HashToken(TeamToken), tightQuota, tightTurnLimit, fleet.Platform)
+`, config.HashToken(RootToken), config.HashToken(TeamToken), tightQuota, tightTurnLimit, fleet.PlatformAddress)
 }
 
 func (fleet *Fleet) putInitialConfig(ctx context.Context) error {
--- a/proof/fleet/faults.go
+++ b/proof/fleet/faults.go
@@ -133,11 +133,11 @@
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(process.Faults, data, 0o600); err != nil {
+		if err := os.WriteFile(process.DiskFaultsFile, data, 0o600); err != nil {
 			return err
 		}
 		wait(ctx, duration)
-		return os.Remove(process.Faults)
+		return os.Remove(process.DiskFaultsFile)
 	}
 }
 
@@ -282,7 +282,7 @@
 	{"many new routes", operators, addManyRoutes},
 	{"crowd", runners, func(ctx context.Context, fleet *Fleet, _ *rand.Rand) error {
 		result := loadgen.Spike(ctx, fleet.Target(), 4*time.Second, 250)
-		fleet.Checks.Check("crowd", result.Wrong == 0, "%d of %d rejections were reported as not run without a time to retry after", result.Wrong, result.Rejected)
+		fleet.Checks.Check("crowd", result.RejectedWithoutRetryAfter == 0, "%d of %d rejections were reported as not run without a time to retry after", result.RejectedWithoutRetryAfter, result.Rejected)
 		return nil
 	}},
 	{"front drained and restarted", fronts, func(ctx context.Context, fleet *Fleet, random *rand.Rand) error {
--- a/proof/fleet/fleet.go
+++ b/proof/fleet/fleet.go
@@ -31,13 +31,13 @@
 
 // Fleet is a running deployment.
 type Fleet struct {
-	Deployment Deployment
-	Folder     string
-	Processes  []*Process
-	Runners    []standin.ListedRunner
-	Platform   string     // address of the stand-in platform
-	Links      *LinkProxy // nil unless the fleet was started with fault injection
-	Checks     *RuleChecks
+	Deployment      Deployment
+	Folder          string
+	Processes       []*Process
+	Runners         []standin.ListedRunner
+	PlatformAddress string     // address of the stand-in platform
+	Links           *LinkProxy // nil unless the fleet was started with fault injection
+	Checks          *RuleChecks
 
 	programFolder string
 	mutex         sync.Mutex
--- a/proof/fleet/process.go
+++ b/proof/fleet/process.go
@@ -10,19 +10,19 @@
 
 // Process is one process of a fleet. A restart keeps its arguments.
 type Process struct {
-	Name          string
-	Role          string
-	Domain        string
-	Address       string
-	PublicAddress string // public, administration or health address
-	Folder        string // data folder
-	Faults        string // file with the disk faults to inject; empty if the process has no disk
-	binary        string
-	arguments     []string
-	logFile       string
-	command       *exec.Cmd
-	started       time.Time
-	exited        chan struct{}
+	Name           string
+	Role           string
+	Domain         string
+	Address        string
+	PublicAddress  string // public, administration or health address
+	Folder         string // data folder
+	DiskFaultsFile string // file with the disk faults to inject; empty if the process has no disk
+	binary         string
+	arguments      []string
+	logFile        string
+	command        *exec.Cmd
+	started        time.Time
+	exited         chan struct{}
 }
 
 // Start starts or restarts the process.
--- a/proof/fleet/runners.go
+++ b/proof/fleet/runners.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+fleet.Platform+"/runners", bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+fleet.PlatformAddress+"/runners", bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
--- a/proof/fleet/setup.go
+++ b/proof/fleet/setup.go
@@ -49,7 +49,7 @@
 	for index := range deployment.Controls {
 		controls = append(controls, addresses.next(host(0, index)))
 	}
-	fleet.Platform = addresses.next(host(1, 0))
+	fleet.PlatformAddress = addresses.next(host(1, 0))
 	runnerListFile := filepath.Join(fleet.Folder, "runners.json")
 	if err := fleet.setSeeds(controls[:3]); err != nil {
 		return err
@@ -83,8 +83,8 @@
 	for index := range deployment.Applications {
 		addRunner(fmt.Sprintf("application-%d", index+1), "application", 5, index)
 	}
-	fleet.Processes = append(fleet.Processes, &Process{Name: "platform", Role: "platform", Address: fleet.Platform, binary: filepath.Join(fleet.programFolder, "standin"), logFile: filepath.Join(fleet.Folder, "platform.log"),
-		arguments: []string{"--serve", "platform", "--address", fleet.Platform, "--runners", runnerListFile}})
+	fleet.Processes = append(fleet.Processes, &Process{Name: "platform", Role: "platform", Address: fleet.PlatformAddress, binary: filepath.Join(fleet.programFolder, "standin"), logFile: filepath.Join(fleet.Folder, "platform.log"),
+		arguments: []string{"--serve", "platform", "--address", fleet.PlatformAddress, "--runners", runnerListFile}})
 	list, err := json.Marshal(fleet.Runners)
 	return errors.Join(err, addresses.err, os.WriteFile(runnerListFile, list, 0o600))
 }
@@ -138,8 +138,8 @@
 		process.arguments = append(process.arguments, "--listen", listenAddress)
 		addresses.err = errors.Join(addresses.err, fleet.Links.Serve(address, listenAddress))
 		if role != "front" {
-			process.Faults = process.Folder + ".faults"
-			process.arguments = append(process.arguments, "--trial-disk", process.Faults)
+			process.DiskFaultsFile = process.Folder + ".faults"
+			process.arguments = append(process.arguments, "--trial-disk", process.DiskFaultsFile)
 		}
 	}
 	fleet.mutex.Lock()
--- a/proof/loadgen/callers.go
+++ b/proof/loadgen/callers.go
@@ -116,8 +116,8 @@
 
 // requestNonIdempotent sends a non-idempotent request as a query or a notice.
 func (generator *generator) requestNonIdempotent(ctx context.Context, random *rand.Rand, name string) {
-	generator.updateReport(func(report *Report) { report.Once++ })
-	kind := generator.mix.OnceKinds[random.IntN(len(generator.mix.OnceKinds))]
+	generator.updateReport(func(report *Report) { report.NonIdempotent++ })
+	kind := generator.mix.NonIdempotentKinds[random.IntN(len(generator.mix.NonIdempotentKinds))]
 	key := "once-" + name
 	path := []string{"/v1/queries", "/v1/notices"}[random.IntN(2)]
 	generator.requestPlain(ctx, random, path, "counter", kind, key, map[string]any{"program": "counter", "kind": kind, "words": "work " + name, "query_key": key})
--- a/proof/loadgen/checks.go
+++ b/proof/loadgen/checks.go
@@ -129,10 +129,10 @@
 	}
 }
 
-// Quota returns how many words of its quota a program has used.
+// QuotaUsage returns how many words of its quota a program has used.
 //
 //	spent, err := loadgen.QuotaUsage(ctx, target, "tight")
-func Quota(ctx context.Context, target Target, program string) (int, error) {
+func QuotaUsage(ctx context.Context, target Target, program string) (int, error) {
 	generator := newGenerator(target, Mix{})
 	for attempt := 0; ; attempt++ {
 		response, apiError, err := generator.send(ctx, http.MethodGet, target.Fronts[attempt%len(target.Fronts)], "/v1/tallies/"+program, nil)
--- a/proof/loadgen/loadgen.go
+++ b/proof/loadgen/loadgen.go
@@ -19,22 +19,22 @@
 // Mix is the load of callers: mean rates of arrivals per second, and shares, which are
 // probabilities for each turn.
 type Mix struct {
-	Conversations float64
-	Turns         []int // lengths of conversations, selected uniformly
-	Lookups       float64
-	Once          float64  // non-idempotent requests
-	OnceKinds     []string // kinds of work of non-idempotent requests
-	ToolShare     float64
-	HelperShare   float64
-	ResumeShare   float64
-	Tight         float64 // turns of the program "tight", which has a small quota
+	Conversations      float64
+	Turns              []int // lengths of conversations, selected uniformly
+	Lookups            float64
+	NonIdempotent      float64  // non-idempotent requests
+	NonIdempotentKinds []string // kinds of work of non-idempotent requests
+	ToolShare          float64
+	HelperShare        float64
+	ResumeShare        float64
+	TightTurns         float64 // turns of the program "tight", which has a small quota
 }
 
 // Mixes are the loads of the requirements, and "trial", a small one for short runs.
 var Mixes = map[string]Mix{
-	"trial":     {Conversations: 4, Turns: []int{3, 3, 5}, Lookups: 4, Once: 4, OnceKinds: []string{"receipt", "activation"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.2, Tight: 1},
-	"agency":    {Conversations: 27, Turns: []int{3, 3, 3, 3, 5}, Lookups: 15, Once: 12, OnceKinds: []string{"receipt", "activation"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.1, Tight: 1},
-	"logistics": {Conversations: 26, Turns: []int{3, 3, 3, 3, 3, 7}, Lookups: 15, Once: 12, OnceKinds: []string{"receipt", "invoice"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.1, Tight: 1},
+	"trial":     {Conversations: 4, Turns: []int{3, 3, 5}, Lookups: 4, NonIdempotent: 4, NonIdempotentKinds: []string{"receipt", "activation"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.2, TightTurns: 1},
+	"agency":    {Conversations: 27, Turns: []int{3, 3, 3, 3, 5}, Lookups: 15, NonIdempotent: 12, NonIdempotentKinds: []string{"receipt", "activation"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.1, TightTurns: 1},
+	"logistics": {Conversations: 26, Turns: []int{3, 3, 3, 3, 3, 7}, Lookups: 15, NonIdempotent: 12, NonIdempotentKinds: []string{"receipt", "invoice"}, ToolShare: 0.3, HelperShare: 0.1, ResumeShare: 0.1, TightTurns: 1},
 }
 
 // Target is the system under load, with the runners whose records are checked.
@@ -54,7 +54,7 @@
 	Turns         int            `json:"turns"`
 	Complete      int            `json:"complete"`
 	Lookups       int            `json:"lookups"`
-	Once          int            `json:"once"`
+	NonIdempotent int            `json:"once"`
 	Tools         int            `json:"tools"`
 	Helpers       int            `json:"helpers"`
 	Resumed       int            `json:"resumed"`
@@ -150,10 +150,10 @@
 		generator.runConversation(ctx, random, fmt.Sprintf("%d-%d", seed, number))
 	})
 	startArrivals(2, mix.Lookups, func(random *rand.Rand, number int) { generator.requestLookup(ctx, random, number) })
-	startArrivals(3, mix.Once, func(random *rand.Rand, number int) {
+	startArrivals(3, mix.NonIdempotent, func(random *rand.Rand, number int) {
 		generator.requestNonIdempotent(ctx, random, fmt.Sprintf("%d-%d", seed, number))
 	})
-	startArrivals(4, mix.Tight, func(random *rand.Rand, number int) { generator.requestTightTurn(ctx, random, number) })
+	startArrivals(4, mix.TightTurns, func(random *rand.Rand, number int) { generator.requestTightTurn(ctx, random, number) })
 	callers.Wait()
 	generator.checkExecutions(ctx)
 	if generator.report.TightWords > target.Quota+target.TurnLimit {
--- a/proof/loadgen/loadgen_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -125,9 +125,9 @@
 			accepted <- serverConn
 			return clientConn, nil
 		}}}
-		mix := Mix{Conversations: 3, Turns: []int{2, 3}, Lookups: 2, Once: 3, OnceKinds: []string{"receipt"}, Tight: 0}
+		mix := Mix{Conversations: 3, Turns: []int{2, 3}, Lookups: 2, NonIdempotent: 3, NonIdempotentKinds: []string{"receipt"}, TightTurns: 0}
 		if violation == "exceeds the quota" {
-			mix.Tight = 10
+			mix.TightTurns = 10
 		}
 		report = Run(t.Context(), Target{Fronts: []string{"front"}, Runners: []string{"runner"}, Client: client, Quota: 100, TurnLimit: 30}, mix, 5*time.Second, 3, nil)
 		server.Close()
@@ -156,7 +156,7 @@
 
 func TestGeneratorReportsEveryViolationAndNothingElse(t *testing.T) {
 	correct := runAgainst(t, "")
-	if len(correct.Violations) > 0 || correct.Histories == 0 || correct.Once == 0 || correct.Lookups == 0 {
+	if len(correct.Violations) > 0 || correct.Histories == 0 || correct.NonIdempotent == 0 || correct.Lookups == 0 {
 		t.Fatalf("violations or missing checks with a correct server: %+v", correct)
 	}
 	for violation, rule := range map[string]string{
--- a/proof/loadgen/spike.go
+++ b/proof/loadgen/spike.go
@@ -12,8 +12,8 @@
 // SpikeResult counts the requests of a traffic spike. A rejection as not run must state the
 // time to retry after; RejectedWithoutRetryAfter counts those that do not.
 type SpikeResult struct {
-	Sent, Served, Rejected, Wrong int
-	Urgent, UrgentServed          int
+	Sent, Served, Rejected, RejectedWithoutRetryAfter int
+	Urgent, UrgentServed                              int
 }
 
 // Spike sends requests at a rate, in addition to other load: lookups, and one urgent request in 20.
@@ -49,7 +49,7 @@
 			if apiError != nil {
 				result.Rejected++
 				if apiError.RetryAfter == 0 && apiError.Kind == "not_run" {
-					result.Wrong++
+					result.RejectedWithoutRetryAfter++
 				}
 			}
 			if urgent {
--- a/proof/scale/failures.go
+++ b/proof/scale/failures.go
@@ -16,7 +16,7 @@
 	list := RunnerList(trial.step.Runners)
 	list[0].State = feed.StateDraining
 	sent := time.Now()
-	if err := putRunnerList(ctx, trial.fleet.Platform, list); err != nil {
+	if err := putRunnerList(ctx, trial.fleet.PlatformAddress, list); err != nil {
 		return err
 	}
 	err := trial.hollow.Await(ctx, "told of the runner", func(node *HollowNode) bool {
--- a/proof/scale/run.go
+++ b/proof/scale/run.go
@@ -142,7 +142,7 @@
 
 // populate puts the step's runners and routes in force.
 func (trial *stepRun) populate(ctx context.Context) error {
-	if err := putRunnerList(ctx, trial.fleet.Platform, RunnerList(trial.step.Runners)); err != nil {
+	if err := putRunnerList(ctx, trial.fleet.PlatformAddress, RunnerList(trial.step.Runners)); err != nil {
 		return err
 	}
 	watch := &HollowNodes{}
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -167,7 +167,7 @@
 	if answer.Status == http.StatusOK && !strings.HasSuffix(answer.Header.Get("Seal"), "/"+one.name) {
 		t.Errorf("%s got the answer that is sealed as %q", one.path, answer.Header.Get("Seal"))
 	}
-	if named := answer.Header.Get(standin.Dialect.RequestID); named != "" && named != one.name {
+	if named := answer.Header.Get(standin.HeaderNames.RequestID); named != "" && named != one.name {
 		t.Errorf("%s got an answer to %q", one.path, named)
 	}
 	want := "done " + one.name
--- a/proof/simulator/cachelocation_test.go
+++ b/proof/simulator/cachelocation_test.go
@@ -14,7 +14,7 @@
 	for _, machine := range cluster.Engines {
 		for _, one := range machine.Engine.Executions() {
 			if one.RequestID == name {
-				return machine.Engine.Life
+				return machine.Engine.Incarnation
 			}
 		}
 	}
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -120,7 +120,7 @@
 			last++
 		}
 		if at >= 0 && last-first > warmUpMax {
-			chaos.violation("FAILBACK", "runner %s of %s, cold since %s (listed at %s), got %d in a second from %s on", life.engine.Life, life.group,
+			chaos.violation("FAILBACK", "runner %s of %s, cold since %s (listed at %s), got %d in a second from %s on", life.engine.Incarnation, life.group,
 				life.warmingUp[at].from.Format("05.000"), life.listedAt.Format("05.000"), last-first, came[first].Format("05.000"))
 			return
 		}
@@ -134,7 +134,7 @@
 	request, name := sent.request, sent.request.Name
 	touch := chaos.touch(sent.front, one.At)
 	if left := one.life.leavingAt; touch && !left.IsZero() && one.At.Sub(left) > drainBound {
-		chaos.violation("DRAIN", "%s ran at %s %s after it was leaving", name, one.life.engine.Life, one.At.Sub(left))
+		chaos.violation("DRAIN", "%s ran at %s %s after it was leaving", name, one.life.engine.Incarnation, one.At.Sub(left))
 	}
 	for _, span := range chaos.drained {
 		if touch && span.domain == one.life.machine.Domain && one.At.Sub(span.drained) > drainedDomainBound && one.At.Before(span.refilled) {
@@ -258,7 +258,7 @@
 func (chaos *chaosRun) checkBody(sent *sentRequest, runs []execution) {
 	request, name, answer := sent.request, sent.request.Name, sent.answer
 	seal := answer.Header.Get("Seal")
-	at := slices.IndexFunc(runs, func(one execution) bool { return one.life.engine.Life+"/"+name == seal })
+	at := slices.IndexFunc(runs, func(one execution) bool { return one.life.engine.Incarnation+"/"+name == seal })
 	if at < 0 {
 		chaos.violation("MIXED", "%s was answered %d under the seal %q", name, answer.Status, seal)
 		return
@@ -268,7 +268,7 @@
 	if status == 0 {
 		status = http.StatusOK
 	}
-	if answer.Status != status || first.Fault == standin.FaultWrongName || first.Fault == standin.FaultGarbledAnswer || first.Fault == standin.FaultLoseAnswer {
+	if answer.Status != status || first.Fault == standin.FaultWrongID || first.Fault == standin.FaultGarbledAnswer || first.Fault == standin.FaultLoseAnswer {
 		chaos.violation("MIXED", "%s was answered %d by a runner that %s", name, answer.Status, first.Fault)
 	}
 	want := "done " + name
--- a/proof/simulator/chaos_runners_test.go
+++ b/proof/simulator/chaos_runners_test.go
@@ -18,7 +18,7 @@
 		if !life.listed {
 			continue
 		}
-		runner := feed.Runner{Incarnation: life.engine.Life, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.StateServing, Slots: 32}
+		runner := feed.Runner{Incarnation: life.engine.Incarnation, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.StateServing, Slots: 32}
 		if len(life.warmingUp) > 0 {
 			if left := time.Until(life.warmingUp[len(life.warmingUp)-1].until); left > 0 {
 				runner.State, runner.WarmUpLeft = feed.StateWarmingUp, left
@@ -156,7 +156,7 @@
 
 // answerFaults injects faults into single answers.
 func (chaos *chaosRun) answerFaults(random *rand.Rand, until time.Time) {
-	faults := []standin.Fault{standin.FaultNotRun, standin.FaultLoseAnswer, standin.FaultBreakStream, standin.FaultServerError, standin.FaultUnavailable, standin.FaultWrongName, standin.FaultExtraAnswer, standin.FaultGarbledAnswer, standin.FaultHang, standin.FaultPlainAnswer, standin.FaultUnprocessable, standin.FaultRestartStream}
+	faults := []standin.Fault{standin.FaultNotRun, standin.FaultLoseAnswer, standin.FaultBreakStream, standin.FaultServerError, standin.FaultUnavailable, standin.FaultWrongID, standin.FaultExtraAnswer, standin.FaultGarbledAnswer, standin.FaultHang, standin.FaultPlainAnswer, standin.FaultUnprocessable, standin.FaultRestartStream}
 	for time.Now().Before(until) {
 		<-time.After(time.Duration(50+random.IntN(400)) * time.Millisecond)
 		if life := chaos.some(random, 1); life != nil {
--- a/proof/simulator/chaos_test.go
+++ b/proof/simulator/chaos_test.go
@@ -204,7 +204,7 @@
 	if request.Method == "" {
 		request.Method = http.MethodPost
 	}
-	request.Header = http.Header{standin.Dialect.RequestID: {request.Name}, "X-Other": {"goes along"}}
+	request.Header = http.Header{standin.HeaderNames.RequestID: {request.Name}, "X-Other": {"goes along"}}
 	sent := &sentRequest{request: request, at: time.Now(), front: life, chain: chain, left: leaves > 0}
 	chaos.sent[request.Name] = sent
 	chaos.mutex.Unlock()
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -98,7 +98,7 @@
 		request.Deadline = time.Now().Add(4 * time.Second)
 	}
 	request.Host, request.Target, request.ReceivedAt = RoutedHost, request.Path, time.Now()
-	request.Header = http.Header{standin.Dialect.RequestID: {request.Name}}
+	request.Header = http.Header{standin.HeaderNames.RequestID: {request.Name}}
 	answer := &ForwardedAnswer{}
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -93,7 +93,7 @@
 		{"/order/", standin.FaultLoseAnswer, 1, false, false},
 		{"/order/", standin.FaultNotRun, 0, false, true},
 		{"/order/", standin.FaultUnavailable, 0, false, false},
-		{"/order/", standin.FaultWrongName, 1, false, false},
+		{"/order/", standin.FaultWrongID, 1, false, false},
 		{"/talk/kept/", standin.FaultLoseAnswer, 1, false, false},
 		{"/talk/kept/", standin.FaultBreakStream, 1, false, false},
 		{"/talk/kept/", standin.FaultNotRun, 0, false, true},
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -118,8 +118,8 @@
 		seal := answer.Header.Get("Seal")
 		for _, machine := range cluster.Engines {
 			ran := machine.Engine.Executions()
-			if len(ran) > 0 && ran[len(ran)-1].RequestID == "chat" && ran[len(ran)-1].Header.Get(standin.Dialect.LastEventID) == "" && seal != machine.Engine.Life+"/chat" {
-				t.Fatalf("the seal is %s, not that of the first runner %s", seal, machine.Engine.Life)
+			if len(ran) > 0 && ran[len(ran)-1].RequestID == "chat" && ran[len(ran)-1].Header.Get(standin.HeaderNames.LastEventID) == "" && seal != machine.Engine.Incarnation+"/chat" {
+				t.Fatalf("the seal is %s, not that of the first runner %s", seal, machine.Engine.Incarnation)
 			}
 		}
 		resumed := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-on", Path: "/talk/chat/1", Body: []byte("hello"), LastEventID: "3", Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
--- a/proof/simulator/machine.go
+++ b/proof/simulator/machine.go
@@ -80,7 +80,7 @@
 func (cluster *Cluster) addFront(index int) *Machine {
 	machine := &Machine{Host: fmt.Sprintf("10.0.2.%d", index+1), Domain: domain(index)}
 	machine.start = func() (err error) {
-		machine.Front, err = front.Start(front.Settings{Address: machine.Host + ":7000", PublicAddress: machine.Host + ":7100", Domain: machine.Domain, Seeds: cluster.seeds, HeaderNames: standin.Dialect, MaxBufferedBytes: cluster.bufferBytes}, cluster.Network.At(machine.Host))
+		machine.Front, err = front.Start(front.Settings{Address: machine.Host + ":7000", PublicAddress: machine.Host + ":7100", Domain: machine.Domain, Seeds: cluster.seeds, HeaderNames: standin.HeaderNames, MaxBufferedBytes: cluster.bufferBytes}, cluster.Network.At(machine.Host))
 		return err
 	}
 	return machine
--- a/proof/simulator/runnerlist.go
+++ b/proof/simulator/runnerlist.go
@@ -81,7 +81,7 @@
 //
 //	cluster.RunnerList.Put([]feed.Runner{machine.Runner()})
 func (machine *EngineMachine) Runner() feed.Runner {
-	return feed.Runner{Incarnation: machine.Engine.Life, Address: machine.Host + ":8000", Group: machine.Group, Domain: machine.Domain, State: feed.StateServing, Slots: 32}
+	return feed.Runner{Incarnation: machine.Engine.Incarnation, Address: machine.Host + ":8000", Group: machine.Group, Domain: machine.Domain, State: feed.StateServing, Slots: 32}
 }
 
 // Stop ends the engine's process.
--- a/proof/simulator/wildrunner_test.go
+++ b/proof/simulator/wildrunner_test.go
@@ -124,7 +124,7 @@
 
 // head is the head of an answer to a query; its seal names runner and query.
 func (runner *wildRunner) head(name, more string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\n%s\r\n", standin.Dialect.RequestID, name, runner.life, name, more)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\n%s\r\n", standin.HeaderNames.RequestID, name, runner.life, name, more)
 }
 
 // plain is the whole answer to a plain query.
@@ -145,13 +145,13 @@
 
 // answer draws what is done with a query.
 func (runner *wildRunner) answer(request *http.Request, body string) wildAnswer {
-	name := request.Header.Get(standin.Dialect.RequestID)
-	if expected := request.Header.Get(standin.Dialect.ExpectedRunner); expected != "" && expected != runner.life || name == "" {
+	name := request.Header.Get(standin.HeaderNames.RequestID)
+	if expected := request.Header.Get(standin.HeaderNames.ExpectedRunner); expected != "" && expected != runner.life || name == "" {
 		return wildAnswer{parts: []string{"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n"}}
 	}
 	drawn := runner.draw(20)
 	if drawn == 0 {
-		return wildAnswer{parts: []string{fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", standin.Dialect.RequestID, name, standin.Dialect.NotRun)}}
+		return wildAnswer{parts: []string{fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", standin.HeaderNames.RequestID, name, standin.HeaderNames.NotRun)}}
 	}
 	runner.mutex.Lock()
 	runner.ran[name]++
@@ -163,7 +163,7 @@
 	runner.mutex.Unlock()
 	parts := []string{runner.plain(name)}
 	if strings.HasPrefix(request.URL.Path, "/talk/") {
-		after, _ := strconv.Atoi(request.Header.Get(standin.Dialect.LastEventID))
+		after, _ := strconv.Atoi(request.Header.Get(standin.HeaderNames.LastEventID))
 		parts = append([]string{runner.head(name, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n")}, events(body, after)...)
 	}
 	return runner.spoil(drawn, parts, earlier)
--- a/proof/standin/engine.go
+++ b/proof/standin/engine.go
@@ -14,8 +14,8 @@
 	"yardrock.example/system/runnerpool"
 )
 
-// Dialect names the headers that an Engine reads and writes.
-var Dialect = runnerpool.HeaderNames{
+// HeaderNames names the headers that an Engine reads and writes.
+var HeaderNames = runnerpool.HeaderNames{
 	RequestID: "Query-Name", NotRun: "Not-Run", ExpectedRunner: "Expected-Runner", Timeout: "Time-Left", Load: "Runner-Load",
 	Urgency: "Urgency", LastEventID: "Last-Event-ID", RunnerID: "Runner", WarmUpLeft: "Cold-For",
 }
@@ -36,8 +36,8 @@
 	FaultServerError Fault = "fails"
 	// FaultUnavailable answers 503 without the header that states that the request did not run.
 	FaultUnavailable Fault = "unvouched"
-	// FaultWrongName runs the request and answers under another request's ID.
-	FaultWrongName Fault = "foreign"
+	// FaultWrongID runs the request and answers under another request's ID.
+	FaultWrongID Fault = "foreign"
 	// FaultExtraAnswer answers twice under the same request ID; the second answer is sent in place
 	// of the next request's answer.
 	FaultExtraAnswer Fault = "extra"
@@ -68,9 +68,9 @@
 // Engine is a stand-in runner to which fronts forward requests unchanged. Its methods are safe for
 // concurrent use; its fields must not change once it serves.
 type Engine struct {
-	// Life identifies one start of the runner; a restart changes it.
-	Life      string
-	Latencies Latencies
+	// Incarnation identifies one start of the runner; a restart changes it.
+	Incarnation string
+	Latencies   Latencies
 	// Events is the number of events of a stream.
 	Events int
 
@@ -87,7 +87,7 @@
 //
 //	http.Serve(listener, standin.NewEngine("life-1", standin.Latencies{NextPiece: time.Millisecond}))
 func NewEngine(incarnation string, latencies Latencies) *Engine {
-	return &Engine{Life: incarnation, Latencies: latencies, Events: 5}
+	return &Engine{Incarnation: incarnation, Latencies: latencies, Events: 5}
 }
 
 // InjectFaults queues faults for the next requests, one for each request.
@@ -143,7 +143,7 @@
 	case <-time.After(engine.Latencies.PlainAnswer):
 	case <-request.Context().Done():
 		engine.mutex.Lock()
-		engine.cancelled = append(engine.cancelled, request.Header.Get(Dialect.RequestID))
+		engine.cancelled = append(engine.cancelled, request.Header.Get(HeaderNames.RequestID))
 		engine.mutex.Unlock()
 		panic(http.ErrAbortHandler) // net/http closes the connection without an answer
 	}
@@ -175,7 +175,7 @@
 func (engine *Engine) recordExecution(request *http.Request, body string, fault Fault) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.executions = append(engine.executions, Execution{RequestID: request.Header.Get(Dialect.RequestID), Method: request.Method, Target: request.URL.RequestURI(), Body: body, At: time.Now(), Header: request.Header.Clone(), Fault: fault})
+	engine.executions = append(engine.executions, Execution{RequestID: request.Header.Get(HeaderNames.RequestID), Method: request.Method, Target: request.URL.RequestURI(), Body: body, At: time.Now(), Header: request.Header.Clone(), Fault: fault})
 }
 
 // EventData returns the data of one event of a stream. It depends on the complete prompt, so that a
@@ -191,7 +191,7 @@
 // answer on all others.
 func (engine *Engine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	header := writer.Header()
-	header.Set(Dialect.RunnerID, engine.Life)
+	header.Set(HeaderNames.RunnerID, engine.Incarnation)
 	if request.URL.Path == "/health" {
 		return
 	}
@@ -199,9 +199,9 @@
 	if err != nil {
 		return
 	}
-	requestID := request.Header.Get(Dialect.RequestID)
-	header.Set(Dialect.RequestID, requestID)
-	if expected := request.Header.Get(Dialect.ExpectedRunner); expected != "" && expected != engine.Life {
+	requestID := request.Header.Get(HeaderNames.RequestID)
+	header.Set(HeaderNames.RequestID, requestID)
+	if expected := request.Header.Get(HeaderNames.ExpectedRunner); expected != "" && expected != engine.Incarnation {
 		engine.mutex.Lock()
 		engine.misdirected++
 		engine.mutex.Unlock()
@@ -211,23 +211,23 @@
 	fault := engine.nextFault()
 	switch fault {
 	case FaultNotRun:
-		header.Set(Dialect.NotRun, "1")
+		header.Set(HeaderNames.NotRun, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case FaultUnavailable:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case FaultWrongName:
-		header.Set(Dialect.RequestID, "another")
+	case FaultWrongID:
+		header.Set(HeaderNames.RequestID, "another")
 	}
 	engine.recordExecution(request, string(body), fault)
-	header.Set("Seal", engine.Life+"/"+requestID)
+	header.Set("Seal", engine.Incarnation+"/"+requestID)
 	engine.answer(writer, request, string(body), fault)
 }
 
 // answer answers a request that was run, as its fault selects.
 func (engine *Engine) answer(writer http.ResponseWriter, request *http.Request, body string, fault Fault) {
-	requestID := request.Header.Get(Dialect.RequestID)
+	requestID := request.Header.Get(HeaderNames.RequestID)
 	switch {
 	case fault == FaultLoseAnswer:
 		time.Sleep(engine.Latencies.PlainAnswer)
@@ -261,7 +261,7 @@
 		_, _ = io.WriteString(connection, "\x16\x03\x01 this is no answer\r\n\r\n")
 		return
 	}
-	response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", Dialect.RequestID, requestID, engine.Life, requestID, len("done "+requestID), requestID)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nSeal: %s/%s\r\nContent-Length: %d\r\n\r\ndone %s", HeaderNames.RequestID, requestID, engine.Incarnation, requestID, len("done "+requestID), requestID)
 	_, _ = io.WriteString(connection, response)
 	// The extra answer is sent on arrival of the next request on this connection, within 3 s.
 	connection.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -272,7 +272,7 @@
 
 // stream writes the events of a stream that follow the Last-Event-ID.
 func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, prompt string, fault Fault) {
-	lastEventID, _ := strconv.Atoi(request.Header.Get(Dialect.LastEventID))
+	lastEventID, _ := strconv.Atoi(request.Header.Get(HeaderNames.LastEventID))
 	breakStream := fault == FaultBreakStream || fault == FaultRestartStream && lastEventID == 0
 	if fault == FaultRestartStream {
 		lastEventID = 0
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -61,11 +61,11 @@
 	return &Runner{latencies: latencies, record: Record{Executions: map[string]int{}, LastArrival: map[string]int64{}}, paths: map[int64]string{}}
 }
 
-// OpenLedger loads the executions from a file and appends further ones to it, so that they survive
+// OpenExecutionLog loads the executions from a file and appends further ones to it, so that they survive
 // a restart. Call it before the runner serves.
 //
 //	err := runner.OpenExecutionLog("/tmp/executions")
-func (runner *Runner) OpenLedger(path string) error {
+func (runner *Runner) OpenExecutionLog(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
