--- a/proof/simulator/callers.go
+++ b/proof/simulator/callers.go
@@ -15,7 +15,8 @@
 	"yardrock.example/system/httpapi"
 )
 
-// Client returns an HTTP client on the cluster's network that opens a connection for each request.
+// Client returns an HTTP client on the cluster's network that opens a new connection for each
+// request.
 //
 //	answer, err := cluster.Client().Do(query)
 func (cluster *Cluster) Client() *http.Client {
@@ -32,7 +33,7 @@
 	Error  httpapi.Error
 }
 
-// String formats an answer for a test's message.
+// String formats the status and the start of the body for test messages.
 //
 //	t.Fatalf("%s", answer)
 func (answer *Answer) String() string {
@@ -62,29 +63,29 @@
 	if token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
 	}
-	got, err := cluster.Client().Do(request)
+	response, err := cluster.Client().Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer got.Body.Close()
-	answer := &Answer{Status: got.StatusCode, Header: got.Header}
-	if answer.Body, err = io.ReadAll(got.Body); err != nil {
+	defer response.Body.Close()
+	answer := &Answer{Status: response.StatusCode, Header: response.Header}
+	if answer.Body, err = io.ReadAll(response.Body); err != nil {
 		return answer, err
 	}
-	if got.StatusCode != http.StatusOK {
-		// A body that is not JSON leaves Error empty; checks of its kind fail then.
+	if response.StatusCode != http.StatusOK {
+		// A body that is not JSON leaves Error empty, so that checks of its kind fail.
 		_ = json.Unmarshal(answer.Body, &answer.Error)
 	}
 	return answer, nil
 }
 
-// Administer sends a request to the control nodes one after the other until one answers with
-// success. Else it returns the last response, or the last error if there was none.
+// Administer sends a request to one control node after the other until one answers 200 OK. If
+// none does, it returns the last response, or the last error if there was no response.
 //
 //	answer, err := cluster.Administer("POST", "/v1/domains/east", map[string]string{"state": "emptied"})
 func (cluster *Cluster) Administer(method, path string, body any) (*Answer, error) {
-	var last *Answer
-	var failed error
+	var lastAnswer *Answer
+	var lastErr error
 	for _, machine := range cluster.Controls {
 		ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 		answer, err := cluster.Ask(ctx, method, machine.Host+":7200", path, RootToken, body)
@@ -93,14 +94,14 @@
 			return answer, nil
 		}
 		if err == nil {
-			last = answer
+			lastAnswer = answer
 		}
-		failed = err
+		lastErr = err
 	}
-	if last != nil {
-		return last, nil
+	if lastAnswer != nil {
+		return lastAnswer, nil
 	}
-	return nil, failed
+	return nil, lastErr
 }
 
 // ChangeResult is the response to a change.
@@ -109,25 +110,25 @@
 	Acknowledged bool   `json:"acknowledged"`
 }
 
-// PutConfig replaces the config in force, with retries until the change is acknowledged.
+// PutConfig replaces the current config and retries until the change is acknowledged.
 //
 //	err := cluster.PutConfig(simulator.BasicConfig)
-func (cluster *Cluster) PutConfig(rules string) error {
-	return cluster.Await(20*time.Second, "a config acknowledged", func() error {
+func (cluster *Cluster) PutConfig(template string) error {
+	return cluster.Await(20*time.Second, "acknowledged config", func() error {
 		answer, err := cluster.Administer(http.MethodGet, "/v1/config", nil)
 		if err != nil || answer.Status != http.StatusOK {
 			return errors.Join(err, fmt.Errorf("read: %+v", answer))
 		}
-		var reported struct{ Number uint64 }
-		if err := json.Unmarshal(answer.Body, &reported); err != nil {
+		var current struct{ Number uint64 }
+		if err := json.Unmarshal(answer.Body, &current); err != nil {
 			return err
 		}
-		answer, err = cluster.Administer(http.MethodPut, "/v1/config", map[string]any{"source": Config(rules), "expected": reported.Number})
+		answer, err = cluster.Administer(http.MethodPut, "/v1/config", map[string]any{"source": Config(template), "expected": current.Number})
 		if err != nil || answer.Status != http.StatusOK {
 			return errors.Join(err, fmt.Errorf("put: %s", answer.Body))
 		}
-		var changed ChangeResult
-		if err := json.Unmarshal(answer.Body, &changed); err != nil || !changed.Acknowledged {
+		var result ChangeResult
+		if err := json.Unmarshal(answer.Body, &result); err != nil || !result.Acknowledged {
 			return errors.Join(err, errors.New("not acknowledged"))
 		}
 		return nil
@@ -158,40 +159,40 @@
 	Error        string
 }
 
-// ReadStream reads a streamed answer up to its end mark; without one the error is
+// ReadStream reads a streamed answer up to its end record. Without one, the error is
 // io.ErrUnexpectedEOF.
 //
-//	said, err := simulator.ReadStream(body)
+//	answer, err := simulator.ReadStream(body)
 func ReadStream(body io.Reader) (*StreamedAnswer, error) {
-	said := &StreamedAnswer{}
+	answer := &StreamedAnswer{}
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
-		var reported StreamRecord
-		if err := json.Unmarshal(lines.Bytes(), &reported); err != nil {
-			return said, err
+		var record StreamRecord
+		if err := json.Unmarshal(lines.Bytes(), &record); err != nil {
+			return answer, err
 		}
-		if reported.Conversation != "" {
-			said.Conversation, said.Turn = reported.Conversation, reported.Turn
+		if record.Conversation != "" {
+			answer.Conversation, answer.Turn = record.Conversation, record.Turn
 		}
-		if reported.Event == "piece" {
-			said.Words += reported.Words
-			said.Seqs = append(said.Seqs, reported.Seq)
+		if record.Event == "piece" {
+			answer.Words += record.Words
+			answer.Seqs = append(answer.Seqs, record.Seq)
 		}
-		if reported.End != "" {
-			said.End, said.Reason, said.Error = reported.End, reported.Reason, reported.Kind
-			return said, nil
+		if record.End != "" {
+			answer.End, answer.Reason, answer.Error = record.End, record.Reason, record.Kind
+			return answer, nil
 		}
 	}
-	return said, errors.Join(lines.Err(), io.ErrUnexpectedEOF)
+	return answer, errors.Join(lines.Err(), io.ErrUnexpectedEOF)
 }
 
-// Turn starts a conversation, or continues one if the body names conversation and follows. An
-// answer that is not complete is an error.
+// Turn starts a conversation, or continues one if the body has the fields conversation and
+// follows. An answer that is not complete is an error.
 //
-//	said, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "hello"})
+//	streamed, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "hello"})
 func (cluster *Cluster) Turn(machine *Machine, body map[string]any) (*StreamedAnswer, error) {
 	path := "/v1/conversations"
-	if name, follows := body["conversation"]; follows {
+	if name, continues := body["conversation"]; continues {
 		path += "/" + name.(string) + "/turns"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -203,9 +204,9 @@
 	if answer.Status != http.StatusOK {
 		return nil, &answer.Error
 	}
-	said, err := ReadStream(bytes.NewReader(answer.Body))
-	if err == nil && said.End != "complete" {
-		err = fmt.Errorf("the answer ended as %s (%s %s)", said.End, said.Reason, said.Error)
+	streamed, err := ReadStream(bytes.NewReader(answer.Body))
+	if err == nil && streamed.End != "complete" {
+		err = fmt.Errorf("the answer ended as %s (%s %s)", streamed.End, streamed.Reason, streamed.Error)
 	}
-	return said, err
+	return streamed, err
 }
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -12,29 +12,30 @@
 	"yardrock.example/system/forwarding"
 )
 
-// execution is a run with the life that ran it.
+// execution is an execution of a request and the runner process that ran it.
 type execution struct {
 	standin.Execution
-	life *runnerLife
+	runner *runnerLife
 }
 
-// violation reports a violated rule.
-func (chaos *chaosRun) violation(rule, text string, values ...any) {
-	chaos.t.Errorf("%s: %s", rule, fmt.Sprintf(text, values...))
+// violation fails the test because a rule is violated.
+func (chaos *chaosRun) violation(rule, format string, arguments ...any) {
+	chaos.t.Errorf("%s: %s", rule, fmt.Sprintf(format, arguments...))
 }
 
-// touch reports whether a front was in contact with control nodes and stores at a time.
-func (chaos *chaosRun) touch(life *frontLife, at time.Time) bool {
-	from := at.Add(-inTouch)
-	return !slices.ContainsFunc(chaos.outages, func(one *outageSpan) bool {
-		return (one.where == "core" || one.where == life.machine.Host) && one.from.Before(at) && (one.to.IsZero() || one.to.After(from))
+// inContact reports whether a front was connected to control nodes and stores at a time, and had
+// been for reconnectBound. Only then is it expected to know the current state.
+func (chaos *chaosRun) inContact(process *frontProcess, at time.Time) bool {
+	from := at.Add(-reconnectBound)
+	return !slices.ContainsFunc(chaos.outages, func(outage *outageSpan) bool {
+		return (outage.where == "core" || outage.where == process.machine.Host) && outage.from.Before(at) && (outage.to.IsZero() || outage.to.After(from))
 	})
 }
 
-// services returns the services that an order's routing allows a path to go to; found is
-// false if it has no route for it.
-func (order *routingChange) services(path string) (services []string, found bool) {
-	route, found := order.judged.Match(RoutedHost, path)
+// services returns the services to which the routing may send requests for a path; found is false
+// if no route matches.
+func (change *routingChange) services(path string) (services []string, found bool) {
+	route, found := change.indexed.Match(RoutedHost, path)
 	if !found {
 		return nil, false
 	}
@@ -44,266 +45,275 @@
 	return services, true
 }
 
+// mayRepeat reports whether a request may be executed more than once.
 func mayRepeat(request forwarding.Request) bool {
 	return !strings.HasPrefix(request.Path, "/order/") && !strings.HasPrefix(request.Path, "/talk/kept/")
 }
 
+// check compares all requests, answers and executions of the run and reports each violation.
 func (chaos *chaosRun) check() {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
-	runs := map[string][]execution{}
-	for _, life := range chaos.runners {
-		for _, one := range life.engine.Executions() {
-			runs[one.RequestID] = append(runs[one.RequestID], execution{one, life})
+	executions := map[string][]execution{}
+	for _, process := range chaos.runners {
+		for _, executed := range process.engine.Executions() {
+			executions[executed.RequestID] = append(executions[executed.RequestID], execution{executed, process})
 		}
-		chaos.checkWarmUp(life)
+		chaos.checkWarmUp(process)
 	}
-	chaos.checkExecutions(runs)
-	spent, served, all := map[string]uint64{}, 0, 0
+	chaos.checkExecutions(executions)
+	delivered, served, total := map[string]uint64{}, 0, 0
 	for name, sent := range chaos.sent {
 		if sent.answer == nil {
-			chaos.violation("LOST", "%s was never ended", name)
+			chaos.violation("LOST", "%s got no answer", name)
 			continue
 		}
-		slices.SortFunc(runs[name], func(left, right execution) int { return left.At.Compare(right.At) })
-		chaos.checkAnswer(sent, runs[name])
+		slices.SortFunc(executions[name], func(left, right execution) int { return left.At.Compare(right.At) })
+		chaos.checkAnswer(sent, executions[name])
 		if sent.request.HasOutputBudget {
-			spent[sent.request.Program] += 4 * uint64(strings.Count(string(sent.answer.Body), "data: "))
+			delivered[sent.request.Program] += 4 * uint64(strings.Count(string(sent.answer.Body), "data: "))
 		}
 		if !strings.HasPrefix(sent.request.Path, "/only-") {
-			if all++; sent.answer.Complete() {
+			if total++; sent.answer.Complete() {
 				served++
 			}
 		}
 	}
-	for name, tokens := range spent {
+	for name, tokens := range delivered {
 		if tokens > chaos.budgets[name]+turnTokens {
-			chaos.violation("BUDGET", "%s was handed %d tokens of %d", name, tokens, chaos.budgets[name])
+			chaos.violation("BUDGET", "%s received %d tokens of a budget of %d", name, tokens, chaos.budgets[name])
 		}
 	}
-	chaos.checkRefilled(runs)
-	turned := 0
-	for _, life := range chaos.runners {
-		turned += life.engine.Misdirected()
+	chaos.checkRevisionOrder(executions)
+	misdirected := 0
+	for _, process := range chaos.runners {
+		misdirected += process.engine.Misdirected()
 	}
-	chaos.t.Logf("%d of %d tries were served, %d programs, %d routings, %d runners, %d misdirected", served, all, len(spent), len(chaos.orders), len(chaos.runners), turned)
-	if all < 500 || served*2 < all {
-		chaos.violation("RECOVER", "only %d of %d tries were served", served, all)
+	chaos.t.Logf("%d of %d requests succeeded; %d programs, %d routings, %d runners, %d misdirected requests", served, total, len(delivered), len(chaos.routingChanges), len(chaos.runners), misdirected)
+	if total < 500 || served*2 < total {
+		chaos.violation("RECOVER", "only %d of %d requests succeeded", served, total)
 	}
 }
 
-// checkExecutions checks all executions, by the IDs of their requests.
-func (chaos *chaosRun) checkExecutions(runs map[string][]execution) {
-	for name, ran := range runs {
+// checkExecutions checks all executions; they are grouped by request ID.
+func (chaos *chaosRun) checkExecutions(executions map[string][]execution) {
+	for name, ofRequest := range executions {
 		sent, found := chaos.sent[name]
 		if !found {
 			if !strings.HasPrefix(name, "ready-") {
-				chaos.violation("UNASKED", "%s ran and was never asked", name)
+				chaos.violation("UNASKED", "%s was executed but never sent", name)
 			}
 			continue
 		}
-		for _, one := range ran {
-			chaos.checkExecution(sent, one)
+		for _, executed := range ofRequest {
+			chaos.checkExecution(sent, executed)
 		}
 	}
 }
 
-// checkWarmUp counts the requests that a runner got in each second of its warm-up.
-func (chaos *chaosRun) checkWarmUp(life *runnerLife) {
-	came := life.engine.Arrivals()
-	for first := range came {
-		at := slices.IndexFunc(life.warmingUp, func(span warmUpSpan) bool {
-			return !came[first].Before(span.judged) && came[first].Add(time.Second).Before(span.until)
+// checkWarmUp checks that a runner got at most warmUpMax requests in each second of its warm-up.
+func (chaos *chaosRun) checkWarmUp(process *runnerLife) {
+	arrivals := process.engine.Arrivals()
+	for first := range arrivals {
+		index := slices.IndexFunc(process.warmingUp, func(span warmUpSpan) bool {
+			return !arrivals[first].Before(span.checkedFrom) && arrivals[first].Add(time.Second).Before(span.until)
 		})
 		last := first
-		for last < len(came) && came[last].Sub(came[first]) < time.Second {
+		for last < len(arrivals) && arrivals[last].Sub(arrivals[first]) < time.Second {
 			last++
 		}
-		if at >= 0 && last-first > warmUpMax {
-			chaos.violation("FAILBACK", "runner %s of %s, cold since %s (listed at %s), got %d in a second from %s on", life.engine.Life, life.group,
-				life.warmingUp[at].from.Format("05.000"), life.listedAt.Format("05.000"), last-first, came[first].Format("05.000"))
+		if index >= 0 && last-first > warmUpMax {
+			chaos.violation("FAILBACK", "runner %s of %s, warming up since %s (listed at %s), got %d requests in the second from %s on", process.engine.Life, process.group,
+				process.warmingUp[index].from.Format("05.000"), process.listedAt.Format("05.000"), last-first, arrivals[first].Format("05.000"))
 			return
 		}
 	}
 }
 
-// checkExecution checks one execution of a request that was sent.
-func (chaos *chaosRun) checkExecution(sent *sentRequest, one execution) {
-	chaos.checkExecutedRequest(sent, one)
-	chaos.checkExecutedRoute(sent, one)
+// checkExecution checks one execution against its request, the routings and the drained runners
+// and domains.
+func (chaos *chaosRun) checkExecution(sent *sentRequest, executed execution) {
+	chaos.checkExecutedRequest(sent, executed)
+	chaos.checkExecutedRoute(sent, executed)
 	request, name := sent.request, sent.request.Name
-	touch := chaos.touch(sent.front, one.At)
-	if left := one.life.leavingAt; touch && !left.IsZero() && one.At.Sub(left) > drainBound {
-		chaos.violation("DRAIN", "%s ran at %s %s after it was leaving", name, one.life.engine.Life, one.At.Sub(left))
+	connected := chaos.inContact(sent.front, executed.At)
+	if drainingSince := executed.runner.drainingSince; connected && !drainingSince.IsZero() && executed.At.Sub(drainingSince) > drainBound {
+		chaos.violation("DRAIN", "%s ran at runner %s %s after it began to drain", name, executed.runner.engine.Life, executed.At.Sub(drainingSince))
 	}
-	for _, span := range chaos.drained {
-		if touch && span.domain == one.life.machine.Domain && one.At.Sub(span.drained) > drainedDomainBound && one.At.Before(span.refilled) {
-			chaos.violation("EVAC", "%s ran in %s %s after it was emptied", name, span.domain, one.At.Sub(span.drained))
+	for _, span := range chaos.drainedSpans {
+		if connected && span.domain == executed.runner.machine.Domain && executed.At.Sub(span.drained) > drainedDomainBound && executed.At.Before(span.refilled) {
+			chaos.violation("EVAC", "%s ran in domain %s %s after it was drained", name, span.domain, executed.At.Sub(span.drained))
 		}
 	}
-	if chaos.touch(sent.front, sent.at) && touch && !chaos.obeys(sent, one.At, func(services []string, found bool) bool {
-		return found && slices.Contains(services, one.life.group)
+	if chaos.inContact(sent.front, sent.sentAt) && connected && !chaos.followsRoutingInForce(sent, executed.At, func(services []string, found bool) bool {
+		return found && slices.Contains(services, executed.runner.group)
 	}) {
-		chaos.violation("CONFIG", "%s %s, asked at %s, ran at %s as only an older routing allows", name, request.Path, sent.at.Format("05.000"), one.life.group)
+		chaos.violation("CONFIG", "%s %s, sent at %s, ran at a runner of %s, which only an outdated routing allows", name, request.Path, sent.sentAt.Format("05.000"), executed.runner.group)
 	}
 }
 
-// checkExecutedRequest checks that the request that ran is the one that was sent.
-func (chaos *chaosRun) checkExecutedRequest(sent *sentRequest, one execution) {
+// checkExecutedRequest checks that the executed request equals the one that was sent.
+func (chaos *chaosRun) checkExecutedRequest(sent *sentRequest, executed execution) {
 	request, name := sent.request, sent.request.Name
-	want := sent.chain + string(request.Body)
+	want := sent.history + string(request.Body)
 	if !strings.HasPrefix(request.Path, "/talk/kept/") {
 		want = string(request.Body)
 	}
-	if one.Method != request.Method || one.Target != request.Path || one.Body != want || one.Header.Get("X-Other") != "goes along" {
-		chaos.violation("UNASKED", "%s ran as %s %s %q, want %s %s %q", name, one.Method, one.Target, one.Body, request.Method, request.Path, want)
+	if executed.Method != request.Method || executed.Target != request.Path || executed.Body != want || executed.Header.Get("X-Other") != "goes along" {
+		chaos.violation("UNASKED", "%s ran as %s %s %q, want %s %s %q", name, executed.Method, executed.Target, executed.Body, request.Method, request.Path, want)
 	}
 }
 
-// checkExecutedRoute checks that some routing allowed to run it at a runner of that group.
-func (chaos *chaosRun) checkExecutedRoute(sent *sentRequest, one execution) {
+// checkExecutedRoute checks that a routing sent before the execution allows a runner of that group.
+func (chaos *chaosRun) checkExecutedRoute(sent *sentRequest, executed execution) {
 	request, name := sent.request, sent.request.Name
 	allowed := false
-	for _, order := range chaos.orders {
-		services, _ := order.services(pathOf(request))
-		allowed = allowed || !order.refused && order.sent.Before(one.At) && slices.Contains(services, one.life.group)
+	for _, change := range chaos.routingChanges {
+		services, _ := change.services(pathOf(request))
+		allowed = allowed || !change.rejected && change.sentAt.Before(executed.At) && slices.Contains(services, executed.runner.group)
 	}
 	if !allowed {
-		chaos.violation("ROUTE", "%s %s ran at a runner of %s, which no routing allows", name, request.Path, one.life.group)
+		chaos.violation("ROUTE", "%s %s ran at a runner of %s, which no routing allows", name, request.Path, executed.runner.group)
 	}
 }
 
-// obeys reports whether a routing that was in force handles a request that way.
-func (chaos *chaosRun) obeys(sent *sentRequest, ended time.Time, way func(services []string, found bool) bool) bool {
-	floor := uint64(0)
-	for _, order := range chaos.orders {
-		if !order.acked.IsZero() && sent.at.Sub(order.acked) > applyBound {
-			floor = max(floor, order.revision)
+// followsRoutingInForce reports whether handles accepts the services of some routing that may have
+// been in force between the sending of the request and until.
+func (chaos *chaosRun) followsRoutingInForce(sent *sentRequest, until time.Time, handles func(services []string, found bool) bool) bool {
+	minRevision := uint64(0)
+	for _, change := range chaos.routingChanges {
+		if !change.ackedAt.IsZero() && sent.sentAt.Sub(change.ackedAt) > applyBound {
+			minRevision = max(minRevision, change.revision)
 		}
 	}
-	return slices.ContainsFunc(chaos.orders, func(order *routingChange) bool {
-		services, found := order.services(pathOf(sent.request))
-		return order.revision >= floor && !order.refused && order.sent.Before(ended) && way(services, found)
+	return slices.ContainsFunc(chaos.routingChanges, func(change *routingChange) bool {
+		services, found := change.services(pathOf(sent.request))
+		return change.revision >= minRevision && !change.rejected && change.sentAt.Before(until) && handles(services, found)
 	})
 }
 
-// checkAnswer checks the answer that a caller got.
-func (chaos *chaosRun) checkAnswer(sent *sentRequest, runs []execution) {
+// checkAnswer checks a caller's answer against the executions of the request.
+func (chaos *chaosRun) checkAnswer(sent *sentRequest, executions []execution) {
 	request, name, answer := sent.request, sent.request.Name, sent.answer
 	if !mayRepeat(request) {
-		if len(runs) > 1 {
-			chaos.violation("TWICE", "%s %s ran %d times", name, request.Path, len(runs))
+		if len(executions) > 1 {
+			chaos.violation("TWICE", "%s %s was executed %d times", name, request.Path, len(executions))
 		}
-		if answer.Rejected() && len(runs) > 0 {
-			chaos.violation("REFUSED", "%s %s was refused (%v) and ran", name, request.Path, answer.Err)
+		if answer.Rejected() && len(executions) > 0 {
+			chaos.violation("REFUSED", "%s %s was rejected (%v) but executed", name, request.Path, answer.Err)
 		}
 	}
 	if apierror.Is(answer.Err, apierror.QuotaExhausted) {
-		chaos.checkExhausted(sent, runs)
+		chaos.checkExhausted(sent, executions)
 	}
 	if apierror.Is(answer.Err, apierror.NotFound) && answer.Status == 0 {
-		chaos.checkNotFound(sent, runs)
+		chaos.checkNotFound(sent, executions)
 	}
 	if answer.Status != 0 {
-		chaos.checkBody(sent, runs)
+		chaos.checkBody(sent, executions)
 	}
-	chaos.checkDrained(sent, runs)
+	chaos.checkDrained(sent, executions)
 }
 
-// checkDrained checks that requests that were in flight when their front began to drain are
-// answered completely.
-func (chaos *chaosRun) checkDrained(sent *sentRequest, runs []execution) {
+// checkDrained checks that requests that were in flight when their front began to drain got a
+// complete answer.
+func (chaos *chaosRun) checkDrained(sent *sentRequest, executions []execution) {
 	request, name, answer := sent.request, sent.request.Name, sent.answer
-	if left := sent.front.left; !left.IsZero() && sent.at.Before(left) && sent.back.After(left) && answer.Err != nil && len(runs) > 0 && !sent.left &&
-		chaos.touch(sent.front, sent.at) && chaos.touch(sent.front, sent.back) && sent.back.Before(request.Deadline.Add(-500*time.Millisecond)) &&
-		!slices.ContainsFunc(runs, func(one execution) bool { return one.Fault != standin.NoFault || !one.life.endedAt.IsZero() }) {
-		chaos.violation("LOST", "%s %s was broken off while its front left in order: %v", name, request.Path, answer.Err)
+	if drainingSince := sent.front.drainingSince; !drainingSince.IsZero() && sent.sentAt.Before(drainingSince) && sent.endedAt.After(drainingSince) && answer.Err != nil && len(executions) > 0 && !sent.cancelled &&
+		chaos.inContact(sent.front, sent.sentAt) && chaos.inContact(sent.front, sent.endedAt) && sent.endedAt.Before(request.Deadline.Add(-500*time.Millisecond)) &&
+		!slices.ContainsFunc(executions, func(executed execution) bool {
+			return executed.Fault != standin.NoFault || !executed.runner.stoppedAt.IsZero()
+		}) {
+		chaos.violation("LOST", "%s %s was interrupted while its front drained: %v", name, request.Path, answer.Err)
 	}
 }
 
-func (chaos *chaosRun) checkExhausted(sent *sentRequest, runs []execution) {
-	if len(runs) > 0 {
-		chaos.violation("REFUSED", "%s was refused for its allowance and ran", sent.request.Name)
+// checkExhausted checks that a request was rejected for its budget only if the program can have
+// spent it.
+func (chaos *chaosRun) checkExhausted(sent *sentRequest, executions []execution) {
+	if len(executions) > 0 {
+		chaos.violation("REFUSED", "%s was rejected for its budget but executed", sent.request.Name)
 	}
 	maximum := uint64(0)
 	for _, other := range chaos.sent {
-		if other.request.Program == sent.request.Program && other.request.HasOutputBudget && !other.at.After(sent.back) {
+		if other.request.Program == sent.request.Program && other.request.HasOutputBudget && !other.sentAt.After(sent.endedAt) {
 			maximum += turnTokens
 		}
 	}
 	if maximum <= sent.request.OutputBudget {
-		chaos.violation("DENIED", "%s was refused for its allowance of %d, of which %d can be spent", sent.request.Name, sent.request.OutputBudget, maximum)
+		chaos.violation("DENIED", "%s was rejected for its budget of %d, of which at most %d can be spent", sent.request.Name, sent.request.OutputBudget, maximum)
 	}
 }
 
-func (chaos *chaosRun) checkNotFound(sent *sentRequest, runs []execution) {
+// checkNotFound checks that a route or a followed turn was reported as unknown only if it can be.
+func (chaos *chaosRun) checkNotFound(sent *sentRequest, executions []execution) {
 	name, path := sent.request.Name, sent.request.Path
 	if strings.HasPrefix(path, "/talk/") || strings.HasPrefix(path, "/lookup/") || strings.HasPrefix(path, "/order/") {
 		if followed := chaos.sent[sent.request.Follows]; followed != nil {
-			chaos.violation("LOST", "%s: %s, answered whole at %s, is told unknown at %s: %v", name, sent.request.Follows, followed.back.Format("05.000"), sent.back.Format("05.000"), sent.answer.Err)
+			chaos.violation("LOST", "%s: %s, answered completely at %s, is reported as unknown at %s: %v", name, sent.request.Follows, followed.endedAt.Format("05.000"), sent.endedAt.Format("05.000"), sent.answer.Err)
 		} else {
-			chaos.violation("DENIED", "%s %s has a route: %v", name, path, sent.answer.Err)
+			chaos.violation("DENIED", "%s %s has a route but was rejected: %v", name, path, sent.answer.Err)
 		}
 		return
 	}
-	if len(runs) > 0 {
-		chaos.violation("DENIED", "%s %s ran and was told to have no route", name, path)
+	if len(executions) > 0 {
+		chaos.violation("DENIED", "%s %s was executed but rejected for lack of a route", name, path)
 	}
-	if chaos.touch(sent.front, sent.at) && chaos.touch(sent.front, sent.back) && !chaos.obeys(sent, sent.back, func(_ []string, found bool) bool { return !found }) {
-		chaos.violation("CONFIG", "%s %s, asked at %s, was told to have no route, as only an older routing allows", name, path, sent.at.Format("05.000"))
+	if chaos.inContact(sent.front, sent.sentAt) && chaos.inContact(sent.front, sent.endedAt) && !chaos.followsRoutingInForce(sent, sent.endedAt, func(_ []string, found bool) bool { return !found }) {
+		chaos.violation("CONFIG", "%s %s, sent at %s, was rejected for lack of a route, which only an outdated routing allows", name, path, sent.sentAt.Format("05.000"))
 	}
 }
 
-// checkBody compares an answer that began with what its runners executed.
-func (chaos *chaosRun) checkBody(sent *sentRequest, runs []execution) {
+// checkBody checks that an answer that began is the one of the runner named in its Seal header.
+func (chaos *chaosRun) checkBody(sent *sentRequest, executions []execution) {
 	request, name, answer := sent.request, sent.request.Name, sent.answer
 	seal := answer.Header.Get("Seal")
-	at := slices.IndexFunc(runs, func(one execution) bool { return one.life.engine.Life+"/"+name == seal })
-	if at < 0 {
-		chaos.violation("MIXED", "%s was answered %d under the seal %q", name, answer.Status, seal)
+	index := slices.IndexFunc(executions, func(executed execution) bool { return executed.runner.engine.Life+"/"+name == seal })
+	if index < 0 {
+		chaos.violation("MIXED", "%s was answered %d with the Seal header %q", name, answer.Status, seal)
 		return
 	}
-	first := runs[at]
-	status := map[standin.Fault]int{standin.FaultServerError: http.StatusInternalServerError, standin.FaultUnprocessable: http.StatusUnprocessableEntity}[first.Fault]
+	executed := executions[index]
+	status := map[standin.Fault]int{standin.FaultServerError: http.StatusInternalServerError, standin.FaultUnprocessable: http.StatusUnprocessableEntity}[executed.Fault]
 	if status == 0 {
 		status = http.StatusOK
 	}
-	if answer.Status != status || first.Fault == standin.FaultWrongName || first.Fault == standin.FaultGarbledAnswer || first.Fault == standin.FaultLoseAnswer {
-		chaos.violation("MIXED", "%s was answered %d by a runner that %s", name, answer.Status, first.Fault)
+	if answer.Status != status || executed.Fault == standin.FaultWrongName || executed.Fault == standin.FaultGarbledAnswer || executed.Fault == standin.FaultLoseAnswer {
+		chaos.violation("MIXED", "%s was answered %d by a runner with the fault %s", name, answer.Status, executed.Fault)
 	}
 	want := "done " + name
 	switch {
 	case status != http.StatusOK:
 		want = ""
-	case strings.HasPrefix(request.Path, "/talk/") && first.Fault != standin.FaultPlainAnswer && first.Fault != standin.FaultExtraAnswer:
-		want = streamOf(first.Body)
+	case strings.HasPrefix(request.Path, "/talk/") && executed.Fault != standin.FaultPlainAnswer && executed.Fault != standin.FaultExtraAnswer:
+		want = streamOf(executed.Body)
 	}
 	if !strings.HasPrefix(want, string(answer.Body)) || answer.Err == nil && string(answer.Body) != want {
 		chaos.violation("ORDER", "%s was answered (%v)\n%s\nwant\n%s", name, answer.Err, answer.Body, want)
 	}
 }
 
-// checkRefilled detects fronts that went back to an older routing: a route that only one routing
-// has shows which one is in force.
-func (chaos *chaosRun) checkRefilled(runs map[string][]execution) {
+// checkRevisionOrder checks that no front goes back to an older routing. An execution of a probe of
+// a route that exists in one routing shows which routing the front used.
+func (chaos *chaosRun) checkRevisionOrder(executions map[string][]execution) {
 	for _, front := range chaos.fronts {
-		seen, seenAt := uint64(0), time.Time{}
+		newest, newestAt := uint64(0), time.Time{}
 		probes := []*sentRequest{}
 		for _, sent := range chaos.sent {
 			if sent.front == front && strings.HasPrefix(sent.request.Path, "/only-") && sent.answer != nil {
 				probes = append(probes, sent)
 			}
 		}
-		slices.SortFunc(probes, func(left, right *sentRequest) int { return left.at.Compare(right.at) })
+		slices.SortFunc(probes, func(left, right *sentRequest) int { return left.sentAt.Compare(right.sentAt) })
 		for _, sent := range probes {
 			var revision uint64
 			fmt.Sscanf(sent.request.Path, "/only-%d/", &revision)
-			ran := runs[sent.request.Name]
-			if len(ran) > 0 && revision < seen && sent.at.Sub(seenAt) > answerSlack {
-				chaos.violation("CONFIG", "%s goes back from %d to %d: %s ran", front.machine.Host, seen, revision, sent.request.Name)
+			ofRequest := executions[sent.request.Name]
+			if len(ofRequest) > 0 && revision < newest && sent.sentAt.Sub(newestAt) > answerSlack {
+				chaos.violation("CONFIG", "front %s went back from revision %d to %d: %s was executed", front.machine.Host, newest, revision, sent.request.Name)
 			}
-			if len(ran) > 0 && revision > seen {
-				seen, seenAt = revision, ran[0].At
+			if len(ofRequest) > 0 && revision > newest {
+				newest, newestAt = revision, ofRequest[0].At
 			}
 		}
 	}
--- a/proof/simulator/chaos_controlfaults_test.go
+++ b/proof/simulator/chaos_controlfaults_test.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-func (chaos *chaosRun) someControl(random *rand.Rand) (int, *Machine) {
-	at := random.IntN(len(chaos.cluster.Controls))
-	return at, chaos.cluster.Controls[at]
+func (chaos *chaosRun) randomControl(random *rand.Rand) (int, *Machine) {
+	index := random.IntN(len(chaos.cluster.Controls))
+	return index, chaos.cluster.Controls[index]
 }
 
 func (chaos *chaosRun) killControl(random *rand.Rand) {
-	_, control := chaos.someControl(random)
+	_, control := chaos.randomControl(random)
 	chaos.coreFault(func() {
 		control.LosePower()
-		while(random, 50*time.Millisecond, 4*time.Second)
+		sleepBetween(random, 50*time.Millisecond, 4*time.Second)
 		chaos.mustStart(control)
 	}, false)
 }
 
 func (chaos *chaosRun) isolateControl(random *rand.Rand) {
-	_, control := chaos.someControl(random)
+	_, control := chaos.randomControl(random)
 	chaos.coreFault(func() {
 		chaos.cluster.Network.Isolate(control.Host)
-		while(random, 500*time.Millisecond, 4*time.Second)
+		sleepBetween(random, 500*time.Millisecond, 4*time.Second)
 		chaos.cluster.Network.Rejoin(control.Host)
 	}, false)
 }
 
-// cutControl lets a control node send to its peers but receive nothing, or vice versa.
+// cutControl cuts the links between a control node and its peers in one direction.
 func (chaos *chaosRun) cutControl(random *rand.Rand) {
-	_, control := chaos.someControl(random)
-	hears := random.IntN(2) == 0
+	_, control := chaos.randomControl(random)
+	canReceive := random.IntN(2) == 0
 	chaos.coreFault(func() {
 		others := []*Machine{}
 		for _, other := range chaos.cluster.Controls {
@@ -42,21 +42,22 @@
 			}
 		}
 		for _, other := range others {
-			if hears {
+			if canReceive {
 				chaos.cluster.Network.CutOneWay(control.Host, other.Host)
 			} else {
 				chaos.cluster.Network.CutOneWay(other.Host, control.Host)
 			}
 		}
-		while(random, 500*time.Millisecond, 4*time.Second)
+		sleepBetween(random, 500*time.Millisecond, 4*time.Second)
 		for _, other := range others {
 			chaos.cluster.Network.Heal(control.Host, other.Host)
 		}
 	}, false)
 }
 
+// awaitControls waits until the three control nodes are the voters.
 func (chaos *chaosRun) awaitControls() {
-	if err := chaos.cluster.Await(15*time.Second, "three control nodes that vote", func() error {
+	if err := chaos.cluster.Await(15*time.Second, "three voting control nodes", func() error {
 		if voting := chaos.cluster.votingControls(); len(voting) != 3 || slices.ContainsFunc(chaos.cluster.Controls, func(machine *Machine) bool {
 			return !slices.Contains(voting, machine.Host+" "+machine.Control.Name())
 		}) {
@@ -69,24 +70,24 @@
 }
 
 func (chaos *chaosRun) wipeControl(random *rand.Rand) {
-	_, control := chaos.someControl(random)
+	_, control := chaos.randomControl(random)
 	chaos.coreFault(func() {
 		control.Kill()
 		control.Wipe()
-		while(random, 50*time.Millisecond, 2*time.Second)
+		sleepBetween(random, 50*time.Millisecond, 2*time.Second)
 		chaos.mustStart(control)
 		chaos.awaitControls()
 	}, false)
 }
 
 func (chaos *chaosRun) replaceControl(random *rand.Rand) {
-	at, lost := chaos.someControl(random)
+	index, lost := chaos.randomControl(random)
 	chaos.coreFault(func() {
 		lost.LosePower()
-		while(random, 50*time.Millisecond, 2*time.Second)
-		chaos.hosts++
-		fresh := chaos.cluster.AddControl(chaos.hosts)
-		chaos.cluster.Controls[at] = fresh
+		sleepBetween(random, 50*time.Millisecond, 2*time.Second)
+		chaos.lastHost++
+		fresh := chaos.cluster.AddControl(chaos.lastHost)
+		chaos.cluster.Controls[index] = fresh
 		for seed, address := range chaos.cluster.seeds {
 			if hostOf(address) == lost.Host {
 				chaos.cluster.seeds = slices.Clone(chaos.cluster.seeds)
@@ -95,14 +96,14 @@
 		}
 		chaos.mustStart(fresh)
 		chaos.awaitControls()
-		for _, machine := range chaos.cluster.Fronts { // their settings files change
+		for _, machine := range chaos.cluster.Fronts { // as a changed settings file does
 			machine.Front.SetSeeds(chaos.cluster.seeds)
 		}
 	}, false)
 }
 
-// loseControls loses all control nodes at once. If their disks are lost too, their
-// operators found them anew, and what was acknowledged comes from the stores.
+// loseControls cuts the power of all control nodes at once. If their disks are lost too, they
+// bootstrap again, and the acknowledged state is restored from the stores.
 func (chaos *chaosRun) loseControls(random *rand.Rand) {
 	wiped := random.IntN(2) == 0
 	chaos.coreFault(func() {
@@ -112,12 +113,12 @@
 				control.Wipe()
 			}
 		}
-		chaos.founds.Store(wiped)
-		while(random, 100*time.Millisecond, 5*time.Second)
+		chaos.bootstrapping.Store(wiped)
+		sleepBetween(random, 100*time.Millisecond, 5*time.Second)
 		for _, control := range chaos.cluster.Controls {
 			chaos.mustStart(control)
 		}
 		chaos.awaitControls()
-		chaos.founds.Store(false)
+		chaos.bootstrapping.Store(false)
 	}, false)
 }
--- a/proof/simulator/chaos_routing_test.go
+++ b/proof/simulator/chaos_routing_test.go
@@ -12,19 +12,19 @@
 	"yardrock.example/system/feed"
 )
 
-// routingChange is a routing as an operator sent it.
+// routingChange is a change of the routing that an operator sent.
 type routingChange struct {
 	revision uint64
 	routing  config.Routing
-	judged   config.Routing // the same, indexed
-	sent     time.Time
-	acked    time.Time // zero if it was not acknowledged
-	refused  bool      // it lost or was invalid: it may never be in force
+	indexed  config.Routing // routing with its index built
+	sentAt   time.Time
+	ackedAt  time.Time // zero if it was not acknowledged
+	rejected bool      // for a conflict or as invalid: it must never be in force
 }
 
-// routingAt returns the routing of a revision: the work of tools moves between services, and one
-// route exists in this revision and the next only.
-func routingAt(revision uint64, random *rand.Rand) config.Routing {
+// routingForRevision returns the routing of a revision. The services of tool calls are random, and
+// the route /only-REVISION/ exists in no other routing.
+func routingForRevision(revision uint64, random *rand.Rand) config.Routing {
 	seconds := func(count float64) config.Duration { return config.Duration(count * float64(time.Second)) }
 	route := func(name, prefix string, kind config.RouteKind, timeout float64, attempts int, shares ...config.WeightedService) config.Route {
 		return config.Route{Name: name, Host: RoutedHost, Prefix: prefix, Kind: kind, Timeout: seconds(timeout), FirstByteTarget: seconds(0.25), EventGapTarget: seconds(0.4), Shares: shares, MaxAttempts: attempts}
@@ -60,34 +60,33 @@
 	return routing
 }
 
-// changeRouting sends a new routing on a base, complete or as an amendment. It reports whether it
-// was acknowledged.
-func (chaos *chaosRun) changeRouting(random *rand.Rand, base, revision uint64, amends bool) bool {
+// changeRouting replaces or patches the routing of revision base. It reports whether the change was
+// acknowledged.
+func (chaos *chaosRun) changeRouting(random *rand.Rand, base, revision uint64, asPatch bool) bool {
 	chaos.mutex.Lock()
-	one := &routingChange{revision: revision, routing: routingAt(revision, random), sent: time.Now()}
-	one.judged = one.routing
-	one.judged.BuildIndex()
-	chaos.orders = append(chaos.orders, one)
+	change := &routingChange{revision: revision, routing: routingForRevision(revision, random), sentAt: time.Now()}
+	change.indexed = change.routing
+	change.indexed.BuildIndex()
+	chaos.routingChanges = append(chaos.routingChanges, change)
 	chaos.mutex.Unlock()
 	digest := fmt.Sprintf("%d-%d", revision, random.Uint64())
 	err := chaos.cluster.requestChange(random.IntN(3), 8*time.Second, func(ctx context.Context, node *controlplane.Node) error {
-		if amends {
-			return node.PatchRouting(ctx, "root", base, config.RoutingPatch{Revision: revision, Routes: one.routing.Routes}, digest)
+		if asPatch {
+			return node.PatchRouting(ctx, "root", base, config.RoutingPatch{Revision: revision, Routes: change.routing.Routes}, digest)
 		}
-		return node.ReplaceRouting(ctx, "root", base, one.routing, digest)
+		return node.ReplaceRouting(ctx, "root", base, change.routing, digest)
 	})
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
 	if err == nil {
-		one.acked = time.Now()
+		change.ackedAt = time.Now()
 	}
-	one.refused = apierror.Is(err, apierror.Conflict) || apierror.Is(err, apierror.Invalid)
+	change.rejected = apierror.Is(err, apierror.Conflict) || apierror.Is(err, apierror.Invalid)
 	return err == nil
 }
 
-// operate changes the routing, alone or at once with another operator, and drains and refills
-// domains.
-func (chaos *chaosRun) operate(random *rand.Rand, until time.Time) {
+// changeRoutings changes the routing, sometimes by two concurrent operators, and drains domains.
+func (chaos *chaosRun) changeRoutings(random *rand.Rand, until time.Time) {
 	base, newest := uint64(1), uint64(1)
 	for time.Now().Before(until) {
 		<-time.After(time.Duration(500+random.IntN(3500)) * time.Millisecond)
@@ -95,62 +94,64 @@
 			chaos.drainDomain(random)
 			continue
 		}
-		var read *config.Routing
+		var current *config.Routing
 		err := chaos.cluster.requestChange(random.IntN(3), 3*time.Second, func(ctx context.Context, node *controlplane.Node) (err error) {
-			read, err = node.ReadRouting(ctx)
+			current, err = node.ReadRouting(ctx)
 			return err
 		})
 		if err != nil {
 			continue
 		}
-		if read.Revision < base {
-			chaos.t.Errorf("CONFIG: revision %d was read back after %d was acknowledged", read.Revision, base)
+		if current.Revision < base {
+			chaos.t.Errorf("CONFIG: revision %d was read after revision %d", current.Revision, base)
 		}
-		base = read.Revision
+		base = current.Revision
 		count := 1 + random.IntN(3)/2
-		reported := make(chan bool, count)
+		results := make(chan bool, count)
 		for range count {
 			newest = max(newest, base) + 1 + uint64(random.IntN(3))
 			seed, revision := random.Uint64(), newest
-			go func() { reported <- chaos.changeRouting(rand.New(rand.NewPCG(seed, 3)), base, revision, seed%2 == 0) }()
+			go func() { results <- chaos.changeRouting(rand.New(rand.NewPCG(seed, 3)), base, revision, seed%2 == 0) }()
 		}
 		acked := 0
 		for range count {
-			if <-reported {
+			if <-results {
 				acked++
 			}
 		}
 		if acked > 1 {
-			chaos.t.Errorf("CONFIG: two routings on revision %d were acknowledged", base)
+			chaos.t.Errorf("CONFIG: two changes based on revision %d were acknowledged", base)
 		}
 	}
 }
 
+// drainDomain drains a domain for some seconds. Some of its runners restart their warm-up shortly
+// before it serves again.
 func (chaos *chaosRun) drainDomain(random *rand.Rand) {
 	name := domain(random.IntN(3))
-	set := func(state string) bool {
+	setState := func(state string) bool {
 		return chaos.cluster.requestChange(random.IntN(3), 4*time.Second, func(ctx context.Context, node *controlplane.Node) error {
 			return node.SetDomainState(ctx, "root", name, state)
 		}) == nil
 	}
 	span := &drainedSpan{domain: name}
-	if set(feed.StateDrained) {
+	if setState(feed.StateDrained) {
 		span.drained = time.Now()
 		chaos.mutex.Lock()
-		chaos.drained = append(chaos.drained, span)
+		chaos.drainedSpans = append(chaos.drainedSpans, span)
 		chaos.mutex.Unlock()
 	}
 	<-time.After(time.Duration(4000+random.IntN(5000)) * time.Millisecond)
 	chaos.mutex.Lock()
 	span.refilled = time.Now()
-	for _, life := range chaos.runners { // they became cold shortly before
-		if life.machine.Domain == name && life.listed && life.leavingAt.IsZero() && life.endedAt.IsZero() && !span.drained.IsZero() && random.IntN(2) == 0 {
-			life.warmingUp = append(life.warmingUp, warmUpSpan{time.Now(), time.Now().Add(warmUpNoticeBound), time.Now().Add(warmUpTime)})
+	for _, process := range chaos.runners {
+		if process.machine.Domain == name && process.listed && process.drainingSince.IsZero() && process.stoppedAt.IsZero() && !span.drained.IsZero() && random.IntN(2) == 0 {
+			process.warmingUp = append(process.warmingUp, warmUpSpan{time.Now(), time.Now().Add(warmUpNoticeBound), time.Now().Add(warmUpTime)})
 		}
 	}
 	chaos.mutex.Unlock()
 	chaos.list()
-	for !set(feed.StateServing) {
+	for !setState(feed.StateServing) {
 		<-time.After(200 * time.Millisecond)
 	}
 }
--- a/proof/simulator/chaos_runners_test.go
+++ b/proof/simulator/chaos_runners_test.go
@@ -10,21 +10,21 @@
 	"yardrock.example/system/feed"
 )
 
-// list publishes the runners. The caller holds no lock.
+// list publishes the runners in the runner list. The caller must not hold the mutex.
 func (chaos *chaosRun) list() {
 	chaos.mutex.Lock()
 	listed := []feed.Runner{}
-	for _, life := range chaos.runners {
-		if !life.listed {
+	for _, process := range chaos.runners {
+		if !process.listed {
 			continue
 		}
-		runner := feed.Runner{Incarnation: life.engine.Life, Address: life.machine.Host + ":8000", Group: life.group, Domain: life.machine.Domain, State: feed.StateServing, Slots: 32}
-		if len(life.warmingUp) > 0 {
-			if left := time.Until(life.warmingUp[len(life.warmingUp)-1].until); left > 0 {
-				runner.State, runner.WarmUpLeft = feed.StateWarmingUp, left
+		runner := feed.Runner{Incarnation: process.engine.Life, Address: process.machine.Host + ":8000", Group: process.group, Domain: process.machine.Domain, State: feed.StateServing, Slots: 32}
+		if len(process.warmingUp) > 0 {
+			if remaining := time.Until(process.warmingUp[len(process.warmingUp)-1].until); remaining > 0 {
+				runner.State, runner.WarmUpLeft = feed.StateWarmingUp, remaining
 			}
 		}
-		if !life.leavingAt.IsZero() {
+		if !process.drainingSince.IsZero() {
 			runner.State, runner.WarmUpLeft = feed.StateDraining, 0
 		}
 		listed = append(listed, runner)
@@ -40,81 +40,82 @@
 	chaos.cluster.RunnerList.Put(listed)
 }
 
-// startRunner starts a runner, at a host that was used before or "" for a new one.
-func (chaos *chaosRun) startRunner(host, group, domain string, cold time.Duration) *runnerLife {
+// startRunner starts a runner with a warm-up time. The host is one that was used before, or "" for
+// a new one.
+func (chaos *chaosRun) startRunner(host, group, domain string, warmUp time.Duration) *runnerLife {
 	chaos.mutex.Lock()
-	if chaos.hosts++; host == "" {
-		host = fmt.Sprintf("10.0.6.%d", chaos.hosts)
+	if chaos.lastHost++; host == "" {
+		host = fmt.Sprintf("10.0.6.%d", chaos.lastHost)
 	}
 	machine := &EngineMachine{Host: host, Domain: domain, Group: group}
-	name := fmt.Sprintf("life-%d", chaos.hosts)
+	incarnation := fmt.Sprintf("life-%d", chaos.lastHost)
 	chaos.mutex.Unlock()
-	if err := machine.Start(chaos.cluster, name); err != nil {
-		chaos.t.Errorf("a runner does not start: %v", err)
+	if err := machine.Start(chaos.cluster, incarnation); err != nil {
+		chaos.t.Errorf("starting a runner: %v", err)
 		return nil
 	}
-	life := &runnerLife{machine: machine, engine: machine.Engine, group: group, listed: true, listedAt: time.Now()}
-	if cold > 0 {
-		life.warmingUp = []warmUpSpan{{time.Now(), time.Now(), time.Now().Add(cold)}}
+	process := &runnerLife{machine: machine, engine: machine.Engine, group: group, listed: true, listedAt: time.Now()}
+	if warmUp > 0 {
+		process.warmingUp = []warmUpSpan{{time.Now(), time.Now(), time.Now().Add(warmUp)}}
 	}
 	chaos.mutex.Lock()
-	chaos.runners = append(chaos.runners, life)
+	chaos.runners = append(chaos.runners, process)
 	chaos.cluster.Engines = append(chaos.cluster.Engines, machine)
 	chaos.mutex.Unlock()
 	chaos.list()
-	return life
+	return process
 }
 
-func (chaos *chaosRun) endRunner(life *runnerLife) {
+func (chaos *chaosRun) stopRunner(process *runnerLife) {
 	chaos.mutex.Lock()
-	life.endedAt = time.Now()
+	process.stoppedAt = time.Now()
 	chaos.mutex.Unlock()
-	life.machine.Stop()
+	process.machine.Stop()
 }
 
-// some returns a serving runner of a group that has at least so many, or nil.
-func (chaos *chaosRun) some(random *rand.Rand, least int) *runnerLife {
+// randomRunner returns a serving runner of a group with at least minimum serving runners, or nil.
+func (chaos *chaosRun) randomRunner(random *rand.Rand, minimum int) *runnerLife {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
 	groups := map[string][]*runnerLife{}
-	for _, life := range chaos.runners {
-		if life.listed && life.leavingAt.IsZero() && life.endedAt.IsZero() {
-			groups[life.group] = append(groups[life.group], life)
+	for _, process := range chaos.runners {
+		if process.listed && process.drainingSince.IsZero() && process.stoppedAt.IsZero() {
+			groups[process.group] = append(groups[process.group], process)
 		}
 	}
-	fit := []*runnerLife{}
+	candidates := []*runnerLife{}
 	for _, group := range []string{"engines", "tools", "others"} {
-		if len(groups[group]) >= least {
-			fit = append(fit, groups[group]...)
+		if len(groups[group]) >= minimum {
+			candidates = append(candidates, groups[group]...)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return fit[random.IntN(len(fit))]
+	return candidates[random.IntN(len(candidates))]
 }
 
-// runnerFaults replaces runners one after the other, crashes some, and lets some warm up again.
+// runnerFaults replaces runners one after the other, crashes some and restarts the warm-up of some.
 func (chaos *chaosRun) runnerFaults(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		<-time.After(time.Duration(500+random.IntN(2500)) * time.Millisecond)
 		switch random.IntN(4) {
 		case 0, 1:
-			chaos.release(random)
+			chaos.replaceRunner(random)
 		case 2:
-			if life := chaos.some(random, 3); life != nil { // it stays on the list for a while
-				chaos.endRunner(life)
+			if process := chaos.randomRunner(random, 3); process != nil { // a crashed runner stays listed for a while
+				chaos.stopRunner(process)
 				<-time.After(time.Duration(500+random.IntN(2500)) * time.Millisecond)
-				chaos.startRunner("", life.group, life.machine.Domain, warmUpTime)
+				chaos.startRunner("", process.group, process.machine.Domain, warmUpTime)
 				chaos.mutex.Lock()
-				life.listed = false
+				process.listed = false
 				chaos.mutex.Unlock()
 				chaos.list()
 			}
 		case 3:
-			if life := chaos.some(random, 2); life != nil {
+			if process := chaos.randomRunner(random, 2); process != nil {
 				chaos.mutex.Lock()
-				life.warmingUp = append(life.warmingUp, warmUpSpan{time.Now(), time.Now().Add(warmUpNoticeBound), time.Now().Add(warmUpTime)})
+				process.warmingUp = append(process.warmingUp, warmUpSpan{time.Now(), time.Now().Add(warmUpNoticeBound), time.Now().Add(warmUpTime)})
 				chaos.mutex.Unlock()
 				chaos.list()
 				<-time.After(warmUpTime)
@@ -123,21 +124,21 @@
 	}
 }
 
-// release replaces a runner: its next life starts, it drains, and a runner of another service
-// takes its address.
-func (chaos *chaosRun) release(random *rand.Rand) {
-	old := chaos.some(random, 1)
+// replaceRunner starts a replacement and drains the old runner; sometimes a runner of another
+// service then takes its address.
+func (chaos *chaosRun) replaceRunner(random *rand.Rand) {
+	old := chaos.randomRunner(random, 1)
 	if old == nil {
 		return
 	}
 	chaos.startRunner("", old.group, old.machine.Domain, warmUpTime)
 	<-time.After(time.Duration(random.IntN(1500)) * time.Millisecond)
 	chaos.mutex.Lock()
-	old.leavingAt = time.Now()
+	old.drainingSince = time.Now()
 	chaos.mutex.Unlock()
 	chaos.list()
 	<-time.After(drainBound + time.Duration(200+random.IntN(800))*time.Millisecond)
-	chaos.endRunner(old)
+	chaos.stopRunner(old)
 	if random.IntN(2) == 0 {
 		chaos.mutex.Lock()
 		old.listed = false
@@ -154,13 +155,13 @@
 	}
 }
 
-// answerFaults injects faults into single answers.
+// answerFaults injects faults into the answers of random runners.
 func (chaos *chaosRun) answerFaults(random *rand.Rand, until time.Time) {
 	faults := []standin.Fault{standin.FaultNotRun, standin.FaultLoseAnswer, standin.FaultBreakStream, standin.FaultServerError, standin.FaultUnavailable, standin.FaultWrongName, standin.FaultExtraAnswer, standin.FaultGarbledAnswer, standin.FaultHang, standin.FaultPlainAnswer, standin.FaultUnprocessable, standin.FaultRestartStream}
 	for time.Now().Before(until) {
 		<-time.After(time.Duration(50+random.IntN(400)) * time.Millisecond)
-		if life := chaos.some(random, 1); life != nil {
-			life.engine.InjectFaults(faults[random.IntN(len(faults))])
+		if process := chaos.randomRunner(random, 1); process != nil {
+			process.engine.InjectFaults(faults[random.IntN(len(faults))])
 		}
 	}
 }
--- a/proof/simulator/chaos_test.go
+++ b/proof/simulator/chaos_test.go
@@ -19,287 +19,291 @@
 	"yardrock.example/system/front"
 )
 
-// The bounds that a chaos run is checked against, most of them from the users' brief.
+// The parameters and bounds of a chaos run.
 const (
-	inTouch            = 3 * time.Second
-	drainBound         = 3 * time.Second
-	drainedDomainBound = 5 * time.Second
-	applyBound         = 2 * time.Second
-	answerSlack        = 250 * time.Millisecond
-	recoverBound       = 12 * time.Second
-	warmUpRate         = 6.0
-	warmUpMax          = int(warmUpRate*1.5) + 5
+	reconnectBound     = 3 * time.Second         // until a front has the current state after an outage
+	drainBound         = 3 * time.Second         // until a draining runner gets no requests
+	drainedDomainBound = 5 * time.Second         // until a drained domain gets no requests
+	applyBound         = 2 * time.Second         // until fronts use an acknowledged routing
+	answerSlack        = 250 * time.Millisecond  // from the first use of a routing until older ones are not used
+	recoverBound       = 12 * time.Second        // until requests succeed after a total outage
+	warmUpRate         = 6.0                     // requests per second in the routings' services
+	warmUpMax          = int(warmUpRate*1.5) + 5 // requests to a runner in any second of its warm-up
 	warmUpTime         = 3 * time.Second
-	turnTokens         = 40 // the most of one turn
-	// warmUpNoticeBound is how long it may take until a runner that became cold by itself is
-	// known as such.
+	turnTokens         = 40 // maximum output tokens of a turn
+	// warmUpNoticeBound is how long it may take until fronts know that a runner has restarted its
+	// warm-up.
 	warmUpNoticeBound = 1500 * time.Millisecond
 )
 
-// chaosRun is a run in which callers run programs on a cluster while faults are injected. It
-// records what callers sent, what they got and what runners executed; check compares them.
+// chaosRun runs programs on a cluster while faults are injected. It records the requests and
+// answers of the callers and the runner processes; check compares them with what runners executed.
 type chaosRun struct {
 	t       *testing.T
 	cluster *Cluster
 
-	mutex    sync.Mutex
-	sent     map[string]*sentRequest
-	names    int
-	fronts   []*frontLife
-	runners  []*runnerLife
-	hosts    int
-	orders   []*routingChange
-	drained  []*drainedSpan
-	outages  []*outageSpan
-	budgets  map[string]uint64
-	stopping atomic.Bool // no new programs
-	ended    atomic.Bool // no new turns
-	founds   atomic.Bool // the control nodes that start found the fleet anew
-	working  sync.WaitGroup
+	mutex          sync.Mutex
+	sent           map[string]*sentRequest
+	lastRequest    int
+	fronts         []*frontProcess
+	runners        []*runnerLife
+	lastHost       int
+	routingChanges []*routingChange
+	drainedSpans   []*drainedSpan
+	outages        []*outageSpan
+	budgets        map[string]uint64
+	stopping       atomic.Bool // no new programs are started
+	ended          atomic.Bool // no new turns are sent
+	bootstrapping  atomic.Bool // control nodes that start may bootstrap a new cluster
+	branches       sync.WaitGroup
 }
 
-// sentRequest is one attempt of a caller and its outcome.
+// sentRequest is one attempt of a request and its outcome.
 type sentRequest struct {
-	request forwarding.Request
-	at      time.Time
-	back    time.Time // zero while it is open
-	front   *frontLife
-	answer  *ForwardedAnswer
-	left    bool // the caller left early
-	chain   string
+	request   forwarding.Request
+	sentAt    time.Time
+	endedAt   time.Time // zero while it is in flight
+	front     *frontProcess
+	answer    *ForwardedAnswer
+	cancelled bool // by the caller before its deadline
+	history   string
 }
 
-// frontLife is one life of a front's process.
-type frontLife struct {
-	machine *Machine
-	node    *front.Node
-	context context.Context
-	cancel  context.CancelFunc
-	dead    atomic.Bool
-	leaving atomic.Bool
-	left    time.Time // when it began to leave in order
-	open    atomic.Int64
+// frontProcess is one run of a front's process; a restart makes a new one.
+type frontProcess struct {
+	machine       *Machine
+	node          *front.Node
+	context       context.Context
+	cancel        context.CancelFunc
+	stopped       atomic.Bool
+	draining      atomic.Bool
+	drainingSince time.Time // zero if it does not drain
+	inFlight      atomic.Int64
 }
 
-// runnerLife is one life of a runner.
+// runnerLife is one run of a runner's process; a restart makes a new one.
 type runnerLife struct {
-	machine   *EngineMachine
-	engine    *standin.Engine
-	group     string
-	listed    bool
-	listedAt  time.Time
-	leavingAt time.Time
-	endedAt   time.Time
-	warmingUp []warmUpSpan
+	machine       *EngineMachine
+	engine        *standin.Engine
+	group         string
+	listed        bool
+	listedAt      time.Time
+	drainingSince time.Time
+	stoppedAt     time.Time
+	warmingUp     []warmUpSpan
 }
 
-type warmUpSpan struct{ from, judged, until time.Time }
+// warmUpSpan is a warm-up. Its request rate is checked from checkedFrom on, when fronts must know
+// of it.
+type warmUpSpan struct{ from, checkedFrom, until time.Time }
 
+// drainedSpan is a time in which a domain was drained.
 type drainedSpan struct {
 	domain            string
 	drained, refilled time.Time
 }
 
-// outageSpan is a time in which a front, or the control nodes and stores ("core"), are out of
-// contact.
+// outageSpan is an outage of a front, by host, or of control nodes or stores, as "core".
 type outageSpan struct {
 	where    string
 	from, to time.Time // to is zero while it lasts
 }
 
-// chaosAnswer records an answer as long as its front lives.
+// chaosAnswer records an answer until its front is stopped.
 type chaosAnswer struct {
 	ForwardedAnswer
-	life *frontLife
+	process *frontProcess
 }
 
-var errDead = errors.New("the front is dead")
+var errFrontStopped = errors.New("the front has stopped")
 
 func (answer *chaosAnswer) Begin(status int, header http.Header) error {
-	if answer.life.dead.Load() {
-		return errDead
+	if answer.process.stopped.Load() {
+		return errFrontStopped
 	}
 	return answer.ForwardedAnswer.Begin(status, header)
 }
 
 func (answer *chaosAnswer) Write(data []byte) error {
-	if answer.life.dead.Load() {
-		return errDead
+	if answer.process.stopped.Load() {
+		return errFrontStopped
 	}
 	return answer.ForwardedAnswer.Write(data)
 }
 
-func (chaos *chaosRun) note(where string) (end func()) {
-	one := &outageSpan{where: where, from: time.Now()}
+// recordOutage records an outage that lasts until end is called.
+func (chaos *chaosRun) recordOutage(where string) (end func()) {
+	outage := &outageSpan{where: where, from: time.Now()}
 	chaos.mutex.Lock()
-	chaos.outages = append(chaos.outages, one)
+	chaos.outages = append(chaos.outages, outage)
 	chaos.mutex.Unlock()
 	return func() {
 		chaos.mutex.Lock()
-		one.to = time.Now()
+		outage.to = time.Now()
 		chaos.mutex.Unlock()
 	}
 }
 
 func (chaos *chaosRun) startFront(machine *Machine) {
 	if err := machine.Start(); err != nil {
-		chaos.t.Errorf("a front does not start: %v", err)
+		chaos.t.Errorf("starting a front: %v", err)
 		return
 	}
-	chaos.adopt(machine)
+	chaos.trackFront(machine)
 }
 
-func (chaos *chaosRun) adopt(machine *Machine) {
-	life := &frontLife{machine: machine, node: machine.Front}
-	life.context, life.cancel = context.WithCancel(context.Background())
+// trackFront adds the running front of a machine to those that callers use.
+func (chaos *chaosRun) trackFront(machine *Machine) {
+	process := &frontProcess{machine: machine, node: machine.Front}
+	process.context, process.cancel = context.WithCancel(context.Background())
 	chaos.mutex.Lock()
-	chaos.fronts = append(chaos.fronts, life)
+	chaos.fronts = append(chaos.fronts, process)
 	chaos.mutex.Unlock()
 }
 
-// endFront ends a front's life: what it answers afterwards reaches no caller.
-func (chaos *chaosRun) endFront(machine *Machine) {
+// stopFront kills a front's process. What it answers afterwards reaches no caller.
+func (chaos *chaosRun) stopFront(machine *Machine) {
 	chaos.mutex.Lock()
-	for _, life := range chaos.fronts {
-		if life.machine == machine {
-			life.dead.Store(true)
+	for _, process := range chaos.fronts {
+		if process.machine == machine {
+			process.stopped.Store(true)
 		}
 	}
-	lives := chaos.fronts
+	processes := chaos.fronts
 	chaos.mutex.Unlock()
 	machine.Kill()
-	for _, life := range lives {
-		if life.machine == machine {
-			life.cancel()
+	for _, process := range processes {
+		if process.machine == machine {
+			process.cancel()
 		}
 	}
 }
 
-// pick returns a front to which callers are sent, nil if there is none.
-func (chaos *chaosRun) pick(random *rand.Rand) *frontLife {
+// pickFront returns a random front that runs and does not drain, or nil.
+func (chaos *chaosRun) pickFront(random *rand.Rand) *frontProcess {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
-	open := []*frontLife{}
-	for _, life := range chaos.fronts {
-		if !life.dead.Load() && !life.leaving.Load() {
-			open = append(open, life)
+	serving := []*frontProcess{}
+	for _, process := range chaos.fronts {
+		if !process.stopped.Load() && !process.draining.Load() {
+			serving = append(serving, process)
 		}
 	}
-	if len(open) == 0 {
+	if len(serving) == 0 {
 		return nil
 	}
-	return open[random.IntN(len(open))]
+	return serving[random.IntN(len(serving))]
 }
 
-// attempt sends a request once, under a new ID.
-func (chaos *chaosRun) attempt(random *rand.Rand, request forwarding.Request, chain string, timeout, leaves time.Duration) *sentRequest {
-	life := chaos.pick(random)
-	if life == nil {
+// attempt sends a request once, with a new ID. If cancelAfter is not 0, the caller cancels it after
+// that time. It returns nil if there is no front.
+func (chaos *chaosRun) attempt(random *rand.Rand, request forwarding.Request, history string, timeout, cancelAfter time.Duration) *sentRequest {
+	process := chaos.pickFront(random)
+	if process == nil {
 		return nil
 	}
 	chaos.mutex.Lock()
-	chaos.names++
-	request.Name = fmt.Sprintf("try-%d", chaos.names)
+	chaos.lastRequest++
+	request.Name = fmt.Sprintf("try-%d", chaos.lastRequest)
 	request.Host, request.Target, request.ReceivedAt, request.Deadline = RoutedHost, request.Path, time.Now(), time.Now().Add(timeout)
 	if request.Method == "" {
 		request.Method = http.MethodPost
 	}
 	request.Header = http.Header{standin.Dialect.RequestID: {request.Name}, "X-Other": {"goes along"}}
-	sent := &sentRequest{request: request, at: time.Now(), front: life, chain: chain, left: leaves > 0}
+	sent := &sentRequest{request: request, sentAt: time.Now(), front: process, history: history, cancelled: cancelAfter > 0}
 	chaos.sent[request.Name] = sent
 	chaos.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(life.context, timeout)
-	if leaves > 0 {
-		ctx, cancel = context.WithTimeout(life.context, leaves)
+	ctx, cancel := context.WithTimeout(process.context, timeout)
+	if cancelAfter > 0 {
+		ctx, cancel = context.WithTimeout(process.context, cancelAfter)
 	}
 	defer cancel()
-	life.open.Add(1)
-	answer := &chaosAnswer{life: life}
-	err := life.node.Forward(ctx, &request, answer)
-	if life.dead.Load() {
-		err = errDead
+	process.inFlight.Add(1)
+	answer := &chaosAnswer{process: process}
+	err := process.node.Forward(ctx, &request, answer)
+	if process.stopped.Load() {
+		err = errFrontStopped
 	}
-	life.open.Add(-1)
+	process.inFlight.Add(-1)
 	chaos.mutex.Lock()
 	answer.Err = err
-	sent.answer, sent.back = &answer.ForwardedAnswer, time.Now()
+	sent.answer, sent.endedAt = &answer.ForwardedAnswer, time.Now()
 	chaos.mutex.Unlock()
 	return sent
 }
 
-// ask retries as callers do: after a guarantee that a request did not run, and idempotent requests
-// after any failure.
-func (chaos *chaosRun) ask(random *rand.Rand, request forwarding.Request, chain string, repeatable bool, timeout time.Duration) *sentRequest {
-	until := time.Now().Add(timeout)
-	leaves := time.Duration(0)
+// sendWithRetries sends a request and retries as callers do: after a guarantee that it did not run,
+// and if it is idempotent, after any other failure except NotFound.
+func (chaos *chaosRun) sendWithRetries(random *rand.Rand, request forwarding.Request, history string, repeatable bool, timeout time.Duration) *sentRequest {
+	deadline := time.Now().Add(timeout)
+	cancelAfter := time.Duration(0)
 	if random.IntN(40) == 0 {
-		leaves = time.Duration(1+random.IntN(120)) * time.Millisecond
+		cancelAfter = time.Duration(1+random.IntN(120)) * time.Millisecond
 	}
 	for attempts := 0; ; attempts++ {
-		sent := chaos.attempt(random, request, chain, time.Until(until), leaves)
+		sent := chaos.attempt(random, request, history, time.Until(deadline), cancelAfter)
 		if sent != nil {
 			answer := sent.answer
-			again := answer.Rejected() || repeatable && !answer.Complete() && !apierror.Is(answer.Err, apierror.NotFound)
-			if leaves > 0 || !again || attempts > 4 {
+			retry := answer.Rejected() || repeatable && !answer.Complete() && !apierror.Is(answer.Err, apierror.NotFound)
+			if cancelAfter > 0 || !retry || attempts > 4 {
 				return sent
 			}
 		}
 		pause := time.Duration(100+random.IntN(200)) * time.Millisecond
-		if time.Until(until) < 2*pause {
+		if time.Until(deadline) < 2*pause {
 			return sent
 		}
 		<-time.After(pause)
 	}
 }
 
-// probe sends requests to fronts on routes that were just added or removed.
+// probe sends requests for routes that were added or removed recently.
 func (chaos *chaosRun) probe(random *rand.Rand) {
 	for !chaos.ended.Load() {
 		<-time.After(time.Duration(60+random.IntN(120)) * time.Millisecond)
 		chaos.mutex.Lock()
-		newest := chaos.orders[len(chaos.orders)-1].revision
+		newest := chaos.routingChanges[len(chaos.routingChanges)-1].revision
 		chaos.mutex.Unlock()
 		revision := newest - min(newest-1, uint64(random.IntN(3)))
 		chaos.attempt(random, forwarding.Request{Method: http.MethodGet, Path: fmt.Sprintf("/only-%d/x", revision)}, "", time.Second, 0)
 	}
 }
 
-// chaosShape is the fleet of a chaos run.
+// chaosShape returns the shape of the cluster of a chaos run.
 func chaosShape() Shape {
 	shape := Shape{Controls: 3, Stores: 3, Fronts: 4, Models: 1, Applications: 1, Engines: 3, Tools: 3, AutoEnrol: true}
 	shape.Adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }
 	return shape
 }
 
-// startChaos puts the first routing in force on a cluster of chaosShape.
+// startChaos prepares a chaos run on a cluster of chaosShape and applies the first routing.
 func startChaos(t *testing.T, cluster *Cluster) *chaosRun {
-	chaos := &chaosRun{t: t, cluster: cluster, sent: map[string]*sentRequest{}, budgets: map[string]uint64{}, hosts: 50}
+	chaos := &chaosRun{t: t, cluster: cluster, sent: map[string]*sentRequest{}, budgets: map[string]uint64{}, lastHost: 50}
 	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
-		settings.MaxControls, settings.JoinExisting = 3, !chaos.founds.Load()
+		settings.MaxControls, settings.JoinExisting = 3, !chaos.bootstrapping.Load()
 	}
-	chaos.begin()
+	chaos.setUp()
 	return chaos
 }
 
-// TestChaosRunKeepsAllRules runs programs over four fronts while machines,
-// runners, domains and routes fail or change, ends with a total outage, and checks what ran at the
-// runners and what the callers got.
+// TestChaosRunKeepsAllRules guards against lost, repeated, misrouted or mixed-up requests while
+// machines, runners, domains and routes fail or change, and after a total outage.
 func TestChaosRunKeepsAllRules(t *testing.T) {
 	simulate(t, chaosShape(), func(t *testing.T, cluster *Cluster) {
 		chaos := startChaos(t, cluster)
-		var day sync.WaitGroup
-		length := 45 * time.Second
-		until := time.Now().Add(length)
-		for position, work := range []func(*rand.Rand, time.Time){chaos.machineFaults, chaos.runnerFaults, chaos.answerFaults, chaos.operate, chaos.runPrograms} {
-			day.Go(func() { work(cluster.Random(uint64(60+position)), until) })
+		var workers sync.WaitGroup
+		duration := 45 * time.Second
+		until := time.Now().Add(duration)
+		for position, work := range []func(*rand.Rand, time.Time){chaos.machineFaults, chaos.runnerFaults, chaos.answerFaults, chaos.changeRoutings, chaos.runPrograms} {
+			workers.Go(func() { work(cluster.Random(uint64(60+position)), until) })
 		}
-		day.Go(func() { chaos.probe(cluster.Random(70)) })
-		<-time.After(length)
+		workers.Go(func() { chaos.probe(cluster.Random(70)) })
+		<-time.After(duration)
 		chaos.stopping.Store(true)
 		<-time.After(8 * time.Second)
 		chaos.ended.Store(true)
-		chaos.working.Wait()
-		day.Wait()
+		chaos.branches.Wait()
+		workers.Wait()
 		chaos.outage(cluster.Random(71))
 		chaos.check()
 	})
--- a/proof/simulator/chaos_warmup_test.go
+++ b/proof/simulator/chaos_warmup_test.go
@@ -8,36 +8,36 @@
 	"yardrock.example/proof/standin"
 )
 
-// TestWarmingUpRunnersAreNotFloodedWhileNodesFail presses on runners that stay
-// cold, from four fronts, while control nodes and fronts are killed, cut off, wiped and
-// all lost at once: what one front may send depends on who the others are.
-func TestWarmingUpRunnersAreNotFloodedWhileNodesFail(t *testing.T) {
+// TestWarmingUpRunnersAreNotOverloadedWhileNodesFail guards against fronts that together exceed the
+// warm-up rate of a runner while control nodes and fronts fail: the share of each front depends on
+// the number of fronts it knows.
+func TestWarmingUpRunnersAreNotOverloadedWhileNodesFail(t *testing.T) {
 	simulate(t, chaosShape(), func(t *testing.T, cluster *Cluster) {
 		chaos := startChaos(t, cluster)
-		const length = 40 * time.Second
+		const duration = 40 * time.Second
 		for range 2 {
-			chaos.startRunner("", "tools", "east", length+20*time.Second)
-			chaos.startRunner("", "others", "west", length+20*time.Second)
+			chaos.startRunner("", "tools", "east", duration+20*time.Second)
+			chaos.startRunner("", "others", "west", duration+20*time.Second)
 		}
-		until := time.Now().Add(length)
+		until := time.Now().Add(duration)
 		wait := chaos.pressLookups(24, until)
 		random := cluster.Random(99)
-		strikes := []func(*rand.Rand){chaos.killControl, chaos.isolateControl, chaos.cutControl, chaos.wipeControl, chaos.replaceControl, chaos.loseControls, chaos.killFront, chaos.isolateFront, chaos.freezeFront}
+		faults := []func(*rand.Rand){chaos.killControl, chaos.isolateControl, chaos.cutControl, chaos.wipeControl, chaos.replaceControl, chaos.loseControls, chaos.killFront, chaos.isolateFront, chaos.freezeFront}
 		for time.Now().Before(until) {
-			strikes[random.IntN(len(strikes))](random)
-			while(random, 100*time.Millisecond, 2*time.Second)
+			faults[random.IntN(len(faults))](random)
+			sleepBetween(random, 100*time.Millisecond, 2*time.Second)
 		}
 		wait()
 		maximum := 0
-		for _, life := range chaos.runners {
-			chaos.checkWarmUp(life)
-			if len(life.warmingUp) > 0 {
-				maximum = max(maximum, len(life.engine.Arrivals()))
+		for _, process := range chaos.runners {
+			chaos.checkWarmUp(process)
+			if len(process.warmingUp) > 0 {
+				maximum = max(maximum, len(process.engine.Arrivals()))
 			}
 		}
-		t.Logf("%d tries; a cold runner got %d at most", len(chaos.sent), maximum)
+		t.Logf("%d requests; a runner got at most %d while warming up", len(chaos.sent), maximum)
 		if maximum < 30 {
-			t.Errorf("a cold runner got only %d queries", maximum)
+			t.Errorf("a runner that is warming up got only %d requests", maximum)
 		}
 		setFault(cluster, standin.NoFault)
 	})
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -12,87 +12,88 @@
 	"yardrock.example/system/replica"
 )
 
-// The tokens of BasicConfig: of the root operator and of two teams.
+// The tokens of the root operator and of the two teams of BasicConfig.
 const (
 	RootToken  = "root"
 	TeamToken  = "depot-token"
 	OtherToken = "other-token"
 )
 
-// Shape says how many nodes a cluster has. They are spread over three domains.
+// Shape is the size and the settings of a cluster, whose nodes are spread over three domains.
 type Shape struct {
 	Controls, Stores, Fronts, Models, Applications int
-	// ReplicationFactor is the number of replicas of each group; 0 means three.
+	// Replicas is the number of replicas of each group; 0 means three.
 	Replicas uint32
 	// Groups is the number of groups of sessions; 0 means 8, which is also the minimum.
 	Groups uint32
-	// Engines and Tools are runners of forwarded requests. If there are any, the control nodes
-	// discover runners by Cluster.RunnerList, else by the stand-in platform.
+	// Engines and Tools count the runners of forwarded requests. If there are any, the control
+	// nodes discover runners through Cluster.RunnerList, else through the stand-in platform.
 	Engines, Tools int
 	// AutoEnrol lets the control nodes enrol stores by themselves.
 	AutoEnrol bool
 	// Adjust changes the settings of each control node that starts.
 	Adjust func(cluster *Cluster, settings *controlplane.Settings)
-	// MaxBufferedBytes bounds what each front buffers of forwarded requests; 0 is its default.
+	// BufferBytes limits the bytes of forwarded requests that each front buffers; 0 means the
+	// front's default.
 	BufferBytes int64
 }
 
-// Small is the shape of most tests.
+// Small is the shape that most tests use.
 var Small = Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 2}
 
-// Cluster is a fleet in one process. Stop ends all its nodes, runners and connections.
+// Cluster is a complete cluster in one process. Stop ends its nodes, runners and connections.
 type Cluster struct {
-	Network     *Network
-	Controls    []*Machine
-	Stores      []*Machine
-	Fronts      []*Machine
-	Runners     []*RunnerMachine
-	Engines     []*EngineMachine
-	RunnerList  *RunnerList
-	Platform    *standin.Platform
-	seeds       []string
-	platform    *http.Server
-	Seed        uint64
-	groups      uint32
-	replicas    uint32
-	autoEnrol   bool
-	caller      *Host
-	adjust      func(cluster *Cluster, settings *controlplane.Settings)
-	bufferBytes int64
-	// adjustReplica, if set, changes the settings of the groups of each node that starts.
+	Network        *Network
+	Controls       []*Machine
+	Stores         []*Machine
+	Fronts         []*Machine
+	Runners        []*RunnerMachine
+	Engines        []*EngineMachine
+	RunnerList     *RunnerList
+	Platform       *standin.Platform
+	seeds          []string
+	platformServer *http.Server
+	Seed           uint64
+	groups         uint32
+	replicas       uint32
+	autoEnrol      bool
+	caller         *Host
+	adjust         func(cluster *Cluster, settings *controlplane.Settings)
+	bufferBytes    int64
+	// adjustReplica, if set, changes the replica settings of each node that starts.
 	adjustReplica func(settings *replica.Settings)
 }
 
 func domain(index int) string { return []string{"east", "middle", "west"}[index%3] }
 
-// Start starts a cluster under a config and waits until every front serves. If it fails, the
-// cluster that it returns, if any, must be stopped all the same.
+// Start starts a cluster with a config and waits until every front serves. After an error, a
+// cluster that is not nil must still be stopped.
 //
 //	cluster, err := simulator.Start(7, simulator.Small, configSource)
 //	defer cluster.Stop()
-func Start(seed uint64, shape Shape, rules string) (*Cluster, error) {
+func Start(seed uint64, shape Shape, template string) (*Cluster, error) {
 	cluster, err := assemble(seed, shape)
 	if err != nil {
 		return cluster, err
 	}
-	return cluster, cluster.found(rules)
+	return cluster, cluster.found(template)
 }
 
-// found starts all nodes on their empty disks, and waits until they serve.
-func (cluster *Cluster) found(rules string) error {
+// found starts all nodes on their empty disks, stores the first config and waits until every
+// front serves.
+func (cluster *Cluster) found(template string) error {
 	for _, machine := range cluster.Machines() {
 		if err := machine.Start(); err != nil {
 			return err
 		}
 	}
-	if err := cluster.PutConfig(rules); err != nil {
+	if err := cluster.PutConfig(template); err != nil {
 		return err
 	}
 	return cluster.AwaitServing(20 * time.Second)
 }
 
-// assemble makes a cluster whose runners are started and whose nodes are not, on empty
-// disks.
+// assemble creates a cluster with empty disks. It starts the runners but not the nodes.
 func assemble(seed uint64, shape Shape) (*Cluster, error) {
 	cluster := &Cluster{Network: NewNetwork(seed), Seed: seed, groups: max(shape.Groups, 8), replicas: shape.Replicas, autoEnrol: shape.AutoEnrol, Platform: &standin.Platform{}, adjust: shape.Adjust, bufferBytes: shape.BufferBytes}
 	if shape.Engines+shape.Tools > 0 {
@@ -120,14 +121,15 @@
 	return cluster, nil
 }
 
-// Random returns a random generator for one of a test's purposes; it depends on the cluster's seed.
+// Random returns a random generator that is seeded with the cluster's seed and the number of a
+// stream, so that the streams of a test are independent.
 //
 //	victim := cluster.Stores[cluster.Random(3).IntN(len(cluster.Stores))]
 func (cluster *Cluster) Random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(cluster.Seed, stream))
 }
 
-// Machines lists the machines of control nodes, stores and fronts.
+// Machines returns the machines of the control nodes, stores and fronts.
 //
 //	for _, machine := range cluster.Machines() { machine.Kill() }
 func (cluster *Cluster) Machines() []*Machine {
@@ -158,10 +160,10 @@
 	for _, engine := range cluster.Engines {
 		engine.server.Close()
 	}
-	cluster.platform.Close()
+	cluster.platformServer.Close()
 }
 
-// Await calls a function every 50 ms until it returns no error, or a timeout is over.
+// Await calls a function every 50 ms until it returns no error or the timeout has passed.
 //
 //	err := cluster.Await(12*time.Second, "serving", try)
 func (*Cluster) Await(timeout time.Duration, what string, try func() error) error {
--- a/proof/simulator/cluster_test.go
+++ b/proof/simulator/cluster_test.go
@@ -23,8 +23,8 @@
 	m.Run()
 }
 
-// seeds are those that each simulation runs with: SEEDS names a range such as
-// 1-100 or one seed to replay, else there are a few fixed ones.
+// seeds returns the seeds of each simulation. The environment variable SEEDS is a seed or a range
+// such as 1-100; without it there are a few fixed ones.
 func seeds(t *testing.T) []uint64 {
 	t.Helper()
 	first, last, found := strings.Cut(os.Getenv("SEEDS"), "-")
@@ -35,9 +35,9 @@
 		last = first
 	}
 	from, err := strconv.ParseUint(first, 10, 32)
-	through, other := strconv.ParseUint(last, 10, 32)
-	if err != nil || other != nil || from > through {
-		t.Fatalf("SEEDS is %q: name a seed or a range such as 1-100", os.Getenv("SEEDS"))
+	through, throughErr := strconv.ParseUint(last, 10, 32)
+	if err != nil || throughErr != nil || from > through {
+		t.Fatalf("SEEDS is %q; want a seed or a range such as 1-100", os.Getenv("SEEDS"))
 	}
 	chosen := []uint64{}
 	for seed := from; seed <= through; seed++ {
@@ -46,7 +46,7 @@
 	return chosen
 }
 
-// simulate runs a test for each seed, on a cluster in a bubble with its own clock.
+// simulate runs a test for each seed, each on its own cluster in a synctest bubble.
 func simulate(t *testing.T, shape Shape, body func(t *testing.T, cluster *Cluster)) {
 	t.Helper()
 	t.Parallel()
@@ -58,7 +58,7 @@
 				if cluster != nil {
 					defer func() {
 						cluster.Stop()
-						<-time.After(time.Minute) // what still waits on the bubble's clock ends
+						<-time.After(time.Minute) // lets goroutines that wait on the bubble's clock end
 					}()
 				}
 				if err != nil {
@@ -78,14 +78,14 @@
 	return all
 }
 
-func TestAConversationIsHeardAsItWasSaidOnEveryFront(t *testing.T) {
+func TestConversationContinuesAtAnotherFront(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		first, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "hello there"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if want := words(standin.Answer(nil, "hello there")); first.Words != want {
-			t.Fatalf("heard %q, want %q", first.Words, want)
+			t.Fatalf("got %q, want %q", first.Words, want)
 		}
 		second, err := cluster.Turn(cluster.Fronts[1], map[string]any{"conversation": first.Conversation, "follows": first.Turn, "kind": "talk", "words": "and now?"})
 		if err != nil {
@@ -93,7 +93,7 @@
 		}
 		history := []runnerclient.Message{{Role: "caller", Text: "hello there"}, {Role: "model", Text: first.Words}}
 		if want := words(standin.Answer(history, "and now?")); second.Words != want {
-			t.Fatalf("heard %q, want %q", second.Words, want)
+			t.Fatalf("got %q, want %q", second.Words, want)
 		}
 	})
 }
--- a/proof/simulator/configs.go
+++ b/proof/simulator/configs.go
@@ -6,7 +6,7 @@
 	"yardrock.example/system/config"
 )
 
-// BasicConfig is the config of most tests, with placeholders for the hashes of the tokens.
+// BasicConfig is the config template of most tests, with placeholders for the token hashes.
 const BasicConfig = `
 operators: {}
 teams: {
@@ -35,9 +35,9 @@
 platform: {runner_list: "http://10.0.5.1:9000/runners", poll: "500ms"}
 `
 
-// Config replaces the placeholders by the hashes of the tokens.
+// Config replaces the placeholders of a config template with the token hashes.
 //
 //	source := simulator.Config(simulator.BasicConfig)
-func Config(rules string) string {
-	return strings.NewReplacer("DEPOT", config.HashToken(TeamToken), "OTHER", config.HashToken(OtherToken)).Replace(rules)
+func Config(template string) string {
+	return strings.NewReplacer("DEPOT", config.HashToken(TeamToken), "OTHER", config.HashToken(OtherToken)).Replace(template)
 }
--- a/proof/simulator/disk.go
+++ b/proof/simulator/disk.go
@@ -12,22 +12,23 @@
 	"yardrock.example/system/vfs"
 )
 
-// Disk is a vfs.Directory in memory with faults. It keeps the written and the durable content of each
-// file; LosePower reduces the first to the second. It is safe for concurrent use.
+// Disk is an in-memory vfs.Directory with fault injection. It keeps the written and the durable
+// content of each file; LosePower discards what is written and not durable, except for a random
+// part of the end. It is safe for concurrent use.
 type Disk struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	written  map[string][]byte
-	durable  map[string][]byte
-	unsynced map[string][]vfs.PendingWrite
-	stalled  chan struct{} // non-nil while syncs hang
-	slow     time.Duration
-	full     bool
-	syncs    int
-	read     int
+	mutex     sync.Mutex
+	random    *rand.Rand
+	written   map[string][]byte
+	durable   map[string][]byte
+	unsynced  map[string][]vfs.PendingWrite
+	stalled   chan struct{} // non-nil while syncs hang
+	syncDelay time.Duration
+	full      bool
+	syncs     int
+	bytesRead int
 }
 
-// NewDisk returns an empty disk whose torn writes come from a seed.
+// NewDisk returns an empty disk whose torn writes depend on the seed.
 //
 //	disk := simulator.NewDisk(7)
 func NewDisk(seed uint64) *Disk {
@@ -44,11 +45,11 @@
 	if !found {
 		return nil, fs.ErrNotExist
 	}
-	disk.read += len(data)
+	disk.bytesRead += len(data)
 	return slices.Clone(data), nil
 }
 
-// ReadRange returns a part of a file.
+// ReadRange returns length bytes of a file from an offset on.
 func (disk *Disk) ReadRange(name string, offset int64, length int) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -59,7 +60,7 @@
 	if offset+int64(length) > int64(len(data)) {
 		return nil, errors.New("short file")
 	}
-	disk.read += length
+	disk.bytesRead += length
 	return slices.Clone(data[offset : offset+int64(length)]), nil
 }
 
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// Truncate cuts a file to a size, without syncing.
+// Truncate sets the size of a file without syncing.
 func (disk *Disk) Truncate(name string, size int64) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -95,32 +96,33 @@
 	if !found {
 		return fs.ErrNotExist
 	}
-	cut := vfs.PendingWrite{Offset: size}
-	disk.written[name] = cut.ApplyTo(data)
-	disk.unsynced[name] = append(disk.unsynced[name], cut)
+	truncation := vfs.PendingWrite{Offset: size}
+	disk.written[name] = truncation.ApplyTo(data)
+	disk.unsynced[name] = append(disk.unsynced[name], truncation)
 	return nil
 }
 
-// Sync makes the written content of a file durable, after a stall or delay that was set.
+// Sync makes the written content of a file durable, after the end of a Stall and the delay that
+// Slow has set.
 func (disk *Disk) Sync(name string) error {
 	disk.mutex.Lock()
-	stalled, slow := disk.stalled, disk.slow
+	stalled, syncDelay := disk.stalled, disk.syncDelay
 	disk.mutex.Unlock()
 	if stalled != nil {
 		<-stalled
 	}
-	if slow > 0 {
-		<-time.After(slow)
+	if syncDelay > 0 {
+		<-time.After(syncDelay)
 	}
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	disk.syncs++
 	if _, found := disk.written[name]; found {
-		lasting := disk.durable[name]
+		durable := disk.durable[name]
 		for _, write := range disk.unsynced[name] {
-			lasting = write.ApplyTo(lasting)
+			durable = write.ApplyTo(durable)
 		}
-		disk.durable[name] = lasting
+		disk.durable[name] = durable
 		delete(disk.unsynced, name)
 	}
 	return nil
@@ -136,15 +138,15 @@
 	return nil
 }
 
-// List lists the files.
+// List returns the sorted names of all files.
 func (disk *Disk) List() ([]string, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	return slices.Sorted(maps.Keys(disk.written)), nil
 }
 
-// LosePower loses what was not synced. A random part of what was appended to a file since its
-// last sync may remain, with a flipped bit.
+// LosePower discards what was not synced. Of what was appended to a file since its last sync, a
+// random part may remain, possibly with a flipped bit.
 //
 //	disk.LosePower()
 func (disk *Disk) LosePower() {
@@ -155,9 +157,9 @@
 		after[name] = slices.Clone(data)
 	}
 	for _, name := range slices.Sorted(maps.Keys(disk.written)) {
-		live, lasted := disk.written[name], len(after[name])
-		if len(live) > lasted && disk.random.IntN(2) == 0 {
-			torn := slices.Clone(live[lasted : lasted+disk.random.IntN(len(live)-lasted+1)])
+		written, durableLength := disk.written[name], len(after[name])
+		if len(written) > durableLength && disk.random.IntN(2) == 0 {
+			torn := slices.Clone(written[durableLength : durableLength+disk.random.IntN(len(written)-durableLength+1)])
 			if len(torn) > 0 && disk.random.IntN(2) == 0 {
 				torn[disk.random.IntN(len(torn))] ^= 0x40
 			}
@@ -182,7 +184,7 @@
 	clear(disk.unsynced)
 }
 
-// Stall makes syncs hang until Resume.
+// Stall blocks syncs until Resume.
 //
 //	disk.Stall()
 func (disk *Disk) Stall() {
@@ -205,16 +207,16 @@
 	}
 }
 
-// Slow makes each sync take a time; 0 ends it.
+// Slow delays each sync; 0 ends the delay.
 //
 //	disk.Slow(300 * time.Millisecond)
-func (disk *Disk) Slow(each time.Duration) {
+func (disk *Disk) Slow(delay time.Duration) {
 	disk.mutex.Lock()
-	disk.slow = each
+	disk.syncDelay = delay
 	disk.mutex.Unlock()
 }
 
-// Fill makes writes fail because the disk is full, until Fill(false).
+// Fill makes writes fail with a disk-full error, until Fill(false).
 //
 //	disk.Fill(true)
 func (disk *Disk) Fill(full bool) {
@@ -223,17 +225,18 @@
 	disk.mutex.Unlock()
 }
 
-// FlipBit flips a bit in one byte of a file, durably; a negative offset counts from the end.
+// FlipBit flips a bit in one byte of the written and the durable content of a file. A negative
+// offset counts from the end.
 //
 //	disk.FlipBit("log-00000000000000000000", 40)
-func (disk *Disk) FlipBit(name string, at int) {
+func (disk *Disk) FlipBit(name string, offset int) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if at < 0 {
-		at += len(disk.written[name])
+	if offset < 0 {
+		offset += len(disk.written[name])
 	}
-	disk.written[name][at] ^= 1
-	disk.durable[name][at] ^= 1
+	disk.written[name][offset] ^= 1
+	disk.durable[name][offset] ^= 1
 }
 
 // TakeRead returns how many bytes were read since the last call.
@@ -242,12 +245,12 @@
 func (disk *Disk) TakeRead() int {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	read := disk.read
-	disk.read = 0
+	read := disk.bytesRead
+	disk.bytesRead = 0
 	return read
 }
 
-// Syncs counts the syncs.
+// Syncs returns the number of completed syncs.
 //
 //	before := disk.Syncs()
 func (disk *Disk) Syncs() int {
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -16,9 +16,8 @@
 // RoutedHost is the host name of the routes in RoutedConfig.
 const RoutedHost = "talk.example"
 
-// RoutedConfig is a config with routes for forwarded requests: "kept" streams whose history is
-// stored, "chat" streams that can be resumed, lookups, which are idempotent, and orders, which
-// are not.
+// RoutedConfig is a config template with routes for forwarded requests: "kept" streams with stored
+// history, resumable "chat" streams, idempotent lookups, and orders, which are not idempotent.
 const RoutedConfig = BasicConfig + `
 routing: {
 	revision: 1
@@ -44,10 +43,10 @@
 	Err    error
 }
 
-// Begin records the head of the answer.
+// Begin records the status and the header of the answer.
 func (answer *ForwardedAnswer) Begin(status int, header http.Header) error {
 	if answer.Status != 0 {
-		return errors.New("an answer began twice")
+		return errors.New("Begin was called twice for one answer")
 	}
 	answer.Status, answer.Header = status, header.Clone()
 	return nil
@@ -66,24 +65,24 @@
 	return answer.Status == 0 && apierror.Is(answer.Err, apierror.NotRun)
 }
 
-// Complete reports whether the answer is a success and was not cut off.
+// Complete reports whether the answer is a 200 OK that arrived in full.
 //
 //	if answer.Complete() { ... }
 func (answer *ForwardedAnswer) Complete() bool {
 	return answer.Err == nil && answer.Status == http.StatusOK
 }
 
-// Text returns the data of a stream's events, which are what the next turn's prompt contains.
+// Text returns the joined data of a stream's events, which is part of the prompt of the next turn.
 //
 //	prompt += words + answer.Text()
 func (answer *ForwardedAnswer) Text() string {
-	said := &strings.Builder{}
-	for text := range strings.Lines(string(answer.Body)) {
-		if data, found := strings.CutPrefix(text, "data: "); found {
-			said.WriteString(data)
+	builder := &strings.Builder{}
+	for line := range strings.Lines(string(answer.Body)) {
+		if data, found := strings.CutPrefix(line, "data: "); found {
+			builder.WriteString(data)
 		}
 	}
-	return said.String()
+	return builder.String()
 }
 
 // Forward passes a request through a front's filters, as an ingress does. Method and deadline get
@@ -104,14 +103,14 @@
 	defer cancel()
 	node := machine.Front
 	if node == nil {
-		answer.Err = apierror.New(apierror.Unavailable, "the front is not there", "ask another")
+		answer.Err = apierror.New(apierror.Unavailable, "the front is not running", "retry at another front")
 		return answer
 	}
 	answer.Err = node.Forward(ctx, &request, answer)
 	return answer
 }
 
-// AwaitForwarding waits until every running front has forwarded a lookup and a turn.
+// AwaitForwarding waits until every running front has forwarded a lookup and a streamed turn.
 //
 //	err := cluster.AwaitForwarding(12 * time.Second)
 func (cluster *Cluster) AwaitForwarding(timeout time.Duration) error {
@@ -138,7 +137,7 @@
 	return nil
 }
 
-// Sleep waits on the test's clock.
+// Sleep waits on the clock of the test's synctest bubble.
 //
 //	cluster.Sleep(time.Second)
 func (*Cluster) Sleep(duration time.Duration) { <-time.After(duration) }
--- a/proof/simulator/machine.go
+++ b/proof/simulator/machine.go
@@ -15,7 +15,7 @@
 	"yardrock.example/system/store"
 )
 
-// Machine is one host of the cluster, its disks, and the node that runs on it, if one does.
+// Machine is a host of the cluster with its disks and, while one runs, its node.
 type Machine struct {
 	Host    string
 	Domain  string
@@ -24,7 +24,7 @@
 	Control *controlplane.Node
 	Store   *store.Node
 	Front   *front.Node
-	// ClockOffset is how far the wall clock of a store's machine is ahead of the test's clock.
+	// ClockOffset is how far the wall clock of a store's machine is ahead of the bubble's clock.
 	ClockOffset time.Duration
 	admin       *httpapi.Server
 	start       func() error
@@ -38,7 +38,7 @@
 	server *http.Server
 }
 
-// AddControl returns a new control machine, which is not started and not in Cluster.Controls.
+// AddControl returns a new control machine. The caller starts it and adds it to Cluster.Controls.
 //
 //	machine := cluster.AddControl(5)
 func (cluster *Cluster) AddControl(index int) *Machine {
@@ -64,7 +64,7 @@
 	return machine
 }
 
-// AddStore returns a new store machine, which is not started and not in Cluster.Stores.
+// AddStore returns a new store machine. The caller starts it and adds it to Cluster.Stores.
 //
 //	machine := cluster.AddStore(3)
 func (cluster *Cluster) AddStore(index int) *Machine {
@@ -93,7 +93,7 @@
 //	err := machine.Start()
 func (machine *Machine) Start() error { return machine.start() }
 
-// Kill ends the machine's node as SIGKILL does: what was written stays written.
+// Kill ends the machine's node as SIGKILL does: writes that were not synced are kept.
 //
 //	machine.Kill()
 func (machine *Machine) Kill() {
@@ -117,7 +117,7 @@
 	machine.admin, machine.Control, machine.Store, machine.Front = nil, nil, nil, nil
 }
 
-// LosePower kills the node and loses what its disks had not synced.
+// LosePower kills the node and calls LosePower of its disks.
 //
 //	machine.LosePower()
 func (machine *Machine) LosePower() {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Stop ends the runner's process. Start starts it again with the record of what it ran.
+// Stop ends the runner's process. Start starts it again and keeps the record of what it ran.
 //
 //	machine.Stop()
 func (machine *RunnerMachine) Stop() { machine.server.Close() }
@@ -158,17 +158,17 @@
 	return nil
 }
 
-// serve answers on a listener until the server is closed. That is also the only way in which
-// Serve ends, as a simulated listener fails only once it is closed.
+// serve serves a listener until the server is closed. The error of Serve is ignored, as a
+// simulated listener fails only after it was closed.
 func serve(server *http.Server, listener net.Listener) {
 	go func() { _ = server.Serve(listener) }()
 }
 
 func (cluster *Cluster) startRunners(shape Shape) error {
-	pace := standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond}
+	latencies := standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond}
 	listed := []standin.ListedRunner{}
 	add := func(host, group string, index int) error {
-		runner := standin.NewRunner(pace)
+		runner := standin.NewRunner(latencies)
 		machine := &RunnerMachine{Host: host, Domain: domain(index), Runner: runner}
 		if err := machine.Start(cluster); err != nil {
 			return err
@@ -177,19 +177,19 @@
 		listed = append(listed, standin.ListedRunner{Address: host + ":8000", Group: group, Domain: domain(index), State: "serving"})
 		return nil
 	}
-	var failed error
+	var errs error
 	for index := range shape.Models {
-		failed = errors.Join(failed, add(fmt.Sprintf("10.0.3.%d", index+1), "small", index))
+		errs = errors.Join(errs, add(fmt.Sprintf("10.0.3.%d", index+1), "small", index))
 	}
 	for index := range shape.Applications {
-		failed = errors.Join(failed, add(fmt.Sprintf("10.0.4.%d", index+1), "application", index))
+		errs = errors.Join(errs, add(fmt.Sprintf("10.0.4.%d", index+1), "application", index))
 	}
 	cluster.Platform.Put(listed)
 	listener, err := cluster.Network.At("10.0.5.1").Listen("10.0.5.1:9000")
 	if err != nil {
 		return err
 	}
-	cluster.platform = &http.Server{Handler: cluster.Platform}
-	serve(cluster.platform, listener)
-	return failed
+	cluster.platformServer = &http.Server{Handler: cluster.Platform}
+	serve(cluster.platformServer, listener)
+	return errs
 }
--- a/proof/simulator/network_connection.go
+++ b/proof/simulator/network_connection.go
@@ -15,34 +15,34 @@
 type listener struct {
 	network *Network
 	address string
-	queue   chan *endpoint
+	backlog chan *endpoint
 	once    sync.Once
 	closed  chan struct{}
 }
 
-// Listen opens a port of the host.
+// Listen opens a listener on an address of the host.
 func (host *Host) Listen(address string) (net.Listener, error) {
 	host.network.mutex.Lock()
 	defer host.network.mutex.Unlock()
 	if host.network.listeners[address] != nil {
 		return nil, fmt.Errorf("%s is in use", address)
 	}
-	made := &listener{network: host.network, address: address, queue: make(chan *endpoint, 128), closed: make(chan struct{})}
-	host.network.listeners[address] = made
-	return made, nil
+	opened := &listener{network: host.network, address: address, backlog: make(chan *endpoint, 128), closed: make(chan struct{})}
+	host.network.listeners[address] = opened
+	return opened, nil
 }
 
 // Accept waits for a connection.
 func (listener *listener) Accept() (net.Conn, error) {
 	select {
-	case accepted := <-listener.queue:
+	case accepted := <-listener.backlog:
 		return accepted, nil
 	case <-listener.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends the listener.
+// Close closes the listener.
 func (listener *listener) Close() error {
 	listener.once.Do(func() {
 		close(listener.closed)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Addr returns the address.
+// Addr returns the address of the listener.
 func (listener *listener) Addr() net.Addr { return address(listener.address) }
 
 type address string
@@ -62,38 +62,38 @@
 
 func (address address) String() string { return string(address) }
 
-// retransmitTimeout is how long TCP waits before it sends a lost SYN again; each further wait is
-// twice as long.
+// retransmitTimeout is TCP's initial timeout for the retransmission of a SYN. It doubles with each
+// retransmission.
 const retransmitTimeout = time.Second
 
-// Dial connects to a listener. A SYN that a cut link loses is sent again after
-// retransmitTimeout.
+// Dial connects to a listener. A SYN that is lost on a cut link is retransmitted after
+// retransmitTimeout; one to a frozen host is answered once that host is thawed.
 func (host *Host) Dial(ctx context.Context, target string) (net.Conn, error) {
 	network := host.network
-	again := retransmitTimeout
+	backoff := retransmitTimeout
 	for {
 		network.awaitThawed(host.name, nil)
 		network.mutex.Lock()
-		way, changed, found := network.reachable(host.name, hostOf(target)) && network.reachable(hostOf(target), host.name), network.changed, network.listeners[target]
-		frozen, buffered := network.frozen[host.name], network.frozen[hostOf(target)]
+		reachable, changed, found := network.reachable(host.name, hostOf(target)) && network.reachable(hostOf(target), host.name), network.changed, network.listeners[target]
+		frozen, targetFrozen := network.frozen[host.name], network.frozen[hostOf(target)]
 		refused := network.refused[[2]string{host.name, hostOf(target)}]
 		network.mutex.Unlock()
 		if frozen {
 			continue
 		}
-		if refused || (way && found == nil) {
+		if refused || (reachable && found == nil) {
 			return nil, fmt.Errorf("%s: %w", target, syscall.ECONNREFUSED)
 		}
-		if way {
+		if reachable {
 			return network.connect(host.name, found)
 		}
-		var lost <-chan time.Time
-		if !buffered {
-			lost, changed = time.After(again), nil
-			again *= 2
+		var retransmit <-chan time.Time
+		if !targetFrozen {
+			retransmit, changed = time.After(backoff), nil
+			backoff *= 2
 		}
 		select {
-		case <-lost:
+		case <-retransmit:
 		case <-changed:
 		case <-ctx.Done():
 			network.mutex.Lock()
@@ -107,40 +107,41 @@
 }
 
 func (network *Network) connect(from string, to *listener) (net.Conn, error) {
-	near := &endpoint{network: network, host: from, incoming: newBuffer(), local: address(from + ":0"), remote: address(to.address), done: make(chan struct{})}
-	far := &endpoint{network: network, host: hostOf(to.address), incoming: newBuffer(), local: address(to.address), remote: address(from + ":0"), done: make(chan struct{})}
-	near.peer, far.peer = far, near
+	client := &endpoint{network: network, host: from, incoming: newBuffer(), local: address(from + ":0"), remote: address(to.address), done: make(chan struct{})}
+	server := &endpoint{network: network, host: hostOf(to.address), incoming: newBuffer(), local: address(to.address), remote: address(from + ":0"), done: make(chan struct{})}
+	client.peer, server.peer = server, client
 	network.mutex.Lock()
-	network.endpoints[near], network.endpoints[far] = true, true
+	network.endpoints[client], network.endpoints[server] = true, true
 	network.mutex.Unlock()
-	network.awaitThawed(from, near.done) // a frozen process continues with the connection once it is thawed
+	network.awaitThawed(from, client.done) // a frozen process uses the connection only after Thaw
 	select {
-	case to.queue <- far:
-		return near, nil
+	case to.backlog <- server:
+		return client, nil
 	case <-to.closed:
-		_ = near.Close() // an endpoint's Close never fails
+		_ = client.Close() // an endpoint's Close never fails
 		return nil, fmt.Errorf("%s: %w", to.address, syscall.ECONNREFUSED)
 	}
 }
 
+// chunk is the data of one write.
 type chunk struct {
-	data []byte
-	at   time.Time
+	data      []byte
+	arrivesAt time.Time
 }
 
 // buffer is the data in flight to an endpoint.
 type buffer struct {
-	mutex  sync.Mutex
-	chunks []chunk
-	ended  bool
-	grown  chan struct{}
+	mutex    sync.Mutex
+	chunks   []chunk
+	closed   bool
+	appended chan struct{}
 }
 
-func newBuffer() *buffer { return &buffer{grown: make(chan struct{})} }
+func newBuffer() *buffer { return &buffer{appended: make(chan struct{})} }
 
 func (buffer *buffer) wake() {
-	close(buffer.grown)
-	buffer.grown = make(chan struct{})
+	close(buffer.appended)
+	buffer.appended = make(chan struct{})
 }
 
 // endpoint is one side of a connection.
@@ -159,84 +160,87 @@
 	deadlineChanged chan struct{} // closed when the deadline changes
 }
 
-// Read returns data whose delay has passed. It waits for the peer, a heal or the deadline.
-func (end *endpoint) Read(target []byte) (int, error) {
+// Read returns data whose delay has passed. It waits until there is some, the connection ends or
+// the deadline passes.
+func (endpoint *endpoint) Read(target []byte) (int, error) {
 	for {
-		state, err := end.takeArrived(target)
+		state, err := endpoint.takeArrived(target)
 		if state.count > 0 || err != nil {
 			return state.count, err
 		}
-		if err := end.await(state); err != nil {
+		if err := endpoint.await(state); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// await returns nil once there may be more to read, else why there will not be.
-func (end *endpoint) await(state arrivalState) error {
-	end.mutex.Lock()
-	deadline := end.deadline
-	if end.deadlineChanged == nil {
-		end.deadlineChanged = make(chan struct{})
+// await returns nil once the state that takeArrived reported may have changed, or an error if the
+// deadline has passed or this side was closed.
+func (endpoint *endpoint) await(state arrivalState) error {
+	endpoint.mutex.Lock()
+	deadline := endpoint.deadline
+	if endpoint.deadlineChanged == nil {
+		endpoint.deadlineChanged = make(chan struct{})
 	}
-	moved := end.deadlineChanged
-	end.mutex.Unlock()
+	deadlineChanged := endpoint.deadlineChanged
+	endpoint.mutex.Unlock()
 	var expired <-chan time.Time
 	if !deadline.IsZero() {
-		left := time.Until(deadline)
-		if left <= 0 {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		tick := time.NewTimer(left)
-		defer tick.Stop()
-		expired = tick.C
+		timer := time.NewTimer(remaining)
+		defer timer.Stop()
+		expired = timer.C
 	}
 	var arrival <-chan time.Time
 	if state.wait > 0 {
-		tick := time.NewTimer(state.wait)
-		defer tick.Stop()
-		arrival = tick.C
+		timer := time.NewTimer(state.wait)
+		defer timer.Stop()
+		arrival = timer.C
 	}
 	select {
 	case <-arrival:
 	case <-state.changed:
-	case <-state.grown:
-	case <-moved:
+	case <-state.appended:
+	case <-deadlineChanged:
 	case <-expired:
 		return os.ErrDeadlineExceeded
-	case <-end.done:
+	case <-endpoint.done:
 		return net.ErrClosed
 	}
 	return nil
 }
 
-// arrivalState is what takeArrived found: how many bytes it took, and if none, what the
-// reader waits for.
+// arrivalState is the result of takeArrived: the number of bytes that it read and, if there were
+// none, what the reader has to wait for.
 type arrivalState struct {
-	count   int
-	wait    time.Duration // until the next chunk arrives; 0 if none is on its way
-	changed chan struct{} // closed when the network's ways change
-	grown   chan struct{} // closed when more is sent
+	count    int
+	wait     time.Duration // until the next chunk arrives; 0 if none is in flight
+	changed  chan struct{} // closed when the state of a link or host changes
+	appended chan struct{} // closed when the peer sends data or closes the connection
 }
 
-func (end *endpoint) takeArrived(target []byte) (state arrivalState, err error) {
-	end.network.mutex.Lock()
-	way, changed := end.network.reachable(end.peer.host, end.host), end.network.changed
-	end.network.mutex.Unlock()
-	incoming := end.incoming
+// takeArrived reads from the first chunk if it has arrived, without waiting.
+func (endpoint *endpoint) takeArrived(target []byte) (state arrivalState, err error) {
+	endpoint.network.mutex.Lock()
+	reachable, changed := endpoint.network.reachable(endpoint.peer.host, endpoint.host), endpoint.network.changed
+	endpoint.network.mutex.Unlock()
+	incoming := endpoint.incoming
 	incoming.mutex.Lock()
 	defer incoming.mutex.Unlock()
-	state = arrivalState{changed: changed, grown: incoming.grown}
-	if !way {
+	state = arrivalState{changed: changed, appended: incoming.appended}
+	if !reachable {
 		return state, nil
 	}
 	if len(incoming.chunks) == 0 {
-		if incoming.ended {
+		if incoming.closed {
 			err = io.EOF
 		}
 		return state, err
 	}
-	if wait := time.Until(incoming.chunks[0].at); wait > 0 {
+	if wait := time.Until(incoming.chunks[0].arrivesAt); wait > 0 {
 		state.wait = wait
 		return state, nil
 	}
@@ -247,76 +251,80 @@
 	return state, nil
 }
 
-// Idle reports whether no data has arrived and the peer has not closed the connection.
-func (end *endpoint) Idle() bool {
-	var none [1]byte
-	state, err := end.takeArrived(none[:])
+// Idle reports whether no data has arrived and the peer has not closed the connection. If data has
+// arrived, a byte of it is consumed.
+func (endpoint *endpoint) Idle() bool {
+	var scratch [1]byte
+	state, err := endpoint.takeArrived(scratch[:])
 	return state.count == 0 && err == nil
 }
 
 // Write sends data. It blocks only while its host is frozen.
-func (end *endpoint) Write(data []byte) (int, error) {
-	end.network.awaitThawed(end.host, end.done)
+func (endpoint *endpoint) Write(data []byte) (int, error) {
+	endpoint.network.awaitThawed(endpoint.host, endpoint.done)
 	select {
-	case <-end.done:
+	case <-endpoint.done:
 		return 0, net.ErrClosed
-	case <-end.peer.done:
+	case <-endpoint.peer.done:
 		return 0, errors.New("connection reset")
 	default:
 	}
-	end.network.mutex.Lock()
-	delay := 200*time.Microsecond + time.Duration(end.network.random.IntN(800))*time.Microsecond + end.network.slow[[2]string{end.host, end.peer.host}]
-	end.network.bytes[end.host] += int64(len(data))
-	end.network.messages[end.host]++
-	end.network.mutex.Unlock()
-	target := end.peer.incoming
-	target.mutex.Lock()
-	defer target.mutex.Unlock()
-	at := time.Now().Add(delay)
-	if last := len(target.chunks) - 1; last >= 0 && at.Before(target.chunks[last].at) {
-		at = target.chunks[last].at
+	endpoint.network.mutex.Lock()
+	delay := 200*time.Microsecond + time.Duration(endpoint.network.random.IntN(800))*time.Microsecond + endpoint.network.extraDelays[[2]string{endpoint.host, endpoint.peer.host}]
+	endpoint.network.sentBytes[endpoint.host] += int64(len(data))
+	endpoint.network.sentWrites[endpoint.host]++
+	endpoint.network.mutex.Unlock()
+	outgoing := endpoint.peer.incoming
+	outgoing.mutex.Lock()
+	defer outgoing.mutex.Unlock()
+	arrivesAt := time.Now().Add(delay)
+	if last := len(outgoing.chunks) - 1; last >= 0 && arrivesAt.Before(outgoing.chunks[last].arrivesAt) {
+		arrivesAt = outgoing.chunks[last].arrivesAt
 	}
-	target.chunks = append(target.chunks, chunk{data: append([]byte{}, data...), at: at})
-	target.wake()
+	outgoing.chunks = append(outgoing.chunks, chunk{data: append([]byte{}, data...), arrivesAt: arrivesAt})
+	outgoing.wake()
 	return len(data), nil
 }
 
-// Close ends the connection for both sides.
-func (end *endpoint) Close() error {
-	end.once.Do(func() {
-		close(end.done)
-		end.network.mutex.Lock()
-		delete(end.network.endpoints, end)
-		end.network.mutex.Unlock()
-		target := end.peer.incoming
-		target.mutex.Lock()
-		target.ended = true
-		target.wake()
-		target.mutex.Unlock()
+// Close closes the connection. The peer can still read what was sent before, but not
+// write.
+func (endpoint *endpoint) Close() error {
+	endpoint.once.Do(func() {
+		close(endpoint.done)
+		endpoint.network.mutex.Lock()
+		delete(endpoint.network.endpoints, endpoint)
+		endpoint.network.mutex.Unlock()
+		outgoing := endpoint.peer.incoming
+		outgoing.mutex.Lock()
+		outgoing.closed = true
+		outgoing.wake()
+		outgoing.mutex.Unlock()
 	})
 	return nil
 }
 
 // LocalAddr returns this side's address.
-func (end *endpoint) LocalAddr() net.Addr { return end.local }
+func (endpoint *endpoint) LocalAddr() net.Addr { return endpoint.local }
 
 // RemoteAddr returns the other side's address.
-func (end *endpoint) RemoteAddr() net.Addr { return end.remote }
+func (endpoint *endpoint) RemoteAddr() net.Addr { return endpoint.remote }
 
 // SetReadDeadline sets the deadline of reads.
-func (end *endpoint) SetReadDeadline(deadline time.Time) error {
-	end.mutex.Lock()
-	end.deadline = deadline
-	if end.deadlineChanged != nil {
-		close(end.deadlineChanged)
-		end.deadlineChanged = nil
+func (endpoint *endpoint) SetReadDeadline(deadline time.Time) error {
+	endpoint.mutex.Lock()
+	endpoint.deadline = deadline
+	if endpoint.deadlineChanged != nil {
+		close(endpoint.deadlineChanged)
+		endpoint.deadlineChanged = nil
 	}
-	end.mutex.Unlock()
+	endpoint.mutex.Unlock()
 	return nil
 }
 
-// SetDeadline is SetReadDeadline, as writes never wait.
-func (end *endpoint) SetDeadline(deadline time.Time) error { return end.SetReadDeadline(deadline) }
+// SetDeadline is the same as SetReadDeadline, as writes have no deadline.
+func (endpoint *endpoint) SetDeadline(deadline time.Time) error {
+	return endpoint.SetReadDeadline(deadline)
+}
 
-// SetWriteDeadline does nothing, as writes never wait.
+// SetWriteDeadline does nothing, as writes have no deadline.
 func (*endpoint) SetWriteDeadline(time.Time) error { return nil }
--- a/proof/simulator/network_faults.go
+++ b/proof/simulator/network_faults.go
@@ -2,28 +2,28 @@
 
 import "io"
 
-// Disconnect resets the connections between two hosts.
+// Disconnect closes the connections between two hosts.
 //
 //	network.Disconnect("10.0.0.1", "10.0.1.1")
 func (network *Network) Disconnect(left, right string) {
 	network.mutex.Lock()
-	broken := []io.Closer{}
-	for one := range network.endpoints {
-		if (one.host == left && one.peer.host == right) || (one.host == right && one.peer.host == left) {
-			broken = append(broken, one)
+	closers := []io.Closer{}
+	for endpoint := range network.endpoints {
+		if (endpoint.host == left && endpoint.peer.host == right) || (endpoint.host == right && endpoint.peer.host == left) {
+			closers = append(closers, endpoint)
 		}
 	}
 	network.mutex.Unlock()
-	for _, one := range broken {
-		one.Close()
+	for _, closer := range closers {
+		closer.Close()
 	}
 }
 
-// RefuseConnections resets the connections between two hosts and refuses new ones, as a firewall
-// that rejects does, until Heal.
+// RefuseConnections closes the connections between two hosts and refuses new ones until Heal, like
+// a firewall that rejects connections.
 //
 //	network.RefuseConnections("10.0.0.1", "10.0.1.1")
 func (network *Network) RefuseConnections(left, right string) {
-	network.change(func() { network.refused[[2]string{left, right}], network.refused[[2]string{right, left}] = true, true })
+	network.update(func() { network.refused[[2]string{left, right}], network.refused[[2]string{right, left}] = true, true })
 	network.Disconnect(left, right)
 }
--- a/proof/simulator/runnerlist.go
+++ b/proof/simulator/runnerlist.go
@@ -22,17 +22,17 @@
 	server *http.Server
 }
 
-// RunnerList is the source of runners that control nodes poll. It is safe for concurrent use.
+// RunnerList is a list of runners that control nodes poll. It is safe for concurrent use.
 type RunnerList struct {
 	mutex   sync.Mutex
 	runners []feed.Runner
-	put     time.Time
-	failing error
+	putAt   time.Time
+	listErr error
 	polls   int
 }
 
-// List returns the list that was put, or the error of Fail. The remaining warm-up time of each
-// runner has been reduced by the time since Put.
+// List returns the runners of the last Put and the error that Fail has set. The remaining warm-up
+// time of each runner is reduced by the time since Put.
 //
 //	runners, err := cluster.RunnerList.List(ctx)
 func (runnerList *RunnerList) List(context.Context) ([]feed.Runner, error) {
@@ -40,19 +40,19 @@
 	defer runnerList.mutex.Unlock()
 	runnerList.polls++
 	runners := append([]feed.Runner{}, runnerList.runners...)
-	for position, runner := range runners {
-		if left := runner.WarmUpLeft - time.Since(runnerList.put); runner.WarmUpLeft > 0 && left > 0 {
-			runners[position].WarmUpLeft = left
+	for index, runner := range runners {
+		if remaining := runner.WarmUpLeft - time.Since(runnerList.putAt); runner.WarmUpLeft > 0 && remaining > 0 {
+			runners[index].WarmUpLeft = remaining
 		} else if runner.WarmUpLeft > 0 {
-			runners[position].State, runners[position].WarmUpLeft = feed.StateServing, 0
+			runners[index].State, runners[index].WarmUpLeft = feed.StateServing, 0
 		}
 	}
-	return runners, runnerList.failing
+	return runners, runnerList.listErr
 }
 
-// Polls counts the calls of List.
+// Polls returns the number of calls of List.
 //
-//	asks := cluster.RunnerList.Polls()
+//	polls := cluster.RunnerList.Polls()
 func (runnerList *RunnerList) Polls() int {
 	runnerList.mutex.Lock()
 	defer runnerList.mutex.Unlock()
@@ -64,20 +64,20 @@
 //	cluster.RunnerList.Put(runners)
 func (runnerList *RunnerList) Put(runners []feed.Runner) {
 	runnerList.mutex.Lock()
-	runnerList.runners, runnerList.put = append([]feed.Runner{}, runners...), time.Now()
+	runnerList.runners, runnerList.putAt = append([]feed.Runner{}, runners...), time.Now()
 	runnerList.mutex.Unlock()
 }
 
-// Fail makes List fail, until it is called with nil.
+// Fail makes List return an error, until it is called with nil.
 //
 //	cluster.RunnerList.Fail(errors.New("throttled"))
 func (runnerList *RunnerList) Fail(err error) {
 	runnerList.mutex.Lock()
-	runnerList.failing = err
+	runnerList.listErr = err
 	runnerList.mutex.Unlock()
 }
 
-// Runner returns the engine's entry in the list.
+// Runner returns the engine's entry in the runner list, in state serving.
 //
 //	cluster.RunnerList.Put([]feed.Runner{machine.Runner()})
 func (machine *EngineMachine) Runner() feed.Runner {
@@ -89,36 +89,36 @@
 //	machine.Stop()
 func (machine *EngineMachine) Stop() { machine.server.Close() }
 
-// Start starts a new engine, which has a new life and has run nothing.
+// Start starts a new engine with its own incarnation and an empty record of executions.
 //
-//	err := machine.Start(cluster)
-func (machine *EngineMachine) Start(cluster *Cluster, life string) error {
+//	err := machine.Start(cluster, "life-7")
+func (machine *EngineMachine) Start(cluster *Cluster, incarnation string) error {
 	listener, err := cluster.Network.At(machine.Host).Listen(machine.Host + ":8000")
 	if err != nil {
 		return err
 	}
-	machine.Engine = standin.NewEngine(life, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond})
+	machine.Engine = standin.NewEngine(incarnation, standin.Latencies{FirstPiece: 20 * time.Millisecond, NextPiece: 10 * time.Millisecond, PlainAnswer: 10 * time.Millisecond})
 	machine.server = &http.Server{Handler: machine.Engine}
 	serve(machine.server, listener)
 	return nil
 }
 
 func (cluster *Cluster) startEngines(shape Shape) error {
-	var failed error
+	var errs error
 	for group, count := range map[string]int{"engines": shape.Engines, "tools": shape.Tools} {
 		for index := range count {
 			machine := &EngineMachine{Host: fmt.Sprintf("10.0.6.%d", len(cluster.Engines)+1), Domain: domain(index), Group: group}
-			failed = errors.Join(failed, machine.Start(cluster, fmt.Sprintf("life-%d", len(cluster.Engines)+1)))
+			errs = errors.Join(errs, machine.Start(cluster, fmt.Sprintf("life-%d", len(cluster.Engines)+1)))
 			cluster.Engines = append(cluster.Engines, machine)
 		}
 	}
 	if cluster.RunnerList != nil {
 		cluster.ListEngines()
 	}
-	return failed
+	return errs
 }
 
-// ListEngines lists all engines and runners as serving.
+// ListEngines puts all engines and runners on the runner list as serving.
 //
 //	cluster.ListEngines()
 func (cluster *Cluster) ListEngines() {
