--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Fatalf("turn %d: %v", position, err)
 		}
-		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: fmt.Sprintf("before %d", position)}, {Role: "model", Text: before.Words}}, question))
+		want := joinPieces(standin.Answer([]runnerclient.Message{{Role: "caller", Text: fmt.Sprintf("before %d", position)}, {Role: "model", Text: before.Words}}, question))
 		if after.Words != want {
 			t.Fatalf("turn %d: heard %q, want %q", position, after.Words, want)
 		}
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -15,7 +15,7 @@
 // execution is an execution of a request and the runner process that ran it.
 type execution struct {
 	standin.Execution
-	runner *runnerLife
+	runner *runnerProcess
 }
 
 // violation fails the test because a rule is violated.
@@ -112,7 +112,7 @@
 }
 
 // checkWarmUp checks that a runner got at most warmUpMax requests in each second of its warm-up.
-func (chaos *chaosRun) checkWarmUp(process *runnerLife) {
+func (chaos *chaosRun) checkWarmUp(process *runnerProcess) {
 	arrivals := process.engine.Arrivals()
 	for first := range arrivals {
 		index := slices.IndexFunc(process.warmingUp, func(span warmUpSpan) bool {
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -17,7 +17,7 @@
 	cluster := chaos.cluster
 	chaos.mutex.Lock()
 	for _, machine := range cluster.Engines {
-		chaos.runners = append(chaos.runners, &runnerLife{machine: machine, engine: machine.Engine, group: machine.Group, listed: true, listedAt: time.Now()})
+		chaos.runners = append(chaos.runners, &runnerProcess{machine: machine, engine: machine.Engine, group: machine.Group, listed: true, listedAt: time.Now()})
 	}
 	chaos.mutex.Unlock()
 	for _, group := range []string{"others", "others", "others"} {
--- a/proof/simulator/chaos_routing_test.go
+++ b/proof/simulator/chaos_routing_test.go
@@ -150,7 +150,7 @@
 		}
 	}
 	chaos.mutex.Unlock()
-	chaos.list()
+	chaos.publishRunners()
 	for !setState(feed.StateServing) {
 		<-time.After(200 * time.Millisecond)
 	}
--- a/proof/simulator/chaos_runners_test.go
+++ b/proof/simulator/chaos_runners_test.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/feed"
 )
 
-// list publishes the runners in the runner list. The caller must not hold the mutex.
-func (chaos *chaosRun) list() {
+// publishRunners publishes the runners in the runner list. The caller must not hold the mutex.
+func (chaos *chaosRun) publishRunners() {
 	chaos.mutex.Lock()
 	listed := []feed.Runner{}
 	for _, process := range chaos.runners {
@@ -42,7 +42,7 @@
 
 // startRunner starts a runner with a warm-up time. The host is one that was used before, or "" for
 // a new one.
-func (chaos *chaosRun) startRunner(host, group, domain string, warmUp time.Duration) *runnerLife {
+func (chaos *chaosRun) startRunner(host, group, domain string, warmUp time.Duration) *runnerProcess {
 	chaos.mutex.Lock()
 	if chaos.lastHost++; host == "" {
 		host = fmt.Sprintf("10.0.6.%d", chaos.lastHost)
@@ -54,7 +54,7 @@
 		chaos.t.Errorf("starting a runner: %v", err)
 		return nil
 	}
-	process := &runnerLife{machine: machine, engine: machine.Engine, group: group, listed: true, listedAt: time.Now()}
+	process := &runnerProcess{machine: machine, engine: machine.Engine, group: group, listed: true, listedAt: time.Now()}
 	if warmUp > 0 {
 		process.warmingUp = []warmUpSpan{{time.Now(), time.Now(), time.Now().Add(warmUp)}}
 	}
@@ -62,11 +62,11 @@
 	chaos.runners = append(chaos.runners, process)
 	chaos.cluster.Engines = append(chaos.cluster.Engines, machine)
 	chaos.mutex.Unlock()
-	chaos.list()
+	chaos.publishRunners()
 	return process
 }
 
-func (chaos *chaosRun) stopRunner(process *runnerLife) {
+func (chaos *chaosRun) stopRunner(process *runnerProcess) {
 	chaos.mutex.Lock()
 	process.stoppedAt = time.Now()
 	chaos.mutex.Unlock()
@@ -74,16 +74,16 @@
 }
 
 // randomRunner returns a serving runner of a group with at least minimum serving runners, or nil.
-func (chaos *chaosRun) randomRunner(random *rand.Rand, minimum int) *runnerLife {
+func (chaos *chaosRun) randomRunner(random *rand.Rand, minimum int) *runnerProcess {
 	chaos.mutex.Lock()
 	defer chaos.mutex.Unlock()
-	groups := map[string][]*runnerLife{}
+	groups := map[string][]*runnerProcess{}
 	for _, process := range chaos.runners {
 		if process.listed && process.drainingSince.IsZero() && process.stoppedAt.IsZero() {
 			groups[process.group] = append(groups[process.group], process)
 		}
 	}
-	candidates := []*runnerLife{}
+	candidates := []*runnerProcess{}
 	for _, group := range []string{"engines", "tools", "others"} {
 		if len(groups[group]) >= minimum {
 			candidates = append(candidates, groups[group]...)
@@ -110,14 +110,14 @@
 				chaos.mutex.Lock()
 				process.listed = false
 				chaos.mutex.Unlock()
-				chaos.list()
+				chaos.publishRunners()
 			}
 		case 3:
 			if process := chaos.randomRunner(random, 2); process != nil {
 				chaos.mutex.Lock()
 				process.warmingUp = append(process.warmingUp, warmUpSpan{time.Now(), time.Now().Add(warmUpNoticeBound), time.Now().Add(warmUpTime)})
 				chaos.mutex.Unlock()
-				chaos.list()
+				chaos.publishRunners()
 				<-time.After(warmUpTime)
 			}
 		}
@@ -136,20 +136,20 @@
 	chaos.mutex.Lock()
 	old.drainingSince = time.Now()
 	chaos.mutex.Unlock()
-	chaos.list()
+	chaos.publishRunners()
 	<-time.After(drainBound + time.Duration(200+random.IntN(800))*time.Millisecond)
 	chaos.stopRunner(old)
 	if random.IntN(2) == 0 {
 		chaos.mutex.Lock()
 		old.listed = false
 		chaos.mutex.Unlock()
-		chaos.list()
+		chaos.publishRunners()
 	}
 	<-time.After(2 * time.Second)
 	chaos.mutex.Lock()
 	old.listed = false
 	chaos.mutex.Unlock()
-	chaos.list()
+	chaos.publishRunners()
 	if group := map[string]string{"tools": "others", "others": "engines", "engines": "tools"}[old.group]; random.IntN(2) == 0 {
 		chaos.startRunner(old.machine.Host, group, old.machine.Domain, warmUpTime)
 	}
--- a/proof/simulator/chaos_test.go
+++ b/proof/simulator/chaos_test.go
@@ -46,7 +46,7 @@
 	sent           map[string]*sentRequest
 	lastRequest    int
 	fronts         []*frontProcess
-	runners        []*runnerLife
+	runners        []*runnerProcess
 	lastHost       int
 	routingChanges []*routingChange
 	drainedSpans   []*drainedSpan
@@ -81,8 +81,8 @@
 	inFlight      atomic.Int64
 }
 
-// runnerLife is one run of a runner's process; a restart makes a new one.
-type runnerLife struct {
+// runnerProcess is one run of a runner's process; a restart makes a new one.
+type runnerProcess struct {
 	machine       *EngineMachine
 	engine        *standin.Engine
 	group         string
--- a/proof/simulator/cluster.go
+++ b/proof/simulator/cluster.go
@@ -76,12 +76,12 @@
 	if err != nil {
 		return cluster, err
 	}
-	return cluster, cluster.found(template)
+	return cluster, cluster.bootstrap(template)
 }
 
-// found starts all nodes on their empty disks, stores the first config and waits until every
+// bootstrap starts all nodes on their empty disks, stores the first config and waits until every
 // front serves.
-func (cluster *Cluster) found(template string) error {
+func (cluster *Cluster) bootstrap(template string) error {
 	for _, machine := range cluster.Machines() {
 		if err := machine.Start(); err != nil {
 			return err
--- a/proof/simulator/cluster_test.go
+++ b/proof/simulator/cluster_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func words(pieces []string) string {
+func joinPieces(pieces []string) string {
 	all := ""
 	for _, piece := range pieces {
 		all += piece
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := words(standin.Answer(nil, "hello there")); first.Words != want {
+		if want := joinPieces(standin.Answer(nil, "hello there")); first.Words != want {
 			t.Fatalf("got %q, want %q", first.Words, want)
 		}
 		second, err := cluster.Turn(cluster.Fronts[1], map[string]any{"conversation": first.Conversation, "follows": first.Turn, "kind": "talk", "words": "and now?"})
@@ -92,7 +92,7 @@
 			t.Fatal(err)
 		}
 		history := []runnerclient.Message{{Role: "caller", Text: "hello there"}, {Role: "model", Text: first.Words}}
-		if want := words(standin.Answer(history, "and now?")); second.Words != want {
+		if want := joinPieces(standin.Answer(history, "and now?")); second.Words != want {
 			t.Fatalf("got %q, want %q", second.Words, want)
 		}
 	})
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -174,7 +174,7 @@
 		if err := <-failed; err != nil {
 			t.Fatal(err)
 		}
-		want := words(standin.Answer(nil, "tell me"))
+		want := joinPieces(standin.Answer(nil, "tell me"))
 		for _, heard := range []*StreamedAnswer{first, second} {
 			if heard == nil || heard.Words != want || heard.End != "complete" {
 				t.Fatalf("heard %+v, want %q", heard, want)
@@ -222,7 +222,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: "start"}, {Role: "model", Text: first.Words}}, "go on"))
+		want := joinPieces(standin.Answer([]runnerclient.Message{{Role: "caller", Text: "start"}, {Role: "model", Text: first.Words}}, "go on"))
 		if second.Words != want {
 			t.Fatalf("heard %q, want %q", second.Words, want)
 		}
@@ -298,7 +298,7 @@
 			if err != nil {
 				t.Fatalf("turn %d: %v", position, err)
 			}
-			want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: fmt.Sprintf("before %d", position)}, {Role: "model", Text: before.Words}}, question))
+			want := joinPieces(standin.Answer([]runnerclient.Message{{Role: "caller", Text: fmt.Sprintf("before %d", position)}, {Role: "model", Text: before.Words}}, question))
 			if after.Words != want {
 				t.Fatalf("turn %d: heard %q, want %q", position, after.Words, want)
 			}
--- a/proof/simulator/outdatedrunnerlist_test.go
+++ b/proof/simulator/outdatedrunnerlist_test.go
@@ -30,7 +30,7 @@
 }
 
 // maxArrivalsPerSecond is the most that came to a runner in one second between two moments.
-func (life *runnerLife) maxArrivalsPerSecond(from, to time.Time) int {
+func (life *runnerProcess) maxArrivalsPerSecond(from, to time.Time) int {
 	came := slices.DeleteFunc(life.engine.Arrivals(), func(at time.Time) bool { return at.Before(from) || at.After(to) })
 	maximum, first := 0, 0
 	for last := range came {
@@ -112,7 +112,7 @@
 		life.warmingUp = append(life.warmingUp, warmUpSpan{time.Now(), time.Now().Add(warmUpNoticeBound), time.Now().Add(warmUpTime)})
 	}
 	chaos.mutex.Unlock()
-	chaos.list()
+	chaos.publishRunners()
 }
 
 func (chaos *chaosRun) checkUnreadList(strike func(chaos *chaosRun) func()) {
--- a/proof/simulator/storeddata_write_test.go
+++ b/proof/simulator/storeddata_write_test.go
@@ -106,7 +106,7 @@
 		}()
 		// Snapshots and slots are made after little.
 		cluster.adjustReplica = func(settings *replica.Settings) { settings.SnapshotEntries, settings.CompactionBytes = 5, 64<<10 }
-		if err := cluster.found(strings.Replace(storedConfig, "allowance: 60", "allowance: 61", 1)); err != nil {
+		if err := cluster.bootstrap(strings.Replace(storedConfig, "allowance: 60", "allowance: 61", 1)); err != nil {
 			t.Fatal(err)
 		}
 		fleet := cluster.fillStored(t)
--- a/proof/simulator/streams_test.go
+++ b/proof/simulator/streams_test.go
@@ -80,7 +80,7 @@
 // order. The first two connections break after the time leaves.
 func (trial *streamTrial) listen(question string, order []int, leaves time.Duration) {
 	t := trial.t
-	want := words(standin.Answer(nil, question))
+	want := joinPieces(standin.Answer(nil, question))
 	heard := &streamPosition{}
 	for try := range 12 {
 		front := trial.cluster.Fronts[order[try%3]]
