--- a/proof/simulator/agent_test.go
+++ b/proof/simulator/agent_test.go
@@ -12,16 +12,16 @@
 	"yardrock.example/system/placement"
 )
 
-// prose makes text of some length that a seed alone decides.
+// prose returns pseudo-random text of the given length, determined by the seed.
 func prose(seed uint64, length int) string {
-	random, made := rand.New(rand.NewPCG(seed, 1)), &strings.Builder{}
-	for made.Len() < length {
-		fmt.Fprintf(made, "word%d ", random.IntN(100000))
+	random, text := rand.New(rand.NewPCG(seed, 1)), &strings.Builder{}
+	for text.Len() < length {
+		fmt.Fprintf(text, "word%d ", random.IntN(100000))
 	}
-	return made.String()[:length]
+	return text.String()[:length]
 }
 
-// programsOf returns names of programs whose lines are in one group.
+// programsOf returns names of programs whose sessions belong to the given group.
 func programsOf(group uint32, prefix string, count int) []string {
 	names := []string{}
 	for number := 0; len(names) < count; number++ {
@@ -32,62 +32,62 @@
 	return names
 }
 
-// agent is a program that takes one turn after the other and knows what it heard.
+// agent is a program that sends consecutive turns and records their history and outcomes.
 type agent struct {
-	cluster  *Cluster
-	program  string
-	prefix   string
-	history  string
-	follows  string
-	attempts int
-	complete []string
-	refused  []string
-	broken   []string
+	cluster     *Cluster
+	program     string
+	prefix      string
+	history     string
+	follows     string
+	attempts    int
+	complete    []string
+	rejected    []string
+	interrupted []string
 }
 
-// turn takes one turn at a front, under a new name each time that it was refused or broken
-// off, and checks what the engine heard.
+// turn sends the next turn to a front until it is complete, with a new name for each attempt,
+// and checks the prompt that the engine received.
 func (agent *agent) turn(t *testing.T, front int) {
 	t.Helper()
 	for began := time.Now(); ; {
 		agent.attempts++
 		name := fmt.Sprintf("%s-t%d", agent.program, agent.attempts)
-		words := fmt.Sprintf(" turn %d of %s. ", len(agent.complete), agent.program)
+		input := fmt.Sprintf(" turn %d of %s. ", len(agent.complete), agent.program)
 		if agent.follows == "" {
-			words = agent.prefix + words
+			input = agent.prefix + input
 		}
-		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(words), Program: agent.program, HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
-		if executionsOf(agent.cluster, name) > 0 && promptOf(agent.cluster, name) != agent.history+words {
-			t.Fatalf("%s was heard with %d bytes, not the %d that were said", name, len(promptOf(agent.cluster, name)), len(agent.history+words))
+		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(input), Program: agent.program, HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
+		if executionsOf(agent.cluster, name) > 0 && promptOf(agent.cluster, name) != agent.history+input {
+			t.Fatalf("%s: the engine received a prompt of %d bytes, want %d", name, len(promptOf(agent.cluster, name)), len(agent.history+input))
 		}
 		switch {
 		case answer.Complete():
-			agent.complete, agent.follows, agent.history = append(agent.complete, name), name, agent.history+words+answer.Text()
+			agent.complete, agent.follows, agent.history = append(agent.complete, name), name, agent.history+input+answer.Text()
 			return
 		case apierror.Is(answer.Err, apierror.NotFound):
-			t.Fatalf("%s was told that %s is unknown", name, agent.follows)
+			t.Fatalf("%s was rejected because %s is unknown", name, agent.follows)
 		case answer.Rejected():
-			agent.refused = append(agent.refused, name)
+			agent.rejected = append(agent.rejected, name)
 		default:
-			agent.broken = append(agent.broken, name)
+			agent.interrupted = append(agent.interrupted, name)
 		}
 		if time.Since(began) > 40*time.Second {
-			t.Fatalf("%s gets nowhere: %v", name, answer.Err)
+			t.Fatalf("%s is not complete after 40 s: %v", name, answer.Err)
 		}
 		agent.cluster.Sleep(200 * time.Millisecond)
 	}
 }
 
-// check compares the outcomes that the agent got with what the engines ran.
+// check compares the outcomes reported to the agent with the executions at the engines.
 func (agent *agent) check(t *testing.T) {
 	t.Helper()
-	for _, reported := range []struct {
-		names          []string
-		least, maximum int
-	}{{agent.complete, 1, 1}, {agent.refused, 0, 0}, {agent.broken, 0, 1}} {
-		for _, name := range reported.names {
-			if runs := executionsOf(agent.cluster, name); runs < reported.least || runs > reported.maximum {
-				t.Errorf("%s ran %d times, not %d to %d", name, runs, reported.least, reported.maximum)
+	for _, outcome := range []struct {
+		names            []string
+		minimum, maximum int
+	}{{agent.complete, 1, 1}, {agent.rejected, 0, 0}, {agent.interrupted, 0, 1}} {
+		for _, name := range outcome.names {
+			if runs := executionsOf(agent.cluster, name); runs < outcome.minimum || runs > outcome.maximum {
+				t.Errorf("%s ran %d times, want %d to %d", name, runs, outcome.minimum, outcome.maximum)
 			}
 		}
 	}
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -14,11 +14,11 @@
 	"yardrock.example/system/forwarding"
 )
 
-// wildKinds are the routes of the routed config, with how often one query may run.
-var wildKinds = []struct {
-	path   string
-	runs   int
-	stream bool
+// routeCases are the routes of RoutedConfig, with the maximum number of executions of a request.
+var routeCases = []struct {
+	path    string
+	maxRuns int
+	stream  bool
 }{
 	{"/lookup/", 3, false},
 	{"/order/", 1, false},
@@ -26,37 +26,39 @@
 	{"/talk/chat/", 2, true},
 }
 
-// sentQuery is one query with what came of it.
-type sentQuery struct {
+// forwardedRequest is a request and the answer that its caller received.
+type forwardedRequest struct {
 	name, path, body string
-	runs             int
+	maxRuns          int
 	stream           bool
 	answer           *ForwardedAnswer
 }
 
-// TestAnswerReachesOnlyItsRequest, by its name, while runners answer late, twice,
-// under other names and in parts, connections are reset, and runners freeze and are cut
-// off. What may run once runs once at most, and what was refused never runs.
+// TestAnswerReachesOnlyItsRequest guards against answers that are delivered to another request
+// while runners answer late, twice, with wrong request IDs or partially, connections are reset,
+// and machines freeze or are partitioned. A request that is not idempotent runs at most once,
+// and not at all if it was rejected.
 func TestAnswerReachesOnlyItsRequest(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		runners := []*wildRunner{}
+		runners := []*faultyRunner{}
 		for position := range 6 {
-			runners = append(runners, startWild(t, cluster, position, []string{"tools", "engines"}[position%2]))
+			runners = append(runners, startFaultyRunner(t, cluster, position, []string{"tools", "engines"}[position%2]))
 		}
-		listWild(cluster, runners)
+		listFaultyRunners(cluster, runners)
 		done := make(chan struct{})
-		var harming sync.WaitGroup
-		harming.Go(func() { faultWild(cluster, runners, done) })
-		all := requestWild(cluster)
+		var faults sync.WaitGroup
+		faults.Go(func() { injectRunnerFaults(cluster, runners, done) })
+		requests := sendToFaultyRunners(cluster)
 		close(done)
-		harming.Wait()
-		cluster.Sleep(6 * time.Second) // what is still on its way arrives
-		checkWild(t, all, runners)
+		faults.Wait()
+		cluster.Sleep(6 * time.Second) // for the delivery of packets in flight
+		checkFaultyRunnerAnswers(t, requests, runners)
 	})
 }
 
-// listWild has the platform's list name these runners alone, and waits until they are known.
-func listWild(cluster *Cluster, runners []*wildRunner) {
+// listFaultyRunners makes these runners the only ones in the platform's list and waits until the
+// fronts know them.
+func listFaultyRunners(cluster *Cluster, runners []*faultyRunner) {
 	cluster.RunnerList.Put(nil)
 	listed := cluster.RunnerList.runners
 	for position, runner := range runners {
@@ -66,54 +68,55 @@
 	cluster.Sleep(3 * time.Second)
 }
 
-// requestWild sends queries of all routes through all fronts, some at the same time.
-func requestWild(cluster *Cluster) []*sentQuery {
+// sendToFaultyRunners sends concurrent requests on all routes through all fronts.
+func sendToFaultyRunners(cluster *Cluster) []*forwardedRequest {
 	const callers, rounds = 8, 40
-	all := []*sentQuery{}
+	requests := []*forwardedRequest{}
 	var mutex sync.Mutex
-	var asking sync.WaitGroup
+	var senders sync.WaitGroup
 	for caller := range callers {
 		random := cluster.Random(uint64(800 + caller))
-		asking.Go(func() {
+		senders.Go(func() {
 			for round := range rounds {
-				kind := wildKinds[random.IntN(len(wildKinds))]
+				route := routeCases[random.IntN(len(routeCases))]
 				name := fmt.Sprintf("wild-%d-%d", caller, round)
-				one := &sentQuery{name: name, path: kind.path + name, body: "prompt of " + name, runs: kind.runs, stream: kind.stream}
-				one.answer = cluster.Forward(cluster.Fronts[random.IntN(len(cluster.Fronts))], forwarding.Request{
-					Name: name, Path: one.path, Body: []byte(one.body), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40,
+				request := &forwardedRequest{name: name, path: route.path + name, body: "prompt of " + name, maxRuns: route.maxRuns, stream: route.stream}
+				request.answer = cluster.Forward(cluster.Fronts[random.IntN(len(cluster.Fronts))], forwarding.Request{
+					Name: name, Path: request.path, Body: []byte(request.body), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40,
 				})
 				mutex.Lock()
-				all = append(all, one)
+				requests = append(requests, request)
 				mutex.Unlock()
 				cluster.Sleep(time.Duration(random.IntN(150)) * time.Millisecond)
 			}
 		})
 	}
-	asking.Wait()
-	return all
+	senders.Wait()
+	return requests
 }
 
-// faultWild resets, freezes and cuts off runners, one after the other.
-func faultWild(cluster *Cluster, runners []*wildRunner, done <-chan struct{}) {
+// injectRunnerFaults resets, freezes or partitions one machine after the other until done is
+// closed.
+func injectRunnerFaults(cluster *Cluster, runners []*faultyRunner, done <-chan struct{}) {
 	random := cluster.Random(900)
 	for {
 		runner := runners[random.IntN(len(runners))]
 		front := cluster.Fronts[random.IntN(len(cluster.Fronts))]
-		lasts := time.Duration(50+random.IntN(800)) * time.Millisecond
+		duration := time.Duration(50+random.IntN(800)) * time.Millisecond
 		switch random.IntN(4) {
 		case 0:
 			runner.reset()
 		case 1:
 			cluster.Network.Freeze(runner.host)
-			cluster.Sleep(lasts)
+			cluster.Sleep(duration)
 			cluster.Network.Thaw(runner.host)
-		case 2: // queries arrive, their answers don't
+		case 2: // requests arrive, their answers do not
 			cluster.Network.CutOneWay(runner.host, front.Host)
-			cluster.Sleep(lasts)
+			cluster.Sleep(duration)
 			cluster.Network.Heal(runner.host, front.Host)
 		case 3:
 			cluster.Network.Freeze(front.Host)
-			cluster.Sleep(lasts)
+			cluster.Sleep(duration)
 			cluster.Network.Thaw(front.Host)
 		}
 		select {
@@ -124,70 +127,72 @@
 	}
 }
 
-func checkWild(t *testing.T, all []*sentQuery, runners []*wildRunner) {
+func checkFaultyRunnerAnswers(t *testing.T, requests []*forwardedRequest, runners []*faultyRunner) {
 	t.Helper()
-	complete, refused := map[string]int{}, 0
-	for _, one := range all {
+	complete, rejected := map[string]int{}, 0
+	for _, request := range requests {
 		runs := 0
 		for _, runner := range runners {
-			runs += runner.ran[one.name]
+			runs += runner.ran[request.name]
 		}
-		if runs > one.runs {
-			t.Errorf("%s ran %d times", one.path, runs)
+		if runs > request.maxRuns {
+			t.Errorf("%s ran %d times", request.path, runs)
 		}
-		if one.answer.Rejected() {
-			refused++
-			if runs > 0 && one.runs == 1 {
-				t.Errorf("%s was refused as not run, and ran", one.path)
+		if request.answer.Rejected() {
+			rejected++
+			if runs > 0 && request.maxRuns == 1 {
+				t.Errorf("%s was rejected as not run, but ran", request.path)
 			}
 		}
-		checkWildBody(t, one)
-		if one.answer.Complete() {
-			complete[strings.TrimSuffix(one.path, one.name)]++
+		checkAnswerBody(t, request)
+		if request.answer.Complete() {
+			complete[strings.TrimSuffix(request.path, request.name)]++
 			if runs == 0 {
-				t.Errorf("%s is complete, and ran nowhere", one.path)
+				t.Errorf("%s is complete, but ran on no runner", request.path)
 			}
 		}
 	}
-	t.Logf("%d queries, complete %v, %d refused", len(all), complete, refused)
-	for _, kind := range wildKinds {
-		if complete[kind.path] < 10 {
-			t.Errorf("only %d of %s are complete", complete[kind.path], kind.path)
+	t.Logf("%d requests, complete %v, %d rejected", len(requests), complete, rejected)
+	for _, route := range routeCases {
+		if complete[route.path] < 10 {
+			t.Errorf("only %d requests to %s are complete", complete[route.path], route.path)
 		}
 	}
 }
 
-// checkWildBody checks what a caller was passed on, also of an answer that was broken off.
-func checkWildBody(t *testing.T, one *sentQuery) {
+// checkAnswerBody checks the header and the body that a caller received, also of an incomplete
+// answer.
+func checkAnswerBody(t *testing.T, request *forwardedRequest) {
 	t.Helper()
-	answer := one.answer
+	answer := request.answer
 	if answer.Status == 0 {
 		return
 	}
-	if answer.Status == http.StatusOK && !strings.HasSuffix(answer.Header.Get("Seal"), "/"+one.name) {
-		t.Errorf("%s got the answer that is sealed as %q", one.path, answer.Header.Get("Seal"))
+	if answer.Status == http.StatusOK && !strings.HasSuffix(answer.Header.Get("Seal"), "/"+request.name) {
+		t.Errorf("%s got an answer with Seal %q", request.path, answer.Header.Get("Seal"))
 	}
-	if named := answer.Header.Get(standin.Dialect.RequestID); named != "" && named != one.name {
-		t.Errorf("%s got an answer to %q", one.path, named)
+	if requestID := answer.Header.Get(standin.Dialect.RequestID); requestID != "" && requestID != request.name {
+		t.Errorf("%s got an answer with request ID %q", request.path, requestID)
 	}
-	want := "done " + one.name
-	if one.stream {
+	want := "done " + request.name
+	if request.stream {
 		want = ""
-		for number := 1; number <= wildEvents; number++ {
-			want += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData(one.body, number))
+		for number := 1; number <= faultyStreamEvents; number++ {
+			want += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData(request.body, number))
 		}
 	}
 	if got := string(answer.Body); !strings.HasPrefix(want, got) || answer.Complete() && got != want {
-		t.Errorf("%s got %d %q, complete is %t", one.path, answer.Status, got, answer.Complete())
+		t.Errorf("%s got %d %q, complete is %t", request.path, answer.Status, got, answer.Complete())
 	}
 }
 
-// TestNoRequestWaitsPastItsRoutesTimeout though its caller has more time: not by runners that
-// say nothing, not by stores or control nodes that can't be reached.
-func TestNoRequestWaitsPastItsRoutesTimeout(t *testing.T) {
+// TestNoRequestOutlastsItsRouteTimeout guards against requests that exceed the timeout of their
+// route up to the caller's later deadline, while runners are silent or stores or control nodes
+// are unreachable.
+func TestNoRequestOutlastsItsRouteTimeout(t *testing.T) {
 	const slack = 250 * time.Millisecond
 	timeouts := map[string]time.Duration{"/lookup/": 2 * time.Second, "/order/": 3 * time.Second, "/talk/kept/": 4 * time.Second, "/talk/chat/": 4 * time.Second}
-	troubles := map[string]func(cluster *Cluster){
+	faults := map[string]func(cluster *Cluster){
 		"silent runners": func(cluster *Cluster) { setFault(cluster, standin.FaultHang) },
 		"no stores": func(cluster *Cluster) {
 			for _, store := range cluster.Stores {
@@ -201,59 +206,59 @@
 		},
 		"cut off": func(cluster *Cluster) { cluster.Network.Isolate(cluster.Fronts[0].Host) },
 	}
-	for name, fault := range troubles {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-				fault(cluster)
-				var asking sync.WaitGroup
+				inject(cluster)
+				var senders sync.WaitGroup
 				for path, timeout := range timeouts {
 					for number := range 6 {
-						asking.Go(func() {
+						senders.Go(func() {
 							cluster.Sleep(time.Duration(number) * 400 * time.Millisecond)
 							name, began := fmt.Sprintf("held-%d", number), time.Now()
 							answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{
 								Name: path + name, Path: path + name, Program: path + name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Deadline: began.Add(20 * time.Second),
 							})
 							if took := time.Since(began); took > timeout+slack {
-								t.Errorf("%s was held for %s, the route's timeout is %s: %d %v", path, took, timeout, answer.Status, answer.Err)
+								t.Errorf("%s ended after %s, the route's timeout is %s: %d %v", path, took, timeout, answer.Status, answer.Err)
 							}
 						})
 					}
 				}
-				asking.Wait()
+				senders.Wait()
 			})
 		})
 	}
 }
 
-// TestPlannedWorkCutsNoAnswer: configs that change, seeds that are read again, runners that
-// are listed as leaving and domains that are emptied cut nothing that is under way.
-func TestPlannedWorkCutsNoAnswer(t *testing.T) {
+// TestPlannedChangesInterruptNoAnswer guards against answers in progress that are interrupted by
+// config changes, reloaded seeds, draining runners or drained domains.
+func TestPlannedChangesInterruptNoAnswer(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		for _, machine := range cluster.Engines {
 			machine.Engine.Latencies = standin.Latencies{FirstPiece: 300 * time.Millisecond, NextPiece: 400 * time.Millisecond, PlainAnswer: 800 * time.Millisecond}
 		}
-		var asking sync.WaitGroup
+		var senders sync.WaitGroup
 		var complete atomic.Int64
 		for number := range 40 {
-			kind := wildKinds[number%len(wildKinds)]
-			asking.Go(func() {
+			route := routeCases[number%len(routeCases)]
+			senders.Go(func() {
 				cluster.Sleep(time.Duration(number) * 20 * time.Millisecond)
 				name := fmt.Sprintf("planned-%d", number)
-				answer := cluster.Forward(cluster.Fronts[number/4%2], forwarding.Request{Name: name, Path: kind.path + name, Body: []byte(name), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+				answer := cluster.Forward(cluster.Fronts[number/4%2], forwarding.Request{Name: name, Path: route.path + name, Body: []byte(name), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 				switch {
 				case answer.Complete():
 					complete.Add(1)
 				case !answer.Rejected():
-					t.Errorf("%s: %d %v", kind.path+name, answer.Status, answer.Err)
+					t.Errorf("%s: %d %v", route.path+name, answer.Status, answer.Err)
 				}
 			})
 		}
 		cluster.Sleep(500 * time.Millisecond)
 		for revision := 2; revision <= 5; revision++ {
-			changed := strings.Replace(RoutedConfig, "revision: 1", fmt.Sprintf("revision: %d", revision), 1)
-			changed = strings.ReplaceAll(changed, `patience: "3s"`, fmt.Sprintf(`patience: "%ds"`, revision+1))
-			if err := cluster.PutConfig(changed); err != nil {
+			changedConfig := strings.Replace(RoutedConfig, "revision: 1", fmt.Sprintf("revision: %d", revision), 1)
+			changedConfig = strings.ReplaceAll(changedConfig, `patience: "3s"`, fmt.Sprintf(`patience: "%ds"`, revision+1))
+			if err := cluster.PutConfig(changedConfig); err != nil {
 				t.Error(err)
 			}
 			for _, machine := range cluster.Fronts {
@@ -263,22 +268,22 @@
 		if answer, err := cluster.Administer(http.MethodPost, "/v1/domains/middle", map[string]any{"state": feed.StateDrained}); err != nil || answer.Status != http.StatusOK {
 			t.Errorf("%s, %v", answer, err)
 		}
-		leaving := []feed.Runner{}
+		runners := []feed.Runner{}
 		for position, machine := range cluster.Engines {
 			listed := machine.Runner()
 			if position%3 == 0 {
 				listed.State = feed.StateDraining
 			}
-			leaving = append(leaving, listed)
+			runners = append(runners, listed)
 		}
-		cluster.RunnerList.Put(leaving)
-		asking.Wait()
+		cluster.RunnerList.Put(runners)
+		senders.Wait()
 		if complete.Load() < 35 {
-			t.Errorf("only %d of 40 are complete", complete.Load())
+			t.Errorf("only %d of 40 answers are complete", complete.Load())
 		}
 		for _, machine := range cluster.Engines {
-			if broken := machine.Engine.Cancelled(); len(broken) > 0 {
-				t.Errorf("%s: %v were broken off", machine.Host, broken)
+			if cancelled := machine.Engine.Cancelled(); len(cancelled) > 0 {
+				t.Errorf("%s: requests %v were cancelled", machine.Host, cancelled)
 			}
 		}
 	})
--- a/proof/simulator/bounds_test.go
+++ b/proof/simulator/bounds_test.go
@@ -13,9 +13,9 @@
 	"yardrock.example/proof/standin"
 )
 
-// callers sends a turn at each front in turn, all the time, until stopped; each
-// gets a short timeout, so that a stuck front does not hold the others up.
-func (cluster *Cluster) callers(every time.Duration) (stop func()) {
+// callers sends turns to the fronts in rotation, one per interval, until stopped. Each has its
+// own timeout, so that a stuck front does not delay the load on the others.
+func (cluster *Cluster) callers(interval time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -28,7 +28,7 @@
 				cluster.Ask(callContext, http.MethodPost, front.Host+":7100", "/v1/conversations", TeamToken, map[string]any{"program": "dialogue", "kind": "talk", "words": fmt.Sprintf("load %d", position)})
 			}()
 			select {
-			case <-time.After(every):
+			case <-time.After(interval):
 			case <-ctx.Done():
 			}
 		}
@@ -36,7 +36,7 @@
 	return func() { cancel(); <-done }
 }
 
-// arrivalsAfter counts queries that reached a runner after a moment.
+// arrivalsAfter counts the requests that reached a runner after the given time.
 func arrivalsAfter(machine *RunnerMachine, moment time.Time) int {
 	count := 0
 	for _, at := range machine.Runner.Record().Arrivals {
@@ -66,27 +66,27 @@
 		stop := cluster.callers(40 * time.Millisecond)
 		defer stop()
 		<-time.After(2 * time.Second)
-		leaving := cluster.Runners[1]
-		if arrivalsAfter(leaving, time.Now().Add(-time.Second)) == 0 {
-			t.Fatal("the runner had no work, so nothing is tested")
+		draining := cluster.Runners[1]
+		if arrivalsAfter(draining, time.Now().Add(-time.Second)) == 0 {
+			t.Fatal("the runner had no load, so nothing is tested")
 		}
 		cluster.listRunners(func(runner *standin.ListedRunner) {
-			if runner.Address == leaving.Host+":8000" {
+			if runner.Address == draining.Host+":8000" {
 				runner.State = "leaving"
 			}
 		})
-		// One front is cut off from every control and store node as the news comes.
+		// One front is partitioned from all control and store nodes when the list changes.
 		cluster.Network.Isolate(cluster.Fronts[2].Host)
-		// The control plane learns it with its next poll, 500 ms at most.
+		// The control plane learns of it with its next poll, after at most 500 ms.
 		learned := time.Now().Add(500 * time.Millisecond)
 		<-time.After(2 * time.Second)
 		cluster.Network.Rejoin(cluster.Fronts[2].Host)
 		<-time.After(4 * time.Second)
-		if late := arrivalsAfter(leaving, learned.Add(3*time.Second)); late > 0 {
-			t.Fatalf("%d queries came more than 3 s after the runner was known to leave", late)
+		if late := arrivalsAfter(draining, learned.Add(3*time.Second)); late > 0 {
+			t.Fatalf("%d requests arrived more than 3 s after the runner was known to drain", late)
 		}
 		if arrivalsAfter(cluster.Runners[0], learned.Add(3*time.Second)) == 0 {
-			t.Fatal("the other runners got nothing either")
+			t.Fatal("the other runners received no requests either")
 		}
 	})
 }
@@ -100,11 +100,11 @@
 		if err != nil || answer.Status != http.StatusOK {
 			t.Fatalf("%v %+v", err, answer)
 		}
-		emptied := time.Now()
+		drainedAt := time.Now()
 		<-time.After(9 * time.Second)
-		inside := cluster.Runners[1]
-		if late := arrivalsAfter(inside, emptied.Add(5*time.Second)); late > 0 {
-			t.Fatalf("%d queries came more than 5 s after the domain was emptied", late)
+		drained := cluster.Runners[1]
+		if late := arrivalsAfter(drained, drainedAt.Add(5*time.Second)); late > 0 {
+			t.Fatalf("%d requests arrived more than 5 s after the domain was drained", late)
 		}
 		for _, name := range []string{"east", "west"} {
 			answer, err = cluster.Administer(http.MethodPost, "/v1/domains/"+name, map[string]any{"state": "emptied"})
@@ -113,23 +113,24 @@
 			}
 		}
 		if answer.Error.Kind != "conflict" {
-			t.Fatalf("the last domain was emptied without force: %d %s", answer.Status, answer.Body)
+			t.Fatalf("the last domain was drained without force: %d %s", answer.Status, answer.Body)
 		}
 		for _, name := range []string{"east", "middle"} {
 			if answer, err = cluster.Administer(http.MethodPost, "/v1/domains/"+name, map[string]any{"state": "serving"}); err != nil || answer.Status != http.StatusOK {
 				t.Fatalf("%v %+v", err, answer)
 			}
 		}
-		refilled := time.Now()
+		restoredAt := time.Now()
 		<-time.After(3 * time.Second)
-		if arrivalsAfter(inside, refilled) == 0 {
-			t.Fatal("the refilled domain gets no work")
+		if arrivalsAfter(drained, restoredAt) == 0 {
+			t.Fatal("the domain that serves again receives no requests")
 		}
 	})
 }
 
-// TestNoFrontUsesAnOldConfigForLong changes a kind's path, so that runners see
-// which config each query was handled by, while fronts are cut off in turn.
+// TestNoFrontUsesAnOldConfigForLong guards against fronts that use a replaced config for more than
+// 2 s, while one front after the other is partitioned. The path of a kind changes with each config,
+// so that runners record which config a request was handled with.
 func TestNoFrontUsesAnOldConfigForLong(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 2}, func(t *testing.T, cluster *Cluster) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -148,18 +149,18 @@
 		for round := range 6 {
 			isolated := cluster.Fronts[round%3]
 			switch round {
-			case 1, 2: // cut off from the control plane only: the stores tell it
+			case 1, 2: // partitioned from the control plane only; the stores report the change
 				for _, control := range cluster.Controls {
 					cluster.Network.Cut(control.Host, isolated.Host)
 				}
-			case 3, 4: // cut off from all, then back with queries waiting
+			case 3, 4: // partitioned from all nodes, then reconnected with requests pending
 				cluster.Network.Isolate(isolated.Host)
 			}
 			path := fmt.Sprintf("/plain-%d", round)
 			if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `lookup: {serves: "plain", table: "plain", path: "/plain"`, `lookup: {serves: "plain", table: "plain", path: "`+path+`"`)); err != nil {
 				t.Fatal(err)
 			}
-			acknowledged := time.Now()
+			acknowledgedAt := time.Now()
 			<-time.After(2500 * time.Millisecond)
 			cluster.Network.Rejoin(isolated.Host)
 			for _, control := range cluster.Controls {
@@ -168,18 +169,18 @@
 			<-time.After(1500 * time.Millisecond)
 			seen := 0
 			for _, runner := range cluster.Runners {
-				for at, handled := range runner.Runner.Paths() {
-					if at <= acknowledged.Add(2*time.Second).UnixNano() || !strings.HasPrefix(handled, "/plain") {
+				for arrival, requestPath := range runner.Runner.Paths() {
+					if arrival <= acknowledgedAt.Add(2*time.Second).UnixNano() || !strings.HasPrefix(requestPath, "/plain") {
 						continue
 					}
 					seen++
-					if handled != path {
-						t.Fatalf("round %d: a query went to %s %s after %s was acknowledged", round, handled, time.Unix(0, at).Sub(acknowledged), path)
+					if requestPath != path {
+						t.Fatalf("round %d: a request was sent to %s %s after %s was acknowledged", round, requestPath, time.Unix(0, arrival).Sub(acknowledgedAt), path)
 					}
 				}
 			}
 			if seen == 0 {
-				t.Fatalf("round %d: no query came, so nothing was tested", round)
+				t.Fatalf("round %d: no request arrived, so nothing was tested", round)
 			}
 		}
 	})
@@ -206,18 +207,18 @@
 func TestRunnerListPollHonoursThrottling(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		cluster.Platform.SetThrottle(2 * time.Second)
-		asksBefore, _ := cluster.Platform.Polls()
+		pollsBefore, _ := cluster.Platform.Polls()
 		<-time.After(20 * time.Second)
-		asks, refused := cluster.Platform.Polls()
-		if refused == 0 || asks-asksBefore > 18 {
-			t.Fatalf("%d polls in 20 s, %d refused", asks-asksBefore, refused)
+		polls, throttled := cluster.Platform.Polls()
+		if throttled == 0 || polls-pollsBefore > 18 {
+			t.Fatalf("%d polls in 20 s, %d throttled", polls-pollsBefore, throttled)
 		}
 	})
 }
 
-// TestWorkThatWaitedIsHandledByTheConfigInForceWhenItIsSent holds a query up
-// between its admission and its dispatch while the config changes.
-func TestWorkThatWaitedIsHandledByTheConfigInForceWhenItIsSent(t *testing.T) {
+// TestDelayedRequestUsesTheConfigInForceWhenItIsSent guards against requests that are dispatched
+// with the config of their admission after it was replaced.
+func TestDelayedRequestUsesTheConfigInForceWhenItIsSent(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		front := cluster.Fronts[0]
 		for _, store := range cluster.Stores {
@@ -228,7 +229,7 @@
 			answer, _ := cluster.once(front, "held up", "pay")
 			answers <- answer
 		}()
-		<-time.After(200 * time.Millisecond) // admitted, and waiting for its line
+		<-time.After(200 * time.Millisecond) // admitted, and waiting for its session
 		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `receipt: {serves: "plain", table: "plain", path: "/plain"`, `receipt: {serves: "plain", table: "plain", path: "/plain-new"`)); err != nil {
 			t.Fatal(err)
 		}
@@ -248,47 +249,46 @@
 			}
 		}
 		if !slices.Equal(sent, []string{"/plain-new"}) {
-			t.Fatalf("the work was sent to %v", sent)
+			t.Fatalf("the request was sent to %v", sent)
 		}
 	})
 }
 
-// TestUrgentWorkPassesTrafficSpike sends what runners bear, then twice and five times as
-// much of a team's long lookups. Urgent work and another team keep their places, what
-// can't be served is refused with when to come back, as much is done as before, and
-// the queue is gone soon after the crowd.
-func TestUrgentWorkPassesTrafficSpike(t *testing.T) {
+// TestUrgentRequestsAreServedDuringATrafficSpike loads the runners with one team's long lookups at
+// one, two and five times their capacity. Urgent requests and another team must still be served,
+// excess requests be rejected with Retry-After, goodput hold, and the queue drain soon after.
+func TestUrgentRequestsAreServedDuringATrafficSpike(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 1, Applications: 2}, func(t *testing.T, cluster *Cluster) {
-		rules := strings.NewReplacer("kinds: {\n", "kinds: {\n\talarm: {serves: \"plain\", table: \"plain\", path: \"/plain\", urgency: \"urgent\", patience: \"5s\"}\n",
+		changedConfig := strings.NewReplacer("kinds: {\n", "kinds: {\n\talarm: {serves: \"plain\", table: \"plain\", path: \"/plain\", urgency: \"urgent\", patience: \"5s\"}\n",
 			"platform:", "limits: {queue: 20, queue_patience: \"2500ms\"}\nplatform:").Replace(BasicConfig)
-		if err := cluster.PutConfig(rules); err != nil {
+		if err := cluster.PutConfig(changedConfig); err != nil {
 			t.Fatal(err)
 		}
-		<-time.After(3 * time.Second) // the config is obeyed, the runners are warm
+		<-time.After(3 * time.Second) // for the config to take effect and the runners to warm up
 		spike := &spikeTrial{t: t, cluster: cluster, goodput: map[float64]float64{}}
-		for _, times := range []float64{1, 2, 5} {
-			spike.run(times)
+		for _, factor := range []float64{1, 2, 5} {
+			spike.run(factor)
 		}
 	})
 }
 
-// spikeTrial sends so many times what the runners bear.
+// spikeTrial sends load at multiples of the runners' capacity.
 type spikeTrial struct {
 	t       *testing.T
 	cluster *Cluster
-	goodput map[float64]float64 // lookups served a second, by the times
+	goodput map[float64]float64 // lookups served per second, by load factor
 	mutex   sync.Mutex
 	sent    sync.WaitGroup
 }
 
-// spikeCount is what became of one kind of work; the mutex of its trial guards it.
+// spikeCount counts the outcomes of one class of requests. It is guarded by the trial's mutex.
 type spikeCount struct {
-	served, refused int
-	slowest         time.Duration
+	served, rejected int
+	slowest          time.Duration
 }
 
-// ask sends one lookup in the background and counts its answer.
-func (spike *spikeTrial) ask(into *spikeCount, token, program, kind, words string, number int) {
+// send sends one lookup in the background and counts its answer.
+func (spike *spikeTrial) send(count *spikeCount, token, program, kind, words string, number int) {
 	t, cluster := spike.t, spike.cluster
 	spike.sent.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -302,51 +302,51 @@
 		case err != nil:
 			t.Error(err)
 		case answer.Status == http.StatusOK:
-			into.served++
-			into.slowest = max(into.slowest, took)
+			count.served++
+			count.slowest = max(count.slowest, took)
 		case answer.Error.Kind != "not_run" || answer.Header.Get("Retry-After") == "":
-			t.Errorf("refused as %s", answer)
+			t.Errorf("rejected with %s", answer)
 		case took > 2700*time.Millisecond:
-			t.Errorf("refused only after %s", took)
+			t.Errorf("rejected only after %s", took)
 		default:
-			into.refused++
+			count.rejected++
 		}
 	})
 }
 
-// run sends so many times what the runners bear for a while, and checks what became of it.
-func (spike *spikeTrial) run(times float64) {
-	const bears = 16.0 // lookups a second: two runners, 16 at once each, 2 s a lookup
-	const lasts = 12 * time.Second
+// run sends load at factor times the runners' capacity and checks the outcomes.
+func (spike *spikeTrial) run(factor float64) {
+	const capacity = 16.0 // lookups per second: two runners, 16 concurrent lookups each, 2 s per lookup
+	const duration = 12 * time.Second
 	t, goodput := spike.t, spike.goodput
 	t.Helper()
-	crowd, urgent, other := &spikeCount{}, &spikeCount{}, &spikeCount{}
+	bulk, urgent, other := &spikeCount{}, &spikeCount{}, &spikeCount{}
 	began := time.Now()
-	for number := 0; time.Since(began) < lasts; number++ {
-		spike.ask(crowd, TeamToken, "dialogue", "lookup", "long !slow", number)
-		if step := int(times * bears / 4); number%step == 0 {
-			spike.ask(urgent, TeamToken, "dialogue", "alarm", "now", number/step)
-			spike.ask(other, OtherToken, "foreign", "lookup", "short", number/step)
+	for number := 0; time.Since(began) < duration; number++ {
+		spike.send(bulk, TeamToken, "dialogue", "lookup", "long !slow", number)
+		if step := int(factor * capacity / 4); number%step == 0 {
+			spike.send(urgent, TeamToken, "dialogue", "alarm", "now", number/step)
+			spike.send(other, OtherToken, "foreign", "lookup", "short", number/step)
 		}
-		<-time.After(time.Duration(float64(time.Second) / (times * bears)))
+		<-time.After(time.Duration(float64(time.Second) / (factor * capacity)))
 	}
 	spike.sent.Wait()
-	ended := time.Since(began) - lasts
-	goodput[times] = float64(crowd.served) / (lasts + 2*time.Second).Seconds()
-	t.Logf("%v times: crowd %+v, urgent %+v, other team %+v, %.1f a second, over %s after", times, *crowd, *urgent, *other, goodput[times], ended)
-	if urgent.refused > 0 || urgent.slowest > 300*time.Millisecond {
-		t.Errorf("%v times: %d urgent ones were refused, one took %s", times, urgent.refused, urgent.slowest)
+	drainTime := time.Since(began) - duration
+	goodput[factor] = float64(bulk.served) / (duration + 2*time.Second).Seconds()
+	t.Logf("load factor %v: bulk %+v, urgent %+v, other team %+v, %.1f per second, drained after %s", factor, *bulk, *urgent, *other, goodput[factor], drainTime)
+	if urgent.rejected > 0 || urgent.slowest > 300*time.Millisecond {
+		t.Errorf("load factor %v: %d urgent requests were rejected, the slowest took %s", factor, urgent.rejected, urgent.slowest)
 	}
-	if other.refused > 0 || other.slowest > 3*time.Second {
-		t.Errorf("%v times: %d of the other team were refused, one took %s", times, other.refused, other.slowest)
+	if other.rejected > 0 || other.slowest > 3*time.Second {
+		t.Errorf("load factor %v: %d requests of the other team were rejected, the slowest took %s", factor, other.rejected, other.slowest)
 	}
-	if ended > 5*time.Second {
-		t.Errorf("%v times: the queue was gone only %s after the crowd", times, ended)
+	if drainTime > 5*time.Second {
+		t.Errorf("load factor %v: the queue drained only %s after the spike", factor, drainTime)
 	}
-	if times > 1 && crowd.refused == 0 {
-		t.Errorf("%v times: nothing was refused, so nothing was tested", times)
+	if factor > 1 && bulk.rejected == 0 {
+		t.Errorf("load factor %v: nothing was rejected, so nothing was tested", factor)
 	}
-	if goodput[times] < 0.85*goodput[1] {
-		t.Errorf("%v times: %.1f a second were served, %.1f before the crowd", times, goodput[times], goodput[1])
+	if goodput[factor] < 0.85*goodput[1] {
+		t.Errorf("load factor %v: %.1f per second were served, %.1f without the spike", factor, goodput[factor], goodput[1])
 	}
 }
--- a/proof/simulator/cachelocation_test.go
+++ b/proof/simulator/cachelocation_test.go
@@ -9,7 +9,7 @@
 	"yardrock.example/system/forwarding"
 )
 
-// engineOf returns the runner at which a query ran; "" if none did.
+// engineOf returns the life of the engine that ran a request, or "" if none did.
 func engineOf(cluster *Cluster, name string) string {
 	for _, machine := range cluster.Engines {
 		for _, one := range machine.Engine.Executions() {
@@ -21,15 +21,14 @@
 	return ""
 }
 
-// TestConversationsStayAtTheirRunnerThroughAllFronts sends the turns of several programs through
-// fronts in turn, on routes that store the history and on ones that do not, and lets everything
-// but the runners lose power in between. No front knows by itself where a conversation was; all
-// learn it from the session with the begin of a turn.
-func TestConversationsStayAtTheirRunnerThroughAllFronts(t *testing.T) {
+// TestConversationsStayOnTheirRunnerAcrossFronts guards against turns that lose their runner's cache
+// because the front changes or all machines but the runners lose power. Fronts must read a
+// conversation's runner from its session when a turn begins, with and without a stored history.
+func TestConversationsStayOnTheirRunnerAcrossFronts(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		const programs, turns = 6, 6
-		places := map[string]string{}
-		elsewhere := 0
+		runners := map[string]string{}
+		moved := 0
 		for round := range turns {
 			if round == turns/2 {
 				cluster.interruptPower(t)
@@ -54,21 +53,21 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if place := engineOf(cluster, name); place != places[program] && round > 0 {
-					elsewhere++
-					t.Logf("%s went to %s, the turn before to %s", name, place, places[program])
+				if runner := engineOf(cluster, name); runner != runners[program] && round > 0 {
+					moved++
+					t.Logf("%s ran on %s, the previous turn on %s", name, runner, runners[program])
 				}
-				places[program] = engineOf(cluster, name)
+				runners[program] = engineOf(cluster, name)
 			}
 			cluster.Sleep(300 * time.Millisecond)
 		}
-		if elsewhere > 0 {
-			t.Errorf("%d of %d turns left their conversation's runner", elsewhere, programs*(turns-1))
+		if moved > 0 {
+			t.Errorf("%d of %d turns did not run on their conversation's runner", moved, programs*(turns-1))
 		}
 	})
 }
 
-// interruptPower takes the power from all machines of the fleet for a second, and waits until they
+// interruptPower cuts the power of all machines of the fleet for a second and waits until they
 // serve again.
 func (cluster *Cluster) interruptPower(t *testing.T) {
 	t.Helper()
--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// sent sends work under a key in the background.
+// sent sends a request in the background; the channel receives nil if there is no answer.
 func (cluster *Cluster) sent(front *Machine, path string, body map[string]any) <-chan *Answer {
 	answers := make(chan *Answer, 1)
 	go func() {
@@ -24,18 +24,18 @@
 	return answers
 }
 
-// named returns the conversation that a query key names.
+// named returns the name of the conversation that a request with this query key starts.
 func named(program, key string) string {
 	sum := sha256.Sum256([]byte(strings.Join([]string{"depot", program, "", key}, "\x00")))
 	return "c-" + hex.EncodeToString(sum[:16])
 }
 
-// spokenIn counts the words that a conversation's record holds, of callers and model.
-func (cluster *Cluster) spokenIn(t *testing.T, front *Machine, name string) int {
+// recordedWords counts the words recorded in a conversation, of callers and of the model.
+func (cluster *Cluster) recordedWords(t *testing.T, front *Machine, conversation string) int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	answer, err := cluster.Ask(ctx, http.MethodGet, front.Host+":7100", "/v1/conversations/"+name+"?limit=4000", TeamToken, nil)
+	answer, err := cluster.Ask(ctx, http.MethodGet, front.Host+":7100", "/v1/conversations/"+conversation+"?limit=4000", TeamToken, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,15 +45,15 @@
 	if err := json.Unmarshal(answer.Body, &reported); err != nil {
 		t.Fatal(err)
 	}
-	spoken := 0
+	count := 0
 	for _, event := range reported.Events {
-		spoken += len(wordsOf(event.Words))
+		count += len(wordsOf(event.Words))
 	}
-	return spoken
+	return count
 }
 
-// resumed tails the first turn of the conversation that a query key named.
-func (cluster *Cluster) resumed(front *Machine, key string) <-chan *Answer {
+// resumeInBackground tails the first turn of the conversation started with a query key.
+func (cluster *Cluster) resumeInBackground(front *Machine, key string) <-chan *Answer {
 	answers := make(chan *Answer, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
@@ -72,24 +72,24 @@
 	return map[string]any{"program": "dialogue", "kind": "talk", "query_key": key, "words": words}
 }
 
-// TestWorkOfADeadFrontIsClosedAtOnce kills and freezes a front amid its runs. Who
-// asks for them elsewhere gets the final answer at once, long before the runs'
-// deadline; what a frozen front may still record is not closed over its head.
-func TestWorkOfADeadFrontIsClosedAtOnce(t *testing.T) {
+// TestRequestsOfAFailedFrontAreClosedAtOnce guards against callers that must wait for the deadline of
+// a request whose front was killed: another front answers at once. The outcome of
+// a frozen front's request is not final, as that front may still record it.
+func TestRequestsOfAFailedFrontAreClosedAtOnce(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		dead, other := cluster.Fronts[0], cluster.Fronts[1]
+		failed, other := cluster.Fronts[0], cluster.Fronts[1]
 		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `patience: "5s"`, `patience: "20s"`)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(2 * time.Second)
-		cluster.askForWorkOfKilledFront(t, dead, other)
-		if err := dead.Start(); err != nil {
+		cluster.checkRequestsOfKilledFront(t, failed, other)
+		if err := failed.Start(); err != nil {
 			t.Fatal(err)
 		}
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		cluster.askForWorkOfFrozenFront(t, dead, other)
+		cluster.checkRequestsOfFrozenFront(t, failed, other)
 		for _, key := range []string{"dead-once", "frozen-once"} {
 			if count := cluster.executions("dialogue/receipt/" + key); count != 1 {
 				t.Fatalf("%s ran %d times", key, count)
@@ -98,56 +98,56 @@
 	})
 }
 
-// answerWithin gives the answer, which must come within a time.
-func answerWithin(t *testing.T, what string, bound time.Duration, answers <-chan *Answer) *Answer {
+// answerWithin returns the answer and fails the test if there is none within the timeout.
+func answerWithin(t *testing.T, what string, timeout time.Duration, answers <-chan *Answer) *Answer {
 	t.Helper()
 	select {
 	case answer := <-answers:
 		return answer
-	case <-time.After(bound):
-		t.Fatalf("%s: no answer within %s", what, bound)
+	case <-time.After(timeout):
+		t.Fatalf("%s: no answer within %s", what, timeout)
 	}
 	return nil
 }
 
-// mustBeCut checks that a stream ended as cut.
-func mustBeCut(t *testing.T, what string, turn *Answer) {
+// checkCut checks that a stream ended with "cut".
+func checkCut(t *testing.T, what string, answer *Answer) {
 	t.Helper()
-	if said, err := ReadStream(newReader(turn.Body)); err != nil || said.End != "cut" {
-		t.Fatalf("%s: %s", what, turn)
+	if streamed, err := ReadStream(newReader(answer.Body)); err != nil || streamed.End != "cut" {
+		t.Fatalf("%s: %s", what, answer)
 	}
 }
 
-func (cluster *Cluster) askForWorkOfKilledFront(t *testing.T, dead, other *Machine) {
+func (cluster *Cluster) checkRequestsOfKilledFront(t *testing.T, killed, other *Machine) {
 	t.Helper()
-	cluster.sent(dead, "/v1/queries", receipt("dead-once", "pay !slow"))
-	cluster.sent(dead, "/v1/conversations", talk("dead-turn", "go on !endless"))
+	cluster.sent(killed, "/v1/queries", receipt("dead-once", "pay !slow"))
+	cluster.sent(killed, "/v1/conversations", talk("dead-turn", "go on !endless"))
 	<-time.After(200 * time.Millisecond)
-	dead.Kill()
-	once := answerWithin(t, "work of a killed front", 1500*time.Millisecond, cluster.sent(other, "/v1/queries", receipt("dead-once", "pay !slow")))
+	killed.Kill()
+	once := answerWithin(t, "request of a killed front", 1500*time.Millisecond, cluster.sent(other, "/v1/queries", receipt("dead-once", "pay !slow")))
 	if once.Error.Kind != "unknown" || once.Error.RetryAfter != 0 {
-		t.Fatalf("work of a killed front: %s", once)
+		t.Fatalf("request of a killed front: %s", once)
 	}
-	mustBeCut(t, "turn of a killed front", answerWithin(t, "turn of a killed front", 1500*time.Millisecond, cluster.resumed(other, "dead-turn")))
+	checkCut(t, "turn of a killed front", answerWithin(t, "turn of a killed front", 1500*time.Millisecond, cluster.resumeInBackground(other, "dead-turn")))
 }
 
-func (cluster *Cluster) askForWorkOfFrozenFront(t *testing.T, frozen, other *Machine) {
+func (cluster *Cluster) checkRequestsOfFrozenFront(t *testing.T, frozen, other *Machine) {
 	t.Helper()
 	cluster.sent(frozen, "/v1/queries", receipt("frozen-once", "pay !slow"))
 	cluster.sent(frozen, "/v1/conversations", talk("frozen-turn", "go on !endless"))
 	<-time.After(200 * time.Millisecond)
 	cluster.Network.Freeze(frozen.Host)
-	<-time.After(4 * time.Second) // its session is over
-	once := answerWithin(t, "work of a frozen front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+	<-time.After(4 * time.Second) // its session has expired
+	once := answerWithin(t, "request of a frozen front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
 	if once.Error.Kind != "unknown" || once.Error.RetryAfter == 0 {
-		t.Fatalf("work of a frozen front: %s", once)
+		t.Fatalf("request of a frozen front: %s", once)
 	}
-	mustBeCut(t, "turn of a frozen front", answerWithin(t, "turn of a frozen front", 2*time.Second, cluster.resumed(other, "frozen-turn")))
+	checkCut(t, "turn of a frozen front", answerWithin(t, "turn of a frozen front", 2*time.Second, cluster.resumeInBackground(other, "frozen-turn")))
 	cluster.Network.Thaw(frozen.Host)
 	<-time.After(2 * time.Second)
-	once = answerWithin(t, "work of a woken front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+	once = answerWithin(t, "request of a resumed front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
 	if once.Status != http.StatusOK {
-		t.Fatalf("work of a woken front: %s", once)
+		t.Fatalf("request of a resumed front: %s", once)
 	}
 }
 
@@ -166,12 +166,13 @@
 	return reported, json.Unmarshal(answer.Body, &reported)
 }
 
-// loseReservationAnswer kills a front after its reservation arrived and its answer did not.
-func (cluster *Cluster) loseReservationAnswer(front *Machine, ask map[string]any) {
+// killWithLostReservationAnswer kills a front after the stores received its reservation and before
+// their answer reached it.
+func (cluster *Cluster) killWithLostReservationAnswer(front *Machine, body map[string]any) {
 	for _, store := range cluster.Stores {
 		cluster.Network.CutOneWay(store.Host, front.Host)
 	}
-	answers := cluster.sent(front, "/v1/conversations", ask)
+	answers := cluster.sent(front, "/v1/conversations", body)
 	<-time.After(500 * time.Millisecond)
 	front.Kill()
 	<-answers
@@ -180,10 +181,10 @@
 	}
 }
 
-// awaitSettled waits until nothing of a program's quota is reserved any more.
+// awaitSettled waits until no part of a program's quota is reserved.
 func (cluster *Cluster) awaitSettled(t *testing.T, program string) (reported quotaUsage) {
 	t.Helper()
-	err := cluster.Await(90*time.Second, "settled tally", func() (err error) {
+	err := cluster.Await(90*time.Second, "settled quota", func() (err error) {
 		if reported, err = cluster.quota(cluster.Fronts[2], program); err == nil && reported.Reserved > 0 {
 			err = fmt.Errorf("%d words are still reserved", reported.Reserved)
 		}
@@ -195,27 +196,27 @@
 	return reported
 }
 
-// TestReservationsOfLostFrontsAreSettled lets fronts die amid turns of a program, and
-// loses the answers to reservations, over and over. What was spoken stays counted;
-// what was only reserved comes back, so that the program can go on.
+// TestReservationsOfLostFrontsAreSettled guards against quota leaked by fronts that are killed
+// during turns or whose reservations are not answered: recorded words stay charged, the rest of
+// the reservation is released.
 func TestReservationsOfLostFrontsAreSettled(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		rules := strings.NewReplacer(`tight: {team: "depot", allowance: 60, turn_limit: 25}`, `tight: {team: "depot", allowance: 900, turn_limit: 150}`, `ramp: "1s"`, `ramp: "100ms"`).Replace(BasicConfig)
-		if err := cluster.PutConfig(rules); err != nil {
+		changedConfig := strings.NewReplacer(`tight: {team: "depot", allowance: 60, turn_limit: 25}`, `tight: {team: "depot", allowance: 900, turn_limit: 150}`, `ramp: "1s"`, `ramp: "100ms"`).Replace(BasicConfig)
+		if err := cluster.PutConfig(changedConfig); err != nil {
 			t.Fatal(err)
 		}
 		for round := range 6 {
 			front := cluster.Fronts[round%2]
-			ask := map[string]any{"program": "tight", "kind": "talk", "words": "say much !endless", "query_key": fmt.Sprintf("lost-%d", round)}
+			body := map[string]any{"program": "tight", "kind": "talk", "words": "say much !endless", "query_key": fmt.Sprintf("lost-%d", round)}
 			switch round {
 			case 3, 4:
-				cluster.loseReservationAnswer(front, ask)
+				cluster.killWithLostReservationAnswer(front, body)
 			default:
-				answers := cluster.sent(front, "/v1/conversations", ask)
+				answers := cluster.sent(front, "/v1/conversations", body)
 				<-time.After(time.Duration(60+cluster.Random(uint64(round)).IntN(300)) * time.Millisecond)
 				front.Kill()
 				<-answers
-				<-cluster.sent(cluster.Fronts[2], "/v1/conversations", ask)
+				<-cluster.sent(cluster.Fronts[2], "/v1/conversations", body)
 			}
 			if err := front.Start(); err != nil {
 				t.Fatal(err)
@@ -225,47 +226,47 @@
 			}
 		}
 		reported := cluster.awaitSettled(t, "tight")
-		spoken := 0
+		recorded := 0
 		for _, round := range []int{0, 1, 2, 5} {
-			spoken += cluster.spokenIn(t, cluster.Fronts[2], named("tight", fmt.Sprintf("lost-%d", round)))
+			recorded += cluster.recordedWords(t, cluster.Fronts[2], named("tight", fmt.Sprintf("lost-%d", round)))
 		}
-		t.Logf("%d words are recorded, %d are counted", spoken, reported.Spent)
-		if spoken < 300 || reported.Spent < spoken || reported.Spent > 900+150 {
-			t.Fatalf("%d words are recorded, %d are counted", spoken, reported.Spent)
+		t.Logf("%d words are recorded, %d are charged", recorded, reported.Spent)
+		if recorded < 300 || reported.Spent < recorded || reported.Spent > 900+150 {
+			t.Fatalf("%d words are recorded, %d are charged", recorded, reported.Spent)
 		}
 		if _, err := cluster.Turn(cluster.Fronts[2], map[string]any{"program": "tight", "kind": "talk", "words": "once more"}); err != nil {
-			t.Fatalf("the program cannot go on: %v", err)
+			t.Fatalf("the program cannot start another turn: %v", err)
 		}
 	})
 }
 
-// TestWrongClocksForgetNothingAndCloseNothingEarly lets store machines' clocks be two
-// days ahead, hours behind, and jump, while each of them leads for a time.
-func TestWrongClocksForgetNothingAndCloseNothingEarly(t *testing.T) {
+// TestWrongClocksExpireNothingEarly guards against sessions and requests that expire early when
+// wall clocks of stores are days ahead, hours behind, or jump, with each store down once.
+func TestWrongClocksExpireNothingEarly(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := cluster.dialogues(t, 6)
+		conversations := cluster.dialogues(t, 6)
 		random := cluster.Random(11)
 		for round := range 3 {
 			for position, store := range cluster.Stores {
 				store.ClockOffset = []time.Duration{48 * time.Hour, -5 * time.Hour, time.Duration(random.IntN(96)-48) * time.Hour}[(position+round)%3]
 			}
-			away := cluster.Stores[round]
-			away.Kill()
-			live := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
-			again := cluster.sent(cluster.Fronts[1], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
-			for _, answers := range []<-chan *Answer{live, again} {
+			down := cluster.Stores[round]
+			down.Kill()
+			first := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
+			repeated := cluster.sent(cluster.Fronts[1], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
+			for _, answers := range []<-chan *Answer{first, repeated} {
 				if answer := <-answers; answer == nil || answer.Status != http.StatusOK {
-					t.Fatalf("a live run was closed early: %s", answer)
+					t.Fatalf("a running request was closed early: %s", answer)
 				}
 			}
-			<-time.After(11 * time.Second) // archived, and what is over its time forgotten
-			if err := away.Start(); err != nil {
+			<-time.After(11 * time.Second) // for archiving and for the removal of expired data
+			if err := down.Start(); err != nil {
 				t.Fatal(err)
 			}
 			if err := cluster.AwaitServing(12 * time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
-		cluster.followUp(t, said)
+		cluster.followUp(t, conversations)
 	})
 }
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -12,13 +12,13 @@
 	"yardrock.example/system/forwarding"
 )
 
-// routed is the shape of clusters that forward queries.
-var routed = Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 1, Applications: 1, Engines: 3, Tools: 3}
+// routedShape is the shape of clusters that forward requests to engines.
+var routedShape = Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 1, Applications: 1, Engines: 3, Tools: 3}
 
 // simulateRouted runs a test on a cluster with the routed config in force.
 func simulateRouted(t *testing.T, body func(t *testing.T, cluster *Cluster)) {
 	t.Helper()
-	simulate(t, routed, func(t *testing.T, cluster *Cluster) {
+	simulate(t, routedShape, func(t *testing.T, cluster *Cluster) {
 		if err := cluster.PutConfig(RoutedConfig); err != nil {
 			t.Fatal(err)
 		}
@@ -29,12 +29,12 @@
 	})
 }
 
-// executionsOf counts how often a query ran at any engine.
+// executionsOf counts the executions of a request at all engines.
 func executionsOf(cluster *Cluster, name string) int {
 	runs := 0
 	for _, machine := range cluster.Engines {
-		for _, one := range machine.Engine.Executions() {
-			if one.RequestID == name {
+		for _, execution := range machine.Engine.Executions() {
+			if execution.RequestID == name {
 				runs++
 			}
 		}
@@ -42,19 +42,19 @@
 	return runs
 }
 
-// promptOf returns the body that a query ran with.
+// promptOf returns the body that an engine received with a request, or "" if it did not run.
 func promptOf(cluster *Cluster, name string) string {
 	for _, machine := range cluster.Engines {
-		for _, one := range machine.Engine.Executions() {
-			if one.RequestID == name {
-				return one.Body
+		for _, execution := range machine.Engine.Executions() {
+			if execution.RequestID == name {
+				return execution.Body
 			}
 		}
 	}
 	return ""
 }
 
-// setFault puts a fault on all engines.
+// setFault sets the fault of all engines.
 func setFault(cluster *Cluster, fault standin.Fault) {
 	for _, machine := range cluster.Engines {
 		machine.Engine.SetFault(fault)
@@ -70,22 +70,23 @@
 		if prompt := promptOf(cluster, "order-1"); prompt != "one activation" {
 			t.Fatalf("the body arrived as %q", prompt)
 		}
-		foreign := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "nowhere-1", Path: "/elsewhere/1"})
-		if !apierror.Is(foreign.Err, apierror.NotFound) || foreign.Status != 0 {
-			t.Fatalf("a query without a route got %d %v", foreign.Status, foreign.Err)
+		unrouted := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "nowhere-1", Path: "/elsewhere/1"})
+		if !apierror.Is(unrouted.Err, apierror.NotFound) || unrouted.Status != 0 {
+			t.Fatalf("a request without a route got %d %v", unrouted.Status, unrouted.Err)
 		}
 	})
 }
 
-// What one query may run again, by route and by what goes wrong.
+// TestForwardedRequestsAreRetriedOnlyWhereAllowed guards against retries that the kind of a route
+// forbids, for each fault of a runner.
 func TestForwardedRequestsAreRetriedOnlyWhereAllowed(t *testing.T) {
 	cases := []struct {
 		path  string
 		fault standin.Fault
-		// maximum of runs, and what the caller may get
-		runs     int
+		// maxRuns is the maximum number of executions; the others are what the caller must receive.
+		maxRuns  int
 		complete bool
-		refused  bool
+		rejected bool
 	}{
 		{"/lookup/", standin.FaultLoseAnswer, 3, false, false},
 		{"/lookup/", standin.FaultNotRun, 0, false, true},
@@ -100,21 +101,21 @@
 		{"/talk/chat/", standin.FaultBreakStream, 2, false, false},
 	}
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		for position, one := range cases {
-			setFault(cluster, one.fault)
+		for position, test := range cases {
+			setFault(cluster, test.fault)
 			name := fmt.Sprintf("query-%d", position)
-			answer := cluster.Forward(cluster.Fronts[position%2], forwarding.Request{Name: name, Path: one.path + name, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
-			if runs := executionsOf(cluster, name); runs > one.runs {
-				t.Errorf("%s with %s ran %d times", one.path, one.fault, runs)
+			answer := cluster.Forward(cluster.Fronts[position%2], forwarding.Request{Name: name, Path: test.path + name, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+			if runs := executionsOf(cluster, name); runs > test.maxRuns {
+				t.Errorf("%s with %s ran %d times", test.path, test.fault, runs)
 			}
-			if answer.Rejected() != one.refused {
-				t.Errorf("%s with %s: refused is %t (%d %v)", one.path, one.fault, answer.Rejected(), answer.Status, answer.Err)
+			if answer.Rejected() != test.rejected {
+				t.Errorf("%s with %s: rejected is %t (%d %v)", test.path, test.fault, answer.Rejected(), answer.Status, answer.Err)
 			}
-			if answer.Complete() != one.complete {
-				t.Errorf("%s with %s: complete is %t (%d %q)", one.path, one.fault, answer.Complete(), answer.Status, answer.Body)
+			if answer.Complete() != test.complete {
+				t.Errorf("%s with %s: complete is %t (%d %q)", test.path, test.fault, answer.Complete(), answer.Status, answer.Body)
 			}
-			if promise := map[int]bool{408: true, 421: true, 429: true, 503: true}[answer.Status]; promise {
-				t.Errorf("%s with %s: a runner's %d was passed on, which vouches for nothing", one.path, one.fault, answer.Status)
+			if notRunStatus := map[int]bool{408: true, 421: true, 429: true, 503: true}[answer.Status]; notRunStatus {
+				t.Errorf("%s with %s: a runner's status %d was forwarded, though the request may have run", test.path, test.fault, answer.Status)
 			}
 			setFault(cluster, standin.NoFault)
 			cluster.Sleep(3 * time.Second)
@@ -126,7 +127,7 @@
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		lost := 0
 		for _, machine := range cluster.Engines {
-			if machine.Group == "tools" && lost < 2 { // of three, with three tries
+			if machine.Group == "tools" && lost < 2 { // of three runners, with three attempts
 				machine.Engine.InjectFaults(standin.FaultLoseAnswer)
 				lost++
 			}
@@ -140,7 +141,7 @@
 	})
 }
 
-func TestAResumableStreamGoesOnAtAnotherRunnerInTheSameAnswer(t *testing.T) {
+func TestResumableStreamContinuesOnAnotherRunner(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		for _, machine := range cluster.Engines {
 			machine.Engine.InjectFaults(standin.FaultBreakStream)
@@ -150,69 +151,69 @@
 		for number := 1; number <= 5; number++ {
 			want += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData("hello", number))
 		}
-		// The second runner breaks off after two more events; with two tries that ends it.
+		// The second runner also stops after two events, which uses up the two attempts.
 		if answer.Err == nil || !strings.HasPrefix(want, string(answer.Body)) || strings.Count(string(answer.Body), "id: ") != 4 {
 			t.Fatalf("%v\n%s", answer.Err, answer.Body)
 		}
-		again := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-2", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
-		if !again.Complete() || string(again.Body) != want {
-			t.Fatalf("%v\n%s", again.Err, again.Body)
+		second := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-2", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+		if !second.Complete() || string(second.Body) != want {
+			t.Fatalf("%v\n%s", second.Err, second.Body)
 		}
 	})
 }
 
-func TestKeptTurnsCarryTheirCompleteChainFromAnyFront(t *testing.T) {
+func TestKeptTurnsIncludeTheirCompleteHistoryOnAnyFront(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		turn := func(front int, program, name, follows, words string) string {
-			answer := cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
+		turn := func(front int, program, name, follows, input string) string {
+			answer := cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(input), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 			if !answer.Complete() {
 				t.Fatalf("%s: %d %v", name, answer.Status, answer.Err)
 			}
-			return words + answer.Text()
+			return input + answer.Text()
 		}
-		chain := turn(0, "p", "t1", "", "first ")
+		first := turn(0, "p", "t1", "", "first ")
 		second := turn(1, "p", "t2", "t1", "second ")
 		helper := turn(0, "p", "h1", "t1", "helper ")
-		if got := promptOf(cluster, "t2"); got != chain+"second " {
-			t.Fatalf("the second turn was heard as %q", got)
+		if got := promptOf(cluster, "t2"); got != first+"second " {
+			t.Fatalf("the second turn arrived as %q", got)
 		}
-		if got := promptOf(cluster, "h1"); got != chain+"helper " {
-			t.Fatalf("the helper was heard as %q", got)
+		if got := promptOf(cluster, "h1"); got != first+"helper " {
+			t.Fatalf("the helper turn arrived as %q", got)
 		}
 		turn(1, "another", "t3", "t2", "third ")
-		if got := promptOf(cluster, "t3"); got != chain+second+"third " {
-			t.Fatalf("the third turn, of another program, was heard as %q", got)
+		if got := promptOf(cluster, "t3"); got != first+second+"third " {
+			t.Fatalf("the third turn, of another program, arrived as %q", got)
 		}
 		turn(0, "another", "t4", "h1", "fourth ")
-		if got := promptOf(cluster, "t4"); got != chain+helper+"fourth " {
-			t.Fatalf("the fourth turn was heard as %q", got)
+		if got := promptOf(cluster, "t4"); got != first+helper+"fourth " {
+			t.Fatalf("the fourth turn arrived as %q", got)
 		}
 		unknown := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "t5", Path: "/talk/kept/1", Follows: "never", Body: []byte("x"), Program: "p", HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 		if !apierror.Is(unknown.Err, apierror.NotFound) || executionsOf(cluster, "t5") != 0 {
-			t.Fatalf("a turn that follows none got %v", unknown.Err)
+			t.Fatalf("a turn that follows an unknown turn got %v", unknown.Err)
 		}
 	})
 }
 
-func TestTokenQuotaHoldsOverAllFronts(t *testing.T) {
+func TestTokenQuotaHoldsAcrossFronts(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		put, refused := 0, 0
+		tokens, rejected := 0, 0
 		for number := range 20 {
 			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: fmt.Sprintf("spend-%d", number), Path: "/talk/chat/1", Body: []byte("x"), Program: "runaway", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 20})
-			put += 4 * strings.Count(string(answer.Body), "id: ")
+			tokens += 4 * strings.Count(string(answer.Body), "id: ")
 			switch {
 			case apierror.Is(answer.Err, apierror.QuotaExhausted):
-				refused++
+				rejected++
 				if executionsOf(cluster, fmt.Sprintf("spend-%d", number)) != 0 {
-					t.Fatal("a turn that was refused for its allowance ran")
+					t.Fatal("a turn that was rejected for its quota ran")
 				}
 			case !answer.Complete():
 				t.Fatalf("%d %v", answer.Status, answer.Err)
 			}
 			cluster.Sleep(300 * time.Millisecond)
 		}
-		if put > 120 || put < 100 || refused == 0 {
-			t.Fatalf("%d tokens were put out of 100, %d turns refused", put, refused)
+		if tokens > 120 || tokens < 100 || rejected == 0 {
+			t.Fatalf("%d tokens were generated with a quota of 100, %d turns were rejected", tokens, rejected)
 		}
 	})
 }
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -15,22 +15,22 @@
 	"yardrock.example/system/forwarding"
 )
 
-// kept asks for a kept turn of a program.
-func (cluster *Cluster) kept(front int, name, follows, words string) *ForwardedAnswer {
-	return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(words), Program: "p", HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
+// forwardKeptTurn forwards a turn on the route that stores the history.
+func (cluster *Cluster) forwardKeptTurn(front int, name, follows, input string) *ForwardedAnswer {
+	return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(input), Program: "p", HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
 }
 
-// streamOf is the whole stream that a prompt is answered with.
+// streamOf returns the complete stream that engines answer a prompt with.
 func streamOf(prompt string) string {
-	complete := ""
+	stream := ""
 	for number := 1; number <= 5; number++ {
-		complete += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData(prompt, number))
+		stream += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData(prompt, number))
 	}
-	return complete
+	return stream
 }
 
 func TestFrontRejectsAtOnceWhatItCannotBuffer(t *testing.T) {
-	shape := routed
+	shape := routedShape
 	shape.BufferBytes = 4000
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
 		if err := cluster.PutConfig(RoutedConfig); err != nil {
@@ -39,30 +39,30 @@
 		if err := cluster.AwaitForwarding(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		// What is alone is not refused, however large.
-		if answer := cluster.kept(0, "large", "", strings.Repeat("x", 9000)); !answer.Complete() {
+		// A request is accepted at any size while no other is buffered.
+		if answer := cluster.forwardKeptTurn(0, "large", "", strings.Repeat("x", 9000)); !answer.Complete() {
 			t.Fatalf("%d %v", answer.Status, answer.Err)
 		}
 		setFault(cluster, standin.FaultHang)
-		ended := make(chan *ForwardedAnswer, 1)
+		answers := make(chan *ForwardedAnswer, 1)
 		go func() {
-			ended <- cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "first", Path: "/order/1", Body: bytes.Repeat([]byte("x"), 3000)})
+			answers <- cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "first", Path: "/order/1", Body: bytes.Repeat([]byte("x"), 3000)})
 		}()
 		cluster.Sleep(100 * time.Millisecond)
 		began := time.Now()
-		refused := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "second", Path: "/order/2", Body: bytes.Repeat([]byte("x"), 1500)})
-		if !refused.Rejected() || apierror.Of(refused.Err).RetryAfter == 0 || time.Since(began) > 0 || executionsOf(cluster, "second") != 0 {
-			t.Fatalf("%d %v after %s", refused.Status, refused.Err, time.Since(began))
+		rejected := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "second", Path: "/order/2", Body: bytes.Repeat([]byte("x"), 1500)})
+		if !rejected.Rejected() || apierror.Of(rejected.Err).RetryAfter == 0 || time.Since(began) > 0 || executionsOf(cluster, "second") != 0 {
+			t.Fatalf("%d %v after %s", rejected.Status, rejected.Err, time.Since(began))
 		}
-		// The history counts as well, once it is known.
-		refused = cluster.kept(0, "on", "large", "y")
-		if !refused.Rejected() || apierror.Of(refused.Err).RetryAfter == 0 || executionsOf(cluster, "on") != 0 {
-			t.Fatalf("%d %v", refused.Status, refused.Err)
+		// The history counts as well once it has been read.
+		rejected = cluster.forwardKeptTurn(0, "on", "large", "y")
+		if !rejected.Rejected() || apierror.Of(rejected.Err).RetryAfter == 0 || executionsOf(cluster, "on") != 0 {
+			t.Fatalf("%d %v", rejected.Status, rejected.Err)
 		}
-		<-ended
+		<-answers
 		setFault(cluster, standin.NoFault)
 		cluster.Sleep(time.Second)
-		for number := range 20 { // all is given back
+		for number := range 20 { // the buffer has been released
 			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: fmt.Sprint("later-", number), Path: "/order/3", Body: bytes.Repeat([]byte("x"), 3900)}); !answer.Complete() {
 				t.Fatalf("%d %v", answer.Status, answer.Err)
 			}
@@ -74,10 +74,10 @@
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		for position, path := range []string{"/lookup/", "/order/", "/talk/kept/", "/talk/chat/"} {
 			name := fmt.Sprintf("left-%d", position)
-			left, cancel := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			request := &forwarding.Request{Name: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
-			err := cluster.Fronts[0].Front.Forward(left, request, &ForwardedAnswer{})
+			err := cluster.Fronts[0].Front.Forward(ctx, request, &ForwardedAnswer{})
 			cluster.Sleep(time.Second)
 			if err == nil || executionsOf(cluster, name) != 0 {
 				t.Fatalf("%s: %v, ran %d times", path, err, executionsOf(cluster, name))
@@ -86,13 +86,13 @@
 	})
 }
 
-func TestAHeadHasNoBodyAndAnEmptyBodyStaysEmpty(t *testing.T) {
+func TestHeadResponseHasNoBodyAndEmptyBodyStaysEmpty(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		head := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "head", Method: http.MethodHead, Path: "/lookup/1"})
 		if !head.Complete() || len(head.Body) != 0 {
 			t.Fatalf("%d %q %v", head.Status, head.Body, head.Err)
 		}
-		for number := range 3 { // on the same connections
+		for number := range 3 { // on the same connections as the HEAD request
 			name := fmt.Sprint("get-", number)
 			if got := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Method: http.MethodGet, Path: "/lookup/1"}); !got.Complete() || string(got.Body) != "done "+name {
 				t.Fatalf("%d %q %v", got.Status, got.Body, got.Err)
@@ -101,14 +101,14 @@
 		if prompt := promptOf(cluster, "get-0"); prompt != "" {
 			t.Fatalf("the empty body arrived as %q", prompt)
 		}
-		first := cluster.kept(0, "empty", "", "")
-		if second := cluster.kept(1, "on", "empty", ""); !second.Complete() || promptOf(cluster, "on") != first.Text() {
-			t.Fatalf("%d %v, heard %q", second.Status, second.Err, promptOf(cluster, "on"))
+		first := cluster.forwardKeptTurn(0, "empty", "", "")
+		if second := cluster.forwardKeptTurn(1, "on", "empty", ""); !second.Complete() || promptOf(cluster, "on") != first.Text() {
+			t.Fatalf("%d %v, received %q", second.Status, second.Err, promptOf(cluster, "on"))
 		}
 	})
 }
 
-func TestAStreamIsNeverGivenTwiceByARunnerThatForgetsWhereItGoesOn(t *testing.T) {
+func TestRestartedStreamIsNotDeliveredTwice(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		setFault(cluster, standin.FaultRestartStream)
 		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
@@ -117,9 +117,9 @@
 		}
 		seal := answer.Header.Get("Seal")
 		for _, machine := range cluster.Engines {
-			ran := machine.Engine.Executions()
-			if len(ran) > 0 && ran[len(ran)-1].RequestID == "chat" && ran[len(ran)-1].Header.Get(standin.Dialect.LastEventID) == "" && seal != machine.Engine.Life+"/chat" {
-				t.Fatalf("the seal is %s, not that of the first runner %s", seal, machine.Engine.Life)
+			executions := machine.Engine.Executions()
+			if len(executions) > 0 && executions[len(executions)-1].RequestID == "chat" && executions[len(executions)-1].Header.Get(standin.Dialect.LastEventID) == "" && seal != machine.Engine.Life+"/chat" {
+				t.Fatalf("the Seal header is %s, not that of the first runner %s", seal, machine.Engine.Life)
 			}
 		}
 		resumed := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-on", Path: "/talk/chat/1", Body: []byte("hello"), LastEventID: "3", Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
@@ -129,10 +129,10 @@
 	})
 }
 
-func TestSuccessWithoutEventsCountsAsMaximumAndIsKeptWithItsTurn(t *testing.T) {
+func TestSuccessWithoutEventsIsChargedTheMaximumAndStored(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		setFault(cluster, standin.FaultPlainAnswer)
-		plain := cluster.kept(0, "plain", "", "one ")
+		plain := cluster.forwardKeptTurn(0, "plain", "", "one ")
 		if !plain.Complete() || string(plain.Body) != "done plain" {
 			t.Fatalf("%d %q %v", plain.Status, plain.Body, plain.Err)
 		}
@@ -140,18 +140,18 @@
 			cluster.Forward(cluster.Fronts[number], forwarding.Request{Name: fmt.Sprint("spend-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 			cluster.Sleep(time.Second)
 		}
-		over := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "over", Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
-		if !apierror.Is(over.Err, apierror.QuotaExhausted) {
-			t.Fatalf("beyond the allowance: %d %v", over.Status, over.Err)
+		exceeding := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "over", Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
+		if !apierror.Is(exceeding.Err, apierror.QuotaExhausted) {
+			t.Fatalf("beyond the quota: %d %v", exceeding.Status, exceeding.Err)
 		}
 		setFault(cluster, standin.NoFault)
-		if on := cluster.kept(1, "on", "plain", "two "); !on.Complete() || promptOf(cluster, "on") != "one two " {
-			t.Fatalf("%d %v, heard %q", on.Status, on.Err, promptOf(cluster, "on"))
+		if next := cluster.forwardKeptTurn(1, "on", "plain", "two "); !next.Complete() || promptOf(cluster, "on") != "one two " {
+			t.Fatalf("%d %v, received %q", next.Status, next.Err, promptOf(cluster, "on"))
 		}
 	})
 }
 
-func TestARunnersOwnRefusalIsPassedOnAndCostsNothing(t *testing.T) {
+func TestRunnerErrorIsForwardedAndNotCharged(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		setFault(cluster, standin.FaultUnprocessable)
 		for number := range 10 {
@@ -169,25 +169,25 @@
 	})
 }
 
-func TestATurnOfNoProgramIsKeptAndCounted(t *testing.T) {
+func TestKeptTurnNeedsNoProgram(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		ask := func(front int, name, follows string) *ForwardedAnswer {
+		forward := func(front int, name, follows string) *ForwardedAnswer {
 			return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(name)})
 		}
-		first := ask(0, "alone", "")
-		second := ask(1, "on", "alone")
+		first := forward(0, "alone", "")
+		second := forward(1, "on", "alone")
 		if !first.Complete() || !second.Complete() || promptOf(cluster, "on") != "alone"+first.Text()+"on" {
-			t.Fatalf("%v %v, heard %q", first.Err, second.Err, promptOf(cluster, "on"))
+			t.Fatalf("%v %v, received %q", first.Err, second.Err, promptOf(cluster, "on"))
 		}
 	})
 }
 
-// failing takes a stream's head and its first event, and nothing more.
-type failing struct{ ForwardedAnswer }
+// disconnectedCaller accepts the header and the first event of a stream and fails later writes.
+type disconnectedCaller struct{ ForwardedAnswer }
 
-func (answer *failing) Write(data []byte) error {
+func (answer *disconnectedCaller) Write(data []byte) error {
 	if len(answer.Body) > 0 {
-		return errors.New("the caller is gone")
+		return errors.New("caller disconnected")
 	}
 	return answer.ForwardedAnswer.Write(data)
 }
@@ -195,7 +195,7 @@
 func TestAnswerOfADisconnectedCallerIsNotRetried(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		request := &forwarding.Request{Name: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
-		err := cluster.Fronts[0].Front.Forward(context.Background(), request, &failing{})
+		err := cluster.Fronts[0].Front.Forward(context.Background(), request, &disconnectedCaller{})
 		cluster.Sleep(time.Second)
 		if err == nil || executionsOf(cluster, "gone") != 1 {
 			t.Fatalf("%v, ran %d times", err, executionsOf(cluster, "gone"))
@@ -205,13 +205,13 @@
 
 func TestKeptTurnIsCompleteOnlyIfItsEndWasCommitted(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		first := cluster.kept(0, "first", "", "one ")
+		first := cluster.forwardKeptTurn(0, "first", "", "one ")
 		if !first.Complete() {
 			t.Fatal(first.Err)
 		}
-		// The stores are away while the turn runs, then come back within its time.
-		ended := make(chan *ForwardedAnswer, 1)
-		go func() { ended <- cluster.kept(0, "second", "first", "two ") }()
+		// The stores are unreachable while the turn runs and return before its timeout.
+		answers := make(chan *ForwardedAnswer, 1)
+		go func() { answers <- cluster.forwardKeptTurn(0, "second", "first", "two ") }()
 		for executionsOf(cluster, "second") == 0 {
 			cluster.Sleep(time.Millisecond)
 		}
@@ -222,54 +222,54 @@
 		for _, store := range cluster.Stores {
 			cluster.Network.Rejoin(store.Host)
 		}
-		second := <-ended
-		on := cluster.kept(1, "third", "second", "three ")
-		for apierror.Is(on.Err, apierror.NotRun) {
+		second := <-answers
+		third := cluster.forwardKeptTurn(1, "third", "second", "three ")
+		for apierror.Is(third.Err, apierror.NotRun) {
 			cluster.Sleep(200 * time.Millisecond)
-			on = cluster.kept(1, fmt.Sprint("third-", time.Now().UnixNano()), "second", "three ")
+			third = cluster.forwardKeptTurn(1, fmt.Sprint("third-", time.Now().UnixNano()), "second", "three ")
 		}
-		if second.Complete() && !on.Complete() {
-			t.Fatalf("a turn that was answered whole is not known: %v", on.Err)
+		if second.Complete() && !third.Complete() {
+			t.Fatalf("a turn that was answered completely is unknown: %v", third.Err)
 		}
 		if !second.Complete() {
-			t.Fatalf("the turn was broken off though the stores came back in its time: %v", second.Err)
+			t.Fatalf("the turn is incomplete though the stores returned before its timeout: %v", second.Err)
 		}
 	})
 }
 
 func TestKeptTurnWithUncommittedEndNeverLooksComplete(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		ended := make(chan *ForwardedAnswer, 1)
-		go func() { ended <- cluster.kept(0, "turn", "", "one ") }()
+		answers := make(chan *ForwardedAnswer, 1)
+		go func() { answers <- cluster.forwardKeptTurn(0, "turn", "", "one ") }()
 		for executionsOf(cluster, "turn") == 0 {
 			cluster.Sleep(time.Millisecond)
 		}
 		for _, store := range cluster.Stores {
 			cluster.Network.Isolate(store.Host)
 		}
-		turn := <-ended
+		turn := <-answers
 		if turn.Err == nil || turn.Rejected() {
 			t.Fatalf("the turn ended with %d %v", turn.Status, turn.Err)
 		}
 	})
 }
 
-func TestRequestDelayedBeforeItsFirstByteIsNotSentByAnOldView(t *testing.T) {
+func TestForwardDelayedBeforeItsFirstByteIsNotSentWithAStaleView(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		front := cluster.Fronts[0]
-		front.Kill() // it keeps no connections to runners
+		front.Kill() // closes its connections to runners
 		if err := front.Start(); err != nil {
 			t.Fatal(err)
 		}
 		cluster.Sleep(4 * time.Second)
 		cluster.Network.Freeze(front.Host)
-		ended := make(chan *ForwardedAnswer, 1)
+		answers := make(chan *ForwardedAnswer, 1)
 		go func() {
-			ended <- cluster.Forward(front, forwarding.Request{Name: "held", Path: "/order/1", Body: []byte("x")})
+			answers <- cluster.Forward(front, forwarding.Request{Name: "held", Path: "/order/1", Body: []byte("x")})
 		}()
 		cluster.Sleep(2500 * time.Millisecond)
 		cluster.Network.Thaw(front.Host)
-		if answer := <-ended; answer.Status != 0 || executionsOf(cluster, "held") != 0 {
+		if answer := <-answers; answer.Status != 0 || executionsOf(cluster, "held") != 0 {
 			t.Fatalf("%d %v, ran %d times", answer.Status, answer.Err, executionsOf(cluster, "held"))
 		}
 		if err := cluster.AwaitForwarding(5 * time.Second); err != nil {
@@ -278,20 +278,21 @@
 	})
 }
 
-// TestSettlementsMayBeWaitedForWhileMoreComes drains fronts while turns end.
-func TestSettlementsMayBeWaitedForWhileMoreComes(t *testing.T) {
+// TestDrainIsSafeWhileTurnsEnd guards against panics and deadlocks between Drain and turns that
+// end meanwhile.
+func TestDrainIsSafeWhileTurnsEnd(t *testing.T) {
 	simulateRouted(t, func(_ *testing.T, cluster *Cluster) {
-		stop := time.Now().Add(5 * time.Second)
+		until := time.Now().Add(5 * time.Second)
 		done := make(chan bool)
 		for caller := range 8 {
 			go func() {
-				for number := 0; time.Now().Before(stop); number++ {
+				for number := 0; time.Now().Before(until); number++ {
 					cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: fmt.Sprintf("c%d-%d", caller, number), Path: "/talk/chat/1", Program: fmt.Sprint(caller), HasOutputBudget: true, OutputBudget: 1000000, MaxOutputTokens: 40})
 				}
 				done <- true
 			}()
 		}
-		for time.Now().Before(stop) {
+		for time.Now().Before(until) {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			cluster.Fronts[0].Front.Drain(ctx)
 			cancel()
--- a/proof/simulator/notrun_test.go
+++ b/proof/simulator/notrun_test.go
@@ -10,94 +10,93 @@
 	"time"
 )
 
-// TestNotRunIsNeverReportedForWorkThatRuns sends one key to three fronts about the same
-// time, while runners are short, links break, and fronts freeze, are cut off or die.
-// The runners' own records judge: once any request under a key was answered "not run",
-// nothing under that key may have run or run later.
+// TestNotRunIsNeverReportedForWorkThatRuns guards against a "not_run" answer to a request that has run
+// or runs later. Each key is sent to three fronts at about the same time, with little capacity and
+// with faults of fronts, stores and links, and compared with the runners' records.
 func TestNotRunIsNeverReportedForWorkThatRuns(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		scarce := strings.NewReplacer(`application: {concurrency: 16`, `application: {concurrency: 1`, `cold_concurrency: 2`, `cold_concurrency: 1`, `platform:`, "limits: {queue: 1, queue_patience: \"50ms\"}\nplatform:").Replace(BasicConfig)
-		if err := cluster.PutConfig(scarce); err != nil {
+		limitedConfig := strings.NewReplacer(`application: {concurrency: 16`, `application: {concurrency: 1`, `cold_concurrency: 2`, `cold_concurrency: 1`, `platform:`, "limits: {queue: 1, queue_patience: \"50ms\"}\nplatform:").Replace(BasicConfig)
+		if err := cluster.PutConfig(limitedConfig); err != nil {
 			t.Fatal(err)
 		}
 		random := cluster.Random(5)
-		trial := &notRunTrial{t: t, cluster: cluster, reported: map[string]map[string]int{}, why: map[string][]string{}}
+		trial := &notRunTrial{t: t, cluster: cluster, outcomes: map[string]map[string]int{}, messages: map[string][]string{}}
 		for round := range 10 {
 			for number := range 8 {
 				key := fmt.Sprintf("key-%d-%d", round, number)
 				trial.mutex.Lock()
-				trial.reported[key] = map[string]int{}
+				trial.outcomes[key] = map[string]int{}
 				trial.mutex.Unlock()
 				for _, position := range random.Perm(3) {
-					trial.ask(cluster.Fronts[position], key, time.Duration(random.IntN(400))*time.Millisecond)
+					trial.send(cluster.Fronts[position], key, time.Duration(random.IntN(400))*time.Millisecond)
 				}
 			}
 			<-time.After(time.Duration(random.IntN(300)) * time.Millisecond)
 			front, store := cluster.Fronts[random.IntN(3)], cluster.Stores[random.IntN(3)]
-			lasts := time.Duration(300+random.IntN(3000)) * time.Millisecond
-			trial.strike(random.IntN(6), front, store, lasts)
+			duration := time.Duration(300+random.IntN(3000)) * time.Millisecond
+			trial.injectFault(random.IntN(6), front, store, duration)
 		}
 		trial.sent.Wait()
-		<-time.After(30 * time.Second) // whoever was late has woken
+		<-time.After(30 * time.Second) // for delayed requests to end
 		trial.check()
 	})
 }
 
-// notRunTrial is a run that sends keys to several fronts each.
+// notRunTrial sends each key to several fronts and records the answers.
 type notRunTrial struct {
 	t        *testing.T
 	cluster  *Cluster
 	sent     sync.WaitGroup
 	mutex    sync.Mutex
-	reported map[string]map[string]int // how often each key was answered with each kind
-	why      map[string][]string       // messages of the errors by key
+	outcomes map[string]map[string]int // count of each kind of answer, by key
+	messages map[string][]string       // error messages, by key
 }
 
-// ask sends a query under a key to a front after a delay, and counts the kind of its answer.
-func (trial *notRunTrial) ask(front *Machine, key string, later time.Duration) {
+// send sends a request with a key to a front after a delay and counts the kind of its answer.
+func (trial *notRunTrial) send(front *Machine, key string, delay time.Duration) {
 	trial.sent.Go(func() {
-		<-time.After(later)
+		<-time.After(delay)
 		ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 		defer cancel()
 		answer, err := trial.cluster.Ask(ctx, http.MethodPost, front.Host+":7100", "/v1/queries", TeamToken, map[string]any{"program": "dialogue", "kind": "receipt", "query_key": key, "words": "pay"})
 		trial.mutex.Lock()
 		defer trial.mutex.Unlock()
-		reported := trial.reported[key]
+		kinds := trial.outcomes[key]
 		switch {
 		case err != nil:
-			reported["lost"]++
+			kinds["lost"]++
 		case answer.Status == http.StatusOK:
-			reported["done"]++
+			kinds["done"]++
 		default:
-			reported[answer.Error.Kind]++
-			trial.why[key] = append(trial.why[key], answer.Error.Message)
+			kinds[answer.Error.Kind]++
+			trial.messages[key] = append(trial.messages[key], answer.Error.Message)
 			if answer.Error.Kind == "not_run" && answer.Header.Get("Retry-After") == "" {
-				trial.t.Errorf("%s was refused without saying when to come back", key)
+				trial.t.Errorf("%s was rejected without a Retry-After header", key)
 			}
 		}
 	})
 }
 
-// strike injects the fault of that number, and ends it after a time.
-func (trial *notRunTrial) strike(fault int, front, store *Machine, lasts time.Duration) {
+// injectFault injects the fault with the given number and ends it after the duration.
+func (trial *notRunTrial) injectFault(fault int, front, store *Machine, duration time.Duration) {
 	t, cluster := trial.t, trial.cluster
 	t.Helper()
 	switch fault {
 	case 0:
 		cluster.Network.Freeze(front.Host)
-		<-time.After(lasts)
+		<-time.After(duration)
 		cluster.Network.Thaw(front.Host)
 	case 1:
-		for _, one := range cluster.Stores {
-			cluster.Network.CutOneWay(one.Host, front.Host) // begins and fences arrive, their answers do not
+		for _, peer := range cluster.Stores {
+			cluster.Network.CutOneWay(peer.Host, front.Host) // begin and fence requests arrive, their answers do not
 		}
-		<-time.After(lasts)
-		for _, one := range cluster.Stores {
-			cluster.Network.Heal(one.Host, front.Host)
+		<-time.After(duration)
+		for _, peer := range cluster.Stores {
+			cluster.Network.Heal(peer.Host, front.Host)
 		}
 	case 2:
 		front.Kill()
-		<-time.After(lasts)
+		<-time.After(duration)
 		if err := front.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -108,35 +107,35 @@
 		}
 	case 4:
 		cluster.Network.Isolate(front.Host)
-		<-time.After(lasts)
+		<-time.After(duration)
 		cluster.Network.Rejoin(front.Host)
-	case 5: // a crowd alone
+	case 5: // load without a fault
 	}
 }
 
-// check compares the responses that callers got with what the runners ran.
+// check compares the answers that callers received with the executions at the runners.
 func (trial *notRunTrial) check() {
 	t := trial.t
 	t.Helper()
-	sums := map[string]int{}
-	for key, kinds := range trial.reported {
+	totals := map[string]int{}
+	for key, kinds := range trial.outcomes {
 		count := trial.cluster.executions("dialogue/receipt/" + key)
-		sums["ran"] += count
-		for kind, times := range kinds {
-			sums[kind] += times
+		totals["ran"] += count
+		for kind, answered := range kinds {
+			totals[kind] += answered
 		}
 		if count > 1 {
 			t.Errorf("%s ran %d times", key, count)
 		}
 		if kinds["not_run"] > 0 && count > 0 {
-			t.Errorf("%s ran, and was told: %v (%q)", key, kinds, trial.why[key])
+			t.Errorf("%s ran, but was answered with %v (%q)", key, kinds, trial.messages[key])
 		}
 		if kinds["done"] > 0 && count != 1 {
-			t.Errorf("%s ran %d times, and was told: %v", key, count, kinds)
+			t.Errorf("%s ran %d times and was answered with %v", key, count, kinds)
 		}
 	}
-	t.Logf("%v", sums)
-	if sums["ran"] == 0 || sums["done"] == 0 {
-		t.Fatalf("nothing was tested: %v", sums)
+	t.Logf("%v", totals)
+	if totals["ran"] == 0 || totals["done"] == 0 {
+		t.Fatalf("nothing was tested: %v", totals)
 	}
 }
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -14,32 +14,32 @@
 	"yardrock.example/system/feed"
 )
 
-// operatorTimeout is how long an operator waits for one node, ackTimeout for the
-// acknowledgement of an order, whatever node gives it.
+// operatorTimeout limits an operator's request to one node, ackTimeout the time until a change is
+// acknowledged by any node.
 const (
 	operatorTimeout = 850 * time.Millisecond
 	ackTimeout      = 4 * time.Second
 )
 
-// requestChange sends an order to the control nodes in turn, from one on, until it is
-// acknowledged or refused, as operators do.
+// requestChange sends a change to one control node after another, starting at from, until it is
+// acknowledged or rejected, as operators' clients do.
 func (cluster *Cluster) requestChange(from int, timeout time.Duration, send func(ctx context.Context, node *controlplane.Node) error) error {
 	began := time.Now()
-	for turn := from; ; turn++ {
+	for attempt := from; ; attempt++ {
 		err := apierror.New(apierror.NoQuorum, "the node is down", "ask another")
-		if node := cluster.Controls[turn%len(cluster.Controls)].Control; node != nil {
+		if node := cluster.Controls[attempt%len(cluster.Controls)].Control; node != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 			err = send(ctx, node)
 			cancel()
 		}
-		if again := apierror.Is(err, apierror.NoQuorum) || apierror.Is(err, apierror.OutcomeUnknown); !again || time.Since(began) > timeout {
+		if retryable := apierror.Is(err, apierror.NoQuorum) || apierror.Is(err, apierror.OutcomeUnknown); !retryable || time.Since(began) > timeout {
 			return err
 		}
 		<-time.After(100 * time.Millisecond)
 	}
 }
 
-// oneRoute is a routing of one route, which its timeout identifies.
+// oneRoute returns a routing with a single route, identified by its timeout.
 func oneRoute(revision uint64, timeout time.Duration) config.Routing {
 	return config.Routing{
 		Revision: revision,
@@ -57,10 +57,10 @@
 	})
 }
 
-// mustRead reads the routing at every control node that runs; all must tell the same.
+// mustRead reads the routing at every running control node and checks that the revisions agree.
 func (cluster *Cluster) mustRead(t *testing.T, timeout time.Duration) *config.Routing {
 	t.Helper()
-	var newest *config.Routing
+	var latest *config.Routing
 	for position, machine := range cluster.Controls {
 		if machine.Control == nil {
 			continue
@@ -75,29 +75,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if newest != nil && newest.Revision != read.Revision {
-			t.Fatalf("node %d tells revision %d, another %d", position, read.Revision, newest.Revision)
+		if latest != nil && latest.Revision != read.Revision {
+			t.Fatalf("node %d has revision %d, another %d", position, read.Revision, latest.Revision)
 		}
-		newest = read
+		latest = read
 	}
-	return newest
+	return latest
 }
 
 func (cluster *Cluster) leader() *Machine {
-	at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control != nil && machine.Control.IsLeader() })
-	if at < 0 {
+	position := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control != nil && machine.Control.IsLeader() })
+	if position < 0 {
 		return cluster.Controls[0]
 	}
-	return cluster.Controls[at]
+	return cluster.Controls[position]
 }
 
-// TestOfTwoRoutingsOnOneBaseOneWinsOverAKilledLeader lets two operators race again and
-// again, while control leaders die; repeats, stale and invalid orders come in between.
-func TestOfTwoRoutingsOnOneBaseOneWinsOverAKilledLeader(t *testing.T) {
+// TestOneOfTwoConcurrentRoutingChangesWins guards against lost updates when two operators change the
+// same base, also with a killed leader and with repeated, stale and invalid changes.
+func TestOneOfTwoConcurrentRoutingChangesWins(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		race := &routingRace{t: t, cluster: cluster, random: cluster.Random(11)}
 		if read := cluster.mustRead(t, ackTimeout); read.Revision != 0 || len(read.Routes) != 0 {
-			t.Fatalf("before the first: %+v", read)
+			t.Fatalf("before the first change: %+v", read)
 		}
 		if err := cluster.replace(0, 0, oneRoute(3, time.Second), "first"); err != nil {
 			t.Fatal(err)
@@ -110,7 +110,7 @@
 		if read := cluster.mustRead(t, ackTimeout); read.Revision != race.base+4 || len(read.Routes) != 2 {
 			t.Fatalf("%+v is in force", read)
 		}
-		// A config that says nothing of routing leaves it as it is.
+		// A config without routing leaves the routing unchanged.
 		if err := cluster.PutConfig(BasicConfig + "// again\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -120,22 +120,22 @@
 	})
 }
 
-// routingRace is a run in which two operators send a routing each on the same base.
+// routingRace lets two operators replace the routing concurrently on the same base.
 type routingRace struct {
 	t       *testing.T
 	cluster *Cluster
 	random  *rand.Rand
-	base    uint64 // the revision that is in force
+	base    uint64 // revision in force
 }
 
-// run lets the operators race once and checks that just one of them wins.
+// run sends one pair of changes and checks that exactly one is accepted.
 func (race *routingRace) run(round int) {
 	t, cluster, random, before := race.t, race.cluster, race.random, race.base
 	t.Helper()
 	digest := func(operator int) string { return fmt.Sprintf("%d-%d", round, operator) }
-	orders := []config.Routing{oneRoute(before+1+uint64(random.IntN(5)), time.Second), oneRoute(before+1+uint64(random.IntN(5)), 2*time.Second)}
+	routings := []config.Routing{oneRoute(before+1+uint64(random.IntN(5)), time.Second), oneRoute(before+1+uint64(random.IntN(5)), 2*time.Second)}
 	began := time.Now()
-	results, killed := race.send(round, orders, digest)
+	results, killed := race.send(round, routings, digest)
 	winner := slices.Index(results, nil)
 	if winner < 0 || !apierror.Is(results[1-winner], apierror.Conflict) {
 		t.Fatalf("round %d: %v", round, results)
@@ -143,14 +143,14 @@
 	if took := time.Since(began); took > ackTimeout {
 		t.Fatalf("round %d: acknowledged after %s", round, took)
 	}
-	race.base = orders[winner].Revision
+	race.base = routings[winner].Revision
 	for from := range cluster.Controls {
-		if err := cluster.replace(from, before, orders[winner], digest(winner)); err != nil {
-			t.Fatalf("round %d: the winner repeated at %d: %v", round, from, err)
+		if err := cluster.replace(from, before, routings[winner], digest(winner)); err != nil {
+			t.Fatalf("round %d: the accepted change, repeated at node %d: %v", round, from, err)
 		}
 	}
-	if err := cluster.replace(random.IntN(5), before, orders[1-winner], digest(1-winner)); !apierror.Is(err, apierror.Conflict) {
-		t.Fatalf("round %d: the loser repeated: %v", round, err)
+	if err := cluster.replace(random.IntN(5), before, routings[1-winner], digest(1-winner)); !apierror.Is(err, apierror.Conflict) {
+		t.Fatalf("round %d: the rejected change, repeated: %v", round, err)
 	}
 	race.sendInvalid(round)
 	if killed != nil {
@@ -159,30 +159,30 @@
 		}
 	}
 	read := cluster.mustRead(t, 10*time.Second)
-	if read.Revision != race.base || read.Routes[0].Timeout != orders[winner].Routes[0].Timeout || string(read.Routes[0].Original) != string(orders[winner].Routes[0].Original) {
-		t.Fatalf("round %d: %+v is in force instead of %+v", round, read, orders[winner])
+	if read.Revision != race.base || read.Routes[0].Timeout != routings[winner].Routes[0].Timeout || string(read.Routes[0].Original) != string(routings[winner].Routes[0].Original) {
+		t.Fatalf("round %d: %+v is in force instead of %+v", round, read, routings[winner])
 	}
 }
 
-// send sends both orders at once and returns what each operator got. In every second
-// round the leader is killed meanwhile; killed is that leader, or nil.
-func (race *routingRace) send(round int, orders []config.Routing, digest func(operator int) string) (results []error, killed *Machine) {
+// send sends both routings concurrently and returns the result of each. In every second round it
+// kills the leader meanwhile; killed is that leader, or nil.
+func (race *routingRace) send(round int, routings []config.Routing, digest func(operator int) string) (results []error, killed *Machine) {
 	base := race.base
-	reported := make([]chan error, len(orders))
-	for operator, next := range orders {
-		reported[operator] = make(chan error, 1)
+	outcomes := make([]chan error, len(routings))
+	for operator, next := range routings {
+		outcomes[operator] = make(chan error, 1)
 		from := race.random.IntN(5)
-		go func() { reported[operator] <- race.cluster.replace(from, base, next, digest(operator)) }()
+		go func() { outcomes[operator] <- race.cluster.replace(from, base, next, digest(operator)) }()
 	}
 	if round%2 == 1 {
 		<-time.After(time.Duration(race.random.IntN(60)) * time.Millisecond)
 		killed = race.cluster.leader()
 		killed.Kill()
 	}
-	return []error{<-reported[0], <-reported[1]}, killed
+	return []error{<-outcomes[0], <-outcomes[1]}, killed
 }
 
-// sendInvalid sends routings that are to be refused as invalid on the base in force.
+// sendInvalid checks that invalid routings on the base in force are rejected.
 func (race *routingRace) sendInvalid(round int) {
 	race.t.Helper()
 	base := race.base
@@ -190,13 +190,13 @@
 	unknown.Services = nil
 	for name, invalid := range map[string]config.Routing{"revision": oneRoute(base, 3*time.Second), "older": oneRoute(base-1, 3*time.Second), "patience": oneRoute(base+1, 0), "service": unknown} {
 		if err := race.cluster.replace(race.random.IntN(5), base, invalid, name); !apierror.Is(err, apierror.Invalid) {
-			race.t.Fatalf("round %d: invalid by %s: %v", round, name, err)
+			race.t.Fatalf("round %d: routing with an invalid %s: %v", round, name, err)
 		}
 	}
 }
 
-// patch adds a route by a patch, sent again at every node, and has a stale and an invalid
-// patch refused.
+// patch adds a route with a patch that is repeated at every node, and checks that a stale and an
+// invalid patch are rejected.
 func (race *routingRace) patch() {
 	t, base := race.t, race.base
 	t.Helper()
@@ -213,16 +213,16 @@
 		}
 	}
 	if err := send(1, base, config.RoutingPatch{Revision: base + 5, RemoveRoutes: []string{"more"}}, "stale"); !apierror.Is(err, apierror.Conflict) {
-		t.Fatalf("a stale amendment: %v", err)
+		t.Fatalf("a stale patch: %v", err)
 	}
 	if err := send(2, base+4, config.RoutingPatch{Revision: base + 5, RemoveServices: []string{"small"}}, "needed"); !apierror.Is(err, apierror.Invalid) {
-		t.Fatalf("a service that is needed was removed: %v", err)
+		t.Fatalf("removal of a service in use: %v", err)
 	}
 }
 
-// TestARoutingOutlivesTheLossOfAllControlDisks loses them right after an
-// acknowledgement, with a store away; no node may tell an older routing meanwhile.
-func TestARoutingOutlivesTheLossOfAllControlDisks(t *testing.T) {
+// TestRoutingSurvivesTheLossOfAllControlDisks guards against an acknowledged routing that is lost
+// with all control disks, or read in an older revision, while one store is down.
+func TestRoutingSurvivesTheLossOfAllControlDisks(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		base := uint64(0)
 		for _, revision := range []uint64{2, 7, 9} {
@@ -242,10 +242,10 @@
 			}
 		}
 		if read := cluster.mustRead(t, 30*time.Second); read.Revision != 9 {
-			t.Fatalf("revision %d was read back", read.Revision)
+			t.Fatalf("revision %d was read after the disks were lost", read.Revision)
 		}
 		if err := cluster.replace(0, 7, oneRoute(9, time.Second), "9"); err != nil {
-			t.Fatalf("the last order, repeated: %v", err)
+			t.Fatalf("the last change, repeated: %v", err)
 		}
 		if err := cluster.replace(1, 9, oneRoute(10, time.Second), "10"); err != nil {
 			t.Fatal(err)
@@ -253,9 +253,9 @@
 	})
 }
 
-// TestDrainingADomainIsAcknowledgedAgain repeats orders at all nodes, while the leader
-// dies, and takes them back.
-func TestDrainingADomainIsAcknowledgedAgain(t *testing.T) {
+// TestRepeatedDomainChangeIsAcknowledged guards against domain changes that are not acknowledged when
+// repeated at another node or while the leader is down.
+func TestRepeatedDomainChangeIsAcknowledged(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 1, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		set := func(from int, name, state string) error {
 			return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
@@ -271,7 +271,7 @@
 					t.Fatal(err)
 				}
 				if took := time.Since(began); took > ackTimeout {
-					t.Fatalf("%s after %s", state, took)
+					t.Fatalf("%s was acknowledged after %s", state, took)
 				}
 			}
 			if err := killed.Start(); err != nil {
@@ -287,8 +287,8 @@
 	})
 }
 
-// TestRequestsAreNotAcceptedWithoutAQuorum: an order at a node that is alone is not
-// acknowledged, and its node says so before its operator leaves.
+// TestRequestsAreNotAcceptedWithoutAQuorum guards against changes and reads that a single node
+// accepts, and against errors that arrive after the operator's timeout.
 func TestRequestsAreNotAcceptedWithoutAQuorum(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		if err := cluster.replace(0, 0, oneRoute(1, time.Second), "1"); err != nil {
@@ -302,15 +302,15 @@
 		began := time.Now()
 		err := cluster.Controls[0].Control.ReplaceRouting(ctx, "root", 1, oneRoute(2, time.Second), "2")
 		if !apierror.Is(err, apierror.NoQuorum) && !apierror.Is(err, apierror.OutcomeUnknown) {
-			t.Fatalf("alone: %v", err)
+			t.Fatalf("without a quorum: %v", err)
 		}
 		if took := time.Since(began); took > operatorTimeout+10*time.Millisecond {
-			t.Fatalf("refused after %s", took)
+			t.Fatalf("rejected after %s", took)
 		}
 		ctx, cancel = context.WithTimeout(context.Background(), operatorTimeout)
 		defer cancel()
 		if _, err := cluster.Controls[0].Control.ReadRouting(ctx); err == nil {
-			t.Fatal("a node alone reads the routing")
+			t.Fatal("the routing was read without a quorum")
 		}
 	})
 }
--- a/proof/simulator/streams_test.go
+++ b/proof/simulator/streams_test.go
@@ -12,36 +12,37 @@
 	"yardrock.example/proof/standin"
 )
 
-// streamPosition is a streamed answer put together over several connections.
-type streamPosition struct {
+// resumedStream is a streamed answer assembled from several connections.
+type resumedStream struct {
 	conversation string
 	turn, last   uint64
 	words, end   string
 }
 
-// take adds what one connection brought; every seq must follow the one before.
-func (heard *streamPosition) take(answer *Answer) error {
-	said, _ := ReadStream(newReader(answer.Body))
-	if said.Conversation != "" && heard.conversation == "" {
-		heard.conversation, heard.turn, heard.last = said.Conversation, said.Turn, said.Turn
+// add appends what one connection delivered. It returns an error if the turn differs or the seqs
+// are not consecutive.
+func (stream *resumedStream) add(answer *Answer) error {
+	part, _ := ReadStream(newReader(answer.Body))
+	if part.Conversation != "" && stream.conversation == "" {
+		stream.conversation, stream.turn, stream.last = part.Conversation, part.Turn, part.Turn
 	}
-	if said.Turn != heard.turn {
-		return fmt.Errorf("turn %d was resumed as turn %d", heard.turn, said.Turn)
+	if part.Turn != stream.turn {
+		return fmt.Errorf("turn %d was resumed as turn %d", stream.turn, part.Turn)
 	}
-	for _, seq := range said.Seqs {
-		if seq != heard.last+1 {
-			return fmt.Errorf("seq %d came after %d", seq, heard.last)
+	for _, seq := range part.Seqs {
+		if seq != stream.last+1 {
+			return fmt.Errorf("seq %d follows %d", seq, stream.last)
 		}
-		heard.last = seq
+		stream.last = seq
 	}
-	heard.words += said.Words
-	heard.end = said.End
+	stream.words += part.Words
+	stream.end = part.End
 	return nil
 }
 
-// TestStreamsStayCompleteWhileStoresFail streams answers while store nodes die, lose
-// power, are cut off, or take appends whose answers are lost. Readers go on at other
-// fronts from the last seq they have.
+// TestStreamsStayCompleteWhileStoresFail guards against missing, repeated or changed pieces in streams
+// that readers resume at other fronts from their last seq, while stores lose power, are partitioned,
+// or accept appends whose answers are lost.
 func TestStreamsStayCompleteWhileStoresFail(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(29)
@@ -50,12 +51,12 @@
 			var sent sync.WaitGroup
 			for number := range 6 {
 				question := fmt.Sprintf("round %d, question %d", round, number)
-				order, leaves := random.Perm(3), time.Duration(60+random.IntN(150))*time.Millisecond
-				sent.Go(func() { trial.listen(question, order, leaves) })
+				order, disconnectAfter := random.Perm(3), time.Duration(60+random.IntN(150))*time.Millisecond
+				sent.Go(func() { trial.readAnswer(question, order, disconnectAfter) })
 			}
 			<-time.After(time.Duration(20+random.IntN(150)) * time.Millisecond)
-			store, lasts := cluster.Stores[random.IntN(3)], time.Duration(200+random.IntN(1500))*time.Millisecond
-			trial.strike(round%4, store, lasts)
+			store, duration := cluster.Stores[random.IntN(3)], time.Duration(200+random.IntN(1500))*time.Millisecond
+			trial.injectFault(round%4, store, duration)
 			sent.Wait()
 			if err := cluster.AwaitServing(12 * time.Second); err != nil {
 				t.Fatal(err)
@@ -68,7 +69,7 @@
 	})
 }
 
-// streamTrial counts how many answers were complete, and how often one was resumed.
+// streamTrial counts complete answers and resumed connections.
 type streamTrial struct {
 	t                 *testing.T
 	cluster           *Cluster
@@ -76,80 +77,81 @@
 	complete, resumed int
 }
 
-// listen asks a question and reads its answer, at one front after another in the given
-// order. The first two connections break after the time leaves.
-func (trial *streamTrial) listen(question string, order []int, leaves time.Duration) {
+// readAnswer sends a question and reads its answer from one front after another in the given
+// order. The first two connections are closed after disconnectAfter.
+func (trial *streamTrial) readAnswer(question string, order []int, disconnectAfter time.Duration) {
 	t := trial.t
 	want := words(standin.Answer(nil, question))
-	heard := &streamPosition{}
-	for try := range 12 {
-		front := trial.cluster.Fronts[order[try%3]]
+	stream := &resumedStream{}
+	for attempt := range 12 {
+		front := trial.cluster.Fronts[order[attempt%3]]
 		timeout := 30 * time.Second
-		if try < 2 {
-			timeout = leaves // the connection breaks amid the answer
+		if attempt < 2 {
+			timeout = disconnectAfter // closes the connection during the answer
 		}
-		answer := trial.askOn(front, question, heard, timeout)
+		answer := trial.askOrResume(front, question, stream, timeout)
 		if answer == nil || answer.Status != http.StatusOK {
 			<-time.After(500 * time.Millisecond)
 			continue
 		}
-		if err := heard.take(answer); err != nil {
+		if err := stream.add(answer); err != nil {
 			t.Errorf("%s: %v", question, err)
 			return
 		}
-		if heard.end != "" && heard.end != "failed" {
+		if stream.end != "" && stream.end != "failed" {
 			break
 		}
 		trial.mutex.Lock()
 		trial.resumed++
 		trial.mutex.Unlock()
 	}
-	if heard.end == "complete" && heard.words != want {
-		t.Errorf("%s: heard %q, want %q", question, heard.words, want)
+	if stream.end == "complete" && stream.words != want {
+		t.Errorf("%s: received %q, want %q", question, stream.words, want)
 	}
-	if !strings.HasPrefix(want, heard.words) {
-		t.Errorf("%s: heard %q, which is no beginning of %q", question, heard.words, want)
+	if !strings.HasPrefix(want, stream.words) {
+		t.Errorf("%s: received %q, which is no prefix of %q", question, stream.words, want)
 	}
 	trial.mutex.Lock()
 	defer trial.mutex.Unlock()
-	if heard.end == "complete" {
+	if stream.end == "complete" {
 		trial.complete++
 	}
 }
 
-// askOn asks the question, or goes on reading from where the answer broke off.
-func (trial *streamTrial) askOn(front *Machine, question string, heard *streamPosition, timeout time.Duration) *Answer {
+// askOrResume sends the question, or resumes the answer after the last received seq.
+func (trial *streamTrial) askOrResume(front *Machine, question string, stream *resumedStream, timeout time.Duration) *Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var answer *Answer
-	if heard.conversation == "" {
+	if stream.conversation == "" {
 		answer, _ = trial.cluster.Ask(ctx, http.MethodPost, front.Host+":7100", "/v1/conversations", TeamToken, talk(question, question))
 	} else {
-		answer, _ = trial.cluster.Ask(ctx, http.MethodGet, front.Host+":7100", fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", heard.conversation, heard.last, heard.turn), TeamToken, nil)
+		answer, _ = trial.cluster.Ask(ctx, http.MethodGet, front.Host+":7100", fmt.Sprintf("/v1/conversations/%s/tail?cursor=%d&turn=%d", stream.conversation, stream.last, stream.turn), TeamToken, nil)
 	}
 	return answer
 }
 
-// strike injects a fault at a store: 0 takes its power, 1 isolates it, others lose its answers.
-func (trial *streamTrial) strike(fault int, store *Machine, lasts time.Duration) {
+// injectFault injects a fault at a store for the duration: 0 is a power loss, 1 a partition, others
+// drop its answers.
+func (trial *streamTrial) injectFault(fault int, store *Machine, duration time.Duration) {
 	cluster := trial.cluster
 	trial.t.Helper()
 	switch fault {
 	case 0:
 		store.LosePower()
-		<-time.After(lasts)
+		<-time.After(duration)
 		if err := store.Start(); err != nil {
 			trial.t.Fatal(err)
 		}
 	case 1:
 		cluster.Network.Isolate(store.Host)
-		<-time.After(lasts)
+		<-time.After(duration)
 		cluster.Network.Rejoin(store.Host)
 	default:
 		for _, front := range cluster.Fronts {
 			cluster.Network.CutOneWay(store.Host, front.Host) // appends arrive, their answers do not
 		}
-		<-time.After(lasts)
+		<-time.After(duration)
 		for _, front := range cluster.Fronts {
 			cluster.Network.Heal(store.Host, front.Host)
 		}
--- a/proof/simulator/warmup_test.go
+++ b/proof/simulator/warmup_test.go
@@ -23,22 +23,22 @@
 		before := cold.Runner.TakeMaxInFlight()
 		<-time.After(3 * time.Second)
 		maximum := cold.Runner.TakeMaxInFlight()
-		t.Logf("most queries at once: %d warm, %d cold", before, maximum)
+		t.Logf("maximum in flight: %d warm, %d cold", before, maximum)
 		if before < 3 {
-			t.Fatalf("only %d queries at once before: the runner was never crowded", before)
+			t.Fatalf("only %d requests in flight while warm: the runner had too little load", before)
 		}
 		if maximum > 2 {
-			t.Fatalf("a runner that bears 2 while cold had %d at once", maximum)
+			t.Fatalf("a cold runner with a limit of 2 had %d requests in flight", maximum)
 		}
 	})
 }
 
-// TestRestartedRunnerWarmsUpWithoutFlood restarts a runner under a crowd while the
-// platform's list goes on calling it serving, and lets a front come and go meanwhile.
-// Refusals and lost connections alone must bring its limit down, at every front.
+// TestRestartedRunnerWarmsUpWithoutFlood guards against full load on a runner that restarts while the
+// platform's list still reports it as serving, also when a front restarts. Rejections and lost
+// connections alone must lower its limit at every front.
 func TestRestartedRunnerWarmsUpWithoutFlood(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 4, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		const ramp, bears, cold = 4 * time.Second, 6, 1
+		const ramp, warmLimit, coldLimit = 4 * time.Second, 6, 1
 		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, `small: {concurrency: 16, cold_concurrency: 2, ramp: "1s"}`, `small: {concurrency: 6, cold_concurrency: 1, ramp: "4s"}`)); err != nil {
 			t.Fatal(err)
 		}
@@ -47,8 +47,8 @@
 		defer stop()
 		<-time.After(3 * time.Second)
 		runner, random := cluster.Runners[0], cluster.Random(17)
-		if before := runner.Runner.TakeMaxInFlight(); before < bears/2 || before > bears {
-			t.Fatalf("%d queries at once before, of %d: nothing is tested", before, bears)
+		if before := runner.Runner.TakeMaxInFlight(); before < warmLimit/2 || before > warmLimit {
+			t.Fatalf("%d requests in flight before, limit %d: nothing is tested", before, warmLimit)
 		}
 		for round := range 2 {
 			runner.Stop()
@@ -67,14 +67,14 @@
 			for step := range 10 {
 				<-time.After(ramp / 20)
 				maximum := runner.Runner.TakeMaxInFlight()
-				bound := cold + (bears-cold)*(step+1)/20 + 1 // the ramp starts with the first answer
+				bound := coldLimit + (warmLimit-coldLimit)*(step+1)/20 + 1 // the ramp starts with the first answer
 				if maximum > bound {
-					t.Fatalf("round %d: %d queries at once %s after the return, which bears %d", round, maximum, time.Duration(step+1)*ramp/20, bound)
+					t.Fatalf("round %d: %d requests in flight %s after the restart, limit %d", round, maximum, time.Duration(step+1)*ramp/20, bound)
 				}
 			}
 			<-time.After(ramp)
-			if maximum := runner.Runner.TakeMaxInFlight(); maximum < bears/2 || maximum > bears {
-				t.Fatalf("round %d: %d queries at once after the ramp, of %d", round, maximum, bears)
+			if maximum := runner.Runner.TakeMaxInFlight(); maximum < warmLimit/2 || maximum > warmLimit {
+				t.Fatalf("round %d: %d requests in flight after the ramp, limit %d", round, maximum, warmLimit)
 			}
 		}
 	})
