--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -72,9 +72,9 @@
 	return map[string]any{"program": "dialogue", "kind": "talk", "query_key": key, "words": words}
 }
 
-// TestRequestsOfAFailedFrontAreClosedAtOnce guards against callers that must wait for the deadline of
-// a request whose front was killed: another front answers at once. The outcome of
-// a frozen front's request is not final, as that front may still record it.
+// TestRequestsOfAFailedFrontAreClosedAtOnce guards against callers that must wait for the deadline
+// of a request whose front was killed: another front answers at once. The outcome of a frozen
+// front's request is not final, as that front may still record it.
 func TestRequestsOfAFailedFrontAreClosedAtOnce(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		failed, other := cluster.Fronts[0], cluster.Fronts[1]
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -115,7 +115,7 @@
 				t.Errorf("%s with %s: complete is %t (%d %q)", test.path, test.fault, answer.Complete(), answer.Status, answer.Body)
 			}
 			if notRunStatus := map[int]bool{408: true, 421: true, 429: true, 503: true}[answer.Status]; notRunStatus {
-				t.Errorf("%s with %s: a runner's status %d was forwarded, though the request may have run", test.path, test.fault, answer.Status)
+				t.Errorf("%s with %s: a runner's status %d was forwarded, though it does not prove that the request did not run", test.path, test.fault, answer.Status)
 			}
 			setFault(cluster, standin.NoFault)
 			cluster.Sleep(3 * time.Second)
@@ -151,7 +151,7 @@
 		for number := 1; number <= 5; number++ {
 			want += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData("hello", number))
 		}
-		// The second runner also stops after two events, which uses up the two attempts.
+		// The second runner also stops after two more events, which uses up the two attempts.
 		if answer.Err == nil || !strings.HasPrefix(want, string(answer.Body)) || strings.Count(string(answer.Body), "id: ") != 4 {
 			t.Fatalf("%v\n%s", answer.Err, answer.Body)
 		}
