--- a/proof/simulator/adminrequests_test.go
+++ b/proof/simulator/adminrequests_test.go
@@ -19,54 +19,56 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// operatorRequest is an order of the routing as its operator sends it, again and again.
+// operatorRequest is a request to replace the routing, as its operator sends and resends it.
 type operatorRequest struct {
 	base   uint64
 	next   config.Routing
 	digest string
 }
 
-func (cluster *Cluster) sendRoutingRequest(from int, order operatorRequest) error {
-	return cluster.replace(from, order.base, order.next, order.digest)
+func (cluster *Cluster) sendRoutingRequest(from int, request operatorRequest) error {
+	return cluster.replace(from, request.base, request.next, request.digest)
 }
 
-// twoOperators has two operators build on one revision; it gives the order that was
-// acknowledged, and the other.
-func (cluster *Cluster) twoOperators(t *testing.T, base, revision uint64) (won, lost operatorRequest) {
+// raceTwoOperators sends two concurrent requests with the same base revision. It returns the one
+// that was acknowledged and the one that was rejected.
+func (cluster *Cluster) raceTwoOperators(t *testing.T, base, revision uint64) (won, lost operatorRequest) {
 	t.Helper()
-	orders := []operatorRequest{}
+	requests := []operatorRequest{}
 	for operator := range 2 {
 		next := oneRoute(revision, time.Duration(operator+1)*time.Second)
-		orders = append(orders, operatorRequest{base: base, next: next, digest: fmt.Sprintf("%d by %d", revision, operator)})
+		requests = append(requests, operatorRequest{base: base, next: next, digest: fmt.Sprintf("%d by %d", revision, operator)})
 	}
-	reported := make([]chan error, len(orders))
-	for operator, order := range orders {
-		reported[operator] = make(chan error, 1)
-		go func() { reported[operator] <- cluster.sendRoutingRequest(operator, order) }()
+	acknowledgements := make([]chan error, len(requests))
+	for operator, request := range requests {
+		acknowledgements[operator] = make(chan error, 1)
+		go func() { acknowledgements[operator] <- cluster.sendRoutingRequest(operator, request) }()
 	}
-	results := []error{<-reported[0], <-reported[1]}
+	results := []error{<-acknowledgements[0], <-acknowledgements[1]}
 	winner := slices.Index(results, nil)
 	if winner < 0 || !apierror.Is(results[1-winner], apierror.Conflict) {
-		t.Fatalf("two operators on revision %d: %v", base, results)
+		t.Fatalf("two requests with base revision %d: %v", base, results)
 	}
-	return orders[winner], orders[1-winner]
+	return requests[winner], requests[1-winner]
 }
 
-// mustRepeatRequests sends a won and a lost order again, to each node.
+// mustRepeatRequests resends an acknowledged and a rejected request to each control node, which
+// must answer as before.
 func (cluster *Cluster) mustRepeatRequests(t *testing.T, when string, won, lost operatorRequest) {
 	t.Helper()
 	for from := range cluster.Controls {
 		if err := cluster.sendRoutingRequest(from, won); err != nil {
-			t.Fatalf("%s: the acknowledged order again, at %d: %v", when, from, err)
+			t.Fatalf("%s: the acknowledged request, resent to control node %d: %v", when, from, err)
 		}
 		if err := cluster.sendRoutingRequest(from, lost); !apierror.Is(err, apierror.Conflict) {
-			t.Fatalf("%s: the lost order again, at %d: %v", when, from, err)
+			t.Fatalf("%s: the rejected request, resent to control node %d: %v", when, from, err)
 		}
 	}
 }
 
-// restartAll loses the power of all machines at once, and starts them.
-func (cluster *Cluster) restartAll(t *testing.T) {
+// restartControlsAndStores cuts the power of all control nodes and stores at once and starts them
+// again.
+func (cluster *Cluster) restartControlsAndStores(t *testing.T) {
 	t.Helper()
 	machines := slices.Concat(cluster.Controls, cluster.Stores)
 	for _, machine := range machines {
@@ -84,8 +86,9 @@
 	}
 }
 
-// loseControlDisks wipes the control nodes, so that the feed is recovered from the stores.
-func (cluster *Cluster) loseControlDisks(t *testing.T) {
+// wipeControls loses the disks of all control nodes and waits until they have recovered the feed
+// from the stores.
+func (cluster *Cluster) wipeControls(t *testing.T) {
 	t.Helper()
 	for _, machine := range cluster.Controls {
 		machine.Kill()
@@ -95,11 +98,11 @@
 	cluster.mustRead(t, 30*time.Second)
 }
 
-// TestRequestRepeatedAfterFaultsIsAcknowledged sends an acknowledged order and one that lost
-// against it again after each kind of fault, and after other orders.
+// TestRequestRepeatedAfterFaultsIsAcknowledged resends an acknowledged request and one that was
+// rejected in its favor, after each kind of fault and after other requests.
 func TestRequestRepeatedAfterFaultsIsAcknowledged(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		won, lost := cluster.twoOperators(t, 0, 5)
+		won, lost := cluster.raceTwoOperators(t, 0, 5)
 		base := won.next.Revision
 		for _, step := range []struct {
 			when string
@@ -111,92 +114,92 @@
 				killed.Kill()
 				startAll(t, []*Machine{killed})
 			}},
-			{"after a config was put", func() {
+			{"after a config change", func() {
 				if err := cluster.PutConfig(BasicConfig + "// again\n"); err != nil {
 					t.Fatal(err)
 				}
 			}},
-			{"after a total outage", func() { cluster.restartAll(t) }},
-			{"after the loss of all control disks", func() { cluster.loseControlDisks(t) }},
+			{"after a total outage", func() { cluster.restartControlsAndStores(t) }},
+			{"after the loss of all control disks", func() { cluster.wipeControls(t) }},
 		} {
 			step.do()
 			cluster.mustRepeatRequests(t, step.when, won, lost)
-			for range 70 { // more than a routing itself remembers
-				order := operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
-				if err := cluster.sendRoutingRequest(0, order); err != nil {
+			for range 70 { // more requests than the routing itself records
+				request := operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
+				if err := cluster.sendRoutingRequest(0, request); err != nil {
 					t.Fatalf("%s: %v", step.when, err)
 				}
 				base++
 			}
-			cluster.mustRepeatRequests(t, step.when+", and 70 orders later", won, lost)
+			cluster.mustRepeatRequests(t, step.when+", and 70 requests later", won, lost)
 		}
 		if read := cluster.mustRead(t, ackTimeout); read.Revision != base {
-			t.Fatalf("revision %d is read, %d was acknowledged last", read.Revision, base)
+			t.Fatalf("read revision %d; %d was acknowledged last", read.Revision, base)
 		}
 	})
 }
 
-// TestForgottenRequestIsNotRejected sends an order again after 3,000 others: it was taken, so
-// it may not be refused, nor is it known any more.
+// TestForgottenRequestIsNotRejected resends a request after 3,000 others. Its record is gone, so
+// its outcome is unknown: it must be neither acknowledged nor rejected.
 func TestForgottenRequestIsNotRejected(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		if cluster.Seed%2 == 0 {
-			return // so many requests take half a minute; snapshots are made at odd seeds
+			return // saves half a minute per seed; only odd seeds make snapshots
 		}
-		won, lost := cluster.twoOperators(t, 0, 5)
-		base, orders := won.next.Revision, []operatorRequest{won}
+		won, lost := cluster.raceTwoOperators(t, 0, 5)
+		base, requests := won.next.Revision, []operatorRequest{won}
 		for range 3000 {
-			order := operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
-			if err := cluster.sendRoutingRequest(0, order); err != nil {
+			request := operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("then ", base+1)}
+			if err := cluster.sendRoutingRequest(0, request); err != nil {
 				t.Fatal(err)
 			}
-			base, orders = order.next.Revision, append(orders, order)
+			base, requests = request.next.Revision, append(requests, request)
 		}
 		check := func(when string) {
 			t.Helper()
-			for position, order := range []operatorRequest{won, lost, orders[500]} {
-				if err := cluster.sendRoutingRequest(position, order); !apierror.Is(err, apierror.NoQuorum) {
-					t.Fatalf("%s: forgotten order %d again: %v", when, position, err)
+			for position, request := range []operatorRequest{won, lost, requests[500]} {
+				if err := cluster.sendRoutingRequest(position, request); !apierror.Is(err, apierror.NoQuorum) {
+					t.Fatalf("%s: forgotten request %d, resent: %v", when, position, err)
 				}
 			}
-			for _, order := range []operatorRequest{orders[1000], orders[2000], orders[3000]} {
-				if err := cluster.sendRoutingRequest(1, order); err != nil {
-					t.Fatalf("%s: the order of revision %d again: %v", when, order.next.Revision, err)
+			for _, request := range []operatorRequest{requests[1000], requests[2000], requests[3000]} {
+				if err := cluster.sendRoutingRequest(1, request); err != nil {
+					t.Fatalf("%s: the request for revision %d, resent: %v", when, request.next.Revision, err)
 				}
 			}
 			stale := operatorRequest{base: base - 1, next: oneRoute(base+1, time.Second), digest: "stale"}
 			if err := cluster.sendRoutingRequest(2, stale); !apierror.Is(err, apierror.Conflict) {
-				t.Fatalf("%s: an order that was never taken: %v", when, err)
+				t.Fatalf("%s: a request with a stale base: %v", when, err)
 			}
 		}
 		check("at once")
-		cluster.restartAll(t)
+		cluster.restartControlsAndStores(t)
 		check("after a total outage")
-		cluster.loseControlDisks(t)
+		cluster.wipeControls(t)
 		check("after the loss of all control disks")
 	})
 }
 
-// TestLostAnswersLeaveOneRequestOnABase has operators lose their answers, with a fault right
-// after, and then send their orders again: one is acknowledged, the other refused.
-func TestLostAnswersLeaveOneRequestOnABase(t *testing.T) {
+// TestLostResponsesAcknowledgeOneRequestPerBase times out two concurrent requests, injects a fault
+// and resends both: exactly one is acknowledged, the other is rejected.
+func TestLostResponsesAcknowledgeOneRequestPerBase(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(21)
 		base := uint64(0)
 		for round := range 12 {
-			orders := []operatorRequest{}
+			requests := []operatorRequest{}
 			for operator := range 2 {
 				next := oneRoute(base+1+uint64(random.IntN(3)), time.Duration(operator+1)*time.Second)
-				orders = append(orders, operatorRequest{base: base, next: next, digest: fmt.Sprintf("round %d by %d", round, operator)})
+				requests = append(requests, operatorRequest{base: base, next: next, digest: fmt.Sprintf("round %d by %d", round, operator)})
 			}
-			lost := make(chan error, len(orders))
-			for operator, order := range orders {
+			outcomes := make(chan error, len(requests))
+			for operator, request := range requests {
 				node := cluster.Controls[random.IntN(3)].Control
 				timeout := time.Duration(random.IntN(40)) * time.Millisecond
 				go func() {
 					ctx, cancel := context.WithTimeout(context.Background(), timeout)
 					defer cancel()
-					lost <- node.ReplaceRouting(ctx, fmt.Sprint("operator ", operator), order.base, order.next, order.digest)
+					outcomes <- node.ReplaceRouting(ctx, fmt.Sprint("operator ", operator), request.base, request.next, request.digest)
 				}()
 			}
 			<-time.After(time.Duration(random.IntN(50)) * time.Millisecond)
@@ -206,37 +209,37 @@
 				killed.Kill()
 				startAll(t, []*Machine{killed})
 			case 2:
-				cluster.restartAll(t)
+				cluster.restartControlsAndStores(t)
 			case 3:
 				cut := cluster.leader()
 				cluster.Network.Isolate(cut.Host)
 				<-time.After(3 * time.Second)
 				cluster.Network.Rejoin(cut.Host)
 			}
-			for range orders {
-				<-lost
+			for range requests {
+				<-outcomes
 			}
 			results := []error{}
-			for operator, order := range orders {
+			for operator, request := range requests {
 				results = append(results, cluster.requestChange(operator, 12*time.Second, func(ctx context.Context, node *controlplane.Node) error {
-					return node.ReplaceRouting(ctx, fmt.Sprint("operator ", operator), order.base, order.next, order.digest)
+					return node.ReplaceRouting(ctx, fmt.Sprint("operator ", operator), request.base, request.next, request.digest)
 				}))
 			}
 			winner := slices.Index(results, nil)
 			if winner < 0 || !apierror.Is(results[1-winner], apierror.Conflict) {
 				t.Fatalf("round %d: %v", round, results)
 			}
-			base = orders[winner].next.Revision
-			if read := cluster.mustRead(t, 10*time.Second); read.Revision != base || read.Routes[0].Timeout != orders[winner].next.Routes[0].Timeout {
-				t.Fatalf("round %d: %+v is read, %+v was acknowledged", round, read, orders[winner].next)
+			base = requests[winner].next.Revision
+			if read := cluster.mustRead(t, 10*time.Second); read.Revision != base || read.Routes[0].Timeout != requests[winner].next.Routes[0].Timeout {
+				t.Fatalf("round %d: read %+v; %+v was acknowledged", round, read, requests[winner].next)
 			}
 		}
 	})
 }
 
-// administered sends an order of the administration API until it is acknowledged or
-// refused.
-func (cluster *Cluster) administered(method, path string, body any) (changed ChangeResult, err error) {
+// retryAdminRequest sends a request of the administration API until it is acknowledged or
+// rejected.
+func (cluster *Cluster) retryAdminRequest(method, path string, body any) (changed ChangeResult, err error) {
 	err = cluster.Await(12*time.Second, "acknowledgement", func() error {
 		answer, err := cluster.Administer(method, path, body)
 		if err != nil {
@@ -253,15 +256,15 @@
 	return changed, err
 }
 
-// TestNumberedAdminRequestsRepeated repeats each order of the administration
-// API that names the number it builds on, after others and after faults: it is
-// acknowledged under the number that it was given.
+// TestNumberedAdminRequestsRepeated resends each kind of administration request that names the
+// config number it expects, after other requests and after faults: it is acknowledged with the
+// number that it got first.
 func TestNumberedAdminRequestsRepeated(t *testing.T) {
-	type numbered struct {
+	type numberedRequest struct {
 		method, path string
 		body         func(number uint64) map[string]any
 	}
-	orders := []numbered{
+	requests := []numberedRequest{
 		{http.MethodPut, "/v1/config", func(number uint64) map[string]any {
 			return map[string]any{"source": Config(BasicConfig), "expected": number}
 		}},
@@ -282,35 +285,35 @@
 		}},
 	}
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		type done struct {
-			numbered
+		type acknowledgedRequest struct {
+			numberedRequest
 			sent   map[string]any
 			number uint64
 		}
-		taken := []done{}
-		for position, order := range orders {
+		acknowledged := []acknowledgedRequest{}
+		for position, request := range requests {
 			reported, err := cluster.fleet()
 			if err != nil {
 				t.Fatal(err)
 			}
-			sent := order.body(reported.ConfigNumber)
-			changed, err := cluster.administered(order.method, order.path, sent)
+			sent := request.body(reported.ConfigNumber)
+			changed, err := cluster.retryAdminRequest(request.method, request.path, sent)
 			if err != nil {
-				t.Fatalf("order %d: %v", position, err)
+				t.Fatalf("request %d: %v", position, err)
 			}
-			taken = append(taken, done{order, sent, changed.Number})
+			acknowledged = append(acknowledged, acknowledgedRequest{request, sent, changed.Number})
 		}
 		repeat := func(when string) {
 			t.Helper()
-			for position, order := range taken {
-				changed, err := cluster.administered(order.method, order.path, order.sent)
-				if err != nil || changed.Number != order.number {
-					t.Fatalf("%s: order %d again: %v, number %d instead of %d", when, position, err, changed.Number, order.number)
+			for position, request := range acknowledged {
+				changed, err := cluster.retryAdminRequest(request.method, request.path, request.sent)
+				if err != nil || changed.Number != request.number {
+					t.Fatalf("%s: request %d, resent: %v, number %d instead of %d", when, position, err, changed.Number, request.number)
 				}
 			}
-			answer, err := cluster.Administer(http.MethodPatch, "/v1/config", map[string]any{"path": "programs.dialogue.allowance", "value": 79, "expected": taken[0].number - 1})
+			answer, err := cluster.Administer(http.MethodPatch, "/v1/config", map[string]any{"path": "programs.dialogue.allowance", "value": 79, "expected": acknowledged[0].number - 1})
 			if err != nil || answer.Error.Kind != string(apierror.Conflict) {
-				t.Fatalf("%s: another order on a number that is not in force: %v %s", when, err, answer)
+				t.Fatalf("%s: another request that expects a superseded number: %v %s", when, err, answer)
 			}
 		}
 		repeat("at once")
@@ -318,15 +321,15 @@
 		killed.Kill()
 		repeat("with a new leader")
 		startAll(t, []*Machine{killed})
-		cluster.restartAll(t)
+		cluster.restartControlsAndStores(t)
 		repeat("after a total outage")
-		cluster.loseControlDisks(t)
+		cluster.wipeControls(t)
 		repeat("after the loss of all control disks")
 	})
 }
 
-// TestForwardedAdminRequestIsNotForwardedAgain asks each node what only the leader can answer: one that
-// rejects it because it was forwarded already names the leader, and does so at once.
+// TestForwardedAdminRequestIsNotForwardedAgain sends each node requests that only the leader can
+// answer: a follower rejects one that was forwarded already at once, and names the leader.
 func TestForwardedAdminRequestIsNotForwardedAgain(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		caller := link.NewClient(cluster.Network.At("10.8.1.1"))
@@ -361,8 +364,8 @@
 	})
 }
 
-// revisionShown reads the revision in an answer to "show routes".
-func revisionShown(t *testing.T, answer *Answer) uint64 {
+// shownRevision returns the revision in an answer to "show routes".
+func shownRevision(t *testing.T, answer *Answer) uint64 {
 	t.Helper()
 	var reported struct{ Rows [][]string }
 	if err := json.Unmarshal(answer.Body, &reported); err != nil || len(reported.Rows) != 1 {
--- a/proof/simulator/awaitfresh_test.go
+++ b/proof/simulator/awaitfresh_test.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/forwarding"
 )
 
-// startWithin starts machines, each at its own time within a span, and gives the time at
-// which the last had started.
+// startWithin starts machines at random times within a span, and returns the time at which the last
+// one had started.
 func startWithin(t *testing.T, random *rand.Rand, machines []*Machine, span time.Duration) time.Time {
 	t.Helper()
 	var starting sync.WaitGroup
@@ -28,9 +28,9 @@
 	return time.Now()
 }
 
-// TestRequestsRightAfterATotalOutageAreServed: a front that has just started lets
-// them wait for its view rather than refuse them.
-func TestRequestsRightAfterATotalOutageAreServed(t *testing.T) {
+// TestRequestsRightAfterTotalOutageAreServed checks that a front that has just started delays
+// requests until it has a fresh view instead of rejecting them.
+func TestRequestsRightAfterTotalOutageAreServed(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(43)
 		for round := range 4 {
@@ -41,30 +41,30 @@
 					machine.LosePower()
 				}
 			}
-			returned := startWithin(t, random, cluster.Machines(), 400*time.Millisecond)
-			var asking sync.WaitGroup
+			restarted := startWithin(t, random, cluster.Machines(), 400*time.Millisecond)
+			var requests sync.WaitGroup
 			for _, machine := range cluster.Fronts {
 				for number := range 4 {
-					asking.Go(func() {
+					requests.Go(func() {
 						name := fmt.Sprintf("early-%d-%s-%d", round, machine.Host, number)
 						path := []string{"/lookup/", "/talk/kept/"}[number%2] + name
 						answer := cluster.Forward(machine, forwarding.Request{Name: name, Path: path, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
-						if took := time.Since(returned); !answer.Complete() || took > 2*time.Second {
-							t.Errorf("round %d: %s got %d %v %s after the return", round, path, answer.Status, answer.Err, took)
+						if took := time.Since(restarted); !answer.Complete() || took > 2*time.Second {
+							t.Errorf("round %d: %s got %d %v %s after the restart", round, path, answer.Status, answer.Err, took)
 						}
 					})
 				}
 			}
-			asking.Wait()
-			t.Logf("round %d: all are answered %s after the return", round, time.Since(returned))
+			requests.Wait()
+			t.Logf("round %d: all requests were answered %s after the restart", round, time.Since(restarted))
 			cluster.Sleep(3 * time.Second)
 		}
 	})
 }
 
-// TestAFrontThatHasBeenCutOffForLongRefusesAtOnce: its callers lose no time that they could
-// use at another.
-func TestAFrontThatHasBeenCutOffForLongRefusesAtOnce(t *testing.T) {
+// TestLongIsolatedFrontRejectsAtOnce checks that a front without a fresh view rejects requests
+// without delay, so that callers can retry at another.
+func TestLongIsolatedFrontRejectsAtOnce(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		front := cluster.Fronts[0]
 		cluster.Network.Isolate(front.Host)
@@ -72,7 +72,7 @@
 		began := time.Now()
 		answer := cluster.Forward(front, forwarding.Request{Name: "cut-1", Path: "/lookup/cut-1"})
 		if took := time.Since(began); !answer.Rejected() || took > 0 {
-			t.Fatalf("after %s: %d %v", took, answer.Status, answer.Err)
+			t.Fatalf("the isolated front, after %s: %d %v", took, answer.Status, answer.Err)
 		}
 		cluster.Network.Rejoin(front.Host)
 		if answer := cluster.Forward(cluster.Fronts[1], forwarding.Request{Name: "cut-2", Path: "/lookup/cut-2"}); !answer.Complete() {
--- a/proof/simulator/catchup_test.go
+++ b/proof/simulator/catchup_test.go
@@ -14,12 +14,12 @@
 const (
 	catchUpChanges = 1000
 	catchUpRoutes  = 40
-	// grownRoutes make a snapshot of several chunks.
-	grownRoutes  = 1500
-	catchUpLimit = 3 * time.Second
+	// multiChunkRoutes is a number of routes whose snapshot has several chunks.
+	multiChunkRoutes = 1500
+	catchUpLimit     = 3 * time.Second
 )
 
-// manyRoutes is a routing with routes that are alike.
+// manyRoutes returns a routing with a number of additional, similar routes.
 func manyRoutes(revision uint64, count int) config.Routing {
 	routing := oneRoute(revision, time.Second)
 	for number := range count {
@@ -31,41 +31,41 @@
 	return routing
 }
 
-// catchUp starts a machine after a change that it missed, and demands that it votes and
-// holds that change in time.
-func (cluster *Cluster) catchUp(t *testing.T, what string, machine *Machine, revision uint64) {
+// mustCatchUp starts a control machine that missed changes, and waits until it votes and has the
+// newest change, at most catchUpLimit.
+func (cluster *Cluster) mustCatchUp(t *testing.T, name string, machine *Machine, revision uint64) {
 	t.Helper()
 	if err := machine.Start(); err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: %v", name, err)
 	}
 	began := time.Now()
 	if err := cluster.Await(catchUpLimit, "caught-up voter", func() error {
 		voting := cluster.votingControls()
 		if len(voting) != len(cluster.Controls) || !slices.Contains(voting, machine.Host+" "+machine.Control.Name()) {
-			return fmt.Errorf("voting: %v", voting)
+			return fmt.Errorf("voters: %v", voting)
 		}
 		if number := machine.Control.View().Number; number < cluster.leader().Control.View().Number {
-			return fmt.Errorf("it holds change %d of %d", number, cluster.leader().Control.View().Number)
+			return fmt.Errorf("it has change %d of %d", number, cluster.leader().Control.View().Number)
 		}
 		return nil
 	}); err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: %v", name, err)
 	}
-	t.Logf("%s: votes and has caught up after %s", what, time.Since(began))
+	t.Logf("%s: votes and has caught up after %s", name, time.Since(began))
 	if read := cluster.mustRead(t, ackTimeout); read.Revision != revision {
-		t.Fatalf("%s: revision %d is read instead of %d", what, read.Revision, revision)
+		t.Fatalf("%s: read revision %d instead of %d", name, read.Revision, revision)
 	}
 }
 
-// catchUpShape is a fleet of three control nodes that take in new ones by themselves.
+// catchUpShape is a fleet of three control nodes that enrol replacements automatically.
 func catchUpShape() Shape {
 	return Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1, AutoEnrol: true,
 		Adjust: func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }}
 }
 
-// changes returns a function that puts a routing of so many routes over the last one, and
-// tells its revision.
-func (cluster *Cluster) changes(t *testing.T) func(routes int) uint64 {
+// routingChanger returns a function that replaces the routing with one of that many routes and
+// returns the new revision. Nodes that start from now on join the existing fleet.
+func (cluster *Cluster) routingChanger(t *testing.T) func(routes int) uint64 {
 	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
 		settings.MaxControls, settings.JoinExisting = 3, true
 	}
@@ -80,39 +80,39 @@
 	}
 }
 
-// TestControlNodesCatchUpAfterAThousandChanges restarts each control node after a
-// thousand changes, then wipes each, then replaces each by a machine at another address.
+// TestControlNodesCatchUpAfterAThousandChanges restarts each control node, then wipes each, then
+// replaces each with a machine at another address.
 func TestControlNodesCatchUpAfterAThousandChanges(t *testing.T) {
 	simulate(t, catchUpShape(), func(t *testing.T, cluster *Cluster) {
-		change := cluster.changes(t)
+		change := cluster.routingChanger(t)
 		for range catchUpChanges {
 			change(catchUpRoutes)
 		}
-		change(grownRoutes)
+		change(multiChunkRoutes)
 		for position, machine := range cluster.Controls {
 			machine.LosePower()
-			revision := change(grownRoutes)
-			cluster.catchUp(t, fmt.Sprintf("restarted control node %d", position), machine, revision)
+			revision := change(multiChunkRoutes)
+			cluster.mustCatchUp(t, fmt.Sprintf("restarted control node %d", position), machine, revision)
 		}
 		for position, machine := range cluster.Controls {
 			machine.LosePower()
-			revision := change(grownRoutes)
+			revision := change(multiChunkRoutes)
 			machine.Wipe()
-			cluster.catchUp(t, fmt.Sprintf("wiped control node %d", position), machine, revision)
+			cluster.mustCatchUp(t, fmt.Sprintf("wiped control node %d", position), machine, revision)
 		}
 		for position, lost := range slices.Clone(cluster.Controls) {
 			lost.LosePower()
-			revision := change(grownRoutes)
+			revision := change(multiChunkRoutes)
 			fresh := cluster.AddControl(len(cluster.Controls) + position)
 			cluster.Controls[position] = fresh
 			cluster.seeds = slices.Clone(cluster.seeds)
 			cluster.seeds[position] = fresh.Host + ":7000"
-			cluster.catchUp(t, fmt.Sprintf("replaced control node %d", position), fresh, revision)
+			cluster.mustCatchUp(t, fmt.Sprintf("replaced control node %d", position), fresh, revision)
 		}
 	})
 }
 
-// slowWay makes it likely that something is on its way when a node is killed.
+// slowWay is a link delay that makes it likely that a message is in flight when a node is killed.
 const slowWay = 150 * time.Millisecond
 
 func (cluster *Cluster) eachOtherControl(machine *Machine, action func(other *Machine)) {
@@ -123,29 +123,29 @@
 	}
 }
 
-// TestControlNodeRestartedWhileItCatchesUp kills a wiped control node at some moment of its
-// catching up; it begins anew at once.
+// TestControlNodeRestartedWhileItCatchesUp kills a wiped control node at a random moment of its
+// catch-up, which must start over without delay.
 func TestControlNodeRestartedWhileItCatchesUp(t *testing.T) {
 	const rounds = 8
 	simulate(t, catchUpShape(), func(t *testing.T, cluster *Cluster) {
-		change, random := cluster.changes(t), cluster.Random(41)
+		change, random := cluster.routingChanger(t), cluster.Random(41)
 		for range 2 * rounds {
-			change(grownRoutes)
+			change(multiChunkRoutes)
 		}
 		for round := range rounds {
 			machine := cluster.Controls[round%len(cluster.Controls)]
 			machine.LosePower()
 			machine.Wipe()
-			revision := change(grownRoutes)
+			revision := change(multiChunkRoutes)
 			if err := machine.Start(); err != nil {
 				t.Fatal(err)
 			}
 			cluster.eachOtherControl(machine, func(other *Machine) { cluster.Network.Slow(other.Host, machine.Host, slowWay) })
-			while := time.Duration(random.IntN(1500)) * time.Millisecond
-			<-time.After(while)
+			killDelay := time.Duration(random.IntN(1500)) * time.Millisecond
+			<-time.After(killDelay)
 			machine.Kill()
 			cluster.eachOtherControl(machine, func(other *Machine) { cluster.Network.Heal(other.Host, machine.Host) })
-			cluster.catchUp(t, fmt.Sprintf("control node %d, killed after %s", round%len(cluster.Controls), while), machine, revision)
+			cluster.mustCatchUp(t, fmt.Sprintf("control node %d, killed after %s", round%len(cluster.Controls), killDelay), machine, revision)
 		}
 	})
 }
--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -16,30 +16,30 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// dialogues starts conversations that a test follows up later.
+// dialogues starts conversations that followUp continues.
 func (cluster *Cluster) dialogues(t *testing.T, count int) []*StreamedAnswer {
 	t.Helper()
-	said := []*StreamedAnswer{}
+	conversations := []*StreamedAnswer{}
 	for round := range count {
 		answer, err := cluster.Turn(cluster.Fronts[round%len(cluster.Fronts)], map[string]any{"program": "dialogue", "kind": "talk", "words": fmt.Sprintf("before %d", round)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		said = append(said, answer)
+		conversations = append(conversations, answer)
 	}
-	return said
+	return conversations
 }
 
-// followUp follows each conversation; the model must hear what was said.
-func (cluster *Cluster) followUp(t *testing.T, said []*StreamedAnswer) {
+// followUp continues each conversation and checks that the model received its history.
+func (cluster *Cluster) followUp(t *testing.T, conversations []*StreamedAnswer) {
 	t.Helper()
-	for position, before := range said {
+	for position, before := range conversations {
 		question := fmt.Sprintf("after %d", position)
 		var after *StreamedAnswer
 		err := cluster.Await(15*time.Second, "follow-up", func() (err error) {
 			after, err = cluster.Turn(cluster.Fronts[position%len(cluster.Fronts)], map[string]any{"conversation": before.Conversation, "follows": before.Turn, "kind": "talk", "words": question})
 			if errorKind(err) == "not_found" {
-				t.Fatalf("turn %d is told unknown: %v", position, err)
+				t.Fatalf("turn %d is reported as unknown: %v", position, err)
 			}
 			return err
 		})
@@ -48,7 +48,7 @@
 		}
 		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: fmt.Sprintf("before %d", position)}, {Role: "model", Text: before.Words}}, question))
 		if after.Words != want {
-			t.Fatalf("turn %d: heard %q, want %q", position, after.Words, want)
+			t.Fatalf("turn %d: got %q, want %q", position, after.Words, want)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	return reported, json.Unmarshal(answer.Body, &reported)
 }
 
-func TestAConfigOutlivesTheLossOfAllControlDisks(t *testing.T) {
+func TestConfigSurvivesLossOfAllControlDisks(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		if err := cluster.PutConfig(strings.ReplaceAll(BasicConfig, "allowance: 60", "allowance: 61")); err != nil {
 			t.Fatal(err)
@@ -83,7 +83,7 @@
 			control.Kill()
 			control.Wipe()
 		}
-		cluster.Stores[0].Kill() // and one store is away at first
+		cluster.Stores[0].Kill() // one store is down during the recovery
 		for _, control := range cluster.Controls {
 			if err := control.Start(); err != nil {
 				t.Fatal(err)
@@ -106,12 +106,12 @@
 	})
 }
 
-func TestAWipedStoreComesBackAsANewNodeAndIsHealed(t *testing.T) {
+func TestWipedStoreReturnsAsNewNodeAndIsRepaired(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := cluster.dialogues(t, 8)
-		<-time.After(6 * time.Second) // archived
-		said = append(said, cluster.dialogues(t, 4)...)
-		said = said[:8]
+		conversations := cluster.dialogues(t, 8)
+		<-time.After(6 * time.Second) // until they are archived
+		conversations = append(conversations, cluster.dialogues(t, 4)...)
+		conversations = conversations[:8]
 		wiped := cluster.Stores[1]
 		before := wiped.Store.Name()
 		wiped.Kill()
@@ -120,35 +120,35 @@
 			t.Fatal(err)
 		}
 		if wiped.Store.Name() == before {
-			t.Fatal("a wiped disk kept its name")
+			t.Fatal("a store with a wiped disk kept its name")
 		}
-		err := cluster.Await(60*time.Second, "healed store", func() error {
+		err := cluster.Await(60*time.Second, "repaired store", func() error {
 			for _, machine := range cluster.Stores {
 				for group, status := range machine.Store.Host().Statuses() {
 					if status.CommittedInTerm && (!slices.Contains(status.Membership.Voters, wiped.Store.Name()) || len(status.Membership.Voters) != 3) {
-						return fmt.Errorf("group %d has %v", group, status.Membership)
+						return fmt.Errorf("group %d has members %v", group, status.Membership)
 					}
 				}
 			}
 			if len(wiped.Store.Host().Statuses()) != 8 {
-				return errors.New("not all groups are there")
+				return errors.New("the store lacks groups")
 			}
 			return nil
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The healed store and one other now carry everything alone.
+		// The repaired store and one other now form the majority of every group.
 		cluster.Stores[0].Kill()
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		cluster.followUp(t, said)
+		cluster.followUp(t, conversations)
 	})
 }
 
-// listings counts how often a list names a member.
-func listings(members []feed.Member, name string) int {
+// countMember returns how often a list contains a member.
+func countMember(members []feed.Member, name string) int {
 	count := 0
 	for _, member := range members {
 		if member.Name == name {
@@ -158,8 +158,8 @@
 	return count
 }
 
-// enrolTwice adds a fourth store by an order that is sent again once it is acknowledged.
-func (cluster *Cluster) enrolTwice(t *testing.T) {
+// enrolStoreTwice adds a fourth store and resends the request after it was acknowledged.
+func (cluster *Cluster) enrolStoreTwice(t *testing.T) {
 	t.Helper()
 	fresh := cluster.AddStore(3)
 	if err := fresh.Start(); err != nil {
@@ -177,22 +177,22 @@
 		t.Fatal(err)
 	}
 	if answer, err := cluster.Administer(http.MethodPut, "/v1/stores/"+fresh.Store.Name(), map[string]any{}); err != nil || answer.Status != http.StatusOK {
-		t.Fatalf("the order to enrol a store, repeated, is not acknowledged: %v %+v", err, answer)
+		t.Fatalf("the repeated request to enrol a store is not acknowledged: %v %+v", err, answer)
 	}
 	reported, err := cluster.fleet()
-	if err != nil || len(reported.Stores) != 4 || listings(reported.Stores, fresh.Store.Name()) != 1 {
+	if err != nil || len(reported.Stores) != 4 || countMember(reported.Stores, fresh.Store.Name()) != 1 {
 		t.Fatalf("a store was enrolled twice: %v %+v", err, reported.Stores)
 	}
 }
 
-// checkIsNoVoter checks that each group has three voters, and the first store, of that name,
-// is none of them.
-func (cluster *Cluster) checkIsNoVoter(t *testing.T, name string) {
+// checkNotVoter checks that each group has three voters, none of which is the first store, whose
+// name is given.
+func (cluster *Cluster) checkNotVoter(t *testing.T, name string) {
 	t.Helper()
 	for _, machine := range cluster.Stores[1:] {
 		for group, status := range machine.Store.Host().Statuses() {
 			if status.CommittedInTerm && (slices.Contains(status.Membership.Voters, name) || len(status.Membership.Voters) != 3) {
-				t.Fatalf("group %d still has %v", group, status.Membership)
+				t.Fatalf("group %d still has members %v", group, status.Membership)
 			}
 		}
 	}
@@ -200,9 +200,9 @@
 
 func TestStoreIsAddedAndAnotherDecommissionedWhileTurnsRun(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := cluster.dialogues(t, 6)
+		conversations := cluster.dialogues(t, 6)
 		<-time.After(6 * time.Second)
-		retire := func(name string) *Answer {
+		decommission := func(name string) *Answer {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 			defer cancel()
 			answer, err := cluster.Ask(ctx, http.MethodDelete, cluster.Controls[0].Host+":7200", "/v1/stores/"+name, RootToken, nil)
@@ -211,36 +211,36 @@
 			}
 			return answer
 		}
-		if answer := retire(cluster.Stores[0].Store.Name()); answer.Error.Kind != "conflict" {
-			t.Fatalf("the third last store was retired: %s", answer.Body)
+		if answer := decommission(cluster.Stores[0].Store.Name()); answer.Error.Kind != "conflict" {
+			t.Fatalf("one of the last three stores was decommissioned: %s", answer.Body)
 		}
-		if answer := retire("store-unknown"); answer.Error.Kind != "not_found" {
-			t.Fatalf("an unknown store was retired: %s", answer.Body)
+		if answer := decommission("store-unknown"); answer.Error.Kind != "not_found" {
+			t.Fatalf("an unknown store was decommissioned: %s", answer.Body)
 		}
 		stop := cluster.callers(100 * time.Millisecond)
 		defer stop()
-		cluster.enrolTwice(t)
+		cluster.enrolStoreTwice(t)
 		old := cluster.Stores[0]
 		name := old.Store.Name()
 		began := time.Now()
-		if answer := retire(name); answer.Status != http.StatusOK {
-			t.Fatalf("retiring: %s", answer.Body)
+		if answer := decommission(name); answer.Status != http.StatusOK {
+			t.Fatalf("decommission: %s", answer.Body)
 		}
-		t.Logf("retired in %s", time.Since(began))
-		// It may be switched off at once, and another one lost.
+		t.Logf("decommissioned in %s", time.Since(began))
+		// It may be switched off at once, and another store may fail.
 		old.Kill()
-		cluster.checkIsNoVoter(t, name)
+		cluster.checkNotVoter(t, name)
 		cluster.Stores[1].Kill()
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		cluster.followUp(t, said)
+		cluster.followUp(t, conversations)
 	})
 }
 
-func TestDomainIsLostAndComesBackWithTrafficSpike(t *testing.T) {
+func TestDomainLossAndReturnWithTrafficSpike(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 3, Models: 3, Applications: 3}, func(t *testing.T, cluster *Cluster) {
-		said := cluster.dialogues(t, 6)
+		conversations := cluster.dialogues(t, 6)
 		lost := []*Machine{}
 		for _, machine := range cluster.Machines() {
 			if machine.Domain == "east" {
@@ -254,9 +254,9 @@
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("serving %s after the loss", time.Since(began))
+		t.Logf("serving %s after the loss of the domain", time.Since(began))
 		stop := cluster.callers(40 * time.Millisecond)
-		cluster.followUp(t, said[:3])
+		cluster.followUp(t, conversations[:3])
 		if err := cluster.PutConfig(BasicConfig + "// without a domain\n"); err != nil {
 			t.Fatal(err)
 		}
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -16,89 +16,89 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// cutWay is which direction between a control node and the others is lost, and cutManner
-// how the network shows it.
+// cutDirection is the direction in which traffic between a control node and the others is lost, and
+// cutMode how connections fail.
 type (
-	cutWay    string
-	cutManner string
+	cutDirection string
+	cutMode      string
 )
 
 const (
-	bothWays  cutWay    = "both ways"
-	oneWayIn  cutWay    = "one way in"
-	oneWayOut cutWay    = "one way out"
-	silent    cutManner = "silent"
-	reset     cutManner = "reset"
-	refused   cutManner = "refused"
+	bothDirections cutDirection = "in both directions"
+	inboundOnly    cutDirection = "inbound"
+	outboundOnly   cutDirection = "outbound"
+	silent         cutMode      = "silent"
+	reset          cutMode      = "reset"
+	refused        cutMode      = "refused"
 
-	// servesWithin is how soon after a cut a control node serves again.
-	servesWithin = time.Second
+	// maxRecoveryTime is how soon after the end of a partition a control node must serve again.
+	maxRecoveryTime = time.Second
 )
 
-// networkCut is a control node that is cut off from the others for a while.
+// networkCut is a partition of one control node from the others.
 type networkCut struct {
-	leads    bool
-	way      cutWay
-	manner   cutManner
-	duration time.Duration
-	// alone reports that it is cut off from the stores and the other fronts too.
-	alone bool
+	leader    bool
+	direction cutDirection
+	mode      cutMode
+	duration  time.Duration
+	// fromAll extends the partition to the stores and to the fronts of other domains.
+	fromAll bool
 }
 
 func (cut networkCut) String() string {
 	role := "follower"
-	if cut.leads {
+	if cut.leader {
 		role = "leader"
 	}
-	return fmt.Sprintf("%s cut off %s, %s, for %s, alone %v", role, cut.way, cut.manner, cut.duration, cut.alone)
+	return fmt.Sprintf("%s partitioned %s, %s, for %s, from all hosts %v", role, cut.direction, cut.mode, cut.duration, cut.fromAll)
 }
 
-// others lists the hosts that a machine is cut off from.
-func (cluster *Cluster) others(cut networkCut, victim *Machine) []string {
+// hostsCutOff lists the hosts that the victim is partitioned from.
+func (cluster *Cluster) hostsCutOff(cut networkCut, victim *Machine) []string {
 	hosts := []string{}
 	for _, machine := range cluster.Machines() {
 		isControl := machine.Control != nil
 		sameSide := machine.Front != nil && machine.Domain == victim.Domain
-		if machine != victim && !sameSide && (isControl || cut.alone) {
+		if machine != victim && !sameSide && (isControl || cut.fromAll) {
 			hosts = append(hosts, machine.Host)
 		}
 	}
 	return hosts
 }
 
-func (cluster *Cluster) begin(cut networkCut, victim *Machine) {
-	for _, other := range cluster.others(cut, victim) {
+func (cluster *Cluster) beginCut(cut networkCut, victim *Machine) {
+	for _, other := range cluster.hostsCutOff(cut, victim) {
 		switch {
-		case cut.manner == refused:
+		case cut.mode == refused:
 			cluster.Network.RefuseConnections(victim.Host, other)
-		case cut.way == oneWayIn:
+		case cut.direction == inboundOnly:
 			cluster.Network.CutOneWay(other, victim.Host)
-		case cut.way == oneWayOut:
+		case cut.direction == outboundOnly:
 			cluster.Network.CutOneWay(victim.Host, other)
 		default:
 			cluster.Network.Cut(victim.Host, other)
 		}
-		if cut.manner == reset {
+		if cut.mode == reset {
 			cluster.Network.Disconnect(victim.Host, other)
 		}
 	}
 }
 
-func (cluster *Cluster) end(cut networkCut, victim *Machine) {
-	for _, other := range cluster.others(cut, victim) {
+func (cluster *Cluster) endCut(cut networkCut, victim *Machine) {
+	for _, other := range cluster.hostsCutOff(cut, victim) {
 		cluster.Network.Heal(victim.Host, other)
 	}
 }
 
-// question is something that a control node may answer only with a quorum.
-type question struct {
+// quorumRequest is a request that a control node may answer only with a quorum.
+type quorumRequest struct {
 	name string
-	ask  func(ctx context.Context) error
+	send func(ctx context.Context) error
 }
 
-// questions are asked of one control node; all get an answer that tells something, be it a
-// refusal, while there is a quorum.
-func (cluster *Cluster) questions(machine *Machine, caller *link.Client) []question {
+// quorumRequests returns requests to one control node. With a quorum each gets a conclusive answer,
+// which may be a rejection.
+func (cluster *Cluster) quorumRequests(machine *Machine, caller *link.Client) []quorumRequest {
 	node := machine.Control
 	through := func(method, path, token string, body any) func(ctx context.Context) error {
 		return func(ctx context.Context) error {
@@ -112,20 +112,20 @@
 			return nil
 		}
 	}
-	return []question{
+	return []quorumRequest{
 		{"read the routing", func(ctx context.Context) error { _, err := node.ReadRouting(ctx); return err }},
-		{"a stale order", func(ctx context.Context) error {
+		{"a stale request", func(ctx context.Context) error {
 			return node.ReplaceRouting(ctx, "root", 0, oneRoute(1<<40, time.Second), "stale")
 		}},
-		{"a domain", func(ctx context.Context) error { return node.SetDomainState(ctx, "root", "nowhere", feed.StateServing) }},
-		{"retire an unknown machine", func(ctx context.Context) error { return node.BeginDecommission(ctx, "root", "unknown", 0) }},
-		{"how an unknown machine retires", func(ctx context.Context) error { _, err := node.DecommissionState(ctx, "unknown"); return err }},
+		{"set the state of an unknown domain", func(ctx context.Context) error { return node.SetDomainState(ctx, "root", "nowhere", feed.StateServing) }},
+		{"decommission an unknown machine", func(ctx context.Context) error { return node.BeginDecommission(ctx, "root", "unknown", 0) }},
+		{"decommission state of an unknown machine", func(ctx context.Context) error { _, err := node.DecommissionState(ctx, "unknown"); return err }},
 		{"the config", through(http.MethodGet, "/v1/config", RootToken, nil)},
 		{"an unknown token", through(http.MethodGet, "/v1/config", "unknown", nil)},
 		{"the fleet", through(http.MethodGet, "/v1/fleet", RootToken, nil)},
 		{"the changes", through(http.MethodPost, "/v1/query", RootToken, map[string]any{"text": "show changes"})},
-		{"a config that is not kept", through(http.MethodPost, "/v1/query", RootToken, map[string]any{"text": "restore config 99999999"})},
-		{"a stale number", through(http.MethodPatch, "/v1/config", RootToken, map[string]any{"path": "programs.dialogue.allowance", "value": 7, "expected": 99999999})},
+		{"restore an unknown config", through(http.MethodPost, "/v1/query", RootToken, map[string]any{"text": "restore config 99999999"})},
+		{"a number that was never assigned", through(http.MethodPatch, "/v1/config", RootToken, map[string]any{"path": "programs.dialogue.allowance", "value": 7, "expected": 99999999})},
 		{"enrol an unknown store", through(http.MethodPut, "/v1/stores/unknown", RootToken, map[string]any{})},
 		{"follow", func(ctx context.Context) error {
 			_, err := caller.Call(ctx, machine.Host+":7000", &wire.Query{Which: schema.Query_Which_follow, Follow: &wire.FollowQuery{Member: feed.Member{Role: feed.RoleFront, Name: "front-asking", Address: "10.8.1.1:7000"}}})
@@ -142,24 +142,25 @@
 	}
 }
 
-// mustAnswerAll asks all questions of all nodes, which have a quorum.
-func (cluster *Cluster) mustAnswerAll(t *testing.T) {
+// mustAnswerWithQuorum sends all requests to all control nodes, which have a quorum.
+func (cluster *Cluster) mustAnswerWithQuorum(t *testing.T) {
 	t.Helper()
 	caller := link.NewClient(cluster.Network.At("10.8.1.1"))
 	defer caller.Close()
 	for _, machine := range cluster.Controls {
-		for _, one := range cluster.questions(machine, caller) {
+		for _, request := range cluster.quorumRequests(machine, caller) {
 			ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
-			if err := one.ask(ctx); saysNothing(err) {
-				t.Errorf("%s at %s is not answered with a quorum: %v", one.name, machine.Host, err)
+			if err := request.send(ctx); isInconclusive(err) {
+				t.Errorf("%s at %s got no conclusive answer although there is a quorum: %v", request.name, machine.Host, err)
 			}
 			cancel()
 		}
 	}
 }
 
-// saysNothing reports that an answer tells nothing of what is in force, nor refuses for good.
-func saysNothing(err error) bool {
+// isInconclusive reports whether an error is neither a final rejection nor says anything about the
+// current state.
+func isInconclusive(err error) bool {
 	for _, kind := range []apierror.Kind{apierror.NoQuorum, apierror.OutcomeUnknown, apierror.Unavailable, apierror.NotLeader} {
 		if apierror.Is(err, kind) {
 			return true
@@ -168,127 +169,127 @@
 	return false
 }
 
-// interrogate asks all questions at once, until a time, of a node that is cut off: none may
-// be answered.
-func (cluster *Cluster) interrogate(t *testing.T, cut networkCut, victim *Machine, until time.Time) {
+// checkNothingAnswered sends all requests to the partitioned node concurrently until a deadline: none
+// may get a conclusive answer.
+func (cluster *Cluster) checkNothingAnswered(t *testing.T, cut networkCut, victim *Machine, until time.Time) {
 	t.Helper()
 	caller := link.NewClient(cluster.Network.At("10.8.1.1"))
 	defer caller.Close()
-	var asking sync.WaitGroup
-	for _, one := range cluster.questions(victim, caller) {
-		asking.Go(func() {
+	var requests sync.WaitGroup
+	for _, request := range cluster.quorumRequests(victim, caller) {
+		requests.Go(func() {
 			for time.Until(until) > 0 {
 				ctx, cancel := context.WithTimeout(context.Background(), min(operatorTimeout, time.Until(until)))
-				err := one.ask(ctx)
+				err := request.send(ctx)
 				cancel()
-				if !saysNothing(err) {
-					t.Errorf("%s: %s was answered: %v", cut, one.name, err)
+				if !isInconclusive(err) {
+					t.Errorf("%s: %s was answered: %v", cut, request.name, err)
 					return
 				}
 				<-time.After(50 * time.Millisecond)
 			}
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 }
 
-// TestCutOffControlNodeAnswersNothing cuts a control node off in every way, and sends it
-// orders and questions meanwhile, while orders go on at the others. Afterwards it serves
-// again within a second, and returns the newest.
-func TestCutOffControlNodeAnswersNothing(t *testing.T) {
+// TestPartitionedControlNodeAnswersNothing partitions a control node in every way and checks that it
+// answers nothing meanwhile, while the others acknowledge changes. Afterwards it serves again within
+// maxRecoveryTime and returns the newest revision.
+func TestPartitionedControlNodeAnswersNothing(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(31)
 		durations := []time.Duration{3 * time.Second, 12 * time.Second, 20 * time.Second}
 		if err := cluster.sendRoutingRequest(0, operatorRequest{base: 0, next: oneRoute(1, time.Second), digest: "first"}); err != nil {
 			t.Fatal(err)
 		}
-		cluster.mustAnswerAll(t)
+		cluster.mustAnswerWithQuorum(t)
 		base, slowest := uint64(1), time.Duration(0)
-		for _, leads := range []bool{true, false} {
-			for _, way := range []cutWay{bothWays, oneWayIn, oneWayOut} {
-				for _, manner := range []cutManner{silent, reset, refused} {
-					if manner == refused && way != bothWays {
-						continue // who is refused one way gets no answers the other way
+		for _, leader := range []bool{true, false} {
+			for _, direction := range []cutDirection{bothDirections, inboundOnly, outboundOnly} {
+				for _, mode := range []cutMode{silent, reset, refused} {
+					if mode == refused && direction != bothDirections {
+						continue // refusing connections works in both directions only
 					}
-					cut := networkCut{leads: leads, way: way, manner: manner, duration: durations[random.IntN(len(durations))], alone: random.IntN(2) == 0}
+					cut := networkCut{leader: leader, direction: direction, mode: mode, duration: durations[random.IntN(len(durations))], fromAll: random.IntN(2) == 0}
 					newest, took := cluster.runCut(t, cut, base)
 					base, slowest = newest, max(slowest, took)
 				}
 			}
 		}
-		t.Logf("served again %s after a cut at the latest", slowest)
+		t.Logf("slowest recovery after a partition: %s", slowest)
 	})
 }
 
-// runCut runs one cut and gives the newest revision, and how long after the end of the cut
-// its node served.
+// runCut runs one partition and returns the newest revision and how long after the end of the
+// partition its victim served.
 func (cluster *Cluster) runCut(t *testing.T, cut networkCut, base uint64) (newest uint64, took time.Duration) {
 	t.Helper()
 	victim := cluster.leader()
-	if !cut.leads {
+	if !cut.leader {
 		for _, machine := range cluster.Controls {
 			if !machine.Control.IsLeader() {
 				victim = machine
 			}
 		}
 	}
-	cluster.begin(cut, victim)
+	cluster.beginCut(cut, victim)
 	until := time.Now().Add(cut.duration)
-	var asking sync.WaitGroup
-	asking.Go(func() { cluster.interrogate(t, cut, victim, until) })
-	raced := make(chan error, 1)
+	var requests sync.WaitGroup
+	requests.Go(func() { cluster.checkNothingAnswered(t, cut, victim, until) })
+	raceResult := make(chan error, 1)
 	race := operatorRequest{base: base, next: oneRoute(base+1, 7*time.Second), digest: fmt.Sprint("race ", base)}
-	asking.Go(func() {
+	requests.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 		defer cancel()
-		raced <- victim.Control.ReplaceRouting(ctx, "root", race.base, race.next, race.digest)
+		raceResult <- victim.Control.ReplaceRouting(ctx, "root", race.base, race.next, race.digest)
 	})
-	at := 0
-	for cluster.Controls[at] == victim {
-		at++
+	other := 0
+	for cluster.Controls[other] == victim {
+		other++
 	}
-	orders, first := 0, base
+	acknowledged, raceBase := 0, base
 	for time.Until(until) > 500*time.Millisecond {
-		err := cluster.orderBeside(victim, at, operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("beside ", base)})
+		err := cluster.sendToOthers(victim, other, operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("beside ", base)})
 		if err != nil {
-			t.Fatalf("%s: an order at the others: %v", cut, err)
+			t.Fatalf("%s: a request at the other nodes: %v", cut, err)
 		}
 		base++
-		orders++
+		acknowledged++
 		<-time.After(200 * time.Millisecond)
 	}
-	asking.Wait()
-	if err := <-raced; !saysNothing(err) {
-		t.Errorf("%s: an order raced at the node: %v", cut, err)
+	requests.Wait()
+	if err := <-raceResult; !isInconclusive(err) {
+		t.Errorf("%s: the concurrent request at the victim: %v", cut, err)
 	}
 	<-time.After(time.Until(until))
-	cluster.end(cut, victim)
+	cluster.endCut(cut, victim)
 	repaired := time.Now()
-	cluster.mustServe(t, cut, victim, base, repaired)
+	cluster.mustServeAgain(t, cut, victim, base, repaired)
 	took = time.Since(repaired)
-	if took > servesWithin {
-		t.Errorf("%s: served again after %s", cut, took)
+	if took > maxRecoveryTime {
+		t.Errorf("%s: recovered only after %s", cut, took)
 	}
-	if err := cluster.sendRoutingRequest(at, race); !apierror.Is(err, apierror.Conflict) {
-		t.Errorf("%s: the order that lost the race on %d of %d, again: %v", cut, first, base, err)
+	if err := cluster.sendRoutingRequest(other, race); !apierror.Is(err, apierror.Conflict) {
+		t.Errorf("%s: the concurrent request with base %d, resent at revision %d: %v", cut, raceBase, base, err)
 	}
 	return base + 1, took
 }
 
-// orderBeside sends an order to the control nodes other than one.
-func (cluster *Cluster) orderBeside(victim *Machine, from int, order operatorRequest) error {
+// sendToOthers sends a request to the control nodes other than the victim.
+func (cluster *Cluster) sendToOthers(victim *Machine, from int, request operatorRequest) error {
 	return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		if node == victim.Control {
-			return apierror.New(apierror.NoQuorum, "it is cut off", "ask another")
+			return apierror.New(apierror.NoQuorum, "the node is partitioned", "ask another")
 		}
-		return node.ReplaceRouting(ctx, "root", order.base, order.next, order.digest)
+		return node.ReplaceRouting(ctx, "root", request.base, request.next, request.digest)
 	})
 }
 
-// mustServe waits until a node reads the newest revision and has an order acknowledged.
-func (*Cluster) mustServe(t *testing.T, cut networkCut, machine *Machine, newest uint64, since time.Time) {
+// mustServeAgain waits until a node has returned the newest revision and acknowledged a request.
+func (*Cluster) mustServeAgain(t *testing.T, cut networkCut, machine *Machine, newest uint64, since time.Time) {
 	t.Helper()
-	order := operatorRequest{base: newest, next: oneRoute(newest+1, time.Second), digest: fmt.Sprint("after ", newest)}
+	request := operatorRequest{base: newest, next: oneRoute(newest+1, time.Second), digest: fmt.Sprint("after ", newest)}
 	read := false
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -296,28 +297,28 @@
 			routing, err := machine.Control.ReadRouting(ctx)
 			read = err == nil
 			if read && routing.Revision != newest {
-				t.Fatalf("%s: revision %d was read after the cut, %d is the newest", cut, routing.Revision, newest)
+				t.Fatalf("%s: read revision %d after the partition; %d is the newest", cut, routing.Revision, newest)
 			}
 		}
-		err := machine.Control.ReplaceRouting(ctx, "root", order.base, order.next, order.digest)
+		err := machine.Control.ReplaceRouting(ctx, "root", request.base, request.next, request.digest)
 		cancel()
 		if read && err == nil {
 			return
 		}
-		if err != nil && !saysNothing(err) {
-			t.Fatalf("%s: an order after the cut: %v", cut, err)
+		if err != nil && !isInconclusive(err) {
+			t.Fatalf("%s: a request after the partition: %v", cut, err)
 		}
 		if time.Since(since) > 10*time.Second {
-			t.Fatalf("%s: not served for 10 s after the cut: read %v, order %v", cut, read, err)
+			t.Fatalf("%s: does not serve 10 s after the partition: read %v, request %v", cut, read, err)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
 }
 
-// TestPausedControlLeaderResumesAndReportsNothingOld freezes the leader with questions on their
-// way to it, or slows its disk, while orders go on; what it answers is no older than what was
-// acknowledged when it was asked.
-func TestPausedControlLeaderResumesAndReportsNothingOld(t *testing.T) {
+// TestPausedControlLeaderReturnsNothingStale freezes the leader, or slows or stalls its disk, while
+// others acknowledge changes: its answer to a read is no older than what was acknowledged before
+// the read was sent.
+func TestPausedControlLeaderReturnsNothingStale(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		base := uint64(0)
 		for round, fault := range []struct {
@@ -341,9 +342,9 @@
 				revision uint64
 			}
 			newest.revision = base
-			var asking sync.WaitGroup
+			var readers sync.WaitGroup
 			for range 4 {
-				asking.Go(func() {
+				readers.Go(func() {
 					for time.Until(until) > 0 {
 						newest.Lock()
 						atLeast := newest.revision
@@ -354,15 +355,15 @@
 						if err != nil || answer.Status != http.StatusOK {
 							continue
 						}
-						if reported := revisionShown(t, answer); reported < atLeast {
-							t.Errorf("round %d: revision %d was told, %d was acknowledged before", round, reported, atLeast)
+						if reported := shownRevision(t, answer); reported < atLeast {
+							t.Errorf("round %d: read revision %d; %d was acknowledged before", round, reported, atLeast)
 						}
 						<-time.After(100 * time.Millisecond)
 					}
 				})
 			}
 			for time.Until(until) > 0 {
-				err := cluster.orderBeside(victim, 0, operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("meanwhile ", base)})
+				err := cluster.sendToOthers(victim, 0, operatorRequest{base: base, next: oneRoute(base+1, time.Second), digest: fmt.Sprint("meanwhile ", base)})
 				if err != nil {
 					t.Fatalf("round %d: %v", round, err)
 				}
@@ -374,12 +375,12 @@
 			}
 			fault.end(victim)
 			repaired := time.Now()
-			cluster.mustServe(t, networkCut{leads: true, manner: "frozen or slow", duration: fault.duration}, victim, base, repaired)
+			cluster.mustServeAgain(t, networkCut{leader: true, mode: "frozen or slow", duration: fault.duration}, victim, base, repaired)
 			base++
-			if took := time.Since(repaired); took > servesWithin {
-				t.Errorf("round %d: served again after %s", round, took)
+			if took := time.Since(repaired); took > maxRecoveryTime {
+				t.Errorf("round %d: recovered only after %s", round, took)
 			}
-			asking.Wait()
+			readers.Wait()
 			cluster.mustRead(t, ackTimeout)
 		}
 	})
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -13,7 +13,7 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// executions counts how often work was carried out, over all runners.
+// executions returns how often all runners together executed a query.
 func (cluster *Cluster) executions(key string) int {
 	total := 0
 	for _, machine := range cluster.Runners {
@@ -28,9 +28,9 @@
 	return cluster.Ask(ctx, http.MethodPost, machine.Host+":7100", "/v1/queries", TeamToken, map[string]any{"program": "dialogue", "kind": "receipt", "query_key": key, "words": words})
 }
 
-// leaderOf finds the store that leads a line's group.
-func (cluster *Cluster) leaderOf(line string) *Machine {
-	group := placement.GroupOf(line, 8)
+// leaderOf returns the store that leads a session's group, or nil.
+func (cluster *Cluster) leaderOf(session string) *Machine {
+	group := placement.GroupOf(session, 8)
 	for _, machine := range cluster.Stores {
 		if machine.Store != nil && machine.Store.Host().Statuses()[group].Leading {
 			return machine
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// checkOnce compares the outcomes that callers got with what runners ran.
+// checkOnce checks that a query ran at most once and that the answers agree with what ran.
 func checkOnce(t *testing.T, cluster *Cluster, key string, answers []*Answer) {
 	t.Helper()
 	count := cluster.executions("dialogue/receipt/" + key)
@@ -48,15 +48,15 @@
 	}
 	for _, answer := range answers {
 		if answer.Status == http.StatusOK && count != 1 {
-			t.Fatalf("%s was told as done and ran %d times", key, count)
+			t.Fatalf("%s was reported as done and ran %d times", key, count)
 		}
 		if answer.Error.Kind == "not_run" && count != 0 {
-			t.Fatalf("%s was told as not run and ran", key)
+			t.Fatalf("%s was reported as not run and ran", key)
 		}
 	}
 }
 
-func TestALostAnswerIsUnknownAndNeverRepeated(t *testing.T) {
+func TestLostResponseIsUnknownAndNeverRetried(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		answers := []*Answer{}
 		for round := range 4 {
@@ -71,7 +71,7 @@
 		}
 		checkOnce(t, cluster, "lost-1", answers)
 		if cluster.executions("dialogue/receipt/lost-1") != 1 {
-			t.Fatal("the work never reached a runner, so nothing was tested")
+			t.Fatal("the query reached no runner")
 		}
 	})
 }
@@ -102,14 +102,14 @@
 		}
 		answer, err := cluster.once(cluster.Fronts[0], "race-0", "book seat 5")
 		if err != nil || answer.Error.Kind != "conflict" {
-			t.Fatalf("another body under a used key: %v %+v", err, answer)
+			t.Fatalf("another body with a used key: %v %+v", err, answer)
 		}
 	})
 }
 
-// TestUnrepeatableWorkOverKilledLeadersAndFronts kills the leader of the work's
-// line, or the front itself, at many moments of its course.
-func TestUnrepeatableWorkOverKilledLeadersAndFronts(t *testing.T) {
+// TestNonIdempotentWorkIsNotRepeatedAfterCrashes kills the front or a store at different moments of a
+// query that must not run twice.
+func TestNonIdempotentWorkIsNotRepeatedAfterCrashes(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 1, Applications: 2}, func(t *testing.T, cluster *Cluster) {
 		reported := map[string]int{}
 		for round := range 24 {
@@ -126,9 +126,9 @@
 				victim = cluster.Stores[round%len(cluster.Stores)]
 			}
 			victim.Kill()
-			seen := []*Answer{}
+			received := []*Answer{}
 			if answer := <-answers; answer != nil {
-				seen = append(seen, answer)
+				received = append(received, answer)
 				reported[answer.Error.Kind]++
 			}
 			if err := victim.Start(); err != nil {
@@ -139,9 +139,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				seen = append(seen, answer)
+				received = append(received, answer)
 			}
-			checkOnce(t, cluster, key, seen)
+			checkOnce(t, cluster, key, received)
 			if err := cluster.AwaitServing(12 * time.Second); err != nil {
 				t.Fatal(err)
 			}
@@ -150,73 +150,73 @@
 	})
 }
 
-func TestAStreamResumesWithoutGapOverALeaderChange(t *testing.T) {
+func TestStreamResumesWithoutGapAcrossLeaderChange(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := make(chan *StreamedAnswer, 1)
-		failed := make(chan error, 1)
+		answers := make(chan *StreamedAnswer, 1)
+		errs := make(chan error, 1)
 		go func() {
 			answer, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "tell me", "query_key": "resume"})
-			said <- answer
-			failed <- err
+			answers <- answer
+			errs <- err
 		}()
 		<-time.After(60 * time.Millisecond)
-		// The name of the line is what the query key makes it; ask the other front.
-		again := make(chan *StreamedAnswer, 1)
+		// The conversation's name derives from the query key; join it at the other front.
+		secondAnswers := make(chan *StreamedAnswer, 1)
 		go func() {
 			answer, _ := cluster.Turn(cluster.Fronts[1], map[string]any{"program": "dialogue", "kind": "talk", "words": "tell me", "query_key": "resume"})
-			again <- answer
+			secondAnswers <- answer
 		}()
 		<-time.After(20 * time.Millisecond)
 		for _, store := range cluster.Stores[:1] {
 			store.Kill()
 		}
-		first, second := <-said, <-again
-		if err := <-failed; err != nil {
+		first, second := <-answers, <-secondAnswers
+		if err := <-errs; err != nil {
 			t.Fatal(err)
 		}
 		want := words(standin.Answer(nil, "tell me"))
-		for _, heard := range []*StreamedAnswer{first, second} {
-			if heard == nil || heard.Words != want || heard.End != "complete" {
-				t.Fatalf("heard %+v, want %q", heard, want)
+		for _, answer := range []*StreamedAnswer{first, second} {
+			if answer == nil || answer.Words != want || answer.End != "complete" {
+				t.Fatalf("got %+v, want %q", answer, want)
 			}
-			for position, seq := range heard.Seqs {
-				if seq != heard.Turn+1+uint64(position) {
-					t.Fatalf("seqs %v", heard.Seqs)
+			for position, seq := range answer.Seqs {
+				if seq != answer.Turn+1+uint64(position) {
+					t.Fatalf("sequence numbers %v", answer.Seqs)
 				}
 			}
 		}
 	})
 }
 
-func TestBrokenRunnersAreNeverTakenForComplete(t *testing.T) {
+func TestBrokenRunnerResponsesAreNeverComplete(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		for word, want := range map[string]string{"!stop": "cut", "!early": "cut", "!nonsense": "cut", "!type": "cut", "!endless": "cut", "!refuse": "not_run"} {
+		for instruction, want := range map[string]string{"!stop": "cut", "!early": "cut", "!nonsense": "cut", "!type": "cut", "!endless": "cut", "!refuse": "not_run"} {
 			ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
-			answer, err := cluster.Ask(ctx, http.MethodPost, cluster.Fronts[0].Host+":7100", "/v1/conversations", TeamToken, map[string]any{"program": "dialogue", "kind": "talk", "words": "go " + word, "query_key": word})
+			answer, err := cluster.Ask(ctx, http.MethodPost, cluster.Fronts[0].Host+":7100", "/v1/conversations", TeamToken, map[string]any{"program": "dialogue", "kind": "talk", "words": "go " + instruction, "query_key": instruction})
 			cancel()
 			if err != nil {
-				t.Fatalf("%s: %v", word, err)
+				t.Fatalf("%s: %v", instruction, err)
 			}
 			got := answer.Error.Kind
 			if answer.Status == http.StatusOK {
-				said, err := ReadStream(newReader(answer.Body))
+				stream, err := ReadStream(newReader(answer.Body))
 				if err != nil {
-					t.Fatalf("%s: %v", word, err)
+					t.Fatalf("%s: %v", instruction, err)
 				}
-				got = said.End
+				got = stream.End
 			}
 			if got != want {
-				t.Errorf("%s: ended as %q, want %q (%s)", word, got, want, answer.Body)
+				t.Errorf("%s: ended as %q, want %q (%s)", instruction, got, want, answer.Body)
 			}
 		}
-		// After a cut turn the same turn may be tried again; the model must not see
-		// the cut answer.
+		// After a cut turn another may follow the same predecessor; the model must not see the cut
+		// answer.
 		first, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "start"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := cluster.Turn(cluster.Fronts[0], map[string]any{"conversation": first.Conversation, "follows": first.Turn, "kind": "talk", "words": "go !stop"}); err == nil {
-			t.Fatal("a stopped answer was complete")
+			t.Fatal("a truncated answer is reported as complete")
 		}
 		second, err := cluster.Turn(cluster.Fronts[1], map[string]any{"conversation": first.Conversation, "follows": first.Turn, "kind": "talk", "words": "go on"})
 		if err != nil {
@@ -224,12 +224,12 @@
 		}
 		want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: "start"}, {Role: "model", Text: first.Words}}, "go on"))
 		if second.Words != want {
-			t.Fatalf("heard %q, want %q", second.Words, want)
+			t.Fatalf("got %q, want %q", second.Words, want)
 		}
 	})
 }
 
-func TestOfTwoTurnsThatFollowOneOnlyOneWins(t *testing.T) {
+func TestOnlyOneOfConcurrentFollowUpsWins(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		for round := range 8 {
 			first, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "fork"})
@@ -253,26 +253,25 @@
 				}
 			}
 			if won != 1 {
-				t.Fatalf("round %d: %d turns won: %v", round, won, results)
+				t.Fatalf("round %d: %d turns succeeded: %v", round, won, results)
 			}
 		}
 	})
 }
 
-// TestTurnsOutliveATotalOutage kills everything at once, with power lost, and
-// wants all that was said to be known again within 12 seconds of the return, with
-// one store missing.
-func TestTurnsOutliveATotalOutage(t *testing.T) {
+// TestTurnsSurviveTotalOutage cuts the power of all machines at once: 12 seconds after the restart
+// every conversation must be continuable, with one store still down.
+func TestTurnsSurviveTotalOutage(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := []*StreamedAnswer{}
+		conversations := []*StreamedAnswer{}
 		for round := range 6 {
 			answer, err := cluster.Turn(cluster.Fronts[round%2], map[string]any{"program": "dialogue", "kind": "talk", "words": fmt.Sprintf("before %d", round)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			said = append(said, answer)
+			conversations = append(conversations, answer)
 			if round == 3 {
-				<-time.After(6 * time.Second) // some of them are archived by now
+				<-time.After(6 * time.Second) // until the turns so far are archived
 			}
 		}
 		for _, machine := range cluster.Machines() {
@@ -287,12 +286,12 @@
 				t.Fatal(err)
 			}
 		}
-		returned := time.Now()
+		restarted := time.Now()
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("serving %s after the return", time.Since(returned))
-		for position, before := range said {
+		t.Logf("serving %s after the restart", time.Since(restarted))
+		for position, before := range conversations {
 			question := fmt.Sprintf("after %d", position)
 			after, err := cluster.Turn(cluster.Fronts[position%2], map[string]any{"conversation": before.Conversation, "follows": before.Turn, "kind": "talk", "words": question})
 			if err != nil {
@@ -300,18 +299,18 @@
 			}
 			want := words(standin.Answer([]runnerclient.Message{{Role: "caller", Text: fmt.Sprintf("before %d", position)}, {Role: "model", Text: before.Words}}, question))
 			if after.Words != want {
-				t.Fatalf("turn %d: heard %q, want %q", position, after.Words, want)
+				t.Fatalf("turn %d: got %q, want %q", position, after.Words, want)
 			}
 		}
-		if left := 12*time.Second - time.Since(returned); left < 0 {
-			t.Fatalf("too late by %s", -left)
+		if left := 12*time.Second - time.Since(restarted); left < 0 {
+			t.Fatalf("exceeded the limit by %s", -left)
 		}
 	})
 }
 
-// TestATurnWhoseFrontDiedEndsForThoseWhoResumeIt resumes in the middle of a turn
-// that nobody feeds any more, and beyond the end of one that is over.
-func TestATurnWhoseFrontDiedEndsForThoseWhoResumeIt(t *testing.T) {
+// TestTurnOfKilledFrontEndsForResumingClients resumes a turn whose front was killed: from its
+// middle, from its start and beyond its end.
+func TestTurnOfKilledFrontEndsForResumingClients(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		go cluster.Turn(cluster.Fronts[0], map[string]any{"program": "dialogue", "kind": "talk", "words": "go on !endless", "query_key": "orphan"})
 		<-time.After(200 * time.Millisecond)
@@ -324,32 +323,33 @@
 			if err != nil || answer.Status != http.StatusOK || answer.Header.Get("Content-Type") != "application/x-ndjson" {
 				t.Fatalf("%s: %v %+v", request, err, answer)
 			}
-			said, err := ReadStream(newReader(answer.Body))
+			stream, err := ReadStream(newReader(answer.Body))
 			if err != nil {
 				t.Fatalf("%s: %v", request, err)
 			}
-			return said
+			return stream
 		}
 		name := cluster.conversation(t, "orphan")
-		if said := resume(name, "cursor=3&turn=1"); said.End != "cut" || len(said.Seqs) == 0 || said.Seqs[0] != 4 {
-			t.Fatalf("resumed: %+v", said)
+		if stream := resume(name, "cursor=3&turn=1"); stream.End != "cut" || len(stream.Seqs) == 0 || stream.Seqs[0] != 4 {
+			t.Fatalf("resumed: %+v", stream)
 		}
-		if said := resume(name, "cursor=0&turn=1"); said.End != "cut" || said.Seqs[0] != 2 {
-			t.Fatalf("from the start: %+v", said)
+		if stream := resume(name, "cursor=0&turn=1"); stream.End != "cut" || stream.Seqs[0] != 2 {
+			t.Fatalf("resumed from the start: %+v", stream)
 		}
 		last := resume(name, "cursor=3&turn=1").Seqs
-		if said := resume(name, fmt.Sprintf("cursor=%d&turn=1", last[len(last)-1]+1)); said.End != "cut" || len(said.Seqs) != 0 {
-			t.Fatalf("beyond the end: %+v", said)
+		if stream := resume(name, fmt.Sprintf("cursor=%d&turn=1", last[len(last)-1]+1)); stream.End != "cut" || len(stream.Seqs) != 0 {
+			t.Fatalf("resumed beyond the end: %+v", stream)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
 		if answer, err := cluster.Ask(ctx, http.MethodGet, cluster.Fronts[1].Host+":7100", "/v1/conversations/"+name+"/tail?turn=2", TeamToken, nil); err != nil || answer.Error.Kind != "not_found" {
-			t.Fatalf("a piece was tailed as a turn: %v %+v", err, answer)
+			t.Fatalf("a record that is no turn was tailed as one: %v %+v", err, answer)
 		}
 	})
 }
 
-// conversation finds the line that a query key names, by asking for it again.
+// conversation returns the name of the conversation that a query key started, by repeating its
+// request.
 func (cluster *Cluster) conversation(t *testing.T, key string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -358,9 +358,9 @@
 	if err != nil || answer.Status != http.StatusOK {
 		t.Fatalf("%v %+v", err, answer)
 	}
-	said, err := ReadStream(newReader(answer.Body))
+	stream, err := ReadStream(newReader(answer.Body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return said.Conversation
+	return stream.Conversation
 }
--- a/proof/simulator/fleetsize_test.go
+++ b/proof/simulator/fleetsize_test.go
@@ -7,9 +7,9 @@
 	"yardrock.example/system/controlplane"
 )
 
-// TestWhatSessionsCostIsBoundAsTheFleetGrows counts what control nodes write while nothing
-// happens, with few and with many nodes that hold sessions and follow the feed.
-func TestWhatSessionsCostIsBoundAsTheFleetGrows(t *testing.T) {
+// TestSessionTrafficIsBoundedAsFleetGrows compares the network traffic of idle control nodes with 5
+// and with 65 nodes that have sessions and follow the feed.
+func TestSessionTrafficIsBoundedAsFleetGrows(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 1, Applications: 1, Engines: 1}, func(t *testing.T, cluster *Cluster) {
 		const span = 10
 		measure := func() (messages, bytes, maximum int64) {
@@ -29,23 +29,23 @@
 		}
 		<-time.After(5 * time.Second)
 		messages, bytes, maximum := measure()
-		t.Logf("5 nodes that follow: %d messages and %d bytes a second from all control nodes, %d messages from one", messages, bytes, maximum)
-		cluster.watch(t, 60)
+		t.Logf("5 following nodes: all control nodes send %d messages and %d bytes per second, one at most %d messages", messages, bytes, maximum)
+		cluster.followFeed(t, 60)
 		<-time.After(5 * time.Second)
 		moreMessages, moreBytes, maximumOfMore := measure()
-		t.Logf("65 nodes that follow: %d messages and %d bytes a second from all control nodes, %d messages from one", moreMessages, moreBytes, maximumOfMore)
+		t.Logf("65 following nodes: all control nodes send %d messages and %d bytes per second, one at most %d messages", moreMessages, moreBytes, maximumOfMore)
 		if perNode := float64(moreMessages-messages) / 60; perNode > 6 || moreBytes > 400_000 {
-			t.Errorf("a node more costs the control nodes %.1f messages a second, and all 65 %d bytes", perNode, moreBytes)
+			t.Errorf("each further node costs the control nodes %.1f messages per second, all 65 cost %d bytes per second", perNode, moreBytes)
 		}
 		if 10*maximumOfMore > 7*moreMessages {
-			t.Errorf("one control node writes %d of %d messages", maximumOfMore, moreMessages)
+			t.Errorf("one control node sends %d of %d messages", maximumOfMore, moreMessages)
 		}
 	})
 }
 
-// TestAnEmptyFleetThatHasStartedBeforeIsNotFoundedAnew empties all control nodes, which are
-// informed that the fleet has started before: they wait, rather than found another.
-func TestAnEmptyFleetThatHasStartedBeforeIsNotFoundedAnew(t *testing.T) {
+// TestWipedFleetIsNotBootstrappedAgain wipes all control nodes, whose settings say that the fleet
+// exists: they must wait instead of bootstrapping another.
+func TestWipedFleetIsNotBootstrappedAgain(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
 		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.JoinExisting = true }
 		for _, machine := range cluster.Controls {
@@ -60,7 +60,7 @@
 		<-time.After(20 * time.Second)
 		for _, machine := range cluster.Controls {
 			if view := machine.Control.View(); view.Number != 0 || machine.Control.Ready() {
-				t.Fatalf("%s has founded fleet %s", machine.Host, view.Fleet)
+				t.Fatalf("%s has bootstrapped fleet %s", machine.Host, view.Fleet)
 			}
 		}
 	})
--- a/proof/simulator/founding_test.go
+++ b/proof/simulator/founding_test.go
@@ -13,19 +13,19 @@
 
 func TestAllThreeSeedMachinesAreReplacedOneAfterAnother(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := cluster.dialogues(t, 3)
+		conversations := cluster.dialogues(t, 3)
 		for index := range 3 {
-			cluster.replaceSeed(t, index)
+			cluster.replaceSeedMachine(t, index)
 			if _, err := cluster.Turn(cluster.Fronts[index%2], map[string]any{"program": "dialogue", "kind": "talk", "words": "still there"}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		// A total outage comes right after. In every second run the settings of the
-		// machines still name the old seeds, which are gone.
+		// A total outage follows at once. With even seeds the settings of the machines still
+		// name the old seed nodes, which are gone.
 		if cluster.Seed%2 == 0 {
 			cluster.seeds = []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
 		}
-		cluster.restartCore(t)
+		cluster.restartAllButFronts(t)
 		cluster.seeds = []string{"10.0.0.4:7000", "10.0.0.5:7000", "10.0.0.6:7000"}
 		for _, front := range cluster.Fronts {
 			if err := front.Start(); err != nil {
@@ -35,7 +35,7 @@
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		// Processes with the old seeds go on; one that starts needs the new ones.
+		// A running process keeps working with the old seed nodes; one that starts needs the new ones.
 		cluster.Fronts[0].Kill()
 		if err := cluster.Fronts[0].Start(); err != nil {
 			t.Fatal(err)
@@ -43,33 +43,33 @@
 		if err := cluster.PutConfig(BasicConfig + "// exchanged\n"); err != nil {
 			t.Fatal(err)
 		}
-		cluster.followUp(t, said)
+		cluster.followUp(t, conversations)
 	})
 }
 
-// replaceSeed replaces a seed machine by an empty one at another address, and waits until
-// that is a control node in its place.
-func (cluster *Cluster) replaceSeed(t *testing.T, index int) {
+// replaceSeedMachine replaces a seed machine with an empty one at another address, and waits until
+// that has taken its place in the control group.
+func (cluster *Cluster) replaceSeedMachine(t *testing.T, index int) {
 	t.Helper()
 	old := cluster.Controls[index]
 	old.Kill()
 	old.Wipe()
 	fresh := cluster.AddControl(3 + index)
-	cluster.seeds[index] = fresh.Host + ":7000" // a seed of all nodes that start from now on
+	cluster.seeds[index] = fresh.Host + ":7000" // for all nodes that start from now on
 	if err := fresh.Start(); err != nil {
 		t.Fatal(err)
 	}
 	cluster.Controls[index] = fresh
-	err := cluster.Await(60*time.Second, "exchanged control node", func() error {
+	err := cluster.Await(60*time.Second, "replacement control node", func() error {
 		reported, err := cluster.fleet()
 		if err != nil {
 			return err
 		}
-		listed := func(host string) bool {
+		isListed := func(host string) bool {
 			return slices.ContainsFunc(reported.Controls, func(member feed.Member) bool { return strings.HasPrefix(member.Address, host+":") })
 		}
-		if len(reported.Controls) != 3 || !listed(fresh.Host) || listed(old.Host) {
-			return fmt.Errorf("controls: %v", reported.Controls)
+		if len(reported.Controls) != 3 || !isListed(fresh.Host) || isListed(old.Host) {
+			return fmt.Errorf("control nodes: %v", reported.Controls)
 		}
 		return nil
 	})
@@ -78,9 +78,9 @@
 	}
 }
 
-// restartCore takes all machines' power, starts control nodes and stores again and waits
-// until the control plane answers; fronts stay down.
-func (cluster *Cluster) restartCore(t *testing.T) {
+// restartAllButFronts cuts the power of all machines, starts control nodes and stores again and
+// waits until the control plane answers.
+func (cluster *Cluster) restartAllButFronts(t *testing.T) {
 	t.Helper()
 	for _, machine := range cluster.Machines() {
 		machine.LosePower()
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestAFleetIsFoundedOnlyOnceAllThreeEmptySeedsAnswer starts the seeds one by one,
-// and later a wiped one, which must join instead of founding anew.
-func TestAFleetIsFoundedOnlyOnceAllThreeEmptySeedsAnswer(t *testing.T) {
+// TestFleetBootstrapsOnlyOnceAllSeedsAnswer starts the seed nodes one by one, and later wipes one,
+// which must rejoin instead of bootstrapping another fleet.
+func TestFleetBootstrapsOnlyOnceAllSeedsAnswer(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		other := &Cluster{Network: NewNetwork(2), Seed: 2, groups: 8, seeds: slices.Clone(cluster.seeds)}
 		for index := range 3 {
@@ -114,7 +114,7 @@
 		for index, machine := range other.Controls {
 			for _, running := range other.Controls[:index] {
 				if running.Control.View().Number != 0 || running.Control.Ready() {
-					t.Fatalf("a fleet was founded by %d of three seeds", index)
+					t.Fatalf("a fleet was bootstrapped by %d of three seed nodes", index)
 				}
 			}
 			if err := machine.Start(); err != nil {
@@ -125,7 +125,7 @@
 		fleet := other.Controls[0].Control.View().Fleet
 		for _, machine := range other.Controls {
 			if view := machine.Control.View(); view.Fleet == "" || view.Fleet != fleet {
-				t.Fatalf("founded %q and %q", fleet, view.Fleet)
+				t.Fatalf("bootstrapped fleets %q and %q", fleet, view.Fleet)
 			}
 		}
 		wiped := other.Controls[2]
@@ -136,14 +136,14 @@
 		}
 		<-time.After(20 * time.Second)
 		if view := wiped.Control.View(); view.Fleet != fleet {
-			t.Fatalf("a wiped seed is in fleet %q, not %q", view.Fleet, fleet)
+			t.Fatalf("a wiped seed node is in fleet %q, not %q", view.Fleet, fleet)
 		}
 	})
 }
 
-// TestADataFolderOfAnotherFleetIsRefusedAtStart starts a store with another fleet's
-// seeds, and one whose own control plane has lost its disks, which must go on.
-func TestADataFolderOfAnotherFleetIsRefusedAtStart(t *testing.T) {
+// TestDataDirectoryOfAnotherFleetIsRejectedAtStart starts a store with the seed nodes of another
+// fleet, which must fail, and one whose own control plane has lost its disks, which must not.
+func TestDataDirectoryOfAnotherFleetIsRejectedAtStart(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		other := &Cluster{Network: NewNetwork(2), Seed: 2, groups: 8, seeds: slices.Clone(cluster.seeds)}
 		for index := range 3 {
@@ -175,7 +175,7 @@
 				t.Fatal(err)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("a data folder of another fleet was taken")
+			t.Fatal("a data directory of another fleet was accepted")
 		}
 		// A store of this fleet must wait for its control plane to recover.
 		for _, control := range cluster.Controls {
@@ -190,7 +190,7 @@
 		}
 		select {
 		case err := <-cluster.Stores[1].Store.ForeignFleet():
-			t.Fatalf("a store of a fleet that recovers was refused: %v", err)
+			t.Fatalf("a store was rejected while its fleet recovers: %v", err)
 		case <-time.After(20 * time.Second):
 		}
 	})
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -17,109 +17,108 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// watch follows the feed from some hosts, as fronts do.
-func (cluster *Cluster) watch(t *testing.T, count int) []*feedclient.Client {
-	watching := []*feedclient.Client{}
+// followFeed starts clients that follow the feed from different hosts, as fronts do.
+func (cluster *Cluster) followFeed(t *testing.T, count int) []*feedclient.Client {
+	clients := []*feedclient.Client{}
 	for position := range count {
 		host := fmt.Sprintf("10.8.1.%d", position+1)
 		caller := link.NewClient(cluster.Network.At(host))
 		following := feedclient.Start(caller, feed.Member{Name: host, Role: feed.RoleFront, Address: host + ":1"}, cluster.seeds, nil, func(*feed.View) error { return nil })
 		t.Cleanup(func() { following.Stop(); caller.Close() })
-		watching = append(watching, following)
+		clients = append(clients, following)
 	}
-	return watching
+	return clients
 }
 
-// until waits, step by step, until all that watch may act on a view that fits; it tells how
-// long that took.
-func until(t *testing.T, timeout time.Duration, watching []*feedclient.Client, what string, fits func(view *feed.View) bool) time.Duration {
+// awaitViews waits until all clients have a fresh view that matches, and returns how long that took.
+func awaitViews(t *testing.T, timeout time.Duration, clients []*feedclient.Client, what string, matches func(view *feed.View) bool) time.Duration {
 	t.Helper()
 	began := time.Now()
-	behind := func(one *feedclient.Client) bool {
-		view, err := one.Fresh()
-		return err != nil || !fits(view)
+	behind := func(client *feedclient.Client) bool {
+		view, err := client.Fresh()
+		return err != nil || !matches(view)
 	}
-	for slices.ContainsFunc(watching, behind) {
+	for slices.ContainsFunc(clients, behind) {
 		if time.Since(began) > timeout {
-			t.Fatalf("%s does not reach all fronts within %s", what, timeout)
+			t.Fatalf("%s: did not reach all clients within %s", what, timeout)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-func stateOf(view *feed.View, life string) string {
+func stateOf(view *feed.View, incarnation string) string {
 	for _, runner := range view.Runners {
-		if runner.Incarnation == life {
+		if runner.Incarnation == incarnation {
 			return runner.State
 		}
 	}
 	return ""
 }
 
-func TestTheListOfRunnersReachesAllFrontsSoon(t *testing.T) {
+func TestRunnerListReachesAllFrontsPromptly(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 2, Engines: 1}, func(t *testing.T, cluster *Cluster) {
 		source := cluster.RunnerList
-		const soon = 1300 * time.Millisecond // a poll, a commit and a round of the fronts
-		runner := func(life, state string, cold time.Duration) feed.Runner {
-			return feed.Runner{Incarnation: life, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: cold, Slots: 4}
+		const maxPropagation = 1300 * time.Millisecond // a poll, a commit and a feed poll of the clients
+		runner := func(incarnation, state string, warmUpLeft time.Duration) feed.Runner {
+			return feed.Runner{Incarnation: incarnation, Address: "10.0.3.1:8000", Group: "small", Domain: "east", State: state, WarmUpLeft: warmUpLeft, Slots: 4}
 		}
 		other := feed.Runner{Incarnation: "other", Address: "10.0.3.2:8000", Group: "small", Domain: "west", State: feed.StateServing}
-		watching := cluster.watch(t, 6)
+		clients := cluster.followFeed(t, 6)
 		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 4*time.Second)})
-		until(t, soon, watching, "a cold runner", func(view *feed.View) bool {
+		awaitViews(t, maxPropagation, clients, "a runner that is warming up", func(view *feed.View) bool {
 			return stateOf(view, "one") == feed.StateWarmingUp && stateOf(view, "other") != ""
 		})
-		number, asks := cluster.Controls[0].Control.View().Number, source.Polls()
+		number, polls := cluster.Controls[0].Control.View().Number, source.Polls()
 		<-time.After(2 * time.Second)
 		if now := cluster.Controls[0].Control.View().Number; now != number {
-			t.Fatalf("the feed went from %d to %d while a runner only stayed cold", number, now)
+			t.Fatalf("the feed went from %d to %d although no runner changed its state", number, now)
 		}
-		if asks = source.Polls() - asks; asks < 3 || asks > 5 {
-			t.Fatalf("the list was asked for %d times in 2 s", asks)
+		if polls = source.Polls() - polls; polls < 3 || polls > 5 {
+			t.Fatalf("the list was polled %d times in 2 s", polls)
 		}
-		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 6*time.Second)}) // colder than it was
-		until(t, soon, watching, "a runner that is cold for longer", func(view *feed.View) bool {
+		source.Put([]feed.Runner{other, runner("one", feed.StateWarmingUp, 6*time.Second)}) // longer than before
+		awaitViews(t, maxPropagation, clients, "a longer warm-up", func(view *feed.View) bool {
 			return slices.ContainsFunc(view.Runners, func(runner feed.Runner) bool { return runner.WarmUpLeft > 5*time.Second })
 		})
 		<-time.After(4500 * time.Millisecond)
-		until(t, soon+500*time.Millisecond, watching, "a runner that is warm", func(view *feed.View) bool { return stateOf(view, "one") == feed.StateServing })
-		// Nobody waits for the stores, nor for their majority.
+		awaitViews(t, maxPropagation+500*time.Millisecond, clients, "the end of a warm-up", func(view *feed.View) bool { return stateOf(view, "one") == feed.StateServing })
+		// Runner changes propagate without a majority of the stores.
 		for _, store := range cluster.Stores[:2] {
 			cluster.Network.Isolate(store.Host)
 		}
 		source.Put([]feed.Runner{other, runner("one", feed.StateDraining, 0)})
-		t.Logf("leaving without stores: %s", until(t, soon, watching, "a leaving runner", func(view *feed.View) bool { return stateOf(view, "one") == feed.StateDraining }))
+		t.Logf("draining reached all clients without a store majority after %s", awaitViews(t, maxPropagation, clients, "a draining runner", func(view *feed.View) bool { return stateOf(view, "one") == feed.StateDraining }))
 		source.Put([]feed.Runner{runner("two", feed.StateServing, 0), other})
-		until(t, soon, watching, "another life at the same address", func(view *feed.View) bool {
+		awaitViews(t, maxPropagation, clients, "another incarnation at the same address", func(view *feed.View) bool {
 			return stateOf(view, "one") == "" && stateOf(view, "two") == feed.StateServing
 		})
 		for _, store := range cluster.Stores[:2] {
 			cluster.Network.Rejoin(store.Host)
 		}
-		// A platform that is down, or wants to be left alone, takes no runner away.
+		// An error of the source removes no runner, and its retry delay is honored.
 		source.Fail(apierror.NewRetryable(apierror.Unavailable, "too often", "later", 5*time.Second))
 		<-time.After(time.Second)
-		asks = source.Polls()
+		polls = source.Polls()
 		<-time.After(3 * time.Second)
-		if source.Polls() != asks || stateOf(cluster.Controls[0].Control.View(), "two") != feed.StateServing {
-			t.Fatalf("asked %d times in spite of the refusal, or the list is gone: %+v", source.Polls()-asks, cluster.Controls[0].Control.View().Runners)
+		if source.Polls() != polls || stateOf(cluster.Controls[0].Control.View(), "two") != feed.StateServing {
+			t.Fatalf("polled %d times during the retry delay, or runners were removed: %+v", source.Polls()-polls, cluster.Controls[0].Control.View().Runners)
 		}
 		source.Fail(nil)
 		<-time.After(5 * time.Second)
-		// The owner of the assignment dies as the list changes.
+		// The owner of the runner discovery role fails as the list changes.
 		for round := range 3 {
-			buffered := cluster.Controls[0].Control.View().RoleLeaseOf(controlplane.RunnerDiscoveryRole)
-			at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Name() == buffered.Holder })
+			lease := cluster.Controls[0].Control.View().RoleLeaseOf(controlplane.RunnerDiscoveryRole)
+			at := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.Name() == lease.Holder })
 			owner := cluster.Controls[at]
 			if round == 0 {
 				owner.Kill()
 			} else {
 				cluster.Network.Isolate(owner.Host)
 			}
-			life := fmt.Sprintf("after-%d", round)
-			source.Put([]feed.Runner{runner(life, feed.StateDraining, 0)})
-			t.Logf("round %d: leaving after the owner's end: %s", round, until(t, 2700*time.Millisecond, watching, "a change as the assignment's owner ends", func(view *feed.View) bool { return stateOf(view, life) == feed.StateDraining }))
+			incarnation := fmt.Sprintf("after-%d", round)
+			source.Put([]feed.Runner{runner(incarnation, feed.StateDraining, 0)})
+			t.Logf("round %d: draining reached all clients %s after the owner failed", round, awaitViews(t, 2700*time.Millisecond, clients, "a change while the role owner fails", func(view *feed.View) bool { return stateOf(view, incarnation) == feed.StateDraining }))
 			if round == 0 {
 				if err := owner.Start(); err != nil {
 					t.Fatal(err)
@@ -132,17 +131,17 @@
 	})
 }
 
-// byThemselves is the shape of a fleet that nobody enrols machines in.
+// byThemselves is the shape of a fleet that enrols machines automatically.
 func byThemselves(controls, stores int) Shape {
 	return Shape{Controls: controls, Stores: stores, Fronts: 2, Models: 2, Applications: 2, Groups: 32, AutoEnrol: true}
 }
 
-// viewReplicasAre tells, at all stores, which hold a full part of every group: nil if those given
-// hold all of them and nobody else does.
+// viewReplicasAre returns nil if every group has a leader and three voters, all of them on the given
+// machines, and no membership change is pending.
 func (cluster *Cluster) viewReplicasAre(machines ...*Machine) error {
-	names, led := []string{}, 0
+	storeNames, led := []string{}, 0
 	for _, machine := range machines {
-		names = append(names, machine.Store.Name())
+		storeNames = append(storeNames, machine.Store.Name())
 	}
 	for _, machine := range cluster.Stores {
 		if machine.Store == nil {
@@ -154,28 +153,28 @@
 			}
 			led++
 			if status.MembershipChangePending || len(status.Membership.Learners) > 0 || len(status.Membership.Voters) != 3 {
-				return fmt.Errorf("group %d has %v, changing: %v", group, status.Membership, status.MembershipChangePending)
+				return fmt.Errorf("group %d has members %v, change pending: %v", group, status.Membership, status.MembershipChangePending)
 			}
 			for _, voter := range status.Membership.Voters {
-				if !slices.Contains(names, voter) {
-					return fmt.Errorf("group %d, led by %s in term %d, is kept by %s of %v", group, machine.Host, status.Term, voter, status.Membership)
+				if !slices.Contains(storeNames, voter) {
+					return fmt.Errorf("group %d, led by %s in term %d, has voter %s in %v", group, machine.Host, status.Term, voter, status.Membership)
 				}
 			}
 		}
 	}
 	if led != int(cluster.groups) {
-		return fmt.Errorf("%d groups are led", led)
+		return fmt.Errorf("%d groups have a leader", led)
 	}
 	return nil
 }
 
-// TestStoresComeAndGoByThemselves exchanges one store after another: by a machine at
-// another address, by a lost disk at the same one, and by one more and one less. A store
-// is lost as soon as the one before has been made up for.
-func TestStoresComeAndGoByThemselves(t *testing.T) {
+// TestStoresAreReplacedAutomatically replaces stores with machines at other addresses and with
+// wiped disks at the same address, then adds and removes one. Each store is lost as soon as the
+// groups of the one before have three replicas again.
+func TestStoresAreReplacedAutomatically(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
-		said := cluster.dialogues(t, 8)
-		<-time.After(6 * time.Second) // archived
+		conversations := cluster.dialogues(t, 8)
+		<-time.After(6 * time.Second) // until they are archived
 		stop := cluster.callers(100 * time.Millisecond)
 		defer stop()
 		random := cluster.Random(31)
@@ -203,13 +202,13 @@
 			}
 			await(4500*time.Millisecond, fmt.Sprintf("round %d: all groups on the new store", round), cluster.Stores...)
 		}
-		// One more: it gets its share. One less: the others make up for it.
+		// An additional store gets its share of the groups; the others take over those of a lost one.
 		more := cluster.AddStore(30)
 		if err := more.Start(); err != nil {
 			t.Fatal(err)
 		}
 		cluster.Stores = append(cluster.Stores, more)
-		if err := cluster.Await(3*time.Second, "share for the fourth store", func() error {
+		if err := cluster.Await(3*time.Second, "groups on the fourth store", func() error {
 			if len(more.Store.Host().Statuses()) < 8 {
 				return fmt.Errorf("it has %d groups", len(more.Store.Host().Statuses()))
 			}
@@ -217,12 +216,12 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		await(6*time.Second, "one store more", cluster.Stores...)
+		await(6*time.Second, "all groups on four stores", cluster.Stores...)
 		cluster.Stores[1].LosePower()
 		left := slices.Delete(slices.Clone(cluster.Stores), 1, 2)
 		cluster.Stores = left
-		await(16*time.Second, "one store less", left...)
-		// The last copies are never given up.
+		await(16*time.Second, "all groups on the remaining stores", left...)
+		// No store is removed when too few would remain.
 		left[2].LosePower()
 		<-time.After(20 * time.Second)
 		reported, err := cluster.fleet()
@@ -232,15 +231,15 @@
 		if err := left[2].Start(); err != nil {
 			t.Fatal(err)
 		}
-		await(6*time.Second, "the third store is back", left...)
+		await(6*time.Second, "all groups after the third store's return", left...)
 		if err := cluster.AwaitServing(6 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		cluster.followUp(t, said)
+		cluster.followUp(t, conversations)
 	})
 }
 
-// votingControls returns the control nodes that vote, by the leader's word.
+// votingControls returns the hosts and names of the voting control nodes in the leader's view.
 func (cluster *Cluster) votingControls() []string {
 	for _, machine := range cluster.Controls {
 		if machine.Control != nil && machine.Control.IsLeader() {
@@ -255,8 +254,8 @@
 	return nil
 }
 
-// TestControlNodesAreReplacedOneAfterAnother loses a control node for good, lets an empty
-// one come at another address or the same, and loses the next as soon as that one votes.
+// TestControlNodesAreReplacedOneAfterAnother replaces a lost control node with an empty one at
+// another or the same address, and loses the next as soon as that one votes.
 func TestControlNodesAreReplacedOneAfterAnother(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("of-%d", size), func(t *testing.T) {
@@ -265,11 +264,11 @@
 				settings.MaxControls = size
 			}
 			simulate(t, shape, func(t *testing.T, cluster *Cluster) {
-				joins := false
+				joinExisting := false
 				cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
-					settings.MaxControls, settings.JoinExisting = size, joins
+					settings.MaxControls, settings.JoinExisting = size, joinExisting
 				}
-				joins = true
+				joinExisting = true
 				random := cluster.Random(33)
 				for round := range 5 {
 					mark := fmt.Sprintf("round %d", round)
@@ -304,7 +303,7 @@
 					if err := cluster.Await(4500*time.Millisecond, "new voter", func() error {
 						voting := cluster.votingControls()
 						if len(voting) != size || !slices.Contains(voting, fresh.Host+" "+fresh.Control.Name()) {
-							return fmt.Errorf("voting: %v", voting)
+							return fmt.Errorf("voters: %v", voting)
 						}
 						return nil
 					}); err != nil {
@@ -318,8 +317,8 @@
 	}
 }
 
-// TestTurnsAreNeverUnknownWhileStoresAreReplaced has programs take turn after turn, and
-// others go on from them, while one store after another loses its disk.
+// TestTurnsAreNeverUnknownWhileStoresAreReplaced runs programs whose turns follow each other, and
+// others that continue from them, while one store after another loses its disk.
 func TestTurnsAreNeverUnknownWhileStoresAreReplaced(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
@@ -327,26 +326,26 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		turn := func(program, name, follows, history string) bool {
-			limited, cancel := context.WithTimeout(ctx, 4*time.Second)
+			turnCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
 			defer cancel()
-			wanted := programTurn(program, name, follows)
-			wanted.HasTokenQuota = false
-			begun, err := client.BeginTurn(limited, wanted)
+			request := programTurn(program, name, follows)
+			request.HasTokenQuota = false
+			begun, err := client.BeginTurn(turnCtx, request)
 			if apierror.Is(err, apierror.NotFound) {
-				t.Errorf("%s: turn %s goes on from %s, which was answered whole: %v", program, name, follows, err)
+				t.Errorf("%s: turn %s follows the completed turn %s: %v", program, name, follows, err)
 			}
 			if err != nil {
 				return false
 			}
 			if string(begun.History) != history {
-				t.Errorf("%s: turn %s has the history %q, not %q", program, name, begun.History, history)
+				t.Errorf("%s: turn %s has history %q, want %q", program, name, begun.History, history)
 			}
-			return client.EndTurn(limited, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)) == nil
+			return client.EndTurn(turnCtx, programTurnEnd(program, name, sessionlog.OutcomeComplete, begun.Seq, 10)) == nil
 		}
-		var taking sync.WaitGroup
-		taken := atomic.Int64{}
+		var programs sync.WaitGroup
+		completed := atomic.Int64{}
 		for number := range 6 {
-			taking.Go(func() {
+			programs.Go(func() {
 				program, follows, history := fmt.Sprintf("p%d", number), "", ""
 				for step := 0; ctx.Err() == nil; step++ {
 					name := fmt.Sprintf("%d-%d", number, step)
@@ -354,8 +353,8 @@
 						continue
 					}
 					follows, history = name, history+complete(name)
-					taken.Add(1)
-					if step%5 == 0 { // another program goes on from it
+					completed.Add(1)
+					if step%5 == 0 { // another program continues from it
 						turn(fmt.Sprintf("%s-%d", program, step), name+"-other", follows, history)
 					}
 					if len(history) > 2000 {
@@ -375,14 +374,14 @@
 			if err := lost.Start(); err != nil {
 				t.Fatal(err)
 			}
-			if err := cluster.Await(4500*time.Millisecond, "all groups whole", func() error { return cluster.viewReplicasAre(cluster.Stores...) }); err != nil {
+			if err := cluster.Await(4500*time.Millisecond, "three replicas of all groups", func() error { return cluster.viewReplicasAre(cluster.Stores...) }); err != nil {
 				t.Fatal(err)
 			}
 		}
 		cancel()
-		taking.Wait()
-		if taken.Load() < 400 {
-			t.Fatalf("only %d turns were taken", taken.Load())
+		programs.Wait()
+		if completed.Load() < 400 {
+			t.Fatalf("only %d turns were completed", completed.Load())
 		}
 	})
 }
--- a/proof/simulator/operators_test.go
+++ b/proof/simulator/operators_test.go
@@ -39,11 +39,11 @@
 					results <- done
 				}()
 			}
-			won := slices.DeleteFunc([]result{<-results, <-results}, func(one result) bool { return !one.changed.Acknowledged })
-			if len(won) > 1 {
+			acknowledgedInRound := slices.DeleteFunc([]result{<-results, <-results}, func(candidate result) bool { return !candidate.changed.Acknowledged })
+			if len(acknowledgedInRound) > 1 {
 				t.Fatalf("round %d: both operators replaced config %d", round, reported.Number)
 			}
-			acknowledged = append(acknowledged, won...)
+			acknowledged = append(acknowledged, acknowledgedInRound...)
 			if round%4 == 3 {
 				leader := slices.IndexFunc(cluster.Controls, func(machine *Machine) bool { return machine.Control.IsLeader() })
 				cluster.Controls[leader].LosePower()
--- a/proof/simulator/outdatedrunnerlist_test.go
+++ b/proof/simulator/outdatedrunnerlist_test.go
@@ -13,12 +13,12 @@
 	"yardrock.example/system/forwarding"
 )
 
-// pressLookups has callers ask for lookups, each for the next as soon as it has an
-// answer or a little later, until a moment.
+// pressLookups starts callers that send lookups one after the other with short random pauses, until
+// a deadline. Wait returns once all have ended.
 func (chaos *chaosRun) pressLookups(callers int, until time.Time) (wait func()) {
-	var pressing sync.WaitGroup
+	var lookups sync.WaitGroup
 	for caller := range callers {
-		pressing.Go(func() {
+		lookups.Go(func() {
 			random := chaos.cluster.Random(uint64(100 + caller))
 			for time.Now().Before(until) {
 				chaos.attempt(random, forwarding.Request{Method: http.MethodGet, Path: fmt.Sprintf("/lookup/%d", random.IntN(50))}, "", time.Second, 0)
@@ -26,15 +26,16 @@
 			}
 		})
 	}
-	return pressing.Wait
+	return lookups.Wait
 }
 
-// maxArrivalsPerSecond is the most that came to a runner in one second between two moments.
+// maxArrivalsPerSecond returns the maximum number of requests that arrived at the runner within one
+// second between two times.
 func (life *runnerLife) maxArrivalsPerSecond(from, to time.Time) int {
-	came := slices.DeleteFunc(life.engine.Arrivals(), func(at time.Time) bool { return at.Before(from) || at.After(to) })
+	arrivals := slices.DeleteFunc(life.engine.Arrivals(), func(at time.Time) bool { return at.Before(from) || at.After(to) })
 	maximum, first := 0, 0
-	for last := range came {
-		for came[last].Sub(came[first]) >= time.Second {
+	for last := range arrivals {
+		for arrivals[last].Sub(arrivals[first]) >= time.Second {
 			first++
 		}
 		maximum = max(maximum, last-first+1)
@@ -42,13 +43,13 @@
 	return maximum
 }
 
-// TestOutdatedRunnerListLimitsAllRunners lets runners turn cold by themselves while no list is
-// read: fronts can't know which, so that each runner gets no more than a cold one once the
-// last reading is too old. Before and after, runners get more than that.
+// TestOutdatedRunnerListLimitsAllRunners makes the runner list unreadable: runners may restart
+// unnoticed meanwhile, so fronts must limit each to the rate of one that is warming up once the
+// list is too old. Before and after, runners get more than that.
 func TestOutdatedRunnerListLimitsAllRunners(t *testing.T) {
-	for name, strike := range map[string]func(chaos *chaosRun) (repair func()){
+	for name, inject := range map[string]func(chaos *chaosRun) (repair func()){
 		"list fails": func(chaos *chaosRun) func() {
-			chaos.cluster.RunnerList.Fail(errors.New("the list gives no answer"))
+			chaos.cluster.RunnerList.Fail(errors.New("the list cannot be read"))
 			return func() { chaos.cluster.RunnerList.Fail(nil) }
 		},
 		"control nodes lost": func(chaos *chaosRun) func() {
@@ -75,15 +76,15 @@
 		t.Run(name, func(t *testing.T) {
 			simulate(t, chaosShape(), func(t *testing.T, cluster *Cluster) {
 				chaos := startChaos(t, cluster)
-				chaos.checkUnreadList(strike)
+				chaos.checkUnreadableList(inject)
 			})
 		})
 	}
 }
 
-// TestRestartedRunnerIsReportedByNextListOwner lets runners become cold again while the
-// owner of the list's assignment is lost: all that the feed says is how long the first
-// time was to last, which is over soon after the next owner reads the list.
+// TestRestartedRunnerIsReportedByNextListOwner begins a second warm-up of all runners shortly before
+// the first ends and while the owner of the runner discovery role is down: the next owner must report
+// it, as the feed has only the end of the first.
 func TestRestartedRunnerIsReportedByNextListOwner(t *testing.T) {
 	simulate(t, chaosShape(), func(t *testing.T, cluster *Cluster) {
 		chaos := startChaos(t, cluster)
@@ -105,7 +106,7 @@
 	})
 }
 
-// warmUpAll lets all runners become cold, by themselves.
+// warmUpAll begins a new warm-up of all runners, which only the runner list reports.
 func (chaos *chaosRun) warmUpAll() {
 	chaos.mutex.Lock()
 	for _, life := range chaos.runners {
@@ -115,37 +116,37 @@
 	chaos.list()
 }
 
-func (chaos *chaosRun) checkUnreadList(strike func(chaos *chaosRun) func()) {
+func (chaos *chaosRun) checkUnreadableList(inject func(chaos *chaosRun) func()) {
 	const span = 5 * time.Second
-	calm := time.Now()
-	wait := chaos.pressLookups(24, calm.Add(4*span))
+	began := time.Now()
+	wait := chaos.pressLookups(24, began.Add(4*span))
 	<-time.After(span)
-	repair := strike(chaos)
-	struck := time.Now()
+	repair := inject(chaos)
+	injected := time.Now()
 	<-time.After(span)
 	repaired := time.Now()
 	repair()
 	wait()
 	served, before, during, after := 0, 0, 0, 0
 	for _, life := range chaos.runners {
-		before = max(before, life.maxArrivalsPerSecond(calm, struck))
-		during = max(during, life.maxArrivalsPerSecond(struck.Add(warmUpNoticeBound), repaired))
+		before = max(before, life.maxArrivalsPerSecond(began, injected))
+		during = max(during, life.maxArrivalsPerSecond(injected.Add(warmUpNoticeBound), repaired))
 		after = max(after, life.maxArrivalsPerSecond(repaired.Add(span), time.Now()))
 		for _, at := range life.engine.Arrivals() {
-			if at.After(struck.Add(warmUpNoticeBound)) && at.Before(repaired) {
+			if at.After(injected.Add(warmUpNoticeBound)) && at.Before(repaired) {
 				served++
 			}
 		}
 	}
-	chaos.t.Logf("at most %d in a second in calm, %d while no list is read, %d afterwards; %d served while no list is read", before, during, after, served)
+	chaos.t.Logf("maximum requests per second at a runner: %d before, %d while the list is unreadable, %d afterwards; %d served while the list is unreadable", before, during, after, served)
 	if during > warmUpMax {
-		chaos.violation("FAILBACK", "a runner that may be cold got %d in a second", during)
+		chaos.violation("FAILBACK", "a runner that may be warming up got %d requests in a second", during)
 	}
 	if before <= 2*warmUpMax || after <= 2*warmUpMax {
-		chaos.t.Errorf("runners that are not cold got %d and %d in a second at most", before, after)
+		chaos.t.Errorf("runners that are warm got at most %d and %d requests in a second", before, after)
 	}
 	if least := int(warmUpRate); served < 3*least {
-		chaos.t.Errorf("only %d queries were served while no list was read", served)
+		chaos.t.Errorf("only %d queries were served while the list was unreadable", served)
 	}
 	setFault(chaos.cluster, standin.NoFault)
 }
--- a/proof/simulator/replicacount_test.go
+++ b/proof/simulator/replicacount_test.go
@@ -8,7 +8,8 @@
 	"yardrock.example/system/forwarding"
 )
 
-// Where two disks may be lost at once, five copies keep every turn, and the fleet goes on.
+// TestTwoDisksLostAtOnceLoseNoTurn checks that with five replicas the loss of two disks neither
+// loses a turn nor stops the fleet.
 func TestTwoDisksLostAtOnceLoseNoTurn(t *testing.T) {
 	shape := Shape{Controls: 5, Stores: 6, Fronts: 2, Models: 1, Applications: 1, Engines: 3, Tools: 2, AutoEnrol: true, Replicas: 5}
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
@@ -21,22 +22,22 @@
 		turn := func(program, name, follows string) *ForwardedAnswer {
 			return cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte("words of " + name), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 		}
-		said := map[string]string{}
+		histories := map[string]string{}
 		for number := range 24 {
 			program := fmt.Sprintf("p%d", number)
 			first := turn(program, program+"-1", "")
 			if !first.Complete() {
 				t.Fatalf("%s: %d %v", program, first.Status, first.Err)
 			}
-			said[program] = "words of " + program + "-1" + first.Text()
+			histories[program] = "words of " + program + "-1" + first.Text()
 		}
-		lost := []*Machine{cluster.Stores[0], cluster.Stores[1]} // of two domains
+		lost := []*Machine{cluster.Stores[0], cluster.Stores[1]} // in two domains
 		for _, machine := range lost {
 			machine.LosePower()
 			machine.Wipe()
 		}
 		check := func(step string) {
-			for program, before := range said {
+			for program, before := range histories {
 				name := program + step
 				if err := cluster.Await(4*time.Second, "a turn of "+program, func() error {
 					name += "'"
@@ -48,7 +49,7 @@
 					t.Fatal(err)
 				}
 				if got := promptOf(cluster, name); got != before+"words of "+name {
-					t.Fatalf("%s was heard as %q", name, got)
+					t.Fatalf("%s: the engine got the prompt %q", name, got)
 				}
 			}
 		}
--- a/proof/simulator/showtables_test.go
+++ b/proof/simulator/showtables_test.go
@@ -10,7 +10,7 @@
 	"yardrock.example/system/querylanguage"
 )
 
-// show runs one line of the query language and gives its columns and rows.
+// show runs one statement of the query language and returns its columns and rows.
 func (cluster *Cluster) show(t *testing.T, text string) ([]string, [][]string) {
 	t.Helper()
 	answer, err := cluster.Administer(http.MethodPost, "/v1/query", map[string]any{"text": text})
@@ -27,15 +27,14 @@
 	return reported.Columns, reported.Rows
 }
 
-// TestEveryTableShowsWhatIsInForce shows each table of the query language on a fleet
-// that works.
-func TestEveryTableShowsWhatIsInForce(t *testing.T) {
+// TestEveryTableShowsCurrentState shows each table of the query language on a healthy fleet.
+func TestEveryTableShowsCurrentState(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		cluster.dialogues(t, 3)
 		if err := cluster.replace(0, 0, oneRoute(4, time.Second), "shown"); err != nil {
 			t.Fatal(err)
 		}
-		hung := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt("shown", "pay !slow"))
+		slowResponse := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt("shown", "pay !slow"))
 		cluster.checkTablesHaveRows(t)
 		cluster.checkRoutingTables(t)
 		cluster.checkUsageTables(t)
@@ -43,7 +42,7 @@
 		if len(rows) != 0 {
 			t.Errorf("groups without a leader: %v", rows)
 		}
-		if answer := <-hung; answer == nil || answer.Status != http.StatusOK {
+		if answer := <-slowResponse; answer == nil || answer.Status != http.StatusOK {
 			t.Fatalf("%s", answer)
 		}
 	})
@@ -54,11 +53,11 @@
 	for _, table := range querylanguage.Tables {
 		columns, rows := cluster.show(t, "show "+table)
 		if len(columns) == 0 || (len(rows) == 0 && table != "domains") {
-			t.Errorf("%s shows %v %v", table, columns, rows)
+			t.Errorf("%s shows columns %v and rows %v", table, columns, rows)
 		}
 		for _, row := range rows {
 			if len(row) != len(columns) {
-				t.Errorf("%s: row %v has not the columns %v", table, row, columns)
+				t.Errorf("%s: row %v does not match the columns %v", table, row, columns)
 			}
 		}
 	}
@@ -76,7 +75,7 @@
 	}
 }
 
-// checkUsageTables needs one query under way, at a runner of the application.
+// checkUsageTables requires one query in flight at an application runner.
 func (cluster *Cluster) checkUsageTables(t *testing.T) {
 	t.Helper()
 	_, rows := cluster.show(t, "show demand where out > 0")
@@ -91,6 +90,6 @@
 	}
 	_, rows = cluster.show(t, "show tallies where program = dialogue")
 	if len(rows) != 1 || rows[0][3] == "0" || rows[0][3] == "unknown" || before.Spent == 0 {
-		t.Errorf("tallies show %v, the front says %+v", rows, before)
+		t.Errorf("tallies show %v, the front reports %+v", rows, before)
 	}
 }
