--- a/proof/simulator/badinput_test.go
+++ b/proof/simulator/badinput_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer, err := cluster.once(cluster.Fronts[0], "used", "one body"); err != nil || answer.Status != http.StatusOK {
+		if answer, err := cluster.sendReceiptQuery(cluster.Fronts[0], "used", "one body"); err != nil || answer.Status != http.StatusOK {
 			t.Fatalf("%v %+v", err, answer)
 		}
 		for _, request := range invalidFrontRequests(first) {
@@ -127,7 +127,7 @@
 		}
 		for round := range 3 {
 			key := fmt.Sprintf("cut-%d", round)
-			answer, err := cluster.once(front, key, "pay")
+			answer, err := cluster.sendReceiptQuery(front, key, "pay")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/proof/simulator/bounds_test.go
+++ b/proof/simulator/bounds_test.go
@@ -226,7 +226,7 @@
 		}
 		answers := make(chan *Answer, 1)
 		go func() {
-			answer, _ := cluster.once(front, "held up", "pay")
+			answer, _ := cluster.sendReceiptQuery(front, "held up", "pay")
 			answers <- answer
 		}()
 		<-time.After(200 * time.Millisecond) // admitted, and waiting for its session
--- a/proof/simulator/catchup_test.go
+++ b/proof/simulator/catchup_test.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// slowWay is a link delay that makes it likely that a message is in flight when a node is killed.
-const slowWay = 150 * time.Millisecond
+// slowLinkDelay is a link delay that makes it likely that a message is in flight when a node is killed.
+const slowLinkDelay = 150 * time.Millisecond
 
 func (cluster *Cluster) eachOtherControl(machine *Machine, action func(other *Machine)) {
 	for _, other := range cluster.Controls {
@@ -140,7 +140,7 @@
 			if err := machine.Start(); err != nil {
 				t.Fatal(err)
 			}
-			cluster.eachOtherControl(machine, func(other *Machine) { cluster.Network.Slow(other.Host, machine.Host, slowWay) })
+			cluster.eachOtherControl(machine, func(other *Machine) { cluster.Network.Slow(other.Host, machine.Host, slowLinkDelay) })
 			killDelay := time.Duration(random.IntN(1500)) * time.Millisecond
 			<-time.After(killDelay)
 			machine.Kill()
--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -16,8 +16,8 @@
 	"yardrock.example/system/runnerclient"
 )
 
-// dialogues starts conversations that followUp continues.
-func (cluster *Cluster) dialogues(t *testing.T, count int) []*StreamedAnswer {
+// startConversations starts conversations that followUp continues.
+func (cluster *Cluster) startConversations(t *testing.T, count int) []*StreamedAnswer {
 	t.Helper()
 	conversations := []*StreamedAnswer{}
 	for round := range count {
@@ -108,9 +108,9 @@
 
 func TestWipedStoreReturnsAsNewNodeAndIsRepaired(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		conversations := cluster.dialogues(t, 8)
+		conversations := cluster.startConversations(t, 8)
 		<-time.After(6 * time.Second) // until they are archived
-		conversations = append(conversations, cluster.dialogues(t, 4)...)
+		conversations = append(conversations, cluster.startConversations(t, 4)...)
 		conversations = conversations[:8]
 		wiped := cluster.Stores[1]
 		before := wiped.Store.Name()
@@ -200,7 +200,7 @@
 
 func TestStoreIsAddedAndAnotherDecommissionedWhileTurnsRun(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		conversations := cluster.dialogues(t, 6)
+		conversations := cluster.startConversations(t, 6)
 		<-time.After(6 * time.Second)
 		decommission := func(name string) *Answer {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
@@ -240,7 +240,7 @@
 
 func TestDomainLossAndReturnWithTrafficSpike(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 3, Models: 3, Applications: 3}, func(t *testing.T, cluster *Cluster) {
-		conversations := cluster.dialogues(t, 6)
+		conversations := cluster.startConversations(t, 6)
 		lost := []*Machine{}
 		for _, machine := range cluster.Machines() {
 			if machine.Domain == "east" {
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -124,7 +124,7 @@
 	inject()
 	if awaitRepair {
 		chaos.cluster.awaitHealed(chaos.t)
-		if err := chaos.cluster.Await(20*time.Second, "fully replicated groups", func() error { return chaos.cluster.viewReplicasAre(chaos.cluster.Stores...) }); err != nil {
+		if err := chaos.cluster.Await(20*time.Second, "fully replicated groups", func() error { return chaos.cluster.checkReplicasOn(chaos.cluster.Stores...) }); err != nil {
 			chaos.t.Error(err)
 		}
 	}
--- a/proof/simulator/chaos_warmup_test.go
+++ b/proof/simulator/chaos_warmup_test.go
@@ -20,7 +20,7 @@
 			chaos.startRunner("", "others", "west", duration+20*time.Second)
 		}
 		until := time.Now().Add(duration)
-		wait := chaos.pressLookups(24, until)
+		wait := chaos.startLookups(24, until)
 		random := cluster.Random(99)
 		faults := []func(*rand.Rand){chaos.killControl, chaos.isolateControl, chaos.cutControl, chaos.wipeControl, chaos.replaceControl, chaos.loseControls, chaos.killFront, chaos.isolateFront, chaos.freezeFront}
 		for time.Now().Before(until) {
--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -244,7 +244,7 @@
 // wall clocks of stores are days ahead, hours behind, or jump, with each store down once.
 func TestWrongClocksExpireNothingEarly(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		conversations := cluster.dialogues(t, 6)
+		conversations := cluster.startConversations(t, 6)
 		random := cluster.Random(11)
 		for round := range 3 {
 			for position, store := range cluster.Stores {
--- a/proof/simulator/decommission_test.go
+++ b/proof/simulator/decommission_test.go
@@ -79,7 +79,7 @@
 func TestMachineIsDecommissionedThoughTheLeaderDies(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
-		said := cluster.dialogues(t, 6)
+		said := cluster.startConversations(t, 6)
 		stop := cluster.callers(100 * time.Millisecond)
 		defer stop()
 		if err := cluster.beginRetire(0, "storage unknown"); !apierror.Is(err, apierror.NotFound) {
@@ -138,7 +138,7 @@
 		t.Run(name, func(t *testing.T) {
 			simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 				cluster.awaitStores(t, 4)
-				said := cluster.dialogues(t, 6)
+				said := cluster.startConversations(t, 6)
 				at := cluster.Random(14).IntN(4)
 				old := cluster.Stores[at]
 				machine := "storage " + old.Host
@@ -170,7 +170,7 @@
 func TestDecommissionWaitsForAnAbsentStore(t *testing.T) {
 	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
-		said := cluster.dialogues(t, 6)
+		said := cluster.startConversations(t, 6)
 		away := cluster.Stores[3]
 		away.Kill()
 		old := cluster.Stores[cluster.Random(16).IntN(3)]
--- a/proof/simulator/decommissionarchive_test.go
+++ b/proof/simulator/decommissionarchive_test.go
@@ -62,7 +62,7 @@
 		if leaving == stays {
 			leaving = sharing[1]
 		}
-		said := cluster.dialogues(t, 12)
+		said := cluster.startConversations(t, 12)
 		untilArchive(50 * time.Millisecond)
 		machine := "storage " + leaving.Host
 		if err := cluster.beginRetire(0, machine); err != nil {
@@ -170,7 +170,7 @@
 		if err := cluster.AwaitServing(4 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		said := cluster.dialogues(t, 12)
+		said := cluster.startConversations(t, 12)
 		untilArchive(3500 * time.Millisecond)
 		cluster.Network.Rejoin(cut.Host)
 		machine, left := "storage "+leaving.Host, cluster.groupsOn(leaving.Store.Name())
@@ -217,7 +217,7 @@
 		t.Run(name, func(t *testing.T) {
 			simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
 				cluster.awaitStores(t, 4)
-				said := cluster.dialogues(t, 8)
+				said := cluster.startConversations(t, 8)
 				<-time.After(time.Duration(cluster.Random(63).IntN(6000)) * time.Millisecond)
 				order := cluster.Random(64).Perm(4)
 				leaving, other, second := cluster.Stores[order[0]], cluster.Stores[order[1]], cluster.Stores[order[2]]
--- a/proof/simulator/diskfaults_test.go
+++ b/proof/simulator/diskfaults_test.go
@@ -9,7 +9,7 @@
 
 func TestDamagedArchivesAreRepairedFromPeers(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said := cluster.dialogues(t, 4)
+		said := cluster.startConversations(t, 4)
 		<-time.After(6 * time.Second)
 		rotten := cluster.Stores[0]
 		names, err := rotten.Archive.List()
@@ -67,7 +67,7 @@
 		if err := cluster.AwaitServing(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		said := cluster.dialogues(t, 4)
+		said := cluster.startConversations(t, 4)
 		stalled.LosePower()
 		if err := stalled.Start(); err != nil {
 			t.Fatal(err)
--- a/proof/simulator/diskloss_test.go
+++ b/proof/simulator/diskloss_test.go
@@ -75,7 +75,7 @@
 	if err := cluster.AwaitServing(12 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	said := cluster.dialogues(t, 6)
+	said := cluster.startConversations(t, 6)
 	before, err := cluster.quota(cluster.Fronts[0], "dialogue")
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 		random := cluster.Random(23)
 		all := cluster.Fronts
 		for round := range 2 {
-			said := cluster.dialogues(t, 6)
+			said := cluster.startConversations(t, 6)
 			if err := cluster.PutConfig(fmt.Sprintf("%s// before outage %d\n", BasicConfig, round)); err != nil {
 				t.Fatal(err)
 			}
--- a/proof/simulator/faults_test.go
+++ b/proof/simulator/faults_test.go
@@ -22,7 +22,7 @@
 	return total
 }
 
-func (cluster *Cluster) once(machine *Machine, key, words string) (*Answer, error) {
+func (cluster *Cluster) sendReceiptQuery(machine *Machine, key, words string) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 40*time.Second)
 	defer cancel()
 	return cluster.Ask(ctx, http.MethodPost, machine.Host+":7100", "/v1/queries", TeamToken, map[string]any{"program": "dialogue", "kind": "receipt", "query_key": key, "words": words})
@@ -60,7 +60,7 @@
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		answers := []*Answer{}
 		for round := range 4 {
-			answer, err := cluster.once(cluster.Fronts[round%2], "lost-1", "pay !lose")
+			answer, err := cluster.sendReceiptQuery(cluster.Fronts[round%2], "lost-1", "pay !lose")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -84,7 +84,7 @@
 			var sent sync.WaitGroup
 			for position := range answers {
 				sent.Go(func() {
-					answer, err := cluster.once(cluster.Fronts[position%2], key, "book seat 4")
+					answer, err := cluster.sendReceiptQuery(cluster.Fronts[position%2], key, "book seat 4")
 					if err != nil {
 						t.Error(err)
 						return
@@ -100,7 +100,7 @@
 			}
 			checkOnce(t, cluster, key, answers)
 		}
-		answer, err := cluster.once(cluster.Fronts[0], "race-0", "book seat 5")
+		answer, err := cluster.sendReceiptQuery(cluster.Fronts[0], "race-0", "book seat 5")
 		if err != nil || answer.Error.Kind != "conflict" {
 			t.Fatalf("another body with a used key: %v %+v", err, answer)
 		}
@@ -117,7 +117,7 @@
 			front := cluster.Fronts[round%2]
 			answers := make(chan *Answer, 4)
 			go func() {
-				answer, _ := cluster.once(front, key, "activate")
+				answer, _ := cluster.sendReceiptQuery(front, key, "activate")
 				answers <- answer
 			}()
 			<-time.After(time.Duration(round) * 1300 * time.Microsecond)
@@ -135,7 +135,7 @@
 				t.Fatal(err)
 			}
 			for _, other := range []*Machine{cluster.Fronts[2], cluster.Fronts[2]} {
-				answer, err := cluster.once(other, key, "activate")
+				answer, err := cluster.sendReceiptQuery(other, key, "activate")
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/proof/simulator/fleetsize_test.go
+++ b/proof/simulator/fleetsize_test.go
@@ -46,7 +46,7 @@
 // TestWipedFleetIsNotBootstrappedAgain wipes all control nodes, whose settings say that the fleet
 // exists: they must wait instead of bootstrapping another.
 func TestWipedFleetIsNotBootstrappedAgain(t *testing.T) {
-	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
+	simulate(t, autoEnrolShape(3, 3), func(t *testing.T, cluster *Cluster) {
 		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.JoinExisting = true }
 		for _, machine := range cluster.Controls {
 			machine.LosePower()
--- a/proof/simulator/founding_test.go
+++ b/proof/simulator/founding_test.go
@@ -13,7 +13,7 @@
 
 func TestAllThreeSeedMachinesAreReplacedOneAfterAnother(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		conversations := cluster.dialogues(t, 3)
+		conversations := cluster.startConversations(t, 3)
 		for index := range 3 {
 			cluster.replaceSeedMachine(t, index)
 			if _, err := cluster.Turn(cluster.Fronts[index%2], map[string]any{"program": "dialogue", "kind": "talk", "words": "still there"}); err != nil {
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -131,14 +131,14 @@
 	})
 }
 
-// byThemselves is the shape of a fleet that enrols machines automatically.
-func byThemselves(controls, stores int) Shape {
+// autoEnrolShape is the shape of a fleet that enrols machines automatically.
+func autoEnrolShape(controls, stores int) Shape {
 	return Shape{Controls: controls, Stores: stores, Fronts: 2, Models: 2, Applications: 2, Groups: 32, AutoEnrol: true}
 }
 
-// viewReplicasAre returns nil if every group has a leader and three voters, all of them on the given
+// checkReplicasOn returns nil if every group has a leader and three voters, all of them on the given
 // machines, and no membership change is pending.
-func (cluster *Cluster) viewReplicasAre(machines ...*Machine) error {
+func (cluster *Cluster) checkReplicasOn(machines ...*Machine) error {
 	storeNames, led := []string{}, 0
 	for _, machine := range machines {
 		storeNames = append(storeNames, machine.Store.Name())
@@ -172,8 +172,8 @@
 // wiped disks at the same address, then adds and removes one. Each store is lost as soon as the
 // groups of the one before have three replicas again.
 func TestStoresAreReplacedAutomatically(t *testing.T) {
-	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
-		conversations := cluster.dialogues(t, 8)
+	simulate(t, autoEnrolShape(3, 3), func(t *testing.T, cluster *Cluster) {
+		conversations := cluster.startConversations(t, 8)
 		<-time.After(6 * time.Second) // until they are archived
 		stop := cluster.callers(100 * time.Millisecond)
 		defer stop()
@@ -181,7 +181,7 @@
 		await := func(timeout time.Duration, what string, machines ...*Machine) {
 			t.Helper()
 			began := time.Now()
-			if err := cluster.Await(timeout, what, func() error { return cluster.viewReplicasAre(machines...) }); err != nil {
+			if err := cluster.Await(timeout, what, func() error { return cluster.checkReplicasOn(machines...) }); err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("%s: %s", what, time.Since(began))
@@ -259,7 +259,7 @@
 func TestControlNodesAreReplacedOneAfterAnother(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("of-%d", size), func(t *testing.T) {
-			shape := byThemselves(size, 3)
+			shape := autoEnrolShape(size, 3)
 			shape.Adjust = func(_ *Cluster, settings *controlplane.Settings) {
 				settings.MaxControls = size
 			}
@@ -320,7 +320,7 @@
 // TestTurnsAreNeverUnknownWhileStoresAreReplaced runs programs whose turns follow each other, and
 // others that continue from them, while one store after another loses its disk.
 func TestTurnsAreNeverUnknownWhileStoresAreReplaced(t *testing.T) {
-	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
+	simulate(t, autoEnrolShape(3, 3), func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -374,7 +374,7 @@
 			if err := lost.Start(); err != nil {
 				t.Fatal(err)
 			}
-			if err := cluster.Await(4500*time.Millisecond, "three replicas of all groups", func() error { return cluster.viewReplicasAre(cluster.Stores...) }); err != nil {
+			if err := cluster.Await(4500*time.Millisecond, "three replicas of all groups", func() error { return cluster.checkReplicasOn(cluster.Stores...) }); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/proof/simulator/outage_test.go
+++ b/proof/simulator/outage_test.go
@@ -17,7 +17,7 @@
 		cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) { settings.JoinExisting = true }
 		random := cluster.Random(41)
 		for round := range 5 {
-			said := cluster.dialogues(t, 6)
+			said := cluster.startConversations(t, 6)
 			mark := fmt.Sprintf("before outage %d", round)
 			if err := cluster.PutConfig(BasicConfig + "// " + mark + "\n"); err != nil {
 				t.Fatal(err)
@@ -37,7 +37,7 @@
 			if took := time.Since(returned); took > 9*time.Second {
 				t.Fatalf("round %d: turns from before were followed up only %s after the return", round, took)
 			}
-			if err := cluster.Await(8*time.Second, "healed fleet", func() error { return cluster.viewReplicasAre(cluster.Stores...) }); err != nil {
+			if err := cluster.Await(8*time.Second, "healed fleet", func() error { return cluster.checkReplicasOn(cluster.Stores...) }); err != nil {
 				t.Fatal(err)
 			}
 			if err := cluster.Await(8*time.Second, "five voters", func() error {
--- a/proof/simulator/outdatedrunnerlist_test.go
+++ b/proof/simulator/outdatedrunnerlist_test.go
@@ -13,9 +13,9 @@
 	"yardrock.example/system/forwarding"
 )
 
-// pressLookups starts callers that send lookups one after the other with short random pauses, until
+// startLookups starts callers that send lookups one after the other with short random pauses, until
 // a deadline. Wait returns once all have ended.
-func (chaos *chaosRun) pressLookups(callers int, until time.Time) (wait func()) {
+func (chaos *chaosRun) startLookups(callers int, until time.Time) (wait func()) {
 	var lookups sync.WaitGroup
 	for caller := range callers {
 		lookups.Go(func() {
@@ -88,7 +88,7 @@
 func TestRestartedRunnerIsReportedByNextListOwner(t *testing.T) {
 	simulate(t, chaosShape(), func(t *testing.T, cluster *Cluster) {
 		chaos := startChaos(t, cluster)
-		wait := chaos.pressLookups(24, time.Now().Add(8*time.Second))
+		wait := chaos.startLookups(24, time.Now().Add(8*time.Second))
 		chaos.warmUpAll()
 		<-time.After(warmUpTime - 700*time.Millisecond)
 		for _, control := range cluster.Controls {
@@ -119,7 +119,7 @@
 func (chaos *chaosRun) checkUnreadableList(inject func(chaos *chaosRun) func()) {
 	const span = 5 * time.Second
 	began := time.Now()
-	wait := chaos.pressLookups(24, began.Add(4*span))
+	wait := chaos.startLookups(24, began.Add(4*span))
 	<-time.After(span)
 	repair := inject(chaos)
 	injected := time.Now()
--- a/proof/simulator/seconddiskloss_test.go
+++ b/proof/simulator/seconddiskloss_test.go
@@ -31,7 +31,7 @@
 		if err := run.cluster.wantVoters(len(run.cluster.Controls)); err != nil {
 			return err
 		}
-		return run.cluster.viewReplicasAre(run.cluster.Stores...)
+		return run.cluster.checkReplicasOn(run.cluster.Stores...)
 	})
 	if err != nil {
 		run.t.Error(err)
@@ -50,7 +50,7 @@
 	if took := time.Since(began); took > 3*time.Second {
 		run.t.Logf("order %d was acknowledged after %s", run.marks, took)
 	}
-	run.said = append(run.said, run.cluster.dialogues(run.t, 4)...)
+	run.said = append(run.said, run.cluster.startConversations(run.t, 4)...)
 }
 
 func (run *lossRun) mark() string { return fmt.Sprintf("// order %d;", run.marks) }
@@ -109,7 +109,7 @@
 func TestASecondLossRightAfterAReplacement(t *testing.T) {
 	for _, role := range []string{"controls", "stores", "both"} {
 		t.Run(role, func(t *testing.T) {
-			shape := byThemselves(3, 3)
+			shape := autoEnrolShape(3, 3)
 			shape.Groups = 8
 			simulate(t, shape, func(t *testing.T, cluster *Cluster) {
 				random := cluster.Random(71)
@@ -163,7 +163,7 @@
 // disks or by a cut that is longer than they are waited for, and the next two of each 4.3 s
 // after these are back.
 func TestTwoLossesRightAfterTwo(t *testing.T) {
-	shape := byThemselves(5, 5)
+	shape := autoEnrolShape(5, 5)
 	shape.Groups, shape.Replicas = 8, 5
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(72)
@@ -195,7 +195,7 @@
 // longer than a node is waited for. Whoever leads afterwards has heard some of the others
 // a long time ago, but only because nobody could be heard.
 func TestNoLiveVoterIsRemovedAfterACut(t *testing.T) {
-	simulate(t, byThemselves(5, 3), func(t *testing.T, cluster *Cluster) {
+	simulate(t, autoEnrolShape(5, 3), func(t *testing.T, cluster *Cluster) {
 		if err := cluster.Await(10*time.Second, "five voters", func() error { return cluster.wantVoters(5) }); err != nil {
 			t.Fatal(err)
 		}
@@ -233,7 +233,7 @@
 // successor and the leader send each other arrives late, so that the log takes longer to
 // come than the successor to be heard.
 func TestReplacementVotesOnceItHasTheLog(t *testing.T) {
-	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
+	simulate(t, autoEnrolShape(3, 3), func(t *testing.T, cluster *Cluster) {
 		ordered := cluster.controlLeaderFirst(cluster.Controls)
 		leader, lost := ordered[0], ordered[1+cluster.Random(74).IntN(2)]
 		lost.LosePower()
--- a/proof/simulator/showtables_test.go
+++ b/proof/simulator/showtables_test.go
@@ -30,7 +30,7 @@
 // TestEveryTableShowsCurrentState shows each table of the query language on a healthy fleet.
 func TestEveryTableShowsCurrentState(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		cluster.dialogues(t, 3)
+		cluster.startConversations(t, 3)
 		if err := cluster.replace(0, 0, oneRoute(4, time.Second), "shown"); err != nil {
 			t.Fatal(err)
 		}
--- a/proof/simulator/storeddata_read_test.go
+++ b/proof/simulator/storeddata_read_test.go
@@ -135,7 +135,7 @@
 func (cluster *Cluster) goOnFromStored(t *testing.T, want *storedFleet) {
 	t.Helper()
 	for _, one := range want.Once {
-		answer, err := cluster.once(cluster.Fronts[0], one.Key, one.Words)
+		answer, err := cluster.sendReceiptQuery(cluster.Fronts[0], one.Key, one.Words)
 		if err != nil || answer.Status != http.StatusOK || string(answer.Body) != one.Body {
 			t.Errorf("%s: %v %s, want %s", one.Key, err, answer, one.Body)
 		}
--- a/proof/simulator/storeddata_write_test.go
+++ b/proof/simulator/storeddata_write_test.go
@@ -59,7 +59,7 @@
 	received.Wipe()
 	mustStart(t, received)
 	cluster.awaitVotes(t, received)
-	cluster.eachOtherControl(halfWay, func(other *Machine) { cluster.Network.Slow(other.Host, halfWay.Host, slowWay) })
+	cluster.eachOtherControl(halfWay, func(other *Machine) { cluster.Network.Slow(other.Host, halfWay.Host, slowLinkDelay) })
 	for attempt := 1; ; attempt++ {
 		halfWay.Kill()
 		<-time.After(time.Second)
@@ -70,7 +70,7 @@
 		for syncs := halfWay.Disk.Syncs(); halfWay.Disk.Syncs() == syncs; {
 			<-time.After(time.Millisecond)
 		}
-		<-time.After(2*slowWay - 5*time.Millisecond)
+		<-time.After(2*slowLinkDelay - 5*time.Millisecond)
 		if halfWay.Control.View().ConfigNumber == 0 {
 			break
 		}
@@ -191,7 +191,7 @@
 func (cluster *Cluster) askStoredOnce(t *testing.T, number int) storedOnce {
 	t.Helper()
 	one := storedOnce{Key: fmt.Sprintf("stored-%d", number), Words: "pay"}
-	answer, err := cluster.once(cluster.Fronts[number%2], one.Key, one.Words)
+	answer, err := cluster.sendReceiptQuery(cluster.Fronts[number%2], one.Key, one.Words)
 	if err != nil || answer.Status != http.StatusOK {
 		t.Fatalf("%v %s", err, answer)
 	}
