--- a/proof/simulator/decommissionarchive_test.go
+++ b/proof/simulator/decommissionarchive_test.go
@@ -13,26 +13,26 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// untilArchive waits until so long before or after the next time that stores archive and
-// compare all their copies. They archive every 5 s and compare every 10 s, all counted from
-// when the cluster's clock began.
-func untilArchive(offset time.Duration) {
+// sleepUntilArchiving sleeps until offset from the next time at which stores both archive and compare
+// their archived ranges. They archive every 5 s and compare every 10 s, counted from the start of
+// the simulated clock.
+func sleepUntilArchiving(offset time.Duration) {
 	const period = 10 * time.Second
 	elapsed := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC))
 	<-time.After((elapsed/period+1)*period - elapsed + offset)
 }
 
-// withoutLeastLoaded returns all stores but the one that has replicas of the fewest groups: the
-// others share the most groups.
+// withoutLeastLoaded returns all stores except the one with the fewest replicas, so that the
+// returned ones have the most groups in common.
 func (cluster *Cluster) withoutLeastLoaded() []*Machine {
-	spare := slices.MinFunc(cluster.Stores, func(left, right *Machine) int {
+	leastLoaded := slices.MinFunc(cluster.Stores, func(left, right *Machine) int {
 		return len(left.Store.Host().Statuses()) - len(right.Store.Host().Statuses())
 	})
-	return slices.DeleteFunc(slices.Clone(cluster.Stores), func(machine *Machine) bool { return machine == spare })
+	return slices.DeleteFunc(slices.Clone(cluster.Stores), func(machine *Machine) bool { return machine == leastLoaded })
 }
 
-// led counts the groups that a store leads and another has a replica of.
-func (machine *Machine) led(other *Machine) int {
+// ledGroupsSharedWith counts the groups that a store leads and in which another store is a voter.
+func (machine *Machine) ledGroupsSharedWith(other *Machine) int {
 	count := 0
 	for _, status := range machine.Store.Host().Statuses() {
 		if status.CommittedInTerm && slices.Contains(status.Membership.Voters, other.Store.Name()) {
@@ -42,60 +42,62 @@
 	return count
 }
 
-// TestDecommissionedStoreKeepsNewestArchivedRangeAvailable cuts one store off while a range is
-// archived on the other two of its group, and retires one of these meanwhile. The cut one
-// comes back, and then the last store that was there all the time loses its disk.
+// TestDecommissionedStoreKeepsNewestArchivedRangeAvailable isolates one store while the other
+// two voters of its groups archive a range, and decommissions one of these two. After the isolated
+// store has rejoined, the last store that archived the range loses its disk.
 func TestDecommissionedStoreKeepsNewestArchivedRangeAvailable(t *testing.T) {
-	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
+	simulate(t, fourStoreShape, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
-		sharing := cluster.withoutLeastLoaded()
-		at := cluster.Random(61).IntN(len(sharing))
-		cut := sharing[at]
-		sharing = slices.Delete(sharing, at, at+1)
-		untilArchive(-5900 * time.Millisecond)
-		cluster.Network.Isolate(cut.Host)
+		candidates := cluster.withoutLeastLoaded()
+		index := cluster.Random(61).IntN(len(candidates))
+		isolated := candidates[index]
+		candidates = slices.Delete(candidates, index, index+1)
+		sleepUntilArchiving(-5900 * time.Millisecond)
+		cluster.Network.Isolate(isolated.Host)
 		if err := cluster.AwaitServing(4 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		stays := slices.MaxFunc(sharing, func(left, right *Machine) int { return left.led(cut) - right.led(cut) })
-		leaving := sharing[0]
-		if leaving == stays {
-			leaving = sharing[1]
+		survivor := slices.MaxFunc(candidates, func(left, right *Machine) int {
+			return left.ledGroupsSharedWith(isolated) - right.ledGroupsSharedWith(isolated)
+		})
+		leaving := candidates[0]
+		if leaving == survivor {
+			leaving = candidates[1]
 		}
-		said := cluster.dialogues(t, 12)
-		untilArchive(50 * time.Millisecond)
-		machine := "storage " + leaving.Host
-		if err := cluster.beginRetire(0, machine); err != nil {
+		answers := cluster.dialogues(t, 12)
+		sleepUntilArchiving(50 * time.Millisecond)
+		machineName := "storage " + leaving.Host
+		if err := cluster.beginRetire(0, machineName); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(3500 * time.Millisecond)
-		cluster.Network.Rejoin(cut.Host)
-		returned := time.Now()
+		cluster.Network.Rejoin(isolated.Host)
+		rejoined := time.Now()
 		state := feed.StateDecommissioning
-		for time.Since(returned) < successorTime {
-			if reported, err := cluster.retireState(1, machine); err == nil && reported == feed.StateDecommissioned && state == feed.StateDecommissioning {
-				t.Logf("retired %s after the cut", time.Since(returned))
+		for time.Since(rejoined) < recoveryTime {
+			if reported, err := cluster.decommissionState(1, machineName); err == nil && reported == feed.StateDecommissioned && state == feed.StateDecommissioning {
+				t.Logf("decommissioned %s after the isolated store rejoined", time.Since(rejoined))
 				state = reported
 				leaving.LosePower()
 				leaving.Wipe()
 			}
 			<-time.After(50 * time.Millisecond)
 		}
-		lose(t, stays)
+		wipeAndRestart(t, survivor)
 		if state == feed.StateDecommissioning {
-			cluster.awaitRetired(t, machine)
+			cluster.awaitRetired(t, machineName)
 			leaving.LosePower()
 			leaving.Wipe()
 		}
 		if err := cluster.AwaitServing(12 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		cluster.followUp(t, said)
+		cluster.followUp(t, answers)
 	})
 }
 
-// groupsOn lists the groups of which a store has a voting replica, by the word of any store.
-func (cluster *Cluster) groupsOn(name string) map[uint32]bool {
+// groupsWithVoter returns the groups of which a store is a voter, as reported by their leaders.
+func (cluster *Cluster) groupsWithVoter(name string) map[uint32]bool {
 	groups := map[uint32]bool{}
 	for _, machine := range cluster.Stores {
 		for group, status := range machine.Store.Host().Statuses() {
@@ -107,13 +109,13 @@
 	return groups
 }
 
-// differingArchives lists the groups of which two voters differ in the archived ranges that
-// they hold.
-func (cluster *Cluster) differingArchives(t *testing.T) map[uint32]string {
+// differingArchiveGroups compares the digests of the archived ranges of all voters with those of
+// their group's leader. For each group with a difference it names two differing stores.
+func (cluster *Cluster) differingArchiveGroups(t *testing.T) map[uint32]string {
 	t.Helper()
 	caller := link.NewClient(cluster.Network.At("10.8.2.1"))
 	defer caller.Close()
-	sums := func(machine *Machine, group uint32) []uint64 {
+	digests := func(machine *Machine, group uint32) []uint64 {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		reply, err := caller.Call(ctx, machine.Host+":7000", &wire.Query{Which: schema.Query_Which_digests, Digests: &wire.DigestQuery{Group: group}})
@@ -122,35 +124,35 @@
 		}
 		return reply.Digests.BucketDigests
 	}
-	lacking := map[uint32]string{}
+	differing := map[uint32]string{}
 	for _, leader := range cluster.Stores {
 		for group, status := range leader.Store.Host().Statuses() {
 			if !status.CommittedInTerm {
 				continue
 			}
 			for _, machine := range cluster.Stores {
-				if slices.Contains(status.Membership.Voters, machine.Store.Name()) && !slices.Equal(sums(machine, group), sums(leader, group)) {
-					lacking[group] = machine.Host + " and " + leader.Host
+				if slices.Contains(status.Membership.Voters, machine.Store.Name()) && !slices.Equal(digests(machine, group), digests(leader, group)) {
+					differing[group] = machine.Host + " and " + leader.Host
 				}
 			}
 		}
 	}
-	return lacking
+	return differing
 }
 
-// wantArchivesEqual wants all voters of the groups that a store has left to hold the same
-// archived ranges at once, and those of all groups within the time in which a replica that
-// missed a range is repaired.
-func (cluster *Cluster) wantArchivesEqual(t *testing.T, left map[uint32]bool) {
+// checkArchivesEqual checks that the voters of each group that a store has left hold the same
+// archived ranges immediately, and that the voters of all groups do within the time that the
+// repair of a missed range takes.
+func (cluster *Cluster) checkArchivesEqual(t *testing.T, leftGroups map[uint32]bool) {
 	t.Helper()
-	for group, pair := range cluster.differingArchives(t) {
-		if left[group] {
-			t.Errorf("group %d: %s differ in what is archived, though a store has left it", group, pair)
+	for group, pair := range cluster.differingArchiveGroups(t) {
+		if leftGroups[group] {
+			t.Errorf("group %d: %s hold different archived ranges after a store has left the group", group, pair)
 		}
 	}
-	if err := cluster.Await(2*time.Second, "same archived ranges everywhere", func() error {
-		if lacking := cluster.differingArchives(t); len(lacking) > 0 {
-			return fmt.Errorf("%v differ", lacking)
+	if err := cluster.Await(2*time.Second, "equal archived ranges on all voters", func() error {
+		if differing := cluster.differingArchiveGroups(t); len(differing) > 0 {
+			return fmt.Errorf("archived ranges differ: %v", differing)
 		}
 		return nil
 	}); err != nil {
@@ -158,43 +160,43 @@
 	}
 }
 
-// TestDecommissionEndsWithAllArchivesElsewhere retires a store as another one comes
-// back that was cut off while ranges were archived.
-func TestDecommissionEndsWithAllArchivesElsewhere(t *testing.T) {
-	simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
+// TestDecommissionEndsWithAllArchivesReplicated decommissions a store just as another one
+// rejoins that was isolated while ranges were archived.
+func TestDecommissionEndsWithAllArchivesReplicated(t *testing.T) {
+	simulate(t, fourStoreShape, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
 		order := cluster.Random(62).Perm(4)
-		cut, leaving := cluster.Stores[order[0]], cluster.Stores[order[1]]
-		untilArchive(-5900 * time.Millisecond)
-		cluster.Network.Isolate(cut.Host)
+		isolated, leaving := cluster.Stores[order[0]], cluster.Stores[order[1]]
+		sleepUntilArchiving(-5900 * time.Millisecond)
+		cluster.Network.Isolate(isolated.Host)
 		if err := cluster.AwaitServing(4 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		said := cluster.dialogues(t, 12)
-		untilArchive(3500 * time.Millisecond)
-		cluster.Network.Rejoin(cut.Host)
-		machine, left := "storage "+leaving.Host, cluster.groupsOn(leaving.Store.Name())
-		if err := cluster.beginRetire(0, machine); err != nil {
+		answers := cluster.dialogues(t, 12)
+		sleepUntilArchiving(3500 * time.Millisecond)
+		cluster.Network.Rejoin(isolated.Host)
+		machineName, leftGroups := "storage "+leaving.Host, cluster.groupsWithVoter(leaving.Store.Name())
+		if err := cluster.beginRetire(0, machineName); err != nil {
 			t.Fatal(err)
 		}
-		cluster.awaitRetired(t, machine)
+		cluster.awaitRetired(t, machineName)
 		cluster.Stores = slices.DeleteFunc(cluster.Stores, func(machine *Machine) bool { return machine == leaving })
-		cluster.wantArchivesEqual(t, left)
+		cluster.checkArchivesEqual(t, leftGroups)
 		leaving.LosePower()
 		leaving.Wipe()
-		cluster.followUp(t, said)
+		cluster.followUp(t, answers)
 	})
 }
 
-// TestDecommissionDuringFaults kills, wipes or cuts off another store, the leaving one or
-// the control leader, right after a store begins to decommission. The decommissioned one loses
-// its disk as soon as it is reported as retired, and another 4.3 s after the faults have ended.
+// TestDecommissionDuringFaults kills, wipes or isolates another store, the leaving store or the
+// control leader right after a decommission begins. The leaving store is wiped as soon as it is
+// reported as decommissioned, and another store recoveryTime after the fault has ended.
 func TestDecommissionDuringFaults(t *testing.T) {
-	const away, cutFor = 500 * time.Millisecond, 20 * time.Second
-	troubles := map[string]func(t *testing.T, cluster *Cluster, machine *Machine){
+	const downtime, isolation = 500 * time.Millisecond, 20 * time.Second
+	faults := map[string]func(t *testing.T, cluster *Cluster, machine *Machine){
 		"kill": func(t *testing.T, _ *Cluster, machine *Machine) {
 			machine.Kill()
-			<-time.After(away)
+			<-time.After(downtime)
 			if err := machine.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -202,43 +204,43 @@
 		"wipe": func(t *testing.T, _ *Cluster, machine *Machine) {
 			machine.LosePower()
 			machine.Wipe()
-			<-time.After(away)
+			<-time.After(downtime)
 			if err := machine.Start(); err != nil {
 				t.Fatal(err)
 			}
 		},
 		"cut": func(_ *testing.T, cluster *Cluster, machine *Machine) {
 			cluster.Network.Isolate(machine.Host)
-			<-time.After(cutFor)
+			<-time.After(isolation)
 			cluster.Network.Rejoin(machine.Host)
 		},
 	}
-	for name, fault := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			simulate(t, fourStores, func(t *testing.T, cluster *Cluster) {
+			simulate(t, fourStoreShape, func(t *testing.T, cluster *Cluster) {
 				cluster.awaitStores(t, 4)
-				said := cluster.dialogues(t, 8)
+				answers := cluster.dialogues(t, 8)
 				<-time.After(time.Duration(cluster.Random(63).IntN(6000)) * time.Millisecond)
 				order := cluster.Random(64).Perm(4)
-				leaving, other, second := cluster.Stores[order[0]], cluster.Stores[order[1]], cluster.Stores[order[2]]
+				leaving, other, nextLost := cluster.Stores[order[0]], cluster.Stores[order[1]], cluster.Stores[order[2]]
 				victims := []*Machine{other, leaving, cluster.leader()}
 				victim := victims[cluster.Random(65).IntN(len(victims))]
-				machine := "storage " + leaving.Host
-				if err := cluster.beginRetire(0, machine); err != nil {
+				machineName := "storage " + leaving.Host
+				if err := cluster.beginRetire(0, machineName); err != nil {
 					t.Fatal(err)
 				}
 				fault(t, cluster, victim)
-				over := time.Now()
-				cluster.awaitRetired(t, machine)
+				faultEnd := time.Now()
+				cluster.awaitRetired(t, machineName)
 				leaving.LosePower()
 				leaving.Wipe()
 				cluster.Stores = slices.DeleteFunc(cluster.Stores, func(machine *Machine) bool { return machine == leaving })
-				<-time.After(successorTime - time.Since(over))
-				lose(t, second)
+				<-time.After(recoveryTime - time.Since(faultEnd))
+				wipeAndRestart(t, nextLost)
 				if err := cluster.AwaitServing(12 * time.Second); err != nil {
 					t.Fatal(err)
 				}
-				cluster.followUp(t, said)
+				cluster.followUp(t, answers)
 			})
 		})
 	}
--- a/proof/simulator/diskloss_test.go
+++ b/proof/simulator/diskloss_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// lose takes a machine's disks away right now and starts it empty.
-func lose(t *testing.T, machine *Machine) {
+// wipeAndRestart kills a machine, wipes its disks and starts it again.
+func wipeAndRestart(t *testing.T, machine *Machine) {
 	t.Helper()
 	machine.Kill()
 	machine.Wipe()
@@ -20,8 +20,8 @@
 	}
 }
 
-// wantConfig waits until the config can be read, which must then be the newest
-// acknowledged one.
+// wantConfig waits until the config can be read and checks that it contains the text that marks
+// the newest acknowledged config.
 func (cluster *Cluster) wantConfig(t *testing.T, text string) {
 	t.Helper()
 	cluster.wantConfigWithin(t, 40*time.Second, text)
@@ -38,7 +38,7 @@
 			return &answer.Error
 		}
 		if !strings.Contains(string(answer.Body), text) {
-			t.Fatalf("an older config was read back, without %s: %s", text, answer)
+			t.Fatalf("read an older config, without %s: %s", text, answer)
 		}
 		return nil
 	})
@@ -47,10 +47,9 @@
 	}
 }
 
-// TestADiskLostRightAfterAnAcknowledgementLosesNothing lets the third replica lag
-// while something is acknowledged, loses the disk of one of the two others in that
-// moment, and has the laggard back.
-func TestADiskLostRightAfterAnAcknowledgementLosesNothing(t *testing.T) {
+// TestDiskLossAfterAcknowledgementLosesNothing isolates one of three replicas while a write is
+// acknowledged, then wipes one of the other two and lets the lagging replica rejoin.
+func TestDiskLossAfterAcknowledgementLosesNothing(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(7)
 		cluster.loseStoreAfterTurns(t, random)
@@ -60,54 +59,54 @@
 	})
 }
 
-// drawLaggard draws which of three machines lags behind and which one loses its disk.
-func drawLaggard(random *rand.Rand, machines []*Machine) (lags, lost *Machine) {
+// chooseLaggingAndLost picks from three machines one that lags behind and one that loses its disk.
+func chooseLaggingAndLost(random *rand.Rand, machines []*Machine) (lagging, lost *Machine) {
 	order := random.Perm(3)
 	return machines[order[0]], machines[order[1]]
 }
 
-// loseStoreAfterTurns checks that turns and what they spent are kept.
+// loseStoreAfterTurns checks that turns and their token usage survive the loss of a store's disk.
 func (cluster *Cluster) loseStoreAfterTurns(t *testing.T, random *rand.Rand) {
 	t.Helper()
-	lags, lost := drawLaggard(random, cluster.Stores)
-	cluster.Network.Isolate(lags.Host)
+	lagging, lost := chooseLaggingAndLost(random, cluster.Stores)
+	cluster.Network.Isolate(lagging.Host)
 	<-time.After(3 * time.Second)
 	if err := cluster.AwaitServing(12 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	said := cluster.dialogues(t, 6)
+	answers := cluster.dialogues(t, 6)
 	before, err := cluster.quota(cluster.Fronts[0], "dialogue")
 	if err != nil {
 		t.Fatal(err)
 	}
-	lose(t, lost)
-	cluster.Network.Rejoin(lags.Host)
+	wipeAndRestart(t, lost)
+	cluster.Network.Rejoin(lagging.Host)
 	if err := cluster.AwaitServing(12 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	after, err := cluster.quota(cluster.Fronts[1], "dialogue")
 	if err != nil || after.Spent+after.Reserved < before.Spent {
-		t.Fatalf("the tally was %+v, is %+v (%v)", before, after, err)
+		t.Fatalf("quota usage was %+v, is %+v (%v)", before, after, err)
 	}
-	cluster.followUp(t, said)
+	cluster.followUp(t, answers)
 	cluster.awaitHealed(t)
 }
 
-// loseControlAfterConfig checks that a config is kept.
+// loseControlAfterConfig checks that a config survives the loss of a control node's disk.
 func (cluster *Cluster) loseControlAfterConfig(t *testing.T, random *rand.Rand) {
 	t.Helper()
-	lags, lost := drawLaggard(random, cluster.Controls)
-	cluster.Network.Isolate(lags.Host)
+	lagging, lost := chooseLaggingAndLost(random, cluster.Controls)
+	cluster.Network.Isolate(lagging.Host)
 	if err := cluster.PutConfig(BasicConfig + "// the first\n"); err != nil {
 		t.Fatal(err)
 	}
-	lose(t, lost)
-	cluster.Network.Rejoin(lags.Host)
+	wipeAndRestart(t, lost)
+	cluster.Network.Rejoin(lagging.Host)
 	cluster.wantConfig(t, "the first")
-	if err := cluster.Await(40*time.Second, "three controls", func() error {
+	if err := cluster.Await(40*time.Second, "three control nodes", func() error {
 		reported, err := cluster.fleet()
 		if err == nil && len(reported.Controls) != 3 {
-			err = fmt.Errorf("%d controls are listed", len(reported.Controls))
+			err = fmt.Errorf("%d control nodes are listed", len(reported.Controls))
 		}
 		return err
 	}); err != nil {
@@ -134,12 +133,12 @@
 	cluster.awaitHealed(t)
 }
 
-// loseControlsAndStoreAfterConfig loses all control disks with one store's, and checks that
-// the config and the store list are kept.
+// loseControlsAndStoreAfterConfig wipes all control nodes and one store, and checks that the
+// config and the store list survive.
 func (cluster *Cluster) loseControlsAndStoreAfterConfig(t *testing.T, random *rand.Rand) {
 	t.Helper()
-	lags, lost := drawLaggard(random, cluster.Stores)
-	cluster.Network.Isolate(lags.Host)
+	lagging, lost := chooseLaggingAndLost(random, cluster.Stores)
+	cluster.Network.Isolate(lagging.Host)
 	if err := cluster.PutConfig(BasicConfig + "// the second\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +146,8 @@
 		control.Kill()
 		control.Wipe()
 	}
-	lose(t, lost)
-	cluster.Network.Rejoin(lags.Host)
+	wipeAndRestart(t, lost)
+	cluster.Network.Rejoin(lagging.Host)
 	for _, control := range cluster.Controls {
 		if err := control.Start(); err != nil {
 			t.Fatal(err)
@@ -157,15 +156,15 @@
 	cluster.wantConfig(t, "the second")
 	reported, err := cluster.fleet()
 	if err != nil || len(reported.Stores) != 4 {
-		t.Fatalf("the store list has %v (%v)", reported.Stores, err)
+		t.Fatalf("store list is %v (%v), want 4 stores", reported.Stores, err)
 	}
 	if err := cluster.AwaitServing(20 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// awaitHealed waits until every group has a leader and the replicas that the store
-// list wants, so that the next loss may be borne.
+// awaitHealed waits until every group has a leader and all its replicas, and every running store
+// is listed, so that the cluster tolerates the next loss.
 func (cluster *Cluster) awaitHealed(t *testing.T) {
 	t.Helper()
 	err := cluster.Await(60*time.Second, "healed fleet", func() error {
@@ -174,7 +173,7 @@
 			return err
 		}
 		if reported.Unhealed > 0 {
-			return fmt.Errorf("%d groups are not healed", reported.Unhealed)
+			return fmt.Errorf("%d groups lack replicas", reported.Unhealed)
 		}
 		for _, machine := range cluster.Stores {
 			if machine.Store == nil {
@@ -195,14 +194,14 @@
 	}
 }
 
-// TestATotalOutageEndsInTimeWithMachinesMissing kills all at once, with power lost,
-// and lets all but some return: a domain, or a control node and a store.
-func TestATotalOutageEndsInTimeWithMachinesMissing(t *testing.T) {
+// TestRecoveryFromTotalOutageWithMachinesMissing cuts the power of all machines at once.
+// All but a control node and a store, or all but one domain, start again; service must resume.
+func TestRecoveryFromTotalOutageWithMachinesMissing(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 3, Models: 3, Applications: 3}, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(23)
-		all := cluster.Fronts
+		allFronts := cluster.Fronts
 		for round := range 2 {
-			said := cluster.dialogues(t, 6)
+			answers := cluster.dialogues(t, 6)
 			if err := cluster.PutConfig(fmt.Sprintf("%s// before outage %d\n", BasicConfig, round)); err != nil {
 				t.Fatal(err)
 			}
@@ -210,22 +209,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			gone := cluster.loseAllPower(random, round)
-			cluster.startAllBut(t, gone)
-			returned := time.Now()
+			missing := cluster.loseAllPower(random, round)
+			cluster.startAllExcept(t, missing)
+			restarted := time.Now()
 			if err := cluster.AwaitServing(12 * time.Second); err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("round %d: a turn served at every front %s after the return", round, time.Since(returned))
+			t.Logf("round %d: every front serves turns %s after the restart", round, time.Since(restarted))
 			after, err := cluster.quota(cluster.Fronts[0], "dialogue")
 			if err != nil || after.Spent+after.Reserved < before.Spent {
-				t.Fatalf("the tally was %+v, is %+v (%v)", before, after, err)
+				t.Fatalf("quota usage was %+v, is %+v (%v)", before, after, err)
 			}
 			cluster.wantConfig(t, fmt.Sprintf("before outage %d", round))
-			cluster.followUp(t, said)
-			cluster.Fronts = all
-			for machine, missing := range gone {
-				if missing {
+			cluster.followUp(t, answers)
+			cluster.Fronts = allFronts
+			for machine, absent := range missing {
+				if absent {
 					if err := machine.Start(); err != nil {
 						t.Fatal(err)
 					}
@@ -239,39 +238,39 @@
 	})
 }
 
-// loseAllPower takes all machines' power and draws which of them do not return: a control
-// node and a store, or in round 1 a whole domain.
-func (cluster *Cluster) loseAllPower(random *rand.Rand, round int) (gone map[*Machine]bool) {
+// loseAllPower cuts the power of all machines and picks those that stay down: a control node
+// and a store, or in round 1 a whole domain.
+func (cluster *Cluster) loseAllPower(random *rand.Rand, round int) (missing map[*Machine]bool) {
 	for _, machine := range cluster.Machines() {
 		machine.LosePower()
 	}
 	<-time.After(time.Duration(500+random.IntN(5000)) * time.Millisecond)
-	gone = map[*Machine]bool{cluster.Controls[random.IntN(5)]: true, cluster.Stores[random.IntN(3)]: true}
+	missing = map[*Machine]bool{cluster.Controls[random.IntN(5)]: true, cluster.Stores[random.IntN(3)]: true}
 	if round == 1 {
 		name := domain(random.IntN(3))
-		clear(gone)
+		clear(missing)
 		for _, machine := range cluster.Machines() {
-			gone[machine] = machine.Domain == name
+			missing[machine] = machine.Domain == name
 		}
 	}
-	return gone
+	return missing
 }
 
-// startAllBut starts all machines but those gone, fronts last; cluster.Fronts are those
-// that run from then on.
-func (cluster *Cluster) startAllBut(t *testing.T, gone map[*Machine]bool) {
+// startAllExcept starts all machines except the missing ones. Fronts start last, and
+// cluster.Fronts holds only the running ones from then on.
+func (cluster *Cluster) startAllExcept(t *testing.T, missing map[*Machine]bool) {
 	t.Helper()
-	all := cluster.Fronts
+	allFronts := cluster.Fronts
 	cluster.Fronts = nil
 	for _, machine := range cluster.Machines() {
-		if !gone[machine] {
+		if !missing[machine] {
 			if err := machine.Start(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	for _, front := range all {
-		if !gone[front] {
+	for _, front := range allFronts {
+		if !missing[front] {
 			if err := front.Start(); err != nil {
 				t.Fatal(err)
 			}
--- a/proof/simulator/durable_test.go
+++ b/proof/simulator/durable_test.go
@@ -17,16 +17,16 @@
 	"yardrock.example/system/wire"
 )
 
-// replayed folds records as the node does: the last value of each group counts.
-func replayed(records []durablelog.Record) map[uint32]string {
-	buffered := map[uint32]string{}
+// latestByGroup returns the last value of each group, which is the one that a node restores.
+func latestByGroup(records []durablelog.Record) map[uint32]string {
+	latest := map[uint32]string{}
 	for _, record := range records {
-		buffered[record.Group] = string(record.Data)
+		latest[record.Group] = string(record.Data)
 	}
-	return buffered
+	return latest
 }
 
-func TestDataFolderKeepsSyncedRecordsOverPowerLoss(t *testing.T) {
+func TestSyncedRecordsSurvivePowerLoss(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260102)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
@@ -38,10 +38,10 @@
 		}
 		name := log.Identity().Name
 		model := map[uint32]string{}
-		for position, step := range steps {
+		for index, step := range steps {
 			switch {
 			case step < 140:
-				record := durablelog.Record{Group: uint32(step % 7), Kind: 1, Data: fmt.Appendf(nil, "value %d", position)}
+				record := durablelog.Record{Group: uint32(step % 7), Kind: 1, Data: fmt.Appendf(nil, "value %d", index)}
 				if err := log.Append([]durablelog.Record{record}); err != nil {
 					return err.Error()
 				}
@@ -54,30 +54,30 @@
 				if err := log.WriteSnapshot(slices.Values(snapshot)); err != nil {
 					return err.Error()
 				}
-			case step < 200: // a write that fails and is written again
-				record := durablelog.Record{Group: uint32(step % 7), Kind: 1, Data: fmt.Appendf(nil, "retried %d", position)}
+			case step < 200: // a failed write is retried
+				record := durablelog.Record{Group: uint32(step % 7), Kind: 1, Data: fmt.Appendf(nil, "retried %d", index)}
 				disk.Fill(true)
 				if log.Append([]durablelog.Record{record}) == nil {
-					return "a full disk took a write"
+					return "a write to a full disk succeeded"
 				}
 				disk.Fill(false)
 				if err := log.Append([]durablelog.Record{record}); err != nil {
 					return err.Error()
 				}
 				model[record.Group] = string(record.Data)
-			default: // power is lost with a write half done
-				disk.Tear(log)
+			default: // power is lost during a write
+				disk.writePartialFrame(log)
 				disk.LosePower()
 				var records []durablelog.Record
 				log, records, err = durablelog.Open(disk, "store")
 				if err != nil {
-					return fmt.Sprintf("step %d: %v", position, err)
+					return fmt.Sprintf("step %d: %v", index, err)
 				}
-				if got := replayed(records); fmt.Sprint(got) != fmt.Sprint(model) {
-					return fmt.Sprintf("step %d: replayed %v, want %v", position, got, model)
+				if got := latestByGroup(records); fmt.Sprint(got) != fmt.Sprint(model) {
+					return fmt.Sprintf("step %d: replayed %v, want %v", index, got, model)
 				}
 				if log.Identity().Name != name {
-					return "the disk changed its name"
+					return "the identity changed its name"
 				}
 			}
 		}
@@ -86,8 +86,9 @@
 	properties.TestingRun(t)
 }
 
-// Tear writes a frame without syncing it, as a process does that dies between.
-func (disk *Disk) Tear(log *durablelog.Log) {
+// writePartialFrame appends an incomplete frame without syncing it, as a process that dies during a
+// write leaves it.
+func (disk *Disk) writePartialFrame(log *durablelog.Log) {
 	names, _ := disk.List()
 	last := names[0]
 	for _, name := range names {
@@ -100,7 +101,7 @@
 	}
 }
 
-func filledDisk(t *testing.T) (*Disk, map[uint32]string) {
+func populatedDisk(t *testing.T) (*Disk, map[uint32]string) {
 	t.Helper()
 	disk := NewDisk(1)
 	log, _, err := durablelog.Open(disk, "store")
@@ -108,7 +109,7 @@
 		t.Fatal(err)
 	}
 	model := map[uint32]string{}
-	append1 := func(group uint32, value string) {
+	appendRecord := func(group uint32, value string) {
 		if err := log.Append([]durablelog.Record{{Group: group, Kind: 1, Data: []byte(value)}}); err != nil {
 			t.Fatal(err)
 		}
@@ -123,48 +124,48 @@
 	}
 	for round := range 3 {
 		for group := range uint32(4) {
-			append1(group, fmt.Sprintf("round %d", round))
+			appendRecord(group, fmt.Sprintf("round %d", round))
 		}
 		if err := log.WriteSnapshot(slices.Values(snapshot())); err != nil {
 			t.Fatal(err)
 		}
 	}
-	append1(1, "after the slots")
-	append1(2, "at the end")
+	appendRecord(1, "after the slots")
+	appendRecord(2, "at the end")
 	return disk, model
 }
 
-func TestDamagedDataFolderIsReadOrRejectedWithRemedy(t *testing.T) {
-	// The newest slot is 3, in file slot-1; slot 2 is in slot-0; logs 2 and 3 are left.
+func TestDamagedDataDirectoryIsReadOrRejectedWithRemedy(t *testing.T) {
+	// The newest snapshot is 3, in file slot-1; slot-0 holds snapshot 2; logs 2 and 3 remain.
 	log3 := "log-00000000000000000003"
-	for name, one := range map[string]struct {
-		harm    func(disk *Disk)
-		refused apierror.Kind
+	for name, test := range map[string]struct {
+		damage   func(disk *Disk)
+		wantKind apierror.Kind
 	}{
-		"newest slot has a flipped bit": {harm: func(disk *Disk) { disk.FlipBit("slot-1", 30) }},
-		"older slot has a flipped bit":  {harm: func(disk *Disk) { disk.FlipBit("slot-0", 30) }},
-		"both slots are damaged": {harm: func(disk *Disk) {
+		"newest slot has a flipped bit": {damage: func(disk *Disk) { disk.FlipBit("slot-1", 30) }},
+		"older slot has a flipped bit":  {damage: func(disk *Disk) { disk.FlipBit("slot-0", 30) }},
+		"both slots are damaged": {damage: func(disk *Disk) {
 			disk.FlipBit("slot-0", 30)
 			disk.FlipBit("slot-1", 30)
-		}, refused: apierror.Damaged},
-		"the log's middle is damaged": {harm: func(disk *Disk) { disk.FlipBit(log3, 25) }, refused: apierror.Damaged},
-		"the identity is gone":        {harm: func(disk *Disk) { disk.Remove("identity") }, refused: apierror.Damaged},
-		"the identity is unreadable":  {harm: func(disk *Disk) { disk.FlipBit("identity", 0) }, refused: apierror.Damaged},
-		"the format is newer": {harm: func(disk *Disk) {
+		}, wantKind: apierror.Damaged},
+		"the middle of the log is damaged": {damage: func(disk *Disk) { disk.FlipBit(log3, 25) }, wantKind: apierror.Damaged},
+		"the identity is missing":          {damage: func(disk *Disk) { disk.Remove("identity") }, wantKind: apierror.Damaged},
+		"the identity is unreadable":       {damage: func(disk *Disk) { disk.FlipBit("identity", 0) }, wantKind: apierror.Damaged},
+		"the format is newer": {damage: func(disk *Disk) {
 			disk.Truncate("identity", 0)
 			disk.WriteAt("identity", 0, []byte(`{"name":"store-1","format":99,"role":"store"}`))
-		}, refused: apierror.FormatTooNew},
-		"the folder is another role's": {harm: func(disk *Disk) {
+		}, wantKind: apierror.FormatTooNew},
+		"the directory belongs to another role": {damage: func(disk *Disk) {
 			disk.Truncate("identity", 0)
 			disk.WriteAt("identity", 0, []byte(`{"name":"control-1","format":1,"role":"control"}`))
-		}, refused: apierror.BadSettings},
+		}, wantKind: apierror.BadSettings},
 	} {
-		disk, model := filledDisk(t)
-		one.harm(disk)
+		disk, model := populatedDisk(t)
+		test.damage(disk)
 		before, _ := disk.List()
 		_, records, err := durablelog.Open(disk, "store")
-		if one.refused != "" {
-			if !apierror.Is(err, one.refused) || apierror.Of(err).Remedy == "" {
+		if test.wantKind != "" {
+			if !apierror.Is(err, test.wantKind) || apierror.Of(err).Remedy == "" {
 				t.Errorf("%s: %v", name, err)
 			}
 			if after, _ := disk.List(); !slices.Equal(before, after) {
@@ -172,17 +173,17 @@
 			}
 			continue
 		}
-		if err != nil || fmt.Sprint(replayed(records)) != fmt.Sprint(model) {
-			t.Errorf("%s: %v, replayed %v, want %v", name, err, replayed(records), model)
+		if err != nil || fmt.Sprint(latestByGroup(records)) != fmt.Sprint(model) {
+			t.Errorf("%s: %v, replayed %v, want %v", name, err, latestByGroup(records), model)
 		}
 	}
 }
 
-// TestArchiveStartReadsNoEvents keeps the start after an outage short,
-// however much was archived.
+// TestArchiveStartReadsNoEvents checks that opening an archive reads almost none of its content, so
+// that the start after an outage stays short however much is archived.
 func TestArchiveStartReadsNoEvents(t *testing.T) {
 	disk := NewDisk(1)
-	cold, err := archive.Open(disk)
+	opened, err := archive.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,19 +194,19 @@
 			events = append(events, sessionlog.Event{Seq: seq + 1, Text: strings.Repeat("word ", 20)})
 			stored += 100
 		}
-		if err := cold.Put([]wire.ArchiveChunk{{Session: fmt.Sprintf("depot/c-%d", file), First: 1, Last: 200, Events: events}}); err != nil {
+		if err := opened.Put([]wire.ArchiveChunk{{Session: fmt.Sprintf("depot/c-%d", file), First: 1, Last: 200, Events: events}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	disk.TakeRead()
-	again, err := archive.Open(disk)
+	reopened, err := archive.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if read := disk.TakeRead(); read > stored/50 {
-		t.Fatalf("opening read %d bytes of %d stored", read, stored)
+		t.Fatalf("opening the archive read %d of %d stored bytes", read, stored)
 	}
-	if events := again.Read("depot/c-7", 10, 200); len(events) != 190 || events[0].Seq != 11 {
-		t.Fatalf("%d events", len(events))
+	if events := reopened.Read("depot/c-7", 10, 200); len(events) != 190 || events[0].Seq != 11 {
+		t.Fatalf("read %d events, want 190 from number 11 on", len(events))
 	}
 }
--- a/proof/simulator/quota_test.go
+++ b/proof/simulator/quota_test.go
@@ -10,23 +10,23 @@
 func TestQuotaHoldsOverConcurrentTurnsOnAllFrontsAndRestarts(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		var mutex sync.Mutex
-		spoken, exhausted := 0, 0
+		wordCount, rejected := 0, 0
 		for round := range 3 {
-			var sent sync.WaitGroup
+			var turns sync.WaitGroup
 			for position := range 9 {
-				sent.Go(func() {
-					said, err := cluster.Turn(cluster.Fronts[position%3], map[string]any{"program": "tight", "kind": "talk", "words": "say more"})
+				turns.Go(func() {
+					answer, err := cluster.Turn(cluster.Fronts[position%3], map[string]any{"program": "tight", "kind": "talk", "words": "say more"})
 					mutex.Lock()
 					defer mutex.Unlock()
-					if said != nil {
-						spoken += len(wordsOf(said.Words))
+					if answer != nil {
+						wordCount += len(wordsOf(answer.Words))
 					}
 					if errorKind(err) == "allowance_exhausted" {
-						exhausted++
+						rejected++
 					}
 				})
 			}
-			sent.Wait()
+			turns.Wait()
 			if round == 0 {
 				cluster.Fronts[0].Kill()
 				for _, store := range cluster.Stores {
@@ -42,23 +42,23 @@
 				}
 			}
 		}
-		if exhausted == 0 || spoken < 20 {
-			t.Fatalf("%d turns were refused, %d words spoken: nothing was tested", exhausted, spoken)
+		if rejected == 0 || wordCount < 20 {
+			t.Fatalf("%d turns were rejected and %d words generated, too few for the test", rejected, wordCount)
 		}
-		if spoken > 60+27 {
-			t.Fatalf("%d words were spoken of an allowance of 60 and a turn of 27", spoken)
+		if wordCount > 60+27 {
+			t.Fatalf("%d words were generated, more than the allowance of 60 and one turn of 27", wordCount)
 		}
 	})
 }
 
-func TestAnAnswerIsCutAtItsReservation(t *testing.T) {
+func TestAnswerIsCutAtTurnLimit(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		said, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "short", "kind": "talk", "words": "a long tale"})
-		if err == nil || said == nil || said.End != "cut" || said.Reason != "turn_limit" {
-			t.Fatalf("%+v %v", said, err)
+		answer, err := cluster.Turn(cluster.Fronts[0], map[string]any{"program": "short", "kind": "talk", "words": "a long tale"})
+		if err == nil || answer == nil || answer.End != "cut" || answer.Reason != "turn_limit" {
+			t.Fatalf("%+v %v", answer, err)
 		}
-		if count := len(wordsOf(said.Words)); count != 5 {
-			t.Fatalf("%d words, limit 5: %q", count, said.Words)
+		if count := len(wordsOf(answer.Words)); count != 5 {
+			t.Fatalf("%d words, limit 5: %q", count, answer.Words)
 		}
 	})
 }
--- a/proof/simulator/seconddiskloss_test.go
+++ b/proof/simulator/seconddiskloss_test.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// successorTime is how long after a machine is back, or its successor has started, the
-// next one may be lost.
-const successorTime = 4300 * time.Millisecond
+// recoveryTime is how long after a lost machine is back, or its replacement has started, the next
+// machine may be lost without loss of data.
+const recoveryTime = 4300 * time.Millisecond
 
-// lossRun loses machines one after another, each right when the successors of those before
-// it need no longer be waited for.
+// lossRun loses machines one after another, each recoveryTime after the replacement of the one
+// before it started.
 type lossRun struct {
 	t       *testing.T
 	cluster *Cluster
-	// said are the turns that were answered, until they are asked for.
-	said    []*StreamedAnswer
-	marks   int
-	joined  time.Time     // when the last successor started
-	slowest time.Duration // from a successor's start until there were full copies again
+	// answers are those of the turns that were not followed up yet.
+	answers         []*StreamedAnswer
+	writes          int
+	restarted       time.Time     // when the last replacement started
+	slowestRecovery time.Duration // from a replacement's start until all copies were complete
 }
 
-// awaitFull waits until all control nodes vote and all stores hold all their groups, and
-// notes how long that took from when the last successor started.
-func (run *lossRun) awaitFull() {
+// awaitFullReplication waits until all control nodes vote and all stores hold all their groups, and
+// records how long after the start of the last replacement that was.
+func (run *lossRun) awaitFullReplication() {
 	run.t.Helper()
-	err := run.cluster.Await(successorTime-time.Since(run.joined), "full copies", func() error {
-		if err := run.cluster.wantVoters(len(run.cluster.Controls)); err != nil {
+	err := run.cluster.Await(recoveryTime-time.Since(run.restarted), "complete copies", func() error {
+		if err := run.cluster.checkVoters(len(run.cluster.Controls)); err != nil {
 			return err
 		}
 		return run.cluster.viewReplicasAre(run.cluster.Stores...)
@@ -36,77 +36,77 @@
 	if err != nil {
 		run.t.Error(err)
 	}
-	run.slowest = max(run.slowest, time.Since(run.joined))
+	run.slowestRecovery = max(run.slowestRecovery, time.Since(run.restarted))
 }
 
-// record has an order and some turns acknowledged.
-func (run *lossRun) record() {
+// writeData writes a config and some turns, all of which are acknowledged.
+func (run *lossRun) writeData() {
 	run.t.Helper()
-	run.marks++
+	run.writes++
 	began := time.Now()
-	if err := run.cluster.PutConfig(BasicConfig + run.mark() + "\n"); err != nil {
+	if err := run.cluster.PutConfig(BasicConfig + run.configMarker() + "\n"); err != nil {
 		run.t.Fatal(err)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		run.t.Logf("order %d was acknowledged after %s", run.marks, took)
+		run.t.Logf("config %d was acknowledged after %s", run.writes, took)
 	}
-	run.said = append(run.said, run.cluster.dialogues(run.t, 4)...)
+	run.answers = append(run.answers, run.cluster.dialogues(run.t, 4)...)
 }
 
-func (run *lossRun) mark() string { return fmt.Sprintf("// order %d;", run.marks) }
+func (run *lossRun) configMarker() string { return fmt.Sprintf("// order %d;", run.writes) }
 
-// check wants all that was acknowledged.
-func (run *lossRun) check() {
+// checkData checks that every acknowledged write is readable.
+func (run *lossRun) checkData() {
 	run.t.Helper()
-	run.cluster.wantConfig(run.t, run.mark())
+	run.cluster.wantConfig(run.t, run.configMarker())
 	if err := run.cluster.AwaitServing(12 * time.Second); err != nil {
 		run.t.Fatal(err)
 	}
-	run.followAll()
+	run.followUpAll()
 }
 
-// followAll follows the turns up; they are numbered as dialogues does it.
-func (run *lossRun) followAll() {
+// followUpAll follows up the turns in the batches in which writeData started them.
+func (run *lossRun) followUpAll() {
 	run.t.Helper()
-	for batch := range slices.Chunk(run.said, 4) {
+	for batch := range slices.Chunk(run.answers, 4) {
 		run.cluster.followUp(run.t, batch)
 	}
-	run.said = nil
+	run.answers = nil
 }
 
-// loseDisks takes machines away with their disks at the earliest time that is allowed.
+// loseDisks cuts the power of machines and wipes them at the earliest time allowed.
 func (run *lossRun) loseDisks(machines ...*Machine) {
-	<-time.After(successorTime - time.Since(run.joined))
+	<-time.After(recoveryTime - time.Since(run.restarted))
 	for _, machine := range machines {
 		machine.LosePower()
 		machine.Wipe()
 	}
 }
 
-// restore starts empty successors at the same addresses.
-func (run *lossRun) restore(machines ...*Machine) {
+// startReplacements starts empty replacements at the same addresses.
+func (run *lossRun) startReplacements(machines ...*Machine) {
 	run.t.Helper()
 	for _, machine := range machines {
 		if err := machine.Start(); err != nil {
 			run.t.Fatal(err)
 		}
 	}
-	run.joined = time.Now()
+	run.restarted = time.Now()
 }
 
-// controlLeaderFirst puts the machine that leads the control group first.
+// controlLeaderFirst returns the machines with the control leader moved to the front.
 func (*Cluster) controlLeaderFirst(machines []*Machine) []*Machine {
 	ordered := slices.Clone(machines)
-	at := slices.IndexFunc(ordered, func(machine *Machine) bool { return machine.Control != nil && machine.Control.IsLeader() })
-	if at > 0 {
-		ordered[0], ordered[at] = ordered[at], ordered[0]
+	index := slices.IndexFunc(ordered, func(machine *Machine) bool { return machine.Control != nil && machine.Control.IsLeader() })
+	if index > 0 {
+		ordered[0], ordered[index] = ordered[index], ordered[0]
 	}
 	return ordered
 }
 
-// TestASecondLossRightAfterAReplacement loses each machine of a role with its disk, one
-// after another, and each one 4.3 s after the empty successor of the one before started.
-func TestASecondLossRightAfterAReplacement(t *testing.T) {
+// TestSecondLossAfterReplacement loses the machines of a role with their disks one after another,
+// each recoveryTime after the empty replacement of the one before it started.
+func TestSecondLossAfterReplacement(t *testing.T) {
 	for _, role := range []string{"controls", "stores", "both"} {
 		t.Run(role, func(t *testing.T) {
 			shape := byThemselves(3, 3)
@@ -114,7 +114,7 @@
 			simulate(t, shape, func(t *testing.T, cluster *Cluster) {
 				random := cluster.Random(71)
 				run := &lossRun{t: t, cluster: cluster}
-				run.record()
+				run.writeData()
 				<-time.After(6 * time.Second) // archived
 				stop := cluster.callers(200 * time.Millisecond)
 				defer stop()
@@ -129,109 +129,109 @@
 					}
 					run.loseDisks(lost...)
 					<-time.After(time.Duration(random.IntN(1500)) * time.Millisecond)
-					run.restore(lost...)
-					complete := make(chan struct{})
-					go func() { defer close(complete); run.awaitFull() }()
-					run.record()
-					<-complete
+					run.startReplacements(lost...)
+					recovered := make(chan struct{})
+					go func() { defer close(recovered); run.awaitFullReplication() }()
+					run.writeData()
+					<-recovered
 				}
-				t.Logf("full copies at most %s after a successor's start", run.slowest)
-				run.check()
+				t.Logf("all copies were complete at most %s after a replacement's start", run.slowestRecovery)
+				run.checkData()
 			})
 		})
 	}
 }
 
-// cutOff cuts machines off at the earliest time that is allowed, for so long, while orders
-// and turns go on.
-func (run *lossRun) cutOff(timeout time.Duration, machines ...*Machine) {
+// isolate isolates machines at the earliest time allowed and for a duration, in which writes
+// continue.
+func (run *lossRun) isolate(duration time.Duration, machines ...*Machine) {
 	run.t.Helper()
-	<-time.After(successorTime - time.Since(run.joined))
+	<-time.After(recoveryTime - time.Since(run.restarted))
 	for _, machine := range machines {
 		run.cluster.Network.Isolate(machine.Host)
 	}
 	began := time.Now()
-	run.record()
-	<-time.After(timeout - time.Since(began))
+	run.writeData()
+	<-time.After(duration - time.Since(began))
 	for _, machine := range machines {
 		run.cluster.Network.Rejoin(machine.Host)
 	}
-	run.joined = time.Now()
+	run.restarted = time.Now()
 }
 
-// TestTwoLossesRightAfterTwo loses two control nodes and two stores at once, with their
-// disks or by a cut that is longer than they are waited for, and the next two of each 4.3 s
-// after these are back.
-func TestTwoLossesRightAfterTwo(t *testing.T) {
+// TestRepeatedLossOfTwoNodes loses two control nodes and two stores at once, with their disks or by an
+// isolation longer than the timeout after which they are replaced, and the next two of each
+// recoveryTime after these are back.
+func TestRepeatedLossOfTwoNodes(t *testing.T) {
 	shape := byThemselves(5, 5)
 	shape.Groups, shape.Replicas = 8, 5
 	simulate(t, shape, func(t *testing.T, cluster *Cluster) {
 		random := cluster.Random(72)
 		run := &lossRun{t: t, cluster: cluster}
-		run.record()
+		run.writeData()
 		<-time.After(6 * time.Second) // archived
 		stop := cluster.callers(200 * time.Millisecond)
 		defer stop()
 		for round := range 5 {
 			lost := []*Machine{}
 			for offset := range 2 {
-				at := (2*round + offset) % 5
-				lost = append(lost, cluster.Controls[at], cluster.Stores[at])
+				index := (2*round + offset) % 5
+				lost = append(lost, cluster.Controls[index], cluster.Stores[index])
 			}
 			if random.IntN(2) == 0 {
-				run.cutOff(12*time.Second, lost...)
+				run.isolate(12*time.Second, lost...)
 			} else {
 				run.loseDisks(lost...)
 				<-time.After(time.Duration(random.IntN(1500)) * time.Millisecond)
-				run.restore(lost...)
+				run.startReplacements(lost...)
 			}
-			run.record()
+			run.writeData()
 		}
-		run.check()
+		run.checkData()
 	})
 }
 
-// TestNoLiveVoterIsRemovedAfterACut cuts three of five control nodes off from all, for
-// longer than a node is waited for. Whoever leads afterwards has heard some of the others
-// a long time ago, but only because nobody could be heard.
-func TestNoLiveVoterIsRemovedAfterACut(t *testing.T) {
+// TestPartitionDoesNotRemoveLiveVoters isolates three of five control nodes for longer than
+// the timeout after which a node is replaced. The leader elected afterwards must not take the voters
+// that it could not hear from in the meantime for lost.
+func TestPartitionDoesNotRemoveLiveVoters(t *testing.T) {
 	simulate(t, byThemselves(5, 3), func(t *testing.T, cluster *Cluster) {
-		if err := cluster.Await(10*time.Second, "five voters", func() error { return cluster.wantVoters(5) }); err != nil {
+		if err := cluster.Await(10*time.Second, "five voters", func() error { return cluster.checkVoters(5) }); err != nil {
 			t.Fatal(err)
 		}
-		cut := cluster.Random(73).Perm(5)[:3]
-		for _, at := range cut {
-			cluster.Network.Isolate(cluster.Controls[at].Host)
+		isolated := cluster.Random(73).Perm(5)[:3]
+		for _, index := range isolated {
+			cluster.Network.Isolate(cluster.Controls[index].Host)
 		}
 		<-time.After(12 * time.Second)
-		for _, at := range cut {
-			cluster.Network.Rejoin(cluster.Controls[at].Host)
+		for _, index := range isolated {
+			cluster.Network.Rejoin(cluster.Controls[index].Host)
 		}
 		for began := time.Now(); time.Since(began) < 5*time.Second; <-time.After(10 * time.Millisecond) {
-			if err := cluster.wantVoters(5); err != nil {
-				t.Fatalf("%s after the cut: %v", time.Since(began), err)
+			if err := cluster.checkVoters(5); err != nil {
+				t.Fatalf("%s after the partition healed: %v", time.Since(began), err)
 			}
 		}
 	})
 }
 
-// wantVoters wants so many voters in the control group, all of them there, by the word of
-// each of its nodes.
-func (cluster *Cluster) wantVoters(count int) error {
+// checkVoters returns an error unless every control node knows count voters, which include all
+// control nodes.
+func (cluster *Cluster) checkVoters(count int) error {
 	for _, machine := range cluster.Controls {
 		voters := machine.Control.Voters()
 		for _, other := range cluster.Controls {
 			if len(voters) != count || !slices.Contains(voters, other.Control.Name()) {
-				return fmt.Errorf("%s knows the voters %v", machine.Host, voters)
+				return fmt.Errorf("%s reports the voters %v", machine.Host, voters)
 			}
 		}
 	}
 	return nil
 }
 
-// TestReplacementVotesOnceItHasTheLog loses a control node with its disk. What its empty
-// successor and the leader send each other arrives late, so that the log takes longer to
-// come than the successor to be heard.
+// TestReplacementVotesOnceItHasTheLog loses a control node with its disk. The connection
+// between its empty replacement and the leader is slow, so that the leader hears from the
+// replacement before the log has arrived there.
 func TestReplacementVotesOnceItHasTheLog(t *testing.T) {
 	simulate(t, byThemselves(3, 3), func(t *testing.T, cluster *Cluster) {
 		ordered := cluster.controlLeaderFirst(cluster.Controls)
@@ -245,13 +245,13 @@
 		began := time.Now()
 		for !slices.Contains(leader.Control.Voters(), lost.Control.Name()) {
 			if time.Since(began) > 15*time.Second {
-				t.Fatalf("it does not vote: %v", leader.Control.Voters())
+				t.Fatalf("the replacement does not vote: %v", leader.Control.Voters())
 			}
 			<-time.After(10 * time.Millisecond)
 		}
-		t.Logf("it votes %s after its start", time.Since(began))
+		t.Logf("the replacement votes %s after its start", time.Since(began))
 		if len(lost.Control.Voters()) == 0 {
-			t.Fatal("it votes, and holds nothing")
+			t.Fatal("the replacement votes without the log")
 		}
 	})
 }
--- a/proof/simulator/sharedprefix_test.go
+++ b/proof/simulator/sharedprefix_test.go
@@ -16,27 +16,28 @@
 	"yardrock.example/system/wire"
 )
 
-// sharingConfig is RoutedConfig with prefix sharing.
+// sharingConfig is RoutedConfig with prefix sharing enabled.
 const sharingConfig = RoutedConfig + "openings: share: true\n"
 
-// sharing sums up what a group's leader holds once.
-func (cluster *Cluster) sharing(t *testing.T, group uint32) (lines, saved uint64, state string) {
+// sharedPrefixUsage returns how many sessions of a group refer to shared prefixes, how many bytes
+// that saves and the state of the last listed prefix.
+func (cluster *Cluster) sharedPrefixUsage(t *testing.T, group uint32) (sessions, savedBytes uint64, state string) {
 	t.Helper()
 	_, rows := cluster.show(t, "show openings where group = "+strconv.Itoa(int(group)))
 	for _, row := range rows {
-		lines += mustNumber(row[5])
-		saved += mustNumber(row[6])
+		sessions += parseCount(row[5])
+		savedBytes += parseCount(row[6])
 		state = row[7]
 	}
-	return lines, saved, state
+	return sessions, savedBytes, state
 }
 
-func mustNumber(text string) uint64 {
+func parseCount(text string) uint64 {
 	number, _ := strconv.ParseUint(text, 10, 64)
 	return number
 }
 
-// storeFaults hit the store that leads a group, and end.
+// storeFaults are faults of a store; the returned function ends the fault.
 var storeFaults = map[string]func(t *testing.T, cluster *Cluster, machine *Machine) (end func()){
 	"killed": func(t *testing.T, _ *Cluster, machine *Machine) func() {
 		machine.Kill()
@@ -64,37 +65,37 @@
 	},
 }
 
-// during lets a fault hit the store that leads an agent's line while work is done.
-func (cluster *Cluster) during(t *testing.T, fault func(*testing.T, *Cluster, *Machine) func(), one *agent, work func()) {
+// duringLeaderFault injects a fault into the store that leads an agent's session while work runs.
+func (cluster *Cluster) duringLeaderFault(t *testing.T, fault func(*testing.T, *Cluster, *Machine) func(), member *agent, work func()) {
 	t.Helper()
-	leader := cluster.leaderOf("program/" + one.program)
+	leader := cluster.leaderOf("program/" + member.program)
 	if leader == nil {
-		t.Fatal("nobody leads the group")
+		t.Fatal("the group has no leader")
 	}
 	end := fault(t, cluster, leader)
 	work()
 	end()
 }
 
-// awaitMerged waits until so many lines of a group refer to a shared prefix, and gives the agents
-// that began meanwhile: a merge that fails with its store is proposed again as
-// conversations begin.
-func (cluster *Cluster) awaitMerged(t *testing.T, group uint32, least uint64, prefix string) []*agent {
+// awaitMergedPrefix waits until at least minimum sessions of a group refer to a shared prefix. Until
+// then it starts new agents, which it returns: a merge that failed with its store is proposed again
+// only when conversations begin.
+func (cluster *Cluster) awaitMergedPrefix(t *testing.T, group uint32, minimum uint64, prefix string) []*agent {
 	t.Helper()
-	late, begun := programsOf(group, "late", 60), []*agent{}
-	if err := cluster.Await(45*time.Second, "a merged opening", func() error {
-		if lines, _, _ := cluster.sharing(t, group); lines >= least {
+	names, agents := programsOf(group, "late", 60), []*agent{}
+	if err := cluster.Await(45*time.Second, "merged shared prefix", func() error {
+		if sessions, _, _ := cluster.sharedPrefixUsage(t, group); sessions >= minimum {
 			return nil
 		}
-		one := &agent{cluster: cluster, program: late[len(begun)], prefix: prefix}
-		begun = append(begun, one)
+		one := &agent{cluster: cluster, program: names[len(agents)], prefix: prefix}
+		agents = append(agents, one)
 		one.turn(t, 0)
 		cluster.Sleep(time.Second)
-		return fmt.Errorf("less than %d lines refer to it", least)
+		return fmt.Errorf("fewer than %d sessions refer to it", minimum)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return begun
+	return agents
 }
 
 func mustStart(t *testing.T, machine *Machine) {
@@ -104,9 +105,9 @@
 	}
 }
 
-// TestAgentsContinueWhileAStoreWithASharedPrefixFails lets the store that leads a
-// merged shared prefix fail mid-conversation at each step: as it is merged, once it is held, once
-// what refers to it is archived, and as it is freed.
+// TestAgentsContinueWhileAStoreWithASharedPrefixFails makes the store that leads a merged
+// prefix's group fail during conversations: while the prefix is merged, while it is in use, and
+// after the sessions that refer to it were archived.
 func TestAgentsContinueWhileAStoreWithASharedPrefixFails(t *testing.T) {
 	for name, fault := range storeFaults {
 		t.Run(name, func(t *testing.T) {
@@ -116,40 +117,40 @@
 				}
 				const group = 3
 				prefix, agents := prose(7, 2560), []*agent{}
-				join := func(prefix string, count int) {
+				addAgents := func(prefix string, count int) {
 					for _, program := range programsOf(group, prefix, count) {
 						agents = append(agents, &agent{cluster: cluster, program: program, prefix: prefix})
 					}
 				}
-				round := func() {
+				takeTurns := func() {
 					for position, one := range agents {
 						one.turn(t, position)
 					}
 				}
-				during := func(work func()) { cluster.during(t, fault, agents[0], work) }
-				wantBuffered := func(least uint64) {
+				during := func(work func()) { cluster.duringLeaderFault(t, fault, agents[0], work) }
+				awaitSharing := func(minimum uint64) {
 					t.Helper()
-					agents = append(agents, cluster.awaitMerged(t, group, least, prefix)...)
+					agents = append(agents, cluster.awaitMergedPrefix(t, group, minimum, prefix)...)
 				}
-				join("first", 3)
+				addAgents("first", 3)
 				agents[0].turn(t, 0)
 				agents[1].turn(t, 1)
 				merging := make(chan struct{})
-				go func() { // as it is merged: the third shared prefix is what makes it worth it
+				go func() { // the third session with the prefix triggers the merge
 					defer close(merging)
 					agents[2].turn(t, 0)
 				}()
 				cluster.Sleep(time.Duration(cluster.Random(9).IntN(12)) * time.Millisecond)
 				during(func() { <-merging })
-				join("second", 5)
-				round()
-				wantBuffered(3)
-				during(round)                   // while it is held
-				cluster.Sleep(25 * time.Second) // quiet lines are archived
-				during(round)                   // and archived
-				lines, saved, _ := cluster.sharing(t, group)
-				if lines < 3 || saved < (lines-1)*2000*3 {
-					t.Fatalf("%d lines refer to it, %d bytes are saved", lines, saved)
+				addAgents("second", 5)
+				takeTurns()
+				awaitSharing(3)
+				during(takeTurns)               // while the prefix is in use
+				cluster.Sleep(25 * time.Second) // idle sessions are archived
+				during(takeTurns)               // after archiving
+				sessions, savedBytes, _ := cluster.sharedPrefixUsage(t, group)
+				if sessions < 3 || savedBytes < (sessions-1)*2000*3 {
+					t.Fatalf("%d sessions refer to the shared prefix, %d bytes are saved", sessions, savedBytes)
 				}
 				for _, one := range agents {
 					one.check(t)
@@ -159,40 +160,40 @@
 	}
 }
 
-// TestAgentsStartWhileASharedPrefixIsFreed lets a merged shared prefix's lines be forgotten, and
-// its store fail around the time at which it is freed, while others begin with it.
+// TestAgentsStartWhileASharedPrefixIsFreed lets the sessions of a merged prefix expire. Around the
+// time at which the prefix is freed its store fails, while new agents start with the same prefix.
 func TestAgentsStartWhileASharedPrefixIsFreed(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		if err := cluster.PutConfig(sharingConfig); err != nil {
 			t.Fatal(err)
 		}
 		const group = 3
-		random, all := cluster.Random(11), []*agent{}
-		join := func(prefix string, count int) {
+		random, agents := cluster.Random(11), []*agent{}
+		addAgents := func(prefix string, count int) {
 			for _, program := range programsOf(group, prefix, count) {
 				one := &agent{cluster: cluster, program: program, prefix: prose(7, 2560)}
 				one.turn(t, random.IntN(2))
-				all = append(all, one)
+				agents = append(agents, one)
 			}
 		}
-		join("first", 5)
-		all = append(all, cluster.awaitMerged(t, group, 3, prose(7, 2560))...)
-		cluster.Sleep(2 * time.Minute) // longer than a shared prefix is held without any line
-		for _, one := range all {
+		addAgents("first", 5)
+		agents = append(agents, cluster.awaitMergedPrefix(t, group, 3, prose(7, 2560))...)
+		cluster.Sleep(2 * time.Minute) // longer than a shared prefix without sessions is retained
+		for _, one := range agents {
 			one.turn(t, random.IntN(2))
 		}
 		cluster.Sleep(11*time.Minute + time.Duration(random.IntN(40))*time.Second)
 		names := slices.Sorted(maps.Keys(storeFaults))
 		fault := names[random.IntN(len(names))]
 		t.Log(fault)
-		cluster.during(t, storeFaults[fault], all[0], func() {
+		cluster.duringLeaderFault(t, storeFaults[fault], agents[0], func() {
 			for step := range 4 {
 				cluster.Sleep(time.Duration(random.IntN(20)) * time.Second)
-				join(fmt.Sprintf("step%d", step), 2)
+				addAgents(fmt.Sprintf("step%d", step), 2)
 			}
 		})
-		join("last", 3)
-		for _, one := range all {
+		addAgents("last", 3)
+		for _, one := range agents {
 			if one.follows != "" && !strings.HasPrefix(one.program, "first") && !strings.HasPrefix(one.program, "late") {
 				one.turn(t, random.IntN(2))
 			}
@@ -201,38 +202,38 @@
 	})
 }
 
-// TestPrefixSharingIsSwitchedWhileTurnsRun switches prefix sharing off and on; what was
-// merged stays readable, and new turns are stored in full while it is off.
+// TestPrefixSharingIsSwitchedWhileTurnsRun switches prefix sharing on and off. Merged prefixes stay
+// readable, and new turns are stored in full while sharing is off.
 func TestPrefixSharingIsSwitchedWhileTurnsRun(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		const group = 5
 		agents := []*agent{}
-		join := func(prefix string) {
+		addAgents := func(prefix string) {
 			for _, program := range programsOf(group, prefix, 4) {
 				agents = append(agents, &agent{cluster: cluster, program: program, prefix: prose(8, 2560)})
 			}
 		}
 		for position, step := range []struct {
-			rules   string
-			share   bool
-			maximum uint64
+			source      string
+			enabled     bool
+			maxSessions uint64
 		}{{RoutedConfig, false, 0}, {sharingConfig, true, 8}, {RoutedConfig, false, 8}, {sharingConfig, true, 16}} {
-			if err := cluster.PutConfig(step.rules); err != nil {
+			if err := cluster.PutConfig(step.source); err != nil {
 				t.Fatal(err)
 			}
-			cluster.Sleep(3 * time.Second) // no front obeys an old config for longer
-			before, _, _ := cluster.sharing(t, group)
-			join(fmt.Sprintf("step%d", position))
+			cluster.Sleep(3 * time.Second) // longer than a front may use an outdated config
+			before, _, _ := cluster.sharedPrefixUsage(t, group)
+			addAgents(fmt.Sprintf("step%d", position))
 			for range 2 {
 				for front, one := range agents {
 					one.turn(t, front)
 				}
 			}
-			after, _, state := cluster.sharing(t, group)
-			if grew := after > before; grew != step.share || after > step.maximum {
-				t.Fatalf("step %d: %d lines referred to openings, now %d", position, before, after)
+			after, _, state := cluster.sharedPrefixUsage(t, group)
+			if grew := after > before; grew != step.enabled || after > step.maxSessions {
+				t.Fatalf("step %d: %d sessions referred to shared prefixes, now %d", position, before, after)
 			}
-			if _, rows := cluster.show(t, "show openings where group = all"); len(rows) != 1 || (rows[0][7] == "on") != step.share || state == "damaged" {
+			if _, rows := cluster.show(t, "show openings where group = all"); len(rows) != 1 || (rows[0][7] == "on") != step.enabled || state == "damaged" {
 				t.Fatalf("step %d: %v", position, rows)
 			}
 		}
@@ -242,7 +243,8 @@
 	})
 }
 
-// TestScopesNeverSharePrefixes lets two scopes bring the same shared prefix.
+// TestScopesNeverSharePrefixes begins turns with the same prefix under several scopes. Sessions may
+// only share it within one scope.
 func TestScopesNeverSharePrefixes(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
@@ -269,20 +271,20 @@
 	})
 }
 
-// damagePrefixes changes a byte in each shared prefix that a machine's replica stores.
+// damagePrefixes changes one byte of each shared prefix in a store's replica of a group.
 func damagePrefixes(t *testing.T, machine *Machine, group uint32) {
 	t.Helper()
-	buffered := machine.Store.StateMachine(group)
-	snapshot := buffered.View().Snapshot()
+	stateMachine := machine.Store.StateMachine(group)
+	snapshot := stateMachine.View().Snapshot()
 	for position := range snapshot.Prefixes {
 		snapshot.Prefixes[position].Data[100] ^= 1
 	}
-	if err := buffered.Restore(snapshot); err != nil {
+	if err := stateMachine.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// beginPrefixed begins the first turn of a program, whose input begins with the prefix.
+// beginPrefixed begins the first turn of a program with an input that starts with the prefix.
 func beginPrefixed(ctx context.Context, t *testing.T, client *storeclient.Client, name, prefix string) *storeclient.BegunTurn {
 	t.Helper()
 	turn := programTurn(name, name, "")
@@ -294,8 +296,8 @@
 	return begun
 }
 
-// TestDamagedSharedPrefixIsRepairedFromAPeer gives the leader a snapshot in which a shared
-// prefix has not the content that its name stands for.
+// TestDamagedSharedPrefixIsRepairedFromAPeer restores the leader from a snapshot in which the
+// content of a shared prefix does not match its digest.
 func TestDamagedSharedPrefixIsRepairedFromAPeer(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
@@ -313,8 +315,8 @@
 		}
 		leader := cluster.leaderOf("program/" + names[0])
 		damagePrefixes(t, leader, group)
-		if _, _, state := cluster.sharing(t, group); state != "damaged" {
-			t.Fatalf("the opening is %s", state)
+		if _, _, state := cluster.sharedPrefixUsage(t, group); state != "damaged" {
+			t.Fatalf("the shared prefix is %s", state)
 		}
 		complete := func(name string) string { return prefix + "in " + name + "\nout " + name + "\n" }
 		turn := func(name, follows string) (*storeclient.BegunTurn, error) {
@@ -326,11 +328,11 @@
 		if err != nil || string(begun.History) != complete(names[4]) {
 			t.Fatalf("%.200q, %v", fmt.Sprint(begun), err)
 		}
-		if _, _, state := cluster.sharing(t, group); state != "held" {
-			t.Fatalf("the opening is %s", state)
+		if _, _, state := cluster.sharedPrefixUsage(t, group); state != "held" {
+			t.Fatalf("the shared prefix is %s", state)
 		}
-		cluster.Sleep(time.Second) // followers have applied the repair too
-		// No replica has a sound copy: rejected as not run, and no shorter history is used.
+		cluster.Sleep(time.Second) // until the followers have applied the repair
+		// No replica has an intact copy: the turn must be rejected rather than run on a shorter history.
 		for _, machine := range cluster.Stores {
 			damagePrefixes(t, machine, group)
 		}
@@ -338,12 +340,12 @@
 		if !apierror.Is(err, apierror.NotRun) || apierror.Of(err).RetryAfter <= 0 {
 			t.Fatalf("%.200q, %v", fmt.Sprint(begun), err)
 		}
-		short, over := context.WithTimeout(ctx, 4*time.Second)
-		defer over()
-		if _, err := client.Read(short, wire.ReadQuery{Session: "program/" + names[3]}); !apierror.Is(err, apierror.Gap) && !apierror.Is(err, apierror.NoQuorum) {
+		readCtx, cancelRead := context.WithTimeout(ctx, 4*time.Second)
+		defer cancelRead()
+		if _, err := client.Read(readCtx, wire.ReadQuery{Session: "program/" + names[3]}); !apierror.Is(err, apierror.Gap) && !apierror.Is(err, apierror.NoQuorum) {
 			t.Fatalf("%v", err)
 		}
-		// The same prefix, sent again, repairs it.
+		// Another turn with the same prefix repairs it.
 		for _, name := range programsOf(group, "q", 3) {
 			beginPrefixed(ctx, t, client, name, prefix)
 			cluster.Sleep(5 * time.Second)
@@ -355,45 +357,45 @@
 	})
 }
 
-// TestTurnWaitsForNoMoreWithSharedPrefixes alternates turns with and without shared
-// prefixes, on one fleet; the network's delays are the same for both.
-func TestTurnWaitsForNoMoreWithSharedPrefixes(t *testing.T) {
+// TestSharedPrefixesDoNotSlowTurns alternates turns with and without shared prefixes on one fleet, so that
+// both see the same network delays, and compares their latencies.
+func TestSharedPrefixesDoNotSlowTurns(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
-		prefix, waited := prose(9, 2560), map[string][]time.Duration{}
-		take := func(turn storeclient.Turn, arm, want string) {
+		prefix, latencies := prose(9, 2560), map[string][]time.Duration{}
+		runTurn := func(turn storeclient.Turn, mode, want string) {
 			began := time.Now()
 			begun, err := client.BeginTurn(context.Background(), turn)
 			if err != nil || string(begun.History) != want {
 				t.Fatalf("%s: %v", turn.Name, err)
 			}
-			waited[arm] = append(waited[arm], time.Since(began))
+			latencies[mode] = append(latencies[mode], time.Since(began))
 			ended := storeclient.TurnEnd{SessionName: turn.SessionName, Name: turn.Name, Seq: begun.Seq, Output: []byte("out"), Outcome: sessionlog.OutcomeComplete, KeepHistory: true}
 			if err := client.EndTurn(context.Background(), ended); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for number := range 150 {
-			for arm, scope := range map[string]string{"off": "", "on": "identity"} {
-				name := fmt.Sprintf("%s-%d", arm, number)
+			for mode, scope := range map[string]string{"off": "", "on": "identity"} {
+				name := fmt.Sprintf("%s-%d", mode, number)
 				first := programTurn(name, name, "")
 				first.PrefixScope, first.Input, first.HasTokenQuota = scope, []byte(prefix+name), false
-				take(first, arm, "")
+				runTurn(first, mode, "")
 				second := programTurn(name, name+"-second", name)
 				second.PrefixScope, second.HasTokenQuota = scope, false
-				take(second, arm, prefix+name+"out")
+				runTurn(second, mode, prefix+name+"out")
 			}
 		}
-		for _, part := range []int{50, 99} {
-			at := func(arm string) time.Duration {
-				slices.Sort(waited[arm])
-				return waited[arm][len(waited[arm])*part/100]
+		for _, percent := range []int{50, 99} {
+			percentile := func(mode string) time.Duration {
+				slices.Sort(latencies[mode])
+				return latencies[mode][len(latencies[mode])*percent/100]
 			}
-			off, on := at("off"), at("on")
-			t.Logf("of 100 begins, %d took up to %s without and %s with shared openings", part, off, on)
+			off, on := percentile("off"), percentile("on")
+			t.Logf("percentile %d of the latency: %s without, %s with shared prefixes", percent, off, on)
 			if on > off+off/4 {
-				t.Errorf("of 100 begins, %d took up to %s without and %s with shared openings", part, off, on)
+				t.Errorf("percentile %d of the latency: %s without, %s with shared prefixes", percent, off, on)
 			}
 		}
 	})
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -18,11 +18,11 @@
 	"yardrock.example/system/storeclient"
 )
 
-// The data folders of all control nodes and stores of a fleet, and what they must be found
-// to hold. TestStoredDataIsWritten makes both.
+// The packed data directories of all control nodes and stores of a fleet, and the state that must be
+// read from them. TestStoredDataIsWritten writes both files.
 const (
-	storedFolders  = "testdata/stored/folders.tar.gz"
-	storedExpected = "testdata/stored/expected.json"
+	storedDisksFile = "testdata/stored/folders.tar.gz"
+	storedFleetFile = "testdata/stored/expected.json"
 )
 
 const (
@@ -31,14 +31,14 @@
 	storedRoutes = 2000
 )
 
-// storedShape is a fleet that takes in control nodes with empty disks by itself.
+// storedShape is a fleet that enrols nodes automatically, also control nodes with empty disks.
 func storedShape() Shape {
 	return Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 2, Engines: 2, Tools: 2, AutoEnrol: true,
 		Adjust: func(_ *Cluster, settings *controlplane.Settings) { settings.MaxControls = 3 }}
 }
 
-// joining has control nodes that start from now on join the fleet that is there.
-func (cluster *Cluster) joining() {
+// joinExistingFleet makes control nodes that start from now on join the existing fleet.
+func (cluster *Cluster) joinExistingFleet() {
 	cluster.adjust = func(_ *Cluster, settings *controlplane.Settings) {
 		settings.MaxControls, settings.JoinExisting = 3, true
 	}
@@ -46,7 +46,7 @@
 
 var storedConfig = strings.ReplaceAll(sharingConfig, `keep: "60s"`, `keep: "1h"`)
 
-// storedSession is a session with its events, described.
+// storedSession holds a session and its events in the form of describeSession and describeEvent.
 type storedSession struct {
 	Session  string   `json:"session"`
 	Head     uint64   `json:"head"`
@@ -66,13 +66,13 @@
 }
 
 type storedProgram struct {
-	Name    string `json:"name"`
-	Follows string `json:"follows"`
-	History string `json:"history"`
-	Taken   int    `json:"taken"`
+	Name           string `json:"name"`
+	Follows        string `json:"follows"`
+	History        string `json:"history"`
+	CompletedTurns int    `json:"taken"`
 }
 
-type storedOnce struct {
+type storedRequest struct {
 	Key   string `json:"key"`
 	Words string `json:"words"`
 	Body  string `json:"body"`
@@ -82,43 +82,43 @@
 	Written time.Time `json:"written"`
 	Fleet   string    `json:"fleet"`
 	Number  uint64    `json:"number"`
-	// Config is the number of the config in force, Digest its digest, Revision that of its
-	// routing.
+	// Config is the number of the config in force, Digest its digest, Revision its routing
+	// revision.
 	Config   uint64 `json:"config"`
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"`
-	// Earlier is the number of a config that was in force before.
-	Earlier       uint64                   `json:"earlier"`
-	EarlierSource string                   `json:"earlier_source"`
-	Stores        []string                 `json:"stores"`
-	Domains       []string                 `json:"domains"`
-	Sessions      map[string]storedSession `json:"lines"`
-	Quotas        map[string]int           `json:"tallies"`
-	Conversations []storedConversation     `json:"conversations"`
-	Programs      []storedProgram          `json:"programs"`
-	Once          []storedOnce             `json:"once"`
-	Sharing       uint64                   `json:"sharing"`
-	OpenSeq       uint64                   `json:"open_seq"`
-}
-
-// describedSession returns what a quorum read gives of a session, all but how far it is
-// archived, which goes on.
-func describedSession(session sessionlog.Session) string {
+	// EarlierConfig is the number of an earlier config, EarlierSource its source.
+	EarlierConfig   uint64                   `json:"earlier"`
+	EarlierSource   string                   `json:"earlier_source"`
+	Stores          []string                 `json:"stores"`
+	Domains         []string                 `json:"domains"`
+	Sessions        map[string]storedSession `json:"lines"`
+	Quotas          map[string]int           `json:"tallies"`
+	Conversations   []storedConversation     `json:"conversations"`
+	Programs        []storedProgram          `json:"programs"`
+	Requests        []storedRequest          `json:"once"`
+	SharingSessions uint64                   `json:"sharing"`
+	OpenSeq         uint64                   `json:"open_seq"`
+}
+
+// describeSession describes a session as returned by a quorum read, except how far it is archived, as
+// archiving continues. The format is part of the stored expectation, like that of describeEvent.
+func describeSession(session sessionlog.Session) string {
 	return fmt.Sprintf("%s team %q program %q kind %q created %d keep %s touched %d until %d spent %d reserved %d openings %v", session.Name, session.Team, session.Program, session.WorkKind,
 		session.CreatedAt, session.Retention, session.UpdatedAt, session.RetainUntil, session.Spent, session.Reserved, session.Prefixes)
 }
 
-func describedEvent(event sessionlog.Event) string {
+func describeEvent(event sessionlog.Event) string {
 	return fmt.Sprintf("%d at %d kind %d turn %d follows %d words %q outcome %q runner %q dispatch %q digest %q name %q part %d producer %q %d config %d deadline %d opening %q data %x",
 		event.Seq, event.At, event.Kind, event.Turn, event.Follows, event.Text, event.Outcome, event.Runner, event.Dispatch, event.Digest, event.Name, event.Part, event.Producer, event.ProducerSeq,
 		event.Config, event.Deadline, event.Prefix, sha256.Sum256(event.Data))
 }
 
-// storedSessions reads complete sessions, as a client does.
-func (cluster *Cluster) storedSessions(t *testing.T, names []string) map[string]storedSession {
+// readSessions reads whole sessions through a store client.
+func (cluster *Cluster) readSessions(t *testing.T, names []string) map[string]storedSession {
 	t.Helper()
-	client, end := cluster.storeClient("10.8.0.2")
-	defer end()
+	client, closeClient := cluster.storeClient("10.8.0.2")
+	defer closeClient()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	read := map[string]storedSession{}
@@ -127,40 +127,40 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		described := storedSession{Session: describedSession(last.Session), Head: last.Session.Head, Archived: last.Session.ArchivedSeq}
+		described := storedSession{Session: describeSession(last.Session), Head: last.Session.Head, Archived: last.Session.ArchivedSeq}
 		for _, event := range events {
-			described.Events = append(described.Events, describedEvent(event))
+			described.Events = append(described.Events, describeEvent(event))
 		}
 		read[name] = described
 	}
 	return read
 }
 
-// repeatAmendments sends each amendment again, which is acknowledged, and another one on the
-// same base, which is refused.
-func (cluster *Cluster) repeatAmendments(t *testing.T) {
+// repeatPatches sends each patch again, which must be acknowledged, and a different one for the same
+// base, which must be rejected.
+func (cluster *Cluster) repeatPatches(t *testing.T) {
 	t.Helper()
-	for position, routes := range storedRevisions {
-		base := uint64(position + 1)
+	for index, routes := range storedPatchSizes {
+		base := uint64(index + 1)
 		for from := range cluster.Controls {
-			if err := cluster.sendAmendment(from, base, 0, routes); err != nil {
-				t.Errorf("the acknowledged order on %d again, at %d: %v", base, from, err)
+			if err := cluster.sendPatch(from, base, 0, routes); err != nil {
+				t.Errorf("repeated patch of revision %d, at node %d: %v", base, from, err)
 			}
-			if err := cluster.sendAmendment(from, base, 1, routes); !apierror.Is(err, apierror.Conflict) {
-				t.Errorf("another order on %d, at %d: %v", base, from, err)
+			if err := cluster.sendPatch(from, base, 1, routes); !apierror.Is(err, apierror.Conflict) {
+				t.Errorf("different patch of revision %d, at node %d: %v", base, from, err)
 			}
 		}
 	}
 }
 
-func (cluster *Cluster) awaitVotes(t *testing.T, machine *Machine) {
+func (cluster *Cluster) awaitVoter(t *testing.T, machine *Machine) {
 	t.Helper()
-	if err := cluster.Await(30*time.Second, "vote of "+machine.Host, func() error {
+	if err := cluster.Await(30*time.Second, "voter "+machine.Host, func() error {
 		if voting := cluster.votingControls(); !slices.Contains(voting, machine.Host+" "+machine.Control.Name()) {
-			return fmt.Errorf("voting: %v", voting)
+			return fmt.Errorf("the voters are %v", voting)
 		}
-		if buffered, newest := machine.Control.View().Number, cluster.leader().Control.View().Number; buffered < newest {
-			return fmt.Errorf("it holds change %d of %d", buffered, newest)
+		if current, newest := machine.Control.View().Number, cluster.leader().Control.View().Number; current < newest {
+			return fmt.Errorf("it holds view %d, the leader %d", current, newest)
 		}
 		return nil
 	}); err != nil {
@@ -174,30 +174,31 @@
 	return turn
 }
 
-// converse takes a turn of a dialogue and checks the history that its model got.
-func (cluster *Cluster) converse(t *testing.T, conversation *storedConversation, words string) {
+// continueConversation takes the next turn of a conversation, or starts one, and checks the history
+// that the model received.
+func (cluster *Cluster) continueConversation(t *testing.T, conversation *storedConversation, words string) {
 	t.Helper()
 	body := map[string]any{"program": "dialogue", "kind": "talk", "words": words}
 	if conversation.Name != "" {
 		body = map[string]any{"conversation": conversation.Name, "follows": conversation.Turn, "kind": "talk", "words": words}
 	}
-	said, err := cluster.Turn(cluster.Fronts[0], body)
+	answer, err := cluster.Turn(cluster.Fronts[0], body)
 	if err != nil {
 		t.Fatalf("%s: %v", conversation.Name, err)
 	}
 	history := []runnerclient.Message{}
-	for _, one := range conversation.History {
-		history = append(history, runnerclient.Message{Role: one.Role, Text: one.Words})
+	for _, message := range conversation.History {
+		history = append(history, runnerclient.Message{Role: message.Role, Text: message.Words})
 	}
-	if want := strings.Join(standin.Answer(history, words), ""); said.Words != want {
-		t.Fatalf("%s heard %q, want %q", conversation.Name, said.Words, want)
+	if want := strings.Join(standin.Answer(history, words), ""); answer.Words != want {
+		t.Fatalf("%s: answer %q, want %q", conversation.Name, answer.Words, want)
 	}
-	conversation.Name, conversation.Turn = said.Conversation, said.Turn
-	conversation.History = append(conversation.History, storedMessage{"caller", words}, storedMessage{"model", said.Words})
+	conversation.Name, conversation.Turn = answer.Conversation, answer.Turn
+	conversation.History = append(conversation.History, storedMessage{"caller", words}, storedMessage{"model", answer.Words})
 }
 
-// readStored reads all that the fleet holds and that is compared as it is.
-func (cluster *Cluster) readStored(t *testing.T, fleet *storedFleet) {
+// readStoredFleet reads the state of the fleet that is compared with the stored expectation.
+func (cluster *Cluster) readStoredFleet(t *testing.T, fleet *storedFleet) {
 	t.Helper()
 	fleet.Revision = cluster.mustRead(t, historyTimeout).Revision
 	view := cluster.leader().Control.View()
@@ -216,7 +217,7 @@
 	for _, conversation := range fleet.Conversations {
 		names = append(names, "depot/"+conversation.Name)
 	}
-	fleet.Sessions = cluster.storedSessions(t, names)
+	fleet.Sessions = cluster.readSessions(t, names)
 	for _, program := range []string{"dialogue", "tight"} {
 		reported, err := cluster.quota(cluster.Fronts[0], program)
 		if err != nil {
@@ -224,7 +225,7 @@
 		}
 		fleet.Quotas[program] = reported.Spent
 	}
-	fleet.Sharing, _, _ = cluster.sharing(t, storedGroup)
+	fleet.SharingSessions, _, _ = cluster.sharedPrefixUsage(t, storedGroup)
 }
 
 func (cluster *Cluster) eachDisk(visit func(name string, disk *Disk)) {
--- a/proof/simulator/storeddata_write_test.go
+++ b/proof/simulator/storeddata_write_test.go
@@ -25,76 +25,76 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// storedAmendment returns an amendment of a revision of the routing with a number of routes, as
-// one of two operators sends it.
-func storedAmendment(base uint64, operator, routes int) (config.RoutingPatch, string) {
-	amendment := config.RoutingPatch{Revision: base + 1}
+// storedPatch returns a patch of a routing revision that replaces a number of routes, and its request
+// digest. The two operators send different patches of the same revision.
+func storedPatch(base uint64, operator, routes int) (config.RoutingPatch, string) {
+	patch := config.RoutingPatch{Revision: base + 1}
 	for number := range routes {
 		route := historyRoute(number, base+uint64(operator))
 		route.Shares = []config.WeightedService{{Service: "tools", Weight: 1}}
-		amendment.Routes = append(amendment.Routes, route)
+		patch.Routes = append(patch.Routes, route)
 	}
-	return amendment, fmt.Sprintf("order on %d by %d", base, operator)
+	return patch, fmt.Sprintf("order on %d by %d", base, operator)
 }
 
-func (cluster *Cluster) sendAmendment(from int, base uint64, operator, routes int) error {
-	amendment, digest := storedAmendment(base, operator, routes)
+func (cluster *Cluster) sendPatch(from int, base uint64, operator, routes int) error {
+	patch, digest := storedPatch(base, operator, routes)
 	return cluster.requestChange(from, historyTimeout, func(ctx context.Context, node *controlplane.Node) error {
-		return node.PatchRouting(ctx, "root", base, amendment, digest)
+		return node.PatchRouting(ctx, "root", base, patch, digest)
 	})
 }
 
-// storedRevisions are the amendments of the routing, from its first revision on: the number
-// of routes that each brings.
-var storedRevisions = []int{1, 2, storedRoutes, 1}
+// storedPatchSizes are the numbers of routes in the patches, which are applied from the first routing
+// revision on.
+var storedPatchSizes = []int{1, 2, storedRoutes, 1}
 
-// receiveSnapshots lets one control node receive a complete snapshot, and kills another one while
-// it receives the chunks of one.
+// receiveSnapshots lets one control node receive a complete snapshot and kills another one while it
+// receives one.
 func (cluster *Cluster) receiveSnapshots(t *testing.T) {
 	t.Helper()
-	cluster.joining()
-	received, halfWay := cluster.Controls[1], cluster.Controls[2]
-	received.Kill()
-	<-time.After(time.Second) // a write that had begun has ended
-	received.Wipe()
-	mustStart(t, received)
-	cluster.awaitVotes(t, received)
-	cluster.eachOtherControl(halfWay, func(other *Machine) { cluster.Network.Slow(other.Host, halfWay.Host, slowWay) })
+	cluster.joinExistingFleet()
+	recipient, interrupted := cluster.Controls[1], cluster.Controls[2]
+	recipient.Kill()
+	<-time.After(time.Second) // until pending writes have ended
+	recipient.Wipe()
+	mustStart(t, recipient)
+	cluster.awaitVoter(t, recipient)
+	cluster.eachOtherControl(interrupted, func(other *Machine) { cluster.Network.Slow(other.Host, interrupted.Host, slowWay) })
 	for attempt := 1; ; attempt++ {
-		halfWay.Kill()
+		interrupted.Kill()
 		<-time.After(time.Second)
-		halfWay.Wipe()
-		mustStart(t, halfWay)
-		// It first writes that it is taken in, and a round trip later it has the chunks, which
-		// it keeps in memory until they are all there.
-		for syncs := halfWay.Disk.Syncs(); halfWay.Disk.Syncs() == syncs; {
+		interrupted.Wipe()
+		mustStart(t, interrupted)
+		// The node first writes that it has joined. A round trip later it receives the chunks,
+		// which it holds in memory until they are complete.
+		for syncs := interrupted.Disk.Syncs(); interrupted.Disk.Syncs() == syncs; {
 			<-time.After(time.Millisecond)
 		}
 		<-time.After(2*slowWay - 5*time.Millisecond)
-		if halfWay.Control.View().ConfigNumber == 0 {
+		if interrupted.Control.View().ConfigNumber == 0 {
 			break
 		}
 		if attempt == 20 {
-			t.Fatal("no kill came while the snapshot was received")
+			t.Fatal("the node was never killed while it received the snapshot")
 		}
 	}
-	halfWay.Kill()
-	cluster.eachOtherControl(halfWay, func(other *Machine) { cluster.Network.Heal(other.Host, halfWay.Host) })
+	interrupted.Kill()
+	cluster.eachOtherControl(interrupted, func(other *Machine) { cluster.Network.Heal(other.Host, interrupted.Host) })
 }
 
-// TestStoredDataIsWritten writes the folders and what they hold, with
+// TestStoredDataIsWritten writes the data directories and the expectation:
 //
 //	WRITE_STORED_DATA=1 go test ./simulator -run TestStoredDataIsWritten
 //
-// They are to stay as the version that first had this test wrote them, and are not
-// overwritten: for what a format gets later, write others beside them, under other names.
+// The files stay as the earlier version wrote them and are never overwritten. For a later addition
+// to a format, write new files under other names beside them.
 func TestStoredDataIsWritten(t *testing.T) {
 	if os.Getenv("WRITE_STORED_DATA") == "" {
-		t.Skip("it writes test data; set WRITE_STORED_DATA to have it do so")
+		t.Skip("writes test data; set WRITE_STORED_DATA to run it")
 	}
 	synctest.Test(t, func(t *testing.T) {
-		if _, err := os.Stat(storedFolders); err == nil {
-			t.Fatal("the folders are there, and are not to be overwritten")
+		if _, err := os.Stat(storedDisksFile); err == nil {
+			t.Fatal("the stored data exists and must not be overwritten")
 		}
 		cluster, err := assemble(storedSeed, storedShape())
 		if err != nil {
@@ -104,12 +104,12 @@
 			cluster.Stop()
 			<-time.After(time.Minute)
 		}()
-		// Snapshots and slots are made after little.
+		// Low limits, so that snapshots and compactions happen after few writes.
 		cluster.adjustReplica = func(settings *replica.Settings) { settings.SnapshotEntries, settings.CompactionBytes = 5, 64<<10 }
 		if err := cluster.found(strings.Replace(storedConfig, "allowance: 60", "allowance: 61", 1)); err != nil {
 			t.Fatal(err)
 		}
-		fleet := cluster.fillStored(t)
+		fleet := cluster.writeStoredFleet(t)
 		for _, machine := range cluster.Machines() {
 			machine.Kill()
 		}
@@ -119,7 +119,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, data := range map[string][]byte{storedExpected: append(expected, '\n'), storedFolders: cluster.packFolders(t)} {
+		for name, data := range map[string][]byte{storedFleetFile: append(expected, '\n'), storedDisksFile: cluster.packDisks(t)} {
 			if err := errors.Join(os.MkdirAll(path.Dir(name), 0o755), os.WriteFile(name, data, 0o644)); err != nil {
 				t.Fatal(err)
 			}
@@ -127,21 +127,21 @@
 	})
 }
 
-func (cluster *Cluster) fillStored(t *testing.T) storedFleet {
+func (cluster *Cluster) writeStoredFleet(t *testing.T) storedFleet {
 	t.Helper()
 	if err := cluster.AwaitForwarding(20 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	earlier := cluster.leader().Control.View()
-	fleet := storedFleet{Quotas: map[string]int{}, Earlier: earlier.ConfigNumber, EarlierSource: earlier.Source}
+	fleet := storedFleet{Quotas: map[string]int{}, EarlierConfig: earlier.ConfigNumber, EarlierSource: earlier.Source}
 	if err := cluster.PutConfig(storedConfig); err != nil {
 		t.Fatal(err)
 	}
-	cluster.sendStoredRevisions(t)
+	cluster.sendStoredPatches(t)
 	if answer, err := cluster.Administer(http.MethodPost, "/v1/domains/west", map[string]any{"state": feed.StateDrained}); err != nil || answer.Status != http.StatusOK {
 		t.Fatalf("%v %s", err, answer)
 	}
-	cluster.repeatAmendments(t)
+	cluster.repeatPatches(t)
 
 	prefix, agents := prose(7, 2560), []*agent{}
 	for _, program := range programsOf(storedGroup, "first", 4) {
@@ -152,59 +152,59 @@
 			one.turn(t, round)
 		}
 	}
-	agents = append(agents, cluster.awaitMerged(t, storedGroup, 3, prefix)...)
+	agents = append(agents, cluster.awaitMergedPrefix(t, storedGroup, 3, prefix)...)
 	for number := range 3 {
 		conversation := storedConversation{}
-		cluster.converse(t, &conversation, fmt.Sprintf("hello %d", number))
-		cluster.converse(t, &conversation, "and then?")
+		cluster.continueConversation(t, &conversation, fmt.Sprintf("hello %d", number))
+		cluster.continueConversation(t, &conversation, "and then?")
 		fleet.Conversations = append(fleet.Conversations, conversation)
 	}
 	for number := range 3 {
-		fleet.Once = append(fleet.Once, cluster.askStoredOnce(t, number))
+		fleet.Requests = append(fleet.Requests, cluster.sendStoredRequest(t, number))
 	}
-	cluster.storedTurns(t, &fleet)
-	cluster.Sleep(25 * time.Second) // all of it is archived
+	cluster.writeStoredTurns(t, &fleet)
+	cluster.Sleep(25 * time.Second) // until everything is archived
 	cluster.receiveSnapshots(t)
-	for _, one := range agents[:2] { // and these go on with events that are not
+	for _, one := range agents[:2] { // these get events that are not archived
 		one.turn(t, 0)
 	}
-	cluster.converse(t, &fleet.Conversations[0], "what else?")
+	cluster.continueConversation(t, &fleet.Conversations[0], "what else?")
 	for _, one := range agents {
 		one.check(t)
 		fleet.Programs = append(fleet.Programs, storedProgram{one.program, one.follows, one.history, len(one.complete)})
 	}
-	cluster.readStored(t, &fleet)
+	cluster.readStoredFleet(t, &fleet)
 	return fleet
 }
 
-// sendStoredRevisions sends the amendments of the routing, one on another.
-func (cluster *Cluster) sendStoredRevisions(t *testing.T) {
+// sendStoredPatches sends the patches in order, each based on the revision before it.
+func (cluster *Cluster) sendStoredPatches(t *testing.T) {
 	t.Helper()
-	for position, routes := range storedRevisions {
-		if err := cluster.sendAmendment(0, uint64(position+1), 0, routes); err != nil {
+	for index, routes := range storedPatchSizes {
+		if err := cluster.sendPatch(0, uint64(index+1), 0, routes); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// askStoredOnce sends a request under a key of its own, which later ones repeat.
-func (cluster *Cluster) askStoredOnce(t *testing.T, number int) storedOnce {
+// sendStoredRequest sends a request with its own key and returns the answer that a repetition must get.
+func (cluster *Cluster) sendStoredRequest(t *testing.T, number int) storedRequest {
 	t.Helper()
-	one := storedOnce{Key: fmt.Sprintf("stored-%d", number), Words: "pay"}
-	answer, err := cluster.once(cluster.Fronts[number%2], one.Key, one.Words)
+	request := storedRequest{Key: fmt.Sprintf("stored-%d", number), Words: "pay"}
+	answer, err := cluster.once(cluster.Fronts[number%2], request.Key, request.Words)
 	if err != nil || answer.Status != http.StatusOK {
 		t.Fatalf("%v %s", err, answer)
 	}
-	// The answer that later queries of that key get as well.
-	one.Body = strings.Replace(string(answer.Body), `"repeated":false`, `"repeated":true`, 1)
-	return one
+	// The answer to a repeated request differs only in its marker.
+	request.Body = strings.Replace(string(answer.Body), `"repeated":false`, `"repeated":true`, 1)
+	return request
 }
 
-// storedTurns has a client take turns, of which the last stays open.
-func (cluster *Cluster) storedTurns(t *testing.T, fleet *storedFleet) {
+// writeStoredTurns takes turns through a store client and leaves the last one open.
+func (cluster *Cluster) writeStoredTurns(t *testing.T, fleet *storedFleet) {
 	t.Helper()
-	client, end := cluster.storeClient("10.8.0.1")
-	defer end()
+	client, closeClient := cluster.storeClient("10.8.0.1")
+	defer closeClient()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	follows := ""
@@ -225,11 +225,11 @@
 	fleet.OpenSeq = begun.Seq
 }
 
-// packFolders packs the durable content of all disks.
-func (cluster *Cluster) packFolders(t *testing.T) []byte {
+// packDisks returns the durable content of all disks as a compressed archive.
+func (cluster *Cluster) packDisks(t *testing.T) []byte {
 	t.Helper()
-	packed := &bytes.Buffer{}
-	zipped, err := gzip.NewWriterLevel(packed, gzip.BestCompression)
+	compressed := &bytes.Buffer{}
+	zipped, err := gzip.NewWriterLevel(compressed, gzip.BestCompression)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,5 +249,5 @@
 	if err := errors.Join(archive.Close(), zipped.Close()); err != nil {
 		t.Fatal(err)
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
--- a/proof/simulator/storefaults_test.go
+++ b/proof/simulator/storefaults_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// injectStoreFault lets one of four faults befall a store and ends it: killed, without power,
-// cut off, its disk stalled.
+// injectStoreFault injects one of four faults into a store and ends it: a kill, a power loss, an
+// isolation from the network or a stalled disk.
 func (cluster *Cluster) injectStoreFault(store *Machine, fault int) {
 	switch fault {
 	case 0:
@@ -24,7 +24,7 @@
 	}
 }
 
-// cutFromPeers cuts a store off from the other stores only, for a while.
+// cutFromPeers partitions a store from the other stores, but not from clients, for 3.5 s.
 func (cluster *Cluster) cutFromPeers(store *Machine) {
 	for _, other := range cluster.Stores {
 		if other != store {
--- a/proof/simulator/wipedstore_test.go
+++ b/proof/simulator/wipedstore_test.go
@@ -9,16 +9,16 @@
 	"yardrock.example/system/forwarding"
 )
 
-// TestWipedStoreConfirmsNothingForItsPredecessor: a store that starts empty at the address of
-// one that acknowledged a change does not count as that one. A front that reaches only it
-// and a store that missed the change must not act on its old view.
+// TestWipedStoreConfirmsNothingForItsPredecessor checks that a store which starts empty at the
+// address of one that acknowledged a change does not count as that one. A front that reaches only it
+// and a store that missed the change must not act on an outdated view.
 func TestWipedStoreConfirmsNothingForItsPredecessor(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		front, network := cluster.Fronts[0], cluster.Network
-		wiped, behind := cluster.Stores[0], cluster.Stores[2]
-		for _, host := range []*Machine{front, behind} {
+		wiped, stale := cluster.Stores[0], cluster.Stores[2]
+		for _, machine := range []*Machine{front, stale} {
 			for _, other := range append(append([]*Machine{}, cluster.Controls...), cluster.Stores[:2]...) {
-				network.Cut(host.Host, other.Host)
+				network.Cut(machine.Host, other.Host)
 			}
 		}
 		if err := cluster.PutConfig(strings.Replace(RoutedConfig, "revision: 1", "revision: 2", 1)); err != nil {
@@ -33,11 +33,11 @@
 			t.Fatal(err)
 		}
 		network.Heal(front.Host, wiped.Host)
-		cluster.Sleep(2 * time.Second) // what the front knew is too old by now
+		cluster.Sleep(2 * time.Second) // until the front's view has expired
 		for number := range 20 {
 			name := fmt.Sprintf("old-%d", number)
 			if answer := cluster.Forward(front, forwarding.Request{Name: name, Path: "/lookup/" + name}); !answer.Rejected() {
-				t.Fatalf("a front that no store majority confirmed answered: %d %v", answer.Status, answer.Err)
+				t.Fatalf("a front without confirmation by a store majority answered: %d %v", answer.Status, answer.Err)
 			}
 			cluster.Sleep(100 * time.Millisecond)
 		}
