--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -218,11 +218,11 @@
 	chaos.cluster.awaitHealed(chaos.t)
 	index, store := chaos.randomStore(random)
 	machine := "storage " + store.Host
-	if err := chaos.cluster.beginRetire(random.IntN(3), machine); err != nil {
+	if err := chaos.cluster.beginDecommission(random.IntN(3), machine); err != nil {
 		chaos.t.Errorf("retiring %s: %v", machine, err)
 		return
 	}
-	chaos.cluster.awaitRetired(chaos.t, machine)
+	chaos.cluster.awaitDecommissioned(chaos.t, machine)
 	chaos.coreFault(func() {
 		store.LosePower()
 		store.Wipe()
--- a/proof/simulator/decommission_test.go
+++ b/proof/simulator/decommission_test.go
@@ -16,7 +16,7 @@
 // store may be decommissioned.
 var fourStoreShape = Shape{Controls: 3, Stores: 4, Fronts: 2, Models: 2, Applications: 2, AutoEnrol: true}
 
-func (cluster *Cluster) beginRetire(from int, machineName string) error {
+func (cluster *Cluster) beginDecommission(from int, machineName string) error {
 	return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		return node.BeginDecommission(ctx, "root", machineName, 10*time.Second)
 	})
@@ -45,7 +45,7 @@
 	}
 }
 
-func (cluster *Cluster) awaitRetired(t *testing.T, machineName string) {
+func (cluster *Cluster) awaitDecommissioned(t *testing.T, machineName string) {
 	t.Helper()
 	began := time.Now()
 	err := cluster.Await(30*time.Second, "decommissioned machine", func() error {
@@ -68,7 +68,7 @@
 // must be acknowledged without effect.
 func (cluster *Cluster) checkRepeatedDecommission(t *testing.T, machineName string) {
 	t.Helper()
-	if err := cluster.beginRetire(2, machineName); err != nil {
+	if err := cluster.beginDecommission(2, machineName); err != nil {
 		t.Fatalf("repeated request after completion: %v", err)
 	}
 	if state, err := cluster.decommissionState(0, machineName); err != nil || state != feed.StateDecommissioned {
@@ -85,7 +85,7 @@
 		answers := cluster.startConversations(t, 6)
 		stop := cluster.callers(100 * time.Millisecond)
 		defer stop()
-		if err := cluster.beginRetire(0, "storage unknown"); !apierror.Is(err, apierror.NotFound) {
+		if err := cluster.beginDecommission(0, "storage unknown"); !apierror.Is(err, apierror.NotFound) {
 			t.Fatalf("decommission of an unknown machine: %v", err)
 		}
 		index := cluster.Random(13).IntN(4)
@@ -94,21 +94,21 @@
 		if _, err := cluster.decommissionState(1, machineName); !apierror.Is(err, apierror.NotFound) {
 			t.Fatalf("state of a machine that is not being decommissioned: %v", err)
 		}
-		if err := cluster.beginRetire(0, machineName); err != nil {
+		if err := cluster.beginDecommission(0, machineName); err != nil {
 			t.Fatal(err)
 		}
 		killed := cluster.leader()
 		killed.Kill()
 		for from := range cluster.Controls {
-			if err := cluster.beginRetire(from, machineName); err != nil {
+			if err := cluster.beginDecommission(from, machineName); err != nil {
 				t.Fatalf("repeated request: %v", err)
 			}
 		}
 		remaining := slices.Delete(slices.Clone(cluster.Stores), index, index+1)
-		if err := cluster.beginRetire(1, "storage "+remaining[0].Host); !apierror.Is(err, apierror.Conflict) {
+		if err := cluster.beginDecommission(1, "storage "+remaining[0].Host); !apierror.Is(err, apierror.Conflict) {
 			t.Fatalf("decommission of one of the last three stores: %v", err)
 		}
-		cluster.awaitRetired(t, machineName)
+		cluster.awaitDecommissioned(t, machineName)
 		if cluster.Seed%2 == 0 {
 			<-time.After(5 * time.Second) // the running store must not be enrolled again
 		}
@@ -146,7 +146,7 @@
 				index := cluster.Random(14).IntN(4)
 				leaving := cluster.Stores[index]
 				machineName := "storage " + leaving.Host
-				if err := cluster.beginRetire(0, machineName); err != nil {
+				if err := cluster.beginDecommission(0, machineName); err != nil {
 					t.Fatal(err)
 				}
 				leaving.Kill()
@@ -156,7 +156,7 @@
 						t.Fatal(err)
 					}
 				}
-				cluster.awaitRetired(t, machineName)
+				cluster.awaitDecommissioned(t, machineName)
 				leaving.Kill()
 				cluster.Stores = slices.Delete(slices.Clone(cluster.Stores), index, index+1)
 				cluster.Stores[cluster.Random(15).IntN(3)].Kill()
@@ -179,7 +179,7 @@
 		unavailable.Kill()
 		leaving := cluster.Stores[cluster.Random(16).IntN(3)]
 		machineName := "storage " + leaving.Host
-		if err := cluster.beginRetire(0, machineName); err != nil {
+		if err := cluster.beginDecommission(0, machineName); err != nil {
 			t.Fatal(err)
 		}
 		for range 15 {
@@ -191,7 +191,7 @@
 		if err := unavailable.Start(); err != nil {
 			t.Fatal(err)
 		}
-		cluster.awaitRetired(t, machineName)
+		cluster.awaitDecommissioned(t, machineName)
 		leaving.Kill()
 		cluster.Stores = slices.DeleteFunc(cluster.Stores, func(machine *Machine) bool { return machine == leaving })
 		cluster.Stores[0].Kill()
--- a/proof/simulator/decommissionarchive_test.go
+++ b/proof/simulator/decommissionarchive_test.go
@@ -67,7 +67,7 @@
 		answers := cluster.startConversations(t, 12)
 		sleepUntilArchiving(50 * time.Millisecond)
 		machineName := "storage " + leaving.Host
-		if err := cluster.beginRetire(0, machineName); err != nil {
+		if err := cluster.beginDecommission(0, machineName); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(3500 * time.Millisecond)
@@ -85,7 +85,7 @@
 		}
 		wipeAndRestart(t, survivor)
 		if state == feed.StateDecommissioning {
-			cluster.awaitRetired(t, machineName)
+			cluster.awaitDecommissioned(t, machineName)
 			leaving.LosePower()
 			leaving.Wipe()
 		}
@@ -176,10 +176,10 @@
 		sleepUntilArchiving(3500 * time.Millisecond)
 		cluster.Network.Rejoin(isolated.Host)
 		machineName, leftGroups := "storage "+leaving.Host, cluster.groupsWithVoter(leaving.Store.Name())
-		if err := cluster.beginRetire(0, machineName); err != nil {
+		if err := cluster.beginDecommission(0, machineName); err != nil {
 			t.Fatal(err)
 		}
-		cluster.awaitRetired(t, machineName)
+		cluster.awaitDecommissioned(t, machineName)
 		cluster.Stores = slices.DeleteFunc(cluster.Stores, func(machine *Machine) bool { return machine == leaving })
 		cluster.checkArchivesEqual(t, leftGroups)
 		leaving.LosePower()
@@ -226,12 +226,12 @@
 				victims := []*Machine{other, leaving, cluster.leader()}
 				victim := victims[cluster.Random(65).IntN(len(victims))]
 				machineName := "storage " + leaving.Host
-				if err := cluster.beginRetire(0, machineName); err != nil {
+				if err := cluster.beginDecommission(0, machineName); err != nil {
 					t.Fatal(err)
 				}
 				fault(t, cluster, victim)
 				faultEnd := time.Now()
-				cluster.awaitRetired(t, machineName)
+				cluster.awaitDecommissioned(t, machineName)
 				leaving.LosePower()
 				leaving.Wipe()
 				cluster.Stores = slices.DeleteFunc(cluster.Stores, func(machine *Machine) bool { return machine == leaving })
