--- a/proof/simulator/adminrequests_test.go
+++ b/proof/simulator/adminrequests_test.go
@@ -27,7 +27,7 @@
 }
 
 func (cluster *Cluster) sendRoutingRequest(from int, request operatorRequest) error {
-	return cluster.replace(from, request.base, request.next, request.digest)
+	return cluster.replaceRouting(from, request.base, request.next, request.digest)
 }
 
 // raceTwoOperators sends two concurrent requests with the same base revision. It returns the one
@@ -95,7 +95,7 @@
 		machine.Wipe()
 	}
 	startAll(t, cluster.Controls)
-	cluster.mustRead(t, 30*time.Second)
+	cluster.mustReadRouting(t, 30*time.Second)
 }
 
 // TestRequestRepeatedAfterFaultsIsAcknowledged resends an acknowledged request and one that was
@@ -133,7 +133,7 @@
 			}
 			cluster.mustRepeatRequests(t, step.when+", and 70 requests later", won, lost)
 		}
-		if read := cluster.mustRead(t, ackTimeout); read.Revision != base {
+		if read := cluster.mustReadRouting(t, ackTimeout); read.Revision != base {
 			t.Fatalf("read revision %d; %d was acknowledged last", read.Revision, base)
 		}
 	})
@@ -230,7 +230,7 @@
 				t.Fatalf("round %d: %v", round, results)
 			}
 			base = requests[winner].next.Revision
-			if read := cluster.mustRead(t, 10*time.Second); read.Revision != base || read.Routes[0].Timeout != requests[winner].next.Routes[0].Timeout {
+			if read := cluster.mustReadRouting(t, 10*time.Second); read.Revision != base || read.Routes[0].Timeout != requests[winner].next.Routes[0].Timeout {
 				t.Fatalf("round %d: read %+v; %+v was acknowledged", round, read, requests[winner].next)
 			}
 		}
--- a/proof/simulator/agent_test.go
+++ b/proof/simulator/agent_test.go
@@ -12,8 +12,8 @@
 	"yardrock.example/system/placement"
 )
 
-// prose returns pseudo-random text of the given length, determined by the seed.
-func prose(seed uint64, length int) string {
+// pseudoRandomText returns pseudo-random text of the given length, determined by the seed.
+func pseudoRandomText(seed uint64, length int) string {
 	random, text := rand.New(rand.NewPCG(seed, 1)), &strings.Builder{}
 	for text.Len() < length {
 		fmt.Fprintf(text, "word%d ", random.IntN(100000))
@@ -21,8 +21,8 @@
 	return text.String()[:length]
 }
 
-// programsOf returns names of programs whose sessions belong to the given group.
-func programsOf(group uint32, prefix string, count int) []string {
+// programsInGroup returns names of programs whose sessions belong to the given group.
+func programsInGroup(group uint32, prefix string, count int) []string {
 	names := []string{}
 	for number := 0; len(names) < count; number++ {
 		if name := fmt.Sprintf("%s-%d", prefix, number); placement.GroupOf("program/"+name, 8) == group {
--- a/proof/simulator/bounds_test.go
+++ b/proof/simulator/bounds_test.go
@@ -13,9 +13,9 @@
 	"yardrock.example/proof/standin"
 )
 
-// callers sends turns to the fronts in rotation, one per interval, until stopped. Each has its
+// startLoad sends turns to the fronts in rotation, one per interval, until stopped. Each has its
 // own timeout, so that a stuck front does not delay the load on the others.
-func (cluster *Cluster) callers(interval time.Duration) (stop func()) {
+func (cluster *Cluster) startLoad(interval time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -63,7 +63,7 @@
 
 func TestDrainingRunnerGetsNothingNewAfterThreeSeconds(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 3, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		stop := cluster.callers(40 * time.Millisecond)
+		stop := cluster.startLoad(40 * time.Millisecond)
 		defer stop()
 		<-time.After(2 * time.Second)
 		draining := cluster.Runners[1]
@@ -93,7 +93,7 @@
 
 func TestDrainedDomainGetsNothingAfterFiveSecondsAndIsRefilled(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 3, Applications: 3}, func(t *testing.T, cluster *Cluster) {
-		stop := cluster.callers(40 * time.Millisecond)
+		stop := cluster.startLoad(40 * time.Millisecond)
 		defer stop()
 		<-time.After(2 * time.Second)
 		answer, err := cluster.Administer(http.MethodPost, "/v1/domains/middle", map[string]any{"state": "emptied"})
--- a/proof/simulator/catchup_test.go
+++ b/proof/simulator/catchup_test.go
@@ -52,7 +52,7 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	t.Logf("%s: votes and has caught up after %s", name, time.Since(began))
-	if read := cluster.mustRead(t, ackTimeout); read.Revision != revision {
+	if read := cluster.mustReadRouting(t, ackTimeout); read.Revision != revision {
 		t.Fatalf("%s: read revision %d instead of %d", name, read.Revision, revision)
 	}
 }
@@ -72,7 +72,7 @@
 	revision := uint64(0)
 	return func(routes int) uint64 {
 		t.Helper()
-		if err := cluster.replace(int(revision), revision, manyRoutes(revision+1, routes), fmt.Sprint("order ", revision)); err != nil {
+		if err := cluster.replaceRouting(int(revision), revision, manyRoutes(revision+1, routes), fmt.Sprint("order ", revision)); err != nil {
 			t.Fatalf("change %d: %v", revision+1, err)
 		}
 		revision++
--- a/proof/simulator/changes_test.go
+++ b/proof/simulator/changes_test.go
@@ -217,7 +217,7 @@
 		if answer := decommission("store-unknown"); answer.Error.Kind != "not_found" {
 			t.Fatalf("an unknown store was decommissioned: %s", answer.Body)
 		}
-		stop := cluster.callers(100 * time.Millisecond)
+		stop := cluster.startLoad(100 * time.Millisecond)
 		defer stop()
 		cluster.enrolStoreTwice(t)
 		old := cluster.Stores[0]
@@ -255,7 +255,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("serving %s after the loss of the domain", time.Since(began))
-		stop := cluster.callers(40 * time.Millisecond)
+		stop := cluster.startLoad(40 * time.Millisecond)
 		cluster.followUp(t, conversations[:3])
 		if err := cluster.PutConfig(BasicConfig + "// without a domain\n"); err != nil {
 			t.Fatal(err)
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -261,7 +261,7 @@
 		chaos.startFront(machine)
 	}
 	<-time.After(recoverBound)
-	if read := cluster.mustRead(chaos.t, 6*time.Second); read.Revision < newest {
+	if read := cluster.mustReadRouting(chaos.t, 6*time.Second); read.Revision < newest {
 		chaos.t.Errorf("LOST: revision %d was acknowledged, but revision %d is read back", newest, read.Revision)
 	}
 	served, total := 0, 0
--- a/proof/simulator/controlcut_test.go
+++ b/proof/simulator/controlcut_test.go
@@ -381,7 +381,7 @@
 				t.Errorf("round %d: recovered only after %s", round, took)
 			}
 			readers.Wait()
-			cluster.mustRead(t, ackTimeout)
+			cluster.mustReadRouting(t, ackTimeout)
 		}
 	})
 }
--- a/proof/simulator/deadfront_test.go
+++ b/proof/simulator/deadfront_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// sent sends a request in the background; the channel receives nil if there is no answer.
-func (cluster *Cluster) sent(front *Machine, path string, body map[string]any) <-chan *Answer {
+// sendInBackground sends a request in the background; the channel receives nil if there is no answer.
+func (cluster *Cluster) sendInBackground(front *Machine, path string, body map[string]any) <-chan *Answer {
 	answers := make(chan *Answer, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
@@ -120,11 +120,11 @@
 
 func (cluster *Cluster) checkRequestsOfKilledFront(t *testing.T, killed, other *Machine) {
 	t.Helper()
-	cluster.sent(killed, "/v1/queries", receipt("dead-once", "pay !slow"))
-	cluster.sent(killed, "/v1/conversations", talk("dead-turn", "go on !endless"))
+	cluster.sendInBackground(killed, "/v1/queries", receipt("dead-once", "pay !slow"))
+	cluster.sendInBackground(killed, "/v1/conversations", talk("dead-turn", "go on !endless"))
 	<-time.After(200 * time.Millisecond)
 	killed.Kill()
-	once := answerWithin(t, "request of a killed front", 1500*time.Millisecond, cluster.sent(other, "/v1/queries", receipt("dead-once", "pay !slow")))
+	once := answerWithin(t, "request of a killed front", 1500*time.Millisecond, cluster.sendInBackground(other, "/v1/queries", receipt("dead-once", "pay !slow")))
 	if once.Error.Kind != "unknown" || once.Error.RetryAfter != 0 {
 		t.Fatalf("request of a killed front: %s", once)
 	}
@@ -133,19 +133,19 @@
 
 func (cluster *Cluster) checkRequestsOfFrozenFront(t *testing.T, frozen, other *Machine) {
 	t.Helper()
-	cluster.sent(frozen, "/v1/queries", receipt("frozen-once", "pay !slow"))
-	cluster.sent(frozen, "/v1/conversations", talk("frozen-turn", "go on !endless"))
+	cluster.sendInBackground(frozen, "/v1/queries", receipt("frozen-once", "pay !slow"))
+	cluster.sendInBackground(frozen, "/v1/conversations", talk("frozen-turn", "go on !endless"))
 	<-time.After(200 * time.Millisecond)
 	cluster.Network.Freeze(frozen.Host)
 	<-time.After(4 * time.Second) // its session has expired
-	once := answerWithin(t, "request of a frozen front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+	once := answerWithin(t, "request of a frozen front", 2*time.Second, cluster.sendInBackground(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
 	if once.Error.Kind != "unknown" || once.Error.RetryAfter == 0 {
 		t.Fatalf("request of a frozen front: %s", once)
 	}
 	checkCut(t, "turn of a frozen front", answerWithin(t, "turn of a frozen front", 2*time.Second, cluster.resumeInBackground(other, "frozen-turn")))
 	cluster.Network.Thaw(frozen.Host)
 	<-time.After(2 * time.Second)
-	once = answerWithin(t, "request of a resumed front", 2*time.Second, cluster.sent(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
+	once = answerWithin(t, "request of a resumed front", 2*time.Second, cluster.sendInBackground(other, "/v1/queries", receipt("frozen-once", "pay !slow")))
 	if once.Status != http.StatusOK {
 		t.Fatalf("request of a resumed front: %s", once)
 	}
@@ -172,7 +172,7 @@
 	for _, store := range cluster.Stores {
 		cluster.Network.CutOneWay(store.Host, front.Host)
 	}
-	answers := cluster.sent(front, "/v1/conversations", body)
+	answers := cluster.sendInBackground(front, "/v1/conversations", body)
 	<-time.After(500 * time.Millisecond)
 	front.Kill()
 	<-answers
@@ -212,11 +212,11 @@
 			case 3, 4:
 				cluster.killWithLostReservationAnswer(front, body)
 			default:
-				answers := cluster.sent(front, "/v1/conversations", body)
+				answers := cluster.sendInBackground(front, "/v1/conversations", body)
 				<-time.After(time.Duration(60+cluster.Random(uint64(round)).IntN(300)) * time.Millisecond)
 				front.Kill()
 				<-answers
-				<-cluster.sent(cluster.Fronts[2], "/v1/conversations", body)
+				<-cluster.sendInBackground(cluster.Fronts[2], "/v1/conversations", body)
 			}
 			if err := front.Start(); err != nil {
 				t.Fatal(err)
@@ -252,8 +252,8 @@
 			}
 			down := cluster.Stores[round]
 			down.Kill()
-			first := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
-			repeated := cluster.sent(cluster.Fronts[1], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
+			first := cluster.sendInBackground(cluster.Fronts[0], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
+			repeated := cluster.sendInBackground(cluster.Fronts[1], "/v1/queries", receipt(fmt.Sprintf("clock-%d", round), "pay !slow"))
 			for _, answers := range []<-chan *Answer{first, repeated} {
 				if answer := <-answers; answer == nil || answer.Status != http.StatusOK {
 					t.Fatalf("a running request was closed early: %s", answer)
--- a/proof/simulator/decommission_test.go
+++ b/proof/simulator/decommission_test.go
@@ -83,7 +83,7 @@
 	simulate(t, fourStoreShape, func(t *testing.T, cluster *Cluster) {
 		cluster.awaitStores(t, 4)
 		answers := cluster.startConversations(t, 6)
-		stop := cluster.callers(100 * time.Millisecond)
+		stop := cluster.startLoad(100 * time.Millisecond)
 		defer stop()
 		if err := cluster.beginDecommission(0, "storage unknown"); !apierror.Is(err, apierror.NotFound) {
 			t.Fatalf("decommission of an unknown machine: %v", err)
--- a/proof/simulator/history_test.go
+++ b/proof/simulator/history_test.go
@@ -67,7 +67,7 @@
 // checkSameConfig checks that every control node, store and front holds the same config.
 func (cluster *Cluster) checkSameConfig(t *testing.T, when string) {
 	t.Helper()
-	cluster.mustRead(t, historyTimeout)
+	cluster.mustReadRouting(t, historyTimeout)
 	newest := cluster.leader().Control.View()
 	digest := feed.ConfigDigest(newest.Source, newest.Compiled)
 	for _, machine := range cluster.Machines() {
@@ -99,7 +99,7 @@
 // wipes one: all nodes must hold the same config, and a start must read a bounded amount.
 func TestManyConfigChangesThenRestarts(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		if err := cluster.replace(0, 0, historyRouting(1), "first"); err != nil {
+		if err := cluster.replaceRouting(0, 0, historyRouting(1), "first"); err != nil {
 			t.Fatal(err)
 		}
 		isolated := []*Machine{cluster.Fronts[0], cluster.Stores[1], cluster.Controls[2]}
@@ -131,7 +131,7 @@
 			t.Fatal(err)
 		}
 		cluster.checkSameConfig(t, "after a wipe")
-		if read := cluster.mustRead(t, historyTimeout); read.Revision != historyChanges || len(read.Routes) != historyRoutes {
+		if read := cluster.mustReadRouting(t, historyTimeout); read.Revision != historyChanges || len(read.Routes) != historyRoutes {
 			t.Errorf("read revision %d with %d routes", read.Revision, len(read.Routes))
 		}
 	})
@@ -166,7 +166,7 @@
 				}
 				next.Routes[index].Original = fmt.Appendf(nil, `{"note":"%x"}`, note)
 			}
-			if err := cluster.replace(int(revision), revision, next, fmt.Sprint("order ", revision)); err != nil {
+			if err := cluster.replaceRouting(int(revision), revision, next, fmt.Sprint("order ", revision)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/proof/simulator/membership_test.go
+++ b/proof/simulator/membership_test.go
@@ -175,7 +175,7 @@
 	simulate(t, autoEnrolShape(3, 3), func(t *testing.T, cluster *Cluster) {
 		conversations := cluster.startConversations(t, 8)
 		<-time.After(6 * time.Second) // until they are archived
-		stop := cluster.callers(100 * time.Millisecond)
+		stop := cluster.startLoad(100 * time.Millisecond)
 		defer stop()
 		random := cluster.Random(31)
 		await := func(timeout time.Duration, what string, machines ...*Machine) {
@@ -352,7 +352,7 @@
 					if !turn(program, name, follows, history) {
 						continue
 					}
-					follows, history = name, history+complete(name)
+					follows, history = name, history+completeTurnText(name)
 					completed.Add(1)
 					if step%5 == 0 { // another program continues from it
 						turn(fmt.Sprintf("%s-%d", program, step), name+"-other", follows, history)
--- a/proof/simulator/routing_test.go
+++ b/proof/simulator/routing_test.go
@@ -51,14 +51,14 @@
 	}
 }
 
-func (cluster *Cluster) replace(from int, base uint64, next config.Routing, digest string) error {
+func (cluster *Cluster) replaceRouting(from int, base uint64, next config.Routing, digest string) error {
 	return cluster.requestChange(from, ackTimeout, func(ctx context.Context, node *controlplane.Node) error {
 		return node.ReplaceRouting(ctx, "root", base, next, digest)
 	})
 }
 
-// mustRead reads the routing at every running control node and checks that the revisions agree.
-func (cluster *Cluster) mustRead(t *testing.T, timeout time.Duration) *config.Routing {
+// mustReadRouting reads the routing at every running control node and checks that the revisions agree.
+func (cluster *Cluster) mustReadRouting(t *testing.T, timeout time.Duration) *config.Routing {
 	t.Helper()
 	var latest *config.Routing
 	for position, machine := range cluster.Controls {
@@ -96,10 +96,10 @@
 func TestOneOfTwoConcurrentRoutingChangesWins(t *testing.T) {
 	simulate(t, Shape{Controls: 5, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, func(t *testing.T, cluster *Cluster) {
 		race := &routingRace{t: t, cluster: cluster, random: cluster.Random(11)}
-		if read := cluster.mustRead(t, ackTimeout); read.Revision != 0 || len(read.Routes) != 0 {
+		if read := cluster.mustReadRouting(t, ackTimeout); read.Revision != 0 || len(read.Routes) != 0 {
 			t.Fatalf("before the first change: %+v", read)
 		}
-		if err := cluster.replace(0, 0, oneRoute(3, time.Second), "first"); err != nil {
+		if err := cluster.replaceRouting(0, 0, oneRoute(3, time.Second), "first"); err != nil {
 			t.Fatal(err)
 		}
 		race.base = 3
@@ -107,14 +107,14 @@
 			race.run(round)
 		}
 		race.patch()
-		if read := cluster.mustRead(t, ackTimeout); read.Revision != race.base+4 || len(read.Routes) != 2 {
+		if read := cluster.mustReadRouting(t, ackTimeout); read.Revision != race.base+4 || len(read.Routes) != 2 {
 			t.Fatalf("%+v is in force", read)
 		}
 		// A config without routing leaves the routing unchanged.
 		if err := cluster.PutConfig(BasicConfig + "// again\n"); err != nil {
 			t.Fatal(err)
 		}
-		if read := cluster.mustRead(t, ackTimeout); read.Revision != race.base+4 || len(read.Routes) != 2 {
+		if read := cluster.mustReadRouting(t, ackTimeout); read.Revision != race.base+4 || len(read.Routes) != 2 {
 			t.Fatalf("%+v is in force after a config was put", read)
 		}
 	})
@@ -145,11 +145,11 @@
 	}
 	race.base = routings[winner].Revision
 	for from := range cluster.Controls {
-		if err := cluster.replace(from, before, routings[winner], digest(winner)); err != nil {
+		if err := cluster.replaceRouting(from, before, routings[winner], digest(winner)); err != nil {
 			t.Fatalf("round %d: the accepted change, repeated at node %d: %v", round, from, err)
 		}
 	}
-	if err := cluster.replace(random.IntN(5), before, routings[1-winner], digest(1-winner)); !apierror.Is(err, apierror.Conflict) {
+	if err := cluster.replaceRouting(random.IntN(5), before, routings[1-winner], digest(1-winner)); !apierror.Is(err, apierror.Conflict) {
 		t.Fatalf("round %d: the rejected change, repeated: %v", round, err)
 	}
 	race.sendInvalid(round)
@@ -158,7 +158,7 @@
 			t.Fatal(err)
 		}
 	}
-	read := cluster.mustRead(t, 10*time.Second)
+	read := cluster.mustReadRouting(t, 10*time.Second)
 	if read.Revision != race.base || read.Routes[0].Timeout != routings[winner].Routes[0].Timeout || string(read.Routes[0].Original) != string(routings[winner].Routes[0].Original) {
 		t.Fatalf("round %d: %+v is in force instead of %+v", round, read, routings[winner])
 	}
@@ -172,7 +172,7 @@
 	for operator, next := range routings {
 		outcomes[operator] = make(chan error, 1)
 		from := race.random.IntN(5)
-		go func() { outcomes[operator] <- race.cluster.replace(from, base, next, digest(operator)) }()
+		go func() { outcomes[operator] <- race.cluster.replaceRouting(from, base, next, digest(operator)) }()
 	}
 	if round%2 == 1 {
 		<-time.After(time.Duration(race.random.IntN(60)) * time.Millisecond)
@@ -189,7 +189,7 @@
 	unknown := oneRoute(base+1, time.Second)
 	unknown.Services = nil
 	for name, invalid := range map[string]config.Routing{"revision": oneRoute(base, 3*time.Second), "older": oneRoute(base-1, 3*time.Second), "patience": oneRoute(base+1, 0), "service": unknown} {
-		if err := race.cluster.replace(race.random.IntN(5), base, invalid, name); !apierror.Is(err, apierror.Invalid) {
+		if err := race.cluster.replaceRouting(race.random.IntN(5), base, invalid, name); !apierror.Is(err, apierror.Invalid) {
 			race.t.Fatalf("round %d: routing with an invalid %s: %v", round, name, err)
 		}
 	}
@@ -226,7 +226,7 @@
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		base := uint64(0)
 		for _, revision := range []uint64{2, 7, 9} {
-			if err := cluster.replace(int(revision), base, oneRoute(revision, time.Second), fmt.Sprint(revision)); err != nil {
+			if err := cluster.replaceRouting(int(revision), base, oneRoute(revision, time.Second), fmt.Sprint(revision)); err != nil {
 				t.Fatal(err)
 			}
 			base = revision
@@ -241,13 +241,13 @@
 				t.Fatal(err)
 			}
 		}
-		if read := cluster.mustRead(t, 30*time.Second); read.Revision != 9 {
+		if read := cluster.mustReadRouting(t, 30*time.Second); read.Revision != 9 {
 			t.Fatalf("revision %d was read after the disks were lost", read.Revision)
 		}
-		if err := cluster.replace(0, 7, oneRoute(9, time.Second), "9"); err != nil {
+		if err := cluster.replaceRouting(0, 7, oneRoute(9, time.Second), "9"); err != nil {
 			t.Fatalf("the last change, repeated: %v", err)
 		}
-		if err := cluster.replace(1, 9, oneRoute(10, time.Second), "10"); err != nil {
+		if err := cluster.replaceRouting(1, 9, oneRoute(10, time.Second), "10"); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -291,7 +291,7 @@
 // accepts, and against errors that arrive after the operator's timeout.
 func TestRequestsAreNotAcceptedWithoutAQuorum(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
-		if err := cluster.replace(0, 0, oneRoute(1, time.Second), "1"); err != nil {
+		if err := cluster.replaceRouting(0, 0, oneRoute(1, time.Second), "1"); err != nil {
 			t.Fatal(err)
 		}
 		for _, machine := range cluster.Controls[1:] {
--- a/proof/simulator/seconddiskloss_test.go
+++ b/proof/simulator/seconddiskloss_test.go
@@ -116,7 +116,7 @@
 				run := &lossRun{t: t, cluster: cluster}
 				run.writeData()
 				<-time.After(6 * time.Second) // archived
-				stop := cluster.callers(200 * time.Millisecond)
+				stop := cluster.startLoad(200 * time.Millisecond)
 				defer stop()
 				for round := range 6 {
 					controls := cluster.controlLeaderFirst(cluster.Controls)
@@ -170,7 +170,7 @@
 		run := &lossRun{t: t, cluster: cluster}
 		run.writeData()
 		<-time.After(6 * time.Second) // archived
-		stop := cluster.callers(200 * time.Millisecond)
+		stop := cluster.startLoad(200 * time.Millisecond)
 		defer stop()
 		for round := range 5 {
 			lost := []*Machine{}
--- a/proof/simulator/sharedprefix_test.go
+++ b/proof/simulator/sharedprefix_test.go
@@ -82,7 +82,7 @@
 // only when conversations begin.
 func (cluster *Cluster) awaitMergedPrefix(t *testing.T, group uint32, minimum uint64, prefix string) []*agent {
 	t.Helper()
-	names, agents := programsOf(group, "late", 60), []*agent{}
+	names, agents := programsInGroup(group, "late", 60), []*agent{}
 	if err := cluster.Await(45*time.Second, "merged shared prefix", func() error {
 		if sessions, _, _ := cluster.sharedPrefixUsage(t, group); sessions >= minimum {
 			return nil
@@ -116,9 +116,9 @@
 					t.Fatal(err)
 				}
 				const group = 3
-				prefix, agents := prose(7, 2560), []*agent{}
+				prefix, agents := pseudoRandomText(7, 2560), []*agent{}
 				addAgents := func(prefix string, count int) {
-					for _, program := range programsOf(group, prefix, count) {
+					for _, program := range programsInGroup(group, prefix, count) {
 						agents = append(agents, &agent{cluster: cluster, program: program, prefix: prefix})
 					}
 				}
@@ -170,14 +170,14 @@
 		const group = 3
 		random, agents := cluster.Random(11), []*agent{}
 		addAgents := func(prefix string, count int) {
-			for _, program := range programsOf(group, prefix, count) {
-				one := &agent{cluster: cluster, program: program, prefix: prose(7, 2560)}
+			for _, program := range programsInGroup(group, prefix, count) {
+				one := &agent{cluster: cluster, program: program, prefix: pseudoRandomText(7, 2560)}
 				one.turn(t, random.IntN(2))
 				agents = append(agents, one)
 			}
 		}
 		addAgents("first", 5)
-		agents = append(agents, cluster.awaitMergedPrefix(t, group, 3, prose(7, 2560))...)
+		agents = append(agents, cluster.awaitMergedPrefix(t, group, 3, pseudoRandomText(7, 2560))...)
 		cluster.Sleep(2 * time.Minute) // longer than a shared prefix without sessions is retained
 		for _, one := range agents {
 			one.turn(t, random.IntN(2))
@@ -209,8 +209,8 @@
 		const group = 5
 		agents := []*agent{}
 		addAgents := func(prefix string) {
-			for _, program := range programsOf(group, prefix, 4) {
-				agents = append(agents, &agent{cluster: cluster, program: program, prefix: prose(8, 2560)})
+			for _, program := range programsInGroup(group, prefix, 4) {
+				agents = append(agents, &agent{cluster: cluster, program: program, prefix: pseudoRandomText(8, 2560)})
 			}
 		}
 		for position, step := range []struct {
@@ -250,8 +250,8 @@
 		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		const group = 2
-		prefix := prose(9, 2560)
-		for position, name := range programsOf(group, "p", 8) {
+		prefix := pseudoRandomText(9, 2560)
+		for position, name := range programsInGroup(group, "p", 8) {
 			scope := []string{"identity", "permits", "identity", "permits", "identity", "identity", "", "alone"}[position]
 			turn := programTurn(name, name, "")
 			turn.PrefixScope, turn.Input = scope, []byte(prefix+name)
@@ -303,7 +303,7 @@
 		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
 		const group = 2
-		prefix, names := prose(9, 2560), programsOf(group, "p", 5)
+		prefix, names := pseudoRandomText(9, 2560), programsInGroup(group, "p", 5)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		for _, name := range names {
@@ -346,7 +346,7 @@
 			t.Fatalf("%v", err)
 		}
 		// Another turn with the same prefix repairs it.
-		for _, name := range programsOf(group, "q", 3) {
+		for _, name := range programsInGroup(group, "q", 3) {
 			beginPrefixed(ctx, t, client, name, prefix)
 			cluster.Sleep(5 * time.Second)
 		}
@@ -363,7 +363,7 @@
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		client, end := cluster.storeClient("10.8.0.1")
 		defer end()
-		prefix, latencies := prose(9, 2560), map[string][]time.Duration{}
+		prefix, latencies := pseudoRandomText(9, 2560), map[string][]time.Duration{}
 		runTurn := func(turn storeclient.Turn, mode, want string) {
 			began := time.Now()
 			begun, err := client.BeginTurn(context.Background(), turn)
--- a/proof/simulator/showtables_test.go
+++ b/proof/simulator/showtables_test.go
@@ -31,10 +31,10 @@
 func TestEveryTableShowsCurrentState(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
 		cluster.startConversations(t, 3)
-		if err := cluster.replace(0, 0, oneRoute(4, time.Second), "shown"); err != nil {
+		if err := cluster.replaceRouting(0, 0, oneRoute(4, time.Second), "shown"); err != nil {
 			t.Fatal(err)
 		}
-		slowResponse := cluster.sent(cluster.Fronts[0], "/v1/queries", receipt("shown", "pay !slow"))
+		slowResponse := cluster.sendInBackground(cluster.Fronts[0], "/v1/queries", receipt("shown", "pay !slow"))
 		cluster.checkTablesHaveRows(t)
 		cluster.checkRoutingTables(t)
 		cluster.checkUsageTables(t)
--- a/proof/simulator/storeddata_read_test.go
+++ b/proof/simulator/storeddata_read_test.go
@@ -126,7 +126,7 @@
 	}
 	cluster.checkSameConfig(t, "started from stored data")
 	cluster.repeatPatches(t)
-	if cluster.mustRead(t, historyTimeout).Revision != want.Revision {
+	if cluster.mustReadRouting(t, historyTimeout).Revision != want.Revision {
 		t.Error("a repeated patch changed the routing")
 	}
 }
@@ -187,7 +187,7 @@
 	if err := client.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeComplete, want.OpenSeq, 10)); err != nil {
 		t.Errorf("end of the open turn: %v", err)
 	}
-	if begun, err := client.BeginTurn(ctx, storedTurn("c", "open")); err != nil || string(begun.History) != complete("a")+complete("b")+complete("open") {
+	if begun, err := client.BeginTurn(ctx, storedTurn("c", "open")); err != nil || string(begun.History) != completeTurnText("a")+completeTurnText("b")+completeTurnText("open") {
 		t.Errorf("%+v, %v", begun, err)
 	}
 }
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -200,7 +200,7 @@
 // readStoredFleet reads the state of the fleet that is compared with the stored expectation.
 func (cluster *Cluster) readStoredFleet(t *testing.T, fleet *storedFleet) {
 	t.Helper()
-	fleet.Revision = cluster.mustRead(t, historyTimeout).Revision
+	fleet.Revision = cluster.mustReadRouting(t, historyTimeout).Revision
 	view := cluster.leader().Control.View()
 	fleet.Fleet, fleet.Number, fleet.Config, fleet.Digest = view.Fleet, view.Number, view.ConfigNumber, fmt.Sprintf("%x", feed.ConfigDigest(view.Source, view.Compiled))
 	fleet.Stores, fleet.Domains = nil, nil
--- a/proof/simulator/storeddata_write_test.go
+++ b/proof/simulator/storeddata_write_test.go
@@ -143,8 +143,8 @@
 	}
 	cluster.repeatPatches(t)
 
-	prefix, agents := prose(7, 2560), []*agent{}
-	for _, program := range programsOf(storedGroup, "first", 4) {
+	prefix, agents := pseudoRandomText(7, 2560), []*agent{}
+	for _, program := range programsInGroup(storedGroup, "first", 4) {
 		agents = append(agents, &agent{cluster: cluster, program: program, prefix: prefix})
 	}
 	for round := range 2 {
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -43,8 +43,8 @@
 	return storeclient.TurnEnd{SessionName: "program/" + program, Name: name, Seq: seq, Output: []byte("out " + name + "\n"), Tokens: tokens, Outcome: outcome, KeepHistory: true}
 }
 
-// complete returns what a complete turn adds to a history.
-func complete(name string) string { return "in " + name + "\nout " + name + "\n" }
+// completeTurnText returns what a complete turn adds to a history.
+func completeTurnText(name string) string { return "in " + name + "\nout " + name + "\n" }
 
 func TestTurnsReceiveTheHistoryThatTheyFollow(t *testing.T) {
 	simulate(t, Small, func(t *testing.T, cluster *Cluster) {
@@ -54,9 +54,9 @@
 		defer cancel()
 		trial := &turnTrial{t: t, cluster: cluster, client: client, ctx: ctx}
 		trial.runTurn("p", "a", "", "")
-		trial.runTurn("p", "b", "a", complete("a"))
-		trial.runTurn("p", "c", "a", complete("a"))
-		trial.runTurn("p", "d", "b", complete("a")+complete("b"))
+		trial.runTurn("p", "b", "a", completeTurnText("a"))
+		trial.runTurn("p", "c", "a", completeTurnText("a"))
+		trial.runTurn("p", "d", "b", completeTurnText("a")+completeTurnText("b"))
 		// The history is also read after it was archived, and in sessions of other groups.
 		for round := range 2 {
 			trial.followInOtherSessions(round)
@@ -128,12 +128,12 @@
 
 func (trial *turnTrial) followInOtherSessions(round int) {
 	trial.t.Helper()
-	trial.runTurn("p", fmt.Sprint("e", round), "d", complete("a")+complete("b")+complete("d"))
+	trial.runTurn("p", fmt.Sprint("e", round), "d", completeTurnText("a")+completeTurnText("b")+completeTurnText("d"))
 	for number := range 4 {
 		program, name := fmt.Sprintf("q%d-%d", round, number), fmt.Sprintf("f%d-%d", round, number)
-		trial.runTurn(program, name, "c", complete("a")+complete("c"))
-		trial.runTurn(program, name+"-on", name, complete("a")+complete("c")+complete(name))
-		trial.runTurn(program, name+"-beside", "a", complete("a"))
+		trial.runTurn(program, name, "c", completeTurnText("a")+completeTurnText("c"))
+		trial.runTurn(program, name+"-on", name, completeTurnText("a")+completeTurnText("c")+completeTurnText(name))
+		trial.runTurn(program, name+"-beside", "a", completeTurnText("a"))
 	}
 }
 
@@ -166,7 +166,7 @@
 	defer cancel()
 	began := time.Now()
 	program, name := fmt.Sprintf("less%d", number), fmt.Sprintf("less%d", number)
-	if begun, err := client.BeginTurn(ctx, programTurn(program, name, "d")); err != nil || string(begun.History) != complete("a")+complete("b")+complete("d") {
+	if begun, err := client.BeginTurn(ctx, programTurn(program, name, "d")); err != nil || string(begun.History) != completeTurnText("a")+completeTurnText("b")+completeTurnText("d") {
 		t.Fatalf("with a store down: %+v, %v", begun, err)
 	}
 	if _, err := client.BeginTurn(ctx, programTurn(program, name+"-not", "none")); !apierror.Is(err, apierror.NotFound) {
@@ -247,7 +247,7 @@
 	err := client.EndTurn(ctx, programTurnEnd(program, name, outcome, begun.Seq, tokens))
 	if err == nil && outcome == sessionlog.OutcomeComplete {
 		load.mutex.Lock()
-		load.complete = append(load.complete, completedTurn{name: name, program: program, history: followed.history + complete(name)})
+		load.complete = append(load.complete, completedTurn{name: name, program: program, history: followed.history + completeTurnText(name)})
 		load.mutex.Unlock()
 	}
 	if err != nil && !apierror.Is(err, apierror.OutcomeUnknown) && !apierror.Is(err, apierror.NoQuorum) {
@@ -401,7 +401,7 @@
 			}
 		}
 		corrupt(cluster.Stores[:2])
-		if begun, err = begin("p", "b", "a"); err != nil || string(begun.History) != complete("a") {
+		if begun, err = begin("p", "b", "a"); err != nil || string(begun.History) != completeTurnText("a") {
 			t.Fatalf("with one good copy: %+v, %v", begun, err)
 		}
 		corrupt(cluster.Stores[2:])
--- a/proof/simulator/warmup_test.go
+++ b/proof/simulator/warmup_test.go
@@ -10,7 +10,7 @@
 
 func TestWarmingUpRunnerIsNotFlooded(t *testing.T) {
 	simulate(t, Shape{Controls: 3, Stores: 3, Fronts: 3, Models: 2, Applications: 1}, func(t *testing.T, cluster *Cluster) {
-		stop := cluster.callers(12 * time.Millisecond)
+		stop := cluster.startLoad(12 * time.Millisecond)
 		defer stop()
 		<-time.After(2 * time.Second)
 		cold := cluster.Runners[0]
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		<-time.After(6 * time.Second)
-		stop := cluster.callers(15 * time.Millisecond)
+		stop := cluster.startLoad(15 * time.Millisecond)
 		defer stop()
 		<-time.After(3 * time.Second)
 		runner, random := cluster.Runners[0], cluster.Random(17)
