--- a/system/api/design/design.go
+++ b/system/api/design/design.go
@@ -1,31 +1,37 @@
-// Package design is the goa design of yardrock's outside interfaces.
+// Package design is the goa design of yardrock's HTTP APIs. The packages under api/gen and the
+// OpenAPI files are generated from it, in the folder of the system module, with:
+//
+//	go tool goa gen yardrock.example/system/api/design -o api
 package design
 
 import . "goa.design/goa/v3/dsl"
 
 var _ = API("yardrock", func() {
 	Title("yardrock")
-	Description("A serving tier for agent programs. Every failure body has kind, message and remedy.")
+	Description("A serving tier for agent programs. Every error body has kind, message and remedy.")
 	Version("1")
 })
 
-// tokenOnly is what every authenticated method takes.
-func tokenOnly() {
+// authorizationAttribute declares the attribute that every authenticated method has.
+func authorizationAttribute() {
 	Attribute("authorization", String, "Bearer token of a team or an operator")
 }
 
-func bearer() { Header("authorization:Authorization") }
+// authorizationHeader maps that attribute to the Authorization header.
+func authorizationHeader() { Header("authorization:Authorization") }
 
-var newWords = Type("NewWords", func() {
-	Attribute("kind", String, "Kind of work, as the config names it", func() { MaxLength(63) })
-	Attribute("words", String, "The new words only")
-	Attribute("query_key", String, "Names this query, so that it may be sent again", func() { MaxLength(128) })
+// workRequest has the attributes that all requests for work have in common.
+var workRequest = Type("NewWords", func() {
+	Attribute("kind", String, "Kind of work, as named in the config", func() { MaxLength(63) })
+	Attribute("words", String, "The new input only, without that of earlier turns")
+	Attribute("query_key", String, "Idempotency key; identifies the request when it is sent again", func() { MaxLength(128) })
 	Required("kind", "words")
 })
 
+// record is one event of a conversation. Optional attributes that are zero are omitted.
 var record = Type("Record", func() {
 	Attribute("seq", UInt64)
-	Attribute("at", String, "When the leader committed it, RFC 3339")
+	Attribute("at", String, "Time of the event by the clock of its store group, in RFC 3339 format")
 	Attribute("kind", String)
 	Attribute("turn", UInt64)
 	Attribute("follows", UInt64)
@@ -35,96 +41,96 @@
 	Required("seq", "at", "kind")
 })
 
-var history = Type("Transcript", func() {
+var transcript = Type("Transcript", func() {
 	Attribute("conversation", String)
 	Attribute("program", String)
-	Attribute("head", UInt64, "Seq of the last event")
+	Attribute("head", UInt64, "Seq of the last event of the conversation, which may be on a later page")
 	Attribute("events", ArrayOf(record))
 	Required("conversation", "program", "head", "events")
 })
 
 var outcome = Type("Outcome", func() {
-	Attribute("outcome", String, "complete, not_run or unknown")
-	Attribute("line", String, "Where the outcome is recorded")
-	Attribute("answer", Any, "What the runner answered")
-	Attribute("repeated", Boolean, "The outcome was recorded before")
+	Attribute("outcome", String, "Outcome of the work: complete, not_run or unknown")
+	Attribute("line", String, "Conversation that records the outcome; omitted if it is not recorded")
+	Attribute("answer", Any, "JSON answer of the runner")
+	Attribute("repeated", Boolean, "Whether another request with the same query_key started the work")
 	Required("outcome")
 })
 
 var _ = Service("work", func() {
-	Description("What callers use.")
+	Description("Work API for clients of agent programs.")
 
 	Method("start", func() {
-		Description("Starts a conversation; the answer streams as one JSON object a line.")
+		Description("Starts a conversation and streams the answer as newline-delimited JSON.")
 		Payload(func() {
-			tokenOnly()
-			Extend(newWords)
+			authorizationAttribute()
+			Extend(workRequest)
 			Attribute("program", String, func() { MaxLength(63) })
 			Required("program")
 		})
 		HTTP(func() {
 			POST("/v1/conversations")
-			bearer()
+			authorizationHeader()
 			SkipResponseBodyEncodeDecode()
 			Response(StatusOK, func() { ContentType("application/x-ndjson") })
 		})
 	})
 
 	Method("turn", func() {
-		Description("Follows a turn of a conversation with new words.")
+		Description("Starts a turn that follows a complete turn of a conversation and streams the answer as newline-delimited JSON.")
 		Payload(func() {
-			tokenOnly()
-			Extend(newWords)
+			authorizationAttribute()
+			Extend(workRequest)
 			Attribute("conversation", String)
-			Attribute("follows", UInt64, "The turn that this one follows")
+			Attribute("follows", UInt64, "Seq of the turn that this one follows")
 			Required("conversation", "follows")
 		})
 		HTTP(func() {
 			POST("/v1/conversations/{conversation}/turns")
-			bearer()
+			authorizationHeader()
 			SkipResponseBodyEncodeDecode()
 			Response(StatusOK, func() { ContentType("application/x-ndjson") })
 		})
 	})
 
 	Method("tool", func() {
-		Description("Calls a tool between turns; call and result become events of the line.")
+		Description("Calls a tool between turns and records the call and its result as events of the conversation.")
 		Payload(func() {
-			tokenOnly()
-			Extend(newWords)
+			authorizationAttribute()
+			Extend(workRequest)
 			Attribute("conversation", String)
-			Attribute("follows", UInt64, "The turn that asked for the tool")
+			Attribute("follows", UInt64, "Seq of the turn that requested the tool call")
 			Required("conversation", "follows", "query_key")
 		})
 		Result(outcome)
 		HTTP(func() {
 			POST("/v1/conversations/{conversation}/tools")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("helper", func() {
-		Description("Starts a helper conversation that its parent's line names.")
+		Description("Starts a helper conversation, records its name in the parent conversation, and streams the answer as newline-delimited JSON.")
 		Payload(func() {
-			tokenOnly()
-			Extend(newWords)
+			authorizationAttribute()
+			Extend(workRequest)
 			Attribute("conversation", String)
-			Attribute("follows", UInt64, "The turn that starts the helper")
+			Attribute("follows", UInt64, "Seq of the turn of the parent conversation that starts the helper")
 			Attribute("program", String, func() { MaxLength(63) })
 			Required("conversation", "follows", "program", "query_key")
 		})
 		HTTP(func() {
 			POST("/v1/conversations/{conversation}/helpers")
-			bearer()
+			authorizationHeader()
 			SkipResponseBodyEncodeDecode()
 			Response(StatusOK, func() { ContentType("application/x-ndjson") })
 		})
 	})
 
 	Method("history", func() {
-		Description("Reads the committed events of a conversation, without gaps.")
+		Description("Returns a page of the committed events of a conversation, in order and without gaps.")
 		Payload(func() {
-			tokenOnly()
+			authorizationAttribute()
 			Attribute("conversation", String)
 			Attribute("after", UInt64, func() { Default(0) })
 			Attribute("limit", UInt64, func() {
@@ -134,54 +140,54 @@
 			})
 			Required("conversation")
 		})
-		Result(history)
+		Result(transcript)
 		HTTP(func() {
 			GET("/v1/conversations/{conversation}")
 			Param("after")
 			Param("limit")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("tail", func() {
-		Description("Streams events after a cursor as they are committed.")
+		Description("Streams the events after a cursor as newline-delimited JSON as they are committed.")
 		Payload(func() {
-			tokenOnly()
+			authorizationAttribute()
 			Attribute("conversation", String)
 			Attribute("cursor", UInt64, func() { Default(0) })
-			Attribute("turn", UInt64, "Stop once this turn has ended")
+			Attribute("turn", UInt64, "Seq of a turn; only its events are streamed, and the stream stops once it has ended")
 			Required("conversation")
 		})
 		HTTP(func() {
 			GET("/v1/conversations/{conversation}/tail")
 			Param("cursor")
 			Param("turn")
-			bearer()
+			authorizationHeader()
 			SkipResponseBodyEncodeDecode()
 			Response(StatusOK, func() { ContentType("application/x-ndjson") })
 		})
 	})
 
 	Method("lookup", func() {
-		Description("Asks an application runner something that may be asked again.")
+		Description("Runs repeatable work on an application runner and returns the answer; nothing is recorded.")
 		Payload(func() {
-			tokenOnly()
-			Extend(newWords)
+			authorizationAttribute()
+			Extend(workRequest)
 			Attribute("program", String, func() { MaxLength(63) })
 			Required("program")
 		})
 		Result(outcome)
 		HTTP(func() {
 			POST("/v1/lookups")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("once", func() {
-		Description("Runs work that may not be repeated: a booking, an invoice, a one-off notice.")
+		Description("Runs work at most once on an application runner and records its outcome. Examples are a booking, an invoice and a one-off notice.")
 		Payload(func() {
-			tokenOnly()
-			Extend(newWords)
+			authorizationAttribute()
+			Extend(workRequest)
 			Attribute("program", String, func() { MaxLength(63) })
 			Required("program", "query_key")
 		})
@@ -189,14 +195,14 @@
 		HTTP(func() {
 			POST("/v1/queries")
 			POST("/v1/notices")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("tally", func() {
-		Description("Tells what a program has spent.")
+		Description("Returns the quota of a program and how much of it is spent and reserved, in words.")
 		Payload(func() {
-			tokenOnly()
+			authorizationAttribute()
 			Attribute("program", String)
 			Required("program")
 		})
@@ -209,54 +215,54 @@
 		})
 		HTTP(func() {
 			GET("/v1/tallies/{program}")
-			bearer()
+			authorizationHeader()
 		})
 	})
 })
 
-var changed = Type("Changed", func() {
-	Attribute("number", UInt64, "The number that the change got")
-	Attribute("acknowledged", Boolean, "A control majority and a store majority have synced it")
+var changeResult = Type("Changed", func() {
+	Attribute("number", UInt64, "Number of the committed change")
+	Attribute("acknowledged", Boolean, "Whether a majority of the control nodes and a majority of the stores have synced the change")
 	Required("number", "acknowledged")
 })
 
 var _ = Service("administration", func() {
-	Description("What operators use.")
+	Description("Admin API for operators.")
 
 	Method("put_config", func() {
-		Description("Puts a whole config.")
+		Description("Replaces the config.")
 		Payload(func() {
-			tokenOnly()
-			Attribute("source", String, "The config in CUE")
-			Attribute("expected", UInt64, "Number of the config that this one replaces")
+			authorizationAttribute()
+			Attribute("source", String, "Complete config in CUE")
+			Attribute("expected", UInt64, "Number of the config to replace, which must be the current one")
 			Required("source", "expected")
 		})
-		Result(changed)
+		Result(changeResult)
 		HTTP(func() {
 			PUT("/v1/config")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("set", func() {
 		Description("Changes one value of the config.")
 		Payload(func() {
-			tokenOnly()
-			Attribute("path", String, "Such as tables.chat.large")
+			authorizationAttribute()
+			Attribute("path", String, "Dotted path of the value, such as tables.chat.large")
 			Attribute("value", Any)
-			Attribute("expected", UInt64, "Number of the config that was read; left out, the newest is changed")
+			Attribute("expected", UInt64, "Number of the config to change, which must be the current one; if omitted, the current config is changed")
 			Required("path", "value")
 		})
-		Result(changed)
+		Result(changeResult)
 		HTTP(func() {
 			PATCH("/v1/config")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("read_config", func() {
-		Description("Reads the newest config back, confirmed by a quorum.")
-		Payload(func() { tokenOnly() })
+		Description("Returns the current config, confirmed by a quorum.")
+		Payload(func() { authorizationAttribute() })
 		Result(func() {
 			Attribute("number", UInt64)
 			Attribute("source", String)
@@ -264,88 +270,88 @@
 		})
 		HTTP(func() {
 			GET("/v1/config")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("set_domain", func() {
-		Description("Empties or refills a domain.")
+		Description("Drains or refills a domain.")
 		Payload(func() {
-			tokenOnly()
+			authorizationAttribute()
 			Attribute("name", String)
 			Attribute("state", String, func() { Enum("serving", "emptied") })
-			Attribute("force", Boolean, "Empty even the last serving domain", func() { Default(false) })
+			Attribute("force", Boolean, "Drain even the last serving domain", func() { Default(false) })
 			Required("name", "state")
 		})
-		Result(changed)
+		Result(changeResult)
 		HTTP(func() {
 			POST("/v1/domains/{name}")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("enrol_store", func() {
-		Description("Puts a live store that has a session into the store list.")
+		Description("Adds a live store to the store list.")
 		Payload(func() {
-			tokenOnly()
-			Attribute("name", String, "Identity of the store's disk")
+			authorizationAttribute()
+			Attribute("name", String, "Name of the store, which is the identity of its disk")
 			Required("name")
 		})
-		Result(changed)
+		Result(changeResult)
 		HTTP(func() {
 			PUT("/v1/stores/{name}")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("retire_store", func() {
-		Description("Empties a store; answers once its machine may be switched off.")
+		Description("Decommissions a store and returns once its machine may be switched off.")
 		Payload(func() {
-			tokenOnly()
-			Attribute("name", String, "Identity of the store's disk")
+			authorizationAttribute()
+			Attribute("name", String, "Name of the store, which is the identity of its disk")
 			Required("name")
 		})
-		Result(changed)
+		Result(changeResult)
 		HTTP(func() {
 			DELETE("/v1/stores/{name}")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("query", func() {
-		Description("Runs one line of the query language: a query, or a command that changes something.")
+		Description("Runs one statement of the query language: a query, or a command that changes something.")
 		Payload(func() {
-			tokenOnly()
-			Attribute("text", String, "Such as: show runners where state = cold")
+			authorizationAttribute()
+			Attribute("text", String, "Statement, such as: show runners where state = cold")
 			Required("text")
 		})
 		Result(func() {
 			Attribute("columns", ArrayOf(String))
 			Attribute("rows", ArrayOf(ArrayOf(String)))
-			Attribute("number", UInt64, "The number that a command produced")
+			Attribute("number", UInt64, "Number of the change that a command committed")
 			Attribute("acknowledged", Boolean)
-			Attribute("would", String, "What a dry run would change")
+			Attribute("would", String, "Description of what a dry run would change")
 			Required("columns", "rows")
 		})
 		HTTP(func() {
 			POST("/v1/query")
-			bearer()
+			authorizationHeader()
 		})
 	})
 
 	Method("fleet", func() {
-		Description("Tells who is there and what is in force.")
-		Payload(func() { tokenOnly() })
+		Description("Returns the live members of the fleet and the main parts of the current view.")
+		Payload(func() { authorizationAttribute() })
 		Result(Any)
 		HTTP(func() {
 			GET("/v1/fleet")
-			bearer()
+			authorizationHeader()
 		})
 	})
 })
 
 var _ = Service("health", func() {
-	Description("What the platform asks each process.")
+	Description("Liveness and readiness probes of each process.")
 	Method("alive", func() {
 		Result(String)
 		HTTP(func() { GET("/healthz") })
--- a/system/api/gen/administration/service.go
+++ b/system/api/gen/administration/service.go
@@ -11,24 +11,24 @@
 	"context"
 )
 
-// What operators use.
+// Admin API for operators.
 type Service interface {
-	// Puts a whole config.
+	// Replaces the config.
 	PutConfig(context.Context, *PutConfigPayload) (res *Changed, err error)
 	// Changes one value of the config.
 	Set(context.Context, *SetPayload) (res *Changed, err error)
-	// Reads the newest config back, confirmed by a quorum.
+	// Returns the current config, confirmed by a quorum.
 	ReadConfig(context.Context, *ReadConfigPayload) (res *ReadConfigResult, err error)
-	// Empties or refills a domain.
+	// Drains or refills a domain.
 	SetDomain(context.Context, *SetDomainPayload) (res *Changed, err error)
-	// Puts a live store that has a session into the store list.
+	// Adds a live store to the store list.
 	EnrolStore(context.Context, *EnrolStorePayload) (res *Changed, err error)
-	// Empties a store; answers once its machine may be switched off.
+	// Decommissions a store and returns once its machine may be switched off.
 	RetireStore(context.Context, *RetireStorePayload) (res *Changed, err error)
-	// Runs one line of the query language: a query, or a command that changes
+	// Runs one statement of the query language: a query, or a command that changes
 	// something.
 	Query(context.Context, *QueryPayload) (res *QueryResult, err error)
-	// Tells who is there and what is in force.
+	// Returns the live members of the fleet and the main parts of the current view.
 	Fleet(context.Context, *FleetPayload) (res any, err error)
 }
 
@@ -50,9 +50,10 @@
 
 // Changed is the result type of the administration service put_config method.
 type Changed struct {
-	// The number that the change got
+	// Number of the committed change
 	Number uint64
-	// A control majority and a store majority have synced it
+	// Whether a majority of the control nodes and a majority of the stores have
+	// synced the change
 	Acknowledged bool
 }
 
@@ -61,7 +62,7 @@
 type EnrolStorePayload struct {
 	// Bearer token of a team or an operator
 	Authorization *string
-	// Identity of the store's disk
+	// Name of the store, which is the identity of its disk
 	Name string
 }
 
@@ -76,9 +77,9 @@
 type PutConfigPayload struct {
 	// Bearer token of a team or an operator
 	Authorization *string
-	// The config in CUE
+	// Complete config in CUE
 	Source string
-	// Number of the config that this one replaces
+	// Number of the config to replace, which must be the current one
 	Expected uint64
 }
 
@@ -86,7 +87,7 @@
 type QueryPayload struct {
 	// Bearer token of a team or an operator
 	Authorization *string
-	// Such as: show runners where state = cold
+	// Statement, such as: show runners where state = cold
 	Text string
 }
 
@@ -94,10 +95,10 @@
 type QueryResult struct {
 	Columns []string
 	Rows    [][]string
-	// The number that a command produced
+	// Number of the change that a command committed
 	Number       *uint64
 	Acknowledged *bool
-	// What a dry run would change
+	// Description of what a dry run would change
 	Would *string
 }
 
@@ -120,7 +121,7 @@
 type RetireStorePayload struct {
 	// Bearer token of a team or an operator
 	Authorization *string
-	// Identity of the store's disk
+	// Name of the store, which is the identity of its disk
 	Name string
 }
 
@@ -131,7 +132,7 @@
 	Authorization *string
 	Name          string
 	State         string
-	// Empty even the last serving domain
+	// Drain even the last serving domain
 	Force bool
 }
 
@@ -139,9 +140,10 @@
 type SetPayload struct {
 	// Bearer token of a team or an operator
 	Authorization *string
-	// Such as tables.chat.large
+	// Dotted path of the value, such as tables.chat.large
 	Path  string
 	Value any
-	// Number of the config that was read; left out, the newest is changed
+	// Number of the config to change, which must be the current one; if omitted,
+	// the current config is changed
 	Expected *uint64
 }
--- a/system/api/gen/health/service.go
+++ b/system/api/gen/health/service.go
@@ -11,7 +11,7 @@
 	"context"
 )
 
-// What the platform asks each process.
+// Liveness and readiness probes of each process.
 type Service interface {
 	// Alive implements alive.
 	Alive(context.Context) (res string, err error)
--- a/system/api/gen/http/administration/server/types.go
+++ b/system/api/gen/http/administration/server/types.go
@@ -15,19 +15,20 @@
 // PutConfigRequestBody is the type of the "administration" service
 // "put_config" endpoint HTTP request body.
 type PutConfigRequestBody struct {
-	// The config in CUE
+	// Complete config in CUE
 	Source *string `form:"source,omitempty" json:"source,omitempty" xml:"source,omitempty"`
-	// Number of the config that this one replaces
+	// Number of the config to replace, which must be the current one
 	Expected *uint64 `form:"expected,omitempty" json:"expected,omitempty" xml:"expected,omitempty"`
 }
 
 // SetRequestBody is the type of the "administration" service "set" endpoint
 // HTTP request body.
 type SetRequestBody struct {
-	// Such as tables.chat.large
+	// Dotted path of the value, such as tables.chat.large
 	Path  *string `form:"path,omitempty" json:"path,omitempty" xml:"path,omitempty"`
 	Value any     `form:"value,omitempty" json:"value,omitempty" xml:"value,omitempty"`
-	// Number of the config that was read; left out, the newest is changed
+	// Number of the config to change, which must be the current one; if omitted,
+	// the current config is changed
 	Expected *uint64 `form:"expected,omitempty" json:"expected,omitempty" xml:"expected,omitempty"`
 }
 
@@ -35,32 +36,34 @@
 // "set_domain" endpoint HTTP request body.
 type SetDomainRequestBody struct {
 	State *string `form:"state,omitempty" json:"state,omitempty" xml:"state,omitempty"`
-	// Empty even the last serving domain
+	// Drain even the last serving domain
 	Force *bool `form:"force,omitempty" json:"force,omitempty" xml:"force,omitempty"`
 }
 
 // QueryRequestBody is the type of the "administration" service "query"
 // endpoint HTTP request body.
 type QueryRequestBody struct {
-	// Such as: show runners where state = cold
+	// Statement, such as: show runners where state = cold
 	Text *string `form:"text,omitempty" json:"text,omitempty" xml:"text,omitempty"`
 }
 
 // PutConfigResponseBody is the type of the "administration" service
 // "put_config" endpoint HTTP response body.
 type PutConfigResponseBody struct {
-	// The number that the change got
+	// Number of the committed change
 	Number uint64 `form:"number" json:"number" xml:"number"`
-	// A control majority and a store majority have synced it
+	// Whether a majority of the control nodes and a majority of the stores have
+	// synced the change
 	Acknowledged bool `form:"acknowledged" json:"acknowledged" xml:"acknowledged"`
 }
 
 // SetResponseBody is the type of the "administration" service "set" endpoint
 // HTTP response body.
 type SetResponseBody struct {
-	// The number that the change got
+	// Number of the committed change
 	Number uint64 `form:"number" json:"number" xml:"number"`
-	// A control majority and a store majority have synced it
+	// Whether a majority of the control nodes and a majority of the stores have
+	// synced the change
 	Acknowledged bool `form:"acknowledged" json:"acknowledged" xml:"acknowledged"`
 }
 
@@ -74,27 +77,30 @@
 // SetDomainResponseBody is the type of the "administration" service
 // "set_domain" endpoint HTTP response body.
 type SetDomainResponseBody struct {
-	// The number that the change got
+	// Number of the committed change
 	Number uint64 `form:"number" json:"number" xml:"number"`
-	// A control majority and a store majority have synced it
+	// Whether a majority of the control nodes and a majority of the stores have
+	// synced the change
 	Acknowledged bool `form:"acknowledged" json:"acknowledged" xml:"acknowledged"`
 }
 
 // EnrolStoreResponseBody is the type of the "administration" service
 // "enrol_store" endpoint HTTP response body.
 type EnrolStoreResponseBody struct {
-	// The number that the change got
+	// Number of the committed change
 	Number uint64 `form:"number" json:"number" xml:"number"`
-	// A control majority and a store majority have synced it
+	// Whether a majority of the control nodes and a majority of the stores have
+	// synced the change
 	Acknowledged bool `form:"acknowledged" json:"acknowledged" xml:"acknowledged"`
 }
 
 // RetireStoreResponseBody is the type of the "administration" service
 // "retire_store" endpoint HTTP response body.
 type RetireStoreResponseBody struct {
-	// The number that the change got
+	// Number of the committed change
 	Number uint64 `form:"number" json:"number" xml:"number"`
-	// A control majority and a store majority have synced it
+	// Whether a majority of the control nodes and a majority of the stores have
+	// synced the change
 	Acknowledged bool `form:"acknowledged" json:"acknowledged" xml:"acknowledged"`
 }
 
@@ -103,10 +109,10 @@
 type QueryResponseBody struct {
 	Columns []string   `form:"columns" json:"columns" xml:"columns"`
 	Rows    [][]string `form:"rows" json:"rows" xml:"rows"`
-	// The number that a command produced
+	// Number of the change that a command committed
 	Number       *uint64 `form:"number,omitempty" json:"number,omitempty" xml:"number,omitempty"`
 	Acknowledged *bool   `form:"acknowledged,omitempty" json:"acknowledged,omitempty" xml:"acknowledged,omitempty"`
-	// What a dry run would change
+	// Description of what a dry run would change
 	Would *string `form:"would,omitempty" json:"would,omitempty" xml:"would,omitempty"`
 }
 
--- a/system/api/gen/http/cli/yardrock/cli.go
+++ b/system/api/gen/http/cli/yardrock/cli.go
@@ -113,11 +113,11 @@
 		administrationSetDomainAuthorizationFlag = administrationSetDomainFlags.String("authorization", "", "")
 
 		administrationEnrolStoreFlags             = flag.NewFlagSet("enrol-store", flag.ExitOnError)
-		administrationEnrolStoreNameFlag          = administrationEnrolStoreFlags.String("name", "REQUIRED", "Identity of the store's disk")
+		administrationEnrolStoreNameFlag          = administrationEnrolStoreFlags.String("name", "REQUIRED", "Name of the store, which is the identity of its disk")
 		administrationEnrolStoreAuthorizationFlag = administrationEnrolStoreFlags.String("authorization", "", "")
 
 		administrationRetireStoreFlags             = flag.NewFlagSet("retire-store", flag.ExitOnError)
-		administrationRetireStoreNameFlag          = administrationRetireStoreFlags.String("name", "REQUIRED", "Identity of the store's disk")
+		administrationRetireStoreNameFlag          = administrationRetireStoreFlags.String("name", "REQUIRED", "Name of the store, which is the identity of its disk")
 		administrationRetireStoreAuthorizationFlag = administrationRetireStoreFlags.String("authorization", "", "")
 
 		administrationQueryFlags             = flag.NewFlagSet("query", flag.ExitOnError)
@@ -361,18 +361,18 @@
 
 // workUsage displays the usage of the work command and its subcommands.
 func workUsage() {
-	fmt.Fprintln(os.Stderr, `What callers use.`)
+	fmt.Fprintln(os.Stderr, `Work API for clients of agent programs.`)
 	fmt.Fprintf(os.Stderr, "Usage:\n    %s [globalflags] work COMMAND [flags]\n\n", os.Args[0])
 	fmt.Fprintln(os.Stderr, "COMMAND:")
-	fmt.Fprintln(os.Stderr, `    start: Starts a conversation; the answer streams as one JSON object a line.`)
-	fmt.Fprintln(os.Stderr, `    turn: Follows a turn of a conversation with new words.`)
-	fmt.Fprintln(os.Stderr, `    tool: Calls a tool between turns; call and result become events of the line.`)
-	fmt.Fprintln(os.Stderr, `    helper: Starts a helper conversation that its parent's line names.`)
-	fmt.Fprintln(os.Stderr, `    history: Reads the committed events of a conversation, without gaps.`)
-	fmt.Fprintln(os.Stderr, `    tail: Streams events after a cursor as they are committed.`)
-	fmt.Fprintln(os.Stderr, `    lookup: Asks an application runner something that may be asked again.`)
-	fmt.Fprintln(os.Stderr, `    once: Runs work that may not be repeated: a booking, an invoice, a one-off notice.`)
-	fmt.Fprintln(os.Stderr, `    tally: Tells what a program has spent.`)
+	fmt.Fprintln(os.Stderr, `    start: Starts a conversation and streams the answer as newline-delimited JSON.`)
+	fmt.Fprintln(os.Stderr, `    turn: Starts a turn that follows a complete turn of a conversation and streams the answer as newline-delimited JSON.`)
+	fmt.Fprintln(os.Stderr, `    tool: Calls a tool between turns and records the call and its result as events of the conversation.`)
+	fmt.Fprintln(os.Stderr, `    helper: Starts a helper conversation, records its name in the parent conversation, and streams the answer as newline-delimited JSON.`)
+	fmt.Fprintln(os.Stderr, `    history: Returns a page of the committed events of a conversation, in order and without gaps.`)
+	fmt.Fprintln(os.Stderr, `    tail: Streams the events after a cursor as newline-delimited JSON as they are committed.`)
+	fmt.Fprintln(os.Stderr, `    lookup: Runs repeatable work on an application runner and returns the answer; nothing is recorded.`)
+	fmt.Fprintln(os.Stderr, `    once: Runs work at most once on an application runner and records its outcome. Examples are a booking, an invoice and a one-off notice.`)
+	fmt.Fprintln(os.Stderr, `    tally: Returns the quota of a program and how much of it is spent and reserved, in words.`)
 	fmt.Fprintln(os.Stderr)
 	fmt.Fprintln(os.Stderr, "Additional help:")
 	fmt.Fprintf(os.Stderr, "    %s work COMMAND --help\n", os.Args[0])
@@ -386,7 +386,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Starts a conversation; the answer streams as one JSON object a line.`)
+	fmt.Fprintln(os.Stderr, `Starts a conversation and streams the answer as newline-delimited JSON.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -407,7 +407,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Follows a turn of a conversation with new words.`)
+	fmt.Fprintln(os.Stderr, `Starts a turn that follows a complete turn of a conversation and streams the answer as newline-delimited JSON.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -429,7 +429,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Calls a tool between turns; call and result become events of the line.`)
+	fmt.Fprintln(os.Stderr, `Calls a tool between turns and records the call and its result as events of the conversation.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -451,7 +451,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Starts a helper conversation that its parent's line names.`)
+	fmt.Fprintln(os.Stderr, `Starts a helper conversation, records its name in the parent conversation, and streams the answer as newline-delimited JSON.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -474,7 +474,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Reads the committed events of a conversation, without gaps.`)
+	fmt.Fprintln(os.Stderr, `Returns a page of the committed events of a conversation, in order and without gaps.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -conversation STRING: `)
@@ -498,7 +498,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Streams events after a cursor as they are committed.`)
+	fmt.Fprintln(os.Stderr, `Streams the events after a cursor as newline-delimited JSON as they are committed.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -conversation STRING: `)
@@ -520,7 +520,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Asks an application runner something that may be asked again.`)
+	fmt.Fprintln(os.Stderr, `Runs repeatable work on an application runner and returns the answer; nothing is recorded.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -540,7 +540,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Runs work that may not be repeated: a booking, an invoice, a one-off notice.`)
+	fmt.Fprintln(os.Stderr, `Runs work at most once on an application runner and records its outcome. Examples are a booking, an invoice and a one-off notice.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -560,7 +560,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Tells what a program has spent.`)
+	fmt.Fprintln(os.Stderr, `Returns the quota of a program and how much of it is spent and reserved, in words.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -program STRING: `)
@@ -574,17 +574,17 @@
 // administrationUsage displays the usage of the administration command and its
 // subcommands.
 func administrationUsage() {
-	fmt.Fprintln(os.Stderr, `What operators use.`)
+	fmt.Fprintln(os.Stderr, `Admin API for operators.`)
 	fmt.Fprintf(os.Stderr, "Usage:\n    %s [globalflags] administration COMMAND [flags]\n\n", os.Args[0])
 	fmt.Fprintln(os.Stderr, "COMMAND:")
-	fmt.Fprintln(os.Stderr, `    put-config: Puts a whole config.`)
+	fmt.Fprintln(os.Stderr, `    put-config: Replaces the config.`)
 	fmt.Fprintln(os.Stderr, `    set: Changes one value of the config.`)
-	fmt.Fprintln(os.Stderr, `    read-config: Reads the newest config back, confirmed by a quorum.`)
-	fmt.Fprintln(os.Stderr, `    set-domain: Empties or refills a domain.`)
-	fmt.Fprintln(os.Stderr, `    enrol-store: Puts a live store that has a session into the store list.`)
-	fmt.Fprintln(os.Stderr, `    retire-store: Empties a store; answers once its machine may be switched off.`)
-	fmt.Fprintln(os.Stderr, `    query: Runs one line of the query language: a query, or a command that changes something.`)
-	fmt.Fprintln(os.Stderr, `    fleet: Tells who is there and what is in force.`)
+	fmt.Fprintln(os.Stderr, `    read-config: Returns the current config, confirmed by a quorum.`)
+	fmt.Fprintln(os.Stderr, `    set-domain: Drains or refills a domain.`)
+	fmt.Fprintln(os.Stderr, `    enrol-store: Adds a live store to the store list.`)
+	fmt.Fprintln(os.Stderr, `    retire-store: Decommissions a store and returns once its machine may be switched off.`)
+	fmt.Fprintln(os.Stderr, `    query: Runs one statement of the query language: a query, or a command that changes something.`)
+	fmt.Fprintln(os.Stderr, `    fleet: Returns the live members of the fleet and the main parts of the current view.`)
 	fmt.Fprintln(os.Stderr)
 	fmt.Fprintln(os.Stderr, "Additional help:")
 	fmt.Fprintf(os.Stderr, "    %s administration COMMAND --help\n", os.Args[0])
@@ -598,7 +598,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Puts a whole config.`)
+	fmt.Fprintln(os.Stderr, `Replaces the config.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -637,7 +637,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Reads the newest config back, confirmed by a quorum.`)
+	fmt.Fprintln(os.Stderr, `Returns the current config, confirmed by a quorum.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -authorization STRING: `)
@@ -657,7 +657,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Empties or refills a domain.`)
+	fmt.Fprintln(os.Stderr, `Drains or refills a domain.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -678,10 +678,10 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Puts a live store that has a session into the store list.`)
+	fmt.Fprintln(os.Stderr, `Adds a live store to the store list.`)
 
 	// Flags list
-	fmt.Fprintln(os.Stderr, `    -name STRING: Identity of the store's disk`)
+	fmt.Fprintln(os.Stderr, `    -name STRING: Name of the store, which is the identity of its disk`)
 	fmt.Fprintln(os.Stderr, `    -authorization STRING: `)
 
 	fmt.Fprintln(os.Stderr)
@@ -698,10 +698,10 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Empties a store; answers once its machine may be switched off.`)
+	fmt.Fprintln(os.Stderr, `Decommissions a store and returns once its machine may be switched off.`)
 
 	// Flags list
-	fmt.Fprintln(os.Stderr, `    -name STRING: Identity of the store's disk`)
+	fmt.Fprintln(os.Stderr, `    -name STRING: Name of the store, which is the identity of its disk`)
 	fmt.Fprintln(os.Stderr, `    -authorization STRING: `)
 
 	fmt.Fprintln(os.Stderr)
@@ -718,7 +718,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Runs one line of the query language: a query, or a command that changes something.`)
+	fmt.Fprintln(os.Stderr, `Runs one statement of the query language: a query, or a command that changes something.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -737,7 +737,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Tells who is there and what is in force.`)
+	fmt.Fprintln(os.Stderr, `Returns the live members of the fleet and the main parts of the current view.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -authorization STRING: `)
@@ -749,7 +749,7 @@
 
 // healthUsage displays the usage of the health command and its subcommands.
 func healthUsage() {
-	fmt.Fprintln(os.Stderr, `What the platform asks each process.`)
+	fmt.Fprintln(os.Stderr, `Liveness and readiness probes of each process.`)
 	fmt.Fprintf(os.Stderr, "Usage:\n    %s [globalflags] health COMMAND [flags]\n\n", os.Args[0])
 	fmt.Fprintln(os.Stderr, "COMMAND:")
 	fmt.Fprintln(os.Stderr, `    alive: Alive implements alive.`)
--- a/system/api/gen/http/work/server/types.go
+++ b/system/api/gen/http/work/server/types.go
@@ -18,51 +18,51 @@
 // request body.
 type StartRequestBody struct {
 	Program *string `form:"program,omitempty" json:"program,omitempty" xml:"program,omitempty"`
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind *string `form:"kind,omitempty" json:"kind,omitempty" xml:"kind,omitempty"`
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words *string `form:"words,omitempty" json:"words,omitempty" xml:"words,omitempty"`
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string `form:"query_key,omitempty" json:"query_key,omitempty" xml:"query_key,omitempty"`
 }
 
 // TurnRequestBody is the type of the "work" service "turn" endpoint HTTP
 // request body.
 type TurnRequestBody struct {
-	// The turn that this one follows
+	// Seq of the turn that this one follows
 	Follows *uint64 `form:"follows,omitempty" json:"follows,omitempty" xml:"follows,omitempty"`
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind *string `form:"kind,omitempty" json:"kind,omitempty" xml:"kind,omitempty"`
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words *string `form:"words,omitempty" json:"words,omitempty" xml:"words,omitempty"`
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string `form:"query_key,omitempty" json:"query_key,omitempty" xml:"query_key,omitempty"`
 }
 
 // ToolRequestBody is the type of the "work" service "tool" endpoint HTTP
 // request body.
 type ToolRequestBody struct {
-	// The turn that asked for the tool
+	// Seq of the turn that requested the tool call
 	Follows *uint64 `form:"follows,omitempty" json:"follows,omitempty" xml:"follows,omitempty"`
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind *string `form:"kind,omitempty" json:"kind,omitempty" xml:"kind,omitempty"`
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words *string `form:"words,omitempty" json:"words,omitempty" xml:"words,omitempty"`
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string `form:"query_key,omitempty" json:"query_key,omitempty" xml:"query_key,omitempty"`
 }
 
 // HelperRequestBody is the type of the "work" service "helper" endpoint HTTP
 // request body.
 type HelperRequestBody struct {
-	// The turn that starts the helper
+	// Seq of the turn of the parent conversation that starts the helper
 	Follows *uint64 `form:"follows,omitempty" json:"follows,omitempty" xml:"follows,omitempty"`
 	Program *string `form:"program,omitempty" json:"program,omitempty" xml:"program,omitempty"`
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind *string `form:"kind,omitempty" json:"kind,omitempty" xml:"kind,omitempty"`
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words *string `form:"words,omitempty" json:"words,omitempty" xml:"words,omitempty"`
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string `form:"query_key,omitempty" json:"query_key,omitempty" xml:"query_key,omitempty"`
 }
 
@@ -70,11 +70,11 @@
 // request body.
 type LookupRequestBody struct {
 	Program *string `form:"program,omitempty" json:"program,omitempty" xml:"program,omitempty"`
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind *string `form:"kind,omitempty" json:"kind,omitempty" xml:"kind,omitempty"`
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words *string `form:"words,omitempty" json:"words,omitempty" xml:"words,omitempty"`
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string `form:"query_key,omitempty" json:"query_key,omitempty" xml:"query_key,omitempty"`
 }
 
@@ -82,24 +82,24 @@
 // request body.
 type OnceRequestBody struct {
 	Program *string `form:"program,omitempty" json:"program,omitempty" xml:"program,omitempty"`
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind *string `form:"kind,omitempty" json:"kind,omitempty" xml:"kind,omitempty"`
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words *string `form:"words,omitempty" json:"words,omitempty" xml:"words,omitempty"`
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string `form:"query_key,omitempty" json:"query_key,omitempty" xml:"query_key,omitempty"`
 }
 
 // ToolResponseBody is the type of the "work" service "tool" endpoint HTTP
 // response body.
 type ToolResponseBody struct {
-	// complete, not_run or unknown
+	// Outcome of the work: complete, not_run or unknown
 	Outcome string `form:"outcome" json:"outcome" xml:"outcome"`
-	// Where the outcome is recorded
+	// Conversation that records the outcome; omitted if it is not recorded
 	Line *string `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// What the runner answered
+	// JSON answer of the runner
 	Answer any `form:"answer,omitempty" json:"answer,omitempty" xml:"answer,omitempty"`
-	// The outcome was recorded before
+	// Whether another request with the same query_key started the work
 	Repeated *bool `form:"repeated,omitempty" json:"repeated,omitempty" xml:"repeated,omitempty"`
 }
 
@@ -108,7 +108,7 @@
 type HistoryResponseBody struct {
 	Conversation string `form:"conversation" json:"conversation" xml:"conversation"`
 	Program      string `form:"program" json:"program" xml:"program"`
-	// Seq of the last event
+	// Seq of the last event of the conversation, which may be on a later page
 	Head   uint64                `form:"head" json:"head" xml:"head"`
 	Events []*RecordResponseBody `form:"events" json:"events" xml:"events"`
 }
@@ -116,26 +116,26 @@
 // LookupResponseBody is the type of the "work" service "lookup" endpoint HTTP
 // response body.
 type LookupResponseBody struct {
-	// complete, not_run or unknown
+	// Outcome of the work: complete, not_run or unknown
 	Outcome string `form:"outcome" json:"outcome" xml:"outcome"`
-	// Where the outcome is recorded
+	// Conversation that records the outcome; omitted if it is not recorded
 	Line *string `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// What the runner answered
+	// JSON answer of the runner
 	Answer any `form:"answer,omitempty" json:"answer,omitempty" xml:"answer,omitempty"`
-	// The outcome was recorded before
+	// Whether another request with the same query_key started the work
 	Repeated *bool `form:"repeated,omitempty" json:"repeated,omitempty" xml:"repeated,omitempty"`
 }
 
 // OnceResponseBody is the type of the "work" service "once" endpoint HTTP
 // response body.
 type OnceResponseBody struct {
-	// complete, not_run or unknown
+	// Outcome of the work: complete, not_run or unknown
 	Outcome string `form:"outcome" json:"outcome" xml:"outcome"`
-	// Where the outcome is recorded
+	// Conversation that records the outcome; omitted if it is not recorded
 	Line *string `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// What the runner answered
+	// JSON answer of the runner
 	Answer any `form:"answer,omitempty" json:"answer,omitempty" xml:"answer,omitempty"`
-	// The outcome was recorded before
+	// Whether another request with the same query_key started the work
 	Repeated *bool `form:"repeated,omitempty" json:"repeated,omitempty" xml:"repeated,omitempty"`
 }
 
@@ -151,7 +151,7 @@
 // RecordResponseBody is used to define fields on response body types.
 type RecordResponseBody struct {
 	Seq uint64 `form:"seq" json:"seq" xml:"seq"`
-	// When the leader committed it, RFC 3339
+	// Time of the event by the clock of its store group, in RFC 3339 format
 	At      string  `form:"at" json:"at" xml:"at"`
 	Kind    string  `form:"kind" json:"kind" xml:"kind"`
 	Turn    *uint64 `form:"turn,omitempty" json:"turn,omitempty" xml:"turn,omitempty"`
--- a/system/api/gen/work/service.go
+++ b/system/api/gen/work/service.go
@@ -12,41 +12,49 @@
 	"io"
 )
 
-// What callers use.
+// Work API for clients of agent programs.
 type Service interface {
-	// Starts a conversation; the answer streams as one JSON object a line.
+	// Starts a conversation and streams the answer as newline-delimited JSON.
 
 	// If body implements [io.WriterTo], that implementation will be used instead.
 	// Consider [goa.design/goa/v3/pkg.SkipResponseWriter] to adapt existing
 	// implementations.
 	Start(context.Context, *StartPayload) (body io.ReadCloser, err error)
-	// Follows a turn of a conversation with new words.
+	// Starts a turn that follows a complete turn of a conversation and streams the
+	// answer as newline-delimited JSON.
 
 	// If body implements [io.WriterTo], that implementation will be used instead.
 	// Consider [goa.design/goa/v3/pkg.SkipResponseWriter] to adapt existing
 	// implementations.
 	Turn(context.Context, *TurnPayload) (body io.ReadCloser, err error)
-	// Calls a tool between turns; call and result become events of the line.
+	// Calls a tool between turns and records the call and its result as events of
+	// the conversation.
 	Tool(context.Context, *ToolPayload) (res *Outcome, err error)
-	// Starts a helper conversation that its parent's line names.
+	// Starts a helper conversation, records its name in the parent conversation,
+	// and streams the answer as newline-delimited JSON.
 
 	// If body implements [io.WriterTo], that implementation will be used instead.
 	// Consider [goa.design/goa/v3/pkg.SkipResponseWriter] to adapt existing
 	// implementations.
 	Helper(context.Context, *HelperPayload) (body io.ReadCloser, err error)
-	// Reads the committed events of a conversation, without gaps.
+	// Returns a page of the committed events of a conversation, in order and
+	// without gaps.
 	History(context.Context, *HistoryPayload) (res *Transcript, err error)
-	// Streams events after a cursor as they are committed.
+	// Streams the events after a cursor as newline-delimited JSON as they are
+	// committed.
 
 	// If body implements [io.WriterTo], that implementation will be used instead.
 	// Consider [goa.design/goa/v3/pkg.SkipResponseWriter] to adapt existing
 	// implementations.
 	Tail(context.Context, *TailPayload) (body io.ReadCloser, err error)
-	// Asks an application runner something that may be asked again.
+	// Runs repeatable work on an application runner and returns the answer;
+	// nothing is recorded.
 	Lookup(context.Context, *LookupPayload) (res *Outcome, err error)
-	// Runs work that may not be repeated: a booking, an invoice, a one-off notice.
+	// Runs work at most once on an application runner and records its outcome.
+	// Examples are a booking, an invoice and a one-off notice.
 	Once(context.Context, *OncePayload) (res *Outcome, err error)
-	// Tells what a program has spent.
+	// Returns the quota of a program and how much of it is spent and reserved, in
+	// words.
 	Tally(context.Context, *TallyPayload) (res *TallyResult, err error)
 }
 
@@ -71,14 +79,14 @@
 	// Bearer token of a team or an operator
 	Authorization *string
 	Conversation  string
-	// The turn that starts the helper
+	// Seq of the turn of the parent conversation that starts the helper
 	Follows uint64
 	Program string
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind string
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words string
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey string
 }
 
@@ -96,11 +104,11 @@
 	// Bearer token of a team or an operator
 	Authorization *string
 	Program       string
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind string
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words string
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string
 }
 
@@ -109,29 +117,29 @@
 	// Bearer token of a team or an operator
 	Authorization *string
 	Program       string
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind string
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words string
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey string
 }
 
 // Outcome is the result type of the work service tool method.
 type Outcome struct {
-	// complete, not_run or unknown
+	// Outcome of the work: complete, not_run or unknown
 	Outcome string
-	// Where the outcome is recorded
+	// Conversation that records the outcome; omitted if it is not recorded
 	Line *string
-	// What the runner answered
+	// JSON answer of the runner
 	Answer any
-	// The outcome was recorded before
+	// Whether another request with the same query_key started the work
 	Repeated *bool
 }
 
 type Record struct {
 	Seq uint64
-	// When the leader committed it, RFC 3339
+	// Time of the event by the clock of its store group, in RFC 3339 format
 	At      string
 	Kind    string
 	Turn    *uint64
@@ -146,11 +154,11 @@
 	// Bearer token of a team or an operator
 	Authorization *string
 	Program       string
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind string
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words string
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string
 }
 
@@ -160,7 +168,8 @@
 	Authorization *string
 	Conversation  string
 	Cursor        uint64
-	// Stop once this turn has ended
+	// Seq of a turn; only its events are streamed, and the stream stops once it
+	// has ended
 	Turn *uint64
 }
 
@@ -184,13 +193,13 @@
 	// Bearer token of a team or an operator
 	Authorization *string
 	Conversation  string
-	// The turn that asked for the tool
+	// Seq of the turn that requested the tool call
 	Follows uint64
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind string
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words string
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey string
 }
 
@@ -198,7 +207,7 @@
 type Transcript struct {
 	Conversation string
 	Program      string
-	// Seq of the last event
+	// Seq of the last event of the conversation, which may be on a later page
 	Head   uint64
 	Events []*Record
 }
@@ -208,12 +217,12 @@
 	// Bearer token of a team or an operator
 	Authorization *string
 	Conversation  string
-	// The turn that this one follows
+	// Seq of the turn that this one follows
 	Follows uint64
-	// Kind of work, as the config names it
+	// Kind of work, as named in the config
 	Kind string
-	// The new words only
+	// The new input only, without that of earlier turns
 	Words string
-	// Names this query, so that it may be sent again
+	// Idempotency key; identifies the request when it is sent again
 	QueryKey *string
 }
