--- a/proof/cmd/measure/main.go
+++ b/proof/cmd/measure/main.go
@@ -1,7 +1,7 @@
-// Command measure counts what a turn costs on a simulated cluster in real time,
-// for several numbers of groups, or what turns of programs cost at a pace on real
-// stores on loopback. It compares streaming through the cluster with
-// asking the stand-in runner directly, in pairs.
+// Command measure reports the cost of a turn. By default it runs a simulated cluster in real time
+// with different numbers of groups, and compares the latency of the first piece through the cluster
+// with that of a direct request to the stand-in runner, in pairs. With -turns-per-second, or to
+// compare shared prefixes, it runs turns of programs against real stores on loopback.
 package main
 
 import (
@@ -24,48 +24,48 @@
 )
 
 const (
-	turns    = 30
-	idleTime = 4 * time.Second
+	comparedTurns = 30
+	idleTime      = 4 * time.Second
 )
 
 func main() {
 	log.SetHandler(discard.New())
-	pace := flag.Int("turns-per-second", 0, "measure turns of programs at this pace instead")
-	number := flag.Int("turns", 1000, "how many of them")
-	size := flag.Int("size", 1000, "bytes of each input and of each output")
-	takes := flag.Duration("sync", 5*time.Millisecond, "how long each sync takes at least")
-	profile := flag.String("profile", "", "write a processor profile of them to this file")
-	prefixes := flag.Bool("openings", false, "measure them as programs with openings in common, shared and not, in turn")
+	turnsPerSecond := flag.Int("turns-per-second", 0, "measure turns on real stores at this rate")
+	turnCount := flag.Int("turns", 1000, "number of turns on real stores")
+	size := flag.Int("size", 1000, "size of each input and each output in bytes")
+	syncDelay := flag.Duration("sync", 5*time.Millisecond, "delay added to each disk sync")
+	profile := flag.String("profile", "", "write a CPU profile of the turns to this file")
+	comparePrefixes := flag.Bool("openings", false, "compare programs with and without shared prefixes on real stores")
 	flag.Parse()
-	if *prefixes {
-		if err := sharedPrefixCosts(max(*pace, 1), *number, *size, *takes); err != nil {
+	if *comparePrefixes {
+		if err := measureSharedPrefixes(max(*turnsPerSecond, 1), *turnCount, *size, *syncDelay); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
-	if *pace > 0 {
-		if err := turnCosts(*pace, *number, *size, *takes, *profile); err != nil {
+	if *turnsPerSecond > 0 {
+		if err := reportTurnCosts(*turnsPerSecond, *turnCount, *size, *syncDelay, *profile); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
 	for _, groups := range []uint32{8, 32, 128, 256} {
-		if err := count(groups); err != nil {
+		if err := measureGroups(groups); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 	}
 }
 
-type counts struct {
+type clusterCounts struct {
 	syncs           int
 	bytes, messages int64
 }
 
-func total(cluster *simulator.Cluster) counts {
-	sum := counts{}
+func countCluster(cluster *simulator.Cluster) clusterCounts {
+	sum := clusterCounts{}
 	for _, machine := range cluster.Machines() {
 		sent, messages := cluster.Network.Sent(machine.Host)
 		sum.bytes += sent
@@ -77,7 +77,7 @@
 	return sum
 }
 
-func count(groups uint32) error {
+func measureGroups(groups uint32) error {
 	cluster, err := simulator.Start(1, simulator.Shape{Controls: 3, Stores: 3, Fronts: 2, Models: 2, Applications: 1, Groups: groups}, simulator.BasicConfig)
 	if cluster != nil {
 		defer cluster.Stop()
@@ -86,73 +86,74 @@
 		return err
 	}
 	<-time.After(2 * time.Second)
-	before := total(cluster)
+	before := countCluster(cluster)
 	<-time.After(idleTime)
-	idle := total(cluster)
+	idle := countCluster(cluster)
 	pieces := 0
-	var direct, through []time.Duration
-	for turn := range turns {
+	var direct, viaCluster []time.Duration
+	for turn := range comparedTurns {
 		question := fmt.Sprintf("question %d", turn)
-		took, _, err := first(cluster, cluster.Runners[turn%2].Host+":8000", "/turn", runnerclient.TurnRequest{Input: question})
+		latency, _, err := timeFirstPiece(cluster, cluster.Runners[turn%2].Host+":8000", "/turn", runnerclient.TurnRequest{Input: question})
 		if err != nil {
 			return err
 		}
-		direct = append(direct, took)
-		took, seen, err := first(cluster, cluster.Fronts[turn%2].Host+":7100", "/v1/conversations", map[string]any{"program": "dialogue", "kind": "talk", "words": question})
+		direct = append(direct, latency)
+		latency, received, err := timeFirstPiece(cluster, cluster.Fronts[turn%2].Host+":7100", "/v1/conversations", map[string]any{"program": "dialogue", "kind": "talk", "words": question})
 		if err != nil {
 			return err
 		}
-		through = append(through, took)
-		pieces += seen
+		viaCluster = append(viaCluster, latency)
+		pieces += received
 	}
-	after := total(cluster)
+	after := countCluster(cluster)
 	ratios := []float64{}
 	for position := range direct {
-		ratios = append(ratios, float64(through[position])/float64(direct[position]))
+		ratios = append(ratios, float64(viaCluster[position])/float64(direct[position]))
 	}
 	slices.Sort(ratios)
 	slices.Sort(direct)
-	slices.Sort(through)
-	reported := map[string]any{
+	slices.Sort(viaCluster)
+	report := map[string]any{
 		"groups": groups, "idle_bytes_per_second": int64(float64(idle.bytes-before.bytes) / idleTime.Seconds()), "idle_syncs_per_second": float64(idle.syncs-before.syncs) / idleTime.Seconds(),
-		"pieces_per_turn": float64(pieces) / turns, "syncs_per_turn_all_stores": float64(after.syncs-idle.syncs) / turns, "idle_messages_per_second": float64(idle.messages-before.messages) / idleTime.Seconds(), "messages_per_turn": (after.messages - idle.messages) / turns,
-		"bytes_per_turn":     (after.bytes - idle.bytes) / turns,
-		"first_piece_direct": direct[turns/2].String(), "first_piece_through": through[turns/2].String(), "first_piece_ratio": ratios[turns/2],
+		"pieces_per_turn": float64(pieces) / comparedTurns, "syncs_per_turn_all_stores": float64(after.syncs-idle.syncs) / comparedTurns, "idle_messages_per_second": float64(idle.messages-before.messages) / idleTime.Seconds(), "messages_per_turn": (after.messages - idle.messages) / comparedTurns,
+		"bytes_per_turn":     (after.bytes - idle.bytes) / comparedTurns,
+		"first_piece_direct": direct[comparedTurns/2].String(), "first_piece_through": viaCluster[comparedTurns/2].String(), "first_piece_ratio": ratios[comparedTurns/2],
 	}
-	data, err := json.Marshal(reported)
+	data, err := json.Marshal(report)
 	fmt.Println(string(data))
 	return err
 }
 
-// first asks and gives the time to the first piece, and how many pieces came.
-func first(cluster *simulator.Cluster, address, path string, body any) (time.Duration, int, error) {
+// timeFirstPiece sends a request, and returns the time to the first piece of the response and the
+// number of pieces.
+func timeFirstPiece(cluster *simulator.Cluster, address, path string, body any) (time.Duration, int, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return 0, 0, err
 	}
-	query, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+path, bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
 		return 0, 0, err
 	}
-	query.Header.Set("Authorization", "Bearer "+simulator.TeamToken)
-	query.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Authorization", "Bearer "+simulator.TeamToken)
+	request.Header.Set("Content-Type", "application/json")
 	began := time.Now()
-	answer, err := cluster.Client().Do(query)
+	response, err := cluster.Client().Do(request)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return 0, 0, fmt.Errorf("%s answered %s", address, answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return 0, 0, fmt.Errorf("%s responded with %s", address, response.Status)
 	}
-	lines := bufio.NewScanner(answer.Body)
-	took, pieces := time.Duration(0), 0
+	lines := bufio.NewScanner(response.Body)
+	latency, pieces := time.Duration(0), 0
 	for lines.Scan() {
 		if bytes.Contains(lines.Bytes(), []byte(`"piece"`)) {
 			if pieces++; pieces == 1 {
-				took = time.Since(began)
+				latency = time.Since(began)
 			}
 		}
 	}
-	return took, pieces, lines.Err()
+	return latency, pieces, lines.Err()
 }
--- a/proof/cmd/measure/sharedprefixes.go
+++ b/proof/cmd/measure/sharedprefixes.go
@@ -19,97 +19,99 @@
 )
 
 const (
-	// prefixBytes are those that first turns of one scope have in common, prefixScopes
-	// how many scopes there are.
+	// prefixBytes is the size of the prefix that the first turns within a scope share;
+	// prefixScopes is the number of scopes.
 	prefixBytes  = 2560
 	prefixScopes = 4
-	// turnsOfAProgram are those of each program; the first brings the opening.
-	turnsOfAProgram = 2
-	// archivePause is long enough for lines to be quiet and then archived.
+	// turnsPerProgram counts the turns of each program; the first one starts with the prefix.
+	turnsPerProgram = 2
+	// archivePause is long enough for sessions to become idle and be archived.
 	archivePause = 25 * time.Second
 )
 
-// sharingArm is what was measured with prefixes shared, or not.
-type sharingArm struct {
-	Turns        int           `json:"turns"`
-	Failed       int           `json:"failed"`
-	Wrong        int           `json:"wrong_histories"`
-	BeginHalf    time.Duration `json:"begin_50_ns"`
-	Begin99      time.Duration `json:"begin_99_ns"`
-	NetworkBytes int64         `json:"network_bytes"`
-	ColdBytes    int64         `json:"cold_bytes"`
-	HotBytes     int64         `json:"hot_data_bytes"`
-	SnapshotHot  int           `json:"checkpoint_bytes_before_archiving"`
-	Snapshot     int           `json:"checkpoint_bytes_after_archiving"`
-	begins       []time.Duration
+// armResult has the measurements of one arm of the comparison: prefix sharing on or off.
+type armResult struct {
+	Turns                        int           `json:"turns"`
+	Failed                       int           `json:"failed"`
+	HistoryMismatches            int           `json:"wrong_histories"`
+	BeginP50                     time.Duration `json:"begin_50_ns"`
+	BeginP99                     time.Duration `json:"begin_99_ns"`
+	NetworkBytes                 int64         `json:"network_bytes"`
+	ArchivedBytes                int64         `json:"cold_bytes"`
+	UnarchivedBytes              int64         `json:"hot_data_bytes"`
+	SnapshotBytesBeforeArchiving int           `json:"checkpoint_bytes_before_archiving"`
+	SnapshotBytesAfterArchiving  int           `json:"checkpoint_bytes_after_archiving"`
+	begins                       []time.Duration
 }
 
-// sharedPrefixCosts runs programs at a pace against three stores, alternately with their
-// prefixes shared and not, and returns what each way cost.
-func sharedPrefixCosts(pace, count, size int, takes time.Duration) error {
-	fleet, err := startStores(takes)
+// measureSharedPrefixes runs programs against three stores with prefix sharing off and on, and prints
+// the measurements of both.
+func measureSharedPrefixes(turnsPerSecond, count, size int, syncDelay time.Duration) error {
+	fleet, err := startStores(syncDelay)
 	if fleet != nil {
-		defer fleet.end()
+		defer fleet.stop()
 	}
 	if err != nil {
 		return err
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	words := func(length int) string {
-		made := &strings.Builder{}
-		for made.Len() < length {
-			fmt.Fprintf(made, "word%d ", random.IntN(100000))
+	randomWords := func(length int) string {
+		text := &strings.Builder{}
+		for text.Len() < length {
+			fmt.Fprintf(text, "word%d ", random.IntN(100000))
 		}
-		return made.String()[:length]
+		return text.String()[:length]
 	}
 	prefixes := []string{}
 	for range prefixScopes {
-		prefixes = append(prefixes, words(prefixBytes))
+		prefixes = append(prefixes, randomWords(prefixBytes))
 	}
 	inputs := []string{}
 	for range 64 {
-		inputs = append(inputs, words(size))
+		inputs = append(inputs, randomWords(size))
 	}
 	time.Sleep(3 * time.Second)
-	arms := map[string]*sharingArm{"off": {}, "on": {}}
-	// What is held and sent is seen one way after the other, delays both ways at once.
+	arms := map[string]*armResult{"off": {}, "on": {}}
+	// Storage and traffic are measured for one arm at a time; latencies with both arms interleaved,
+	// so that they run under the same conditions.
 	for _, name := range []string{"off", "on"} {
 		arm := arms[name]
-		network, cold := fleet.network.bytes.Load(), fleet.archivedBytes()
-		fleet.sharedPrefixRound(func(int) (*sharingArm, string) { return arm, name }, "alone", pace, count, prefixes, inputs)
-		arm.NetworkBytes = fleet.network.bytes.Load() - network
-		arm.HotBytes, arm.SnapshotHot = fleet.stateBytes(name)
+		networkBefore, archivedBefore := fleet.network.bytes.Load(), fleet.archivedBytes()
+		fleet.runSharedPrefixRound(func(int) (*armResult, string) { return arm, name }, "alone", turnsPerSecond, count, prefixes, inputs)
+		arm.NetworkBytes = fleet.network.bytes.Load() - networkBefore
+		arm.UnarchivedBytes, arm.SnapshotBytesBeforeArchiving = fleet.stateBytes(name)
 		time.Sleep(archivePause)
-		_, arm.Snapshot = fleet.stateBytes(name)
-		arm.ColdBytes = fleet.archivedBytes() - cold
+		_, arm.SnapshotBytesAfterArchiving = fleet.stateBytes(name)
+		arm.ArchivedBytes = fleet.archivedBytes() - archivedBefore
 		arm.begins = nil
 	}
-	fleet.sharedPrefixRound(func(number int) (*sharingArm, string) {
+	fleet.runSharedPrefixRound(func(number int) (*armResult, string) {
 		name := []string{"off", "on"}[number/prefixScopes%2]
 		return arms[name], name
-	}, "beside", pace, 2*count, prefixes, inputs)
+	}, "beside", turnsPerSecond, 2*count, prefixes, inputs)
 	for _, arm := range arms {
 		slices.Sort(arm.begins)
-		arm.BeginHalf, arm.Begin99 = arm.begins[len(arm.begins)/2], arm.begins[len(arm.begins)*99/100]
+		arm.BeginP50, arm.BeginP99 = arm.begins[len(arm.begins)/2], arm.begins[len(arm.begins)*99/100]
 	}
 	data, err := json.MarshalIndent(arms, "", " ")
 	fmt.Println(string(data))
 	return err
 }
 
-// sharedPrefixRound runs programs, each turn once the one before it has ended.
-func (fleet *storesOnLoopback) sharedPrefixRound(armOf func(number int) (*sharingArm, string), round string, pace, count int, prefixes, inputs []string) {
+// runSharedPrefixRound starts programs at a constant rate and waits for them. The turns of a program
+// run one after the other.
+func (fleet *loopbackStores) runSharedPrefixRound(armOf func(number int) (*armResult, string), round string, turnsPerSecond, count int, prefixes, inputs []string) {
 	var mutex sync.Mutex
-	var working sync.WaitGroup
-	tick := time.NewTicker(time.Second * turnsOfAProgram / time.Duration(pace))
-	defer tick.Stop()
-	for number := range count / turnsOfAProgram {
-		<-tick.C
-		working.Go(func() {
+	var workers sync.WaitGroup
+	ticker := time.NewTicker(time.Second * turnsPerProgram / time.Duration(turnsPerSecond))
+	defer ticker.Stop()
+	for number := range count / turnsPerProgram {
+		<-ticker.C
+		workers.Go(func() {
 			arm, name := armOf(number)
-			program, said, follows := fmt.Sprintf("program/%s-%s-%d", name, round, number), "", ""
+			program, history, follows := fmt.Sprintf("program/%s-%s-%d", name, round, number), "", ""
 			scope, client := number%prefixScopes, fleet.clients[number%len(fleet.clients)]
-			for position := range turnsOfAProgram {
+			for position := range turnsPerProgram {
 				turn := storeclient.Turn{SessionName: program, Name: fmt.Sprintf("%s-%d", program, position), Follows: follows, Input: []byte(inputs[(number+position)%len(inputs)]), KeepHistory: true, Retention: time.Minute, DispatchID: "d", Lifetime: time.Minute}
 				if position == 0 {
 					turn.Input = []byte(prefixes[scope] + string(turn.Input))
@@ -119,20 +121,20 @@
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				began := time.Now()
-				begun, err := client.BeginTurn(ctx, turn)
-				took := time.Since(began)
-				wrong := err == nil && string(begun.History) != said
+				reply, err := client.BeginTurn(ctx, turn)
+				latency := time.Since(began)
+				mismatch := err == nil && string(reply.History) != history
 				output := inputs[number%len(inputs)]
 				if err == nil {
-					err = client.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: turn.Name, Seq: begun.Seq, Output: []byte(output), Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
+					err = client.EndTurn(ctx, storeclient.TurnEnd{SessionName: program, Name: turn.Name, Seq: reply.Seq, Output: []byte(output), Outcome: sessionlog.OutcomeComplete, KeepHistory: true})
 				}
 				cancel()
-				said, follows = said+string(turn.Input)+output, turn.Name
+				history, follows = history+string(turn.Input)+output, turn.Name
 				mutex.Lock()
 				arm.Turns++
-				arm.begins = append(arm.begins, took)
-				if wrong {
-					arm.Wrong++
+				arm.begins = append(arm.begins, latency)
+				if mismatch {
+					arm.HistoryMismatches++
 				}
 				if err != nil {
 					arm.Failed++
@@ -144,12 +146,12 @@
 			}
 		})
 	}
-	working.Wait()
+	workers.Wait()
 }
 
-// stateBytes sums, over all stores, the data of an arm's events that are not archived and the
-// size of snapshots of its sessions, both with the shared prefixes that they refer to.
-func (fleet *storesOnLoopback) stateBytes(name string) (data int64, snapshotBytes int) {
+// stateBytes returns the size of an arm's unarchived events and of the snapshots of its sessions,
+// summed over all stores. Both include the shared prefixes that the sessions refer to.
+func (fleet *loopbackStores) stateBytes(name string) (data int64, snapshotBytes int) {
 	for _, node := range fleet.nodes {
 		for group := range uint32(32) {
 			machine := node.StateMachine(group)
@@ -177,17 +179,17 @@
 	return data, snapshotBytes
 }
 
-// archivedBytes sums the files of all cold stores.
-func (fleet *storesOnLoopback) archivedBytes() int64 {
+// archivedBytes returns the total size of the files in all archive directories.
+func (fleet *loopbackStores) archivedBytes() int64 {
 	total := int64(0)
 	folders, _ := filepath.Glob(filepath.Join(fleet.folder, "cold*"))
 	for _, folder := range folders {
 		_ = filepath.WalkDir(folder, func(_ string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() {
-				return nil // a file that was removed meanwhile
+				return nil // the file was removed concurrently
 			}
-			if reported, err := entry.Info(); err == nil {
-				total += reported.Size()
+			if info, err := entry.Info(); err == nil {
+				total += info.Size()
 			}
 			return nil
 		})
--- a/proof/cmd/scale/main.go
+++ b/proof/cmd/scale/main.go
@@ -1,7 +1,7 @@
-// Command scale measures what a fleet costs as one of its sizes grows: a few real
-// processes of each role beside hollow nodes. It prints figures and slopes as JSON.
-// It ends with 0, with 1 if a figure grows faster than docs/CAPACITY.md says or a step
-// failed, and with 2 if it was asked for what it can't measure.
+// Command scale measures how the resource usage and latency of a fleet grow with one of its
+// dimensions, with a few real processes of each role and many hollow nodes. It prints figures and
+// slopes as JSON. It exits with 0 on success, with 1 if a step failed or a figure grows faster than
+// docs/CAPACITY.md claims, and with 2 if a step or an option is invalid.
 package main
 
 import (
@@ -25,131 +25,131 @@
 )
 
 type options struct {
-	Against  string        `arg:"--against" default:"nodes" help:"what is varied: changes, groups, history, nodes, programs, routes, runners or turns"`
-	Steps    string        `arg:"--steps" help:"its sizes, rising, joined by commas [default: the usual ones]"`
-	Nodes    int           `arg:"--nodes" help:"hollow nodes, while something else is varied [default: 50, or 3 beside what stores bear]"`
-	Runners  int           `arg:"--runners" help:"runners on the platform's list [default: 600, or 30]"`
-	Routes   int           `arg:"--routes" help:"routes of the config [default: 100, or 10]"`
-	Changes  int           `arg:"--changes" help:"changes in the burst [default: 20]"`
-	Groups   int           `arg:"--groups" help:"groups of lines [default: 32]"`
-	Turns    int           `arg:"--turns" help:"turns begun and ended a second [default: 20]"`
-	Programs int           `arg:"--programs" help:"programs under way [default: 40]"`
-	History  int           `arg:"--history" help:"KiB of history of each program [default: 4]"`
-	Quiet    time.Duration `arg:"--quiet" default:"8s" help:"how long usage is measured while nothing changes"`
-	Pace     time.Duration `arg:"--pace" default:"20ms" help:"how long after the one before it a hollow node starts"`
-	Timeout  time.Duration `arg:"--patience" default:"90s" help:"how long one step may take"`
-	Binaries string        `arg:"--binaries" help:"folder of the programs [default: beside this one]"`
-	Label    string        `arg:"--label" help:"what the run was of, such as a commit"`
-	Plot     string        `arg:"--plot" help:"file for the plot (SVG)"`
+	Dimension     string        `arg:"--against" default:"nodes" help:"dimension to vary: changes, groups, history, nodes, programs, routes, runners or turns"`
+	Steps         string        `arg:"--steps" help:"sizes to measure, ascending and separated by commas [default: depends on the dimension]"`
+	Nodes         int           `arg:"--nodes" help:"hollow nodes, unless varied [default: 50, or 3 when loading stores]"`
+	Runners       int           `arg:"--runners" help:"runners on the platform's list [default: 600, or 30 when loading stores]"`
+	Routes        int           `arg:"--routes" help:"routes of the config [default: 100, or 10 when loading stores]"`
+	Changes       int           `arg:"--changes" help:"changes in one burst [default: 20]"`
+	Groups        int           `arg:"--groups" help:"replication groups of sessions [default: 32]"`
+	Turns         int           `arg:"--turns" help:"turns per second [default: 20]"`
+	Programs      int           `arg:"--programs" help:"number of programs [default: 40]"`
+	History       int           `arg:"--history" help:"history of each program in KiB [default: 4]"`
+	IdlePeriod    time.Duration `arg:"--quiet" default:"8s" help:"duration of the idle measurement, and of the turn load"`
+	StartInterval time.Duration `arg:"--pace" default:"20ms" help:"time between the starts of hollow nodes"`
+	Timeout       time.Duration `arg:"--patience" default:"90s" help:"timeout of one step"`
+	Binaries      string        `arg:"--binaries" help:"directory of the binaries [default: that of this one]"`
+	Label         string        `arg:"--label" help:"label of the report, such as a commit"`
+	Plot          string        `arg:"--plot" help:"write an SVG plot to this file"`
 }
 
 type report struct {
-	Label    string              `json:"label,omitempty"`
-	Against  string              `json:"against"`
-	Began    time.Time           `json:"began"`
-	Cores    int                 `json:"cores_of_the_machine"`
-	Measured []scale.Measurement `json:"measured"`
-	Slopes   []scale.Slope       `json:"slopes"`
+	Label     string              `json:"label,omitempty"`
+	Dimension string              `json:"against"`
+	Began     time.Time           `json:"began"`
+	Cores     int                 `json:"cores_of_the_machine"`
+	Measured  []scale.Measurement `json:"measured"`
+	Slopes    []scale.Slope       `json:"slopes"`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func run(arguments []string, output, complaints io.Writer) int {
-	var chosen options
-	parser, err := arg.NewParser(arg.Config{Program: "scale"}, &chosen)
+func run(args []string, stdout, stderr io.Writer) int {
+	var opts options
+	parser, err := arg.NewParser(arg.Config{Program: "scale"}, &opts)
 	if err != nil {
-		return fail(err, complaints)
+		return exitCode(err, stderr)
 	}
-	switch err := parser.Parse(arguments); {
+	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
-		parser.WriteHelp(output)
+		parser.WriteHelp(stdout)
 		return 0
 	case err != nil:
-		return fail(&scale.StepError{Message: err.Error(), Remedy: "see --help"}, complaints)
+		return exitCode(&scale.StepError{Message: err.Error(), Remedy: "see --help"}, stderr)
 	}
 	log.SetHandler(discard.New())
-	return fail(measure(chosen, output), complaints)
+	return exitCode(measure(opts, stdout), stderr)
 }
 
-func fail(err error, complaints io.Writer) int {
+func exitCode(err error, stderr io.Writer) int {
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintln(complaints, err)
-	var refusal *scale.StepError
-	if errors.As(err, &refusal) {
+	fmt.Fprintln(stderr, err)
+	var stepErr *scale.StepError
+	if errors.As(err, &stepErr) {
 		return 2
 	}
 	return 1
 }
 
-// defaultStep is the step that the options choose beside the size that is varied.
-func (chosen options) defaultStep() scale.Step {
-	step := scale.DefaultStep(chosen.Against)
-	for size, given := range map[*int]int{&step.Nodes: chosen.Nodes, &step.Runners: chosen.Runners, &step.Routes: chosen.Routes, &step.Changes: chosen.Changes, &step.Groups: chosen.Groups, &step.Turns: chosen.Turns, &step.Programs: chosen.Programs, &step.History: chosen.History} {
-		if given != 0 {
-			*size = given
+// defaultStep returns the default step of the dimension with the sizes that were set as options.
+func (opts options) defaultStep() scale.Step {
+	step := scale.DefaultStep(opts.Dimension)
+	for size, value := range map[*int]int{&step.Nodes: opts.Nodes, &step.Runners: opts.Runners, &step.Routes: opts.Routes, &step.Changes: opts.Changes, &step.Groups: opts.Groups, &step.Turns: opts.Turns, &step.Programs: opts.Programs, &step.History: opts.History} {
+		if value != 0 {
+			*size = value
 		}
 	}
 	return step
 }
 
-func measure(chosen options, output io.Writer) error {
-	steps, err := scale.Steps(chosen.defaultStep(), chosen.Against, chosen.Steps)
+func measure(opts options, stdout io.Writer) error {
+	steps, err := scale.Steps(opts.defaultStep(), opts.Dimension, opts.Steps)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if chosen.Binaries == "" {
+	if opts.Binaries == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		chosen.Binaries = filepath.Dir(self)
+		opts.Binaries = filepath.Dir(self)
 	}
 	folder, err := os.MkdirTemp("", "yardrock-scale-")
 	if err != nil {
 		return err
 	}
-	// It removes only an empty folder: the logs of a failed step stay.
+	// Remove fails on a non-empty directory, which keeps the logs of a failed step.
 	defer func() { _ = os.Remove(folder) }()
-	reported := report{Label: chosen.Label, Against: chosen.Against, Began: time.Now().UTC(), Cores: runtime.NumCPU()}
+	result := report{Label: opts.Label, Dimension: opts.Dimension, Began: time.Now().UTC(), Cores: runtime.NumCPU()}
 	for _, step := range steps {
-		limited, cancel := context.WithTimeout(ctx, chosen.Timeout)
-		measured, failed := scale.Run(limited, scale.Settings{Programs: chosen.Binaries, Folder: folder, IdlePeriod: chosen.Quiet, StartInterval: chosen.Pace, Real: scale.RealProcesses, LoadsStores: scale.LoadsStores(chosen.Against)}, step)
+		stepCtx, cancel := context.WithTimeout(ctx, opts.Timeout)
+		measurement, stepErr := scale.Run(stepCtx, scale.Settings{Programs: opts.Binaries, Folder: folder, IdlePeriod: opts.IdlePeriod, StartInterval: opts.StartInterval, Real: scale.RealProcesses, LoadsStores: scale.LoadsStores(opts.Dimension)}, step)
 		cancel()
-		if failed != nil {
-			measured.Failed = failed.Error()
+		if stepErr != nil {
+			measurement.Failed = stepErr.Error()
 		}
-		if len(measured.Figures) > 0 {
-			reported.Measured = append(reported.Measured, measured)
+		if len(measurement.Figures) > 0 {
+			result.Measured = append(result.Measured, measurement)
 		}
-		if failed != nil {
-			err = failed
+		if stepErr != nil {
+			err = stepErr
 			break
 		}
 	}
-	slopes, failed := scale.Slopes(chosen.Against, reported.Measured)
-	reported.Slopes = slopes
-	encoder := json.NewEncoder(output)
+	slopes, slopesErr := scale.Slopes(opts.Dimension, result.Measured)
+	result.Slopes = slopes
+	encoder := json.NewEncoder(stdout)
 	encoder.SetIndent("", "  ")
-	err = errors.Join(err, failed, encoder.Encode(reported))
-	if chosen.Plot != "" && len(reported.Measured) > 0 {
-		err = errors.Join(err, draw(chosen, reported))
+	err = errors.Join(err, slopesErr, encoder.Encode(result))
+	if opts.Plot != "" && len(result.Measured) > 0 {
+		err = errors.Join(err, writePlot(opts, result))
 	}
 	for _, slope := range slopes {
 		if slope.Worse {
-			err = errors.Join(err, fmt.Errorf("%s grows with %s to the power %.2f over %d to %d, and the page says %s; mend it, or the page", slope.Figure, slope.Per, slope.Exponent, slope.From, slope.To, slope.Claim))
+			err = errors.Join(err, fmt.Errorf("%s grows with %s to the power of %.2f from %d to %d, but docs/CAPACITY.md claims %s; fix the regression or update the page", slope.Figure, slope.Per, slope.Exponent, slope.From, slope.To, slope.Claim))
 		}
 	}
 	return err
 }
 
-func draw(chosen options, measured report) error {
-	file, err := os.Create(chosen.Plot)
+func writePlot(opts options, result report) error {
+	file, err := os.Create(opts.Plot)
 	if err != nil {
 		return err
 	}
-	return errors.Join(scale.Draw(file, chosen.Against, measured.Measured), file.Close())
+	return errors.Join(scale.Draw(file, opts.Dimension, result.Measured), file.Close())
 }
--- a/proof/cmd/scale/main_test.go
+++ b/proof/cmd/scale/main_test.go
@@ -7,40 +7,40 @@
 )
 
 func TestInvalidStepsAreRejectedWithRemedy(t *testing.T) {
-	for name, refused := range map[string]struct{ arguments, remedy string }{
-		"an unknown size":         {"--against moons", "name one of"},
-		"an oversized step":       {"--steps 50,100000", "use 800 at most"},
-		"an oversized other size": {"--against runners --nodes 5000", "use 800 at most"},
-		"a step of nothing":       {"--steps 0,50", "use 1 at least"},
-		"a step below nothing":    {"--steps=-5,50", "use 1 at least"},
-		"no number":               {"--steps many", "whole numbers"},
-		"steps that do not rise":  {"--steps 100,50", "rising order"},
-		"a step twice":            {"--steps 50,50", "rising order"},
-		"an unknown option":       {"--moons 5", "see --help"},
-		"a time that is none":     {"--quiet soon", "see --help"},
+	for name, test := range map[string]struct{ arguments, remedy string }{
+		"unknown dimension":               {"--against moons", "name one of"},
+		"size above the maximum":          {"--steps 50,100000", "use at most 800"},
+		"constant size above the maximum": {"--against runners --nodes 5000", "use at most 800"},
+		"zero size":                       {"--steps 0,50", "use at least 1"},
+		"negative size":                   {"--steps=-5,50", "use at least 1"},
+		"not a number":                    {"--steps many", "whole numbers"},
+		"descending sizes":                {"--steps 100,50", "ascending order"},
+		"duplicate size":                  {"--steps 50,50", "ascending order"},
+		"unknown option":                  {"--moons 5", "see --help"},
+		"invalid duration":                {"--quiet soon", "see --help"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var output, complaints bytes.Buffer
-			if code := run(strings.Fields(refused.arguments), &output, &complaints); code != 2 {
-				t.Errorf("ended with %d", code)
+			var stdout, stderr bytes.Buffer
+			if code := run(strings.Fields(test.arguments), &stdout, &stderr); code != 2 {
+				t.Errorf("got exit code %d, want 2", code)
 			}
-			if !strings.Contains(complaints.String(), refused.remedy) || output.Len() > 0 {
-				t.Errorf("told %q and complained %q", output.String(), complaints.String())
+			if !strings.Contains(stderr.String(), test.remedy) || stdout.Len() > 0 {
+				t.Errorf("got stdout %q and stderr %q", stdout.String(), stderr.String())
 			}
 		})
 	}
 }
 
 func TestHelpExitsWithSuccess(t *testing.T) {
-	var output, complaints bytes.Buffer
-	if code := run([]string{"--help"}, &output, &complaints); code != 0 || !strings.Contains(output.String(), "--against") {
-		t.Fatalf("ended with %d and told %q", code, output.String())
+	var stdout, stderr bytes.Buffer
+	if code := run([]string{"--help"}, &stdout, &stderr); code != 0 || !strings.Contains(stdout.String(), "--against") {
+		t.Fatalf("got exit code %d and stdout %q", code, stdout.String())
 	}
 }
 
-func TestMissingProgramsFail(t *testing.T) {
-	var output, complaints bytes.Buffer
-	if code := run([]string{"--steps", "1", "--binaries", t.TempDir()}, &output, &complaints); code != 1 || !strings.Contains(complaints.String(), "no such file") {
-		t.Fatalf("ended with %d: %q", code, complaints.String())
+func TestMissingBinariesFail(t *testing.T) {
+	var stdout, stderr bytes.Buffer
+	if code := run([]string{"--steps", "1", "--binaries", t.TempDir()}, &stdout, &stderr); code != 1 || !strings.Contains(stderr.String(), "no such file") {
+		t.Fatalf("got exit code %d and stderr %q", code, stderr.String())
 	}
 }
--- a/proof/scale/bench_test.go
+++ b/proof/scale/bench_test.go
@@ -9,14 +9,14 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// BenchmarkFeedReplies returns what an answer costs that carries the live nodes, or
-// a whole view with runners, for one asker: putting it together and taking it apart.
+// BenchmarkFeedReplies measures encoding and decoding of a feed reply that carries the live nodes
+// or a complete view with runners.
 func BenchmarkFeedReplies(b *testing.B) {
 	for _, size := range []int{50, 430, 2600} {
 		members, runners := []feed.Member{}, []feed.Runner{}
 		for position := range size {
 			members = append(members, feed.Member{Name: fmt.Sprintf("front-%08d-1234-1234-1234-123456789012", position), Role: feed.RoleFront, Address: fmt.Sprintf("10.1.%d.%d:7000", position/250, position%250), Domain: domains[position%3], Machine: fmt.Sprintf("edge-%d", position)})
-			runners = append(runners, feed.Runner{Incarnation: fmt.Sprintf("life-%d", position), Address: fmt.Sprintf("10.2.%d.%d:8000", position/250, position%250), Group: groups[position%3], Domain: domains[position%3], State: feed.StateServing, Slots: 32})
+			runners = append(runners, feed.Runner{Incarnation: fmt.Sprintf("life-%d", position), Address: fmt.Sprintf("10.2.%d.%d:8000", position/250, position%250), Group: runnerGroups[position%3], Domain: domains[position%3], State: feed.StateServing, Slots: 32})
 		}
 		for name, answer := range map[string]wire.FollowReply{
 			"nodes":   {Newest: 5, MembersDigest: 7, Members: members},
@@ -27,7 +27,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.Run(fmt.Sprintf("put/%s-%d", name, size), func(b *testing.B) {
+			b.Run(fmt.Sprintf("encode/%s-%d", name, size), func(b *testing.B) {
 				for b.Loop() {
 					if _, err := wire.AppendReply(nil, reply); err != nil {
 						b.Fatal(err)
@@ -35,7 +35,7 @@
 				}
 				b.ReportMetric(float64(len(data)), "bytes")
 			})
-			b.Run(fmt.Sprintf("take/%s-%d", name, size), func(b *testing.B) {
+			b.Run(fmt.Sprintf("decode/%s-%d", name, size), func(b *testing.B) {
 				for b.Loop() {
 					if _, err := wire.DecodeReply(data); err != nil {
 						b.Fatal(err)
--- a/proof/scale/bursts.go
+++ b/proof/scale/bursts.go
@@ -7,10 +7,10 @@
 	"yardrock.example/system/feed"
 )
 
-// burst proposes changes one after the other and measures how long each took until it was
-// acknowledged and until the hollow nodes had applied it, and its cost.
-func (trial *stepRun) burst(ctx context.Context, name string, count int, next func(position int) (feed.Change, error)) error {
-	before, err := trial.sample(ctx)
+// measureBurst proposes changes sequentially and measures their acknowledgement latency, the delay
+// until the hollow nodes have applied them, and the resources used per change.
+func (run *stepRun) measureBurst(ctx context.Context, name string, count int, next func(position int) (feed.Change, error)) error {
+	before, err := run.sampleUsage(ctx)
 	if err != nil {
 		return err
 	}
@@ -19,42 +19,42 @@
 		number uint64
 		at     time.Time
 	}
-	taken, slowest := []proposed{}, time.Duration(0)
+	accepted, slowestAck := []proposed{}, time.Duration(0)
 	for position := range count {
 		change, err := next(position)
 		if err != nil {
 			return err
 		}
 		sent := time.Now()
-		number, err := propose(ctx, trial.caller, trial.controls(), change)
+		number, err := propose(ctx, run.caller, run.controlAddresses(), change)
 		if err != nil {
 			return err
 		}
-		slowest = max(slowest, time.Since(sent))
-		taken = append(taken, proposed{number, sent})
+		slowestAck = max(slowestAck, time.Since(sent))
+		accepted = append(accepted, proposed{number, sent})
 	}
 	acknowledged := time.Since(began)
-	maximum, medians := time.Duration(0), time.Duration(0)
-	for _, change := range taken {
-		delays, err := trial.hollow.Delays(ctx, change.number, change.at)
+	slowestApply, medianSum := time.Duration(0), time.Duration(0)
+	for _, change := range accepted {
+		delays, err := run.hollow.Delays(ctx, change.number, change.at)
 		if err != nil {
 			return err
 		}
-		maximum = max(maximum, delays[len(delays)-1])
-		medians += delays[len(delays)/2]
+		slowestApply = max(slowestApply, delays[len(delays)-1])
+		medianSum += delays[len(delays)/2]
 	}
-	after, err := trial.sample(ctx)
+	after, err := run.sampleUsage(ctx)
 	if err != nil {
 		return err
 	}
-	figures := trial.measurement.Figures
-	figures[name+".acknowledged_most_s"] = slowest.Seconds()
+	figures := run.measurement.Figures
+	figures[name+".acknowledged_most_s"] = slowestAck.Seconds()
 	figures[name+".acknowledged_mean_s"] = acknowledged.Seconds() / float64(count)
-	figures[name+".in_force_median_s"] = medians.Seconds() / float64(count)
-	figures[name+".in_force_most_s"] = maximum.Seconds()
-	figures[name+".bytes_in_per_hollow"] = float64(after.read-before.read) / float64(trial.step.Nodes*count)
+	figures[name+".in_force_median_s"] = medianSum.Seconds() / float64(count)
+	figures[name+".in_force_most_s"] = slowestApply.Seconds()
+	figures[name+".bytes_in_per_hollow"] = float64(after.hollowBytesIn-before.hollowBytesIn) / float64(run.step.Nodes*count)
 	seconds, processes := map[string]float64{}, map[string]float64{}
-	for _, process := range trial.fleet.Processes {
+	for _, process := range run.fleet.Processes {
 		if used, found := after.processes[process.Name]; found {
 			seconds[process.Role] += used.Seconds - before.processes[process.Name].Seconds
 			processes[process.Role]++
@@ -69,15 +69,15 @@
 	return nil
 }
 
-func (trial *stepRun) smallChanges(ctx context.Context) error {
-	return trial.burst(ctx, "small_change", trial.step.Changes, func(position int) (feed.Change, error) { return domainChange(position%2 == 0), nil })
+func (run *stepRun) measureSmallChanges(ctx context.Context) error {
+	return run.measureBurst(ctx, "small_change", run.step.Changes, func(position int) (feed.Change, error) { return domainChange(position%2 == 0), nil })
 }
 
-// configsInBurst is small, as each config carries all routes.
-const configsInBurst = 5
+// configBurstSize is small because every config carries all routes.
+const configBurstSize = 5
 
-func (trial *stepRun) configs(ctx context.Context) error {
-	return trial.burst(ctx, "config", configsInBurst, func(position int) (feed.Change, error) {
-		return withRouting(trial.hollow.Nodes()[0].View(), trial.step.Routes, uint64(position+2))
+func (run *stepRun) measureConfigs(ctx context.Context) error {
+	return run.measureBurst(ctx, "config", configBurstSize, func(position int) (feed.Change, error) {
+		return withRouting(run.hollow.Nodes()[0].View(), run.step.Routes, uint64(position+2))
 	})
 }
--- a/proof/scale/capacitypage_test.go
+++ b/proof/scale/capacitypage_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// claimed reads the claims out of the page's tables: the rows whose first cell is a
-// figure's name in backticks, with the size, the growth and more after it.
-func claimed(page string) map[string]Growth {
-	found := map[string]Growth{}
+// parseClaims returns the claims in the page's tables, keyed "figure against dimension": the rows of
+// at least four cells that start with a figure's name in backticks, its dimension and its growth.
+func parseClaims(page string) map[string]Growth {
+	claims := map[string]Growth{}
 	for line := range strings.Lines(page) {
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		if len(cells) < 4 || !strings.HasPrefix(strings.TrimSpace(line), "| `") {
@@ -20,11 +20,11 @@
 		for position := range cells {
 			cells[position] = strings.TrimSpace(cells[position])
 		}
-		if growth := Growth(cells[2]); exponents[growth] > 0 {
-			found[strings.Trim(cells[0], "`")+" against "+cells[1]] = growth
+		if growth := Growth(cells[2]); maxExponents[growth] > 0 {
+			claims[strings.Trim(cells[0], "`")+" against "+cells[1]] = growth
 		}
 	}
-	return found
+	return claims
 }
 
 func TestCapacityPageStatesClaimedGrowth(t *testing.T) {
@@ -32,27 +32,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	judged := map[string]Growth{}
-	for against, figures := range ClaimedGrowth {
-		if _, known := dimensions[against]; !known {
-			t.Errorf("nothing can be measured against %q", against)
+	checked := map[string]Growth{}
+	for dimension, figures := range ClaimedGrowth {
+		if _, known := dimensions[dimension]; !known {
+			t.Errorf("claimed growth for unknown dimension %q", dimension)
 		}
 		for figure, growth := range figures {
-			judged[figure+" against "+against] = growth
+			checked[figure+" against "+dimension] = growth
 		}
 	}
-	said := claimed(string(page))
-	for _, claim := range slices.Sorted(maps.Keys(judged)) {
-		if said[claim] != judged[claim] {
-			t.Errorf("%s is judged as %s, and the page says %q", claim, judged[claim], said[claim])
+	documented := parseClaims(string(page))
+	for _, claim := range slices.Sorted(maps.Keys(checked)) {
+		if documented[claim] != checked[claim] {
+			t.Errorf("%s is checked as %s, but the page states %q", claim, checked[claim], documented[claim])
 		}
 	}
-	for _, claim := range slices.Sorted(maps.Keys(said)) {
-		if judged[claim] == "" {
-			t.Errorf("the page says that %s is %s, and no run judges it", claim, said[claim])
+	for _, claim := range slices.Sorted(maps.Keys(documented)) {
+		if checked[claim] == "" {
+			t.Errorf("the page states that %s is %s, but no run checks it", claim, documented[claim])
 		}
 	}
-	if len(judged) < 10 {
-		t.Errorf("only %d figures are judged", len(judged))
+	if len(checked) < 10 {
+		t.Errorf("only %d figures are checked", len(checked))
 	}
 }
--- a/proof/scale/claimedgrowth.go
+++ b/proof/scale/claimedgrowth.go
@@ -1,7 +1,7 @@
 package scale
 
-// ClaimedGrowth is how docs/CAPACITY.md says that figures grow, by the size that is varied and by
-// figure. A run fails if a figure grows faster.
+// ClaimedGrowth is the growth that docs/CAPACITY.md claims, by dimension and figure. A run fails if
+// a figure grows faster.
 var ClaimedGrowth = map[string]map[string]Growth{
 	"nodes": {
 		"hollow.messages_per_s":          Flat,
--- a/proof/scale/failures.go
+++ b/proof/scale/failures.go
@@ -10,16 +10,16 @@
 	"yardrock.example/system/feed"
 )
 
-// runnerLeaves lists a runner as draining and measures the time until every hollow node has
-// applied that, which includes the lag of the platform's list and the poll interval.
-func (trial *stepRun) runnerLeaves(ctx context.Context) error {
-	list := RunnerList(trial.step.Runners)
+// measureRunnerDrain lists a runner as draining and measures the time until every hollow node has
+// applied the change, including the lag of the platform's list and the poll interval.
+func (run *stepRun) measureRunnerDrain(ctx context.Context) error {
+	list := RunnerList(run.step.Runners)
 	list[0].State = feed.StateDraining
 	sent := time.Now()
-	if err := putRunnerList(ctx, trial.fleet.PlatformAddress, list); err != nil {
+	if err := putRunnerList(ctx, run.fleet.PlatformAddress, list); err != nil {
 		return err
 	}
-	err := trial.hollow.Await(ctx, "told of the runner", func(node *HollowNode) bool {
+	err := run.hollow.Await(ctx, "aware of the draining runner", func(node *HollowNode) bool {
 		for _, runner := range node.View().Runners {
 			if runner.Address == list[0].Address {
 				return runner.State == feed.StateDraining
@@ -27,23 +27,23 @@
 		}
 		return false
 	})
-	trial.measurement.Figures["runner_leaves.in_force_most_s"] = time.Since(sent).Seconds()
+	run.measurement.Figures["runner_leaves.in_force_most_s"] = time.Since(sent).Seconds()
 	return err
 }
 
-// failOver kills the control leader, measures the time until a change is in force everywhere under
-// the next leader, and starts the killed process again.
-func (trial *stepRun) failOver(ctx context.Context) error {
+// measureFailover kills the control leader, measures the time until a change is in force everywhere
+// under the next leader, and restarts the killed process.
+func (run *stepRun) measureFailover(ctx context.Context) error {
 	var leader *fleet.Process
-	for _, control := range trial.fleet.ProcessesOf("control") {
-		if status, err := trial.status(ctx, control.Address); err == nil && status.Leader == status.Name {
+	for _, control := range run.fleet.ProcessesOf("control") {
+		if status, err := run.status(ctx, control.Address); err == nil && status.Leader == status.Name {
 			leader = control
 		}
 	}
 	if leader == nil {
-		return errors.New("no control node leads")
+		return errors.New("the control group has no leader")
 	}
-	figures := trial.measurement.Figures
+	figures := run.measurement.Figures
 	leader.Kill()
 	killed := time.Now()
 	staleNow, staleAt := 0, time.Now()
@@ -51,7 +51,7 @@
 	sample := func() {
 		now := time.Now()
 		staleSeconds += float64(staleNow) * now.Sub(staleAt).Seconds()
-		if staleNow, staleAt = trial.hollow.Stale(), now; staleNow > 0 {
+		if staleNow, staleAt = run.hollow.Stale(), now; staleNow > 0 {
 			lastStale = now.Sub(killed)
 		}
 		maximumStale = max(maximumStale, staleNow)
@@ -60,31 +60,31 @@
 		number uint64
 		err    error
 	}
-	changed := make(chan outcome, 1)
+	results := make(chan outcome, 1)
 	go func() {
-		number, err := propose(ctx, trial.caller, trial.controls(), domainChange(true))
-		changed <- outcome{number, err}
+		number, err := propose(ctx, run.caller, run.controlAddresses(), domainChange(true))
+		results <- outcome{number, err}
 	}()
-	var got outcome
+	var result outcome
 	for waiting := true; waiting; {
 		select {
-		case got = <-changed:
+		case result = <-results:
 			waiting = false
 		case <-time.After(20 * time.Millisecond):
 			sample()
 		}
 	}
-	if got.err != nil {
-		return got.err
+	if result.err != nil {
+		return result.err
 	}
 	figures["failover.acknowledged_s"] = time.Since(killed).Seconds()
-	delays, err := trial.hollow.Delays(ctx, got.number, killed)
+	delays, err := run.hollow.Delays(ctx, result.number, killed)
 	if err != nil {
 		return err
 	}
 	figures["failover.in_force_most_s"] = delays[len(delays)-1].Seconds()
 	figures["failover.in_force_median_s"] = delays[len(delays)/2].Seconds()
-	for settled := time.Now().Add(time.Second); time.Now().Before(settled); {
+	for deadline := time.Now().Add(time.Second); time.Now().Before(deadline); {
 		select {
 		case <-time.After(20 * time.Millisecond):
 			sample()
@@ -92,18 +92,18 @@
 			return ctx.Err()
 		}
 	}
-	figures["failover.stale_seconds_per_hollow"] = staleSeconds / float64(trial.step.Nodes)
-	figures["failover.most_stale_share"] = float64(maximumStale) / float64(trial.step.Nodes)
+	figures["failover.stale_seconds_per_hollow"] = staleSeconds / float64(run.step.Nodes)
+	figures["failover.most_stale_share"] = float64(maximumStale) / float64(run.step.Nodes)
 	figures["failover.last_stale_s"] = lastStale.Seconds()
-	return trial.restart(ctx, leader, got.number)
+	return run.restartControl(ctx, leader, result.number)
 }
 
-// loseZone kills all real processes of one domain at once, waits until a change is in
-// force at the hollow nodes, and starts them again.
-func (trial *stepRun) loseZone(ctx context.Context) error {
+// measureZoneLoss kills all real processes of one failure domain, waits until a change is in force
+// at the hollow nodes, and restarts the processes one by one.
+func (run *stepRun) measureZoneLoss(ctx context.Context) error {
 	lost := []*fleet.Process{}
 	for _, role := range []string{"control", "store", "front"} {
-		for _, process := range trial.fleet.ProcessesOf(role) {
+		for _, process := range run.fleet.ProcessesOf(role) {
 			if process.Domain == domains[0] {
 				lost = append(lost, process)
 			}
@@ -113,13 +113,13 @@
 		process.Kill()
 	}
 	killed := time.Now()
-	number, err := propose(ctx, trial.caller, trial.controls(), domainChange(false))
+	number, err := propose(ctx, run.caller, run.controlAddresses(), domainChange(false))
 	if err != nil {
 		return err
 	}
-	figures := trial.measurement.Figures
+	figures := run.measurement.Figures
 	figures["zone_lost.acknowledged_s"] = time.Since(killed).Seconds()
-	delays, err := trial.hollow.Delays(ctx, number, killed)
+	delays, err := run.hollow.Delays(ctx, number, killed)
 	if err != nil {
 		return err
 	}
@@ -137,26 +137,26 @@
 	return nil
 }
 
-// restart starts a killed control process again and waits until it has the view in force and knows
-// the leader.
-func (trial *stepRun) restart(ctx context.Context, process *fleet.Process, number uint64) error {
+// restartControl restarts a killed control process and waits until its view has reached the given
+// number and it knows the leader.
+func (run *stepRun) restartControl(ctx context.Context, process *fleet.Process, number uint64) error {
 	began := time.Now()
 	if err := process.Start(); err != nil {
 		return err
 	}
 	for {
-		status, err := trial.status(ctx, process.Address)
+		status, err := run.status(ctx, process.Address)
 		if err == nil && status.ViewNumber >= number && status.Leader != "" {
-			trial.measurement.Figures["restart.control_s"] = time.Since(began).Seconds()
+			run.measurement.Figures["restart.control_s"] = time.Since(began).Seconds()
 			return nil
 		}
 		if err != nil {
-			trial.caller.Drop(process.Address)
+			run.caller.Drop(process.Address)
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("%s did not come back: %w", process.Name, ctx.Err())
+			return fmt.Errorf("%s did not recover after its restart: %w", process.Name, ctx.Err())
 		}
 	}
 }
--- a/proof/scale/hollownodes.go
+++ b/proof/scale/hollownodes.go
@@ -14,11 +14,11 @@
 	"yardrock.example/system/link"
 )
 
-// domains are those over which hollow nodes are spread.
+// domains are the failure domains that hollow nodes are spread over.
 var domains = []string{"east", "west", "north"}
 
-// HollowNode is a node that keeps a session with the control plane and follows the feed as a front
-// does, and does nothing else. It records when it applied each number of the feed.
+// HollowNode keeps a session with the control plane and follows the feed as a front does, but serves
+// no requests. It records when it applied each view.
 type HollowNode struct {
 	Name    string
 	caller  *link.Client
@@ -32,31 +32,31 @@
 	at     time.Time
 }
 
-// ByteCounters counts the bytes that hollow nodes wrote to and read from their connections, with
-// the framing of package link.
+// ByteCounters counts the bytes that hollow nodes wrote to and read from their connections,
+// including the framing of package link.
 type ByteCounters struct{ Written, Read atomic.Int64 }
 
-// HollowNodes are the hollow nodes of one process. Stop ends them.
+// HollowNodes are the hollow nodes of one process. The caller must stop them with Stop.
 type HollowNodes struct {
 	Bytes ByteCounters
 	mutex sync.Mutex
 	nodes []*HollowNode
 }
 
-// Grow starts hollow nodes until there are as many as size. The starts are spread evenly over a
-// time, so that the requests of the nodes do not coincide. network returns the network of the node
-// at a position; address is the one at which others reach all of them.
+// Grow starts hollow nodes until there are size of them. The starts are spread evenly over rampUp, so
+// that the requests of the nodes do not coincide. network returns the network of the node at a
+// position; all nodes advertise the same address.
 //
-//	herd.Grow(ctx, 50, time.Second, "127.0.0.9:7000", seeds, func(int) link.Network { return link.TCP{} })
-func (hollow *HollowNodes) Grow(ctx context.Context, size int, over time.Duration, address string, seeds []string, network func(position int) link.Network) error {
-	begun := len(hollow.Nodes())
-	for position := begun; position < size; position++ {
+//	hollow.Grow(ctx, 50, time.Second, "127.0.0.9:7000", seeds, func(int) link.Network { return link.TCP{} })
+func (hollow *HollowNodes) Grow(ctx context.Context, size int, rampUp time.Duration, address string, seeds []string, network func(position int) link.Network) error {
+	existing := len(hollow.Nodes())
+	for position := existing; position < size; position++ {
 		select {
-		case <-time.After(over / time.Duration(size-begun)):
+		case <-time.After(rampUp / time.Duration(size-existing)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		node := &HollowNode{Name: fmt.Sprintf("hollow-%04d", position+1), caller: link.NewClient(countedNetwork{network(position), &hollow.Bytes})}
+		node := &HollowNode{Name: fmt.Sprintf("hollow-%04d", position+1), caller: link.NewClient(countingNetwork{network(position), &hollow.Bytes})}
 		member := feed.Member{Name: node.Name, Role: feed.RoleFront, Address: address, Domain: domains[position%len(domains)]}
 		node.client = feedclient.Start(node.caller, member, seeds, nil, node.apply)
 		hollow.mutex.Lock()
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// apply records when a view came into force.
+// apply records the time at which a view came into force.
 func (node *HollowNode) apply(view *feed.View) error {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -74,12 +74,12 @@
 	return nil
 }
 
-// View returns the newest view.
+// View returns the newest view, fresh or not.
 //
 //	runners := len(node.View().Runners)
 func (node *HollowNode) View() *feed.View { return node.client.View() }
 
-// UpToDate reports whether the view is fresh, so that the node may act on it.
+// UpToDate reports whether the view is fresh enough for the node to act on.
 //
 //	if !node.UpToDate() { stale++ }
 func (node *HollowNode) UpToDate() bool {
@@ -87,27 +87,27 @@
 	return err == nil
 }
 
-// Members returns the number of live nodes that this one knows.
+// Members returns the number of live nodes that this node knows.
 //
 //	if node.Members() < 50 { ... }
 func (node *HollowNode) Members() int { return len(node.client.Members()) }
 
-// AppliedAt returns when the node applied a number of the feed, or a later one.
+// AppliedAt returns the time at which the node first applied a view with at least this number.
 //
 //	at, found := node.AppliedAt(17)
 func (node *HollowNode) AppliedAt(number uint64) (time.Time, bool) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	at := slices.IndexFunc(node.applied, func(taken appliedView) bool { return taken.number >= number })
-	if at < 0 {
+	index := slices.IndexFunc(node.applied, func(view appliedView) bool { return view.number >= number })
+	if index < 0 {
 		return time.Time{}, false
 	}
-	return node.applied[at].at, true
+	return node.applied[index].at, true
 }
 
-// Nodes lists the hollow nodes.
+// Nodes returns the hollow nodes in start order.
 //
-//	for _, node := range herd.Nodes() { ... }
+//	for _, node := range hollow.Nodes() { ... }
 func (hollow *HollowNodes) Nodes() []*HollowNode {
 	hollow.mutex.Lock()
 	defer hollow.mutex.Unlock()
@@ -116,7 +116,7 @@
 
 // Stale counts the nodes whose view is not fresh.
 //
-//	if herd.Stale() > 0 { ... }
+//	if hollow.Stale() > 0 { ... }
 func (hollow *HollowNodes) Stale() int {
 	stale := 0
 	for _, node := range hollow.Nodes() {
@@ -127,33 +127,34 @@
 	return stale
 }
 
-// Await waits until a condition holds at every node.
+// Await waits until every node has reached a state, which is named in the error.
 //
-//	err := herd.Await(ctx, "fresh", (*scale.HollowNode).UpToDate)
-func (hollow *HollowNodes) Await(ctx context.Context, what string, holds func(*HollowNode) bool) error {
+//	err := hollow.Await(ctx, "fresh", (*scale.HollowNode).UpToDate)
+func (hollow *HollowNodes) Await(ctx context.Context, state string, reached func(*HollowNode) bool) error {
 	for {
-		left := []string{}
+		pending := []string{}
 		for _, node := range hollow.Nodes() {
-			if !holds(node) {
-				left = append(left, fmt.Sprintf("%s (at number %d, fresh: %t)", node.Name, node.View().Number, node.UpToDate()))
+			if !reached(node) {
+				pending = append(pending, fmt.Sprintf("%s (view %d, fresh: %t)", node.Name, node.View().Number, node.UpToDate()))
 			}
 		}
-		if len(left) == 0 {
+		if len(pending) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%d of %d hollow nodes are not %s, such as %s: %w", len(left), len(hollow.Nodes()), what, left[0], ctx.Err())
+			return fmt.Errorf("%d of %d hollow nodes are not %s, e.g. %s: %w", len(pending), len(hollow.Nodes()), state, pending[0], ctx.Err())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// Delays returns how long after a time each node applied a number, sorted.
+// Delays waits until every node has applied a view with at least this number, and returns the
+// sorted delays from since.
 //
-//	delays, err := herd.Delays(ctx, reply.Number, asked)
+//	delays, err := hollow.Delays(ctx, reply.Number, asked)
 func (hollow *HollowNodes) Delays(ctx context.Context, number uint64, since time.Time) ([]time.Duration, error) {
-	err := hollow.Await(ctx, fmt.Sprintf("at number %d", number), func(node *HollowNode) bool {
+	err := hollow.Await(ctx, fmt.Sprintf("at view %d", number), func(node *HollowNode) bool {
 		_, found := node.AppliedAt(number)
 		return found
 	})
@@ -169,47 +170,47 @@
 	return delays, nil
 }
 
-// Stop ends all nodes.
+// Stop stops all nodes and waits for them.
 //
-//	defer herd.Stop()
+//	defer hollow.Stop()
 func (hollow *HollowNodes) Stop() {
-	var stopped sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, node := range hollow.Nodes() {
-		stopped.Go(func() {
+		wg.Go(func() {
 			node.client.Stop()
 			node.caller.Close()
 		})
 	}
-	stopped.Wait()
+	wg.Wait()
 }
 
-// countedNetwork counts the bytes of the connections that are dialled through it.
-type countedNetwork struct {
+// countingNetwork counts the bytes of the connections that it dials.
+type countingNetwork struct {
 	link.Network
-	volume *ByteCounters
+	counters *ByteCounters
 }
 
-func (network countedNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
-	stream, err := network.Network.Dial(ctx, address)
+func (network countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	conn, err := network.Network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedStream{stream, network.volume}, nil
+	return &countingConn{conn, network.counters}, nil
 }
 
-type countedStream struct {
+type countingConn struct {
 	net.Conn
-	volume *ByteCounters
+	counters *ByteCounters
 }
 
-func (stream *countedStream) Read(target []byte) (int, error) {
-	count, err := stream.Conn.Read(target)
-	stream.volume.Read.Add(int64(count))
+func (conn *countingConn) Read(target []byte) (int, error) {
+	count, err := conn.Conn.Read(target)
+	conn.counters.Read.Add(int64(count))
 	return count, err
 }
 
-func (stream *countedStream) Write(data []byte) (int, error) {
-	count, err := stream.Conn.Write(data)
-	stream.volume.Written.Add(int64(count))
+func (conn *countingConn) Write(data []byte) (int, error) {
+	count, err := conn.Conn.Write(data)
+	conn.counters.Written.Add(int64(count))
 	return count, err
 }
--- a/proof/scale/hollownodes_test.go
+++ b/proof/scale/hollownodes_test.go
@@ -19,7 +19,7 @@
 	m.Run()
 }
 
-// simulateHollowNodes runs a body beside a small cluster on the simulated network and clock.
+// simulateHollowNodes runs body against a small cluster on the simulated network and clock.
 func simulateHollowNodes(t *testing.T, body func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, caller *link.Client, controls []string)) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, err := simulator.Start(1, simulator.Shape{Controls: 3, Stores: 3, Fronts: 1, Models: 1, Applications: 1}, simulator.BasicConfig)
@@ -28,7 +28,7 @@
 			defer func() {
 				hollow.Stop()
 				cluster.Stop()
-				<-time.After(time.Minute) // what still waits on the bubble's clock ends
+				<-time.After(time.Minute) // lets goroutines that wait on the bubble's clock exit
 			}()
 		}
 		if err != nil {
@@ -59,7 +59,7 @@
 		if err := hollow.Await(ctx, "fresh", (*HollowNode).UpToDate); err != nil {
 			t.Fatal(err)
 		}
-		if err := hollow.Await(ctx, "told of all", func(node *HollowNode) bool { return node.Members() >= nodes }); err != nil {
+		if err := hollow.Await(ctx, "aware of all nodes", func(node *HollowNode) bool { return node.Members() >= nodes }); err != nil {
 			t.Fatal(err)
 		}
 		for position := range 6 {
@@ -103,14 +103,13 @@
 			t.Fatal(err)
 		}
 		if maximum := delays[len(delays)-1]; maximum > 6*time.Second {
-			t.Errorf("the change was in force everywhere %s after its leader's end", maximum)
+			t.Errorf("the change was in force everywhere only %s after the leader was killed", maximum)
 		}
 	})
 }
 
-// TestHollowNodeTrafficGrowsLinearly is the small peer of the scale
-// run against nodes: with every node informed of all others, a node's part grows with the
-// fleet at most, never with its square.
+// TestHollowNodeTrafficGrowsLinearly guards against traffic per node that grows faster than
+// linearly with the number of nodes, although every node learns of all others.
 func TestHollowNodeTrafficGrowsLinearly(t *testing.T) {
 	simulateHollowNodes(t, func(ctx context.Context, cluster *simulator.Cluster, hollow *HollowNodes, _ *link.Client, controls []string) {
 		sizes, read := []float64{}, []float64{}
@@ -118,23 +117,23 @@
 			if err := hollow.Grow(ctx, nodes, time.Second, "10.8.0.1:7000", controls, hostNetworks(cluster)); err != nil {
 				t.Fatal(err)
 			}
-			if err := hollow.Await(ctx, "told of all", func(node *HollowNode) bool { return node.UpToDate() && node.Members() >= nodes }); err != nil {
+			if err := hollow.Await(ctx, "fresh and aware of all nodes", func(node *HollowNode) bool { return node.UpToDate() && node.Members() >= nodes }); err != nil {
 				t.Fatal(err)
 			}
 			<-time.After(2 * time.Second)
 			before := hollow.Bytes.Read.Load()
-			const quiet = 3 * time.Second
-			<-time.After(quiet)
+			const idle = 3 * time.Second
+			<-time.After(idle)
 			sizes = append(sizes, float64(nodes))
-			read = append(read, float64(hollow.Bytes.Read.Load()-before)/quiet.Seconds()/float64(nodes))
+			read = append(read, float64(hollow.Bytes.Read.Load()-before)/idle.Seconds()/float64(nodes))
 		}
 		slope, err := Fit("hollow.bytes_in_per_s", "nodes", sizes, read, Linear)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("bytes a second a node over %v: %.0f, to the power %.2f", sizes, read, slope.Exponent)
+		t.Logf("bytes per second and node at %v nodes: %.0f, exponent %.2f", sizes, read, slope.Exponent)
 		if slope.Worse {
-			t.Errorf("what a node reads grows as %+v over %v", slope, read)
+			t.Errorf("bytes read per node grow as %+v with values %v", slope, read)
 		}
 	})
 }
@@ -145,7 +144,7 @@
 		seen[runner.Address] = true
 	}
 	if len(seen) != 2600 {
-		t.Errorf("%d addresses for 2600 runners", len(seen))
+		t.Errorf("got %d distinct addresses for 2600 runners", len(seen))
 	}
 	routing := Routing(2000, 3)
 	names := map[string]bool{}
@@ -153,7 +152,7 @@
 		names[route.Name] = len(route.Original) > 0 && len(route.Shares) == 2
 	}
 	if len(names) != 2000 || !names["route-01999"] || routing.Revision != 3 || len(routing.Services) != 3 {
-		t.Errorf("made %d routes under revision %d", len(names), routing.Revision)
+		t.Errorf("got %d routes at revision %d", len(names), routing.Revision)
 	}
 }
 
@@ -164,7 +163,7 @@
 		caller := link.NewClient(simulator.NewNetwork(1).At("10.9.9.8"))
 		defer caller.Close()
 		if _, err := propose(ctx, caller, []string{"10.0.0.1:7000"}, domainChange(true)); err == nil {
-			t.Error("a change was taken by nobody")
+			t.Error("propose succeeded without a reachable control node")
 		}
 	})
 }
--- a/proof/scale/plot.go
+++ b/proof/scale/plot.go
@@ -12,9 +12,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// plotted are the figures that are drawn, in one row for each family; families without a
-// measurement are left out.
-var plotted = [][]string{
+// plottedFigures has one row for each graph; graphs without a measured figure are omitted.
+var plottedFigures = [][]string{
 	{"control.leader.cores", "control.other.cores", "store.cores", "front.cores", "hollow.cores"},
 	{"control.leader.memory_mib", "control.other.memory_mib", "store.memory_mib", "front.memory_mib", "hollow.memory_mib"},
 	{"hollow.bytes_in_per_s", "hollow.bytes_out_per_s", "store.bytes_in_per_s", "front.bytes_in_per_s"},
@@ -24,25 +23,25 @@
 	{"programs.store_memory_mib"},
 }
 
-// Draw writes an SVG with one graph for each family of figures over the size that was varied.
+// Draw writes an SVG with one graph for each family of figures, plotted over the varied dimension.
 //
-//	err := scale.Draw(file, "nodes", measured)
-func Draw(target io.Writer, against string, measured []Measurement) error {
-	if len(measured) == 0 {
-		return &StepError{"nothing was measured that could be drawn", "measure a step first"}
+//	err := scale.Draw(file, "nodes", measurements)
+func Draw(target io.Writer, dimension string, measurements []Measurement) error {
+	if len(measurements) == 0 {
+		return &StepError{"there is no measurement to plot", "measure a step first"}
 	}
 	rows := [][]*plot.Plot{}
-	for _, family := range plotted {
-		made, err := graph(against, family, measured)
+	for _, family := range plottedFigures {
+		graph, err := plotFamily(dimension, family, measurements)
 		if err != nil {
 			return err
 		}
-		if made != nil {
-			rows = append(rows, []*plot.Plot{made})
+		if graph != nil {
+			rows = append(rows, []*plot.Plot{graph})
 		}
 	}
 	if len(rows) == 0 {
-		return &StepError{"no step has a figure that is drawn", "measure whole steps"}
+		return &StepError{"the measurements have no figure to plot", "measure complete steps"}
 	}
 	const width, height = 16 * vg.Centimeter, 9 * vg.Centimeter
 	canvas := vgsvg.New(width, height*vg.Length(len(rows)))
@@ -54,19 +53,19 @@
 	return err
 }
 
-// graph returns the graph of a family, or nil if no step has a figure of it.
-func graph(against string, family []string, measured []Measurement) (*plot.Plot, error) {
-	made := plot.New()
-	made.X.Label.Text = against
-	made.Y.Label.Text = family[0][strings.LastIndex(family[0], ".")+1:]
-	made.X.Min, made.Y.Min = 0, 0
-	made.Legend.Top, made.Legend.Left = true, true
+// plotFamily returns the graph of a family of figures, or nil if no step has any of them.
+func plotFamily(dimension string, family []string, measurements []Measurement) (*plot.Plot, error) {
+	graph := plot.New()
+	graph.X.Label.Text = dimension
+	graph.Y.Label.Text = family[0][strings.LastIndex(family[0], ".")+1:]
+	graph.X.Min, graph.Y.Min = 0, 0
+	graph.Legend.Top, graph.Legend.Left = true, true
 	lines := []any{}
 	for _, figure := range family {
 		points := plotter.XYs{}
-		for _, step := range measured {
+		for _, step := range measurements {
 			if value, found := step.Figures[figure]; found {
-				points = append(points, plotter.XY{X: float64(step.Step.Size(against)), Y: value})
+				points = append(points, plotter.XY{X: float64(step.Step.Size(dimension)), Y: value})
 			}
 		}
 		if len(points) > 0 {
@@ -76,5 +75,5 @@
 	if len(lines) == 0 {
 		return nil, nil
 	}
-	return made, plotutil.AddLinePoints(made, lines...)
+	return graph, plotutil.AddLinePoints(graph, lines...)
 }
--- a/proof/scale/scale_test.go
+++ b/proof/scale/scale_test.go
@@ -19,112 +19,112 @@
 	first, second := DefaultStep("routes"), DefaultStep("routes")
 	first.Routes, second.Routes = 10, 200
 	if len(steps) != 2 || steps[0] != first || steps[1] != second {
-		t.Fatalf("made %+v", steps)
+		t.Fatalf("got steps %+v", steps)
 	}
-	for _, against := range Dimensions() {
-		if steps, err := Steps(DefaultStep(against), against, ""); err != nil || len(steps) < 3 {
-			t.Errorf("%s has no steps of its own: %+v, %v", against, steps, err)
+	for _, dimension := range Dimensions() {
+		if steps, err := Steps(DefaultStep(dimension), dimension, ""); err != nil || len(steps) < 3 {
+			t.Errorf("%s lacks default steps: %+v, %v", dimension, steps, err)
 		}
 	}
 }
 
 func TestSlopeIsFittedAndChecked(t *testing.T) {
 	sizes := []float64{50, 100, 200, 400}
-	values := func(of func(float64) float64) []float64 {
-		made := []float64{}
+	values := func(function func(float64) float64) []float64 {
+		values := []float64{}
 		for _, size := range sizes {
-			made = append(made, of(size))
+			values = append(values, function(size))
 		}
-		return made
+		return values
 	}
-	for name, judged := range map[string]struct {
-		values     []float64
-		claim      Growth
-		each, base float64
-		worse      bool
+	for name, test := range map[string]struct {
+		values             []float64
+		claim              Growth
+		perUnit, intercept float64
+		exceedsClaim       bool
 	}{
-		"proportional":                       {values(func(size float64) float64 { return 3 * size }), Linear, 3, 0, false},
-		"a line over a base":                 {values(func(size float64) float64 { return 2*size + 700 }), Linear, 2, 700, false},
-		"a square said to be linear":         {values(func(size float64) float64 { return size * size }), Linear, 463.0434783, -33695.6522, true},
-		"a square beside a base":             {values(func(size float64) float64 { return size*size + 1000 }), Linear, 463.0434783, -32695.6522, true},
-		"a square of which nothing was said": {values(func(size float64) float64 { return size * size }), "", 463.0434783, -33695.6522, false},
-		"a square over a large base":         {values(func(size float64) float64 { return size*size + 200000 }), Linear, 463.0434783, 166304.3478, true},
-		"a line over a large base":           {values(func(size float64) float64 { return 463*size + 200000 }), Linear, 463, 200000, false},
-		"a line with a dip at its start":     {[]float64{0.326, 0.316, 0.594, 0.646}, Linear, 0.00100487, 0.2820870, false},
-		"a root":                             {values(math.Sqrt), Linear, 0.0358888, 6.0741577, false},
-		"flat":                               {values(func(float64) float64 { return 7 }), Flat, 0, 7, false},
-		"a line said to be flat":             {values(func(size float64) float64 { return size }), Flat, 1, 0, true},
-		"nothing at all":                     {values(func(float64) float64 { return 0 }), Flat, 0, 0, false},
+		"proportional":                                 {values(func(size float64) float64 { return 3 * size }), Linear, 3, 0, false},
+		"line with an intercept":                       {values(func(size float64) float64 { return 2*size + 700 }), Linear, 2, 700, false},
+		"square claimed linear":                        {values(func(size float64) float64 { return size * size }), Linear, 463.0434783, -33695.6522, true},
+		"square with an intercept claimed linear":      {values(func(size float64) float64 { return size*size + 1000 }), Linear, 463.0434783, -32695.6522, true},
+		"square without a claim":                       {values(func(size float64) float64 { return size * size }), "", 463.0434783, -33695.6522, false},
+		"square with a large intercept claimed linear": {values(func(size float64) float64 { return size*size + 200000 }), Linear, 463.0434783, 166304.3478, true},
+		"line with a large intercept":                  {values(func(size float64) float64 { return 463*size + 200000 }), Linear, 463, 200000, false},
+		"line with a dip at its start":                 {[]float64{0.326, 0.316, 0.594, 0.646}, Linear, 0.00100487, 0.2820870, false},
+		"square root":                                  {values(math.Sqrt), Linear, 0.0358888, 6.0741577, false},
+		"flat":                                         {values(func(float64) float64 { return 7 }), Flat, 0, 7, false},
+		"line claimed flat":                            {values(func(size float64) float64 { return size }), Flat, 1, 0, true},
+		"all zero":                                     {values(func(float64) float64 { return 0 }), Flat, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			slope, err := Fit("cost", "nodes", sizes, judged.values, judged.claim)
+			slope, err := Fit("cost", "nodes", sizes, test.values, test.claim)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if math.Abs(slope.PerUnit-judged.each) > 1e-6*max(1, judged.each) || math.Abs(slope.Intercept-judged.base) > 0.01 || slope.Worse != judged.worse {
-				t.Errorf("fitted %+v", slope)
+			if math.Abs(slope.PerUnit-test.perUnit) > 1e-6*max(1, test.perUnit) || math.Abs(slope.Intercept-test.intercept) > 0.01 || slope.Worse != test.exceedsClaim {
+				t.Errorf("got slope %+v", slope)
 			}
 			if slope.From != 50 || slope.To != 400 || math.IsNaN(slope.Fit) {
-				t.Errorf("range or fit are wrong: %+v", slope)
+				t.Errorf("wrong range or fit: %+v", slope)
 			}
 		})
 	}
-	var refusal *StepError
-	if _, err := Fit("cost", "nodes", []float64{1}, []float64{1}, Linear); !errors.As(err, &refusal) {
-		t.Errorf("one step made a slope: %v", err)
+	var stepErr *StepError
+	if _, err := Fit("cost", "nodes", []float64{1}, []float64{1}, Linear); !errors.As(err, &stepErr) {
+		t.Errorf("Fit of a single step returned %v, want a StepError", err)
 	}
-	if _, err := Fit("cost", "nodes", sizes, []float64{1, 2}, Linear); !errors.As(err, &refusal) {
-		t.Errorf("missing values made a slope: %v", err)
+	if _, err := Fit("cost", "nodes", sizes, []float64{1, 2}, Linear); !errors.As(err, &stepErr) {
+		t.Errorf("Fit with missing values returned %v, want a StepError", err)
 	}
 }
 
-func measuredAt(nodes int, figures map[string]float64) Measurement {
+func measurementAt(nodes int, figures map[string]float64) Measurement {
 	step := DefaultStep("nodes")
 	step.Nodes = nodes
 	return Measurement{Step: step, Figures: figures}
 }
 
 func TestSlopesUseFiguresOfAllSteps(t *testing.T) {
-	measured := []Measurement{measuredAt(50, map[string]float64{"hollow.cores": 1, "only.here": 1}), measuredAt(100, map[string]float64{"hollow.cores": 2, "only.there": 1})}
-	slopes, err := Slopes("nodes", measured)
+	measurements := []Measurement{measurementAt(50, map[string]float64{"hollow.cores": 1, "only.here": 1}), measurementAt(100, map[string]float64{"hollow.cores": 2, "only.there": 1})}
+	slopes, err := Slopes("nodes", measurements)
 	if err != nil || len(slopes) != 1 || slopes[0].Figure != "hollow.cores" || slopes[0].At(400) != 8 {
-		t.Fatalf("laid %+v, %v", slopes, err)
+		t.Fatalf("got slopes %+v, %v", slopes, err)
 	}
-	if slopes, err := Slopes("nodes", measured[:1]); err != nil || len(slopes) != 0 {
-		t.Fatalf("one step gave %+v, %v", slopes, err)
+	if slopes, err := Slopes("nodes", measurements[:1]); err != nil || len(slopes) != 0 {
+		t.Fatalf("a single step returned %+v, %v", slopes, err)
 	}
 }
 
 func TestMeasurementsAreDrawn(t *testing.T) {
 	figures := map[string]float64{}
-	for _, family := range plotted {
+	for _, family := range plottedFigures {
 		for position, figure := range family {
 			figures[figure] = float64(position)
 		}
 	}
-	var picture bytes.Buffer
-	if err := Draw(&picture, "nodes", []Measurement{measuredAt(50, figures), measuredAt(100, figures)}); err != nil {
+	var svg bytes.Buffer
+	if err := Draw(&svg, "nodes", []Measurement{measurementAt(50, figures), measurementAt(100, figures)}); err != nil {
 		t.Fatal(err)
 	}
-	if text := picture.String(); !strings.Contains(text, "<svg") || !strings.Contains(text, "hollow.cores") {
-		t.Errorf("drew %.200q", text)
+	if text := svg.String(); !strings.Contains(text, "<svg") || !strings.Contains(text, "hollow.cores") {
+		t.Errorf("got SVG %.200q", text)
 	}
-	var refusal *StepError
-	if err := Draw(&picture, "nodes", nil); !errors.As(err, &refusal) {
-		t.Errorf("nothing was drawn: %v", err)
+	var stepErr *StepError
+	if err := Draw(&svg, "nodes", nil); !errors.As(err, &stepErr) {
+		t.Errorf("Draw without measurements returned %v, want a StepError", err)
 	}
-	if err := Draw(&picture, "nodes", []Measurement{measuredAt(50, nil)}); err == nil {
-		t.Error("a step without figures was drawn")
+	if err := Draw(&svg, "nodes", []Measurement{measurementAt(50, nil)}); err == nil {
+		t.Error("Draw accepted a step without figures")
 	}
 }
 
 func TestUsageRates(t *testing.T) {
 	before, err := UsageOf(os.Getpid())
 	if err != nil || before.Memory <= 0 || before.Peak < before.Memory {
-		t.Fatalf("read %+v, %v", before, err)
+		t.Fatalf("got usage %+v, %v", before, err)
 	}
 	if _, err := UsageOf(1 << 30); err == nil {
-		t.Error("a process that can't be was read")
+		t.Error("UsageOf accepted a PID that cannot exist")
 	}
 	checkMachineUsage(t, before.Memory)
 	before.Seconds = 3
@@ -134,20 +134,21 @@
 	after.Traffic = []wire.TrafficByKind{{Kind: "follow", QueriesSent: 30, BytesOut: 5000, BytesIn: 900}, {Kind: "hold", QueriesReceived: 4, BytesIn: 400}}
 	rate := RateOf(before, after)
 	if rate.Cores != 0.5 || rate.Memory != 64 || rate.Messages != 6 || rate.BytesOut != 1000 || rate.BytesIn != 200 || rate.Kinds["follow"] != 1100 || rate.Kinds["hold"] != 100 {
-		t.Errorf("made %+v", rate)
+		t.Errorf("got rate %+v", rate)
 	}
 }
 
-// checkMachineUsage reads what the machine has, which is at least a process's memory.
+// checkMachineUsage checks the readings of the machine's processor time and memory; the memory has to
+// be at least that of one process.
 func checkMachineUsage(t *testing.T, processMemory float64) {
 	t.Helper()
 	if share := (cpuTime{busy: 30, total: 100}).busySince(cpuTime{busy: 10, total: 60}); share != 0.5 {
-		t.Errorf("the machine was busy for %f", share)
+		t.Errorf("got busy share %f, want 0.5", share)
 	}
 	if now, err := readCPUTime(); err != nil || now.busy <= 0 || now.busySince(now) != 0 {
-		t.Errorf("read %+v, %v", now, err)
+		t.Errorf("got CPU time %+v, %v", now, err)
 	}
 	if memory, err := machineMemory(); err != nil || memory < processMemory {
-		t.Errorf("the machine has %f MiB, %v", memory, err)
+		t.Errorf("got machine memory of %f MiB, %v", memory, err)
 	}
 }
--- a/proof/scale/usage.go
+++ b/proof/scale/usage.go
@@ -8,16 +8,16 @@
 	"yardrock.example/system/wire"
 )
 
-// Usage is what one process has used up to a time.
+// Usage is the cumulative resource usage of a process at one time.
 type Usage struct {
 	At      time.Time
-	Seconds float64 // of processor time, user and system
-	Memory  float64 // MiB resident
-	Peak    float64 // MiB resident at most
+	Seconds float64 // CPU time, user and system
+	Memory  float64 // resident memory, MiB
+	Peak    float64 // peak resident memory, MiB
 	Traffic []wire.TrafficByKind
 }
 
-// UsageOf reads a process's processor time and memory from /proc.
+// UsageOf reads a process's CPU time and memory from /proc. Traffic is left empty.
 //
 //	usage, err := scale.UsageOf(os.Getpid())
 func UsageOf(id int) (Usage, error) {
@@ -36,31 +36,31 @@
 	return Usage{At: time.Now(), Seconds: stat.CPUTime(), Memory: float64(status.VmRSS) / (1 << 20), Peak: float64(status.VmHWM) / (1 << 20)}, nil
 }
 
-// Rate is what a process used in a second between two samples.
+// Rate is the mean resource usage of a process between two samples.
 type Rate struct {
 	Cores    float64            `json:"cores"`
 	Memory   float64            `json:"memory_mib"`
 	Peak     float64            `json:"peak_mib"`
-	Messages float64            `json:"messages_per_s"` // queries asked and answered
+	Messages float64            `json:"messages_per_s"` // queries sent and received
 	BytesOut float64            `json:"bytes_out_per_s"`
 	BytesIn  float64            `json:"bytes_in_per_s"`
-	Kinds    map[string]float64 `json:"kinds,omitempty"` // bytes a second, both ways, by kind of query
+	Kinds    map[string]float64 `json:"kinds,omitempty"` // bytes per second in both directions, by kind of query
 }
 
-// RateOf returns the usage in a second between two samples.
+// RateOf returns the mean usage per second between two samples, with the memory of the second.
 //
 //	rate := scale.RateOf(before, after)
 func RateOf(before, after Usage) Rate {
 	seconds := after.At.Sub(before.At).Seconds()
 	rate := Rate{Cores: (after.Seconds - before.Seconds) / seconds, Memory: after.Memory, Peak: after.Peak, Kinds: map[string]float64{}}
-	known := map[string]wire.TrafficByKind{}
+	previous := map[string]wire.TrafficByKind{}
 	for _, kind := range before.Traffic {
-		known[kind.Kind] = kind
+		previous[kind.Kind] = kind
 	}
 	for _, kind := range after.Traffic {
-		old := known[kind.Kind]
-		out, in := float64(kind.BytesOut-old.BytesOut)/seconds, float64(kind.BytesIn-old.BytesIn)/seconds
-		rate.Messages += float64(kind.QueriesSent+kind.QueriesReceived-old.QueriesSent-old.QueriesReceived) / seconds
+		base := previous[kind.Kind]
+		out, in := float64(kind.BytesOut-base.BytesOut)/seconds, float64(kind.BytesIn-base.BytesIn)/seconds
+		rate.Messages += float64(kind.QueriesSent+kind.QueriesReceived-base.QueriesSent-base.QueriesReceived) / seconds
 		rate.BytesOut += out
 		rate.BytesIn += in
 		if out+in > 0 {
@@ -70,41 +70,41 @@
 	return rate
 }
 
-// memoryShare is the part of the machine's memory that a run may use.
-const memoryShare = 0.5
+// maxMemoryShare is the share of the machine's memory that a run may use.
+const maxMemoryShare = 0.5
 
-// machineMemory reads the size of the machine's memory, in MiB.
+// machineMemory returns the size of the machine's memory in MiB.
 func machineMemory() (float64, error) {
-	system, err := procfs.NewDefaultFS()
+	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return 0, err
 	}
-	reported, err := system.Meminfo()
+	info, err := fs.Meminfo()
 	if err != nil {
 		return 0, err
 	}
-	return float64(*reported.MemTotal) / 1024, nil
+	return float64(*info.MemTotal) / 1024, nil
 }
 
-// cpuTime is the busy and the total time of all processors of the machine, in seconds. Other
-// programs count too: a busy machine makes every measured time larger.
+// cpuTime is the busy and total CPU time of the machine in seconds, over all cores and programs.
+// Load from other programs inflates measured latencies.
 type cpuTime struct{ busy, total float64 }
 
 func readCPUTime() (cpuTime, error) {
-	system, err := procfs.NewDefaultFS()
+	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return cpuTime{}, err
 	}
-	reported, err := system.Stat()
+	stat, err := fs.Stat()
 	if err != nil {
 		return cpuTime{}, err
 	}
-	all := reported.CPUTotal
-	busy := all.User + all.Nice + all.System + all.IRQ + all.SoftIRQ + all.Steal
-	return cpuTime{busy: busy, total: busy + all.Idle + all.Iowait}, nil
+	total := stat.CPUTotal
+	busy := total.User + total.Nice + total.System + total.IRQ + total.SoftIRQ + total.Steal
+	return cpuTime{busy: busy, total: busy + total.Idle + total.Iowait}, nil
 }
 
-// busySince returns the busy share of the processors' time since an earlier sample.
+// busySince returns the busy share of the CPU time since an earlier sample.
 func (now cpuTime) busySince(before cpuTime) float64 {
 	if now.total <= before.total {
 		return 0
