--- a/proof/cmd/scale/main.go
+++ b/proof/cmd/scale/main.go
@@ -117,7 +117,7 @@
 	result := report{Label: opts.Label, Dimension: opts.Dimension, Began: time.Now().UTC(), Cores: runtime.NumCPU()}
 	for _, step := range steps {
 		stepCtx, cancel := context.WithTimeout(ctx, opts.Timeout)
-		measurement, stepErr := scale.Run(stepCtx, scale.Settings{Programs: opts.Binaries, Folder: folder, IdlePeriod: opts.IdlePeriod, StartInterval: opts.StartInterval, Real: scale.RealProcesses, LoadsStores: scale.LoadsStores(opts.Dimension)}, step)
+		measurement, stepErr := scale.Run(stepCtx, scale.Settings{Binaries: opts.Binaries, Folder: folder, IdlePeriod: opts.IdlePeriod, StartInterval: opts.StartInterval, Deployment: scale.RealProcesses, LoadsStores: scale.LoadsStores(opts.Dimension)}, step)
 		cancel()
 		if stepErr != nil {
 			measurement.Failed = stepErr.Error()
@@ -139,8 +139,8 @@
 		err = errors.Join(err, writePlot(opts, result))
 	}
 	for _, slope := range slopes {
-		if slope.Worse {
-			err = errors.Join(err, fmt.Errorf("%s grows with %s to the power of %.2f from %d to %d, but docs/CAPACITY.md claims %s; fix the regression or update the page", slope.Figure, slope.Per, slope.Exponent, slope.From, slope.To, slope.Claim))
+		if slope.ExceedsClaim {
+			err = errors.Join(err, fmt.Errorf("%s grows with %s to the power of %.2f from %d to %d, but docs/CAPACITY.md claims %s; fix the regression or update the page", slope.Figure, slope.Dimension, slope.Exponent, slope.From, slope.To, slope.Claim))
 		}
 	}
 	return err
--- a/proof/scale/bursts.go
+++ b/proof/scale/bursts.go
@@ -56,7 +56,7 @@
 	seconds, processes := map[string]float64{}, map[string]float64{}
 	for _, process := range run.fleet.Processes {
 		if used, found := after.processes[process.Name]; found {
-			seconds[process.Role] += used.Seconds - before.processes[process.Name].Seconds
+			seconds[process.Role] += used.CPUSeconds - before.processes[process.Name].CPUSeconds
 			processes[process.Role]++
 			if process.Role == "control" {
 				figures[name+".control_memory_mib"] = max(figures[name+".control_memory_mib"], used.Memory)
--- a/proof/scale/hollownodes_test.go
+++ b/proof/scale/hollownodes_test.go
@@ -132,7 +132,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("bytes per second and node at %v nodes: %.0f, exponent %.2f", sizes, read, slope.Exponent)
-		if slope.Worse {
+		if slope.ExceedsClaim {
 			t.Errorf("bytes read per node grow as %+v with values %v", slope, read)
 		}
 	})
--- a/proof/scale/run.go
+++ b/proof/scale/run.go
@@ -18,11 +18,11 @@
 
 // Settings are common to all steps of a run.
 type Settings struct {
-	Programs      string        // directory of the built binaries
+	Binaries      string        // directory of the built binaries
 	Folder        string        // directory for data and logs of the real processes
 	IdlePeriod    time.Duration // how long idle usage is measured
 	StartInterval time.Duration // time between the starts of hollow nodes
-	Real          fleet.Deployment
+	Deployment    fleet.Deployment
 	// LoadsStores measures the stores instead of the control plane.
 	LoadsStores bool
 }
@@ -82,9 +82,9 @@
 }
 
 func measure(ctx context.Context, settings Settings, step Step, folder string) (Measurement, error) {
-	deployment := settings.Real
+	deployment := settings.Deployment
 	deployment.Groups = step.Groups
-	started, err := fleet.Start(ctx, deployment, settings.Programs, folder, standin.Latencies{}, false)
+	started, err := fleet.Start(ctx, deployment, settings.Binaries, folder, standin.Latencies{}, false)
 	if err != nil {
 		return Measurement{}, err
 	}
--- a/proof/scale/scale_test.go
+++ b/proof/scale/scale_test.go
@@ -61,10 +61,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if math.Abs(slope.PerUnit-test.perUnit) > 1e-6*max(1, test.perUnit) || math.Abs(slope.Intercept-test.intercept) > 0.01 || slope.Worse != test.exceedsClaim {
+			if math.Abs(slope.PerUnit-test.perUnit) > 1e-6*max(1, test.perUnit) || math.Abs(slope.Intercept-test.intercept) > 0.01 || slope.ExceedsClaim != test.exceedsClaim {
 				t.Errorf("got slope %+v", slope)
 			}
-			if slope.From != 50 || slope.To != 400 || math.IsNaN(slope.Fit) {
+			if slope.From != 50 || slope.To != 400 || math.IsNaN(slope.RSquared) {
 				t.Errorf("wrong range or fit: %+v", slope)
 			}
 		})
@@ -127,13 +127,13 @@
 		t.Error("UsageOf accepted a PID that cannot exist")
 	}
 	checkMachineUsage(t, before.Memory)
-	before.Seconds = 3
+	before.CPUSeconds = 3
 	before.Traffic = []wire.TrafficByKind{{Kind: "follow", QueriesSent: 10, BytesOut: 1000, BytesIn: 500}}
 	after := before
-	after.At, after.Seconds, after.Memory = before.At.Add(4e9), 5, 64
+	after.At, after.CPUSeconds, after.Memory = before.At.Add(4e9), 5, 64
 	after.Traffic = []wire.TrafficByKind{{Kind: "follow", QueriesSent: 30, BytesOut: 5000, BytesIn: 900}, {Kind: "hold", QueriesReceived: 4, BytesIn: 400}}
 	rate := RateOf(before, after)
-	if rate.Cores != 0.5 || rate.Memory != 64 || rate.Messages != 6 || rate.BytesOut != 1000 || rate.BytesIn != 200 || rate.Kinds["follow"] != 1100 || rate.Kinds["hold"] != 100 {
+	if rate.Cores != 0.5 || rate.Memory != 64 || rate.Messages != 6 || rate.BytesOut != 1000 || rate.BytesIn != 200 || rate.BytesByKind["follow"] != 1100 || rate.BytesByKind["hold"] != 100 {
 		t.Errorf("got rate %+v", rate)
 	}
 }
--- a/proof/scale/slope.go
+++ b/proof/scale/slope.go
@@ -25,17 +25,17 @@
 // Slope is a least-squares line through one figure's values over the steps.
 type Slope struct {
 	Figure    string  `json:"figure"`
-	Per       string  `json:"per"`  // the dimension that was varied
+	Dimension string  `json:"per"`  // the dimension that was varied
 	PerUnit   float64 `json:"each"` // increase of the figure per unit of the dimension
 	Intercept float64 `json:"base"` // value of the line at size 0
 	From      int     `json:"from"` // smallest size measured
 	To        int     `json:"to"`   // largest size measured
-	Fit       float64 `json:"fit"`  // coefficient of determination (R squared)
+	RSquared  float64 `json:"fit"`  // coefficient of determination (R squared)
 	// Exponent is the power of the size that the figure grows with, from a log-log fit: 0 is
 	// constant, 1 proportional, 2 quadratic.
-	Exponent float64 `json:"exponent"`
-	Claim    Growth  `json:"claim,omitempty"` // growth that docs/CAPACITY.md claims
-	Worse    bool    `json:"worse,omitempty"` // grows faster than claimed
+	Exponent     float64 `json:"exponent"`
+	Claim        Growth  `json:"claim,omitempty"` // growth that docs/CAPACITY.md claims
+	ExceedsClaim bool    `json:"worse,omitempty"` // grows faster than claimed
 }
 
 // At returns the value of the line at a size.
@@ -52,9 +52,9 @@
 		return Slope{}, &StepError{fmt.Sprintf("%s has %d values for %d steps", figure, len(values), len(sizes)), "measure at least two steps"}
 	}
 	intercept, perUnit := stat.LinearRegression(sizes, values, nil, false)
-	slope := Slope{Figure: figure, Per: dimension, PerUnit: perUnit, Intercept: intercept, From: int(slices.Min(sizes)), To: int(slices.Max(sizes)), Claim: claim}
-	if slope.Fit = stat.RSquared(sizes, values, nil, intercept, perUnit); math.IsNaN(slope.Fit) || math.IsInf(slope.Fit, 0) {
-		slope.Fit = 1 // R squared is undefined for equal values, which a line fits exactly
+	slope := Slope{Figure: figure, Dimension: dimension, PerUnit: perUnit, Intercept: intercept, From: int(slices.Min(sizes)), To: int(slices.Max(sizes)), Claim: claim}
+	if slope.RSquared = stat.RSquared(sizes, values, nil, intercept, perUnit); math.IsNaN(slope.RSquared) || math.IsInf(slope.RSquared, 0) {
+		slope.RSquared = 1 // R squared is undefined for equal values, which a line fits exactly
 	}
 	logSizes, logValues := []float64{}, []float64{}
 	for position, value := range values {
@@ -66,7 +66,7 @@
 	if len(logSizes) >= 2 {
 		_, slope.Exponent = stat.LinearRegression(logSizes, logValues, nil, false)
 	}
-	slope.Worse = claim != "" && (slope.Exponent > maxExponents[claim] || claim == Linear && slope.Fit < minLinearRSquared && isConvex(sizes, values))
+	slope.ExceedsClaim = claim != "" && (slope.Exponent > maxExponents[claim] || claim == Linear && slope.RSquared < minLinearRSquared && isConvex(sizes, values))
 	return slope, nil
 }
 
--- a/proof/scale/turns.go
+++ b/proof/scale/turns.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			return sum, err
 		}
-		sum.seconds += usage.Seconds
+		sum.seconds += usage.CPUSeconds
 		sum.memory += usage.Memory
 		sum.written += float64(disk.WriteBytes) / (1 << 20)
 	}
@@ -244,6 +244,6 @@
 	}
 	run.measurement.Figures["restart.store_s"] = time.Since(began).Seconds()
 	usage, err := UsageOf(store.PID())
-	run.measurement.Figures["restart.store_processor_s"] = usage.Seconds
+	run.measurement.Figures["restart.store_processor_s"] = usage.CPUSeconds
 	return err
 }
--- a/proof/scale/usage.go
+++ b/proof/scale/usage.go
@@ -10,11 +10,11 @@
 
 // Usage is the cumulative resource usage of a process at one time.
 type Usage struct {
-	At      time.Time
-	Seconds float64 // CPU time, user and system
-	Memory  float64 // resident memory, MiB
-	Peak    float64 // peak resident memory, MiB
-	Traffic []wire.TrafficByKind
+	At         time.Time
+	CPUSeconds float64 // CPU time, user and system
+	Memory     float64 // resident memory, MiB
+	Peak       float64 // peak resident memory, MiB
+	Traffic    []wire.TrafficByKind
 }
 
 // UsageOf reads a process's CPU time and memory from /proc. Traffic is left empty.
@@ -33,18 +33,18 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{At: time.Now(), Seconds: stat.CPUTime(), Memory: float64(status.VmRSS) / (1 << 20), Peak: float64(status.VmHWM) / (1 << 20)}, nil
+	return Usage{At: time.Now(), CPUSeconds: stat.CPUTime(), Memory: float64(status.VmRSS) / (1 << 20), Peak: float64(status.VmHWM) / (1 << 20)}, nil
 }
 
 // Rate is the mean resource usage of a process between two samples.
 type Rate struct {
-	Cores    float64            `json:"cores"`
-	Memory   float64            `json:"memory_mib"`
-	Peak     float64            `json:"peak_mib"`
-	Messages float64            `json:"messages_per_s"` // queries sent and received
-	BytesOut float64            `json:"bytes_out_per_s"`
-	BytesIn  float64            `json:"bytes_in_per_s"`
-	Kinds    map[string]float64 `json:"kinds,omitempty"` // bytes per second in both directions, by kind of query
+	Cores       float64            `json:"cores"`
+	Memory      float64            `json:"memory_mib"`
+	Peak        float64            `json:"peak_mib"`
+	Messages    float64            `json:"messages_per_s"` // queries sent and received
+	BytesOut    float64            `json:"bytes_out_per_s"`
+	BytesIn     float64            `json:"bytes_in_per_s"`
+	BytesByKind map[string]float64 `json:"kinds,omitempty"` // bytes per second in both directions, by kind of query
 }
 
 // RateOf returns the mean usage per second between two samples, with the memory of the second.
@@ -52,7 +52,7 @@
 //	rate := scale.RateOf(before, after)
 func RateOf(before, after Usage) Rate {
 	seconds := after.At.Sub(before.At).Seconds()
-	rate := Rate{Cores: (after.Seconds - before.Seconds) / seconds, Memory: after.Memory, Peak: after.Peak, Kinds: map[string]float64{}}
+	rate := Rate{Cores: (after.CPUSeconds - before.CPUSeconds) / seconds, Memory: after.Memory, Peak: after.Peak, BytesByKind: map[string]float64{}}
 	previous := map[string]wire.TrafficByKind{}
 	for _, kind := range before.Traffic {
 		previous[kind.Kind] = kind
@@ -64,7 +64,7 @@
 		rate.BytesOut += out
 		rate.BytesIn += in
 		if out+in > 0 {
-			rate.Kinds[kind.Kind] = out + in
+			rate.BytesByKind[kind.Kind] = out + in
 		}
 	}
 	return rate
