--- a/tools/glossary/main.go
+++ b/tools/glossary/main.go
@@ -1,13 +1,11 @@
-// Command glossary checks that the words which docs/glossary.md withdraws stand in none of
-// the packages that are finished. It looks at the names that a package declares, word by
-// word, and at its comments. Generated files are passed over, and so are single names that
-// the list excepts with a reason: in one package, where they are declared, and as whole words
-// of its comments. An exception that excepts nothing is a finding itself.
+// Command glossary reports withdrawn words in the declared names and comments of the listed
+// packages. Generated files are skipped. An exception allows one name in one package, both
+// where it is declared and as a whole word in comments; an unused exception is reported too.
 //
 //	glossary -root .. -words glossary/withdrawn.txt
 //
-// It prints one line per finding and ends with code 1 if there is one, with code 2 if a
-// file cannot be read.
+// It prints one finding per line and exits with code 1 if there are any, or with code 2 if
+// the word list or a source file cannot be read.
 package main
 
 import (
@@ -29,209 +27,208 @@
 
 // Exit codes.
 const (
-	exitFound      = 1 // a withdrawn word was found
-	exitUnreadable = 2 // a file cannot be read, or a line of the list cannot be parsed
+	exitFindings = 1 // a withdrawn word or an unused exception was found
+	exitError    = 2 // the word list or a source file cannot be read or parsed
 )
 
-// list is the content of the list of withdrawn words.
-type list struct {
-	// names are the words that no declared name may contain, with the standard term.
-	names map[string]string
-	// comments are the words that no comment may contain, with the standard term.
-	comments map[string]string
-	// packages are the folders, from the root, that are finished.
+// wordList is the parsed list of withdrawn words.
+type wordList struct {
+	// nameTerms maps words that are not allowed in declared names to their standard terms.
+	nameTerms map[string]string
+	// commentTerms maps words that are not allowed in comments to their standard terms.
+	commentTerms map[string]string
+	// packages are the directories to check, relative to the root.
 	packages []string
-	// exceptions are the names that may be declared all the same, and say why.
+	// exceptions maps each allowed name to the reason for allowing it.
 	exceptions map[exception]string
 }
 
-// exception is one name that one package may declare although it has a withdrawn word.
-type exception struct{ folder, name string }
+// exception allows one package to use a name that contains a withdrawn word.
+type exception struct{ dir, name string }
 
-// finding is one withdrawn word in a file.
+// finding is a withdrawn word in a file, or an unused exception of a package.
 type finding struct {
 	position token.Position
-	where    string
-	word     string
-	standard string
+	message  string
 }
 
 func main() {
-	root := flag.String("root", ".", "the repository's folder")
-	words := flag.String("words", "tools/glossary/withdrawn.txt", "the list of withdrawn words")
+	root := flag.String("root", ".", "root directory of the repository")
+	listPath := flag.String("words", "tools/glossary/withdrawn.txt", "file that lists the withdrawn words")
 	flag.Parse()
-	withdrawn, err := readList(*words)
+	words, err := readWordList(*listPath)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitUnreadable)
+		os.Exit(exitError)
 	}
-	found := 0
-	for _, folder := range withdrawn.packages {
-		findings, err := checkPackage(*root, folder, withdrawn)
+	count := 0
+	for _, dir := range words.packages {
+		findings, err := checkPackage(*root, dir, words)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			os.Exit(exitUnreadable)
+			os.Exit(exitError)
 		}
-		for _, one := range findings {
-			fmt.Printf("%s: %s has %q; the standard term is %s\n", one.position, one.where, one.word, one.standard)
+		for _, f := range findings {
+			fmt.Printf("%s: %s\n", f.position, f.message)
 		}
-		found += len(findings)
+		count += len(findings)
 	}
-	if found > 0 {
-		os.Exit(exitFound)
+	if count > 0 {
+		os.Exit(exitFindings)
 	}
 }
 
-// readList reads lines of the form "name WORD = TERM", "comment WORD = TERM", "both WORD =
-// TERM", "package FOLDER" and "except FOLDER NAME = REASON". Empty lines and lines that begin with # are passed over.
-func readList(path string) (list, error) {
-	withdrawn := list{names: map[string]string{}, comments: map[string]string{}, exceptions: map[exception]string{}}
+// readWordList parses lines of the form "name WORD = TERM", "comment WORD = TERM",
+// "both WORD = TERM", "package DIR" and "except DIR NAME = REASON". Empty lines and lines
+// that start with # are ignored.
+func readWordList(path string) (wordList, error) {
+	words := wordList{nameTerms: map[string]string{}, commentTerms: map[string]string{}, exceptions: map[exception]string{}}
 	file, err := os.Open(path)
 	if err != nil {
-		return withdrawn, fmt.Errorf("read the withdrawn words: %w", err)
+		return words, fmt.Errorf("read word list: %w", err)
 	}
-	defer file.Close() //nolint:errcheck // the file was only read
-	lines := bufio.NewScanner(file)
-	for number := 1; lines.Scan(); number++ {
-		if err := withdrawn.add(strings.TrimSpace(lines.Text())); err != nil {
-			return withdrawn, fmt.Errorf("%s:%d: %w", path, number, err)
+	defer file.Close() //nolint:errcheck // opened for reading only
+	scanner := bufio.NewScanner(file)
+	for number := 1; scanner.Scan(); number++ {
+		if err := words.addLine(strings.TrimSpace(scanner.Text())); err != nil {
+			return words, fmt.Errorf("%s:%d: %w", path, number, err)
 		}
 	}
-	if err := lines.Err(); err != nil {
-		return withdrawn, fmt.Errorf("read the withdrawn words: %w", err)
+	if err := scanner.Err(); err != nil {
+		return words, fmt.Errorf("read word list: %w", err)
 	}
-	return withdrawn, withdrawn.checkExceptions()
+	return words, words.validateExceptions()
 }
 
-// checkExceptions returns an error for an exception in a package that is not checked.
-func (withdrawn *list) checkExceptions() error {
-	for one := range withdrawn.exceptions {
-		if !slices.Contains(withdrawn.packages, one.folder) {
-			return fmt.Errorf("%s is excepted in %s, which no package line names: remove the exception or add the line", one.name, one.folder)
+// validateExceptions returns an error if an exception belongs to a package that is not checked.
+func (words *wordList) validateExceptions() error {
+	for e := range words.exceptions {
+		if !slices.Contains(words.packages, e.dir) {
+			return fmt.Errorf("exception for %s in %s, which has no package line: remove the exception or add the package", e.name, e.dir)
 		}
 	}
 	return nil
 }
 
-var errMalformed = errors.New(`write "name WORD = TERM", "comment WORD = TERM", "both WORD = TERM", "package FOLDER" or "except FOLDER NAME = REASON"`)
+var errMalformedLine = errors.New(`malformed line: want "name WORD = TERM", "comment WORD = TERM", "both WORD = TERM", "package DIR" or "except DIR NAME = REASON"`)
 
-func (withdrawn *list) add(text string) error {
-	if text == "" || strings.HasPrefix(text, "#") {
+func (words *wordList) addLine(line string) error {
+	if line == "" || strings.HasPrefix(line, "#") {
 		return nil
 	}
-	kind, rest, _ := strings.Cut(text, " ")
+	kind, rest, _ := strings.Cut(line, " ")
 	if kind == "package" && rest != "" {
-		withdrawn.packages = append(withdrawn.packages, rest)
+		words.packages = append(words.packages, rest)
 		return nil
 	}
-	word, term, isPair := strings.Cut(rest, " = ")
-	if !isPair || word == "" || term == "" {
-		return errMalformed
+	key, value, ok := strings.Cut(rest, " = ")
+	if !ok || key == "" || value == "" {
+		return errMalformedLine
 	}
 	switch kind {
 	case "except":
-		folder, name, isPair := strings.Cut(word, " ")
-		if !isPair || !token.IsIdentifier(name) {
-			return errMalformed
+		dir, name, ok := strings.Cut(key, " ")
+		if !ok || !token.IsIdentifier(name) {
+			return errMalformedLine
 		}
-		withdrawn.exceptions[exception{folder, name}] = term
+		words.exceptions[exception{dir, name}] = value
 	case "name":
-		withdrawn.names[word] = term
+		words.nameTerms[key] = value
 	case "comment":
-		withdrawn.comments[word] = term
+		words.commentTerms[key] = value
 	case "both":
-		withdrawn.names[word], withdrawn.comments[word] = term, term
+		words.nameTerms[key], words.commentTerms[key] = value, value
 	default:
-		return errMalformed
+		return errMalformedLine
 	}
 	return nil
 }
 
-// checkPackage looks at the Go files of one folder, not at those below it.
-func checkPackage(root, folder string, withdrawn list) ([]finding, error) {
-	path := filepath.Join(root, folder)
+// checkPackage checks the Go files in one directory, without its subdirectories.
+func checkPackage(root, dir string, words wordList) ([]finding, error) {
+	path := filepath.Join(root, dir)
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, fmt.Errorf("read the package: %w", err)
+		return nil, fmt.Errorf("read package: %w", err)
 	}
 	var findings []finding
-	check := checker{withdrawn: withdrawn, folder: folder, excepted: map[string]bool{}}
+	c := checker{words: words, dir: dir, usedExceptions: map[string]bool{}}
 	for _, entry := range entries {
 		if entry.IsDir() || entry.Type()&fs.ModeType != 0 || !strings.HasSuffix(entry.Name(), ".go") {
 			continue
 		}
-		files := token.NewFileSet()
-		parsed, err := parser.ParseFile(files, filepath.Join(path, entry.Name()), nil, parser.ParseComments)
+		fileSet := token.NewFileSet()
+		file, err := parser.ParseFile(fileSet, filepath.Join(path, entry.Name()), nil, parser.ParseComments)
 		if err != nil {
-			return nil, fmt.Errorf("parse the package: %w", err)
+			return nil, fmt.Errorf("parse package: %w", err)
 		}
-		if ast.IsGenerated(parsed) {
+		if ast.IsGenerated(file) {
 			continue
 		}
-		findings = append(findings, check.names(files, parsed)...)
-		findings = append(findings, check.comments(files, parsed)...)
+		findings = append(findings, c.checkNames(fileSet, file)...)
+		findings = append(findings, c.checkComments(fileSet, file)...)
 	}
-	return append(findings, check.unusedExceptions(path)...), nil
+	return append(findings, c.unusedExceptions(path)...), nil
 }
 
 // checker checks the files of one package.
 type checker struct {
-	withdrawn list
-	folder    string
-	// excepted are the names that an exception let pass.
-	excepted map[string]bool
+	words wordList
+	dir   string
+	// usedExceptions holds the names that an exception has allowed so far.
+	usedExceptions map[string]bool
 }
 
-// isExcepted reports whether the package may declare a name that has a withdrawn word.
-func (check *checker) isExcepted(name string) bool {
-	_, found := check.withdrawn.exceptions[exception{check.folder, name}]
-	if found {
-		check.excepted[name] = true
+// allowedByException reports whether an exception allows name, and marks that exception as used.
+func (c *checker) allowedByException(name string) bool {
+	_, ok := c.words.exceptions[exception{c.dir, name}]
+	if ok {
+		c.usedExceptions[name] = true
 	}
-	return found
+	return ok
 }
 
-// unusedExceptions are the exceptions of the package that let no name pass, sorted.
-func (check *checker) unusedExceptions(path string) []finding {
+// unusedExceptions returns a finding for each exception that allowed no name, sorted by name.
+func (c *checker) unusedExceptions(path string) []finding {
 	var findings []finding
-	for one, reason := range check.withdrawn.exceptions {
-		if one.folder == check.folder && !check.excepted[one.name] {
-			findings = append(findings, finding{token.Position{Filename: path}, "the exception for", one.name, "none, as nothing is excepted (" + reason + "): remove the line"})
+	for e, reason := range c.words.exceptions {
+		if e.dir == c.dir && !c.usedExceptions[e.name] {
+			findings = append(findings, finding{token.Position{Filename: path}, fmt.Sprintf("unused exception for %q (%s); remove the line", e.name, reason)})
 		}
 	}
-	slices.SortFunc(findings, func(left, right finding) int { return strings.Compare(left.word, right.word) })
+	slices.SortFunc(findings, func(left, right finding) int { return strings.Compare(left.message, right.message) })
 	return findings
 }
 
-// names looks at each name where it is declared.
-func (check *checker) names(files *token.FileSet, parsed *ast.File) []finding {
+// checkNames checks each name at its declaration.
+func (c *checker) checkNames(fileSet *token.FileSet, file *ast.File) []finding {
 	var findings []finding
-	look := func(names ...*ast.Ident) {
+	check := func(names ...*ast.Ident) {
 		for _, name := range names {
-			for _, word := range wordsOf(name.Name) {
-				if term, ok := check.withdrawn.names[word]; ok && !check.isExcepted(name.Name) {
-					findings = append(findings, finding{files.Position(name.Pos()), "the name " + name.Name, word, term})
+			for _, word := range splitWords(name.Name) {
+				if term, ok := c.words.nameTerms[word]; ok && !c.allowedByException(name.Name) {
+					findings = append(findings, finding{fileSet.Position(name.Pos()), fmt.Sprintf("name %s contains %q; the standard term is %s", name.Name, word, term)})
 				}
 			}
 		}
 	}
-	ast.Inspect(parsed, func(node ast.Node) bool {
+	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.FuncDecl:
-			look(node.Name)
+			check(node.Name)
 		case *ast.TypeSpec:
-			look(node.Name)
+			check(node.Name)
 		case *ast.ValueSpec:
-			look(node.Names...)
+			check(node.Names...)
 		case *ast.Field:
-			look(node.Names...)
+			check(node.Names...)
 		case *ast.AssignStmt:
 			if node.Tok == token.DEFINE {
-				look(identifiers(node.Lhs)...)
+				check(identifiers(node.Lhs)...)
 			}
 		case *ast.RangeStmt:
 			if node.Tok == token.DEFINE {
-				look(identifiers([]ast.Expr{node.Key, node.Value})...)
+				check(identifiers([]ast.Expr{node.Key, node.Value})...)
 			}
 		}
 		return true
@@ -249,16 +246,16 @@
 	return names
 }
 
-// wordsOf splits a name in camel case into its words, in lower case.
-func wordsOf(name string) []string {
+// splitWords splits an identifier in camel case into words in lower case.
+func splitWords(identifier string) []string {
 	var words []string
 	start := 0
-	runes := []rune(name)
-	for at := 1; at < len(runes); at++ {
-		nextIsLower := at+1 < len(runes) && unicode.IsLower(runes[at+1])
-		if unicode.IsUpper(runes[at]) && (!unicode.IsUpper(runes[at-1]) || nextIsLower) || runes[at] == '_' {
-			words = append(words, strings.ToLower(string(runes[start:at])))
-			start = at
+	runes := []rune(identifier)
+	for i := 1; i < len(runes); i++ {
+		nextIsLower := i+1 < len(runes) && unicode.IsLower(runes[i+1])
+		if unicode.IsUpper(runes[i]) && (!unicode.IsUpper(runes[i-1]) || nextIsLower) || runes[i] == '_' {
+			words = append(words, strings.ToLower(string(runes[start:i])))
+			start = i
 		}
 	}
 	return append(words, strings.ToLower(string(runes[start:])))
@@ -266,21 +263,20 @@
 
 var wordPattern = regexp.MustCompile(`[A-Za-z]+`)
 
-// comments looks at the words of comments. Names that a comment cites in camel case
-// are left to names, and so is what stands in quotation marks or backticks: texts that
-// go to the wire or the disk are cited like that.
-func (check *checker) comments(files *token.FileSet, parsed *ast.File) []finding {
+// checkComments checks the words of comments. It ignores text in quotation marks or backticks,
+// which cites wire and storage formats. Identifiers in camel case are left to checkNames.
+func (c *checker) checkComments(fileSet *token.FileSet, file *ast.File) []finding {
 	quoted := regexp.MustCompile("\"[^\"]*\"|`[^`]*`")
 	var findings []finding
-	for _, group := range parsed.Comments {
+	for _, group := range file.Comments {
 		for _, comment := range group.List {
 			if strings.HasPrefix(comment.Text, "//go:") {
 				continue
 			}
 			for _, word := range wordPattern.FindAllString(quoted.ReplaceAllString(comment.Text, ""), -1) {
 				lower := strings.ToLower(word)
-				if term, ok := check.withdrawn.comments[lower]; ok && !check.isExcepted(word) {
-					findings = append(findings, finding{files.Position(comment.Pos()), "a comment", lower, term})
+				if term, ok := c.words.commentTerms[lower]; ok && !c.allowedByException(word) {
+					findings = append(findings, finding{fileSet.Position(comment.Pos()), fmt.Sprintf("comment contains %q; the standard term is %s", lower, term)})
 				}
 			}
 		}
--- a/tools/glossary/main_test.go
+++ b/tools/glossary/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// write makes a file with its folders and returns its path.
-func write(t *testing.T, path, content string) string {
+// writeFile creates a file and its parent directories, and returns its path.
+func writeFile(t *testing.T, path, content string) string {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -19,55 +19,63 @@
 	return path
 }
 
-// check returns what is found in package p, "WHERE WORD" per finding.
-func check(t *testing.T, words, source string) []string {
+// checkSource checks a package p that consists of source, and returns the messages of the
+// findings joined with "|".
+func checkSource(t *testing.T, list, source string) string {
 	t.Helper()
 	root := t.TempDir()
-	withdrawn, err := readList(write(t, filepath.Join(root, "words.txt"), words))
+	words, err := readWordList(writeFile(t, filepath.Join(root, "words.txt"), list))
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, filepath.Join(root, "p", "p.go"), source)
-	findings, err := checkPackage(root, "p", withdrawn)
+	writeFile(t, filepath.Join(root, "p", "p.go"), source)
+	findings, err := checkPackage(root, "p", words)
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := []string{}
-	for _, one := range findings {
-		found = append(found, one.where+" "+one.word)
+	messages := []string{}
+	for _, f := range findings {
+		messages = append(messages, f.message)
 	}
-	return found
+	return strings.Join(messages, "|")
 }
 
-const oneWord = "both tally = quota usage\npackage p\n"
+const (
+	tallyList      = "both tally = quota usage\npackage p\n"
+	tallyException = "except p Tally = method of the generated interface\n"
+)
 
-// An exception is for one name: as it is declared, and where a comment cites it. The word
-// stays withdrawn in other names and in prose.
-func TestExceptionIsForOneName(t *testing.T) {
+// An exception must not allow its word in other names or in prose.
+func TestExceptionAppliesToOneName(t *testing.T) {
 	const source = "package p\n\n// Tally is a method. A tally is not.\nfunc Tally() {}\n\nfunc readTally() {}\n"
-	all := "the name Tally tally|the name readTally tally|a comment tally|a comment tally"
-	if found := strings.Join(check(t, oneWord, source), "|"); found != all {
-		t.Errorf("without an exception: found %q, want %q", found, all)
+	const (
+		inTally     = `name Tally contains "tally"; the standard term is quota usage`
+		inReadTally = `name readTally contains "tally"; the standard term is quota usage`
+		inComment   = `comment contains "tally"; the standard term is quota usage`
+	)
+	want := strings.Join([]string{inTally, inReadTally, inComment, inComment}, "|")
+	if got := checkSource(t, tallyList, source); got != want {
+		t.Errorf("without an exception: got %q, want %q", got, want)
 	}
-	rest := "the name readTally tally|a comment tally"
-	if found := strings.Join(check(t, oneWord+"except p Tally = method of the generated interface\n", source), "|"); found != rest {
-		t.Errorf("with an exception: found %q, want %q", found, rest)
+	want = strings.Join([]string{inReadTally, inComment}, "|")
+	if got := checkSource(t, tallyList+tallyException, source); got != want {
+		t.Errorf("with an exception: got %q, want %q", got, want)
 	}
 }
 
-// An exception that excepts nothing is found, so that none outlives its reason.
-func TestUnusedExceptionIsFound(t *testing.T) {
-	found := strings.Join(check(t, oneWord+"except p Tally = method of the generated interface\n", "package p\n"), "|")
-	if want := "the exception for Tally"; found != want {
-		t.Errorf("found %q, want %q", found, want)
+// An exception that is no longer needed must be reported.
+func TestUnusedExceptionIsReported(t *testing.T) {
+	got := checkSource(t, tallyList+tallyException, "package p\n")
+	if want := `unused exception for "Tally" (method of the generated interface); remove the line`; got != want {
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// Exceptions need a name, a reason and a package that is checked.
-func TestMalformedExceptionsAreRejected(t *testing.T) {
+// An exception must have a name, a reason and a package that is checked.
+func TestInvalidExceptionsAreRejected(t *testing.T) {
 	for _, line := range []string{"except p Tally", "except p Tally = ", "except Tally = reason", "except p two names = reason", "except other Tally = reason"} {
-		path := write(t, filepath.Join(t.TempDir(), "words.txt"), oneWord+line+"\n")
-		if _, err := readList(path); err == nil {
+		path := writeFile(t, filepath.Join(t.TempDir(), "words.txt"), tallyList+line+"\n")
+		if _, err := readWordList(path); err == nil {
 			t.Errorf("%q was accepted", line)
 		}
 	}
