--- a/system/archive/files.go
+++ b/system/archive/files.go
@@ -16,16 +16,15 @@
 )
 
 // A file consists of a header, the encoded index and the encoded chunks. The header is the length
-// of the index and its checksum, as little-endian uint32.
+// of the index and its checksum, as little-endian uint32. All checksums are CRC-32C.
 const (
 	// filePrefix is followed by the file's number in 20 decimal digits. It must not change, so
 	// that files of earlier versions are found.
-	filePrefix   = "cold-"
-	headerLength = 8
+	filePrefix  = "cold-"
+	headerBytes = 8
 )
 
-// checksumTable is the polynomial of all checksums in archive files.
-var checksumTable = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func fileName(number uint64) string { return fmt.Sprintf("%s%020d", filePrefix, number) }
 
@@ -39,7 +38,7 @@
 func (store *Store) writeFile(number uint64, chunks []wire.ArchiveChunk) ([]wire.ChunkLocation, error) {
 	name, index := fileName(number), newIndex(chunks)
 	// The fields of the index that are not set yet have a fixed size, so its length is final.
-	offset := headerLength + len(wire.MustEncode(schema.ColdIndex_TypeID, &index))
+	offset := headerBytes + len(wire.MustEncode(schema.ColdIndex_TypeID, &index))
 	var buffer []byte
 	for position, chunk := range chunks {
 		body, err := wire.Encode(schema.ColdChunkBatch_TypeID, &wire.ArchiveChunkBatch{Chunks: []wire.ArchiveChunk{chunk}})
@@ -49,24 +48,24 @@
 		digest := sha256.Sum256(body)
 		location := &index.Locations[position]
 		location.Offset, location.Length = uint64(offset+len(buffer)), uint32(len(body))
-		location.Checksum, location.Digest = crc32.Checksum(body, checksumTable), digest[:]
+		location.Checksum, location.Digest = crc32.Checksum(body, castagnoli), digest[:]
 		buffer = append(buffer, body...)
 		if len(buffer) < writeBufferBytes && position < len(chunks)-1 {
 			continue
 		}
 		if err := store.dir.WriteAt(name, int64(offset), buffer); err != nil {
-			return nil, writeError(err)
+			return nil, diskError(err)
 		}
 		offset, buffer = offset+len(buffer), buffer[:0]
 	}
 	if err := store.dir.Sync(name); err != nil {
-		return nil, writeError(err)
+		return nil, diskError(err)
 	}
 	if err := store.dir.WriteAt(name, 0, encodeHeaderAndIndex(index)); err != nil {
-		return nil, writeError(err)
+		return nil, diskError(err)
 	}
 	if err := store.dir.Sync(name); err != nil {
-		return nil, writeError(err)
+		return nil, diskError(err)
 	}
 	return index.Locations, nil
 }
@@ -87,14 +86,14 @@
 // encodeHeaderAndIndex returns the encoded header and index of a file.
 func encodeHeaderAndIndex(index wire.ArchiveIndex) []byte {
 	encoded := wire.MustEncode(schema.ColdIndex_TypeID, &index)
-	head := make([]byte, 0, headerLength+len(encoded))
+	head := make([]byte, 0, headerBytes+len(encoded))
 	head = binary.LittleEndian.AppendUint32(head, uint32(len(encoded)))
-	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(encoded, checksumTable))
+	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(encoded, castagnoli))
 	return append(head, encoded...)
 }
 
-// writeError is the error for a file that could not be written or synced.
-func writeError(cause error) error {
+// diskError is the error for a file that could not be written or synced.
+func diskError(cause error) error {
 	return apierror.Wrap(cause, apierror.DiskUnavailable, "cannot write to the archive: "+cause.Error(), "free disk space or replace the disk")
 }
 
@@ -104,16 +103,16 @@
 	if err != nil {
 		return nil
 	}
-	header, err := store.dir.ReadRange(name, 0, headerLength)
+	header, err := store.dir.ReadRange(name, 0, headerBytes)
 	if err != nil {
 		return nil
 	}
 	length := int64(binary.LittleEndian.Uint32(header))
-	if length > size-headerLength {
+	if length > size-headerBytes {
 		return nil // do not allocate a buffer of a damaged length
 	}
-	body, err := store.dir.ReadRange(name, headerLength, int(length))
-	if err != nil || crc32.Checksum(body, checksumTable) != binary.LittleEndian.Uint32(header[4:]) {
+	body, err := store.dir.ReadRange(name, headerBytes, int(length))
+	if err != nil || crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(header[4:]) {
 		return nil
 	}
 	var index wire.ArchiveIndex
@@ -126,7 +125,7 @@
 // readChunk reads and verifies a chunk. intact is false if the chunk is damaged or missing.
 func (store *Store) readChunk(location chunkLocation) (chunk wire.ArchiveChunk, intact bool) {
 	body, err := store.dir.ReadRange(fileName(location.file), location.offset, location.length)
-	if err != nil || crc32.Checksum(body, checksumTable) != location.checksum {
+	if err != nil || crc32.Checksum(body, castagnoli) != location.checksum {
 		return wire.ArchiveChunk{}, false
 	}
 	var batch wire.ArchiveChunkBatch
--- a/system/archive/locations.go
+++ b/system/archive/locations.go
@@ -38,21 +38,21 @@
 
 // setLocations replaces the chunks of a session in the index, and updates the digests of its
 // group. The caller must hold mutex, except in Open.
-func (store *Store) setLocations(name string, group uint32, locations []chunkLocation) {
+func (store *Store) setLocations(sessionName string, group uint32, locations []chunkLocation) {
 	digests, found := store.digests[group]
 	if !found {
 		digests = &sessionlog.BucketDigests{}
 		store.digests[group], store.sessionsByGroup[group] = digests, map[string]bool{}
 	}
-	digests.Toggle(name, contiguousThrough(store.locations[name]))
+	digests.Toggle(sessionName, contiguousThrough(store.locations[sessionName]))
 	if len(locations) == 0 {
-		delete(store.locations, name)
-		delete(store.sessionsByGroup[group], name)
+		delete(store.locations, sessionName)
+		delete(store.sessionsByGroup[group], sessionName)
 		return
 	}
-	store.locations[name] = locations
-	store.sessionsByGroup[group][name] = true
-	digests.Toggle(name, contiguousThrough(locations))
+	store.locations[sessionName] = locations
+	store.sessionsByGroup[group][sessionName] = true
+	digests.Toggle(sessionName, contiguousThrough(locations))
 }
 
 // contiguousThrough returns the sequence number up to which chunks have a session's events
@@ -93,12 +93,12 @@
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
 	ranges := []wire.RangeDigest{}
-	for name := range store.sessionsByGroup[group] {
-		if !slices.Contains(buckets, uint32(sessionlog.BucketOf(name))) {
+	for sessionName := range store.sessionsByGroup[group] {
+		if !slices.Contains(buckets, uint32(sessionlog.BucketOf(sessionName))) {
 			continue
 		}
-		for _, location := range store.locations[name] {
-			ranges = append(ranges, wire.RangeDigest{Session: name, First: location.first, Last: location.last, Digest: location.digest[:]})
+		for _, location := range store.locations[sessionName] {
+			ranges = append(ranges, wire.RangeDigest{Session: sessionName, First: location.first, Last: location.last, Digest: location.digest[:]})
 		}
 	}
 	return ranges
--- a/system/archive/retention.go
+++ b/system/archive/retention.go
@@ -11,7 +11,7 @@
 // means that this node has no replica of the group, and expires nothing.
 //
 //	err := archiveStore.Expire(node.clock, node.isRetained)
-func (store *Store) Expire(clock func(group uint32) int64, retained func(name string) bool) error {
+func (store *Store) Expire(clock func(group uint32) int64, retained func(sessionName string) bool) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.dropExpired(clock, retained)
@@ -19,7 +19,7 @@
 }
 
 // dropExpired removes expired sessions from the index. It reads each group's clock once.
-func (store *Store) dropExpired(clock func(group uint32) int64, retained func(name string) bool) {
+func (store *Store) dropExpired(clock func(group uint32) int64, retained func(sessionName string) bool) {
 	clocks := map[uint32]int64{}
 	unexpired := func(location chunkLocation) bool {
 		now, known := clocks[location.group]
@@ -29,14 +29,14 @@
 		}
 		return location.expiresAt > now
 	}
-	for name, locations := range store.locations {
-		if slices.ContainsFunc(locations, unexpired) || retained(name) {
+	for sessionName, locations := range store.locations {
+		if slices.ContainsFunc(locations, unexpired) || retained(sessionName) {
 			continue
 		}
 		for _, location := range locations {
 			store.liveChunks[location.file]--
 		}
-		store.setLocations(name, locations[0].group, nil)
+		store.setLocations(sessionName, locations[0].group, nil)
 	}
 }
 
--- a/system/archive/scrub.go
+++ b/system/archive/scrub.go
@@ -12,20 +12,20 @@
 //	dropped := archiveStore.Scrub(256)
 func (store *Store) Scrub(maxChunks int) (dropped int) {
 	store.mutex.RLock()
-	names := slices.Sorted(maps.Keys(store.locations))
+	sessionNames := slices.Sorted(maps.Keys(store.locations))
 	store.mutex.RUnlock()
-	from, found := slices.BinarySearch(names, store.scrubCursor)
+	from, found := slices.BinarySearch(sessionNames, store.scrubCursor)
 	if found {
 		from++
 	}
 	checked := 0
-	for _, name := range names[from:] {
+	for _, sessionName := range sessionNames[from:] {
 		if checked >= maxChunks {
 			return dropped
 		}
-		store.scrubCursor = name
+		store.scrubCursor = sessionName
 		store.mutex.RLock()
-		locations := store.locations[name]
+		locations := store.locations[sessionName]
 		store.mutex.RUnlock()
 		for _, location := range locations {
 			checked++
@@ -33,7 +33,7 @@
 				continue
 			}
 			dropped++
-			store.dropLocation(name, location)
+			store.dropLocation(sessionName, location)
 		}
 	}
 	store.scrubCursor = "" // the next call starts over
@@ -42,14 +42,14 @@
 
 // dropLocation removes one chunk from the index. It does nothing if Expire has removed the chunk
 // since it was read: decrementing liveChunks twice would delete a file with live chunks.
-func (store *Store) dropLocation(name string, dropped chunkLocation) {
+func (store *Store) dropLocation(sessionName string, dropped chunkLocation) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	position := slices.Index(store.locations[name], dropped)
+	position := slices.Index(store.locations[sessionName], dropped)
 	if position < 0 {
 		return
 	}
-	others := slices.Delete(slices.Clone(store.locations[name]), position, position+1)
-	store.setLocations(name, dropped.group, others)
+	others := slices.Delete(slices.Clone(store.locations[sessionName]), position, position+1)
+	store.setLocations(sessionName, dropped.group, others)
 	store.liveChunks[dropped.file]--
 }
--- a/system/archive/store.go
+++ b/system/archive/store.go
@@ -1,5 +1,5 @@
 // Package archive stores the archived events of sessions on a store node's disk: the cold tier
-// of the Starcite paper's read path.
+// of the Starcite paper's read path, hence "cold" in the names of files and wire messages.
 //
 // Events are stored in chunks of consecutive events of one session. Each Put writes one file,
 // however many sessions it contains. Files are immutable, and are deleted once none of their
--- a/system/archive/store_test.go
+++ b/system/archive/store_test.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return headerLength + int(binary.LittleEndian.Uint32(data))
+	return headerBytes + int(binary.LittleEndian.Uint32(data))
 }
 
 func TestReadReturnsRangesInOrderAlsoAfterRestart(t *testing.T) {
@@ -176,7 +176,7 @@
 	if got := openAt(t, dir).BucketDigests(testGroup); got != digestsOf(map[string]uint64{"a": 3, "b": 3}) {
 		t.Fatalf("undamaged, digests %v", got)
 	}
-	damage(t, first, headerLength)
+	damage(t, first, headerBytes)
 	again := openAt(t, dir)
 	put(t, again, chunkOf("a", 1, 3, 10))
 	if len(again.Read("a", 0, 3)) != 3 || len(files(t, dir)) != 3 {
--- a/system/durablelog/doc.go
+++ b/system/durablelog/doc.go
@@ -1,5 +1,7 @@
 // Package durablelog stores the complete durable state of a node in one data directory: the
-// records of all its groups, in one log that is compacted into snapshot files.
+// records of all its groups, in one log that is compacted into snapshot files. A snapshot here is
+// the state of the whole node; the snapshots of package raft, each of one group, are contained in
+// records.
 //
 // # Files
 //
--- a/system/durablelog/frame.go
+++ b/system/durablelog/frame.go
@@ -34,7 +34,7 @@
 }
 
 // frameBody returns the number and body of the frame at the start of data. complete is false if
-// the magic number differs or the frame is truncated or corrupt.
+// the magic number differs or the frame is torn or corrupt.
 func frameBody(data []byte, magic uint32) (number uint64, body []byte, complete bool) {
 	if len(data) < frameHeaderBytes || binary.LittleEndian.Uint32(data) != magic {
 		return 0, nil, false
--- a/system/durablelog/identity.go
+++ b/system/durablelog/identity.go
@@ -27,7 +27,7 @@
 // Identity is the content of the identity file.
 type Identity struct {
 	// Name is a random name created with the directory. A node whose disk is replaced gets a new
-	// name and counts as a new node, which is not bound by the votes and acknowledgments of the
+	// name and counts as a new node, which is not bound by the votes and acknowledgements of the
 	// old one.
 	Name string `json:"name"`
 	// Format is the format that the directory was created with.
--- a/system/raft/snapshot_sender.go
+++ b/system/raft/snapshot_sender.go
@@ -10,16 +10,16 @@
 	// sentOffset the number of bytes sent.
 	ackedOffset uint64
 	sentOffset  uint64
-	// resent is set if the chunks after ackedOffset were retransmitted because the peer
+	// retransmitted is set if the chunks after ackedOffset were sent again because the peer
 	// reported them missing.
-	resent bool
+	retransmitted bool
 	// ticksSinceSent counts the ticks since the last chunk was sent.
 	ticksSinceSent int
 }
 
 // acknowledge records that the peer has received the bytes before offset.
 func (outgoing *outgoingSnapshot) acknowledge(offset uint64) {
-	outgoing.resent = outgoing.resent && offset <= outgoing.ackedOffset
+	outgoing.retransmitted = outgoing.retransmitted && offset <= outgoing.ackedOffset
 	outgoing.ackedOffset = offset
 	outgoing.sentOffset = max(outgoing.sentOffset, offset)
 }
@@ -46,7 +46,7 @@
 	}
 	if peer.outgoing.ticksSinceSent >= chunkRetryHeartbeats*core.settings.HeartbeatTicks && !core.isUnresponsive(peer) {
 		// One chunk is enough: the reply has the peer's offset, from which the transfer resumes.
-		peer.outgoing.sentOffset, peer.outgoing.resent = peer.outgoing.ackedOffset, false
+		peer.outgoing.sentOffset, peer.outgoing.retransmitted = peer.outgoing.ackedOffset, false
 		core.sendChunk(name, peer.outgoing)
 	}
 }
@@ -95,19 +95,19 @@
 		outgoing.acknowledge(received)
 		core.fillWindow(message.From, outgoing)
 	case message.Rejected && message.Chunk.Reason == SnapshotOutOfOrder:
-		core.resendMissing(message.From, outgoing, received)
+		core.retransmitMissing(message.From, outgoing, received)
 	case message.Rejected:
 		outgoing.ackedOffset = min(received, outgoing.ackedOffset) // retransmitted by the timed retry
 	}
 }
 
-// resendMissing retransmits from the first byte that the peer lacks, because a chunk was lost or
-// the peer restarted and discarded what it had received.
-func (core *Core) resendMissing(name string, outgoing *outgoingSnapshot, received uint64) {
-	if received == outgoing.ackedOffset && outgoing.resent {
+// retransmitMissing retransmits from the first byte that the peer lacks, because a chunk was lost
+// or the peer restarted and discarded what it had received.
+func (core *Core) retransmitMissing(name string, outgoing *outgoingSnapshot, received uint64) {
+	if received == outgoing.ackedOffset && outgoing.retransmitted {
 		return
 	}
 	outgoing.ackedOffset = received
-	outgoing.sentOffset, outgoing.resent = received, true
+	outgoing.sentOffset, outgoing.retransmitted = received, true
 	core.fillWindow(name, outgoing)
 }
--- a/system/replica/host.go
+++ b/system/replica/host.go
@@ -34,8 +34,8 @@
 	// The following fields are owned by the loop.
 
 	groups map[uint32]*raftGroup
-	// removed are the groups that were removed from this node.
-	removed map[uint32]bool
+	// deletedReplicas is the set of groups whose replica on this node was deleted.
+	deletedReplicas map[uint32]bool
 	// values are the values stored by StoreValue, by key.
 	values map[uint32][]byte
 	// pendingRecords are written with the next disk job, and pendingCallbacks called once it is
--- a/system/replica/host_disk.go
+++ b/system/replica/host_disk.go
@@ -32,7 +32,7 @@
 		for {
 			err := host.runJob(job)
 			if err == nil {
-				host.stats.syncs.Add(1)
+				host.stats.completedJobs.Add(1)
 				break
 			}
 			log.WithFields(log.Fields{"node": host.name, "error": err.Error()}).Error("write to the data directory failed; retrying")
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -9,11 +9,11 @@
 )
 
 // Bootstrap starts a group with its initial voters and the data of its first snapshot, which may
-// be empty. Both must be the same on every initial voter. It has no effect if the group is on
-// this node or was removed from it.
+// be empty. Both must be the same on every initial voter. It has no effect if this node has a
+// replica of the group or has deleted one.
 func (host *Host) Bootstrap(groupID uint32, voters []string, snapshotData []byte) {
 	host.runOnLoop(func() {
-		if host.groups[groupID] != nil || host.removed[groupID] {
+		if host.groups[groupID] != nil || host.deletedReplicas[groupID] {
 			return
 		}
 		snapshot := raft.Snapshot{Index: 1, Term: 1, Membership: raft.Membership{Voters: voters}, Data: snapshotData}
@@ -26,7 +26,7 @@
 	})
 }
 
-// Remove discards this node's replica of a group. The replica must no longer be a member of the
+// Remove deletes this node's replica of a group. The replica must no longer be a member of the
 // group. A leader may add it again.
 func (host *Host) Remove(groupID uint32) {
 	host.runOnLoop(func() {
@@ -34,8 +34,8 @@
 			return
 		}
 		delete(host.groups, groupID)
-		host.removed[groupID] = true
-		host.pendingRecords = append(host.pendingRecords, durablelog.Record{Group: groupID, Kind: recordGroupRemoved})
+		host.deletedReplicas[groupID] = true
+		host.pendingRecords = append(host.pendingRecords, durablelog.Record{Group: groupID, Kind: recordReplicaDeleted})
 	})
 }
 
--- a/system/replica/host_metrics.go
+++ b/system/replica/host_metrics.go
@@ -11,7 +11,7 @@
 // update them, and any goroutine may read them.
 type hostStats struct {
 	electionsWon   atomic.Uint64
-	syncs          atomic.Uint64
+	completedJobs  atomic.Uint64
 	logMemoryBytes atomic.Int64 // entries applied since the last snapshots, as of the last tick
 }
 
@@ -24,7 +24,7 @@
 	host.registerGroupGauge(registry, "groups_led", func(status raft.Status) bool { return status.Leading })
 	host.registerGroupGauge(registry, "groups_without_leader", func(status raft.Status) bool { return status.Leader == "" })
 	registry.Gauge("elections_won_total", func() float64 { return float64(host.stats.electionsWon.Load()) })
-	registry.Gauge("disk_jobs_total", func() float64 { return float64(host.stats.syncs.Load()) })
+	registry.Gauge("disk_jobs_total", func() float64 { return float64(host.stats.completedJobs.Load()) })
 	registry.Gauge("log_memory_bytes", func() float64 { return float64(host.stats.logMemoryBytes.Load()) })
 }
 
--- a/system/replica/host_proposals.go
+++ b/system/replica/host_proposals.go
@@ -8,9 +8,9 @@
 	"yardrock.example/system/raft"
 )
 
-// notLeaderRetryDelay is the delay after which a client should retry. It is a fraction of the
+// notLeaderRetryAfter is the delay after which a client should retry. It is a fraction of the
 // default election timeout, so that clients find a new leader soon after its election.
-const notLeaderRetryDelay = 200 * time.Millisecond
+const notLeaderRetryAfter = 200 * time.Millisecond
 
 // proposal is a command whose log entry has not been applied yet.
 type proposal struct {
@@ -25,11 +25,11 @@
 
 type proposalResult struct {
 	commandIndex int
-	outcome      any
+	applyResult  any
 	err          error
 }
 
-// Propose commits commands in a group, in order, and returns the outcome of applying each. The
+// Propose commits commands in a group, in order, and returns the result of applying each. The
 // error is an [apierror.Error]: NotLeader if no command was or will be applied, OutcomeUnknown
 // if some may have been or may still be.
 func (host *Host) Propose(ctx context.Context, groupID uint32, commands [][]byte) ([]any, error) {
@@ -45,12 +45,12 @@
 	if rejectErr != nil && accepted == 0 {
 		return nil, rejectErr
 	}
-	outcomes := make([]any, len(commands))
+	applyResults := make([]any, len(commands))
 	var commandErr error
 	for range accepted {
 		select {
 		case result := <-results:
-			outcomes[result.commandIndex] = result.outcome
+			applyResults[result.commandIndex] = result.applyResult
 			if result.err != nil {
 				commandErr = result.err
 			}
@@ -63,7 +63,7 @@
 	if accepted < len(commands) || (commandErr != nil && len(commands) > 1) {
 		return nil, outcomeUnknownError() // some of the commands may have been applied
 	}
-	return outcomes, commandErr
+	return applyResults, commandErr
 }
 
 // appendCommands proposes commands until one is rejected, and returns the number accepted. It
@@ -95,5 +95,5 @@
 	if group != nil {
 		leader = group.core.Status().Leader
 	}
-	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica is not the leader of the group", Remedy: "send the request to the leader", Leader: leader, RetryAfter: notLeaderRetryDelay}
+	return &apierror.Error{Kind: apierror.NotLeader, Message: "this replica is not the leader of the group", Remedy: "send the request to the leader", Leader: leader, RetryAfter: notLeaderRetryAfter}
 }
--- a/system/replica/host_raft.go
+++ b/system/replica/host_raft.go
@@ -62,13 +62,13 @@
 	}
 	host.pendingRecords = append(host.pendingRecords, encodeWrite(groupID, stored)...)
 	host.pendingCallbacks = append(host.pendingCallbacks, func() {
-		if host.groups[groupID] == group { // not removed in the meantime
+		if host.groups[groupID] == group { // not deleted in the meantime
 			host.step(groupID, raft.Input{Kind: raft.InputSynced, Number: write.Number})
 		}
 	})
 }
 
-// Receive queues messages from a peer for the groups, without waiting for them to be processed.
+// Receive queues messages from a peer for their groups, without waiting for them to be processed.
 // A message from the leader of a group that is not on this node adds the group with an empty
 // state. connection is the context of the connection that the messages arrived on: when it
 // ends, the peer is suspected of having failed.
@@ -102,7 +102,7 @@
 		if err := host.addGroup(message.Group, raft.PersistentState{}); err != nil {
 			return
 		}
-		delete(host.removed, message.Group)
+		delete(host.deletedReplicas, message.Group)
 	}
 	host.step(message.Group, raft.Input{Kind: raft.InputMessage, Message: message})
 }
--- a/system/replica/host_reads.go
+++ b/system/replica/host_reads.go
@@ -8,13 +8,13 @@
 	"yardrock.example/system/raft"
 )
 
-// noQuorumRetryDelay is the delay after which a client should retry a read that no quorum
+// noQuorumRetryAfter is the delay after which a client should retry a read that no quorum
 // confirmed: about one default election timeout, after which a new leader may be elected.
-const noQuorumRetryDelay = time.Second
+const noQuorumRetryAfter = time.Second
 
-// Read waits until this node can serve a linearizable read of a group: a quorum has confirmed
-// that this replica is the leader, and everything committed before the call is applied (Raft
-// thesis, section 6.4). The error is an [apierror.Error]: NotLeader, or NoQuorum if ctx ended
+// Read waits until this node can serve a linearizable read of a group: a quorum has
+// confirmed that this replica is the leader, and everything committed before the call is applied
+// (Raft thesis, section 6.4). The error is an [apierror.Error]: NotLeader, or NoQuorum if ctx ended
 // first.
 func (host *Host) Read(ctx context.Context, groupID uint32) error {
 	result := make(chan error, 1)
@@ -35,7 +35,7 @@
 	case err := <-result:
 		return err
 	case <-ctx.Done():
-		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "retry the request", noQuorumRetryDelay)
+		return apierror.NewRetryable(apierror.NoQuorum, "no quorum confirmed the read in time", "retry the request", noQuorumRetryAfter)
 	case <-host.stopped:
 		return notLeaderError(nil)
 	}
--- a/system/replica/host_records.go
+++ b/system/replica/host_records.go
@@ -16,8 +16,9 @@
 const (
 	// recordWrite contains a wire.StoredWrite of a group.
 	recordWrite uint16 = iota + 1
-	// recordGroupRemoved marks the removal of a group and discards its earlier records.
-	recordGroupRemoved
+	// recordReplicaDeleted marks the deletion of this node's replica of a group, and discards the
+	// group's earlier records.
+	recordReplicaDeleted
 	// recordValue contains a value of StoreValue, with the key in place of the group.
 	recordValue
 	// recordSnapshotData contains the data of the snapshot in the next recordWrite of the group.
@@ -81,8 +82,8 @@
 		states = append(states, host.groups[groupID].core.PersistentState())
 	}
 	others := []durablelog.Record{}
-	for _, groupID := range slices.Sorted(maps.Keys(host.removed)) {
-		others = append(others, durablelog.Record{Group: groupID, Kind: recordGroupRemoved})
+	for _, groupID := range slices.Sorted(maps.Keys(host.deletedReplicas)) {
+		others = append(others, durablelog.Record{Group: groupID, Kind: recordReplicaDeleted})
 	}
 	for _, key := range slices.Sorted(maps.Keys(host.values)) {
 		others = append(others, durablelog.Record{Group: key, Kind: recordValue, Data: host.values[key]})
--- a/system/replica/host_recovery.go
+++ b/system/replica/host_recovery.go
@@ -25,7 +25,7 @@
 		settings: settings, name: durableLog.Identity().Name, durableLog: durableLog, newStateMachine: newStateMachine, transport: transport,
 		actions: make(chan func(), 1024), diskJobs: make(chan *diskJob), finishedJobs: make(chan *diskJob, 1),
 		stopping: make(chan struct{}), stopped: make(chan struct{}), diskStopped: make(chan struct{}),
-		groups: map[uint32]*raftGroup{}, removed: map[uint32]bool{}, values: map[uint32][]byte{}, outbox: map[string][]raft.Message{},
+		groups: map[uint32]*raftGroup{}, deletedReplicas: map[uint32]bool{}, values: map[uint32][]byte{}, outbox: map[string][]raft.Message{},
 	}
 	stored, err := host.replay(records)
 	if err != nil {
@@ -44,7 +44,7 @@
 }
 
 // replay returns the state of each group after all records, and restores the values and the set
-// of removed groups. It clears the data of each record, so that it can be freed once decoded.
+// of deleted replicas. It clears the data of each record, so that it can be freed once decoded.
 func (host *Host) replay(records []durablelog.Record) (map[uint32]raft.PersistentState, error) {
 	stored, snapshotData := map[uint32]raft.PersistentState{}, map[uint32][]byte{}
 	for position, record := range records {
@@ -58,11 +58,11 @@
 				return nil, groupDamagedError(record.Group, err)
 			}
 			stored[record.Group] = stored[record.Group].With(write)
-			delete(host.removed, record.Group)
-		case recordGroupRemoved:
+			delete(host.deletedReplicas, record.Group)
+		case recordReplicaDeleted:
 			delete(stored, record.Group)
 			delete(snapshotData, record.Group)
-			host.removed[record.Group] = true
+			host.deletedReplicas[record.Group] = true
 		case recordValue:
 			host.values[record.Group] = slices.Clone(record.Data)
 		default:
--- a/system/replica/host_snapshots.go
+++ b/system/replica/host_snapshots.go
@@ -50,7 +50,7 @@
 		data := encode()
 		host.runOnLoop(func() {
 			host.encodingSnapshot = false
-			// In the meantime the group may have been removed or have installed a later snapshot.
+			// In the meantime the replica may have been deleted or have installed a later snapshot.
 			if host.groups[groupID] != group || !group.core.CanCompact(index) {
 				return
 			}
@@ -60,8 +60,9 @@
 	}()
 }
 
-// logSnapshotRejection logs why a snapshot from a leader was rejected. Out-of-order chunks are
-// expected: the sender resumes at the offset that this replica has reached.
+// logSnapshotRejection logs why a snapshot from a leader was rejected. Out-of-order chunks and
+// superseded snapshots occur in normal operation: the sender resumes at the offset that this
+// replica has reached, or is already sending a later snapshot.
 func (host *Host) logSnapshotRejection(groupID uint32, rejected *raft.SnapshotError) {
 	entry := log.WithFields(log.Fields{"node": host.name, "group": groupID, "reason": rejected.Reason.String(), "error": rejected.Error()})
 	if rejected.Reason == raft.SnapshotOutOfOrder || rejected.Reason == raft.SnapshotSuperseded {
--- a/system/replica/host_snapshots_test.go
+++ b/system/replica/host_snapshots_test.go
@@ -178,9 +178,9 @@
 		t.Fatalf("unexpected status %+v, state of %d bytes", status, len(machine.content))
 	}
 	for name, bad := range map[string][]durablelog.Record{
-		"the data is missing":              {records[1]},
-		"the data was already consumed":    {records[0], records[1], records[1]},
-		"the group was removed in between": {records[0], {Group: 1, Kind: recordGroupRemoved}, records[1]},
+		"the data is missing":                {records[1]},
+		"the data was already consumed":      {records[0], records[1], records[1]},
+		"the replica was deleted in between": {records[0], {Group: 1, Kind: recordReplicaDeleted}, records[1]},
 	} {
 		if _, err := openHost(t, t.TempDir(), DefaultSettings(1), &textStateMachine{}, bad...); err == nil {
 			t.Errorf("%s: the host started", name)
--- a/system/replica/raft_group.go
+++ b/system/replica/raft_group.go
@@ -23,17 +23,17 @@
 
 // applyEntry applies a committed entry and completes the proposal waiting for it, if any.
 func (group *raftGroup) applyEntry(entry raft.Entry) {
-	var outcome any
+	var applyResult any
 	group.bytesSinceSnapshot += len(entry.Data) + entryOverheadBytes
 	if entry.Kind == raft.EntryCommand {
-		outcome = group.stateMachine.Apply(entry)
+		applyResult = group.stateMachine.Apply(entry)
 	}
 	pending, found := group.proposals[entry.Index]
 	if !found {
 		return
 	}
 	delete(group.proposals, entry.Index)
-	result := proposalResult{commandIndex: pending.commandIndex, outcome: outcome}
+	result := proposalResult{commandIndex: pending.commandIndex, applyResult: applyResult}
 	if pending.term != entry.Term {
 		// An entry of another leader was committed at this index, so the proposal never will be.
 		result = proposalResult{commandIndex: pending.commandIndex, err: notLeaderError(group)}
--- a/system/replica/transport.go
+++ b/system/replica/transport.go
@@ -26,7 +26,7 @@
 )
 
 // Transport sends Raft messages to the peers, in batches across all groups. Messages that cannot
-// be sent in time are dropped, which Raft tolerates: the cores resend what is still needed.
+// be sent in time are dropped, which Raft tolerates: the cores retransmit what is still needed.
 type Transport struct {
 	client *link.Client
 	// resolveAddress returns the address of a node by its name, or "" if it is unknown.
@@ -143,6 +143,6 @@
 func (transport *Transport) sendChunks(address string, chunks []raft.Message) {
 	ctx, cancel := context.WithTimeout(transport.context, sendTimeout)
 	defer cancel()
-	// Errors are ignored: the leader of the group resends chunks that are not acknowledged.
+	// Errors are ignored: the group's leader retransmits chunks that are not acknowledged.
 	_, _ = transport.client.Call(ctx, address, transport.newQuery(chunks))
 }
--- a/system/replica/transport_queue.go
+++ b/system/replica/transport_queue.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// enqueueChunk queues a chunk unless it is queued already: the core resends a chunk if no reply
+// enqueueChunk queues a chunk unless it is queued already: the core retransmits a chunk if no reply
 // arrived in time, which may be due to the wait in this queue. The mutex must be held.
 func (queue *peerQueue) enqueueChunk(message raft.Message) {
 	for _, queued := range queue.chunks {
--- a/system/store/archive_repair.go
+++ b/system/store/archive_repair.go
@@ -102,13 +102,13 @@
 // copyMissing reads missing ranges from this node's archive, or from peers, and passes them to
 // store in batches, so that the memory use does not depend on how much is missing. It returns
 // the number of chunks stored. Ranges that cannot be read completely are skipped, and complete
-// is then false. It stops at the first error from store.
-func (node *Node) copyMissing(group uint32, view *sessionlog.View, missing []wire.ReadArchiveQuery, store func(context.Context, []wire.ArchiveChunk) error) (stored int, complete bool, err error) {
+// is then false. It stops at the first error from put.
+func (node *Node) copyMissing(group uint32, view *sessionlog.View, missing []wire.ReadArchiveQuery, put func(context.Context, []wire.ArchiveChunk) error) (stored int, complete bool, err error) {
 	batch, batchBytes, complete := []wire.ArchiveChunk{}, 0, true
 	flush := func() error {
 		ctx, cancel := context.WithTimeout(node.context, commandTimeout)
 		defer cancel()
-		if err := store(ctx, batch); err != nil {
+		if err := put(ctx, batch); err != nil {
 			return err
 		}
 		stored += len(batch)
--- a/system/store/commands.go
+++ b/system/store/commands.go
@@ -9,7 +9,7 @@
 )
 
 // handleCommand commits a batch of commands, in order, to a group that this node leads and
-// replies with their outcomes (the write path of the Starcite paper). For a turn that began, the
+// replies with their results (the write path of the Starcite paper). For a turn that began, the
 // reply includes the history that the turn continues.
 func (node *Node) handleCommand(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
@@ -28,13 +28,13 @@
 	reply := &wire.CommandReply{}
 	for position, applied := range results {
 		command, result := &requested[position], applied.(applyResult) // returned by groupStateMachine.Apply
-		if result.outcome.Status == sessionlog.UnknownPrefix {
+		if result.commandResult.Status == sessionlog.UnknownPrefix {
 			if result, err = node.beginWithFullInput(ctx, group, *command); err != nil {
 				return nil, err
 			}
 		}
-		reply.Results = append(reply.Results, result.outcome)
-		if command.Kind == sessionlog.BeginTurn && command.KeepData && result.outcome.Status == sessionlog.Done {
+		reply.Results = append(reply.Results, result.commandResult)
+		if command.Kind == sessionlog.BeginTurn && command.KeepData && result.commandResult.Status == sessionlog.Done {
 			if reply.History, err = node.history(ctx, group, result.view, command.Session, command.Producer); err != nil {
 				return nil, err
 			}
--- a/system/store/group_placement.go
+++ b/system/store/group_placement.go
@@ -87,7 +87,7 @@
 }
 
 // deleteIfRemoved deletes this node's replica of a group if it was removed from the group: it
-// knows no leader, and the leader, confirmed by a majority, does not list it as a member.
+// knows no leader, and the leader, confirmed by a quorum, does not list it as a member.
 func (node *Node) deleteIfRemoved(group uint32, status raft.Status, target []string) {
 	if status.Leader != "" || slices.Contains(target, node.Name()) {
 		return
--- a/system/store/lagging_replicas.go
+++ b/system/store/lagging_replicas.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// laggingRepairInterval is how often replicas that may lack archived ranges are checked for
-// being live, and repaired.
+// laggingRepairInterval is how often the node repairs the live replicas that may lack archived
+// ranges.
 const laggingRepairInterval = time.Second
 
 // replicaKey identifies one replica of a group by the name of its store.
--- a/system/store/node.go
+++ b/system/store/node.go
@@ -2,6 +2,9 @@
 // contain session logs and quota usage, an archive of evicted events, and the current view of
 // the feed.
 //
+// There are two kinds of view: a feed.View describes the fleet, including the addresses of the
+// stores; a sessionlog.View is the replicated state of one group.
+//
 // The files of the package:
 //
 //   - requests.go, commands.go, reads.go, turns.go and status.go handle queries from other
@@ -90,9 +93,9 @@
 	// viewChanged receives a token when an accepted view differs in more than observations.
 	viewChanged chan struct{}
 
-	stateMachines sync.Map // *groupStateMachine by group number
-	clockAnchors  sync.Map // clockAnchor by group number
-	archiveGuards sync.Map // *archiveGuard by group number
+	stateMachines sync.Map // *groupStateMachine by group ID
+	clockAnchors  sync.Map // clockAnchor by group ID
+	archiveGuards sync.Map // *archiveGuard by group ID
 	// laggingReplicas is the set of replicas (replicaKey) that may lack archived ranges, of the
 	// groups that this node leads.
 	laggingReplicas sync.Map
@@ -232,7 +235,7 @@
 
 // Host returns the host of the node's replicas, for measurements and tests.
 //
-//	syncs := node.Host().Syncs()
+//	statuses := node.Host().Statuses()
 func (node *Node) Host() *replica.Host { return node.host }
 
 // Drain transfers the leadership of all groups to other stores, before the node is stopped.
--- a/system/store/node_groups.go
+++ b/system/store/node_groups.go
@@ -15,18 +15,18 @@
 )
 
 // groupStateMachine adapts a sessionlog.StateMachine to the replica.StateMachine of one group:
-// it decodes commands and encodes snapshots. The host calls Apply, Restore and Snapshot only
-// from its event loop; View is safe for concurrent use.
+// it decodes commands and encodes snapshots. The host calls Apply, Restore and Snapshot one at
+// a time; View is safe for concurrent use.
 type groupStateMachine struct {
 	*sessionlog.StateMachine
 	// onApplied is called after each command with the name of its session.
 	onApplied func(sessionName string)
 }
 
-// applyResult is the result of Apply: the outcome of a command and the view right after it.
+// applyResult is the result of Apply: that of the command and the view right after it.
 type applyResult struct {
-	outcome sessionlog.Result
-	view    *sessionlog.View
+	commandResult sessionlog.Result
+	view          *sessionlog.View
 }
 
 // Apply applies a committed command and returns an applyResult. A command that cannot be decoded
@@ -36,9 +36,9 @@
 	if err := wire.Decode(schema.Command_TypeID, entry.Data, &command); err != nil {
 		return applyResult{sessionlog.Result{Status: sessionlog.BadCommand}, machine.View()}
 	}
-	outcome := machine.StateMachine.Apply(&command)
+	commandResult := machine.StateMachine.Apply(&command)
 	machine.onApplied(command.Session)
-	return applyResult{outcome, machine.View()}
+	return applyResult{commandResult, machine.View()}
 }
 
 // Snapshot captures the current state and returns a function that encodes it, which may be
@@ -77,7 +77,7 @@
 	return machine.(*groupStateMachine)
 }
 
-// StateMachine returns the state machine of a group, also after its replica was removed, or nil
+// StateMachine returns the state machine of a group, also after its replica was deleted, or nil
 // if this process has had no replica of the group. It is for measurements, and for tests that
 // corrupt its state.
 //
--- a/system/store/node_view.go
+++ b/system/store/node_view.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// storedViewKey is the key under which the host stores the view. Group numbers are lower.
+	// storedViewKey is the key under which the host stores the view. Group IDs are lower.
 	storedViewKey = 1 << 31
-	// viewSyncTimeout bounds the sync of a view.
+	// viewSyncTimeout bounds the time to make a view durable.
 	viewSyncTimeout = 5 * time.Second
 	// controlContactWindow is how recently this node must have heard from a control quorum to
 	// report that it has.
 	controlContactWindow = 5 * time.Second
 )
 
-// View returns the current view. It is synced on this node, except for observations.
+// View returns the current view of the feed. It is durable on this node, except for observations
+// (see feed.View.EqualExceptObservations).
 //
 //	view := node.View()
 func (node *Node) View() *feed.View { return node.view.Load() }
@@ -39,9 +40,9 @@
 	return view, nil
 }
 
-// acceptView makes a newer view the current one. The view is synced first, because the control
-// nodes count this store among those that have it durably. A view that differs only in
-// observations is not synced, as observations are made again after a restart.
+// acceptView makes a newer view the current one. The view is made durable first, because the
+// control nodes count this store among those that have it durably. A view that differs only in
+// observations is not stored, as observations are made again after a restart.
 func (node *Node) acceptView(view *feed.View) error {
 	if view.EqualExceptObservations(node.view.Load()) {
 		node.view.Store(view)
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// handleReplicateView replies once the view, or a newer one, is synced on this node.
+// handleReplicateView replies once the view, or a newer one, is durable on this node.
 func (node *Node) handleReplicateView(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	current := node.view.Load()
 	view, err := query.ReplicateView.ViewFrom(current)
@@ -72,7 +73,7 @@
 		return nil, apierror.Wrap(err, apierror.Conflict, "cannot apply the replicated view: "+err.Error(), "send a full view")
 	}
 	if !node.feedClient.Load().Adopt(view) {
-		return nil, apierror.NewRetryable(apierror.DiskUnavailable, "the view was not synced on this node", "retry", time.Second)
+		return nil, apierror.NewRetryable(apierror.DiskUnavailable, "the view could not be made durable on this node", "retry", time.Second)
 	}
 	return &wire.Reply{}, nil
 }
--- a/system/store/quota.go
+++ b/system/store/quota.go
@@ -15,9 +15,10 @@
 const settleInterval = 5 * time.Second
 
 // quotaSettler returns the task that settles reservations that fronts abandoned: those of turns
-// that are closed, overdue or never began. It settles only reservations that were outstanding in
-// the previous round already, to exclude those in flight. The leader of the quota's group runs
-// it and commits its changes, so the term is the fencing token.
+// that are closed, overdue or never began. These quotas count words (sessionlog.QuotaUsage); the
+// token quota of a session is not settled here. The task settles only reservations that were
+// outstanding in the previous round already, to exclude those in flight. The leader of the quota's
+// group runs it and commits its changes, so the term is the fencing token.
 func (node *Node) quotaSettler() func() {
 	seenBefore := map[string]bool{}
 	return func() {
--- a/system/store/requests.go
+++ b/system/store/requests.go
@@ -9,7 +9,9 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// handlers maps each kind of query to the method that handles it.
+// handlers maps each kind of query to the method that handles it. Some kinds have other names on
+// the wire than in this package: agreement is a batch of Raft messages, hold replicates a view,
+// putCold and getCold access the archive, and opening is a shared prefix.
 var handlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
 	schema.Query_Which_status:    (*Node).handleStatus,
 	schema.Query_Which_agreement: (*Node).handleRaft,
--- a/system/store/shared_prefix.go
+++ b/system/store/shared_prefix.go
@@ -42,7 +42,7 @@
 		command.Acks = append(command.Acks, sessionlog.Ack{Session: name})
 	}
 	result, err := node.propose(node.context, group, command)
-	if err != nil || result.outcome.Status != sessionlog.Done {
+	if err != nil || result.commandResult.Status != sessionlog.Done {
 		return
 	}
 	log.WithFields(log.Fields{
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -10,11 +10,11 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// confirmTimeout bounds the wait for a majority to confirm leadership in a status query.
+// confirmTimeout bounds the wait for a quorum to confirm leadership in a status query.
 const confirmTimeout = 500 * time.Millisecond
 
 // handleStatus replies with the identity of this node and the status of its replicas. It reports
-// that it leads a group only if a majority has confirmed that since the query arrived, because
+// that it leads a group only if a quorum has confirmed that since the query arrived, because
 // stores are decommissioned and replicas deleted on the basis of this reply.
 func (node *Node) handleStatus(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
@@ -24,8 +24,8 @@
 	// The goroutines below keep pointers into groups, so it must not be reallocated.
 	groups := make([]wire.GroupStatus, 0, len(statuses))
 	var confirmations sync.WaitGroup
-	for number, status := range statuses {
-		groups = append(groups, wire.GroupStatus{Group: number, Voters: status.Membership.Voters, Learners: status.Membership.Learners})
+	for group, status := range statuses {
+		groups = append(groups, wire.GroupStatus{Group: group, Voters: status.Membership.Voters, Learners: status.Membership.Learners})
 		if !status.CommittedInTerm {
 			continue
 		}
@@ -33,7 +33,7 @@
 		confirmations.Go(func() {
 			*reported = node.confirmedStatus(ctx, *reported)
 			if reported.Leading && query.Status != nil && query.Status.SharedPrefixes {
-				reported.SharedPrefixes = node.prefixStatuses(number)
+				reported.SharedPrefixes = node.prefixStatuses(group)
 			}
 		})
 	}
@@ -44,7 +44,7 @@
 	}}, nil
 }
 
-// confirmedStatus adds to a group's status whether this node leads it, as confirmed by a majority,
+// confirmedStatus adds to a group's status whether this node leads it, as confirmed by a quorum,
 // and the members as of then. While a membership change is pending, a leader is not reported as
 // leading.
 func (node *Node) confirmedStatus(ctx context.Context, reported wire.GroupStatus) wire.GroupStatus {
--- a/system/store/turns.go
+++ b/system/store/turns.go
@@ -14,8 +14,8 @@
 
 // history concatenates the data of the turns that a turn follows, oldest first: the input, then
 // the output of each. It returns an error rather than an incomplete history.
-func (node *Node) history(ctx context.Context, group uint32, view *sessionlog.View, sessionName, name string) ([]byte, error) {
-	turn, found := view.Turn(sessionName, name)
+func (node *Node) history(ctx context.Context, group uint32, view *sessionlog.View, sessionName, turnName string) ([]byte, error) {
+	turn, found := view.Turn(sessionName, turnName)
 	if !found || turn.Follows == nil {
 		return nil, nil
 	}
@@ -30,7 +30,8 @@
 const noEvent = 0
 
 // turnSeqs returns the sequence numbers of a chain's events, two for each turn: its begin and its
-// end. An adopted turn has a single event, so its second number is noEvent.
+// end. An adopted turn (sessionlog.AdoptedTurn) has a single event, so its second number is
+// noEvent.
 func turnSeqs(chain []*sessionlog.Turn) []uint64 {
 	seqs := make([]uint64, 0, 2*len(chain))
 	for _, turn := range chain {
@@ -146,8 +147,8 @@
 
 // findTurn searches for a turn in one group. It returns a complete turn with all turns that it
 // follows, oldest first, or reports that the turn is open.
-func (node *Node) findTurn(ctx context.Context, group uint32, view *sessionlog.View, name string) (chain []sessionlog.AdoptedTurn, open bool, err error) {
-	found, known := view.TurnInAnySession(name)
+func (node *Node) findTurn(ctx context.Context, group uint32, view *sessionlog.View, turnName string) (chain []sessionlog.AdoptedTurn, open bool, err error) {
+	found, known := view.TurnInAnySession(turnName)
 	if !known || !found.Complete() {
 		return nil, known && found.Open(view.Clock()), nil
 	}
--- a/system/storeclient/client.go
+++ b/system/storeclient/client.go
@@ -83,20 +83,20 @@
 	}
 }
 
-// Command commits commands on one session, in order, and returns their outcomes. After an
+// Command commits commands on one session, in order, and returns their results. After an
 // error of the kind OutcomeUnknown they may have been committed; after any other error they
 // were not.
 //
-//	outcomes, err := client.Command(ctx, "team/c-1", sessionlog.Command{Kind: sessionlog.CreateSession, ...})
-func (client *Client) Command(ctx context.Context, name string, commands ...sessionlog.Command) ([]sessionlog.Result, error) {
-	reply, err := client.commit(ctx, name, commands)
+//	results, err := client.Command(ctx, "team/c-1", sessionlog.Command{Kind: sessionlog.CreateSession, ...})
+func (client *Client) Command(ctx context.Context, sessionName string, commands ...sessionlog.Command) ([]sessionlog.Result, error) {
+	reply, err := client.commit(ctx, sessionName, commands)
 	if err != nil {
 		return nil, err
 	}
 	return reply.Results, nil
 }
 
-// commit commits commands on one session. The reply has one outcome per command.
+// commit commits commands on one session. The reply has one result per command.
 func (client *Client) commit(ctx context.Context, sessionName string, commands []sessionlog.Command) (*wire.CommandReply, error) {
 	for position := range commands {
 		commands[position].Session = sessionName
@@ -140,12 +140,12 @@
 // last page.
 //
 //	events, last, err := client.ReadAll(ctx, "team/c-1")
-func (client *Client) ReadAll(ctx context.Context, name string) ([]sessionlog.Event, *wire.ReadReply, error) {
+func (client *Client) ReadAll(ctx context.Context, sessionName string) ([]sessionlog.Event, *wire.ReadReply, error) {
 	events := []sessionlog.Event{}
 	for {
 		// Sequence numbers start at 1 without gaps, so the number of events read is the sequence
 		// number of the last one.
-		reply, err := client.Read(ctx, wire.ReadQuery{Session: name, After: uint64(len(events)), Limit: MaxEventsPerPage})
+		reply, err := client.Read(ctx, wire.ReadQuery{Session: sessionName, After: uint64(len(events)), Limit: MaxEventsPerPage})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/system/storeclient/leader_search.go
+++ b/system/storeclient/leader_search.go
@@ -38,10 +38,10 @@
 // goroutine in Client.call changes it; the goroutines of the single calls only read the fields
 // up to results, and send one result each.
 type leaderSearch struct {
-	client   *Client
-	name     string
-	timeout  time.Duration // of each call
-	newQuery func(group uint32) *wire.Query
+	client      *Client
+	sessionName string
+	timeout     time.Duration // of each call
+	newQuery    func(group uint32) *wire.Query
 	// results is buffered for all calls in flight, so that none blocks after the search.
 	results chan callResult
 
@@ -61,13 +61,13 @@
 // call calls the hinted leader, or else one replica after another, until one replies as leader
 // or the context ends. While a replica does not reply, the others are called as well. On an
 // error, maybeExecuted reports whether a store may have executed a query.
-func (client *Client) call(ctx context.Context, name string, timeout time.Duration, newQuery func(group uint32) *wire.Query) (reply *wire.Reply, maybeExecuted bool, err error) {
+func (client *Client) call(ctx context.Context, sessionName string, timeout time.Duration, newQuery func(group uint32) *wire.Query) (reply *wire.Reply, maybeExecuted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx) // cancels the calls in flight once another has replied
 	defer cancel()
 	// The part of timeout beyond callTimeout is the time that a read may wait for new events.
 	// A leader that does not reply within it is not faulty, so it extends the hedge delay.
 	search := &leaderSearch{
-		client: client, name: name, timeout: timeout, newQuery: newQuery, results: make(chan callResult, maxInFlight), inFlight: map[string]bool{},
+		client: client, sessionName: sessionName, timeout: timeout, newQuery: newQuery, results: make(chan callResult, maxInFlight), inFlight: map[string]bool{},
 		timer: time.NewTimer(timeout - callTimeout + hedgeDelay), backoff: initialBackoff,
 	}
 	defer search.timer.Stop()
@@ -115,7 +115,7 @@
 // reports false if there is no replica to call.
 func (search *leaderSearch) callNext(ctx context.Context) bool {
 	view := search.client.view()
-	group := placement.GroupOf(search.name, view.Groups)
+	group := placement.GroupOf(search.sessionName, view.Groups)
 	target := search.pickReplica(view, group)
 	if target == "" || len(search.inFlight) == maxInFlight {
 		return false
@@ -139,7 +139,7 @@
 // call. done reports that the search ends, with the reply or with an error that would be the same
 // from any replica.
 func (search *leaderSearch) handleResult(ctx context.Context, result callResult) (done bool, err error) {
-	client, group := search.client, placement.GroupOf(search.name, search.client.view().Groups)
+	client, group := search.client, placement.GroupOf(search.sessionName, search.client.view().Groups)
 	if result.err == nil {
 		client.setLeaderHint(group, result.target)
 		return true, nil
--- a/system/storeclient/turns.go
+++ b/system/storeclient/turns.go
@@ -91,9 +91,10 @@
 // BeginTurn reserves a turn's maximum output and records its begin, in one commit.
 //
 // Error kinds: NotFound means that there is no complete turn named Follows; QuotaExhausted that
-// the quota does not allow the turn; Conflict that another dispatch began the turn; NotRun that
-// the begin could not be committed in time. In the last case, a begin that was committed after
-// all is not used and is closed in the background.
+// the quota does not allow the turn; Conflict that another dispatch began the turn; Invalid that
+// the turn has no name or follows itself; NotRun that the turn did not begin but may be retried.
+// In the last case, a begin that was committed after all is not used and is closed in the
+// background.
 //
 //	begun, err := client.BeginTurn(ctx, storeclient.Turn{SessionName: "program/3fa81c", Name: "9c41d07b", Input: body, KeepHistory: true, Retention: time.Minute, DispatchID: "front-1/7", Lifetime: time.Minute})
 func (client *Client) BeginTurn(ctx context.Context, turn Turn) (*BegunTurn, error) {
@@ -107,16 +108,16 @@
 		command.Data = turn.Input
 	}
 	for {
-		outcome, history, err := client.commitTurn(ctx, turn.SessionName, command)
+		result, history, err := client.commitTurn(ctx, turn.SessionName, command)
 		if apierror.Is(err, apierror.OutcomeUnknown) {
 			go client.fenceTurn(turn)
 		}
 		if err != nil {
 			return nil, apierror.WrapRetryable(err, apierror.NotRun, "the turn could not begin in time: "+apierror.Of(err).Message, "retry", retryAfter)
 		}
-		switch outcome.Status {
+		switch result.Status {
 		case sessionlog.Done:
-			return &BegunTurn{Seq: outcome.Seq, History: history, Runner: outcome.Runner, CachedTokens: outcome.CachedTokens}, nil
+			return &BegunTurn{Seq: result.Seq, History: history, Runner: result.Runner, CachedTokens: result.CachedTokens}, nil
 		case sessionlog.UnknownTurn:
 			if len(command.Adopted) > 0 {
 				return nil, apierror.NewRetryable(apierror.NotRun, "the turn to continue could not be adopted from its session", "retry", retryAfter)
@@ -125,7 +126,7 @@
 				return nil, err
 			}
 		default:
-			if newError, known := beginErrors[outcome.Status]; known {
+			if newError, known := beginErrors[result.Status]; known {
 				return nil, newError()
 			}
 			// A store of a later version may return statuses that this version does not know.
@@ -176,14 +177,14 @@
 	if end.KeepHistory && end.Outcome == sessionlog.OutcomeComplete {
 		command.Data = end.Output
 	}
-	outcome, _, err := client.commitTurn(ctx, end.SessionName, command)
+	result, _, err := client.commitTurn(ctx, end.SessionName, command)
 	if err != nil {
 		return err
 	}
-	if outcome.Status == sessionlog.Done {
+	if result.Status == sessionlog.Done {
 		return nil
 	}
-	if newError, known := endErrors[outcome.Status]; known {
+	if newError, known := endErrors[result.Status]; known {
 		return newError()
 	}
 	return apierror.New(apierror.Invalid, "the end of a turn needs a name and an outcome", "specify both")
@@ -210,8 +211,8 @@
 
 // commitTurn commits one command of a turn. For a begin, it returns the history that the turn
 // continues.
-func (client *Client) commitTurn(ctx context.Context, name string, command sessionlog.Command) (outcome sessionlog.Result, history []byte, err error) {
-	reply, err := client.commit(ctx, name, []sessionlog.Command{command})
+func (client *Client) commitTurn(ctx context.Context, sessionName string, command sessionlog.Command) (result sessionlog.Result, history []byte, err error) {
+	reply, err := client.commit(ctx, sessionName, []sessionlog.Command{command})
 	if err != nil {
 		return sessionlog.Result{}, nil, err
 	}
