--- a/proof/modelcheck/invariants.go
+++ b/proof/modelcheck/invariants.go
@@ -138,9 +138,9 @@
 		applied = entry.Index
 		world.checkCommitted(stepped, before, entry)
 	}
-	if applied != stepped.core.Applied() || applied != stepped.status.CommitIndex {
+	if applied != stepped.core.AppliedIndex() || applied != stepped.status.CommitIndex {
 		world.violate(StateMachineSafety, "%s output entries up to index %d, but reports applied index %d and commit index %d", stepped.name,
-			applied, stepped.core.Applied(), stepped.status.CommitIndex)
+			applied, stepped.core.AppliedIndex(), stepped.status.CommitIndex)
 	}
 }
 
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -231,7 +231,7 @@
 	case ActionWipe:
 		world.wipe(chosen)
 	case ActionCompact:
-		world.step(chosen, raft.Input{Kind: raft.InputCompact, Index: chosen.core.Applied(), Data: world.model.snapshotData(chosen.core.Applied(), chosen.name)})
+		world.step(chosen, raft.Input{Kind: raft.InputCompact, Index: chosen.core.AppliedIndex(), Data: world.model.snapshotData(chosen.core.AppliedIndex(), chosen.name)})
 	case ActionTransferLeadership:
 		world.step(chosen, raft.Input{Kind: raft.InputTransferLeadership, Peer: action.Peer})
 	case ActionChange:
--- a/system/controlplane/feed_changes.go
+++ b/system/controlplane/feed_changes.go
@@ -90,7 +90,7 @@
 // handleAwaitAcknowledged executes, as leader, a change query that waits for the
 // acknowledgement of an earlier change.
 func (node *Node) handleAwaitAcknowledged(ctx context.Context, number uint64) (*wire.Reply, error) {
-	if err := node.host.Read(ctx, controlGroup); err != nil {
+	if err := node.host.AwaitReadIndex(ctx, controlGroup); err != nil {
 		return nil, err
 	}
 	state := node.stateMachine.state()
--- a/system/controlplane/feed_confirmation.go
+++ b/system/controlplane/feed_confirmation.go
@@ -55,7 +55,7 @@
 // confirmAsLeader implements confirm on the leader. It fails with NotLeader if this node is
 // not, or no longer, the leader.
 func (node *Node) confirmAsLeader(ctx context.Context) (*quorumState, error) {
-	if err := node.host.Read(ctx, controlGroup); err != nil {
+	if err := node.host.AwaitReadIndex(ctx, controlGroup); err != nil {
 		return nil, err
 	}
 	return node.stateAsLeader(), nil
--- a/system/raft/delayed_group_test.go
+++ b/system/raft/delayed_group_test.go
@@ -70,7 +70,7 @@
 }
 
 func (group *delayedGroup) compact(size int) {
-	index := group.cores["a"].Applied()
+	index := group.cores["a"].AppliedIndex()
 	group.step("a", Input{Kind: InputCompact, Index: index, Data: snapshotContent(index, size)})
 }
 
--- a/system/raft/snapshot_test.go
+++ b/system/raft/snapshot_test.go
@@ -19,7 +19,7 @@
 		return core.Step(Input{Kind: InputMessage, Message: Message{Kind: MessageSnapshot, From: "a", To: "b", Term: 2, Snapshot: snapshot}})
 	}
 	rejected := send("something else")
-	if rejected.Snapshot != nil || rejected.Write != nil || core.Applied() != 0 || len(core.Status().Membership.Voters) != 0 {
+	if rejected.Snapshot != nil || rejected.Write != nil || core.AppliedIndex() != 0 || len(core.Status().Membership.Voters) != 0 {
 		t.Fatalf("an unreadable snapshot changed the replica: %+v", core.Status())
 	}
 	if rejected.SnapshotRejected == nil || rejected.SnapshotRejected.Reason != SnapshotUnreadable || !errors.Is(rejected.SnapshotRejected, errUnreadable) {
@@ -29,7 +29,7 @@
 		t.Fatalf("unexpected reply: %+v", rejected.Messages)
 	}
 	installed := send("readable")
-	if installed.Snapshot == nil || core.Applied() != 7 || installed.SnapshotRejected != nil {
+	if installed.Snapshot == nil || core.AppliedIndex() != 7 || installed.SnapshotRejected != nil {
 		t.Fatalf("a readable snapshot was not installed: %+v, rejection: %v", core.Status(), installed.SnapshotRejected)
 	}
 }
--- a/system/raft/snapshot_transfer_test.go
+++ b/system/raft/snapshot_transfer_test.go
@@ -196,7 +196,7 @@
 	for _, chunk := range chunks {
 		output = core.Step(Input{Kind: InputMessage, Message: chunk})
 	}
-	if output.Snapshot != nil || output.Write != nil || core.Applied() != 0 || core.incoming != nil {
+	if output.Snapshot != nil || output.Write != nil || core.AppliedIndex() != 0 || core.incoming != nil {
 		t.Fatalf("an unreadable snapshot changed the replica: %+v", core.Status())
 	}
 	if output.SnapshotRejected == nil || output.SnapshotRejected.Reason != SnapshotUnreadable || !errors.Is(output.SnapshotRejected, errUnreadable) {
--- a/system/raft/status.go
+++ b/system/raft/status.go
@@ -53,9 +53,9 @@
 	return core.hardState.Term, core.role == roleLeader
 }
 
-// Applied returns the index of the last entry passed to the driver to be applied, in
+// AppliedIndex returns the index of the last entry passed to the driver to be applied, in
 // [Output.CommittedEntries] or as part of a snapshot.
-func (core *Core) Applied() uint64 { return core.lastApplied }
+func (core *Core) AppliedIndex() uint64 { return core.lastApplied }
 
 // committedInTerm reports whether the last committed entry is of the current term.
 func (core *Core) committedInTerm() bool {
--- a/system/replica/host_membership.go
+++ b/system/replica/host_membership.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// Remove deletes this node's replica of a group. The replica must no longer be a member of the
+// DeleteReplica deletes this node's replica of a group. The replica must no longer be a member of the
 // group. A leader may add it again.
-func (host *Host) Remove(groupID uint32) {
+func (host *Host) DeleteReplica(groupID uint32) {
 	host.runOnLoop(func() {
 		if host.groups[groupID] == nil {
 			return
--- a/system/replica/host_reads.go
+++ b/system/replica/host_reads.go
@@ -12,11 +12,11 @@
 // confirmed: about one default election timeout, after which a new leader may be elected.
 const noQuorumRetryAfter = time.Second
 
-// Read waits until this node can serve a linearizable read of a group: a quorum has
+// AwaitReadIndex waits until this node can serve a linearizable read of a group: a quorum has
 // confirmed that this replica is the leader, and everything committed before the call is applied
 // (Raft thesis, section 6.4). The error is an [apierror.Error]: NotLeader, or NoQuorum if ctx ended
 // first.
-func (host *Host) Read(ctx context.Context, groupID uint32) error {
+func (host *Host) AwaitReadIndex(ctx context.Context, groupID uint32) error {
 	result := make(chan error, 1)
 	running := host.runOnLoop(func() {
 		group := host.groups[groupID]
--- a/system/replica/host_snapshots.go
+++ b/system/replica/host_snapshots.go
@@ -44,7 +44,7 @@
 		return
 	}
 	host.encodingSnapshot = true
-	index, encode := group.core.Applied(), group.stateMachine.Snapshot()
+	index, encode := group.core.AppliedIndex(), group.stateMachine.Snapshot()
 	includedBytes := group.bytesSinceSnapshot
 	go func() {
 		data := encode()
--- a/system/replica/raft_group.go
+++ b/system/replica/raft_group.go
@@ -61,7 +61,7 @@
 	}
 	// A group bootstrapped without data has an empty first snapshot. Only a replica that has
 	// applied nothing may install it.
-	if group.core.Applied() > 0 {
+	if group.core.AppliedIndex() > 0 {
 		return apierror.New(apierror.Damaged, "received an empty snapshot on a replica that is not empty", "check the data directory of the sender")
 	}
 	return nil
--- a/system/store/group_placement.go
+++ b/system/store/group_placement.go
@@ -100,7 +100,7 @@
 		// If the group has added this replica again since, its log or term has advanced.
 		if current, _ := node.host.Status(group); current.Leader == "" && current.LastIndex == status.LastIndex && current.Term == status.Term {
 			log.WithFields(log.Fields{"node": node.Name(), "group": group}).Info("deleting a replica that was removed from its group")
-			node.host.Remove(group)
+			node.host.DeleteReplica(group)
 		}
 		return
 	}
--- a/system/store/reads.go
+++ b/system/store/reads.go
@@ -47,7 +47,7 @@
 func (node *Node) linearizableView(ctx context.Context, group uint32) (*sessionlog.View, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	if err := node.host.Read(ctx, group); err != nil {
+	if err := node.host.AwaitReadIndex(ctx, group); err != nil {
 		return nil, err
 	}
 	return node.stateMachine(group).View(), nil
--- a/system/store/status.go
+++ b/system/store/status.go
@@ -48,7 +48,7 @@
 // and the members as of then. While a membership change is pending, a leader is not reported as
 // leading.
 func (node *Node) confirmedStatus(ctx context.Context, reported wire.GroupStatus) wire.GroupStatus {
-	if err := node.host.Read(ctx, reported.Group); err != nil {
+	if err := node.host.AwaitReadIndex(ctx, reported.Group); err != nil {
 		return reported
 	}
 	status, _ := node.host.Status(reported.Group)
