--- a/system/config/config.go
+++ b/system/config/config.go
@@ -73,7 +73,7 @@
 type WorkKind struct {
 	// Serves is ServesTurn or ServesPlain.
 	Serves string `json:"serves"`
-	// WeightTable is the name of the weight table that distributes the work over groups of runners.
+	// WeightTable is the name of the weight table that distributes the work over runner groups.
 	WeightTable string `json:"table"`
 	// Repeatable work may be executed more than once; the default is true. Other work needs a
 	// request key, and is recorded.
@@ -86,7 +86,7 @@
 	Path string `json:"path"`
 }
 
-// Limits bound the requests that one front node accepts.
+// Limits bound the requests that one front accepts.
 type Limits struct {
 	// BodyBytes is the maximum size of a request body, 1 KiB to 16 MiB; the default is 1 MiB.
 	BodyBytes int64 `json:"body_bytes"`
@@ -106,7 +106,7 @@
 }
 
 // Config is a compiled configuration. The maps are keyed by name; a weight table maps the names of
-// groups of runners to weights.
+// runner groups to weights.
 type Config struct {
 	Operators    map[string]Principal          `json:"operators"`
 	Teams        map[string]Principal          `json:"teams"`
--- a/system/config/routing.go
+++ b/system/config/routing.go
@@ -25,9 +25,9 @@
 	Weight  float64 `json:"weight"`
 }
 
-// Route defines how requests are forwarded that are for Host (without port, case-insensitive) and
-// whose path begins with Prefix, which begins and ends with a slash. Of a host's routes, the one
-// with the longest matching prefix applies.
+// Route defines how requests to Host (without port, case-insensitive) whose path begins with Prefix
+// are forwarded. Prefix begins and ends with a slash. Of a host's routes, the one with the longest
+// matching prefix applies.
 type Route struct {
 	Name   string    `json:"name"`
 	Host   string    `json:"host"`
@@ -71,11 +71,11 @@
 	Name string `json:"name"`
 	// HealthPath is the URL path of health checks.
 	HealthPath string `json:"health_path"`
-	// MaxConnections limits the connections to one runner from all front nodes together; 0 means
-	// no limit.
+	// MaxConnections limits the connections to one runner from all fronts together; 0 means no
+	// limit.
 	MaxConnections int `json:"most_connections"`
 	// WarmUp is how long a runner warms up after its start. WarmUpRate limits the requests per
-	// second that it receives meanwhile from all front nodes together; 0 means no limit.
+	// second that it receives meanwhile from all fronts together; 0 means no limit.
 	WarmUp     Duration `json:"cold_for"`
 	WarmUpRate float64  `json:"cold_rate"`
 	Engine     *Engine  `json:"engine,omitempty"` // nil: not a model runner
--- a/system/config/routing_check.go
+++ b/system/config/routing_check.go
@@ -39,7 +39,7 @@
 
 var routeKinds = map[RouteKind]bool{Repeatable: true, Once: true, Streaming: true}
 
-// fieldRule is the result of checking one field, and the error if the rule is violated.
+// fieldRule is a rule for one field, already evaluated, and the error if it is violated.
 type fieldRule struct {
 	violated bool
 	field    string
--- a/system/config/routing_revisions.go
+++ b/system/config/routing_revisions.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// MaxAcceptedRequests is the maximum number of requests that a routing remembers. The feed
-// remembers many more (feed.RequestHistory); nodes of versions without that history use only these.
+// MaxAcceptedRequests is the maximum number of requests that a routing records. The feed records
+// many more (feed.RequestHistory); nodes of versions without that history use only these.
 const MaxAcceptedRequests = 64
 
 // AcceptedRequest is a revision and the digest of the request that created it, by which a retry of
@@ -43,7 +43,7 @@
 func serviceName(service Service) string { return service.Name }
 
 // RevisionOf returns the revision that the request with a digest created, if the request is
-// remembered. A nil routing remembers none.
+// recorded. A nil routing records none.
 //
 //	if revision, accepted := routing.RevisionOf(digest); accepted { ... }
 func (routing *Routing) RevisionOf(digest string) (uint64, bool) {
--- a/system/controlplane/admin_domains.go
+++ b/system/controlplane/admin_domains.go
@@ -10,7 +10,7 @@
 	"yardrock.example/system/feed"
 )
 
-// SetDomain drains or refills a domain.
+// SetDomain drains a domain or returns it to service.
 func (service adminService) SetDomain(ctx context.Context, payload *administration.SetDomainPayload) (*administration.Changed, error) {
 	ctx, cancel, operator, err := service.beginRequest(ctx, payload.Authorization, administrationTimeout)
 	defer cancel()
@@ -25,8 +25,8 @@
 	}))
 }
 
-// planDomain plans the change that drains or refills a domain; nil if the domain is in that
-// state already. The last serving domain is drained only if force is set.
+// planDomain plans the change that drains a domain or returns it to service, nil if the domain
+// is in that state already. The last serving domain is drained only if force is set.
 func planDomain(view *feed.View, name, state string, force bool) (*feed.Change, error) {
 	if view.DomainDrained(name) == (state == feed.StateDrained) {
 		return nil, nil
@@ -47,10 +47,10 @@
 	return true
 }
 
-// SetDomainState drains or refills a domain, even the last serving one, and returns once the
-// new state is acknowledged. If the domain is in that state already, it returns once the
-// current view is acknowledged. The error is Invalid if the state is neither feed.StateServing
-// nor feed.StateDrained.
+// SetDomainState drains a domain, even the last serving one, or returns it to service, and returns
+// once the new state is acknowledged. If the domain is in that state already, it returns once the
+// current view is acknowledged. The error is Invalid if the state is neither feed.StateServing nor
+// feed.StateDrained.
 //
 //	err := node.SetDomainState(ctx, "root", "east", feed.StateDrained)
 func (node *Node) SetDomainState(ctx context.Context, by, name, state string) error {
--- a/system/controlplane/admin_execution.go
+++ b/system/controlplane/admin_execution.go
@@ -85,8 +85,8 @@
 	return apierror.NewRetryable(apierror.NoQuorum, "the request was not acknowledged in time: "+apierror.Of(err).Message, "send the same request again, to any control node", time.Second)
 }
 
-// forgottenRequestError answers a request that may have been executed so long ago that the
-// request history has dropped it. Such a request is neither acknowledged nor rejected.
-func forgottenRequestError() error {
+// evictedRequestError answers a request that may have been executed so long ago that the
+// request history has evicted it. Such a request is neither acknowledged nor rejected.
+func evictedRequestError() error {
 	return apierror.NewRetryable(apierror.NoQuorum, "the request history does not reach back to this request, which may have been executed already", "read the current state; send a new request if the change is missing", time.Second)
 }
--- a/system/controlplane/admin_query.go
+++ b/system/controlplane/admin_query.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	if statement.Show == nil {
-		return service.execute(ctx, operator, statement)
+		return service.executeStatement(ctx, operator, statement)
 	}
 	readCtx, cancelRead := context.WithTimeout(ctx, administrationTimeout)
 	defer cancelRead()
@@ -39,9 +39,9 @@
 	return &administration.QueryResult{Columns: unfiltered.columns, Rows: rows}, err
 }
 
-// execute executes a statement that changes something or, for a dry run, describes its
-// effect.
-func (service adminService) execute(ctx context.Context, operator authenticatedOperator, statement *querylanguage.Statement) (*administration.QueryResult, error) {
+// executeStatement executes a statement that changes something. For a dry run it only describes
+// the effect.
+func (service adminService) executeStatement(ctx context.Context, operator authenticatedOperator, statement *querylanguage.Statement) (*administration.QueryResult, error) {
 	plan := service.planFor(operator.state, statement)
 	request := newAdminRequest(operator.name, statement.Expect, statement.String())
 	request.statement = statement.String()
@@ -165,11 +165,11 @@
 	if state.lacksHistory {
 		return nil, historyUnavailableError()
 	}
-	source, compiled, kept, err := state.history.ConfigAt(state.view, number)
+	source, compiled, found, err := state.history.ConfigAt(state.view, number)
 	if err != nil {
 		return nil, err
 	}
-	if !kept {
+	if !found {
 		return nil, apierror.New(apierror.NotFound, fmt.Sprintf("config %d is not in the history: the number was never a config, or the history no longer reaches back to it", number), "list the configs in the history with: show changes where kind = config")
 	}
 	decoded, err := config.Decode(compiled)
--- a/system/controlplane/admin_request.go
+++ b/system/controlplane/admin_request.go
@@ -11,8 +11,8 @@
 )
 
 // adminRequest is a request of the admin API that changes something. A request with an expected
-// number has the same digest each time it is sent, so that a repeated request is recognised. Any
-// other request gets a random digest, which is recognised only in the retries of the node that
+// number has the same digest each time it is sent, so that a repeated request is recognized. Any
+// other request gets a random digest, which is recognized only in the retries of the node that
 // executes it.
 type adminRequest struct {
 	operator string
@@ -74,7 +74,7 @@
 		}
 	}
 	if view.AdminRequests.MayHaveEvicted(*request.expected + 1) {
-		return forgottenRequestError()
+		return evictedRequestError()
 	}
 	return apierror.New(apierror.Conflict, fmt.Sprintf("expected number %d, but the current number is %d (config %d)", *request.expected, view.Number, view.ConfigNumber), "read the current state and, if the change is still wanted, retry with the current number")
 }
--- a/system/controlplane/admin_tables.go
+++ b/system/controlplane/admin_tables.go
@@ -140,7 +140,7 @@
 	return table{columns: []string{"address", "group", "domain", "state", "since"}, rows: rows}
 }
 
-// listDomains lists the domains that have runners or were drained at any time.
+// listDomains lists the domains that have runners or were ever drained.
 func listDomains(_ context.Context, source tableSource) table {
 	counts := map[string]int{}
 	for _, runner := range source.view.Runners {
--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -43,8 +43,8 @@
 // nextMembershipStep returns the next change of the control group, nil if none is needed. A live
 // control node first becomes a learner, and a voter once it has caught up with the log. A lost
 // voter is removed when a learner is ready to replace it, or if enough voters remain; if it
-// returns it is enrolled again. It is removed before the learner becomes a voter, so that the
-// quorum never counts both (docs/consistency/membership.md).
+// returns, it joins as a learner again. It is removed before the learner becomes a voter, so that
+// the quorum never counts both (docs/consistency/membership.md).
 func (node *Node) nextMembershipStep(status raft.Status, live []feed.Member) *membershipStep {
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	if lost := node.removableVoter(voters, learners, status); lost != "" {
@@ -61,16 +61,16 @@
 			return &membershipStep{"removing a lost learner from the control group", learner, raft.Membership{Voters: voters, Learners: raft.Without(learners, learner)}}
 		}
 	}
-	if added := node.enrollableControl(voters, learners, live); added != "" {
+	if added := node.nextLearner(voters, learners, live); added != "" {
 		return &membershipStep{"adding a learner to the control group", added, raft.Membership{Voters: voters, Learners: append(slices.Clone(learners), added)}}
 	}
 	return nil
 }
 
-// enrollableControl returns a live control node that is to become a learner, or an empty string
-// if there is none. Lost voters do not count against Settings.MaxControls, so that they can be
+// nextLearner returns a live control node that is to become a learner, or an empty string if
+// there is none. Lost voters do not count against Settings.MaxControls, so that they can be
 // replaced.
-func (node *Node) enrollableControl(voters, learners []string, live []feed.Member) string {
+func (node *Node) nextLearner(voters, learners []string, live []feed.Member) string {
 	members, present := slices.Concat(voters, learners), len(learners)
 	for _, voter := range voters {
 		if !node.isSilent(voter, replaceableTimeout) {
--- a/system/controlplane/doc.go
+++ b/system/controlplane/doc.go
@@ -10,13 +10,13 @@
 //     nodes, finishes decommissions and holds the leases on singleton roles.
 //
 // Guarantees (docs/consistency/orders.md, docs/consistency/membership.md):
-//   - Every state reported as in force, acknowledgement and rejection is confirmed by a majority
-//     of the control group after the request arrived: by a commit or by a read index.
+//   - Every acknowledgement, every rejection and every state reported as current is confirmed by
+//     a majority of the control group after the request arrived: by a commit or a read index.
 //   - A change is acknowledged once it is committed and, unless it is an observation, synced by
 //     a majority of the stores. It therefore survives the loss of all control plane disks: a
 //     new control group recovers the feed from the stores.
-//   - Of several requests based on the same number, only one is carried out. A request that was
-//     carried out is never rejected when it is sent again.
+//   - Of several requests based on the same number, only one is executed. A request that was
+//     executed is never rejected when it is sent again.
 //   - Membership of the control group changes by one member at a time.
 //
 // A Node owns its Raft host (including the data directory), listener, connections and periodic
--- a/system/controlplane/feed_confirmation.go
+++ b/system/controlplane/feed_confirmation.go
@@ -31,9 +31,9 @@
 // quorumState is a state that a quorum confirmed as current.
 type quorumState struct {
 	*feedState
-	// runnersReadAt is when the lease holder requested the runner list that this state
-	// reflects, by this node's clock; zero if unknown.
-	runnersReadAt time.Time
+	// runnerListReadAt is when the holder of RunnerDiscoveryRole requested the runner list that
+	// this state reflects, by this node's clock; zero if unknown.
+	runnerListReadAt time.Time
 }
 
 // confirmNow calls confirm without letting the leader delay the confirmation.
@@ -62,13 +62,13 @@
 }
 
 // stateAsLeader returns the applied state of a leader that a quorum has just confirmed. It must
-// load the time of the runner list before the state: the list's changes are committed before
-// that time is stored, so a state loaded afterwards includes them.
+// load publishedRunnerList before the state: that is stored only after the list's changes are
+// committed, so a state loaded afterwards includes them.
 func (node *Node) stateAsLeader() *quorumState {
-	reading := node.runnersReading.Load()
+	published := node.publishedRunnerList.Load()
 	state := &quorumState{feedState: node.stateMachine.state()}
-	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); reading != nil && lease.Holder == node.Name() && lease.FencingToken == reading.fencingToken {
-		state.runnersReadAt = reading.requestedAt
+	if lease := state.view.RoleLeaseOf(RunnerDiscoveryRole); published != nil && lease.Holder == node.Name() && lease.FencingToken == published.fencingToken {
+		state.runnerListReadAt = published.requestedAt
 	}
 	return state
 }
@@ -96,12 +96,12 @@
 	if reply.Follow == nil {
 		return nil, noQuorumError()
 	}
-	var runnersReadAt time.Time
+	var runnerListReadAt time.Time
 	if reply.Follow.HasRunnerListAge {
-		runnersReadAt = sentAt.Add(-reply.Follow.RunnerListAge)
+		runnerListReadAt = sentAt.Add(-reply.Follow.RunnerListAge)
 	}
 	if current := node.stateMachine.state(); current.view.Number >= reply.Follow.Newest {
-		return &quorumState{current, runnersReadAt}, nil
+		return &quorumState{current, runnerListReadAt}, nil
 	}
 	// This replica does not know yet that the newest changes are committed.
 	next, err := local.stateAfter(reply.Follow)
@@ -111,7 +111,7 @@
 	if next.view.Number < reply.Follow.Newest {
 		return nil, noQuorumError()
 	}
-	return &quorumState{next, runnersReadAt}, nil
+	return &quorumState{next, runnerListReadAt}, nil
 }
 
 // stateAfter returns the state that a leader's reply leads to from this one. It fails as advance
--- a/system/controlplane/feed_serving.go
+++ b/system/controlplane/feed_serving.go
@@ -76,8 +76,8 @@
 func (node *Node) followReply(state *quorumState, query *wire.Query, receivedAt time.Time) *wire.FollowReply {
 	follow := query.Follow
 	reply := &wire.FollowReply{Newest: state.view.Number}
-	if !state.runnersReadAt.IsZero() {
-		reply.HasRunnerListAge, reply.RunnerListAge = true, receivedAt.Sub(state.runnersReadAt)
+	if !state.runnerListReadAt.IsZero() {
+		reply.HasRunnerListAge, reply.RunnerListAge = true, receivedAt.Sub(state.runnerListReadAt)
 	}
 	if follow.After > state.view.Number {
 		// Nothing here is newer. The fleet tells the follower whether the number is comparable.
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -91,10 +91,10 @@
 	discovery     runnerDiscovery
 	configRunners configRunnerSource // used if Settings.RunnerSource is nil
 
-	// runnersReading describes the last list whose content this node put in force; nil if none.
-	runnersReading atomic.Pointer[runnersReading]
-	decodedConfig  atomic.Pointer[decodedConfig]
-	lastMemberList atomic.Pointer[memberList]
+	// publishedRunnerList describes the last list that this node published; nil if none.
+	publishedRunnerList atomic.Pointer[publishedRunnerList]
+	decodedConfig       atomic.Pointer[decodedConfig]
+	lastMemberList      atomic.Pointer[memberList]
 	// views and viewsWithoutRequests cache the packed newest view for all followers. Fronts get
 	// it without the request histories, which they do not need.
 	views                wire.PackedViewCache
@@ -210,8 +210,8 @@
 //	name := node.Name()
 func (node *Node) Name() string { return node.host.Name() }
 
-// View returns the newest view that this replica has applied. It may lag behind the view in
-// force; see confirmedView.
+// View returns the newest view that this replica has applied. It may lag behind the newest
+// committed one; see confirmedView.
 //
 //	view := node.View()
 func (node *Node) View() *feed.View { return node.stateMachine.state().view }
--- a/system/controlplane/node_gossip.go
+++ b/system/controlplane/node_gossip.go
@@ -12,8 +12,9 @@
 const (
 	// gossipInterval is the time between gossip rounds, and the timeout of a gossip message.
 	gossipInterval = 500 * time.Millisecond
-	// gossipsPerReply is the number of gossip rounds of which one awaits replies.
-	gossipsPerReply = 4
+	// roundsPerReply is the number of gossip rounds of which one waits for replies, which
+	// detects dead connections.
+	roundsPerReply = 4
 )
 
 // handleGossip records the members that another control node has heard from.
@@ -31,7 +32,7 @@
 	heard, targets := node.heardDirectly(), node.gossipTargets()
 	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, MemberSessions: heard}
 	node.gossipCount++
-	wantReply := node.gossipCount%gossipsPerReply == 0
+	wantReply := node.gossipCount%roundsPerReply == 0
 	for address := range targets {
 		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
 			continue // the previous message to it is still in flight
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -18,7 +18,7 @@
 	// livenessTimeout is when a node no longer counts as live.
 	livenessTimeout = 3 * time.Second
 	// replaceableTimeout is when a node counts as lost if a replacement is ready. A node that
-	// returns is enrolled again, so a false positive costs only unneeded copying.
+	// returns is added again, so a false positive costs only unneeded copying.
 	replaceableTimeout = 2 * time.Second
 	// suspectTimeout is when a node is suspected. No learner becomes a voter while a voter is
 	// suspected.
--- a/system/controlplane/routing_requests.go
+++ b/system/controlplane/routing_requests.go
@@ -14,10 +14,10 @@
 
 // ReplaceRouting replaces the routing of the revision base (0 if there is none yet) and returns
 // once the change is acknowledged. Digest identifies the request: a request that is sent again
-// is acknowledged again. The error is Conflict if another revision is in force, Invalid if the
+// is acknowledged again. The error is Conflict if another revision is current, Invalid if the
 // routing is invalid. If the context ends first it is OutcomeUnknown if the routing may have been
 // replaced, NoQuorum if no quorum answered; in both cases send the request again. The error is
-// also NoQuorum for a request so old that it is unknown whether it was carried out.
+// also NoQuorum for a request so old that it is unknown whether it was executed.
 //
 //	err := node.ReplaceRouting(ctx, "root", 5, config.Routing{Revision: 7, Routes: routes, Services: services}, digest)
 func (node *Node) ReplaceRouting(ctx context.Context, by string, base uint64, next config.Routing, digest string) error {
@@ -34,7 +34,7 @@
 //	err := node.PatchRouting(ctx, "root", 7, config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
 func (node *Node) PatchRouting(ctx context.Context, by string, base uint64, patch config.RoutingPatch, digest string) error {
 	request := routingRequest{operator: by, base: base, revision: patch.Revision, digest: digest}
-	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Patched(patch) })
+	return node.changeRouting(ctx, request, func(current *config.Routing) (config.Routing, error) { return current.Patched(patch) })
 }
 
 // routingRequest is a request to replace the routing of one revision by another.
@@ -66,10 +66,10 @@
 	return history
 }
 
-// routingFunc returns the next routing, given the one in force, which is nil if there is none.
-type routingFunc func(inForce *config.Routing) (config.Routing, error)
+// routingFunc returns the next routing, given the current one, which is nil if there is none.
+type routingFunc func(current *config.Routing) (config.Routing, error)
 
-// changeRouting carries out a routing request.
+// changeRouting executes a routing request.
 func (node *Node) changeRouting(ctx context.Context, request routingRequest, makeRouting routingFunc) error {
 	_, err := node.execute(ctx, func(view *feed.View) (decision, error) { return node.decideRouting(view, request, makeRouting) })
 	return err
@@ -85,11 +85,11 @@
 	if _, accepted := history.NumberOf(request.accepted().Digest); accepted {
 		return decision{acceptedAs: view.Number}, nil
 	}
-	if inForce := decoded.Routing.CurrentRevision(); inForce != request.base {
+	if current := decoded.Routing.CurrentRevision(); current != request.base {
 		if history.MayHaveEvicted(request.revision) {
-			return decision{}, forgottenRequestError()
+			return decision{}, evictedRequestError()
 		}
-		return decision{}, apierror.New(apierror.Conflict, fmt.Sprintf("the request is based on routing revision %d, but revision %d is in force", request.base, inForce), "read the routing in force and send a new request based on it")
+		return decision{}, apierror.New(apierror.Conflict, fmt.Sprintf("the request is based on routing revision %d, but the current revision is %d", request.base, current), "read the current routing and send a new request based on it")
 	}
 	if len(view.Compiled) == 0 {
 		if decoded, _, err = configsource.Compile(""); err != nil {
@@ -112,7 +112,7 @@
 	return decision{change: change}, nil
 }
 
-// ReadRouting returns the routing in force, confirmed by a quorum; its revision is 0 if there is
+// ReadRouting returns the current routing, confirmed by a quorum; its revision is 0 if there is
 // none yet. The error is NoQuorum if the context ends before a quorum confirms it.
 //
 //	routing, err := node.ReadRouting(ctx)
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -21,8 +21,8 @@
 	warmUpSlack = 250 * time.Millisecond
 )
 
-// runnersReading describes a runner list whose content is in force.
-type runnersReading struct {
+// publishedRunnerList describes a runner list whose content is on the feed.
+type publishedRunnerList struct {
 	// requestedAt is when the list was requested; its content is at least as recent.
 	requestedAt time.Time
 	// fencingToken is the token of the lease under which it was published. A later lease holder
@@ -56,12 +56,12 @@
 	}
 	if node.publishRunners(ctx, view, lease, groups, runners, requestedAt) {
 		// Stored only after the change is committed: stateAsLeader relies on this order.
-		node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
+		node.publishedRunnerList.Store(&publishedRunnerList{requestedAt, lease.FencingToken})
 	}
 }
 
 // publishRunners proposes the differences between a runner list and the runners of a view. It
-// reports whether the list's content is in force.
+// reports whether the list's content is on the feed.
 func (node *Node) publishRunners(ctx context.Context, view *feed.View, lease feed.RoleLease, groups map[string]config.RunnerGroup, listed []feed.Runner, requestedAt time.Time) bool {
 	discovery := &node.discovery
 	discovery.beginLease(lease.FencingToken)
@@ -149,8 +149,8 @@
 	return changed, removed
 }
 
-// recordServing records when a runner was first seen serving, and reports whether it has served
-// for its group's slow start since. Without groups it counts as warmed up once it serves.
+// recordServing records when a runner was first seen serving, and reports whether it has since
+// served for its group's warm-up period. Without groups it counts as warmed up once it serves.
 func (discovery *runnerDiscovery) recordServing(runner feed.Runner, groups map[string]config.RunnerGroup, now time.Time) bool {
 	name := runner.Identity()
 	since, served := discovery.servingSince[name]
--- a/system/controlplane/runner_source.go
+++ b/system/controlplane/runner_source.go
@@ -36,7 +36,7 @@
 // maxRunnerListBytes bounds the size of a runner list.
 const maxRunnerListBytes = 4 << 20
 
-// List requests the list once. If it fails the previous list stays in force.
+// List requests the list once; after an error the runners on the feed stay as they are.
 func (source *configRunnerSource) List(ctx context.Context) ([]feed.Runner, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, source.url, nil)
 	if err != nil {
--- a/system/controlplane/store_decommission.go
+++ b/system/controlplane/store_decommission.go
@@ -43,8 +43,8 @@
 	case view.Stores[index].State == feed.StateDecommissioning:
 		return nil, nil
 	}
-	if left := len(view.PlacementCandidates()); left <= view.ReplicationFactor() {
-		return nil, apierror.New(apierror.Conflict, fmt.Sprintf("only %d stores are available for placement, and each group needs %d", left, view.ReplicationFactor()), "enrol another store first")
+	if candidates := len(view.PlacementCandidates()); candidates <= view.ReplicationFactor() {
+		return nil, apierror.New(apierror.Conflict, fmt.Sprintf("only %d stores are available for placement, and each group needs %d", candidates, view.ReplicationFactor()), "enrol another store first")
 	}
 	next := slices.Clone(view.Stores)
 	next[index].State = feed.StateDecommissioning
@@ -111,7 +111,7 @@
 		case index < 0 && slices.ContainsFunc(view.Decommissioned, onMachine(machine)):
 			state = feed.StateDecommissioned
 		case index < 0 && decommissionInHistory(view, machine):
-			return decision{}, forgottenRequestError()
+			return decision{}, evictedRequestError()
 		default:
 			return decision{}, apierror.New(apierror.NotFound, "no store on machine "+machine+" is being decommissioned", "begin to decommission it, or name a machine that the fleet query lists")
 		}
--- a/system/controlplane/store_founding.go
+++ b/system/controlplane/store_founding.go
@@ -93,8 +93,8 @@
 	return newest, answered
 }
 
-// recoverFeed proposes to put in force a view that stores have synced, if a majority of that
-// view's stores answered: then no acknowledged change is missing.
+// recoverFeed proposes that the feed continues from a view that stores have synced, if a majority
+// of that view's stores answered: then no acknowledged change is missing.
 func (node *Node) recoverFeed(ctx context.Context, recovered feed.View, answered []string) {
 	// Every acknowledged change was synced by a majority of these stores, so every majority of
 	// them includes a store that has it.
--- a/system/controlplane/store_membership.go
+++ b/system/controlplane/store_membership.go
@@ -124,7 +124,7 @@
 }
 
 // planEnrol returns the change that adds a store to the store list, nil if it is already listed.
-// A store that is being decommissioned becomes a regular one again.
+// For a store that is being decommissioned, the change cancels the decommission.
 func (node *Node) planEnrol(view *feed.View, name string) (*feed.Change, error) {
 	index := slices.IndexFunc(view.Stores, hasName(name))
 	if index >= 0 && view.Stores[index].State != feed.StateDecommissioning {
--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -15,8 +15,8 @@
 	"yardrock.example/system/sessionlog"
 )
 
-// Run is a turn, a tool call or other work that is executed once. One event opens it, any
-// number of events record parts of its output, and one event closes it.
+// Run is a turn or a tool call of a session; other recorded requests are stored as turns. One
+// event opens it, any number of events record parts of its output, and one event closes it.
 type Run struct {
 	// Begun is the event that opened the run.
 	Begun sessionlog.Event
--- a/system/feed/change.go
+++ b/system/feed/change.go
@@ -5,7 +5,7 @@
 
 // The kinds of change.
 const (
-	// ChangeFounded replaces the view by the initial one of a new fleet.
+	// ChangeFounded replaces the view by the first one of a newly bootstrapped fleet.
 	ChangeFounded ChangeKind = iota + 1
 	// ChangeConfig replaces the config.
 	ChangeConfig
--- a/system/feed/feed.go
+++ b/system/feed/feed.go
@@ -24,7 +24,7 @@
 	StateDrained = "emptied"
 	// StateDraining is a runner that is shutting down: it finishes its work and gets no more.
 	StateDraining = "leaving"
-	// StateWarmingUp is a runner in slow start: it gets a reduced share of the work.
+	// StateWarmingUp is a runner that is warming up: it gets a reduced share of the work.
 	StateWarmingUp = "cold"
 	// StateDecommissioning is a store whose replicas are being moved to other stores.
 	StateDecommissioning = "retiring"
--- a/system/feed/request_history.go
+++ b/system/feed/request_history.go
@@ -133,7 +133,7 @@
 // WithoutRequests returns the view without the request histories, for nodes that do not serve
 // admin requests.
 //
-//	answer.View = state.view.WithoutRequests()
+//	reply.View = state.view.WithoutRequests()
 func (view *View) WithoutRequests() View {
 	stripped := *view
 	stripped.RoutingRequests, stripped.AdminRequests = RequestHistory{}, RequestHistory{}
--- a/system/feed/runner.go
+++ b/system/feed/runner.go
@@ -22,11 +22,11 @@
 	// Since is when it entered its state, as Unix time in nanoseconds. It is for display only:
 	// it comes from a wall clock, so it must not be used to measure durations.
 	Since int64 `capnp:"since"`
-	// Warmed reports whether it has served for at least the slow-start period of its group.
+	// Warmed reports whether it has served for at least the warm-up period of its group.
 	Warmed bool `capnp:"warmed"`
 	// Slots is the maximum number of concurrent requests; 0 if the list does not state it.
 	Slots uint32 `capnp:"slots"`
-	// WarmUpLeft is the remaining duration of its slow start when the list was requested.
+	// WarmUpLeft is the remaining duration of its warm-up when the list was requested.
 	WarmUpLeft time.Duration `capnp:"coldFor" json:"ColdFor"`
 	// Revision is its software version.
 	Revision string `capnp:"revision"`
--- a/system/feed/view.go
+++ b/system/feed/view.go
@@ -11,7 +11,7 @@
 // View is the state after the change with its number. A view and all that it refers to are
 // immutable: Fold returns a new one.
 type View struct {
-	// Fleet is the ID of the fleet, a digest of the founding control nodes' names.
+	// Fleet is the ID of the fleet, a digest of the names in Founding.
 	Fleet string `capnp:"fleet"`
 	// Number is the number of the last change folded, 0 for an empty view.
 	Number uint64 `capnp:"number"`
@@ -32,12 +32,12 @@
 	Controls []Member `capnp:"controls"`
 	// RoleLeases has one lease for each singleton role that was ever leased.
 	RoleLeases []RoleLease `capnp:"assignments"`
-	// Groups is the number of session log groups, fixed when the fleet is founded.
+	// Groups is the number of session log groups, fixed when the fleet is bootstrapped.
 	Groups uint32 `capnp:"groups"`
-	// Replicas is the replication factor of the groups, fixed when the fleet is founded; 0 means
-	// placement.DefaultReplicas. Use ReplicationFactor to read it.
+	// Replicas is the replication factor of the groups, fixed when the fleet is bootstrapped; 0
+	// means placement.DefaultReplicas. Use ReplicationFactor to read it.
 	Replicas uint32 `capnp:"copies"`
-	// Founding are the sorted names of the control nodes that founded the fleet.
+	// Founding are the sorted names of the control nodes that bootstrapped the fleet.
 	Founding []string `capnp:"founding"`
 	// Decommissioned are the last maxDecommissioned stores that were decommissioned.
 	Decommissioned []Member `capnp:"retired"`
@@ -49,7 +49,7 @@
 
 // EqualExceptObservations reports whether two views are equal but for their numbers and the
 // fields that observations change (runners and role leases). Replicas is not compared: it is
-// fixed when the fleet is founded. A new field that commands change must be added here.
+// fixed when the fleet is bootstrapped. A new field that commands change must be added here.
 //
 //	if view.EqualExceptObservations(previous) { ... }
 func (view *View) EqualExceptObservations(other *View) bool {
@@ -81,8 +81,8 @@
 
 // BoundFleet returns the ID of the fleet that a node with this view is permanently bound to,
 // empty if it is not bound yet. Before there is a store list nothing can have been
-// acknowledged, and a control plane that has just founded a fleet may still discover that it
-// belongs to an existing fleet whose control disks were lost.
+// acknowledged, and a control plane that has just bootstrapped a fleet may still discover that
+// it belongs to an existing fleet whose control disks were lost.
 //
 //	query.Fleet = view.BoundFleet()
 func (view *View) BoundFleet() string {
@@ -143,8 +143,8 @@
 	})
 }
 
-// AddressOf returns the address of the enrolled store or control node with a name, empty if
-// there is none.
+// AddressOf returns the address of the listed store or control node with a name, empty if there
+// is none.
 //
 //	address := view.AddressOf(name)
 func (view *View) AddressOf(name string) string {
@@ -156,7 +156,7 @@
 	return ""
 }
 
-// Members iterates over the enrolled stores, then the control nodes.
+// Members iterates over the listed stores, then the control nodes.
 //
 //	for member := range view.Members() { ... }
 func (view *View) Members() iter.Seq[Member] {
--- a/system/feedclient/feedclient.go
+++ b/system/feedclient/feedclient.go
@@ -33,14 +33,14 @@
 	rpc       *link.Client
 	self      feed.Member
 	onView    func(*feed.View) error
-	startedAt time.Time // the durations below are measured from it, on the monotonic clock
-
-	seeds            atomic.Pointer[[]string]
-	view             atomic.Pointer[feed.View]
-	members          atomic.Pointer[memberList]
-	needsFullView    atomic.Bool               // the last changes could not be folded onto the view
-	lastControlReply atomic.Int64              // duration; time of the last confirmation by a control quorum; 0: none
-	runnerListReadAt atomic.Pointer[time.Time] // nil: unknown
+	startedAt time.Time // start of the durations below, which are by the monotonic clock
+
+	seeds                   atomic.Pointer[[]string]
+	view                    atomic.Pointer[feed.View]
+	members                 atomic.Pointer[memberList]
+	needsFullView           atomic.Bool               // the last changes could not be folded onto the view
+	lastControlConfirmation atomic.Int64              // duration; last confirmation by a control quorum; 0: none
+	runnerListReadAt        atomic.Pointer[time.Time] // nil: unknown
 
 	freshUntil        atomic.Int64                  // duration; 0: never confirmed
 	freshnessExtended atomic.Pointer[chan struct{}] // closed when freshUntil is extended
--- a/system/feedclient/freshness.go
+++ b/system/feedclient/freshness.go
@@ -67,7 +67,7 @@
 //
 //	if client.ControlConfirmedWithin(5 * time.Second) { ... }
 func (client *Client) ControlConfirmedWithin(age time.Duration) bool {
-	last := time.Duration(client.lastControlReply.Load())
+	last := time.Duration(client.lastControlConfirmation.Load())
 	return last > 0 && time.Since(client.startedAt)-last < age
 }
 
--- a/system/feedclient/polling.go
+++ b/system/feedclient/polling.go
@@ -184,20 +184,21 @@
 	client.reportForeignFleet(err)
 }
 
-// onReply adopts the view that results from a reply and records what the reply confirms. isFull
-// says that a full view was requested. It reports whether the client's view is now confirmed.
-func (client *Client) onReply(reply *wire.FollowReply, next *feed.View, sentAt time.Time, isFull bool) bool {
+// onReply adopts the view that results from a reply and records what the reply confirms.
+// fullRequested is whether a full view was requested. It reports whether the client's view is now
+// confirmed.
+func (client *Client) onReply(reply *wire.FollowReply, next *feed.View, sentAt time.Time, fullRequested bool) bool {
 	if next.Number < reply.Newest {
 		return false
 	}
 	// The quorum confirmed no earlier than the control node started to ask it, which was at least
 	// ConfirmationDelay after the query was sent.
 	confirmedAt := sentAt.Add(reply.ConfirmationDelay)
-	client.lastControlReply.Store(int64(confirmedAt.Sub(client.startedAt)))
+	client.lastControlConfirmation.Store(int64(confirmedAt.Sub(client.startedAt)))
 	if !client.Adopt(next) {
 		return false
 	}
-	if isFull {
+	if fullRequested {
 		client.needsFullView.Store(false)
 	}
 	if reply.MembersDigest != 0 {
@@ -223,7 +224,7 @@
 // another fleet. It does not if a control node of this fleet has replied since the start, as the
 // seeds are then only outdated.
 func (client *Client) reportForeignFleet(err error) {
-	if !apierror.Is(err, apierror.ForeignFleet) || client.lastControlReply.Load() > 0 {
+	if !apierror.Is(err, apierror.ForeignFleet) || client.lastControlConfirmation.Load() > 0 {
 		return
 	}
 	select {
--- a/system/sessionlog/cache_locations.go
+++ b/system/sessionlog/cache_locations.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // maxCacheLocations bounds the cache locations of a session. It has room for the main
-// conversation and a few concurrent sub-agents.
+// conversation and a few concurrent helpers (sub-agents).
 const maxCacheLocations = 8
 
 // CacheLocation identifies the runner that served the last turn of a conversation and therefore
@@ -36,7 +36,7 @@
 }
 
 // cacheLocation returns the location of a conversation. For an unknown conversation it returns
-// the newest location: the prompt of a new sub-agent usually begins with the prompt of the turn
+// the newest location: the prompt of a new helper usually begins with the prompt of the turn
 // that ended last.
 func (session *Session) cacheLocation(conversation string) CacheLocation {
 	if len(session.CacheLocations) == 0 {
--- a/system/sessionlog/commands.go
+++ b/system/sessionlog/commands.go
@@ -77,8 +77,8 @@
 	// BeginTurn (if HasQuota is set).
 	Quota uint64
 	Acks  []Ack
-	// Lifetime is the time after which the settler checks a reservation, or after which an
-	// open turn counts as cut.
+	// Lifetime is the time after which package store settles an abandoned reservation (Reserve),
+	// or after which an open turn counts as interrupted (BeginTurn).
 	Lifetime time.Duration
 
 	// The fields below are for turns of programs.
--- a/system/sessionlog/events.go
+++ b/system/sessionlog/events.go
@@ -16,7 +16,8 @@
 	// ToolCalled opens a tool call; ToolAnswered closes it with the result.
 	ToolCalled
 	ToolAnswered
-	// HelperStarted records that a turn started a sub-agent with a session of its own.
+	// HelperStarted records that a turn started a helper: a sub-agent with a session of its
+	// own.
 	HelperStarted
 	// Fenced is recorded instead of TurnBegun, so that the turn can no longer begin.
 	Fenced
--- a/system/sessionlog/quota.go
+++ b/system/sessionlog/quota.go
@@ -19,8 +19,8 @@
 }
 
 // Reservation is the number of words that is reserved for a running turn. ExpiresAt is the time,
-// by the group's clock, after which the settler closes the turn or, for a settled reservation,
-// until which it is remembered.
+// by the group's clock, after which package store closes the turn or, for a settled reservation,
+// until which it is recorded.
 type Reservation struct {
 	Name      string
 	Words     uint64
@@ -79,7 +79,7 @@
 //	for usage := range view.QuotaUsages() { ... }
 func (view *View) QuotaUsages() iter.Seq[*QuotaUsage] { return values(view.quotaUsages) }
 
-// settledRetention is how long a settled reservation is remembered. It must exceed the time for
+// settledRetention is how long a settled reservation is recorded. It must exceed the time for
 // which a Reserve can be in flight.
 const settledRetention = time.Minute
 
@@ -107,7 +107,7 @@
 }
 
 // settle replaces a reservation with the number of words that its turn used, at most the number
-// reserved. An unknown reservation is remembered as settled too, because its Reserve may still be
+// reserved. An unknown reservation is recorded as settled too, because its Reserve may still be
 // in flight.
 func (view *View) settle(command *Command) Result {
 	usage := view.QuotaUsage(command.Session)
--- a/system/sessionlog/sessions.go
+++ b/system/sessionlog/sessions.go
@@ -92,8 +92,8 @@
 }
 
 // repeatedAppend returns the result of an append that was already applied, or that is older than
-// the producer's last one. For an older append, Seq is that of the last one, as earlier positions
-// are not kept.
+// the producer's last one. For an older append, Seq is that of the last one, as only the
+// last one is recorded.
 func (session *Session) repeatedAppend(command *Command) (result Result, repeated bool) {
 	position := session.producerIndex(command.Producer)
 	if position < 0 {
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -19,7 +19,7 @@
 	// Dispatch identifies the only attempt that may run the turn.
 	Dispatch string
 	// Deadline is the time, in nanoseconds of the group's clock, after which an open turn
-	// counts as cut. It is 0 for an adopted or fenced turn.
+	// counts as interrupted. It is 0 for an adopted or fenced turn.
 	Deadline int64
 	// Tokens is the number of tokens of the session's quota that the turn reserves; 0 once it
 	// has ended.
@@ -51,7 +51,7 @@
 func (turn *Turn) Complete() bool { return turn.EndSeq != 0 && turn.Outcome == OutcomeComplete }
 
 // Open reports whether the turn has neither ended nor passed its deadline. clock is the group's
-// clock, in nanoseconds. A turn past its deadline counts as cut even if it was not ended.
+// clock, in nanoseconds. A turn past its deadline counts as interrupted even if it was not ended.
 //
 //	if turn.Open(view.Clock()) { ... }
 func (turn *Turn) Open(clock int64) bool { return turn.EndSeq == 0 && clock <= turn.Deadline }
