--- a/proof/cmd/measure/turns.go
+++ b/proof/cmd/measure/turns.go
@@ -144,7 +144,7 @@
 	seeds := addresses[:3]
 	for index, address := range seeds {
 		name := []string{"east", "middle", "west"}[index]
-		control, startErr := controlplane.Start(controlplane.Settings{Address: address, Administration: addresses[3+index], Domain: name, Seeds: seeds, FoundingStores: 3, Groups: 32, MaxControls: 3, Replica: replica.DefaultSettings(uint64(index))},
+		control, startErr := controlplane.Start(controlplane.Settings{Address: address, AdminAddress: addresses[3+index], Domain: name, Seeds: seeds, FoundingStores: 3, Groups: 32, MaxControls: 3, Replica: replica.DefaultSettings(uint64(index))},
 			open("control"+name), fleet.network)
 		if startErr != nil {
 			return fleet, startErr
--- a/proof/simulator/machine.go
+++ b/proof/simulator/machine.go
@@ -45,7 +45,7 @@
 	machine := &Machine{Host: fmt.Sprintf("10.0.0.%d", index+1), Domain: domain(index), Disk: NewDisk(cluster.Seed + uint64(index))}
 	machine.start = func() (err error) {
 		settings := controlplane.Settings{
-			Address: machine.Host + ":7000", Administration: machine.Host + ":7200", Domain: machine.Domain, Seeds: cluster.seeds,
+			Address: machine.Host + ":7000", AdminAddress: machine.Host + ":7200", Domain: machine.Domain, Seeds: cluster.seeds,
 			FoundingStores: 3, Groups: cluster.groups, ReplicationFactor: cluster.replicas, MaxControls: 5, Replica: cluster.replicaSettings(index), AutoEnrol: cluster.autoEnrol,
 		}
 		if cluster.RunnerList != nil {
--- a/proof/simulator/storeddata_test.go
+++ b/proof/simulator/storeddata_test.go
@@ -110,7 +110,7 @@
 
 func describeEvent(event sessionlog.Event) string {
 	return fmt.Sprintf("%d at %d kind %d turn %d follows %d words %q outcome %q runner %q dispatch %q digest %q name %q part %d producer %q %d config %d deadline %d opening %q data %x",
-		event.Seq, event.At, event.Kind, event.Turn, event.Follows, event.Text, event.Outcome, event.Runner, event.Dispatch, event.Digest, event.Name, event.Part, event.Producer, event.ProducerSeq,
+		event.Seq, event.At, event.Kind, event.Run, event.Follows, event.Text, event.Outcome, event.Runner, event.Dispatch, event.Digest, event.Name, event.Part, event.Producer, event.ProducerSeq,
 		event.Config, event.Deadline, event.Prefix, sha256.Sum256(event.Data))
 }
 
--- a/proof/simulator/turns_test.go
+++ b/proof/simulator/turns_test.go
@@ -152,7 +152,7 @@
 	if _, err := client.BeginTurn(ctx, other); !apierror.Is(err, apierror.Conflict) {
 		t.Fatalf("a second dispatch of the open turn: %v", err)
 	}
-	if err := client.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeCut, begun.Seq, 3)); err != nil {
+	if err := client.EndTurn(ctx, programTurnEnd("p", "open", sessionlog.OutcomeInterrupted, begun.Seq, 3)); err != nil {
 		t.Fatal(err)
 	}
 	trial.expectError(apierror.NotFound, "p", "h", "open")
@@ -238,7 +238,7 @@
 	outcome := sessionlog.OutcomeComplete
 	switch random.IntN(8) {
 	case 0:
-		outcome = sessionlog.OutcomeCut
+		outcome = sessionlog.OutcomeInterrupted
 	case 1:
 		return // its front failed
 	}
--- a/system/cmd/yardrock-control-plane/main.go
+++ b/system/cmd/yardrock-control-plane/main.go
@@ -39,7 +39,7 @@
 	}
 	defer stopMetrics()
 	node, err := controlplane.Start(controlplane.Settings{
-		Address: loaded.Address, Administration: loaded.AdminAddress, Domain: loaded.Domain, Seeds: loaded.Seeds,
+		Address: loaded.Address, AdminAddress: loaded.AdminAddress, Domain: loaded.Domain, Seeds: loaded.Seeds,
 		FoundingStores: loaded.FoundingStores, Groups: loaded.Groups, ReplicationFactor: loaded.ReplicationFactor, MaxControls: loaded.MaxControls,
 		Replica: replica.DefaultSettings(rand.Uint64()).WithMemorySize(loaded.Memory).WithMetrics(registry),
 	}, directory, loaded.Network())
--- a/system/config/config.go
+++ b/system/config/config.go
@@ -59,8 +59,8 @@
 	Concurrency int `json:"concurrency"`
 	// WarmUpConcurrency replaces Concurrency while the runner warms up; the default is 1.
 	WarmUpConcurrency int `json:"cold_concurrency"`
-	// SlowStart is how long a runner warms up after its start; the default is 10 s.
-	SlowStart Duration `json:"ramp"`
+	// WarmUp is how long a runner warms up after its start; the default is 10 s.
+	WarmUp Duration `json:"ramp"`
 }
 
 // The values of WorkKind.Serves.
--- a/system/controlplane/admin_api.go
+++ b/system/controlplane/admin_api.go
@@ -39,9 +39,9 @@
 //
 //	server, err := controlplane.ServeAdmin(node, rootHash)
 func ServeAdmin(node *Node, rootHash string) (*httpapi.Server, error) {
-	listener, err := node.network.Listen(node.settings.Administration)
+	listener, err := node.network.Listen(node.settings.AdminAddress)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+node.settings.Administration+": "+err.Error(), "use an address of this machine that is free")
+		return nil, apierror.Wrap(err, apierror.BadSettings, "cannot listen on "+node.settings.AdminAddress+": "+err.Error(), "use an address of this machine that is free")
 	}
 	return httpapi.Serve(listener, adminService{node: node, rootHash: rootHash}.handler(), func() int64 { return maxBodyBytes }), nil
 }
--- a/system/controlplane/admin_tables.go
+++ b/system/controlplane/admin_tables.go
@@ -87,7 +87,7 @@
 
 // changeKindNames are the names of the change kinds in the query language.
 var changeKindNames = map[feed.ChangeKind]string{
-	feed.ChangeFounded: "founded", feed.ChangeConfig: "config", feed.ChangeDomain: "domain", feed.ChangeRunners: "roster",
+	feed.ChangeBootstrapped: "founded", feed.ChangeConfig: "config", feed.ChangeDomain: "domain", feed.ChangeRunners: "roster",
 	feed.ChangeStores: "stores", feed.ChangeControls: "controls", feed.ChangeRoleLease: "assignment", feed.ChangeRecovered: "recovered",
 }
 
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -26,8 +26,8 @@
 type Settings struct {
 	// Address is the host and port on which the node listens for other nodes.
 	Address string
-	// Administration is the host and port on which the admin API listens.
-	Administration string
+	// AdminAddress is the host and port on which the admin API listens.
+	AdminAddress string
 	// Domain is the failure domain of the node.
 	Domain string
 	// Seeds are the addresses, host and port, used to discover control nodes. SetSeeds replaces
@@ -246,7 +246,7 @@
 
 // self describes this node as a member of the fleet.
 func (node *Node) self() feed.Member {
-	return feed.Member{Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, AdminAddress: node.settings.Administration, Machine: node.settings.Machine}
+	return feed.Member{Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, AdminAddress: node.settings.AdminAddress, Machine: node.settings.Machine}
 }
 
 // addressOf returns the address at which a node was last heard from, else its address in the
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -162,7 +162,7 @@
 		discovery.servingSince[name] = now
 		return groups == nil
 	default:
-		return now.Sub(since) >= time.Duration(groups[runner.Group].SlowStart)
+		return now.Sub(since) >= time.Duration(groups[runner.Group].WarmUp)
 	}
 }
 
--- a/system/controlplane/runner_discovery_test.go
+++ b/system/controlplane/runner_discovery_test.go
@@ -125,7 +125,7 @@
 // TestRunnerIsWarmAfterSlowStart covers lists that do not report warm-up themselves.
 func TestRunnerIsWarmAfterSlowStart(t *testing.T) {
 	discovery := runnerDiscovery{servingSince: map[string]time.Time{}, warmUpEnds: map[string]time.Time{}}
-	groups := map[string]config.RunnerGroup{"small": {SlowStart: config.Duration(2 * time.Second)}}
+	groups := map[string]config.RunnerGroup{"small": {WarmUp: config.Duration(2 * time.Second)}}
 	listed := []feed.Runner{{Address: "10.0.3.1:8000", Group: "small", State: feed.StateServing}}
 	now, view := time.Unix(1000, 0), feed.View{}
 	for position, warm := range []bool{false, false, true, true} {
--- a/system/conversation/conversation.go
+++ b/system/conversation/conversation.go
@@ -93,9 +93,9 @@
 		case sessionlog.Fenced:
 			view.startsByProducer[event.Producer] = event
 		case sessionlog.OutputPart:
-			view.runsBySeq[event.Turn].Parts = append(view.runsBySeq[event.Turn].Parts, event)
+			view.runsBySeq[event.Run].Parts = append(view.runsBySeq[event.Run].Parts, event)
 		case sessionlog.TurnEnded, sessionlog.ToolAnswered:
-			view.runsBySeq[event.Turn].Ended = &event
+			view.runsBySeq[event.Run].Ended = &event
 		}
 	}
 	return view
--- a/system/conversation/conversation_test.go
+++ b/system/conversation/conversation_test.go
@@ -14,16 +14,16 @@
 func branchedSession() []sessionlog.Event {
 	events := []sessionlog.Event{
 		{Kind: sessionlog.TurnBegun, Producer: "one", Text: "hello there"},
-		{Kind: sessionlog.OutputPart, Turn: 1, Part: 2, Text: "caller"},
-		{Kind: sessionlog.OutputPart, Turn: 1, Part: 1, Text: "dear "},
-		{Kind: sessionlog.TurnEnded, Turn: 1, Outcome: sessionlog.OutcomeComplete},
+		{Kind: sessionlog.OutputPart, Run: 1, Part: 2, Text: "caller"},
+		{Kind: sessionlog.OutputPart, Run: 1, Part: 1, Text: "dear "},
+		{Kind: sessionlog.TurnEnded, Run: 1, Outcome: sessionlog.OutcomeComplete},
 		{Kind: sessionlog.TurnBegun, Producer: "left", Follows: 1, Text: "left", Deadline: 100},
 		{Kind: sessionlog.TurnBegun, Producer: "right", Follows: 1, Text: "right"},
 		{Kind: sessionlog.ToolCalled, Producer: "tool", Follows: 6, Name: "clock", Text: "when"},
 		{Kind: sessionlog.ToolCalled, Producer: "late", Follows: 6, Name: "clock", Text: "again"},
-		{Kind: sessionlog.ToolAnswered, Turn: 7, Outcome: sessionlog.OutcomeComplete, Text: "now"},
+		{Kind: sessionlog.ToolAnswered, Run: 7, Outcome: sessionlog.OutcomeComplete, Text: "now"},
 		{Kind: sessionlog.Fenced, Producer: "fenced"},
-		{Kind: sessionlog.TurnEnded, Turn: 6, Outcome: sessionlog.OutcomeCut},
+		{Kind: sessionlog.TurnEnded, Run: 6, Outcome: sessionlog.OutcomeInterrupted},
 	}
 	for position := range events {
 		events[position].Seq = uint64(position + 1)
--- a/system/feed/change.go
+++ b/system/feed/change.go
@@ -5,8 +5,8 @@
 
 // The kinds of change.
 const (
-	// ChangeFounded replaces the view by the first one of a newly bootstrapped fleet.
-	ChangeFounded ChangeKind = iota + 1
+	// ChangeBootstrapped replaces the view by the first one of a newly bootstrapped fleet.
+	ChangeBootstrapped ChangeKind = iota + 1
 	// ChangeConfig replaces the config.
 	ChangeConfig
 	// ChangeDomain drains one domain or returns it to service.
@@ -59,7 +59,7 @@
 	// RoleLease is the lease that a ChangeRoleLease grants, or under which a ChangeRunners was
 	// made; its fencing token is checked when the change is applied.
 	RoleLease RoleLease `capnp:"assignment"`
-	// View is the full view of a ChangeFounded or ChangeRecovered.
+	// View is the full view of a ChangeBootstrapped or ChangeRecovered.
 	View View `capnp:"view"`
 	// Statement is the operator's statement in the query language, if there was one.
 	Statement string `capnp:"query"`
--- a/system/feed/change_history.go
+++ b/system/feed/change_history.go
@@ -41,7 +41,7 @@
 //	history = history.With(&before, &after, change)
 func (history History) With(before, after *View, change Change) History {
 	change.View = View{}
-	if change.Kind == ChangeRecovered || change.Kind == ChangeFounded {
+	if change.Kind == ChangeRecovered || change.Kind == ChangeBootstrapped {
 		return History{}
 	}
 	next := History{Earlier: history.Earlier}
--- a/system/feed/fold.go
+++ b/system/feed/fold.go
@@ -16,8 +16,8 @@
 // foldFuncs apply each kind of change to a copy of the view. They must not modify slices in
 // place, as older views share them.
 var foldFuncs = map[ChangeKind]func(*View, Change){
-	ChangeFounded:   func(view *View, change Change) { *view = change.View },
-	ChangeRecovered: func(view *View, change Change) { *view = change.View },
+	ChangeBootstrapped: func(view *View, change Change) { *view = change.View },
+	ChangeRecovered:    func(view *View, change Change) { *view = change.View },
 	ChangeConfig: func(view *View, change Change) {
 		view.Source, view.Compiled, view.ConfigNumber = change.Source, change.Compiled, change.Number
 	},
--- a/system/forwarding/relay.go
+++ b/system/forwarding/relay.go
@@ -123,7 +123,7 @@
 // must wait for the commit. It returns the outcome to record.
 func (forwarder *Forwarder) commitBufferedTurn(ctx context.Context, exchange *exchange, status int) (string, error) {
 	if status >= http.StatusMultipleChoices {
-		return sessionlog.OutcomeCut, nil
+		return sessionlog.OutcomeInterrupted, nil
 	}
 	// Without events the number of generated tokens is unknown, so the maximum is counted.
 	exchange.stream.tokens = exchange.MaxOutputTokens
--- a/system/forwarding/turns.go
+++ b/system/forwarding/turns.go
@@ -130,7 +130,7 @@
 
 // recordUnansweredTurn records the end of a turn whose caller got no complete response.
 func (forwarder *Forwarder) recordUnansweredTurn(exchange *exchange, cause error) {
-	outcome := sessionlog.OutcomeCut
+	outcome := sessionlog.OutcomeInterrupted
 	if exchange.stream.complete {
 		// The complete end may already be committed, so the same outcome is sent again:
 		// any other would conflict with it.
--- a/system/front/event_stream.go
+++ b/system/front/event_stream.go
@@ -56,7 +56,7 @@
 	events, ended := reader.consume(reply.Events)
 	idle := len(reply.Events) == 0 && reader.turn != 0 && !ended
 	if idle && (reply.Clock > reader.startEvent.Deadline || reader.node.ownerPresumedDead(ctx, reader.startEvent)) {
-		if err := reader.node.closeOverdueRun(ctx, reader.sessionName, reader.startEvent, sessionlog.OutcomeCut); err != nil {
+		if err := reader.node.closeOverdueRun(ctx, reader.sessionName, reader.startEvent, sessionlog.OutcomeInterrupted); err != nil {
 			return events, true, err
 		}
 	}
@@ -70,7 +70,7 @@
 	events = []sessionlog.Event{}
 	for _, event := range page {
 		reader.readUpTo = event.Seq
-		if reader.turn != 0 && event.Turn != reader.turn {
+		if reader.turn != 0 && event.Run != reader.turn {
 			continue
 		}
 		if event.Kind == sessionlog.TurnBegun {
@@ -162,7 +162,7 @@
 
 // toStreamRecord converts an event to its line in a stream.
 func toStreamRecord(event sessionlog.Event) streamRecord {
-	record := streamRecord{Seq: event.Seq, Event: eventNames[event.Kind], Turn: event.Turn, Follows: event.Follows, Name: event.Name, Words: event.Text}
+	record := streamRecord{Seq: event.Seq, Event: eventNames[event.Kind], Turn: event.Run, Follows: event.Follows, Name: event.Name, Words: event.Text}
 	if event.Kind == sessionlog.TurnEnded {
 		record.End, record.Reason, record.Name = event.Outcome, event.Name, ""
 	}
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -176,7 +176,7 @@
 		}
 		for _, event := range reply.Events {
 			after = event.Seq
-			if event.Turn == startEvent.Seq && event.Kind == sessionlog.ClosingKind(startEvent.Kind) {
+			if event.Run == startEvent.Seq && event.Kind == sessionlog.ClosingKind(startEvent.Kind) {
 				return recordedAnswer(request, event, true)
 			}
 		}
--- a/system/front/session_recording.go
+++ b/system/front/session_recording.go
@@ -96,8 +96,8 @@
 // the reply to its commit was lost.
 func (node *Node) readStart(ctx context.Context, request *request, seq uint64, dispatch string) (*sessionlog.Event, error) {
 	event, err := node.readEvent(ctx, request.sessionName(), seq)
-	if err == nil && event.Turn != 0 && event.Turn != event.Seq {
-		event, err = node.readEvent(ctx, request.sessionName(), event.Turn)
+	if err == nil && event.Run != 0 && event.Run != event.Seq {
+		event, err = node.readEvent(ctx, request.sessionName(), event.Run)
 	}
 	if err != nil {
 		return nil, apierror.WrapRetryable(err, apierror.Unknown, "whether the work was started cannot be read now", "retry with the same query_key", time.Second)
@@ -190,7 +190,7 @@
 // committed. An Unknown error may also mean that another node has closed the run.
 func (node *Node) recordEnd(ctx context.Context, request *request, producerSeq uint64, outcome, text, detail string) (uint64, error) {
 	outcomes, err := node.stores.Command(ctx, request.sessionName(), sessionlog.Command{Kind: sessionlog.AppendEvent, Producer: request.producer, ProducerSeq: producerSeq, Events: []sessionlog.Event{{
-		Kind: sessionlog.ClosingKind(request.startEvent.Kind), Turn: request.startEvent.Seq, Outcome: outcome, Text: text, Name: detail,
+		Kind: sessionlog.ClosingKind(request.startEvent.Kind), Run: request.startEvent.Seq, Outcome: outcome, Text: text, Name: detail,
 	}}})
 	if err != nil {
 		return 0, err
--- a/system/front/turn_admission.go
+++ b/system/front/turn_admission.go
@@ -59,7 +59,7 @@
 	}
 	turn, _ := request.history.Turn(startEvent.Seq)
 	if turn.Overdue(request.history.Clock) || (turn.Ended == nil && node.ownerPresumedDead(ctx, startEvent)) {
-		if err := node.closeOverdueRun(ctx, request.sessionName(), startEvent, sessionlog.OutcomeCut); err != nil {
+		if err := node.closeOverdueRun(ctx, request.sessionName(), startEvent, sessionlog.OutcomeInterrupted); err != nil {
 			return nil, false, asNotRun(err)
 		}
 		answer, err := rereadAndCheckTurn(ctx, node, request)
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -150,7 +150,7 @@
 	events := make([]sessionlog.Event, len(batch))
 	for position, text := range batch {
 		execution.partCount++
-		events[position] = sessionlog.Event{Kind: sessionlog.OutputPart, Turn: request.startEvent.Seq, Text: text, Part: execution.partCount}
+		events[position] = sessionlog.Event{Kind: sessionlog.OutputPart, Run: request.startEvent.Seq, Text: text, Part: execution.partCount}
 	}
 	ctx, cancel := context.WithTimeout(execution.node.context, commitTimeout)
 	defer cancel()
@@ -198,7 +198,7 @@
 	if outcome == sessionlog.OutcomeNotRun {
 		streamErr = request.fencedError(dispatchErr)
 	}
-	execution.buffer.end(streamErr, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Turn: request.startEvent.Seq, Outcome: outcome, Name: detail})
+	execution.buffer.end(streamErr, sessionlog.Event{Seq: seq, Kind: sessionlog.TurnEnded, Run: request.startEvent.Seq, Outcome: outcome, Name: detail})
 }
 
 // turnOutcome returns the outcome to record for the result of the dispatch, and the reason
@@ -208,7 +208,7 @@
 	case dispatchErr == nil:
 		return sessionlog.OutcomeComplete, ""
 	case errors.Is(dispatchErr, errTurnLimit):
-		return sessionlog.OutcomeCut, reasonTurnLimit
+		return sessionlog.OutcomeInterrupted, reasonTurnLimit
 	case execution.partCount == 0 && (apierror.Of(dispatchErr).NeverSent || apierror.Is(dispatchErr, apierror.NotRun)):
 		return sessionlog.OutcomeNotRun, reasonRunnerUnreachable
 	}
@@ -216,7 +216,7 @@
 	log.WithFields(log.Fields{
 		"node": execution.node.name, "session": request.sessionName(), "turn": request.startEvent.Seq, "runner": request.slot.Runner.Incarnation, "address": request.slot.Runner.Address, "error": dispatchErr.Error(),
 	}).Warn("runner failed or broke off its answer; turn closed as cut")
-	return sessionlog.OutcomeCut, reasonRunnerFailure
+	return sessionlog.OutcomeInterrupted, reasonRunnerFailure
 }
 
 // cutInBackground closes the turn as cut after parts of it could not be committed. Until that
@@ -226,10 +226,10 @@
 	node.background.Go(func() {
 		ctx, cancel := context.WithTimeout(node.context, settleTimeout)
 		defer cancel()
-		err := node.closeOverdueRun(ctx, request.sessionName(), request.startEvent, sessionlog.OutcomeCut)
+		err := node.closeOverdueRun(ctx, request.sessionName(), request.startEvent, sessionlog.OutcomeInterrupted)
 		for err != nil && ctx.Err() == nil {
 			awaitRetry(ctx)
-			err = node.closeOverdueRun(ctx, request.sessionName(), request.startEvent, sessionlog.OutcomeCut)
+			err = node.closeOverdueRun(ctx, request.sessionName(), request.startEvent, sessionlog.OutcomeInterrupted)
 		}
 		if err != nil {
 			log.WithFields(log.Fields{"node": node.name, "session": request.sessionName(), "turn": request.startEvent.Seq, "error": err.Error()}).Warn("cannot close the turn; it stays open until it is overdue")
--- a/system/front/work_service.go
+++ b/system/front/work_service.go
@@ -168,7 +168,7 @@
 	return &work.Record{
 		Seq: event.Seq, At: time.Unix(0, event.At).UTC().Format(time.RFC3339Nano), Kind: eventNames[event.Kind],
 		Words: pointerOrNil(event.Text), Outcome: pointerOrNil(event.Outcome), Name: pointerOrNil(event.Name),
-		Turn: pointerOrNil(event.Turn), Follows: pointerOrNil(event.Follows),
+		Turn: pointerOrNil(event.Run), Follows: pointerOrNil(event.Follows),
 	}
 }
 
--- a/system/scheduler/slow_start.go
+++ b/system/scheduler/slow_start.go
@@ -37,7 +37,7 @@
 // concurrency while the runner is listed as warming up or is suspected to have restarted,
 // and then grows to the full concurrency within the group's slow start time.
 func (stats *runnerStats) limit(runner feed.Runner, capacity config.RunnerGroup, now time.Time) int {
-	slowStart := time.Duration(capacity.SlowStart)
+	slowStart := time.Duration(capacity.WarmUp)
 	switch {
 	case runner.State == feed.StateWarmingUp:
 		stats.slowStartAt = time.Time{}
--- a/system/sessionlog/events.go
+++ b/system/sessionlog/events.go
@@ -31,8 +31,8 @@
 const (
 	// OutcomeComplete: the answer is complete.
 	OutcomeComplete = "complete"
-	// OutcomeCut: the answer was interrupted.
-	OutcomeCut = "cut"
+	// OutcomeInterrupted: the answer was interrupted.
+	OutcomeInterrupted = "cut"
 	// OutcomeNotRun: the turn never reached a runner, so it is safe to retry.
 	OutcomeNotRun = "not_run"
 	// OutcomeUnknown: the turn may have run.
@@ -45,8 +45,8 @@
 	Seq  uint64    `capnp:"seq"`
 	At   int64     `capnp:"at"`
 	Kind EventKind `capnp:"kind"`
-	// Turn is the Seq of the event that opened the run to which this one belongs.
-	Turn uint64 `capnp:"turn"`
+	// Run is the Seq of the event that opened the run to which this one belongs.
+	Run uint64 `capnp:"turn"`
 	// Follows is the Seq of the first event of the turn that this one continues, or 0.
 	Follows uint64 `capnp:"follows"`
 	Text    string `capnp:"words"`
@@ -93,9 +93,9 @@
 // CloseOverdue returns the command that closes a run whose node has failed. The producer and its
 // number depend only on the run, so that concurrent closers close it once.
 //
-//	command := sessionlog.CloseOverdue(begun, sessionlog.OutcomeCut)
+//	command := sessionlog.CloseOverdue(begun, sessionlog.OutcomeInterrupted)
 func CloseOverdue(begun Event, outcome string) Command {
 	return Command{Kind: AppendEvent, Producer: "closer/" + strconv.FormatUint(begun.Seq, 10), ProducerSeq: 1, Events: []Event{{
-		Kind: closingKinds[begun.Kind], Turn: begun.Seq, Outcome: outcome, Name: "overdue",
+		Kind: closingKinds[begun.Kind], Run: begun.Seq, Outcome: outcome, Name: "overdue",
 	}}}
 }
--- a/system/sessionlog/sessions.go
+++ b/system/sessionlog/sessions.go
@@ -25,9 +25,9 @@
 	Producers []Producer
 	// Unarchived are the events after ArchivedSeq.
 	Unarchived []Event
-	// OpenTurns has the Seq of the opening event of each open run that was appended by
+	// OpenRuns has the Seq of the opening event of each open run that was appended by
 	// AppendEvent or AppendEvents.
-	OpenTurns []uint64
+	OpenRuns []uint64
 	// RetainUntil is the earliest time at which the session may expire.
 	RetainUntil int64
 	// Spent and Reserved are the tokens of a program's turns: the output tokens of ended
@@ -126,26 +126,26 @@
 // appendBatch appends a command's events to an unpublished session. It returns false if one of
 // them belongs to a run that is not open; the session must then be discarded.
 func (session *Session) appendBatch(command *Command, clock int64) bool {
-	openTurns := slices.Clone(session.OpenTurns)
+	openTurns := slices.Clone(session.OpenRuns)
 	appended := make([]Event, 0, len(command.Events))
 	for _, event := range command.Events {
 		session.Head++
 		event.Seq, event.At = session.Head, clock
 		event.Producer, event.ProducerSeq = command.Producer, command.ProducerSeq
 		if opensRun[event.Kind] {
-			event.Turn = event.Seq
+			event.Run = event.Seq
 			event.Deadline += clock
 			openTurns = append(openTurns, event.Seq)
 		}
-		if (belongsToRun[event.Kind] || closesRun[event.Kind]) && !slices.Contains(openTurns, event.Turn) {
+		if (belongsToRun[event.Kind] || closesRun[event.Kind]) && !slices.Contains(openTurns, event.Run) {
 			return false
 		}
 		if closesRun[event.Kind] {
-			openTurns = slices.DeleteFunc(openTurns, func(turn uint64) bool { return turn == event.Turn })
+			openTurns = slices.DeleteFunc(openTurns, func(turn uint64) bool { return turn == event.Run })
 		}
 		appended = append(appended, event)
 	}
-	session.OpenTurns = openTurns
+	session.OpenRuns = openTurns
 	session.Unarchived = append(slices.Clip(session.Unarchived), appended...)
 	return true
 }
--- a/system/sessionlog/state_machine_test.go
+++ b/system/sessionlog/state_machine_test.go
@@ -31,13 +31,13 @@
 		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, ExpectedSeq: 4, Events: []Event{begin}}, Result{Status: UnexpectedSeq}},
 		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, Events: []Event{begin}}, Result{Seq: 1, Head: 1}},
 		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, HasExpectedSeq: true, Events: []Event{begin}}, Result{Seq: 1, Head: 1, Deduped: true}},
-		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}, {Kind: OutputPart, Turn: 1}}}, Result{Seq: 2, Head: 3}},
-		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}, {Kind: OutputPart, Turn: 1}}}, Result{Seq: 2, Head: 3, Deduped: true}},
+		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Run: 1}, {Kind: OutputPart, Run: 1}}}, Result{Seq: 2, Head: 3}},
+		{Command{Kind: AppendEvents, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Run: 1}, {Kind: OutputPart, Run: 1}}}, Result{Seq: 2, Head: 3, Deduped: true}},
 		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 1, Events: []Event{begin}}, Result{Status: StaleProducer, Seq: 2, Head: 3, Deduped: true}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "q", ProducerSeq: 1, Events: []Event{{Kind: OutputPart, Turn: 2}}}, Result{Status: TurnClosed, Head: 3}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "closer", ProducerSeq: 1, Events: []Event{{Kind: TurnEnded, Turn: 1, Outcome: OutcomeCut}}}, Result{Seq: 4, Head: 4}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: OutputPart, Turn: 1}}}, Result{Status: TurnClosed, Head: 4}},
-		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: TurnEnded, Turn: 1}}}, Result{Status: TurnClosed, Head: 4}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "q", ProducerSeq: 1, Events: []Event{{Kind: OutputPart, Run: 2}}}, Result{Status: TurnClosed, Head: 3}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "closer", ProducerSeq: 1, Events: []Event{{Kind: TurnEnded, Run: 1, Outcome: OutcomeInterrupted}}}, Result{Seq: 4, Head: 4}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: OutputPart, Run: 1}}}, Result{Status: TurnClosed, Head: 4}},
+		{Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 3, Events: []Event{{Kind: TurnEnded, Run: 1}}}, Result{Status: TurnClosed, Head: 4}},
 		{Command{Kind: AppendEvent, Session: "a/c", Producer: "fenced", ProducerSeq: 1, Events: []Event{{Kind: Fenced}}}, Result{Seq: 5, Head: 5}},
 		{Command{Kind: AppendEvent, Session: "a/c", Producer: "fenced", ProducerSeq: 1, Events: []Event{begin}}, Result{Seq: 5, Head: 5, Deduped: true}},
 		{Command{Kind: AppendEvent, Session: "a/c", Producer: "r", ProducerSeq: 1}, Result{Status: BadCommand, Head: 5}},
@@ -125,7 +125,7 @@
 		t.Fatalf("restored %+v, want %+v", restored, snapshot)
 	}
 	before := slices.Collect(machine.View().Sessions())[0]
-	machine.Apply(&Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Turn: 1}}})
+	machine.Apply(&Command{Kind: AppendEvent, Session: "a/c", Producer: "p", ProducerSeq: 2, Events: []Event{{Kind: OutputPart, Run: 1}}})
 	if before.Head != 1 || len(before.Unarchived) != 1 {
 		t.Fatal("a published session was modified")
 	}
@@ -145,7 +145,7 @@
 		name := fmt.Sprintf("team/c-%d", number)
 		now := int64(time.Hour) + int64(number)*int64(86400*time.Second)/int64(sessions)
 		machine.Apply(&Command{Kind: CreateSession, Session: name, Now: now, Retention: 24 * time.Hour})
-		machine.Apply(&Command{Kind: AppendEvents, Session: name, Now: now, Producer: "p", ProducerSeq: 1, Events: []Event{{Kind: TurnBegun}, {Kind: OutputPart, Turn: 1}, {Kind: TurnEnded, Turn: 1}}})
+		machine.Apply(&Command{Kind: AppendEvents, Session: name, Now: now, Producer: "p", ProducerSeq: 1, Events: []Event{{Kind: TurnBegun}, {Kind: OutputPart, Run: 1}, {Kind: TurnEnded, Run: 1}}})
 		machine.Apply(&Command{Kind: AckArchived, Now: now, Acks: []Ack{{Session: name, ArchivedSeq: 3}}})
 	}
 	return machine
--- a/system/sessionlog/turns.go
+++ b/system/sessionlog/turns.go
@@ -172,7 +172,7 @@
 		session.Reserved += command.Tokens
 	}
 	event := Event{
-		At: view.clock, Kind: TurnBegun, Turn: session.Head + 1, Dispatch: command.Dispatch, Name: command.Producer,
+		At: view.clock, Kind: TurnBegun, Run: session.Head + 1, Dispatch: command.Dispatch, Name: command.Producer,
 		Producer: command.Producer, ProducerSeq: beginProducerSeq, Deadline: turn.Deadline,
 	}
 	if command.KeepData {
@@ -207,7 +207,7 @@
 		}
 		turn := &Turn{Name: adopted.Name, Session: command.Session, Follows: last, Outcome: OutcomeComplete}
 		event := Event{
-			At: view.clock, Kind: TurnAdopted, Turn: session.Head + 1, Name: adopted.Name,
+			At: view.clock, Kind: TurnAdopted, Run: session.Head + 1, Name: adopted.Name,
 			Producer: adopted.Name, ProducerSeq: endProducerSeq, Data: adopted.Data, Outcome: OutcomeComplete,
 		}
 		if last != nil {
@@ -242,7 +242,7 @@
 	session.Reserved -= turn.Tokens
 	session.Spent += command.Tokens
 	event := Event{
-		At: view.clock, Kind: TurnEnded, Turn: turn.Seq, Outcome: command.Outcome,
+		At: view.clock, Kind: TurnEnded, Run: turn.Seq, Outcome: command.Outcome,
 		Producer: command.Producer, ProducerSeq: endProducerSeq, Part: command.Tokens,
 	}
 	if command.KeepData && ended.Outcome == OutcomeComplete {
@@ -260,7 +260,7 @@
 	seq := session.Head + 1
 	turn := &Turn{Name: command.Producer, Session: command.Session, EndSeq: seq, Outcome: OutcomeNotRun, Dispatch: command.Dispatch}
 	view.addTurn(session, turn, Event{
-		At: view.clock, Kind: Fenced, Turn: seq, Producer: command.Producer, ProducerSeq: endProducerSeq, Outcome: OutcomeNotRun,
+		At: view.clock, Kind: Fenced, Run: seq, Producer: command.Producer, ProducerSeq: endProducerSeq, Outcome: OutcomeNotRun,
 	})
 	view.setSession(session)
 	return session.result(Done, seq, false)
--- a/system/sessionlog/turns_model_test.go
+++ b/system/sessionlog/turns_model_test.go
@@ -120,7 +120,7 @@
 func (model *programModel) end(position int, step uint16) string {
 	name := model.order[int(step)/4%len(model.order)]
 	known := model.turns[name]
-	outcome, tokens := []string{OutcomeComplete, OutcomeComplete, OutcomeCut, OutcomeNotRun}[step/2%4], uint64(step%modelTurnTokens)
+	outcome, tokens := []string{OutcomeComplete, OutcomeComplete, OutcomeInterrupted, OutcomeNotRun}[step/2%4], uint64(step%modelTurnTokens)
 	if outcome == OutcomeNotRun {
 		tokens = 0
 	}
--- a/system/sessionlog/turns_test.go
+++ b/system/sessionlog/turns_test.go
@@ -42,13 +42,13 @@
 		{with(endCommand("one", "", 3), func(*Command) {}), Result{Status: BadCommand, Head: 1, Reserved: 10}},
 		{endCommand("one", OutcomeComplete, 7), Result{Seq: 2, Head: 2, Spent: 7}},
 		{endCommand("one", OutcomeComplete, 7), Result{Seq: 2, Head: 2, Spent: 7, Deduped: true}},
-		{endCommand("one", OutcomeCut, 7), Result{Status: TurnClosed, Seq: 2, Head: 2, Spent: 7, Deduped: true}},
+		{endCommand("one", OutcomeInterrupted, 7), Result{Status: TurnClosed, Seq: 2, Head: 2, Spent: 7, Deduped: true}},
 		{beginCommand("one", ""), Result{Status: TurnTaken, Seq: 1, Head: 2, Spent: 7, Deduped: true}},
 		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 1 }), Result{Status: UnexpectedSeq, Head: 2, Spent: 7}},
 		{with(beginCommand("two", "one"), func(command *Command) { command.HasExpectedSeq, command.ExpectedSeq = true, 2 }), Result{Seq: 3, Head: 3, Spent: 7, Reserved: 10}},
 		{beginCommand("three", "one"), Result{Seq: 4, Head: 4, Spent: 7, Reserved: 20}},
 		{beginCommand("four", "one"), Result{Status: QuotaExceeded, Head: 4, Spent: 7, Reserved: 20}},
-		{endCommand("two", OutcomeCut, 4), Result{Seq: 5, Head: 5, Spent: 11, Reserved: 10}},
+		{endCommand("two", OutcomeInterrupted, 4), Result{Seq: 5, Head: 5, Spent: 11, Reserved: 10}},
 		{beginCommand("four", "two"), Result{Status: TurnIncomplete, Head: 5, Spent: 11, Reserved: 10}},
 		{endCommand("three", OutcomeNotRun, 0), Result{Seq: 6, Head: 6, Spent: 11}},
 		{beginCommand("three", "one"), Result{Status: TurnClosed, Seq: 4, Head: 6, Spent: 11, Deduped: true}},
@@ -156,7 +156,7 @@
 	adopted := []AdoptedTurn{{Name: "x", Data: []byte("in x\nout x\n")}, {Name: "y", Data: []byte("in y\nout y\n")}, {Name: "z", Data: []byte("in z\nout z\n")}}
 	for position, command := range []Command{
 		beginCommand("y", ""),
-		endCommand("y", OutcomeCut, 0),
+		endCommand("y", OutcomeInterrupted, 0),
 		with(beginCommand("one", "z"), func(command *Command) { command.Adopted = adopted }),
 	} {
 		if got := machine.Apply(&command); got.Status != Done {
--- a/system/store/quota.go
+++ b/system/store/quota.go
@@ -79,7 +79,7 @@
 		turn, _ := view.Run(event.Seq)
 		switch {
 		case turn.Ended == nil && expired:
-			closeCommand := sessionlog.CloseOverdue(event, sessionlog.OutcomeCut)
+			closeCommand := sessionlog.CloseOverdue(event, sessionlog.OutcomeInterrupted)
 			_, _ = node.storeClient.Command(ctx, sessionName, closeCommand) // the next round reads whether it was committed
 			return 0, false
 		case turn.Ended == nil:
--- a/system/store/snapshot_bench_test.go
+++ b/system/store/snapshot_bench_test.go
@@ -21,7 +21,7 @@
 			for turn := range 3 {
 				begun := uint64(turn*3 + 1)
 				machine.Apply(&sessionlog.Command{Kind: sessionlog.AppendEvents, Session: name, Now: int64(time.Hour), Producer: fmt.Sprintf("dialogue/turn/%d#0", turn), ProducerSeq: 3,
-					Events: []sessionlog.Event{{Kind: sessionlog.TurnBegun}, {Kind: sessionlog.OutputPart, Turn: begun}, {Kind: sessionlog.TurnEnded, Turn: begun}}})
+					Events: []sessionlog.Event{{Kind: sessionlog.TurnBegun}, {Kind: sessionlog.OutputPart, Run: begun}, {Kind: sessionlog.TurnEnded, Run: begun}}})
 			}
 			machine.Apply(&sessionlog.Command{Kind: sessionlog.AckArchived, Now: int64(time.Hour), Acks: []sessionlog.Ack{{Session: name, ArchivedSeq: 9}}})
 		}
--- a/system/wire/command_codec.go
+++ b/system/wire/command_codec.go
@@ -12,7 +12,7 @@
 	target.SetSeq(value.Seq)
 	target.SetAt(value.At)
 	target.SetKind(uint16(value.Kind))
-	target.SetTurn(value.Turn)
+	target.SetTurn(value.Run)
 	target.SetFollows(value.Follows)
 	target.SetPart(value.Part)
 	target.SetProducerSeq(value.ProducerSeq)
@@ -30,7 +30,7 @@
 func decodeEvent(source schema.Event, value *sessionlog.Event) error {
 	reader := &fieldReader{}
 	*value = sessionlog.Event{
-		Seq: source.Seq(), At: source.At(), Kind: sessionlog.EventKind(source.Kind()), Turn: source.Turn(), Follows: source.Follows(), Part: source.Part(),
+		Seq: source.Seq(), At: source.At(), Kind: sessionlog.EventKind(source.Kind()), Run: source.Turn(), Follows: source.Follows(), Part: source.Part(),
 		ProducerSeq: source.ProducerSeq(), Config: source.Config(), Deadline: source.Deadline(),
 		Text: readField(reader, source.Words), Outcome: readField(reader, source.Outcome), Runner: readField(reader, source.Runner), Dispatch: readField(reader, source.Dispatch),
 		Digest: readField(reader, source.Digest), Name: readField(reader, source.Name), Producer: readField(reader, source.Producer), Prefix: readField(reader, source.Opening),
--- a/system/wire/session_codec.go
+++ b/system/wire/session_codec.go
@@ -54,11 +54,11 @@
 	if err := encodeList(target.NewHot, value.Unarchived, encodeEvent); err != nil {
 		return err
 	}
-	openTurns, err := target.NewOpenTurns(int32(len(value.OpenTurns)))
+	openTurns, err := target.NewOpenTurns(int32(len(value.OpenRuns)))
 	if err != nil {
 		return err
 	}
-	for position, turn := range value.OpenTurns {
+	for position, turn := range value.OpenRuns {
 		openTurns.Set(position, turn)
 	}
 	if len(value.CacheLocations) > 0 {
@@ -89,7 +89,7 @@
 		return err
 	}
 	for position := range openTurns.Len() {
-		value.OpenTurns = append(value.OpenTurns, openTurns.At(position))
+		value.OpenRuns = append(value.OpenRuns, openTurns.At(position))
 	}
 	if value.CacheLocations, err = decodeList(source.CacheLocations, decodeCacheLocation); err != nil {
 		return err
--- a/system/wire/stored_test.go
+++ b/system/wire/stored_test.go
@@ -45,7 +45,7 @@
 }
 
 func storedEvent(kind sessionlog.EventKind) sessionlog.Event {
-	return sessionlog.Event{Seq: 4, At: 15, Kind: kind, Turn: 3, Follows: 2, Text: "words", Outcome: sessionlog.OutcomeCut, Runner: "10.0.0.1:80", Dispatch: "front-1/7", Digest: "digest",
+	return sessionlog.Event{Seq: 4, At: 15, Kind: kind, Run: 3, Follows: 2, Text: "words", Outcome: sessionlog.OutcomeInterrupted, Runner: "10.0.0.1:80", Dispatch: "front-1/7", Digest: "digest",
 		Name: "turn", Part: 9, Producer: "producer", ProducerSeq: 6, Config: 5, Deadline: 16, Data: []byte("in\x00\xff\n"), Prefix: "opening-2"}
 }
 
@@ -61,7 +61,7 @@
 func storedGroupSnapshot(version uint32) sessionlog.Snapshot {
 	snapshot := sessionlog.Snapshot{Version: version, Clock: 20,
 		Sessions: []sessionlog.Session{{Name: "program/a", Team: "depot", Program: "dialogue", WorkKind: "talk", CreatedAt: 1, Retention: time.Hour, UpdatedAt: 2, Head: 4, ArchivedSeq: 3,
-			Producers: []sessionlog.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Unarchived: []sessionlog.Event{storedEvent(sessionlog.TurnBegun)}, OpenTurns: []uint64{4}, RetainUntil: 21, Spent: 22, Reserved: 23}},
+			Producers: []sessionlog.Producer{{Name: "producer", ProducerSeq: 6, Seq: 4, At: 15}}, Unarchived: []sessionlog.Event{storedEvent(sessionlog.TurnBegun)}, OpenRuns: []uint64{4}, RetainUntil: 21, Spent: 22, Reserved: 23}},
 		QuotaUsages: []sessionlog.QuotaUsage{{Name: sessionlog.QuotaName("depot", "dialogue", "first"), Spent: 24, Reservations: []sessionlog.Reservation{{Name: "program/a|d", Words: 25, ExpiresAt: 26}}, Settled: []sessionlog.Reservation{{Name: "program/a|c", Words: 27, ExpiresAt: 28}}}},
 	}
 	if version > 1 {
@@ -140,7 +140,7 @@
 		"cold-chunk-batch": newStoredRecord(schema.ColdChunkBatch_TypeID, storedChunks()),
 		"cold-index":       newStoredRecord(schema.ColdIndex_TypeID, storedIndex()),
 	}
-	for kind := feed.ChangeFounded; kind <= feed.ChangeRecovered; kind++ {
+	for kind := feed.ChangeBootstrapped; kind <= feed.ChangeRecovered; kind++ {
 		records[fmt.Sprintf("change-%d", kind)] = newStoredRecord(schema.Change_TypeID, storedChange(kind))
 	}
 	for kind := sessionlog.CreateSession; kind <= sessionlog.BeginTurnWithPrefix; kind++ {
