--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -1,4 +1,5 @@
-// Package balancer chooses the runner that a request is sent to.
+// Package balancer chooses the runner that a forwarded request is sent to. For requests of the
+// work API, package scheduler does.
 //
 // Every front has one Balancer. It picks a service by weighted round-robin over the
 // route's shares (weighted_round_robin.go) and selects the runner of that service with the
--- a/system/balancer/cost_model.go
+++ b/system/balancer/cost_model.go
@@ -24,8 +24,8 @@
 	// all others; maxPrefillContention bounds the sum.
 	prefillContentionStep = 0.15
 	maxPrefillContention  = 2
-	// fullRunnerSlowdown is the fraction by which a plain runner is slower when all its
-	// slots are taken; the slowdown grows with the square of the utilization.
+	// fullRunnerSlowdown is the fraction by which a runner takes longer for plain work when all
+	// its slots are taken; the slowdown grows with the square of the utilization.
 	fullRunnerSlowdown = 1
 	// plainJitter bounds the random cost added to plain work, which keeps fronts with the
 	// same view from all choosing the same runner.
--- a/system/balancer/health_checks.go
+++ b/system/balancer/health_checks.go
@@ -9,7 +9,7 @@
 const (
 	// A cancelled request counts as a failure of its runner if the runner sent nothing for
 	// unresponsiveFactor times the expected latency and at least minUnresponsive. It has only
-	// the weight unresponsiveWeight, because the caller may have had a short deadline.
+	// the weight unresponsiveWeight, because the client may have had a short deadline.
 	unresponsiveFactor = 4
 	minUnresponsive    = 500 * time.Millisecond
 	unresponsiveWeight = 0.5
--- a/system/balancer/rendezvous_hashing.go
+++ b/system/balancer/rendezvous_hashing.go
@@ -2,7 +2,7 @@
 
 // affinityKeyOf returns the hash key of a request; requests with equal keys should go to the
 // same runner. It is that of the program, or else of the session, for model work, otherwise
-// that of the caller's affinity key on a sticky route. 0 means no preference.
+// that of the request's affinity key on a sticky route. 0 means no preference.
 func affinityKeyOf(request *Request, isModel bool) uint64 {
 	switch {
 	case isModel && request.Program != "":
--- a/system/balancer/topology.go
+++ b/system/balancer/topology.go
@@ -32,7 +32,8 @@
 	frontCount int
 }
 
-// servicePool is a service with its usable runners.
+// servicePool is a service with its usable runners. A runner belongs to the service that
+// feed.Runner.Group names.
 type servicePool struct {
 	service     *config.Service
 	stats       *serviceStats
--- a/system/balancer/types.go
+++ b/system/balancer/types.go
@@ -10,7 +10,7 @@
 // PromptPart is one part of a prompt. A prompt is a sequence of parts; requests whose
 // prompts begin with the same parts can share a runner's prefix cache.
 type PromptPart struct {
-	Name   string // identifies the content; equal names mean equal content
+	Name   string // identifies the content: parts with the same one have the same content
 	Tokens int    // length of the part
 }
 
@@ -29,12 +29,12 @@
 	// AffinityKey groups requests on a sticky route: those with the same key are preferably
 	// sent to the same runner. Empty means no preference.
 	AffinityKey string
-	// InputTokens is the prompt's length in tokens as stated by the caller. The larger of it
+	// InputTokens is the prompt's length in tokens as stated by the client. The larger of it
 	// and the sum of PromptParts is used.
 	InputTokens uint64
-	// MaxOutputTokens is the caller's limit on generated tokens. Selection does not use it.
+	// MaxOutputTokens is the client's limit on generated tokens. Selection does not use it.
 	MaxOutputTokens uint64
-	// Deadline is when the caller gives up; zero if not known.
+	// Deadline is when the client gives up; zero if not known.
 	Deadline time.Time
 	// FinishBy is when the whole program should be finished; zero if not known. It orders
 	// waiting requests of the same urgency; Deadline is used if it is zero.
@@ -85,7 +85,7 @@
 	Lost
 	// Misdirected: another runner now has the address (HTTP status 421).
 	Misdirected
-	// Cancelled: this front or the caller gave up. It counts against the runner only if
+	// Cancelled: this front or the client gave up. It counts against the runner only if
 	// there was no event for much longer than expected.
 	Cancelled
 )
--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -18,16 +18,16 @@
 type attempt struct {
 	attempts *attemptSet
 	lease    *balancer.Lease
-	// active and route are the ones that the request is sent under; checkBeforeSend updates
+	// current and route are the ones that the request is sent under; checkBeforeSend updates
 	// them.
-	active ActiveConfig
-	route  *config.Route
-	// lastEventID is the ID of the last event that the caller received.
+	current CurrentConfig
+	route   *config.Route
+	// lastEventID is the ID of the last event that the client received.
 	lastEventID string
 	startedAt   time.Time
 
 	context context.Context
-	// cancel ends the attempt. detach lets it continue after the end of the caller's
+	// cancel ends the attempt. detach lets it continue after the end of the request's
 	// context, and returns false if that context has already ended.
 	cancel context.CancelFunc
 	detach func() bool
@@ -56,19 +56,19 @@
 func (attempt *attempt) checkBeforeSend() error {
 	settings, exchange := &attempt.attempts.forwarder.settings, attempt.attempts.exchange
 	if attempt.attempts.closed.Load() || attempt.attempts.context.Err() != nil {
-		return apierror.New(apierror.NotRun, "the request was already answered or cancelled by the caller", "none; no response is expected")
+		return apierror.New(apierror.NotRun, "the request was already answered or cancelled by the client", "none; no response is expected")
 	}
 	if err := settings.CheckViewFresh(); err != nil {
 		return err
 	}
 	changed := apierror.NewRetryable(apierror.NotRun, "the configuration or runner list changed before the request was sent", "retry", shortRetryAfter)
-	active := settings.ActiveConfig()
-	if active.Routing != attempt.active.Routing {
-		route, found := active.Routing.Match(exchange.Host, exchange.Path)
+	current := settings.CurrentConfig()
+	if current.Routing != attempt.current.Routing {
+		route, found := current.Routing.Match(exchange.Host, exchange.Path)
 		if !found || route.Kind != attempt.route.Kind || route.StoresHistory != attempt.route.StoresHistory {
 			return changed
 		}
-		attempt.active, attempt.route = active, route
+		attempt.current, attempt.route = current, route
 	}
 	if !attempt.lease.Valid() || !attempt.lease.Serves(attempt.route) {
 		return changed
--- a/system/forwarding/dispatch.go
+++ b/system/forwarding/dispatch.go
@@ -17,9 +17,9 @@
 	minRetryTime = 50 * time.Millisecond
 )
 
-// errNoRetry marks errors after which no other runner may be tried: the caller has
+// errNoRetry marks errors after which no other runner may be tried: the client has
 // disconnected, or the work is done and only its record failed. Its text is part of messages
-// to callers.
+// to clients.
 var errNoRetry = errors.New("the request is not retried")
 
 // dispatch is the last filter: it sends the request to a runner and, as far as the route's
@@ -57,7 +57,7 @@
 }
 
 // idempotent reports whether the request may run more than once. This includes resumable
-// streams, which another runner continues after the last event that the caller received.
+// streams, which another runner continues after the last event that the client received.
 func (exchange *exchange) idempotent() bool {
 	return exchange.route.Kind == config.Repeatable || (exchange.route.Kind == config.Streaming && exchange.route.Resumable)
 }
@@ -67,9 +67,9 @@
 	return failure.NeverSent || failure.Kind == apierror.NotRun || exchange.idempotent()
 }
 
-// callerError converts the error of an attempt into the one for the caller. NotRun is a
-// promise, so it is returned only if no earlier attempt may have run either.
-func (exchange *exchange) callerError(err error) error {
+// errorForClient converts the error of an attempt into the one for the client. It is NotRun
+// only if no earlier attempt may have run either.
+func (exchange *exchange) errorForClient(err error) error {
 	failure := *apierror.Of(err)
 	provenNotRun := failure.NeverSent || failure.Kind == apierror.NotRun
 	switch {
--- a/system/forwarding/filters.go
+++ b/system/forwarding/filters.go
@@ -14,7 +14,7 @@
 // filters is the chain that every request passes through. The buffer limit comes first
 // because it protects the other filters. The turn is recorded just before dispatch, so that
 // requests rejected by an earlier filter leave no record.
-var filters = []filter{limitBufferedBytes, requireFreshView, findRoute, setDeadline, beginTurn, dispatch}
+var filters = []filter{limitBufferedBytes, awaitFreshView, findRoute, setDeadline, beginTurn, dispatch}
 
 // viewWaitFraction is the fraction of its remaining time that a request may wait for a
 // fresh view.
@@ -25,8 +25,8 @@
 	return false, forwarder.reserveBuffer(exchange, int64(len(exchange.Body)))
 }
 
-// requireFreshView waits for a fresh view if necessary and takes the active configuration.
-func requireFreshView(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
+// awaitFreshView waits for a fresh view if necessary and takes the current configuration.
+func awaitFreshView(ctx context.Context, forwarder *Forwarder, exchange *exchange) (bool, error) {
 	if err := forwarder.settings.CheckViewFresh(); err != nil {
 		if deadline := forwarder.viewWaitDeadline(exchange); !deadline.IsZero() {
 			waitCtx, cancel := context.WithTimeout(ctx, time.Duration(viewWaitFraction*float64(time.Until(deadline))))
@@ -39,19 +39,19 @@
 		}
 	}
 	exchange.timer.end(StageView)
-	exchange.active = forwarder.settings.ActiveConfig()
-	if exchange.active.Routing == nil {
+	exchange.current = forwarder.settings.CurrentConfig()
+	if exchange.current.Routing == nil {
 		return false, apierror.NewRetryable(apierror.NotRun, "no routes are configured yet", "retry later; operators: apply a configuration with routes", time.Second)
 	}
 	return false, nil
 }
 
 // viewWaitDeadline estimates the request's deadline before the view is fresh: the earlier
-// of the caller's deadline and the timeout of the matching route, which may be outdated.
+// of the client's deadline and the timeout of the matching route, which may be outdated.
 // Zero means that there is no limit.
 func (forwarder *Forwarder) viewWaitDeadline(exchange *exchange) time.Time {
 	deadline := exchange.Deadline
-	route, found := forwarder.settings.ActiveConfig().Routing.Match(exchange.Host, exchange.Path)
+	route, found := forwarder.settings.CurrentConfig().Routing.Match(exchange.Host, exchange.Path)
 	if !found {
 		return deadline
 	}
@@ -61,9 +61,9 @@
 	return deadline
 }
 
-// findRoute matches the request's host and path against the active routes.
+// findRoute matches the request's host and path against the current routes.
 func findRoute(_ context.Context, _ *Forwarder, exchange *exchange) (bool, error) {
-	route, found := exchange.active.Routing.Match(exchange.Host, exchange.Path)
+	route, found := exchange.current.Routing.Match(exchange.Host, exchange.Path)
 	if !found {
 		return false, apierror.New(apierror.NotFound, "no route matches "+exchange.Host+exchange.Path, "use a host and path that a configured route matches")
 	}
@@ -71,7 +71,7 @@
 	return false, nil
 }
 
-// setDeadline sets the deadline to the earlier of the caller's deadline and the route's
+// setDeadline sets the deadline to the earlier of the client's deadline and the route's
 // timeout.
 func setDeadline(_ context.Context, _ *Forwarder, exchange *exchange) (bool, error) {
 	exchange.deadline = exchange.ReceivedAt.Add(time.Duration(exchange.route.Timeout))
--- a/system/forwarding/forwarder.go
+++ b/system/forwarding/forwarder.go
@@ -1,18 +1,22 @@
-// Package forwarding proxies callers' HTTP requests to runners, unchanged, according to the
-// active routes, and relays the responses.
+// Package forwarding proxies clients' HTTP requests to runners, unchanged, according to the
+// current routes, and relays the responses.
 //
 // A request passes through a chain of filters (filters.go): buffer limit, freshness of the
-// view, route, deadline, turn record (turns.go), dispatch. Dispatch (dispatch.go) makes
-// attempts on runners (attempt.go), sequentially or, for repeatable routes, hedged
-// (hedging.go), and relays the first usable response (relay.go).
+// view (the front's copy of the fleet's state, feed.View), route, deadline, turn record
+// (turns.go), dispatch. Dispatch (dispatch.go) makes attempts on runners (attempt.go),
+// sequentially or, for repeatable routes, hedged (hedging.go), and relays the first usable
+// response (relay.go).
+//
+// A turn is a request on a streaming route: one step of a conversation with a model. Its start
+// and end are recorded in a session log if it has an output budget or its history is stored.
 //
 // Guarantees:
 //   - A request runs at most once unless its route is idempotent: another runner gets it
 //     only if the previous one provably did not run it.
-//   - apierror.NotRun is a promise: the request did not run and never will.
+//   - apierror.NotRun guarantees that the request did not run and never will.
 //   - No byte is sent to a runner under a revoked configuration or lease; both are checked
 //     again just before the first byte is sent.
-//   - A turn with stored history looks complete to the caller only after the stores have
+//   - A turn with stored history looks complete to the client only after the stores have
 //     committed its end.
 //
 // Between requests the package keeps only the number of buffered bytes and the background
@@ -34,7 +38,7 @@
 // shortRetryAfter is the retry delay for rejections with a short-lived cause.
 const shortRetryAfter = 200 * time.Millisecond
 
-// Forwarder forwards requests for one front. It is safe for concurrent use.
+// Forwarder forwards the requests of one front node. It is safe for concurrent use.
 type Forwarder struct {
 	settings Settings
 	// context is cancelled by Close; background tasks and detached attempts use it.
@@ -50,7 +54,7 @@
 
 // New returns a forwarder, which must be closed with Close.
 //
-//	forwarder := forwarding.New(forwarding.Settings{Node: "front-1", CheckViewFresh: checkFresh, AwaitViewFresh: awaitFresh, ActiveConfig: active, Balancer: balancer, Pool: pool, TurnStore: stores})
+//	forwarder := forwarding.New(forwarding.Settings{Node: "front-1", CheckViewFresh: checkFresh, AwaitViewFresh: awaitFresh, CurrentConfig: currentConfig, Balancer: balancer, Pool: pool, TurnStore: stores})
 //	err := forwarder.Serve(ctx, request, writer)
 func New(settings Settings) *Forwarder {
 	if settings.MaxBufferedBytes == 0 {
@@ -80,8 +84,8 @@
 }
 
 // Serve forwards one request to a runner and relays the response. An error before
-// writer.Begin means that there is no response: NotRun promises that the request did not
-// run and never will, NotFound means that there is no such route or turn, QuotaExhausted
+// writer.Begin means that there is no response: NotRun guarantees that the request did
+// not run and never will, NotFound means that there is no such route or turn, QuotaExhausted
 // that the program's output budget is used up, Unknown and RunnerFailure that the request
 // may have run. After an error that follows Begin, the response must be aborted.
 //
@@ -111,8 +115,8 @@
 type exchange struct {
 	*Request
 	writer ResponseWriter
-	// active and route are the ones that the request was last checked against.
-	active   ActiveConfig
+	// current and route are the ones that the request was last checked against.
+	current  CurrentConfig
 	route    *config.Route
 	deadline time.Time
 	// triedRunners are the incarnations of the runners that were sent the request or were
--- a/system/forwarding/forwarder_test.go
+++ b/system/forwarding/forwarder_test.go
@@ -31,7 +31,7 @@
 			<-ctx.Done()
 			return notRun
 		},
-		ActiveConfig: func() ActiveConfig { return ActiveConfig{Routing: routing} },
+		CurrentConfig: func() CurrentConfig { return CurrentConfig{Routing: routing} },
 	}
 }
 
--- a/system/forwarding/hedging.go
+++ b/system/forwarding/hedging.go
@@ -32,17 +32,17 @@
 
 // attemptSet is the set of attempts of one request. Only requests of repeatable routes have
 // more than one attempt in flight: a slow runner may still be working, so its attempt is not
-// cancelled when the next one starts. The caller gets the first usable response; the others
+// cancelled when the next one starts. The client gets the first usable response; the others
 // are discarded.
 type attemptSet struct {
-	context   context.Context // the caller's, with the deadline
+	context   context.Context // of the request, with the deadline
 	forwarder *Forwarder
 	exchange  *exchange
 	// finished receives each attempt of inFlight once, when it has ended. Those left at
 	// close are received by its background task.
 	finished chan *attempt
 	inFlight []*attempt
-	closed   atomic.Bool // the caller has its response, or gets none
+	closed   atomic.Bool // the client has its response, or gets none
 	answered bool
 }
 
@@ -57,7 +57,7 @@
 	attempt, err := attempts.leaseRunner()
 	attempts.exchange.timer.end(StageQueue)
 	if err != nil {
-		return false, attempts.exchange.callerError(err)
+		return false, attempts.exchange.errorForClient(err)
 	}
 	timeout := attempts.exchange.hedgeDelay()
 	if timeout == 0 && len(attempts.inFlight) == 0 {
@@ -81,7 +81,7 @@
 func (attempts *attemptSet) leaseRunner() (*attempt, error) {
 	exchange := attempts.exchange
 	lease, err := attempts.forwarder.settings.Balancer.Acquire(attempts.context, balancer.Request{
-		Route: exchange.route, PromptParts: exchange.PromptParts, Program: exchange.Program, Session: exchange.Session, AffinityKey: exchange.Subject,
+		Route: exchange.route, PromptParts: exchange.PromptParts, Program: exchange.Program, Session: exchange.Session, AffinityKey: exchange.AffinityKey,
 		InputTokens: exchange.InputTokens, MaxOutputTokens: exchange.MaxOutputTokens, Deadline: exchange.deadline, FinishBy: exchange.FinishBy, Excluded: exchange.triedRunners,
 		CachedAt: exchange.cachedAt(),
 	})
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	return &attempt{
-		attempts: attempts, lease: lease, active: exchange.active, route: exchange.route, lastEventID: exchange.stream.lastEventID,
+		attempts: attempts, lease: lease, current: exchange.current, route: exchange.route, lastEventID: exchange.stream.lastEventID,
 		context: attempts.context, cancel: func() {},
 	}, nil
 }
@@ -104,7 +104,7 @@
 }
 
 // launch sends an attempt in its own goroutine under the forwarder's context, so that it can
-// outlive the caller's. It counts as sent immediately, so that the attempts in flight stay
+// outlive the request's. It counts as sent immediately, so that the attempts in flight stay
 // within the route's attempt limit.
 func (attempts *attemptSet) launch(attempt *attempt) {
 	attempt.context, attempt.cancel = context.WithDeadline(attempts.forwarder.context, attempts.exchange.deadline)
@@ -163,19 +163,19 @@
 	}
 }
 
-// handleResult relays an attempt's response to the caller and releases its lease. On an
+// handleResult relays an attempt's response to the client and releases its lease. On an
 // error, retry reports whether another runner may be tried.
 func (attempts *attemptSet) handleResult(attempt *attempt) (retry bool, err error) {
 	exchange := attempts.exchange
 	defer attempt.cancel()
 	exchange.timer.end(StageHead)
 	exchange.lastLease = attempt.lease
-	exchange.active, exchange.route = attempt.active, attempt.route
+	exchange.current, exchange.route = attempt.current, attempt.route
 	if attempt.err != nil {
 		failure := apierror.Of(attempt.err)
 		attempts.countFailedSend(attempt, failure)
 		attempt.lease.Release(outcomeOf(attempts.context, failure), nil)
-		return exchange.mayRetry(failure), exchange.callerError(failure)
+		return exchange.mayRetry(failure), exchange.errorForClient(failure)
 	}
 	attempts.countSend(attempt)
 	outcome, err := attempts.relay(attempt)
@@ -189,7 +189,7 @@
 	return err != nil && exchange.idempotent() && !errors.Is(err, errNoRetry), err
 }
 
-// close abandons the attempts in flight. If the caller has its response, they continue until
+// close abandons the attempts in flight. If the client has its response, they continue until
 // they are answered or the deadline passes; otherwise they are cancelled. A background task
 // releases their leases.
 func (attempts *attemptSet) close() {
--- a/system/forwarding/relay.go
+++ b/system/forwarding/relay.go
@@ -21,9 +21,9 @@
 // connection fails.
 const maxBufferedResponseBytes = 256 << 10
 
-// streamState is the progress of the response relayed to the caller, over all attempts.
+// streamState is the progress of the response relayed to the client, over all attempts.
 type streamState struct {
-	// started is set once the head of any response, streaming or not, was sent to the caller.
+	// started is set once the head of any response, streaming or not, was sent to the client.
 	started     bool
 	lastEventID string
 	// lastEventNumber is lastEventID as a number.
@@ -49,11 +49,11 @@
 	return uint64(stream.promptTokens) + stream.tokens
 }
 
-// notRunStatuses are the statuses by which a front promises its callers that the request did
-// not run and never will.
+// notRunStatuses are the statuses that guarantee to the client that the request did not run
+// and never will.
 var notRunStatuses = map[int]bool{http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true}
 
-// relay sends an attempt's response to the caller. It returns the outcome for the balancer.
+// relay sends an attempt's response to the client. It returns the outcome for the balancer.
 func (attempts *attemptSet) relay(attempt *attempt) (balancer.Outcome, error) {
 	if attempts.exchange.isEventStream(attempt.response) {
 		stream := &attempts.exchange.stream
@@ -77,7 +77,7 @@
 }
 
 // relayBuffered relays a non-streaming response. The first maxBufferedResponseBytes are read
-// before any of it is sent to the caller; the rest is copied as it arrives.
+// before any of it is sent to the client; the rest is copied as it arrives.
 func (forwarder *Forwarder) relayBuffered(ctx context.Context, attempts *attemptSet, attempt *attempt) (balancer.Outcome, error) {
 	exchange, response := attempts.exchange, attempt.response
 	if exchange.stream.started {
@@ -88,7 +88,7 @@
 		outcome = balancer.Failed
 	}
 	if notRunStatuses[response.Status] {
-		// The runner did not confirm that the request did not run, so a status that promises
+		// The runner did not confirm that the request did not run, so a status that guarantees
 		// it must not be relayed.
 		exchange.mayHaveRun = true
 		return outcome, runnerFailure("the runner responded with status " + strconv.Itoa(response.Status) + " without confirming that the request did not run")
@@ -119,7 +119,7 @@
 	return outcome, nil
 }
 
-// commitBufferedTurn commits the end of a turn with a non-streaming response if the caller
+// commitBufferedTurn commits the end of a turn with a non-streaming response if the client
 // must wait for the commit. It returns the outcome to record.
 func (forwarder *Forwarder) commitBufferedTurn(ctx context.Context, exchange *exchange, status int) (string, error) {
 	if status >= http.StatusMultipleChoices {
@@ -137,7 +137,7 @@
 }
 
 // writeBuffered writes the head of a non-streaming response, its buffered data and any
-// remaining data to the caller. It returns the outcome for the balancer.
+// remaining data to the client. It returns the outcome for the balancer.
 func (exchange *exchange) writeBuffered(response *runnerpool.Response, data []byte) (balancer.Outcome, error) {
 	if err := exchange.writer.Begin(response.Status, response.Header); err != nil {
 		return balancer.Cancelled, errors.Join(errNoRetry, err)
@@ -168,7 +168,7 @@
 }
 
 // relayStream relays events as they arrive. If the history is stored, the stream ends for the
-// caller only after the turn end is committed. On a resumed stream, events that the caller
+// client only after the turn end is committed. On a resumed stream, events that the client
 // already received are skipped. onFirstEvent is called on the runner's first event;
 // eventTokens is the number of tokens per event.
 func (forwarder *Forwarder) relayStream(ctx context.Context, exchange *exchange, response *runnerpool.Response, eventTokens uint64, onFirstEvent func()) (balancer.Outcome, error) {
@@ -198,7 +198,7 @@
 		if resumed && numbered && number <= exchange.stream.lastEventNumber {
 			continue
 		}
-		// Tokens count as generated whether or not the caller receives them.
+		// Tokens count as generated whether or not the client receives them.
 		if event.HasData {
 			exchange.stream.tokens += eventTokens
 			if exchange.route.StoresHistory {
@@ -214,7 +214,7 @@
 	}
 }
 
-// beginStream writes the response head of a stream to the caller, unless an earlier attempt
+// beginStream writes the response head of a stream to the client, unless an earlier attempt
 // did.
 func (exchange *exchange) beginStream(response *runnerpool.Response) error {
 	if exchange.stream.started {
--- a/system/forwarding/request_log.go
+++ b/system/forwarding/request_log.go
@@ -15,7 +15,7 @@
 
 // The stages of a request.
 const (
-	// StageReceive is from the first byte of the request to the call of Serve.
+	// StageReceive is from Request.ReceivedAt to the call of Serve.
 	StageReceive Stage = iota
 	// StageView is the wait for a fresh view.
 	StageView
@@ -31,7 +31,7 @@
 	StageFirstEvent
 	// StageStream is from the first event to the last.
 	StageStream
-	// StageEndTurn is the commit of the turn end that the caller waits for.
+	// StageEndTurn is the commit of the turn end that the client waits for.
 	StageEndTurn
 
 	stageCount
@@ -50,7 +50,7 @@
 	Outcome apierror.Kind
 	// Stages is the time spent in each stage, summed over all attempts.
 	Stages [stageCount]time.Duration
-	// Total is the time from the first byte of the request to the end of the response.
+	// Total is the time from Request.ReceivedAt to the end of the response.
 	Total time.Duration
 }
 
--- a/system/forwarding/turns.go
+++ b/system/forwarding/turns.go
@@ -15,14 +15,14 @@
 
 const (
 	// beginTurnFraction is the fraction of the request's total time within which the start
-	// of a turn must be recorded. After that the request is rejected, so that the caller has
+	// of a turn must be recorded. After that the request is rejected, so that the client has
 	// time left to retry elsewhere.
 	beginTurnFraction = 0.45
 	// minBeginTurnTimeout and maxBeginTurnTimeout bound the resulting timeout.
 	minBeginTurnTimeout = 100 * time.Millisecond
 	maxBeginTurnTimeout = 2500 * time.Millisecond
 	// endTurnRetryInterval is the delay between attempts to commit the end of a turn while
-	// the caller waits for it.
+	// the client waits for it.
 	endTurnRetryInterval = 50 * time.Millisecond
 	// backgroundEndTurnTimeout is how long a commit of a turn end is retried in the
 	// background. Until it succeeds, the turn's whole reservation counts as used.
@@ -81,7 +81,7 @@
 // prefixScope identifies the turns that the input may share a stored prefix with: those of
 // the same route if the configuration enables sharing, otherwise "", which means none.
 func (exchange *exchange) prefixScope() string {
-	if !exchange.active.SharedPrefixes.Enabled {
+	if !exchange.current.SharedPrefixes.Enabled {
 		return ""
 	}
 	return exchange.route.Name
@@ -99,7 +99,7 @@
 	return "query/" + request.Name
 }
 
-// commitCompleteTurn commits the complete end of the turn. The caller waits for the commit
+// commitCompleteTurn commits the complete end of the turn. The client waits for the commit
 // only if the history is stored, as the next turn needs it. Otherwise the commit runs in the
 // background, and the whole reservation counts as used until it succeeds.
 func (forwarder *Forwarder) commitCompleteTurn(ctx context.Context, exchange *exchange) error {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// recordUnansweredTurn records the end of a turn whose caller got no complete response.
+// recordUnansweredTurn records the end of a turn whose client got no complete response.
 func (forwarder *Forwarder) recordUnansweredTurn(exchange *exchange, cause error) {
 	outcome := sessionlog.OutcomeCut
 	if exchange.stream.complete {
@@ -151,7 +151,7 @@
 	})
 }
 
-// endTurnInBackground records the end of the turn without making the caller wait. It
+// endTurnInBackground records the end of the turn without making the client wait. It
 // retries until the result is final, backgroundEndTurnTimeout passes or Close is called.
 func (forwarder *Forwarder) endTurnInBackground(exchange *exchange, outcome string) {
 	if exchange.turn == nil {
--- a/system/forwarding/types.go
+++ b/system/forwarding/types.go
@@ -12,10 +12,10 @@
 	"yardrock.example/system/storeclient"
 )
 
-// Request is one HTTP request of a caller, as parsed by the ingress. Each attempt of the
-// caller is a separate request with its own name.
+// Request is one HTTP request of a client, as parsed by the ingress. Each attempt of the
+// client is a separate request.
 type Request struct {
-	// Name identifies this attempt of the caller and is unique in the fleet. It is also the
+	// Name identifies this attempt of the client and is unique in the fleet. It is also the
 	// name of the turn if the request is one.
 	Name   string
 	Method string
@@ -24,11 +24,12 @@
 	Path string
 	// Target is the path with the query string, as sent.
 	Target string
-	// Header has the end-to-end header fields, which are forwarded unchanged.
-	Header     http.Header
-	Body       []byte
+	// Header has the end-to-end headers, which are forwarded unchanged.
+	Header http.Header
+	Body   []byte
+	// ReceivedAt is when the header had been read, before the body.
 	ReceivedAt time.Time
-	// Deadline is when the caller gives up; zero if not known.
+	// Deadline is when the client gives up; zero if not known.
 	Deadline time.Time
 
 	// Program and Session group requests that share a prefix cache and, for turns, a
@@ -49,20 +50,21 @@
 	// runner generates.
 	InputTokens     uint64
 	MaxOutputTokens uint64
-	// Subject is the affinity key of requests that are not turns: on a sticky route, requests
-	// with the same Subject are preferably sent to the same runner.
-	Subject string
-	// Follows is the name of the request whose turn this one continues. It is empty for the
-	// first turn of a conversation.
+	// AffinityKey groups requests that are not turns: on a sticky route, those with the same
+	// key are preferably sent to the same runner.
+	AffinityKey string
+	// Follows identifies the request whose turn this one continues. It is empty for the first
+	// turn of a conversation.
 	Follows string
-	// LastEventID is the ID of the last event that the caller received, as in the
+	// LastEventID is the ID of the last event that the client received, as in the
 	// Last-Event-ID header of server-sent events; empty if none.
 	LastEventID string
 }
 
 // ResponseWriter receives the response to one request. Begin is called at most once, before
-// the first Write. Each Write must be sent to the caller without delay. If Serve returns an
-// error after Begin, the response must be aborted so that it does not look complete.
+// the first Write. Each Write of an event stream must be sent to the client without delay.
+// If Serve returns an error after Begin, the response must be aborted so that it does not
+// look complete.
 type ResponseWriter interface {
 	Begin(status int, header http.Header) error
 	Write(data []byte) error
@@ -74,9 +76,9 @@
 	EndTurn(ctx context.Context, end storeclient.TurnEnd) error
 }
 
-// ActiveConfig is the part of the active configuration that forwarding uses, and the view
+// CurrentConfig is the part of the current configuration that forwarding uses, and the view
 // that it was taken from. It is immutable.
-type ActiveConfig struct {
+type CurrentConfig struct {
 	View *feed.View
 	// Routing is nil until a configuration with routes has been received.
 	Routing *config.Routing
@@ -91,18 +93,19 @@
 // Settings configures a Forwarder. MaxBufferedBytes, Observe and LogRequests are optional;
 // all other fields are required.
 type Settings struct {
-	// Node names the front and its current run. It is the dispatch ID of its turns.
+	// Node is the name of the front, which is new at each start. It is the dispatch ID of its
+	// turns.
 	Node string
 	// CheckViewFresh returns an error while the view is too old to be used.
 	CheckViewFresh func() error
 	// AwaitViewFresh waits until the view may be used. It returns an error if ctx ends or
 	// the view is not expected to become fresh soon.
 	AwaitViewFresh func(ctx context.Context) error
-	// ActiveConfig returns the active configuration.
-	ActiveConfig func() ActiveConfig
-	Balancer     *balancer.Balancer
-	Pool         *runnerpool.Pool
-	TurnStore    TurnStore
+	// CurrentConfig returns the current configuration.
+	CurrentConfig func() CurrentConfig
+	Balancer      *balancer.Balancer
+	Pool          *runnerpool.Pool
+	TurnStore     TurnStore
 	// MaxBufferedBytes limits the bytes of request bodies and histories that are buffered
 	// at a time; 0 means DefaultMaxBufferedBytes. A request that exceeds it is rejected with
 	// apierror.NotRun.
--- a/system/front/active_config.go
+++ b/system/front/active_config.go
@@ -58,10 +58,10 @@
 	return err
 }
 
-// currentRouting returns the part of the current config that forwarding needs.
-func (node *Node) currentRouting() forwarding.ActiveConfig {
+// forwardingConfig returns the part of the current config that forwarding needs.
+func (node *Node) forwardingConfig() forwarding.CurrentConfig {
 	current := node.current.Load()
-	return forwarding.ActiveConfig{View: current.view, Routing: current.config.Routing, SharedPrefixes: current.config.SharedPrefixes}
+	return forwarding.CurrentConfig{View: current.view, Routing: current.config.Routing, SharedPrefixes: current.config.SharedPrefixes}
 }
 
 // updateBalancer passes the current config and the fronts that share the runners to the
--- a/system/front/node.go
+++ b/system/front/node.go
@@ -1,6 +1,7 @@
 // Package front implements the front node, which serves clients in two ways: it forwards HTTP
 // requests to runners by routes (Forward, package forwarding), and it serves the work API:
-// conversations, turns, tool calls, lookups and work that runs at most once.
+// conversations, turns, tool calls, lookups and work that runs at most once. One execution of
+// work that is recorded in a session log is a run.
 //
 // A request to the work API passes a chain of filters (request.go, filters.go): view and
 // token, program and kind of work, the session log of its conversation, a slot on a runner,
@@ -10,7 +11,7 @@
 //   - The start of a run is committed before anything is sent to a runner, and its end before
 //     the client sees it. A turn is streamed only from committed events.
 //   - apierror.NotRun for recorded work is proven by the session log: its run is closed as
-//     not run, or a fence has taken the place of its start.
+//     not run, or a fence (sessionlog.Fenced) has taken the place of its start.
 //   - Work sent to the method Once reaches a runner at most once per idempotency key.
 //   - When the first byte is sent, the view is fresh, the program and the kind of work are
 //     configured as they were when the runner was chosen, and the runner may still be used.
@@ -47,7 +48,7 @@
 )
 
 const (
-	// commitTimeout bounds one command to the stores or read from them.
+	// commitTimeout bounds one command to the stores or one read from them.
 	commitTimeout = 6 * time.Second
 	// settleTimeout bounds the background attempts to record an end or settle a reservation.
 	settleTimeout = 30 * time.Second
@@ -151,7 +152,7 @@
 	node.pool = runnerpool.New(network, settings.HeaderNames)
 	node.balancer = balancer.New(settings.Domain, rand.Uint64(), nil)
 	node.forwarder = forwarding.New(forwarding.Settings{
-		Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, ActiveConfig: node.currentRouting,
+		Node: node.name, CheckViewFresh: node.checkViewFresh, AwaitViewFresh: node.awaitViewFresh, CurrentConfig: node.forwardingConfig,
 		Balancer: node.balancer, Pool: node.pool, TurnStore: node.stores, MaxBufferedBytes: settings.MaxBufferedBytes,
 		LogRequests: settings.LogRequests, Observe: requestObserver(settings.Metrics),
 	})
--- a/system/front/node_peers.go
+++ b/system/front/node_peers.go
@@ -24,22 +24,23 @@
 	peerPollInterval = 300 * time.Millisecond
 )
 
-// notifyPeers tells the other fronts that a runner has probably restarted (warmingUp) or
+// notifyPeers tells the other fronts that a runner is suspected to have restarted (true) or
 // responds again. Each front also detects this by itself, only later, so a lost notification
 // is not resent.
-func (node *Node) notifyPeers(address string, warmingUp bool) {
-	log.WithFields(log.Fields{"node": node.name, "address": address, "warming_up": warmingUp}).Info("runner warm-up state changed; notifying the other fronts")
+func (node *Node) notifyPeers(address string, suspected bool) {
+	log.WithFields(log.Fields{"node": node.name, "address": address, "warming_up": suspected}).Info("runner is suspected to have restarted or responds again; notifying the other fronts")
 	for _, member := range node.peers() {
-		node.background.Go(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: warmingUp}) })
+		node.background.Go(func() { node.notifyPeer(member, wire.RunnerWarmUpNote{Address: address, WarmingUp: suspected}) })
 	}
 }
 
-// notifyPeer sends the warm-up state of a runner to one other front.
+// notifyPeer tells one other front that a runner is suspected to have restarted, or responds
+// again.
 func (node *Node) notifyPeer(member feed.Member, note wire.RunnerWarmUpNote) {
 	ctx, cancel := context.WithTimeout(node.context, probeTimeout)
 	defer cancel()
 	if _, err := node.linkClient.Call(ctx, member.Address, &wire.Query{Fleet: node.current.Load().view.Fleet, Which: schema.Query_Which_runner, RunnerWarmUp: &note}); err != nil {
-		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("cannot notify a front of the warm-up state of a runner")
+		log.WithFields(log.Fields{"node": node.name, "front": member.Name, "error": err.Error()}).Debug("cannot notify a front of the suspected restart or recovery of a runner")
 	}
 }
 
@@ -50,8 +51,8 @@
 	})
 }
 
-// watchPeers records when this front is first listed, tells new fronts which runners have
-// probably restarted, and updates the balancer when the set of fronts changes. It runs in
+// watchPeers records when this front is first listed, tells new fronts which runners are
+// suspected to have restarted, and updates the balancer when the set of fronts changes. It runs in
 // Node.peerWatcher until the node's context ends.
 func (node *Node) watchPeers() {
 	ticker := time.NewTicker(peerPollInterval)
--- a/system/front/owner_liveness.go
+++ b/system/front/owner_liveness.go
@@ -23,7 +23,7 @@
 	memberListMaxAge = 1500 * time.Millisecond
 )
 
-// newDispatchID returns a dispatch id that contains this node's name and address, so that other
+// newDispatchID returns a dispatch ID that contains this node's name and address, so that other
 // nodes can check whether the node is still alive.
 func (node *Node) newDispatchID() string {
 	return node.name + "@" + node.settings.Address + "/" + uuid.NewString()
@@ -42,7 +42,7 @@
 	confirmedDead
 )
 
-// ownerLiveness probes the front that started a run, at the address in its dispatch id.
+// ownerLiveness probes the front that started a run, at the address in its dispatch ID.
 func (node *Node) ownerLiveness(ctx context.Context, startEvent sessionlog.Event) liveness {
 	name, rest, _ := strings.Cut(startEvent.Dispatch, "@")
 	address, _, found := strings.Cut(rest, "/")
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.workKind.Timeout))
 	defer cancel()
 	for attempt := 1; ; attempt++ {
-		answer, err := node.runnerClient.Call(ctx, request.slot.Runner.Address, request.workKind.Path, request.plainRequest(), node.preSendCheck(request))
+		answer, err := node.runnerClient.Call(ctx, request.slot.Runner.Address, request.workKind.Path, request.plainRequest(), node.beforeSend(request))
 		if err == nil || !apierror.Of(err).NeverSent || attempt == maxDispatchAttempts {
 			request.slot.Release(node.dispatchOutcome(err))
 			return answer, err
--- a/system/front/request.go
+++ b/system/front/request.go
@@ -16,7 +16,7 @@
 type request struct {
 	token          string // the client's bearer token
 	program        string
-	kind           string
+	kind           string // name of the kind of work
 	input          string
 	idempotencyKey string
 	// conversation names the session within its team; follows is the seq of the turn to
--- a/system/front/runner_slot.go
+++ b/system/front/runner_slot.go
@@ -36,8 +36,8 @@
 	return nil, err
 }
 
-// confirmDispatch is confirmRunner without the record. It acquires a slot on another runner if
-// the chosen one may no longer be used.
+// confirmDispatch makes the checks of confirmRunner. It acquires a slot on another runner if the
+// chosen one may no longer be used.
 func (node *Node) confirmDispatch(ctx context.Context, request *request) error {
 	for {
 		if err := node.recheckCurrentConfig(ctx, request); err != nil {
@@ -75,10 +75,10 @@
 	return hasWeight && scheduler.Usable(request.current.view, request.slot.Runner)
 }
 
-// preSendCheck returns the check that precedes the first byte: the dial may have been slow, or
-// this process suspended, since the runner was chosen. It uses a copy of the request, as the
-// HTTP library may call it after the request was abandoned.
-func (node *Node) preSendCheck(request *request) runnerclient.PreSendCheck {
+// beforeSend returns the check that precedes the first byte: the dial may have been slow, or
+// this process suspended, since the runner was chosen. The check uses a copy of the request, as
+// the HTTP library may call it after the request was abandoned.
+func (node *Node) beforeSend(request *request) runnerclient.BeforeSend {
 	chosen := *request
 	return func() error {
 		rechecked := chosen
@@ -111,7 +111,7 @@
 	case failure.NeverSent:
 		return scheduler.NotSent
 	}
-	return scheduler.Faulted
+	return scheduler.Failed
 }
 
 // switchRunner acquires a slot on another runner after one to which provably nothing was sent.
--- a/system/front/session_reading.go
+++ b/system/front/session_reading.go
@@ -54,8 +54,8 @@
 	return nil, nil
 }
 
-// readSession reads all events of the session by a quorum read, unless this request named it at
-// random, so that it cannot exist.
+// readSession reads all events of the session by a quorum read. There is nothing to read if this
+// request has just generated the session's name.
 func readSession(ctx context.Context, node *Node, request *request) (any, error) {
 	if request.newlyNamed {
 		request.history, request.newlyNamed = conversation.Fold(nil), false
--- a/system/front/turn_execution.go
+++ b/system/front/turn_execution.go
@@ -92,7 +92,7 @@
 	for attempt := 1; ; attempt++ {
 		turn := runnerclient.TurnRequest{Conversation: request.conversation, Turn: request.startEvent.Seq, History: history, Input: request.input, MaxWords: request.answerWordLimit()}
 		startedAt := time.Now()
-		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, turn, node.preSendCheck(request), func(text string) error {
+		err := node.runnerClient.Stream(ctx, request.slot.Runner.Address, request.workKind.Path, turn, node.beforeSend(request), func(text string) error {
 			if execution.timeToFirstPart == 0 {
 				execution.timeToFirstPart = time.Since(startedAt)
 				request.slot.FirstEvent(execution.timeToFirstPart)
--- a/system/runnerclient/client.go
+++ b/system/runnerclient/client.go
@@ -43,11 +43,11 @@
 //	client := runnerclient.New(link.TCP{})
 func New(network link.Network) *Client { return &Client{network: network} }
 
-// Call sends a request to an application runner and returns its complete JSON response.
+// Call sends plain work to an application runner and returns its complete JSON response.
 //
-//	response, err := client.Call(ctx, "10.0.0.9:8000", "/book", request, check)
-func (client *Client) Call(ctx context.Context, address, path string, request PlainRequest, check PreSendCheck) (json.RawMessage, error) {
-	response, err := client.post(ctx, address, path, request, check)
+//	response, err := client.Call(ctx, "10.0.0.9:8000", "/book", request, beforeSend)
+func (client *Client) Call(ctx context.Context, address, path string, request PlainRequest, beforeSend BeforeSend) (json.RawMessage, error) {
+	response, err := client.post(ctx, address, path, request, beforeSend)
 	if err != nil {
 		return nil, err
 	}
@@ -68,13 +68,13 @@
 	return bytes.TrimSpace(data), nil
 }
 
-// Stream sends a request to a model runner and calls onChunk for each chunk of the response.
-// An error of onChunk ends the stream and is returned. Stream returns nil only after the
+// Stream sends a turn to a model runner and calls onPart for each part of the response.
+// An error of onPart ends the stream and is returned. Stream returns nil only after the
 // runner's end marker, so that a truncated stream never counts as complete.
 //
-//	err := client.Stream(ctx, address, "/turn", request, check, func(text string) error { ... })
-func (client *Client) Stream(ctx context.Context, address, path string, request TurnRequest, check PreSendCheck, onChunk func(text string) error) error {
-	response, err := client.post(ctx, address, path, request, check)
+//	err := client.Stream(ctx, address, "/turn", request, beforeSend, func(text string) error { ... })
+func (client *Client) Stream(ctx context.Context, address, path string, request TurnRequest, beforeSend BeforeSend, onPart func(text string) error) error {
+	response, err := client.post(ctx, address, path, request, beforeSend)
 	if err != nil {
 		return err
 	}
@@ -92,14 +92,14 @@
 		if line == "" {
 			continue
 		}
-		var chunk streamChunk
-		if err := json.Unmarshal([]byte(line), &chunk); err != nil {
+		var part streamPart
+		if err := json.Unmarshal([]byte(line), &part); err != nil {
 			return apierror.Wrap(err, apierror.RunnerFailure, "runner "+address+" sent a stream line that is not valid JSON", "check the runner's log")
 		}
-		if chunk.End {
+		if part.End {
 			return nil
 		}
-		if err := onChunk(chunk.Content); err != nil {
+		if err := onPart(part.Text); err != nil {
 			return err
 		}
 	}
--- a/system/runnerclient/send.go
+++ b/system/runnerclient/send.go
@@ -13,22 +13,22 @@
 	"yardrock.example/system/apierror"
 )
 
-// PreSendCheck is called on a ready connection just before the first byte is sent; an error
+// BeforeSend is called on a ready connection just before the first byte is sent; an error
 // prevents that. It may be called even after the request was abandoned.
-type PreSendCheck func() error
+type BeforeSend func() error
 
-// guardedConn is a connection that sends nothing until the check has passed.
+// guardedConn is a connection that sends nothing until BeforeSend has succeeded.
 type guardedConn struct {
 	net.Conn
 	send *sendState
 }
 
-// Write sends data. The first call runs the check and fails if the check does.
+// Write sends data. The first call runs BeforeSend and fails if it does.
 func (conn guardedConn) Write(data []byte) (int, error) {
 	send := conn.send
 	if send.state.Load() == sendPending {
-		if err := send.check(); err != nil {
-			send.checkErr.Store(apierror.Of(err))
+		if err := send.beforeSend(); err != nil {
+			send.beforeSendErr.Store(apierror.Of(err))
 			return 0, err
 		}
 		send.state.CompareAndSwap(sendPending, sendStarted)
@@ -43,9 +43,9 @@
 // comes first: net/http may still write after RoundTrip has returned, and nothing of an
 // abandoned request may be sent.
 type sendState struct {
-	check    PreSendCheck
-	state    atomic.Int32
-	checkErr atomic.Pointer[apierror.Error]
+	beforeSend    BeforeSend
+	state         atomic.Int32
+	beforeSendErr atomic.Pointer[apierror.Error]
 }
 
 // The values of sendState.state.
@@ -66,12 +66,12 @@
 
 // post sends a JSON body and returns the response with its body unread. NeverSent on the error
 // proves that no byte was sent.
-func (client *Client) post(ctx context.Context, address, path string, body any, check PreSendCheck) (*http.Response, error) {
+func (client *Client) post(ctx context.Context, address, path string, body any, beforeSend BeforeSend) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	send := &sendState{check: check}
+	send := &sendState{beforeSend: beforeSend}
 	transport := &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, target string) (net.Conn, error) {
@@ -93,7 +93,7 @@
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		neverSent := send.abandon()
-		if rejection := send.checkErr.Load(); neverSent && rejection != nil {
+		if rejection := send.beforeSendErr.Load(); neverSent && rejection != nil {
 			return nil, &apierror.Error{Kind: rejection.Kind, Message: rejection.Message, Remedy: rejection.Remedy, RetryAfter: rejection.RetryAfter, NeverSent: true, Cause: rejection}
 		}
 		return nil, &apierror.Error{Kind: apierror.RunnerFailure, Message: "runner " + address + ": " + err.Error(), Remedy: "check the runner's log", NeverSent: neverSent, Lost: true, Cause: err}
--- a/system/runnerclient/types.go
+++ b/system/runnerclient/types.go
@@ -24,13 +24,13 @@
 type PlainRequest struct {
 	Program string `json:"program"`
 	Kind    string `json:"kind"`
-	// RequestKey is the caller's idempotency key; empty if the work may run more than once.
+	// RequestKey is the client's idempotency key; empty if the work may run more than once.
 	RequestKey string `json:"query_key,omitempty"`
 	Input      string `json:"words"`
 }
 
-// streamChunk is one line of a model runner's response stream.
-type streamChunk struct {
-	Content string `json:"piece"`
-	End     bool   `json:"end"`
+// streamPart is one line of a model runner's response stream.
+type streamPart struct {
+	Text string `json:"piece"`
+	End  bool   `json:"end"`
 }
--- a/system/runnerpool/acquire.go
+++ b/system/runnerpool/acquire.go
@@ -68,7 +68,7 @@
 }
 
 // dial opens a connection that takeIdle has counted, and releases it if dialling fails.
-// The error has Lost set unless the caller's deadline was the reason.
+// The error has Lost set unless ctx ended or the request's deadline passed.
 func (pool *Pool) dial(ctx context.Context, request *Request, runner *runnerConnections) (*persistentConnection, error) {
 	address := request.Runner.Address
 	deadline, ownTimeout := time.Now().Add(dialTimeout), true
--- a/system/runnerpool/connection.go
+++ b/system/runnerpool/connection.go
@@ -76,7 +76,7 @@
 
 // attachBuffers takes buffers for a request. releaseBuffers must follow.
 func (connection *persistentConnection) attachBuffers() {
-	// Only New and releaseBuffers fill the pool, so the type assertion cannot fail.
+	// Only the pool's New function and releaseBuffers fill it, so the type assertion cannot fail.
 	connection.buffers = connectionBufferPool.Get().(*connectionBuffers)
 	connection.buffers.reader.Reset(connection)
 	connection.buffers.writes = connection.buffers.writes[:0]
--- a/system/runnerpool/pool.go
+++ b/system/runnerpool/pool.go
@@ -1,4 +1,4 @@
-// Package runnerpool sends requests to runners over persistent HTTP/1.1 connections.
+// Package runnerpool sends forwarded requests to runners over persistent HTTP/1.1 connections.
 //
 // It does not use net/http's Transport, because the callers must know exactly what may
 // have happened. Every failure says whether the request was never sent, was rejected by
--- a/system/runnerpool/request_head.go
+++ b/system/runnerpool/request_head.go
@@ -152,7 +152,7 @@
 	return append(buffer, "\r\n"...)
 }
 
-// overrides reports whether a header that the pool sets replaces the caller's.
+// overrides reports whether a header that the pool sets replaces that in Request.Header.
 func (pool *Pool) overrides(name string, request *Request) bool {
 	switch name {
 	case pool.headers.RequestID:
--- a/system/runnerpool/send.go
+++ b/system/runnerpool/send.go
@@ -197,7 +197,7 @@
 	return response, false, nil
 }
 
-// returnUnused returns a connection to the pool to which nothing was written.
+// returnUnused returns the connection, to which nothing was written, to the pool.
 func (trip *roundTrip) returnUnused() {
 	trip.connection.releaseBuffers()
 	if trip.stopWatch != nil && !trip.stopWatch() {
--- a/system/runnerpool/types.go
+++ b/system/runnerpool/types.go
@@ -7,8 +7,8 @@
 	"yardrock.example/system/feed"
 )
 
-// HeaderNames holds the names of the header fields that a deployment's runners
-// understand. A field whose name is empty is neither sent nor read.
+// HeaderNames holds the names of the headers that a deployment's runners understand. A
+// header whose name is empty is neither sent nor read.
 type HeaderNames struct {
 	RequestID      string // in requests and echoed in responses: identifies the request
 	NotRun         string // in rejections: the request did not run and never will
@@ -16,7 +16,7 @@
 	Timeout        string // in requests: milliseconds until the deadline
 	Load           string // in responses: running,waiting,slots
 	Urgency        string // in requests: 0 to 9, 0 is the most urgent
-	LastEventID    string // in requests: ID of the last event that the caller received
+	LastEventID    string // in requests: ID of the last event that the client received
 	RunnerID       string // in health responses: incarnation of the runner
 	WarmUpLeft     string // in health responses: milliseconds of warm-up that remain
 }
@@ -28,9 +28,9 @@
 	// 1.
 	MaxConnections int
 	Method         string      // any but CONNECT
-	Target         string      // path and query as the caller sent them (RFC 9112, section 3.2)
-	Host           string      // as the caller sent it
-	Header         http.Header // of the caller; hop-by-hop headers are not forwarded. Never modified.
+	Target         string      // path and query as the client sent them (RFC 9112, section 3.2)
+	Host           string      // as the client sent it
+	Header         http.Header // of the client's request; hop-by-hop headers are not forwarded. Never modified.
 	// Body is sent as the concatenation of its parts. It must not change until the response
 	// is closed.
 	Body [][]byte
--- a/system/scheduler/scheduler.go
+++ b/system/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package scheduler chooses runners for the configured kinds of work and limits the
-// concurrency per runner.
+// Package scheduler chooses runners for requests of the work API, by the configured kinds of
+// work, and limits the concurrency per runner. For forwarded requests, package balancer does.
 //
 // Every front has one Scheduler. For each request, a group of runners is picked from the
 // weight table of the kind by weighted round-robin (weighted_round_robin.go), and within the
-// group the runner with the highest score (freeRunner). If no runner has a free slot, the
+// group the runner with the highest score (selectRunner). If no runner has a free slot, the
 // request waits in a bounded queue per urgency (wait_queue.go).
 //
 // Guarantees:
@@ -40,10 +40,10 @@
 	// sameDomainBonus is added to the score of a runner in this front's own domain. The
 	// score without it is the free fraction of the share.
 	sameDomainBonus = 0.25
-	// faultPenalty divides the score of a runner whose last fault is less than faultBackoff
+	// failurePenalty divides the score of a runner whose last failure is less than failureBackoff
 	// ago.
-	faultPenalty = 16
-	faultBackoff = time.Second
+	failurePenalty = 16
+	failureBackoff = time.Second
 )
 
 // urgencyLevels is the number of urgency levels.
@@ -126,7 +126,7 @@
 	}
 	urgency := urgencies[kind.Urgency]
 	if !scheduler.hasWaiter(urgency, group) {
-		if runner, free := scheduler.freeRunner(state, group, urgency, time.Now()); free {
+		if runner, free := scheduler.selectRunner(state, group, urgency, time.Now()); free {
 			scheduler.takeSlot(runner, team)
 			scheduler.mutex.Unlock()
 			return &Slot{scheduler: scheduler, Runner: runner, Group: group, team: team}, nil
@@ -146,10 +146,10 @@
 	return apierror.NewRetryable(apierror.NotRun, "all runners of group "+group+" are busy", "retry later", overloadRetryAfter)
 }
 
-// freeRunner returns the usable runner of a group with the highest score among those with a
+// selectRunner returns the usable runner of a group with the highest score among those with a
 // free slot for an urgency. The score is the free fraction of the share, raised for runners
-// in this front's domain and lowered for those with a recent fault.
-func (scheduler *Scheduler) freeRunner(state State, group string, urgency int, now time.Time) (feed.Runner, bool) {
+// in this front's domain and lowered for those with a recent failure.
+func (scheduler *Scheduler) selectRunner(state State, group string, urgency int, now time.Time) (feed.Runner, bool) {
 	capacity := state.Config.RunnerGroups[group]
 	best, bestScore, found := feed.Runner{}, -1.0, false
 	for _, runner := range state.View.Runners {
@@ -170,7 +170,7 @@
 			score += sameDomainBonus
 		}
 		if now.Before(stats.avoidUntil) {
-			score /= faultPenalty
+			score /= failurePenalty
 		}
 		if score > bestScore {
 			best, bestScore, found = runner, score, true
--- a/system/scheduler/slot.go
+++ b/system/scheduler/slot.go
@@ -17,8 +17,8 @@
 	NotSent Outcome = iota
 	// Answered: the runner completed the request.
 	Answered
-	// Faulted: the request failed in a way that does not suggest a restart.
-	Faulted
+	// Failed: the request failed in a way that does not suggest a restart.
+	Failed
 	// Lost: the runner was unreachable, closed the connection or was overloaded. It may have
 	// restarted even if the platform's runner list does not show that.
 	Lost
@@ -52,10 +52,10 @@
 			if stats.confirmRunning() {
 				scheduler.notify(slot.Runner.Address, false)
 			}
-		case Faulted:
-			stats.avoidUntil = time.Now().Add(faultBackoff)
+		case Failed:
+			stats.avoidUntil = time.Now().Add(failureBackoff)
 		case Lost:
-			stats.avoidUntil = time.Now().Add(faultBackoff)
+			stats.avoidUntil = time.Now().Add(failureBackoff)
 			scheduler.suspectRestart(slot.Runner.Address, stats)
 		}
 		scheduler.serveQueues()
@@ -72,7 +72,7 @@
 	defer scheduler.mutex.Unlock()
 	stats := scheduler.statsOf(slot.Runner.Address)
 	if stats.isSlow(latency) {
-		stats.avoidUntil = time.Now().Add(faultBackoff)
+		stats.avoidUntil = time.Now().Add(failureBackoff)
 		scheduler.suspectRestart(slot.Runner.Address, stats)
 		return
 	}
--- a/system/scheduler/slow_start.go
+++ b/system/scheduler/slow_start.go
@@ -20,10 +20,10 @@
 	maxFirstEventSamples = 4 * minFirstEventSamples
 )
 
-// runnerStats is this front's state of a runner.
+// runnerStats is what this front knows about a runner.
 type runnerStats struct {
 	inFlight   int       // this front's slots in use
-	avoidUntil time.Time // end of the score penalty after a fault
+	avoidUntil time.Time // end of the score penalty after a failure
 	// restartSuspectedAt is when the runner was last suspected to have restarted; zero if it
 	// is not suspected.
 	restartSuspectedAt time.Time
--- a/system/scheduler/wait_queue.go
+++ b/system/scheduler/wait_queue.go
@@ -138,7 +138,7 @@
 				break
 			}
 			waiting := scheduler.queues[urgency][next]
-			runner, free := scheduler.freeRunner(state, waiting.group, urgency, now)
+			runner, free := scheduler.selectRunner(state, waiting.group, urgency, now)
 			if !free {
 				full[waiting.group] = true
 				continue
