--- a/proof/loadgen/callers.go
+++ b/proof/loadgen/callers.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		outcome, text = result.Outcome, string(result.Answer)
-		want := standin.PlainAnswer(runnerclient.PlainRequest{Kind: kind, RequestKey: key, Input: body["words"].(string)})
+		want := standin.PlainAnswer(runnerclient.PlainRequest{Kind: kind, IdempotencyKey: key, Input: body["words"].(string)})
 		got := map[string]string{}
 		if json.Unmarshal(result.Answer, &got) != nil || got["proof"] != want["proof"] {
 			generator.addViolation("answers", "the %s request with key %s got the answer %s", kind, key, text)
--- a/proof/loadgen/loadgen_test.go
+++ b/proof/loadgen/loadgen_test.go
@@ -106,7 +106,7 @@
 			writeError(writer, http.StatusServiceUnavailable, "not_run")
 			return
 		}
-		answer, _ := json.Marshal(standin.PlainAnswer(runnerclient.PlainRequest{Kind: body.Kind, RequestKey: body.Key, Input: body.Words}))
+		answer, _ := json.Marshal(standin.PlainAnswer(runnerclient.PlainRequest{Kind: body.Kind, IdempotencyKey: body.Key, Input: body.Words}))
 		fmt.Fprintf(writer, `{"outcome":"complete","answer":%s}`, answer)
 	}
 }
--- a/proof/simulator/agent_test.go
+++ b/proof/simulator/agent_test.go
@@ -56,7 +56,7 @@
 		if agent.follows == "" {
 			input = agent.prefix + input
 		}
-		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(input), Program: agent.program, HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
+		answer := agent.cluster.Forward(agent.cluster.Fronts[front%2], forwarding.Request{ID: name, Path: "/talk/kept/1", Follows: agent.follows, Body: []byte(input), Program: agent.program, HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
 		if executionsOf(agent.cluster, name) > 0 && promptOf(agent.cluster, name) != agent.history+input {
 			t.Fatalf("%s: the engine received a prompt of %d bytes, want %d", name, len(promptOf(agent.cluster, name)), len(agent.history+input))
 		}
--- a/proof/simulator/answers_test.go
+++ b/proof/simulator/answers_test.go
@@ -82,7 +82,7 @@
 				name := fmt.Sprintf("wild-%d-%d", caller, round)
 				request := &forwardedRequest{name: name, path: route.path + name, body: "prompt of " + name, maxRuns: route.maxRuns, stream: route.stream}
 				request.answer = cluster.Forward(cluster.Fronts[random.IntN(len(cluster.Fronts))], forwarding.Request{
-					Name: name, Path: request.path, Body: []byte(request.body), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40,
+					ID: name, Path: request.path, Body: []byte(request.body), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40,
 				})
 				mutex.Lock()
 				requests = append(requests, request)
@@ -217,7 +217,7 @@
 							cluster.Sleep(time.Duration(number) * 400 * time.Millisecond)
 							name, began := fmt.Sprintf("held-%d", number), time.Now()
 							answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{
-								Name: path + name, Path: path + name, Program: path + name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Deadline: began.Add(20 * time.Second),
+								ID: path + name, Path: path + name, Program: path + name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Deadline: began.Add(20 * time.Second),
 							})
 							if took := time.Since(began); took > timeout+slack {
 								t.Errorf("%s ended after %s, the route's timeout is %s: %d %v", path, took, timeout, answer.Status, answer.Err)
@@ -245,7 +245,7 @@
 			senders.Go(func() {
 				cluster.Sleep(time.Duration(number) * 20 * time.Millisecond)
 				name := fmt.Sprintf("planned-%d", number)
-				answer := cluster.Forward(cluster.Fronts[number/4%2], forwarding.Request{Name: name, Path: route.path + name, Body: []byte(name), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+				answer := cluster.Forward(cluster.Fronts[number/4%2], forwarding.Request{ID: name, Path: route.path + name, Body: []byte(name), Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 				switch {
 				case answer.Complete():
 					complete.Add(1)
--- a/proof/simulator/awaitfresh_test.go
+++ b/proof/simulator/awaitfresh_test.go
@@ -48,7 +48,7 @@
 					requests.Go(func() {
 						name := fmt.Sprintf("early-%d-%s-%d", round, machine.Host, number)
 						path := []string{"/lookup/", "/talk/kept/"}[number%2] + name
-						answer := cluster.Forward(machine, forwarding.Request{Name: name, Path: path, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+						answer := cluster.Forward(machine, forwarding.Request{ID: name, Path: path, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 						if took := time.Since(restarted); !answer.Complete() || took > 2*time.Second {
 							t.Errorf("round %d: %s got %d %v %s after the restart", round, path, answer.Status, answer.Err, took)
 						}
@@ -70,12 +70,12 @@
 		cluster.Network.Isolate(front.Host)
 		cluster.Sleep(4 * time.Second)
 		began := time.Now()
-		answer := cluster.Forward(front, forwarding.Request{Name: "cut-1", Path: "/lookup/cut-1"})
+		answer := cluster.Forward(front, forwarding.Request{ID: "cut-1", Path: "/lookup/cut-1"})
 		if took := time.Since(began); !answer.Rejected() || took > 0 {
 			t.Fatalf("the isolated front, after %s: %d %v", took, answer.Status, answer.Err)
 		}
 		cluster.Network.Rejoin(front.Host)
-		if answer := cluster.Forward(cluster.Fronts[1], forwarding.Request{Name: "cut-2", Path: "/lookup/cut-2"}); !answer.Complete() {
+		if answer := cluster.Forward(cluster.Fronts[1], forwarding.Request{ID: "cut-2", Path: "/lookup/cut-2"}); !answer.Complete() {
 			t.Fatalf("the other front: %d %v", answer.Status, answer.Err)
 		}
 	})
--- a/proof/simulator/cachelocation_test.go
+++ b/proof/simulator/cachelocation_test.go
@@ -37,8 +37,8 @@
 				program, path := fmt.Sprintf("program-%d", number), []string{"/talk/kept/1", "/talk/chat/1"}[number%2]
 				name := fmt.Sprintf("%s-turn-%d", program, round)
 				request := forwarding.Request{
-					Name: name, Path: path, Body: []byte("more "), Program: program, Session: "main", HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40,
-					PromptParts: []balancer.PromptPart{{Name: "shared", Tokens: 2560}, {Name: program, Tokens: 900 * (round + 1)}},
+					ID: name, Path: path, Body: []byte("more "), Program: program, Session: "main", HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40,
+					PromptParts: []balancer.PromptPart{{ID: "shared", Tokens: 2560}, {ID: program, Tokens: 900 * (round + 1)}},
 				}
 				if path == "/talk/kept/1" && round > 0 {
 					request.Follows = fmt.Sprintf("%s-turn-%d", program, round-1)
--- a/proof/simulator/chaos_checks_test.go
+++ b/proof/simulator/chaos_checks_test.go
@@ -135,7 +135,7 @@
 func (chaos *chaosRun) checkExecution(sent *sentRequest, executed execution) {
 	chaos.checkExecutedRequest(sent, executed)
 	chaos.checkExecutedRoute(sent, executed)
-	request, name := sent.request, sent.request.Name
+	request, name := sent.request, sent.request.ID
 	connected := chaos.inContact(sent.front, executed.At)
 	if drainingSince := executed.runner.drainingSince; connected && !drainingSince.IsZero() && executed.At.Sub(drainingSince) > drainBound {
 		chaos.violation("DRAIN", "%s ran at runner %s %s after it began to drain", name, executed.runner.engine.Incarnation, executed.At.Sub(drainingSince))
@@ -154,7 +154,7 @@
 
 // checkExecutedRequest checks that the executed request equals the one that was sent.
 func (chaos *chaosRun) checkExecutedRequest(sent *sentRequest, executed execution) {
-	request, name := sent.request, sent.request.Name
+	request, name := sent.request, sent.request.ID
 	want := sent.history + string(request.Body)
 	if !strings.HasPrefix(request.Path, "/talk/kept/") {
 		want = string(request.Body)
@@ -166,7 +166,7 @@
 
 // checkExecutedRoute checks that a routing sent before the execution allows a runner of that group.
 func (chaos *chaosRun) checkExecutedRoute(sent *sentRequest, executed execution) {
-	request, name := sent.request, sent.request.Name
+	request, name := sent.request, sent.request.ID
 	allowed := false
 	for _, change := range chaos.routingChanges {
 		services, _ := change.services(pathOf(request))
@@ -194,7 +194,7 @@
 
 // checkAnswer checks a caller's answer against the executions of the request.
 func (chaos *chaosRun) checkAnswer(sent *sentRequest, executions []execution) {
-	request, name, answer := sent.request, sent.request.Name, sent.answer
+	request, name, answer := sent.request, sent.request.ID, sent.answer
 	if !mayRepeat(request) {
 		if len(executions) > 1 {
 			chaos.violation("TWICE", "%s %s was executed %d times", name, request.Path, len(executions))
@@ -218,7 +218,7 @@
 // checkDrained checks that requests that were in flight when their front began to drain got a
 // complete answer.
 func (chaos *chaosRun) checkDrained(sent *sentRequest, executions []execution) {
-	request, name, answer := sent.request, sent.request.Name, sent.answer
+	request, name, answer := sent.request, sent.request.ID, sent.answer
 	if drainingSince := sent.front.drainingSince; !drainingSince.IsZero() && sent.sentAt.Before(drainingSince) && sent.endedAt.After(drainingSince) && answer.Err != nil && len(executions) > 0 && !sent.cancelled &&
 		chaos.inContact(sent.front, sent.sentAt) && chaos.inContact(sent.front, sent.endedAt) && sent.endedAt.Before(request.Deadline.Add(-500*time.Millisecond)) &&
 		!slices.ContainsFunc(executions, func(executed execution) bool {
@@ -232,7 +232,7 @@
 // spent it.
 func (chaos *chaosRun) checkExhausted(sent *sentRequest, executions []execution) {
 	if len(executions) > 0 {
-		chaos.violation("REFUSED", "%s was rejected for its budget but executed", sent.request.Name)
+		chaos.violation("REFUSED", "%s was rejected for its budget but executed", sent.request.ID)
 	}
 	maximum := uint64(0)
 	for _, other := range chaos.sent {
@@ -241,13 +241,13 @@
 		}
 	}
 	if maximum <= sent.request.OutputBudget {
-		chaos.violation("DENIED", "%s was rejected for its budget of %d, of which at most %d can be spent", sent.request.Name, sent.request.OutputBudget, maximum)
+		chaos.violation("DENIED", "%s was rejected for its budget of %d, of which at most %d can be spent", sent.request.ID, sent.request.OutputBudget, maximum)
 	}
 }
 
 // checkNotFound checks that a route or a followed turn was reported as unknown only if it can be.
 func (chaos *chaosRun) checkNotFound(sent *sentRequest, executions []execution) {
-	name, path := sent.request.Name, sent.request.Path
+	name, path := sent.request.ID, sent.request.Path
 	if strings.HasPrefix(path, "/talk/") || strings.HasPrefix(path, "/lookup/") || strings.HasPrefix(path, "/order/") {
 		if followed := chaos.sent[sent.request.Follows]; followed != nil {
 			chaos.violation("LOST", "%s: %s, answered completely at %s, is reported as unknown at %s: %v", name, sent.request.Follows, followed.endedAt.Format("05.000"), sent.endedAt.Format("05.000"), sent.answer.Err)
@@ -266,7 +266,7 @@
 
 // checkBody checks that an answer that began is the one of the runner named in its Seal header.
 func (chaos *chaosRun) checkBody(sent *sentRequest, executions []execution) {
-	request, name, answer := sent.request, sent.request.Name, sent.answer
+	request, name, answer := sent.request, sent.request.ID, sent.answer
 	seal := answer.Header.Get("Seal")
 	index := slices.IndexFunc(executions, func(executed execution) bool { return executed.runner.engine.Incarnation+"/"+name == seal })
 	if index < 0 {
@@ -308,9 +308,9 @@
 		for _, sent := range probes {
 			var revision uint64
 			fmt.Sscanf(sent.request.Path, "/only-%d/", &revision)
-			ofRequest := executions[sent.request.Name]
+			ofRequest := executions[sent.request.ID]
 			if len(ofRequest) > 0 && revision < newest && sent.sentAt.Sub(newestAt) > answerSlack {
-				chaos.violation("CONFIG", "front %s went back from revision %d to %d: %s was executed", front.machine.Host, newest, revision, sent.request.Name)
+				chaos.violation("CONFIG", "front %s went back from revision %d to %d: %s was executed", front.machine.Host, newest, revision, sent.request.ID)
 			}
 			if len(ofRequest) > 0 && revision > newest {
 				newest, newestAt = revision, ofRequest[0].At
--- a/proof/simulator/chaos_faults_test.go
+++ b/proof/simulator/chaos_faults_test.go
@@ -277,7 +277,7 @@
 			}
 		}
 		if !continued.answer.Complete() {
-			chaos.t.Logf("after the outage, a turn that follows %s: %v", sent.request.Name, continued.answer.Err)
+			chaos.t.Logf("after the outage, a turn that follows %s: %v", sent.request.ID, continued.answer.Err)
 		}
 	}
 	if served*4 < total*3 {
@@ -313,6 +313,6 @@
 	chaos.budgets[program] = 1000
 	chaos.mutex.Unlock()
 	history := sent.history + string(sent.request.Body) + sent.answer.Text()
-	request := forwarding.Request{Path: "/talk/kept/1", Follows: sent.request.Name, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
+	request := forwarding.Request{Path: "/talk/kept/1", Follows: sent.request.ID, Body: []byte(words), Program: program, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: turnTokens}
 	return chaos.attempt(random, request, history, 4*time.Second, 0)
 }
--- a/proof/simulator/chaos_programs_test.go
+++ b/proof/simulator/chaos_programs_test.go
@@ -64,7 +64,7 @@
 			<-time.After(time.Duration(100+random.IntN(300)) * time.Millisecond)
 			continue
 		case !repeatable:
-			follows, history = sent.request.Name, history+words+sent.answer.Text()
+			follows, history = sent.request.ID, history+words+sent.answer.Text()
 		}
 		if random.IntN(5) == 0 || program.runaway {
 			chaos.startBranch(program, random, follows, history, depth+1)
--- a/proof/simulator/chaos_test.go
+++ b/proof/simulator/chaos_test.go
@@ -204,14 +204,14 @@
 	}
 	chaos.mutex.Lock()
 	chaos.lastRequest++
-	request.Name = fmt.Sprintf("try-%d", chaos.lastRequest)
+	request.ID = fmt.Sprintf("try-%d", chaos.lastRequest)
 	request.Host, request.Target, request.ReceivedAt, request.Deadline = RoutedHost, request.Path, time.Now(), time.Now().Add(timeout)
 	if request.Method == "" {
 		request.Method = http.MethodPost
 	}
-	request.Header = http.Header{standin.HeaderNames.RequestID: {request.Name}, "X-Other": {"goes along"}}
+	request.Header = http.Header{standin.HeaderNames.RequestID: {request.ID}, "X-Other": {"goes along"}}
 	sent := &sentRequest{request: request, sentAt: time.Now(), front: process, history: history, cancelled: cancelAfter > 0}
-	chaos.sent[request.Name] = sent
+	chaos.sent[request.ID] = sent
 	chaos.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(process.context, timeout)
 	if cancelAfter > 0 {
--- a/proof/simulator/forward.go
+++ b/proof/simulator/forward.go
@@ -97,7 +97,7 @@
 		request.Deadline = time.Now().Add(4 * time.Second)
 	}
 	request.Host, request.Target, request.ReceivedAt = RoutedHost, request.Path, time.Now()
-	request.Header = http.Header{standin.HeaderNames.RequestID: {request.Name}}
+	request.Header = http.Header{standin.HeaderNames.RequestID: {request.ID}}
 	answer := &ForwardedAnswer{}
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
@@ -124,7 +124,7 @@
 			if err := cluster.Await(timeout-time.Since(began), path+" at "+machine.Host, func() error {
 				attempts++
 				name := fmt.Sprintf("ready-%s-%d-%d", machine.Host, began.UnixNano(), attempts)
-				answer := cluster.Forward(machine, forwarding.Request{Name: name, Path: path, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+				answer := cluster.Forward(machine, forwarding.Request{ID: name, Path: path, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 				if !answer.Complete() {
 					return fmt.Errorf("%d: %w", answer.Status, answer.Err)
 				}
--- a/proof/simulator/forward_test.go
+++ b/proof/simulator/forward_test.go
@@ -63,14 +63,14 @@
 
 func TestForwardedRequestsReachRunnersUnchanged(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "order-1", Path: "/order/a%20b", Body: []byte("one activation")})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "order-1", Path: "/order/a%20b", Body: []byte("one activation")})
 		if !answer.Complete() || string(answer.Body) != "done order-1" || !strings.HasSuffix(answer.Header.Get("Seal"), "/order-1") {
 			t.Fatalf("%d %v %q %v", answer.Status, answer.Header, answer.Body, answer.Err)
 		}
 		if prompt := promptOf(cluster, "order-1"); prompt != "one activation" {
 			t.Fatalf("the body arrived as %q", prompt)
 		}
-		unrouted := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "nowhere-1", Path: "/elsewhere/1"})
+		unrouted := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "nowhere-1", Path: "/elsewhere/1"})
 		if !apierror.Is(unrouted.Err, apierror.NotFound) || unrouted.Status != 0 {
 			t.Fatalf("a request without a route got %d %v", unrouted.Status, unrouted.Err)
 		}
@@ -104,7 +104,7 @@
 		for position, test := range cases {
 			setFault(cluster, test.fault)
 			name := fmt.Sprintf("query-%d", position)
-			answer := cluster.Forward(cluster.Fronts[position%2], forwarding.Request{Name: name, Path: test.path + name, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+			answer := cluster.Forward(cluster.Fronts[position%2], forwarding.Request{ID: name, Path: test.path + name, Program: name, HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 			if runs := executionsOf(cluster, name); runs > test.maxRuns {
 				t.Errorf("%s with %s ran %d times", test.path, test.fault, runs)
 			}
@@ -134,7 +134,7 @@
 		}
 		for number := range 3 {
 			name := fmt.Sprintf("lookup-%d", number)
-			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Method: http.MethodGet, Path: "/lookup/1"}); !answer.Complete() {
+			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: name, Method: http.MethodGet, Path: "/lookup/1"}); !answer.Complete() {
 				t.Fatalf("%d %v", answer.Status, answer.Err)
 			}
 		}
@@ -146,7 +146,7 @@
 		for _, machine := range cluster.Engines {
 			machine.Engine.InjectFaults(standin.FaultBreakStream)
 		}
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-1", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "chat-1", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		want := ""
 		for number := 1; number <= 5; number++ {
 			want += fmt.Sprintf("id: %d\ndata: %s\n\n", number, standin.EventData("hello", number))
@@ -155,7 +155,7 @@
 		if answer.Err == nil || !strings.HasPrefix(want, string(answer.Body)) || strings.Count(string(answer.Body), "id: ") != 4 {
 			t.Fatalf("%v\n%s", answer.Err, answer.Body)
 		}
-		second := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-2", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+		second := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "chat-2", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		if !second.Complete() || string(second.Body) != want {
 			t.Fatalf("%v\n%s", second.Err, second.Body)
 		}
@@ -165,7 +165,7 @@
 func TestKeptTurnsIncludeTheirCompleteHistoryOnAnyFront(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		turn := func(front int, program, name, follows, input string) string {
-			answer := cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(input), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
+			answer := cluster.Forward(cluster.Fronts[front], forwarding.Request{ID: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(input), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 			if !answer.Complete() {
 				t.Fatalf("%s: %d %v", name, answer.Status, answer.Err)
 			}
@@ -188,7 +188,7 @@
 		if got := promptOf(cluster, "t4"); got != first+helper+"fourth " {
 			t.Fatalf("the fourth turn arrived as %q", got)
 		}
-		unknown := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "t5", Path: "/talk/kept/1", Follows: "never", Body: []byte("x"), Program: "p", HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
+		unknown := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "t5", Path: "/talk/kept/1", Follows: "never", Body: []byte("x"), Program: "p", HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 		if !apierror.Is(unknown.Err, apierror.NotFound) || executionsOf(cluster, "t5") != 0 {
 			t.Fatalf("a turn that follows an unknown turn got %v", unknown.Err)
 		}
@@ -199,7 +199,7 @@
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		tokens, rejected := 0, 0
 		for number := range 20 {
-			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: fmt.Sprintf("spend-%d", number), Path: "/talk/chat/1", Body: []byte("x"), Program: "runaway", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 20})
+			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{ID: fmt.Sprintf("spend-%d", number), Path: "/talk/chat/1", Body: []byte("x"), Program: "runaway", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 20})
 			tokens += 4 * strings.Count(string(answer.Body), "id: ")
 			switch {
 			case apierror.Is(answer.Err, apierror.QuotaExhausted):
--- a/proof/simulator/forwardbounds_test.go
+++ b/proof/simulator/forwardbounds_test.go
@@ -17,7 +17,7 @@
 
 // forwardKeptTurn forwards a turn on the route that stores the history.
 func (cluster *Cluster) forwardKeptTurn(front int, name, follows, input string) *ForwardedAnswer {
-	return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(input), Program: "p", HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
+	return cluster.Forward(cluster.Fronts[front], forwarding.Request{ID: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(input), Program: "p", HasOutputBudget: true, OutputBudget: 100000, MaxOutputTokens: 40})
 }
 
 // streamOf returns the complete stream that engines answer a prompt with.
@@ -46,11 +46,11 @@
 		setFault(cluster, standin.FaultHang)
 		answers := make(chan *ForwardedAnswer, 1)
 		go func() {
-			answers <- cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "first", Path: "/order/1", Body: bytes.Repeat([]byte("x"), 3000)})
+			answers <- cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "first", Path: "/order/1", Body: bytes.Repeat([]byte("x"), 3000)})
 		}()
 		cluster.Sleep(100 * time.Millisecond)
 		began := time.Now()
-		rejected := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "second", Path: "/order/2", Body: bytes.Repeat([]byte("x"), 1500)})
+		rejected := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "second", Path: "/order/2", Body: bytes.Repeat([]byte("x"), 1500)})
 		if !rejected.Rejected() || apierror.Of(rejected.Err).RetryAfter == 0 || time.Since(began) > 0 || executionsOf(cluster, "second") != 0 {
 			t.Fatalf("%d %v after %s", rejected.Status, rejected.Err, time.Since(began))
 		}
@@ -63,7 +63,7 @@
 		setFault(cluster, standin.NoFault)
 		cluster.Sleep(time.Second)
 		for number := range 20 { // the buffer has been released
-			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: fmt.Sprint("later-", number), Path: "/order/3", Body: bytes.Repeat([]byte("x"), 3900)}); !answer.Complete() {
+			if answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: fmt.Sprint("later-", number), Path: "/order/3", Body: bytes.Repeat([]byte("x"), 3900)}); !answer.Complete() {
 				t.Fatalf("%d %v", answer.Status, answer.Err)
 			}
 		}
@@ -76,7 +76,7 @@
 			name := fmt.Sprintf("left-%d", position)
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			request := &forwarding.Request{Name: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
+			request := &forwarding.Request{ID: name, Method: http.MethodPost, Host: RoutedHost, Path: path, Target: path, ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
 			err := cluster.Fronts[0].Front.Forward(ctx, request, &ForwardedAnswer{})
 			cluster.Sleep(time.Second)
 			if err == nil || executionsOf(cluster, name) != 0 {
@@ -88,13 +88,13 @@
 
 func TestHeadResponseHasNoBodyAndEmptyBodyStaysEmpty(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		head := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "head", Method: http.MethodHead, Path: "/lookup/1"})
+		head := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "head", Method: http.MethodHead, Path: "/lookup/1"})
 		if !head.Complete() || len(head.Body) != 0 {
 			t.Fatalf("%d %q %v", head.Status, head.Body, head.Err)
 		}
 		for number := range 3 { // on the same connections as the HEAD request
 			name := fmt.Sprint("get-", number)
-			if got := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Method: http.MethodGet, Path: "/lookup/1"}); !got.Complete() || string(got.Body) != "done "+name {
+			if got := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: name, Method: http.MethodGet, Path: "/lookup/1"}); !got.Complete() || string(got.Body) != "done "+name {
 				t.Fatalf("%d %q %v", got.Status, got.Body, got.Err)
 			}
 		}
@@ -111,7 +111,7 @@
 func TestRestartedStreamIsNotDeliveredTwice(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		setFault(cluster, standin.FaultRestartStream)
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "chat", Path: "/talk/chat/1", Body: []byte("hello"), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		if !answer.Complete() || string(answer.Body) != streamOf("hello") || executionsOf(cluster, "chat") != 2 {
 			t.Fatalf("%v after %d runs\n%s", answer.Err, executionsOf(cluster, "chat"), answer.Body)
 		}
@@ -122,7 +122,7 @@
 				t.Fatalf("the Seal header is %s, not that of the first runner %s", seal, machine.Engine.Incarnation)
 			}
 		}
-		resumed := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "chat-on", Path: "/talk/chat/1", Body: []byte("hello"), LastEventID: "3", Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
+		resumed := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "chat-on", Path: "/talk/chat/1", Body: []byte("hello"), LastEventID: "3", Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40})
 		if want := streamOf("hello"); !resumed.Complete() || !strings.HasSuffix(want, string(resumed.Body)) || strings.Count(string(resumed.Body), "id: ") != 2 {
 			t.Fatalf("%v\n%s", resumed.Err, resumed.Body)
 		}
@@ -137,10 +137,10 @@
 			t.Fatalf("%d %q %v", plain.Status, plain.Body, plain.Err)
 		}
 		for number := range 2 {
-			cluster.Forward(cluster.Fronts[number], forwarding.Request{Name: fmt.Sprint("spend-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
+			cluster.Forward(cluster.Fronts[number], forwarding.Request{ID: fmt.Sprint("spend-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 			cluster.Sleep(time.Second)
 		}
-		exceeding := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "over", Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
+		exceeding := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "over", Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 		if !apierror.Is(exceeding.Err, apierror.QuotaExhausted) {
 			t.Fatalf("beyond the quota: %d %v", exceeding.Status, exceeding.Err)
 		}
@@ -155,14 +155,14 @@
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		setFault(cluster, standin.FaultUnprocessable)
 		for number := range 10 {
-			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: fmt.Sprint("reject-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
+			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{ID: fmt.Sprint("reject-", number), Path: "/talk/chat/1", Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 			if answer.Err != nil || answer.Status != http.StatusUnprocessableEntity || answer.Header.Get("Seal") == "" {
 				t.Fatalf("%d %v %v", answer.Status, answer.Header, answer.Err)
 			}
 			cluster.Sleep(time.Second)
 		}
 		setFault(cluster, standin.NoFault)
-		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: "whole", Path: "/talk/chat/1", Body: []byte("x"), Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
+		answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: "whole", Path: "/talk/chat/1", Body: []byte("x"), Program: "q", HasOutputBudget: true, OutputBudget: 100, MaxOutputTokens: 50})
 		if !answer.Complete() || string(answer.Body) != streamOf("x") {
 			t.Fatalf("%d %v", answer.Status, answer.Err)
 		}
@@ -172,7 +172,7 @@
 func TestKeptTurnNeedsNoProgram(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
 		forward := func(front int, name, follows string) *ForwardedAnswer {
-			return cluster.Forward(cluster.Fronts[front], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(name)})
+			return cluster.Forward(cluster.Fronts[front], forwarding.Request{ID: name, Path: "/talk/kept/1", Follows: follows, Body: []byte(name)})
 		}
 		first := forward(0, "alone", "")
 		second := forward(1, "on", "alone")
@@ -194,7 +194,7 @@
 
 func TestAnswerOfADisconnectedCallerIsNotRetried(t *testing.T) {
 	simulateRouted(t, func(t *testing.T, cluster *Cluster) {
-		request := &forwarding.Request{Name: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
+		request := &forwarding.Request{ID: "gone", Method: http.MethodPost, Host: RoutedHost, Path: "/talk/chat/1", Target: "/talk/chat/1", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), Program: "p", HasOutputBudget: true, OutputBudget: 1000, MaxOutputTokens: 40, Header: http.Header{}}
 		err := cluster.Fronts[0].Front.Forward(context.Background(), request, &disconnectedCaller{})
 		cluster.Sleep(time.Second)
 		if err == nil || executionsOf(cluster, "gone") != 1 {
@@ -265,7 +265,7 @@
 		cluster.Network.Freeze(front.Host)
 		answers := make(chan *ForwardedAnswer, 1)
 		go func() {
-			answers <- cluster.Forward(front, forwarding.Request{Name: "held", Path: "/order/1", Body: []byte("x")})
+			answers <- cluster.Forward(front, forwarding.Request{ID: "held", Path: "/order/1", Body: []byte("x")})
 		}()
 		cluster.Sleep(2500 * time.Millisecond)
 		cluster.Network.Thaw(front.Host)
@@ -287,7 +287,7 @@
 		for caller := range 8 {
 			go func() {
 				for number := 0; time.Now().Before(until); number++ {
-					cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: fmt.Sprintf("c%d-%d", caller, number), Path: "/talk/chat/1", Program: fmt.Sprint(caller), HasOutputBudget: true, OutputBudget: 1000000, MaxOutputTokens: 40})
+					cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: fmt.Sprintf("c%d-%d", caller, number), Path: "/talk/chat/1", Program: fmt.Sprint(caller), HasOutputBudget: true, OutputBudget: 1000000, MaxOutputTokens: 40})
 				}
 				done <- true
 			}()
--- a/proof/simulator/replicacount_test.go
+++ b/proof/simulator/replicacount_test.go
@@ -20,7 +20,7 @@
 			t.Fatal(err)
 		}
 		turn := func(program, name, follows string) *ForwardedAnswer {
-			return cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Path: "/talk/kept/1", Follows: follows, Body: []byte("words of " + name), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
+			return cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: name, Path: "/talk/kept/1", Follows: follows, Body: []byte("words of " + name), Program: program, HasOutputBudget: true, OutputBudget: 10000, MaxOutputTokens: 40})
 		}
 		histories := map[string]string{}
 		for number := range 24 {
--- a/proof/simulator/silentrunner_test.go
+++ b/proof/simulator/silentrunner_test.go
@@ -22,7 +22,7 @@
 			setFault(cluster, standin.FaultHang)
 			time.AfterFunc(200*time.Millisecond, func() { setFault(cluster, standin.NoFault) })
 			began := time.Now()
-			answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{Name: name, Path: test.path, Deadline: began.Add(2 * time.Second)})
+			answer := cluster.Forward(cluster.Fronts[0], forwarding.Request{ID: name, Path: test.path, Deadline: began.Add(2 * time.Second)})
 			if answer.Complete() != test.complete || executionsOf(cluster, name) != test.runs {
 				t.Errorf("%s: complete is %t after %s, %d runs: %d %v", test.path, answer.Complete(), time.Since(began), executionsOf(cluster, name), answer.Status, answer.Err)
 			}
@@ -42,7 +42,7 @@
 		for number := range 6 {
 			name := fmt.Sprintf("slow-%d", number)
 			began := time.Now()
-			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{Name: name, Path: "/lookup/" + name, Deadline: began.Add(2 * time.Second)})
+			answer := cluster.Forward(cluster.Fronts[number%2], forwarding.Request{ID: name, Path: "/lookup/" + name, Deadline: began.Add(2 * time.Second)})
 			if took := time.Since(began); !answer.Complete() || string(answer.Body) != "done "+name || took > latency+100*time.Millisecond {
 				t.Errorf("%s: %d %q %v after %s", name, answer.Status, answer.Body, answer.Err, took)
 			}
--- a/proof/simulator/wipedstore_test.go
+++ b/proof/simulator/wipedstore_test.go
@@ -36,7 +36,7 @@
 		cluster.Sleep(2 * time.Second) // until the front's view has expired
 		for number := range 20 {
 			name := fmt.Sprintf("old-%d", number)
-			if answer := cluster.Forward(front, forwarding.Request{Name: name, Path: "/lookup/" + name}); !answer.Rejected() {
+			if answer := cluster.Forward(front, forwarding.Request{ID: name, Path: "/lookup/" + name}); !answer.Rejected() {
 				t.Fatalf("a front without confirmation by a store majority answered: %d %v", answer.Status, answer.Err)
 			}
 			cluster.Sleep(100 * time.Millisecond)
--- a/proof/standin/runner.go
+++ b/proof/standin/runner.go
@@ -175,7 +175,7 @@
 //
 //	answer := standin.PlainAnswer(request)
 func PlainAnswer(request runnerclient.PlainRequest) map[string]string {
-	sum := sha256.Sum256([]byte(request.Kind + "\x00" + request.RequestKey + "\x00" + request.Input))
+	sum := sha256.Sum256([]byte(request.Kind + "\x00" + request.IdempotencyKey + "\x00" + request.Input))
 	return map[string]string{"done": request.Kind, "proof": hex.EncodeToString(sum[:8])}
 }
 
@@ -251,9 +251,9 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if plainRequest.RequestKey != "" {
+	if plainRequest.IdempotencyKey != "" {
 		runner.mutex.Lock()
-		key := plainRequest.Program + "/" + plainRequest.Kind + "/" + plainRequest.RequestKey
+		key := plainRequest.Program + "/" + plainRequest.Kind + "/" + plainRequest.IdempotencyKey
 		runner.record.Executions[key]++
 		if runner.executionLog != nil {
 			fmt.Fprintln(runner.executionLog, key)
--- a/system/balancer/model_runner_test.go
+++ b/system/balancer/model_runner_test.go
@@ -30,7 +30,7 @@
 		next.prefillTokens = 0
 		missed := false
 		for _, part := range next.parts {
-			entry := runner.cachedParts[part.Name]
+			entry := runner.cachedParts[part.ID]
 			if missed = missed || entry == nil || entry.tokens < part.Tokens; missed {
 				next.prefillTokens += part.Tokens
 			} else {
@@ -71,11 +71,11 @@
 
 func (runner *modelRunner) recordCached(parts []PromptPart) {
 	for _, part := range parts {
-		if entry := runner.cachedParts[part.Name]; entry != nil {
+		if entry := runner.cachedParts[part.ID]; entry != nil {
 			entry.lastUsed = runner.sim.now
 			continue
 		}
-		runner.cachedParts[part.Name] = &cacheEntry{part.Tokens, runner.sim.now}
+		runner.cachedParts[part.ID] = &cacheEntry{part.Tokens, runner.sim.now}
 		runner.usedTokens += part.Tokens
 	}
 	for runner.usedTokens > runner.cacheTokens {
--- a/system/balancer/model_simulation_test.go
+++ b/system/balancer/model_simulation_test.go
@@ -218,7 +218,7 @@
 	uncached := false
 	for _, part := range parts {
 		result.tokens += part.Tokens
-		if uncached = uncached || runner.cachedParts[part.Name] == nil; uncached {
+		if uncached = uncached || runner.cachedParts[part.ID] == nil; uncached {
 			result.prefillTokens += part.Tokens
 		}
 	}
--- a/system/balancer/prefix_affinity.go
+++ b/system/balancer/prefix_affinity.go
@@ -33,7 +33,7 @@
 func (balancer *Balancer) recordCached(parts []PromptPart, state *runnerState) {
 	now := balancer.elapsed()
 	for _, part := range parts {
-		key := hashOf(part.Name)
+		key := hashOf(part.ID)
 		cached, found := balancer.cachedParts.get(key)
 		if !found {
 			cached = &cachedPart{}
@@ -67,7 +67,7 @@
 	balancer.markCacheLocation(request)
 	horizon := balancer.cacheHorizon(pool, now)
 	for depth, part := range request.PromptParts {
-		cached, found := balancer.cachedParts.get(hashOf(part.Name))
+		cached, found := balancer.cachedParts.get(hashOf(part.ID))
 		if !found {
 			break
 		}
--- a/system/balancer/types.go
+++ b/system/balancer/types.go
@@ -10,7 +10,7 @@
 // PromptPart is one part of a prompt. A prompt is a sequence of parts; requests whose
 // prompts begin with the same parts can share a runner's prefix cache.
 type PromptPart struct {
-	Name   string // identifies the content: parts with the same one have the same content
+	ID     string // identifies the content: parts with the same one have the same content
 	Tokens int    // length of the part
 }
 
--- a/system/forwarding/attempt.go
+++ b/system/forwarding/attempt.go
@@ -45,7 +45,7 @@
 	attempt.startedAt = time.Now()
 	attempt.response, attempt.err = attempt.attempts.forwarder.settings.Pool.Send(attempt.context, runnerpool.Request{
 		Runner: attempt.lease.Runner, MaxConnections: attempt.lease.MaxConnections, Method: exchange.Method, Target: exchange.Target, Host: exchange.Host, Header: exchange.Header,
-		Body: exchange.body, ID: exchange.Name, Deadline: exchange.deadline, LastEventID: attempt.lastEventID,
+		Body: exchange.body, ID: exchange.ID, Deadline: exchange.deadline, LastEventID: attempt.lastEventID,
 		BeforeSend: attempt.checkBeforeSend,
 	})
 }
--- a/system/forwarding/forwarder_test.go
+++ b/system/forwarding/forwarder_test.go
@@ -53,7 +53,7 @@
 				forwarder := New(staleSettings(test.timeout))
 				defer forwarder.Close()
 				startedAt := time.Now()
-				request := &Request{Name: "q", Host: "a.example", Path: test.path, ReceivedAt: startedAt, Deadline: startedAt.Add(test.untilDeadline)}
+				request := &Request{ID: "q", Host: "a.example", Path: test.path, ReceivedAt: startedAt, Deadline: startedAt.Add(test.untilDeadline)}
 				err := forwarder.Serve(t.Context(), request, unusedResponse{t})
 				if took := time.Since(startedAt); !apierror.Is(err, apierror.NotRun) || took > test.maxWait {
 					t.Fatalf("rejected after %s, want at most %s: %v", took, test.maxWait, err)
--- a/system/forwarding/request_log.go
+++ b/system/forwarding/request_log.go
@@ -95,7 +95,7 @@
 // logRequest writes the log line of a request.
 func (forwarder *Forwarder) logRequest(exchange *exchange, record *RequestRecord, err error) {
 	fields := log.Fields{
-		"node": forwarder.settings.Node, "request": exchange.Name, "route": record.Route, "program": exchange.Program, "session": exchange.Session,
+		"node": forwarder.settings.Node, "request": exchange.ID, "route": record.Route, "program": exchange.Program, "session": exchange.Session,
 		"outcome": record.Outcome, "total_ms": record.Total.Milliseconds(), "attempts": exchange.sendCount, "tokens": exchange.stream.tokens,
 		"left_ms": time.Until(exchange.deadline).Milliseconds(),
 	}
--- a/system/forwarding/turns.go
+++ b/system/forwarding/turns.go
@@ -51,7 +51,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchange.beginTurnTimeout())
 	defer cancel()
 	begun, err := forwarder.settings.TurnStore.BeginTurn(ctx, storeclient.Turn{
-		SessionName: exchange.sessionName, Name: exchange.Name, Follows: exchange.Follows, Conversation: exchange.Session, Input: exchange.Body,
+		SessionName: exchange.sessionName, Name: exchange.ID, Follows: exchange.Follows, Conversation: exchange.Session, Input: exchange.Body,
 		KeepHistory: exchange.route.StoresHistory, Retention: time.Duration(exchange.route.Retention), PrefixScope: exchange.prefixScope(),
 		HasTokenQuota: exchange.HasOutputBudget, MaxOutputTokens: exchange.MaxOutputTokens, TokenQuota: exchange.OutputBudget,
 		DispatchID: forwarder.settings.Node, Lifetime: lifetime,
@@ -96,7 +96,7 @@
 	case request.Session != "":
 		return "session/" + request.Session
 	}
-	return "query/" + request.Name
+	return "query/" + request.ID
 }
 
 // commitCompleteTurn commits the complete end of the turn. The client waits for the commit
@@ -122,7 +122,7 @@
 		}
 	}
 	if err != nil {
-		log.WithFields(log.Fields{"node": forwarder.settings.Node, "session": exchange.sessionName, "request": exchange.Name, "error": err.Error()}).Warn("could not commit the turn end; aborting the response")
+		log.WithFields(log.Fields{"node": forwarder.settings.Node, "session": exchange.sessionName, "request": exchange.ID, "error": err.Error()}).Warn("could not commit the turn end; aborting the response")
 		return errors.Join(errNoRetry, &apierror.Error{Kind: apierror.Unknown, Message: "the turn ran, but its end could not be committed", Remedy: "send a new request", Cause: err})
 	}
 	return nil
@@ -145,7 +145,7 @@
 // endTurn makes one attempt to commit the end of the turn.
 func (forwarder *Forwarder) endTurn(ctx context.Context, exchange *exchange, outcome string) error {
 	return forwarder.settings.TurnStore.EndTurn(ctx, storeclient.TurnEnd{
-		SessionName: exchange.sessionName, Name: exchange.Name, Seq: exchange.turn.Seq, KeepHistory: exchange.route.StoresHistory,
+		SessionName: exchange.sessionName, Name: exchange.ID, Seq: exchange.turn.Seq, KeepHistory: exchange.route.StoresHistory,
 		Output: exchange.stream.output, Tokens: exchange.stream.tokens, Outcome: outcome,
 		Conversation: exchange.Session, Runner: exchange.stream.runner, CachedTokens: exchange.stream.cachedTokens(),
 	})
--- a/system/forwarding/types.go
+++ b/system/forwarding/types.go
@@ -15,9 +15,9 @@
 // Request is one HTTP request of a client, as parsed by the ingress. Each attempt of the
 // client is a separate request.
 type Request struct {
-	// Name identifies this attempt of the client and is unique in the fleet. It is also the
+	// ID identifies this attempt of the client and is unique in the fleet. It is also the
 	// name of the turn if the request is one.
-	Name   string
+	ID     string
 	Method string
 	// Host is in lower case and has no port.
 	Host string
--- a/system/front/plain_work.go
+++ b/system/front/plain_work.go
@@ -18,7 +18,7 @@
 
 // plainRequest returns the form of the request that is sent to a runner.
 func (request *request) plainRequest() runnerclient.PlainRequest {
-	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, RequestKey: request.idempotencyKey, Input: request.input}
+	return runnerclient.PlainRequest{Program: request.program, Kind: request.kind, IdempotencyKey: request.idempotencyKey, Input: request.input}
 }
 
 // sendPlainWork sends plain work to a runner, and retries on another one only if provably
--- a/system/runnerclient/types.go
+++ b/system/runnerclient/types.go
@@ -24,9 +24,9 @@
 type PlainRequest struct {
 	Program string `json:"program"`
 	Kind    string `json:"kind"`
-	// RequestKey is the client's idempotency key; empty if the work may run more than once.
-	RequestKey string `json:"query_key,omitempty"`
-	Input      string `json:"words"`
+	// IdempotencyKey is the client's idempotency key; empty if the work may run more than once.
+	IdempotencyKey string `json:"query_key,omitempty"`
+	Input          string `json:"words"`
 }
 
 // streamPart is one line of a model runner's response stream.
