--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -141,6 +141,6 @@
 }
 
 // rejection is the error of Acquire.
-func rejection(message string, after time.Duration) error {
-	return apierror.NewRetryable(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(after, minRetryAfter))
+func rejection(message string, retryDelay time.Duration) error {
+	return apierror.NewRetryable(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(retryDelay, minRetryAfter))
 }
--- a/system/balancer/estimators.go
+++ b/system/balancer/estimators.go
@@ -27,9 +27,9 @@
 }
 
 // valueOr returns the mean, or a default before the first value.
-func (mean *average) valueOr(unknown float64) float64 {
+func (mean *average) valueOr(fallback float64) float64 {
 	if mean.count == 0 {
-		return unknown
+		return fallback
 	}
 	return mean.value
 }
@@ -49,11 +49,11 @@
 }()
 
 // decayFactor returns what is left of 1 after a time, by its half-life.
-func decayFactor(since, halfLife time.Duration) float64 {
-	if since <= 0 {
+func decayFactor(elapsed, halfLife time.Duration) float64 {
+	if elapsed <= 0 {
 		return 1
 	}
-	steps := float64(since) / float64(halfLife) * stepsPerHalfLife
+	steps := float64(elapsed) / float64(halfLife) * stepsPerHalfLife
 	if steps >= maxHalfLives*stepsPerHalfLife {
 		return 0
 	}
@@ -63,8 +63,8 @@
 
 // rateCounter measures a rate per second, over about the last second.
 type rateCounter struct {
-	value float64
-	at    time.Duration
+	value     float64
+	updatedAt time.Duration
 }
 
 // rateHalfLife makes a rateCounter settle at the amount of about one second of a steady
@@ -72,77 +72,77 @@
 const rateHalfLife = 700 * time.Millisecond
 
 // add counts an amount.
-func (count *rateCounter) add(value float64, now time.Duration) {
-	count.value = count.now(now) + value
-	count.at = now
+func (counter *rateCounter) add(amount float64, now time.Duration) {
+	counter.value = counter.rateAt(now) + amount
+	counter.updatedAt = now
 }
 
-// now returns the rate.
-func (count *rateCounter) now(now time.Duration) float64 {
-	if count.value == 0 {
+// rateAt returns the rate.
+func (counter *rateCounter) rateAt(now time.Duration) float64 {
+	if counter.value == 0 {
 		return 0
 	}
-	return count.value * decayFactor(now-count.at, rateHalfLife)
+	return counter.value * decayFactor(now-counter.updatedAt, rateHalfLife)
 }
 
 // connectionEstimate estimates how many connections to a runner this front has open: the
 // peak of the requests in flight, less one for each connectionIdleTime since.
 type connectionEstimate struct {
-	peak int
-	at   time.Duration
+	peak   int
+	peakAt time.Duration
 }
 
 // connectionIdleTime is the default idle timeout of the runner pool.
 const connectionIdleTime = 4 * time.Second
 
-// now returns the estimate, which may be negative.
-func (open *connectionEstimate) now(now time.Duration) int {
-	return open.peak - int((now-open.at)/connectionIdleTime)
+// countAt returns the estimate, which may be negative.
+func (estimate *connectionEstimate) countAt(now time.Duration) int {
+	return estimate.peak - int((now-estimate.peakAt)/connectionIdleTime)
 }
 
 // observe records how many requests are in flight.
-func (open *connectionEstimate) observe(inFlight int, now time.Duration) {
-	if inFlight >= open.now(now) {
-		open.peak, open.at = inFlight, now
+func (estimate *connectionEstimate) observe(inFlight int, now time.Duration) {
+	if inFlight >= estimate.countAt(now) {
+		estimate.peak, estimate.peakAt = inFlight, now
 	}
 }
 
 // timeWeightedMean is the recent mean of a number that changes in steps, each value
 // weighted by how long it lasted.
 type timeWeightedMean struct {
-	value float64
-	at    time.Duration
+	value     float64
+	updatedAt time.Duration
 }
 
 const timeWeightedMeanHalfLife = 500 * time.Millisecond
 
-// now returns the mean, given the number's value since the last call. It must be called
+// update returns the mean, given the number's value since the last call. It must be called
 // before each change of the number.
-func (mean *timeWeightedMean) now(number float64, now time.Duration) float64 {
-	mean.value += (number - mean.value) * (1 - decayFactor(now-mean.at, timeWeightedMeanHalfLife))
-	mean.at = now
+func (mean *timeWeightedMean) update(current float64, now time.Duration) float64 {
+	mean.value += (current - mean.value) * (1 - decayFactor(now-mean.updatedAt, timeWeightedMeanHalfLife))
+	mean.updatedAt = now
 	return mean.value
 }
 
 // decayingMean is an exponentially weighted mean that decays to 0 without new samples.
 type decayingMean struct {
-	value float64
-	at    time.Duration
+	value     float64
+	updatedAt time.Duration
 }
 
 const decayingMeanHalfLife = 5 * time.Second
 
 // add adds a sample with a weight between 0 and 1.
 func (mean *decayingMean) add(sample, weight float64, now time.Duration) {
-	mean.value = mean.now(now)
+	mean.value = mean.valueAt(now)
 	mean.value += (sample - mean.value) * weight
-	mean.at = now
+	mean.updatedAt = now
 }
 
-// now returns the mean.
-func (mean *decayingMean) now(now time.Duration) float64 {
+// valueAt returns the mean.
+func (mean *decayingMean) valueAt(now time.Duration) float64 {
 	if mean.value == 0 {
 		return 0
 	}
-	return mean.value * decayFactor(now-mean.at, decayingMeanHalfLife)
+	return mean.value * decayFactor(now-mean.updatedAt, decayingMeanHalfLife)
 }
--- a/system/balancer/front_shares.go
+++ b/system/balancer/front_shares.go
@@ -24,7 +24,7 @@
 	current, previous frontList
 	changedAt         time.Duration
 	lastUpdate        time.Duration // of the state, changed or not
-	known             bool
+	initialized       bool
 	firstUpdate       time.Duration
 }
 
@@ -38,14 +38,14 @@
 // update takes over the fronts of a state.
 func (set *frontSet) update(state State, now time.Duration) {
 	list := frontList{count: max(1, state.FrontCount, len(state.FrontNames)), self: state.FrontName, names: state.FrontNames}
-	if set.known && set.current.count == list.count && set.current.self == list.self && slices.Equal(set.current.names, list.names) {
+	if set.initialized && set.current.count == list.count && set.current.self == list.self && slices.Equal(set.current.names, list.names) {
 		return
 	}
-	if !set.known {
+	if !set.initialized {
 		set.firstUpdate = now
 	}
 	set.previous, set.current, set.changedAt = set.current, list, now
-	set.known = true
+	set.initialized = true
 }
 
 // shareOf returns this front's share of a runner's warm-up rate. The shares of all
@@ -85,9 +85,9 @@
 
 // rank returns this front's rank for a runner by rendezvous hashing; 0 is the highest.
 func (list frontList) rank(runner uint64) int {
-	own, rank := mixBits(runner^hashOf(list.self)), 0
+	ownHash, rank := mixBits(runner^hashOf(list.self)), 0
 	for _, name := range list.names {
-		if name != list.self && mixBits(runner^hashOf(name)) > own {
+		if name != list.self && mixBits(runner^hashOf(name)) > ownHash {
 			rank++
 		}
 	}
--- a/system/balancer/health_checks.go
+++ b/system/balancer/health_checks.go
@@ -69,15 +69,15 @@
 // recordCancelled records a cancelled request. Only a long silence counts against the
 // runner.
 func (lease *Lease) recordCancelled(now time.Duration) {
-	expected, silent := lease.expectedLatency(), milliseconds(now-lease.acquiredAt)
-	if lease.firstEventSeen || silent < max(milliseconds(minUnresponsive), unresponsiveFactor*expected) {
+	expected, elapsed := lease.expectedLatency(), milliseconds(now-lease.acquiredAt)
+	if lease.firstEventSeen || elapsed < max(milliseconds(minUnresponsive), unresponsiveFactor*expected) {
 		return
 	}
 	lease.recordFailure(unresponsiveWeight, now)
 	if lease.Service.Engine != nil {
-		lease.state.excessLatency.add(silent-expected, firstEventWeight, now)
+		lease.state.excessLatency.add(elapsed-expected, firstEventWeight, now)
 	} else {
-		lease.state.excessLatency.add(excessFraction(silent, expected), durationWeight, now)
+		lease.state.excessLatency.add(excessFraction(elapsed, expected), durationWeight, now)
 	}
 }
 
--- a/system/balancer/latency_estimates.go
+++ b/system/balancer/latency_estimates.go
@@ -51,11 +51,11 @@
 
 // rate returns the prefill rate in tokens per millisecond.
 func (fit *regression) rate() float64 {
-	spread := fit.count*fit.xx - fit.x*fit.x
-	if fit.count < minRegressionPoints || spread < minRegressionVariance*fit.count*fit.count {
+	determinant := fit.count*fit.xx - fit.x*fit.x
+	if fit.count < minRegressionPoints || determinant < minRegressionVariance*fit.count*fit.count {
 		return defaultPrefillRate
 	}
-	slope := (fit.count*fit.xy - fit.x*fit.y) / spread
+	slope := (fit.count*fit.xy - fit.x*fit.y) / determinant
 	if slope <= 0 {
 		return defaultPrefillRate
 	}
--- a/system/balancer/lease.go
+++ b/system/balancer/lease.go
@@ -47,11 +47,11 @@
 	}
 	lease.slowStartLimited = state.slowStart.take(balancer.listFreshUntil(), now)
 	lease.recoveryProbe = state.health.startProbe()
-	state.meanInFlight.now(float64(state.inFlight), now)
+	state.meanInFlight.update(float64(state.inFlight), now)
 	state.inFlight++
 	state.openConnections.observe(state.inFlight, now)
 	state.pendingPrefill += prefillTokens
-	pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now)
+	pool.stats.meanInFlight.update(float64(pool.stats.inFlight), now)
 	pool.stats.inFlight++
 	state.arrivals.add(1, now)
 	pool.stats.arrivals.add(1, now)
@@ -150,9 +150,9 @@
 		lease.markPrefilled()
 	}
 	lease.released = true
-	state.meanInFlight.now(float64(state.inFlight), now)
+	state.meanInFlight.update(float64(state.inFlight), now)
 	state.inFlight--
-	lease.stats.meanInFlight.now(float64(lease.stats.inFlight), now)
+	lease.stats.meanInFlight.update(float64(lease.stats.inFlight), now)
 	lease.stats.inFlight--
 	if !lease.prefilled {
 		state.pendingPrefill = math.Max(0, state.pendingPrefill-lease.prefillTokens)
--- a/system/balancer/outlier_ejection.go
+++ b/system/balancer/outlier_ejection.go
@@ -60,8 +60,8 @@
 
 // decay applies the decay since the last call.
 func (state *health) decay(now time.Duration) {
-	left := decayFactor(now-state.decayedAt, failureHalfLife)
-	state.failures, state.completions, state.decayedAt = state.failures*left, state.completions*left, now
+	remaining := decayFactor(now-state.decayedAt, failureHalfLife)
+	state.failures, state.completions, state.decayedAt = state.failures*remaining, state.completions*remaining, now
 }
 
 // failureProbability estimates how probable it is that the next request fails.
@@ -69,8 +69,8 @@
 	if state.failures == 0 {
 		return 0
 	}
-	left := decayFactor(now-state.decayedAt, failureHalfLife)
-	return state.failures * left / (state.completions*left + failurePrior)
+	remaining := decayFactor(now-state.decayedAt, failureHalfLife)
+	return state.failures * remaining / (state.completions*remaining + failurePrior)
 }
 
 // ejected reports whether the runner gets no requests.
@@ -162,6 +162,6 @@
 			slots += candidate.slots
 		}
 	}
-	demand := pool.stats.meanInFlight.now(float64(pool.stats.inFlight), now) * float64(current.frontCount)
+	demand := pool.stats.meanInFlight.update(float64(pool.stats.inFlight), now) * float64(current.frontCount)
 	return float64(ejected) <= maxEjectedFraction*float64(len(pool.candidates)) && demand <= maxRemainingUtilization*float64(slots)
 }
--- a/system/balancer/prefix_affinity.go
+++ b/system/balancer/prefix_affinity.go
@@ -19,11 +19,11 @@
 
 // cachedPart is the set of runners that have processed a prompt part.
 type cachedPart struct {
-	runners []cachedAt
+	copies []cachedCopy
 }
 
-// cachedAt is one runner that has processed a prompt part.
-type cachedAt struct {
+// cachedCopy is one runner that has processed a prompt part.
+type cachedCopy struct {
 	state    *runnerState
 	lastUsed time.Duration
 	tokens   int // the longest extent of the part that it has seen
@@ -46,13 +46,13 @@
 // record adds a runner or renews its entry. Entries of runners that left the list are
 // dropped when one is added.
 func (part *cachedPart) record(state *runnerState, tokens int, now time.Duration) {
-	index := slices.IndexFunc(part.runners, func(entry cachedAt) bool { return entry.state == state })
+	index := slices.IndexFunc(part.copies, func(entry cachedCopy) bool { return entry.state == state })
 	if index >= 0 {
-		part.runners[index].lastUsed, part.runners[index].tokens = now, max(part.runners[index].tokens, tokens)
+		part.copies[index].lastUsed, part.copies[index].tokens = now, max(part.copies[index].tokens, tokens)
 		return
 	}
-	part.runners = slices.DeleteFunc(part.runners, func(entry cachedAt) bool { return !entry.state.listed })
-	part.runners = append(part.runners, cachedAt{state: state, lastUsed: now, tokens: tokens})
+	part.copies = slices.DeleteFunc(part.copies, func(entry cachedCopy) bool { return !entry.state.listed })
+	part.copies = append(part.copies, cachedCopy{state: state, lastUsed: now, tokens: tokens})
 }
 
 // markCached sets on every runner how many leading tokens of a request's prompt it has
@@ -63,14 +63,14 @@
 	if pool.service.Engine == nil {
 		return
 	}
-	balancer.markCachedAt(request)
+	balancer.markCacheLocation(request)
 	horizon := balancer.cacheHorizon(pool, now)
 	for depth, part := range request.PromptParts {
 		cached, found := balancer.cachedParts.get(hashOf(part.Name))
 		if !found {
 			break
 		}
-		for _, entry := range cached.runners {
+		for _, entry := range cached.copies {
 			if now-entry.lastUsed <= horizon {
 				entry.state.markPart(depth, min(entry.tokens, part.Tokens), entry.tokens >= part.Tokens, balancer.affinityEpoch)
 			}
@@ -85,20 +85,20 @@
 	}
 }
 
-// markCachedAt marks the runner that served the conversation last.
-func (balancer *Balancer) markCachedAt(request *Request) {
+// markCacheLocation marks the runner that served the conversation last.
+func (balancer *Balancer) markCacheLocation(request *Request) {
 	state, found := balancer.runners[request.CachedAt.Runner]
 	if !found {
 		return
 	}
 	state.resetMarks(balancer.affinityEpoch)
-	state.servedTokens = min(request.CachedAt.Tokens, int(promptTokens(request)))
+	state.cacheLocationTokens = min(request.CachedAt.Tokens, int(promptTokens(request)))
 }
 
 // resetMarks removes the marks of an earlier request.
 func (state *runnerState) resetMarks(epoch uint64) {
 	if state.affinityEpoch != epoch {
-		state.affinityEpoch, state.cachedDepth, state.cachedTokens, state.servedTokens = epoch, 0, 0, 0
+		state.affinityEpoch, state.cachedDepth, state.cachedTokens, state.cacheLocationTokens = epoch, 0, 0, 0
 	}
 }
 
@@ -121,17 +121,17 @@
 	if state.affinityEpoch != balancer.affinityEpoch {
 		return 0
 	}
-	return float64(max(state.cachedTokens, state.servedTokens))
+	return float64(max(state.cachedTokens, state.cacheLocationTokens))
 }
 
 // cacheHorizon returns the cache horizon of a service's runners, assuming that the other
 // fronts send as many new tokens as this one.
 func (balancer *Balancer) cacheHorizon(pool *servicePool, now time.Duration) time.Duration {
-	fill := pool.stats.prefillTokens.now(now) * float64(balancer.topology.Load().frontCount) / float64(max(1, len(pool.candidates)))
-	if fill <= 0 {
+	fillRate := pool.stats.prefillTokens.rateAt(now) * float64(balancer.topology.Load().frontCount) / float64(max(1, len(pool.candidates)))
+	if fillRate <= 0 {
 		return maxCacheHorizon
 	}
-	seconds := cacheHorizonFraction * float64(pool.service.Engine.CacheTokens) / fill
+	seconds := cacheHorizonFraction * float64(pool.service.Engine.CacheTokens) / fillRate
 	if seconds > maxCacheHorizon.Seconds() {
 		return maxCacheHorizon
 	}
--- a/system/balancer/selection.go
+++ b/system/balancer/selection.go
@@ -27,8 +27,8 @@
 		// work it draws a random number.
 		cost := model.cost(candidate)
 		if model.full(candidate) {
-			free := time.Duration(model.duration / float64(candidate.slots) * float64(time.Millisecond))
-			delay = min(delay, max(slowStartDelay, ejectionDelay, free))
+			slotDelay := time.Duration(model.duration / float64(candidate.slots) * float64(time.Millisecond))
+			delay = min(delay, max(slowStartDelay, ejectionDelay, slotDelay))
 			continue
 		}
 		switch {
--- a/system/balancer/slow_start.go
+++ b/system/balancer/slow_start.go
@@ -24,18 +24,18 @@
 // warm-up time after it appeared or its domain was restored, whatever the list says.
 // While the list is too old to be trusted, any runner of such a service is limited.
 type slowStart struct {
-	enabled     bool          // the service has a warm-up rate
-	until       time.Duration // end of the warm-up
-	forcedUntil time.Duration // end of the warm-up that this front assumes by itself
-	lastReading listReading
-	share       rateShare
-	tokens      float64
-	refilledAt  time.Duration
+	enabled      bool          // the service has a warm-up rate
+	until        time.Duration // end of the warm-up
+	assumedUntil time.Duration // end of the warm-up that this front assumes by itself
+	lastEntry    listEntry
+	share        rateShare
+	tokens       float64
+	refilledAt   time.Duration
 }
 
-// listReading is what the runner list last said of a runner. Only a change restarts the
+// listEntry is what the runner list last said of a runner. Only a change restarts the
 // remaining warm-up time, which counts from when the list was read.
-type listReading struct {
+type listEntry struct {
 	valid  bool
 	state  string
 	warmUp time.Duration // remaining
@@ -44,24 +44,24 @@
 
 // observe takes over what the runner list says. fresh means that the runner has just
 // appeared, restored that its domain takes work again.
-func (start *slowStart) observe(runner feed.Runner, service *config.Service, fresh, restored bool, now time.Duration) {
+func (start *slowStart) observe(runner feed.Runner, service *config.Service, isNew, restored bool, now time.Duration) {
 	start.enabled = service.WarmUpRate > 0
 	if !start.enabled {
-		start.until, start.forcedUntil = 0, 0
+		start.until, start.assumedUntil = 0, 0
 		return
 	}
-	wasActive, reading := start.active(now), listReading{true, runner.State, runner.WarmUpLeft, runner.Since}
+	wasActive, entry := start.active(now), listEntry{true, runner.State, runner.WarmUpLeft, runner.Since}
 	warmUp := runner.WarmUpLeft
 	if runner.State == feed.StateWarmingUp && warmUp <= 0 {
 		warmUp = time.Duration(service.WarmUp)
 	}
-	if restored || fresh && warmUp <= 0 {
-		start.forcedUntil = now + time.Duration(service.WarmUp)
+	if restored || isNew && warmUp <= 0 {
+		start.assumedUntil = now + time.Duration(service.WarmUp)
 	}
-	if reading != start.lastReading {
-		start.until, start.lastReading = now+warmUp, reading
+	if entry != start.lastEntry {
+		start.until, start.lastEntry = now+warmUp, entry
 	}
-	start.until = max(start.until, start.forcedUntil)
+	start.until = max(start.until, start.assumedUntil)
 	if !wasActive {
 		start.tokens, start.refilledAt = 0, now
 	}
@@ -85,14 +85,14 @@
 	if start.tokens >= slowStartBurst {
 		return 0
 	}
-	left := start.until - now
+	wait := start.until - now
 	if now >= listFreshUntil {
-		left = max(left, staleListRetry)
+		wait = max(wait, staleListRetry)
 	}
 	if start.share.rate > 0 {
-		left = min(left, time.Duration((slowStartBurst-start.tokens)/start.share.rate*float64(time.Second))+1)
+		wait = min(wait, time.Duration((slowStartBurst-start.tokens)/start.share.rate*float64(time.Second))+1)
 	}
-	return left
+	return wait
 }
 
 // refill adds the tokens of the time since the last refill.
--- a/system/balancer/topology.go
+++ b/system/balancer/topology.go
@@ -87,10 +87,10 @@
 	misdirected      bool // another runner has its address
 
 	// The following are valid if affinityEpoch is that of the balancer.
-	affinityEpoch uint64
-	cachedDepth   int // leading parts of the prompt that are cached completely
-	cachedTokens  int // leading tokens of the prompt that this front knows to be cached
-	servedTokens  int // leading tokens that the runner had when it served the conversation last
+	affinityEpoch       uint64
+	cachedDepth         int // leading parts of the prompt that are cached completely
+	cachedTokens        int // leading tokens of the prompt that this front knows to be cached
+	cacheLocationTokens int // leading tokens that the runner had when it served the conversation last
 }
 
 // Update replaces the state that choices rest on. Call it on every newer view or
@@ -179,8 +179,8 @@
 	}
 	// A runner is new if its incarnation is, unless this front itself is new to the service.
 	// Without an incarnation, one that was missing from the previous list may have restarted.
-	fresh := !found && pool.stats.hadRunners || found && runner.Life == "" && known.lastListed != balancer.fronts.lastUpdate
-	known.slowStart.observe(runner, pool.service, fresh, restored, now)
+	isNew := !found && pool.stats.hadRunners || found && runner.Life == "" && known.lastListed != balancer.fronts.lastUpdate
+	known.slowStart.observe(runner, pool.service, isNew, restored, now)
 	known.slowStart.share.set(balancer.fronts.current.shareOf(known.hash, rate, balancer.seed), now)
 	known.lastListed, known.listed = now, true
 	return known
--- a/system/balancer/wait_queue.go
+++ b/system/balancer/wait_queue.go
@@ -14,10 +14,10 @@
 	// the former if the route has no target.
 	queueTimeoutDivisor = 5
 	defaultQueueTimeout = 50 * time.Millisecond
-	// retryAfter is the retry delay given to requests that waited in vain, maxRetryAfter
+	// timeoutRetryAfter is the retry delay given to requests that waited in vain, maxRetryAfter
 	// the longest given to those that did not wait.
-	retryAfter    = 200 * time.Millisecond
-	maxRetryAfter = 500 * time.Millisecond
+	timeoutRetryAfter = 200 * time.Millisecond
+	maxRetryAfter     = 500 * time.Millisecond
 	// minRecheckInterval is the shortest time between two checks of a waiting request for
 	// a runner that becomes free by itself.
 	minRecheckInterval = 5 * time.Millisecond
@@ -86,16 +86,16 @@
 	if len(balancer.queue) == 0 {
 		return
 	}
-	current, full := balancer.topology.Load(), map[string]bool{}
+	current, exhausted := balancer.topology.Load(), map[string]bool{}
 	balancer.queue = slices.DeleteFunc(balancer.queue, func(waiting *waiter) bool {
 		pool := current.services[waiting.service]
-		if pool == nil || full[waiting.service] {
+		if pool == nil || exhausted[waiting.service] {
 			return false
 		}
 		lease, delay := balancer.selectRunner(pool, &waiting.request, now)
 		if lease == nil {
 			waiting.delay = delay
-			full[waiting.service] = len(waiting.request.Excluded) == 0
+			exhausted[waiting.service] = len(waiting.request.Excluded) == 0
 			return false
 		}
 		waiting.granted <- lease
@@ -141,5 +141,5 @@
 	}
 	balancer.queue = slices.DeleteFunc(balancer.queue, func(other *waiter) bool { return other == waiting })
 	balancer.returnPick(waiting.request.Route, waiting.service)
-	return nil, rejection("all runners of "+waiting.service+" are busy", retryAfter)
+	return nil, rejection("all runners of "+waiting.service+" are busy", timeoutRetryAfter)
 }
