--- a/system/balancer/balancer.go
+++ b/system/balancer/balancer.go
@@ -1,29 +1,30 @@
 // Package balancer chooses the runner that a request is sent to.
 //
-// Every front has one Balancer. A choice takes three steps: the service is picked by
-// weighted round-robin over the route's shares (weighted_round_robin.go), the runner of
-// that service with the least expected time to completion is selected (selection.go,
-// cost_model.go), and if none can take the request now, the request waits in a short
-// queue (wait_queue.go).
+// Every front has one Balancer. It picks a service by weighted round-robin over the
+// route's shares (weighted_round_robin.go) and selects the runner of that service with the
+// least expected time to completion (selection.go, cost_model.go). If no runner can take
+// the request now, the request waits in a short queue (wait_queue.go).
 //
-// The expected time rests on
+// Model work is a request to a service with an inference engine; all other requests are
+// plain work.
+//
+// The expected time depends on
 //   - the prompt parts that the runner probably has in its prefix cache
 //     (prefix_affinity.go, rendezvous_hashing.go),
 //   - its load: this front's own requests in flight, the load that the runner reported,
 //     and an extrapolation to the other fronts,
-//   - its latency and failures so far (latency_estimates.go, health_checks.go), and
+//   - its measured latency and failures (latency_estimates.go, health_checks.go), and
 //   - whether it is in another domain and whether a connection must be opened.
 //
-// Two rules are limits and not costs: a runner that warms up gets no more requests per
-// second than its service allows, summed over all fronts (slow_start.go,
-// front_shares.go), and a runner that failed is ejected for a while
-// (outlier_ejection.go).
+// Two rules are hard limits rather than costs: a runner that is warming up gets no more
+// requests per second than its service allows, summed over all fronts (slow_start.go,
+// front_shares.go), and a failing runner is temporarily ejected (outlier_ejection.go).
 //
-// The fronts do not talk to each other about single choices. They agree because each
-// computes the same rendezvous hashes and divides rates by the number of live fronts.
+// The fronts do not coordinate individual choices. They agree because each computes the
+// same rendezvous hashes and divides rates by the number of live fronts.
 //
-// The package owns no goroutines and keeps its state in memory only; a restarted front
-// learns it anew.
+// The package starts no goroutines and keeps its state in memory only; a restarted front
+// begins without measurements.
 package balancer
 
 import (
@@ -38,8 +39,8 @@
 	"yardrock.example/system/roundrobin"
 )
 
-// noRunnerRetryAfter is the retry delay given to callers of a route none of whose
-// services has a usable runner; minRetryAfter is the shortest given to any caller.
+// noRunnerRetryAfter is the retry delay if no service of the route has a usable runner;
+// minRetryAfter is the shortest retry delay of any rejection.
 const (
 	noRunnerRetryAfter = 500 * time.Millisecond
 	minRetryAfter      = 50 * time.Millisecond
@@ -54,32 +55,32 @@
 	// topology is replaced as a whole under mutex and read without it by Lease.Valid.
 	topology atomic.Pointer[topology]
 
-	mutex    sync.Mutex // guards all that follows
+	mutex    sync.Mutex // guards the fields below
 	random   *rand.Rand
 	seed     uint64
 	runners  map[string]*runnerState  // by runnerKey
 	services map[string]*serviceStats // by service name
 	// roundRobin holds the state of the weighted round-robin over services, by route.
 	roundRobin map[string]roundrobin.Credits
-	domains    map[string]feed.Domain // of the previous view
+	domains    map[string]feed.Domain // as last listed, by name
 	fronts     frontSet
-	// listReadTime returns when the runner list of the newest view was read; nil means
-	// that the list is always current.
+	// listReadTime returns when the runner list of the newest view was read; if nil, the
+	// list counts as always current.
 	listReadTime func() time.Time
 	cachedParts  generationalCache[*cachedPart]
-	// lastRunner is the runner that got the latest request with an affinity key.
+	// lastRunner is the runner that got the last request, by affinity key.
 	lastRunner generationalCache[*runnerState]
 	queue      []*waiter // in the order in which they are served
 	// affinityEpoch identifies the request for which runnerState.cachedTokens is valid.
 	affinityEpoch uint64
 }
 
-// randomStream is the second half of the random generator's seed; the golden ratio as a
-// fraction of 2^64, as good as any other constant.
+// randomStream is the second seed word of the PCG generator: 2^64 divided by the golden
+// ratio.
 const randomStream = 0x9e3779b97f4a7c15
 
 // New returns a balancer for a front in a domain. The seed should differ between
-// fronts. now must be monotonic; nil stands for time.Now.
+// fronts. now must be monotonic; nil means time.Now.
 //
 //	runners := balancer.New("east", 7, nil)
 func New(domain string, seed uint64, now func() time.Time) *Balancer {
@@ -96,14 +97,14 @@
 	return balancer
 }
 
-// elapsed returns the time since the balancer was made.
+// elapsed returns the time since the balancer was created.
 func (balancer *Balancer) elapsed() time.Duration { return balancer.now().Sub(balancer.started) }
 
 // Acquire chooses a runner for a request and returns a lease on it, which must be
 // released. While no runner can take the request, Acquire waits up to a fifth of the
-// route's first-byte target and of the time until the deadline, and longer only for this
-// front's first reading of the runner list; waiting requests are served by urgency and
-// then by finish time.
+// route's first-byte target or of the time until the deadline, whichever is shorter, and
+// longer only for the next read of a runner list that is out of date. Waiting requests
+// are served by urgency and then by finish time.
 //
 // The error always is or wraps an *apierror.Error of kind NotRun with a retry delay: no runner
 // of the route is usable, all are busy, or ctx ended.
@@ -119,7 +120,7 @@
 	pool, found := balancer.pickService(request.Route)
 	if !found {
 		balancer.mutex.Unlock()
-		return nil, rejection("no runner takes work of route "+request.Route.Name+" now", noRunnerRetryAfter)
+		return nil, rejection("route "+request.Route.Name+" has no usable runner", noRunnerRetryAfter)
 	}
 	var delay time.Duration
 	if !balancer.hasEarlierWaiter(pool, request) {
@@ -140,7 +141,7 @@
 	return balancer.await(ctx, waiting, timeout, delay)
 }
 
-// rejection is the error of Acquire.
+// rejection returns the error of Acquire, with at least minRetryAfter as its retry delay.
 func rejection(message string, retryDelay time.Duration) error {
-	return apierror.NewRetryable(apierror.NotRun, message, "ask again later; operators: check the runner list and emptied domains", max(retryDelay, minRetryAfter))
+	return apierror.NewRetryable(apierror.NotRun, message, "retry later; operators: check the runner list and drained domains", max(retryDelay, minRetryAfter))
 }
--- a/system/balancer/estimators.go
+++ b/system/balancer/estimators.go
@@ -10,23 +10,23 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// average is a moving mean: the plain mean of the first averageWindow values, then
-// exponentially weighted.
+// average is a moving average: the arithmetic mean of the first averageWindow values,
+// exponentially weighted from then on.
 type average struct {
 	value float64
 	count float64
 }
 
-// averageWindow is the number of values that an average is taken over.
+// averageWindow is the number of values after which an average becomes exponential.
 const averageWindow = 32
 
-// add adds a value.
+// add includes a value.
 func (mean *average) add(value float64) {
 	mean.count = math.Min(mean.count+1, averageWindow)
 	mean.value += (value - mean.value) / mean.count
 }
 
-// valueOr returns the mean, or a default before the first value.
+// valueOr returns the mean, or the fallback before the first value.
 func (mean *average) valueOr(fallback float64) float64 {
 	if mean.count == 0 {
 		return fallback
@@ -35,12 +35,12 @@
 }
 
 const (
-	maxHalfLives     = 16 // what has decayed for longer counts as 0
+	maxHalfLives     = 16 // after these the remainder counts as 0
 	stepsPerHalfLife = 16 // points of decayCurve in one half-life
 )
 
-// decayCurve tabulates exponential decay. decayFactor interpolates between its points,
-// because it is called several times for each runner and request.
+// decayCurve tabulates exponential decay. decayFactor interpolates between its points
+// instead of computing powers, because it runs several times for each runner and request.
 var decayCurve = func() (points [maxHalfLives*stepsPerHalfLife + 2]float64) {
 	for index := range points {
 		points[index] = math.Exp2(-float64(index) / stepsPerHalfLife)
@@ -48,7 +48,7 @@
 	return points
 }()
 
-// decayFactor returns what is left of 1 after a time, by its half-life.
+// decayFactor returns the fraction that remains of a value after the elapsed time.
 func decayFactor(elapsed, halfLife time.Duration) float64 {
 	if elapsed <= 0 {
 		return 1
@@ -61,14 +61,14 @@
 	return decayCurve[index] + (decayCurve[index+1]-decayCurve[index])*(steps-float64(index))
 }
 
-// rateCounter measures a rate per second, over about the last second.
+// rateCounter measures a rate per second over about the last second.
 type rateCounter struct {
 	value     float64
 	updatedAt time.Duration
 }
 
-// rateHalfLife makes a rateCounter settle at the amount of about one second of a steady
-// rate: the sum of an exponential decay is its half-life divided by ln 2.
+// rateHalfLife makes a rateCounter converge to the amount of about one second of a steady
+// rate: the integral of an exponential decay is its half-life divided by ln 2.
 const rateHalfLife = 700 * time.Millisecond
 
 // add counts an amount.
@@ -77,7 +77,7 @@
 	counter.updatedAt = now
 }
 
-// rateAt returns the rate.
+// rateAt returns the rate per second.
 func (counter *rateCounter) rateAt(now time.Duration) float64 {
 	if counter.value == 0 {
 		return 0
@@ -86,13 +86,13 @@
 }
 
 // connectionEstimate estimates how many connections to a runner this front has open: the
-// peak of the requests in flight, less one for each connectionIdleTime since.
+// peak of the requests in flight, minus one for each connectionIdleTime since the peak.
 type connectionEstimate struct {
 	peak   int
 	peakAt time.Duration
 }
 
-// connectionIdleTime is the default idle timeout of the runner pool.
+// connectionIdleTime is the default idle timeout of package runnerpool.
 const connectionIdleTime = 4 * time.Second
 
 // countAt returns the estimate, which may be negative.
@@ -107,8 +107,8 @@
 	}
 }
 
-// timeWeightedMean is the recent mean of a number that changes in steps, each value
-// weighted by how long it lasted.
+// timeWeightedMean is the recent mean of a quantity that changes in steps, each value
+// weighted by its duration.
 type timeWeightedMean struct {
 	value     float64
 	updatedAt time.Duration
@@ -116,8 +116,8 @@
 
 const timeWeightedMeanHalfLife = 500 * time.Millisecond
 
-// update returns the mean, given the number's value since the last call. It must be called
-// before each change of the number.
+// update returns the mean, given the quantity's value since the last call. It must be
+// called before each change of the quantity.
 func (mean *timeWeightedMean) update(current float64, now time.Duration) float64 {
 	mean.value += (current - mean.value) * (1 - decayFactor(now-mean.updatedAt, timeWeightedMeanHalfLife))
 	mean.updatedAt = now
@@ -139,7 +139,7 @@
 	mean.updatedAt = now
 }
 
-// valueAt returns the mean.
+// valueAt returns the decayed mean.
 func (mean *decayingMean) valueAt(now time.Duration) float64 {
 	if mean.value == 0 {
 		return 0
--- a/system/balancer/fixtures_test.go
+++ b/system/balancer/fixtures_test.go
@@ -10,7 +10,7 @@
 	"yardrock.example/system/feed"
 )
 
-// fakeClock is a clock that tests advance by hand.
+// fakeClock is a clock that tests advance explicitly.
 type fakeClock struct{ time time.Time }
 
 func newFakeClock() *fakeClock { return &fakeClock{time: time.Unix(1_000_000, 0)} }
@@ -79,7 +79,7 @@
 	return balancer, clock, Request{Route: &route}
 }
 
-// mustAcquireAt acquires a lease on a certain runner by excluding all others.
+// mustAcquireAt acquires a lease on a specific runner by excluding all others.
 func mustAcquireAt(t *testing.T, balancer *Balancer, request Request, incarnation string) *Lease {
 	t.Helper()
 	for _, runner := range balancer.Status().Runners {
--- a/system/balancer/generational_cache.go
+++ b/system/balancer/generational_cache.go
@@ -3,14 +3,13 @@
 // cacheGenerationSize is the number of entries in one generation.
 const cacheGenerationSize = 8192
 
-// generationalCache is a map with a bounded number of entries that drops those that were
-// not put for longest. When the newer generation is full, it becomes the older one and
-// what was older is dropped.
+// generationalCache is a map of bounded size that evicts approximately the entries that
+// were put least recently: when the newer generation is full, it replaces the older one.
 type generationalCache[Value any] struct {
 	newer, older map[uint64]Value
 }
 
-// get returns the value of a key, if it is there.
+// get returns the value of a key and whether there is one.
 func (cache *generationalCache[Value]) get(key uint64) (Value, bool) {
 	value, found := cache.newer[key]
 	if !found {
--- a/system/balancer/health_checks.go
+++ b/system/balancer/health_checks.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// A cancelled request counts against its runner if the runner was silent for
-	// unresponsiveFactor times the expected latency and at least minUnresponsive. It has the
-	// weight unresponsiveWeight, because a slow runner and an impatient caller look alike.
+	// A cancelled request counts as a failure of its runner if the runner sent nothing for
+	// unresponsiveFactor times the expected latency and at least minUnresponsive. It has only
+	// the weight unresponsiveWeight, because the caller may have had a short deadline.
 	unresponsiveFactor = 4
 	minUnresponsive    = 500 * time.Millisecond
 	unresponsiveWeight = 0.5
 )
 
-// recordOutcome is the passive health check: it takes the outcome of a lease into
-// account for later choices.
+// recordOutcome is the passive health check: it updates the runner's health and latency
+// estimates by the outcome of a lease.
 func (lease *Lease) recordOutcome(outcome Outcome, now time.Duration) {
 	state := lease.state
 	if lease.recoveryProbe {
@@ -45,7 +45,7 @@
 }
 
 // recordFailure records a failure and ejects the runner if it failed too often and the
-// service can do without it.
+// remaining runners of the service suffice.
 func (lease *Lease) recordFailure(weight float64, now time.Duration) {
 	health := &lease.state.health
 	if health.recordFailure(weight, now) && !health.ejected(now) && lease.balancer.canEject(lease.Service.Name, lease.state, now) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// recordMisdirection removes a runner whose address belongs to another one. Without a
+// recordMisdirection removes a runner whose address now belongs to another one. Without an
 // incarnation it cannot be distinguished from its successor and is only ejected.
 func (lease *Lease) recordMisdirection(now time.Duration) {
 	if lease.Runner.Life == "" {
@@ -66,8 +66,8 @@
 	lease.balancer.removeRunner(lease.state)
 }
 
-// recordCancelled records a cancelled request. Only a long silence counts against the
-// runner.
+// recordCancelled records a cancelled request. It counts against the runner only if there
+// was no event for much longer than expected.
 func (lease *Lease) recordCancelled(now time.Duration) {
 	expected, elapsed := lease.expectedLatency(), milliseconds(now-lease.acquiredAt)
 	if lease.firstEventSeen || elapsed < max(milliseconds(minUnresponsive), unresponsiveFactor*expected) {
--- a/system/balancer/latency_estimates.go
+++ b/system/balancer/latency_estimates.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// durationWeight and firstEventWeight are the weights of one measurement in a runner's
-	// excess latency. The durations of plain work vary more than first events.
+	// durationWeight and firstEventWeight are the weights of one sample in a runner's excess
+	// latency. Durations of plain work vary more than first-event latencies.
 	durationWeight   = 0.05
 	firstEventWeight = 0.2
-	// maxSlowdown bounds how many times the expected duration one measurement counts as.
+	// maxSlowdown bounds one sample, as a multiple of the expected duration.
 	maxSlowdown = 8
 	// defaultPlainDuration is the expected duration of plain work, in milliseconds, before
 	// the first measurement.
@@ -18,24 +18,24 @@
 )
 
 const (
-	// regressionDecay is the factor on the weight of older points with each new one.
+	// regressionDecay is the factor by which each new point lowers the weight of older ones.
 	regressionDecay = 0.995
-	// minRegressionPoints is the weight of points, and minRegressionVariance their variance
-	// in tokens squared, from which on the fit is used.
+	// minRegressionPoints is the total weight of the points, and minRegressionVariance their
+	// variance in tokens squared, that the fit requires.
 	minRegressionPoints   = 16
 	minRegressionVariance = 1e4
-	// The prefill rate is in tokens per millisecond; measured ones are limited to
+	// Prefill rates are in tokens per millisecond. Measured ones are clamped to
 	// minPrefillRate and maxPrefillRate.
 	defaultPrefillRate = 38
 	minPrefillRate     = 4
 	maxPrefillRate     = 400
-	// defaultBaseLatency is the assumed latency of a first event without prefill, in
+	// defaultBaseLatency is the assumed first-event latency without prefill, in
 	// milliseconds.
 	defaultBaseLatency = 40
 )
 
-// regression fits a line to the latency of first events over the number of uncached
-// prompt tokens, by least squares with exponentially decaying weights.
+// regression fits a line to the first-event latency as a function of the number of
+// uncached prompt tokens, by least squares with exponentially decaying weights.
 type regression struct {
 	count, x, y, xx, xy float64 // weighted sums
 }
@@ -62,7 +62,7 @@
 	return math.Min(maxPrefillRate, math.Max(minPrefillRate, 1/slope))
 }
 
-// base returns the latency of a first event without prefill, in milliseconds.
+// base returns the first-event latency without prefill, in milliseconds.
 func (fit *regression) base() float64 {
 	if fit.count < minRegressionPoints {
 		return defaultBaseLatency
@@ -79,7 +79,7 @@
 	return lease.stats.expectedDuration(lease.request.Route.Name)
 }
 
-// recordFirstEvent records the latency of a first event, in milliseconds.
+// recordFirstEvent records a first-event latency, in milliseconds.
 func (lease *Lease) recordFirstEvent(latency float64, now time.Duration) {
 	lease.state.excessLatency.add(latency-lease.expectedLatency(), firstEventWeight, now)
 	lease.stats.prefill.add(lease.prefillTokens, latency)
@@ -101,7 +101,8 @@
 	lease.state.excessLatency.add(excessFraction(duration, math.Max(1, mean.value)), durationWeight, now)
 }
 
-// excessFraction returns by what fraction a duration exceeds the expected one.
+// excessFraction returns the fraction by which a duration exceeds the expected one, at
+// most maxSlowdown - 1.
 func excessFraction(duration, expected float64) float64 {
 	return math.Min(maxSlowdown, duration/expected) - 1
 }
--- a/system/balancer/lease.go
+++ b/system/balancer/lease.go
@@ -15,27 +15,27 @@
 type Lease struct {
 	Runner  feed.Runner
 	Service *config.Service
-	// MaxConnections is how many connections this front may have to the runner.
+	// MaxConnections is how many connections this front may have open to the runner.
 	MaxConnections int
 
 	balancer    *Balancer
 	stats       *serviceStats
 	state       *runnerState
 	request     Request
-	affinityKey uint64        // 0: none
-	acquiredAt  time.Duration // since the balancer was made
-	// prefillTokens is how many prompt tokens were assumed not to be in the prefix cache.
+	affinityKey uint64        // 0 if none
+	acquiredAt  time.Duration // since the balancer was created
+	// prefillTokens is how many prompt tokens the runner was assumed not to have cached.
 	prefillTokens    float64
 	inFlight         int     // this front's other requests at the runner when it was chosen
-	load             float64 // estimated requests of all fronts there then, this one not counted
+	load             float64 // estimatedLoad of the runner when it was chosen, without this request
 	firstEventSeen   bool
 	released         bool
-	slowStartLimited bool // it took a token of the runner's slow start
-	recoveryProbe    bool // it tests a runner that was ejected
+	slowStartLimited bool // it took a slow-start token of the runner
+	recoveryProbe    bool // it is a probe of a runner that was ejected
 	prefilled        bool // the runner has processed the prompt
 }
 
-// newLease counts a request as in flight at a candidate.
+// newLease returns a lease on a candidate and counts its request as in flight.
 func (balancer *Balancer) newLease(pool *servicePool, chosen *candidate, request *Request, now time.Duration) *Lease {
 	state := chosen.state
 	prefillTokens := math.Max(0, promptTokens(request)-balancer.cachedTokens(state))
@@ -62,21 +62,21 @@
 	return lease
 }
 
-// Incarnation identifies the process at the runner's address, or the address if that is all
-// that is known. It is what Request.CachedAt refers to.
+// Incarnation identifies the process at the runner's address, or the service and address
+// if the process is not known. CacheLocation.Runner has the same form.
 //
-//	end.Runner = lease.Incarnation()
+//	location.Runner = lease.Incarnation()
 func (lease *Lease) Incarnation() string { return runnerKey(lease.Runner) }
 
 // PromptTokens returns the length of the prompt, in tokens.
 //
-//	end.Tokens = lease.PromptTokens()
+//	location.Tokens = lease.PromptTokens()
 func (lease *Lease) PromptTokens() int { return int(promptTokens(&lease.request)) }
 
-// Valid reports whether, by the newest state, the request may still be sent: the runner
+// Valid reports whether the newest state still allows sending the request: the runner
 // is listed and not draining, its domain is not drained, the route still has its host
-// and prefix, and the service still has a share of the route. Call it right before the
-// first byte is sent. It takes no lock.
+// and prefix, and the service still has a share of the route. Call it right before
+// sending the first byte. It takes no lock.
 //
 //	if !lease.Valid() {
 //		lease.Release(balancer.NotSent, nil)
@@ -93,8 +93,8 @@
 	return lease.Serves(route)
 }
 
-// Serves reports whether the lease's service has a share of a route. Call it, besides
-// Valid, when the request now matches another route than the one it was acquired for.
+// Serves reports whether the lease's service has a share of a route. Call it in addition
+// to Valid if the request now matches another route than the one it was acquired for.
 //
 //	if !lease.Valid() || !lease.Serves(route) {
 //		lease.Release(balancer.NotSent, nil)
@@ -123,8 +123,7 @@
 	lease.recordFirstEvent(milliseconds(latency), lease.balancer.elapsed())
 }
 
-// markPrefilled records that the runner has processed the prompt, and so has it in its
-// prefix cache.
+// markPrefilled records that the runner has processed the prompt and cached it.
 func (lease *Lease) markPrefilled() {
 	if lease.prefilled {
 		return
@@ -134,8 +133,9 @@
 	lease.balancer.recordCached(lease.request.PromptParts, lease.state)
 }
 
-// Release ends the lease and reports the outcome; load is what the runner reported with
-// its response, or nil. Only the first call counts. Waiting requests may be served.
+// Release ends the lease and reports the outcome; load is the load that the runner
+// reported with its response, or nil. Only the first call counts. It grants leases to
+// waiting requests that can now be served.
 //
 //	lease.Release(balancer.Answered, response.Load)
 func (lease *Lease) Release(outcome Outcome, load *runnerpool.Load) {
--- a/system/balancer/outlier_ejection.go
+++ b/system/balancer/outlier_ejection.go
@@ -6,65 +6,64 @@
 )
 
 const (
-	// failureHalfLife is the time in which past outcomes lose half of their weight.
+	// failureHalfLife is the half-life of the weight of past outcomes.
 	failureHalfLife = 4 * time.Second
 	// A runner is ejected when its weighted failures reach minEjectionFailures and make up
 	// ejectionFailureRatio of its outcomes.
 	ejectionFailureRatio = 0.35
 	minEjectionFailures  = 2.5
-	// The first ejection takes baseEjectionTime, each further one twice as long as the one
-	// before, up to maxEjectionTime.
+	// The first ejection lasts baseEjectionTime, each further one twice as long as the last,
+	// up to maxEjectionTime.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 16 * time.Second
 	// maxEjectedFraction is the fraction of a service's runners that may be ejected at the
 	// same time.
 	maxEjectedFraction = 1.0 / 3
-	// maxRemainingUtilization is the fraction of the remaining runners' slots that the
-	// demand may take after an ejection.
+	// maxRemainingUtilization is the fraction of the remaining runners' slots that may be in
+	// use after an ejection.
 	maxRemainingUtilization = 0.8
-	// A runner that loses a request is ejected for firstLossEjectionTime if it did well
-	// before, otherwise for baseLossEjectionTime, doubled with each consecutive loss up to
-	// maxLossEjectionTime. One loss may be a connection that the runner closed.
+	// A runner that loses a request is ejected for firstLossEjectionTime if it was healthy,
+	// because one loss may be a connection that the runner closed. Otherwise it is ejected
+	// for baseLossEjectionTime, doubled with each consecutive loss up to maxLossEjectionTime.
 	firstLossEjectionTime = 250 * time.Millisecond
 	baseLossEjectionTime  = time.Second
 	maxLossEjectionTime   = 8 * time.Second
-	// maxLossDoublings keeps the doubling within a time.Duration; the limit is reached before.
+	// maxLossDoublings prevents an overflow; maxLossEjectionTime is reached before.
 	maxLossDoublings = 4
-	// recoveredFailures is how many weighted failures at most still count once a runner has
-	// recovered.
+	// recoveredFailures caps the weighted failures of a runner that has recovered.
 	recoveredFailures = 0.5
-	// fullBackoff is for how long a runner that rejected a request counts as full.
+	// fullBackoff is how long a runner that rejected a request counts as full.
 	fullBackoff = 150 * time.Millisecond
-	// recoveryProbes is how many requests, sent one at a time, must succeed before a runner
-	// that was ejected takes its full part again.
+	// recoveryProbes is how many requests, sent one at a time, must succeed before an ejected
+	// runner receives its full share of requests again.
 	recoveryProbes = 3
-	// failureCostMilliseconds is the cost of a failed request besides its time.
+	// failureCostMilliseconds is the cost of a failed request in addition to its latency.
 	failureCostMilliseconds = 400
-	// failurePrior is the number of successful outcomes added to the measured ones when the
-	// failure probability is computed, so that a few outcomes do not decide it.
+	// failurePrior is the number of successful outcomes added to the observed ones in the
+	// failure probability, which keeps a few outcomes from dominating it.
 	failurePrior = 10
 )
 
-// health is the record of a runner's outcomes and its ejection.
+// health holds a runner's weighted outcomes and its ejection state.
 type health struct {
 	failures, completions float64 // weighted; they decay with failureHalfLife
 	decayedAt             time.Duration
 	ejectedUntil          time.Duration
 	fullUntil             time.Duration
 	ejectionTime          time.Duration // of the last ejection
-	probesNeeded          int           // successes until the runner has recovered
+	probesNeeded          int           // successful probes until the runner has recovered
 	probesInFlight        int
 	consecutiveLosses     int
 	lastLoss              time.Duration
 }
 
-// decay applies the decay since the last call.
+// decay applies the exponential decay since the last call.
 func (state *health) decay(now time.Duration) {
 	remaining := decayFactor(now-state.decayedAt, failureHalfLife)
 	state.failures, state.completions, state.decayedAt = state.failures*remaining, state.completions*remaining, now
 }
 
-// failureProbability estimates how probable it is that the next request fails.
+// failureProbability estimates the probability that the next request fails.
 func (state *health) failureProbability(now time.Duration) float64 {
 	if state.failures == 0 {
 		return 0
@@ -73,11 +72,11 @@
 	return state.failures * remaining / (state.completions*remaining + failurePrior)
 }
 
-// ejected reports whether the runner gets no requests.
+// ejected reports whether the runner is ejected.
 func (state *health) ejected(now time.Duration) bool { return now < state.ejectedUntil }
 
-// delay returns after what time the runner may get a request; 0: now. After an ejection
-// it gets one probe at a time.
+// delay returns how long until the runner may get a request; 0 means now. After an
+// ejection it gets one probe at a time.
 func (state *health) delay(now time.Duration) time.Duration {
 	wait := max(0, state.ejectedUntil-now, state.fullUntil-now)
 	if wait == 0 && state.probesNeeded > 0 && state.probesInFlight > 0 {
@@ -112,7 +111,7 @@
 	}
 }
 
-// recordFailure records a failure with a weight, 1 for a certain one, and reports
+// recordFailure records a failure with a weight, 1 for a definite failure, and reports
 // whether the runner should be ejected.
 func (state *health) recordFailure(weight float64, now time.Duration) bool {
 	state.decay(now)
@@ -122,15 +121,15 @@
 	return probeFailed || state.failures >= minEjectionFailures && state.failures >= ejectionFailureRatio*(state.completions+1)
 }
 
-// eject ejects the runner for twice as long as the last time.
+// eject ejects the runner for twice as long as the last time, up to maxEjectionTime.
 func (state *health) eject(now time.Duration) {
 	state.ejectionTime = min(maxEjectionTime, max(baseEjectionTime, 2*state.ejectionTime))
 	state.ejectedUntil, state.probesNeeded = now+state.ejectionTime, recoveryProbes
 }
 
-// recordLoss ejects the runner at once because a request to it was lost. Requests that
-// were in flight together when the runner went away count as one loss: acquiredAt is
-// when this one was leased.
+// recordLoss ejects the runner at once because a request to it was lost. Requests leased
+// before the last recorded loss belong to the same loss; acquiredAt is when this one was
+// leased.
 func (state *health) recordLoss(acquiredAt, now time.Duration) {
 	if state.consecutiveLosses > 0 && acquiredAt <= state.lastLoss {
 		return
@@ -144,8 +143,9 @@
 	state.ejectedUntil, state.probesNeeded = max(state.ejectedUntil, now+ejection), max(state.probesNeeded, 1)
 }
 
-// canEject reports whether a service can do without one more runner: not too many are
-// ejected, and the remaining ones can serve what all fronts together demand.
+// canEject reports whether one more runner of a service may be ejected: at most
+// maxEjectedFraction are ejected then, and the remaining ones have enough slots for the
+// estimated demand of all fronts.
 func (balancer *Balancer) canEject(service string, state *runnerState, now time.Duration) bool {
 	current := balancer.topology.Load()
 	pool := current.services[service]
--- a/system/balancer/prefix_affinity.go
+++ b/system/balancer/prefix_affinity.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// The cache horizon is for how long a runner is assumed to keep a prompt part in its
-	// prefix cache without using it: cacheHorizonFraction of the time in which new tokens
-	// fill the cache, limited to minCacheHorizon and maxCacheHorizon.
+	// The cache horizon is how long a runner is assumed to keep an unused prompt part in its
+	// prefix cache: cacheHorizonFraction of the time in which new tokens fill the cache,
+	// clamped to minCacheHorizon and maxCacheHorizon.
 	minCacheHorizon      = 4 * time.Second
 	maxCacheHorizon      = 10 * time.Minute
 	cacheHorizonFraction = 0.7
-	// unknownPartsCachedFraction is the fraction of a prompt whose parts are not known that
-	// the runner of the program's last request is assumed to have cached.
+	// unknownPartsCachedFraction is the fraction of a prompt with unknown parts that the
+	// runner of the program's last request is assumed to have cached.
 	unknownPartsCachedFraction = 0.8
 )
 
-// cachedPart is the set of runners that have processed a prompt part.
+// cachedPart lists the runners that have processed a prompt part.
 type cachedPart struct {
 	copies []cachedCopy
 }
 
-// cachedCopy is one runner that has processed a prompt part.
+// cachedCopy is a runner's assumed copy of a prompt part in its prefix cache.
 type cachedCopy struct {
 	state    *runnerState
 	lastUsed time.Duration
-	tokens   int // the longest extent of the part that it has seen
+	tokens   int // the longest length of the part that the runner has processed
 }
 
 // recordCached records that a runner has processed prompt parts.
@@ -43,8 +43,8 @@
 	}
 }
 
-// record adds a runner or renews its entry. Entries of runners that left the list are
-// dropped when one is added.
+// record adds or refreshes the copy of a runner. Adding one drops those of runners that
+// left the runner list.
 func (part *cachedPart) record(state *runnerState, tokens int, now time.Duration) {
 	index := slices.IndexFunc(part.copies, func(entry cachedCopy) bool { return entry.state == state })
 	if index >= 0 {
@@ -56,8 +56,9 @@
 }
 
 // markCached sets on every runner how many leading tokens of a request's prompt it has
-// probably cached, as far as this front knows. A part counts only if all parts before it
-// are cached completely, as a prefix cache needs. The marks are valid until the next call.
+// probably cached. A part counts only if all parts before it are cached completely, because
+// a prefix cache matches from the start of the prompt. The marks are valid until the next
+// call.
 func (balancer *Balancer) markCached(pool *servicePool, request *Request, now time.Duration) {
 	balancer.affinityEpoch++
 	if pool.service.Engine == nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// markCacheLocation marks the runner that served the conversation last.
+// markCacheLocation marks the runner that the request names in CachedAt.
 func (balancer *Balancer) markCacheLocation(request *Request) {
 	state, found := balancer.runners[request.CachedAt.Runner]
 	if !found {
@@ -95,14 +96,15 @@
 	state.cacheLocationTokens = min(request.CachedAt.Tokens, int(promptTokens(request)))
 }
 
-// resetMarks removes the marks of an earlier request.
+// resetMarks clears the marks of an earlier request.
 func (state *runnerState) resetMarks(epoch uint64) {
 	if state.affinityEpoch != epoch {
 		state.affinityEpoch, state.cachedDepth, state.cachedTokens, state.cacheLocationTokens = epoch, 0, 0, 0
 	}
 }
 
-// markPart adds the cached tokens of the part at a depth of the prompt.
+// markPart adds the cached tokens of the prompt part with an index, if all parts before
+// it are cached completely.
 func (state *runnerState) markPart(depth, tokens int, complete bool, epoch uint64) {
 	state.resetMarks(epoch)
 	if state.cachedDepth != depth {
@@ -115,8 +117,7 @@
 }
 
 // cachedTokens returns how many leading tokens of the prompt last passed to markCached a
-// runner has probably cached: those that this front sent to it, or those that its conversation
-// left there.
+// runner has probably cached, by this front's own requests or by Request.CachedAt.
 func (balancer *Balancer) cachedTokens(state *runnerState) float64 {
 	if state.affinityEpoch != balancer.affinityEpoch {
 		return 0
@@ -138,7 +139,7 @@
 	return max(minCacheHorizon, time.Duration(seconds*float64(time.Second)))
 }
 
-// promptTokens returns the length of a request's prompt.
+// promptTokens returns the length of a request's prompt in tokens.
 func promptTokens(request *Request) float64 {
 	tokens := 0
 	for _, part := range request.PromptParts {
--- a/system/balancer/rendezvous_hashing.go
+++ b/system/balancer/rendezvous_hashing.go
@@ -1,8 +1,8 @@
 package balancer
 
-// affinityKeyOf returns the key that requests have in common that should go to the same
-// runner: of the program or else the session for model work, of the caller's affinity
-// key for plain work on a sticky route. 0 means no preference.
+// affinityKeyOf returns the hash key of a request; requests with equal keys should go to the
+// same runner. It is that of the program, or else of the session, for model work, otherwise
+// that of the caller's affinity key on a sticky route. 0 means no preference.
 func affinityKeyOf(request *Request, isModel bool) uint64 {
 	switch {
 	case isModel && request.Program != "":
@@ -16,8 +16,8 @@
 }
 
 // rendezvousRunner returns the runner with the highest rendezvous hash for a key. All
-// fronts of a domain compute the same one from the same list without talking to each
-// other, and a change of the list moves only the keys of the runners that changed.
+// fronts of a domain compute the same one from the same list without coordination, and a
+// change of the list moves only the keys of the runners that changed.
 func (pool *servicePool) rendezvousRunner(key uint64) *runnerState {
 	var best *runnerState
 	highest := uint64(0)
@@ -39,7 +39,7 @@
 	fnvPrime       = 1099511628211
 )
 
-// hashOf returns the FNV-1a hash of a text with its bits mixed. It is the same in every
+// hashOf returns the FNV-1a hash of a text, passed through mixBits. It is the same in every
 // process, unlike that of hash/maphash.
 func hashOf(text string) uint64 {
 	hash := uint64(fnvOffsetBasis)
--- a/system/balancer/selection.go
+++ b/system/balancer/selection.go
@@ -7,10 +7,10 @@
 )
 
 // selectRunner leases the candidate with the lowest cost among those that may get a
-// request now. If all are ejected, the one with the lowest cost counting the remaining
-// ejection is leased all the same: a runner that may have recovered is better than
-// none. Otherwise it returns no lease and after what delay a candidate may be free,
-// provided that no other request ends before.
+// request now. If there is none, it falls back to the ejected candidate with the lowest sum
+// of cost and remaining delay, because it may have recovered; full ones and those delayed
+// by slow start are left out. Otherwise it returns no lease and the delay after which a
+// candidate may be free, provided that no other request ends before.
 func (balancer *Balancer) selectRunner(pool *servicePool, request *Request, now time.Duration) (*Lease, time.Duration) {
 	balancer.markCached(pool, request, now)
 	model := balancer.newCostModel(pool, request, now)
@@ -23,8 +23,8 @@
 			continue
 		}
 		slowStartDelay, ejectionDelay := candidate.state.slowStart.delay(listFreshUntil, now), candidate.state.health.delay(now)
-		// The cost is computed for all candidates, whether it is needed or not: for plain
-		// work it draws a random number.
+		// The cost of plain work draws a random number. It is computed even if it is not used,
+		// so that the random sequence does not depend on which candidates are full or delayed.
 		cost := model.cost(candidate)
 		if model.full(candidate) {
 			slotDelay := time.Duration(model.duration / float64(candidate.slots) * float64(time.Millisecond))
--- a/system/balancer/slow_start.go
+++ b/system/balancer/slow_start.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// slowStartBurst is how many requests a front may send to a runner in slow start at
-	// once. With more than one, the fronts together could exceed the limit.
+	// slowStartBurst is the token bucket size of a front for a runner in slow start. With
+	// more than 1, the fronts together could exceed the limit.
 	slowStartBurst = 1
-	// staleListRetry is the retry delay of requests that find no runner only because the
-	// runner list is too old.
+	// staleListRetry is the shortest delay until a request that finds no runner because the
+	// runner list is out of date checks again.
 	staleListRetry = 50 * time.Millisecond
 )
 
-// slowStart limits the rate of requests to a runner that warms up, if its service has a
-// warm-up rate. A token bucket holds this front's share of the rate.
+// slowStart limits the rate of requests to a runner that is warming up, if its service has a
+// warm-up rate, by a token bucket that refills at this front's share of the rate.
 //
-// A runner warms up when the runner list says so, and in addition for the service's
-// warm-up time after it appeared or its domain was restored, whatever the list says.
-// While the list is too old to be trusted, any runner of such a service is limited.
+// A runner is warming up if the runner list says so, and for the service's warm-up time
+// after its domain was restored, or after it appeared in the list without a remaining
+// warm-up, whatever later lists say. While the list is out of date, every runner of such a
+// service is limited.
 type slowStart struct {
 	enabled      bool          // the service has a warm-up rate
 	until        time.Duration // end of the warm-up
-	assumedUntil time.Duration // end of the warm-up that this front assumes by itself
+	assumedUntil time.Duration // end of the warm-up that this front assumes regardless of the list
 	lastEntry    listEntry
 	share        rateShare
 	tokens       float64
 	refilledAt   time.Duration
 }
 
-// listEntry is what the runner list last said of a runner. Only a change restarts the
-// remaining warm-up time, which counts from when the list was read.
+// listEntry is a runner's entry in the runner list, as far as it concerns the warm-up. Only
+// a changed entry restarts the remaining warm-up time, which counts from the read of the
+// list.
 type listEntry struct {
 	valid  bool
 	state  string
@@ -42,8 +44,8 @@
 	since  int64
 }
 
-// observe takes over what the runner list says. fresh means that the runner has just
-// appeared, restored that its domain takes work again.
+// observe applies a runner's entry in the runner list. isNew means that the runner has just
+// appeared, restored that its domain is no longer drained.
 func (start *slowStart) observe(runner feed.Runner, service *config.Service, isNew, restored bool, now time.Duration) {
 	start.enabled = service.WarmUpRate > 0
 	if !start.enabled {
@@ -67,16 +69,16 @@
 	}
 }
 
-// active reports whether the runner warms up.
+// active reports whether the runner is warming up.
 func (start *slowStart) active(now time.Duration) bool { return now < start.until }
 
-// limited reports whether the runner gets no more than the warm-up rate: it warms up,
-// or the runner list is too old to exclude that.
+// limited reports whether the runner gets no more than the warm-up rate: it is warming up,
+// or the runner list is too old to rule that out.
 func (start *slowStart) limited(listFreshUntil, now time.Duration) bool {
 	return start.active(now) || start.enabled && now >= listFreshUntil
 }
 
-// delay returns after what time the runner may get a request from this front; 0: now.
+// delay returns how long until this front may send the runner a request; 0 means now.
 func (start *slowStart) delay(listFreshUntil, now time.Duration) time.Duration {
 	if !start.limited(listFreshUntil, now) {
 		return 0
@@ -95,7 +97,7 @@
 	return wait
 }
 
-// refill adds the tokens of the time since the last refill.
+// refill adds the tokens for the time since the last refill.
 func (start *slowStart) refill(now time.Duration) {
 	start.share.applyPending(now)
 	start.tokens = math.Min(slowStartBurst, start.tokens+start.share.rate*(now-start.refilledAt).Seconds())
--- a/system/balancer/status.go
+++ b/system/balancer/status.go
@@ -9,7 +9,7 @@
 
 // Status is a snapshot of a balancer for operators and tests.
 type Status struct {
-	Queued  int            // requests that wait for a runner
+	Queued  int            // requests waiting for a runner
 	Runners []RunnerStatus // usable runners, by incarnation
 }
 
@@ -17,8 +17,8 @@
 type RunnerStatus struct {
 	Runner    feed.Runner
 	InFlight  int  // this front's requests
-	SlowStart bool // it warms up, and gets a limited rate of requests
-	Ejected   bool // it gets no requests for a while because it failed
+	SlowStart bool // it is warming up and gets requests at a limited rate
+	Ejected   bool // it gets no requests for a while because of failures
 }
 
 // Status returns the number of waiting requests and the state of all usable runners.
@@ -43,26 +43,25 @@
 	return status
 }
 
-// Choice says what the choice of a lease's runner rested on, for logs.
+// Choice is what is logged about the choice of a lease's runner.
 type Choice struct {
 	Service string
-	// Runner is the incarnation of the runner, and Local says whether it is in this front's
-	// domain.
+	// Runner is the incarnation of the runner, Local whether it is in this front's domain.
 	Runner string
 	Local  bool
-	// PromptTokens is the length of the prompt, PrefillTokens how many of these were assumed
-	// not to be in the runner's prefix cache.
+	// PromptTokens is the length of the prompt, PrefillTokens how many of its tokens the
+	// runner was assumed not to have cached.
 	PromptTokens  int
 	PrefillTokens int
 	// InFlight is how many requests this front had at the runner before this one, and
 	// EstimatedLoad how many all fronts were estimated to have there.
 	InFlight      int
 	EstimatedLoad float64
-	// SlowStart says whether the runner was warming up.
+	// SlowStart is whether the runner was limited to the warm-up rate.
 	SlowStart bool
 }
 
-// Describe returns what the choice of the runner rested on.
+// Describe returns the inputs and result of the choice of the runner.
 //
 //	choice := lease.Describe()
 func (lease *Lease) Describe() Choice {
--- a/system/balancer/topology.go
+++ b/system/balancer/topology.go
@@ -11,15 +11,15 @@
 
 const (
 	// sharedConnectionFraction is the fraction of a runner's connection limit that the
-	// fronts divide among themselves; the rest absorbs a change in their number.
+	// fronts divide among themselves; the rest is a reserve for changes in their number.
 	sharedConnectionFraction = 0.8
-	// minConnections is the connection limit of one front to one runner at least.
+	// minConnections is the lower bound of one front's connection limit to one runner.
 	minConnections = 2
 	// defaultSlots is how many requests a runner is assumed to process at a time if
-	// neither the runner list nor the service says so.
+	// neither the runner list nor the service states it.
 	defaultSlots = 8
 	// runnerStateRetention is how long the measurements of a runner are kept after it
-	// left the runner list: a runner that is missing from one reading is not new.
+	// left the runner list, so that a runner missing from one read does not count as new.
 	runnerStateRetention = 30 * time.Second
 )
 
@@ -40,7 +40,7 @@
 	slots       int // sum over the candidates
 	domainCount int // number of domains with candidates
 	localCount  int // candidates in this front's domain
-	// preferLocal says that this front's domain has at least half of its fair share of the
+	// preferLocal is whether this front's domain has at least half of its fair share of the
 	// candidates, so that affinity may be restricted to them without overloading them.
 	preferLocal bool
 }
@@ -56,18 +56,18 @@
 
 // serviceStats are the measurements of a service. They outlive the topology.
 type serviceStats struct {
-	hadRunners     bool // a runner that appears later has just started
+	hadRunners     bool // runners were listed before, so one that appears now has just started
 	inFlight       int  // this front's requests
 	meanInFlight   timeWeightedMean
-	prefill        regression // milliseconds to the first event over uncached prompt tokens
+	prefill        regression // first-event latency in milliseconds over uncached prompt tokens
 	duration       average    // milliseconds
 	routeDurations map[string]*average
 	arrivals       rateCounter // requests
 	prefillTokens  rateCounter // uncached prompt tokens
 }
 
-// runnerState is what this front knows of one incarnation of a runner, that is of one process
-// at one address. It outlives the topology.
+// runnerState is what this front knows about one incarnation of a runner, that is, one
+// process at one address. It outlives the topology.
 type runnerState struct {
 	hash             uint64        // of runnerKey, the same at every front
 	lastListed       time.Duration // when it was last on the runner list
@@ -84,16 +84,16 @@
 	reportedAt       time.Duration
 	inFlightAtReport int // this front's requests when the load was reported
 	hasReport        bool
-	misdirected      bool // another runner has its address
+	misdirected      bool // another runner answers at its address
 
-	// The following are valid if affinityEpoch is that of the balancer.
+	// The fields below are valid if affinityEpoch equals that of the balancer.
 	affinityEpoch       uint64
 	cachedDepth         int // leading parts of the prompt that are cached completely
-	cachedTokens        int // leading tokens of the prompt that this front knows to be cached
-	cacheLocationTokens int // leading tokens that the runner had when it served the conversation last
+	cachedTokens        int // leading tokens probably cached, judging by this front's own requests
+	cacheLocationTokens int // leading tokens probably cached, judging by Request.CachedAt
 }
 
-// Update replaces the state that choices rest on. Call it on every newer view or
+// Update replaces the state that runners are selected by. Call it for every newer view or
 // routing and whenever the set of live fronts changes. A state without view or routing
 // is ignored.
 //
@@ -177,8 +177,9 @@
 		known.slowStart.share = balancer.fronts.shareOf(known.hash, rate, balancer.seed, now)
 		balancer.runners[key] = known
 	}
-	// A runner is new if its incarnation is, unless this front itself is new to the service.
-	// Without an incarnation, one that was missing from the previous list may have restarted.
+	// A runner with an unknown key is new, unless this front has not seen runners of the
+	// service before. Without an incarnation, one missing from the previous list may have
+	// restarted.
 	isNew := !found && pool.stats.hadRunners || found && runner.Life == "" && known.lastListed != balancer.fronts.lastUpdate
 	known.slowStart.observe(runner, pool.service, isNew, restored, now)
 	known.slowStart.share.set(balancer.fronts.current.shareOf(known.hash, rate, balancer.seed), now)
@@ -186,7 +187,8 @@
 	return known
 }
 
-// countDomains fills in how the candidates are spread over the domains.
+// countDomains sets the fields that depend on the distribution of the candidates over
+// domains.
 func (pool *servicePool) countDomains() {
 	domains, local := map[string]bool{}, 0
 	for _, candidate := range pool.candidates {
@@ -199,8 +201,8 @@
 	pool.preferLocal = 2*local*len(domains) >= len(pool.candidates) && local > 0
 }
 
-// dropUnused drops the measurements of runners that left the list a while ago, and the
-// state of routes and services that no longer exist.
+// dropUnused drops the measurements of runners that left the list more than
+// runnerStateRetention ago, and the state of routes and services that no longer exist.
 func (balancer *Balancer) dropUnused(next *topology, now time.Duration) {
 	for key, known := range balancer.runners {
 		if !known.listed && known.inFlight == 0 && now-known.lastListed > runnerStateRetention {
@@ -231,7 +233,7 @@
 	return slots
 }
 
-// connectionLimit returns how many connections one of so many fronts may open to a
+// connectionLimit returns how many connections one of frontCount fronts may open to a
 // runner of a service.
 func connectionLimit(service *config.Service, frontCount int) int {
 	if service.MaxConnections <= 0 {
@@ -240,7 +242,8 @@
 	return max(minConnections, int(sharedConnectionFraction*float64(service.MaxConnections)/float64(frontCount)))
 }
 
-// runnerKey identifies one incarnation of a runner, or its address if no incarnation is known.
+// runnerKey identifies one incarnation of a runner, or its service and address if no
+// incarnation is known.
 func runnerKey(runner feed.Runner) string {
 	if runner.Life != "" {
 		return runner.Life
@@ -248,9 +251,9 @@
 	return runner.Group + "/" + runner.Address
 }
 
-// restoredDomains returns the domains that were drained before this view and now take
-// work again, and remembers the domains of the view. Their runners may have gone cold
-// while they were idle. A drain and restore between two views shows in Since.
+// restoredDomains returns the domains that were drained and no longer are, and stores the
+// domains of the view. Their runners were idle and may have cold caches. A drain and
+// restore between two views is detected by a changed Since.
 func (balancer *Balancer) restoredDomains(view *feed.View) map[string]bool {
 	restored := map[string]bool{}
 	for _, domain := range view.Domains {
@@ -264,8 +267,8 @@
 	return restored
 }
 
-// removeRunner takes a runner out of the topology before the next Update does: another
-// runner has its address. The counts of domains stay as they were until then.
+// removeRunner removes a misdirected runner from the topology without waiting for the next
+// Update. The domain counts stay unchanged until then.
 func (balancer *Balancer) removeRunner(state *runnerState) {
 	current := balancer.topology.Load()
 	next := &topology{services: map[string]*servicePool{}, routes: current.routes, usable: map[*runnerState]bool{}, frontCount: current.frontCount}
--- a/system/balancer/types.go
+++ b/system/balancer/types.go
@@ -14,48 +14,48 @@
 	Tokens int    // length of the part
 }
 
-// Request describes the work for which a runner is wanted.
+// Request describes a request that needs a runner.
 type Request struct {
 	// Route is the matched route. Required.
 	Route *config.Route
-	// PromptParts is the prompt of model work, in order. It is empty for plain work and
-	// for prompts whose parts are not known.
+	// PromptParts are the parts of the prompt of model work, in order. It is empty for plain
+	// work and for prompts whose parts are not known.
 	PromptParts []PromptPart
 	// Program names the agent program that the request belongs to, Session its session
 	// within the program; both may be empty. Model requests of one program, or else of
 	// one session, are preferably sent to the same runner.
 	Program string
 	Session string
-	// AffinityKey identifies what a plain request is about. On a sticky route, requests
-	// with the same key are preferably sent to the same runner. Empty: no preference.
+	// AffinityKey groups requests on a sticky route: those with the same key are preferably
+	// sent to the same runner. Empty means no preference.
 	AffinityKey string
-	// InputTokens is the caller's own statement of the prompt's length; the larger of it
-	// and the sum of PromptParts counts.
+	// InputTokens is the prompt's length in tokens as stated by the caller. The larger of it
+	// and the sum of PromptParts is used.
 	InputTokens uint64
 	// MaxOutputTokens is the caller's limit on generated tokens. Selection does not use it.
 	MaxOutputTokens uint64
-	// Deadline is when the caller gives up; zero: not known.
+	// Deadline is when the caller gives up; zero if not known.
 	Deadline time.Time
-	// FinishBy is when the whole program should be finished; zero: not known. It orders
-	// waiting requests of the same urgency; without it Deadline does.
+	// FinishBy is when the whole program should be finished; zero if not known. It orders
+	// waiting requests of the same urgency; Deadline is used if it is zero.
 	FinishBy time.Time
-	// Excluded lists incarnations or addresses of runners that must not be chosen, such as those
-	// of earlier attempts.
+	// Excluded lists incarnations or addresses of runners that must not be chosen, for
+	// example those of earlier attempts.
 	Excluded []string
-	// CachedAt is the runner that served the conversation of a model request last, if the
-	// caller knows it. It comes from all fronts, while the balancer itself knows of its own
-	// requests only.
+	// CachedAt is the runner that last served the conversation of a model request, if the
+	// caller knows it. It covers requests through any front, while the balancer itself only
+	// knows those of its own front.
 	CachedAt CacheLocation
 }
 
-// CacheLocation is a runner that has read the beginning of a prompt.
+// CacheLocation is a runner that has processed the beginning of a prompt.
 type CacheLocation struct {
-	Runner string // its incarnation; empty: not known
-	Tokens int    // how much of the prompt it has read
+	Runner string // as returned by Lease.Incarnation; empty if not known
+	Tokens int    // leading tokens of the prompt that it has processed
 }
 
-// State is the complete input of the selection apart from what the balancer measures
-// itself. Each Update replaces it; the balancer never changes it.
+// State is the complete input of the selection apart from the balancer's own measurements.
+// Each Update replaces it; the balancer never modifies it.
 type State struct {
 	View    *feed.View
 	Routing *config.Routing
@@ -63,12 +63,12 @@
 	FrontCount int
 	// FrontName is the name of this front and FrontNames those of all live fronts. Both
 	// are optional. With them the fronts agree exactly on which of them may send to a
-	// runner in slow start; without them each front decides by chance, and fewer may send.
+	// runner in slow start; without them each front decides by its seed, and fewer may send.
 	FrontName  string
 	FrontNames []string
 }
 
-// Outcome is how an attempt ended, as far as it says something about the runner.
+// Outcome is how an attempt ended, as far as it concerns the runner.
 type Outcome int
 
 // The outcomes of an attempt.
@@ -77,16 +77,15 @@
 	NotSent Outcome = iota
 	// Answered: the runner completed the work.
 	Answered
-	// Rejected: the runner stated that it did not run the request, because it is full or
-	// draining.
+	// Rejected: the runner refused to run the request because it is full or draining.
 	Rejected
-	// Failed: the runner answered with an error of its own.
+	// Failed: the runner responded with an error of its own.
 	Failed
 	// Lost: the connection was refused or broken, or the response was malformed.
 	Lost
 	// Misdirected: another runner now has the address (HTTP status 421).
 	Misdirected
 	// Cancelled: this front or the caller gave up. It counts against the runner only if
-	// the runner had been silent for much longer than expected.
+	// there was no event for much longer than expected.
 	Cancelled
 )
--- a/system/balancer/wait_queue.go
+++ b/system/balancer/wait_queue.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// maxWaiters is how many requests may wait at a front.
+	// maxWaiters is how many requests may wait at one front.
 	maxWaiters = 256
-	// A request may wait for its route's first-byte target, or the time until its deadline
-	// if that is shorter, divided by queueTimeoutDivisor; defaultQueueTimeout stands for
-	// the former if the route has no target.
+	// A request may wait for the shorter of its route's first-byte target and the time until
+	// its deadline, divided by queueTimeoutDivisor. defaultQueueTimeout replaces the former
+	// quotient if the route has no target.
 	queueTimeoutDivisor = 5
 	defaultQueueTimeout = 50 * time.Millisecond
-	// timeoutRetryAfter is the retry delay given to requests that waited in vain, maxRetryAfter
-	// the longest given to those that did not wait.
+	// timeoutRetryAfter is the retry delay of requests that leave the queue without a lease,
+	// maxRetryAfter the longest one of requests that are rejected without waiting.
 	timeoutRetryAfter = 200 * time.Millisecond
 	maxRetryAfter     = 500 * time.Millisecond
-	// minRecheckInterval is the shortest time between two checks of a waiting request for
-	// a runner that becomes free by itself.
+	// minRecheckInterval is the shortest time between two checks for a runner that became
+	// free without a Release.
 	minRecheckInterval = 5 * time.Millisecond
 )
 
@@ -27,11 +27,11 @@
 type waiter struct {
 	service string
 	request Request
-	granted chan *Lease   // has room for the one lease, so that granting never blocks
-	delay   time.Duration // until a runner may be free without another request's end
+	granted chan *Lease   // buffered for one lease, so that granting never blocks
+	delay   time.Duration // until a runner may be free without a Release
 }
 
-// queueTimeout returns for how long a request may wait.
+// queueTimeout returns how long a request may wait in the queue.
 func queueTimeout(request Request, now time.Time) time.Duration {
 	timeout := defaultQueueTimeout
 	if request.Route.FirstByteTarget > 0 {
@@ -43,8 +43,8 @@
 	return timeout
 }
 
-// precedes reports whether a request is served before another one: the more urgent
-// first, then the one that must be finished earlier.
+// precedes reports whether the left request is served before the right one: by urgency,
+// lowest value first, then by finish time.
 func precedes(left, right *Request) bool {
 	if left.Route.Urgency != right.Route.Urgency {
 		return left.Route.Urgency < right.Route.Urgency
@@ -52,7 +52,7 @@
 	return finishTime(left).Before(finishTime(right))
 }
 
-// finishTime returns when a request's program, or else the request, must be finished.
+// finishTime returns when the request's program should be finished, or else its deadline.
 func finishTime(request *Request) time.Time {
 	if request.FinishBy.IsZero() {
 		return request.Deadline
@@ -60,15 +60,15 @@
 	return request.FinishBy
 }
 
-// hasEarlierWaiter reports whether a request of the same service waits that is served
-// before this one.
+// hasEarlierWaiter reports whether a waiting request for the same service is served before
+// this one.
 func (balancer *Balancer) hasEarlierWaiter(pool *servicePool, request Request) bool {
 	return slices.ContainsFunc(balancer.queue, func(other *waiter) bool {
 		return other.service == pool.service.Name && !precedes(&request, &other.request)
 	})
 }
 
-// enqueue inserts a request into the queue, behind all that it does not precede.
+// enqueue inserts a request into the queue, before the first one that it precedes.
 func (balancer *Balancer) enqueue(pool *servicePool, request Request, delay time.Duration) *waiter {
 	waiting := &waiter{service: pool.service.Name, request: request, delay: delay, granted: make(chan *Lease, 1)}
 	index := slices.IndexFunc(balancer.queue, func(other *waiter) bool { return precedes(&request, &other.request) })
@@ -79,9 +79,8 @@
 	return waiting
 }
 
-// serveQueue grants leases to waiting requests in their order. If a service has no
-// runner for one, it is taken to have none for those behind it, unless the one has
-// excluded runners.
+// serveQueue grants leases to waiting requests in queue order. If a service has no runner
+// for a request without excluded runners, the later requests for it are skipped.
 func (balancer *Balancer) serveQueue(now time.Duration) {
 	if len(balancer.queue) == 0 {
 		return
@@ -103,9 +102,9 @@
 	})
 }
 
-// await waits until a lease is granted, the timeout passes or ctx ends. Runners become
-// free without a Release too, when an ejection or a slow start ends, so that the queue
-// is also checked after the expected delay.
+// await waits until a lease is granted, the timeout passes or ctx ends. A runner may also
+// become free without a Release, for example when its ejection ends, so the queue is
+// checked again after the expected delay.
 func (balancer *Balancer) await(ctx context.Context, waiting *waiter, timeout, delay time.Duration) (*Lease, error) {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
@@ -130,7 +129,7 @@
 }
 
 // leaveQueue removes a request from the queue. A lease that was granted in the meantime
-// is returned: nobody else would release it.
+// is returned, because otherwise it would never be released.
 func (balancer *Balancer) leaveQueue(waiting *waiter) (*Lease, error) {
 	balancer.mutex.Lock()
 	defer balancer.mutex.Unlock()
--- a/system/balancer/weighted_round_robin.go
+++ b/system/balancer/weighted_round_robin.go
@@ -6,7 +6,7 @@
 )
 
 // pickService picks one of a route's services that have candidates, by weighted
-// round-robin. The newest definition of the route counts. It returns false if no service
+// round-robin. It uses the newest definition of the route and returns false if no service
 // has candidates.
 func (balancer *Balancer) pickService(requested *config.Route) (*servicePool, bool) {
 	current := balancer.topology.Load()
@@ -30,7 +30,7 @@
 	return pools[credits.Pick(shares)], true
 }
 
-// usablePools returns the pools of a route that have a share and candidates, with the
+// usablePools returns the pools of a route that have a share and candidates, and their
 // shares.
 func (current *topology) usablePools(route *config.Route) ([]*servicePool, []roundrobin.Share) {
 	pools, shares := make([]*servicePool, 0, len(route.Shares)), make([]roundrobin.Share, 0, len(route.Shares))
@@ -43,7 +43,7 @@
 	return pools, shares
 }
 
-// returnPick undoes a pick that led to no lease.
+// returnPick reverts a pick that led to no lease.
 func (balancer *Balancer) returnPick(requested *config.Route, service string) {
 	if credits, known := balancer.roundRobin[requested.Name]; known {
 		credits.Return(service)
