--- a/system/controlplane/control_membership.go
+++ b/system/controlplane/control_membership.go
@@ -10,19 +10,19 @@
 	"yardrock.example/system/raft"
 )
 
-// minVoters is how many voters stay listed, lost ones among them, unless a learner is ready to
-// replace a lost one.
+// minVoters is the number of voters, including lost ones, that is kept unless a learner is ready
+// to replace a lost one.
 const minVoters = 3
 
 // membershipStep is a change of the control group by one member.
 type membershipStep struct {
-	message string // what is logged when it is begun
-	control string // the name of the control node that it is about
+	message string // logged when the change is proposed
+	control string // name of the affected control node
 	next    raft.Membership
 }
 
-// reconcileVoters makes one step towards a control group of live nodes, one member at a time
-// (Raft thesis, section 4.1), and reports whether a change is pending.
+// reconcileVoters takes one step towards a control group of live nodes, changing one member at a
+// time (Raft thesis, section 4.1), and reports whether a change is pending.
 func (node *Node) reconcileVoters(ctx context.Context) bool {
 	status, _ := node.host.Status(controlGroup)
 	if !status.Leading {
@@ -40,11 +40,11 @@
 	return len(status.Membership.Learners) > 0
 }
 
-// nextMembershipStep returns the next change of the control group, nil if none is needed. A
-// live control node first becomes a learner, and a voter once it has the log. A lost voter is
-// removed when a learner is ready to replace it, or if enough voters are left; if it returns
-// it is enrolled again. It is removed before the learner votes, so that the quorum never
-// counts both (docs/consistency/membership.md).
+// nextMembershipStep returns the next change of the control group, nil if none is needed. A live
+// control node first becomes a learner, and a voter once it has caught up with the log. A lost
+// voter is removed when a learner is ready to replace it, or if enough voters remain; if it
+// returns it is enrolled again. It is removed before the learner becomes a voter, so that the
+// quorum never counts both (docs/consistency/membership.md).
 func (node *Node) nextMembershipStep(status raft.Status, live []feed.Member) *membershipStep {
 	voters, learners := status.Membership.Voters, status.Membership.Learners
 	if lost := node.removableVoter(voters, learners, status); lost != "" {
@@ -53,7 +53,7 @@
 	suspected := slices.ContainsFunc(voters, func(name string) bool { return node.isSilent(name, suspectTimeout) })
 	for _, learner := range learners {
 		if !suspected && node.isReady(status, learner) {
-			return &membershipStep{"making a learner of the control group a voter", learner, raft.Membership{Voters: append(slices.Clone(voters), learner), Learners: raft.Without(learners, learner)}}
+			return &membershipStep{"promoting a learner of the control group to voter", learner, raft.Membership{Voters: append(slices.Clone(voters), learner), Learners: raft.Without(learners, learner)}}
 		}
 	}
 	for _, learner := range learners {
@@ -67,8 +67,9 @@
 	return nil
 }
 
-// enrollableControl returns a live control node that is to become a learner, empty if there is
-// none. Lost voters do not count against Settings.MaxControls, so that they can be replaced.
+// enrollableControl returns a live control node that is to become a learner, or an empty string
+// if there is none. Lost voters do not count against Settings.MaxControls, so that they can be
+// replaced.
 func (node *Node) enrollableControl(voters, learners []string, live []feed.Member) string {
 	members, present := slices.Concat(voters, learners), len(learners)
 	for _, voter := range voters {
@@ -84,10 +85,10 @@
 	return ""
 }
 
-// removableVoter returns a lost voter that may be removed, empty if there is none: one whose
-// place a caught-up learner is ready to take; one that makes the number of voters even, which
-// tolerates no more losses than one less; or one that has long been lost, while more than
-// minVoters are listed.
+// removableVoter returns a lost voter that may be removed, or an empty string if there is none. It
+// may be removed if a caught-up learner is ready to replace it, or while there are more than
+// minVoters and either their number is even, which tolerates no more failures than one voter
+// less, or it has been lost for lostTimeout.
 func (node *Node) removableVoter(voters, learners []string, status raft.Status) string {
 	ready := slices.ContainsFunc(learners, func(name string) bool { return node.isReady(status, name) })
 	for _, name := range voters {
@@ -98,18 +99,17 @@
 	return ""
 }
 
-// isReady reports whether a learner is live and has the log.
+// isReady reports whether a learner is live and has caught up with the log.
 func (node *Node) isReady(status raft.Status, learner string) bool {
 	return status.CaughtUp(learner) && !node.isSilent(learner, replaceableTimeout)
 }
 
-// Voters returns the names of the control group's voters as this node knows them, for
-// measurements.
+// Voters returns the names of the control group's voters as known to this node.
 //
 //	names := node.Voters()
 func (node *Node) Voters() []string { return node.host.Statuses()[controlGroup].Membership.Voters }
 
-// publishControls makes the feed list the voters of the control group.
+// publishControls updates the control nodes listed on the feed to the voters of the control group.
 func (node *Node) publishControls(ctx context.Context, voters []string, live []feed.Member) {
 	view := node.View()
 	listed := []feed.Member{}
@@ -119,7 +119,7 @@
 		}
 	}
 	for _, member := range live {
-		known := slices.ContainsFunc(listed, func(one feed.Member) bool { return one.Name == member.Name })
+		known := slices.ContainsFunc(listed, func(control feed.Member) bool { return control.Name == member.Name })
 		if !known && slices.Contains(voters, member.Name) {
 			listed = append(listed, member)
 		}
--- a/system/controlplane/fleet_reconcile.go
+++ b/system/controlplane/fleet_reconcile.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// reconcileInterval is between two rounds of reconcileFleet.
+	// reconcileInterval is the delay between two rounds of reconcileFleet.
 	reconcileInterval = 300 * time.Millisecond
 	// busyInterval replaces reconcileInterval while a change of the control group is pending.
 	busyInterval = 50 * time.Millisecond
 )
 
-// reconcileFleet is one round of what the control leader does to make the fleet's membership
-// follow its live nodes. It returns when the next round is due: soon while a change of the
-// control group is pending.
+// reconcileFleet runs one round of the control leader's reconciliation of the fleet's membership
+// with its live nodes. It returns the delay until the next round, which is shorter while a change
+// of the control group is pending.
 func (node *Node) reconcileFleet() time.Duration {
 	if !node.IsLeader() {
 		return reconcileInterval
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithTimeout(node.context, callTimeout)
 	defer cancel()
 	busy := node.reconcileVoters(ctx)
-	node.foundStoreList(ctx)
+	node.createStoreList(ctx)
 	node.replaceWipedStores(ctx)
 	if node.settings.AutoEnrol {
 		node.autoEnrolStores(ctx)
@@ -40,15 +40,16 @@
 	return reconcileInterval
 }
 
-// proposeOrLog proposes a change that the next round makes again if it is still needed.
+// proposeOrLog proposes a change and logs a failure. The next round proposes it again if it is
+// still needed.
 func (node *Node) proposeOrLog(ctx context.Context, change feed.Change) {
 	if _, err := node.Change(ctx, change); err != nil {
 		log.WithFields(log.Fields{"node": node.Name(), "kind": changeKindNames[change.Kind], "error": err.Error()}).Warn("proposed change failed")
 	}
 }
 
-// updateAddresses puts the new addresses of moved members into the lists of the feed, one
-// list a round.
+// updateAddresses updates the stores or control nodes listed on the feed to what they report
+// now, such as a new address; one list per round.
 func (node *Node) updateAddresses(ctx context.Context) {
 	live := map[string]feed.Member{}
 	for _, member := range node.liveMembers() {
@@ -58,9 +59,9 @@
 	for kind, members := range map[feed.ChangeKind][]feed.Member{feed.ChangeStores: view.Stores, feed.ChangeControls: view.Controls} {
 		next := slices.Clone(members)
 		for position, member := range next {
-			if now, found := live[member.Name]; found {
-				now.State = member.State
-				next[position] = now
+			if current, found := live[member.Name]; found {
+				current.State = member.State
+				next[position] = current
 			}
 		}
 		if len(next) > 0 && !slices.Equal(next, members) {
--- a/system/controlplane/node.go
+++ b/system/controlplane/node.go
@@ -24,37 +24,37 @@
 
 // Settings configure a control node.
 type Settings struct {
-	// Address is where other nodes reach this one, host and port; the node listens there.
+	// Address is the host and port on which the node listens for other nodes.
 	Address string
-	// Administration is where the admin API listens, host and port.
+	// Administration is the host and port on which the admin API listens.
 	Administration string
-	// Domain is the failure domain that the node runs in.
+	// Domain is the failure domain of the node.
 	Domain string
-	// Seeds are the addresses, host and port, at which control nodes are looked for. SetSeeds
-	// replaces them. A fleet is founded by the nodes at its seeds.
+	// Seeds are the addresses, host and port, used to discover control nodes. SetSeeds replaces
+	// them. The nodes at the seeds bootstrap a new fleet.
 	Seeds []string
-	// FoundingStores is how many stores must be live before the first store list is made.
+	// FoundingStores is how many stores must be live before the first store list is created.
 	FoundingStores int
-	// Groups is the number of session log groups of a fleet that this node founds.
+	// Groups is the number of session log groups of a fleet that this node bootstraps.
 	Groups uint32
-	// ReplicationFactor is how many replicas a group has in a fleet that this node founds;
-	// 0 is placement.DefaultReplicas.
+	// ReplicationFactor is the number of replicas of each group in a fleet that this node
+	// bootstraps; 0 means placement.DefaultReplicas.
 	ReplicationFactor uint32
-	// MaxControls is how many members, voters and learners, the control group may have. Lost
-	// voters do not count. More live control nodes stay outside as spares.
+	// MaxControls is the maximum number of members, voters and learners, of the control group.
+	// Lost voters do not count. Further live control nodes remain spares.
 	MaxControls int
 	// Replica configures the Raft host.
 	Replica replica.Settings
-	// Machine is the operators' name of the machine that the node runs on; it may be empty.
+	// Machine is the operator's name for the machine that the node runs on; it may be empty.
 	Machine string
-	// JoinExisting says that the fleet has been founded before: with an empty disk the node
-	// joins it and never founds another.
+	// JoinExisting states that the fleet already exists: a node with an empty disk joins it and
+	// never bootstraps another.
 	JoinExisting bool
-	// AutoEnrol makes the control leader add live stores to the store list and take lost ones
-	// out of it without an admin request.
+	// AutoEnrol makes the control leader add live stores to the store list and remove lost ones
+	// without an admin request.
 	AutoEnrol bool
-	// RunnerSource gives the list of runners. The default, nil, reads the list that the
-	// config's platform.runner_list names.
+	// RunnerSource provides the runner list. If it is nil, the list is read from the address in
+	// the config's platform.runner_list.
 	RunnerSource RunnerSource
 }
 
@@ -69,7 +69,7 @@
 	seeds        atomic.Pointer[[]string]
 	startedAt    time.Time
 
-	// context ends when the node is closed; tasks are the periodic tasks.
+	// context is cancelled when the node is closed, which ends the periodic tasks.
 	context context.Context
 	stop    context.CancelFunc
 	tasks   sync.WaitGroup
@@ -77,36 +77,36 @@
 	// mutex guards the fields up to the next blank line.
 	mutex    sync.Mutex
 	liveness map[string]nodeLiveness // by name
-	// syncedNumbers are the highest numbers of the feed that the stores are known to have
-	// synced, by the stores' names. syncedChanged is closed and replaced when one rises.
+	// syncedNumbers is the highest feed number that each store is known to have synced, by
+	// store name. syncedChanged is closed and replaced when one of them increases.
 	syncedNumbers map[string]uint64
 	syncedChanged chan struct{}
 	contact       quorumContact
 
-	// Of the gossip task alone: the control nodes as they are stored on disk, and the number
-	// of gossips sent.
+	// Used only by the gossip task: the control nodes as stored on disk, and the number of
+	// gossip rounds.
 	savedControls []feed.Member
 	gossipCount   int
-	// Of the role lease task alone.
+	// Used only by the role lease task.
 	discovery     runnerDiscovery
-	configRunners configRunnerSource // used if the settings name no source
+	configRunners configRunnerSource // used if Settings.RunnerSource is nil
 
-	// runnersReading is the last list whose content this node put in force; nil if none.
+	// runnersReading describes the last list whose content this node put in force; nil if none.
 	runnersReading atomic.Pointer[runnersReading]
 	decodedConfig  atomic.Pointer[decodedConfig]
 	lastMemberList atomic.Pointer[memberList]
-	// views and viewsWithoutRequests share the packed newest view between all who ask. Fronts
-	// get it without the request histories, which they don't need.
+	// views and viewsWithoutRequests cache the packed newest view for all followers. Fronts get
+	// it without the request histories, which they do not need.
 	views                wire.PackedViewCache
 	viewsWithoutRequests wire.PackedViewCache
 	confirmations        confirmationBatch
-	// gossiping has the addresses to which a gossip is in flight.
+	// gossiping is the set of addresses to which a gossip message is in flight.
 	gossiping sync.Map
 }
 
-// Start opens the data directory and runs a control node until Close. It fails with a
-// Damaged error if the directory cannot be read, BadSettings if the address cannot be
-// listened on. On an error it leaves nothing running.
+// Start opens the data directory and runs a control node until Close. It fails with a Damaged
+// error if the directory cannot be read and with BadSettings if the node cannot listen on its
+// address. On an error it leaves nothing running.
 //
 //	node, err := controlplane.Start(settings, directory, link.TCP{})
 //	defer node.Close()
@@ -134,7 +134,7 @@
 	return node, nil
 }
 
-// newNode makes a node that runs nothing yet.
+// newNode returns a node without a Raft host, listener or running tasks.
 func newNode(settings Settings, network link.Network) *Node {
 	node := &Node{
 		settings: settings, network: network, client: link.NewClient(network), stateMachine: newFeedStateMachine(), startedAt: time.Now(),
@@ -145,8 +145,8 @@
 	return node
 }
 
-// openHost starts the Raft host from what the durable log has, and loads the stored addresses
-// of the control nodes. The host owns the log from then on.
+// openHost starts the Raft host from the durable log, which the host then owns, and loads the
+// stored addresses of the control nodes.
 func (node *Node) openHost(durable *durablelog.Log, records []durablelog.Record) error {
 	transport := replica.NewTransport(node.client, node.addressOf, func() string { return node.View().Fleet })
 	host, err := replica.Open(node.settings.Replica, durable, records, func(uint32) replica.StateMachine { return node.stateMachine }, transport)
@@ -157,7 +157,7 @@
 		var stored feed.View
 		if err := wire.Decode(schema.View_TypeID, data, &stored); err != nil {
 			host.Close()
-			return apierror.Wrap(err, apierror.Damaged, "the noted control nodes cannot be read: "+err.Error(), "run the version of the program that wrote them")
+			return apierror.Wrap(err, apierror.Damaged, "the stored control nodes cannot be read: "+err.Error(), "run the version of the program that wrote them")
 		}
 		node.savedControls = stored.Controls
 	}
@@ -165,13 +165,13 @@
 	return nil
 }
 
-// startTasks starts the periodic tasks, which run until the node is closed.
+// startTasks starts the periodic tasks. They run until the node is closed.
 func (node *Node) startTasks() {
 	every := func(interval time.Duration, task func()) func() time.Duration {
 		return func() time.Duration { task(); return interval }
 	}
 	for _, task := range []func() time.Duration{
-		every(foundingInterval, node.bootstrapFleet),
+		every(bootstrapInterval, node.bootstrapFleet),
 		every(gossipInterval, node.gossip),
 		every(gossipInterval, node.recordQuorumContact),
 		every(reconcileInterval, node.finishDecommissions),
@@ -182,8 +182,8 @@
 	}
 }
 
-// runPeriodically runs a task until the node is closed. The task returns how long to wait
-// before it is run again.
+// runPeriodically runs a task repeatedly until the node is closed. The task returns the delay
+// before its next run.
 func (node *Node) runPeriodically(task func() time.Duration) {
 	tick := time.NewTimer(0)
 	defer tick.Stop()
@@ -210,14 +210,14 @@
 //	name := node.Name()
 func (node *Node) Name() string { return node.host.Name() }
 
-// View returns the newest view that this replica has applied. It may be behind the view in
+// View returns the newest view that this replica has applied. It may lag behind the view in
 // force; see confirmedView.
 //
 //	view := node.View()
 func (node *Node) View() *feed.View { return node.stateMachine.state().view }
 
-// IsLeader reports whether this node believes that it leads the control group. A deposed
-// leader may still believe so; only a commit or a read index proves it.
+// IsLeader reports whether this node considers itself leader of the control group. A deposed
+// leader may still do so; only a commit or a read index proves leadership.
 //
 //	if node.IsLeader() { ... }
 func (node *Node) IsLeader() bool { return node.host.Statuses()[controlGroup].Leading }
@@ -227,8 +227,8 @@
 //	if node.Ready() { ... }
 func (node *Node) Ready() bool { return node.host.Statuses()[controlGroup].Leader != "" }
 
-// Close stops the node as a crash would: what was not synced may be lost. It returns once
-// its periodic tasks have ended.
+// Close stops the node as a crash would: writes that were not synced may be lost. It returns
+// once the periodic tasks have ended.
 //
 //	node.Close()
 func (node *Node) Close() {
@@ -239,7 +239,7 @@
 	node.host.Close()
 }
 
-// Drain transfers the leadership of the control group to another node, before a Close.
+// Drain transfers leadership of the control group to another node. Call it before Close.
 //
 //	node.Drain()
 func (node *Node) Drain() { node.host.TransferAllLeaderships() }
@@ -249,8 +249,8 @@
 	return feed.Member{Name: node.Name(), Role: feed.RoleControl, Address: node.settings.Address, Domain: node.settings.Domain, Administration: node.settings.Administration, Machine: node.settings.Machine}
 }
 
-// addressOf returns the address of a node: where it was last heard, else as the feed lists
-// it, else empty.
+// addressOf returns the address at which a node was last heard from, else its address in the
+// feed, else an empty string.
 func (node *Node) addressOf(name string) string {
 	node.mutex.Lock()
 	entry, found := node.liveness[name]
--- a/system/controlplane/node_bootstrap.go
+++ b/system/controlplane/node_bootstrap.go
@@ -13,13 +13,14 @@
 	"yardrock.example/system/wire"
 )
 
-// foundingInterval is how often a node with an empty disk tries to found the fleet.
-const foundingInterval = 500 * time.Millisecond
+// bootstrapInterval is the time between attempts of a node with an empty disk to bootstrap the
+// fleet.
+const bootstrapInterval = 500 * time.Millisecond
 
-// bootstrapFleet founds the fleet if this node is a seed with an empty disk, all seeds answer
-// and all are empty, unless the fleet has been founded before (Settings.JoinExisting). If
-// another seed has founded it with this node among the founders, this node does the same: all
-// founders bootstrap the control group with the same view (Raft bootstrap, PAPER-starcite).
+// bootstrapFleet bootstraps the fleet if this node is a seed with an empty disk, all seeds
+// answer and all are empty, unless the fleet already exists (Settings.JoinExisting). If another
+// seed has bootstrapped it with this node among the founding members, this node follows: all
+// founding members bootstrap the control group with the same view.
 func (node *Node) bootstrapFleet() {
 	if !node.isEmpty() || !slices.Contains(*node.seeds.Load(), node.settings.Address) {
 		return
@@ -41,14 +42,14 @@
 	if node.settings.JoinExisting || len(statuses) != len(*node.seeds.Load()) {
 		return
 	}
-	if names, members, distinct := founders(statuses); distinct {
+	if names, members, distinct := foundingMembers(statuses); distinct {
 		node.bootstrapFleetWith(bootstrapView(names, members, node.settings))
 	}
 }
 
-// founders returns the nodes that are to found a fleet. Distinct is false if two of the statuses
-// are of one node, whose vote must not count twice.
-func founders(statuses []*wire.StatusReply) (names []string, members []feed.Member, distinct bool) {
+// foundingMembers returns the nodes that bootstrap a fleet. Distinct is false if two of the
+// statuses are from the same node, whose vote must not count twice.
+func foundingMembers(statuses []*wire.StatusReply) (names []string, members []feed.Member, distinct bool) {
 	for _, status := range statuses {
 		if slices.Contains(names, status.Name) {
 			return nil, nil, false
@@ -59,8 +60,8 @@
 	return names, members, true
 }
 
-// bootstrapView returns the first view of a fleet, which is the same on every founder: it
-// depends only on their names, the members and the settings.
+// bootstrapView returns the first view of a fleet. It depends only on the arguments, so it is
+// the same on every founding member.
 func bootstrapView(names []string, members []feed.Member, settings Settings) feed.View {
 	names = slices.Sorted(slices.Values(names))
 	members = slices.Clone(members)
@@ -72,8 +73,8 @@
 // bootstrapFleetWith bootstraps the control group with the first view of a fleet.
 func (node *Node) bootstrapFleetWith(view feed.View) {
 	node.host.Bootstrap(controlGroup, view.Founding, encodeControlSnapshot(&view, feed.History{}))
-	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet founded")
+	log.WithFields(log.Fields{"node": node.Name(), "fleet": view.Fleet}).Info("fleet bootstrapped")
 }
 
-// isEmpty reports whether the disk has no entry of the control group.
+// isEmpty reports whether the disk holds no entry of the control group.
 func (node *Node) isEmpty() bool { return node.host.Statuses()[controlGroup].LastIndex == 0 }
--- a/system/controlplane/node_forwarding.go
+++ b/system/controlplane/node_forwarding.go
@@ -8,8 +8,8 @@
 	"yardrock.example/system/wire"
 )
 
-// leaderAddress returns the address of the control leader, empty if it is this node or
-// unknown.
+// leaderAddress returns the address of the control leader, or an empty string if the leader is
+// unknown or this node.
 func (node *Node) leaderAddress() string {
 	leader := node.host.Statuses()[controlGroup].Leader
 	if leader == "" || leader == node.Name() {
@@ -18,9 +18,9 @@
 	return node.addressOf(leader)
 }
 
-// forwardToLeader has the control leader answer a query. A query is forwarded one hop only:
-// one that was forwarded to this node fails with NotLeader, which names the leader as far
-// as it is known here, and the first node tries that one. Each address is tried once.
+// forwardToLeader forwards a query to the control leader. A query is forwarded one hop only: one
+// that was already forwarded fails with NotLeader, whose error names the leader if this node
+// knows it, and the node that forwarded it tries that one. Each address is tried once.
 func (node *Node) forwardToLeader(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	if query.Forwarded {
 		return nil, node.notLeaderError()
@@ -39,22 +39,22 @@
 	return nil, noQuorumError()
 }
 
-// notLeaderError names the leader that this node knows of, if any.
+// notLeaderError returns a NotLeader error that names the leader known to this node, if any.
 func (node *Node) notLeaderError() error {
 	leader := node.host.Statuses()[controlGroup].Leader
 	if leader == node.Name() {
 		leader = ""
 	}
-	return &apierror.Error{Kind: apierror.NotLeader, Message: "this control node does not lead", Remedy: "ask the leader that is named, or another control node", Leader: leader, RetryAfter: attemptPause}
+	return &apierror.Error{Kind: apierror.NotLeader, Message: "this control node is not the leader", Remedy: "send the request to the named leader or to another control node", Leader: leader, RetryAfter: attemptPause}
 }
 
-// noQuorumError says that nothing could be confirmed by a quorum; the sender may try again.
+// noQuorumError reports that no quorum could confirm a result; the sender may retry.
 func noQuorumError() error {
-	return apierror.NewRetryable(apierror.NoQuorum, "the control plane has no leader with a quorum now", "ask again in a second; if it stays, start the missing control nodes", time.Second)
+	return apierror.NewRetryable(apierror.NoQuorum, "the control plane currently has no leader with a quorum", "retry in a second; if the error persists, start the missing control nodes", time.Second)
 }
 
-// leaderlessAsNoQuorum replaces the error of a leader that has gone, or was never known, by
-// one that says what to do.
+// leaderlessAsNoQuorum replaces the error of a leader that is gone or unknown by NoQuorum, which
+// tells the caller what to do.
 func leaderlessAsNoQuorum(err error) error {
 	if failed := apierror.Of(err); failed.Kind == apierror.NotLeader || failed.Kind == apierror.Unavailable {
 		return noQuorumError()
--- a/system/controlplane/node_gossip.go
+++ b/system/controlplane/node_gossip.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// gossipInterval is between two gossips, and how long one of them may take.
+	// gossipInterval is the time between gossip rounds, and the timeout of a gossip message.
 	gossipInterval = 500 * time.Millisecond
-	// gossipsPerCall is how many gossips to a node come before one that awaits a reply.
-	gossipsPerCall = 4
+	// gossipsPerReply is the number of gossip rounds of which one awaits replies.
+	gossipsPerReply = 4
 )
 
-// handleGossip records the members that another control node has heard.
+// handleGossip records the members that another control node has heard from.
 func (node *Node) handleGossip(_ context.Context, query *wire.Query) (*wire.Reply, error) {
 	for _, session := range query.MemberSessions.Sessions {
 		node.recordHeard(session.Member, session.Age, false)
@@ -24,17 +24,17 @@
 	return &wire.Reply{}, nil
 }
 
-// gossip sends the members that this node has heard directly, itself among them, to the other
-// control nodes. A control node that is not a member yet sends to the members. Each gossip in
-// flight is ended by the node's context or after gossipInterval.
+// gossip sends the members that this node has heard from directly, and itself, to the other
+// control nodes. A control node that is not a member yet sends to the members. A message in
+// flight ends with the node's context or after gossipInterval.
 func (node *Node) gossip() {
 	heard, targets := node.heardDirectly(), node.gossipTargets()
 	query := &wire.Query{Fleet: node.View().Fleet, Which: schema.Query_Which_sessions, MemberSessions: heard}
 	node.gossipCount++
-	wantReply := node.gossipCount%gossipsPerCall == 0
+	wantReply := node.gossipCount%gossipsPerReply == 0
 	for address := range targets {
 		if _, sending := node.gossiping.LoadOrStore(address, true); sending {
-			continue // the last gossip to it is still in flight
+			continue // the previous message to it is still in flight
 		}
 		go func() {
 			defer node.gossiping.Delete(address)
@@ -44,7 +44,7 @@
 	node.saveControlAddresses()
 }
 
-// heardDirectly returns the live members that this node has heard itself, and this node.
+// heardDirectly returns the live members that this node has heard from directly, and itself.
 func (node *Node) heardDirectly() *wire.MemberSessionBatch {
 	batch := &wire.MemberSessionBatch{From: node.Name(), Sessions: []wire.MemberSession{{Member: node.self()}}}
 	node.mutex.Lock()
@@ -57,7 +57,7 @@
 	return batch
 }
 
-// gossipTargets returns the addresses of the other control nodes, as far as they are known.
+// gossipTargets returns the known addresses of the other control nodes.
 func (node *Node) gossipTargets() map[string]bool {
 	targets := map[string]bool{}
 	for _, member := range node.View().Controls {
@@ -68,8 +68,8 @@
 			targets[member.Address] = true
 		}
 	}
-	// Until this node knows a leader, what it has applied may be as old as its last snapshot,
-	// which may list machines that have been replaced since.
+	// Until this node knows a leader, its applied state may be as old as its last snapshot and
+	// may list machines that have been replaced since.
 	if len(node.View().Controls) == 0 || !node.Ready() {
 		for _, address := range node.discoverControls() {
 			targets[address] = true
@@ -79,8 +79,8 @@
 	return targets
 }
 
-// sendGossip sends what was heard to one control node. With wantReply it waits for a reply
-// and drops the connection if none comes, so that a dead one is noticed.
+// sendGossip sends a gossip message to one control node. With wantReply it waits for a reply and
+// drops the connection on a timeout, so that a dead connection is detected.
 func (node *Node) sendGossip(address string, query wire.Query, wantReply bool) {
 	ctx, cancel := context.WithTimeout(node.context, gossipInterval)
 	defer cancel()
--- a/system/controlplane/node_liveness.go
+++ b/system/controlplane/node_liveness.go
@@ -11,40 +11,40 @@
 	"yardrock.example/system/wire"
 )
 
-// Timeouts by which a node that was not heard is judged, from the most cautious to the least.
+// Failure detection timeouts, counted from when a node was last heard from.
 const (
-	// lostTimeout is when a node is given up though nothing is ready to replace it.
+	// lostTimeout is when a node counts as lost even if no replacement is ready.
 	lostTimeout = 10 * time.Second
-	// livenessTimeout is when a node is no longer live.
+	// livenessTimeout is when a node no longer counts as live.
 	livenessTimeout = 3 * time.Second
-	// replaceableTimeout is when a node is given up if another is ready to replace it. One that
-	// returns is enrolled again, so the short timeout risks no more than copying for nothing.
+	// replaceableTimeout is when a node counts as lost if a replacement is ready. A node that
+	// returns is enrolled again, so a false positive costs only unneeded copying.
 	replaceableTimeout = 2 * time.Second
-	// suspectTimeout is when a node may be lost. No learner becomes a voter while a voter is
-	// suspect.
+	// suspectTimeout is when a node is suspected. No learner becomes a voter while a voter is
+	// suspected.
 	suspectTimeout = 1200 * time.Millisecond
 )
 
 const (
-	// memberListMaxAge bounds the age of the list of live members that followers are sent.
+	// memberListMaxAge bounds the age of the list of live members that is sent to followers.
 	memberListMaxAge = 200 * time.Millisecond
-	// livenessRetention is how long a node is remembered after it was last heard.
+	// livenessRetention is how long a node's record is kept after it was last heard from.
 	livenessRetention = 10 * livenessTimeout
 )
 
-// nodeLiveness records when a node was heard of. A node is live (its session stands) while
-// that is less than livenessTimeout ago.
+// nodeLiveness records when a node was heard from. A node is live while lastHeard is less than
+// livenessTimeout ago.
 type nodeLiveness struct {
 	member     feed.Member
 	firstHeard time.Time
 	lastHeard  time.Time
-	// direct reports that the node was heard here, not through another control node's gossip.
-	// Only this is gossiped on.
+	// direct reports that the node was heard from directly, not through another control node's
+	// gossip. Only direct records are gossiped.
 	direct bool
 }
 
-// recordHeard records that a member was heard an age ago, directly or through gossip. What is
-// older than the last record changes nothing.
+// recordHeard records that a member was heard from the given age ago, directly or through
+// gossip. A report older than the latest one is ignored.
 func (node *Node) recordHeard(member feed.Member, age time.Duration, direct bool) {
 	if member.Name == "" {
 		return
@@ -61,17 +61,17 @@
 	}
 }
 
-// recordForeignStore records that a store of another fleet is live, while this fleet has no
-// store list: the store may have synced a view that this control plane has lost.
+// recordForeignStore records that a store of another fleet is live if this fleet has no store
+// list yet: the store may have synced a view that this control plane has lost.
 func (node *Node) recordForeignStore(query *wire.Query) {
 	if query.Follow != nil && !query.Follow.ConfirmOnly && len(node.View().Stores) == 0 && query.Follow.Member.Role == feed.RoleStore {
 		node.recordHeard(query.Follow.Member, 0, true)
 	}
 }
 
-// liveMembers returns the live nodes, this one among them, sorted by name. If a node was
-// heard at an address only after another one of its role had last been heard there, it has
-// replaced that one, which is left out.
+// liveMembers returns the live nodes, including this one, sorted by name. If a node was first
+// heard from at an address after another node of its role was last heard from there, it has
+// replaced that node, which is left out.
 func (node *Node) liveMembers() []feed.Member {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -89,8 +89,8 @@
 	return live
 }
 
-// withoutReplaced leaves out the members that another one has replaced at their address. It
-// reuses the slice. The mutex must be held.
+// withoutReplaced removes the members that another one has replaced at their address. It modifies
+// the slice. The mutex must be held.
 func (node *Node) withoutReplaced(members []feed.Member) []feed.Member {
 	livenessOf := func(member feed.Member) nodeLiveness {
 		if member.Name == node.Name() {
@@ -101,8 +101,8 @@
 	slices.SortFunc(members, func(left, right feed.Member) int {
 		return cmp.Or(strings.Compare(left.Address, right.Address), strings.Compare(left.Role, right.Role), livenessOf(left).firstHeard.Compare(livenessOf(right).firstHeard))
 	})
-	// The next member may be read while members are deleted: DeleteFunc writes only to places
-	// before the one that it looks at.
+	// Reading the next member is safe: DeleteFunc writes only to elements before the one that it
+	// passes.
 	next := 0
 	return slices.DeleteFunc(members, func(member feed.Member) bool {
 		next++
@@ -110,10 +110,9 @@
 	})
 }
 
-// isSilent reports whether a node was not heard for longer than a timeout, or was replaced:
-// another node has its address, so its disk was lost and its name will not return. As this
-// node may itself be cut off, it judges others only by the time for which it has been in
-// contact with a quorum.
+// isSilent reports whether a node was not heard from for longer than a timeout, or was replaced:
+// another node has its address, so its disk was lost and its name will not return. This node may
+// itself be partitioned, so the timeout must also have passed in contact with a quorum.
 func (node *Node) isSilent(name string, timeout time.Duration) bool {
 	if name == node.Name() {
 		return false
@@ -134,8 +133,8 @@
 	return node.quorumContactFor() > timeout && (!found || time.Since(entry.lastHeard) > timeout)
 }
 
-// wasReplaced reports whether another node of the same role was first heard at a node's
-// address after that node was last heard.
+// wasReplaced reports whether another node of the same role was first heard from at a node's
+// address after that node was last heard from.
 func (node *Node) wasReplaced(member feed.Member) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -145,11 +144,11 @@
 			return true
 		}
 	}
-	// This node is not among those in liveness. It has replaced whoever had its address before.
+	// This node is not in liveness. It has replaced any earlier control node at its address.
 	return member.Name != node.Name() && member.Address == node.settings.Address && member.Role == feed.RoleControl
 }
 
-// knownFor returns how long ago a node was first heard of. The node must have been heard.
+// knownFor returns the time since a node was first heard from. The node must have a record.
 func (node *Node) knownFor(name string) time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -159,7 +158,7 @@
 // memberList is the list of live members as it is sent to followers.
 type memberList struct {
 	members []feed.Member
-	// digest identifies the list, so that it is sent only to followers that have another.
+	// digest identifies the list, which is sent only to followers that have a different one.
 	digest   uint64
 	listedAt time.Time
 }
@@ -177,7 +176,7 @@
 			hash.Write([]byte{0})
 		}
 	}
-	next.digest = max(hash.Sum64(), 1) // 0 is the digest of who knows none
+	next.digest = max(hash.Sum64(), 1) // 0 is sent by followers without a list
 	node.lastMemberList.Store(next)
 	return next
 }
--- a/system/controlplane/node_queries.go
+++ b/system/controlplane/node_queries.go
@@ -12,7 +12,7 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// queryHandlers answer the queries of other processes, by the kind of query.
+// queryHandlers are the handlers for queries from other processes, by kind of query.
 var queryHandlers = map[schema.Query_Which]func(*Node, context.Context, *wire.Query) (*wire.Reply, error){
 	schema.Query_Which_status:    (*Node).handleStatus,
 	schema.Query_Which_agreement: (*Node).handleRaft,
@@ -21,24 +21,24 @@
 	schema.Query_Which_change:    (*Node).handleChange,
 }
 
-// anyFleetQueries are answered whatever fleet the sender names: replicas identify each other
-// by their disks, and a fleet that is recovered changes its name back.
+// anyFleetQueries are answered whatever fleet the sender names: replicas identify each other by
+// the identities of their disks, and a recovered fleet reverts to its earlier name.
 var anyFleetQueries = map[schema.Query_Which]bool{schema.Query_Which_status: true, schema.Query_Which_agreement: true, schema.Query_Which_sessions: true}
 
-// handle answers one query of another process.
+// handle answers a query from another process.
 func (node *Node) handle(ctx context.Context, query *wire.Query) *wire.Reply {
 	handler, known := queryHandlers[query.Which]
 	if !known {
-		return wire.ErrorReply(apierror.New(apierror.Invalid, "a control node does not answer this query", "ask a store node"))
+		return wire.ErrorReply(apierror.New(apierror.Invalid, "a control node does not answer this kind of query", "send it to a store node"))
 	}
 	if fleet := node.View().Fleet; !anyFleetQueries[query.Which] && query.Fleet != "" && fleet != "" && query.Fleet != fleet {
 		node.recordForeignStore(query)
 		if node.View().BoundFleet() == "" {
-			// This control plane may have lost its disks, and may still recover the feed of the
+			// This control plane may have lost its disks and may yet recover the feed of the
 			// sender's fleet.
 			return wire.ErrorReply(noQuorumError())
 		}
-		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the asking process belongs to fleet "+query.Fleet+", this one to "+fleet, "correct its seeds, or empty its data folder so that it joins this fleet"))
+		return wire.ErrorReply(apierror.New(apierror.ForeignFleet, "the sender belongs to fleet "+query.Fleet+", this node to fleet "+fleet, "correct the sender's seeds, or empty its data directory so that it joins this fleet"))
 	}
 	if rejection := query.MisdirectedReply(node.Name()); rejection != nil {
 		return rejection
@@ -50,7 +50,7 @@
 	return reply
 }
 
-// handleStatus answers with what this replica has applied. Nothing is confirmed: founding
+// handleStatus answers with the applied state of this replica. It is not confirmed: bootstrapping
 // and discovery of control nodes need an answer without a quorum.
 func (node *Node) handleStatus(_ context.Context, _ *wire.Query) (*wire.Reply, error) {
 	view := node.View()
@@ -60,14 +60,14 @@
 	}}, nil
 }
 
-// handleRaft takes in Raft messages of other replicas.
+// handleRaft passes Raft messages from other replicas to the Raft host.
 func (node *Node) handleRaft(ctx context.Context, query *wire.Query) (*wire.Reply, error) {
 	node.host.Receive(link.ConnectionContext(ctx), query.Raft.Messages)
 	return &wire.Reply{}, nil
 }
 
-// errNoStatus reports a reply without a status, which no known version sends.
-var errNoStatus = errors.New("the reply to a status query has no status")
+// errNoStatus reports a malformed reply: no known version omits the status.
+var errNoStatus = errors.New("the reply to a status query contains no status")
 
 // queryStatus asks another node for its status.
 func (node *Node) queryStatus(ctx context.Context, address string, timeout time.Duration, query wire.StatusQuery) (*wire.StatusReply, error) {
--- a/system/controlplane/node_seeds.go
+++ b/system/controlplane/node_seeds.go
@@ -9,12 +9,12 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// controlAddressesKey is the key of the stored addresses of the control nodes. Keys of stored
-// values share their numbers with groups, so it is above all groups.
+// controlAddressesKey is the key of the stored addresses of the control nodes. Stored values
+// share their key space with group numbers, so the key is above all group numbers.
 const controlAddressesKey = 1 << 31
 
-// saveControlAddresses stores the addresses of the control nodes on disk, so that they find
-// each other when all restart, whatever their seeds say. It runs in the gossip task only.
+// saveControlAddresses stores the addresses of the control nodes on disk, so that they find each
+// other after all restart, even if their seeds are outdated. Only the gossip task calls it.
 func (node *Node) saveControlAddresses() {
 	view := node.View()
 	if !node.Ready() || len(view.Controls) == 0 || slices.Equal(view.Controls, node.savedControls) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// discoverControls returns addresses at which control nodes may be: those stored on disk,
-// and those that the seeds name.
+// discoverControls returns candidate addresses of control nodes: those stored on disk and those
+// reported by the seeds.
 func (node *Node) discoverControls() []string {
 	addresses := []string{}
 	for _, member := range node.savedControls {
--- a/system/controlplane/quorum_contact.go
+++ b/system/controlplane/quorum_contact.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// quorumContact measures for how long a node has been in contact with a majority of the
-// control group. A node that was cut off, frozen or has only just started has heard nobody,
-// which says nothing of the others.
+// quorumContact measures how long a node has been in contact with a majority of the control
+// group. A node that was partitioned, paused or just started has not heard from others, which
+// is no evidence that they failed.
 type quorumContact struct {
 	lastChecked time.Time
-	since       time.Time // since when a majority has been heard without a pause
+	since       time.Time // start of the uninterrupted contact with a majority
 }
 
-// record notes how many of the voters were heard lately. It must be called more often than
-// once in suspectTimeout.
+// record updates the contact with the number of voters heard from within suspectTimeout. It must
+// be called more often than once per suspectTimeout; a longer gap restarts the contact.
 func (contact *quorumContact) record(now time.Time, heard, voters int) {
-	frozen := now.Sub(contact.lastChecked) > suspectTimeout
-	if frozen || heard < voters/2+1 {
+	paused := now.Sub(contact.lastChecked) > suspectTimeout
+	if paused || heard < voters/2+1 {
 		contact.since = now
 	}
 	contact.lastChecked = now
 }
 
-// duration returns for how long the contact has lasted without a pause.
+// duration returns how long the contact has lasted without interruption.
 func (contact *quorumContact) duration(now time.Time) time.Duration {
 	if now.Sub(contact.lastChecked) > suspectTimeout {
 		return 0
@@ -28,7 +28,7 @@
 	return now.Sub(contact.since)
 }
 
-// recordQuorumContact records whether this node hears a majority of the control group.
+// recordQuorumContact records how many voters of the control group this node hears from.
 func (node *Node) recordQuorumContact() {
 	voters := node.Voters()
 	node.mutex.Lock()
@@ -42,7 +42,7 @@
 	node.contact.record(now, heard, len(voters))
 }
 
-// quorumContactFor returns for how long this node has been in contact with a majority.
+// quorumContactFor returns how long this node has been in contact with a majority.
 func (node *Node) quorumContactFor() time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
--- a/system/controlplane/role_lease.go
+++ b/system/controlplane/role_lease.go
@@ -7,17 +7,16 @@
 	"yardrock.example/system/feed"
 )
 
-// roleLeaseInterval is how often a node that does not hold the leases checks whether it should.
+// roleLeaseInterval is how often a node without the leases checks whether it should take them.
 const roleLeaseInterval = 50 * time.Millisecond
 
 // RunnerDiscoveryRole is the key of the singleton role whose holder polls the platform's
 // runner list.
 const RunnerDiscoveryRole = "roster"
 
-// runRoleLeases takes the leases on all singleton roles while this node leads the control
-// group, each with the next fencing token, and does what the roles demand. The leader holds
-// them all, so the loss of any other node moves no lease, and the loss of the leader moves
-// them as soon as there is another. It returns when it is due again.
+// runRoleLeases acquires the leases on all singleton roles while this node leads the control
+// group, each with the next fencing token, and performs the roles. The leader holds all leases,
+// so only a change of leader moves them. It returns the delay until its next run.
 func (node *Node) runRoleLeases() time.Duration {
 	view := node.View()
 	if view.Number == 0 || !node.host.Statuses()[controlGroup].CommittedInTerm {
--- a/system/controlplane/routing_requests.go
+++ b/system/controlplane/routing_requests.go
@@ -12,12 +12,12 @@
 	"yardrock.example/system/feed"
 )
 
-// ReplaceRouting replaces the routing of the revision base (0 if there is none yet) by
-// another, and returns once that is acknowledged. Digest identifies the request: the same one
-// sent again is acknowledged again. The error is Conflict if another revision is in force,
-// Invalid if the routing is wrong. When the context ends it is OutcomeUnknown if the routing may
-// have been replaced, NoQuorum if nobody could say: send the request again. NoQuorum also
-// answers a request so old that it is unknown whether it was carried out.
+// ReplaceRouting replaces the routing of the revision base (0 if there is none yet) and returns
+// once the change is acknowledged. Digest identifies the request: a request that is sent again
+// is acknowledged again. The error is Conflict if another revision is in force, Invalid if the
+// routing is invalid. If the context ends first it is OutcomeUnknown if the routing may have been
+// replaced, NoQuorum if no quorum answered; in both cases send the request again. The error is
+// also NoQuorum for a request so old that it is unknown whether it was carried out.
 //
 //	err := node.ReplaceRouting(ctx, "root", 5, config.Routing{Revision: 7, Routes: routes, Services: services}, digest)
 func (node *Node) ReplaceRouting(ctx context.Context, by string, base uint64, next config.Routing, digest string) error {
@@ -28,8 +28,8 @@
 	return node.changeRouting(ctx, request, func(*config.Routing) (config.Routing, error) { return next, nil })
 }
 
-// PatchRouting changes named parts of the routing of the revision base, and returns once that
-// is acknowledged, as ReplaceRouting does.
+// PatchRouting changes parts of the routing of the revision base. It returns as ReplaceRouting
+// does.
 //
 //	err := node.PatchRouting(ctx, "root", 7, config.RoutingPatch{Revision: 9, RemoveRoutes: []string{"old"}}, digest)
 func (node *Node) PatchRouting(ctx context.Context, by string, base uint64, patch config.RoutingPatch, digest string) error {
@@ -37,21 +37,21 @@
 	return node.changeRouting(ctx, request, func(inForce *config.Routing) (config.Routing, error) { return inForce.Patched(patch) })
 }
 
-// routingRequest is a request to replace the routing of one revision by that of another.
+// routingRequest is a request to replace the routing of one revision by another.
 type routingRequest struct {
 	operator string
-	base     uint64 // the revision that it builds on; 0 if there is none yet
-	revision uint64 // of the routing that it makes
-	digest   string // identifies what the operator sent
+	base     uint64 // the revision that it replaces; 0 if there is none yet
+	revision uint64 // the revision of the new routing
+	digest   string // identifies the request
 }
 
-// accepted is how the request is remembered once it was carried out.
+// accepted returns the request's entry in the request history.
 func (request routingRequest) accepted() feed.AcceptedRequest {
 	return feed.AcceptedRequest{Digest: feed.RequestDigest(request.digest), Number: request.revision}
 }
 
-// acceptedRoutingRequests returns the routing requests that are remembered. An older version
-// kept them only in the routing itself; they are converted from there.
+// acceptedRoutingRequests returns the history of routing requests. Older versions kept it only in
+// the routing itself; it is converted from there.
 func acceptedRoutingRequests(view *feed.View, routing *config.Routing) feed.RequestHistory {
 	history := view.RoutingRequests
 	if !history.IsEmpty() || routing == nil || len(routing.AcceptedRequests) == 0 {
@@ -66,7 +66,7 @@
 	return history
 }
 
-// routingFunc makes the next routing from the one in force, which is nil if there is none.
+// routingFunc returns the next routing, given the one in force, which is nil if there is none.
 type routingFunc func(inForce *config.Routing) (config.Routing, error)
 
 // changeRouting carries out a routing request.
@@ -75,7 +75,7 @@
 	return err
 }
 
-// decideRouting finds what is left to do for a routing request on a view.
+// decideRouting decides what remains to be done for a routing request on a view.
 func (node *Node) decideRouting(view *feed.View, request routingRequest, makeRouting routingFunc) (decision, error) {
 	decoded, err := node.decodeConfig(view)
 	if err != nil {
@@ -89,7 +89,7 @@
 		if history.MayHaveForgotten(request.revision) {
 			return decision{}, forgottenRequestError()
 		}
-		return decision{}, apierror.New(apierror.Conflict, fmt.Sprintf("the routing builds on revision %d, but %d is in force", request.base, inForce), "read what is in force and decide anew")
+		return decision{}, apierror.New(apierror.Conflict, fmt.Sprintf("the request is based on routing revision %d, but revision %d is in force", request.base, inForce), "read the routing in force and send a new request based on it")
 	}
 	if len(view.Compiled) == 0 {
 		if decoded, _, err = configsource.Compile(""); err != nil {
@@ -112,14 +112,14 @@
 	return decision{change: change}, nil
 }
 
-// ReadRouting returns the routing in force, confirmed by a quorum; its revision is 0 if there
-// is none yet. The error is NoQuorum if the context ends before it could be confirmed.
+// ReadRouting returns the routing in force, confirmed by a quorum; its revision is 0 if there is
+// none yet. The error is NoQuorum if the context ends before a quorum confirms it.
 //
 //	routing, err := node.ReadRouting(ctx)
 func (node *Node) ReadRouting(ctx context.Context) (*config.Routing, error) {
 	for {
-		limited, cancel := context.WithTimeout(ctx, attemptTimeout)
-		view, err := node.confirmedView(limited)
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		view, err := node.confirmedView(attemptCtx)
 		cancel()
 		if err == nil {
 			decoded, err := node.decodeConfig(view)
--- a/system/controlplane/runner_discovery.go
+++ b/system/controlplane/runner_discovery.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// runnerListTimeout bounds one reading of the runner list.
+	// runnerListTimeout bounds one read of the runner list.
 	runnerListTimeout = 3 * time.Second
-	// runnerListInterval is how often the list of a given RunnerSource is read.
+	// runnerListInterval is how often the list of Settings.RunnerSource is read.
 	runnerListInterval = 500 * time.Millisecond
-	// warmUpSlack is how much later than published a slow start may end before the runner
-	// counts as restarted.
+	// warmUpSlack is how much later than published a warm-up may end before it counts as
+	// restarted.
 	warmUpSlack = 250 * time.Millisecond
 )
 
-// runnersReading records a runner list whose content is in force.
+// runnersReading describes a runner list whose content is in force.
 type runnersReading struct {
-	// requestedAt is when the list was requested: it is no older than that.
+	// requestedAt is when the list was requested; its content is at least as recent.
 	requestedAt time.Time
-	// fencingToken is that of the lease it was published under. A later holder of the lease
+	// fencingToken is the token of the lease under which it was published. A later lease holder
 	// may have published another list.
 	fencingToken uint64
 }
 
-// discoverRunners reads the runner list if it is due, and publishes what changed on the feed
-// under the fencing token of the lease. If the source names a RetryAfter it is not read before.
+// discoverRunners reads the runner list if it is due and publishes the differences on the feed
+// under the fencing token of the lease. After an error with RetryAfter the next read waits for
+// that long.
 func (node *Node) discoverRunners(ctx context.Context, view *feed.View, lease feed.RoleLease) {
 	discovery := &node.discovery
 	if time.Now().Before(discovery.nextPoll) {
@@ -43,9 +44,9 @@
 	}
 	requestedAt := time.Now()
 	discovery.nextPoll = requestedAt.Add(interval)
-	limited, cancel := context.WithTimeout(ctx, runnerListTimeout)
+	listCtx, cancel := context.WithTimeout(ctx, runnerListTimeout)
 	defer cancel()
-	runners, err := source.List(limited)
+	runners, err := source.List(listCtx)
 	if err != nil {
 		if retryAfter := apierror.Of(err).RetryAfter; retryAfter > 0 {
 			discovery.nextPoll = time.Now().Add(retryAfter)
@@ -54,13 +55,13 @@
 		return
 	}
 	if node.publishRunners(ctx, view, lease, groups, runners, requestedAt) {
-		// After the change is committed: stateAsLeader relies on this order.
+		// Stored only after the change is committed: stateAsLeader relies on this order.
 		node.runnersReading.Store(&runnersReading{requestedAt, lease.FencingToken})
 	}
 }
 
-// publishRunners proposes what differs between a list, requested at a time, and the runners of a
-// view. It reports whether the list's content is in force.
+// publishRunners proposes the differences between a runner list and the runners of a view. It
+// reports whether the list's content is in force.
 func (node *Node) publishRunners(ctx context.Context, view *feed.View, lease feed.RoleLease, groups map[string]config.Group, listed []feed.Runner, requestedAt time.Time) bool {
 	discovery := &node.discovery
 	discovery.beginLease(lease.FencingToken)
@@ -70,7 +71,7 @@
 		return true
 	}
 	if _, err := node.Change(ctx, change); err != nil {
-		discovery.nextPoll = requestedAt // due at once: mostly the feed has changed meanwhile
+		discovery.nextPoll = requestedAt // retry at once: usually the view has changed in the meantime
 		log.WithFields(log.Fields{"node": node.Name(), "error": err.Error()}).Warn("cannot publish the runner list")
 		return false
 	}
@@ -78,8 +79,8 @@
 	return true
 }
 
-// runnerSource returns where to read the runner list and how often, nil if no list is
-// configured. Groups are nil if the source reports itself when a runner has warmed up.
+// runnerSource returns the source of the runner list, nil if none is configured, and how often to
+// read it. Groups is nil if the source itself reports when a runner has warmed up.
 func (node *Node) runnerSource(view *feed.View) (source RunnerSource, groups map[string]config.Group, interval time.Duration) {
 	if node.settings.RunnerSource != nil {
 		return node.settings.RunnerSource, nil, runnerListInterval
@@ -92,21 +93,21 @@
 	return &node.configRunners, decoded.Groups, time.Duration(decoded.Platform.Poll)
 }
 
-// runnerDiscovery is what the holder of RunnerDiscoveryRole keeps in memory. Only the role
+// runnerDiscovery is the in-memory state of the holder of RunnerDiscoveryRole. Only the role
 // lease task uses it. A new lease starts with empty maps.
 type runnerDiscovery struct {
-	// nextPoll is when the list is due again.
+	// nextPoll is when the list is read next.
 	nextPoll time.Time
-	// servingSince is when this node first saw each runner serve under this lease, by its
+	// servingSince is when this node first saw each runner serving under this lease, by its
 	// monotonic clock.
 	servingSince map[string]time.Time
-	// warmUpEnds is when the slow start of each runner ends, as published on the feed.
+	// warmUpEnds is when the warm-up of each runner ends, as published on the feed.
 	warmUpEnds map[string]time.Time
-	// fencingToken is that of the lease which the maps belong to.
+	// fencingToken is the token of the lease to which the maps belong.
 	fencingToken uint64
 }
 
-// beginLease forgets what was recorded under another lease.
+// beginLease discards the state recorded under another lease.
 func (discovery *runnerDiscovery) beginLease(fencingToken uint64) {
 	if discovery.fencingToken != fencingToken {
 		discovery.fencingToken = fencingToken
@@ -115,8 +116,8 @@
 }
 
 // diff returns the runners of a list that are new or differ from those on the feed, and the
-// identities of those that are no longer listed. Of runners listed twice the first counts.
-// Groups are nil if the source reports itself when a runner has warmed up.
+// identities of those that are no longer listed. If a runner is listed twice, the first entry is
+// used. Groups is nil if the source itself reports when a runner has warmed up.
 func (discovery *runnerDiscovery) diff(before, listed []feed.Runner, groups map[string]config.Group, now time.Time) (changed []feed.Runner, removed []string) {
 	published := make(map[string]feed.Runner, len(before))
 	for _, runner := range before {
@@ -131,7 +132,7 @@
 		seen[name] = true
 		old, found := published[name]
 		runner.Since, runner.Warmed = now.UnixNano(), false
-		if found && old.State == runner.State && !discovery.warmsUpAgain(runner, now) {
+		if found && old.State == runner.State && !discovery.warmUpRestarted(runner, now) {
 			runner.Since, runner.Warmed = old.Since, old.Warmed
 		}
 		runner.Warmed = discovery.recordServing(runner, groups, now) || runner.Warmed
@@ -148,8 +149,8 @@
 	return changed, removed
 }
 
-// recordServing records since when a runner has been seen serving, and reports whether that is
-// as long as its group's slow start lasts.
+// recordServing records when a runner was first seen serving, and reports whether it has served
+// for its group's slow start since. Without groups it counts as warmed up once it serves.
 func (discovery *runnerDiscovery) recordServing(runner feed.Runner, groups map[string]config.Group, now time.Time) bool {
 	name := runner.Identity()
 	since, served := discovery.servingSince[name]
@@ -165,17 +166,17 @@
 	}
 }
 
-// runnerDiffers reports whether a runner differs from what is on the feed. A slow start that
-// only has less time left is no difference.
+// runnerDiffers reports whether a runner differs from its entry on the feed, apart from the time
+// left of its warm-up.
 func runnerDiffers(old, runner feed.Runner) bool {
 	old.WarmUpLeft = runner.WarmUpLeft
 	return old != runner
 }
 
-// warmsUpAgain reports whether a runner's slow start ends later than published, so that it
-// must have been restarted. Only the lease holder that published a slow start knows when that
-// ends; for another one every slow start counts as restarted.
-func (discovery *runnerDiscovery) warmsUpAgain(runner feed.Runner, now time.Time) bool {
+// warmUpRestarted reports whether a runner's warm-up ends later than published, so that it must
+// have been restarted. Only the lease holder that published a warm-up knows when it ends; for any
+// other holder every warm-up counts as restarted.
+func (discovery *runnerDiscovery) warmUpRestarted(runner feed.Runner, now time.Time) bool {
 	if runner.State != feed.StateWarmingUp || runner.WarmUpLeft <= 0 {
 		return false
 	}
@@ -183,8 +184,8 @@
 	return !published || now.Add(runner.WarmUpLeft).After(ends.Add(warmUpSlack))
 }
 
-// recordPublished records when the published slow starts end, for a list that was requested
-// at a time.
+// recordPublished records when the published warm-ups end, counted from when the list was
+// requested.
 func (discovery *runnerDiscovery) recordPublished(changed []feed.Runner, removed []string, requestedAt time.Time) {
 	for _, runner := range changed {
 		if delete(discovery.warmUpEnds, runner.Identity()); runner.State == feed.StateWarmingUp {
--- a/system/controlplane/store_decommission.go
+++ b/system/controlplane/store_decommission.go
@@ -13,12 +13,13 @@
 	"yardrock.example/system/wire"
 )
 
-// decommissionPollInterval is how often a waiting request checks whether a store has left.
+// decommissionPollInterval is how often a waiting request checks whether a store is
+// decommissioned.
 const decommissionPollInterval = 200 * time.Millisecond
 
-// beginDecommission has a listed store emptied, unless that was begun before. From then on
-// the groups' leaders move its replicas away, and the control leader takes it off the list
-// once it has none.
+// beginDecommission marks a listed store as decommissioning, unless it already is. The groups'
+// leaders then move its replicas away, and the control leader removes it from the store list once
+// it has none.
 func (node *Node) beginDecommission(ctx context.Context, by, target string, matches func(store feed.Member) bool) (*wire.ChangeReply, error) {
 	return node.execute(ctx, func(view *feed.View) (decision, error) {
 		change, err := planDecommission(view, target, matches)
@@ -30,109 +31,109 @@
 	})
 }
 
-// planDecommission plans the change that begins to decommission a store; nil if it was begun
-// before. Target is what the request names the store by: its name or its machine.
+// planDecommission returns the change that begins to decommission a store, nil if that was begun
+// before. Target is the store's name or machine, as given in the request.
 func planDecommission(view *feed.View, target string, matches func(store feed.Member) bool) (*feed.Change, error) {
-	at := slices.IndexFunc(view.Stores, matches)
+	index := slices.IndexFunc(view.Stores, matches)
 	switch {
-	case at < 0 && (slices.ContainsFunc(view.Decommissioned, matches) || wasDecommissionedLongAgo(view, target)):
+	case index < 0 && (slices.ContainsFunc(view.Decommissioned, matches) || decommissionInHistory(view, target)):
 		return nil, nil
-	case at < 0:
-		return nil, apierror.New(apierror.NotFound, "no store of "+target+" is enrolled", "name one of those that the fleet query lists")
-	case view.Stores[at].State == feed.StateDecommissioning:
+	case index < 0:
+		return nil, apierror.New(apierror.NotFound, "no store with the name or machine "+target+" is enrolled", "name a store that the fleet query lists")
+	case view.Stores[index].State == feed.StateDecommissioning:
 		return nil, nil
 	}
 	if left := len(view.PlacementCandidates()); left <= view.ReplicationFactor() {
-		return nil, apierror.New(apierror.Conflict, fmt.Sprintf("only %d stores are left, and each group needs %d", left, view.ReplicationFactor()), "enrol another store first")
+		return nil, apierror.New(apierror.Conflict, fmt.Sprintf("only %d stores are available for placement, and each group needs %d", left, view.ReplicationFactor()), "enrol another store first")
 	}
 	next := slices.Clone(view.Stores)
-	next[at].State = feed.StateDecommissioning
+	next[index].State = feed.StateDecommissioning
 	change := newStoresChange(view, next)
-	// In place of the request's own digest, so that the request history remembers the store by its
-	// name or machine, whoever asked. A request that names a number keeps its own (decide).
+	// This replaces the request's own digest, so that the request history identifies the store by
+	// name or machine, whoever the operator is. A request with an expected number keeps its own
+	// digest (see decide).
 	change.AdminRequest = decommissionDigest(target)
 	return change, nil
 }
 
-// decommissionDigest identifies a decommission request in the request history, which reaches
-// further back than the view's list of decommissioned stores.
+// decommissionDigest identifies a decommission request in the request history, which goes back
+// further than the view's list of decommissioned stores.
 func decommissionDigest(target string) uint64 { return feed.RequestDigest("retire", target) }
 
-// wasDecommissionedLongAgo reports whether the request history remembers that a store was
-// decommissioned.
-func wasDecommissionedLongAgo(view *feed.View, target string) bool {
+// decommissionInHistory reports whether the request history has a decommission of a store.
+func decommissionInHistory(view *feed.View, target string) bool {
 	_, accepted := view.AdminRequests.NumberOf(decommissionDigest(target))
 	return accepted
 }
 
-// BeginDecommission begins to decommission the store on a machine, and returns once that is
-// acknowledged. It goes on by itself; DecommissionState reports when the machine may be
-// switched off. Over is how long the operator allows for it, which is only logged: replicas
-// move as soon as they can. The error is NotFound if no store is on the machine, Conflict if
-// too few stores would be left.
+// BeginDecommission begins to decommission the store on a machine and returns once that is
+// acknowledged. The decommission continues in the background; DecommissionState reports when the
+// machine may be switched off. Period is how long the operator allows for it; it is only logged,
+// and replicas move as soon as they can. The error is NotFound if no store is on the machine,
+// Conflict if too few stores would remain.
 //
 //	err := node.BeginDecommission(ctx, "root", "storage-east-1", 10*time.Second)
-func (node *Node) BeginDecommission(ctx context.Context, by, machine string, over time.Duration) error {
+func (node *Node) BeginDecommission(ctx context.Context, by, machine string, period time.Duration) error {
 	_, err := node.beginDecommission(ctx, by, machine, onMachine(machine))
 	if err == nil {
-		log.WithFields(log.Fields{"node": node.Name(), "machine": machine, "operator": by, "over": over}).Info("store decommission begun")
+		log.WithFields(log.Fields{"node": node.Name(), "machine": machine, "operator": by, "over": period}).Info("store decommission begun")
 	}
 	return err
 }
 
-// hasName matches the store of a name.
+// hasName returns a predicate that matches the store with a name.
 func hasName(name string) func(store feed.Member) bool {
 	return func(store feed.Member) bool { return store.Name == name }
 }
 
-// isDecommissioning matches the stores that are being emptied.
+// isDecommissioning reports whether a store is being decommissioned.
 func isDecommissioning(store feed.Member) bool {
 	return store.State == feed.StateDecommissioning
 }
 
-// onMachine matches the store on a machine.
+// onMachine returns a predicate that matches the store on a machine.
 func onMachine(machine string) func(store feed.Member) bool {
 	return func(store feed.Member) bool { return machine != "" && store.Machine == machine }
 }
 
-// DecommissionState returns feed.StateDecommissioning for a machine whose store is being
-// emptied, and feed.StateDecommissioned once the machine may be switched off. The error is
-// NotFound if no store is decommissioned there.
+// DecommissionState returns feed.StateDecommissioning while the store on a machine is being
+// decommissioned, and feed.StateDecommissioned once the machine may be switched off. The error is
+// NotFound if no decommission was begun there.
 //
 //	state, err := node.DecommissionState(ctx, "storage-east-1")
 func (node *Node) DecommissionState(ctx context.Context, machine string) (string, error) {
 	state := feed.StateDecommissioning
 	_, err := node.execute(ctx, func(view *feed.View) (decision, error) {
-		at := slices.IndexFunc(view.Stores, onMachine(machine))
+		index := slices.IndexFunc(view.Stores, onMachine(machine))
 		switch {
-		case at >= 0 && view.Stores[at].State == feed.StateDecommissioning:
+		case index >= 0 && view.Stores[index].State == feed.StateDecommissioning:
 			state = feed.StateDecommissioning
-		case at < 0 && slices.ContainsFunc(view.Decommissioned, onMachine(machine)):
+		case index < 0 && slices.ContainsFunc(view.Decommissioned, onMachine(machine)):
 			state = feed.StateDecommissioned
-		case at < 0 && wasDecommissionedLongAgo(view, machine):
+		case index < 0 && decommissionInHistory(view, machine):
 			return decision{}, forgottenRequestError()
 		default:
-			return decision{}, apierror.New(apierror.NotFound, "no store of "+machine+" is retired", "begin to retire it, or name one of those that the fleet query lists")
+			return decision{}, apierror.New(apierror.NotFound, "no store on machine "+machine+" is being decommissioned", "begin to decommission it, or name a machine that the fleet query lists")
 		}
 		return decision{acceptedAs: view.Number}, nil
 	})
 	return state, err
 }
 
-// decommissionStore decommissions the store of a name, and returns once no group has a
-// replica on it, so that its machine may be switched off. If the context ends first the error
-// is OutcomeUnknown, and it goes on by itself.
+// decommissionStore decommissions the store with a name and returns once no group has a replica
+// on it, so that its machine may be switched off. If the context ends first the error is
+// OutcomeUnknown and the decommission continues in the background.
 func (node *Node) decommissionStore(ctx context.Context, by, name string) (*wire.ChangeReply, error) {
-	beginning, cancel := context.WithTimeout(ctx, administrationTimeout)
+	beginCtx, cancel := context.WithTimeout(ctx, administrationTimeout)
 	defer cancel()
-	if _, err := node.beginDecommission(beginning, by, name, hasName(name)); err != nil {
+	if _, err := node.beginDecommission(beginCtx, by, name, hasName(name)); err != nil {
 		return nil, err
 	}
 	return node.awaitDecommissioned(ctx, name)
 }
 
-// awaitDecommissioned waits until a store that is being emptied has left the store list, and
-// that is acknowledged.
+// awaitDecommissioned waits until a store that is being decommissioned has left the store list
+// and that change is acknowledged.
 func (node *Node) awaitDecommissioned(ctx context.Context, name string) (*wire.ChangeReply, error) {
 	isStore := hasName(name)
 	for {
@@ -142,15 +143,15 @@
 		select {
 		case <-time.After(decommissionPollInterval):
 		case <-ctx.Done():
-			return nil, apierror.NewRetryable(apierror.OutcomeUnknown, name+" still has replicas; it goes on being emptied", "send the same command again to wait on", time.Second)
+			return nil, apierror.NewRetryable(apierror.OutcomeUnknown, name+" still has replicas; its decommission continues", "send the same command again to keep waiting", time.Second)
 		}
 	}
 }
 
-// finishDecommissions takes an empty store off the store list. To be sure that it is empty,
-// the confirmed leaders of all groups must report that their replicas are on the stores that
-// stay: a group that lacks one of these, or has a replica on a store which is not listed, may
-// still need what the leaving store has.
+// finishDecommissions removes an empty store from the store list. To ensure that it is empty, the
+// confirmed leaders of all groups must report that their replicas are on the remaining stores: a
+// group that lacks one of these, or has a replica on a store that is not listed, may still need
+// data of the store that is being decommissioned.
 func (node *Node) finishDecommissions() {
 	view := node.View()
 	if !node.IsLeader() || !slices.ContainsFunc(view.Stores, isDecommissioning) {
@@ -161,11 +162,11 @@
 	if node.countUnhealedGroups(ctx, view) > 0 {
 		return
 	}
-	at := slices.IndexFunc(view.Stores, isDecommissioning)
-	store := view.Stores[at]
-	log.WithFields(log.Fields{"node": node.Name(), "store": store.Name, "machine": store.Machine}).Info("store is empty, taking it off the store list")
+	index := slices.IndexFunc(view.Stores, isDecommissioning)
+	store := view.Stores[index]
+	log.WithFields(log.Fields{"node": node.Name(), "store": store.Name, "machine": store.Machine}).Info("removing an empty store from the store list")
 	store.State = feed.StateDecommissioned
-	next := slices.Delete(slices.Clone(view.Stores), at, at+1)
+	next := slices.Delete(slices.Clone(view.Stores), index, index+1)
 	change := newStoresChange(view, next)
 	change.By, change.Member = node.Name(), store
 	node.proposeOrLog(ctx, *change)
--- a/system/controlplane/store_founding.go
+++ b/system/controlplane/store_founding.go
@@ -13,18 +13,18 @@
 	"yardrock.example/system/wire/schema"
 )
 
-// recoveredNumberStep is how far a recovered feed jumps ahead, so that no number that was given
-// out but not acknowledged is ever given out again.
+// recoveredNumberStep is how many numbers a recovered feed skips, so that no number that was
+// assigned but not acknowledged is ever assigned again.
 const recoveredNumberStep = 1_000_000
 
-// foundingQuietPeriod is how long no store may have been discovered before the first list is
-// made.
-const foundingQuietPeriod = 700 * time.Millisecond
+// storeQuietPeriod is the time without newly discovered stores after which the first store list
+// is created if Settings.AutoEnrol is set.
+const storeQuietPeriod = 700 * time.Millisecond
 
-// foundStoreList makes the first store list once enough stores are live. If a store has
-// synced a view of another fleet, this control plane has lost its disks, and recovers the
-// feed from what a majority of that view's stores has synced instead.
-func (node *Node) foundStoreList(ctx context.Context) {
+// createStoreList proposes the first store list once enough stores are live. If a store has
+// synced a view of another fleet, this control plane has lost its disks, and it instead recovers
+// the feed from what a majority of that view's stores has synced.
+func (node *Node) createStoreList(ctx context.Context) {
 	view := node.View()
 	if len(view.Stores) > 0 || view.Number == 0 {
 		return
@@ -50,19 +50,19 @@
 	}
 }
 
-// storesSettled reports whether no store has been discovered lately, so that a list made now
-// need not be changed at once.
+// storesSettled reports whether no store was discovered within storeQuietPeriod, so that a list
+// created now need not change at once.
 func (node *Node) storesSettled(stores []feed.Member) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	return !slices.ContainsFunc(stores, func(store feed.Member) bool {
-		return time.Since(node.liveness[store.Name].firstHeard) < foundingQuietPeriod
+		return time.Since(node.liveness[store.Name].firstHeard) < storeQuietPeriod
 	})
 }
 
-// fetchNewestForeignView asks stores for the newest view that they have synced of a fleet
-// other than this one, and returns the newest of all with the names of the stores that
-// answered. Stores whose own control plane is alive are left out.
+// fetchNewestForeignView queries stores for the newest view that they have synced of a fleet
+// other than this one, and returns the newest of all and the names of the stores that answered.
+// Stores of another fleet whose control plane is alive are left out.
 func (node *Node) fetchNewestForeignView(ctx context.Context, stores []feed.Member) (feed.View, []string) {
 	var mutex sync.Mutex
 	var calls sync.WaitGroup
@@ -93,19 +93,19 @@
 	return newest, answered
 }
 
-// recoverFeed proposes a view that stores had synced as the one in force, if a majority of
-// that view's stores has answered: then no acknowledged change is missing.
+// recoverFeed proposes to put in force a view that stores have synced, if a majority of that
+// view's stores answered: then no acknowledged change is missing.
 func (node *Node) recoverFeed(ctx context.Context, recovered feed.View, answered []string) {
-	// Every acknowledged change was synced by a majority of these stores, so any other majority
-	// of them has a store that knows it.
-	heard, replicas := 0, feed.ViewReplicas(recovered.Stores)
+	// Every acknowledged change was synced by a majority of these stores, so every majority of
+	// them includes a store that has it.
+	answeredCount, replicas := 0, feed.ViewReplicas(recovered.Stores)
 	for _, store := range replicas {
 		if slices.Contains(answered, store.Name) {
-			heard++
+			answeredCount++
 		}
 	}
-	if heard < len(replicas)/2+1 {
-		log.WithFields(log.Fields{"node": node.Name(), "number": recovered.Number, "heard": heard, "of": len(replicas)}).Warn("recovery of the feed waits for a majority of its stores")
+	if answeredCount < len(replicas)/2+1 {
+		log.WithFields(log.Fields{"node": node.Name(), "number": recovered.Number, "heard": answeredCount, "of": len(replicas)}).Warn("recovery of the feed is waiting for a majority of its stores")
 		return
 	}
 	view := node.View()
--- a/system/controlplane/store_groups.go
+++ b/system/controlplane/store_groups.go
@@ -10,8 +10,8 @@
 	"yardrock.example/system/wire"
 )
 
-// countUnhealedGroups counts the groups that have no leader confirmed by a majority of them, that
-// have learners, or whose voters are not exactly the replicas that the store list calls for.
+// countUnhealedGroups counts the groups that have no leader confirmed by a majority of the group,
+// that have learners, or whose voters are not exactly the replicas that placement requires.
 func (node *Node) countUnhealedGroups(ctx context.Context, view *feed.View) int {
 	leaders := node.groupLeaders(ctx, view)
 	count := 0
@@ -24,12 +24,12 @@
 	return count
 }
 
-// sameNames reports whether two lists have the same names in any order.
+// sameNames reports whether two lists contain the same names in any order.
 func sameNames(left, right []string) bool {
 	return slices.Equal(slices.Sorted(slices.Values(left)), slices.Sorted(slices.Values(right)))
 }
 
-// leaderStatus is the status of a group as its leader reports it. Leader is the store's name.
+// leaderStatus is the status of a group as reported by its leader, a store given by name.
 type leaderStatus struct {
 	wire.GroupStatus
 	leader string
@@ -40,8 +40,8 @@
 	return node.queryGroupLeaders(ctx, view, wire.StatusQuery{})
 }
 
-// queryGroupLeaders asks all listed stores at once, and returns the status of each group as
-// its leader reports it. Stores that do not answer within callTimeout are left out.
+// queryGroupLeaders queries all listed stores concurrently and returns the status of each group
+// as reported by its leader. Stores that do not answer within callTimeout are left out.
 func (node *Node) queryGroupLeaders(ctx context.Context, view *feed.View, query wire.StatusQuery) map[uint32]leaderStatus {
 	var mutex sync.Mutex
 	var calls sync.WaitGroup
